--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -440,7 +440,7 @@
 }
 
 // Snapshot and Restore keep the last decision in place of the log that led to it.
-func (f *fsm) Snapshot() (raft.FSMSnapshot, error) { return snapshot{f.decision()}, nil }
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) { return fsmSnapshot{f.decision()}, nil }
 
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
@@ -455,16 +455,16 @@
 	return nil
 }
 
-type snapshot struct{ d Decision }
+type fsmSnapshot struct{ d Decision }
 
-func (s snapshot) Persist(to raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := json.NewEncoder(to).Encode(s.d); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
 	return to.Close()
 }
 
-func (snapshot) Release() {}
+func (fsmSnapshot) Release() {}
 
 // lines hands the library's log on.
 type lines struct{}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -171,7 +171,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func config(revision int) string {
+func testConfig(revision int) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[
 	{"name":"a","hostname":"h.example","path-prefix":"/a/","route-kind":"unsafe","timeout-ms":10000,"setpoint-ms":500,"target-service":"s","max-attempts":1},
 	{"name":"b","hostname":"h.example","path-prefix":"/b/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":500,"target-service":"s","max-attempts":1}],
@@ -225,7 +225,7 @@
 func TestOneProcess(t *testing.T) {
 	m := newMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", config(5), "If-Match", "0", "Content-Type", "application/json")
+	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
 	require.False(t, m.ready(), "ready without servers")
 	s := m.modelServer("i-1")
 	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
@@ -237,7 +237,7 @@
 	done()
 
 	// Another configuration is in force soon, and read back as it was sent.
-	next := strings.Replace(config(7), `"/a/"`, `"/c/"`, 1)
+	next := strings.Replace(testConfig(7), `"/a/"`, `"/c/"`, 1)
 	m.call(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
 	m.call(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
 	m.call(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
@@ -282,7 +282,7 @@
 func TestAnEndingProcessIsNotReady(t *testing.T) {
 	m := newMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", config(5), "If-Match", "0", "Content-Type", "application/json")
+	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
 	m.modelServer("i-1")
 	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
 	p.d.ending.Store(true)
@@ -302,7 +302,7 @@
 	for _, m := range machines {
 		processes = append(processes, m.start())
 	}
-	machines[0].call(200, "PUT", "/chalkdoor/config", config(5), "If-Match", "0", "Content-Type", "application/json")
+	machines[0].call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
 	server := machines[0].modelServer("i-1")
 	var streams []*http.Response
 	for _, m := range machines {
@@ -339,7 +339,7 @@
 func TestTheGraceOfAProcess(t *testing.T) {
 	m := newMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", config(5), "If-Match", "0", "Content-Type", "application/json")
+	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
 	s := m.modelServer("i-1")
 	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
 	stream, done := m.ask("/b/x", "1")
