--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"chalkdoor.example/chalkdoor/internal/wire"
+	"chalkdoor.example/chalkdoor/internal/agent/simprotocol"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -22,14 +22,14 @@
 // run serves batches until the input ends. Instances share nothing but the
 // process; each is reached through its number only.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	dec := simprotocol.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*policy.Balancer{}
-	var enc wire.Encoder
+	var enc simprotocol.Encoder
 	var actions []policy.Action
-	handle := func(now float64, rec *wire.Record) error {
+	handle := func(now float64, rec *simprotocol.Record) error {
 		switch rec.Kind {
-		case wire.Boot:
+		case simprotocol.Boot:
 			b, err := boot(rec)
 			if err != nil {
 				enc.Crash(rec.Instance, err.Error())
@@ -38,7 +38,7 @@
 			}
 			instances[rec.Instance] = b
 			actions = b.Start(now, actions[:0])
-		case wire.Killed:
+		case simprotocol.Killed:
 			delete(instances, rec.Instance)
 			return nil
 		default:
@@ -70,8 +70,8 @@
 	}
 }
 
-func boot(rec *wire.Record) (*policy.Balancer, error) {
-	settings, err := wire.ParseSettings(rec.Settings)
+func boot(rec *simprotocol.Record) (*policy.Balancer, error) {
+	settings, err := simprotocol.ParseSettings(rec.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/chalklab/main.go
+++ b/cmd/agentlab/main.go
@@ -1,4 +1,4 @@
-// Command chalklab is the laboratory: it plays what happens to a fleet of agents, and
+// Command agentlab is the laboratory: it plays what happens to a fleet of agents, and
 // prints what came of it.
 package main
 
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"chalkdoor.example/chalkdoor/internal/lab/fleet"
+	"chalkdoor.example/chalkdoor/internal/testbed/fleetsim"
 )
 
 type cli struct {
@@ -35,8 +35,8 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("chalklab"), kong.Description("The laboratory of chalkdoor."),
-		kong.Vars{"scenarios": strings.Join(fleet.Scenarios(), ", ")}, kong.UsageOnError(),
+	ctx := kong.Parse(&c, kong.Name("agentlab"), kong.Description("The laboratory of chalkdoor."),
+		kong.Vars{"scenarios": strings.Join(fleetsim.Scenarios(), ", ")}, kong.UsageOnError(),
 		kong.Exit(func(code int) {
 			if code == 80 { // kong's own for what it cannot parse
 				code = 2
@@ -54,16 +54,16 @@
 func (f *fleetCmd) Run(out io.Writer) error {
 	names := f.Scenario
 	if len(names) == 0 {
-		names = fleet.Scenarios()
+		names = fleetsim.Scenarios()
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "scenario\tseed\tnet\tworth\tserved\tlate\trefused\tfailed\ttime-outs\tcross\thandshakes\tprobes\twarm\tpressed\tlost\ttwice\ttoppled\t")
 	for _, name := range names {
 		for seed := uint64(1); seed <= f.Seeds; seed++ {
-			cfg := fleet.Site(seed, name)
+			cfg := fleetsim.Site(seed, name)
 			cfg.Rate *= f.Load * float64(f.Agents) / float64(cfg.Agents)
 			cfg.Agents, cfg.Servers, cfg.Recall = f.Agents, f.Servers, f.Recall
-			r, err := fleet.Run(cfg)
+			r, err := fleetsim.Run(cfg)
 			if err != nil {
 				return err
 			}
@@ -85,7 +85,7 @@
 
 // seconds prints a play second by second: what came of the requests, what agents believed
 // on the mean, and what the servers bore.
-func seconds(out io.Writer, r *fleet.Result) {
+func seconds(out io.Writer, r *fleetsim.Result) {
 	for i, s := range r.Seconds {
 		fmt.Fprintf(out, "%4d s  asked %d served %d late %d refused %d failed %d  handshakes %d  shed %.2f admission %.2f demand %.0f of %.0f held %d  util warm %.2f cold %.2f choked %d\n",
 			i, s.Asked, s.Served, s.Late, s.Refused, s.Failed, s.Handshakes, s.Agents.Shed, s.Agents.Admission,
--- a/cmd/chalklab/run.go
+++ b/cmd/agentlab/run.go
@@ -17,20 +17,20 @@
 	"github.com/schollz/progressbar/v3"
 
 	"chalkdoor.example/chalkdoor/experiments"
-	"chalkdoor.example/chalkdoor/internal/lab/experiment"
-	"chalkdoor.example/chalkdoor/internal/lab/report"
+	"chalkdoor.example/chalkdoor/internal/testbed/experiment"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
 // errFailed is an experiment whose claims were not kept: all that is to say has been printed.
 var errFailed = errors.New("not all claims were kept")
 
 type runCmd struct {
-	Name   []string `arg:"" help:"Experiments, by name or as files. chalklab list names those there are."`
+	Name   []string `arg:"" help:"Experiments, by name or as files. agentlab list names those there are."`
 	Seed   uint64   `default:"1" help:"Of all that is drawn: arrivals, servers, and whom faults befall."`
 	Repeat uint64   `default:"1" help:"Plays of each, with as many seeds from the first."`
 	Quick  bool     `help:"The short form, within 45 s."`
 	Out    string   `help:"Folder for reports and plots." type:"path" default:"out"`
-	Bin    string   `help:"The agent's program; built from this source if there is none beside chalklab." type:"path" placeholder:"FILE"`
+	Bin    string   `help:"The agent's program; built from this source if there is none beside agentlab." type:"path" placeholder:"FILE"`
 }
 
 // Run plays and ends each play with a line PASSED or FAILED.
--- a/cmd/chalkdoor/main.go
+++ b/cmd/chalkdoor/main.go
@@ -14,7 +14,7 @@
 	"github.com/willabides/kongplete"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/ops"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
 )
 
 // Exit statuses: what failed is not what was called wrongly.
@@ -89,7 +89,7 @@
 // Run says that a file is sound, or all that is wrong with it.
 func (c *checkCmd) Run(out io.Writer) error {
 	if !strings.HasSuffix(c.File, ".json") {
-		if _, err := ops.Load(c.File); err != nil {
+		if _, err := opsconfig.Load(c.File); err != nil {
 			return err
 		}
 		_, err := fmt.Fprintf(out, "%s: a sound operations file\n", c.File)
@@ -107,7 +107,7 @@
 type exampleCmd struct{}
 
 // Run prints the example.
-func (exampleCmd) Run(out io.Writer) error { return ops.Example(out) }
+func (exampleCmd) Run(out io.Writer) error { return opsconfig.Example(out) }
 
 type versionCmd struct{}
 
--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -19,12 +19,12 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/durable"
-	"chalkdoor.example/chalkdoor/internal/layer"
-	"chalkdoor.example/chalkdoor/internal/logs"
-	"chalkdoor.example/chalkdoor/internal/metrics"
-	"chalkdoor.example/chalkdoor/internal/ops"
-	"chalkdoor.example/chalkdoor/internal/peers"
+	"chalkdoor.example/chalkdoor/internal/agent/coordination"
+	"chalkdoor.example/chalkdoor/internal/agent/logging"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/metrics"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
 // serve runs the agent until SIGTERM, with the operations file if one is named.
@@ -32,12 +32,12 @@
 	// From the first moment on: its default is to end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	log := logs.New(os.Stderr)
+	log := logging.New(os.Stderr)
 	slog.SetDefault(slog.New(log))
-	file := ops.Default()
+	file := opsconfig.Default()
 	if opsPath != "" {
 		var err error
-		if file, err = ops.Load(opsPath); err != nil {
+		if file, err = opsconfig.Load(opsPath); err != nil {
 			return err
 		}
 		if err = log.Set(file.Log); err != nil {
@@ -73,8 +73,8 @@
 			}
 			opt.Observer = m
 		}
-		var keeper *durable.Keeper
-		var recall layer.Kept
+		var keeper *snapshot.Keeper
+		var recall coordination.Kept
 		if file.State.Dir != "" {
 			if keeper, recall = openState(ctx, &file, &opt); keeper != nil {
 				defer func() {
@@ -83,7 +83,7 @@
 				}()
 			}
 		}
-		var l *layer.Layer
+		var l *coordination.Layer
 		if file.Fleet.Name != "" && len(file.Vote.Electorate) > 0 {
 			if l, err = actTogether(ctx, cfg, &file, recall); err != nil {
 				return err
@@ -106,7 +106,7 @@
 }
 
 // actTogether starts the layer by which this agent acts with others.
-func actTogether(ctx context.Context, cfg *agent.Config, file *ops.File, recall layer.Kept) (*layer.Layer, error) {
+func actTogether(ctx context.Context, cfg *agent.Config, file *opsconfig.File, recall coordination.Kept) (*coordination.Layer, error) {
 	if !slices.Contains(file.Vote.Electorate, cfg.Name) {
 		return nil, fmt.Errorf("operations file: vote.electorate: %q, this agent, is not in it", cfg.Name)
 	}
@@ -114,7 +114,7 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 		zone = cfg.Zones[z]
 	}
-	c := layer.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Recall: recall, Trace: file.Fleet.Trace, Peers: peers.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
+	c := coordination.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Recall: recall, Trace: file.Fleet.Trace, Peers: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
 		Region: file.Fleet.Region, Role: file.Fleet.Role, Boot: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
 	if file.State.Dir != "" {
 		c.VotesDir = filepath.Join(file.State.Dir, "votes")
@@ -127,11 +127,11 @@
 	for _, class := range cfg.Settings.Classes {
 		c.Aims = append(c.Aims, time.Duration(class.AimMs*float64(time.Millisecond)))
 	}
-	return layer.Start(ctx, c)
+	return coordination.Start(ctx, c)
 }
 
 // serveMetrics opens the operations address and serves figures there until ctx is done.
-func serveMetrics(ctx context.Context, name string, file *ops.File) (*metrics.Metrics, error) {
+func serveMetrics(ctx context.Context, name string, file *opsconfig.File) (*metrics.Metrics, error) {
 	ln, err := net.Listen("tcp", file.Metrics.Address)
 	if err != nil {
 		return nil, fmt.Errorf("metrics.address: %w", err)
@@ -149,8 +149,8 @@
 // openState opens the folder of what the agent learns, and gives it and its layer what an
 // earlier life had learned. A folder that can't be used is reported, and the agent serves
 // without: nil.
-func openState(ctx context.Context, file *ops.File, opt *agent.Options) (k *durable.Keeper, site layer.Kept) {
-	store, g, problems, err := durable.Open(file.State.Dir, durable.Now)
+func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Keeper, site coordination.Kept) {
+	store, g, problems, err := snapshot.Open(file.State.Dir, snapshot.Now)
 	for _, p := range problems {
 		slog.Warn("state not believed", "where", p.Where, "why", p.Why)
 	}
@@ -159,7 +159,7 @@
 		return nil, site
 	}
 	if g != nil {
-		st, dropped := durable.Decode(g)
+		st, dropped := snapshot.Decode(g)
 		for _, p := range dropped {
 			slog.Warn("state not believed", "where", p.Where, "why", p.Why)
 		}
@@ -170,15 +170,15 @@
 	} else {
 		slog.Info("no state to recall", "dir", file.State.Dir, "boot", store.Boot)
 	}
-	return durable.Keep(ctx, store), site
+	return snapshot.Keep(ctx, store), site
 }
 
 // remembered and recalled take what is kept to its form on the disk, and back; l may be nil.
-func remembered(kept *agent.Kept, l *layer.Layer) *durable.State {
-	s := &durable.State{Memory: kept.Memory, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
+func remembered(kept *agent.Kept, l *coordination.Layer) *snapshot.State {
+	s := &snapshot.State{Memory: kept.Memory, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
 	if l != nil {
 		k := l.Kept()
-		s.Site = &durable.Site{Dark: k.Dark, Entries: k.Entries}
+		s.Site = &snapshot.Site{Dark: k.Dark, Entries: k.Entries}
 	}
 	for _, t := range kept.List.Servers {
 		text, err := json.Marshal(t)
@@ -193,14 +193,14 @@
 
 // recalledSite is what an earlier life knew of its site; that the uplink was lost is believed
 // for as long as a site holds to it.
-func recalledSite(s *durable.State, g *durable.Generation, hold time.Duration) (k layer.Kept) {
+func recalledSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (k coordination.Kept) {
 	if s.Site != nil {
-		k = layer.Kept{Dark: s.Site.Dark && g.Dated && g.Age <= hold, Entries: s.Site.Entries}
+		k = coordination.Kept{Dark: s.Site.Dark && g.Dated && g.Age <= hold, Entries: s.Site.Entries}
 	}
 	return k
 }
 
-func recalled(s *durable.State) *agent.Kept {
+func recalled(s *snapshot.State) *agent.Kept {
 	kept := &agent.Kept{Memory: s.Memory, Discovery: s.Discovery, List: agent.List{Version: s.Version, Full: true}}
 	for id, text := range s.Targets {
 		var t agent.Target
@@ -216,14 +216,14 @@
 
 // rereadOps takes over from the operations file, at each signal, what can change, and names
 // what needs a restart. A file that can't be used leaves all as it is.
-func rereadOps(ctx context.Context, signals <-chan os.Signal, path string, old ops.File, log *logs.Handler) {
+func rereadOps(ctx context.Context, signals <-chan os.Signal, path string, old opsconfig.File, log *logging.Handler) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
 		}
-		file, err := ops.Load(path)
+		file, err := opsconfig.Load(path)
 		if err == nil {
 			err = log.Set(file.Log)
 		}
@@ -232,7 +232,7 @@
 			continue
 		}
 		// Against what the process started with: that is what is in force.
-		if keys := ops.NeedRestart(&old, &file); len(keys) > 0 {
+		if keys := opsconfig.NeedRestart(&old, &file); len(keys) > 0 {
 			slog.Warn("changed in the operations file, but used only after a restart", "keys", strings.Join(keys, " "))
 		}
 		slog.Info("operations file read again", "file", path, "level", file.Log.Level, "format", file.Log.Format)
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/durable"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -26,16 +26,16 @@
 var errUnsound = errors.New("not all that is kept is sound")
 
 // inspect loads the folder and what of it is not believed.
-func (d *stateDir) inspect() (*durable.Generation, *policy.Memory, []durable.Problem, error) {
-	g, problems, err := durable.Inspect(d.Dir, durable.Now)
+func (d *stateDir) inspect() (*snapshot.Generation, *policy.Memory, []snapshot.Problem, error) {
+	g, problems, err := snapshot.Inspect(d.Dir, snapshot.Now)
 	if err != nil || g == nil {
 		return nil, nil, problems, err
 	}
-	st, dropped := durable.Decode(g)
+	st, dropped := snapshot.Decode(g)
 	return g, st.Memory, append(problems, dropped...), nil
 }
 
-func age(g *durable.Generation) string {
+func age(g *snapshot.Generation) string {
 	if !g.Dated {
 		return "of an age that cannot be told"
 	}
@@ -111,7 +111,7 @@
 
 // Run moves what can be believed to a new file, and sets the old one aside.
 func (c *stateRepair) Run(out io.Writer) error {
-	store, g, problems, err := durable.Open(c.Dir, durable.Now)
+	store, g, problems, err := snapshot.Open(c.Dir, snapshot.Now)
 	for _, p := range problems {
 		fmt.Fprintln(out, p)
 	}
--- a/cmd/controlsim/hunt.go
+++ b/cmd/controlsim/hunt.go
@@ -16,7 +16,7 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/controlsim"
+	"chalkdoor.example/chalkdoor/internal/testbed/controlsim"
 )
 
 const (
--- a/cmd/controlsim/main.go
+++ b/cmd/controlsim/main.go
@@ -1,5 +1,5 @@
 // Command controlsim plays control sides in virtual time from seeds and looks for broken promises:
-// see internal/lab/controlsim.
+// see internal/testbed/controlsim.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/controlsim"
+	"chalkdoor.example/chalkdoor/internal/testbed/controlsim"
 )
 
 type cli struct {
--- a/cmd/controlsim/main_test.go
+++ b/cmd/controlsim/main_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/lab/controlsim"
+	"chalkdoor.example/chalkdoor/internal/testbed/controlsim"
 )
 
 func TestPoints(t *testing.T) {
--- a/cmd/edgectl/config.go
+++ b/cmd/edgectl/config.go
@@ -10,8 +10,8 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 // load reads an operator's file as JSON. JSON stays byte for byte.
@@ -25,7 +25,7 @@
 		defer f.Close()
 		from = f
 	}
-	raw, err := io.ReadAll(io.LimitReader(from, conf.MaxDoc+1))
+	raw, err := io.ReadAll(io.LimitReader(from, config.MaxDoc+1))
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Internal, name, "name a file that can be read")
 	}
@@ -123,11 +123,11 @@
 	if err != nil {
 		return err
 	}
-	next, rev, err := conf.Next(base, c.Patch, body)
+	next, rev, err := config.Next(base, c.Patch, body)
 	if err != nil {
 		return apierror.Within(err, c.File)
 	}
-	d, err := conf.Parse(next)
+	d, err := config.Parse(next)
 	if err != nil {
 		return err
 	}
--- a/cmd/edgectl/main.go
+++ b/cmd/edgectl/main.go
@@ -16,9 +16,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/controlapi"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 // Exit statuses.
--- a/cmd/edgectl/main_test.go
+++ b/cmd/edgectl/main_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/controlapi"
-	"chalkdoor.example/chalkdoor/internal/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -27,7 +27,7 @@
 // register is a plane that keeps one configuration.
 type register struct {
 	mu       sync.Mutex
-	doc      *conf.Doc
+	doc      *config.Doc
 	revision int64
 	unclear  int // so many orders are taken without an answer
 	last     []byte
--- a/cmd/edgectl/read.go
+++ b/cmd/edgectl/read.go
@@ -11,9 +11,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/controlapi"
-	"chalkdoor.example/chalkdoor/internal/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
 type readCmd struct {
--- a/cmd/edged/main.go
+++ b/cmd/edged/main.go
@@ -14,9 +14,9 @@
 	"github.com/alecthomas/kong"
 	"k8s.io/klog/v2"
 
-	"chalkdoor.example/chalkdoor/internal/daemon"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/daemon"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 type cli struct {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -18,7 +18,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/fleetlab"
+	"chalkdoor.example/chalkdoor/internal/testbed/fleetlab"
 )
 
 // daemon is the package of the program that is played.
--- a/cmd/defects/main.go
+++ b/cmd/mutationtest/main.go
@@ -17,7 +17,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/defects"
+	"chalkdoor.example/chalkdoor/internal/testbed/mutation"
 )
 
 type cli struct {
@@ -46,8 +46,8 @@
 	if err != nil {
 		return errors.Wrap(err, "read --only")
 	}
-	var table []defects.Defect
-	for _, d := range defects.Table {
+	var table []mutation.Defect
+	for _, d := range mutation.Table {
 		if only.MatchString(d.ID) && (c.Point == 0 || int(d.Point) == c.Point) {
 			table = append(table, d)
 		}
@@ -63,14 +63,14 @@
 	return c.play(ctx, out, table)
 }
 
-func (c *cli) play(ctx context.Context, out io.Writer, table []defects.Defect) (err error) {
+func (c *cli) play(ctx context.Context, out io.Writer, table []mutation.Defect) (err error) {
 	dir, err := os.MkdirTemp("", "defects")
 	if err != nil {
 		return errors.Wrap(err, "make a folder for the copy")
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
-	p := defects.Player{Tree: filepath.Join(dir, "tree"), Dir: dir, Limit: c.Limit, Jobs: c.Jobs}
-	if err := defects.CopyTree(ctx, c.Root, p.Tree); err != nil {
+	p := mutation.Player{Tree: filepath.Join(dir, "tree"), Dir: dir, Limit: c.Limit, Jobs: c.Jobs}
+	if err := mutation.CopyTree(ctx, c.Root, p.Tree); err != nil {
 		return err
 	}
 	if !c.Trust {
@@ -78,22 +78,22 @@
 			return err
 		}
 	}
-	counts := map[defects.Verdict]int{}
-	p.Play(ctx, table, func(r defects.Result) {
+	counts := map[mutation.Verdict]int{}
+	p.Play(ctx, table, func(r mutation.Result) {
 		counts[r.Verdict]++
 		fmt.Fprintf(out, "%-14s %-36s point %d  %5.1fs  %s\n", r.Verdict, r.Defect.ID, r.Defect.Point, r.Took.Seconds(), strings.Join(r.Tests, " "))
 		if c.Show {
 			fmt.Fprintln(out, r.Output)
 		}
 	})
-	fmt.Fprintf(out, "%d of %d found", counts[defects.Found], len(table))
-	for v := defects.NotFound; v <= defects.Interrupted; v++ {
+	fmt.Fprintf(out, "%d of %d found", counts[mutation.Found], len(table))
+	for v := mutation.NotFound; v <= mutation.Interrupted; v++ {
 		if counts[v] > 0 {
 			fmt.Fprintf(out, ", %d %s", counts[v], v)
 		}
 	}
 	fmt.Fprintln(out)
-	if counts[defects.Found] < len(table) {
+	if counts[mutation.Found] < len(table) {
 		return errNotAllFound
 	}
 	return nil
--- a/cmd/hollowfleet/main.go
+++ b/cmd/scaletest/main.go
@@ -1,4 +1,4 @@
-// Command hollowfleet plays fleets of hundreds of hollow agents on loopback and prints what control
+// Command scaletest plays fleets of hundreds of hollow agents on loopback and prints what control
 // costs each role.
 package main
 
@@ -17,8 +17,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/hollow"
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
+	"chalkdoor.example/chalkdoor/internal/testbed/hollownode"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 // edged is the package of the real daemon.
@@ -56,13 +56,13 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("hollowfleet"), kong.Description("Scale runs of control, on loopback."), kong.UsageOnError(),
+	ctx := kong.Parse(&c, kong.Name("scaletest"), kong.Description("Scale runs of control, on loopback."), kong.UsageOnError(),
 		kong.BindTo(os.Stdout, (*io.Writer)(nil)))
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
 // Run serves one process of a play.
-func (h *hostCmd) Run() error { return hollow.Serve(context.Background(), h.Addr) }
+func (h *hostCmd) Run() error { return hollownode.Serve(context.Background(), h.Addr) }
 
 // Run plays once.
 func (r *runCmd) Run(out io.Writer) error {
@@ -71,7 +71,7 @@
 	dir := r.Dir
 	if dir == "" {
 		var err error
-		if dir, err = os.MkdirTemp("", "hollowfleet-"); err != nil {
+		if dir, err = os.MkdirTemp("", "scaletest-"); err != nil {
 			return errors.Wrap(err, "folder of the play")
 		}
 		defer os.RemoveAll(dir)
@@ -82,15 +82,15 @@
 	if err != nil {
 		return errors.Wrap(err, "own program")
 	}
-	cfg := hollow.Config{Agents: r.Agents, Core: r.Core, Hosts: r.Hosts, Real: r.Real, Servers: r.Servers, Changes: r.Changes, Drains: r.Drains, Churn: r.Churn,
-		Lose: r.Lose, Size: sample.Size{Routes: r.Routes, Services: r.Models, Tenants: r.Tenants}, Beat: r.Beat, Spread: r.Spread, For: r.For,
+	cfg := hollownode.Config{Agents: r.Agents, Core: r.Core, Hosts: r.Hosts, Real: r.Real, Servers: r.Servers, Changes: r.Changes, Drains: r.Drains, Churn: r.Churn,
+		Lose: r.Lose, Size: sampling.Size{Routes: r.Routes, Services: r.Models, Tenants: r.Tenants}, Beat: r.Beat, Spread: r.Spread, For: r.For,
 		Dir: dir, Program: self, Args: []string{"host"}}
 	if r.Real > 0 {
 		if cfg.Edged, err = r.daemon(ctx, self, dir); err != nil {
 			return err
 		}
 	}
-	res, err := hollow.Play(ctx, cfg, func(s string) { fmt.Fprintln(os.Stderr, s) })
+	res, err := hollownode.Play(ctx, cfg, func(s string) { fmt.Fprintln(os.Stderr, s) })
 	if err != nil {
 		return err
 	}
--- a/cmd/hollowfleet/main_test.go
+++ b/cmd/scaletest/main_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/lab/hollow"
+	"chalkdoor.example/chalkdoor/internal/testbed/hollownode"
 )
 
 // TestMain is the command itself where a play starts it as one of its processes.
@@ -26,7 +26,7 @@
 		For: 4 * time.Second, JSON: "-"}
 	var out bytes.Buffer
 	require.NoError(t, run.Run(&out))
-	var r hollow.Result
+	var r hollownode.Result
 	require.NoError(t, json.Unmarshal(out.Bytes(), &r))
 	require.Empty(t, r.Troubles)
 	require.Equal(t, 8+2, r.Start.N, "the lost member is left out")
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/http1"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -127,7 +127,7 @@
 	})
 	if err != nil {
 		s.budget.Release(held)
-		s.pool.ages.Count(cn.slot, !errors.Is(err, h1.ErrSpoilt) && broken(err) == policy.Reset)
+		s.pool.ages.Count(cn.slot, !errors.Is(err, http1.ErrSpoilt) && broken(err) == policy.Reset)
 		return result{status: broken(err)}
 	}
 	s.pool.ages.Count(cn.slot, false)
@@ -146,7 +146,7 @@
 func broken(err error) policy.Status {
 	var timeout net.Error
 	switch {
-	case errors.Is(err, h1.ErrSpoilt):
+	case errors.Is(err, http1.ErrSpoilt):
 		return policy.Error // an answer that can't be read
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return policy.Timeout
@@ -173,7 +173,7 @@
 // head is the request's head as it goes to a backend, told how long the agent waits.
 // The target is what the client sent: http.Request would write another form of it.
 func (c *call) head(left time.Duration) []byte {
-	h := h1.EndToEnd(c.header)
+	h := http1.EndToEnd(c.header)
 	h.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	if c.method != http.MethodGet {
 		h.Set("Content-Length", strconv.Itoa(len(c.body)))
--- a/internal/agent/clientsock_test.go
+++ b/internal/agent/clientsock_test.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 // roll+mass: an agent that was told to end closed an idle connection just as the head of
@@ -61,7 +61,7 @@
 func TestCloseWaitsForTheAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	var held atomic.Int64
-	c := h1.NewClientSock(near, &held)
+	c := http1.NewClientSock(near, &held)
 	if !c.Begin() || held.Load() != 1 {
 		t.Fatal("an open connection takes no request")
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -8,7 +8,7 @@
 	"os"
 	"strconv"
 
-	"chalkdoor.example/chalkdoor/internal/wire"
+	"chalkdoor.example/chalkdoor/internal/agent/simprotocol"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -101,7 +101,7 @@
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("config: settings: none given")
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	// The module knows zones and kinds by number only; discovery names them.
--- a/internal/council/council.go
+++ b/internal/agent/consensus/council.go
@@ -1,5 +1,5 @@
-// Package council agrees for the whole fleet on one table of zones: three or five voters
-// spread over sites keep one log (hashicorp/raft), and the machine of internal/zones at its
+// Package consensus agrees for the whole fleet on one table of zones: three or five voters
+// spread over sites keep one log (hashicorp/raft), and the machine of internal/agent/zonefailover at its
 // leader proposes what goes in.
 //
 // Guaranteed: all voters apply the same tables in the same order, each only on top of the one
@@ -12,7 +12,7 @@
 // decided ages. A voter needs its disk: one whose files are gone or damaged is another voter,
 // and must not come back under its old name; Run reports it and does not vote. Each record has
 // a checksum, and all are read before the first vote.
-package council
+package consensus
 
 import (
 	"context"
@@ -35,9 +35,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"chalkdoor.example/chalkdoor/internal/durable"
-	"chalkdoor.example/chalkdoor/internal/task"
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
 const (
@@ -73,7 +73,7 @@
 	Voters []Voter
 	Bind   string // address:port of the log's streams; what is sent to others comes from here
 	Dir    string
-	Zones  zones.Config
+	Zones  zonefailover.Config
 	// Heartbeat is how long a follower waits for its leader before it stands for election.
 	Heartbeat time.Duration
 }
@@ -114,20 +114,20 @@
 // Decision is what was agreed on, as of now.
 type Decision struct {
 	Term, Index uint64
-	Table       zones.Table
+	Table       zonefailover.Table
 	// Vouched is that a majority has just borne it out. What a voter finds in its log, at its
 	// start or after a pause, may be as old as the log.
 	Vouched bool
 }
 
 // Report is what an agent sees, for the machine. The newest of an agent is enough.
-type Report struct{ zones.Report }
+type Report struct{ zonefailover.Report }
 
 // WhenFull implements task.Message.
-func (Report) WhenFull() task.Full { return task.DropOldest }
+func (Report) WhenFull() supervisor.Full { return supervisor.DropOldest }
 
 // Merge implements task.Merger.
-func (r Report) Merge(q task.Message) (task.Message, bool) {
+func (r Report) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(Report)
 	if !ok || o.Agent != r.Agent {
 		return r, false
@@ -141,18 +141,18 @@
 // Council is a voter's task. Its mailbox takes Report.
 type Council struct {
 	cfg     Config
-	box     *task.Mailbox
+	box     *supervisor.Mailbox
 	decided func(Decision)
 }
 
 // New returns the task; Run is its life. decided is told of each decision, from the task's
 // goroutine.
 func New(cfg Config, decided func(Decision)) *Council {
-	return &Council{cfg: cfg, box: task.NewMailbox(boxSize), decided: decided}
+	return &Council{cfg: cfg, box: supervisor.NewMailbox(boxSize), decided: decided}
 }
 
 // Mailbox takes Report.
-func (c *Council) Mailbox() *task.Mailbox { return c.box }
+func (c *Council) Mailbox() *supervisor.Mailbox { return c.box }
 
 // Run votes until ctx is done.
 func (c *Council) Run(ctx context.Context) (err error) {
@@ -161,7 +161,7 @@
 	}
 	path := filepath.Join(c.cfg.Dir, logFile)
 	if _, err := os.Stat(path); err == nil {
-		if err := durable.Readable(path); err != nil {
+		if err := snapshot.Readable(path); err != nil {
 			return fmt.Errorf("council: log: %s must come back under another name: %w", c.cfg.Self, err)
 		}
 	}
@@ -212,7 +212,7 @@
 
 // openLog opens the library's store; a file that makes it panic is an error.
 func openLog(path string) (disk *raftboltdb.BoltStore, err error) {
-	err = durable.Guarded(func() error {
+	err = snapshot.Guarded(func() error {
 		disk, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}})
 		return err
 	})
@@ -221,7 +221,7 @@
 
 // serve decides, where this voter leads, and hands on what is decided.
 func (c *Council) serve(ctx context.Context, r *raft.Raft, f *fsm) error {
-	machine, err := zones.New(c.cfg.Zones, zones.Table{Version: zones.Version})
+	machine, err := zonefailover.New(c.cfg.Zones, zonefailover.Table{Version: zonefailover.Version})
 	if err != nil {
 		return err
 	}
@@ -423,7 +423,7 @@
 // Apply takes an entry: a table that follows on the one before it. Another is passed over, by
 // all voters alike.
 func (f *fsm) Apply(l *raft.Log) any {
-	var t zones.Table
+	var t zonefailover.Table
 	err := json.Unmarshal(l.Data, &t)
 	if err == nil {
 		err = t.Check()
--- a/internal/council/council_test.go
+++ b/internal/agent/consensus/council_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds waits; none needs more than a part of it.
 const patience = time.Minute
@@ -49,7 +49,7 @@
 		all = append(all, Voter{fmt.Sprint("v", i), ln.Addr().String()})
 		ln.Close()
 	}
-	cfg := zones.Defaults()
+	cfg := zonefailover.Defaults()
 	cfg.Hold, cfg.Step = 100*time.Millisecond, 50*time.Millisecond
 	for _, v := range all {
 		b.cfgs = append(b.cfgs, Config{Self: v.Name, Voters: all, Bind: v.Addr, Dir: filepath.Join(t.TempDir(), v.Name), Zones: cfg, Heartbeat: 400 * time.Millisecond})
@@ -105,8 +105,8 @@
 		b.seq++
 		for _, s := range b.voters {
 			for _, site := range []string{"a", "b", "c"} {
-				r := zones.Report{Version: zones.Version, Agent: "agent-" + site, Site: site, Boot: 1, Seq: b.seq,
-					Zones: []zones.Sight{{Zone: "a", Weight: 1, Met: 4}, {Zone: "b", Weight: 1, Met: 4}, {Zone: "c", Weight: 1, Met: 4}}}
+				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Boot: 1, Seq: b.seq,
+					Zones: []zonefailover.Sight{{Zone: "a", Weight: 1, Met: 4}, {Zone: "b", Weight: 1, Met: 4}, {Zone: "c", Weight: 1, Met: 4}}}
 				if bad {
 					r.Zones[1].Bad = 4
 				}
@@ -207,7 +207,7 @@
 
 func TestCouncilsThatMakeNoSense(t *testing.T) {
 	good := Config{Self: "a", Voters: []Voter{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}, Bind: "127.0.0.1:1",
-		Dir: "x", Zones: zones.Defaults(), Heartbeat: time.Second}
+		Dir: "x", Zones: zonefailover.Defaults(), Heartbeat: time.Second}
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/council/sealed.go
+++ b/internal/agent/consensus/sealed.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/council/sealed_test.go
+++ b/internal/agent/consensus/sealed_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 
 	"github.com/hashicorp/raft"
 
-	"chalkdoor.example/chalkdoor/internal/durable"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
 // readLog opens a log as a voter does and reads all of it.
 func readLog(path string) (entries [][]byte, values [][]byte, err error) {
-	if err := durable.Readable(path); err != nil {
+	if err := snapshot.Readable(path); err != nil {
 		return nil, nil, err
 	}
 	disk, err := openLog(path)
--- a/internal/layer/cover.go
+++ b/internal/agent/coordination/cover.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/durable"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
 // The table of a voter's cover, and the version of its form: a span in nanoseconds since the
@@ -22,7 +22,7 @@
 // cover keeps on disk until when a voter's promises may stand. One write is under way at a
 // time, on a goroutine of its own: a slow disk holds up promises and nothing else.
 type cover struct {
-	store *durable.Store
+	store *snapshot.Store
 	saved chan result // of the write under way
 	all   sync.WaitGroup
 	busy  bool
@@ -36,7 +36,7 @@
 // openCover opens a voter's folder and tells for how long promises of earlier lives may stand,
 // also where those had longer leases than this one's settings; whole where that is not known. Until what it says is on disk again nothing may be promised.
 func openCover(dir string, whole time.Duration) (c *cover, left time.Duration, err error) {
-	store, g, problems, err := durable.Open(dir, durable.Now)
+	store, g, problems, err := snapshot.Open(dir, snapshot.Now)
 	for _, p := range problems {
 		slog.Warn("vote: cover not believed", "where", p.Where, "why", p.Why)
 	}
@@ -62,7 +62,7 @@
 
 func (c *cover) save(span time.Duration) error {
 	raw := binary.BigEndian.AppendUint64(nil, uint64(span))
-	return c.store.Save(durable.Tables{tableCover: {keyCover: {Version: versionCover, Value: raw}}})
+	return c.store.Save(snapshot.Tables{tableCover: {keyCover: {Version: versionCover, Value: raw}}})
 }
 
 // extend begins to write that promises may stand until a time; what is asked for during
--- a/internal/layer/cover_test.go
+++ b/internal/agent/coordination/cover_test.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/durable"
+	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
 // A voter's next life knows for how long promises may stand: all of it at the first start and
@@ -49,7 +49,7 @@
 		t.Errorf("%v left of nothing", left)
 	}
 	// Damage in the middle of the file, and a span that no voter of these settings wrote.
-	path := filepath.Join(dir, durable.File)
+	path := filepath.Join(dir, snapshot.File)
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/layer/interleave_test.go
+++ b/internal/agent/coordination/interleave_test.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
@@ -30,21 +30,21 @@
 func handOver(bad handDefect) func(*interleave.Run) error {
 	return func(r *interleave.Run) error {
 		l := bare()
-		host := func(id string) evidence.Host { return evidence.Host{ID: id} }
+		host := func(id string) outlier.Host { return outlier.Host{ID: id} }
 		vote := []func(){
-			func() { l.hand([]ballot.Standing{{Host: host("a"), Until: time.Hour, Try: true}}) },
+			func() { l.hand([]ejection.Standing{{Host: host("a"), Until: time.Hour, Try: true}}) },
 			func() {
 				if bad == forgetTries {
 					clear(l.tries)
 				}
-				l.hand([]ballot.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
+				l.hand([]ejection.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
 			},
 		}
 		site := []func(){
 			func() { l.handZones([]agent.ZoneStanding{{Zone: "y", Left: time.Hour}}, true) },
 			func() { l.handZones(nil, false) },
 			func() {
-				l.tellNews([]decisions.Entry{{ID: "s", State: decisions.Draining}})
+				l.tellNews([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
 				if bad == noWake {
 					select {
 					case <-l.ready:
--- a/internal/layer/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -1,10 +1,10 @@
-// Package layer puts the parts together by which agents act as one, and gives them to the
+// Package coordination puts the parts together by which agents act as one, and gives them to the
 // agent as one thing. Without an operations file that names peers nothing of it runs.
 //
 // The parts are tasks: peers carries messages, the vote owns the evidence and the ballot, the
 // site what its agents were told of servers and whether its uplink is lost. The agent's loop
 // hands over what it saw and takes orders; neither waits for the other.
-package layer
+package coordination
 
 import (
 	"bufio"
@@ -19,13 +19,13 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/council"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/evidence"
-	"chalkdoor.example/chalkdoor/internal/peers"
-	"chalkdoor.example/chalkdoor/internal/task"
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/consensus"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -39,12 +39,12 @@
 
 // Config is what the layer is told.
 type Config struct {
-	Peers peers.Config
-	Vote  ballot.Config // Self and Boot are those of Peers
+	Peers membership.Config
+	Vote  ejection.Config // Self and Boot are those of Peers
 	// Site is how the site finds out that its uplink is lost. Its members are those of the roll.
-	Site decisions.Config
+	Site stalerouting.Config
 	// Council is nil where there is none. Bound is how old its word may be.
-	Council *council.Config
+	Council *consensus.Config
 	Bound   time.Duration
 	// Recall is what an earlier life's Kept had, ages counted on.
 	Recall Kept
@@ -59,19 +59,19 @@
 // Layer runs the tasks of one agent. It implements agent.Layer.
 type Layer struct {
 	cfg     Config
-	sup     *task.Supervisor
-	peers   *peers.Peers
-	box     *task.Mailbox // of the vote
-	siteBox *task.Mailbox
-	council *council.Council // nil: this agent is no voter
+	sup     *supervisor.Supervisor
+	peers   *membership.Peers
+	box     *supervisor.Mailbox // of the vote
+	siteBox *supervisor.Mailbox
+	council *consensus.Council // nil: this agent is no voter
 	trace   *tracer
 	start   time.Time
 
 	ready  chan struct{}
-	mu     sync.Mutex             // of what the loop takes next, and of what was last Kept:
-	table  []agent.Standing       // Left is the layer's time at which it ends
-	tries  map[evidence.Host]bool // asked for and not yet handed over: whether by a probe
-	zones  []agent.ZoneStanding   // Left as in table
+	mu     sync.Mutex            // of what the loop takes next, and of what was last Kept:
+	table  []agent.Standing      // Left is the layer's time at which it ends
+	tries  map[outlier.Host]bool // asked for and not yet handed over: whether by a probe
+	zones  []agent.ZoneStanding  // Left as in table
 	ask    bool
 	news   map[string]agent.Target
 	last   Kept
@@ -81,7 +81,7 @@
 // Kept is what the site's task has, for its next life, for neighbours and for the disk.
 type Kept struct {
 	Dark    bool
-	Entries []decisions.Entry // ages as of when it was kept
+	Entries []stalerouting.Entry // ages as of when it was kept
 }
 
 // Start starts the tasks; they end with ctx, and Close waits for them. Only what makes no
@@ -95,25 +95,25 @@
 	if err := cfg.Site.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
-	l := &Layer{cfg: cfg, box: task.NewMailbox(voteSize), siteBox: task.NewMailbox(siteSize), start: time.Now(), ready: make(chan struct{}, 1),
-		tries: map[evidence.Host]bool{}, news: map[string]agent.Target{}, last: cfg.Recall}
+	l := &Layer{cfg: cfg, box: supervisor.NewMailbox(voteSize), siteBox: supervisor.NewMailbox(siteSize), start: time.Now(), ready: make(chan struct{}, 1),
+		tries: map[outlier.Host]bool{}, news: map[string]agent.Target{}, last: cfg.Recall}
 	if cfg.Trace != "" {
 		var err error
 		if l.trace, err = openTrace(cfg.Trace, cfg.Peers.Name, cfg.Peers.Boot); err != nil {
 			return nil, fmt.Errorf("layer: trace: %w", err)
 		}
 	}
-	l.peers = peers.New(cfg.Peers, sink{l})
+	l.peers = membership.New(cfg.Peers, sink{l})
 	if c := cfg.Council; c != nil {
 		c.Self = cfg.Peers.Name
 		if err := c.Validate(); err != nil {
 			return nil, fmt.Errorf("layer: council: %w", err)
 		}
 		if c.Votes() {
-			l.council = council.New(*c, func(d council.Decision) { l.siteBox.Put(agreed{d}) })
+			l.council = consensus.New(*c, func(d consensus.Decision) { l.siteBox.Put(agreed{d}) })
 		}
 	}
-	l.sup = task.NewSupervisor(ctx, nil)
+	l.sup = supervisor.NewSupervisor(ctx, nil)
 	l.sup.Go("peers", l.peers.Run)
 	l.sup.Go("vote", l.vote)
 	l.sup.Go("site", l.site)
@@ -135,35 +135,35 @@
 // ---- what the vote is told ----
 
 type (
-	sight  struct{ evidence.Sight }
+	sight  struct{ outlier.Sight }
 	listed struct {
-		hosts   []evidence.Listed
-		entries []decisions.Entry
+		hosts   []outlier.Listed
+		entries []stalerouting.Entry
 	}
-	letter  struct{ *ballot.Letter }
-	members struct{ list []peers.Peer }
+	letter  struct{ *ejection.Letter }
+	members struct{ list []membership.Peer }
 )
 
 // A sight that finds no room goes: many more like it are queued.
-func (sight) WhenFull() task.Full { return task.DropNewest }
+func (sight) WhenFull() supervisor.Full { return supervisor.DropNewest }
 
 // The list, who is there, and a peer's letter take the place of an older one, and of what
 // else is queued.
-func (listed) WhenFull() task.Full  { return task.DropOldest }
-func (letter) WhenFull() task.Full  { return task.DropOldest }
-func (members) WhenFull() task.Full { return task.DropOldest }
+func (listed) WhenFull() supervisor.Full  { return supervisor.DropOldest }
+func (letter) WhenFull() supervisor.Full  { return supervisor.DropOldest }
+func (members) WhenFull() supervisor.Full { return supervisor.DropOldest }
 
-func (m listed) Merge(q task.Message) (task.Message, bool) {
+func (m listed) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	_, ok := q.(listed)
 	return m, ok
 }
 
-func (m members) Merge(q task.Message) (task.Message, bool) {
+func (m members) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	_, ok := q.(members)
 	return m, ok
 }
 
-func (m letter) Merge(q task.Message) (task.Message, bool) {
+func (m letter) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(letter)
 	if !ok || o.From != m.From {
 		return m, false
@@ -176,13 +176,13 @@
 
 // Listed takes the whole list, from the agent's loop.
 func (l *Layer) Listed(list []agent.Target) {
-	hosts := make([]evidence.Listed, 0, len(list))
+	hosts := make([]outlier.Listed, 0, len(list))
 	for _, t := range list {
 		if t.State == "up" {
-			hosts = append(hosts, evidence.Listed{Host: evidence.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
+			hosts = append(hosts, outlier.Listed{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
 		}
 	}
-	m := listed{hosts, entries(list, decisions.Undated)}
+	m := listed{hosts, entries(list, stalerouting.Undated)}
 	l.box.Put(m)
 	l.siteBox.Put(m)
 }
@@ -193,36 +193,36 @@
 }
 
 // Heard takes that discovery answered a call.
-func (l *Layer) Heard() { l.siteBox.Put(heard{decisions.List}) }
+func (l *Layer) Heard() { l.siteBox.Put(heard{stalerouting.List}) }
 
 // Attempted takes the end of an attempt, from the agent's loop.
 func (l *Layer) Attempted(s agent.Sight) {
 	kind, ok := kindOf(s.Status)
-	if s.Probe && kind == evidence.Failed {
-		kind = evidence.Silent // no connect, or a reset: nothing of a request failed
+	if s.Probe && kind == outlier.Failed {
+		kind = outlier.Silent // no connect, or a reset: nothing of a request failed
 	}
 	if !ok || s.Class < 0 || s.Class >= len(l.cfg.Aims) {
 		return
 	}
-	if kind == evidence.Good && !s.Probe && s.Zone != "" && s.Zone != l.cfg.Peers.Zone {
-		l.siteBox.Put(heard{decisions.Answer})
+	if kind == outlier.Good && !s.Probe && s.Zone != "" && s.Zone != l.cfg.Peers.Zone {
+		l.siteBox.Put(heard{stalerouting.Answer})
 	}
 	now := l.now()
-	l.box.Put(sight{evidence.Sight{Host: evidence.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Kind: kind,
+	l.box.Put(sight{outlier.Sight{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Kind: kind,
 		OfAim: s.Took.Seconds() / l.cfg.Aims[s.Class].Seconds(), Sent: now - s.Took, At: now, Probe: s.Probe, Util: s.Util}})
 }
 
 // kindOf is what an attempt's end says of its host; false if nothing.
-func kindOf(s policy.Status) (evidence.Kind, bool) {
+func kindOf(s policy.Status) (outlier.Kind, bool) {
 	switch s {
 	case policy.OK:
-		return evidence.Good, true
+		return outlier.Good, true
 	case policy.Error, policy.Reset, policy.ConnectFailed:
-		return evidence.Failed, true
+		return outlier.Failed, true
 	case policy.Timeout:
-		return evidence.Silent, true
+		return outlier.Silent, true
 	case policy.Full:
-		return evidence.Full, true
+		return outlier.Full, true
 	}
 	return 0, false
 }
@@ -232,23 +232,23 @@
 
 // The kinds of messages between layers.
 const (
-	KindLetter peers.Kind = 'l'
-	KindWord   peers.Kind = 'w'
-	KindPing   peers.Kind = 'p'
-	KindReport peers.Kind = 'r'
-	KindParts  peers.Kind = 'd'
+	KindLetter membership.Kind = 'l'
+	KindWord   membership.Kind = 'w'
+	KindPing   membership.Kind = 'p'
+	KindReport membership.Kind = 'r'
+	KindParts  membership.Kind = 'd'
 )
 
-func (s sink) Got(kind peers.Kind, body []byte) {
+func (s sink) Got(kind membership.Kind, body []byte) {
 	var err error
 	switch kind {
 	case KindLetter:
-		var m ballot.Letter
+		var m ejection.Letter
 		if err = decode(body, &m, m.Check); err == nil {
 			s.l.box.Put(letter{&m})
 		}
 	case KindWord:
-		var m decisions.Word
+		var m stalerouting.Word
 		if err = decode(body, &m, m.Check); err == nil {
 			s.l.siteBox.Put(word{m})
 		}
@@ -258,12 +258,12 @@
 			s.l.siteBox.Put(m)
 		}
 	case KindReport:
-		var m zones.Report
+		var m zonefailover.Report
 		if err = decode(body, &m, m.Check); err == nil && s.l.council != nil {
-			s.l.council.Mailbox().Put(council.Report{Report: m})
+			s.l.council.Mailbox().Put(consensus.Report{Report: m})
 		}
 	case KindParts:
-		var m decisions.Decided
+		var m stalerouting.Decided
 		if err = decode(body, &m, m.Check); err == nil {
 			s.l.siteBox.Put(parts{m})
 		}
@@ -277,13 +277,13 @@
 
 // decode reads a message and checks it.
 func decode(body []byte, m any, check func() error) error {
-	if err := peers.Decode(body, m); err != nil {
+	if err := membership.Decode(body, m); err != nil {
 		return err
 	}
 	return check()
 }
 
-func (s sink) Members(list []peers.Peer) {
+func (s sink) Members(list []membership.Peer) {
 	s.l.box.Put(members{list})
 	s.l.siteBox.Put(members{list})
 }
@@ -291,7 +291,7 @@
 // State is the set as of now.
 func (s sink) State() []byte {
 	k := s.l.Kept()
-	body, err := peers.Encode(state{decisions.Version, s.l.cfg.Peers.Name, s.l.cfg.Peers.Zone, k.Entries})
+	body, err := membership.Encode(state{stalerouting.Version, s.l.cfg.Peers.Name, s.l.cfg.Peers.Zone, k.Entries})
 	if err != nil {
 		slog.Error("site: set not handed over", "err", err)
 		return nil
@@ -302,9 +302,9 @@
 // Merge takes a neighbour's set.
 func (s sink) Merge(body []byte) {
 	var m state
-	err := peers.Decode(body, &m)
-	if err == nil && m.Version != decisions.Version {
-		err = fmt.Errorf("site: set: version: %d, %d is spoken", m.Version, decisions.Version)
+	err := membership.Decode(body, &m)
+	if err == nil && m.Version != stalerouting.Version {
+		err = fmt.Errorf("site: set: version: %d, %d is spoken", m.Version, stalerouting.Version)
 	}
 	if err != nil {
 		slog.Warn("site: set not believed", "from", m.From, "err", err)
@@ -314,13 +314,13 @@
 }
 
 // send sends a message to a peer.
-func (l *Layer) send(to string, kind peers.Kind, m any) {
-	body, err := peers.Encode(m)
+func (l *Layer) send(to string, kind membership.Kind, m any) {
+	body, err := membership.Encode(m)
 	if err != nil {
 		slog.Error("message not sent", "to", to, "err", err)
 		return
 	}
-	l.peers.Mailbox().Put(peers.Send{To: to, Kind: kind, Body: body})
+	l.peers.Mailbox().Put(membership.Send{To: to, Kind: kind, Body: body})
 }
 
 // ---- the vote ----
@@ -328,7 +328,7 @@
 // vote is the task that owns the evidence and the ballot. Another life of it begins without
 // either, as a process that starts again does.
 func (l *Layer) vote(ctx context.Context) error {
-	log := evidence.New(l.cfg.Vote.Age)
+	log := outlier.New(l.cfg.Vote.Age)
 	cfg := l.cfg.Vote
 	var disk *cover
 	var saved chan result
@@ -340,7 +340,7 @@
 		defer disk.close()
 		cfg.Covers, saved = true, disk.saved
 	}
-	core, err := ballot.New(cfg, log)
+	core, err := ejection.New(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -392,15 +392,15 @@
 type reporter struct {
 	seq   uint64
 	at    time.Duration
-	views []zones.View
+	views []zonefailover.View
 }
 
 // report tells all voters what was seen of each zone: at once where a view has changed.
-func (l *Layer) report(was *reporter, seen []evidence.Zone) {
-	r := zones.Report{Version: zones.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Boot: l.cfg.Peers.Boot}
-	var views []zones.View
-	for _, z := range seen[:min(len(seen), zones.MaxZones)] {
-		s := zones.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Met, Bad: z.Bad, Hurt: z.Hurt, Tries: z.Attempts, Failed: z.Failed, Util: min(z.Util, 1), Probes: z.Probes}
+func (l *Layer) report(was *reporter, seen []outlier.Zone) {
+	r := zonefailover.Report{Version: zonefailover.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Boot: l.cfg.Peers.Boot}
+	var views []zonefailover.View
+	for _, z := range seen[:min(len(seen), zonefailover.MaxZones)] {
+		s := zonefailover.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Met, Bad: z.Bad, Hurt: z.Hurt, Tries: z.Attempts, Failed: z.Failed, Util: min(z.Util, 1), Probes: z.Probes}
 		r.Rate += float64(z.Attempts) / l.cfg.Vote.Age.Seconds()
 		r.Zones, views = append(r.Zones, s), append(views, s.View())
 	}
@@ -414,13 +414,13 @@
 		if v.Name != l.cfg.Peers.Name {
 			l.send(v.Name, KindReport, r)
 		} else if l.council != nil {
-			l.council.Mailbox().Put(council.Report{Report: r})
+			l.council.Mailbox().Put(consensus.Report{Report: r})
 		}
 	}
 }
 
 // carryOut does what the core asks.
-func (l *Layer) carryOut(out *ballot.Out) {
+func (l *Layer) carryOut(out *ejection.Out) {
 	for to, m := range out.Letters {
 		l.send(to, KindLetter, m)
 	}
@@ -441,11 +441,11 @@
 
 // hand makes a table the one that the loop takes next. One that it has not taken yet is
 // replaced, but for the attempts that it asked for.
-func (l *Layer) hand(table []ballot.Standing) {
+func (l *Layer) hand(table []ejection.Standing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table = l.table[:0:0]
-	named := map[evidence.Host]bool{}
+	named := map[outlier.Host]bool{}
 	for _, s := range table {
 		named[s.Host] = true
 		if s.Try || s.Probe {
@@ -472,7 +472,7 @@
 }
 
 // tellNews hands over what neighbours were told; of one server the newest is enough.
-func (l *Layer) tellNews(news []decisions.Entry) {
+func (l *Layer) tellNews(news []stalerouting.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range news {
--- a/internal/layer/layer_test.go
+++ b/internal/agent/coordination/layer_test.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"context"
@@ -6,28 +6,28 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/evidence"
-	"chalkdoor.example/chalkdoor/internal/leak"
-	"chalkdoor.example/chalkdoor/internal/peers"
-	"chalkdoor.example/chalkdoor/internal/task"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 func bare() *Layer {
-	return &Layer{start: time.Now(), box: task.NewMailbox(8), siteBox: task.NewMailbox(8), news: map[string]agent.Target{}, ready: make(chan struct{}, 1), tries: map[evidence.Host]bool{}, cfg: Config{Aims: []time.Duration{time.Second}}}
+	return &Layer{start: time.Now(), box: supervisor.NewMailbox(8), siteBox: supervisor.NewMailbox(8), news: map[string]agent.Target{}, ready: make(chan struct{}, 1), tries: map[outlier.Host]bool{}, cfg: Config{Aims: []time.Duration{time.Second}}}
 }
 
 // A table that the loop has not taken is replaced by a newer one, but no attempt that was
 // asked for is lost, and each is handed over once.
 func TestHandOver(t *testing.T) {
 	l := bare()
-	a, b := evidence.Host{ID: "a"}, evidence.Host{ID: "b", Incarnation: 3}
-	l.hand([]ballot.Standing{{Host: a, Until: time.Hour, Try: true}, {Host: b, Part: 1, Probe: true}})
-	l.hand([]ballot.Standing{{Host: a, Until: time.Hour}})
+	a, b := outlier.Host{ID: "a"}, outlier.Host{ID: "b", Incarnation: 3}
+	l.hand([]ejection.Standing{{Host: a, Until: time.Hour, Try: true}, {Host: b, Part: 1, Probe: true}})
+	l.hand([]ejection.Standing{{Host: a, Until: time.Hour}})
 	<-l.Ready()
 	got := map[string]agent.Standing{}
 	for _, s := range l.Orders().Standings {
@@ -39,7 +39,7 @@
 	if x := got["b"]; !x.Probe || x.Try || x.Part != 1 || x.StartedMs != 3 {
 		t.Errorf("b: %+v", x)
 	}
-	l.hand([]ballot.Standing{{Host: a, Until: time.Hour}})
+	l.hand([]ejection.Standing{{Host: a, Until: time.Hour}})
 	if s := l.Orders().Standings; len(s) != 1 || s[0].Try {
 		t.Errorf("handed over again: %+v", s)
 	}
@@ -48,7 +48,7 @@
 // A table that was handed over before the process was paused holds no longer for that.
 func TestWhatIsLeftIsCountedWhenItIsTaken(t *testing.T) {
 	l := bare()
-	l.hand([]ballot.Standing{{Host: evidence.Host{ID: "a"}, Until: 5 * time.Second}})
+	l.hand([]ejection.Standing{{Host: outlier.Host{ID: "a"}, Until: 5 * time.Second}})
 	l.start = l.start.Add(-10 * time.Second) // as long as the pause was
 	if s := l.Orders().Standings; s[0].Left != 0 {
 		t.Errorf("%v is left of what ended in the pause", s[0].Left)
@@ -67,7 +67,7 @@
 	}
 	l.Attempted(agent.Sight{ID: "a", Status: policy.ConnectFailed, Probe: true, Took: time.Second / 2})
 	m, _ := l.box.Poll()
-	if s, ok := m.(sight); !ok || s.Kind != evidence.Silent || !s.Probe || s.OfAim != 0.5 || s.At-s.Sent != time.Second/2 {
+	if s, ok := m.(sight); !ok || s.Kind != outlier.Silent || !s.Probe || s.OfAim != 0.5 || s.At-s.Sent != time.Second/2 {
 		t.Errorf("told of %+v", m)
 	}
 }
@@ -75,13 +75,13 @@
 // Letters of one peer merge, the newer staying whichever came last; the list replaces itself.
 func TestMessagesMerge(t *testing.T) {
 	l := bare()
-	newer, older := &ballot.Letter{From: "a", Boot: 1, Sent: 2}, &ballot.Letter{From: "a", Boot: 1, Sent: 1}
+	newer, older := &ejection.Letter{From: "a", Boot: 1, Sent: 2}, &ejection.Letter{From: "a", Boot: 1, Sent: 1}
 	l.box.Put(letter{newer})
 	l.box.Put(letter{older})
-	l.box.Put(letter{&ballot.Letter{From: "b"}})
+	l.box.Put(letter{&ejection.Letter{From: "b"}})
 	l.Listed([]agent.Target{{ID: "x", State: "up"}})
 	l.Listed([]agent.Target{{ID: "y", State: "up"}, {ID: "z", State: "draining"}})
-	var got []task.Message
+	var got []supervisor.Message
 	for m, ok := l.box.Poll(); ok; m, ok = l.box.Poll() {
 		got = append(got, m)
 	}
@@ -96,7 +96,7 @@
 // The tasks start and end with the layer, whatever their sockets do: here the address is no
 // one's, so that peers dies and is started again while the vote goes on alone.
 func TestItEndsInOrder(t *testing.T) {
-	cfg := Config{Vote: ballot.Defaults(), Site: decisions.Defaults(), Peers: peers.Config{Fleet: "k", Name: "a", Bind: "192.0.2.1:7946", Seeds: []string{"192.0.2.1:7946"}}, Aims: []time.Duration{time.Second}}
+	cfg := Config{Vote: ejection.Defaults(), Site: stalerouting.Defaults(), Peers: membership.Config{Fleet: "k", Name: "a", Bind: "192.0.2.1:7946", Seeds: []string{"192.0.2.1:7946"}}, Aims: []time.Duration{time.Second}}
 	if _, err := Start(t.Context(), cfg); err == nil {
 		t.Error("started without an electorate")
 	}
--- a/internal/layer/site.go
+++ b/internal/agent/coordination/site.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"context"
@@ -9,31 +9,31 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/council"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/peers"
-	"chalkdoor.example/chalkdoor/internal/task"
+	"chalkdoor.example/chalkdoor/internal/agent/consensus"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
 )
 
 // siteSize bounds what waits for the site's task; most of it merges.
 const siteSize = 512
 
 // newsMost bounds what neighbours were told and the loop has not taken yet, by servers.
-const newsMost = decisions.MaxEntries
+const newsMost = stalerouting.MaxEntries
 
 // The states of a list's entries, as discovery names them.
-var states = map[string]decisions.State{"up": decisions.Up, "draining": decisions.Draining, "removed": decisions.Removed}
+var states = map[string]stalerouting.State{"up": stalerouting.Up, "draining": stalerouting.Draining, "removed": stalerouting.Removed}
 
 // entries is a list as a set has it; what is not known to be up counts as draining, as for the
 // agent itself.
-func entries(list []agent.Target, age time.Duration) (out []decisions.Entry) {
+func entries(list []agent.Target, age time.Duration) (out []stalerouting.Entry) {
 	for _, t := range list {
 		state, ok := states[t.State]
 		if !ok {
-			state = decisions.Draining
+			state = stalerouting.Draining
 		}
 		if t.ID != "" {
-			out = append(out, decisions.Entry{ID: t.ID, Incarnation: int64(t.StartedMs), State: state, Age: age})
+			out = append(out, stalerouting.Entry{ID: t.ID, Incarnation: int64(t.StartedMs), State: state, Age: age})
 		}
 	}
 	return out
@@ -43,14 +43,14 @@
 
 type (
 	told struct {
-		list  []decisions.Entry
+		list  []stalerouting.Entry
 		whole bool
 	}
-	heard  struct{ by decisions.Sense }
-	word   struct{ decisions.Word }
+	heard  struct{ by stalerouting.Sense }
+	word   struct{ stalerouting.Word }
 	shared struct{ state }
-	agreed struct{ council.Decision }  // by the council, of which this agent is
-	parts  struct{ decisions.Decided } // the same, from a peer
+	agreed struct{ consensus.Decision }   // by the council, of which this agent is
+	parts  struct{ stalerouting.Decided } // the same, from a peer
 	ping   struct {
 		From string
 		Pong bool // it answers one
@@ -62,35 +62,35 @@
 	Version int
 	From    string
 	Zone    string
-	Entries []decisions.Entry
+	Entries []stalerouting.Entry
 }
 
 // A change of the list must not be lost: where there is no room what is queued goes.
-func (told) WhenFull() task.Full { return task.DropOldest }
+func (told) WhenFull() supervisor.Full { return supervisor.DropOldest }
 
 // Another ping, or another sign of life, comes soon.
-func (heard) WhenFull() task.Full { return task.DropNewest }
-func (ping) WhenFull() task.Full  { return task.DropNewest }
+func (heard) WhenFull() supervisor.Full { return supervisor.DropNewest }
+func (ping) WhenFull() supervisor.Full  { return supervisor.DropNewest }
 
 // The newest word of a member, and the newest set of a neighbour, are enough.
-func (word) WhenFull() task.Full   { return task.DropOldest }
-func (shared) WhenFull() task.Full { return task.DropOldest }
+func (word) WhenFull() supervisor.Full   { return supervisor.DropOldest }
+func (shared) WhenFull() supervisor.Full { return supervisor.DropOldest }
 
 // The newest decision is enough; each comes again.
-func (agreed) WhenFull() task.Full { return task.DropOldest }
-func (parts) WhenFull() task.Full  { return task.DropNewest }
+func (agreed) WhenFull() supervisor.Full { return supervisor.DropOldest }
+func (parts) WhenFull() supervisor.Full  { return supervisor.DropNewest }
 
-func (m heard) Merge(q task.Message) (task.Message, bool) {
+func (m heard) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(heard)
 	return m, ok && o == m
 }
 
-func (m ping) Merge(q task.Message) (task.Message, bool) {
+func (m ping) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(ping)
 	return m, ok && o == m
 }
 
-func (m word) Merge(q task.Message) (task.Message, bool) {
+func (m word) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(word)
 	if !ok || o.From != m.From {
 		return m, false
@@ -101,7 +101,7 @@
 	return m, true
 }
 
-func (m shared) Merge(q task.Message) (task.Message, bool) {
+func (m shared) Merge(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(shared)
 	return m, ok && o.From == m.From
 }
@@ -122,15 +122,15 @@
 func (l *Layer) site(ctx context.Context) error {
 	cfg := l.cfg.Site
 	cfg.Dark = cfg.Dark || l.Kept().Dark
-	up, err := decisions.NewUplink(cfg, l.cfg.Peers.Boot)
+	up, err := stalerouting.NewUplink(cfg, l.cfg.Peers.Boot)
 	if err != nil {
 		return err
 	}
-	set := decisions.NewSet()
+	set := stalerouting.NewSet()
 	if _, err := set.Merge(l.now(), l.Kept().Entries); err != nil {
 		return err
 	}
-	s := &siteTask{l: l, up: up, set: set, parts: decisions.NewParts(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Boot, 5))}
+	s := &siteTask{l: l, up: up, set: set, parts: stalerouting.NewParts(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Boot, 5))}
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -150,19 +150,19 @@
 
 type siteTask struct {
 	l       *Layer
-	up      *decisions.Uplink
-	set     *decisions.Set
+	up      *stalerouting.Uplink
+	set     *stalerouting.Set
 	zones   []string // of the list
-	phase   decisions.Phase
+	phase   stalerouting.Phase
 	share   float64 // of what lies outside
 	until   time.Duration
-	parts   *decisions.Parts
+	parts   *stalerouting.Parts
 	fleet   []string // agents that are there, but this one
 	rng     *rand.Rand
 	renewAt time.Duration // when the loop's orders are to be renewed
 }
 
-func (s *siteTask) take(msg task.Message) {
+func (s *siteTask) take(msg supervisor.Message) {
 	l, now := s.l, s.l.now()
 	switch m := msg.(type) {
 	case listed:
@@ -198,16 +198,16 @@
 		}
 		s.up.Members(now, outside)
 	case agreed:
-		d := decisions.Decided{Version: decisions.Version, Term: m.Term, Index: m.Index, Table: m.Table}
+		d := stalerouting.Decided{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
 		if !m.Vouched {
-			d.Age = decisions.Undated // it may have lain in the log for long
+			d.Age = stalerouting.Undated // it may have lain in the log for long
 		}
 		s.decided(d, true)
 	case parts:
 		s.decided(m.Decided, false)
 	case ping:
 		if m.Pong {
-			s.up.Heard(now, decisions.Pong)
+			s.up.Heard(now, stalerouting.Pong)
 		} else {
 			l.send(m.From, KindPing, ping{From: l.cfg.Peers.Name, Pong: true})
 		}
@@ -227,11 +227,11 @@
 // keep hands what the task has to its next life, to neighbours and to the disk.
 func (s *siteTask) keep() {
 	now := s.l.now()
-	s.l.keep(Kept{Dark: s.phase == decisions.Dark, Entries: s.set.Entries(now)}, now)
+	s.l.keep(Kept{Dark: s.phase == stalerouting.Dark, Entries: s.set.Entries(now)}, now)
 }
 
 // carryOut does what the core asks.
-func (s *siteTask) carryOut(out *decisions.Out) {
+func (s *siteTask) carryOut(out *stalerouting.Out) {
 	l := s.l
 	for _, to := range out.To {
 		l.send(to, KindWord, out.Word)
@@ -240,7 +240,7 @@
 		l.send(to, KindPing, ping{From: l.cfg.Peers.Name})
 	}
 	if out.Sync != "" {
-		l.peers.Mailbox().Put(peers.Sync{With: out.Sync})
+		l.peers.Mailbox().Put(membership.Sync{With: out.Sync})
 	}
 	if out.Phase != s.phase {
 		s.phase = out.Phase
@@ -262,7 +262,7 @@
 const rumour = 8
 
 // decided takes a decision of the council, and tells others of one that is new or holds again.
-func (s *siteTask) decided(d decisions.Decided, own bool) {
+func (s *siteTask) decided(d stalerouting.Decided, own bool) {
 	now := s.l.now()
 	_, held := s.parts.Now(now)
 	news, err := s.parts.Take(now, d, own)
@@ -290,7 +290,7 @@
 }
 
 // spread tells some peers, drawn anew, of a decision as it is now.
-func (s *siteTask) spread(d decisions.Decided, to int) {
+func (s *siteTask) spread(d stalerouting.Decided, to int) {
 	for _, i := range s.rng.Perm(len(s.fleet))[:min(to, len(s.fleet))] {
 		s.l.send(s.fleet[i], KindParts, d)
 	}
@@ -308,11 +308,11 @@
 		z := agent.ZoneStanding{Zone: zone, Share: 1, Reach: 1, Left: now + time.Hour}
 		if holds {
 			z.Share, z.Left = d.Table.Share(own, zone), now+s.parts.Left(now)
-			if s.phase == decisions.Light { // a site by itself has its own zone only
+			if s.phase == stalerouting.Light { // a site by itself has its own zone only
 				z.Pull, _ = d.Table.Part(own, zone)
 			}
 		}
-		if zone != own && s.phase != decisions.Light {
+		if zone != own && s.phase != stalerouting.Light {
 			z.Share, z.Reach, z.Left = z.Share*s.share, s.share, min(z.Left, s.until)
 		}
 		if z.Share < 1 || z.Pull > 0 || holds && len(d.Table.Parts) > 0 {
--- a/internal/layer/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -1,4 +1,4 @@
-package layer
+package coordination
 
 import (
 	"math/rand/v2"
@@ -6,28 +6,28 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/council"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/evidence"
-	"chalkdoor.example/chalkdoor/internal/peers"
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/consensus"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
 // bareSite is a site's task without its loop, of agent a and its neighbour b in zone x.
 func bareSite(t *testing.T) *siteTask {
 	l := bare()
-	l.cfg.Peers = peers.Config{Name: "a", Zone: "x", Boot: 7}
-	l.peers = peers.New(l.cfg.Peers, sink{l})
-	cfg := decisions.Defaults()
+	l.cfg.Peers = membership.Config{Name: "a", Zone: "x", Boot: 7}
+	l.peers = membership.New(l.cfg.Peers, sink{l})
+	cfg := stalerouting.Defaults()
 	cfg.Self, cfg.Site = "a", []string{"a", "b"}
-	up, err := decisions.NewUplink(cfg, 7)
+	up, err := stalerouting.NewUplink(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &siteTask{l: l, up: up, set: decisions.NewSet(), parts: decisions.NewParts(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
-	s.take(listed{hosts: []evidence.Listed{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
-		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, decisions.Undated)})
+	s := &siteTask{l: l, up: up, set: stalerouting.NewSet(), parts: stalerouting.NewParts(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
+	s.take(listed{hosts: []outlier.Listed{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
+		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, stalerouting.Undated)})
 	return s
 }
 
@@ -36,25 +36,25 @@
 func TestOrdersOfADarkSite(t *testing.T) {
 	s := bareSite(t)
 	l := s.l
-	s.carryOut(&decisions.Out{Phase: decisions.Dark, Until: l.now() + time.Minute, Changed: true, Ask: true})
+	s.carryOut(&stalerouting.Out{Phase: stalerouting.Dark, Until: l.now() + time.Minute, Changed: true, Ask: true})
 	<-l.Ready()
 	o := l.Orders()
 	if len(o.Zones) != 2 || o.Zones[0].Zone != "y" || o.Zones[1].Zone != "z" || o.Zones[0].Share != 0 || !o.Ask ||
 		o.Zones[0].Left <= 0 || o.Zones[0].Left > time.Minute {
 		t.Errorf("%+v", o)
 	}
-	if k := l.Kept(); !k.Dark || len(k.Entries) != 2 || k.Entries[0].State != decisions.Draining {
+	if k := l.Kept(); !k.Dark || len(k.Entries) != 2 || k.Entries[0].State != stalerouting.Draining {
 		t.Errorf("kept %+v", k)
 	}
 	l.start = l.start.Add(-2 * time.Minute) // a pause
 	if o := l.Orders(); o.Zones[0].Left != 0 || o.Ask {
 		t.Errorf("after a pause: %+v", o)
 	}
-	s.carryOut(&decisions.Out{Phase: decisions.Returning, Share: 0.3, Until: l.now() + time.Minute, Changed: true})
+	s.carryOut(&stalerouting.Out{Phase: stalerouting.Returning, Share: 0.3, Until: l.now() + time.Minute, Changed: true})
 	if o := l.Orders(); len(o.Zones) != 2 || o.Zones[1].Share != 0.3 {
 		t.Errorf("%+v", o)
 	}
-	s.carryOut(&decisions.Out{Phase: decisions.Light, Share: 1, Changed: true})
+	s.carryOut(&stalerouting.Out{Phase: stalerouting.Light, Share: 1, Changed: true})
 	if o := l.Orders(); len(o.Zones) != 0 || l.Kept().Dark {
 		t.Errorf("%+v", o)
 	}
@@ -65,23 +65,23 @@
 func TestNewsOfNeighbours(t *testing.T) {
 	s := bareSite(t)
 	l := s.l
-	set := func(zone string, e ...decisions.Entry) shared {
-		return shared{state{decisions.Version, "b", zone, e}}
+	set := func(zone string, e ...stalerouting.Entry) shared {
+		return shared{state{stalerouting.Version, "b", zone, e}}
 	}
-	s.take(set("y", decisions.Entry{ID: "s", State: decisions.Removed}))
-	s.take(set("x", decisions.Entry{ID: "s", State: decisions.Removed}, decisions.Entry{}))
+	s.take(set("y", stalerouting.Entry{ID: "s", State: stalerouting.Removed}))
+	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Removed}, stalerouting.Entry{}))
 	if o := l.Orders(); len(o.Told) != 0 {
 		t.Errorf("told %+v", o.Told)
 	}
-	s.take(set("x", decisions.Entry{ID: "s", State: decisions.Draining}, decisions.Entry{ID: "n", Incarnation: 5}))
+	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Draining}, stalerouting.Entry{ID: "n", Incarnation: 5}))
 	if o := l.Orders(); len(o.Told) != 2 || o.Told[0].ID != "n" || o.Told[0].StartedMs != 5 || o.Told[1].State != "draining" {
 		t.Errorf("told %+v", o.Told)
 	}
 	if o := l.Orders(); len(o.Told) != 0 {
 		t.Errorf("told again %+v", o.Told)
 	}
-	s.take(heard{decisions.List})
-	s.take(set("x", decisions.Entry{ID: "s", State: decisions.Removed}))
+	s.take(heard{stalerouting.List})
+	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Removed}))
 	if o := l.Orders(); len(o.Told) != 0 {
 		t.Errorf("told %+v while discovery can be heard", o.Told)
 	}
@@ -92,10 +92,10 @@
 	s := bareSite(t)
 	l := s.l
 	s.take(ping{From: "c"})
-	if m, ok := l.peers.Mailbox().Poll(); !ok || m.(peers.Send).To != "c" || m.(peers.Send).Kind != KindPing {
+	if m, ok := l.peers.Mailbox().Poll(); !ok || m.(membership.Send).To != "c" || m.(membership.Send).Kind != KindPing {
 		t.Errorf("%+v", m)
 	}
-	body, err := peers.Encode(ping{From: "c", Pong: true})
+	body, err := membership.Encode(ping{From: "c", Pong: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	from.Got(KindWord, body)
 	from.Got(KindLetter, []byte{1})
 	from.Merge([]byte{1})
-	wrong, err := peers.Encode(state{Version: 99, From: "b", Zone: "x"})
+	wrong, err := membership.Encode(state{Version: 99, From: "b", Zone: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	if m, ok := l.siteBox.Poll(); ok {
 		t.Errorf("taken: %+v", m)
 	}
-	l.keep(Kept{Entries: []decisions.Entry{{ID: "s"}}}, l.now())
+	l.keep(Kept{Entries: []stalerouting.Entry{{ID: "s"}}}, l.now())
 	l.start = l.start.Add(-time.Minute)
 	from.Merge(from.State())
 	if m, _ := l.siteBox.Poll(); m.(shared).Entries[0].Age < time.Minute {
@@ -127,7 +127,7 @@
 	for _, zone := range []string{"x", "", "y"} {
 		l.Attempted(agent.Sight{ID: "s", Zone: zone, Status: policy.OK})
 	}
-	if m, _ := l.siteBox.Poll(); m != (heard{decisions.Answer}) {
+	if m, _ := l.siteBox.Poll(); m != (heard{stalerouting.Answer}) {
 		t.Errorf("%+v", m)
 	}
 	if m, ok := l.siteBox.Poll(); ok {
@@ -140,20 +140,20 @@
 func TestOrdersByTheCouncil(t *testing.T) {
 	s := bareSite(t)
 	l := s.l
-	table := func(number uint64, left string, home float64) zones.Table {
-		return zones.Table{Version: zones.Version, Number: number, Zones: []zones.Zone{{Name: left, In: zones.Track{Share: 1}}},
-			Parts: []zones.Part{{Site: "x", Zone: "x", Share: home}, {Site: "x", Zone: "y", Share: 1 - home}, {Site: "x", Zone: "z"}}}
+	table := func(number uint64, left string, home float64) zonefailover.Table {
+		return zonefailover.Table{Version: zonefailover.Version, Number: number, Zones: []zonefailover.Zone{{Name: left, In: zonefailover.Track{Share: 1}}},
+			Parts: []zonefailover.Part{{Site: "x", Zone: "x", Share: home}, {Site: "x", Zone: "y", Share: 1 - home}, {Site: "x", Zone: "z"}}}
 	}
-	s.take(members{[]peers.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}})
+	s.take(members{[]membership.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}})
 	// What a voter finds in its log is acted on once a majority vouches for it.
-	s.take(agreed{council.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75)}})
+	s.take(agreed{consensus.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75)}})
 	if o := l.Orders(); len(o.Zones) != 0 {
 		t.Errorf("by what lay in the log: %+v", o.Zones)
 	}
-	s.take(agreed{council.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75), Vouched: true}})
+	s.take(agreed{consensus.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75), Vouched: true}})
 	told := map[string]bool{}
 	for m, ok := l.peers.Mailbox().Poll(); ok; m, ok = l.peers.Mailbox().Poll() {
-		if x := m.(peers.Send); x.Kind == KindParts {
+		if x := m.(membership.Send); x.Kind == KindParts {
 			told[x.To] = true
 		}
 	}
@@ -165,16 +165,16 @@
 		o.Zones[1].Left <= 9*time.Second || o.Zones[1].Left > 10*time.Second {
 		t.Errorf("%+v", o.Zones)
 	}
-	s.take(parts{decisions.Decided{Version: decisions.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
+	s.take(parts{stalerouting.Decided{Version: stalerouting.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
 	if o := l.Orders(); o.Zones[0].Pull != 0.75 || o.Zones[2].Share != 0 {
 		t.Errorf("an older decision: %+v", o.Zones)
 	}
-	s.phase, s.share, s.until = decisions.Dark, 0, l.now()+time.Second
+	s.phase, s.share, s.until = stalerouting.Dark, 0, l.now()+time.Second
 	s.order(false)
 	if o := l.Orders(); o.Zones[0].Pull != 0 || o.Zones[1].Share != 0 || o.Zones[1].Reach != 0 || o.Zones[1].Left > time.Second {
 		t.Errorf("in the dark: %+v", o.Zones)
 	}
-	s.phase = decisions.Light
+	s.phase = stalerouting.Light
 	l.start = l.start.Add(-time.Minute)
 	s.order(false)
 	if o := l.Orders(); len(o.Zones) != 0 {
@@ -188,8 +188,8 @@
 	s := bareSite(t)
 	l := s.l
 	l.cfg.Vote.Age = 10 * time.Second
-	l.cfg.Council = &council.Config{Self: "a", Voters: []council.Voter{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
-	l.council = council.New(*l.cfg.Council, nil)
+	l.cfg.Council = &consensus.Config{Self: "a", Voters: []consensus.Voter{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+	l.council = consensus.New(*l.cfg.Council, nil)
 	var was reporter
 	sent := func() (n int) {
 		for _, ok := l.peers.Mailbox().Poll(); ok; _, ok = l.peers.Mailbox().Poll() {
@@ -197,22 +197,22 @@
 		}
 		return n
 	}
-	good := []evidence.Zone{{Name: "x", Weight: 2, Met: 2, Attempts: 30, Util: 9, Probes: 1}}
+	good := []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Attempts: 30, Util: 9, Probes: 1}}
 	l.report(&was, good)
 	m, ok := l.council.Mailbox().Poll()
-	if r, _ := m.(council.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Util != 1 || r.Check() != nil || sent() != 2 {
+	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Util != 1 || r.Check() != nil || sent() != 2 {
 		t.Errorf("%+v", m)
 	}
 	l.report(&was, good)
 	if n := sent(); n != 0 {
 		t.Errorf("%d told of what has not changed", n)
 	}
-	l.report(&was, []evidence.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
+	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
 	if n := sent(); n != 2 {
 		t.Errorf("%d told of a change, want 2", n)
 	}
 	l.start = l.start.Add(-reportEvery)
-	l.report(&was, []evidence.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
+	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
 	if n := sent(); n != 2 {
 		t.Errorf("%d told again in time, want 2", n)
 	}
--- a/internal/ballot/bench_test.go
+++ b/internal/agent/ejection/bench_test.go
@@ -1,11 +1,11 @@
-package ballot
+package ejection
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
 // A site of so many members, one of 48 hosts bad, 20 attempts a second each: letters a second
@@ -20,7 +20,7 @@
 				s.run(2 * time.Second)
 				calm := float64(s.sent-before) / 2 / float64(n)
 				h := s.hosts[0].Host
-				s.bad[h] = evidence.Failed
+				s.bad[h] = outlier.Failed
 				from, worst := s.now, 0.0
 				for s.holding(h) < n && s.now-from < time.Minute {
 					before = s.sent
--- a/internal/ballot/core.go
+++ b/internal/agent/ejection/core.go
@@ -1,4 +1,4 @@
-// Package ballot ejects hosts by vote: the agents of a site (its electorate) agree, by what
+// Package ejection ejects hosts by vote: the agents of a site (its electorate) agree, by what
 // each saw itself, that a report server is to get nothing from any of them but trials, for a
 // time that lapses by itself. There is no leader: each voter tells all others what it holds
 // of which host, and each counts for itself.
@@ -45,7 +45,7 @@
 // That a bad host is ejected: a part of a site without a majority ejects nothing, and one
 // whose voters have promised all they may waits. An agent's own demotion of a server does not
 // depend on any of this.
-package ballot
+package ejection
 
 import (
 	"cmp"
@@ -55,7 +55,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
 const (
@@ -149,7 +149,7 @@
 
 // Standing is what the agent is to do with a host. One that is not named gets its whole share.
 type Standing struct {
-	Host evidence.Host
+	Host outlier.Host
 	// Part of its share; 0 is ejected. It holds until Until, and is 1 after it.
 	Part  float64
 	Until time.Duration
@@ -161,7 +161,7 @@
 type Note struct {
 	At       time.Duration
 	Kind     string // "grant", "renew", "over_cap", "deny", "suspect", "eject", "hold", "return"
-	Host     evidence.Host
+	Host     outlier.Host
 	Why      Why
 	Roll     uint64
 	Attempts int
@@ -186,7 +186,7 @@
 // Core is one member's vote: a state machine without I/O, not safe for concurrent use.
 type Core struct {
 	cfg       Config
-	log       *evidence.Log
+	log       *outlier.Log
 	now       time.Duration
 	born      time.Duration
 	started   bool
@@ -197,8 +197,8 @@
 	beatAt    time.Duration
 	beatNext  int // of the roll
 	peers     map[string]*peer
-	mine      map[evidence.Host]*own
-	standing  map[evidence.Host]*standing
+	mine      map[outlier.Host]*own
+	standing  map[outlier.Host]*standing
 	table     []Standing
 	out       *Out
 }
@@ -208,7 +208,7 @@
 	boot    uint64
 	stamp   time.Duration // the newest Sent of that life, and
 	stampAt time.Duration // when it came
-	votes   map[evidence.Host]vote
+	votes   map[outlier.Host]vote
 }
 
 type vote struct {
@@ -228,7 +228,7 @@
 	zone     string
 	granted  time.Duration // when last; evidence before it is used up
 	grants   int           // of late: each lasts longer than the one before
-	record   evidence.Record
+	record   outlier.Record
 	owedAt   time.Duration // when a motion without own evidence was first met; 0: none
 	tried    bool          // the attempt or probe owed to it was asked for
 	probed   bool          // and the probe was answered
@@ -245,16 +245,16 @@
 }
 
 // New returns a member that has seen nothing. The log is the caller's to feed, between calls.
-func New(cfg Config, log *evidence.Log) (*Core, error) {
+func New(cfg Config, log *outlier.Log) (*Core, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, fmt.Errorf("ballot: %w", err)
 	}
-	c := &Core{cfg: cfg, log: log, peers: map[string]*peer{}, mine: map[evidence.Host]*own{}, standing: map[evidence.Host]*standing{}}
+	c := &Core{cfg: cfg, log: log, peers: map[string]*peer{}, mine: map[outlier.Host]*own{}, standing: map[outlier.Host]*standing{}}
 	for _, m := range cfg.Roll.Members {
 		if m == cfg.Self {
 			c.voter = true
 		} else {
-			c.peers[m] = &peer{votes: map[evidence.Host]vote{}}
+			c.peers[m] = &peer{votes: map[outlier.Host]vote{}}
 		}
 	}
 	return c, nil
@@ -284,7 +284,7 @@
 		return nil // it can't be dated; ours will bring an echo
 	}
 	sent := min(l.Echo+time.Duration(float64(l.Kept)*(1-drift)), now)
-	votes := make(map[evidence.Host]vote, len(l.Entries))
+	votes := make(map[outlier.Host]vote, len(l.Entries))
 	for _, e := range l.Entries {
 		votes[e.Host] = vote{e.Answer, sent + e.Left, e.Why, sent - e.Seen}
 	}
@@ -346,8 +346,8 @@
 }
 
 // hosts are those that anyone has something to say of, in the order of their names.
-func (c *Core) hosts() []evidence.Host {
-	set := map[evidence.Host]bool{}
+func (c *Core) hosts() []outlier.Host {
+	set := map[outlier.Host]bool{}
 	for _, h := range c.log.Suspects(c.now, c.cfg.Age) {
 		set[h] = true
 	}
@@ -364,7 +364,7 @@
 			}
 		}
 	}
-	out := make([]evidence.Host, 0, len(set))
+	out := make([]outlier.Host, 0, len(set))
 	for h := range set {
 		out = append(out, h)
 	}
@@ -372,13 +372,13 @@
 	return out
 }
 
-func compare(a, b evidence.Host) int {
+func compare(a, b outlier.Host) int {
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
 // favour counts the members that want a host ejected, and those that deny it, by what each
 // said last.
-func (c *Core) favour(h evidence.Host) (in, against int) {
+func (c *Core) favour(h outlier.Host) (in, against int) {
 	each := func(a Answer) {
 		switch a {
 		case Suspect, Grant:
@@ -400,7 +400,7 @@
 
 // granters are the members whose grants for a host are live, and when so many have lapsed
 // that no majority is left.
-func (c *Core) granters(h evidence.Host) (names []string, until time.Duration) {
+func (c *Core) granters(h outlier.Host) (names []string, until time.Duration) {
 	var ends []time.Duration
 	for _, name := range c.cfg.Roll.Members {
 		end, live := time.Duration(0), false
@@ -422,7 +422,7 @@
 }
 
 // answer is this member's own answer on a host by what it saw; a grant comes later.
-func (c *Core) answer(h evidence.Host, inPanic bool) {
+func (c *Core) answer(h outlier.Host, inPanic bool) {
 	r, listed := c.log.Of(h, c.now)
 	m := c.mine[h]
 	if m == nil {
@@ -466,11 +466,11 @@
 	}
 }
 
-func whyOf(k evidence.Kind) Why {
+func whyOf(k outlier.Kind) Why {
 	switch k {
-	case evidence.Silent:
+	case outlier.Silent:
 		return BySilence
-	case evidence.Slow:
+	case outlier.Slow:
 		return BySlowness
 	}
 	return ByFailures
@@ -478,9 +478,9 @@
 
 // candidates are the hosts that this member may grant or renew now, the most wanted first, so
 // that voters whose bounds are near spend them on the same hosts.
-func (c *Core) candidates() []evidence.Host {
-	var out []evidence.Host
-	wanted := map[evidence.Host]int{}
+func (c *Core) candidates() []outlier.Host {
+	var out []outlier.Host
+	wanted := map[outlier.Host]int{}
 	for h, m := range c.mine {
 		// A renewal needs evidence of its own that is not too old, and of anyone that is newer
 		// than the grant: one trial that fails keeps a host out, where each member would have
@@ -496,14 +496,14 @@
 			out = append(out, h)
 		}
 	}
-	slices.SortFunc(out, func(a, b evidence.Host) int {
+	slices.SortFunc(out, func(a, b outlier.Host) int {
 		return cmp.Or(cmp.Compare(wanted[b], wanted[a]), cmp.Compare(hash(a, 0, ""), hash(b, 0, "")), compare(a, b))
 	})
 	return out
 }
 
 // newest is when the newest evidence of anyone against a host was met.
-func (c *Core) newest(h evidence.Host) time.Duration {
+func (c *Core) newest(h outlier.Host) time.Duration {
 	at := time.Duration(-1)
 	if m := c.mine[h]; m != nil {
 		at = m.record.BadSent
@@ -522,7 +522,7 @@
 }
 
 // grant promises, if the bound allows.
-func (c *Core) grant(h evidence.Host) {
+func (c *Core) grant(h outlier.Host) {
 	m := c.mine[h]
 	weight, zone := c.log.Weight(h)
 	q, n := float64(c.cfg.Roll.Quorum()), float64(len(c.cfg.Roll.Members))
@@ -562,7 +562,7 @@
 }
 
 // count sets a host's standing by the live grants.
-func (c *Core) count(h evidence.Host) {
+func (c *Core) count(h outlier.Host) {
 	names, until := c.granters(h)
 	ejected := len(names) >= c.cfg.Roll.Quorum()
 	s := c.standing[h]
@@ -654,7 +654,7 @@
 	}
 	m := c.mine[s.Host]
 	if m != nil && m.answer >= Suspect {
-		silent = m.record.Kind == evidence.Silent
+		silent = m.record.Kind == outlier.Silent
 	}
 	s.Probe = silent && (m == nil || m.record.Probed <= m.record.LastBad || c.now-m.record.Probed > c.cfg.Age)
 	s.Try = !s.Probe
@@ -664,7 +664,7 @@
 // trial tells whether this member is to try an ejected host now: one is drawn for each round,
 // another for the next, trialRounds in a lease. Once a third of the members deny, a majority
 // is to try it in two rounds; fewer may be liars.
-func (c *Core) trial(h evidence.Host, s *standing) bool {
+func (c *Core) trial(h outlier.Host, s *standing) bool {
 	each, few := max(c.cfg.Trial, s.lease/trialRounds), 1
 	if _, against := c.favour(h); 3*against >= len(c.cfg.Roll.Members) {
 		each, few = c.cfg.Trial, (c.cfg.Roll.Quorum()+1)/2
@@ -678,7 +678,7 @@
 
 // owes tells whether this member is to attempt a host that another moved and that it has not
 // met of late: one after the other, until enough have voted or somebody denies.
-func (c *Core) owes(h evidence.Host) bool {
+func (c *Core) owes(h outlier.Host) bool {
 	m := c.mine[h]
 	if m == nil || m.tried || m.answer != Abstain || m.why != NoEvidence {
 		return false
@@ -699,7 +699,7 @@
 }
 
 // rank is this member's place among all for a host and a round, the same at all.
-func (c *Core) rank(h evidence.Host, round int64) (place int) {
+func (c *Core) rank(h outlier.Host, round int64) (place int) {
 	mine := hash(h, round, c.cfg.Self)
 	for _, name := range c.cfg.Roll.Members {
 		if hash(h, round, name) < mine {
@@ -709,13 +709,13 @@
 	return place
 }
 
-func hash(h evidence.Host, round int64, name string) uint64 {
+func hash(h outlier.Host, round int64, name string) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%d\x00%s", h.ID, h.Incarnation, round, name))
 }
 
 // said is an answer as others are told it, without what changes with the clock.
 type said struct {
-	host   evidence.Host
+	host   outlier.Host
 	answer Answer
 	why    Why
 	until  time.Duration
@@ -785,7 +785,7 @@
 	}
 }
 
-func (c *Core) note(kind string, h evidence.Host, m *own) {
+func (c *Core) note(kind string, h outlier.Host, m *own) {
 	n := Note{At: c.now, Kind: kind, Host: h, Why: m.why, Roll: c.cfg.Roll.Number, Attempts: m.record.Attempts, Bad: m.record.Bad}
 	if m.answer == Grant {
 		n.Until = m.until
--- a/internal/ballot/core_test.go
+++ b/internal/agent/ejection/core_test.go
@@ -1,4 +1,4 @@
-package ballot
+package ejection
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
 // settled is a site whose voters may vote.
@@ -25,7 +25,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			s := settled(t, 1, n, 12)
 			h := s.hosts[3].Host
-			s.bad[h] = evidence.Failed
+			s.bad[h] = outlier.Failed
 			s.run(2 * time.Second)
 			if got := s.holding(h); got != n {
 				t.Fatalf("%d of %d hold it ejected, notes %v", got, n, s.notes)
@@ -54,7 +54,7 @@
 func TestStepsOfAReturn(t *testing.T) {
 	s := settled(t, 2, 3, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = evidence.Failed
+	s.bad[h] = outlier.Failed
 	for s.holding(h) < 3 {
 		s.run(tick)
 	}
@@ -86,7 +86,7 @@
 	s := settled(t, 3, 3, 12)
 	h := s.hosts[0].Host
 	for range 3 {
-		s.bad[h] = evidence.Failed
+		s.bad[h] = outlier.Failed
 		s.run(2 * time.Second)
 		delete(s.bad, h)
 		s.run(5 * time.Second)
@@ -109,7 +109,7 @@
 func TestAnEjectedHostGetsTrialsOnly(t *testing.T) {
 	s := settled(t, 4, 5, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = evidence.Failed
+	s.bad[h] = outlier.Failed
 	s.run(time.Second)
 	before := s.failed
 	s.run(10 * time.Second)
@@ -133,7 +133,7 @@
 func TestASilentHostIsProbed(t *testing.T) {
 	s := settled(t, 4, 5, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = evidence.Silent
+	s.bad[h] = outlier.Silent
 	s.run(2 * time.Second)
 	if s.holding(h) != 5 || s.failed > 8 {
 		t.Errorf("%d of 5 hold it ejected after %d lost requests", s.holding(h), s.failed)
@@ -155,7 +155,7 @@
 func TestCapAndPanic(t *testing.T) {
 	s := settled(t, 5, 7, 12)
 	for _, h := range s.hosts[:8] {
-		s.bad[h.Host] = evidence.Failed
+		s.bad[h.Host] = outlier.Failed
 	}
 	s.run(3 * time.Second)
 	for _, h := range s.hosts {
@@ -165,7 +165,7 @@
 	}
 	s = settled(t, 5, 7, 12)
 	for _, h := range s.hosts[:5] {
-		s.bad[h.Host] = evidence.Failed
+		s.bad[h.Host] = outlier.Failed
 	}
 	s.run(3 * time.Second)
 	out := 0
@@ -191,7 +191,7 @@
 		for _, m := range s.members[:3] {
 			for _, h := range s.hosts {
 				now := s.clock(m)
-				m.log.Saw(evidence.Sight{Host: h.Host, Kind: evidence.Silent, OfAim: 1, Sent: now, At: now})
+				m.log.Saw(outlier.Sight{Host: h.Host, Kind: outlier.Silent, OfAim: 1, Sent: now, At: now})
 			}
 		}
 		s.run(2 * tick)
@@ -214,7 +214,7 @@
 				l.Entries = []Entry{{Host: well, Answer: Grant, Attempts: 9, Bad: 9, Left: s.cfg.Lease}, {Host: ill, Answer: Deny, Attempts: 9, Left: s.cfg.Age}}
 			}
 			s.run(3 * time.Second)
-			s.bad[ill] = evidence.Failed
+			s.bad[ill] = outlier.Failed
 			s.run(6 * time.Second)
 			if s.ejected[well] {
 				t.Errorf("a host that is well was ejected by %d liars of %d", c.liars, c.members)
@@ -237,7 +237,7 @@
 		}
 		s.cut = func(a, b string) bool { return part(a) != part(b) }
 		h := s.hosts[0].Host
-		s.bad[h] = evidence.Failed
+		s.bad[h] = outlier.Failed
 		s.run(3 * time.Second)
 		for _, m := range s.members {
 			in := 0
@@ -264,7 +264,7 @@
 func TestAReplacedHostIsNotEjected(t *testing.T) {
 	s := settled(t, 9, 5, 12)
 	old := s.hosts[0].Host
-	s.bad[old] = evidence.Failed
+	s.bad[old] = outlier.Failed
 	s.run(100 * time.Millisecond)
 	s.hosts[0].Incarnation = 7
 	fresh := s.hosts[0].Host
@@ -282,7 +282,7 @@
 func TestAPausedMemberActsOnNothingStale(t *testing.T) {
 	s := settled(t, 10, 3, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = evidence.Failed
+	s.bad[h] = outlier.Failed
 	s.run(300 * time.Millisecond)
 	m := s.members[2]
 	m.paused = s.now + 10*time.Second
@@ -318,7 +318,7 @@
 			case 3:
 				s.cut = func(string, string) bool { return false }
 			case 4:
-				s.bad[s.hosts[s.rng.IntN(8)].Host] = evidence.Failed
+				s.bad[s.hosts[s.rng.IntN(8)].Host] = outlier.Failed
 			case 5:
 				clear(s.bad)
 			}
@@ -344,10 +344,10 @@
 		"votes by roll 4, this is 1": func(l *Letter) { l.Roll = 4 },
 		"entries: 25":                func(l *Letter) { l.Entries = make([]Entry, 25) },
 		"entries[0].host: a name":    func(l *Letter) { l.Entries = make([]Entry, 1) },
-		"unknown answer 9":           func(l *Letter) { l.Entries = []Entry{{Host: evidence.Host{ID: "s"}, Answer: 9}} },
-		"entries[0].bad: 2 of 1":     func(l *Letter) { l.Entries = []Entry{{Host: evidence.Host{ID: "s"}, Attempts: 1, Bad: 2}} },
-		"entries[0].left":            func(l *Letter) { l.Entries = []Entry{{Host: evidence.Host{ID: "s"}, Left: time.Hour}} },
-		"s is named twice":           func(l *Letter) { l.Entries = []Entry{{Host: evidence.Host{ID: "s"}}, {Host: evidence.Host{ID: "s"}}} },
+		"unknown answer 9":           func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Answer: 9}} },
+		"entries[0].bad: 2 of 1":     func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Attempts: 1, Bad: 2}} },
+		"entries[0].left":            func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Left: time.Hour}} },
+		"s is named twice":           func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}}, {Host: outlier.Host{ID: "s"}}} },
 		"must not be negative":       func(l *Letter) { l.Kept = -1 },
 	} {
 		l := good
@@ -373,7 +373,7 @@
 		c := Defaults()
 		c.Self, c.Roll = "a", Roll{1, []string{"a", "b"}}
 		change(&c)
-		if _, err := New(c, evidence.New(time.Second)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(c, outlier.New(time.Second)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
@@ -387,7 +387,7 @@
 		m.core.cfg.Covers = true
 	}
 	h := s.hosts[3].Host
-	s.bad[h] = evidence.Failed
+	s.bad[h] = outlier.Failed
 	s.run(3 * time.Second)
 	if got := s.holding(h); got != 0 || s.count("grant", &h) != 0 {
 		t.Fatalf("%d hold it ejected without a cover", got)
@@ -411,7 +411,7 @@
 	cfg := s.cfg
 	cfg.Self, cfg.Promised = "x", 0
 	cfg.Roll.Members = []string{"x"}
-	c, err := New(cfg, evidence.New(cfg.Age))
+	c, err := New(cfg, outlier.New(cfg.Age))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ballot/interleave_test.go
+++ b/internal/agent/ejection/interleave_test.go
@@ -1,4 +1,4 @@
-package ballot
+package ejection
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
@@ -47,14 +47,14 @@
 
 type voter3 struct {
 	core  *Core
-	log   *evidence.Log
+	log   *outlier.Log
 	due   bool // something came, or time passed, since its tick
 	table []Standing
 	seen  []time.Duration // when it met the bad hosts
 	well  time.Duration   // from when on the first of them is well to it; 0: never
 }
 
-var three = []evidence.Listed{{Host: evidence.Host{ID: "x"}, Zone: "z", Weight: 1}, {Host: evidence.Host{ID: "y"}, Zone: "z", Weight: 1}, {Host: evidence.Host{ID: "w"}, Zone: "z", Weight: 1}}
+var three = []outlier.Listed{{Host: outlier.Host{ID: "x"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "y"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "w"}, Zone: "z", Weight: 1}}
 
 func (s *small) config(i int, boot uint64) Config {
 	c := Config{Self: fmt.Sprint("v", i), Boot: boot, Roll: Roll{Number: 1, Members: []string{"v0", "v1", "v2"}}, Cap: 0.5, Lease: 2 * time.Second,
@@ -78,12 +78,12 @@
 // start is a new life that knows nothing.
 func (s *small) start(i int, boot uint64) {
 	cfg := s.config(i, boot)
-	log := evidence.New(cfg.Age)
+	log := outlier.New(cfg.Age)
 	log.Listed(three)
-	core := &Core{cfg: cfg, log: log, voter: true, peers: map[string]*peer{}, mine: map[evidence.Host]*own{}, standing: map[evidence.Host]*standing{}}
+	core := &Core{cfg: cfg, log: log, voter: true, peers: map[string]*peer{}, mine: map[outlier.Host]*own{}, standing: map[outlier.Host]*standing{}}
 	for _, m := range cfg.Roll.Members {
 		if m != cfg.Self {
-			core.peers[m] = &peer{votes: map[evidence.Host]vote{}}
+			core.peers[m] = &peer{votes: map[outlier.Host]vote{}}
 		}
 	}
 	if s.covers && i == 0 {
@@ -107,11 +107,11 @@
 	v := s.voters[i]
 	v.seen = append(v.seen, at)
 	for _, h := range fails[i] {
-		kind := evidence.Failed
+		kind := outlier.Failed
 		if v.well > 0 && at >= v.well && h == 0 {
-			kind = evidence.Good
+			kind = outlier.Good
 		}
-		v.log.Saw(evidence.Sight{Host: three[h].Host, Kind: kind, OfAim: 0.1, Sent: at, At: at})
+		v.log.Saw(outlier.Sight{Host: three[h].Host, Kind: kind, OfAim: 0.1, Sent: at, At: at})
 	}
 }
 
@@ -299,12 +299,12 @@
 	n.promised = maps.Clone(s.promised)
 	for i, v := range s.voters {
 		w := *v
-		w.log = evidence.New(v.core.cfg.Age)
+		w.log = outlier.New(v.core.cfg.Age)
 		w.log.Listed(three)
 		w.seen = nil
 		core := *v.core
 		core.log, core.out = w.log, nil
-		core.peers, core.mine, core.standing = map[string]*peer{}, map[evidence.Host]*own{}, map[evidence.Host]*standing{}
+		core.peers, core.mine, core.standing = map[string]*peer{}, map[outlier.Host]*own{}, map[outlier.Host]*standing{}
 		for k, p := range v.core.peers {
 			q := *p
 			q.votes = maps.Clone(p.votes)
--- a/internal/ballot/message.go
+++ b/internal/agent/ejection/message.go
@@ -1,11 +1,11 @@
-package ballot
+package ejection
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
 // Answer is what a voter says of a host.
@@ -46,7 +46,7 @@
 
 // Entry is a voter's answer on one host. It holds for Left from when it was sent.
 type Entry struct {
-	Host          evidence.Host
+	Host          outlier.Host
 	Answer        Answer
 	Why           Why
 	Attempts, Bad int
--- a/internal/ballot/sim_test.go
+++ b/internal/agent/ejection/sim_test.go
@@ -1,4 +1,4 @@
-package ballot
+package ejection
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/evidence"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
 // sim is a site in simulated time: members on clocks of their own, letters that are late,
@@ -19,8 +19,8 @@
 	cfg     Config
 	now     time.Duration
 	members []*member
-	hosts   []evidence.Listed
-	bad     map[evidence.Host]evidence.Kind
+	hosts   []outlier.Listed
+	bad     map[outlier.Host]outlier.Kind
 	mail    []mail
 	lose    float64
 	late    time.Duration // of a letter, at the most
@@ -33,18 +33,18 @@
 	sent    int
 	failed  int
 	probes  int
-	ejected map[evidence.Host]bool // by anybody, ever
+	ejected map[outlier.Host]bool // by anybody, ever
 }
 
 type member struct {
 	name   string
 	core   *Core
-	log    *evidence.Log
+	log    *outlier.Log
 	born   time.Duration
 	speed  float64 // of its clock
 	paused time.Duration
 	inbox  []*Letter // what came while it was paused
-	table  map[evidence.Host]Standing
+	table  map[outlier.Host]Standing
 	due    float64
 }
 
@@ -57,15 +57,15 @@
 const tick = 25 * time.Millisecond
 
 func newSim(t testing.TB, seed uint64, members, hosts int, zones int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), bad: map[evidence.Host]evidence.Kind{}, late: 10 * time.Millisecond,
-		rate: 20, ejected: map[evidence.Host]bool{}, cut: func(string, string) bool { return false }}
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), bad: map[outlier.Host]outlier.Kind{}, late: 10 * time.Millisecond,
+		rate: 20, ejected: map[outlier.Host]bool{}, cut: func(string, string) bool { return false }}
 	s.cfg = Config{Roll: Roll{Number: 1}, Cap: 0.5, Lease: 2 * time.Second, Longest: 4 * time.Second, Remember: 20 * time.Second,
 		Age: 3 * time.Second, Step: 500 * time.Millisecond, Trial: 250 * time.Millisecond}
 	for i := range members {
 		s.cfg.Roll.Members = append(s.cfg.Roll.Members, fmt.Sprintf("n%d", i))
 	}
 	for i := range hosts {
-		s.hosts = append(s.hosts, evidence.Listed{Host: evidence.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
+		s.hosts = append(s.hosts, outlier.Listed{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
 	}
 	for _, name := range s.cfg.Roll.Members {
 		m := &member{name: name, speed: 1 + drift/4*(2*s.rng.Float64()-1)}
@@ -80,13 +80,13 @@
 	s.boots++
 	cfg := s.cfg
 	cfg.Self, cfg.Boot = m.name, s.boots
-	m.log = evidence.New(cfg.Age)
+	m.log = outlier.New(cfg.Age)
 	m.log.Listed(s.hosts)
 	core, err := New(cfg, m.log)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	m.core, m.born, m.inbox, m.table = core, s.now, nil, map[evidence.Host]Standing{}
+	m.core, m.born, m.inbox, m.table = core, s.now, nil, map[outlier.Host]Standing{}
 }
 
 // clock is a member's own.
@@ -159,18 +159,18 @@
 		}
 	}
 	if out.Changed {
-		m.table = map[evidence.Host]Standing{}
+		m.table = map[outlier.Host]Standing{}
 		for _, st := range out.Table {
 			switch m.table[st.Host] = st; {
 			case st.Try:
 				s.attempt(m, st.Host)
 			case st.Probe:
-				now, kind := s.clock(m), evidence.Good
-				if s.bad[st.Host] == evidence.Silent {
-					kind = evidence.Silent
+				now, kind := s.clock(m), outlier.Good
+				if s.bad[st.Host] == outlier.Silent {
+					kind = outlier.Silent
 				}
 				s.probes++
-				m.log.Saw(evidence.Sight{Host: st.Host, Kind: kind, Sent: now - time.Millisecond, At: now, Probe: true})
+				m.log.Saw(outlier.Sight{Host: st.Host, Kind: kind, Sent: now - time.Millisecond, At: now, Probe: true})
 			}
 		}
 	}
@@ -191,22 +191,22 @@
 	}
 }
 
-func (s *sim) attempt(m *member, h evidence.Host) {
+func (s *sim) attempt(m *member, h outlier.Host) {
 	kind := s.bad[h]
-	if kind != evidence.Good {
+	if kind != outlier.Good {
 		s.failed++
 	}
 	now, ofAim := s.clock(m), 0.1
-	if kind == evidence.Silent {
+	if kind == outlier.Silent {
 		ofAim = 1
 	}
-	m.log.Saw(evidence.Sight{Host: h, Kind: kind, OfAim: ofAim, Sent: now - time.Millisecond, At: now})
+	m.log.Saw(outlier.Sight{Host: h, Kind: kind, OfAim: ofAim, Sent: now - time.Millisecond, At: now})
 }
 
 // check holds every member's view against what all have promised, at one moment.
 func (s *sim) check() {
 	union := map[string]float64{}
-	seen := map[evidence.Host]bool{}
+	seen := map[outlier.Host]bool{}
 	for _, m := range s.members {
 		for h, st := range m.table {
 			if st.Part > 0 || st.Until <= s.clock(m) || seen[h] || m.paused > s.now {
@@ -234,7 +234,7 @@
 }
 
 // count counts the notes of a kind, of one host or of all.
-func (s *sim) count(kind string, h *evidence.Host) (n int) {
+func (s *sim) count(kind string, h *outlier.Host) (n int) {
 	for _, x := range s.notes {
 		if x.Kind == kind && (h == nil || x.Host == *h) {
 			n++
@@ -244,7 +244,7 @@
 }
 
 // standing is how members see a host: how many hold it ejected.
-func (s *sim) holding(h evidence.Host) (n int) {
+func (s *sim) holding(h outlier.Host) (n int) {
 	for _, m := range s.members {
 		if st, ok := m.table[h]; ok && st.Part == 0 && st.Until > s.clock(m) {
 			n++
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 const (
@@ -66,7 +66,7 @@
 
 // serve accepts clients until the server is shut down.
 func (f *front) serve(ln net.Listener) error {
-	if err := f.server.Serve(&h1.Listener{Listener: ln, Held: &f.held}); !errors.Is(err, http.ErrServerClosed) {
+	if err := f.server.Serve(&http1.Listener{Listener: ln, Held: &f.held}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("front: %w", err)
 	}
 	return nil
@@ -129,7 +129,7 @@
 		reject(w, err)
 		return
 	}
-	sock, ok := req.Context().Value(connKey{}).(*h1.ClientSock)
+	sock, ok := req.Context().Value(connKey{}).(*http1.ClientSock)
 	if ok {
 		if !sock.Begin() {
 			return // its client sends it again, as nothing here has
@@ -168,7 +168,7 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTime))
 	switch {
 	case a.verdict == served:
-		for name, values := range h1.EndToEnd(a.header) {
+		for name, values := range http1.EndToEnd(a.header) {
 			w.Header()[name] = values
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
--- a/internal/logs/logs.go
+++ b/internal/agent/logging/logs.go
@@ -1,6 +1,6 @@
-// Package logs is the program's log handler: text or JSON, at a level, both changeable while
+// Package logging is the program's log handler: text or JSON, at a level, both changeable while
 // loggers made of it are in use.
-package logs
+package logging
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"log/slog"
 	"sync/atomic"
 
-	"chalkdoor.example/chalkdoor/internal/ops"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
 )
 
 // Handler writes to one writer as it was last set. It is safe for concurrent use.
@@ -28,7 +28,7 @@
 }
 
 // Set changes format and level, also for the handlers derived from it.
-func (h *Handler) Set(l ops.Log) error {
+func (h *Handler) Set(l opsconfig.Log) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.Level)); err != nil {
 		return fmt.Errorf("logs: %w", err)
--- a/internal/logs/logs_test.go
+++ b/internal/agent/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/ops"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
 )
 
 func TestDerivedLoggersFollowAChange(t *testing.T) {
@@ -20,7 +20,7 @@
 		t.Fatalf("text: %q", text)
 	}
 	out.Reset()
-	if err := h.Set(ops.Log{Format: "json", Level: "debug"}); err != nil {
+	if err := h.Set(opsconfig.Log{Format: "json", Level: "debug"}); err != nil {
 		t.Fatal(err)
 	}
 	log.Debug("now seen")
@@ -36,7 +36,7 @@
 func TestABadSettingLeavesTheOldOne(t *testing.T) {
 	var out bytes.Buffer
 	h := New(&out)
-	for _, l := range []ops.Log{{Format: "xml", Level: "debug"}, {Format: "json", Level: "loud"}} {
+	for _, l := range []opsconfig.Log{{Format: "xml", Level: "debug"}, {Format: "json", Level: "loud"}} {
 		if err := h.Set(l); err == nil {
 			t.Errorf("%+v was taken", l)
 		}
--- a/internal/peers/peers.go
+++ b/internal/agent/membership/peers.go
@@ -1,4 +1,4 @@
-// Package peers is who of the fleet is there, as seen from one agent, and carries the layer's
+// Package membership is who of the fleet is there, as seen from one agent, and carries the layer's
 // messages between agents. It rides on memberlist: gossip, failure detection and anti-entropy
 // are the library's.
 //
@@ -6,7 +6,7 @@
 // larger than MaxMessage; who speaks for another fleet or in another version is turned away,
 // and the reason is in the log. Not guaranteed: that a message arrives, or the order in which
 // they do.
-package peers
+package membership
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/time/rate"
 
-	"chalkdoor.example/chalkdoor/internal/task"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
 )
 
 const (
@@ -96,19 +96,19 @@
 type Sync struct{ With string }
 
 // WhenFull implements task.Message.
-func (Send) WhenFull() task.Full { return task.DropOldest }
+func (Send) WhenFull() supervisor.Full { return supervisor.DropOldest }
 
 // WhenFull implements task.Message: it is asked for again.
-func (Sync) WhenFull() task.Full { return task.DropNewest }
+func (Sync) WhenFull() supervisor.Full { return supervisor.DropNewest }
 
 // Merge implements task.Merger: the newest of a kind to a peer is enough.
-func (s Send) Merge(queued task.Message) (task.Message, bool) {
+func (s Send) Merge(queued supervisor.Message) (supervisor.Message, bool) {
 	q, ok := queued.(Send)
 	return s, ok && q.To == s.To && q.Kind == s.Kind
 }
 
 // Merge implements task.Merger.
-func (s Sync) Merge(queued task.Message) (task.Message, bool) {
+func (s Sync) Merge(queued supervisor.Message) (supervisor.Message, bool) {
 	q, ok := queued.(Sync)
 	return s, ok && q == s
 }
@@ -133,7 +133,7 @@
 type Peers struct {
 	cfg   Config
 	sink  Sink
-	box   *task.Mailbox
+	box   *supervisor.Mailbox
 	taken *rate.Limiter
 
 	mu     sync.Mutex // of what the library's goroutines touch:
@@ -144,12 +144,12 @@
 
 // New returns the task; Run is its life.
 func New(cfg Config, sink Sink) *Peers {
-	return &Peers{cfg: cfg, sink: sink, box: task.NewMailbox(mailboxSize), taken: rate.NewLimiter(takenPerS, takenBurst),
+	return &Peers{cfg: cfg, sink: sink, box: supervisor.NewMailbox(mailboxSize), taken: rate.NewLimiter(takenPerS, takenBurst),
 		nodes: map[string]*memberlist.Node{}, peers: map[string]Peer{}, logged: map[string]time.Time{}}
 }
 
 // Mailbox takes Send and Sync.
-func (p *Peers) Mailbox() *task.Mailbox { return p.box }
+func (p *Peers) Mailbox() *supervisor.Mailbox { return p.box }
 
 // Run joins the fleet and carries messages until ctx is done; then it leaves in order.
 func (p *Peers) Run(ctx context.Context) error {
--- a/internal/peers/peers_test.go
+++ b/internal/agent/membership/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds waits; none needs more than a part of it.
 const patience = 30 * time.Second
--- a/internal/ops/ops.go
+++ b/internal/agent/opsconfig/ops.go
@@ -1,10 +1,10 @@
-// Package ops reads the operations file: what an operator may set about one agent beside
+// Package opsconfig reads the operations file: what an operator may set about one agent beside
 // what the platform tells it. An agent without such a file does all that the platform asks.
 //
 // The file is TOML. It is taken whole or not at all: an unknown key, a value of the wrong
 // kind or out of its range is an error that names the file, the line where it is known, the
 // key and what was expected, and all that is wrong is told at once.
-package ops
+package opsconfig
 
 import (
 	"errors"
@@ -22,10 +22,10 @@
 
 	"github.com/BurntSushi/toml"
 
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/council"
-	"chalkdoor.example/chalkdoor/internal/decisions"
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/consensus"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
 // maxFile bounds an operations file, in bytes.
@@ -110,16 +110,16 @@
 }
 
 // Config is the same as its package has it; nil without voters. The error names the key.
-func (c *Council) Config(self string) (*council.Config, error) {
+func (c *Council) Config(self string) (*consensus.Config, error) {
 	if len(c.Voters) == 0 {
 		return nil, nil
 	}
-	z := zones.Defaults()
+	z := zonefailover.Defaults()
 	z.After, z.Hold, z.HoldMost, z.Step, z.Most = time.Duration(c.After), time.Duration(c.Hold), time.Duration(c.HoldMost), time.Duration(c.Step), c.Most
 	z.Target = c.Target
-	out := &council.Config{Self: self, Bind: c.Bind, Dir: c.Dir, Zones: z, Heartbeat: time.Duration(c.Heartbeat)}
+	out := &consensus.Config{Self: self, Bind: c.Bind, Dir: c.Dir, Zones: z, Heartbeat: time.Duration(c.Heartbeat)}
 	for i, text := range c.Voters {
-		v, err := council.ParseVoter(text)
+		v, err := consensus.ParseVoter(text)
 		if err != nil {
 			return nil, fmt.Errorf("voters[%d]: %w", i, err)
 		}
@@ -140,8 +140,8 @@
 }
 
 // Decisions is the same as its package has it, but for who the members are.
-func (s *Site) Decisions() decisions.Config {
-	return decisions.Config{Quiet: time.Duration(s.Quiet), Beat: time.Duration(s.Beat), Step: time.Duration(s.Step), Hold: time.Duration(s.Hold)}
+func (s *Site) Decisions() stalerouting.Config {
+	return stalerouting.Config{Quiet: time.Duration(s.Quiet), Beat: time.Duration(s.Beat), Step: time.Duration(s.Step), Hold: time.Duration(s.Hold)}
 }
 
 // Duration is written as "1.5s" in a file.
@@ -165,7 +165,7 @@
 
 // Default is the file that says nothing.
 func Default() File {
-	v, s, z := ballot.Defaults(), decisions.Defaults(), zones.Defaults()
+	v, s, z := ejection.Defaults(), stalerouting.Defaults(), zonefailover.Defaults()
 	return File{Log: Log{Format: "text", Level: "info"}, State: State{Every: Duration(time.Second)},
 		Fleet: Fleet{Role: "agent", Seeds: []string{}}, Vote: Vote{Electorate: []string{}, Roll: 1, Cap: v.Cap, Lease: Duration(v.Lease), Longest: Duration(v.Longest),
 			Remember: Duration(v.Remember), Age: Duration(v.Age), Step: Duration(v.Step), Trial: Duration(v.Trial)},
@@ -175,8 +175,8 @@
 }
 
 // Ballot is the vote of one agent as its package has it.
-func (v *Vote) Ballot(self string) ballot.Config {
-	return ballot.Config{Self: self, Roll: ballot.Roll{Number: v.Roll, Members: v.Electorate}, Cap: v.Cap, Lease: time.Duration(v.Lease),
+func (v *Vote) Ballot(self string) ejection.Config {
+	return ejection.Config{Self: self, Roll: ejection.Roll{Number: v.Roll, Members: v.Electorate}, Cap: v.Cap, Lease: time.Duration(v.Lease),
 		Longest: time.Duration(v.Longest), Remember: time.Duration(v.Remember), Age: time.Duration(v.Age), Step: time.Duration(v.Step),
 		Trial: time.Duration(v.Trial), Promised: -1}
 }
--- a/internal/ops/ops_test.go
+++ b/internal/agent/opsconfig/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package opsconfig
 
 import (
 	"os"
--- a/internal/evidence/evidence.go
+++ b/internal/agent/outlier/evidence.go
@@ -1,10 +1,10 @@
-// Package evidence keeps what one agent saw of each report server of late, as a base for
+// Package outlier keeps what one agent saw of each report server of late, as a base for
 // votes: what happened to attempts of its own, never what others tell.
 //
 // It is pure: times are given, as time since some start on the monotonic clock. It holds at
 // most the hosts that it was told are listed. An attempt counts for the incarnation that it
 // was sent to only: a process that started again is another host.
-package evidence
+package outlier
 
 import (
 	"cmp"
--- a/internal/evidence/evidence_test.go
+++ b/internal/agent/outlier/evidence_test.go
@@ -1,4 +1,4 @@
-package evidence
+package outlier
 
 import (
 	"slices"
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/http1"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -55,11 +55,11 @@
 	}
 	resp, body, err := readAnswer(cn.br, func(n int64) error {
 		if n > freeBody {
-			return h1.Spoilt("a load report of %d bytes", n)
+			return http1.Spoilt("a load report of %d bytes", n)
 		}
 		return nil
 	})
-	s.pool.ages.Count(cn.slot, err != nil && !errors.Is(err, h1.ErrSpoilt) && broken(err) == policy.Reset)
+	s.pool.ages.Count(cn.slot, err != nil && !errors.Is(err, http1.ErrSpoilt) && broken(err) == policy.Reset)
 	if err != nil {
 		return result{status: broken(err)}, cn.slot > 0
 	}
--- a/internal/wire/wire.go
+++ b/internal/agent/simprotocol/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's binary frames and the
+// Package simprotocol translates between the simulator's binary frames and the
 // policy's events and actions. It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/agent/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/durable/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -1,4 +1,4 @@
-package durable
+package snapshot
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/decisions"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -36,7 +36,7 @@
 // Site is what an agent knows of its site by its neighbours, ages as of the save.
 type Site struct {
 	Dark    bool // the uplink was lost
-	Entries []decisions.Entry
+	Entries []stalerouting.Entry
 }
 
 // head is what a list's version counts for. No id of a server is empty.
@@ -150,11 +150,11 @@
 	st.Memory = m
 	if r, ok := g.Tables[tableSite]["now"]; ok {
 		var s Site
-		if err := json.Unmarshal(r.Value, &s); err != nil || r.Version != versionSite || len(s.Entries) > decisions.MaxEntries {
+		if err := json.Unmarshal(r.Value, &s); err != nil || r.Version != versionSite || len(s.Entries) > stalerouting.MaxEntries {
 			drop(tableSite, "now", fmt.Sprintf("version %d, %d entries, %v", r.Version, len(s.Entries), err))
 		} else {
 			for i := range s.Entries {
-				s.Entries[i].Age = min(s.Entries[i].Age, decisions.Undated) + min(g.Age, decisions.Undated)
+				s.Entries[i].Age = min(s.Entries[i].Age, stalerouting.Undated) + min(g.Age, stalerouting.Undated)
 			}
 			st.Site = &s
 		}
--- a/internal/durable/memory_test.go
+++ b/internal/agent/snapshot/memory_test.go
@@ -1,4 +1,4 @@
-package durable
+package snapshot
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/decisions"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -147,17 +147,17 @@
 // there was such a table, and one whose record makes no sense, bring none, and the rest stays.
 func TestTheSiteComesBack(t *testing.T) {
 	st := state(memory(1, 1))
-	st.Site = &Site{Dark: true, Entries: []decisions.Entry{{ID: "s", Incarnation: 4, State: decisions.Draining, Age: time.Minute}, {ID: "u", Age: math.MaxInt64}}}
+	st.Site = &Site{Dark: true, Entries: []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: time.Minute}, {ID: "u", Age: math.MaxInt64}}}
 	tt, err := Encode(st)
 	if err != nil {
 		t.Fatal(err)
 	}
 	back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, Dated: true})
-	want := []decisions.Entry{{ID: "s", Incarnation: 4, State: decisions.Draining, Age: 62 * time.Second}, {ID: "u", Age: decisions.Undated + 2*time.Second}}
+	want := []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: 62 * time.Second}, {ID: "u", Age: stalerouting.Undated + 2*time.Second}}
 	if len(problems) > 0 || back.Site == nil || !back.Site.Dark || !slices.Equal(back.Site.Entries, want) {
 		t.Errorf("%+v, %v", back.Site, problems)
 	}
-	if back, _ := Decode(&Generation{Tables: tt, Age: longest}); back.Site.Entries[0].Age != decisions.Undated+time.Minute {
+	if back, _ := Decode(&Generation{Tables: tt, Age: longest}); back.Site.Entries[0].Age != stalerouting.Undated+time.Minute {
 		t.Errorf("undated: %+v", back.Site)
 	}
 	delete(tt, tableSite)
--- a/internal/durable/store.go
+++ b/internal/agent/snapshot/store.go
@@ -1,4 +1,4 @@
-// Package durable keeps on disk what an agent has learned, so that its next life need not
+// Package snapshot keeps on disk what an agent has learned, so that its next life need not
 // learn it again.
 //
 // It guarantees that nothing torn is believed: what is loaded is one whole generation as it
@@ -10,7 +10,7 @@
 //
 // A generation is one transaction of bbolt, which syncs it; two are kept, and the checksums
 // here are over records and whole generations all the same, since a disk may lie.
-package durable
+package snapshot
 
 import (
 	"encoding/binary"
--- a/internal/durable/store_test.go
+++ b/internal/agent/snapshot/store_test.go
@@ -1,4 +1,4 @@
-package durable
+package snapshot
 
 import (
 	"bytes"
--- a/internal/decisions/bench_test.go
+++ b/internal/agent/stalerouting/bench_test.go
@@ -1,4 +1,4 @@
-package decisions
+package stalerouting
 
 import (
 	"fmt"
--- a/internal/decisions/parts.go
+++ b/internal/agent/stalerouting/parts.go
@@ -1,11 +1,11 @@
-package decisions
+package stalerouting
 
 import (
 	"cmp"
 	"fmt"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
 // Decided is a decision of the council on its way between agents: the whole table, what it is
@@ -15,7 +15,7 @@
 	Term    uint64
 	Index   uint64
 	Age     time.Duration
-	Table   zones.Table
+	Table   zonefailover.Table
 }
 
 // Check tells what is wrong with a decision of another process, by field.
--- a/internal/decisions/parts_test.go
+++ b/internal/agent/stalerouting/parts_test.go
@@ -1,4 +1,4 @@
-package decisions
+package stalerouting
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/zones"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
 func decided(term, index uint64, age time.Duration) Decided {
-	return Decided{Version: Version, Term: term, Index: index, Age: age, Table: zones.Table{Version: zones.Version, Number: index}}
+	return Decided{Version: Version, Term: term, Index: index, Age: age, Table: zonefailover.Table{Version: zonefailover.Version, Number: index}}
 }
 
 // Whoever wakes with an older decision is not believed; the same one is as fresh as the
--- a/internal/decisions/set.go
+++ b/internal/agent/stalerouting/set.go
@@ -1,4 +1,4 @@
-// Package decisions is what the agents of a site route by and did not find out alone, and how
+// Package stalerouting is what the agents of a site route by and did not find out alone, and how
 // they keep it while their uplink is lost: what discovery last told any of them of each server
 // (Set), and whether the site is cut off from all that lies outside (Uplink). Both are pure:
 // times are given, as time since some start on the monotonic clock.
@@ -33,7 +33,7 @@
 // That a server which discovery took back from draining to up during the loss, at one member
 // only, is used by the others before they hear discovery themselves: they take the word that
 // asks for less.
-package decisions
+package stalerouting
 
 import (
 	"cmp"
--- a/internal/task/mailbox.go
+++ b/internal/agent/supervisor/mailbox.go
@@ -1,4 +1,4 @@
-// Package task runs the parts of an agent that do not sit on its loop. A task owns its
+// Package supervisor runs the parts of an agent that do not sit on its loop. A task owns its
 // sockets, files and state; others reach it by messages through its mailbox, and a
 // supervisor owns its lifetime.
 //
@@ -6,7 +6,7 @@
 // messages that are not dropped, those of one sender are taken in the order they were put.
 // Not guaranteed: that a message is taken at all. What happens to one that finds the mailbox
 // full is said by the message itself.
-package task
+package supervisor
 
 import (
 	"context"
--- a/internal/task/supervisor.go
+++ b/internal/agent/supervisor/supervisor.go
@@ -1,4 +1,4 @@
-package task
+package supervisor
 
 import (
 	"context"
--- a/internal/task/task_test.go
+++ b/internal/agent/supervisor/task_test.go
@@ -1,4 +1,4 @@
-package task
+package supervisor
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 type newest int
 type oldest int
--- a/internal/zones/bench_test.go
+++ b/internal/agent/zonefailover/bench_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonefailover
 
 import (
 	"fmt"
--- a/internal/zones/zones.go
+++ b/internal/agent/zonefailover/zones.go
@@ -1,4 +1,4 @@
-// Package zones decides for the whole fleet which zones are used by whom: a pure machine at
+// Package zonefailover decides for the whole fleet which zones are used by whom: a pure machine at
 // one place (the council's leader), fed with what agents of all sites report and a time.
 //
 // A zone has two tracks: one for the agents of other sites, moved by what those sites see of
@@ -20,7 +20,7 @@
 //
 // That a bad zone is left: silence of the reporters, or a majority of them gone, changes
 // nothing.
-package zones
+package zonefailover
 
 import (
 	"cmp"
--- a/internal/balancer/attempt.go
+++ b/internal/fleet/balancer/attempt.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/engine"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
 // End is how an attempt ended.
@@ -30,7 +30,7 @@
 type Attempt struct {
 	p        *Picker
 	s        *server
-	run      *engine.Run
+	run      *inference.Run
 	chain    []Part
 	at       time.Duration // sent
 	first    time.Duration // estimated
--- a/internal/balancer/bench_test.go
+++ b/internal/fleet/balancer/bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/engine"
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 func benchList(servers int) *registry.List {
@@ -22,8 +22,8 @@
 
 func benchPicker(servers int) *Picker {
 	p := New(Options{Zone: "zone-0", Seed: 1})
-	p.SetConf(0, &conf.Doc{Services: map[string]*conf.Service{"llm": {Name: "llm",
-		Engine: &conf.Engine{Slots: 64, CacheTokens: 600_000, Stride: 4}}}})
+	p.SetConf(0, &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm",
+		Engine: &config.Engine{Slots: 64, CacheTokens: 600_000, Stride: 4}}}})
 	p.SetList(0, benchList(servers))
 	return p
 }
@@ -31,12 +31,12 @@
 // met has a picker place and end so many requests, of as many shared prefixes, each with a part of
 // a session of its own.
 func met(p *Picker, prefixes int) {
-	route := &conf.Route{Name: "r", Kind: conf.Streaming, MaxAttempts: 2}
+	route := &config.Route{Name: "r", Kind: config.Streaming, MaxAttempts: 2}
 	now := time.Duration(0)
 	for i := range uint64(prefixes) {
 		now += 10 * time.Millisecond
 		d := p.Place(now, &Request{Route: route, Service: "llm", Model: "m",
-			Parts:  []Part{{ID: engine.Mix(i), Tokens: 200}, {ID: engine.Mix(i + 1<<40), Tokens: 50}},
+			Parts:  []Part{{ID: inference.Mix(i), Tokens: 200}, {ID: inference.Mix(i + 1<<40), Tokens: 50}},
 			Prompt: 250, Out: 20, Left: 3 * time.Second, Setpoint: time.Second})
 		if d.Kind == Send {
 			d.Attempt.Event(now+time.Millisecond, 1)
@@ -64,12 +64,12 @@
 // What a picker holds: for each server, and for the prefixes that it met, up to its bounds.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
-	bare := heap.Of(func() any { return benchPicker(servers) })
+	bare := heapsize.Of(func() any { return benchPicker(servers) })
 	for _, prefixes := range []int{0, 10_000, 100_000, 400_000} {
 		b.Run(fmt.Sprintf("servers=%d/prefixes=%d", servers, prefixes), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heap.Of(func() any {
+				bytes = heapsize.Of(func() any {
 					p := benchPicker(servers)
 					met(p, prefixes)
 					return p
--- a/internal/balancer/health.go
+++ b/internal/fleet/balancer/health.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
--- a/internal/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -15,21 +15,21 @@
 	"strings"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/engine"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
 // Part is a part of a prompt, by the id that clients give it.
-type Part = engine.Part
+type Part = inference.Part
 
 // Load is what a server's answer tells of it.
-type Load = engine.Load
+type Load = inference.Load
 
 // Request is one try of a client that is to be placed, for the first time or again.
 type Request struct {
-	Route    *conf.Route
+	Route    *config.Route
 	Service  string // of the route's splits, the one that was drawn
 	Model    string
 	Parts    []Part // in order; the last is the request's own, or its session's
@@ -97,8 +97,8 @@
 type service struct {
 	name       string
 	configured bool
-	engine     conf.Engine // the zero value where it is no model service
-	speeds     *engine.Speeds
+	engine     config.Engine // the zero value where it is no model service
+	speeds     *inference.Speeds
 	servers    []*server // by id
 	ring       []*server // by hash
 	changed    bool      // servers came or went since the list was taken
@@ -114,7 +114,7 @@
 	service   *service
 	inst      *registry.Instance
 	hash      uint64
-	engine    *engine.Server
+	engine    *inference.Server
 	since     time.Duration // listed
 	inflight  int
 	conns     int           // the most in flight of late: as many connections may be open
@@ -135,7 +135,7 @@
 	if opt.PartBytes <= 0 {
 		opt.PartBytes = defaultPartBytes
 	}
-	return &Picker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, engine.Mix(opt.Seed))),
+	return &Picker{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, inference.Mix(opt.Seed))),
 		services: map[string]*service{}, byID: map[string]*server{}, wrong: map[string]uint64{},
 		checks: budget{rate: checkRate, most: checkBurst, have: checkBurst}}
 }
@@ -143,7 +143,7 @@
 func (p *Picker) service(name string) *service {
 	v := p.services[name]
 	if v == nil {
-		v = &service{name: name, speeds: engine.NewSpeeds()}
+		v = &service{name: name, speeds: inference.NewSpeeds()}
 		p.services[name] = v
 	}
 	return v
@@ -206,7 +206,7 @@
 
 func (p *Picker) list(now time.Duration, v *service, in *registry.Instance, all int) {
 	s := &server{Tier: policy.NewTier(millis(now)), service: v, inst: in, hash: hashID(in.ID), listed: true,
-		engine: engine.NewServer(v.shape(in, p.partsFor(all)), v.speeds), heard: -1, since: now, coldTo: now + in.Cold}
+		engine: inference.NewServer(v.shape(in, p.partsFor(all)), v.speeds), heard: -1, since: now, coldTo: now + in.Cold}
 	p.byID[in.ID], v.changed = s, true
 	i, _ := slices.BinarySearchFunc(v.servers, s, byID)
 	v.servers = slices.Insert(v.servers, i, s)
@@ -239,7 +239,7 @@
 }
 
 // SetConf takes the configuration in force.
-func (p *Picker) SetConf(_ time.Duration, doc *conf.Doc) {
+func (p *Picker) SetConf(_ time.Duration, doc *config.Doc) {
 	if doc == nil {
 		return
 	}
@@ -251,7 +251,7 @@
 	}
 	for name, c := range doc.Services {
 		v := p.service(name)
-		v.configured, v.engine = true, conf.Engine{}
+		v.configured, v.engine = true, config.Engine{}
 		if c.Engine != nil {
 			v.engine = *c.Engine
 		}
@@ -261,8 +261,8 @@
 	}
 }
 
-func (v *service) shape(in *registry.Instance, parts int) engine.Shape {
-	s := engine.Shape{Slots: v.engine.Slots, CacheTokens: v.engine.CacheTokens, Stride: v.engine.Stride, MaxParts: parts}
+func (v *service) shape(in *registry.Instance, parts int) inference.Shape {
+	s := inference.Shape{Slots: v.engine.Slots, CacheTokens: v.engine.CacheTokens, Stride: v.engine.Stride, MaxParts: parts}
 	if in.Slots > 0 {
 		s.Slots = in.Slots
 	}
@@ -271,7 +271,7 @@
 
 // partsFor is how many prompt parts may be remembered of each server.
 func (p *Picker) partsFor(servers int) int {
-	return max(p.opt.PartBytes/engine.BytesPerPart/max(servers, 1), leastParts)
+	return max(p.opt.PartBytes/inference.BytesPerPart/max(servers, 1), leastParts)
 }
 
 // ServerView is what the agent holds of one server, for operators: nothing decides by it.
@@ -318,5 +318,5 @@
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return engine.Mix(h)
+	return inference.Mix(h)
 }
--- a/internal/balancer/pick_test.go
+++ b/internal/fleet/balancer/pick_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/engine"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
 const ms = time.Millisecond
 
 var (
-	urgent = &conf.Route{Name: "urgent", Kind: conf.Streaming, Resumable: true, MaxAttempts: 2}
-	draft  = &conf.Route{Name: "draft", Kind: conf.Streaming, Priority: 1, MaxAttempts: 1}
+	urgent = &config.Route{Name: "urgent", Kind: config.Streaming, Resumable: true, MaxAttempts: 2}
+	draft  = &config.Route{Name: "draft", Kind: config.Streaming, Priority: 1, MaxAttempts: 1}
 )
 
 func instances(n int) []*registry.Instance {
@@ -39,9 +39,9 @@
 	return l
 }
 
-func document() *conf.Doc {
-	return &conf.Doc{Services: map[string]*conf.Service{"llm": {Name: "llm", HealthPath: "/health",
-		Engine: &conf.Engine{Slots: 8, CacheTokens: 400_000, Stride: 4}}}}
+func document() *config.Doc {
+	return &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm", HealthPath: "/health",
+		Engine: &config.Engine{Slots: 8, CacheTokens: 400_000, Stride: 4}}}}
 }
 
 func picker(seed uint64, n int) *Picker {
@@ -315,7 +315,7 @@
 	p.SetList(6*ms, listOf(&moved))
 	assert.Equal(t, "other", p.byID[moved.ID].service.name)
 	assert.Empty(t, p.services["llm"].servers)
-	p.SetConf(7*ms, &conf.Doc{})
+	p.SetConf(7*ms, &config.Doc{})
 	assert.NotContains(t, p.services, "gone")
 	d := p.Place(7*ms, ask(1, 2))
 	assert.Equal(t, Refuse, d.Kind)
@@ -349,12 +349,12 @@
 	r.Model = "unheard of"
 	send(t, p, 0, r)
 	s := p.byID["i-0000"]
-	s.engine.Begin(0, engine.Chain(nil, "m", r.Parts), 2500, 1)
-	require.NotZero(t, s.engine.Cached(engine.Chain(nil, "m", r.Parts)))
+	s.engine.Begin(0, inference.Chain(nil, "m", r.Parts), 2500, 1)
+	require.NotZero(t, s.engine.Cached(inference.Chain(nil, "m", r.Parts)))
 	next := *all[0]
 	next.Models = []registry.Model{{Name: "m", Revision: 2}}
 	p.SetList(ms, listOf(append([]*registry.Instance{&next}, all[1:]...)...))
-	assert.Zero(t, s.engine.Cached(engine.Chain(nil, "m", r.Parts)), "other weights keep nothing of the old")
+	assert.Zero(t, s.engine.Cached(inference.Chain(nil, "m", r.Parts)), "other weights keep nothing of the old")
 }
 
 func TestAgentsAgreeOnAKeysServer(t *testing.T) {
@@ -413,7 +413,7 @@
 		serve(send(t, p, now, ask(key, i)), now+40*ms)
 		now += 50 * ms
 	}
-	hot := engine.Chain(nil, "m", ask(7, 0).Parts)[0].ID
+	hot := inference.Chain(nil, "m", ask(7, 0).Parts)[0].ID
 	assert.Greater(t, p.services["llm"].keys.homes(now, hot, 10), 2)
 	assert.Equal(t, 1, p.services["llm"].keys.homes(now, 12345, 10))
 	assert.Equal(t, 1, p.services["llm"].keys.homes(now+10*time.Minute, hot, 10), "it is forgotten")
@@ -475,7 +475,7 @@
 }
 
 func TestLessUrgentIsRefusedFirstAndNeverAll(t *testing.T) {
-	share := func(route *conf.Route, late float64, expected bool) float64 {
+	share := func(route *config.Route, late float64, expected bool) float64 {
 		p := picker(1, 4)
 		overload(p)
 		refused := 0
@@ -626,7 +626,7 @@
 				r := ask(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(out)))
 				r.Left = time.Duration(rapid.IntRange(-10, 5000).Draw(t, "left")) * ms
 				r.Elapsed = time.Duration(rapid.IntRange(0, 1000).Draw(t, "elapsed")) * ms
-				r.Route = rapid.SampledFrom([]*conf.Route{urgent, draft, nil}).Draw(t, "route")
+				r.Route = rapid.SampledFrom([]*config.Route{urgent, draft, nil}).Draw(t, "route")
 				if rapid.Bool().Draw(t, "plain") {
 					r.Parts = nil
 				}
--- a/internal/balancer/place.go
+++ b/internal/fleet/balancer/place.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/engine"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
 const (
@@ -115,7 +115,7 @@
 		q.urgency = min(max(r.Route.Priority, 0), urgencies-1)
 		q.once = !r.Route.Idempotent()
 	}
-	p.chain = engine.Chain(p.chain[:0], r.Model, r.Parts)
+	p.chain = inference.Chain(p.chain[:0], r.Model, r.Parts)
 	if n := len(p.chain); n > 1 {
 		for _, part := range p.chain[:n-1] {
 			q.shared += part.Tokens
@@ -180,7 +180,7 @@
 	if len(v.ring) <= tierMost {
 		return v.ring
 	}
-	x := engine.Mix(key)
+	x := inference.Mix(key)
 	if key == 0 {
 		x = p.rng.Uint64()
 	}
@@ -203,7 +203,7 @@
 		if s.inflight >= limit {
 			continue
 		}
-		score := engine.Mix(q.key ^ s.hash)
+		score := inference.Mix(q.key ^ s.hash)
 		if q.key == 0 {
 			score = p.rng.Uint64()
 		}
--- a/internal/balancer/sim_test.go
+++ b/internal/fleet/balancer/sim_test.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/engine"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // This file simulates a fleet of agents before model servers, in simulated time: the servers
@@ -320,8 +320,8 @@
 	for i, in := range list.ByService["llm"] {
 		index[in.ID] = i
 	}
-	doc := &conf.Doc{Services: map[string]*conf.Service{"llm": {Name: "llm", HealthPath: "/health",
-		Engine: &conf.Engine{Slots: site.slots, CacheTokens: site.cache, Stride: site.stride}}}}
+	doc := &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm", HealthPath: "/health",
+		Engine: &config.Engine{Slots: site.slots, CacheTokens: site.cache, Stride: site.stride}}}}
 	for i := range site.agents {
 		p := New(Options{Zone: fmt.Sprintf("z%d", i%site.zones), Seed: site.seed*1000 + uint64(i)})
 		p.SetConf(0, doc)
@@ -357,7 +357,7 @@
 func (m *sim) traffic(k int, list *registry.List, index map[string]int) {
 	site := m.site
 	kind := &site.kinds[k]
-	route := &conf.Route{Name: kind.name, Priority: kind.priority, MaxAttempts: kind.cutoff}
+	route := &config.Route{Name: kind.name, Priority: kind.priority, MaxAttempts: kind.cutoff}
 	// tokens of shared parts are drawn once
 	sizes := make([][]int, len(kind.chain))
 	for i, c := range kind.chain {
@@ -412,7 +412,7 @@
 	m.after(0, next)
 }
 
-func (m *sim) try(k int, route *conf.Route, p *Picker, parts []Part, prompt, out int, sent time.Duration, tried []string, index map[string]int) {
+func (m *sim) try(k int, route *config.Route, p *Picker, parts []Part, prompt, out int, sent time.Duration, tried []string, index map[string]int) {
 	kind := &m.site.kinds[k]
 	at := time.Now()
 	d := p.Place(m.now, &Request{Route: route, Service: "llm", Model: "m", Parts: parts, Prompt: prompt, Out: out,
@@ -454,7 +454,7 @@
 		m.after(time.Second, func() { a.End(m.now, Timeout); again() })
 		return
 	}
-	job := &simJob{chain: engine.Chain(nil, "m", parts), prompt: prompt, out: out, priority: d.Priority}
+	job := &simJob{chain: inference.Chain(nil, "m", parts), prompt: prompt, out: out, priority: d.Priority}
 	job.first = func(load Load) {
 		m.after(net, func() {
 			a.Head(m.now, 200, &load)
--- a/internal/chain/bench_test.go
+++ b/internal/fleet/chain/bench_test.go
@@ -4,24 +4,24 @@
 	"fmt"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 // One change of a route at the head, by the size of the configuration, up to what goes to the disk.
 func BenchmarkApply(b *testing.B) {
-	check := func(cur []byte, o *Order) ([]byte, int64, error) { return conf.Next(cur, o.Patch, o.Body) }
+	check := func(cur []byte, o *Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) }
 	for _, tenants := range []int{0, 650, 6500} {
-		size := sample.Size{Routes: 60, Services: 6, Tenants: tenants}
-		cur, _, final := Apply(&Value{}, &Order{Body: sample.Config(1, size)}, check)
+		size := sampling.Size{Routes: 60, Services: 6, Tenants: tenants}
+		cur, _, final := Apply(&Value{}, &Order{Body: sampling.Config(1, size)}, check)
 		if final {
 			b.Fatal("refused")
 		}
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(cur.Body)), "B/configuration")
-			o := &Order{Patch: true, IfMatch: 1, Body: sample.Change(2, size)}
+			o := &Order{Patch: true, IfMatch: 1, Body: sampling.Change(2, size)}
 			for b.Loop() {
 				if next, _, _ := Apply(cur, o, check); next == nil {
 					b.Fatal("refused")
@@ -39,7 +39,7 @@
 // remembering is a value of a configuration of about 20 KB whose memory is full.
 func remembering(b *testing.B) *Value {
 	value := &Value{}
-	body := sample.Config(1, sample.Size{Routes: 60, Services: 6, Tenants: 20})
+	body := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: 20})
 	check := func(_ []byte, o *Order) ([]byte, int64, error) { return body, o.IfMatch + 1, nil }
 	for range MaxPast + MaxOlder {
 		next, _, final := Apply(value, &Order{IfMatch: value.Revision}, check)
--- a/internal/chain/chain.go
+++ b/internal/fleet/chain/chain.go
@@ -29,7 +29,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/chain/sim_test.go
+++ b/internal/fleet/chain/sim_test.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 	"github.com/stretchr/testify/require"
 )
--- a/internal/conf/bench_test.go
+++ b/internal/fleet/config/bench_test.go
@@ -1,17 +1,17 @@
-package conf
+package config
 
 import (
 	"fmt"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 // What an agent spends for a configuration that comes whole, and what it holds beyond its text.
 func BenchmarkSizes(b *testing.B) {
 	for _, tenants := range []int{0, 650, 6500} {
-		raw := sample.Config(1, sample.Size{Routes: 60, Services: 6, Tenants: tenants})
+		raw := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: tenants})
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.SetBytes(int64(len(raw)))
 			b.ReportAllocs()
@@ -22,7 +22,7 @@
 				}
 				return d
 			}
-			held := heap.Of(parse)
+			held := heapsize.Of(parse)
 			for b.Loop() {
 				parse()
 			}
--- a/internal/conf/change.go
+++ b/internal/fleet/config/change.go
@@ -1,10 +1,10 @@
-package conf
+package config
 
 import (
 	"bytes"
 	"strconv"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 // Next carries out an order on the current configuration (empty: there is none yet): a whole
--- a/internal/conf/conf_test.go
+++ b/internal/fleet/config/conf_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 const example = `{"revision":7,"routes":[
--- a/internal/conf/doc.go
+++ b/internal/fleet/config/doc.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 const (
--- a/internal/conf/json.go
+++ b/internal/fleet/config/json.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strconv"
 	"unicode/utf8"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 // The functions below walk JSON that was found valid as a whole, and hand out spans of it: items
--- a/internal/conf/types.go
+++ b/internal/fleet/config/types.go
@@ -1,6 +1,6 @@
-// Package conf owns the operator's configuration: its types, its changes and every reason for
+// Package config owns the operator's configuration: its types, its changes and every reason for
 // which one is refused. It is pure.
-package conf
+package config
 
 import "encoding/json"
 
--- a/internal/controlapi/client.go
+++ b/internal/fleet/controlapi/client.go
@@ -15,15 +15,15 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 const (
 	redirects  = 2
 	refusals   = 3       // tries that end with a 4xx that is not clear by itself
 	slowest    = 1 << 20 // bytes a second that a link carries at least
-	maxAnswer  = conf.MaxDoc + 1<<20
+	maxAnswer  = config.MaxDoc + 1<<20
 	firstPause = 50 * time.Millisecond
 	lastPause  = 2 * time.Second
 )
--- a/internal/controlapi/ctl_test.go
+++ b/internal/fleet/controlapi/ctl_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -236,7 +236,7 @@
 func TestLargeOrders(t *testing.T) {
 	p := &fake{submit: func(context.Context, bool, int64, []byte) Verdict { return Verdict{Kind: Taken, Revision: 1} }}
 	_, addr := serve(t, p, Options{})
-	whole := strings.Repeat(" ", conf.MaxBody)
+	whole := strings.Repeat(" ", config.MaxBody)
 	for _, body := range []io.Reader{strings.NewReader(whole), struct{ io.Reader }{strings.NewReader(whole)}} { // with a length and in chunks
 		status, _, _ := ask(t, addr, "PUT", "/chalkdoor/config", "0", body)
 		assert.Equal(t, 200, status)
--- a/internal/controlapi/server.go
+++ b/internal/fleet/controlapi/server.go
@@ -19,7 +19,7 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/net/netutil"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 const (
--- a/internal/controlapi/table.go
+++ b/internal/fleet/controlapi/table.go
@@ -9,7 +9,7 @@
 	"net/url"
 	"strings"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 // Plane is what the calls act on. Its methods are called at once from many goroutines, with a
@@ -109,8 +109,8 @@
 var table = []Call{
 	{http.MethodPut, "/chalkdoor/instances/{id}", 64 << 10, "a server's beat", (*Server).beat},
 	{http.MethodDelete, "/chalkdoor/instances/{id}", 4 << 10, "a server's end", (*Server).leave},
-	{http.MethodPut, "/chalkdoor/config", conf.MaxBody, "take a whole configuration", (*Server).put},
-	{http.MethodPatch, "/chalkdoor/config", conf.MaxBody, "change named items of the configuration", (*Server).patch},
+	{http.MethodPut, "/chalkdoor/config", config.MaxBody, "take a whole configuration", (*Server).put},
+	{http.MethodPatch, "/chalkdoor/config", config.MaxBody, "change named items of the configuration", (*Server).patch},
 	{http.MethodGet, "/chalkdoor/config", 0, "read the newest configuration", (*Server).config},
 	{http.MethodGet, "/chalkdoor/ops/{what}", 0, "read " + strings.Join(OpsReads, ", ") + " as the agent sees them", (*Server).ops},
 }
--- a/internal/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/controlplane/calls.go
+++ b/internal/fleet/controlplane/calls.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/core.go
+++ b/internal/fleet/controlplane/core.go
@@ -19,11 +19,11 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/store"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/core_test.go
+++ b/internal/fleet/controlplane/core_test.go
@@ -12,16 +12,16 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/leak"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/store"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 	"github.com/go-faster/errors"
 	"github.com/stretchr/testify/require"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds each wait of a test; it is reached only where something is broken.
 const patience = 20 * time.Second
--- a/internal/controlplane/found.go
+++ b/internal/fleet/controlplane/found.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
--- a/internal/controlplane/guards_test.go
+++ b/internal/fleet/controlplane/guards_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
--- a/internal/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/inspect.go
+++ b/internal/fleet/controlplane/inspect.go
@@ -1,9 +1,9 @@
 package controlplane
 
 import (
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/store"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/orders_test.go
+++ b/internal/fleet/controlplane/orders_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/controlplane/ping.go
+++ b/internal/fleet/controlplane/ping.go
@@ -6,8 +6,8 @@
 	"syscall"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 )
 
--- a/internal/controlplane/records.go
+++ b/internal/fleet/controlplane/records.go
@@ -1,8 +1,8 @@
 package controlplane
 
 import (
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 	"github.com/vmihailenco/msgpack/v5"
 )
--- a/internal/controlplane/repair.go
+++ b/internal/fleet/controlplane/repair.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
--- a/internal/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/store"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // Status is what an operator may want to know of a member.
--- a/internal/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -12,16 +12,16 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/controlapi"
-	"chalkdoor.example/chalkdoor/internal/controlplane"
-	"chalkdoor.example/chalkdoor/internal/gateway"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/settings"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlplane"
+	"chalkdoor.example/chalkdoor/internal/fleet/gateway"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
@@ -37,7 +37,7 @@
 	set    atomic.Pointer[settings.Settings]
 	pool   *rpc.Pool
 	core   *controlplane.Member
-	hub    *hub.Hub
+	hub    *relay.Hub
 	door   *gateway.Door
 	ctl    *controlapi.Server
 	ending atomic.Bool
@@ -68,7 +68,7 @@
 	d.core, err = controlplane.Open(controlplane.Options{
 		Addr: addr, Zone: s.Zone, Region: s.Region, Dir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
 		Seeds: d.seeds, Known: d.known, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.pool,
-		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return conf.Next(cur, o.Patch, o.Body) },
+		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { d.hub.Commit(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
 	})
@@ -81,9 +81,9 @@
 		save = func(b []byte) error { return d.core.Save(savedServers, b) }
 		saved, _ = d.core.Saved(savedServers)
 	}
-	d.hub = hub.New(hub.Options{
+	d.hub = relay.New(relay.Options{
 		Save: save, Saved: saved,
-		Self: hub.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
+		Self: relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
 		Beat: time.Duration(s.BeatMs) * time.Millisecond, Core: coreView{d.core}, Seeds: d.seeds, OnChange: d.door.Update,
 		OnNotice: d.door.Heard, LinkMbps: s.Limits.LinkMbps,
 	})
@@ -122,14 +122,14 @@
 
 func (c coreView) IsCore() bool { return c.m.IsCore() }
 func (c coreView) Linked() bool { return c.m.Linked() }
-func (c coreView) Hubs() []hub.Peer {
+func (c coreView) Hubs() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
 		return nil
 	}
-	out := make([]hub.Peer, len(v.Voters))
+	out := make([]relay.Peer, len(v.Voters))
 	for i, p := range v.Voters {
-		out[i] = hub.Peer{Addr: p.Addr, Zone: p.Zone}
+		out[i] = relay.Peer{Addr: p.Addr, Zone: p.Zone}
 	}
 	return out
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -18,10 +18,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds every wait of the tests; it is reached only where something is broken.
 const patience = 20 * time.Second
--- a/internal/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -5,10 +5,10 @@
 	"math/rand/v2"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/controlapi"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // plane is what the calls of servers and operators act on.
--- a/internal/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -10,9 +10,9 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 const (
--- a/internal/daemon/tolerance_test.go
+++ b/internal/fleet/daemon/tolerance_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/stretchr/testify/require"
 )
 
--- a/internal/feed/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -1,10 +1,10 @@
-package feed
+package deltasync
 
 import (
 	"fmt"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 // itemBytes is about what a server's item has.
@@ -80,8 +80,8 @@
 	var source, item float64
 	for b.Loop() {
 		const sources, items = 367, 8500
-		few := heap.Of(func() any { return filled(sources, 0) })
-		many := heap.Of(func() any { return filled(sources, items) })
+		few := heapsize.Of(func() any { return filled(sources, 0) })
+		many := heapsize.Of(func() any { return filled(sources, items) })
 		source, item = float64(few)/sources, float64(many-few)/items
 	}
 	b.ReportMetric(source, "B/source")
--- a/internal/feed/feed.go
+++ b/internal/fleet/deltasync/feed.go
@@ -1,4 +1,4 @@
-// Package feed holds what has to reach every agent: items by source, each source with a version
+// Package deltasync holds what has to reach every agent: items by source, each source with a version
 // of its own. Agents tell each other what they have by a vector of versions, one for each source,
 // and are given what they lack. It is pure.
 //
@@ -6,7 +6,7 @@
 // that all members of the core write alike, as its versions are those of the chain. Of an item
 // only the newest version is kept, so a delta from any version is bounded by the items there are,
 // and traffic grows with what changed.
-package feed
+package deltasync
 
 import (
 	"container/list"
--- a/internal/feed/overlap_test.go
+++ b/internal/fleet/deltasync/overlap_test.go
@@ -1,4 +1,4 @@
-package feed
+package deltasync
 
 import (
 	"testing"
--- a/internal/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -10,9 +10,9 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 // maxAnswers is how many answers are read where ours is due: surplus ones may come before it.
@@ -146,7 +146,7 @@
 		if err := t.await(ctx); err != nil {
 			return nil, err
 		}
-		resp, err := h1.ReadAnswerHead(cn.br)
+		resp, err := http1.ReadAnswerHead(cn.br)
 		if err != nil {
 			return nil, err
 		}
@@ -157,16 +157,16 @@
 			if resp.StatusCode == http.StatusBadRequest && resp.Header.Get(hNotRun) != "" {
 				return resp, nil // it could not read ours
 			}
-			return nil, h1.Spoilt("an answer to no request")
+			return nil, http1.Spoilt("an answer to no request")
 		}
 		if endsWithConnection(resp, r.method) {
-			return nil, h1.Spoilt("a surplus answer without length")
+			return nil, http1.Spoilt("a surplus answer without length")
 		}
 		if _, err := readWhole(cn, resp, r.method); err != nil {
 			return nil, err
 		}
 	}
-	return nil, h1.Spoilt("surplus answers")
+	return nil, http1.Spoilt("surplus answers")
 }
 
 // noAnswer classifies a request that was sent and of whose response no head came: it may have run.
@@ -178,7 +178,7 @@
 		t.end = balancer.Timeout
 		return mayRun
 	}
-	t.door.pool.ages.Count(t.cn.slot, !errors.Is(err, h1.ErrSpoilt) && !timedOut(err))
+	t.door.pool.ages.Count(t.cn.slot, !errors.Is(err, http1.ErrSpoilt) && !timedOut(err))
 	t.end = broken(err)
 	return mayRun
 }
@@ -199,7 +199,7 @@
 		t.end = balancer.Broken
 		return mayRun
 	}
-	if t.request.Route.Kind == conf.Streaming && t.request.method != http.MethodHead {
+	if t.request.Route.Kind == config.Streaming && t.request.method != http.MethodHead {
 		out, t.end, t.reusable = t.stream(ctx, resp)
 	} else {
 		out, t.end, t.reusable = t.success(ctx, resp)
@@ -316,7 +316,7 @@
 // broken maps what ended an attempt after the request was sent.
 func broken(err error) balancer.End {
 	switch {
-	case errors.Is(err, h1.ErrSpoilt):
+	case errors.Is(err, http1.ErrSpoilt):
 		return balancer.Broken
 	case timedOut(err):
 		return balancer.Timeout
--- a/internal/gateway/door.go
+++ b/internal/fleet/gateway/door.go
@@ -1,5 +1,5 @@
 // Package gateway is the data plane of an agent: clients' requests come in, each is offered to one
-// server at a time as internal/balancer decides, and gets exactly one final answer. Streams are passed
+// server at a time as internal/fleet/balancer decides, and gets exactly one final answer. Streams are passed
 // on event by event; one that may be resumed goes on at another server inside the same answer.
 //
 // What has been sent and not been answered may have run: only a server's own word, or a connection
@@ -20,12 +20,12 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sync/semaphore"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/h1"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	logged "chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/retrybudget"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	logged "chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/retrybudget"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 const (
@@ -51,7 +51,7 @@
 type Door struct {
 	set      *settings.Settings
 	start    time.Time
-	snap     atomic.Pointer[hub.Snapshot]
+	snap     atomic.Pointer[relay.Snapshot]
 	pool     *pool
 	memory   *semaphore.Weighted // bytes of requests' bodies
 	server   *http.Server
@@ -82,7 +82,7 @@
 	base, cancel := context.WithCancel(context.Background())
 	d.breakOff = cancel
 	d.pool = newPool(max(set.Limits.FDs/2, 64))
-	d.snap.Store(&hub.Snapshot{})
+	d.snap.Store(&relay.Snapshot{})
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: 64 << 10,
 		ErrorLog:                     slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn),
 		ConnContext:                  connContext,
@@ -96,7 +96,7 @@
 func (d *Door) now() time.Duration { return time.Since(d.start) + time.Second }
 
 // Update takes the newest of what to go by. Requests that come from now on go by it.
-func (d *Door) Update(s *hub.Snapshot) {
+func (d *Door) Update(s *relay.Snapshot) {
 	old := d.snap.Swap(s)
 	now := d.now()
 	d.mu.Lock()
@@ -126,7 +126,7 @@
 }
 
 // able tells whether requests can be served: all is known, there is a configuration and a server.
-func able(s *hub.Snapshot) bool {
+func able(s *relay.Snapshot) bool {
 	return s.Fresh && s.Doc != nil && s.List != nil && len(s.List.ByID) > 0
 }
 
@@ -135,7 +135,7 @@
 
 // wait gives a process that starts a moment to know what to go by: less than a quarter of the
 // setpoints that there are, so that a refusal still comes in time.
-func (d *Door) wait(ctx context.Context) *hub.Snapshot {
+func (d *Door) wait(ctx context.Context) *relay.Snapshot {
 	timer := time.NewTimer(startWait)
 	defer timer.Stop()
 	select {
@@ -149,7 +149,7 @@
 // Serve takes clients until Shutdown.
 func (d *Door) Serve(ln net.Listener) error {
 	watched := &framingListener{Listener: ln, rejected: &d.Figures.Rejected}
-	if err := d.server.Serve(&h1.Listener{Listener: watched, Held: &d.held}); !errors.Is(err, http.ErrServerClosed) {
+	if err := d.server.Serve(&http1.Listener{Listener: watched, Held: &d.held}); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve clients")
 	}
 	return nil
@@ -231,7 +231,7 @@
 		return
 	}
 	defer d.memory.Release(r.held)
-	if sock, ok := req.Context().Value(sockKey{}).(*h1.ClientSock); ok {
+	if sock, ok := req.Context().Value(sockKey{}).(*http1.ClientSock); ok {
 		if !sock.Begin() {
 			panic(http.ErrAbortHandler) // its client sends it again, as nothing here has
 		}
@@ -270,7 +270,7 @@
 
 // connContext lets a handler find its connection.
 func connContext(ctx context.Context, nc net.Conn) context.Context {
-	if sock, ok := nc.(*h1.ClientSock); ok {
+	if sock, ok := nc.(*http1.ClientSock); ok {
 		return context.WithValue(ctx, sockKey{}, sock)
 	}
 	return ctx
--- a/internal/gateway/exchange_test.go
+++ b/internal/fleet/gateway/exchange_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/registry"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 // exchangeID is the id of the request that is played.
@@ -158,7 +158,7 @@
 func (recorder) SetWriteDeadline(time.Time) error { return nil }
 
 // exchangeDoc is the routes of the tests, read once.
-var exchangeDoc = sync.OnceValues(func() (*conf.Doc, error) { return conf.Parse(fmt.Appendf(nil, testConf, 1, "")) })
+var exchangeDoc = sync.OnceValues(func() (*config.Doc, error) { return config.Parse(fmt.Appendf(nil, testConf, 1, "")) })
 
 // play sends a request through a door to the servers of an exchange. aborted tells that the answer
 // was broken off: the client sees that it is not whole.
@@ -175,7 +175,7 @@
 	}
 	doc, err := exchangeDoc()
 	require.NoError(t, err)
-	d.Update(&hub.Snapshot{Seq: 1, Doc: doc, List: list, Agents: 1, Fresh: true})
+	d.Update(&relay.Snapshot{Seq: 1, Doc: doc, List: list, Agents: 1, Fresh: true})
 	for id := range list.ByID {
 		d.pool.open++
 		d.pool.put(newConn(&fakeConn{exchange: x}, id))
--- a/internal/gateway/framing_conn.go
+++ b/internal/fleet/gateway/framing_conn.go
@@ -4,7 +4,7 @@
 	"net"
 	"sync/atomic"
 
-	logged "chalkdoor.example/chalkdoor/internal/logevent"
+	logged "chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
 // brokenMessage ends any part of a message in a way that net/http refuses: a NUL is part of no
--- a/internal/gateway/front_test.go
+++ b/internal/fleet/gateway/front_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 // A message that may be read in two ways, or not at all, gets an error and its connection is closed:
@@ -199,11 +199,11 @@
 	require.Equal(t, 503, ready())
 	// What is known is not all yet.
 	doc := w.doc("")
-	w.door.Update(&hub.Snapshot{Doc: doc, List: w.list(), Agents: 1})
+	w.door.Update(&relay.Snapshot{Doc: doc, List: w.list(), Agents: 1})
 	resp, _ = w.ask(post("/once/x", "", "q"))
 	refused(t, resp)
 	require.Equal(t, 503, ready())
-	w.door.Update(&hub.Snapshot{Doc: doc, List: w.list(w.servers...), Agents: 1, Fresh: true})
+	w.door.Update(&relay.Snapshot{Doc: doc, List: w.list(w.servers...), Agents: 1, Fresh: true})
 	resp, _ = w.ask(post("/once/x", "", "q"))
 	refused(t, resp)
 	require.Equal(t, 503, ready())
--- a/internal/gateway/main_test.go
+++ b/internal/fleet/gateway/main_test.go
@@ -18,14 +18,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/leak"
-	"chalkdoor.example/chalkdoor/internal/registry"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds every wait of the tests; it is reached only where something is broken.
 const patience = 20 * time.Second
@@ -40,8 +40,8 @@
  "services":[{"name":"s","health-path":"/health"},{"name":"t","health-path":"/health"}],
  "limits":{"header-bytes":16384,"body-bytes":65536,"header-ms":3000,"idle-ms":15000}}`
 
-func testDoc(t testing.TB, revision int, more string) *conf.Doc {
-	doc, err := conf.Parse(fmt.Appendf(nil, testConf, revision, more))
+func testDoc(t testing.TB, revision int, more string) *config.Doc {
+	doc, err := config.Parse(fmt.Appendf(nil, testConf, revision, more))
 	require.NoError(t, err)
 	return doc
 }
@@ -310,7 +310,7 @@
 	}
 }
 
-func (w *world) doc(more string) *conf.Doc {
+func (w *world) doc(more string) *config.Doc {
 	w.revision++
 	return testDoc(w.t, w.revision, more)
 }
@@ -332,8 +332,8 @@
 	return l
 }
 
-func (w *world) update(doc *conf.Doc, without ...*server) {
-	w.door.Update(&hub.Snapshot{Seq: w.seq, Doc: doc, List: w.list(without...), Agents: 1, Fresh: true})
+func (w *world) update(doc *config.Doc, without ...*server) {
+	w.door.Update(&relay.Snapshot{Seq: w.seq, Doc: doc, List: w.list(without...), Agents: 1, Fresh: true})
 }
 
 // client is one connection of a client.
--- a/internal/gateway/pool.go
+++ b/internal/fleet/gateway/pool.go
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/h1"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 const (
@@ -53,7 +53,7 @@
 	mu   sync.Mutex
 	idle map[string][]*conn // by instance; the most recently used last
 	open int
-	ages h1.Ages
+	ages http1.Ages
 }
 
 func newPool(most int) *pool { return &pool{max: most, idle: map[string][]*conn{}} }
@@ -72,8 +72,8 @@
 		p.mu.Unlock()
 		now := time.Now()
 		age := now.Sub(cn.since)
-		if now.Before(cn.until) && p.ages.Usable(age) && h1.Quiet(cn.Conn, cn.br) {
-			cn.slot = h1.AgeSlot(age)
+		if now.Before(cn.until) && p.ages.Usable(age) && http1.Quiet(cn.Conn, cn.br) {
+			cn.slot = http1.AgeSlot(age)
 			return cn, false, nil
 		}
 		p.close(cn)
@@ -139,7 +139,7 @@
 	cn.SetDeadline(time.Time{})
 	cn.since = time.Now()
 	cn.until = cn.since.Add(cn.keep)
-	if !h1.Quiet(cn.Conn, cn.br) {
+	if !http1.Quiet(cn.Conn, cn.br) {
 		p.close(cn)
 		return
 	}
--- a/internal/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -12,10 +12,10 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/h1"
-	"chalkdoor.example/chalkdoor/internal/hub"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 // The header fields of the protocol.
@@ -75,7 +75,7 @@
 var errNoMemory = errors.New("no memory for a body")
 
 // parse finds the route of a request and what the request tells of itself.
-func (d *Door) parse(req *http.Request, snap *hub.Snapshot, arrived time.Time) (*request, error) {
+func (d *Door) parse(req *http.Request, snap *relay.Snapshot, arrived time.Time) (*request, error) {
 	if !req.ProtoAtLeast(1, 1) {
 		// The end of a stream would be that of the connection, and a cut one would look whole.
 		return nil, badf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
@@ -125,7 +125,7 @@
 }
 
 // reparse has a request that was read go by a newer configuration.
-func (d *Door) reparse(req *http.Request, snap *hub.Snapshot, old *request) (*request, error) {
+func (d *Door) reparse(req *http.Request, snap *relay.Snapshot, old *request) (*request, error) {
 	r, err := d.parse(req, snap, old.arrived)
 	if err == nil {
 		r.body, r.held = old.body, old.held
@@ -157,7 +157,7 @@
 }
 
 // service draws the service of a request by the route's weights.
-func (d *Door) service(route *conf.Route) string {
+func (d *Door) service(route *config.Route) string {
 	if len(route.Splits) == 1 {
 		return route.Splits[0].Service
 	}
@@ -180,7 +180,7 @@
 }
 
 // readBody reads the whole body within the limits and the request's time.
-func (d *Door) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *hub.Snapshot) error {
+func (d *Door) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *relay.Snapshot) error {
 	most := snap.Doc.Limits.BodyBytes
 	if most <= 0 {
 		most = maxBody
@@ -232,7 +232,7 @@
 // head is the request's head as it goes to a server. The target is what the client sent:
 // http.Request would write another form of it.
 func (r *request) head(instance string, priority int, left time.Duration, last, version string) []byte {
-	h := h1.EndToEnd(r.header)
+	h := http1.EndToEnd(r.header)
 	h.Del("Content-Length")
 	h.Del("Host")
 	for _, name := range clientFields {
--- a/internal/gateway/send_test.go
+++ b/internal/fleet/gateway/send_test.go
@@ -13,17 +13,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 // longBody is more than the buffers of a connection hold whose reader takes nothing.
 const longBody = 8 << 20
 
 // longDoc is the routes of the tests with room for long bodies.
-func (w *world) longDoc(more string) *conf.Doc {
+func (w *world) longDoc(more string) *config.Doc {
 	w.revision++
 	text := strings.Replace(testConf, `"body-bytes":65536`, fmt.Sprintf(`"body-bytes":%d`, longBody), 1)
-	doc, err := conf.Parse(fmt.Appendf(nil, text, w.revision, more))
+	doc, err := config.Parse(fmt.Appendf(nil, text, w.revision, more))
 	require.NoError(w.t, err)
 	return doc
 }
--- a/internal/gateway/serve.go
+++ b/internal/fleet/gateway/serve.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/h1"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 const (
@@ -207,7 +207,7 @@
 }
 
 func copyHead(to, from http.Header) {
-	for name, values := range h1.EndToEnd(from) {
+	for name, values := range http1.EndToEnd(from) {
 		to[name] = values
 	}
 }
@@ -245,7 +245,7 @@
 	if _, err := cn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
 		return false, nil
 	}
-	resp, err := h1.ReadAnswerHead(cn.br)
+	resp, err := http1.ReadAnswerHead(cn.br)
 	if err != nil {
 		return false, nil
 	}
--- a/internal/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -13,8 +13,8 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/h1"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 // The header fields of the version of a server's weights: what an answer was made with, and what a
@@ -44,7 +44,7 @@
 		return &counted{br, resp.ContentLength}, nil
 	}
 	if !resp.ProtoAtLeast(1, 1) { // its chunks, if it has any, were not told of
-		return nil, h1.Spoilt("an answer without length in %s", resp.Proto)
+		return nil, http1.Spoilt("an answer without length in %s", resp.Proto)
 	}
 	return &untilClose{cn}, nil
 }
@@ -86,11 +86,11 @@
 	switch {
 	case err == io.EOF:
 		c.over = true
-		if terr := h1.ReadTrailer(c.br); terr != nil {
+		if terr := http1.ReadTrailer(c.br); terr != nil {
 			return n, noEOF(terr)
 		}
-	case err != nil && !h1.IsNet(err) && err != io.ErrUnexpectedEOF:
-		err = h1.Spoilt("%v", err)
+	case err != nil && !http1.IsNet(err) && err != io.ErrUnexpectedEOF:
+		err = http1.Spoilt("%v", err)
 	}
 	return n, err
 }
@@ -127,7 +127,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(r, maxFailure+1))
 	if err == nil && len(body) > maxFailure {
-		err = h1.Spoilt("a body over %d bytes", maxFailure)
+		err = http1.Spoilt("a body over %d bytes", maxFailure)
 	}
 	return body, err
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/fleet/gateway/stream_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
 // readEvent reads one event of a stream.
--- a/internal/engine/bench_test.go
+++ b/internal/fleet/inference/bench_test.go
@@ -1,10 +1,10 @@
-package engine
+package inference
 
 import (
 	"fmt"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 // remembering is so many servers of which parts prompt parts each are remembered.
@@ -27,12 +27,12 @@
 // of parts of one server.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
-	bare := heap.Of(func() any { return remembering(servers, 0) })
+	bare := heapsize.Of(func() any { return remembering(servers, 0) })
 	for _, parts := range []int{16, 102, 1000} {
 		b.Run(fmt.Sprintf("parts=%d", parts), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heap.Of(func() any { return remembering(servers, parts) })
+				bytes = heapsize.Of(func() any { return remembering(servers, parts) })
 			}
 			b.ReportMetric(float64(bytes-bare)/servers/float64(parts), "B/part")
 			b.ReportMetric(float64(bare)/servers, "B/server")
--- a/internal/engine/engine.go
+++ b/internal/fleet/inference/engine.go
@@ -1,11 +1,11 @@
-// Package engine models what a server of a language model holds and has to do, as far as one
+// Package inference models what a server of a language model holds and has to do, as far as one
 // agent can know it: the prompts that it was sent and has not read yet, the streams it runs,
 // the prompt parts it keeps, and the load that its answers tell, which is old when it comes and
 // holds the work of all agents. From these it estimates when a server would give the first token
 // of a prompt. How fast servers are is learned from the agent's own attempts.
 //
 // It is pure: events and times of one steady clock go in. It is not safe for concurrent use.
-package engine
+package inference
 
 import (
 	"math"
--- a/internal/engine/fit.go
+++ b/internal/fleet/inference/fit.go
@@ -1,4 +1,4 @@
-package engine
+package inference
 
 // fit is a running least-squares fit of a line in up to three features, held near a prior and
 // forgetting with each sample.
--- a/internal/engine/kept.go
+++ b/internal/fleet/inference/kept.go
@@ -1,4 +1,4 @@
-package engine
+package inference
 
 // kept is the prompt parts that a server is taken to keep, by the hash of the chain that ends
 // with each: a part is kept only together with all before it. Those unused longest give way,
--- a/internal/engine/queue.go
+++ b/internal/fleet/inference/queue.go
@@ -1,4 +1,4 @@
-package engine
+package inference
 
 import (
 	"slices"
--- a/internal/lease/bench_test.go
+++ b/internal/fleet/lease/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 // granted is a table of so many agents, each with one lease at a core machine of seven.
@@ -35,7 +35,7 @@
 	const agents = 3000
 	var bytes int64
 	for b.Loop() {
-		bytes = heap.Of(func() any { return granted(agents) })
+		bytes = heapsize.Of(func() any { return granted(agents) })
 	}
 	b.ReportMetric(float64(bytes)/agents, "B/agent")
 }
--- a/internal/logevent/event.go
+++ b/internal/fleet/logevent/event.go
@@ -72,7 +72,7 @@
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery line that `edged` logs begins with the number of an event. This page is written by `edged events` from\n" +
-		"the table in `internal/logevent`; a test compares the two. Level 0 is always logged, 1 with `--verbosity 1`, 2 with\n`--verbosity 2`.\n\n")
+		"the table in `internal/fleet/logevent`; a test compares the two. Level 0 is always logged, 1 with `--verbosity 1`, 2 with\n`--verbosity 2`.\n\n")
 	b.WriteString("| number | level | line | what has happened | what it asks of whom |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range table {
 		fmt.Fprintf(&b, "| E%d | %d | %s | %s | %s |\n", e.ID, e.v, e.Text, e.Means, e.Do)
--- a/internal/logevent/event_test.go
+++ b/internal/fleet/logevent/event_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestPageIsOfTheTable(t *testing.T) {
-	page, err := os.ReadFile("../../docs/EVENTS.md")
+	page, err := os.ReadFile("../../../docs/EVENTS.md")
 	require.NoError(t, err)
 	require.Equal(t, Page(), string(page), "write it anew: go run ./cmd/edged events > docs/EVENTS.md")
 }
@@ -30,11 +30,11 @@
 func TestAllIsLoggedByNumber(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Dir}}{{end}}", "chalkdoor.example/chalkdoor/cmd/edged").Output()
 	require.NoError(t, err)
-	root, err := filepath.Abs("../..")
+	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
 	direct := regexp.MustCompile(`klog\.(V|Info|Warning|Error|Fatal)`)
 	for dir := range strings.FieldsSeq(string(out)) {
-		if !strings.HasPrefix(dir, root) || strings.HasSuffix(dir, "internal/logevent") {
+		if !strings.HasPrefix(dir, root) || strings.HasSuffix(dir, "internal/fleet/logevent") {
 			continue
 		}
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
--- a/internal/registry/bench_test.go
+++ b/internal/fleet/registry/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 const benchBeat = 1200 * time.Millisecond
@@ -79,7 +79,7 @@
 	const servers = 8000
 	var bytes int64
 	for b.Loop() {
-		bytes = heap.Of(func() any {
+		bytes = heapsize.Of(func() any {
 			t := listed(servers, 3)
 			t.List()
 			return t
--- a/internal/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
@@ -24,11 +24,13 @@
 // agent is a table with the feed of its agent.
 type agent struct {
 	*Table
-	set   *feed.Set
+	set   *deltasync.Set
 	lives int
 }
 
-func newAgent(name string) *agent { return &agent{Table: NewTable(name, beat), set: feed.NewSet(name)} }
+func newAgent(name string) *agent {
+	return &agent{Table: NewTable(name, beat), set: deltasync.NewSet(name)}
+}
 
 func (a *agent) put(in *Instance) {
 	if in != nil {
@@ -458,7 +460,7 @@
 	assert.False(t, b.lists("dies"))
 	st, ok := b.state("drains")
 	assert.True(t, ok && st == Draining, "an end outlives who told it")
-	assert.Empty(t, b.set.Since(feed.Vector{"b": 1}), "nothing but the server that called is told")
+	assert.Empty(t, b.set.Since(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
 }
 
 // Nor does a freeze cost orphans their time: news of their next calls was not heard in it.
--- a/internal/hub/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 func benchInstance(i int) *registry.Instance {
-	return &registry.Instance{ID: fmt.Sprintf("i-%08x", i), Service: sample.Service(i % 6), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/250, i%250),
+	return &registry.Instance{ID: fmt.Sprintf("i-%08x", i), Service: sampling.Service(i % 6), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/250, i%250),
 		Zone: "zone-a", Revision: "v1", Slots: 64, Seq: 1, Models: []registry.Model{{Name: "model-a", Revision: 1}}}
 }
 
@@ -24,13 +24,13 @@
 }
 
 // everything is the feed that a hub sends to a newcomer.
-func everything(agents, hubs, servers, tenants int) []feed.Delta {
-	var out []feed.Delta
+func everything(agents, hubs, servers, tenants int) []deltasync.Delta {
+	var out []deltasync.Delta
 	for i := range agents + hubs {
-		d := feed.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
+		d := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
 		add := func(key string, data []byte) {
 			d.Upto++
-			d.Items = append(d.Items, feed.Item{Key: key, Ver: d.Upto, Data: data})
+			d.Items = append(d.Items, deltasync.Item{Key: key, Ver: d.Upto, Data: data})
 		}
 		add(memberKey, encode(benchMember(i)))
 		if i < hubs {
@@ -45,21 +45,21 @@
 		}
 		out = append(out, d)
 	}
-	raw := sample.Config(1, sample.Size{Routes: 60, Services: 6, Tenants: tenants})
-	return append(out, feed.Delta{Source: configSource, Upto: 1, Items: []feed.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, raw})}}})
+	raw := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: tenants})
+	return append(out, deltasync.Delta{Source: configSource, Upto: 1, Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, raw})}}})
 }
 
 // The messages of a session: what they weigh, and what it takes to write and to read one.
 func BenchmarkMessage(b *testing.B) {
-	one := func(d ...feed.Delta) *message { return &message{Linked: true, Full: true, Got: 1000, Deltas: d} }
+	one := func(d ...deltasync.Delta) *message { return &message{Linked: true, Full: true, Got: 1000, Deltas: d} }
 	server := encode(benchInstance(1))
 	for _, m := range []struct {
 		name string
 		*message
 	}{
 		{"heartbeat", one()},
-		{"server", one(feed.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []feed.Item{{Key: "i/i-00000001", Ver: 8, Data: server}}})},
-		{"lease", one(feed.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []feed.Item{{Key: "l/edge-300/0123456789ab", Ver: 8, Data: []byte{1}}}})},
+		{"server", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "i/i-00000001", Ver: 8, Data: server}}})},
+		{"lease", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "l/edge-300/0123456789ab", Ver: 8, Data: []byte{1}}}})},
 		{"configuration/tenants=0", one(everything(0, 0, 0, 0)...)},
 		{"configuration/tenants=650", one(everything(0, 0, 0, 650)...)},
 		{"configuration/tenants=6500", one(everything(0, 0, 0, 6500)...)},
@@ -86,8 +86,8 @@
 	}
 }
 
-func vector(deltas []feed.Delta) feed.Vector {
-	v := feed.Vector{}
+func vector(deltas []deltasync.Delta) deltasync.Vector {
+	v := deltasync.Vector{}
 	for _, d := range deltas {
 		v[d.Source] = d.Upto
 	}
@@ -123,7 +123,7 @@
 		b.Run(fmt.Sprintf("agents=%d/servers=%d/tenants=%d", n.agents, n.servers, n.tenants), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heap.Of(func() any { return benchHub(n.agents, n.hubs, n.servers, n.tenants) })
+				bytes = heapsize.Of(func() any { return benchHub(n.agents, n.hubs, n.servers, n.tenants) })
 			}
 			b.ReportMetric(float64(bytes), "B/agent")
 		})
@@ -156,7 +156,7 @@
 			for b.Loop() {
 				in.Seq++
 				ver++
-				h.apply([]feed.Delta{{Source: source, From: ver - 1, Upto: ver, Items: []feed.Item{{Key: instPrefix + in.ID, Ver: ver, Data: encode(&in)}}}})
+				h.apply([]deltasync.Delta{{Source: source, From: ver - 1, Upto: ver, Items: []deltasync.Item{{Key: instPrefix + in.ID, Ver: ver, Data: encode(&in)}}}})
 			}
 		})
 	}
--- a/internal/hub/catchup.go
+++ b/internal/fleet/relay/catchup.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 // hasAll tells whether this process has had all that a hub knows, and was not cut off from the core
 // since.
--- a/internal/hub/config.go
+++ b/internal/fleet/relay/config.go
@@ -1,13 +1,13 @@
-package hub
+package relay
 
 import (
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
 // Config is the newest committed configuration.
@@ -16,12 +16,12 @@
 	Raw []byte `msgpack:"r"`
 }
 
-func (h *Hub) foldConfig(it feed.Item) {
+func (h *Hub) foldConfig(it deltasync.Item) {
 	var cfg Config
 	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.seq || cfg.Seq != it.Ver {
 		return
 	}
-	doc, err := conf.Parse(cfg.Raw)
+	doc, err := config.Parse(cfg.Raw)
 	if err != nil {
 		logevent.ConfigBad.Error(err, "seq", cfg.Seq)
 		return
@@ -37,8 +37,8 @@
 	if seq <= h.set.Has(configSource) {
 		return
 	}
-	h.apply([]feed.Delta{{Source: configSource, From: h.set.Has(configSource), Upto: seq,
-		Items: []feed.Item{{Key: configKey, Ver: seq, Data: encode(&Config{seq, raw})}}}})
+	h.apply([]deltasync.Delta{{Source: configSource, From: h.set.Has(configSource), Upto: seq,
+		Items: []deltasync.Item{{Key: configKey, Ver: seq, Data: encode(&Config{seq, raw})}}}})
 }
 
 // Newest takes that all configurations up to now have been committed here.
--- a/internal/hub/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -1,12 +1,12 @@
-package hub
+package relay
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 // dial keeps the sessions that this agent begins: a machine of the core with all others whose
--- a/internal/hub/fanout_bench_test.go
+++ b/internal/fleet/relay/fanout_bench_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"net"
@@ -7,16 +7,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 // The cost of one configuration of 1 MB to 100 sessions: what its encoding takes, and what the
 // whole way to the readers takes, over loopback, the reading of all of them included.
 func BenchmarkFanOut(b *testing.B) {
 	const sessions, size = 100, 1 << 20
-	m := &message{Linked: true, Full: true, Deltas: []feed.Delta{{Source: configSource, Upto: 1,
-		Items: []feed.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, longDocument(1, size)})}}}}}
+	m := &message{Linked: true, Full: true, Deltas: []deltasync.Delta{{Source: configSource, Upto: 1,
+		Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, longDocument(1, size)})}}}}}
 	b.Run("encode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/hub/fulltable_test.go
+++ b/internal/fleet/relay/fulltable_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 // A hub whose table is full answers no call of a server that it can't keep as taken, and takes those
@@ -21,7 +21,7 @@
 		items = append(items, instPrefix+fmt.Sprint("s", i), server(fmt.Sprint("s", i), 1))
 	}
 	x := h.meet("addr of a", "a/1", false)
-	h.says(x, &message{Deltas: []feed.Delta{delta("a/1", items...)}})
+	h.says(x, &message{Deltas: []deltasync.Delta{delta("a/1", items...)}})
 	require.Less(t, len(h.last.List.ByID), more)
 	require.False(t, h.Beat(t.Context(), server("late", 1)))
 	assert.NotContains(t, h.last.List.ByID, "late")
