--- a/internal/hub/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -1,9 +1,9 @@
-// Package hub brings to every agent what has to reach all: the configuration, the servers, the
+// Package relay brings to every agent what has to reach all: the configuration, the servers, the
 // members. It runs the feed between processes. Machines of the core are hubs: they have sessions
 // with each other, every other agent has one with one hub, held open, on which each side sends at
 // once what the other lacks. An agent whose hub falls silent, or is cut off from the core, goes on
 // with another; what it knows meanwhile stays in force.
-package hub
+package relay
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/eventlog"
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/lease"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/registry"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/eventlog"
+	"chalkdoor.example/chalkdoor/internal/fleet/lease"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 const (
@@ -65,8 +65,8 @@
 
 // Snapshot is what the data plane goes by: immutable, always one moment's.
 type Snapshot struct {
-	Seq    uint64    // of the configuration
-	Doc    *conf.Doc // nil before the first
+	Seq    uint64      // of the configuration
+	Doc    *config.Doc // nil before the first
 	List   *registry.List
 	Agents int  // members, at least this one
 	Fresh  bool // this process has had all that a hub knows
@@ -96,15 +96,15 @@
 	start time.Time
 
 	mu        sync.Mutex
-	set       *feed.Set
+	set       *deltasync.Set
 	table     *registry.Table
 	leases    *lease.Table
 	members   map[string]Member // by source
-	journal   *eventlog.Journal[feed.Change]
+	journal   *eventlog.Journal[deltasync.Change]
 	sessions  map[*session]bool
 	changed   chan struct{} // closed and made anew at each change
 	seq       uint64
-	doc       *conf.Doc
+	doc       *config.Doc
 	ended     map[string]time.Duration // that this hub tells
 	synced    bool                     // had all of a hub's feed once
 	behind    bool                     // was cut off from the core since, and has not had all again
@@ -129,11 +129,11 @@
 	}
 	h := &Hub{o: o, start: time.Now(), members: map[string]Member{}, sessions: map[*session]bool{},
 		changed: make(chan struct{}), ended: map[string]time.Duration{}, granted: map[string]bool{}, leases: lease.New(leaseLasts),
-		limit: rate.NewLimiter(0, 100*noticeBytes), journal: eventlog.New[feed.Change](keepEvents), fullReports: rate.Sometimes{Interval: fullReportEvery}}
-	h.set = feed.NewSet(h.newSource())
+		limit: rate.NewLimiter(0, 100*noticeBytes), journal: eventlog.New[deltasync.Change](keepEvents), fullReports: rate.Sometimes{Interval: fullReportEvery}}
+	h.set = deltasync.NewSet(h.newSource())
 	h.table = registry.NewTable(h.set.Self(), o.Beat)
 	h.journal.View(h.fold)
-	h.journal.Slim(func(c feed.Change) feed.Change {
+	h.journal.Slim(func(c deltasync.Change) deltasync.Change {
 		if len(c.Item.Data) > keepData {
 			c.Item.Data = nil
 		}
@@ -160,7 +160,7 @@
 // announce changes an item of the own source, which reaches all. The lock is held, as in all that follow.
 func (h *Hub) announce(key string, data []byte) uint64 {
 	ver := h.set.Put(key, data)
-	h.journal.Append(feed.Change{Source: h.set.Self(), Item: feed.Item{Key: key, Ver: ver, Data: data}})
+	h.journal.Append(deltasync.Change{Source: h.set.Self(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
 	h.wake()
 	return ver
 }
@@ -171,7 +171,7 @@
 }
 
 // fold has the views take one change of the feed.
-func (h *Hub) fold(_ uint64, c feed.Change) {
+func (h *Hub) fold(_ uint64, c deltasync.Change) {
 	now, key, data := h.now(), c.Item.Key, c.Item.Data
 	if c.Source == configSource {
 		if key == configKey {
@@ -233,7 +233,7 @@
 }
 
 // apply takes what a peer sent.
-func (h *Hub) apply(deltas []feed.Delta) {
+func (h *Hub) apply(deltas []deltasync.Delta) {
 	if len(deltas) == 0 {
 		return
 	}
--- a/internal/hub/hub_test.go
+++ b/internal/fleet/relay/hub_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"context"
--- a/internal/hub/lab_test.go
+++ b/internal/fleet/relay/lab_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"bytes"
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/time/rate"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
-	"chalkdoor.example/chalkdoor/internal/registry"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 // patience bounds every wait.
 const patience = 30 * time.Second
--- a/internal/hub/life_test.go
+++ b/internal/fleet/relay/life_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // still is a hub that does not run: a test has it tick, and its clock go.
@@ -42,8 +42,8 @@
 
 // meet gives a hub a session with a peer, which says nothing by itself.
 func (s *still) meet(peer, source string, core bool) *session {
-	x := &session{peer: peer, source: source, core: core, has: feed.Vector{}, heard: s.now(), since: s.now(), begun: s.now() - time.Minute, cancel: func() {},
-		received: func() uint64 { return 0 }, held: feed.Vector{}, unacked: map[string]bool{}, replicatedChanged: make(chan struct{}, 1), noticeTimer: time.NewTimer(time.Hour)}
+	x := &session{peer: peer, source: source, core: core, has: deltasync.Vector{}, heard: s.now(), since: s.now(), begun: s.now() - time.Minute, cancel: func() {},
+		received: func() uint64 { return 0 }, held: deltasync.Vector{}, unacked: map[string]bool{}, replicatedChanged: make(chan struct{}, 1), noticeTimer: time.NewTimer(time.Hour)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sessions[x] = true
@@ -107,15 +107,15 @@
 }
 
 // delta is the first of a source, of keys and data in turn.
-func delta(source string, kv ...any) feed.Delta {
-	d := feed.Delta{Source: source}
+func delta(source string, kv ...any) deltasync.Delta {
+	d := deltasync.Delta{Source: source}
 	for i := 0; i < len(kv); i += 2 {
 		d.Upto++
 		data, ok := kv[i+1].([]byte)
 		if !ok {
 			data = encode(kv[i+1])
 		}
-		d.Items = append(d.Items, feed.Item{Key: kv[i].(string), Ver: d.Upto, Data: data})
+		d.Items = append(d.Items, deltasync.Item{Key: kv[i].(string), Ver: d.Upto, Data: data})
 	}
 	return d
 }
@@ -157,9 +157,9 @@
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 2)))
 	h.says(a, &message{Got: h.set.Own()})
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 3)))
-	h.says(o, &message{Core: true, Got: h.set.Own(), Held: feed.Vector{h.source(): h.set.Own() - 1}})
+	h.says(o, &message{Core: true, Got: h.set.Own(), Held: deltasync.Vector{h.source(): h.set.Own() - 1}})
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 4)))
-	h.says(o, &message{Core: true, Held: feed.Vector{h.source(): h.set.Own()}})
+	h.says(o, &message{Core: true, Held: deltasync.Vector{h.source(): h.set.Own()}})
 	assert.True(t, h.Beat(t.Context(), drains("s", 5)))
 }
 
@@ -346,7 +346,7 @@
 	s.run(time.Minute, nil)
 	require.Len(t, s.members, 3, "it hears nobody: that proves nothing")
 	x := s.meet("addr of h", "h/1", true) // a core of one: nobody holds its lease
-	s.says(x, &message{Core: true, Linked: true, Deltas: []feed.Delta{delta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), one)}})
+	s.says(x, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{delta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), one)}})
 	s.run(2*leaseLasts-time.Second, s.hears(x))
 	require.Len(t, s.members, 4)
 	s.run(2*time.Second, s.hears(x))
@@ -480,7 +480,7 @@
 	big.Service = long
 	odd := server("s", 1)
 	odd.State = 77
-	for name, d := range map[string]feed.Delta{
+	for name, d := range map[string]deltasync.Delta{
 		"end of nobody":               delta("x/1", endPrefix, one),
 		"end of the configuration":    delta("x/1", endPrefix+configSource, one),
 		"lease of nobody":             delta("x/1", leasePrefix, one),
@@ -508,9 +508,9 @@
 			s := newStill("a", true)
 			s.tick()
 			x := s.meet("addr of v", "v/1", true)
-			s.says(x, &message{Core: true, Deltas: []feed.Delta{delta("v/1", memberKey, &Member{Name: "v"}, instPrefix+"t", server("t", 1))}})
+			s.says(x, &message{Core: true, Deltas: []deltasync.Delta{delta("v/1", memberKey, &Member{Name: "v"}, instPrefix+"t", server("t", 1))}})
 			source, own := s.source(), len(s.items(s.source()))
-			s.says(x, &message{Core: true, Deltas: []feed.Delta{d}})
+			s.says(x, &message{Core: true, Deltas: []deltasync.Delta{d}})
 			s.run(leaseLasts+2*tickEvery, s.hears(x))
 			assert.Equal(t, source, s.source())
 			for m := range s.members {
@@ -565,12 +565,12 @@
 				m.Hello = &hello{Source: name(t)}
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "deltas") {
-				d := feed.Delta{Source: name(t), From: rapid.Uint64Range(0, 4).Draw(t, "from")}
+				d := deltasync.Delta{Source: name(t), From: rapid.Uint64Range(0, 4).Draw(t, "from")}
 				d.Upto = d.From
 				for range rapid.IntRange(0, 4).Draw(t, "items") {
 					d.Upto += rapid.Uint64Range(0, 2).Draw(t, "step")
 					key := rapid.SampledFrom([]string{"", memberKey, configKey, instPrefix + "s", leasePrefix + name(t), endPrefix + name(t)}).Draw(t, "key")
-					d.Items = append(d.Items, feed.Item{Key: key, Ver: d.Upto, Data: data(t)})
+					d.Items = append(d.Items, deltasync.Item{Key: key, Ver: d.Upto, Data: data(t)})
 				}
 				if rapid.IntRange(0, 9).Draw(t, "upto") == 0 {
 					d.Upto = rapid.Uint64().Draw(t, "wrong")
@@ -593,7 +593,7 @@
 		s.Commit(1<<40, document(7))
 		require.Equal(t, int64(7), s.last.Doc.Revision)
 		y := s.meet("addr of w", "w/1", false)
-		s.says(y, &message{Deltas: []feed.Delta{delta("w/1", memberKey, &Member{Name: "w"}, instPrefix+"new", server("new", 1))}})
+		s.says(y, &message{Deltas: []deltasync.Delta{delta("w/1", memberKey, &Member{Name: "w"}, instPrefix+"new", server("new", 1))}})
 		require.Contains(t, s.last.List.ByID, "new")
 	})
 }
--- a/internal/hub/members.go
+++ b/internal/fleet/relay/members.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
 // Member is what an agent tells of itself.
--- a/internal/hub/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -1,11 +1,11 @@
-package hub
+package relay
 
 import (
 	"time"
 
 	"golang.org/x/time/rate"
 
-	"chalkdoor.example/chalkdoor/internal/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 )
 
 // Notices tell other agents of requests that were sent, as loads that servers tell are old when
--- a/internal/hub/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 // dialed opens a session with a hub as an agent at fault may.
@@ -35,7 +35,7 @@
 	t.Parallel()
 	l := started(t, 1, 1)
 	h := l.hubs[0]
-	huge := feed.Vector{}
+	huge := deltasync.Vector{}
 	for i := range maxVector + 1 {
 		huge[string(rune('a'+i%26))+strings.Repeat("x", i/26)] = 1
 	}
@@ -84,14 +84,14 @@
 		before[a.Name] = a.hub.Report().Source
 	}
 	st := h.dialed()
-	vector := feed.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
+	vector := deltasync.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", Core: true, Vector: vector}, Linked: true, Full: true}))
 	_, err := st.Recv()
 	require.NoError(t, err)
 	one := []byte{1}
-	items := func(from uint64, keys ...string) (out []feed.Item) {
+	items := func(from uint64, keys ...string) (out []deltasync.Item) {
 		for i, k := range keys {
-			out = append(out, feed.Item{Key: k, Ver: from + uint64(i) + 1, Data: one})
+			out = append(out, deltasync.Item{Key: k, Ver: from + uint64(i) + 1, Data: one})
 		}
 		return out
 	}
@@ -99,15 +99,15 @@
 		{Core: true, Linked: true, Full: true, Got: 1 << 60},
 		{Redirect: make([]Peer, 10000)},
 		{Hello: &hello{Source: before["agent-0"]}},
-		{Deltas: []feed.Delta{{Source: before["hub-0"], Upto: 100, Items: items(99, memberKey)}}},
-		{Deltas: []feed.Delta{{Source: configSource, From: 0, Upto: 1 << 50}}},
-		{Deltas: []feed.Delta{{Source: configSource, From: 9, Upto: 12, Items: items(11, configKey)}}},
-		{Deltas: []feed.Delta{{Source: before["agent-0"], From: 0, Upto: 1 << 50}}},
-		{Deltas: []feed.Delta{{Source: before["agent-0"], From: 1 << 40, Upto: 1 << 50, Items: items(1<<50-1, memberKey)}}},
-		{Deltas: []feed.Delta{{Source: "y/1", From: 0, Upto: 2, Items: items(0, "", instPrefix)}}},
-		{Deltas: []feed.Delta{{Source: "", From: 0, Upto: 1, Items: items(0, memberKey)}}},
-		{Deltas: []feed.Delta{{Source: "y/1", From: 0, Upto: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
-		{Deltas: []feed.Delta{{Source: "x/1", From: 0, Upto: 4, Items: items(0, endPrefix, endPrefix+configSource, leasePrefix, leasePrefix+configSource)}}},
+		{Deltas: []deltasync.Delta{{Source: before["hub-0"], Upto: 100, Items: items(99, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: configSource, From: 0, Upto: 1 << 50}}},
+		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, Upto: 12, Items: items(11, configKey)}}},
+		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, Upto: 1 << 50}}},
+		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 1 << 40, Upto: 1 << 50, Items: items(1<<50-1, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 2, Items: items(0, "", instPrefix)}}},
+		{Deltas: []deltasync.Delta{{Source: "", From: 0, Upto: 1, Items: items(0, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
+		{Deltas: []deltasync.Delta{{Source: "x/1", From: 0, Upto: 4, Items: items(0, endPrefix, endPrefix+configSource, leasePrefix, leasePrefix+configSource)}}},
 		{Notices: []notice{{AgeMs: -1}, {Hops: -1}, {Hops: 1 << 60}, {Prompt: -1}, {Instance: strings.Repeat("x", 1<<16)}, {AgeMs: 1 << 62}}},
 	} {
 		require.NoError(t, st.Send(m))
@@ -133,7 +133,7 @@
 	h.hub.mu.Lock()
 	var filling []*session
 	for len(h.hub.sessions) < maxSessions {
-		x := &session{source: "x/1", has: feed.Vector{}, heard: h.hub.now() + time.Hour, cancel: func() {}, received: func() uint64 { return 0 },
+		x := &session{source: "x/1", has: deltasync.Vector{}, heard: h.hub.now() + time.Hour, cancel: func() {}, received: func() uint64 { return 0 },
 			noticeTimer: time.NewTimer(time.Hour)}
 		h.hub.sessions[x] = true
 		filling = append(filling, x)
--- a/internal/hub/replication.go
+++ b/internal/fleet/relay/replication.go
@@ -1,10 +1,10 @@
-package hub
+package relay
 
 import (
 	"context"
 	"slices"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 // The end of a server is acknowledged once a majority of the core's machines hold it. Machines of
@@ -61,11 +61,11 @@
 }
 
 // acknowledge returns the versions held of the sources of which a peer sent deltas.
-func (h *Hub) acknowledge(s *session) feed.Vector {
+func (h *Hub) acknowledge(s *session) deltasync.Vector {
 	if len(s.unacked) == 0 {
 		return nil
 	}
-	held := make(feed.Vector, len(s.unacked))
+	held := make(deltasync.Vector, len(s.unacked))
 	for source := range s.unacked {
 		if version := h.set.Has(source); version > 0 {
 			held[source] = version
--- a/internal/hub/replication_test.go
+++ b/internal/fleet/relay/replication_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 // briefly is how long a call may wait that is not to be acknowledged.
@@ -117,17 +117,17 @@
 			}
 			h := newStill("0", true, peers...)
 			h.mu.Lock()
-			h.apply([]feed.Delta{delta("x/1", "1", one, "2", one, "3", one, "4", one, "5", one, "6", one, "7", one, "8", one, "9", one)})
+			h.apply([]deltasync.Delta{delta("x/1", "1", one, "2", one, "3", one, "4", one, "5", one, "6", one, "7", one, "8", one, "9", one)})
 			h.mu.Unlock()
 			agent := h.meet("addr of x", "x/1", false)
 			stranger := h.meet("addr of y", "y/1", true) // a machine of an earlier core
-			h.says(stranger, &message{Core: true, Held: feed.Vector{"x/1": 9}})
+			h.says(stranger, &message{Core: true, Held: deltasync.Vector{"x/1": 9}})
 			for i, version := range c.held {
 				peer := h.meet(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
 				peer.has["x/1"] = 9 // sent, which proves nothing
-				h.says(peer, &message{Core: true, Held: feed.Vector{"x/1": version}})
+				h.says(peer, &message{Core: true, Held: deltasync.Vector{"x/1": version}})
 			}
-			h.says(agent, &message{Held: feed.Vector{"x/1": 9}})
+			h.says(agent, &message{Held: deltasync.Vector{"x/1": 9}})
 			assert.Equal(t, c.want, h.replicatedVersion("x/1", peers))
 		})
 	}
@@ -151,20 +151,20 @@
 func TestAcknowledgements(t *testing.T) {
 	h := newStill("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	o := h.meet("addr of o", "o/1", true)
-	taken := func() feed.Vector {
+	taken := func() deltasync.Vector {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return h.acknowledge(o)
 	}
-	h.says(o, &message{Core: true, Deltas: []feed.Delta{delta("x/1", "k", one, "l", one)}})
-	assert.Equal(t, feed.Vector{"x/1": 2}, taken())
+	h.says(o, &message{Core: true, Deltas: []deltasync.Delta{delta("x/1", "k", one, "l", one)}})
+	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken())
 	assert.Empty(t, taken())
-	h.says(o, &message{Core: true, Deltas: []feed.Delta{delta("x/1", "k", one)}})
-	assert.Equal(t, feed.Vector{"x/1": 2}, taken(), "it had it")
-	h.says(o, &message{Core: true, Deltas: []feed.Delta{{Source: "y/1", From: 5, Upto: 6, Items: []feed.Item{{Key: "k", Ver: 6, Data: one}}}}})
+	h.says(o, &message{Core: true, Deltas: []deltasync.Delta{delta("x/1", "k", one)}})
+	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken(), "it had it")
+	h.says(o, &message{Core: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, Upto: 6, Items: []deltasync.Item{{Key: "k", Ver: 6, Data: one}}}}})
 	assert.Empty(t, taken(), "there is a gap before it")
 	assert.NotContains(t, o.held, "y/1")
 	a := h.meet("addr of a", "a/1", false)
-	h.says(a, &message{Deltas: []feed.Delta{delta("a/1", "k", one)}})
+	h.says(a, &message{Deltas: []deltasync.Delta{delta("a/1", "k", one)}})
 	assert.Empty(t, a.unacked, "agents need none")
 }
--- a/internal/hub/report.go
+++ b/internal/fleet/relay/report.go
@@ -1,11 +1,11 @@
-package hub
+package relay
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // Report is what this process knows, for operators.
--- a/internal/hub/return_test.go
+++ b/internal/fleet/relay/return_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 // cutOffHub is a hub that had all and was cut off from the core for twenty seconds.
@@ -39,8 +39,8 @@
 	o.received = func() uint64 { return received }
 	h.run(5*aloneFor, func() { received++ })
 	require.False(t, h.hasAll(), "it is being told")
-	newer := feed.Delta{Source: configSource, Upto: 9, Items: []feed.Item{{Key: configKey, Ver: 9, Data: encode(&Config{9, document(9)})}}}
-	h.says(o, &message{Core: true, Linked: true, Full: true, Deltas: []feed.Delta{newer}})
+	newer := deltasync.Delta{Source: configSource, Upto: 9, Items: []deltasync.Item{{Key: configKey, Ver: 9, Data: encode(&Config{9, document(9)})}}}
+	h.says(o, &message{Core: true, Linked: true, Full: true, Deltas: []deltasync.Delta{newer}})
 	assert.True(t, h.hasAll())
 	assert.Equal(t, uint64(9), h.last.Seq)
 	h.Commit(7, document(7)) // by its own disk, late
@@ -75,9 +75,9 @@
 	agent, hub := newStill("a", false), newStill("h", true, Peer{Addr: "addr of h"})
 	agent.Commit(9, document(9))
 	hub.Commit(5, document(5))
-	older := feed.Delta{Source: configSource, Upto: 5, Items: []feed.Item{{Key: configKey, Ver: 5, Data: encode(&Config{5, document(5)})}}}
+	older := deltasync.Delta{Source: configSource, Upto: 5, Items: []deltasync.Item{{Key: configKey, Ver: 5, Data: encode(&Config{5, document(5)})}}}
 	x := agent.meet("addr of h", "h/1", true)
-	agent.says(x, &message{Core: true, Linked: true, Full: true, Deltas: []feed.Delta{older}})
+	agent.says(x, &message{Core: true, Linked: true, Full: true, Deltas: []deltasync.Delta{older}})
 	assert.Equal(t, uint64(9), agent.last.Seq)
 	assert.Equal(t, int64(9), agent.last.Doc.Revision)
 	agent.mu.Lock()
--- a/internal/hub/servers.go
+++ b/internal/fleet/relay/servers.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // saved is the list of servers on disk.
--- a/internal/hub/session.go
+++ b/internal/fleet/relay/session.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
-	"chalkdoor.example/chalkdoor/internal/logevent"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 const (
@@ -29,24 +29,24 @@
 
 // hello begins a session.
 type hello struct {
-	Source string      `msgpack:"s"`
-	Addr   string      `msgpack:"a"`
-	Core   bool        `msgpack:"c"`
-	Vector feed.Vector `msgpack:"v"`
+	Source string           `msgpack:"s"`
+	Addr   string           `msgpack:"a"`
+	Core   bool             `msgpack:"c"`
+	Vector deltasync.Vector `msgpack:"v"`
 }
 
 // message is what both sides of a session send.
 type message struct {
-	Hello    *hello       `msgpack:"h,omitempty"`
-	Redirect []Peer       `msgpack:"r,omitempty"` // the answerer is no hub: these are
-	Deltas   []feed.Delta `msgpack:"d,omitempty"`
-	Got      uint64       `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
-	Core     bool         `msgpack:"o,omitempty"` // the sender is a machine of the core
-	Linked   bool         `msgpack:"l,omitempty"`
-	Full     bool         `msgpack:"f,omitempty"` // the sender has had all that a hub knows
-	Notices  []notice     `msgpack:"n,omitempty"`
+	Hello    *hello            `msgpack:"h,omitempty"`
+	Redirect []Peer            `msgpack:"r,omitempty"` // the answerer is no hub: these are
+	Deltas   []deltasync.Delta `msgpack:"d,omitempty"`
+	Got      uint64            `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
+	Core     bool              `msgpack:"o,omitempty"` // the sender is a machine of the core
+	Linked   bool              `msgpack:"l,omitempty"`
+	Full     bool              `msgpack:"f,omitempty"` // the sender has had all that a hub knows
+	Notices  []notice          `msgpack:"n,omitempty"`
 	// Held acknowledges deltas between machines of the core: the versions that the sender holds.
-	Held feed.Vector `msgpack:"v,omitempty"`
+	Held deltasync.Vector `msgpack:"v,omitempty"`
 	// Replicated is the version of the receiver's own source that a majority of the core holds.
 	Replicated uint64 `msgpack:"p,omitempty"`
 }
@@ -59,10 +59,10 @@
 	source string
 	core   bool
 	dialed bool
-	has    feed.Vector // what the peer has
-	got    uint64      // of the own source
+	has    deltasync.Vector // what the peer has
+	got    uint64           // of the own source
 	// held is what the peer has itself said to have: unlike has, not what was only sent to it.
-	held feed.Vector
+	held deltasync.Vector
 	// unacked are the sources of which it sent deltas that are not acknowledged yet.
 	unacked map[string]bool
 	// replicated is the version of the own source that a majority of the core holds, as it tells.
@@ -138,10 +138,10 @@
 	}
 	s := &session{peer: peer, source: theirs.Source, core: theirs.Core, dialed: first != nil, has: maps.Clone(theirs.Vector),
 		heard: h.now(), since: h.now(), begun: h.now(), received: st.Received, cancel: cancel, noticeTimer: time.NewTimer(time.Hour),
-		held: feed.Vector{}, unacked: map[string]bool{}, replicatedChanged: make(chan struct{}, 1)}
+		held: deltasync.Vector{}, unacked: map[string]bool{}, replicatedChanged: make(chan struct{}, 1)}
 	defer s.noticeTimer.Stop()
 	if s.has == nil {
-		s.has = feed.Vector{}
+		s.has = deltasync.Vector{}
 	}
 	for source, version := range theirs.Vector {
 		h.recordHeld(s, source, version, hubs)
--- a/internal/hub/shared.go
+++ b/internal/fleet/relay/shared.go
@@ -1,10 +1,10 @@
-package hub
+package relay
 
 import (
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 const (
@@ -24,8 +24,8 @@
 
 // shareConfig takes a long configuration out of deltas and returns it as an encoded message that says
 // of this process what flags does. The hub's lock is held.
-func (h *Hub) shareConfig(flags *message, deltas []feed.Delta) (encoded []byte, rest []feed.Delta) {
-	i := slices.IndexFunc(deltas, func(d feed.Delta) bool { return d.Source == configSource })
+func (h *Hub) shareConfig(flags *message, deltas []deltasync.Delta) (encoded []byte, rest []deltasync.Delta) {
+	i := slices.IndexFunc(deltas, func(d deltasync.Delta) bool { return d.Source == configSource })
 	if i < 0 || len(deltas[i].Items) == 0 || len(deltas[i].Items[0].Data) < shareFrom {
 		return nil, deltas
 	}
@@ -33,7 +33,7 @@
 	next := sharedMessage{from: config.From, upto: config.Upto, core: flags.Core, linked: flags.Linked, full: flags.Full,
 		message: h.shared.message, used: h.now()}
 	if !h.shared.isFor(&next) {
-		next.message = encode(&message{Core: flags.Core, Linked: flags.Linked, Full: flags.Full, Deltas: []feed.Delta{config}})
+		next.message = encode(&message{Core: flags.Core, Linked: flags.Linked, Full: flags.Full, Deltas: []deltasync.Delta{config}})
 	}
 	h.shared = next
 	return next.message, slices.Delete(deltas, i, i+1)
--- a/internal/hub/shared_test.go
+++ b/internal/fleet/relay/shared_test.go
@@ -1,4 +1,4 @@
-package hub
+package relay
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"chalkdoor.example/chalkdoor/internal/feed"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
 // Sessions that lack the same configuration are sent the same bytes, encoded once; what else they lack
@@ -15,7 +15,7 @@
 func TestALongConfigurationIsEncodedOnce(t *testing.T) {
 	h := newStill("h", true, Peer{Addr: "addr of h"})
 	h.Commit(1, longDocument(1, longConfig))
-	take := func(flags message) (shared []byte, rest []feed.Delta) {
+	take := func(flags message) (shared []byte, rest []deltasync.Delta) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return h.shareConfig(&flags, h.set.Since(nil))
--- a/internal/retrybudget/bench_test.go
+++ b/internal/fleet/retrybudget/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 // A request's first send and the question for a further one, of one service among others.
@@ -32,7 +32,7 @@
 	const services = 1000
 	var bytes int64
 	for b.Loop() {
-		bytes = heap.Of(func() any {
+		bytes = heapsize.Of(func() any {
 			q := New(0.2, 10*time.Second, 58)
 			for i := range services {
 				q.First(time.Second, fmt.Sprintf("service-%d", i))
--- a/internal/rollout/bench_test.go
+++ b/internal/fleet/rollout/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // What the holder spends a second at the full size: 850 servers of which 24 move, 360 agents.
--- a/internal/rollout/interleave_test.go
+++ b/internal/fleet/rollout/interleave_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/internal/interleave"
-	"chalkdoor.example/chalkdoor/internal/registry"
 )
 
 // defect is what is done wrong on purpose, to see that the checker finds it.
--- a/internal/rollout/record_test.go
+++ b/internal/fleet/rollout/record_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 func spec(t *testing.T) *Spec {
--- a/internal/rollout/passage/passage.go
+++ b/internal/fleet/rollout/requesthistory/passage.go
@@ -1,4 +1,4 @@
-// Package passage is the set of histories that a request may have at an agent: taken, sent,
+// Package requesthistory is the set of histories that a request may have at an agent: taken, sent,
 // refused, resumed, finished. The agent tells each thing that happens before it acts on it, and what
 // is refused must not be done. The laboratory's referee plays the same set against what servers and
 // clients saw. It is pure.
@@ -7,7 +7,7 @@
 // one end. What may have run is sent again only where it may be repeated, and once pieces were
 // passed on only from the piece that follows, at the same revision of the model; it is never
 // refused, as that promises that it has not run.
-package passage
+package requesthistory
 
 import "github.com/go-faster/errors"
 
--- a/internal/rollout/passage/passage_test.go
+++ b/internal/fleet/rollout/requesthistory/passage_test.go
@@ -1,4 +1,4 @@
-package passage
+package requesthistory
 
 import (
 	"fmt"
--- a/internal/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -35,8 +35,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/engine"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
 const (
@@ -402,7 +402,7 @@
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return engine.Mix(h)
+	return inference.Mix(h)
 }
 
 // String is a line about a server.
--- a/internal/rollout/sim_test.go
+++ b/internal/fleet/rollout/sim_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // figures of a run, for the log.
--- a/internal/rollout/spec.go
+++ b/internal/fleet/rollout/spec.go
@@ -15,8 +15,8 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 const (
@@ -304,7 +304,7 @@
 func short(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 
 // Fits tells what of a spec the operator's configuration contradicts; nil where nothing does.
-func (s *Spec) Fits(doc *conf.Doc) error {
+func (s *Spec) Fits(doc *config.Doc) error {
 	if doc == nil {
 		return apierror.New(apierror.Invalid, "service", "put a configuration first", "there is no configuration")
 	}
@@ -317,7 +317,7 @@
 		reasons = append(reasons, apierror.New(apierror.Invalid, "model", "name one of "+strings.Join(svc.Engine.Models, ", "), "the service has no %q", s.Model))
 	}
 	for name := range s.Routes {
-		if !slices.ContainsFunc(doc.Routes, func(r *conf.Route) bool { return r.Name == name }) {
+		if !slices.ContainsFunc(doc.Routes, func(r *config.Route) bool { return r.Name == name }) {
 			reasons = append(reasons, apierror.New(apierror.Invalid, "routes."+name, "name a route of the configuration", "there is none of that name"))
 		}
 	}
--- a/internal/rollout/spec_test.go
+++ b/internal/fleet/rollout/spec_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
-	"chalkdoor.example/chalkdoor/internal/conf"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
 const specText = `
@@ -108,7 +108,7 @@
 func TestASpecHasToFitTheConfiguration(t *testing.T) {
 	s, err := Parse([]byte(specText))
 	require.NoError(t, err)
-	doc, err := conf.Parse([]byte(`{"revision":7,"routes":[{"name":"r.dossier","hostname":"h","path-prefix":"/a/","route-kind":"streaming","timeout-ms":3000,"setpoint-ms":500,"target-service":"tenant-llm","max-attempts":2}],"services":[{"name":"tenant-llm","health-path":"/health","conn-limit":3,"inference-engine":{"slots":4,"models":[{"name":"m"}]}}]}`))
+	doc, err := config.Parse([]byte(`{"revision":7,"routes":[{"name":"r.dossier","hostname":"h","path-prefix":"/a/","route-kind":"streaming","timeout-ms":3000,"setpoint-ms":500,"target-service":"tenant-llm","max-attempts":2}],"services":[{"name":"tenant-llm","health-path":"/health","conn-limit":3,"inference-engine":{"slots":4,"models":[{"name":"m"}]}}]}`))
 	require.NoError(t, err)
 	require.NoError(t, s.Fits(doc))
 	other := *s
--- a/internal/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 // Status is what an operator is told of a rollout. What only the holder of the duty knows is empty
--- a/internal/rollout/step.go
+++ b/internal/fleet/rollout/step.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 const (
--- a/internal/rollout/watch.go
+++ b/internal/fleet/rollout/watch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 // Report is what an agent tells the holder of the duty while a rollout is under way: once a second,
--- a/internal/rpc/rpc_test.go
+++ b/internal/fleet/rpc/rpc_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 type question struct {
 	Text string `msgpack:"t"`
--- a/internal/settings/node.go
+++ b/internal/fleet/settings/node.go
@@ -18,7 +18,7 @@
 	"github.com/knadh/koanf/providers/rawbytes"
 	"github.com/knadh/koanf/v2"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 // EnvFile names the variable with the path of the settings file, DefaultFile is used without it.
--- a/internal/settings/node_test.go
+++ b/internal/fleet/settings/node_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/apierror"
+	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
 // example has every key that is known, and some that are not.
--- a/internal/duty/duty.go
+++ b/internal/fleet/singleton/duty.go
@@ -1,4 +1,4 @@
-// Package duty gives a duty to one process at a time: the holder names its successor when it can,
+// Package singleton gives a duty to one process at a time: the holder names its successor when it can,
 // and a majority decides when it can't. It is pure; times are on the steady clock of one process.
 //
 // What is agreed on is a Record, kept in a register that is changed by compare-and-set only and
@@ -15,7 +15,7 @@
 //     believed; what it was about to do carries an older number or version and is refused.
 //
 // Not guaranteed: that there is a holder. Without a majority nobody takes the duty over.
-package duty
+package singleton
 
 import (
 	"slices"
--- a/internal/duty/interleave_test.go
+++ b/internal/fleet/singleton/interleave_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"fmt"
--- a/internal/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 	"github.com/stretchr/testify/require"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 func open(t *testing.T, dir string) (*Store, Report) {
 	t.Helper()
--- a/internal/h1/h1.go
+++ b/internal/http1/h1.go
@@ -1,6 +1,6 @@
-// Package h1 is what the agents share of HTTP/1.1: reading answers of servers that may be in any
+// Package http1 is what the agents share of HTTP/1.1: reading answers of servers that may be in any
 // trouble, connections that are not closed under a request, and for how long idle ones are good.
-package h1
+package http1
 
 import (
 	"bufio"
--- a/internal/h1/h1_test.go
+++ b/internal/http1/h1_test.go
@@ -1,4 +1,4 @@
-package h1
+package http1
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leak.Main(m) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
 func reader(text string) *bufio.Reader { return bufio.NewReader(strings.NewReader(text)) }
 
--- a/internal/h1/sock.go
+++ b/internal/http1/sock.go
@@ -1,4 +1,4 @@
-package h1
+package http1
 
 import (
 	"net"
--- a/internal/leak/leak.go
+++ b/internal/leaktest/leak.go
@@ -1,5 +1,5 @@
-// Package leak lets a package's tests fail where one of them leaves a goroutine behind.
-package leak
+// Package leaktest lets a package's tests fail where one of them leaves a goroutine behind.
+package leaktest
 
 import (
 	"fmt"
--- a/internal/lab/emu/discovery.go
+++ b/internal/testbed/backend/discovery.go
@@ -1,4 +1,4 @@
-package emu
+package backend
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 // Target is one entry of discovery's list, in the protocol's form.
--- a/internal/lab/emu/emu_test.go
+++ b/internal/testbed/backend/emu_test.go
@@ -1,4 +1,4 @@
-package emu
+package backend
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/model"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/backendmodel"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 const patience = 20 * time.Second
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	log := referee.NewLog()
-	cfg := ServerConfig{ID: "s", Zone: "a", Seed: 1, Model: model.Config{Cores: 1, Speed: 1, Queue: 1}}
+	cfg := ServerConfig{ID: "s", Zone: "a", Seed: 1, Model: backendmodel.Config{Cores: 1, Speed: 1, Queue: 1}}
 	if change != nil {
 		change(&cfg)
 	}
--- a/internal/lab/emu/server.go
+++ b/internal/testbed/backend/server.go
@@ -1,7 +1,7 @@
-// Package emu emulates on real sockets what agents of the program meet: report servers and
+// Package backend emulates on real sockets what agents of the program meet: report servers and
 // discovery, as PROTOCOL and WIRE describe them. What a server does with its time is the
-// model's (internal/lab/model); this package gives it a clock, connections and faults.
-package emu
+// model's (internal/testbed/backendmodel); this package gives it a clock, connections and faults.
+package backend
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/model"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/backendmodel"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 const (
@@ -35,7 +35,7 @@
 type ServerConfig struct {
 	ID, Zone    string
 	Seed        uint64
-	Model       model.Config
+	Model       backendmodel.Config
 	HandshakeMs float64 // work for a new connection
 	ProbeMs     float64 // and for a probe
 	MaxConns    int     // 0: no bound
@@ -96,14 +96,14 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	model   *model.Server
+	model   *backendmodel.Server
 	life    int
 	faults  Faults
 	conns   int
 	nextJob uint64
 	jobs    map[uint64]chan struct{}
 	timer   *time.Timer
-	done    []model.Done
+	done    []backendmodel.Done
 	toppled bool
 	stats   Stats
 }
@@ -128,7 +128,7 @@
 // NewServer returns a server that has been up for long.
 func NewServer(cfg ServerConfig, work Work, log *referee.Log, effects *Effects) *Server {
 	s := &Server{cfg: cfg, work: work, log: log, effects: effects, rng: rand.New(rand.NewPCG(cfg.Seed, 3)),
-		jobs: map[uint64]chan struct{}{}, model: model.New(cfg.Model, 0)}
+		jobs: map[uint64]chan struct{}{}, model: backendmodel.New(cfg.Model, 0)}
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTime, IdleTimeout: cfg.IdleFor, ConnState: s.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -177,7 +177,7 @@
 	s.life++
 	s.jobs = map[uint64]chan struct{}{} // nobody will tell those who wait; their connections go
 	s.toppled = false
-	s.model = model.New(s.cfg.Model, s.now())
+	s.model = backendmodel.New(s.cfg.Model, s.now())
 	s.model.Slow(max(s.faults.Slow, 1))
 }
 
@@ -237,7 +237,7 @@
 			return
 		}
 		if s.cfg.HandshakeMs > 0 { // no work takes no place in the queue
-			s.model.Offer(s.now(), model.Job{WorkMs: s.cfg.HandshakeMs})
+			s.model.Offer(s.now(), backendmodel.Job{WorkMs: s.cfg.HandshakeMs})
 			s.arm()
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -356,7 +356,7 @@
 	s.settle()
 	s.nextJob++
 	id, done, life := s.nextJob, make(chan struct{}), s.life
-	if !s.model.Offer(s.now(), model.Job{ID: id, Key: key, WorkMs: work}) {
+	if !s.model.Offer(s.now(), backendmodel.Job{ID: id, Key: key, WorkMs: work}) {
 		s.stats.TurnedAway++
 		if s.model.Down() && !s.toppled {
 			s.toppled = true
@@ -403,7 +403,7 @@
 	s.mu.Lock()
 	s.stats.Probes++
 	if s.cfg.ProbeMs > 0 {
-		s.model.Offer(s.now(), model.Job{WorkMs: s.cfg.ProbeMs})
+		s.model.Offer(s.now(), backendmodel.Job{WorkMs: s.cfg.ProbeMs})
 		s.arm()
 	}
 	l := s.model.Load(s.now())
--- a/internal/lab/model/server.go
+++ b/internal/testbed/backendmodel/server.go
@@ -1,11 +1,11 @@
-// Package model holds what the laboratory takes a report server to be: cores, a bounded
+// Package backendmodel holds what the laboratory takes a report server to be: cores, a bounded
 // queue, a memory of keys, a ramp after its start, and the ways in which it fails. It is a
 // state machine without I/O: times in milliseconds go in, what has ended comes out. The
 // emulator's sockets and the simulated fleet run the same one, so that what is learned in
 // one holds in the other.
 //
 // It is a model by the published figures of the servers, and not a measurement of them.
-package model
+package backendmodel
 
 import (
 	"container/list"
--- a/internal/lab/model/server_test.go
+++ b/internal/testbed/backendmodel/server_test.go
@@ -1,4 +1,4 @@
-package model
+package backendmodel
 
 import (
 	"math"
--- a/internal/lab/picker/picker.go
+++ b/internal/testbed/baseline/picker.go
@@ -1,7 +1,7 @@
-// Package picker holds plain ways to choose a server, to read an experiment against. Each is
+// Package baseline holds plain ways to choose a server, to read an experiment against. Each is
 // one client's, sends once, and knows the list of servers and its own requests only, but for
 // the clairvoyant, which sees the true state of all servers.
-package picker
+package baseline
 
 import (
 	"fmt"
--- a/internal/lab/picker/picker_test.go
+++ b/internal/testbed/baseline/picker_test.go
@@ -1,4 +1,4 @@
-package picker
+package baseline
 
 import "testing"
 
--- a/internal/lab/controlsim/callers.go
+++ b/internal/testbed/controlsim/callers.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 const (
--- a/internal/lab/controlsim/controlsim_test.go
+++ b/internal/testbed/controlsim/controlsim_test.go
@@ -6,12 +6,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
 func TestMain(m *testing.M) {
 	quiet()
-	leak.Main(m)
+	leaktest.Main(m)
 }
 
 // fixedSeeds are played with the other tests, by point. Seeds 4 and 7 of point 2 find a vote that is
--- a/internal/lab/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
 const (
--- a/internal/lab/controlsim/disk_test.go
+++ b/internal/testbed/controlsim/disk_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
 func onDisk(t *testing.T, test func(m *media, h *host, d *disk)) {
--- a/internal/lab/controlsim/faults.go
+++ b/internal/testbed/controlsim/faults.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // FaultKind is what a fault does.
@@ -53,7 +53,7 @@
 	Loud  bool // connections are refused and reset, not silent
 	Wide  bool
 	Peer  Place // a cut is between the machine and this one only; "": from all
-	// On is a call of internal/controlplane: the fault waits from At on for one that arrives at the machine of
+	// On is a call of internal/fleet/controlplane: the fault waits from At on for one that arrives at the machine of
 	// OnAt, and for Lag after it. It hits even where too many others are hit: it is short.
 	On   string
 	OnAt Place
--- a/internal/lab/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/controlplane"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/rpc"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlplane"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
@@ -58,14 +58,14 @@
 	machine *machine
 	life    int
 	core    *controlplane.Member
-	hub     *hub.Hub
+	hub     *relay.Hub
 	pool    *rpc.Pool
 	begun   time.Time
 	disk    *disk
 	cancel  context.CancelFunc
 	done    chan struct{}
 	dead    atomic.Bool // what it says and does counts no more
-	last    atomic.Pointer[hub.Snapshot]
+	last    atomic.Pointer[relay.Snapshot]
 }
 
 // running is the process, nil if there is none.
@@ -117,8 +117,8 @@
 		Losses: m.run.setup.losses, Counted: m.media != nil, Pool: p.pool, Check: checkOrder,
 		OnCommit: func(v chain.Value) { p.hub.Commit(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.run.referee.learned(p, v) }}
-	h := hub.Options{Self: hub.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, Beat: beatEvery,
-		Seeds: m.run.seedAddrs, Dialer: over, OnChange: func(s *hub.Snapshot) { m.run.referee.inForce(p, s) }}
+	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, Beat: beatEvery,
+		Seeds: m.run.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.run.referee.inForce(p, s) }}
 	if m.media != nil {
 		p.disk = openDisk(m.media, m.host)
 		o.HasDisk, o.Dir, o.Disk = true, m.name, p.disk
@@ -131,12 +131,12 @@
 		h.Saved, _ = p.core.Saved(savedServers)
 	}
 	h.Core = coreView{p.core}
-	p.hub = hub.New(h)
+	p.hub = relay.New(h)
 	return nil
 }
 
 func checkOrder(current []byte, o *chain.Order) ([]byte, int64, error) {
-	return conf.Next(current, o.Patch, o.Body)
+	return config.Next(current, o.Patch, o.Body)
 }
 
 func (p *process) knownAddrs() (out []string) {
@@ -171,10 +171,10 @@
 
 func (c coreView) IsCore() bool { return c.member.IsCore() }
 func (c coreView) Linked() bool { return c.member.Linked() }
-func (c coreView) Hubs() (out []hub.Peer) {
+func (c coreView) Hubs() (out []relay.Peer) {
 	v, _ := c.member.View()
 	for _, p := range v.Voters {
-		out = append(out, hub.Peer{Addr: p.Addr, Zone: p.Zone})
+		out = append(out, relay.Peer{Addr: p.Addr, Zone: p.Zone})
 	}
 	return out
 }
--- a/internal/lab/controlsim/network.go
+++ b/internal/testbed/controlsim/network.go
@@ -44,7 +44,7 @@
 type route struct{ from, to string }
 
 // network is the wire between hosts. It models what TCP shows to programs: order, windows, closed
-// ports, resets, and the time-outs that internal/rpc asks of the kernel.
+// ports, resets, and the time-outs that internal/fleet/rpc asks of the kernel.
 type network struct {
 	mu        sync.Mutex
 	hosts     map[string]*host
--- a/internal/lab/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 const (
--- a/internal/lab/controlsim/referee.go
+++ b/internal/testbed/controlsim/referee.go
@@ -8,10 +8,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/controlplane"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlplane"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // maxViolations bounds what one run reports.
@@ -92,7 +92,7 @@
 
 // inForce takes that a process goes by a configuration: never by an older one than before, and by the
 // same one as the others under one number.
-func (f *referee) inForce(p *process, s *hub.Snapshot) {
+func (f *referee) inForce(p *process, s *relay.Snapshot) {
 	if p.dead.Load() {
 		return
 	}
--- a/internal/lab/controlsim/referee_test.go
+++ b/internal/testbed/controlsim/referee_test.go
@@ -6,7 +6,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 func TestRegisterModel(t *testing.T) {
--- a/internal/lab/controlsim/run.go
+++ b/internal/testbed/controlsim/run.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/view"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
--- a/internal/lab/controlsim/servers.go
+++ b/internal/testbed/controlsim/servers.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
 const (
--- a/internal/lab/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/emu"
-	"chalkdoor.example/chalkdoor/internal/lab/link"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/backend"
+	"chalkdoor.example/chalkdoor/internal/testbed/faultlink"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 const (
@@ -96,9 +96,9 @@
 	"lose-zone": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		var hit []*server
 		for _, s := range w.servers {
-			if s.Zone() == f.Zone && s.target.State != emu.Removed {
+			if s.Zone() == f.Zone && s.target.State != backend.Removed {
 				hit = append(hit, s)
-				w.enter(s, emu.Removed)
+				w.enter(s, backend.Removed)
 			}
 		}
 		w.tell(listLate, hit...)
@@ -109,7 +109,7 @@
 					l.Reset()
 				}
 				s.Restart()
-				w.enter(s, emu.Up)
+				w.enter(s, backend.Up)
 			}
 			w.tell(listLate, hit...)
 			return heal()
@@ -167,7 +167,7 @@
 	"drain-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		hit := w.someServers(f)
 		for _, s := range hit {
-			w.enter(s, emu.Draining)
+			w.enter(s, backend.Draining)
 		}
 		w.tell(listLate, hit...)
 		return func() error {
@@ -176,14 +176,14 @@
 		}, nil
 	},
 	"slow-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, emu.Faults{Slow: f.Times})
+		return w.fault(f, backend.Faults{Slow: f.Times})
 	},
 	// Servers are slow, and fail a share of what they get.
 	"grey-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, emu.Faults{Slow: f.Times, Errors: f.Share})
+		return w.fault(f, backend.Faults{Slow: f.Times, Errors: f.Share})
 	},
 	"error-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, emu.Faults{Errors: f.Share})
+		return w.fault(f, backend.Faults{Errors: f.Share})
 	},
 	// The agents of a zone are cut off from each other, in so many parts; all else is well.
 	"split-site": func(_ context.Context, w *world, f *Fault) (func() error, error) {
@@ -210,22 +210,22 @@
 		return w.cut(func(_ *agent, s *server) (bool, bool) { return slices.Contains(hit, s), slices.Contains(hit, s) })
 	},
 	"spoil-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, emu.Faults{Spoilt: f.Share})
+		return w.fault(f, backend.Faults{Spoilt: f.Share})
 	},
 	"lose-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, emu.Faults{Lost: f.Share})
+		return w.fault(f, backend.Faults{Lost: f.Share})
 	},
 	// The network of some agents is bad: a share of their messages is held up.
 	"stall-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		hit := w.someAgents(f)
-		set := func(q link.Quality) error {
+		set := func(q faultlink.Quality) error {
 			for _, a := range hit {
 				a.quality = q
 			}
 			return w.relink()
 		}
-		return func() error { return set(link.Quality{}) },
-			set(link.Quality{Stall: f.Share, Stalled: time.Duration(f.Delay)})
+		return func() error { return set(faultlink.Quality{}) },
+			set(faultlink.Quality{Stall: f.Share, Stalled: time.Duration(f.Delay)})
 	},
 	// All open connections to servers are reset, once.
 	"reset-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
@@ -247,7 +247,7 @@
 			later(ctx, w, at, func() error {
 				fresh := make([]*server, len(part))
 				for i, old := range part {
-					w.enter(old, emu.Draining)
+					w.enter(old, backend.Draining)
 					var err error
 					if fresh[i], err = w.addServer(unixMs()); err != nil {
 						return err
@@ -336,7 +336,7 @@
 func (w *world) enter(s *server, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s.target.State = state; state == emu.Up {
+	if s.target.State = state; state == backend.Up {
 		s.target.StartedMs = unixMs()
 	}
 }
@@ -365,7 +365,7 @@
 func (w *world) someServers(f *Fault) (hit []*server) {
 	var of []*server
 	for _, s := range w.servers {
-		if s.target.State != emu.Removed && (f.Zone == "" || s.Zone() == f.Zone) && !slices.Contains(w.spared, s.ID()) {
+		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) && !slices.Contains(w.spared, s.ID()) {
 			of = append(of, s)
 		}
 	}
@@ -376,7 +376,7 @@
 }
 
 // fault does to some servers, and ends with their being as made.
-func (w *world) fault(f *Fault, what emu.Faults) (func() error, error) {
+func (w *world) fault(f *Fault, what backend.Faults) (func() error, error) {
 	hit := w.someServers(f)
 	w.befall(hit)
 	for _, s := range hit {
@@ -384,7 +384,7 @@
 	}
 	return func() error {
 		for _, s := range hit {
-			s.Fault(emu.Faults{})
+			s.Fault(backend.Faults{})
 		}
 		return nil
 	}, nil
@@ -416,7 +416,7 @@
 // down is the death of servers, up their next start.
 func (w *world) down(hit []*server) {
 	for _, s := range hit {
-		w.enter(s, emu.Removed)
+		w.enter(s, backend.Removed)
 		for _, l := range s.links {
 			l.Down()
 		}
@@ -427,7 +427,7 @@
 func (w *world) up(hit []*server) error {
 	for _, s := range hit {
 		s.Restart()
-		w.enter(s, emu.Up)
+		w.enter(s, backend.Up)
 		for _, l := range s.links {
 			if err := l.Up(); err != nil {
 				return err
--- a/internal/lab/experiment/figures.go
+++ b/internal/testbed/experiment/figures.go
@@ -6,18 +6,18 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"chalkdoor.example/chalkdoor/internal/lab/load"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
-	"chalkdoor.example/chalkdoor/internal/lab/report"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
 // figures are what claims may be made of, each over a part of a play.
 var figures = map[string]func(*sums) float64{
 	"served_worth": func(s *sums) float64 { return s.earned / max(s.worth, 1e-9) },
-	"served":       func(s *sums) float64 { return part(s.n[load.Served], s.asked) },
-	"late":         func(s *sums) float64 { return part(s.n[load.Late], s.asked) },
-	"refused":      func(s *sums) float64 { return part(s.n[load.Refused], s.asked) },
-	"failed":       func(s *sums) float64 { return part(s.n[load.Failed], s.asked) },
+	"served":       func(s *sums) float64 { return part(s.n[loadgen.Served], s.asked) },
+	"late":         func(s *sums) float64 { return part(s.n[loadgen.Late], s.asked) },
+	"refused":      func(s *sums) float64 { return part(s.n[loadgen.Refused], s.asked) },
+	"failed":       func(s *sums) float64 { return part(s.n[loadgen.Failed], s.asked) },
 	"p50_ms":       func(s *sums) float64 { return s.quantile(50) },
 	"p99_ms":       func(s *sums) float64 { return s.quantile(99) },
 	"p999_ms":      func(s *sums) float64 { return s.quantile(99.9) },
@@ -81,34 +81,34 @@
 
 func (s *sums) quantile(q float64) float64 { return float64(s.times.ValueAtQuantile(q)) / 1000 }
 
-func (s *sums) add(cfg *load.Config, o *load.Outcome, zone int) {
+func (s *sums) add(cfg *loadgen.Config, o *loadgen.Outcome, zone int) {
 	s.asked++
 	s.n[o.Verdict]++
 	c := &cfg.Classes[o.Ask.Class]
-	if o.Verdict == load.Gone { // who left wants nothing
+	if o.Verdict == loadgen.Gone { // who left wants nothing
 		return
 	}
 	earned := 0.0
 	switch o.Verdict {
-	case load.Served:
+	case loadgen.Served:
 		earned = c.Worth
-	case load.Late:
+	case loadgen.Late:
 		earned = c.Worth * c.LateFor
 	}
 	s.worth += c.Worth
 	s.earned += earned
 	s.zones[zone].worth += c.Worth
 	s.zones[zone].earned += earned
-	if o.Verdict <= load.Late {
+	if o.Verdict <= loadgen.Late {
 		_ = s.times.RecordValue(min(o.Took.Microseconds(), s.times.HighestTrackableValue())) // within its range
 	}
 }
 
 // tally is a whole play in numbers.
 type tally struct {
-	cfg      *load.Config
+	cfg      *loadgen.Config
 	zones    int
-	outcomes []load.Outcome
+	outcomes []loadgen.Outcome
 	attempts []attempt // in the order of time
 	behind   *hdrhistogram.Histogram
 }
@@ -137,10 +137,10 @@
 	for at := from; at+time.Second <= to; at += time.Second {
 		worth, earned := 0.0, 0.0
 		for i := range t.outcomes {
-			if o := &t.outcomes[i]; o.Ask.At >= at && o.Ask.At < at+time.Second && o.Verdict != load.Gone {
+			if o := &t.outcomes[i]; o.Ask.At >= at && o.Ask.At < at+time.Second && o.Verdict != loadgen.Gone {
 				w := t.cfg.Classes[o.Ask.Class].Worth
 				worth += w
-				if o.Verdict == load.Served {
+				if o.Verdict == loadgen.Served {
 					earned += w
 				}
 			}
@@ -166,8 +166,8 @@
 	n := int(math.Ceil(t.cfg.For.Seconds()))
 	for i := range n {
 		s := t.over(time.Duration(i)*time.Second, time.Duration(i+1)*time.Second)
-		out = append(out, report.Second{Asked: s.asked, Served: s.n[load.Served], Late: s.n[load.Late], Refused: s.n[load.Refused],
-			Failed: s.n[load.Failed], Gone: s.n[load.Gone], Worth: s.worth, Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
+		out = append(out, report.Second{Asked: s.asked, Served: s.n[loadgen.Served], Late: s.n[loadgen.Late], Refused: s.n[loadgen.Refused],
+			Failed: s.n[loadgen.Failed], Gone: s.n[loadgen.Gone], Worth: s.worth, Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
 			P99: s.quantile(99), P999: s.quantile(99.9), Tries: s.attempts, Cross: s.cross})
 	}
 	return out
--- a/internal/lab/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -14,8 +14,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"chalkdoor.example/chalkdoor/internal/lab/picker"
-	"chalkdoor.example/chalkdoor/internal/ops"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
+	"chalkdoor.example/chalkdoor/internal/testbed/baseline"
 )
 
 // File is an experiment. Times are since the start of the load.
@@ -243,7 +243,7 @@
 	for i, c := range f.Claim {
 		at := fmt.Sprintf("claim[%d].", i)
 		if !slices.Contains(FigureNames(), c.Figure) {
-			bad(at+"figure", "unknown figure %q, did you mean %q?", c.Figure, ops.Nearest(c.Figure, FigureNames()))
+			bad(at+"figure", "unknown figure %q, did you mean %q?", c.Figure, opsconfig.Nearest(c.Figure, FigureNames()))
 		}
 		if c.Min == nil && c.Max == nil {
 			bad(at+"min", "neither min nor max is given")
@@ -257,8 +257,8 @@
 			if b == NoState && !f.Fleet.State || b == Alone && !f.Fleet.Layer {
 				bad(fmt.Sprintf("baselines[%d]", i), "the fleet has nothing to be %s", b)
 			}
-		} else if !slices.Contains(picker.Names(), b) {
-			bad(fmt.Sprintf("baselines[%d]", i), "%q is none of %s", b, strings.Join(picker.Names(), ", "))
+		} else if !slices.Contains(baseline.Names(), b) {
+			bad(fmt.Sprintf("baselines[%d]", i), "%q is none of %s", b, strings.Join(baseline.Names(), ", "))
 		}
 	}
 	if len(wrong) > 0 {
--- a/internal/lab/experiment/layer.go
+++ b/internal/testbed/experiment/layer.go
@@ -20,16 +20,16 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/evidence"
-	"chalkdoor.example/chalkdoor/internal/lab/liar"
-	"chalkdoor.example/chalkdoor/internal/lab/mesh"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
-	"chalkdoor.example/chalkdoor/internal/lab/report"
-	"chalkdoor.example/chalkdoor/internal/layer"
-	"chalkdoor.example/chalkdoor/internal/metrics"
-	"chalkdoor.example/chalkdoor/internal/ops"
-	"chalkdoor.example/chalkdoor/internal/peers"
+	"chalkdoor.example/chalkdoor/internal/agent/coordination"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/metrics"
+	"chalkdoor.example/chalkdoor/internal/agent/opsconfig"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/testbed/faultyvoter"
+	"chalkdoor.example/chalkdoor/internal/testbed/mesh"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
 const (
@@ -69,10 +69,10 @@
 
 // lie starts the liars.
 func (w *world) lie() error {
-	var against []evidence.Host
+	var against []outlier.Host
 	for _, s := range w.servers {
 		if slices.Contains(w.spared, s.ID()) {
-			against = append(against, evidence.Host{ID: s.ID(), Incarnation: int64(s.target.StartedMs)})
+			against = append(against, outlier.Host{ID: s.ID(), Incarnation: int64(s.target.StartedMs)})
 		}
 	}
 	zone := w.fleet.Zones[0]
@@ -83,8 +83,8 @@
 		if err != nil {
 			return err
 		}
-		w.liars = append(w.liars, liar.Start(context.Background(), liar.Config{Against: against, Roll: ballot.Roll{Number: 1, Members: w.electorate(zone)},
-			Peers: peers.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Boot: uint64(1 + i), Bind: own, Advertise: addr,
+		w.liars = append(w.liars, faultyvoter.Start(context.Background(), faultyvoter.Config{Against: against, Roll: ejection.Roll{Number: 1, Members: w.electorate(zone)},
+			Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Boot: uint64(1 + i), Bind: own, Advertise: addr,
 				Seeds: []string{w.agents[0].peers}}}))
 	}
 	return nil
@@ -151,14 +151,14 @@
 }
 
 // vote is how they vote.
-func (f *Fleet) vote() ops.Vote {
-	v := ops.Default().Vote
+func (f *Fleet) vote() opsconfig.Vote {
+	v := opsconfig.Default().Vote
 	or(&v.Cap, f.Vote.Cap)
 	for _, x := range []struct {
-		to *ops.Duration
+		to *opsconfig.Duration
 		v  Duration
 	}{{&v.Lease, f.Vote.Lease}, {&v.Longest, f.Vote.Longest}, {&v.Age, f.Vote.Age}, {&v.Step, f.Vote.Step}, {&v.Trial, f.Vote.Trial}} {
-		or(x.to, ops.Duration(x.v))
+		or(x.to, opsconfig.Duration(x.v))
 	}
 	return v
 }
@@ -240,7 +240,7 @@
 // got or lost their whole share by them (the most over all agents), how old they were when
 // they came, at the most, and when all agents of a site had heard of one by which a zone is left,
 // since the first fault.
-func zonesFigures(lines []layer.Line, w *world, fig map[string]float64) {
+func zonesFigures(lines []coordination.Line, w *world, fig map[string]float64) {
 	began := w.log.Began().UnixMilli()
 	short, moves := map[string]int{}, map[string]float64{}
 	decided, reached := map[uint64]bool{}, map[string]map[string]bool{}
@@ -305,7 +305,7 @@
 }
 
 // traces reads what all agents wrote of their votes, in the order of time.
-func (w *world) traces() (lines []layer.Line, err error) {
+func (w *world) traces() (lines []coordination.Line, err error) {
 	for _, a := range w.agents {
 		f, err := os.Open(w.tracePath(a))
 		if err != nil {
@@ -313,7 +313,7 @@
 		}
 		scan := bufio.NewScanner(f)
 		for scan.Scan() {
-			var l layer.Line
+			var l coordination.Line
 			if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
 				f.Close()
 				return nil, fmt.Errorf("experiment: trace of %s: %w", a.name, err)
@@ -325,7 +325,7 @@
 			return nil, fmt.Errorf("experiment: trace of %s: %w", a.name, err)
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b layer.Line) int { return cmp.Compare(a.AtMs, b.AtMs) })
+	slices.SortStableFunc(lines, func(a, b coordination.Line) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	return lines, nil
 }
 
--- a/internal/lab/experiment/layer_test.go
+++ b/internal/testbed/experiment/layer_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/lab/report"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
 // together is three agents of one site that vote, with leases short enough for a test.
--- a/internal/lab/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -17,14 +17,14 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"chalkdoor.example/chalkdoor/internal/lab/emu"
-	"chalkdoor.example/chalkdoor/internal/lab/fleet"
-	"chalkdoor.example/chalkdoor/internal/lab/link"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
-	"chalkdoor.example/chalkdoor/internal/lab/model"
-	"chalkdoor.example/chalkdoor/internal/lab/picker"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
-	"chalkdoor.example/chalkdoor/internal/lab/report"
+	"chalkdoor.example/chalkdoor/internal/testbed/backend"
+	"chalkdoor.example/chalkdoor/internal/testbed/backendmodel"
+	"chalkdoor.example/chalkdoor/internal/testbed/baseline"
+	"chalkdoor.example/chalkdoor/internal/testbed/faultlink"
+	"chalkdoor.example/chalkdoor/internal/testbed/fleetsim"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -59,9 +59,9 @@
 	}
 	or(&fl.Near, Duration(250*time.Microsecond))
 	or(&fl.Far, Duration(2*time.Millisecond))
-	set := fleet.Settings()
+	set := fleetsim.Settings()
 	cfg := loadOf(&set, fl, ld, opt.Seed)
-	plan, err := load.Plan(cfg)
+	plan, err := loadgen.Plan(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -96,24 +96,24 @@
 }
 
 // loadOf is the load of clients: so much of what all servers together can do.
-func loadOf(set *policy.Settings, fl Fleet, ld Load, seed uint64) *load.Config {
-	cfg := &load.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, For: time.Duration(ld.For), Keys: ld.Keys, Skew: ld.Skew,
-		Early: ld.Early, Retry: load.Retry{Once: !ld.NoRetry, After: 200 * time.Millisecond, Heed: !ld.Hasty}}
+func loadOf(set *policy.Settings, fl Fleet, ld Load, seed uint64) *loadgen.Config {
+	cfg := &loadgen.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, For: time.Duration(ld.For), Keys: ld.Keys, Skew: ld.Skew,
+		Early: ld.Early, Retry: loadgen.Retry{Once: !ld.NoRetry, After: 200 * time.Millisecond, Heed: !ld.Hasty}}
 	shares, works := []float64{0.6, 0.4}, []float64{36, 62} // as published
 	mean := 0.0
 	for i, c := range set.Classes {
 		effect := map[policy.Effect]referee.Effect{policy.SingleShot: referee.Once, policy.Guarded: referee.Keyed, policy.Free: referee.Repeat}[c.Effect]
-		cfg.Classes = append(cfg.Classes, load.Class{Name: c.Name, Effect: effect, Share: shares[i], WorkMs: works[i], Worth: c.Credit,
+		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Effect: effect, Share: shares[i], WorkMs: works[i], Worth: c.Credit,
 			LateFor: c.LateShare, Aim: time.Duration(c.AimMs) * time.Millisecond, GiveUp: time.Duration(c.GiveUpMs) * time.Millisecond})
 		mean += shares[i] * works[i]
 	}
 	for _, t := range set.Tenants {
-		cfg.Tenants = append(cfg.Tenants, load.Tenant{Name: t.Name, Share: t.Portion})
+		cfg.Tenants = append(cfg.Tenants, loadgen.Tenant{Name: t.Name, Share: t.Portion})
 	}
-	capacity := float64(fl.Servers) * float64(fleet.Server().Cores) * (slowest + quickest) / 2 * 1000 / mean
+	capacity := float64(fl.Servers) * float64(fleetsim.Server().Cores) * (slowest + quickest) / 2 * 1000 / mean
 	cfg.Rate = ld.Use * capacity
 	for _, b := range ld.Burst {
-		x := load.Burst{From: time.Duration(b.At), For: time.Duration(b.For), Times: b.Times}
+		x := loadgen.Burst{From: time.Duration(b.At), For: time.Duration(b.For), Times: b.Times}
 		for i := range fl.Agents { // agents take turns by zone
 			if b.Zone != "" && fl.Zones[i%len(fl.Zones)] == b.Zone {
 				x.Agents = append(x.Agents, i)
@@ -168,8 +168,8 @@
 type play struct {
 	file  *File
 	fleet Fleet
-	cfg   *load.Config
-	plan  []load.Ask
+	cfg   *loadgen.Config
+	plan  []loadgen.Ask
 	set   policy.Settings
 	opt   Options
 	name  string
@@ -190,10 +190,10 @@
 	defer w.close()
 	w.start = w.log.Now() + lead
 	t := &tally{cfg: p.cfg, zones: len(p.fleet.Zones), behind: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	outcomes := make(chan load.Outcome, 1024)
+	outcomes := make(chan loadgen.Outcome, 1024)
 	var clients sync.WaitGroup
 	for _, a := range w.agents {
-		var asks []*load.Ask
+		var asks []*loadgen.Ask
 		for i := range p.plan {
 			if p.plan[i].Agent == a.index {
 				asks = append(asks, &p.plan[i])
@@ -208,11 +208,11 @@
 			defer ln.Close()
 			addr = ln.Addr().String()
 		}
-		a.client = load.NewClient(p.cfg, a.name, addr, w.start, w.log, w.tries)
+		a.client = loadgen.NewClient(p.cfg, a.name, addr, w.start, w.log, w.tries)
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			a.client.Run(ctx, asks, func(o load.Outcome) { outcomes <- o })
+			a.client.Run(ctx, asks, func(o loadgen.Outcome) { outcomes <- o })
 		}()
 	}
 	go func() {
@@ -299,7 +299,7 @@
 	for i, z := range all.zones {
 		fig["worth of clients in "+p.fleet.Zones[i]] = z.earned / max(z.worth, 1e-9)
 	}
-	var s emu.Stats
+	var s backend.Stats
 	for _, x := range w.servers {
 		y := x.Stats()
 		s.Connections += y.Connections
@@ -338,7 +338,7 @@
 
 // pick serves, in place of an agent, its client with a picker: one attempt, no second.
 func (w *world) pick(ctx context.Context, a *agent, name string) (net.Listener, error) {
-	p, err := picker.New(name, w.seed+uint64(a.index))
+	p, err := baseline.New(name, w.seed+uint64(a.index))
 	if err != nil {
 		return nil, err
 	}
@@ -353,16 +353,16 @@
 	handle := func(rw http.ResponseWriter, req *http.Request) {
 		mu.Lock()
 		w.mu.Lock()
-		list := slices.DeleteFunc(slices.Clone(w.servers), func(s *server) bool { return s.target.State != emu.Up })
+		list := slices.DeleteFunc(slices.Clone(w.servers), func(s *server) bool { return s.target.State != backend.Up })
 		w.mu.Unlock()
 		if len(list) == 0 {
 			mu.Unlock()
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		from := make([]picker.Server, len(list))
+		from := make([]baseline.Server, len(list))
 		for i, s := range list {
-			from[i] = picker.Server{Index: i, Out: out[s], Expected: func() float64 { return w.expected(a, s) }}
+			from[i] = baseline.Server{Index: i, Out: out[s], Expected: func() float64 { return w.expected(a, s) }}
 		}
 		s := list[p.Pick(from)]
 		out[s]++
@@ -418,30 +418,30 @@
 // ceiling is how many requests a second the laboratory carries by itself: clients over links
 // to a server that does nothing.
 func ceiling(ctx context.Context) (float64, error) {
-	l, err := link.New(link.Config{IP: net.IPv4(127, 0, 0, 1), Near: "lab@lab"})
+	l, err := faultlink.New(faultlink.Config{IP: net.IPv4(127, 0, 0, 1), Near: "lab@lab"})
 	if err != nil {
 		return 0, err
 	}
 	defer l.Close()
-	log, tries := referee.NewLog(), load.NewTries()
-	cfg := model.Config{Cores: 1024, Speed: 1, Queue: 1024}
-	s := emu.NewServer(emu.ServerConfig{ID: "s", Zone: "lab", Model: cfg}, tries.Work, log, emu.NewEffects(time.Second))
+	log, tries := referee.NewLog(), loadgen.NewTries()
+	cfg := backendmodel.Config{Cores: 1024, Speed: 1, Queue: 1024}
+	s := backend.NewServer(backend.ServerConfig{ID: "s", Zone: "lab", Model: cfg}, tries.Work, log, backend.NewEffects(time.Second))
 	defer s.Close()
 	s.Serve(l)
-	asks := &load.Config{Classes: []load.Class{{Name: "c", GiveUp: 10 * time.Second, Aim: 10 * time.Second}}}
+	asks := &loadgen.Config{Classes: []loadgen.Class{{Name: "c", GiveUp: 10 * time.Second, Aim: 10 * time.Second}}}
 	ctx, cancel := context.WithTimeout(ctx, ceilingFor)
 	defer cancel()
 	var n atomic.Int64
 	var all sync.WaitGroup
 	for i := range ceilingClients {
-		c := load.NewClient(asks, "lab", l.Addr().String(), 0, log, tries)
+		c := loadgen.NewClient(asks, "lab", l.Addr().String(), 0, log, tries)
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			defer c.Close()
 			for k := 0; ctx.Err() == nil; k++ {
-				c.Run(ctx, []*load.Ask{{Number: i<<20 | k, At: log.Now()}}, func(o load.Outcome) {
-					if o.Verdict == load.Served {
+				c.Run(ctx, []*loadgen.Ask{{Number: i<<20 | k, At: log.Now()}}, func(o loadgen.Outcome) {
+					if o.Verdict == loadgen.Served {
 						n.Add(1)
 					}
 				})
--- a/internal/lab/experiment/run_test.go
+++ b/internal/testbed/experiment/run_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/report"
+	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
 // bin is the agent's program, built once for all tests of processes.
--- a/internal/lab/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -13,14 +13,14 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/emu"
-	"chalkdoor.example/chalkdoor/internal/lab/fleet"
-	"chalkdoor.example/chalkdoor/internal/lab/liar"
-	"chalkdoor.example/chalkdoor/internal/lab/link"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
-	"chalkdoor.example/chalkdoor/internal/lab/mesh"
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/backend"
+	"chalkdoor.example/chalkdoor/internal/testbed/faultlink"
+	"chalkdoor.example/chalkdoor/internal/testbed/faultyvoter"
+	"chalkdoor.example/chalkdoor/internal/testbed/fleetsim"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/mesh"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -72,9 +72,9 @@
 
 // server is a report server of the fleet and the links to it.
 type server struct {
-	*emu.Server
-	target emu.Target   // changed under the world's mu
-	links  []*link.Link // by agent
+	*backend.Server
+	target backend.Target    // changed under the world's mu
+	links  []*faultlink.Link // by agent
 }
 
 // agent is one agent: its process, its view of discovery and its client.
@@ -84,10 +84,10 @@
 	zone    string
 	peers   string // where others reach it
 	council string // and its log, if it is of the council
-	proc    *procs.Proc
-	view    *emu.View
-	client  *load.Client
-	quality link.Quality // of its links, beside distance
+	proc    *process.Proc
+	view    *backend.View
+	client  *loadgen.Client
+	quality faultlink.Quality // of its links, beside distance
 }
 
 // world is a whole emulated fleet. The run's goroutine alone uses it, but for what says so.
@@ -98,14 +98,14 @@
 	dir      string
 	bin      string
 	log      *referee.Log
-	tries    *load.Tries
-	effects  *emu.Effects
+	tries    *loadgen.Tries
+	effects  *backend.Effects
 	net      *network
-	group    *procs.Group
+	group    *process.Group
 	set      policy.Settings
 	mesh     *mesh.Mesh                   // between agents; nil: none
 	peerCuts []func(from, to string) bool // nil: healed
-	liars    []*liar.Liar
+	liars    []*faultyvoter.Liar
 	spared   []string                 // servers that liars want out, and no fault befalls
 	scraped  bool                     // the agents serve their metrics
 	fell     map[string]time.Duration // by server: when a fault first befell it
@@ -123,20 +123,20 @@
 	mu     sync.Mutex // of:
 	cuts   []func(a *agent, s *server) (to, from bool)
 	deaths []string // of agents that nobody killed
-	meant  map[*procs.Proc]bool
+	meant  map[*process.Proc]bool
 }
 
 // build makes a fleet; with agents it starts their processes and waits until they are ready.
-func build(ctx context.Context, fl Fleet, scraped bool, set policy.Settings, cfg *load.Config, seed uint64, bin, dir string, agents bool) (w *world, err error) {
+func build(ctx context.Context, fl Fleet, scraped bool, set policy.Settings, cfg *loadgen.Config, seed uint64, bin, dir string, agents bool) (w *world, err error) {
 	w = &world{fleet: fl, seed: seed, rng: rand.New(rand.NewPCG(seed, 21)), dir: dir, bin: bin, log: referee.NewLog(),
-		tries: load.NewTries(), group: procs.NewGroup(), set: set, meant: map[*procs.Proc]bool{}, scraped: scraped,
+		tries: loadgen.NewTries(), group: process.NewGroup(), set: set, meant: map[*process.Proc]bool{}, scraped: scraped,
 		todo: make(chan func() error), over: make(chan struct{}), fell: map[string]time.Duration{}}
 	defer func() {
 		if err != nil {
 			w.close()
 		}
 	}()
-	w.effects = emu.NewEffects(w.effectsWindow())
+	w.effects = backend.NewEffects(w.effectsWindow())
 	for _, of := range []string{"*.state", "*.trace", "*.council"} { // of this play alone
 		old, err := filepath.Glob(filepath.Join(dir, of))
 		if err != nil {
@@ -178,7 +178,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("experiment: discovery: %w", err)
 		}
-		a.view = emu.NewView(a.name, w.log, w.list(a), ln)
+		a.view = backend.NewView(a.name, w.log, w.list(a), ln)
 		if err := w.startAgent(a, ln.Addr().String()); err != nil {
 			return nil, err
 		}
@@ -261,19 +261,19 @@
 	i := w.made
 	w.made++
 	id := fmt.Sprintf("s-%03d", i)
-	cfg := fleet.Server()
+	cfg := fleetsim.Server()
 	cfg.Speed = slowest + (quickest-slowest)*w.rng.Float64()
 	cfg.StallAtMs = w.rng.Float64() * cfg.StallEveryMs
 	zone := w.fleet.Zones[i%len(w.fleet.Zones)]
-	s := &server{Server: emu.NewServer(emu.ServerConfig{ID: id, Zone: zone, Seed: w.rng.Uint64(), Model: cfg, HandshakeMs: 3,
+	s := &server{Server: backend.NewServer(backend.ServerConfig{ID: id, Zone: zone, Seed: w.rng.Uint64(), Model: cfg, HandshakeMs: 3,
 		ProbeMs: 0.1, IdleFor: time.Duration(w.set.Limits.KeepaliveMs) * time.Millisecond, Noise: 0.1}, w.tries.Work, w.log, w.effects),
-		target: emu.Target{ID: id, Zone: zone, Kind: "standard", Cell: i % len(w.fleet.Zones), State: emu.Up,
+		target: backend.Target{ID: id, Zone: zone, Kind: "standard", Cell: i % len(w.fleet.Zones), State: backend.Up,
 			Weight: float64(cfg.Cores), StartedMs: started}}
 	if started > 0 {
 		s.Restart()
 	}
 	for _, a := range w.agents {
-		l, err := link.New(link.Config{IP: w.net.view(a.index), Near: a.name + "@" + a.zone, Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
+		l, err := faultlink.New(faultlink.Config{IP: w.net.view(a.index), Near: a.name + "@" + a.zone, Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
 		if err != nil {
 			return nil, err
 		}
@@ -330,9 +330,9 @@
 }
 
 // list is what discovery lists for an agent now.
-func (w *world) list(a *agent) (list []emu.Target) {
+func (w *world) list(a *agent) (list []backend.Target) {
 	for _, s := range w.servers {
-		if s.target.State != emu.Removed {
+		if s.target.State != backend.Removed {
 			list = append(list, s.entry(a))
 		}
 	}
@@ -340,7 +340,7 @@
 }
 
 // entry is the server's entry for an agent: addresses are the agent's own.
-func (s *server) entry(a *agent) emu.Target {
+func (s *server) entry(a *agent) backend.Target {
 	t := s.target
 	t.Addr = s.links[a.index].Addr().String()
 	return t
@@ -352,7 +352,7 @@
 		if a.view == nil {
 			continue
 		}
-		var list []emu.Target
+		var list []backend.Target
 		for _, s := range changed {
 			list = append(list, s.entry(a))
 		}
@@ -394,7 +394,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := w.group.Start(procs.Spec{Name: a.name, Path: w.bin, Args: args, Env: []string{"PROXY_CONFIG=" + path, "PROXY_NAME=" + a.name,
+	p, err := w.group.Start(process.Spec{Name: a.name, Path: w.bin, Args: args, Env: []string{"PROXY_CONFIG=" + path, "PROXY_NAME=" + a.name,
 		"PROXY_LISTEN=" + addr, "PROXY_DISCOVERY=" + discovery}, Log: filepath.Join(w.dir, a.name+".log")})
 	if err != nil {
 		return err
@@ -417,7 +417,7 @@
 }
 
 // mean notes that a process is to end: its end is no crash.
-func (w *world) mean(p *procs.Proc) {
+func (w *world) mean(p *process.Proc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.meant[p] = true
--- a/internal/lab/link/link.go
+++ b/internal/testbed/faultlink/link.go
@@ -1,4 +1,4 @@
-// Package link is a network between parties on loopback that can be made worse: each Link
+// Package faultlink is a network between parties on loopback that can be made worse: each Link
 // stands at an address of its own, where one party reaches another, and delays, stalls, cuts
 // or resets what passes. The far party runs in this process and takes connections from
 // Link.Accept, so that a link costs one socket for each connection and no copy.
@@ -6,7 +6,7 @@
 // A cut is silence, as of a machine that is gone: open connections stay open and bring
 // nothing, and new ones never come up. Closing a Link's far end is a process that died: open
 // connections are reset and new ones refused.
-package link
+package faultlink
 
 import (
 	"context"
--- a/internal/lab/link/link_test.go
+++ b/internal/testbed/faultlink/link_test.go
@@ -1,4 +1,4 @@
-package link
+package faultlink
 
 import (
 	"bufio"
--- a/internal/lab/liar/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -1,7 +1,7 @@
-// Package liar is a stand-in for an agent that votes falsely: it speaks through the same
+// Package faultyvoter is a stand-in for an agent that votes falsely: it speaks through the same
 // library and the same letters, grants the ejection of servers that are well and denies that
 // those are bad which others suspect. It lies for itself alone.
-package liar
+package faultyvoter
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/ballot"
-	"chalkdoor.example/chalkdoor/internal/evidence"
-	"chalkdoor.example/chalkdoor/internal/layer"
-	"chalkdoor.example/chalkdoor/internal/peers"
-	"chalkdoor.example/chalkdoor/internal/task"
+	"chalkdoor.example/chalkdoor/internal/agent/coordination"
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/outlier"
+	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
 )
 
 const (
@@ -25,21 +25,21 @@
 
 // Config is how a liar is made.
 type Config struct {
-	Peers   peers.Config
-	Roll    ballot.Roll
-	Against []evidence.Host // servers that it wants out, whatever they do
+	Peers   membership.Config
+	Roll    ejection.Roll
+	Against []outlier.Host // servers that it wants out, whatever they do
 }
 
 // Liar runs until its Close.
 type Liar struct {
 	cfg   Config
-	sup   *task.Supervisor
-	peers *peers.Peers
+	sup   *supervisor.Supervisor
+	peers *membership.Peers
 	start time.Time
 
 	mu    sync.Mutex
 	heard map[string]heard
-	deny  map[evidence.Host]bool // what others suspect
+	deny  map[outlier.Host]bool // what others suspect
 }
 
 type heard struct {
@@ -49,9 +49,9 @@
 
 // Start starts it.
 func Start(ctx context.Context, cfg Config) *Liar {
-	l := &Liar{cfg: cfg, start: time.Now(), heard: map[string]heard{}, deny: map[evidence.Host]bool{}}
-	l.peers = peers.New(cfg.Peers, l)
-	l.sup = task.NewSupervisor(ctx, nil)
+	l := &Liar{cfg: cfg, start: time.Now(), heard: map[string]heard{}, deny: map[outlier.Host]bool{}}
+	l.peers = membership.New(cfg.Peers, l)
+	l.sup = supervisor.NewSupervisor(ctx, nil)
 	l.sup.Go("peers", l.peers.Run)
 	l.sup.Go("speak", l.speak)
 	return l
@@ -61,25 +61,25 @@
 func (l *Liar) Close() { l.sup.Close() }
 
 // Got is of peers.Sink.
-func (l *Liar) Got(kind peers.Kind, body []byte) {
-	var m ballot.Letter
-	if kind != layer.KindLetter || peers.Decode(body, &m) != nil || m.Check() != nil {
+func (l *Liar) Got(kind membership.Kind, body []byte) {
+	var m ejection.Letter
+	if kind != coordination.KindLetter || membership.Decode(body, &m) != nil || m.Check() != nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heard[m.From] = heard{m.Boot, m.Sent, time.Since(l.start)}
 	for _, e := range m.Entries {
-		if e.Answer >= ballot.Suspect && !slices.Contains(l.cfg.Against, e.Host) && len(l.deny) < most {
+		if e.Answer >= ejection.Suspect && !slices.Contains(l.cfg.Against, e.Host) && len(l.deny) < most {
 			l.deny[e.Host] = true
 		}
 	}
 }
 
 // Members, State and Merge are of peers.Sink.
-func (l *Liar) Members([]peers.Peer) {}
-func (l *Liar) State() []byte        { return nil }
-func (l *Liar) Merge([]byte)         {}
+func (l *Liar) Members([]membership.Peer) {}
+func (l *Liar) State() []byte             { return nil }
+func (l *Liar) Merge([]byte)              {}
 
 func (l *Liar) speak(ctx context.Context) error {
 	tick := time.NewTicker(speakEvery)
@@ -100,28 +100,28 @@
 func (l *Liar) lie() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var entries []ballot.Entry
+	var entries []ejection.Entry
 	for _, h := range l.cfg.Against[:min(len(l.cfg.Against), most)] {
-		entries = append(entries, ballot.Entry{Host: h, Answer: ballot.Grant, Attempts: 9, Bad: 9, Left: leftFor})
+		entries = append(entries, ejection.Entry{Host: h, Answer: ejection.Grant, Attempts: 9, Bad: 9, Left: leftFor})
 	}
 	for h := range l.deny {
-		entries = append(entries, ballot.Entry{Host: h, Answer: ballot.Deny, Why: ballot.BySuccess, Attempts: 9, Left: leftFor})
+		entries = append(entries, ejection.Entry{Host: h, Answer: ejection.Deny, Why: ejection.BySuccess, Attempts: 9, Left: leftFor})
 	}
-	slices.SortFunc(entries, func(a, b ballot.Entry) int { return strings.Compare(a.Host.ID, b.Host.ID) })
+	slices.SortFunc(entries, func(a, b ejection.Entry) int { return strings.Compare(a.Host.ID, b.Host.ID) })
 	now := time.Since(l.start)
 	for _, name := range l.cfg.Roll.Members {
 		if name == l.cfg.Peers.Name {
 			continue
 		}
-		m := ballot.Letter{Version: ballot.Version, From: l.cfg.Peers.Name, Boot: l.cfg.Peers.Boot, Roll: l.cfg.Roll.Number, Sent: now, Entries: entries}
+		m := ejection.Letter{Version: ejection.Version, From: l.cfg.Peers.Name, Boot: l.cfg.Peers.Boot, Roll: l.cfg.Roll.Number, Sent: now, Entries: entries}
 		if h, ok := l.heard[name]; ok {
 			m.EchoBoot, m.Echo, m.Kept = h.boot, h.sent, now-h.at
 		}
-		body, err := peers.Encode(&m)
+		body, err := membership.Encode(&m)
 		if err != nil {
 			return err
 		}
-		l.peers.Mailbox().Put(peers.Send{To: name, Kind: layer.KindLetter, Body: body})
+		l.peers.Mailbox().Put(membership.Send{To: name, Kind: coordination.KindLetter, Body: body})
 	}
 	return nil
 }
--- a/internal/lab/fleetlab/agents.go
+++ b/internal/testbed/fleetlab/agents.go
@@ -14,8 +14,8 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
-	"chalkdoor.example/chalkdoor/internal/settings"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
 // The ports are alike on all machines: each has an address of its own.
@@ -73,7 +73,7 @@
 	lab  *Lab
 	dir  string
 	mu   sync.Mutex
-	proc *procs.Proc
+	proc *process.Proc
 	over func() // ends the trouble under way
 	gone bool   // it was ended on purpose
 }
@@ -131,7 +131,7 @@
 	defer a.mu.Unlock()
 	env := []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "LANG=" + os.Getenv("LANG"), settings.EnvFile + "=" + path}
 	a.lab.seen.trouble(Trouble{Agent: a.IP, Core: a.Core, Start: true}, a.lab.Now)()
-	p, err := a.lab.group.Start(procs.Spec{Name: a.Name, Path: a.lab.cfg.Program, Args: []string{"run"}, Env: env, Log: a.log()})
+	p, err := a.lab.group.Start(process.Spec{Name: a.Name, Path: a.lab.cfg.Program, Args: []string{"run"}, Env: env, Log: a.log()})
 	if err != nil {
 		return errors.Wrap(err, a.Name)
 	}
@@ -175,7 +175,7 @@
 }
 
 // leave notes an end that is on purpose, which lasts until the next start.
-func (a *Agent) leave(t Trouble) *procs.Proc {
+func (a *Agent) leave(t Trouble) *process.Proc {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t.Agent, t.Core = a.IP, a.Core
--- a/internal/lab/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // Class is a kind of request.
@@ -113,25 +113,25 @@
 	class  *Class
 	client int
 	number int
-	prompt llm.Prompt
+	prompt modelserver.Prompt
 	body   string
 }
 
 // askOf draws an ask; equal plans give equal asks.
-func (c *Clients) askOf(a *load.Ask) *ask {
+func (c *Clients) askOf(a *loadgen.Ask) *ask {
 	class := c.classes[a.Class]
 	rng := rand.New(rand.NewPCG(c.seed, uint64(a.Number)))
 	own := class.Own/2 + rng.IntN(class.Own+1)
 	body := strings.Repeat("x", class.Body/2+rng.IntN(class.Body+1)) + strconv.Itoa(a.Number)
-	return &ask{class: class, client: a.Agent, number: a.Number, body: body, prompt: llm.Prompt{Model: "m",
+	return &ask{class: class, client: a.Agent, number: a.Number, body: body, prompt: modelserver.Prompt{Model: "m",
 		Tokens: fmt.Sprintf("%d,%d", common+class.Shared+own, class.Most),
-		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", llm.Sum(class.Name)>>32, common, llm.Sum(class.Name, strconv.Itoa(a.Key))>>32, class.Shared,
-			llm.Sum(c.tag, strconv.Itoa(a.Number))>>32, own), Body: llm.Sum(body)}}
+		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", modelserver.Sum(class.Name)>>32, common, modelserver.Sum(class.Name, strconv.Itoa(a.Key))>>32, class.Shared,
+			modelserver.Sum(c.tag, strconv.Itoa(a.Number))>>32, own), Body: modelserver.Sum(body)}}
 }
 
 // Run sends the asks of a plan at their times and tells done of each outcome, from many
 // goroutines. It returns when all are out.
-func (c *Clients) Run(ctx context.Context, plan []load.Ask, done func(Outcome)) {
+func (c *Clients) Run(ctx context.Context, plan []loadgen.Ask, done func(Outcome)) {
 	start := c.now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -338,12 +338,12 @@
 		}
 	}
 	patience(silence)
-	head := "POST " + t.Target + " HTTP/1.1\r\nHost: " + t.Host + "\r\n" + llm.HeaderAttempt + ": " + t.ID + "\r\n" +
-		llm.HeaderModel + ": " + t.Prompt.Model + "\r\n" + llm.HeaderTokens + ": " + t.Prompt.Tokens + "\r\n" +
-		llm.HeaderPrefix + ": " + t.Prompt.Prefix + "\r\n" +
-		llm.HeaderDeadline + ": " + strconv.FormatInt(max((t.Deadline-now()).Milliseconds(), 1), 10) + "\r\n"
+	head := "POST " + t.Target + " HTTP/1.1\r\nHost: " + t.Host + "\r\n" + modelserver.HeaderAttempt + ": " + t.ID + "\r\n" +
+		modelserver.HeaderModel + ": " + t.Prompt.Model + "\r\n" + modelserver.HeaderTokens + ": " + t.Prompt.Tokens + "\r\n" +
+		modelserver.HeaderPrefix + ": " + t.Prompt.Prefix + "\r\n" +
+		modelserver.HeaderDeadline + ": " + strconv.FormatInt(max((t.Deadline-now()).Milliseconds(), 1), 10) + "\r\n"
 	if t.After > 0 {
-		head += llm.HeaderLastID + ": " + strconv.Itoa(t.After) + "\r\n"
+		head += modelserver.HeaderLastID + ": " + strconv.Itoa(t.After) + "\r\n"
 	}
 	if !keep {
 		head += "Connection: close\r\n"
@@ -369,7 +369,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	t.Status, t.Seal, t.Echo = resp.StatusCode, resp.Header.Get(llm.HeaderSeal), resp.Header.Get(llm.HeaderAttempt)
+	t.Status, t.Seal, t.Echo = resp.StatusCode, resp.Header.Get(modelserver.HeaderSeal), resp.Header.Get(modelserver.HeaderAttempt)
 	t.Encoded = resp.Header.Get("Content-Encoding") != ""
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		t.Wait = time.Duration(s * float64(time.Second))
@@ -411,7 +411,7 @@
 			}
 			continue
 		}
-		e, err := llm.ParseEvent(lines)
+		e, err := modelserver.ParseEvent(lines)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleetlab/client_test.go
+++ b/internal/testbed/fleetlab/client_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // bench is clients, one agent that stands in for the fleet, and servers, in one process.
@@ -26,7 +26,7 @@
 	classes []*Class
 	clients *Clients
 	entry   *Entry
-	servers []*llm.Server
+	servers []*modelserver.Server
 }
 
 // door is a stand-in for an agent: it handles one connection after the other as it is told.
@@ -36,9 +36,9 @@
 	t.Helper()
 	began := time.Now()
 	b := &bench{seen: &seen{}, now: func() time.Duration { return time.Since(began) }, classes: DefaultConfig(1, 1, 2).Classes}
-	engine := llm.EngineConfig{Slots: 8, Queue: 8, StepMs: 2, SlotMs: 0.01, PrefillPerMs: 1000, Chunk: 8000, KVTokens: 100000, Stride: 4}
+	engine := modelserver.EngineConfig{Slots: 8, Queue: 8, StepMs: 2, SlotMs: 0.01, PrefillPerMs: 1000, Chunk: 8000, KVTokens: 100000, Stride: 4}
 	for range servers {
-		s, err := llm.Start(llm.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", Weights: 1, Engine: engine, Now: b.now, Seen: b.record})
+		s, err := modelserver.Start(modelserver.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", Weights: 1, Engine: engine, Now: b.now, Seen: b.record})
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
 		b.servers = append(b.servers, s)
@@ -94,7 +94,7 @@
 
 // ask has a client of a class ask once.
 func (b *bench) ask(class, client, number int) Outcome {
-	return b.clients.ask(context.Background(), b.clients.askOf(&load.Ask{Class: class, Agent: client, Number: number}))
+	return b.clients.ask(context.Background(), b.clients.askOf(&loadgen.Ask{Class: class, Agent: client, Number: number}))
 }
 
 func (b *bench) last() *Try {
@@ -117,7 +117,7 @@
 
 // forward asks a server as an agent does, and gives the answer as it is on the wire, with what
 // change makes of it, piece by piece. It tells whether the answer came whole.
-func forward(s *llm.Server, r *http.Request, body []byte, c net.Conn, change func(line string) string, more ...string) bool {
+func forward(s *modelserver.Server, r *http.Request, body []byte, c net.Conn, change func(line string) string, more ...string) bool {
 	up, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
@@ -129,7 +129,7 @@
 		return false
 	}
 	req.Host, req.Header = r.Host, r.Header.Clone()
-	req.Header.Set(llm.HeaderExpect, s.ID())
+	req.Header.Set(modelserver.HeaderExpect, s.ID())
 	for i := 0; i+1 < len(more); i += 2 {
 		req.Header.Set(more[i], more[i+1])
 	}
@@ -167,9 +167,9 @@
 
 func TestClientsAreServedWhole(t *testing.T) {
 	b := newBench(t, 1, pass)
-	cfg := &load.Config{Seed: 3, Agents: 4, Rate: 100, For: 300 * time.Millisecond, Keys: 5, Skew: 1,
-		Classes: []load.Class{{Name: "a", Share: 1}, {Name: "b", Share: 1}}}
-	plan, err := load.Plan(cfg)
+	cfg := &loadgen.Config{Seed: 3, Agents: 4, Rate: 100, For: 300 * time.Millisecond, Keys: 5, Skew: 1,
+		Classes: []loadgen.Class{{Name: "a", Share: 1}, {Name: "b", Share: 1}}}
+	plan, err := loadgen.Plan(cfg)
 	require.NoError(t, err)
 	var got tally
 	b.clients.Run(context.Background(), plan, got.add)
@@ -200,7 +200,7 @@
 		want string
 	}{
 		{"no seal", rewrite(func(l string) string {
-			if strings.HasPrefix(l, llm.HeaderSeal) {
+			if strings.HasPrefix(l, modelserver.HeaderSeal) {
 				return ""
 			}
 			return l
@@ -232,8 +232,8 @@
 			r, body := next(bufio.NewReader(c))
 			var head bytes.Buffer
 			forward(b.servers[0], r, body, tee{c, &head}, nil)
-			seal := strings.TrimSpace(strings.SplitN(strings.SplitN(head.String(), llm.HeaderSeal+":", 2)[1], "\r\n", 2)[0])
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+llm.HeaderSeal+": "+seal+"\r\n\r\n")
+			seal := strings.TrimSpace(strings.SplitN(strings.SplitN(head.String(), modelserver.HeaderSeal+":", 2)[1], "\r\n", 2)[0])
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+modelserver.HeaderSeal+": "+seal+"\r\n\r\n")
 		}, "ORDER"},
 		{"refused after it ran", func(b *bench, c net.Conn) {
 			r, body := next(bufio.NewReader(c))
@@ -278,7 +278,7 @@
 	return func(b *bench, c net.Conn) {
 		in := bufio.NewReader(c)
 		for r, body := next(in); r != nil; r, body = next(in) {
-			if strings.HasSuffix(r.Header.Get(llm.HeaderAttempt), "-1") {
+			if strings.HasSuffix(r.Header.Get(modelserver.HeaderAttempt), "-1") {
 				if head == "" {
 					return
 				}
@@ -345,7 +345,7 @@
 		if r == nil {
 			return
 		}
-		if !strings.HasSuffix(r.Header.Get(llm.HeaderAttempt), "-1") {
+		if !strings.HasSuffix(r.Header.Get(modelserver.HeaderAttempt), "-1") {
 			forward(b.servers[1], r, body, c, nil)
 			return
 		}
@@ -407,7 +407,7 @@
 				return ""
 			}
 			return l
-		}, llm.HeaderLastID, "2")
+		}, modelserver.HeaderLastID, "2")
 	})
 	b.classes[1].Most = 80
 	o := b.ask(1, 1, 1)
--- a/internal/lab/fleetlab/entry.go
+++ b/internal/testbed/fleetlab/entry.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // missesMost is how many questions in a row an agent may miss before it gets no connections.
@@ -160,7 +160,7 @@
 		return nil
 	}
 	slices.SortFunc(of, func(a, b *Door) int {
-		return cmp.Compare(llm.Sum(a.IP, strconv.Itoa(client)), llm.Sum(b.IP, strconv.Itoa(client)))
+		return cmp.Compare(modelserver.Sum(a.IP, strconv.Itoa(client)), modelserver.Sum(b.IP, strconv.Itoa(client)))
 	})
 	return of[(try-1)%len(of)]
 }
--- a/internal/lab/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // patience bounds each wait for a signal; a calm machine needs a fraction.
@@ -338,7 +338,7 @@
 	assert.Empty(t, failed(wait()))
 	acked := false
 	for _, r := range l.seen.all().Records {
-		acked = acked || r.Kind == llm.Draining && r.Instance == leaves.ID()
+		acked = acked || r.Kind == modelserver.Draining && r.Instance == leaves.ID()
 	}
 	assert.True(t, acked, "its draining was acknowledged")
 	judged(ctx, t, l)
@@ -410,7 +410,7 @@
 	assert.Equal(t, plan, again)
 	require.NotEmpty(t, plan)
 	for i := range plan {
-		x, y := a.askOf(&plan[i]), b.askOf(&load.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
+		x, y := a.askOf(&plan[i]), b.askOf(&loadgen.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
 		assert.Equal(t, x, func() *ask { y.class = x.class; return y }())
 	}
 }
--- a/internal/lab/fleetlab/lab.go
+++ b/internal/testbed/fleetlab/lab.go
@@ -19,9 +19,9 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
 // Config is a fleet.
@@ -36,7 +36,7 @@
 	Seed     uint64
 	MemoryMB int
 	Bounds   Bounds
-	Engine   llm.EngineConfig
+	Engine   modelserver.EngineConfig
 	Classes  []*Class
 	Ready    time.Duration // the entry's period
 }
@@ -54,7 +54,7 @@
 // twice, and short urgent ones that may be taken up elsewhere.
 func DefaultConfig(agents, core, servers int) Config {
 	return Config{Agents: agents, Core: core, Servers: servers, Zones: min(3, agents), Clients: 4 * agents, Seed: 1, MemoryMB: 284, Bounds: DefaultBounds(),
-		Engine: llm.EngineConfig{Slots: 32, Queue: 64, StepMs: 4, SlotMs: 0.05, PrefillPerMs: 64, Chunk: 2048, KVTokens: 200_000, Stride: 4},
+		Engine: modelserver.EngineConfig{Slots: 32, Queue: 64, StepMs: 4, SlotMs: 0.05, PrefillPerMs: 64, Chunk: 2048, KVTokens: 200_000, Stride: 4},
 		Ready:  250 * time.Millisecond,
 		Classes: []*Class{
 			{Name: "narrative", Host: hostname, Path: "/narrative/", Share: 0.2, Aim: 800 * time.Millisecond, GapAim: 300 * time.Millisecond,
@@ -69,7 +69,7 @@
 	cfg      Config
 	began    time.Time
 	net      *subnet
-	group    *procs.Group
+	group    *process.Group
 	owner    sync.WaitGroup
 	seen     *seen
 	zones    []string
@@ -81,8 +81,8 @@
 	probes atomic.Int64
 
 	mu      sync.Mutex
-	servers []*llm.Server
-	ended   []*llm.Server
+	servers []*modelserver.Server
+	ended   []*modelserver.Server
 }
 
 // Now is the laboratory's clock.
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{cfg: cfg, began: time.Now(), net: net, group: procs.NewGroup(), seen: &seen{}}
+	l := &Lab{cfg: cfg, began: time.Now(), net: net, group: process.NewGroup(), seen: &seen{}}
 	if err := l.start(ctx); err != nil {
 		l.Close()
 		return nil, err
@@ -186,9 +186,9 @@
 	}
 	engine := l.cfg.Engine
 	engine.Speed = 1 + 0.1*float64(i%3)
-	s, err := llm.Start(llm.Config{Addr: addr(l.net.ip(110+i), serverPort), Service: service, Zone: l.zones[i%len(l.zones)], Revision: "v1", Model: "m", Weights: 1,
+	s, err := modelserver.Start(modelserver.Config{Addr: addr(l.net.ip(110+i), serverPort), Service: service, Zone: l.zones[i%len(l.zones)], Revision: "v1", Model: "m", Weights: 1,
 		Engine: engine, ConnLimit: connLimit, HealthPath: "/health", ReportLag: 230 * time.Millisecond, Now: l.Now, Seen: l.seen.record,
-		Beats: &llm.BeatConfig{Control: l.control, Period: l.cfg.Bounds.Beat, Drain: l.cfg.Bounds.Drain, Linger: 2 * time.Second}})
+		Beats: &modelserver.BeatConfig{Control: l.control, Period: l.cfg.Bounds.Beat, Drain: l.cfg.Bounds.Drain, Linger: 2 * time.Second}})
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 }
 
 // Server is the one in a place.
-func (l *Lab) Server(i int) *llm.Server {
+func (l *Lab) Server(i int) *modelserver.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.servers[i]
@@ -307,7 +307,7 @@
 func (l *Lab) Probe(ctx context.Context, a *Agent, c *Class) *Try {
 	n := int(l.probes.Add(1))
 	clients := newClients([]*Class{c}, nil, l.Now, l.seen, l.cfg.Seed, l.zones, "p")
-	of := clients.askOf(&load.Ask{Number: n})
+	of := clients.askOf(&loadgen.Ask{Number: n})
 	d := a.Door()
 	t := &Try{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
 		Prompt: of.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, Began: l.Now(), Timeout: c.Timeout}
--- a/internal/lab/fleetlab/play.go
+++ b/internal/testbed/fleetlab/play.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
-	"chalkdoor.example/chalkdoor/internal/lab/load"
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // Faults are what a play can be asked for.
@@ -152,12 +152,12 @@
 }
 
 // Traffic draws what clients will want.
-func (l *Lab) Traffic(rate float64, length time.Duration) (*Clients, []load.Ask, error) {
-	cfg := &load.Config{Seed: l.cfg.Seed, Agents: l.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
+func (l *Lab) Traffic(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
+	cfg := &loadgen.Config{Seed: l.cfg.Seed, Agents: l.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
 	for _, c := range l.cfg.Classes {
-		cfg.Classes = append(cfg.Classes, load.Class{Name: c.Name, Share: c.Share})
+		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Share: c.Share})
 	}
-	plan, err := load.Plan(cfg)
+	plan, err := loadgen.Plan(cfg)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -296,7 +296,7 @@
 	s := l.seen.all()
 	arrived := map[string]bool{}
 	for _, x := range s.Records {
-		if x.Kind != llm.Arrived {
+		if x.Kind != modelserver.Arrived {
 			continue
 		}
 		if arrived[x.Attempt] {
--- a/internal/lab/fleetlab/referee.go
+++ b/internal/testbed/fleetlab/referee.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // Rules are the figures by which a run is judged.
@@ -48,11 +48,11 @@
 
 // run is one run of a request by a server.
 type run struct {
-	llm.Record               // of its start
-	pieces     int           // events made
-	ended      time.Duration // 0: not seen
-	whole      bool
-	crashed    bool // its server broke it off
+	modelserver.Record               // of its start
+	pieces             int           // events made
+	ended              time.Duration // 0: not seen
+	whole              bool
+	crashed            bool // its server broke it off
 }
 
 // Check judges what was seen. The lists have to be in the order of time.
@@ -100,7 +100,7 @@
 func (j *judge) readRecords() {
 	for _, r := range j.Records {
 		switch r.Kind {
-		case llm.Started:
+		case modelserver.Started:
 			x := &run{Record: r, pieces: r.First - 1}
 			j.runs[r.Attempt] = append(j.runs[r.Attempt], x)
 			j.seals[r.Seal] = x
@@ -116,15 +116,15 @@
 			if !slices.ContainsFunc(j.Changes, func(c *Change) bool { return slices.Contains(c.Doc.services(r.Host, r.Target), r.Service) }) {
 				j.add("ROUTE", r.At, "%s of %s ran %s for %s%s, which no configuration allows", r.Instance, r.Service, r.Attempt, r.Host, r.Target)
 			}
-		case llm.Ended:
+		case modelserver.Ended:
 			if x := j.seals[r.Seal]; x != nil {
 				x.ended, x.pieces, x.whole = r.At, r.Pieces, r.Whole
 			}
-		case llm.Unrunnable:
+		case modelserver.Unrunnable:
 			if j.tries[r.Attempt] == nil {
 				j.add("UNASKED", r.At, "%s got a request (%s %s) with the id %q, which no client sent", r.Instance, r.Method, r.Target, r.Attempt)
 			}
-		case llm.Crashed:
+		case modelserver.Crashed:
 			for _, x := range j.seals {
 				if x.Instance == r.Instance && (x.ended == 0 || x.ended >= r.At) && !x.whole {
 					x.crashed = true
@@ -239,7 +239,7 @@
 		if work && t.End >= x.From+j.rules.Grace/2 {
 			return
 		}
-		passed := slices.ContainsFunc(j.Records, func(r llm.Record) bool { return r.Kind == llm.Arrived && r.Attempt == t.ID })
+		passed := slices.ContainsFunc(j.Records, func(r modelserver.Record) bool { return r.Kind == modelserver.Arrived && r.Attempt == t.ID })
 		if passed || t.End > t.Sent+j.rules.LossSlack+j.rules.Slack {
 			j.add("LOST", t.End, "%s: cut %v after the SIGTERM of %s, with %d events", t.ID, t.End-x.From, t.Agent, len(t.Events))
 			return
@@ -249,19 +249,19 @@
 
 // drains judges DRAIN.
 func (j *judge) drains() {
-	told, away := map[string]llm.Record{}, map[[2]string]bool{}
+	told, away := map[string]modelserver.Record{}, map[[2]string]bool{}
 	for _, r := range j.Records {
-		if r.Kind == llm.TurnedAway && r.Status == 421 {
+		if r.Kind == modelserver.TurnedAway && r.Status == 421 {
 			away[[2]string{r.Instance, r.Attempt}] = true
 		}
 	}
 	for _, r := range j.Records {
 		switch r.Kind {
-		case llm.Draining, llm.Gone:
+		case modelserver.Draining, modelserver.Gone:
 			if _, ok := told[r.Instance]; !ok && j.inTouch(ipOf(r.Agent), r.At) {
 				told[r.Instance] = r
 			}
-		case llm.Arrived:
+		case modelserver.Arrived:
 			at, ok := told[r.Instance]
 			if !ok || r.At <= at.At+j.rules.Drain+j.rules.Slack || away[[2]string{r.Instance, r.Attempt}] {
 				continue
@@ -286,7 +286,7 @@
 	seen := map[string]bool{}
 	again, asked := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, r := range j.Records {
-		if r.Kind != llm.Arrived {
+		if r.Kind != modelserver.Arrived {
 			continue
 		}
 		if seen[r.Attempt] {
@@ -474,7 +474,7 @@
 		if t.Status < 300 || t.Status >= 500 || t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Seal != "" || !j.inTouch(t.Agent, t.End) {
 			continue
 		}
-		if slices.ContainsFunc(j.Records, func(r llm.Record) bool { return r.Kind == llm.Unrunnable && r.Attempt == t.ID }) {
+		if slices.ContainsFunc(j.Records, func(r modelserver.Record) bool { return r.Kind == modelserver.Unrunnable && r.Attempt == t.ID }) {
 			continue // the server's own
 		}
 		allowed, any := true, false
--- a/internal/lab/fleetlab/referee_test.go
+++ b/internal/testbed/fleetlab/referee_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 const ms = time.Millisecond
@@ -49,7 +49,7 @@
 // try adds a try that took 100 ms, with no answer yet.
 func (s *scene) try(at time.Duration, id, agent, target string, resumable bool) *Try {
 	t := &Try{ID: id, Agent: agent, Method: "POST", Host: hostname, Target: target, Idempotent: resumable, Resumable: resumable,
-		Prompt: llm.Prompt{Model: "m", Tokens: "100,24", Prefix: "a:100", Body: 7}, Began: at, Sent: at + ms, End: at + 100*ms, Deadline: at + 10*time.Second, Timeout: 10 * time.Second}
+		Prompt: modelserver.Prompt{Model: "m", Tokens: "100,24", Prefix: "a:100", Body: 7}, Began: at, Sent: at + ms, End: at + 100*ms, Deadline: at + 10*time.Second, Timeout: 10 * time.Second}
 	s.Tries = append(s.Tries, t)
 	return t
 }
@@ -57,12 +57,12 @@
 // run adds the arrival of a try at a server, and its run of events first to last.
 func (s *scene) run(t *Try, at time.Duration, service, instance string, first, last int) string {
 	s.runs++
-	r := llm.Record{At: at, Service: service, Instance: instance, Attempt: t.ID, Method: t.Method, Host: t.Host, Target: t.Target, Body: t.Prompt.Body}
-	r.Kind = llm.Arrived
+	r := modelserver.Record{At: at, Service: service, Instance: instance, Attempt: t.ID, Method: t.Method, Host: t.Host, Target: t.Target, Body: t.Prompt.Body}
+	r.Kind = modelserver.Arrived
 	s.Records = append(s.Records, r)
-	r.Kind, r.Seal, r.First = llm.Started, fmt.Sprintf("seal%d", s.runs), first
+	r.Kind, r.Seal, r.First = modelserver.Started, fmt.Sprintf("seal%d", s.runs), first
 	s.Records = append(s.Records, r)
-	r.Kind, r.At, r.Pieces, r.Whole = llm.Ended, at+90*ms, last, last == t.Prompt.Pieces(4)
+	r.Kind, r.At, r.Pieces, r.Whole = modelserver.Ended, at+90*ms, last, last == t.Prompt.Pieces(4)
 	s.Records = append(s.Records, r)
 	return r.Seal
 }
@@ -75,7 +75,7 @@
 	}
 	pieces := t.Prompt.Pieces(4)
 	for n := first; n <= last; n++ {
-		t.Events = append(t.Events, Got{llm.Event{N: n, Text: t.Prompt.Text(n), Seal: seal, Last: n == pieces}, t.Began + time.Duration(n)*10*ms})
+		t.Events = append(t.Events, Got{modelserver.Event{N: n, Text: t.Prompt.Text(n), Seal: seal, Last: n == pieces}, t.Began + time.Duration(n)*10*ms})
 	}
 	t.Complete = last == pieces
 	if !t.Complete {
@@ -124,7 +124,7 @@
 		{"refused, and turned away by a server", func(s *scene) {
 			x := s.try(20*sec, "a", agent1, doc1Path, false)
 			x.Status, x.Complete = 503, true
-			s.Records = append(s.Records, llm.Record{At: 20*sec + 5*ms, Kind: llm.Arrived, Service: "llm-a", Attempt: "a"}, llm.Record{At: 20*sec + 6*ms, Kind: llm.TurnedAway, Status: 503, Attempt: "a"})
+			s.Records = append(s.Records, modelserver.Record{At: 20*sec + 5*ms, Kind: modelserver.Arrived, Service: "llm-a", Attempt: "a"}, modelserver.Record{At: 20*sec + 6*ms, Kind: modelserver.TurnedAway, Status: 503, Attempt: "a"})
 		}, ""},
 		{"failed after it ran", func(s *scene) {
 			x := s.try(20*sec, "a", agent1, doc1Path, false)
@@ -150,7 +150,7 @@
 			x := s.try(20*sec, "a", agent1, doc1Path, false)
 			x.answered(s.run(x, 20*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.Garbage, x.Broken = "half an event", Spoilt
-			s.Records = append(s.Records, llm.Record{At: 20*sec + 95*ms, Kind: llm.Crashed, Instance: "i-1"})
+			s.Records = append(s.Records, modelserver.Record{At: 20*sec + 95*ms, Kind: modelserver.Crashed, Instance: "i-1"})
 		}, ""},
 		{"an event missing", func(s *scene) {
 			x := s.serve(20*sec, "a", agent1, doc1Path, false, "llm-a")
@@ -213,31 +213,31 @@
 			x.Prompt.Body = 8
 		}, "UNASKED"},
 		{"a request without an id", func(s *scene) {
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Unrunnable, Method: "GET"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Unrunnable, Method: "GET"})
 		}, "UNASKED"},
 		{"another service", func(s *scene) { s.serve(20*sec, "a", agent1, doc1Path, false, "llm-b") }, "ROUTE"},
 		{"sent to a server that drains, too late", func(s *scene) {
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.serve(22*sec+100*ms, "a", agent1, doc1Path, false, "llm-a")
 		}, "DRAIN"},
 		{"sent to a server that drains, in time", func(s *scene) {
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.serve(21*sec, "a", agent1, doc1Path, false, "llm-a")
 		}, ""},
 		{"sent to a server that drains, where its acknowledgement was by an agent in trouble", func(s *scene) {
 			s.Troubles = []Trouble{{Agent: agent2, From: 18 * sec, To: 19 * sec}}
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.serve(23*sec, "a", agent1, doc1Path, false, "llm-a")
 		}, ""},
 		{"sent to a server that is gone", func(s *scene) {
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
-				llm.Record{At: 23 * sec, Kind: llm.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
+				modelserver.Record{At: 23 * sec, Kind: modelserver.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"})
 			s.try(23*sec-5*ms, "a", agent1, doc1Path, false)
 		}, "DRAIN"},
 		{"sent to a server that is gone, and answered 421 there", func(s *scene) {
-			s.Records = append(s.Records, llm.Record{At: 20 * sec, Kind: llm.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
-				llm.Record{At: 23 * sec, Kind: llm.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"},
-				llm.Record{At: 23 * sec, Kind: llm.TurnedAway, Status: 421, Service: "llm-a", Instance: "i-1", Attempt: "a"})
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
+				modelserver.Record{At: 23 * sec, Kind: modelserver.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"},
+				modelserver.Record{At: 23 * sec, Kind: modelserver.TurnedAway, Status: 421, Service: "llm-a", Instance: "i-1", Attempt: "a"})
 			s.try(23*sec-5*ms, "a", agent1, doc1Path, false)
 		}, ""},
 		{"more repeats than the budget has", func(s *scene) {
@@ -366,7 +366,7 @@
 			x := s.try(19*sec, "a", agent1, doc1Path, false)
 			x.answered(s.run(x, 19*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.End = 21 * sec
-			s.Records = append(s.Records, llm.Record{At: 19*sec + 95*ms, Kind: llm.Crashed, Instance: "i-1"})
+			s.Records = append(s.Records, modelserver.Record{At: 19*sec + 95*ms, Kind: modelserver.Crashed, Instance: "i-1"})
 		}, ""},
 		{"cut by a kill", func(s *scene) {
 			s.Troubles = []Trouble{{Agent: agent1, From: 20 * sec, To: 24 * sec}}
--- a/internal/lab/fleetlab/seen.go
+++ b/internal/testbed/fleetlab/seen.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/llm"
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
 // Try is one request of a client as it saw it. Times are of the laboratory's clock.
@@ -17,7 +17,7 @@
 	Method     string
 	Host       string
 	Target     string
-	Prompt     llm.Prompt
+	Prompt     modelserver.Prompt
 	Idempotent bool
 	Resumable  bool
 	After      int // the event that it goes on after
@@ -42,7 +42,7 @@
 
 // Got is an event as a client got it.
 type Got struct {
-	llm.Event
+	modelserver.Event
 	Came time.Duration
 }
 
@@ -89,7 +89,7 @@
 // Seen is all that clients, servers and the operator saw of a run.
 type Seen struct {
 	Tries    []*Try
-	Records  []llm.Record
+	Records  []modelserver.Record
 	Changes  []*Change
 	Troubles []Trouble
 	Ends     []string // processes that ended by themselves, and how
@@ -123,7 +123,7 @@
 	delete(s.taken, t.ID)
 }
 
-func (s *seen) record(r llm.Record) {
+func (s *seen) record(r modelserver.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Records = append(s.Records, r)
@@ -135,20 +135,20 @@
 
 // Stream is a run that is under way.
 type Stream struct {
-	llm.Record        // of its start
-	Agent      string // that its client is connected with
+	modelserver.Record        // of its start
+	Agent              string // that its client is connected with
 }
 
 // streams are the runs that are under way.
 func (s *seen) streams() (list []Stream, more <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	open := map[string]llm.Record{}
+	open := map[string]modelserver.Record{}
 	for _, r := range s.Records {
 		switch r.Kind {
-		case llm.Started:
+		case modelserver.Started:
 			open[r.Seal] = r
-		case llm.Ended:
+		case modelserver.Ended:
 			delete(open, r.Seal)
 		}
 	}
@@ -191,6 +191,6 @@
 	c.Tries, c.Records, c.Changes = slices.Clone(s.Tries), slices.Clone(s.Records), slices.Clone(s.Changes)
 	c.Troubles, c.Ends = slices.Clone(s.Troubles), slices.Clone(s.Ends)
 	slices.SortStableFunc(c.Tries, func(a, b *Try) int { return cmp.Compare(a.Began, b.Began) })
-	slices.SortStableFunc(c.Records, func(a, b llm.Record) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(c.Records, func(a, b modelserver.Record) int { return cmp.Compare(a.At, b.At) })
 	return &c
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/testbed/fleetsim/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet plays a whole fleet in simulated time: many instances of the decision
+// Package fleetsim plays a whole fleet in simulated time: many instances of the decision
 // module, each with its own clients and connections, and the model's servers behind links
 // of a stated delay. One goroutine plays it, everything is drawn from one seed, and equal
 // configurations give equal results, so a failing seed replays.
 //
 // It leaves out what the module cannot see: sockets, processes and the machine's own time.
 // What it tells is how decisions that are each sound add up over a fleet.
-package fleet
+package fleetsim
 
 import (
 	"container/heap"
@@ -13,7 +13,7 @@
 	"math"
 	"math/rand/v2"
 
-	"chalkdoor.example/chalkdoor/internal/lab/model"
+	"chalkdoor.example/chalkdoor/internal/testbed/backendmodel"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -28,8 +28,8 @@
 	Keys               int     // distinct keys, by Zipf with exponent KeySkew
 	KeySkew            float64
 	ForMs              float64
-	Settings           policy.Settings // index, zone and replicas are set for each agent
-	Server             model.Config    // Speed is drawn from SpeedFrom to SpeedTo
+	Settings           policy.Settings     // index, zone and replicas are set for each agent
+	Server             backendmodel.Config // Speed is drawn from SpeedFrom to SpeedTo
 	SpeedFrom, SpeedTo float64
 	// WorkMs is the mean work of a request of each class, Share how many of all requests
 	// are of it.
@@ -97,7 +97,7 @@
 }
 
 type server struct {
-	*model.Server
+	*backendmodel.Server
 	addr   policy.Addr
 	zone   int
 	speed  float64
@@ -161,7 +161,7 @@
 	nextJob uint64
 	zipf    []float64
 	out     Result
-	done    []model.Done
+	done    []backendmodel.Done
 	pushy   float64 // part of the clients
 	err     error
 }
@@ -310,7 +310,7 @@
 	cfg := p.Server
 	cfg.Speed = s.speed
 	cfg.StallAtMs = p.rng.Float64() * cfg.StallEveryMs
-	s.Server, s.since, s.silent, s.tick = model.New(cfg, since), since, false, 0
+	s.Server, s.since, s.silent, s.tick = backendmodel.New(cfg, since), since, false, 0
 }
 
 func (p *play) entry(s *server) policy.Entry {
@@ -501,7 +501,7 @@
 		return 2 * way, false
 	}
 	p.second(p.now).Handshakes++
-	s.Offer(p.now, model.Job{WorkMs: p.HandshakeMs})
+	s.Offer(p.now, backendmodel.Job{WorkMs: p.HandshakeMs})
 	p.work(s)
 	return 4 * way, true
 }
@@ -564,7 +564,7 @@
 		p.nextJob++
 		id := p.nextJob
 		p.work(s)
-		if !s.Offer(p.now, model.Job{ID: id, Key: r.ask.key, WorkMs: r.ask.work}) {
+		if !s.Offer(p.now, backendmodel.Job{ID: id, Key: r.ask.key, WorkMs: r.ask.work}) {
 			p.still(a, way, func() { end(policy.Full) })
 			return
 		}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/testbed/fleetsim/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"reflect"
--- a/internal/lab/fleet/scenes.go
+++ b/internal/testbed/fleetsim/scenes.go
@@ -1,10 +1,10 @@
-package fleet
+package fleetsim
 
 import (
 	"maps"
 	"slices"
 
-	"chalkdoor.example/chalkdoor/internal/lab/model"
+	"chalkdoor.example/chalkdoor/internal/testbed/backendmodel"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -136,8 +136,8 @@
 }
 
 // Server is the published figures of a report server of speed one, cold for long.
-func Server() model.Config {
-	return model.Config{Cores: 2, Queue: 60, ColdFrom: 0.13, ColdMs: 24000, KeyTTLMs: 5000, KeySaving: 0.5,
+func Server() backendmodel.Config {
+	return backendmodel.Config{Cores: 2, Queue: 60, ColdFrom: 0.13, ColdMs: 24000, KeyTTLMs: 5000, KeySaving: 0.5,
 		KeyMost: 64, StallEveryMs: 3500, StallForMs: 200, ChokeQueue: 5, ChokeAfterMs: 2000, ChokeFactor: 2.6,
 		ChokeIdleMs: 3000, ChokeMostMs: 25000, TipMultiple: 4, TipMs: 1000}
 }
--- a/internal/lab/heap/heap.go
+++ b/internal/testbed/heapsize/heap.go
@@ -1,5 +1,5 @@
-// Package heap measures what things hold in memory.
-package heap
+// Package heapsize measures what things hold in memory.
+package heapsize
 
 import "runtime"
 
--- a/internal/lab/heap/heap_test.go
+++ b/internal/testbed/heapsize/heap_test.go
@@ -1,4 +1,4 @@
-package heap
+package heapsize
 
 import (
 	"testing"
--- a/internal/lab/hollow/doc.go
+++ b/internal/testbed/hollownode/doc.go
@@ -1,4 +1,4 @@
-// Package hollow runs fleets of hundreds of agents on one machine, to measure what control costs.
+// Package hollownode runs fleets of hundreds of agents on one machine, to measure what control costs.
 //
 // A hollow agent is the daemon without clients, servers' connections and HTTP: the real core.Member,
 // hub.Hub and rpc on loopback, each at an address of its own, many of them to a process. Members of
@@ -10,4 +10,4 @@
 // an agent says and hears goes through a machine of the core), processor time and memory of each
 // process, and by the steady clock of the machine, which its processes share, when each change of
 // the configuration and each drain has reached each agent. Links have no delay here.
-package hollow
+package hollownode
--- a/internal/lab/hollow/fleet.go
+++ b/internal/testbed/hollownode/fleet.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 const (
@@ -47,7 +47,7 @@
 	Drains  float64       `json:"drains"`  // of servers, a minute
 	Churn   float64       `json:"churn"`   // agents that leave and come back, a minute
 	Lose    string        `json:"lose"`    // a member of the core, after a third of the time until two thirds
-	Size    sample.Size   `json:"size"`
+	Size    sampling.Size `json:"size"`
 	Beat    time.Duration `json:"beat"`
 	Spread  time.Duration `json:"spread"` // time over which the agents start; 0: all at once
 	For     time.Duration `json:"for"`
@@ -87,7 +87,7 @@
 type fleet struct {
 	cfg     Config
 	net     *subnet
-	group   *procs.Group
+	group   *process.Group
 	pool    *rpc.Pool
 	cores   []host // one node each
 	agents  []host
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{cfg: cfg, net: net, group: procs.NewGroup(), pool: rpc.NewPool(), lives: make([]int, cfg.Servers)}
+	f := &fleet{cfg: cfg, net: net, group: process.NewGroup(), pool: rpc.NewPool(), lives: make([]int, cfg.Servers)}
 	defer f.close()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -239,7 +239,7 @@
 		f.daemons = append(f.daemons, d)
 		f.runs(d)
 	}
-	if err := f.submit(ctx, false, sample.Config(1, cfg.Size)); err != nil {
+	if err := f.submit(ctx, false, sampling.Config(1, cfg.Size)); err != nil {
 		return errors.Wrap(err, "first configuration")
 	}
 	if err := f.all(ctx, &Request{Do: doReady}); err != nil {
@@ -331,7 +331,7 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	f.every(window, &wg, f.cfg.Changes, func(int) error {
-		return f.submit(ctx, true, sample.Change(f.revision+1, f.cfg.Size))
+		return f.submit(ctx, true, sampling.Change(f.revision+1, f.cfg.Size))
 	})
 	f.every(window, &wg, f.cfg.Drains, func(i int) error { return f.drain(ctx, i%f.cfg.Servers) })
 	f.every(window, &wg, f.cfg.Churn, func(i int) error { return f.leave(ctx, i) })
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/testbed/hollownode/hollow_test.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 	"k8s.io/klog/v2"
 
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
-	"chalkdoor.example/chalkdoor/internal/leak"
+	"chalkdoor.example/chalkdoor/internal/leaktest"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 func TestMain(m *testing.M) {
@@ -20,14 +20,14 @@
 	_ = fs.Set("logtostderr", "false")
 	_ = fs.Set("stderrthreshold", "FATAL")
 	klog.SetOutput(new(bytes.Buffer))
-	leak.Main(m)
+	leaktest.Main(m)
 }
 
 // patience bounds a play; it is reached only where something is broken.
 const patience = 2 * time.Minute
 
 func small(t *testing.T) Config {
-	return Config{Agents: 10, Core: 3, Servers: 12, Size: sample.Size{Routes: 6, Services: 2, Tenants: 20},
+	return Config{Agents: 10, Core: 3, Servers: 12, Size: sampling.Size{Routes: 6, Services: 2, Tenants: 20},
 		Beat: 400 * time.Millisecond, For: 3 * time.Second, Dir: t.TempDir()}
 }
 
--- a/internal/lab/hollow/host.go
+++ b/internal/testbed/hollownode/host.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/lab/heap"
-	"chalkdoor.example/chalkdoor/internal/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
 const (
@@ -63,7 +63,7 @@
 // NewHost returns a host whose nodes do not run yet.
 func NewHost(p HostPlan) *Host {
 	ctx, stop := context.WithCancel(context.Background())
-	h := &Host{plan: p, ctx: ctx, stop: stop, heap: heap.Held()}
+	h := &Host{plan: p, ctx: ctx, stop: stop, heap: heapsize.Held()}
 	h.watched.Store(&[]string{})
 	for _, s := range p.Nodes {
 		h.nodes = append(h.nodes, &node{NodeSpec: s, host: h, tap: newTap()})
@@ -382,7 +382,7 @@
 func usage(before int64) Usage {
 	u := Usage{CPU: cpu()}
 	u.RSS, u.Peak = resident(os.Getpid())
-	u.Heap = heap.Held() - before
+	u.Heap = heapsize.Held() - before
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	u.Stacks, u.Goroutines = int64(m.StackInuse), runtime.NumGoroutine()
--- a/internal/lab/hollow/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/chain"
-	"chalkdoor.example/chalkdoor/internal/conf"
-	"chalkdoor.example/chalkdoor/internal/controlplane"
-	"chalkdoor.example/chalkdoor/internal/hub"
-	"chalkdoor.example/chalkdoor/internal/registry"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlplane"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 const (
@@ -59,13 +59,13 @@
 	node   *node
 	began  time.Duration
 	core   *controlplane.Member
-	hub    *hub.Hub
+	hub    *relay.Hub
 	source string // by which it began
 	stop   context.CancelFunc
 	done   chan struct{}
 
 	mu       sync.Mutex
-	last     hub.Snapshot
+	last     relay.Snapshot
 	ready    time.Duration // when it could serve; 0: not yet
 	full     time.Duration // when it had all servers
 	ended    time.Duration
@@ -80,7 +80,7 @@
 }
 
 // take is told of what the data plane would go by. It is called under the hub's lock.
-func (l *life) take(s *hub.Snapshot) {
+func (l *life) take(s *relay.Snapshot) {
 	t := now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,14 +139,14 @@
 
 func (c coreView) IsCore() bool { return c.m.IsCore() }
 func (c coreView) Linked() bool { return c.m.Linked() }
-func (c coreView) Hubs() []hub.Peer {
+func (c coreView) Hubs() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
 		return nil
 	}
-	out := make([]hub.Peer, len(v.Voters))
+	out := make([]relay.Peer, len(v.Voters))
 	for i, p := range v.Voters {
-		out[i] = hub.Peer{Addr: p.Addr, Zone: p.Zone}
+		out[i] = relay.Peer{Addr: p.Addr, Zone: p.Zone}
 	}
 	return out
 }
@@ -172,19 +172,19 @@
 			return out
 		},
 		Losses: p.Losses, Counted: n.Dir != "", Pool: pool,
-		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return conf.Next(cur, o.Patch, o.Body) },
+		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { l.hub.Commit(v.Seq, v.Body) }})
 	if err != nil {
 		ln.Close()
 		return errors.Wrapf(err, "%s", n.Name)
 	}
-	o := hub.Options{Self: hub.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, Beat: p.Beat,
+	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, Beat: p.Beat,
 		Core: coreView{l.core}, Seeds: seeds, OnChange: l.take}
 	if n.Dir != "" {
 		o.Save = func(b []byte) error { return l.core.Save(savedServers, b) }
 		o.Saved, _ = l.core.Saved(savedServers)
 	}
-	l.hub = hub.New(o)
+	l.hub = relay.New(o)
 	l.source = l.hub.Report().Source
 	table := rpc.NewTable()
 	l.core.Declare(table)
--- a/internal/lab/hollow/real.go
+++ b/internal/testbed/hollownode/real.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
 const (
@@ -31,7 +31,7 @@
 	name, ip string
 	began    time.Duration
 	ready    time.Duration
-	proc     *procs.Proc
+	proc     *process.Proc
 	client   *http.Client
 	cpu      time.Duration
 }
@@ -47,7 +47,7 @@
 }
 
 // startDaemon starts edged with settings as the platform writes them.
-func startDaemon(g *procs.Group, program, dir, name, ip, zone, region string, seeds []string, beat time.Duration) (*daemon, error) {
+func startDaemon(g *process.Group, program, dir, name, ip, zone, region string, seeds []string, beat time.Duration) (*daemon, error) {
 	var b strings.Builder
 	list := func(items []string) string { return `["` + strings.Join(items, `","`) + `"]` }
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
@@ -61,7 +61,7 @@
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		return nil, errors.Wrap(err, name)
 	}
-	p, err := g.Start(procs.Spec{Name: name, Path: program, Args: []string{"run"}, Env: append(os.Environ(), "CHALKDOOR_NODE_FILE="+path),
+	p, err := g.Start(process.Spec{Name: name, Path: program, Args: []string{"run"}, Env: append(os.Environ(), "CHALKDOOR_NODE_FILE="+path),
 		Log: filepath.Join(dir, name+".log")})
 	if err != nil {
 		return nil, err
--- a/internal/lab/hollow/remote.go
+++ b/internal/testbed/hollownode/remote.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/go-faster/errors"
 
-	"chalkdoor.example/chalkdoor/internal/lab/procs"
-	"chalkdoor.example/chalkdoor/internal/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
 // host is where nodes run: in this process or in one of their own.
@@ -78,19 +78,19 @@
 
 // remote is a host in a process of its own.
 type remote struct {
-	group *procs.Group
+	group *process.Group
 	pool  *rpc.Pool
-	spec  procs.Spec
+	spec  process.Spec
 	addr  string
 	plan  HostPlan
 
 	mu   sync.Mutex
-	proc *procs.Proc
+	proc *process.Proc
 }
 
 // startRemote starts the process: program with args and the steering address.
-func startRemote(ctx context.Context, g *procs.Group, pool *rpc.Pool, name, program string, args []string, addr, dir string, plan HostPlan) (*remote, error) {
-	r := &remote{group: g, pool: pool, addr: addr, plan: plan, spec: procs.Spec{Name: name, Path: program, Args: append(args[:len(args):len(args)], addr),
+func startRemote(ctx context.Context, g *process.Group, pool *rpc.Pool, name, program string, args []string, addr, dir string, plan HostPlan) (*remote, error) {
+	r := &remote{group: g, pool: pool, addr: addr, plan: plan, spec: process.Spec{Name: name, Path: program, Args: append(args[:len(args):len(args)], addr),
 		Env: os.Environ(), Log: filepath.Join(dir, name+".log")}}
 	return r, r.up(ctx)
 }
@@ -130,7 +130,7 @@
 	return a, nil
 }
 
-func (r *remote) process() *procs.Proc {
+func (r *remote) process() *process.Proc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.proc
--- a/internal/lab/hollow/result.go
+++ b/internal/testbed/hollownode/result.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/sample"
+	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
 // Result is what was measured. Rates are of the window.
@@ -103,7 +103,7 @@
 func (f *fleet) collect(ctx context.Context, took time.Duration, changes []Change) (*Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*callWithin)
 	defer cancel()
-	r := &Result{Config: f.cfg, Window: took, Document: len(sample.Config(1, f.cfg.Size)), Calls: Traffic{}, Lost: f.lost, Troubles: f.troubles}
+	r := &Result{Config: f.cfg, Window: took, Document: len(sampling.Config(1, f.cfg.Size)), Calls: Traffic{}, Lost: f.lost, Troubles: f.troubles}
 	for _, d := range f.daemons { // before the others' collections
 		r.Daemons = append(r.Daemons, d.report(ctx))
 	}
--- a/internal/lab/hollow/tap.go
+++ b/internal/testbed/hollownode/tap.go
@@ -1,4 +1,4 @@
-package hollow
+package hollownode
 
 import (
 	"maps"
--- a/internal/lab/load/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/emu"
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/backend"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 // Verdict is what came of an ask, its retry included.
@@ -252,7 +252,7 @@
 		note(referee.Dropped)
 		return Failed, 0
 	}
-	seen.Status, seen.Whole = resp.StatusCode, string(text) == emu.Answer(id)
+	seen.Status, seen.Whole = resp.StatusCode, string(text) == backend.Answer(id)
 	note(referee.Answered)
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/lab/load/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -1,8 +1,8 @@
-// Package load is what clients want of a fleet: requests that come whether or not earlier
+// Package loadgen is what clients want of a fleet: requests that come whether or not earlier
 // ones are answered, drawn ahead from one seed, so that a slow fleet is asked as much as a
 // quick one. Times count from when a request was meant to be sent, so that waiting is not
 // hidden.
-package load
+package loadgen
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"sort"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 // Class is one class of requests.
--- a/internal/lab/load/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/lab/referee"
+	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
 func config() *Config {
--- a/internal/lab/llm/engine.go
+++ b/internal/testbed/modelserver/engine.go
@@ -1,9 +1,9 @@
-// Package llm is a language model's server as the laboratory has it: requests run in batches,
+// Package modelserver is a language model's server as the laboratory has it: requests run in batches,
 // prompts are read chunk by chunk between the tokens of others, and a KV memory keeps parts of
 // prompts. The Engine is a state machine without I/O; a Server puts one on real sockets.
 //
 // It is a model by the published figures of such servers, and not a measurement of them.
-package llm
+package modelserver
 
 import (
 	"cmp"
--- a/internal/lab/llm/server_test.go
+++ b/internal/testbed/modelserver/server_test.go
@@ -1,4 +1,4 @@
-package llm
+package modelserver
 
 import (
 	"bufio"
--- a/internal/lab/defects/defects.go
+++ b/internal/testbed/mutation/defects.go
@@ -1,6 +1,6 @@
-// Package defects holds small defects of the real code, each with the tests that have to find it,
+// Package mutation holds small defects of the real code, each with the tests that have to find it,
 // and applies them to a copy of the tree one at a time.
-package defects
+package mutation
 
 import (
 	"os"
--- a/internal/lab/defects/play.go
+++ b/internal/testbed/mutation/play.go
@@ -1,4 +1,4 @@
-package defects
+package mutation
 
 import (
 	"context"
--- a/internal/lab/procs/procs.go
+++ b/internal/testbed/process/procs.go
@@ -1,7 +1,7 @@
-// Package procs runs the processes of an experiment and ends them, and only them: each is
+// Package process runs the processes of an experiment and ends them, and only them: each is
 // known by its process id from its start to its end, and the kernel kills it if the
 // laboratory itself dies, however that happens.
-package procs
+package process
 
 import (
 	"context"
--- a/internal/lab/procs/procs_test.go
+++ b/internal/testbed/process/procs_test.go
@@ -1,4 +1,4 @@
-package procs
+package process
 
 import (
 	"bufio"
--- a/internal/lab/sample/sample.go
+++ b/internal/testbed/sampling/sample.go
@@ -1,5 +1,5 @@
-// Package sample makes configurations of the size that a deployment of a kind has.
-package sample
+// Package sampling makes configurations of the size that a deployment of a kind has.
+package sampling
 
 import (
 	"bytes"
