--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -107,9 +107,9 @@
 }
 
 // check tells what is wrong with a ping of another process.
-func (p *ping) check() error {
-	if p.From == "" || len(p.From) > 128 {
-		return fmt.Errorf("ping: from: a name of %d bytes", len(p.From))
+func (m *ping) check() error {
+	if m.From == "" || len(m.From) > 128 {
+		return fmt.Errorf("ping: from: a name of %d bytes", len(m.From))
 	}
 	return nil
 }
--- a/internal/fleet/chain/chain.go
+++ b/internal/fleet/chain/chain.go
@@ -29,8 +29,9 @@
 	"crypto/sha256"
 	"encoding/binary"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // MaxBody bounds the body of a value or an order, in bytes.
--- a/internal/fleet/chain/past_test.go
+++ b/internal/fleet/chain/past_test.go
@@ -5,9 +5,10 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 // orderOf is an order that leads to a revision.
--- a/internal/fleet/chain/sim_test.go
+++ b/internal/fleet/chain/sim_test.go
@@ -6,10 +6,11 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // defect leaves one rule out, to see that the checks of the simulation find it.
--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -5,8 +5,9 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 // One order through a chain of four on loopback, its files in memory, with a configuration of 20 KB
--- a/internal/fleet/controlplane/calls.go
+++ b/internal/fleet/controlplane/calls.go
@@ -4,10 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 type none struct{}
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -4,8 +4,9 @@
 	"context"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // ErrNoCore tells that no machine of the core is known yet.
--- a/internal/fleet/controlplane/core.go
+++ b/internal/fleet/controlplane/core.go
@@ -19,12 +19,13 @@
 	"sync"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 const (
--- a/internal/fleet/controlplane/core_test.go
+++ b/internal/fleet/controlplane/core_test.go
@@ -12,13 +12,14 @@
 	"testing"
 	"time"
 
+	"github.com/go-faster/errors"
+	"github.com/stretchr/testify/require"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"chalkdoor.example/chalkdoor/internal/leaktest"
-	"github.com/go-faster/errors"
-	"github.com/stretchr/testify/require"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
--- a/internal/fleet/controlplane/guards_test.go
+++ b/internal/fleet/controlplane/guards_test.go
@@ -5,10 +5,11 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // The tests of this file each hold one guard of the code to its word: taken out, the test fails
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 // handover starts the handover of a process; the channel is closed when it has returned.
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -4,9 +4,10 @@
 	"context"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 // asked is an order that waits at the head.
--- a/internal/fleet/controlplane/inspect.go
+++ b/internal/fleet/controlplane/inspect.go
@@ -1,10 +1,11 @@
 package controlplane
 
 import (
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 // State is what a folder of the core holds.
--- a/internal/fleet/controlplane/orders_test.go
+++ b/internal/fleet/controlplane/orders_test.go
@@ -6,10 +6,11 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
-	"github.com/stretchr/testify/require"
 )
 
 // orderOf is an order that leads to a revision.
--- a/internal/fleet/controlplane/ping.go
+++ b/internal/fleet/controlplane/ping.go
@@ -6,9 +6,10 @@
 	"syscall"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 // ping is what machines of the core tell each other, as question and as answer.
--- a/internal/fleet/controlplane/records.go
+++ b/internal/fleet/controlplane/records.go
@@ -1,10 +1,11 @@
 package controlplane
 
 import (
-	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // The names of the records on disk.
--- a/internal/fleet/controlplane/trouble_test.go
+++ b/internal/fleet/controlplane/trouble_test.go
@@ -8,11 +8,12 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/anishathalye/porcupine"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // soon is what an order may take while one machine is in trouble.
--- a/internal/fleet/daemon/tolerance_test.go
+++ b/internal/fleet/daemon/tolerance_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // All three kinds of losses, and the region, reach the core from the settings.
--- a/internal/fleet/view/first_test.go
+++ b/internal/fleet/view/first_test.go
@@ -6,8 +6,9 @@
 	"maps"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/interleave"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
 // founding is the first start as far as view 1 goes: three seeds whose acceptors are in memory, two
--- a/internal/testbed/faultyvoter/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -76,10 +76,14 @@
 	}
 }
 
-// Members, State and Merge are of peers.Sink.
+// Members implements membership.Sink; a faulty voter does not care who is there.
 func (l *Liar) Members([]membership.Peer) {}
-func (l *Liar) State() []byte             { return nil }
-func (l *Liar) Merge([]byte)              {}
+
+// State implements membership.Sink; a faulty voter shares nothing.
+func (l *Liar) State() []byte { return nil }
+
+// Merge implements membership.Sink; a faulty voter takes nothing in.
+func (l *Liar) Merge([]byte) {}
 
 func (l *Liar) speak(ctx context.Context) error {
 	tick := time.NewTicker(speakEvery)
