--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -13,21 +13,21 @@
 // One order through a chain of four on loopback, its files in memory, with a configuration of 20 KB
 // and a full memory of taken orders.
 func BenchmarkCommit(b *testing.B) {
-	s := newSite(b, 4, 1)
+	s := newTestCluster(b, 4, 1)
 	s.check = func(_ []byte, o *chain.Order) ([]byte, int64, error) {
 		revision, err := strconv.ParseInt(string(bytes.TrimSpace(o.Body)), 10, 64)
 		return o.Body, revision, err
 	}
 	s.startAll(true)
-	out := s.procs[4]
+	out := s.nodes[4]
 	revision := int64(0)
 	commit := func() {
 		body := append([]byte(strconv.FormatInt(revision+1, 10)), bytes.Repeat([]byte{' '}, 20<<10)...)
-		verdict := out.m.Submit(b.Context(), &chain.Order{IfMatch: revision, Body: body})
+		verdict := out.member.Submit(b.Context(), &chain.Order{IfMatch: revision, Body: body})
 		require.Equal(b, chain.Taken, verdict.Kind, verdict.Reason)
 		revision++
 	}
-	out.until("view 1", func() bool { _, known := out.m.View(); return known })
+	out.waitUntil("view 1", func() bool { _, known := out.member.View(); return known })
 	for range 1100 {
 		commit()
 	}
--- a/internal/fleet/controlplane/calls.go
+++ b/internal/fleet/controlplane/calls.go
@@ -11,92 +11,92 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-type none struct{}
+type empty struct{}
 
 type (
-	prepareCall struct {
+	prepareRequest struct {
 		To string // the disk that is asked: its machine may have another one by now
 		Q  view.Prepare
 	}
-	acceptCall struct {
+	acceptRequest struct {
 		To string
 		Q  view.Accept
 	}
-	viewCall   struct{ Have uint64 }
-	viewAnswer struct{ View *view.View }
-	pushCall   struct {
+	viewRequest  struct{ Have uint64 }
+	viewResponse struct{ View *view.View }
+	pushRequest  struct {
 		To string
 		Q  chain.Push
 	}
-	pushAnswer struct {
+	pushResponse struct {
 		OK    bool
 		Newer *view.View
 		Why   string
 	}
-	orderAnswer struct {
+	submitResponse struct {
 		Verdict chain.Verdict
 		Newer   *view.View // the one asked is not the head: ask the head of this view
 	}
-	readAnswer struct {
+	readResponse struct {
 		Value chain.Value
 		OK    bool
 		Newer *view.View // the one asked is not the tail
 		Why   string
 	}
-	valueAnswer struct{ Value chain.Value }
+	valueResponse struct{ Value chain.Value }
 )
 
 // call asks the agent at an address.
 func call[Q, A any](ctx context.Context, m *Member, addr, name string, q *Q) (*A, error) {
-	if m.link == nil {
-		return rpc.Call[Q, A](ctx, m.o.Pool, addr, name, q)
+	if m.intercept == nil {
+		return rpc.Call[Q, A](ctx, m.options.Pool, addr, name, q)
 	}
 	var a *A
-	err := m.link(ctx, addr, name, func() (err error) { a, err = rpc.Call[Q, A](ctx, m.o.Pool, addr, name, q); return err })
+	err := m.intercept(ctx, addr, name, func() (err error) { a, err = rpc.Call[Q, A](ctx, m.options.Pool, addr, name, q); return err })
 	return a, err
 }
 
 // Declare adds the calls of the core to the process's table.
 func (m *Member) Declare(t *rpc.Table) {
-	rpc.Unary(t, "core.ping", m.onPing)
-	rpc.Unary(t, "core.prepare", m.onPrepare)
-	rpc.Unary(t, "core.accept", m.onAccept)
-	rpc.Unary(t, "core.learn", func(ctx context.Context, v *view.View) (*none, error) { return &none{}, m.learn(ctx, v) })
-	rpc.Unary(t, "core.view", m.onView)
-	rpc.Unary(t, "core.push", m.onPush)
-	rpc.Unary(t, "core.order", m.onOrder)
-	rpc.Unary(t, "core.read", m.onRead)
-	rpc.Unary(t, "core.value", m.onValue)
-	rpc.Unary(t, "core.announce", m.onAnnounce)
+	rpc.Unary(t, "core.ping", m.handleHeartbeat)
+	rpc.Unary(t, "core.prepare", m.handlePrepare)
+	rpc.Unary(t, "core.accept", m.handleAccept)
+	rpc.Unary(t, "core.learn", func(ctx context.Context, v *view.View) (*empty, error) { return &empty{}, m.learnView(ctx, v) })
+	rpc.Unary(t, "core.view", m.handleView)
+	rpc.Unary(t, "core.push", m.handlePush)
+	rpc.Unary(t, "core.order", m.handleSubmit)
+	rpc.Unary(t, "core.read", m.handleRead)
+	rpc.Unary(t, "core.value", m.handleValue)
+	rpc.Unary(t, "core.announce", m.handleAnnounce)
 }
 
-func (m *Member) onView(_ context.Context, q *viewCall) (*viewAnswer, error) {
+func (m *Member) handleView(_ context.Context, q *viewRequest) (*viewResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.seen.Number <= q.Have {
-		return &viewAnswer{}, nil
+	if m.newest.Number <= q.Have {
+		return &viewResponse{}, nil
 	}
-	v := m.seen
-	return &viewAnswer{View: &v}, nil
+	v := m.newest
+	return &viewResponse{View: &v}, nil
 }
 
-func (m *Member) onValue(context.Context, *none) (*valueAnswer, error) {
+func (m *Member) handleValue(context.Context, *empty) (*valueResponse, error) {
 	v, _ := m.Committed()
-	return &valueAnswer{Value: v}, nil
+	return &valueResponse{Value: v}, nil
 }
 
-// onPrepare answers once the promise is on disk.
-func (m *Member) onPrepare(ctx context.Context, q *prepareCall) (*view.Answer, error) {
+// handlePrepare answers once the promise is on disk.
+func (m *Member) handlePrepare(ctx context.Context, q *prepareRequest) (*view.Answer, error) {
 	if q.Q.Base.Number == 0 {
-		return m.foundingPrepare(q)
+		return m.prepareFirstView(q)
 	}
-	return m.ballot(ctx, q.To, &q.Q.Base, func(v view.Vote, instance uint64) (view.Vote, view.Answer) {
+	return m.castVote(ctx, q.To, &q.Q.Base, func(v view.Vote, instance uint64) (view.Vote, view.Answer) {
 		return v.Prepare(instance, q.Q.Ballot)
 	})
 }
 
-// onAccept answers once the acceptance is on disk.
-func (m *Member) onAccept(ctx context.Context, q *acceptCall) (*view.Answer, error) {
+// handleAccept answers once the acceptance is on disk.
+func (m *Member) handleAccept(ctx context.Context, q *acceptRequest) (*view.Answer, error) {
 	if q.Q.View.Number != q.Q.Base.Number+1 {
 		return nil, errors.Errorf("view %d proposed after %d", q.Q.View.Number, q.Q.Base.Number)
 	}
@@ -104,32 +104,32 @@
 		return nil, err
 	}
 	if q.Q.Base.Number == 0 {
-		return m.foundingAccept(q)
+		return m.acceptFirstView(q)
 	}
-	return m.ballot(ctx, q.To, &q.Q.Base, func(v view.Vote, instance uint64) (view.Vote, view.Answer) {
+	return m.castVote(ctx, q.To, &q.Q.Base, func(v view.Vote, instance uint64) (view.Vote, view.Answer) {
 		return v.Accept(instance, q.Q.Ballot, q.Q.View)
 	})
 }
 
-func (m *Member) ballot(ctx context.Context, to string, base *view.View, turn func(view.Vote, uint64) (view.Vote, view.Answer)) (*view.Answer, error) {
-	if to != m.me.ID {
-		return &view.Answer{Refused: "this disk is " + m.me.ID}, nil
+func (m *Member) castVote(ctx context.Context, to string, base *view.View, turn func(view.Vote, uint64) (view.Vote, view.Answer)) (*view.Answer, error) {
+	if to != m.self.ID {
+		return &view.Answer{Refused: "this disk is " + m.self.ID}, nil
 	}
 	if err := base.Check(); err != nil {
 		return nil, err
 	}
-	m.hear(base)
-	if err := m.hold(ctx); err != nil {
+	m.observeView(base)
+	if err := m.acquireWrite(ctx); err != nil {
 		return nil, err
 	}
-	defer m.give()
-	if err := m.learnHeld(base); err != nil {
+	defer m.releaseWrite()
+	if err := m.persistView(base); err != nil {
 		return nil, err
 	}
 	// view and vote change only while the step is held.
-	switch _, voter := m.view.Voter(m.me.ID); {
-	case base.Number < m.view.Number:
-		v := m.view
+	switch _, voter := m.learned.Voter(m.self.ID); {
+	case base.Number < m.learned.Number:
+		v := m.learned
 		return &view.Answer{Newer: &v}, nil
 	case !voter:
 		return &view.Answer{Refused: "no voter of this view"}, nil
@@ -142,22 +142,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := m.store.Put(keyVote, raw); err != nil {
+	if err := m.disk.Put(keyVote, raw); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
 	if vote.Accepted != nil && (m.vote.Instance != vote.Instance || m.vote.Accepted == nil) {
-		m.votedAt = time.Now()
+		m.acceptedAt = time.Now()
 	}
 	m.vote = vote
 	m.mu.Unlock()
 	return &a, nil
 }
 
-// onPush keeps the value on disk, passes it on and answers once the tail has it.
-func (m *Member) onPush(ctx context.Context, q *pushCall) (*pushAnswer, error) {
-	if q.To != m.me.ID {
-		return &pushAnswer{Why: "this disk is " + m.me.ID}, nil
+// handlePush keeps the value on disk, passes it on and answers once the tail has it.
+func (m *Member) handlePush(ctx context.Context, q *pushRequest) (*pushResponse, error) {
+	if q.To != m.self.ID {
+		return &pushResponse{Why: "this disk is " + m.self.ID}, nil
 	}
 	if err := q.Q.View.Check(); err != nil {
 		return nil, err
@@ -165,50 +165,50 @@
 	if err := q.Q.Value.Check(); err != nil {
 		return nil, err
 	}
-	if a, err := m.take(ctx, q); a != nil || err != nil {
+	if a, err := m.acceptPush(ctx, q); a != nil || err != nil {
 		return a, err
 	}
 	if q.Q.Direct {
-		return &pushAnswer{OK: true}, nil
+		return &pushResponse{OK: true}, nil
 	}
-	if err := m.passOn(ctx, q.Q.View, q.Q.Value); err != nil {
-		return &pushAnswer{Why: err.Error()}, nil
+	if err := m.replicate(ctx, q.Q.View, q.Q.Value); err != nil {
+		return &pushResponse{Why: err.Error()}, nil
 	}
-	return &pushAnswer{OK: true}, nil
+	return &pushResponse{OK: true}, nil
 }
 
-// take keeps a pushed value; an answer or an error ends the push here.
-func (m *Member) take(ctx context.Context, q *pushCall) (*pushAnswer, error) {
-	m.hear(&q.Q.View)
-	if err := m.hold(ctx); err != nil {
+// acceptPush keeps a pushed value; an answer or an error ends the push here.
+func (m *Member) acceptPush(ctx context.Context, q *pushRequest) (*pushResponse, error) {
+	m.observeView(&q.Q.View)
+	if err := m.acquireWrite(ctx); err != nil {
 		return nil, err
 	}
-	defer m.give()
-	if err := m.learnHeld(&q.Q.View); err != nil {
+	defer m.releaseWrite()
+	if err := m.persistView(&q.Q.View); err != nil {
 		return nil, err
 	}
-	if q.Q.View.Number < m.view.Number {
-		v := m.view
-		return &pushAnswer{Newer: &v}, nil
+	if q.Q.View.Number < m.learned.Number {
+		v := m.learned
+		return &pushResponse{Newer: &v}, nil
 	}
 	r := m.replica()
 	rec, change, err := r.Take(&q.Q)
 	if err != nil {
-		return &pushAnswer{Why: err.Error()}, nil
+		return &pushResponse{Why: err.Error()}, nil
 	}
 	if !change {
 		return nil, nil
 	}
-	return nil, m.keep(rec)
+	return nil, m.persistRecord(rec)
 }
 
-// keep puts a record on disk. The step is held.
-func (m *Member) keep(rec chain.Record) error {
+// persistRecord puts a record on disk. The step is held.
+func (m *Member) persistRecord(rec chain.Record) error {
 	raw, err := encode(&rec)
 	if err != nil {
 		return err
 	}
-	if err := m.store.Put(keyValue, raw); err != nil {
+	if err := m.disk.Put(keyValue, raw); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -217,26 +217,26 @@
 	return nil
 }
 
-// passOn sends a value that is kept here to the next member, and notes that it is committed once
+// replicate sends a value that is kept here to the next member, and notes that it is committed once
 // the tail has it. It ends with the view.
-func (m *Member) passOn(ctx context.Context, v view.View, value chain.Value) error {
-	next, more := v.Next(m.me.ID)
+func (m *Member) replicate(ctx context.Context, v view.View, value chain.Value) error {
+	next, more := v.Next(m.self.ID)
 	if more {
 		// Each member waits a little less than the one before it, so that the one that can't reach
 		// its successor can tell.
-		ctx, cancel := m.within(ctx, v.Number, pushWait-time.Duration(v.Place(m.me.ID))*pushLess)
+		ctx, cancel := m.withinView(ctx, v.Number, pushTimeout-time.Duration(v.Place(m.self.ID))*pushTimeoutStep)
 		defer cancel()
 		begun := time.Now()
-		a, err := call[pushCall, pushAnswer](ctx, m, next.Addr, "core.push", &pushCall{To: next.ID, Q: chain.Push{View: v, Value: value}})
+		a, err := call[pushRequest, pushResponse](ctx, m, next.Addr, "core.push", &pushRequest{To: next.ID, Q: chain.Push{View: v, Value: value}})
 		if err != nil {
 			if !errors.Is(ctx.Err(), context.Canceled) { // it is not the view that ended
-				m.reached(next.ID, begun, false)
+				m.recordPushResult(next.ID, begun, false)
 			}
 			return err
 		}
-		m.reached(next.ID, begun, true)
+		m.recordPushResult(next.ID, begun, true)
 		if a.Newer != nil {
-			m.hear(a.Newer)
+			m.observeView(a.Newer)
 			return errors.Errorf("view %d is over", v.Number)
 		}
 		if !a.OK {
@@ -244,33 +244,33 @@
 		}
 	}
 	if value.Seq > 0 {
-		m.commit(value)
+		m.advanceCommitted(value)
 	}
 	return nil
 }
 
-// reached notes whether the successor could be called. Pings may go well where this does not, so a
+// recordPushResult notes whether the successor could be called. Pings may go well where this does not, so a
 // member that can't be reached is no longer told as heard.
-func (m *Member) reached(id string, begun time.Time, ok bool) {
+func (m *Member) recordPushResult(id string, begun time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch p := m.peers[id]; {
 	case p == nil:
 	case ok:
-		p.failing = time.Time{}
+		p.pushFailingSince = time.Time{}
 	default:
-		if p.failing.IsZero() {
-			p.failing = begun
+		if p.pushFailingSince.IsZero() {
+			p.pushFailingSince = begun
 		}
-		p.failed = time.Now()
+		p.lastPushFailure = time.Now()
 	}
 }
 
-// within is ctx until a view is over or a time has passed.
-func (m *Member) within(ctx context.Context, number uint64, d time.Duration) (context.Context, context.CancelFunc) {
+// withinView is ctx until a view is over or a time has passed.
+func (m *Member) withinView(ctx context.Context, number uint64, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	m.mu.Lock()
-	over, now := m.inView, m.view.Number
+	over, now := m.superseded, m.learned.Number
 	m.mu.Unlock()
 	if now != number {
 		cancel()
--- a/internal/fleet/controlplane/core.go
+++ b/internal/fleet/controlplane/core.go
@@ -29,45 +29,45 @@
 )
 
 const (
-	tick       = 100 * time.Millisecond // of pings and repair
-	frozen     = 300 * time.Millisecond // a gap between ticks after which nothing held is believed
-	silent     = 600 * time.Millisecond // a member of the chain is left out after
-	settle     = 300 * time.Millisecond // one that is back is believed after
-	away       = 2 * time.Second        // a voter may be swapped after
-	refused    = 150 * time.Millisecond // a port that was open is closed for, and the process has ended
-	linked     = 400 * time.Millisecond // contact counts as such for
-	diskWait   = 400 * time.Millisecond // an operation on a disk may take
-	probeEvery = 250 * time.Millisecond // of a disk in trouble
-	callWait   = 400 * time.Millisecond // bounds a small call
-	pushWait   = time.Second            // bounds a push through the chain
-	pushLess   = 60 * time.Millisecond  // less for each member on the way
-	sweepEvery = 20 * time.Second
-	maxOrders  = 64
-	maxPeers   = 64
-
-	defaultAck = 900 * time.Millisecond
+	heartbeatInterval     = 100 * time.Millisecond // of pings and repair
+	pauseAllowance        = 300 * time.Millisecond // a gap between ticks after which nothing held is believed
+	peerTimeout           = 600 * time.Millisecond // a member of the chain is left out after
+	stabilizationDelay    = 300 * time.Millisecond // one that is back is believed after
+	voterReplacementDelay = 2 * time.Second        // a voter may be swapped after
+	refusalConfirmation   = 150 * time.Millisecond // a port that was open is closed for, and the process has ended
+	contactTimeout        = 400 * time.Millisecond // contact counts as such for
+	diskStallLimit        = 400 * time.Millisecond // an operation on a disk may take
+	diskProbeInterval     = 250 * time.Millisecond // of a disk in trouble
+	callTimeout           = 400 * time.Millisecond // bounds a small call
+	pushTimeout           = time.Second            // bounds a push through the chain
+	pushTimeoutStep       = 60 * time.Millisecond  // less for each member on the way
+	diskSweepInterval     = 20 * time.Second
+	maxSubmissions        = 64
+	maxPeers              = 64
+
+	defaultRequestTimeout = 900 * time.Millisecond
 )
 
 // Options say what a Member is and whom it tells.
 type Options struct {
-	Addr         string // HOST:PORT at which this agent is called
-	Zone         string
-	Region       string
-	Dir          string // of the state; "": in memory
-	Disk         Disk   // keeps the state in place of a store in Dir, which is its name then; nil: the store
-	HasDisk      bool   // the machine is of the core
-	FirstStart   bool   // the whole system starts for the first time
-	Seeds        func() []string
-	Known        func() []string // more addresses of agents, may be nil
-	Losses       int             // machine losses to be borne at once
-	ZoneLosses   int             // or losses of whole zones
-	RegionLosses int             // or losses of whole regions
-	Counted      bool            // this machine's loss is one of those
-	Pool         *rpc.Pool
-	Check        chain.Check
-	OnCommit     func(chain.Value) // newest committed values, Seq rising; may be nil
-	OnView       func(view.View)   // newer views, Number rising; may be nil
-	AckWithin    time.Duration     // bounds Submit and Read; 0: 900 ms
+	Addr           string // HOST:PORT at which this agent is called
+	Zone           string
+	Region         string
+	StateDir       string // of the state; "": in memory
+	Disk           Disk   // keeps the state in place of a store in Dir, which is its name then; nil: the store
+	HasDisk        bool   // the machine is of the core
+	FirstStart     bool   // the whole system starts for the first time
+	Seeds          func() []string
+	KnownAddresses func() []string // more addresses of agents, may be nil
+	Losses         int             // machine losses to be borne at once
+	ZoneLosses     int             // or losses of whole zones
+	RegionLosses   int             // or losses of whole regions
+	Counted        bool            // this machine's loss is one of those
+	Pool           *rpc.Pool
+	Validate       chain.Check
+	OnCommit       func(chain.Value) // newest committed values, Seq rising; may be nil
+	OnView         func(view.View)   // newer views, Number rising; may be nil
+	RequestTimeout time.Duration     // bounds Submit and Read; 0: 900 ms
 }
 
 // Disk is what a Member needs of a store: Put returns nil once the record outlives a loss of power.
@@ -82,95 +82,95 @@
 
 // Member is safe for concurrent use.
 type Member struct {
-	o     Options
-	me    view.Peer
-	life  string // names this life in ballots
-	named bool   // the id is on disk; until then the process asks for no vote
-	store Disk
-	link  func(ctx context.Context, addr, name string, do func() error) error // what is between agents, in tests
-	seeds []string                                                            // the acceptors of view 1; nil where this process does not found
-
-	step    chan struct{} // holds a token while no durable step is under way
-	orders  chan *asked
-	kick    chan struct{} // asks for a tick now
-	tasks   sync.WaitGroup
-	pending sync.WaitGroup // short calls started by tasks
-
-	mu        sync.Mutex
-	view      view.View     // learned: on disk
-	seen      view.View     // newest heard of, for passing orders on
-	record    chain.Record  // on disk
-	vote      view.Vote     // on disk
-	votedAt   time.Time     // when vote.Accepted was set
-	committed chain.Value   // Seq 0: not known
-	sum       uint64        // of committed
-	inView    chan struct{} // closed when view changes
-	changed   chan struct{} // closed when view, seen or committed change
-	activated uint64        // the view whose first push came through, as its head
-	peers     map[string]*peer
-	awake     time.Time // start, or when it last woke
-	lastTick  time.Time
-	lastSeek  time.Time
-	ending    bool
-	founding  founding
-	rounds    map[uint64]uint32 // highest round met, by instance
-	shortfall view.Shortfall    // the last that was reported
-	wantWhy   string            // the step that is waited with
-	wantSince time.Time
-	notBefore time.Time // of the next proposal
-	lastProbe time.Time
-	lastSweep time.Time
-	probing   bool
-	proposing bool
-	filling   bool
-	viewAt    time.Time // when view was learned in this life
-	fetching  bool
-	catching  bool
-	keepTold  time.Time // of the last event of a view that the disk did not take
-	asking    int       // rotates over those asked for a view
-	closed    bool
-	run       context.Context
+	options     Options
+	self        view.Peer
+	incarnation string // names this life in ballots
+	idPersisted bool   // the id is on disk; until then the process asks for no vote
+	disk        Disk
+	intercept   func(ctx context.Context, addr, name string, do func() error) error // what is between agents, in tests
+	seeds       []string                                                            // the acceptors of view 1; nil where this process does not found
+
+	writeToken  chan struct{} // holds a token while no durable step is under way
+	submissions chan *submission
+	wakeups     chan struct{} // asks for a tick now
+	loops       sync.WaitGroup
+	calls       sync.WaitGroup // short calls started by tasks
+
+	mu                     sync.Mutex
+	learned                view.View     // learned: on disk
+	newest                 view.View     // newest heard of, for passing orders on
+	record                 chain.Record  // on disk
+	vote                   view.Vote     // on disk
+	acceptedAt             time.Time     // when vote.Accepted was set
+	committed              chain.Value   // Seq 0: not known
+	checksum               uint64        // of committed
+	superseded             chan struct{} // closed when view changes
+	changed                chan struct{} // closed when view, seen or committed change
+	activatedView          uint64        // the view whose first push came through, as its head
+	peers                  map[string]*peerState
+	awakeSince             time.Time // start, or when it last woke
+	lastTick               time.Time
+	lastDiscovery          time.Time
+	shuttingDown           bool
+	bootstrap              bootstrapState
+	rounds                 map[uint64]uint32 // highest round met, by instance
+	reportedShortfall      view.Shortfall    // the last that was reported
+	wantedStep             string            // the step that is waited with
+	wantedSince            time.Time
+	backoffUntil           time.Time // of the next proposal
+	lastProbe              time.Time
+	lastSweep              time.Time
+	diskBusy               bool
+	proposing              bool
+	sendingSnapshot        bool
+	learnedAt              time.Time // when view was learned in this life
+	fetching               bool
+	learning               bool
+	persistFailureLoggedAt time.Time // of the last event of a view that the disk did not take
+	discoveryCursor        int       // rotates over those asked for a view
+	stopped                bool
+	runContext             context.Context
 }
 
 // Open reads the disk. A disk that is empty, or whose file is damaged, gives a new id.
 func Open(o Options) (*Member, error) {
-	if o.Addr == "" || o.Pool == nil || o.Check == nil || o.Seeds == nil {
+	if o.Addr == "" || o.Pool == nil || o.Validate == nil || o.Seeds == nil {
 		return nil, errors.New("core: Addr, Pool, Check and Seeds are needed")
 	}
-	if o.AckWithin <= 0 {
-		o.AckWithin = defaultAck
+	if o.RequestTimeout <= 0 {
+		o.RequestTimeout = defaultRequestTimeout
 	}
 	if !o.HasDisk {
-		o.Dir = ""
+		o.StateDir = ""
 	}
 	st, err := openDisk(&o)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	m := &Member{o: o, store: st, life: random(4), step: make(chan struct{}, 1), orders: make(chan *asked, maxOrders),
-		kick: make(chan struct{}, 1), inView: make(chan struct{}), changed: make(chan struct{}),
-		peers: map[string]*peer{}, awake: now, lastTick: now, rounds: map[uint64]uint32{}, run: context.Background()}
-	m.step <- struct{}{}
-	m.founding.acked = map[string]bool{}
+	m := &Member{options: o, disk: st, incarnation: randomHex(4), writeToken: make(chan struct{}, 1), submissions: make(chan *submission, maxSubmissions),
+		wakeups: make(chan struct{}, 1), superseded: make(chan struct{}), changed: make(chan struct{}),
+		peers: map[string]*peerState{}, awakeSince: now, lastTick: now, rounds: map[uint64]uint32{}, runContext: context.Background()}
+	m.writeToken <- struct{}{}
+	m.bootstrap.acked = map[string]bool{}
 	if err := m.loadState(); err != nil {
 		st.Close()
 		return nil, err
 	}
-	if o.FirstStart && m.view.Number == 0 {
+	if o.FirstStart && m.learned.Number == 0 {
 		m.seeds = distinct(o.Seeds())
-		m.founding.began, m.founding.news = now, now
-		m.founding.found = map[string]view.Peer{}
+		m.bootstrap.began, m.bootstrap.news = now, now
+		m.bootstrap.found = map[string]view.Peer{}
 	}
 	return m, nil
 }
 
 // openDisk opens the store of the options' folder, where they bring no disk of their own.
 func openDisk(o *Options) (Disk, error) {
-	if o.Disk != nil && o.Dir != "" {
+	if o.Disk != nil && o.StateDir != "" {
 		return o.Disk, nil
 	}
-	st, rep, err := store.Open(o.Dir)
+	st, rep, err := store.Open(o.StateDir)
 	if err != nil {
 		return nil, err
 	}
@@ -182,7 +182,7 @@
 	return st, nil
 }
 
-func random(bytes int) string {
+func randomHex(bytes int) string {
 	b := make([]byte, bytes)
 	_, _ = rand.Read(b) // never fails
 	return hex.EncodeToString(b)
@@ -202,19 +202,19 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	m.mu.Lock()
-	m.run = ctx
+	m.runContext = ctx
 	m.mu.Unlock()
-	for _, task := range []func(context.Context){m.tickLoop, m.headLoop, m.tellLoop, m.seekLoop} {
-		m.tasks.Add(1)
-		go func() { defer m.tasks.Done(); task(ctx) }()
+	for _, task := range []func(context.Context){m.tickLoop, m.submissionLoop, m.callbackLoop, m.discoveryLoop} {
+		m.loops.Add(1)
+		go func() { defer m.loops.Done(); task(ctx) }()
 	}
 	<-ctx.Done()
 	m.mu.Lock()
-	m.closed = true // no further short calls
+	m.stopped = true // no further short calls
 	m.mu.Unlock()
-	m.tasks.Wait()
-	m.store.Close()
-	m.pending.Wait()
+	m.loops.Wait()
+	m.disk.Close()
+	m.calls.Wait()
 	return nil
 }
 
@@ -226,25 +226,25 @@
 }
 
 func (m *Member) spawnLocked(fn func(context.Context)) {
-	if m.closed {
+	if m.stopped {
 		return
 	}
-	ctx := m.run
-	m.pending.Add(1)
-	go func() { defer m.pending.Done(); fn(ctx) }()
+	ctx := m.runContext
+	m.calls.Add(1)
+	go func() { defer m.calls.Done(); fn(ctx) }()
 }
 
-// hold waits for the right to make a durable step; give returns it.
-func (m *Member) hold(ctx context.Context) error {
+// acquireWrite waits for the right to make a durable step; give returns it.
+func (m *Member) acquireWrite(ctx context.Context) error {
 	select {
-	case <-m.step:
+	case <-m.writeToken:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "wait for the state's disk")
 	}
 }
 
-func (m *Member) give() { m.step <- struct{}{} }
+func (m *Member) releaseWrite() { m.writeToken <- struct{}{} }
 
 // notifyLocked wakes whoever waits for a change.
 func (m *Member) notifyLocked() {
@@ -259,56 +259,56 @@
 }
 
 func (m *Member) replicaLocked() chain.Replica {
-	return chain.Replica{Me: m.me.ID, View: m.view, Record: m.record}
+	return chain.Replica{Me: m.self.ID, View: m.learned, Record: m.record}
 }
 
-// hear notes a view that somebody knows; it is not acted on before it is learned.
-func (m *Member) hear(v *view.View) {
+// observeView notes a view that somebody knows; it is not acted on before it is learned.
+func (m *Member) observeView(v *view.View) {
 	if v == nil || v.Check() != nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if v.Number > m.seen.Number {
-		m.seen = v.Clone()
+	if v.Number > m.newest.Number {
+		m.newest = v.Clone()
 		m.notifyLocked()
-		m.poke()
+		m.wakeTicker()
 	}
 }
 
-// learn takes a decided view: on disk first.
-func (m *Member) learn(ctx context.Context, v *view.View) error {
+// learnView takes a decided view: on disk first.
+func (m *Member) learnView(ctx context.Context, v *view.View) error {
 	if v == nil {
 		return nil
 	}
 	if err := v.Check(); err != nil {
 		return err
 	}
-	m.hear(v)
+	m.observeView(v)
 	m.mu.Lock()
-	old := v.Number <= m.view.Number
+	old := v.Number <= m.learned.Number
 	m.mu.Unlock()
 	if old {
 		return nil
 	}
-	if err := m.hold(ctx); err != nil {
+	if err := m.acquireWrite(ctx); err != nil {
 		return err
 	}
-	defer m.give()
-	return m.learnHeld(v)
+	defer m.releaseWrite()
+	return m.persistView(v)
 }
 
-// keepView learns a view that is learned later where the disk does not take it now.
-func (m *Member) keepView(ctx context.Context, v *view.View) {
-	err := m.learn(ctx, v)
+// learnViewOrLog learns a view that is learned later where the disk does not take it now.
+func (m *Member) learnViewOrLog(ctx context.Context, v *view.View) {
+	err := m.learnView(ctx, v)
 	if err == nil || ctx.Err() != nil {
 		return
 	}
 	now := time.Now()
 	m.mu.Lock()
-	told := now.Sub(m.keepTold) < time.Second
+	told := now.Sub(m.persistFailureLoggedAt) < time.Second
 	if !told {
-		m.keepTold = now
+		m.persistFailureLoggedAt = now
 	}
 	m.mu.Unlock()
 	if !told {
@@ -316,25 +316,25 @@
 	}
 }
 
-func (m *Member) learnHeld(v *view.View) error {
-	if v.Number <= m.view.Number { // only holders of the step change it
+func (m *Member) persistView(v *view.View) error {
+	if v.Number <= m.learned.Number { // only holders of the step change it
 		return nil
 	}
 	raw, err := encode(v)
 	if err != nil {
 		return err
 	}
-	if err := m.store.Put(keyView, raw); err != nil {
+	if err := m.disk.Put(keyView, raw); err != nil {
 		return err
 	}
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view, m.viewAt, m.wantWhy = v.Clone(), now, ""
-	if m.seen.Number < v.Number {
-		m.seen = m.view
+	m.learned, m.learnedAt, m.wantedStep = v.Clone(), now, ""
+	if m.newest.Number < v.Number {
+		m.newest = m.learned
 	}
-	for _, p := range m.view.Voters {
+	for _, p := range m.learned.Voters {
 		m.peerLocked(p, now)
 	}
 	for n := range m.rounds {
@@ -342,48 +342,48 @@
 			delete(m.rounds, n)
 		}
 	}
-	m.poke()
-	close(m.inView)
-	m.inView = make(chan struct{})
+	m.wakeTicker()
+	close(m.superseded)
+	m.superseded = make(chan struct{})
 	m.notifyLocked()
-	logevent.ViewLearned.Log("view", v.Number, "chain", names(m.view))
+	logevent.ViewLearned.Log("view", v.Number, "chain", chainAddresses(m.learned))
 	m.reportShortfallLocked()
 	return nil
 }
 
-func names(v view.View) (out []string) {
+func chainAddresses(v view.View) (out []string) {
 	for _, l := range v.Chain {
 		out = append(out, l.Addr)
 	}
 	return out
 }
 
-// commit notes a value that the tail has kept.
-func (m *Member) commit(v chain.Value) {
+// advanceCommitted notes a value that the tail has kept.
+func (m *Member) advanceCommitted(v chain.Value) {
 	sum := v.Sum()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if v.Seq > m.committed.Seq {
-		m.committed, m.sum = v, sum
+		m.committed, m.checksum = v, sum
 		m.notifyLocked()
 	}
 }
 
-// tellLoop tells the owner of newer views and values.
-func (m *Member) tellLoop(ctx context.Context) {
+// callbackLoop tells the owner of newer views and values.
+func (m *Member) callbackLoop(ctx context.Context) {
 	var number, seq uint64
 	for {
 		m.mu.Lock()
-		v, c, changed := m.view, m.committed, m.changed
+		v, c, changed := m.learned, m.committed, m.changed
 		m.mu.Unlock()
 		if v.Number > number {
-			if number = v.Number; m.o.OnView != nil {
-				m.o.OnView(v)
+			if number = v.Number; m.options.OnView != nil {
+				m.options.OnView(v)
 			}
 		}
 		if c.Seq > seq {
-			if seq = c.Seq; m.o.OnCommit != nil {
-				m.o.OnCommit(c)
+			if seq = c.Seq; m.options.OnCommit != nil {
+				m.options.OnCommit(c)
 			}
 		}
 		select {
@@ -398,24 +398,24 @@
 func (m *Member) View() (view.View, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.seen, m.seen.Number > 0
+	return m.newest, m.newest.Number > 0
 }
 
-// IsCore tells whether this process votes.
-func (m *Member) IsCore() bool {
+// IsVoter tells whether this process votes.
+func (m *Member) IsVoter() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, is := m.view.Voter(m.me.ID)
+	_, is := m.learned.Voter(m.self.ID)
 	return is
 }
 
-// Linked tells whether this process is of the core and was in contact with a majority of the
+// HasQuorum tells whether this process is of the core and was in contact with a majority of the
 // voters in the last 400 ms.
-func (m *Member) Linked() bool {
+func (m *Member) HasQuorum() bool {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.majorityLocked(now)
+	return m.hasQuorumLocked(now)
 }
 
 // Committed is the newest value that is known here to be committed.
--- a/internal/fleet/controlplane/core_test.go
+++ b/internal/fleet/controlplane/core_test.go
@@ -24,11 +24,11 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds each wait of a test; it is reached only where something is broken.
-const patience = 20 * time.Second
+// waitLimit bounds each wait of a test; it is reached only where something is broken.
+const waitLimit = 20 * time.Second
 
-// checkNumber takes bodies that are numbers above the current one.
-func checkNumber(cur []byte, o *chain.Order) ([]byte, int64, error) {
+// applyNumber takes bodies that are numbers above the current one.
+func applyNumber(cur []byte, o *chain.Order) ([]byte, int64, error) {
 	n, err := strconv.ParseInt(string(o.Body), 10, 64)
 	if err != nil || n <= 0 {
 		return nil, 0, errors.New("no number")
@@ -36,69 +36,69 @@
 	return o.Body, n, nil
 }
 
-// proc is one process of a site on loopback; its machine keeps its address and its folder.
-type proc struct {
-	t       testing.TB
+// testNode is one process of a site on loopback; its machine keeps its address and its folder.
+type testNode struct {
+	tb      testing.TB
 	addr    string
 	zone    string
 	dir     string
-	m       *Member
-	stop    context.CancelFunc
+	member  *Member
+	cancel  context.CancelFunc
 	done    chan struct{}
 	mu      sync.Mutex
 	commits []uint64
 	changes chan struct{} // a view or a value came
-	disk    *badDisk
-	ack     time.Duration // AckWithin
+	disk    *faultyDisk
+	ack     time.Duration // RequestTimeout
 }
 
-type site struct {
-	t     testing.TB
-	seeds []string
-	procs []*proc
-	loss  int // of machines
-	zones int // losses of zones
-	check chain.Check
-
-	mu   sync.Mutex
-	cuts map[[2]string]bool                     // what is sent from one address to the other is lost
-	heal chan struct{}                          // closed when cuts change
-	deaf *proc                                  // no push of a value reaches it
-	tap  func(from, name string, answered bool) // sees each call as it is sent and as it is answered
+type testCluster struct {
+	tb            testing.TB
+	seeds         []string
+	nodes         []*testNode
+	machineLosses int // of machines
+	zoneLosses    int // losses of zones
+	check         chain.Check
+
+	mu                sync.Mutex
+	partitions        map[[2]string]bool                     // what is sent from one address to the other is lost
+	partitionsChanged chan struct{}                          // closed when cuts change
+	unpushable        *testNode                              // no push of a value reaches it
+	observeCall       func(from, name string, answered bool) // sees each call as it is sent and as it is answered
 }
 
-func (s *site) setTap(tap func(from, name string, answered bool)) {
+func (s *testCluster) setObserveCall(tap func(from, name string, answered bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tap = tap
+	s.observeCall = tap
 }
 
-// cut loses what is sent from one process to others, until it is whole again.
-func (s *site) cut(from, to *proc, lost bool) {
+// partition loses what is sent from one process to others, until it is whole again.
+func (s *testCluster) partition(from, to *testNode, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cuts[[2]string{from.addr, to.addr}] = lost
-	close(s.heal)
-	s.heal = make(chan struct{})
+	s.partitions[[2]string{from.addr, to.addr}] = lost
+	close(s.partitionsChanged)
+	s.partitionsChanged = make(chan struct{})
 }
 
 // isolate cuts a process from all others, both ways or only what it sends.
-func (s *site) isolate(p *proc, lost, bothWays bool) {
-	for _, o := range s.procs {
+func (s *testCluster) isolate(p *testNode, lost, bothWays bool) {
+	for _, o := range s.nodes {
 		if o != p {
-			s.cut(p, o, lost)
+			s.partition(p, o, lost)
 			if bothWays {
-				s.cut(o, p, lost)
+				s.partition(o, p, lost)
 			}
 		}
 	}
 }
 
-// through waits until what is sent from one process to another arrives.
-func (s *site) through(ctx context.Context, from, to string) error {
+// awaitDelivery waits until what is sent from one process to another arrives.
+func (s *testCluster) awaitDelivery(ctx context.Context, from, to string) error {
 	for {
 		s.mu.Lock()
-		lost, heal := s.cuts[[2]string{from, to}], s.heal
+		lost, heal := s.partitions[[2]string{from, to}], s.partitionsChanged
 		s.mu.Unlock()
 		if !lost {
 			return nil
@@ -111,25 +111,25 @@
 	}
 }
 
-// badDisk is a store whose disk can be made to refuse or to hold up all writes.
-type badDisk struct {
+// faultyDisk is a store whose disk can be made to refuse or to hold up all writes.
+type faultyDisk struct {
 	*store.Store
-	mu      sync.Mutex
-	full    bool
-	stalled chan struct{} // writes wait for its end
-	since   time.Time     // the oldest write that waits
-	failing time.Time
+	mu            sync.Mutex
+	failWrites    bool
+	writesBlocked chan struct{} // writes wait for its end
+	blockedSince  time.Time     // the oldest write that waits
+	failingSince  time.Time
 }
 
-func (d *badDisk) Put(key string, val []byte) error {
+func (d *faultyDisk) Put(key string, val []byte) error {
 	d.mu.Lock()
-	full, stalled := d.full, d.stalled
-	if now := time.Now(); full && d.failing.IsZero() {
-		d.failing = now
-	} else if stalled != nil && d.since.IsZero() {
-		d.since = now
+	full, stalled := d.failWrites, d.writesBlocked
+	if now := time.Now(); full && d.failingSince.IsZero() {
+		d.failingSince = now
+	} else if stalled != nil && d.blockedSince.IsZero() {
+		d.blockedSince = now
 	} else if !full {
-		d.failing = time.Time{}
+		d.failingSince = time.Time{}
 	}
 	d.mu.Unlock()
 	if full {
@@ -141,43 +141,43 @@
 	return d.Store.Put(key, val)
 }
 
-func (d *badDisk) Probe() error { return d.Put("probe", nil) }
+func (d *faultyDisk) Probe() error { return d.Put("probe", nil) }
 
-func (d *badDisk) Health(now time.Time) store.Health {
+func (d *faultyDisk) Health(now time.Time) store.Health {
 	h := d.Store.Health(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.failing.IsZero() {
-		h.Failing = max(1, now.Sub(d.failing))
+	if !d.failingSince.IsZero() {
+		h.Failing = max(1, now.Sub(d.failingSince))
 	}
-	if !d.since.IsZero() {
-		h.Oldest = now.Sub(d.since)
+	if !d.blockedSince.IsZero() {
+		h.Oldest = now.Sub(d.blockedSince)
 	}
 	return h
 }
 
-// holds tells whether a write waits.
-func (d *badDisk) holds() bool {
+// hasBlockedWrite tells whether a write waits.
+func (d *faultyDisk) hasBlockedWrite() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.since.IsZero()
+	return !d.blockedSince.IsZero()
 }
 
-func (d *badDisk) setFull(full bool) {
+func (d *faultyDisk) setFailWrites(full bool) {
 	d.mu.Lock()
-	d.full = full
+	d.failWrites = full
 	d.mu.Unlock()
 }
 
-func (d *badDisk) stall(on bool) {
+func (d *faultyDisk) stall(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if on {
-		d.stalled = make(chan struct{})
+		d.writesBlocked = make(chan struct{})
 		return
 	}
-	close(d.stalled)
-	d.stalled, d.since = nil, time.Time{}
+	close(d.writesBlocked)
+	d.writesBlocked, d.blockedSince = nil, time.Time{}
 }
 
 // stateDir is a folder for a machine's state, in memory where there is such a file system: the
@@ -191,28 +191,28 @@
 	return dir
 }
 
-// machines counts all of the tests.
-var machines atomic.Int32
+// addressCount counts all of the tests.
+var addressCount atomic.Int32
 
-func newSite(t testing.TB, disks, others int) *site {
-	s := &site{t: t, loss: 1, check: checkNumber, cuts: map[[2]string]bool{}, heal: make(chan struct{})}
+func newTestCluster(t testing.TB, disks, others int) *testCluster {
+	s := &testCluster{tb: t, machineLosses: 1, check: applyNumber, partitions: map[[2]string]bool{}, partitionsChanged: make(chan struct{})}
 	for i := range disks + others {
 		// An address of its own: no outgoing connection ever has its port.
-		n := machines.Add(1)
+		n := addressCount.Add(1)
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250))
 		require.NoError(t, err)
-		p := &proc{t: t, zone: "z", addr: ln.Addr().String()}
+		p := &testNode{tb: t, zone: "z", addr: ln.Addr().String()}
 		require.NoError(t, ln.Close())
 		if i < disks {
 			p.dir = stateDir(t)
 		}
-		s.procs = append(s.procs, p)
+		s.nodes = append(s.nodes, p)
 		if i < 3 {
 			s.seeds = append(s.seeds, p.addr)
 		}
 	}
 	t.Cleanup(func() {
-		for _, p := range s.procs {
+		for _, p := range s.nodes {
 			p.kill()
 		}
 	})
@@ -220,9 +220,9 @@
 }
 
 // start starts a process; it answers calls when start returns.
-func (s *site) start(p *proc, first bool) {
+func (s *testCluster) start(p *testNode, first bool) {
 	ln, err := net.Listen("tcp", p.addr)
-	require.NoError(s.t, err)
+	require.NoError(s.tb, err)
 	pool := rpc.NewPool()
 	p.changes = make(chan struct{}, 1)
 	note := func() {
@@ -234,20 +234,20 @@
 	if p.ack == 0 {
 		p.ack = 5 * time.Second
 	}
-	m, err := Open(Options{Addr: p.addr, Zone: p.zone, Dir: p.dir, HasDisk: p.dir != "", FirstStart: first,
-		Seeds: func() []string { return s.seeds }, Losses: s.loss, ZoneLosses: s.zones, Counted: true, Pool: pool, Check: s.check, AckWithin: p.ack,
+	m, err := Open(Options{Addr: p.addr, Zone: p.zone, StateDir: p.dir, HasDisk: p.dir != "", FirstStart: first,
+		Seeds: func() []string { return s.seeds }, Losses: s.machineLosses, ZoneLosses: s.zoneLosses, Counted: true, Pool: pool, Validate: s.check, RequestTimeout: p.ack,
 		OnCommit: func(v chain.Value) {
 			p.mu.Lock()
 			p.commits = append(p.commits, v.Seq)
 			p.mu.Unlock()
 			note()
 		}, OnView: func(view.View) { note() }})
-	require.NoError(s.t, err)
-	p.disk = &badDisk{Store: m.store.(*store.Store)}
-	m.store = p.disk
-	m.link = func(ctx context.Context, to, name string, do func() error) error {
+	require.NoError(s.tb, err)
+	p.disk = &faultyDisk{Store: m.disk.(*store.Store)}
+	m.disk = p.disk
+	m.intercept = func(ctx context.Context, to, name string, do func() error) error {
 		s.mu.Lock()
-		deaf, tap := s.deaf != nil && s.deaf.addr == to && name == "core.push", s.tap
+		deaf, tap := s.unpushable != nil && s.unpushable.addr == to && name == "core.push", s.observeCall
 		s.mu.Unlock()
 		if tap != nil {
 			tap(p.addr, name, false)
@@ -257,18 +257,18 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if err := s.through(ctx, p.addr, to); err != nil {
+		if err := s.awaitDelivery(ctx, p.addr, to); err != nil {
 			return err
 		}
 		if err := do(); err != nil {
 			return err
 		}
-		return s.through(ctx, to, p.addr)
+		return s.awaitDelivery(ctx, to, p.addr)
 	}
 	t := rpc.NewTable()
 	m.Declare(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	p.m, p.stop, p.done = m, cancel, make(chan struct{})
+	p.member, p.cancel, p.done = m, cancel, make(chan struct{})
 	done := p.done
 	go func() {
 		defer close(done)
@@ -282,24 +282,24 @@
 }
 
 // kill ends a process; what it kept stays on its disk.
-func (p *proc) kill() {
-	if p.m != nil {
-		p.stop()
+func (p *testNode) kill() {
+	if p.member != nil {
+		p.cancel()
 		<-p.done
-		p.m = nil
+		p.member = nil
 	}
 }
 
-func (s *site) startAll(first bool) {
-	for _, p := range s.procs {
+func (s *testCluster) startAll(first bool) {
+	for _, p := range s.nodes {
 		s.start(p, first)
 	}
 }
 
-// until waits for something that views or values of a process bring.
-func (p *proc) until(what string, ok func() bool) {
-	p.t.Helper()
-	end := time.NewTimer(patience)
+// waitUntil waits for something that views or values of a process bring.
+func (p *testNode) waitUntil(what string, ok func() bool) {
+	p.tb.Helper()
+	end := time.NewTimer(waitLimit)
 	defer end.Stop()
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
@@ -308,108 +308,110 @@
 		case <-p.changes:
 		case <-poll.C:
 		case <-end.C:
-			require.FailNow(p.t, "waited in vain", "%s; %+v", what, p.m.Status())
+			require.FailNow(p.tb, "waited in vain", "%s; %+v", what, p.member.Status())
 		}
 	}
 }
 
-func (p *proc) order(ifMatch, body int64) chain.Verdict { return p.submit(orderOf(ifMatch, body)) }
+func (p *testNode) submitRevision(ifMatch, body int64) chain.Verdict {
+	return p.submitUntilClear(revisionUpdate(ifMatch, body))
+}
 
-// submit sends an order until it is clear what became of it.
-func (p *proc) submit(o *chain.Order) chain.Verdict {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// submitUntilClear sends an order until it is clear what became of it.
+func (p *testNode) submitUntilClear(o *chain.Order) chain.Verdict {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
-		if v := p.m.Submit(ctx, o); v.Kind != chain.Unclear || ctx.Err() != nil {
+		if v := p.member.Submit(ctx, o); v.Kind != chain.Unclear || ctx.Err() != nil {
 			return v
 		}
 	}
 }
 
-func (p *proc) read() chain.Value {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (p *testNode) read() chain.Value {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
-		v, err := p.m.Read(ctx)
+		v, err := p.member.Read(ctx)
 		if err == nil || ctx.Err() != nil {
-			require.NoError(p.t, err)
+			require.NoError(p.tb, err)
 			return v
 		}
 	}
 }
 
-func (p *proc) chainLen() int {
-	v, _ := p.m.View()
+func (p *testNode) chainLen() int {
+	v, _ := p.member.View()
 	return len(v.Chain)
 }
 
-func TestFoundingAndOrders(t *testing.T) {
+func TestBootstrapAndUpdates(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 2)
+	s := newTestCluster(t, 4, 2)
 	s.startAll(true)
-	for _, p := range s.procs {
-		p.until("view 1", func() bool { _, ok := p.m.View(); return ok })
+	for _, p := range s.nodes {
+		p.waitUntil("view 1", func() bool { _, ok := p.member.View(); return ok })
 	}
-	v, _ := s.procs[0].m.View()
+	v, _ := s.nodes[0].member.View()
 	require.Len(t, v.Voters, 4)
 	require.Len(t, v.Chain, 4)
 	rev := int64(0)
-	for i, p := range s.procs {
+	for i, p := range s.nodes {
 		next := int64(10 * (i + 1))
-		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, p.order(rev, next))
-		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, s.procs[0].order(rev, next), "the same again")
-		require.Equal(t, chain.Conflict, p.order(rev, next+5).Kind)
+		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, p.submitRevision(rev, next))
+		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, s.nodes[0].submitRevision(rev, next), "the same again")
+		require.Equal(t, chain.Conflict, p.submitRevision(rev, next+5).Kind)
 		rev = next
 	}
-	require.Equal(t, chain.Invalid, s.procs[5].order(rev, 3).Kind)
-	for _, p := range s.procs {
+	require.Equal(t, chain.Invalid, s.nodes[5].submitRevision(rev, 3).Kind)
+	for _, p := range s.nodes {
 		require.Equal(t, rev, p.read().Revision)
 	}
 }
 
 func TestHeadStopsAndRejoins(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 1)
+	s := newTestCluster(t, 4, 1)
 	s.startAll(true)
-	out := s.procs[4]
-	require.Equal(t, chain.Taken, out.order(0, 1).Kind)
-	v, _ := out.m.View()
-	head := s.at(v.Head().Addr)
+	out := s.nodes[4]
+	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	v, _ := out.member.View()
+	head := s.nodeAt(v.Head().Addr)
 	head.kill()
-	require.Equal(t, chain.Taken, out.order(1, 2).Kind)
+	require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
 	require.Equal(t, int64(2), out.read().Revision)
-	out.until("the head is left out", func() bool { return out.chainLen() == 3 })
+	out.waitUntil("the head is left out", func() bool { return out.chainLen() == 3 })
 	s.start(head, false)
-	head.until("the chain is whole again", func() bool { return head.chainLen() == 4 })
-	require.Equal(t, chain.Taken, head.order(2, 3).Kind)
-	head.until("the value comes", func() bool { c, _ := head.m.Committed(); return c.Revision == 3 })
+	head.waitUntil("the chain is whole again", func() bool { return head.chainLen() == 4 })
+	require.Equal(t, chain.Taken, head.submitRevision(2, 3).Kind)
+	head.waitUntil("the value comes", func() bool { c, _ := head.member.Committed(); return c.Revision == 3 })
 }
 
-func TestWipedDiskIsANewcomer(t *testing.T) {
+func TestWipedDiskJoinsAsNewMember(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 4, 1)
+	s := newTestCluster(t, 4, 1)
 	s.startAll(true)
-	out := s.procs[4]
-	require.Equal(t, chain.Taken, out.order(0, 1).Kind)
-	p := s.procs[1]
-	was := p.m.Status().ID
+	out := s.nodes[4]
+	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	p := s.nodes[1]
+	was := p.member.Status().ID
 	p.kill()
 	p.dir = stateDir(t)
 	s.start(p, false)
-	require.NotEqual(t, was, p.m.Status().ID)
-	p.until("the newcomer votes and is in the chain", func() bool {
-		v, _ := p.m.View()
-		return p.m.IsCore() && len(v.Voters) == 4 && len(v.Chain) == 4
+	require.NotEqual(t, was, p.member.Status().ID)
+	p.waitUntil("the newcomer votes and is in the chain", func() bool {
+		v, _ := p.member.View()
+		return p.member.IsVoter() && len(v.Voters) == 4 && len(v.Chain) == 4
 	})
-	require.Equal(t, chain.Taken, p.order(1, 2).Kind)
+	require.Equal(t, chain.Taken, p.submitRevision(1, 2).Kind)
 }
 
-func (s *site) at(addr string) *proc {
-	for _, p := range s.procs {
+func (s *testCluster) nodeAt(addr string) *testNode {
+	for _, p := range s.nodes {
 		if p.addr == addr {
 			return p
 		}
 	}
-	require.FailNow(s.t, "no process at "+addr)
+	require.FailNow(s.tb, "no process at "+addr)
 	return nil
 }
--- a/internal/fleet/controlplane/found.go
+++ b/internal/fleet/controlplane/found.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	foundTick  = 100 * time.Millisecond
-	foundQuiet = 300 * time.Millisecond  // no new machine with a disk for so long
-	foundAfter = 700 * time.Millisecond  // of this process's life at the earliest
-	foundTurn  = 400 * time.Millisecond  // later for each seed before it in the list
-	foundAlone = 1500 * time.Millisecond // without any machine that has a disk
-	maxFound   = 64                      // machines remembered of each kind
+	bootstrapInterval      = 100 * time.Millisecond
+	bootstrapQuietPeriod   = 300 * time.Millisecond  // no new machine with a disk for so long
+	bootstrapMinimumDelay  = 700 * time.Millisecond  // of this process's life at the earliest
+	bootstrapRankDelay     = 400 * time.Millisecond  // later for each seed before it in the list
+	bootstrapDisklessDelay = 1500 * time.Millisecond // without any machine that has a disk
+	maxBootstrapPeers      = 64                      // machines remembered of each kind
 )
 
-// founding is what a process knows of the first view before it is decided.
-type founding struct {
+// bootstrapState is what a process knows of the first view before it is decided.
+type bootstrapState struct {
 	began, news time.Time
 	found       map[string]view.Peer // with a disk, by id
 	others      []view.Peer          // without
@@ -28,10 +28,10 @@
 	rest        time.Time // no proposal before
 }
 
-type announceCall struct{ Peer view.Peer }
+type announceRequest struct{ Peer view.Peer }
 
-// seedView is the base of view 1: its voters are the processes at the seeds' addresses.
-func seedView(seeds []string) view.View {
+// bootstrapBase is the base of view 1: its voters are the processes at the seeds' addresses.
+func bootstrapBase(seeds []string) view.View {
 	var v view.View
 	for _, a := range seeds {
 		v.Voters = append(v.Voters, view.Peer{ID: a, Addr: a})
@@ -39,76 +39,76 @@
 	return v
 }
 
-// onAnnounce notes a machine that started, and tells the view once there is one.
-func (m *Member) onAnnounce(_ context.Context, q *announceCall) (*viewAnswer, error) {
+// handleAnnounce notes a machine that started, and tells the view once there is one.
+func (m *Member) handleAnnounce(_ context.Context, q *announceRequest) (*viewResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.seen.Number > 0 {
-		v := m.seen
-		return &viewAnswer{View: &v}, nil
+	if m.newest.Number > 0 {
+		v := m.newest
+		return &viewResponse{View: &v}, nil
 	}
 	if m.seeds != nil && q.Peer.ID != "" && q.Peer.Addr != "" {
-		f := &m.founding
+		f := &m.bootstrap
 		switch _, known := f.found[q.Peer.ID]; {
-		case q.Peer.Disk && !known && len(f.found) < maxFound:
+		case q.Peer.Disk && !known && len(f.found) < maxBootstrapPeers:
 			f.found[q.Peer.ID], f.news = q.Peer, time.Now()
-		case !q.Peer.Disk && len(f.others) < maxFound && !slices.Contains(f.others, q.Peer):
+		case !q.Peer.Disk && len(f.others) < maxBootstrapPeers && !slices.Contains(f.others, q.Peer):
 			f.others = append(f.others, q.Peer)
 		}
 	}
-	return &viewAnswer{}, nil
+	return &viewResponse{}, nil
 }
 
 // voteOnFirst tells whether this process is an acceptor of view 1, and who it is as such.
-func (m *Member) foundingRefused(to string, base view.View) *view.Answer {
+func (m *Member) bootstrapRefusalLocked(to string, base view.View) *view.Answer {
 	switch {
-	case m.seen.Number > 0:
-		v := m.seen
+	case m.newest.Number > 0:
+		v := m.newest
 		return &view.Answer{Newer: &v}
-	case m.seeds == nil || to != m.me.Addr || !slices.Equal(seedView(m.seeds).Voters, base.Voters):
+	case m.seeds == nil || to != m.self.Addr || !slices.Equal(bootstrapBase(m.seeds).Voters, base.Voters):
 		return &view.Answer{Refused: "no seed of a first start with these seeds"}
 	}
 	return nil
 }
 
-func (m *Member) foundingPrepare(q *prepareCall) (*view.Answer, error) {
+func (m *Member) prepareFirstView(q *prepareRequest) (*view.Answer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if a := m.foundingRefused(q.To, q.Q.Base); a != nil {
+	if a := m.bootstrapRefusalLocked(q.To, q.Q.Base); a != nil {
 		return a, nil
 	}
-	vote, a := m.founding.vote.Prepare(1, q.Q.Ballot)
-	m.founding.vote = vote
+	vote, a := m.bootstrap.vote.Prepare(1, q.Q.Ballot)
+	m.bootstrap.vote = vote
 	return &a, nil
 }
 
-func (m *Member) foundingAccept(q *acceptCall) (*view.Answer, error) {
+func (m *Member) acceptFirstView(q *acceptRequest) (*view.Answer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if a := m.foundingRefused(q.To, q.Q.Base); a != nil {
+	if a := m.bootstrapRefusalLocked(q.To, q.Q.Base); a != nil {
 		return a, nil
 	}
-	vote, a := m.founding.vote.Accept(1, q.Q.Ballot, q.Q.View)
-	m.founding.vote = vote
+	vote, a := m.bootstrap.vote.Accept(1, q.Q.Ballot, q.Q.View)
+	m.bootstrap.vote = vote
 	return &a, nil
 }
 
-// found announces this process to the seeds until the first view is known, and proposes it where
+// bootstrapFirstView announces this process to the seeds until the first view is known, and proposes it where
 // this process is a seed.
-func (m *Member) found(ctx context.Context) {
+func (m *Member) bootstrapFirstView(ctx context.Context) {
 	if m.seeds == nil {
 		return
 	}
-	place := slices.Index(m.seeds, m.me.Addr)
-	t := time.NewTicker(foundTick)
+	place := slices.Index(m.seeds, m.self.Addr)
+	t := time.NewTicker(bootstrapInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		if _, known := m.View(); known {
 			return
 		}
-		m.announce(ctx, n)
+		m.announceToSeeds(ctx, n)
 		if place >= 0 {
-			m.proposeFirst(ctx, place)
+			m.proposeFirstView(ctx, place)
 		}
 		select {
 		case <-t.C:
@@ -118,50 +118,50 @@
 	}
 }
 
-// announce tells the seeds of this process; those that know already are asked for the view less often.
-func (m *Member) announce(ctx context.Context, n int) {
+// announceToSeeds tells the seeds of this process; those that know already are asked for the view less often.
+func (m *Member) announceToSeeds(ctx context.Context, n int) {
 	for i, addr := range m.seeds {
 		m.mu.Lock()
-		acked := m.founding.acked[addr]
+		acked := m.bootstrap.acked[addr]
 		m.mu.Unlock()
 		if acked && (n+i)%6 != 0 {
 			continue
 		}
-		if addr == m.me.Addr {
-			a, _ := m.onAnnounce(ctx, &announceCall{Peer: m.me})
-			m.hear(a.View)
+		if addr == m.self.Addr {
+			a, _ := m.handleAnnounce(ctx, &announceRequest{Peer: m.self})
+			m.observeView(a.View)
 			continue
 		}
 		m.spawn(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, callWait)
+			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			a, err := call[announceCall, viewAnswer](ctx, m, addr, "core.announce", &announceCall{Peer: m.me})
+			a, err := call[announceRequest, viewResponse](ctx, m, addr, "core.announce", &announceRequest{Peer: m.self})
 			if err != nil {
 				return
 			}
 			m.mu.Lock()
-			m.founding.acked[addr] = true
+			m.bootstrap.acked[addr] = true
 			m.mu.Unlock()
-			m.hear(a.View)
-			_ = m.learn(ctx, a.View) // asked again
+			m.observeView(a.View)
+			_ = m.learnView(ctx, a.View) // asked again
 		})
 	}
 }
 
-// proposeFirst proposes view 1 once it is this seed's turn and no further machine came.
-func (m *Member) proposeFirst(ctx context.Context, place int) {
+// proposeFirstView proposes view 1 once it is this seed's turn and no further machine came.
+func (m *Member) proposeFirstView(ctx context.Context, place int) {
 	now := time.Now()
 	m.mu.Lock()
-	f := &m.founding
+	f := &m.bootstrap
 	peers := append([]view.Peer(nil), f.others...)
 	for _, p := range f.found {
 		peers = append(peers, p)
 	}
-	after := foundAfter
+	after := bootstrapMinimumDelay
 	if len(f.found) == 0 {
-		after = foundAlone
+		after = bootstrapDisklessDelay
 	}
-	due := now.Sub(f.began) >= after+time.Duration(place)*foundTurn && now.Sub(f.news) >= foundQuiet && !now.Before(f.rest)
+	due := now.Sub(f.began) >= after+time.Duration(place)*bootstrapRankDelay && now.Sub(f.news) >= bootstrapQuietPeriod && !now.Before(f.rest)
 	if due {
 		f.round++
 	}
@@ -171,15 +171,15 @@
 	if !due || !ok {
 		return
 	}
-	p := view.Propose(seedView(m.seeds), view.Ballot{Round: round, By: m.me.Addr + "/" + m.life}, &first)
-	switch m.decide(ctx, p) {
+	p := view.Propose(bootstrapBase(m.seeds), view.Ballot{Round: round, By: m.self.Addr + "/" + m.incarnation}, &first)
+	switch m.runProposal(ctx, p) {
 	case view.Decided, view.Overtaken:
-		m.keepView(ctx, &p.View)
-		m.teach(p.View, nil)
+		m.learnViewOrLog(ctx, &p.View)
+		m.announceView(p.View, nil)
 	default:
 		m.mu.Lock()
 		f.round = max(f.round, p.Seen.Round)
-		f.rest = now.Add(foundTurn/4 + time.Duration(place)*foundTurn/2)
+		f.rest = now.Add(bootstrapRankDelay/4 + time.Duration(place)*bootstrapRankDelay/2)
 		m.mu.Unlock()
 	}
 }
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -10,40 +10,40 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// handover starts the handover of a process; the channel is closed when it has returned.
-func (p *proc) handover() <-chan struct{} {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// startHandover starts the handover of a process; the channel is closed when it has returned.
+func (p *testNode) startHandover() <-chan struct{} {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	done := make(chan struct{})
-	m := p.m
+	m := p.member
 	go func() {
 		defer close(done)
 		defer cancel()
 		m.Handover(ctx)
 	}()
-	p.t.Cleanup(func() { cancel(); <-done })
+	p.tb.Cleanup(func() { cancel(); <-done })
 	return done
 }
 
 // awaitHandover waits for the end of a handover.
-func (p *proc) awaitHandover(over <-chan struct{}) {
-	p.t.Helper()
+func (p *testNode) awaitHandover(over <-chan struct{}) {
+	p.tb.Helper()
 	select {
 	case <-over:
-	case <-time.After(patience):
-		require.FailNow(p.t, "the handover does not end")
+	case <-time.After(waitLimit):
+		require.FailNow(p.tb, "the handover does not end")
 	}
 }
 
-func (p *proc) placeInChain() int { return p.m.Status().Place }
+func (p *testNode) chainPosition() int { return p.member.Status().Place }
 
-// joins starts one more machine of the core, before any other of the site.
-func (s *site) joins(voters, members int) *proc {
-	fresh := newSite(s.t, 1, 0).procs[0]
-	s.procs = append([]*proc{fresh}, s.procs...)
+// addNode starts one more machine of the core, before any other of the site.
+func (s *testCluster) addNode(voters, members int) *testNode {
+	fresh := newTestCluster(s.tb, 1, 0).nodes[0]
+	s.nodes = append([]*testNode{fresh}, s.nodes...)
 	s.start(fresh, false)
-	fresh.until("it votes and is in the chain", func() bool {
-		v, _ := fresh.m.View()
-		return fresh.m.IsCore() && len(v.Voters) == voters && len(v.Chain) == members && fresh.m.Status().Whole
+	fresh.waitUntil("it votes and is in the chain", func() bool {
+		v, _ := fresh.member.View()
+		return fresh.member.IsVoter() && len(v.Voters) == voters && len(v.Chain) == members && fresh.member.Status().Whole
 	})
 	return fresh
 }
@@ -51,169 +51,169 @@
 // A planned replacement leaves as many voters as there were: a loss right after it leaves a majority.
 func TestLossRightAfterAPlannedReplacement(t *testing.T) {
 	t.Parallel()
-	s, out := founded(t, 3, 1)
-	first, second := s.procs[0], s.procs[1]
-	s.joins(4, 4)
-	first.awaitHandover(first.handover())
-	require.False(t, first.m.Status().Voter)
+	s, out := bootstrapped(t, 3, 1)
+	first, second := s.nodes[0], s.nodes[1]
+	s.addNode(4, 4)
+	first.awaitHandover(first.startHandover())
+	require.False(t, first.member.Status().Voter)
 	first.kill()
 	second.kill()
-	out.inTime(1, 2)
+	out.submitInTime(1, 2)
 	require.Equal(t, int64(2), out.read().Revision)
 }
 
 // Two replacements in a row, a loss right after each.
 func TestLossAfterReplacementsInARow(t *testing.T) {
 	t.Parallel()
-	s, out := founded(t, 3, 1)
-	old := append([]*proc(nil), s.procs[:3]...)
+	s, out := bootstrapped(t, 3, 1)
+	old := append([]*testNode(nil), s.nodes[:3]...)
 	for i, p := range old[:2] {
-		s.joins(4, 4)
-		p.awaitHandover(p.handover())
+		s.addNode(4, 4)
+		p.awaitHandover(p.startHandover())
 		p.kill()
 		old[2].kill()
-		out.inTime(int64(i+1), int64(i+2))
+		out.submitInTime(int64(i+1), int64(i+2))
 		s.start(old[2], false)
-		s.whole(out)
-		old[2].until("it holds everything", func() bool { return old[2].m.Status().Whole })
+		s.awaitFullChain(out)
+		old[2].waitUntil("it holds everything", func() bool { return old[2].member.Status().Whole })
 	}
-	v, _ := out.m.View()
+	v, _ := out.member.View()
 	require.Len(t, v.Voters, 3)
 }
 
 // The newcomer of a planned replacement dies before the old member ends.
-func TestNewcomerOfAPlannedReplacementDies(t *testing.T) {
+func TestJoinerOfAPlannedReplacementFails(t *testing.T) {
 	t.Parallel()
-	s, out := founded(t, 3, 1)
-	first := s.procs[0]
-	s.joins(4, 4).kill()
-	first.awaitHandover(first.handover())
+	s, out := bootstrapped(t, 3, 1)
+	first := s.nodes[0]
+	s.addNode(4, 4).kill()
+	first.awaitHandover(first.startHandover())
 	first.kill()
-	out.inTime(1, 2)
+	out.submitInTime(1, 2)
 }
 
 // A member without which too few copies are left is not let go before another has joined.
 func TestLeavingMemberWaitsForItsSuccessor(t *testing.T) {
 	t.Parallel()
-	s, out := founded(t, 3, 1)
-	back, leaving := s.place(1), s.place(0)
+	s, out := bootstrapped(t, 3, 1)
+	back, leaving := s.chainMember(1), s.chainMember(0)
 	back.kill()
-	out.inTime(1, 2)
-	out.until("the dead member is left out", func() bool { return out.chainLen() == 2 })
-	over := leaving.handover()
+	out.submitInTime(1, 2)
+	out.waitUntil("the dead member is left out", func() bool { return out.chainLen() == 2 })
+	over := leaving.startHandover()
 	select {
 	case <-over:
 		require.FailNow(t, "let go while too few copies are left")
 	case <-time.After(1200 * time.Millisecond):
 	}
-	require.GreaterOrEqual(t, leaving.placeInChain(), 0)
-	out.inTime(2, 3)
+	require.GreaterOrEqual(t, leaving.chainPosition(), 0)
+	out.submitInTime(2, 3)
 	s.start(back, false)
 	leaving.awaitHandover(over)
-	require.Negative(t, leaving.placeInChain())
-	require.True(t, back.m.Status().Whole)
+	require.Negative(t, leaving.chainPosition())
+	require.True(t, back.member.Status().Whole)
 	leaving.kill()
-	out.inTime(3, 4)
+	out.submitInTime(3, 4)
 }
 
 // The sole member of a core ends while its successor is being given the value.
-func TestOnlyCopyIsHandedOver(t *testing.T) {
+func TestSoleMemberHandsOver(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 1, 1)
-	s.loss = 0
+	s := newTestCluster(t, 1, 1)
+	s.machineLosses = 0
 	s.startAll(true)
-	old, out := s.procs[0], s.procs[1]
-	require.Equal(t, chain.Taken, out.order(0, 1).Kind)
-	fresh := newSite(t, 1, 0).procs[0]
-	s.procs = append([]*proc{fresh}, s.procs...)
+	old, out := s.nodes[0], s.nodes[1]
+	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	fresh := newTestCluster(t, 1, 0).nodes[0]
+	s.nodes = append([]*testNode{fresh}, s.nodes...)
 	s.start(fresh, false)
-	old.until("it knows the newcomer", func() bool { return len(old.m.Status().Peers) > 0 })
-	old.awaitHandover(old.handover())
-	require.False(t, old.m.Status().Voter)
-	require.True(t, fresh.m.Status().Whole)
-	out.until("it knows the successor", func() bool { v, _ := out.m.View(); return v.Head().Addr == fresh.addr })
+	old.waitUntil("it knows the newcomer", func() bool { return len(old.member.Status().Peers) > 0 })
+	old.awaitHandover(old.startHandover())
+	require.False(t, old.member.Status().Voter)
+	require.True(t, fresh.member.Status().Whole)
+	out.waitUntil("it knows the successor", func() bool { v, _ := out.member.View(); return v.Head().Addr == fresh.addr })
 	old.kill()
 	require.Equal(t, int64(1), out.read().Revision)
-	out.inTime(1, 2)
+	out.submitInTime(1, 2)
 }
 
 // Of four voters cut in halves neither half is a majority: no order is taken or refused, nothing is
 // read and no view is decided, until they are one again.
-func TestEvenVotersCutInHalves(t *testing.T) {
+func TestEvenPartitionHasNoQuorum(t *testing.T) {
 	t.Parallel()
-	s, out := founded(t, 4, 1)
-	before, _ := out.m.View()
-	left, right := s.procs[:2], s.procs[2:4]
+	s, out := bootstrapped(t, 4, 1)
+	before, _ := out.member.View()
+	left, right := s.nodes[:2], s.nodes[2:4]
 	cut := func(lost bool) {
 		for _, a := range left {
 			for _, b := range right {
-				s.cut(a, b, lost)
-				s.cut(b, a, lost)
+				s.partition(a, b, lost)
+				s.partition(b, a, lost)
 			}
 		}
 	}
 	cut(true)
-	for _, p := range s.procs[:4] {
-		p.until("it knows that it has no majority", func() bool { return !p.m.Linked() })
+	for _, p := range s.nodes[:4] {
+		p.waitUntil("it knows that it has no majority", func() bool { return !p.member.HasQuorum() })
 	}
-	for i, p := range s.procs[:4] {
-		ctx, cancel := context.WithTimeout(context.Background(), soon)
-		verdict := p.m.Submit(ctx, &chain.Order{IfMatch: 1, Body: []byte{byte('2' + i)}})
+	for i, p := range s.nodes[:4] {
+		ctx, cancel := context.WithTimeout(context.Background(), faultUpdateLimit)
+		verdict := p.member.Submit(ctx, &chain.Order{IfMatch: 1, Body: []byte{byte('2' + i)}})
 		require.Equal(t, chain.Unclear, verdict.Kind)
-		stale := p.m.Submit(ctx, &chain.Order{IfMatch: 0, Body: []byte("9")})
+		stale := p.member.Submit(ctx, &chain.Order{IfMatch: 0, Body: []byte("9")})
 		require.Equal(t, chain.Unclear, stale.Kind, "a refusal needs a majority too")
-		_, err := p.m.Read(ctx)
+		_, err := p.member.Read(ctx)
 		require.Error(t, err)
 		cancel()
-		v, _ := p.m.View()
+		v, _ := p.member.View()
 		require.Equal(t, before.Number, v.Number)
 	}
 	cut(false)
 	// One of the four orders at most takes effect, before the next one or in its place.
-	verdict := out.order(1, 20)
+	verdict := out.submitRevision(1, 20)
 	if verdict.Kind == chain.Conflict {
 		require.Contains(t, []int64{2, 3, 4, 5}, out.read().Revision)
-		verdict = out.order(out.read().Revision, 20)
+		verdict = out.submitRevision(out.read().Revision, 20)
 	}
 	require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: 20}, verdict)
-	for _, p := range s.procs {
+	for _, p := range s.nodes {
 		require.Equal(t, int64(20), p.read().Revision)
 	}
 }
 
 // Whole zones are lost one after the other, the next one as soon as the last one's machines hold
 // everything or stand by.
-func TestZonesAreLostOneAfterTheOther(t *testing.T) {
+func TestSuccessiveZoneLosses(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 6, 1)
-	s.zones = 1
-	for i, p := range s.procs[:6] {
+	s := newTestCluster(t, 6, 1)
+	s.zoneLosses = 1
+	for i, p := range s.nodes[:6] {
 		p.zone = string(rune('a' + i%3))
 	}
 	s.startAll(true)
-	out := s.procs[6]
-	require.Equal(t, chain.Taken, out.order(0, 1).Kind)
+	out := s.nodes[6]
+	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
 	for i, zone := range []string{"a", "b", "c", "a"} {
-		for _, p := range s.procs[:6] {
-			p.until("it is in touch", p.m.Linked)
-			p.until("it is whole where it is in the chain", func() bool {
-				status := p.m.Status()
+		for _, p := range s.nodes[:6] {
+			p.waitUntil("it is in touch", p.member.HasQuorum)
+			p.waitUntil("it is whole where it is in the chain", func() bool {
+				status := p.member.Status()
 				return len(status.View.Chain) >= 4 && (status.Place < 0 || status.Whole)
 			})
 		}
-		for _, p := range s.procs[:6] {
+		for _, p := range s.nodes[:6] {
 			if p.zone == zone {
 				p.kill()
 			}
 		}
-		out.inTime(int64(i+1), int64(i+2))
-		v, _ := out.m.View()
+		out.submitInTime(int64(i+1), int64(i+2))
+		v, _ := out.member.View()
 		zones := map[string]bool{}
 		for _, l := range v.Chain {
 			zones[l.Zone] = true
 		}
 		require.GreaterOrEqual(t, len(zones), 2)
-		for _, p := range s.procs[:6] {
+		for _, p := range s.nodes[:6] {
 			if p.zone == zone {
 				s.start(p, false)
 			}
--- a/internal/fleet/controlplane/ping.go
+++ b/internal/fleet/controlplane/ping.go
@@ -12,8 +12,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// ping is what machines of the core tell each other, as question and as answer.
-type ping struct {
+// heartbeat is what machines of the core tell each other, as question and as answer.
+type heartbeat struct {
 	Peer     view.Peer  `msgpack:"p"`
 	View     uint64     `msgpack:"v"`
 	Accepted uint64     `msgpack:"a,omitempty"` // number of a view that was accepted here and is not learned; 0: none
@@ -29,23 +29,23 @@
 	News     *view.View `msgpack:"n,omitempty"`
 }
 
-// peer is what is known of another machine of the core.
-type peer struct {
-	said    ping
-	made    time.Time
-	contact time.Time // when it was last known to hear and be heard
-	well    time.Time // since when that has gone on
-	asked   time.Time
-	busy    bool      // a ping is under way
-	failing time.Time // since when pushes to it have failed; zero: they don't
-	failed  time.Time // the last of them
-	gone    time.Time // since when its port is closed; zero: it is not
+// peerState is what is known of another machine of the core.
+type peerState struct {
+	lastHeartbeat    heartbeat
+	knownSince       time.Time
+	lastContact      time.Time // when it was last known to hear and be heard
+	contactSince     time.Time // since when that has gone on
+	lastSent         time.Time
+	inFlight         bool      // a ping is under way
+	pushFailingSince time.Time // since when pushes to it have failed; zero: they don't
+	lastPushFailure  time.Time // the last of them
+	refusingSince    time.Time // since when its port is closed; zero: it is not
 }
 
-func (p *peer) silent(now, awake time.Time) time.Duration {
-	last := p.contact
-	if last.Before(p.made) {
-		last = p.made
+func (p *peerState) silence(now, awake time.Time) time.Duration {
+	last := p.lastContact
+	if last.Before(p.knownSince) {
+		last = p.knownSince
 	}
 	if last.Before(awake) {
 		last = awake
@@ -53,26 +53,30 @@
 	return max(0, now.Sub(last))
 }
 
-// closed tells whether the peer's process has ended: its machine refuses connections.
-func (p *peer) closed(now time.Time) bool { return !p.gone.IsZero() && now.Sub(p.gone) >= refused }
+// processEnded tells whether the peer's process has ended: its machine refuses connections.
+func (p *peerState) processEnded(now time.Time) bool {
+	return !p.refusingSince.IsZero() && now.Sub(p.refusingSince) >= refusalConfirmation
+}
 
-// unreached tells whether pushes to the peer fail for so long, and so lately, that it is no successor.
-func (p *peer) unreached(now time.Time) bool {
-	return !p.failing.IsZero() && now.Sub(p.failing) >= linked && now.Sub(p.failed) < away
+// pushUnreachable tells whether pushes to the peer fail for so long, and so lately, that it is no successor.
+func (p *peerState) pushUnreachable(now time.Time) bool {
+	return !p.pushFailingSince.IsZero() && now.Sub(p.pushFailingSince) >= contactTimeout && now.Sub(p.lastPushFailure) < voterReplacementDelay
 }
 
-func (p *peer) inTouch(now time.Time) bool { return !p.contact.IsZero() && now.Sub(p.contact) < linked }
+func (p *peerState) inContact(now time.Time) bool {
+	return !p.lastContact.IsZero() && now.Sub(p.lastContact) < contactTimeout
+}
 
 // peerLocked is the entry of a peer; it is made where there is room.
-func (m *Member) peerLocked(who view.Peer, now time.Time) *peer {
-	if who.ID == m.me.ID {
+func (m *Member) peerLocked(who view.Peer, now time.Time) *peerState {
+	if who.ID == m.self.ID {
 		return nil
 	}
 	p := m.peers[who.ID]
 	if p == nil {
 		if len(m.peers) >= maxPeers {
 			for id, q := range m.peers {
-				if _, voter := m.view.Voter(id); !voter && q.silent(now, m.awake) > silent {
+				if _, voter := m.learned.Voter(id); !voter && q.silence(now, m.awakeSince) > peerTimeout {
 					delete(m.peers, id)
 				}
 			}
@@ -80,14 +84,14 @@
 				return nil
 			}
 		}
-		p = &peer{made: now, said: ping{Peer: who}}
+		p = &peerState{knownSince: now, lastHeartbeat: heartbeat{Peer: who}}
 		m.peers[who.ID] = p
 	}
 	return p
 }
 
-// note takes what a peer said, and that it was in contact at a time.
-func (m *Member) note(said *ping, at time.Time) {
+// recordHeartbeat takes what a peer said, and that it was in contact at a time.
+func (m *Member) recordHeartbeat(said *heartbeat, at time.Time) {
 	if said.Peer.ID == "" || said.Peer.Addr == "" || len(said.Hears) > maxPeers {
 		return
 	}
@@ -98,116 +102,116 @@
 	if p == nil {
 		return
 	}
-	p.said = *said
-	p.said.News = nil
-	if at.IsZero() || !at.After(p.contact) {
+	p.lastHeartbeat = *said
+	p.lastHeartbeat.News = nil
+	if at.IsZero() || !at.After(p.lastContact) {
 		return
 	}
-	if p.contact.IsZero() || at.Sub(p.contact) > silent || p.well.Before(m.awake) {
-		p.well = now
+	if p.lastContact.IsZero() || at.Sub(p.lastContact) > peerTimeout || p.contactSince.Before(m.awakeSince) {
+		p.contactSince = now
 	}
-	p.contact, p.gone = at, time.Time{}
+	p.lastContact, p.refusingSince = at, time.Time{}
 }
 
-func (m *Member) majorityLocked(now time.Time) bool {
+func (m *Member) hasQuorumLocked(now time.Time) bool {
 	n := 0
-	for _, v := range m.view.Voters {
-		if p := m.peers[v.ID]; v.ID == m.me.ID || p != nil && p.inTouch(now) {
+	for _, v := range m.learned.Voters {
+		if p := m.peers[v.ID]; v.ID == m.self.ID || p != nil && p.inContact(now) {
 			n++
 		}
 	}
-	_, is := m.view.Voter(m.me.ID)
-	return is && n >= m.view.Majority()
+	_, is := m.learned.Voter(m.self.ID)
+	return is && n >= m.learned.Majority()
 }
 
-// pendingLocked is the number of a view that was accepted here and is not learned.
-func (m *Member) pendingLocked() uint64 {
-	if m.vote.Accepted != nil && m.vote.Instance == m.view.Number+1 {
+// undecidedLocked is the number of a view that was accepted here and is not learned.
+func (m *Member) undecidedLocked() uint64 {
+	if m.vote.Accepted != nil && m.vote.Instance == m.learned.Number+1 {
 		return m.vote.Instance
 	}
 	return 0
 }
 
-// sickLocked tells of a disk that fails or holds operations up; outside of the chain also of one
+// diskUnhealthyLocked tells of a disk that fails or holds operations up; outside of the chain also of one
 // that has not taken a write in this life yet.
-func (m *Member) sickLocked(now time.Time) bool {
-	h := m.store.Health(now)
-	return h.Oldest > diskWait || h.Failing > 0 || !h.Good && m.view.Place(m.me.ID) < 0
+func (m *Member) diskUnhealthyLocked(now time.Time) bool {
+	h := m.disk.Health(now)
+	return h.Oldest > diskStallLimit || h.Failing > 0 || !h.Good && m.learned.Place(m.self.ID) < 0
 }
 
-func (m *Member) sayLocked(to string, now time.Time) *ping {
+func (m *Member) heartbeatLocked(to string, now time.Time) *heartbeat {
 	r := m.replicaLocked()
-	q := &ping{Peer: m.me, View: m.view.Number, Accepted: m.pendingLocked(), Seq: m.committed.Seq, Sum: m.sum,
-		Sick: m.sickLocked(now), Ending: m.ending, Complete: r.Complete(), AgeMs: -1, UpMs: now.Sub(m.awake).Milliseconds(), Hears: m.hearsLocked(now)}
-	q.Stuck = q.Accepted != 0 && now.Sub(m.votedAt) > settle
-	if p := m.peers[to]; p != nil && !p.contact.IsZero() {
-		q.AgeMs = now.Sub(p.contact).Milliseconds()
+	q := &heartbeat{Peer: m.self, View: m.learned.Number, Accepted: m.undecidedLocked(), Seq: m.committed.Seq, Sum: m.checksum,
+		Sick: m.diskUnhealthyLocked(now), Ending: m.shuttingDown, Complete: r.Complete(), AgeMs: -1, UpMs: now.Sub(m.awakeSince).Milliseconds(), Hears: m.reachableVotersLocked(now)}
+	q.Stuck = q.Accepted != 0 && now.Sub(m.acceptedAt) > stabilizationDelay
+	if p := m.peers[to]; p != nil && !p.lastContact.IsZero() {
+		q.AgeMs = now.Sub(p.lastContact).Milliseconds()
 	}
 	return q
 }
 
-func (m *Member) hearsLocked(now time.Time) (out []string) {
-	for _, v := range m.view.Voters {
-		if p := m.peers[v.ID]; p != nil && p.inTouch(now) && !p.unreached(now) {
+func (m *Member) reachableVotersLocked(now time.Time) (out []string) {
+	for _, v := range m.learned.Voters {
+		if p := m.peers[v.ID]; p != nil && p.inContact(now) && !p.pushUnreachable(now) {
 			out = append(out, v.ID)
 		}
 	}
 	return out
 }
 
-// onPing answers with the same, and with the newer view where the sender lacks it.
-func (m *Member) onPing(_ context.Context, q *ping) (*ping, error) {
+// handleHeartbeat answers with the same, and with the newer view where the sender lacks it.
+func (m *Member) handleHeartbeat(_ context.Context, q *heartbeat) (*heartbeat, error) {
 	now := time.Now()
 	var at time.Time
 	if q.AgeMs >= 0 && q.AgeMs < int64(time.Minute/time.Millisecond) {
 		at = now.Add(-time.Duration(q.AgeMs) * time.Millisecond)
 	}
-	m.note(q, at)
+	m.recordHeartbeat(q, at)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a := m.sayLocked(q.Peer.ID, now)
-	if q.View < m.view.Number {
-		v := m.view
+	a := m.heartbeatLocked(q.Peer.ID, now)
+	if q.View < m.learned.Number {
+		v := m.learned
 		a.News = &v
 	}
-	if newer := q.Seq > m.committed.Seq && !m.fetching; newer || q.Seq > 0 && q.Seq == m.committed.Seq && q.Sum != m.sum {
+	if newer := q.Seq > m.committed.Seq && !m.fetching; newer || q.Seq > 0 && q.Seq == m.committed.Seq && q.Sum != m.checksum {
 		said := *q
 		said.News = nil
 		m.spawnLocked(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, pushWait)
+			ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 			defer cancel()
-			m.follow(ctx, &said)
+			m.catchUp(ctx, &said)
 		})
 	}
 	return a, nil
 }
 
-// ping asks one peer and takes its answer.
-func (m *Member) ping(ctx context.Context, to view.Peer) (*ping, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+// sendHeartbeat asks one peer and takes its answer.
+func (m *Member) sendHeartbeat(ctx context.Context, to view.Peer) (*heartbeat, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	at := time.Now()
 	m.mu.Lock()
-	q := m.sayLocked(to.ID, at)
+	q := m.heartbeatLocked(to.ID, at)
 	m.mu.Unlock()
-	a, err := call[ping, ping](ctx, m, to.Addr, "core.ping", q)
+	a, err := call[heartbeat, heartbeat](ctx, m, to.Addr, "core.ping", q)
 	if err != nil {
 		return nil, err
 	}
-	m.note(a, at)
-	m.hear(a.News)
+	m.recordHeartbeat(a, at)
+	m.observeView(a.News)
 	return a, nil
 }
 
-// follow does what a ping's answer calls for: learn or teach a view, take a newer value.
-func (m *Member) follow(ctx context.Context, a *ping) {
-	m.keepView(ctx, a.News)
+// catchUp does what a ping's answer calls for: learn or teach a view, take a newer value.
+func (m *Member) catchUp(ctx context.Context, a *heartbeat) {
+	m.learnViewOrLog(ctx, a.News)
 	m.mu.Lock()
-	v, known, sum, rec := m.view, m.committed.Seq, m.sum, m.record
+	v, known, sum, rec := m.learned, m.committed.Seq, m.checksum, m.record
 	fetch := a.Seq > known && !m.fetching
 	if fetch && rec.View == v.Number && a.View == v.Number && rec.Value.Seq == a.Seq {
 		m.mu.Unlock()
-		m.commit(rec.Value)
+		m.advanceCommitted(rec.Value)
 		return
 	}
 	if fetch {
@@ -215,15 +219,15 @@
 	}
 	m.mu.Unlock()
 	if a.Seq != 0 && a.Seq == known && a.Sum != sum {
-		m.mend(ctx, a)
+		m.repairDivergence(ctx, a)
 	}
 	if a.View < v.Number {
-		_, _ = call[view.View, none](ctx, m, a.Peer.Addr, "core.learn", &v) // the next ping tells
+		_, _ = call[view.View, empty](ctx, m, a.Peer.Addr, "core.learn", &v) // the next ping tells
 	}
 	if fetch {
-		got, err := call[none, valueAnswer](ctx, m, a.Peer.Addr, "core.value", &none{})
+		got, err := call[empty, valueResponse](ctx, m, a.Peer.Addr, "core.value", &empty{})
 		if err == nil && got.Value.Seq > 0 && got.Value.Check() == nil {
-			m.commit(got.Value)
+			m.advanceCommitted(got.Value)
 		}
 		m.mu.Lock()
 		m.fetching = false
@@ -231,16 +235,16 @@
 	}
 }
 
-// mend replaces a value that is not what the others hold under its number, as far as more of the
+// repairDivergence replaces a value that is not what the others hold under its number, as far as more of the
 // voters in touch hold that. Each copy on a disk has its checksum; this is for what passes by it.
-func (m *Member) mend(ctx context.Context, a *ping) {
+func (m *Member) repairDivergence(ctx context.Context, a *heartbeat) {
 	now := time.Now()
 	m.mu.Lock()
 	mine, theirs := 1, 0
-	for _, v := range m.view.Voters {
-		if p := m.peers[v.ID]; p != nil && p.inTouch(now) && p.said.Seq == a.Seq {
-			switch p.said.Sum {
-			case m.sum:
+	for _, v := range m.learned.Voters {
+		if p := m.peers[v.ID]; p != nil && p.inContact(now) && p.lastHeartbeat.Seq == a.Seq {
+			switch p.lastHeartbeat.Sum {
+			case m.checksum:
 				mine++
 			case a.Sum:
 				theirs++
@@ -253,49 +257,49 @@
 	if !odd {
 		return
 	}
-	got, err := call[none, valueAnswer](ctx, m, a.Peer.Addr, "core.value", &none{})
-	if err != nil || got.Value.Seq != a.Seq || got.Value.Sum() != a.Sum || m.hold(ctx) != nil {
+	got, err := call[empty, valueResponse](ctx, m, a.Peer.Addr, "core.value", &empty{})
+	if err != nil || got.Value.Seq != a.Seq || got.Value.Sum() != a.Sum || m.acquireWrite(ctx) != nil {
 		return
 	}
-	defer m.give()
+	defer m.releaseWrite()
 	rec := m.record // changed only by holders of the step
 	if rec.Value.Seq == a.Seq {
 		rec.Value = got.Value
-		if err := m.keep(rec); err != nil {
+		if err := m.persistRecord(rec); err != nil {
 			return
 		}
 	}
 	m.mu.Lock()
 	if m.committed.Seq == a.Seq {
-		m.committed, m.sum = got.Value, a.Sum
+		m.committed, m.checksum = got.Value, a.Sum
 	}
 	m.mu.Unlock()
 }
 
 // tickLoop pings, watches the disk and repairs the view.
 func (m *Member) tickLoop(ctx context.Context) {
-	wait := tick
+	wait := heartbeatInterval
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-		case <-m.kick:
+		case <-m.wakeups:
 		case <-ctx.Done():
 			return
 		}
 		now := time.Now()
 		m.mu.Lock()
-		if now.Sub(m.lastTick) > wait+frozen-tick {
-			m.awake = now
+		if now.Sub(m.lastTick) > wait+pauseAllowance-heartbeatInterval {
+			m.awakeSince = now
 		}
 		m.lastTick = now
-		m.pingsLocked(now)
-		m.diskLocked(now)
-		m.catchUpLocked()
-		_, voter := m.view.Voter(m.me.ID)
-		if wait = tick; !voter && !m.newcomerLocked() {
-			wait = 5 * tick // nothing to ping
+		m.sendHeartbeatsLocked(now)
+		m.checkDiskLocked(now)
+		m.learnNewestLocked()
+		_, voter := m.learned.Voter(m.self.ID)
+		if wait = heartbeatInterval; !voter && !m.joiningLocked() {
+			wait = 5 * heartbeatInterval // nothing to ping
 		}
 		m.mu.Unlock()
 		m.repair(now)
@@ -303,115 +307,115 @@
 	}
 }
 
-// catchUpLocked learns a view that was heard of; where the disk does not take it, again and again.
-func (m *Member) catchUpLocked() {
-	if m.seen.Number <= m.view.Number || m.catching {
+// learnNewestLocked learns a view that was heard of; where the disk does not take it, again and again.
+func (m *Member) learnNewestLocked() {
+	if m.newest.Number <= m.learned.Number || m.learning {
 		return
 	}
-	m.catching = true
-	v := m.seen
+	m.learning = true
+	v := m.newest
 	m.spawnLocked(func(ctx context.Context) {
-		m.keepView(ctx, &v)
+		m.learnViewOrLog(ctx, &v)
 		m.mu.Lock()
-		m.catching = false
+		m.learning = false
 		m.mu.Unlock()
 	})
 }
 
-// poke asks for a tick now.
-func (m *Member) poke() {
+// wakeTicker asks for a tick now.
+func (m *Member) wakeTicker() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// pingsLocked starts the pings that are due. Of two voters the one with the lower id asks, as the
+// sendHeartbeatsLocked starts the pings that are due. Of two voters the one with the lower id asks, as the
 // question tells as much as the answer; where that is not enough, both do.
-func (m *Member) pingsLocked(now time.Time) {
-	_, voter := m.view.Voter(m.me.ID)
-	every := tick
+func (m *Member) sendHeartbeatsLocked(now time.Time) {
+	_, voter := m.learned.Voter(m.self.ID)
+	every := heartbeatInterval
 	if !voter {
-		if !m.newcomerLocked() {
+		if !m.joiningLocked() {
 			return
 		}
-		if every = 2 * tick; len(m.view.Voters) >= view.MaxVoters && !slices.ContainsFunc(m.view.Voters, func(p view.Peer) bool { return p.Addr == m.me.Addr }) {
+		if every = 2 * heartbeatInterval; len(m.learned.Voters) >= view.MaxVoters && !slices.ContainsFunc(m.learned.Voters, func(p view.Peer) bool { return p.Addr == m.self.Addr }) {
 			every = time.Second // a spare
 		}
 	}
-	for _, to := range m.view.Voters {
+	for _, to := range m.learned.Voters {
 		p := m.peerLocked(to, now)
-		if p == nil || p.busy || now.Sub(p.asked) < every-tick/4 {
+		if p == nil || p.inFlight || now.Sub(p.lastSent) < every-heartbeatInterval/4 {
 			continue
 		}
-		if voter && to.ID < m.me.ID && now.Sub(p.contact) < 5*tick/2 {
+		if voter && to.ID < m.self.ID && now.Sub(p.lastContact) < 5*heartbeatInterval/2 {
 			continue
 		}
-		p.busy, p.asked = true, now
+		p.inFlight, p.lastSent = true, now
 		m.spawnLocked(func(ctx context.Context) {
-			a, err := m.ping(ctx, to)
+			a, err := m.sendHeartbeat(ctx, to)
 			m.mu.Lock()
-			p.busy = false
-			if errors.Is(err, syscall.ECONNREFUSED) && !p.contact.IsZero() && p.gone.IsZero() {
-				p.gone = time.Now()
+			p.inFlight = false
+			if errors.Is(err, syscall.ECONNREFUSED) && !p.lastContact.IsZero() && p.refusingSince.IsZero() {
+				p.refusingSince = time.Now()
 			}
 			m.mu.Unlock()
 			if err == nil {
-				fctx, cancel := context.WithTimeout(ctx, pushWait)
+				fctx, cancel := context.WithTimeout(ctx, pushTimeout)
 				defer cancel()
-				m.follow(fctx, a)
+				m.catchUp(fctx, a)
 			}
 		})
 	}
 }
 
-func (m *Member) isNamed() bool {
+func (m *Member) isIDPersisted() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.named
+	return m.idPersisted
 }
 
-// newcomerLocked tells whether this process asks for a vote.
-func (m *Member) newcomerLocked() bool {
-	if m.view.Number == 0 || m.ending || !m.named {
+// joiningLocked tells whether this process asks for a vote.
+func (m *Member) joiningLocked() bool {
+	if m.learned.Number == 0 || m.shuttingDown || !m.idPersisted {
 		return false
 	}
-	if _, voter := m.view.Voter(m.me.ID); voter {
+	if _, voter := m.learned.Voter(m.self.ID); voter {
 		return false
 	}
-	return m.me.Disk || m.view.Memory
+	return m.self.Disk || m.learned.Memory
 }
 
-// diskLocked probes a disk in trouble, and one that has not been written to in this life.
-func (m *Member) diskLocked(now time.Time) {
-	h := m.store.Health(now)
-	if m.probing || h.Oldest > 0 {
+// checkDiskLocked probes a disk in trouble, and one that has not been written to in this life.
+func (m *Member) checkDiskLocked(now time.Time) {
+	h := m.disk.Health(now)
+	if m.diskBusy || h.Oldest > 0 {
 		return
 	}
 	switch {
-	case (h.Failing > 0 || !h.Good) && now.Sub(m.lastProbe) >= probeEvery:
-		m.probing, m.lastProbe = true, now
+	case (h.Failing > 0 || !h.Good) && now.Sub(m.lastProbe) >= diskProbeInterval:
+		m.diskBusy, m.lastProbe = true, now
 		m.spawnLocked(func(context.Context) {
 			var err error
-			if m.isNamed() {
-				err = m.store.Probe()
+			if m.isIDPersisted() {
+				err = m.disk.Probe()
 			} else {
-				err = m.store.Put(keyID, []byte(m.me.ID))
+				err = m.disk.Put(keyID, []byte(m.self.ID))
 			}
 			m.mu.Lock()
-			m.probing = false
-			m.named = m.named || err == nil
+			m.diskBusy = false
+			m.idPersisted = m.idPersisted || err == nil
 			m.mu.Unlock()
 			if err != nil {
 				logevent.DiskWrite.Error(err)
 			}
 		})
-	case m.o.Dir != "" && now.Sub(m.lastSweep) >= sweepEvery:
-		m.lastSweep, m.probing = now, true
+	case m.options.StateDir != "" && now.Sub(m.lastSweep) >= diskSweepInterval:
+		m.lastSweep, m.diskBusy = now, true
 		m.spawnLocked(func(context.Context) {
-			whole, err := m.store.Sweep()
+			whole, err := m.disk.Sweep()
 			m.mu.Lock()
-			m.probing = false
+			m.diskBusy = false
 			m.mu.Unlock()
 			if !whole || err != nil {
 				logevent.DiskRewritten.Error(err)
@@ -420,23 +424,23 @@
 	}
 }
 
-// confirm asks a majority of the voters of a view whether it is in force: none of them knows a
+// confirmView asks a majority of the voters of a view whether it is in force: none of them knows a
 // newer one or has accepted one. What is decided later was not acted on before the answers.
-func (m *Member) confirm(ctx context.Context, v view.View) error {
+func (m *Member) confirmView(ctx context.Context, v view.View) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan *ping, len(v.Voters))
+	answers := make(chan *heartbeat, len(v.Voters))
 	asked := 0
 	for _, to := range v.Voters {
 		asked++
-		if to.ID == m.me.ID {
+		if to.ID == m.self.ID {
 			m.mu.Lock()
-			answers <- m.sayLocked("", time.Now())
+			answers <- m.heartbeatLocked("", time.Now())
 			m.mu.Unlock()
 			continue
 		}
 		m.spawn(func(context.Context) {
-			a, err := m.ping(ctx, to)
+			a, err := m.sendHeartbeat(ctx, to)
 			if err != nil || a.Peer.ID != to.ID {
 				a = nil
 			}
@@ -445,7 +449,7 @@
 	}
 	yes := 0
 	for ; asked > 0; asked-- {
-		var a *ping
+		var a *heartbeat
 		select {
 		case a = <-answers:
 		case <-ctx.Done():
--- a/internal/fleet/controlplane/records.go
+++ b/internal/fleet/controlplane/records.go
@@ -18,25 +18,25 @@
 
 // loadState reads the records of an earlier life, and gives a new disk its id.
 func (m *Member) loadState() error {
-	id, ok := m.store.Get(keyID)
+	id, ok := m.disk.Get(keyID)
 	if !ok {
-		id = []byte(random(8))
-		if err := m.store.Put(keyID, id); err != nil {
+		id = []byte(randomHex(8))
+		if err := m.disk.Put(keyID, id); err != nil {
 			logevent.DiskWaits.Error(err)
 		} else {
 			ok = true
 		}
 	}
-	m.named = ok
-	m.me = view.Peer{ID: string(id), Addr: m.o.Addr, Zone: m.o.Zone, Region: m.o.Region, Disk: m.o.Dir != "", Counted: m.o.Counted}
-	for key, to := range map[string]any{keyView: &m.view, keyVote: &m.vote, keyValue: &m.record} {
-		if raw, ok := m.store.Get(key); ok {
+	m.idPersisted = ok
+	m.self = view.Peer{ID: string(id), Addr: m.options.Addr, Zone: m.options.Zone, Region: m.options.Region, Disk: m.options.StateDir != "", Counted: m.options.Counted}
+	for key, to := range map[string]any{keyView: &m.learned, keyVote: &m.vote, keyValue: &m.record} {
+		if raw, ok := m.disk.Get(key); ok {
 			if err := decode(raw, to); err != nil {
 				return errors.Wrapf(err, "read record %s of state-dir (run the version that wrote it)", key)
 			}
 		}
 	}
-	m.seen = m.view
+	m.newest = m.learned
 	return nil
 }
 
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -40,16 +40,16 @@
 // Status waits for nothing.
 func (m *Member) Status() Status {
 	now := time.Now()
-	disk := m.store.Health(now)
+	disk := m.disk.Health(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.replicaLocked()
-	_, voter := m.view.Voter(m.me.ID)
-	s := Status{ID: m.me.ID, Addr: m.me.Addr, Dir: m.o.Dir, View: m.view, Place: m.view.Place(m.me.ID), Voter: voter,
-		Linked: m.majorityLocked(now), Whole: r.Complete(), Record: m.record.Value.Seq, Commit: m.committed.Seq,
-		Short: m.view.Shortfall(m.tolerance()), Pending: m.pendingLocked() != 0, Ending: m.ending, Disk: disk}
+	_, voter := m.learned.Voter(m.self.ID)
+	s := Status{ID: m.self.ID, Addr: m.self.Addr, Dir: m.options.StateDir, View: m.learned, Place: m.learned.Place(m.self.ID), Voter: voter,
+		Linked: m.hasQuorumLocked(now), Whole: r.Complete(), Record: m.record.Value.Seq, Commit: m.committed.Seq,
+		Short: m.learned.Shortfall(m.tolerance()), Pending: m.undecidedLocked() != 0, Ending: m.shuttingDown, Disk: disk}
 	for _, p := range m.peers {
-		s.Peers = append(s.Peers, PeerStatus{Peer: p.said.Peer, Silent: p.silent(now, m.awake), View: p.said.View, Commit: p.said.Seq, Sick: p.said.Sick, Ending: p.said.Ending})
+		s.Peers = append(s.Peers, PeerStatus{Peer: p.lastHeartbeat.Peer, Silent: p.silence(now, m.awakeSince), View: p.lastHeartbeat.View, Commit: p.lastHeartbeat.Seq, Sick: p.lastHeartbeat.Sick, Ending: p.lastHeartbeat.Ending})
 	}
 	slices.SortFunc(s.Peers, func(a, b PeerStatus) int {
 		if a.Peer.ID < b.Peer.ID {
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -66,9 +66,9 @@
 	f.Write([]byte(s.Name))
 	d.door = gateway.New(s, f.Sum64())
 	d.core, err = controlplane.Open(controlplane.Options{
-		Addr: addr, Zone: s.Zone, Region: s.Region, Dir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
-		Seeds: d.seeds, Known: d.known, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.pool,
-		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
+		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
+		Seeds: d.seeds, KnownAddresses: d.known, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.pool,
+		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { d.hub.Commit(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
 	})
@@ -78,8 +78,8 @@
 	var save func([]byte) error
 	var saved []byte
 	if s.Disk() {
-		save = func(b []byte) error { return d.core.Save(savedServers, b) }
-		saved, _ = d.core.Saved(savedServers)
+		save = func(b []byte) error { return d.core.SaveRecord(savedServers, b) }
+		saved, _ = d.core.LoadRecord(savedServers)
 	}
 	d.hub = relay.New(relay.Options{
 		Save: save, Saved: saved,
@@ -120,8 +120,8 @@
 // coreView is what the feed asks of the core's member.
 type coreView struct{ m *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.m.IsCore() }
-func (c coreView) Linked() bool { return c.m.Linked() }
+func (c coreView) IsCore() bool { return c.m.IsVoter() }
+func (c coreView) Linked() bool { return c.m.HasQuorum() }
 func (c coreView) Hubs() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -113,22 +113,22 @@
 // open makes the parts of the process.
 func (p *process) open(over rpc.Dialer, first bool) (err error) {
 	m := p.machine
-	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.run.seedAddrs, Known: p.knownAddrs,
-		Losses: m.run.setup.losses, Counted: m.media != nil, Pool: p.pool, Check: checkOrder,
+	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.run.seedAddrs, KnownAddresses: p.knownAddrs,
+		Losses: m.run.setup.losses, Counted: m.media != nil, Pool: p.pool, Validate: checkOrder,
 		OnCommit: func(v chain.Value) { p.hub.Commit(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.run.referee.learned(p, v) }}
 	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, Beat: beatEvery,
 		Seeds: m.run.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.run.referee.inForce(p, s) }}
 	if m.media != nil {
 		p.disk = openDisk(m.media, m.host)
-		o.HasDisk, o.Dir, o.Disk = true, m.name, p.disk
+		o.HasDisk, o.StateDir, o.Disk = true, m.name, p.disk
 	}
 	if p.core, err = controlplane.Open(o); err != nil {
 		return err
 	}
 	if m.media != nil {
-		h.Save = func(b []byte) error { return p.core.Save(savedServers, b) }
-		h.Saved, _ = p.core.Saved(savedServers)
+		h.Save = func(b []byte) error { return p.core.SaveRecord(savedServers, b) }
+		h.Saved, _ = p.core.LoadRecord(savedServers)
 	}
 	h.Core = coreView{p.core}
 	p.hub = relay.New(h)
@@ -169,8 +169,8 @@
 // coreView is what the hub asks of the core's member, as in the daemon.
 type coreView struct{ member *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.member.IsCore() }
-func (c coreView) Linked() bool { return c.member.Linked() }
+func (c coreView) IsCore() bool { return c.member.IsVoter() }
+func (c coreView) Linked() bool { return c.member.HasQuorum() }
 func (c coreView) Hubs() (out []relay.Peer) {
 	v, _ := c.member.View()
 	for _, p := range v.Voters {
--- a/internal/testbed/controlsim/run.go
+++ b/internal/testbed/controlsim/run.go
@@ -147,7 +147,7 @@
 // founded tells whether all machines of the core know a view and are in touch.
 func (r *run) founded() bool {
 	for _, m := range r.members() {
-		if p := m.running(); p == nil || !p.core.Linked() {
+		if p := m.running(); p == nil || !p.core.HasQuorum() {
 			return false
 		}
 	}
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -137,8 +137,8 @@
 
 type coreView struct{ m *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.m.IsCore() }
-func (c coreView) Linked() bool { return c.m.Linked() }
+func (c coreView) IsCore() bool { return c.m.IsVoter() }
+func (c coreView) Linked() bool { return c.m.HasQuorum() }
 func (c coreView) Hubs() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
@@ -161,8 +161,8 @@
 	l := &life{node: n, began: now(), done: make(chan struct{}), gone: map[string]time.Duration{}, changed: make(chan struct{})}
 	pool := rpc.NewPool()
 	seeds := func() []string { return slices.Clone(p.Seeds) }
-	l.core, err = controlplane.Open(controlplane.Options{Addr: n.Addr, Zone: n.Zone, Dir: n.Dir, HasDisk: n.Dir != "", FirstStart: first, Seeds: seeds,
-		Known: func() []string {
+	l.core, err = controlplane.Open(controlplane.Options{Addr: n.Addr, Zone: n.Zone, StateDir: n.Dir, HasDisk: n.Dir != "", FirstStart: first, Seeds: seeds,
+		KnownAddresses: func() []string {
 			var out []string
 			if l.hub != nil {
 				for _, m := range l.hub.Others(true) {
@@ -172,7 +172,7 @@
 			return out
 		},
 		Losses: p.Losses, Counted: n.Dir != "", Pool: pool,
-		Check:    func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
+		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { l.hub.Commit(v.Seq, v.Body) }})
 	if err != nil {
 		ln.Close()
@@ -181,8 +181,8 @@
 	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, Beat: p.Beat,
 		Core: coreView{l.core}, Seeds: seeds, OnChange: l.take}
 	if n.Dir != "" {
-		o.Save = func(b []byte) error { return l.core.Save(savedServers, b) }
-		o.Saved, _ = l.core.Saved(savedServers)
+		o.Save = func(b []byte) error { return l.core.SaveRecord(savedServers, b) }
+		o.Saved, _ = l.core.LoadRecord(savedServers)
 	}
 	l.hub = relay.New(o)
 	l.source = l.hub.Report().Source
