--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -115,7 +115,7 @@
 		zone = cfg.Zones[z]
 	}
 	c := coordination.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Recall: recall, Trace: file.Fleet.Trace, Peers: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
-		Region: file.Fleet.Region, Role: file.Fleet.Role, Boot: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
+		Region: file.Fleet.Region, Role: file.Fleet.Role, Incarnation: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
 	if file.State.Dir != "" {
 		c.VotesDir = filepath.Join(file.State.Dir, "votes")
 	}
--- a/internal/agent/consensus/council.go
+++ b/internal/agent/consensus/council.go
@@ -123,11 +123,11 @@
 // Report is what an agent sees, for the machine. The newest of an agent is enough.
 type Report struct{ zonefailover.Report }
 
-// WhenFull implements task.Message.
-func (Report) WhenFull() supervisor.Full { return supervisor.DropOldest }
+// Overflow implements task.Message.
+func (Report) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
-// Merge implements task.Merger.
-func (r Report) Merge(q supervisor.Message) (supervisor.Message, bool) {
+// MergeInto implements task.Merger.
+func (r Report) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(Report)
 	if !ok || o.Agent != r.Agent {
 		return r, false
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -60,7 +60,7 @@
 type Layer struct {
 	cfg     Config
 	sup     *supervisor.Supervisor
-	peers   *membership.Peers
+	peers   *membership.Gossip
 	box     *supervisor.Mailbox // of the vote
 	siteBox *supervisor.Mailbox
 	council *consensus.Council // nil: this agent is no voter
@@ -87,11 +87,11 @@
 // Start starts the tasks; they end with ctx, and Close waits for them. Only what makes no
 // sense is an error: a task that can't do its work is tried again, and the agent serves.
 func Start(ctx context.Context, cfg Config) (*Layer, error) {
-	cfg.Vote.Self, cfg.Vote.Boot = cfg.Peers.Name, cfg.Peers.Boot
+	cfg.Vote.Self, cfg.Vote.Boot = cfg.Peers.Name, cfg.Peers.Incarnation
 	if err := cfg.Vote.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
-	cfg.Site.Self, cfg.Site.Site, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Roll.Members, cfg.Peers.Boot
+	cfg.Site.Self, cfg.Site.Site, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Roll.Members, cfg.Peers.Incarnation
 	if err := cfg.Site.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
@@ -99,7 +99,7 @@
 		tries: map[outlier.Host]bool{}, news: map[string]agent.Target{}, last: cfg.Recall}
 	if cfg.Trace != "" {
 		var err error
-		if l.trace, err = openTrace(cfg.Trace, cfg.Peers.Name, cfg.Peers.Boot); err != nil {
+		if l.trace, err = openTrace(cfg.Trace, cfg.Peers.Name, cfg.Peers.Incarnation); err != nil {
 			return nil, fmt.Errorf("layer: trace: %w", err)
 		}
 	}
@@ -135,9 +135,9 @@
 // ---- what the vote is told ----
 
 type (
-	sight  struct{ outlier.Sight }
+	sight  struct{ outlier.Observation }
 	listed struct {
-		hosts   []outlier.Listed
+		hosts   []outlier.ListedHost
 		entries []stalerouting.Entry
 	}
 	letter  struct{ *ejection.Letter }
@@ -145,25 +145,25 @@
 )
 
 // A sight that finds no room goes: many more like it are queued.
-func (sight) WhenFull() supervisor.Full { return supervisor.DropNewest }
+func (sight) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
 // The list, who is there, and a peer's letter take the place of an older one, and of what
 // else is queued.
-func (listed) WhenFull() supervisor.Full  { return supervisor.DropOldest }
-func (letter) WhenFull() supervisor.Full  { return supervisor.DropOldest }
-func (members) WhenFull() supervisor.Full { return supervisor.DropOldest }
+func (listed) Overflow() supervisor.OverflowPolicy  { return supervisor.DropOldest }
+func (letter) Overflow() supervisor.OverflowPolicy  { return supervisor.DropOldest }
+func (members) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
-func (m listed) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m listed) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	_, ok := q.(listed)
 	return m, ok
 }
 
-func (m members) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m members) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	_, ok := q.(members)
 	return m, ok
 }
 
-func (m letter) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m letter) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(letter)
 	if !ok || o.From != m.From {
 		return m, false
@@ -176,10 +176,10 @@
 
 // Listed takes the whole list, from the agent's loop.
 func (l *Layer) Listed(list []agent.Target) {
-	hosts := make([]outlier.Listed, 0, len(list))
+	hosts := make([]outlier.ListedHost, 0, len(list))
 	for _, t := range list {
 		if t.State == "up" {
-			hosts = append(hosts, outlier.Listed{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
+			hosts = append(hosts, outlier.ListedHost{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
 		}
 	}
 	m := listed{hosts, entries(list, stalerouting.Undated)}
@@ -198,31 +198,31 @@
 // Attempted takes the end of an attempt, from the agent's loop.
 func (l *Layer) Attempted(s agent.Sight) {
 	kind, ok := kindOf(s.Status)
-	if s.Probe && kind == outlier.Failed {
-		kind = outlier.Silent // no connect, or a reset: nothing of a request failed
+	if s.Probe && kind == outlier.Failure {
+		kind = outlier.NoAnswer // no connect, or a reset: nothing of a request failed
 	}
 	if !ok || s.Class < 0 || s.Class >= len(l.cfg.Aims) {
 		return
 	}
-	if kind == outlier.Good && !s.Probe && s.Zone != "" && s.Zone != l.cfg.Peers.Zone {
+	if kind == outlier.Success && !s.Probe && s.Zone != "" && s.Zone != l.cfg.Peers.Zone {
 		l.siteBox.Put(heard{stalerouting.Answer})
 	}
 	now := l.now()
-	l.box.Put(sight{outlier.Sight{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Kind: kind,
-		OfAim: s.Took.Seconds() / l.cfg.Aims[s.Class].Seconds(), Sent: now - s.Took, At: now, Probe: s.Probe, Util: s.Util}})
+	l.box.Put(sight{outlier.Observation{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Outcome: kind,
+		LatencyRatio: s.Took.Seconds() / l.cfg.Aims[s.Class].Seconds(), Sent: now - s.Took, Ended: now, Probe: s.Probe, Utilization: s.Util}})
 }
 
 // kindOf is what an attempt's end says of its host; false if nothing.
-func kindOf(s policy.Status) (outlier.Kind, bool) {
+func kindOf(s policy.Status) (outlier.Outcome, bool) {
 	switch s {
 	case policy.OK:
-		return outlier.Good, true
+		return outlier.Success, true
 	case policy.Error, policy.Reset, policy.ConnectFailed:
-		return outlier.Failed, true
+		return outlier.Failure, true
 	case policy.Timeout:
-		return outlier.Silent, true
+		return outlier.NoAnswer, true
 	case policy.Full:
-		return outlier.Full, true
+		return outlier.Overloaded, true
 	}
 	return 0, false
 }
@@ -239,7 +239,7 @@
 	KindParts  membership.Kind = 'd'
 )
 
-func (s sink) Got(kind membership.Kind, body []byte) {
+func (s sink) HandleMessage(kind membership.Kind, body []byte) {
 	var err error
 	switch kind {
 	case KindLetter:
@@ -283,13 +283,13 @@
 	return check()
 }
 
-func (s sink) Members(list []membership.Peer) {
+func (s sink) MembersChanged(list []membership.Peer) {
 	s.l.box.Put(members{list})
 	s.l.siteBox.Put(members{list})
 }
 
-// State is the set as of now.
-func (s sink) State() []byte {
+// LocalState is the set as of now.
+func (s sink) LocalState() []byte {
 	k := s.l.Kept()
 	body, err := membership.Encode(state{stalerouting.Version, s.l.cfg.Peers.Name, s.l.cfg.Peers.Zone, k.Entries})
 	if err != nil {
@@ -299,8 +299,8 @@
 	return body
 }
 
-// Merge takes a neighbour's set.
-func (s sink) Merge(body []byte) {
+// MergeState takes a neighbour's set.
+func (s sink) MergeState(body []byte) {
 	var m state
 	err := membership.Decode(body, &m)
 	if err == nil && m.Version != stalerouting.Version {
@@ -355,9 +355,9 @@
 			for msg, ok := l.box.Poll(); ok; msg, ok = l.box.Poll() {
 				switch m := msg.(type) {
 				case sight:
-					log.Saw(m.Sight)
+					log.Observe(m.Observation)
 				case listed:
-					log.Listed(m.hosts)
+					log.SetHosts(m.hosts)
 				case letter:
 					if err := core.Receive(l.now(), m.Letter); err != nil {
 						slog.Debug("vote: letter not believed", "err", err)
@@ -397,10 +397,10 @@
 
 // report tells all voters what was seen of each zone: at once where a view has changed.
 func (l *Layer) report(was *reporter, seen []outlier.Zone) {
-	r := zonefailover.Report{Version: zonefailover.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Boot: l.cfg.Peers.Boot}
+	r := zonefailover.Report{Version: zonefailover.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Boot: l.cfg.Peers.Incarnation}
 	var views []zonefailover.View
 	for _, z := range seen[:min(len(seen), zonefailover.MaxZones)] {
-		s := zonefailover.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Met, Bad: z.Bad, Hurt: z.Hurt, Tries: z.Attempts, Failed: z.Failed, Util: min(z.Util, 1), Probes: z.Probes}
+		s := zonefailover.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Observed, Bad: z.Unhealthy, Hurt: z.WithFailures, Tries: z.Attempts, Failed: z.Failures, Util: min(z.Utilization, 1), Probes: z.UtilizationSamples}
 		r.Rate += float64(z.Attempts) / l.cfg.Vote.Age.Seconds()
 		r.Zones, views = append(r.Zones, s), append(views, s.View())
 	}
--- a/internal/agent/coordination/layer_test.go
+++ b/internal/agent/coordination/layer_test.go
@@ -67,7 +67,7 @@
 	}
 	l.Attempted(agent.Sight{ID: "a", Status: policy.ConnectFailed, Probe: true, Took: time.Second / 2})
 	m, _ := l.box.Poll()
-	if s, ok := m.(sight); !ok || s.Kind != outlier.Silent || !s.Probe || s.OfAim != 0.5 || s.At-s.Sent != time.Second/2 {
+	if s, ok := m.(sight); !ok || s.Outcome != outlier.NoAnswer || !s.Probe || s.LatencyRatio != 0.5 || s.Ended-s.Sent != time.Second/2 {
 		t.Errorf("told of %+v", m)
 	}
 }
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -66,31 +66,31 @@
 }
 
 // A change of the list must not be lost: where there is no room what is queued goes.
-func (told) WhenFull() supervisor.Full { return supervisor.DropOldest }
+func (told) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
 // Another ping, or another sign of life, comes soon.
-func (heard) WhenFull() supervisor.Full { return supervisor.DropNewest }
-func (ping) WhenFull() supervisor.Full  { return supervisor.DropNewest }
+func (heard) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
+func (ping) Overflow() supervisor.OverflowPolicy  { return supervisor.DropNewest }
 
 // The newest word of a member, and the newest set of a neighbour, are enough.
-func (word) WhenFull() supervisor.Full   { return supervisor.DropOldest }
-func (shared) WhenFull() supervisor.Full { return supervisor.DropOldest }
+func (word) Overflow() supervisor.OverflowPolicy   { return supervisor.DropOldest }
+func (shared) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
 // The newest decision is enough; each comes again.
-func (agreed) WhenFull() supervisor.Full { return supervisor.DropOldest }
-func (parts) WhenFull() supervisor.Full  { return supervisor.DropNewest }
+func (agreed) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
+func (parts) Overflow() supervisor.OverflowPolicy  { return supervisor.DropNewest }
 
-func (m heard) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m heard) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(heard)
 	return m, ok && o == m
 }
 
-func (m ping) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m ping) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(ping)
 	return m, ok && o == m
 }
 
-func (m word) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m word) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(word)
 	if !ok || o.From != m.From {
 		return m, false
@@ -101,7 +101,7 @@
 	return m, true
 }
 
-func (m shared) Merge(q supervisor.Message) (supervisor.Message, bool) {
+func (m shared) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(shared)
 	return m, ok && o.From == m.From
 }
@@ -122,7 +122,7 @@
 func (l *Layer) site(ctx context.Context) error {
 	cfg := l.cfg.Site
 	cfg.Dark = cfg.Dark || l.Kept().Dark
-	up, err := stalerouting.NewUplink(cfg, l.cfg.Peers.Boot)
+	up, err := stalerouting.NewUplink(cfg, l.cfg.Peers.Incarnation)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 	if _, err := set.Merge(l.now(), l.Kept().Entries); err != nil {
 		return err
 	}
-	s := &siteTask{l: l, up: up, set: set, parts: stalerouting.NewParts(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Boot, 5))}
+	s := &siteTask{l: l, up: up, set: set, parts: stalerouting.NewParts(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Incarnation, 5))}
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -17,7 +17,7 @@
 // bareSite is a site's task without its loop, of agent a and its neighbour b in zone x.
 func bareSite(t *testing.T) *siteTask {
 	l := bare()
-	l.cfg.Peers = membership.Config{Name: "a", Zone: "x", Boot: 7}
+	l.cfg.Peers = membership.Config{Name: "a", Zone: "x", Incarnation: 7}
 	l.peers = membership.New(l.cfg.Peers, sink{l})
 	cfg := stalerouting.Defaults()
 	cfg.Self, cfg.Site = "a", []string{"a", "b"}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	s := &siteTask{l: l, up: up, set: stalerouting.NewSet(), parts: stalerouting.NewParts(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
-	s.take(listed{hosts: []outlier.Listed{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
+	s.take(listed{hosts: []outlier.ListedHost{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
 		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, stalerouting.Undated)})
 	return s
 }
@@ -100,25 +100,25 @@
 		t.Fatal(err)
 	}
 	from := sink{l}
-	from.Got(KindPing, body)
+	from.HandleMessage(KindPing, body)
 	if m, _ := l.siteBox.Poll(); m != (ping{From: "c", Pong: true}) {
 		t.Errorf("%+v", m)
 	}
-	from.Got('?', body)
-	from.Got(KindWord, body)
-	from.Got(KindLetter, []byte{1})
-	from.Merge([]byte{1})
+	from.HandleMessage('?', body)
+	from.HandleMessage(KindWord, body)
+	from.HandleMessage(KindLetter, []byte{1})
+	from.MergeState([]byte{1})
 	wrong, err := membership.Encode(state{Version: 99, From: "b", Zone: "x"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	from.Merge(wrong)
+	from.MergeState(wrong)
 	if m, ok := l.siteBox.Poll(); ok {
 		t.Errorf("taken: %+v", m)
 	}
 	l.keep(Kept{Entries: []stalerouting.Entry{{ID: "s"}}}, l.now())
 	l.start = l.start.Add(-time.Minute)
-	from.Merge(from.State())
+	from.MergeState(from.LocalState())
 	if m, _ := l.siteBox.Poll(); m.(shared).Entries[0].Age < time.Minute {
 		t.Errorf("%+v, want a minute older than when it was kept", m)
 	}
@@ -197,7 +197,7 @@
 		}
 		return n
 	}
-	good := []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Attempts: 30, Util: 9, Probes: 1}}
+	good := []outlier.Zone{{Name: "x", Weight: 2, Observed: 2, Attempts: 30, Utilization: 9, UtilizationSamples: 1}}
 	l.report(&was, good)
 	m, ok := l.council.Mailbox().Poll()
 	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Util != 1 || r.Check() != nil || sent() != 2 {
@@ -207,12 +207,12 @@
 	if n := sent(); n != 0 {
 		t.Errorf("%d told of what has not changed", n)
 	}
-	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
+	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Observed: 2, Unhealthy: 2, Attempts: 30}})
 	if n := sent(); n != 2 {
 		t.Errorf("%d told of a change, want 2", n)
 	}
 	l.start = l.start.Add(-reportEvery)
-	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Met: 2, Bad: 2, Attempts: 30}})
+	l.report(&was, []outlier.Zone{{Name: "x", Weight: 2, Observed: 2, Unhealthy: 2, Attempts: 30}})
 	if n := sent(); n != 2 {
 		t.Errorf("%d told again in time, want 2", n)
 	}
--- a/internal/agent/ejection/bench_test.go
+++ b/internal/agent/ejection/bench_test.go
@@ -20,7 +20,7 @@
 				s.run(2 * time.Second)
 				calm := float64(s.sent-before) / 2 / float64(n)
 				h := s.hosts[0].Host
-				s.bad[h] = outlier.Failed
+				s.bad[h] = outlier.Failure
 				from, worst := s.now, 0.0
 				for s.holding(h) < n && s.now-from < time.Minute {
 					before = s.sent
--- a/internal/agent/ejection/core.go
+++ b/internal/agent/ejection/core.go
@@ -320,7 +320,7 @@
 	c.begin(now)
 	c.out = &Out{Letters: map[string]*Letter{}}
 	before := c.answers()
-	part, met := c.log.BadPart(c.now)
+	part, met := c.log.UnhealthyFraction(c.now)
 	inPanic := met >= panicMet && part > 0.5
 	for _, h := range c.hosts() {
 		c.answer(h, inPanic)
@@ -423,7 +423,7 @@
 
 // answer is this member's own answer on a host by what it saw; a grant comes later.
 func (c *Core) answer(h outlier.Host, inPanic bool) {
-	r, listed := c.log.Of(h, c.now)
+	r, listed := c.log.Record(h, c.now)
 	m := c.mine[h]
 	if m == nil {
 		if !listed {
@@ -444,12 +444,12 @@
 		m.answer, m.why = Abstain, InPanic
 	case !listed:
 		m.answer, m.why = Abstain, NoEvidence
-	case r.For(c.now, c.cfg.Age) && (m.granted < 0 || r.LastGood > m.granted):
+	case r.Healthy(c.now, c.cfg.Age) && (m.granted < 0 || r.LastSuccessSent > m.granted):
 		m.answer, m.why = Deny, BySuccess
 	case live: // as promised; a renewal is grant's
-	case r.Against(c.now, c.cfg.Age) && (m.granted < 0 || r.BadSent > m.granted):
+	case r.Unhealthy(c.now, c.cfg.Age) && (m.granted < 0 || r.LastFailureSent > m.granted):
 		if m.answer != Suspect { // or it says OverCap, for which nothing has changed
-			m.why = whyOf(r.Kind)
+			m.why = whyOf(r.LastFailure)
 		}
 		m.answer = Suspect
 	default:
@@ -458,17 +458,17 @@
 	if m.answer != was && m.answer != Abstain {
 		c.note(m.answer.String(), h, m)
 	}
-	if r.Probed > r.LastBad && m.tried && m.owedAt > 0 && r.Probed > m.owedAt && !m.probed {
+	if r.LastProbeSent > r.LastFailureAt && m.tried && m.owedAt > 0 && r.LastProbeSent > m.owedAt && !m.probed {
 		m.tried, m.probed = false, true // that it runs is no evidence: it is to be tried, once
 	}
-	if r.Attempts > 0 && (r.For(c.now, c.cfg.Age) || r.Against(c.now, c.cfg.Age)) {
+	if r.Attempts > 0 && (r.Healthy(c.now, c.cfg.Age) || r.Unhealthy(c.now, c.cfg.Age)) {
 		m.owedAt, m.tried, m.probed = 0, false, false
 	}
 }
 
-func whyOf(k outlier.Kind) Why {
+func whyOf(k outlier.Outcome) Why {
 	switch k {
-	case outlier.Silent:
+	case outlier.NoAnswer:
 		return BySilence
 	case outlier.Slow:
 		return BySlowness
@@ -486,7 +486,7 @@
 		// than the grant: one trial that fails keeps a host out, where each member would have
 		// to try it otherwise.
 		r := m.record
-		sick := r.LastBad > r.LastGood && c.now-r.LastBad <= renewTimes*c.cfg.Longest
+		sick := r.LastFailureAt > r.LastSuccessSent && c.now-r.LastFailureAt <= renewTimes*c.cfg.Longest
 		renew := m.answer == Grant && m.until > c.now && m.until-c.now < (m.until-m.granted)/2 && sick && c.newest(h) > m.granted
 		if m.answer != Suspect && !renew {
 			continue
@@ -506,7 +506,7 @@
 func (c *Core) newest(h outlier.Host) time.Duration {
 	at := time.Duration(-1)
 	if m := c.mine[h]; m != nil {
-		at = m.record.BadSent
+		at = m.record.LastFailureSent
 	}
 	for _, p := range c.peers {
 		if v, ok := p.votes[h]; ok && v.answer >= Suspect && v.until > c.now {
@@ -550,7 +550,7 @@
 		kind = "renew"
 	}
 	m.grants++
-	m.answer, m.why = Grant, whyOf(m.record.Kind)
+	m.answer, m.why = Grant, whyOf(m.record.LastFailure)
 	m.granted, m.until = c.now, c.now+lease
 	// Weights move with the list; a promise is counted at the most that it was.
 	if m.promised <= c.now || m.zone != zone {
@@ -654,9 +654,9 @@
 	}
 	m := c.mine[s.Host]
 	if m != nil && m.answer >= Suspect {
-		silent = m.record.Kind == outlier.Silent
+		silent = m.record.LastFailure == outlier.NoAnswer
 	}
-	s.Probe = silent && (m == nil || m.record.Probed <= m.record.LastBad || c.now-m.record.Probed > c.cfg.Age)
+	s.Probe = silent && (m == nil || m.record.LastProbeSent <= m.record.LastFailureAt || c.now-m.record.LastProbeSent > c.cfg.Age)
 	s.Try = !s.Probe
 	return s
 }
@@ -745,16 +745,16 @@
 	var entries []Entry
 	for _, s := range c.answers() {
 		m := c.mine[s.host]
-		e := Entry{Host: s.host, Answer: m.answer, Why: m.why, Attempts: m.record.Attempts, Bad: m.record.Bad, Left: c.cfg.Age}
+		e := Entry{Host: s.host, Answer: m.answer, Why: m.why, Attempts: m.record.Attempts, Bad: m.record.Failures, Left: c.cfg.Age}
 		switch m.answer {
 		case Grant:
 			e.Left = max(m.until-c.now, 0)
 		case Suspect:
-			e.Left = max(c.cfg.Age-(c.now-m.record.LastBad), 0)
+			e.Left = max(c.cfg.Age-(c.now-m.record.LastFailureAt), 0)
 		case Deny:
-			e.Left = max(c.cfg.Age-(c.now-m.record.LastGood), 0)
+			e.Left = max(c.cfg.Age-(c.now-m.record.LastSuccessSent), 0)
 		}
-		e.Seen = min(max(c.now-m.record.BadSent, 0), mostLease)
+		e.Seen = min(max(c.now-m.record.LastFailureSent, 0), mostLease)
 		entries = append(entries, e)
 	}
 	for _, name := range to {
@@ -786,7 +786,7 @@
 }
 
 func (c *Core) note(kind string, h outlier.Host, m *own) {
-	n := Note{At: c.now, Kind: kind, Host: h, Why: m.why, Roll: c.cfg.Roll.Number, Attempts: m.record.Attempts, Bad: m.record.Bad}
+	n := Note{At: c.now, Kind: kind, Host: h, Why: m.why, Roll: c.cfg.Roll.Number, Attempts: m.record.Attempts, Bad: m.record.Failures}
 	if m.answer == Grant {
 		n.Until = m.until
 	}
--- a/internal/agent/ejection/core_test.go
+++ b/internal/agent/ejection/core_test.go
@@ -25,7 +25,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			s := settled(t, 1, n, 12)
 			h := s.hosts[3].Host
-			s.bad[h] = outlier.Failed
+			s.bad[h] = outlier.Failure
 			s.run(2 * time.Second)
 			if got := s.holding(h); got != n {
 				t.Fatalf("%d of %d hold it ejected, notes %v", got, n, s.notes)
@@ -54,7 +54,7 @@
 func TestStepsOfAReturn(t *testing.T) {
 	s := settled(t, 2, 3, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = outlier.Failed
+	s.bad[h] = outlier.Failure
 	for s.holding(h) < 3 {
 		s.run(tick)
 	}
@@ -86,7 +86,7 @@
 	s := settled(t, 3, 3, 12)
 	h := s.hosts[0].Host
 	for range 3 {
-		s.bad[h] = outlier.Failed
+		s.bad[h] = outlier.Failure
 		s.run(2 * time.Second)
 		delete(s.bad, h)
 		s.run(5 * time.Second)
@@ -109,7 +109,7 @@
 func TestAnEjectedHostGetsTrialsOnly(t *testing.T) {
 	s := settled(t, 4, 5, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = outlier.Failed
+	s.bad[h] = outlier.Failure
 	s.run(time.Second)
 	before := s.failed
 	s.run(10 * time.Second)
@@ -133,7 +133,7 @@
 func TestASilentHostIsProbed(t *testing.T) {
 	s := settled(t, 4, 5, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = outlier.Silent
+	s.bad[h] = outlier.NoAnswer
 	s.run(2 * time.Second)
 	if s.holding(h) != 5 || s.failed > 8 {
 		t.Errorf("%d of 5 hold it ejected after %d lost requests", s.holding(h), s.failed)
@@ -155,7 +155,7 @@
 func TestCapAndPanic(t *testing.T) {
 	s := settled(t, 5, 7, 12)
 	for _, h := range s.hosts[:8] {
-		s.bad[h.Host] = outlier.Failed
+		s.bad[h.Host] = outlier.Failure
 	}
 	s.run(3 * time.Second)
 	for _, h := range s.hosts {
@@ -165,7 +165,7 @@
 	}
 	s = settled(t, 5, 7, 12)
 	for _, h := range s.hosts[:5] {
-		s.bad[h.Host] = outlier.Failed
+		s.bad[h.Host] = outlier.Failure
 	}
 	s.run(3 * time.Second)
 	out := 0
@@ -191,7 +191,7 @@
 		for _, m := range s.members[:3] {
 			for _, h := range s.hosts {
 				now := s.clock(m)
-				m.log.Saw(outlier.Sight{Host: h.Host, Kind: outlier.Silent, OfAim: 1, Sent: now, At: now})
+				m.log.Observe(outlier.Observation{Host: h.Host, Outcome: outlier.NoAnswer, LatencyRatio: 1, Sent: now, Ended: now})
 			}
 		}
 		s.run(2 * tick)
@@ -214,7 +214,7 @@
 				l.Entries = []Entry{{Host: well, Answer: Grant, Attempts: 9, Bad: 9, Left: s.cfg.Lease}, {Host: ill, Answer: Deny, Attempts: 9, Left: s.cfg.Age}}
 			}
 			s.run(3 * time.Second)
-			s.bad[ill] = outlier.Failed
+			s.bad[ill] = outlier.Failure
 			s.run(6 * time.Second)
 			if s.ejected[well] {
 				t.Errorf("a host that is well was ejected by %d liars of %d", c.liars, c.members)
@@ -237,7 +237,7 @@
 		}
 		s.cut = func(a, b string) bool { return part(a) != part(b) }
 		h := s.hosts[0].Host
-		s.bad[h] = outlier.Failed
+		s.bad[h] = outlier.Failure
 		s.run(3 * time.Second)
 		for _, m := range s.members {
 			in := 0
@@ -264,12 +264,12 @@
 func TestAReplacedHostIsNotEjected(t *testing.T) {
 	s := settled(t, 9, 5, 12)
 	old := s.hosts[0].Host
-	s.bad[old] = outlier.Failed
+	s.bad[old] = outlier.Failure
 	s.run(100 * time.Millisecond)
 	s.hosts[0].Incarnation = 7
 	fresh := s.hosts[0].Host
 	for _, m := range s.members {
-		m.log.Listed(s.hosts)
+		m.log.SetHosts(s.hosts)
 	}
 	s.run(3 * time.Second)
 	if s.ejected[fresh] {
@@ -282,7 +282,7 @@
 func TestAPausedMemberActsOnNothingStale(t *testing.T) {
 	s := settled(t, 10, 3, 12)
 	h := s.hosts[0].Host
-	s.bad[h] = outlier.Failed
+	s.bad[h] = outlier.Failure
 	s.run(300 * time.Millisecond)
 	m := s.members[2]
 	m.paused = s.now + 10*time.Second
@@ -318,7 +318,7 @@
 			case 3:
 				s.cut = func(string, string) bool { return false }
 			case 4:
-				s.bad[s.hosts[s.rng.IntN(8)].Host] = outlier.Failed
+				s.bad[s.hosts[s.rng.IntN(8)].Host] = outlier.Failure
 			case 5:
 				clear(s.bad)
 			}
@@ -387,7 +387,7 @@
 		m.core.cfg.Covers = true
 	}
 	h := s.hosts[3].Host
-	s.bad[h] = outlier.Failed
+	s.bad[h] = outlier.Failure
 	s.run(3 * time.Second)
 	if got := s.holding(h); got != 0 || s.count("grant", &h) != 0 {
 		t.Fatalf("%d hold it ejected without a cover", got)
--- a/internal/agent/ejection/interleave_test.go
+++ b/internal/agent/ejection/interleave_test.go
@@ -54,7 +54,7 @@
 	well  time.Duration   // from when on the first of them is well to it; 0: never
 }
 
-var three = []outlier.Listed{{Host: outlier.Host{ID: "x"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "y"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "w"}, Zone: "z", Weight: 1}}
+var three = []outlier.ListedHost{{Host: outlier.Host{ID: "x"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "y"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "w"}, Zone: "z", Weight: 1}}
 
 func (s *small) config(i int, boot uint64) Config {
 	c := Config{Self: fmt.Sprint("v", i), Boot: boot, Roll: Roll{Number: 1, Members: []string{"v0", "v1", "v2"}}, Cap: 0.5, Lease: 2 * time.Second,
@@ -79,7 +79,7 @@
 func (s *small) start(i int, boot uint64) {
 	cfg := s.config(i, boot)
 	log := outlier.New(cfg.Age)
-	log.Listed(three)
+	log.SetHosts(three)
 	core := &Core{cfg: cfg, log: log, voter: true, peers: map[string]*peer{}, mine: map[outlier.Host]*own{}, standing: map[outlier.Host]*standing{}}
 	for _, m := range cfg.Roll.Members {
 		if m != cfg.Self {
@@ -107,11 +107,11 @@
 	v := s.voters[i]
 	v.seen = append(v.seen, at)
 	for _, h := range fails[i] {
-		kind := outlier.Failed
+		kind := outlier.Failure
 		if v.well > 0 && at >= v.well && h == 0 {
-			kind = outlier.Good
+			kind = outlier.Success
 		}
-		v.log.Saw(outlier.Sight{Host: three[h].Host, Kind: kind, OfAim: 0.1, Sent: at, At: at})
+		v.log.Observe(outlier.Observation{Host: three[h].Host, Outcome: kind, LatencyRatio: 0.1, Sent: at, Ended: at})
 	}
 }
 
@@ -214,7 +214,7 @@
 			if t := c.standing[h.Host]; t != nil {
 				fmt.Fprint(f, *t)
 			}
-			r, _ := v.log.Of(h.Host, s.now)
+			r, _ := v.log.Record(h.Host, s.now)
 			fmt.Fprint(f, r)
 		}
 		for _, name := range []string{"v0", "v1", "v2"} {
@@ -300,7 +300,7 @@
 	for i, v := range s.voters {
 		w := *v
 		w.log = outlier.New(v.core.cfg.Age)
-		w.log.Listed(three)
+		w.log.SetHosts(three)
 		w.seen = nil
 		core := *v.core
 		core.log, core.out = w.log, nil
--- a/internal/agent/ejection/sim_test.go
+++ b/internal/agent/ejection/sim_test.go
@@ -19,8 +19,8 @@
 	cfg     Config
 	now     time.Duration
 	members []*member
-	hosts   []outlier.Listed
-	bad     map[outlier.Host]outlier.Kind
+	hosts   []outlier.ListedHost
+	bad     map[outlier.Host]outlier.Outcome
 	mail    []mail
 	lose    float64
 	late    time.Duration // of a letter, at the most
@@ -57,7 +57,7 @@
 const tick = 25 * time.Millisecond
 
 func newSim(t testing.TB, seed uint64, members, hosts int, zones int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), bad: map[outlier.Host]outlier.Kind{}, late: 10 * time.Millisecond,
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), bad: map[outlier.Host]outlier.Outcome{}, late: 10 * time.Millisecond,
 		rate: 20, ejected: map[outlier.Host]bool{}, cut: func(string, string) bool { return false }}
 	s.cfg = Config{Roll: Roll{Number: 1}, Cap: 0.5, Lease: 2 * time.Second, Longest: 4 * time.Second, Remember: 20 * time.Second,
 		Age: 3 * time.Second, Step: 500 * time.Millisecond, Trial: 250 * time.Millisecond}
@@ -65,7 +65,7 @@
 		s.cfg.Roll.Members = append(s.cfg.Roll.Members, fmt.Sprintf("n%d", i))
 	}
 	for i := range hosts {
-		s.hosts = append(s.hosts, outlier.Listed{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
+		s.hosts = append(s.hosts, outlier.ListedHost{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
 	}
 	for _, name := range s.cfg.Roll.Members {
 		m := &member{name: name, speed: 1 + drift/4*(2*s.rng.Float64()-1)}
@@ -81,7 +81,7 @@
 	cfg := s.cfg
 	cfg.Self, cfg.Boot = m.name, s.boots
 	m.log = outlier.New(cfg.Age)
-	m.log.Listed(s.hosts)
+	m.log.SetHosts(s.hosts)
 	core, err := New(cfg, m.log)
 	if err != nil {
 		s.t.Fatal(err)
@@ -165,12 +165,12 @@
 			case st.Try:
 				s.attempt(m, st.Host)
 			case st.Probe:
-				now, kind := s.clock(m), outlier.Good
-				if s.bad[st.Host] == outlier.Silent {
-					kind = outlier.Silent
+				now, kind := s.clock(m), outlier.Success
+				if s.bad[st.Host] == outlier.NoAnswer {
+					kind = outlier.NoAnswer
 				}
 				s.probes++
-				m.log.Saw(outlier.Sight{Host: st.Host, Kind: kind, Sent: now - time.Millisecond, At: now, Probe: true})
+				m.log.Observe(outlier.Observation{Host: st.Host, Outcome: kind, Sent: now - time.Millisecond, Ended: now, Probe: true})
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 			continue
 		}
 		// Its own demotion: not one that the last attempt failed on, for a while.
-		if r, ok := m.log.Of(h, s.clock(m)); ok && r.LastBad > r.LastGood && s.clock(m)-r.LastBad < 500*time.Millisecond {
+		if r, ok := m.log.Record(h, s.clock(m)); ok && r.LastFailureAt > r.LastSuccessSent && s.clock(m)-r.LastFailureAt < 500*time.Millisecond {
 			continue
 		}
 		s.attempt(m, h)
@@ -193,14 +193,14 @@
 
 func (s *sim) attempt(m *member, h outlier.Host) {
 	kind := s.bad[h]
-	if kind != outlier.Good {
+	if kind != outlier.Success {
 		s.failed++
 	}
 	now, ofAim := s.clock(m), 0.1
-	if kind == outlier.Silent {
+	if kind == outlier.NoAnswer {
 		ofAim = 1
 	}
-	m.log.Saw(outlier.Sight{Host: h, Kind: kind, OfAim: ofAim, Sent: now - time.Millisecond, At: now})
+	m.log.Observe(outlier.Observation{Host: h, Outcome: kind, LatencyRatio: ofAim, Sent: now - time.Millisecond, Ended: now})
 }
 
 // check holds every member's view against what all have promised, at one moment.
--- a/internal/agent/logging/logs.go
+++ b/internal/agent/logging/logging.go
@@ -14,16 +14,16 @@
 
 // Handler writes to one writer as it was last set. It is safe for concurrent use.
 type Handler struct {
-	out  io.Writer
-	base *atomic.Pointer[slog.Handler] // shared with all handlers derived from it
-	with []func(slog.Handler) slog.Handler
+	out         io.Writer
+	current     *atomic.Pointer[slog.Handler] // shared with all handlers derived from it
+	derivations []func(slog.Handler) slog.Handler
 }
 
 // New returns a handler of text at level info, as the agent logs without an operations file.
 func New(out io.Writer) *Handler {
-	h := &Handler{out: out, base: new(atomic.Pointer[slog.Handler])}
+	h := &Handler{out: out, current: new(atomic.Pointer[slog.Handler])}
 	text := slog.Handler(slog.NewTextHandler(out, nil))
-	h.base.Store(&text)
+	h.current.Store(&text)
 	return h
 }
 
@@ -43,19 +43,19 @@
 	default:
 		return fmt.Errorf("logs: unknown format %q", l.Format)
 	}
-	h.base.Store(&base)
+	h.current.Store(&base)
 	return nil
 }
 
 // Enabled tells whether the level is written now.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool {
-	return (*h.base.Load()).Enabled(ctx, l)
+	return (*h.current.Load()).Enabled(ctx, l)
 }
 
 // Handle writes a record in the format of now.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	to := *h.base.Load()
-	for _, f := range h.with {
+	to := *h.current.Load()
+	for _, f := range h.derivations {
 		to = f(to)
 	}
 	return to.Handle(ctx, r)
@@ -72,5 +72,5 @@
 }
 
 func (h *Handler) derive(f func(slog.Handler) slog.Handler) slog.Handler {
-	return &Handler{out: h.out, base: h.base, with: append(h.with[:len(h.with):len(h.with)], f)}
+	return &Handler{out: h.out, current: h.current, derivations: append(h.derivations[:len(h.derivations):len(h.derivations)], f)}
 }
--- a/internal/agent/membership/peers_test.go
+++ b/internal/agent/membership/gossip_test.go
@@ -16,26 +16,30 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds waits; none needs more than a part of it.
-const patience = 30 * time.Second
-
-// ear notes what peers bring.
-type ear struct {
-	got     chan string
-	mu      sync.Mutex
-	there   []Peer
-	changed chan struct{}
+// testTimeout bounds waits; none needs more than a part of it.
+const testTimeout = 30 * time.Second
+
+// recordingHandler notes what peers bring.
+type recordingHandler struct {
+	received chan string
+	mu       sync.Mutex
+	members  []Peer
+	changed  chan struct{}
 }
 
-func newEar() *ear { return &ear{got: make(chan string, 1000), changed: make(chan struct{}, 1)} }
+func newRecordingHandler() *recordingHandler {
+	return &recordingHandler{received: make(chan string, 1000), changed: make(chan struct{}, 1)}
+}
 
-func (e *ear) Got(kind Kind, body []byte) { e.got <- string(kind) + string(body) }
-func (e *ear) State() []byte              { return []byte("state") }
-func (e *ear) Merge(state []byte)         { e.got <- "merged " + string(state) }
+func (e *recordingHandler) HandleMessage(kind Kind, body []byte) {
+	e.received <- string(kind) + string(body)
+}
+func (e *recordingHandler) LocalState() []byte      { return []byte("state") }
+func (e *recordingHandler) MergeState(state []byte) { e.received <- "merged " + string(state) }
 
-func (e *ear) Members(list []Peer) {
+func (e *recordingHandler) MembersChanged(list []Peer) {
 	e.mu.Lock()
-	e.there = list
+	e.members = list
 	e.mu.Unlock()
 	select {
 	case e.changed <- struct{}{}:
@@ -43,27 +47,27 @@
 	}
 }
 
-// sees waits until so many are there.
-func (e *ear) sees(t *testing.T, n int) []Peer {
+// waitForMembers waits until so many are there.
+func (e *recordingHandler) waitForMembers(t *testing.T, n int) []Peer {
 	t.Helper()
-	over := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		e.mu.Lock()
-		list := e.there
+		list := e.members
 		e.mu.Unlock()
 		if len(list) == n {
 			return list
 		}
 		select {
 		case <-e.changed:
-		case <-over:
+		case <-timeout:
 			t.Fatalf("%v are there, want %d", list, n)
 		}
 	}
 }
 
-// start runs a peer at a free port; the first one's address is the others' seed.
-func start(t *testing.T, name, fleet string, seeds ...string) (p *Peers, e *ear, stop func()) {
+// startGossip runs a peer at a free port; the first one's address is the others' seed.
+func startGossip(t *testing.T, name, fleet string, seeds ...string) (p *Gossip, e *recordingHandler, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,8 +75,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	e = newEar()
-	p = New(Config{Fleet: fleet, Name: name, Zone: "z-" + name, Region: "r", Role: "agent", Boot: 7, Bind: addr, Seeds: append(seeds, addr)}, e)
+	e = newRecordingHandler()
+	p = New(Config{Fleet: fleet, Name: name, Zone: "z-" + name, Region: "r", Role: "agent", Incarnation: 7, Bind: addr, Seeds: append(seeds, addr)}, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
@@ -91,13 +95,13 @@
 
 // Peers find each other through one seed, know zone and life of each, carry messages, and see
 // one that leaves in order go at once.
-func TestPeersFindEachOtherAndTalk(t *testing.T) {
-	a, ea, _ := start(t, "a", "k")
-	b, eb, stop := start(t, "b", "k", a.cfg.Bind)
-	_, ec, _ := start(t, "c", "k", a.cfg.Bind)
-	for _, e := range []*ear{ea, eb, ec} {
-		list := e.sees(t, 3)
-		if p := list[1]; p.Name != "b" || p.Zone != "z-b" || p.Region != "r" || p.Role != "agent" || p.Boot != 7 || p.Version != Version {
+func TestPeersJoinAndExchangeMessages(t *testing.T) {
+	a, ea, _ := startGossip(t, "a", "k")
+	b, eb, stop := startGossip(t, "b", "k", a.config.Bind)
+	_, ec, _ := startGossip(t, "c", "k", a.config.Bind)
+	for _, e := range []*recordingHandler{ea, eb, ec} {
+		list := e.waitForMembers(t, 3)
+		if p := list[1]; p.Name != "b" || p.Zone != "z-b" || p.Region != "r" || p.Role != "agent" || p.Incarnation != 7 || p.Version != Version {
 			t.Errorf("b is known as %+v", p)
 		}
 	}
@@ -105,7 +109,7 @@
 	for got := false; !got; {
 		b.Mailbox().Put(Send{To: "c", Kind: 'x', Body: []byte("hello")})
 		select {
-		case text := <-ec.got:
+		case text := <-ec.received:
 			if got = text == "xhello"; !got && text != "merged state" {
 				t.Fatalf("got %q", text)
 			}
@@ -113,59 +117,59 @@
 		}
 	}
 	// States are exchanged whenever one asks, both ways.
-	for len(ea.got) > 0 {
-		<-ea.got
+	for len(ea.received) > 0 {
+		<-ea.received
 	}
 	b.Mailbox().Put(Sync{With: "a"})
 	select {
-	case text := <-ea.got:
+	case text := <-ea.received:
 		if text != "merged state" {
 			t.Errorf("got %q", text)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("no state was exchanged")
 	}
 	stop()
-	ea.sees(t, 2)
-	ec.sees(t, 2)
+	ea.waitForMembers(t, 2)
+	ec.waitForMembers(t, 2)
 }
 
-// lines collects the log.
-type lines struct {
+// logBuffer collects the log.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.buf.String(), text)
 }
 
 // Another fleet is turned away with a reason, and both go on by themselves.
-func TestAnotherFleetIsTurnedAway(t *testing.T) {
-	var log lines
+func TestPeerOfAnotherFleetIsRejected(t *testing.T) {
+	var log logBuffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	a, ea, _ := start(t, "a", "k")
-	_, eb, _ := start(t, "b", "other", a.cfg.Bind)
-	for end := time.Now().Add(patience); !log.has(`fleet: it is of`); time.Sleep(time.Millisecond) {
+	a, ea, _ := startGossip(t, "a", "k")
+	_, eb, _ := startGossip(t, "b", "other", a.config.Bind)
+	for end := time.Now().Add(testTimeout); !log.contains(`fleet: it is of`); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no reason in the log")
 		}
 	}
-	ea.sees(t, 1)
-	eb.sees(t, 1)
+	ea.waitForMembers(t, 1)
+	eb.waitForMembers(t, 1)
 }
 
-func TestWhatIsNoMessageIsAnError(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	type form struct{ A, B int }
 	body, err := Encode(form{1, 2})
 	if err != nil {
@@ -181,7 +185,7 @@
 		}
 	}
 	for key, cfg := range map[string]Config{"bind": {Bind: "nowhere"}, "advertise": {Bind: "127.0.0.1:1", Advertise: "x:1"}} {
-		if err := New(cfg, newEar()).Run(t.Context()); err == nil || !strings.Contains(err.Error(), key) {
+		if err := New(cfg, newRecordingHandler()).Run(t.Context()); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%v, want one that names %s", err, key)
 		}
 	}
@@ -190,7 +194,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0x92, 1, 2})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var m meta
+		var m nodeMeta
 		if err := Decode(body, &m); err == nil && len(fmt.Sprint(m)) > 16*MaxMessage {
 			t.Error("a message grew")
 		}
--- a/internal/agent/metrics/metrics.go
+++ b/internal/agent/metrics/metrics.go
@@ -23,30 +23,30 @@
 const (
 	// Path is where figures are served.
 	Path = "/-/metrics"
-	// readTime bounds what the agent's loop may take to tell its state: a scrape never
+	// stateTimeout bounds what the agent's loop may take to tell its state: a scrape never
 	// waits longer, and then lacks the state.
-	readTime = time.Second
-	// headTime bounds how long a scraper may take to ask, and answerTime to be answered.
-	headTime, answerTime = 2 * time.Second, 10 * time.Second
-	// maxScrapes bounds the scrapes at once.
-	maxScrapes = 4
+	stateTimeout = time.Second
+	// headerTimeout bounds how long a scraper may take to ask, and responseTimeout to be answered.
+	headerTimeout, responseTimeout = 2 * time.Second, 10 * time.Second
+	// maxConcurrentScrapes bounds the scrapes at once.
+	maxConcurrentScrapes = 4
 )
 
-// buckets are those of times in seconds: from a hop on loopback to the longest deadline.
-var buckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
+// durationBuckets are those of times in seconds: from a hop on loopback to the longest deadline.
+var durationBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
 // Metrics is an agent.Observer that counts. It is safe for concurrent use.
 type Metrics struct {
-	registry *prometheus.Registry
-	answers  *prometheus.CounterVec   // class, verdict
-	latency  *prometheus.HistogramVec // class, verdict
-	left     prometheus.Observer
-	tries    prometheus.Observer
-	attempts *prometheus.CounterVec // outcome
-	backend  *prometheus.HistogramVec
-	cold     prometheus.Counter
-	guarded  *prometheus.CounterVec // rule, what
-	state    *state
+	registry            *prometheus.Registry
+	answers             *prometheus.CounterVec   // class, verdict
+	latency             *prometheus.HistogramVec // class, verdict
+	deadlineSlack       prometheus.Observer
+	attemptsPerRequest  prometheus.Observer
+	attempts            *prometheus.CounterVec // outcome
+	attemptLatency      *prometheus.HistogramVec
+	warmingUpAttempts   prometheus.Counter
+	violationsPrevented *prometheus.CounterVec // rule, what
+	state               *stateCollector
 }
 
 var _ agent.Observer = (*Metrics)(nil)
@@ -67,15 +67,15 @@
 		return h
 	}
 	m.answers = counter("answers_total", "Final answers to the client.", "class", "verdict")
-	m.latency = histogram("answer_seconds", "Time from a request's head to its final answer.", buckets, "class", "verdict")
-	m.left = histogram("answer_left_seconds", "Time that was left to the client's deadline at the final answer (rule 1).",
-		append([]float64{0}, buckets...)).WithLabelValues()
-	m.tries = histogram("request_attempts", "Attempts of a request by its final answer.", []float64{0, 1, 2, 3, 5}).WithLabelValues()
+	m.latency = histogram("answer_seconds", "Time from a request's head to its final answer.", durationBuckets, "class", "verdict")
+	m.deadlineSlack = histogram("answer_left_seconds", "Time that was left to the client's deadline at the final answer (rule 1).",
+		append([]float64{0}, durationBuckets...)).WithLabelValues()
+	m.attemptsPerRequest = histogram("request_attempts", "Attempts of a request by its final answer.", []float64{0, 1, 2, 3, 5}).WithLabelValues()
 	m.attempts = counter("attempts_total", "Attempts at report servers by their outcome.", "outcome")
-	m.backend = histogram("attempt_seconds", "Time of an attempt by its outcome.", buckets, "outcome")
-	m.cold = counter("cold_attempts_total", "Attempts at servers that are not yet warm by the list (rule 4).").WithLabelValues()
-	m.guarded = counter("guarded_total", "What would have broken one of the four rules and was stopped.", "rule", "what")
-	m.state = newState()
+	m.attemptLatency = histogram("attempt_seconds", "Time of an attempt by its outcome.", durationBuckets, "outcome")
+	m.warmingUpAttempts = counter("cold_attempts_total", "Attempts at servers that are not yet warm by the list (rule 4).").WithLabelValues()
+	m.violationsPrevented = counter("guarded_total", "What would have broken one of the four rules and was stopped.", "rule", "what")
+	m.state = newStateCollector()
 	reg.MustRegister(m.state)
 	if runtime {
 		reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -90,22 +90,22 @@
 func (m *Metrics) Answered(class, verdict string, took, left time.Duration, attempts int) {
 	m.answers.WithLabelValues(class, verdict).Inc()
 	m.latency.WithLabelValues(class, verdict).Observe(took.Seconds())
-	m.left.Observe(left.Seconds())
-	m.tries.Observe(float64(attempts))
+	m.deadlineSlack.Observe(left.Seconds())
+	m.attemptsPerRequest.Observe(float64(attempts))
 }
 
 // Attempted is of agent.Observer.
 func (m *Metrics) Attempted(s policy.Status, took time.Duration) {
 	m.attempts.WithLabelValues(outcome(s)).Inc()
-	m.backend.WithLabelValues(outcome(s)).Observe(took.Seconds())
+	m.attemptLatency.WithLabelValues(outcome(s)).Observe(took.Seconds())
 }
 
 // SentCold is of agent.Observer.
-func (m *Metrics) SentCold() { m.cold.Inc() }
+func (m *Metrics) SentCold() { m.warmingUpAttempts.Inc() }
 
 // Guarded is of agent.Observer.
 func (m *Metrics) Guarded(rule int, what string) {
-	m.guarded.WithLabelValues(strconv.Itoa(rule), what).Inc()
+	m.violationsPrevented.WithLabelValues(strconv.Itoa(rule), what).Inc()
 }
 
 func outcome(s policy.Status) string {
@@ -134,14 +134,14 @@
 func (m *Metrics) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+Path, promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{
-		MaxRequestsInFlight: maxScrapes, Timeout: answerTime, ErrorHandling: promhttp.ContinueOnError,
+		MaxRequestsInFlight: maxConcurrentScrapes, Timeout: responseTimeout, ErrorHandling: promhttp.ContinueOnError,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)}))
 	return mux
 }
 
 // Serve serves the figures on a listener until ctx is done.
 func (m *Metrics) Serve(ctx context.Context, ln net.Listener) error {
-	server := &http.Server{Handler: m.Handler(), ReadHeaderTimeout: headTime, WriteTimeout: answerTime + headTime,
+	server := &http.Server{Handler: m.Handler(), ReadHeaderTimeout: headerTimeout, WriteTimeout: responseTimeout + headerTimeout,
 		IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
--- a/internal/agent/metrics/state.go
+++ b/internal/agent/metrics/state.go
@@ -10,8 +10,8 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// state collects what the agent holds at the moment of a scrape.
-type state struct {
+// stateCollector collects what the agent holds at the moment of a scrape.
+type stateCollector struct {
 	read    atomic.Pointer[func(context.Context) (agent.Stats, error)] // nil before the agent serves
 	servers *prometheus.Desc
 	gauges  []gauge
@@ -22,8 +22,8 @@
 	value func(*agent.Stats) float64
 }
 
-func newState() *state {
-	s := &state{servers: prometheus.NewDesc("chalkdoor_servers", "Listed servers by state.", []string{"state"}, nil)}
+func newStateCollector() *stateCollector {
+	s := &stateCollector{servers: prometheus.NewDesc("chalkdoor_servers", "Listed servers by state.", []string{"state"}, nil)}
 	add := func(name, help string, value func(*agent.Stats) float64) {
 		s.gauges = append(s.gauges, gauge{prometheus.NewDesc("chalkdoor_"+name, help, nil, nil), value})
 	}
@@ -43,7 +43,7 @@
 }
 
 // Describe is of prometheus.Collector.
-func (s *state) Describe(out chan<- *prometheus.Desc) {
+func (s *stateCollector) Describe(out chan<- *prometheus.Desc) {
 	out <- s.servers
 	for _, g := range s.gauges {
 		out <- g.desc
@@ -52,12 +52,12 @@
 
 // Collect is of prometheus.Collector. An agent that does not answer in time has no state to
 // show, and the counters are served without it.
-func (s *state) Collect(out chan<- prometheus.Metric) {
+func (s *stateCollector) Collect(out chan<- prometheus.Metric) {
 	read := s.read.Load()
 	if read == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readTime)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	x, err := (*read)(ctx)
 	if err != nil {
--- /dev/null
+++ b/internal/agent/outlier/outlier_test.go
@@ -0,0 +1,181 @@
+package outlier
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+const window = 10 * time.Second
+
+var hostOne, hostTwo = Host{ID: "s-1"}, Host{ID: "s-2"}
+
+func newLog() *Log {
+	l := New(window)
+	l.SetHosts([]ListedHost{{hostOne, "a", 1}, {hostTwo, "a", 3}, {Host{ID: "s-3"}, "b", 2}})
+	return l
+}
+
+func TestRecordVerdicts(t *testing.T) {
+	type at struct {
+		kind Outcome
+		sec  float64
+	}
+	for _, c := range []struct {
+		name     string
+		seen     []at
+		now      float64
+		against  bool
+		speaksUp bool
+	}{
+		{"nothing", nil, 1, false, false},
+		{"one failure and nothing else", []at{{Failure, 1}}, 2, true, false},
+		{"one failure among many good", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
+		{"two failures in a row after many good", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}, {NoAnswer, 5}}, 6, true, false},
+		{"a good answer after failures", []at{{Failure, 1}, {Failure, 2}, {Success, 3}}, 4, false, true},
+		{"what is full", []at{{Overloaded, 1}, {Overloaded, 2}}, 3, false, false},
+		{"failures of long ago", []at{{Failure, 1}, {Failure, 2}}, 13, false, false},
+		{"a good answer of long ago", []at{{Success, 1}}, 12, false, false},
+		{"half of them", []at{{Success, 1}, {Failure, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
+	} {
+		l := newLog()
+		for _, s := range c.seen {
+			end := time.Duration(s.sec * float64(time.Second))
+			l.Observe(Observation{Host: hostOne, Outcome: s.kind, LatencyRatio: 1, Sent: end - time.Millisecond, Ended: end})
+		}
+		now := time.Duration(c.now * float64(time.Second))
+		r, _ := l.Record(hostOne, now)
+		if r.Unhealthy(now, window) != c.against || r.Healthy(now, window) != c.speaksUp {
+			t.Errorf("%s: against %v, for it %v: %+v", c.name, r.Unhealthy(now, window), r.Healthy(now, window), r)
+		}
+		if got := len(l.Suspects(now, window)); (got > 0) != c.against {
+			t.Errorf("%s: %d suspects", c.name, got)
+		}
+	}
+}
+
+// A host that stands still for a moment is slow to all who ask it then; one that stays slow
+// for longer is slow.
+func TestShortSlownessIsIgnored(t *testing.T) {
+	l := newLog()
+	at := func(ms int, ofAim float64) {
+		end := time.Duration(ms) * time.Millisecond
+		l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: ofAim, Sent: end - 10*time.Millisecond, Ended: end})
+	}
+	for i := range 20 {
+		at(i, 0.1)
+	}
+	for _, c := range []struct {
+		ms      int
+		ofAim   float64
+		against bool
+	}{{1000, 0.8, false}, {1100, 0.9, false}, {1900, 0.8, false}, {2100, 0.8, true}, {2200, 0.1, false}, {2300, 0.8, false}} {
+		at(c.ms, c.ofAim)
+		now := time.Duration(c.ms) * time.Millisecond
+		if r, _ := l.Record(hostOne, now); r.Unhealthy(now, window) != c.against {
+			t.Errorf("at %d ms: against %v: %+v", c.ms, !c.against, r)
+		}
+	}
+}
+
+// An answer to what was sent before a failure says nothing of what came after.
+func TestLateSuccessDoesNotClearAFailure(t *testing.T) {
+	l := newLog()
+	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2 * time.Second, Ended: 2 * time.Second})
+	l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: 0.1, Sent: time.Second, Ended: 3 * time.Second})
+	if r, _ := l.Record(hostOne, 4*time.Second); r.Healthy(4*time.Second, window) {
+		t.Errorf("%+v speaks for the host", r)
+	}
+}
+
+// A process that started again, and one that is not listed, have no record of another.
+func TestIncarnationsHaveSeparateHistories(t *testing.T) {
+	l := newLog()
+	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 1, Ended: 1})
+	again := Host{ID: "s-1", Incarnation: 9}
+	l.SetHosts([]ListedHost{{again, "a", 1}})
+	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2, Ended: 2}) // of the old process, late
+	if r, ok := l.Record(again, 3); !ok || r.Attempts != 0 {
+		t.Errorf("%+v, %v", r, ok)
+	}
+	for _, h := range []Host{hostOne, hostTwo} {
+		if _, ok := l.Record(h, 3); ok {
+			t.Errorf("%v is still known", h)
+		}
+	}
+}
+
+// Slow is what takes several times the usual and much of its aim; a time-out of a client that
+// had hardly any time left is neither good nor bad.
+func TestClassificationOfSlowAndUnanswered(t *testing.T) {
+	l := newLog()
+	for i := range 50 {
+		l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.2, Sent: time.Duration(i), Ended: time.Duration(i)})
+	}
+	for _, c := range []struct {
+		kind  Outcome
+		ofAim float64
+		want  Outcome
+	}{{Success, 0.3, Success}, {Success, 0.55, Success}, {Success, 0.7, Slow}, {NoAnswer, 0.1, Overloaded}, {NoAnswer, 0.9, NoAnswer}, {NoAnswer, 1, NoAnswer}} {
+		if got := l.Observe(Observation{Host: hostOne, Outcome: c.kind, LatencyRatio: c.ofAim, Sent: 100, Ended: 100}); got != c.want {
+			t.Errorf("%v after %.2f of the aim is %v, want %v", c.kind, c.ofAim, got, c.want)
+		}
+	}
+	fresh := newLog()
+	if got := fresh.Observe(Observation{Host: hostOne, Outcome: NoAnswer, LatencyRatio: 0.9}); got != Overloaded {
+		t.Errorf("before anything is usual a time-out under the aim is %v", got)
+	}
+}
+
+// Where a whole fleet gets slow that is usual in the end.
+func TestUsualLatencyFollowsASlowFleet(t *testing.T) {
+	l := newLog()
+	slow := 0
+	for i := range 600 {
+		ofAim := 0.2
+		if i >= 50 {
+			ofAim = 0.9
+		}
+		if l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: ofAim, Sent: time.Duration(i), Ended: time.Duration(i)}) == Slow {
+			slow++
+		}
+	}
+	if slow == 0 || slow > 60 {
+		t.Errorf("%d of 550 answers counted as slow", slow)
+	}
+}
+
+func TestWeightsAndUnhealthyFraction(t *testing.T) {
+	l := newLog()
+	if part, zone := l.Weight(hostTwo); part != 0.75 || zone != "a" {
+		t.Errorf("%v of %s", part, zone)
+	}
+	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 1, Ended: 1})
+	l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.1, Sent: 1, Ended: 1})
+	if part, met := l.UnhealthyFraction(2); part != 0.5 || met != 2 {
+		t.Errorf("%v of %d met", part, met)
+	}
+}
+
+// A zone's sight counts its hosts, those met in the window, and those whose last was bad.
+func TestZoneSummary(t *testing.T) {
+	l := New(10 * time.Second)
+	var hosts []ListedHost
+	for i, zone := range []string{"b", "a", "b", "b"} {
+		hosts = append(hosts, ListedHost{Host{ID: string(rune('p' + i))}, zone, float64(i + 1)})
+	}
+	l.SetHosts(hosts)
+	l.Observe(Observation{Host: hosts[0].Host, Outcome: Failure, Sent: time.Second, Ended: time.Second})
+	l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Sent: time.Second, Ended: time.Second})
+	for i, x := range []float64{0.25, 0.75, -1} { // the last tells nothing
+		l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Probe: true, Utilization: x, Sent: time.Second, Ended: time.Second + time.Duration(i)})
+	}
+	want := []Zone{{Name: "a", Weight: 2}, {Name: "b", Weight: 8, Observed: 2, Unhealthy: 1, WithFailures: 1, Attempts: 2, Failures: 1, Utilization: 0.5, UtilizationSamples: 2}}
+	if got := l.Zones(2 * time.Second); !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+	want[1] = Zone{Name: "b", Weight: 8}
+	if got := l.Zones(time.Minute); !slices.Equal(got, want) {
+		t.Errorf("a minute later %v, want %v", got, want)
+	}
+}
--- a/internal/agent/supervisor/mailbox.go
+++ b/internal/agent/supervisor/mailbox.go
@@ -13,29 +13,29 @@
 	"sync"
 )
 
-// Full says what becomes of a message that finds its mailbox full.
-type Full uint8
+// OverflowPolicy says what becomes of a message that finds its mailbox full.
+type OverflowPolicy uint8
 
 const (
 	// DropNewest drops the message itself: what is queued tells more.
-	DropNewest Full = iota
+	DropNewest OverflowPolicy = iota
 	// DropOldest drops the oldest queued message in its favour: it makes older ones stale.
 	DropOldest
 )
 
 // Message is what a mailbox carries.
 type Message interface {
-	// WhenFull is asked only when the mailbox is full and the message was not merged.
-	WhenFull() Full
+	// Overflow is asked only when the mailbox is full and the message was not merged.
+	Overflow() OverflowPolicy
 }
 
 // Merger is a message that can be taken into one of its kind that is still queued. It is
 // merged wherever that is so, full or not: a queue of states needs the last one only.
 type Merger interface {
 	Message
-	// Merge returns the queued message with this one taken into it, and false if they do not
+	// MergeInto returns the queued message with this one taken into it, and false if they do not
 	// go together. It must not change either.
-	Merge(queued Message) (Message, bool)
+	MergeInto(queued Message) (Message, bool)
 }
 
 // Mailbox is a bounded queue of messages to one task. Any number of goroutines may put; one
@@ -58,17 +58,17 @@
 func (m *Mailbox) Put(msg Message) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if g, ok := msg.(Merger); ok {
+	if merger, ok := msg.(Merger); ok {
 		for i := len(m.queue) - 1; i >= 0; i-- {
-			if both, ok := g.Merge(m.queue[i]); ok {
-				m.queue[i] = both
+			if merged, ok := merger.MergeInto(m.queue[i]); ok {
+				m.queue[i] = merged
 				return true
 			}
 		}
 	}
 	if len(m.queue) >= m.size {
 		m.dropped++
-		if msg.WhenFull() == DropNewest {
+		if msg.Overflow() == DropNewest {
 			return false
 		}
 		m.queue = append(m.queue[:0], m.queue[1:]...)
--- a/internal/agent/supervisor/task_test.go
+++ b/internal/agent/supervisor/supervisor_test.go
@@ -17,10 +17,10 @@
 type oldest int
 type state struct{ of, n int }
 
-func (newest) WhenFull() Full { return DropNewest }
-func (oldest) WhenFull() Full { return DropOldest }
-func (state) WhenFull() Full  { return DropOldest }
-func (s state) Merge(q Message) (Message, bool) {
+func (newest) Overflow() OverflowPolicy { return DropNewest }
+func (oldest) Overflow() OverflowPolicy { return DropOldest }
+func (state) Overflow() OverflowPolicy  { return DropOldest }
+func (s state) MergeInto(q Message) (Message, bool) {
 	o, ok := q.(state)
 	return s, ok && o.of == s.of
 }
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestAFullMailbox(t *testing.T) {
+func TestMailboxOverflow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		put     []Message
@@ -66,15 +66,15 @@
 }
 
 // One who takes gets all that many put, each sender's in order.
-func TestNothingIsLostOrTurnedAround(t *testing.T) {
+func TestMessagesArriveOnceAndInOrder(t *testing.T) {
 	m := NewMailbox(4000)
-	var all sync.WaitGroup
-	for s := range 4 {
-		all.Add(1)
+	var senders sync.WaitGroup
+	for sender := range 4 {
+		senders.Add(1)
 		go func() {
-			defer all.Done()
+			defer senders.Done()
 			for n := range 1000 {
-				m.Put(newest(s<<16 | n))
+				m.Put(newest(sender<<16 | n))
 			}
 		}()
 	}
@@ -84,13 +84,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, n := int(msg.(newest))>>16, int(msg.(newest))&0xffff
-		if n != last[s]+1 {
-			t.Fatalf("sender %d: %d after %d", s, n, last[s])
+		sender, n := int(msg.(newest))>>16, int(msg.(newest))&0xffff
+		if n != last[sender]+1 {
+			t.Fatalf("sender %d: %d after %d", sender, n, last[sender])
 		}
-		last[s] = n
+		last[sender] = n
 	}
-	all.Wait()
+	senders.Wait()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := m.Take(ctx); !errors.Is(err, context.Canceled) {
@@ -100,36 +100,36 @@
 
 // A task that dies, by an error, a panic or a return, is started again after pauses that grow
 // to a bound, and start anew once it has lived for a while.
-func TestDeathsAndPauses(t *testing.T) {
+func TestFailedTaskIsRestartedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var born, died []time.Time
-		lives := 0
-		s := NewSupervisor(t.Context(), func(string, error) { died = append(died, time.Now()) })
+		var starts, failures []time.Time
+		runs := 0
+		s := NewSupervisor(t.Context(), func(string, error) { failures = append(failures, time.Now()) })
 		s.Go("frail", func(ctx context.Context) error {
-			born = append(born, time.Now())
-			switch lives++; {
-			case lives == 1:
+			starts = append(starts, time.Now())
+			switch runs++; {
+			case runs == 1:
 				return errors.New("no")
-			case lives == 2:
+			case runs == 2:
 				panic("no")
-			case lives == 14: // a long one
-				time.Sleep(2 * soundFor)
-			case lives == 16:
+			case runs == 14: // a long one
+				time.Sleep(2 * backoffResetAfter)
+			case runs == 16:
 				<-ctx.Done()
 			}
 			return nil
 		})
 		time.Sleep(time.Hour)
 		s.Close()
-		if len(born) != 16 || len(died) != 15 {
-			t.Fatalf("%d lives, %d deaths", len(born), len(died))
+		if len(starts) != 16 || len(failures) != 15 {
+			t.Fatalf("%d lives, %d deaths", len(starts), len(failures))
 		}
-		for i, d := range died {
-			want := min(firstPause<<i, mostPause)
+		for i, d := range failures {
+			want := min(initialBackoff<<i, maxBackoff)
 			if i >= 13 {
-				want = firstPause << (i - 13)
+				want = initialBackoff << (i - 13)
 			}
-			if got := born[i+1].Sub(d); got != want {
+			if got := starts[i+1].Sub(d); got != want {
 				t.Errorf("pause %d: %v, want %v", i, got, want)
 			}
 		}
--- a/internal/testbed/experiment/layer.go
+++ b/internal/testbed/experiment/layer.go
@@ -84,7 +84,7 @@
 			return err
 		}
 		w.liars = append(w.liars, faultyvoter.Start(context.Background(), faultyvoter.Config{Against: against, Roll: ejection.Roll{Number: 1, Members: w.electorate(zone)},
-			Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Boot: uint64(1 + i), Bind: own, Advertise: addr,
+			Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Incarnation: uint64(1 + i), Bind: own, Advertise: addr,
 				Seeds: []string{w.agents[0].peers}}}))
 	}
 	return nil
--- a/internal/testbed/faultyvoter/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -34,7 +34,7 @@
 type Liar struct {
 	cfg   Config
 	sup   *supervisor.Supervisor
-	peers *membership.Peers
+	peers *membership.Gossip
 	start time.Time
 
 	mu    sync.Mutex
@@ -60,8 +60,8 @@
 // Close ends it.
 func (l *Liar) Close() { l.sup.Close() }
 
-// Got is of peers.Sink.
-func (l *Liar) Got(kind membership.Kind, body []byte) {
+// HandleMessage is of peers.Sink.
+func (l *Liar) HandleMessage(kind membership.Kind, body []byte) {
 	var m ejection.Letter
 	if kind != coordination.KindLetter || membership.Decode(body, &m) != nil || m.Check() != nil {
 		return
@@ -76,14 +76,14 @@
 	}
 }
 
-// Members implements membership.Sink; a faulty voter does not care who is there.
-func (l *Liar) Members([]membership.Peer) {}
+// MembersChanged implements membership.Sink; a faulty voter does not care who is there.
+func (l *Liar) MembersChanged([]membership.Peer) {}
 
-// State implements membership.Sink; a faulty voter shares nothing.
-func (l *Liar) State() []byte { return nil }
+// LocalState implements membership.Sink; a faulty voter shares nothing.
+func (l *Liar) LocalState() []byte { return nil }
 
-// Merge implements membership.Sink; a faulty voter takes nothing in.
-func (l *Liar) Merge([]byte) {}
+// MergeState implements membership.Sink; a faulty voter takes nothing in.
+func (l *Liar) MergeState([]byte) {}
 
 func (l *Liar) speak(ctx context.Context) error {
 	tick := time.NewTicker(speakEvery)
@@ -117,7 +117,7 @@
 		if name == l.cfg.Peers.Name {
 			continue
 		}
-		m := ejection.Letter{Version: ejection.Version, From: l.cfg.Peers.Name, Boot: l.cfg.Peers.Boot, Roll: l.cfg.Roll.Number, Sent: now, Entries: entries}
+		m := ejection.Letter{Version: ejection.Version, From: l.cfg.Peers.Name, Boot: l.cfg.Peers.Incarnation, Roll: l.cfg.Roll.Number, Sent: now, Entries: entries}
 		if h, ok := l.heard[name]; ok {
 			m.EchoBoot, m.Echo, m.Kept = h.boot, h.sent, now-h.at
 		}
