--- /dev/null
+++ b/internal/fleet/controlplane/acceptor.go
@@ -0,0 +1,124 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// acceptor is this member's vote on the view after the learned one, as it is on disk.
+type acceptor struct {
+	vote view.Vote
+	// acceptedAt is when a view was first accepted in this run of the process; zero if the vote was
+	// read at the start.
+	acceptedAt time.Time
+}
+
+// record takes a vote that is on disk.
+func (a *acceptor) record(vote view.Vote, now time.Time) {
+	if vote.Accepted != nil && (a.vote.Instance != vote.Instance || a.vote.Accepted == nil) {
+		a.acceptedAt = now
+	}
+	a.vote = vote
+}
+
+// undecided is the number of a view that was accepted and whose decision is not known; 0: none.
+func (a *acceptor) undecided(learned uint64) uint64 {
+	if a.vote.Accepted != nil && a.vote.Instance == learned+1 {
+		return a.vote.Instance
+	}
+	return 0
+}
+
+// abandoned reports whether a view has been undecided for so long that its proposer must have failed.
+func (a *acceptor) abandoned(learned uint64, now time.Time) bool {
+	return a.undecided(learned) != 0 && now.Sub(a.acceptedAt) > stabilizationDelay
+}
+
+// voteTransition is what an acceptor does with a request: its next vote on an instance, and the answer that
+// may be given once that vote is on disk.
+type voteTransition func(vote view.Vote, instance uint64) (view.Vote, view.Answer)
+
+// handlePrepare answers once the promise is on disk.
+func (m *Member) handlePrepare(ctx context.Context, request *prepareRequest) (*view.Answer, error) {
+	prepare := &request.Q
+	if prepare.Base.Number == 0 {
+		return m.prepareFirstView(request), nil
+	}
+	return m.castVote(ctx, request.To, &prepare.Base, func(vote view.Vote, instance uint64) (view.Vote, view.Answer) {
+		return vote.Prepare(instance, prepare.Ballot)
+	})
+}
+
+// handleAccept answers once the acceptance is on disk.
+func (m *Member) handleAccept(ctx context.Context, request *acceptRequest) (*view.Answer, error) {
+	accept := &request.Q
+	if accept.View.Number != accept.Base.Number+1 {
+		return nil, errors.Errorf("view %d proposed after %d", accept.View.Number, accept.Base.Number)
+	}
+	if err := accept.View.Check(); err != nil {
+		return nil, err
+	}
+	if accept.Base.Number == 0 {
+		return m.acceptFirstView(request), nil
+	}
+	return m.castVote(ctx, request.To, &accept.Base, func(vote view.Vote, instance uint64) (view.Vote, view.Answer) {
+		return vote.Accept(instance, accept.Ballot, accept.View)
+	})
+}
+
+// castVote votes on the view after base. A base that is newer than the learned view is learned first.
+func (m *Member) castVote(ctx context.Context, to string, base *view.View, cast voteTransition) (*view.Answer, error) {
+	if to != m.self.ID {
+		return &view.Answer{Refused: otherDiskReason(m.self.ID)}, nil
+	}
+	if err := base.Check(); err != nil {
+		return nil, err
+	}
+	m.observeView(base)
+	if err := m.acquireWrite(ctx); err != nil {
+		return nil, err
+	}
+	defer m.releaseWrite()
+	if err := m.persistView(base); err != nil {
+		return nil, err
+	}
+	// The learned view and the vote change only while the write token is held.
+	if base.Number < m.views.learned.Number {
+		learned := m.views.learned
+		return &view.Answer{Newer: &learned}, nil
+	}
+	if !m.views.isVoter(m.self.ID) {
+		return &view.Answer{Refused: "no voter of this view"}, nil
+	}
+	vote, answer := cast(m.acceptor.vote, base.Number+1)
+	if !answer.OK {
+		return &answer, nil
+	}
+	if err := m.persistVote(vote); err != nil {
+		return nil, err
+	}
+	return &answer, nil
+}
+
+// persistVote writes a vote to disk. The caller holds the write token.
+func (m *Member) persistVote(vote view.Vote) error {
+	record, err := encode(&vote)
+	if err != nil {
+		return err
+	}
+	if err := m.disk.Put(keyVote, record); err != nil {
+		return err
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.acceptor.record(vote, time.Now())
+	return nil
+}
+
+// otherDiskReason refuses a request that is meant for another disk: a lost disk's promises are lost,
+// and what replaces it is another member.
+func otherDiskReason(id string) string { return "this disk is " + id }
--- /dev/null
+++ b/internal/fleet/controlplane/catchup.go
@@ -0,0 +1,91 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// catchUp does what a peer's heartbeat calls for: it learns a newer view or sends one, and fetches a
+// newer committed value.
+func (m *Member) catchUp(ctx context.Context, received *heartbeat) {
+	m.learnViewOrLog(ctx, received.News)
+	m.mu.Lock()
+	learned, record := m.views.learned, m.register.record
+	fetch := m.register.lags(received)
+	diverges := m.register.diverges(received)
+	// The peer's value is this member's own: it came along the chain of the view that both are in.
+	stored := fetch && record.View == learned.Number && received.View == learned.Number && record.Value.Seq == received.Seq
+	if stored {
+		m.mu.Unlock()
+		m.advanceCommitted(record.Value)
+		return
+	}
+	m.register.fetching = m.register.fetching || fetch
+	m.mu.Unlock()
+	if diverges {
+		m.repairDivergence(ctx, received)
+	}
+	if received.View < learned.Number {
+		_, _ = call[view.View, empty](ctx, m, received.Peer.Addr, callLearn, &learned) // the next heartbeat repeats it
+	}
+	if fetch {
+		m.fetchCommitted(ctx, received.Peer.Addr)
+	}
+}
+
+// fetchCommitted takes the newest committed value of a peer.
+func (m *Member) fetchCommitted(ctx context.Context, addr string) {
+	response, err := call[empty, valueResponse](ctx, m, addr, callValue, &empty{})
+	if err == nil && response.Value.Seq > 0 && response.Value.Check() == nil {
+		m.advanceCommitted(response.Value)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.register.fetching = false
+}
+
+// repairDivergence replaces a value that is not what a peer holds under its sequence number, if more
+// of the voters in contact hold the peer's. Each copy on a disk has its checksum; this is for damage
+// that these don't show.
+func (m *Member) repairDivergence(ctx context.Context, received *heartbeat) {
+	now := time.Now()
+	m.mu.Lock()
+	same, other := m.peers.countChecksums(&m.views.learned, received.Seq, m.register.checksum, received.Sum, now)
+	same++ // this process
+	outvoted := m.register.committed.Seq == received.Seq && other > same
+	m.mu.Unlock()
+	logevent.ValuesDiffer.Log("seq", received.Seq, "peer", received.Peer.Addr, "hold-this", same, "hold-that", other, "mended", outvoted)
+	if !outvoted {
+		return
+	}
+	response, err := call[empty, valueResponse](ctx, m, received.Peer.Addr, callValue, &empty{})
+	if err != nil || response.Value.Seq != received.Seq || response.Value.Sum() != received.Sum {
+		return
+	}
+	m.replaceValue(ctx, response.Value, received.Sum)
+}
+
+// replaceValue puts a value in the place of the one with the same sequence number, on disk and in
+// memory.
+func (m *Member) replaceValue(ctx context.Context, value chain.Value, checksum uint64) {
+	if m.acquireWrite(ctx) != nil {
+		return
+	}
+	defer m.releaseWrite()
+	record := m.register.record // changes only while the write token is held
+	if record.Value.Seq == value.Seq {
+		record.Value = value
+		if err := m.persistRecord(record); err != nil {
+			return // the next heartbeat shows the divergence again
+		}
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.register.committed.Seq == value.Seq {
+		m.register.committed, m.register.checksum = value, checksum
+	}
+}
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -6,177 +6,193 @@
 
 	"github.com/go-faster/errors"
 
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// ErrNoCore tells that no machine of the core is known yet.
+// ErrNoCore reports that no voter is known yet.
 var ErrNoCore = errors.New("no machine of the core is known: check seed-nodes, and that those machines run")
 
-// UnavailableError tells that the core gave no answer in time.
+// UnavailableError reports that no answer was received in time. The request may be repeated.
 type UnavailableError struct{ Reason string }
 
 func (e *UnavailableError) Error() string {
 	return "the core gave no answer in time, send it again: " + e.Reason
 }
 
-const (
-	attemptTimeout         = 500 * time.Millisecond // an attempt may take; the next one may have a better connection
-	hedgeDelay             = 120 * time.Millisecond // without an answer, others are asked for a newer view each time
-	retryDelay             = 30 * time.Millisecond
-	discoveryInterval      = 500 * time.Millisecond
-	firstDiscoveryInterval = 150 * time.Millisecond // without a view
-)
+// Submit has a change carried out by the head of the chain. It returns after RequestTimeout at the
+// latest. With an Unclear verdict the change may be taken or not: submitted again, at any process, it
+// is the same change.
+func (m *Member) Submit(ctx context.Context, order *chain.Order) chain.Verdict {
+	if len(order.Body) > chain.MaxBody {
+		return chain.Verdict{Kind: chain.Invalid, Reason: "the configuration is too large"}
+	}
+	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
+	defer cancel()
+	request := routedRequest[chain.Verdict]{
+		role: func(v view.View) view.Peer { return v.Head().Peer },
+		send: func(ctx context.Context, head view.Peer) attemptResult[chain.Verdict] {
+			return m.submitTo(ctx, head, order)
+		},
+	}
+	return route(ctx, m, request, chain.Verdict{Reason: ErrNoCore.Error()})
+}
+
+func (m *Member) submitTo(ctx context.Context, head view.Peer, order *chain.Order) attemptResult[chain.Verdict] {
+	var response *submitResponse
+	var err error
+	if head.ID == m.self.ID {
+		response, err = m.handleSubmit(ctx, order)
+	} else {
+		response, err = call[chain.Order, submitResponse](ctx, m, head.Addr, callSubmit, order)
+	}
+	if err != nil {
+		return attemptResult[chain.Verdict]{value: chain.Verdict{Reason: err.Error()}}
+	}
+	verdict := response.Verdict
+	return attemptResult[chain.Verdict]{
+		value: verdict,
+		final: verdict.Kind != chain.Unclear || verdict.Final,
+		newer: response.Newer,
+	}
+}
+
+// Read is the newest acknowledged value, from the tail of the chain; Seq 0: there is none yet. It
+// returns after RequestTimeout at the latest, then with an *UnavailableError.
+func (m *Member) Read(ctx context.Context) (chain.Value, error) {
+	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
+	defer cancel()
+	request := routedRequest[readResponse]{
+		role: func(v view.View) view.Peer { return v.Tail().Peer },
+		send: m.readFrom,
+	}
+	response := route(ctx, m, request, readResponse{Why: ErrNoCore.Error()})
+	if !response.OK {
+		return chain.Value{}, &UnavailableError{Reason: response.Why}
+	}
+	if m.IsVoter() {
+		m.advanceCommitted(response.Value) // the copy here may be older
+	}
+	return response.Value, nil
+}
+
+func (m *Member) readFrom(ctx context.Context, tail view.Peer) attemptResult[readResponse] {
+	var response *readResponse
+	var err error
+	if tail.ID == m.self.ID {
+		response, err = m.handleRead(ctx, &empty{})
+	} else {
+		response, err = call[empty, readResponse](ctx, m, tail.Addr, callRead, &empty{})
+	}
+	if err != nil {
+		return attemptResult[readResponse]{value: readResponse{Why: err.Error()}}
+	}
+	return attemptResult[readResponse]{value: *response, final: response.OK, newer: response.Newer}
+}
+
+// handleRead answers at the tail of the newest view, once a majority of the voters has confirmed it.
+func (m *Member) handleRead(ctx context.Context, _ *empty) (*readResponse, error) {
+	m.mu.Lock()
+	replica, newest := m.replicaLocked(), m.views.newest
+	m.mu.Unlock()
+	if newest.Number == 0 {
+		return &readResponse{Why: "no view is known"}, nil
+	}
+	if replica.View.Number != newest.Number || replica.View.Tail().ID != m.self.ID {
+		return &readResponse{Newer: &newest, Why: "not the tail"}, nil
+	}
+	value, ok := replica.Answer()
+	if !ok {
+		return &readResponse{Why: "the head's value has not come through yet"}, nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	if err := m.confirmView(ctx, replica.View); err != nil {
+		return &readResponse{Why: err.Error()}, nil
+	}
+	return &readResponse{Value: value, OK: true}, nil
+}
+
+// routedRequest is a request that one process of the newest view answers.
+type routedRequest[T any] struct {
+	role func(view.View) view.Peer // the process that answers
+	send func(context.Context, view.Peer) attemptResult[T]
+}
 
-// attemptResult is what became of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult[T any] struct {
 	value T
-	done  bool
-	newer *view.View // what the one asked knows, if it is not the right one any more
+	final bool       // no further attempt is needed
+	newer *view.View // the newest view that the receiver knows, if it is not the one to ask
 }
 
-// routeToRole tries one place of the newest known view after the other until one gives an answer or ctx
-// ends, and returns the last reply. While an attempt takes long others of the core are asked for a
-// newer view, which ends it.
-func routeToRole[T any](ctx context.Context, m *Member, none T, place func(view.View) view.Peer, try func(context.Context, view.Peer) attemptResult[T]) T {
-	last := none
+// route attempts a request, by the newest view that is known at each attempt, until a result is final
+// or ctx ends. It returns the last result, or fallback if there is none.
+func route[T any](ctx context.Context, m *Member, request routedRequest[T], fallback T) T {
+	last := fallback
 	for ctx.Err() == nil {
-		v, known := m.View()
+		current, known := m.View()
 		if !known {
 			m.discoverView(ctx, "")
-			m.awaitNewerView(ctx, v.Number)
+			m.awaitNewerView(ctx, current.Number)
 			continue
 		}
-		r, ended := attempt(ctx, m, v, place, try)
+		result, ended := attempt(ctx, m, request, current)
 		if !ended {
-			continue // a newer view came
+			continue
 		}
-		last = r.value
-		if r.done {
+		last = result.value
+		if result.final {
 			return last
 		}
-		m.observeView(r.newer)
-		if r.newer == nil || r.newer.Number <= v.Number {
-			m.discoverView(ctx, place(v).Addr)
-			m.awaitNewerView(ctx, v.Number)
+		m.observeView(result.newer)
+		if result.newer == nil || result.newer.Number <= current.Number {
+			m.discoverView(ctx, request.role(current).Addr)
+			m.awaitNewerView(ctx, current.Number)
 		}
 	}
 	return last
 }
 
-// attempt tries the place of one view; it ends without a reply when a newer view names another one.
-func attempt[T any](ctx context.Context, m *Member, v view.View, place func(view.View) view.Peer, try func(context.Context, view.Peer) attemptResult[T]) (r attemptResult[T], ended bool) {
-	to := place(v)
+// attempt makes one attempt, and asks other processes for a newer view while it takes long. It returns
+// false if the attempt is given up because a newer view names another process.
+func attempt[T any](ctx context.Context, m *Member, request routedRequest[T], current view.View) (result attemptResult[T], ended bool) {
+	receiver := request.role(current)
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	got := make(chan attemptResult[T], 1)
-	m.spawn(func(context.Context) { got <- try(ctx, to) })
+	results := make(chan attemptResult[T], 1)
+	m.spawn(func(context.Context) { results <- request.send(ctx, receiver) })
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
 	for {
 		m.mu.Lock()
-		now, changed := m.newest, m.changed
+		newest, changed := m.views.newest, m.changed.wait()
 		m.mu.Unlock()
-		if now.Number > v.Number && place(now) != to {
-			return r, false
+		if newest.Number > current.Number && request.role(newest) != receiver {
+			return result, false
 		}
 		select {
-		case r = <-got:
-			return r, true
+		case result = <-results:
+			return result, true
 		case <-changed:
 		case <-hedge.C:
-			m.spawn(func(context.Context) { m.discoverView(ctx, to.Addr) })
+			m.spawn(func(context.Context) { m.discoverView(ctx, receiver.Addr) })
 		case <-ctx.Done():
 			select {
-			case r = <-got:
+			case result = <-results:
 			default:
 			}
-			return r, true
+			return result, true
 		}
 	}
 }
 
-// awaitNewerView waits a little, or until a newer view is known.
+// awaitNewerView waits until a newer view than that of a number is known, for retryDelay at most.
 func (m *Member) awaitNewerView(ctx context.Context, number uint64) {
 	m.mu.Lock()
-	now, changed := m.newest.Number, m.changed
-	m.mu.Unlock()
-	if now > number {
-		return
-	}
-	t := time.NewTimer(retryDelay)
-	defer t.Stop()
-	select {
-	case <-changed:
-	case <-t.C:
-	case <-ctx.Done():
-	}
-}
-
-// discoverView asks one other agent for a newer view: voters in turn, but not the one that is just being
-// tried, and now and then, or where no voter is known, those that the settings or other members name.
-func (m *Member) discoverView(ctx context.Context, not string) {
-	m.mu.Lock()
-	m.discoveryCursor++
-	n, v := m.discoveryCursor, m.newest
-	m.lastDiscovery = time.Now()
+	newest, changed := m.views.newest.Number, m.changed.wait()
 	m.mu.Unlock()
-	var addrs []string
-	add := func(addr string) {
-		if addr != m.self.Addr && addr != not {
-			addrs = append(addrs, addr)
-		}
-	}
-	for _, p := range v.Voters {
-		add(p.Addr)
-	}
-	if n%4 == 0 || len(addrs) == 0 {
-		addrs, n = nil, n/4
-		for _, a := range m.options.Seeds() {
-			add(a)
-		}
-		if m.options.KnownAddresses != nil {
-			for _, a := range m.options.KnownAddresses() {
-				add(a)
-			}
-		}
-	}
-	if len(addrs) == 0 {
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	if a, err := call[viewRequest, viewResponse](ctx, m, addrs[n%len(addrs)], "core.view", &viewRequest{Have: v.Number}); err == nil {
-		m.observeView(a.View)
-		_ = m.learnView(ctx, a.View) // tried again with the next one
-	}
-}
-
-// discoveryLoop founds the first view where that is due, and then keeps the known view fresh on machines
-// that do not vote.
-func (m *Member) discoveryLoop(ctx context.Context) {
-	m.bootstrapFirstView(ctx)
-	for {
-		m.mu.Lock()
-		known := m.newest.Number > 0
-		_, voter := m.learned.Voter(m.self.ID)
-		now := time.Now()
-		recent := now.Sub(m.lastDiscovery) < discoveryInterval
-		// A voter hears of views by pings, unless all that it knows of were replaced.
-		settled := voter && (m.hasQuorumLocked(now) || now.Sub(m.awakeSince) < 2*peerTimeout)
-		m.mu.Unlock()
-		wait := discoveryInterval
-		if !known {
-			wait = firstDiscoveryInterval
-		}
-		if !known || !settled && !recent {
-			m.discoverView(ctx, "")
-		}
-		t := time.NewTimer(wait)
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			t.Stop()
-			return
-		}
+	if newest <= number {
+		wait(ctx, retryDelay, changed)
 	}
 }
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"github.com/go-faster/errors"
 
@@ -10,241 +9,192 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// submission is an order that waits at the head.
+// submission is a change that waits at the head.
 type submission struct {
 	callerContext context.Context
 	order         *chain.Order
-	response      chan submitResponse // holds one
+	response      chan submitResponse // has capacity for the one response
 }
 
-// handleSubmit answers when the order is settled or its caller goes.
-func (m *Member) handleSubmit(ctx context.Context, o *chain.Order) (*submitResponse, error) {
+// errViewNotActivated reports that the head's value has not been pushed through the chain of its view.
+var errViewNotActivated = errors.New("the head's value has not come through the chain yet")
+
+// unclear is the response to a change that may be taken or not.
+func unclear(reason string) submitResponse {
+	return submitResponse{Verdict: chain.Verdict{Reason: reason}}
+}
+
+const notHeadReason = "not the head"
+
+// handleSubmit answers when it is known what became of the change, or when its caller is gone.
+func (m *Member) handleSubmit(ctx context.Context, order *chain.Order) (*submitResponse, error) {
 	m.mu.Lock()
-	v, head := m.newest, m.learned.Number == m.newest.Number && m.learned.Number > 0 && m.learned.Head().ID == m.self.ID
+	newest := m.views.newest
+	isHead := newest.Number > 0 && !m.views.behind() && m.views.learned.Head().ID == m.self.ID
 	m.mu.Unlock()
-	if !head {
-		a := &submitResponse{Verdict: chain.Verdict{Reason: "not the head"}}
-		if v.Number > 0 {
-			a.Newer = &v
+	if !isHead {
+		response := unclear(notHeadReason)
+		if newest.Number > 0 {
+			response.Newer = &newest
 		}
-		return a, nil
+		return &response, nil
 	}
-	w := &submission{callerContext: ctx, order: o, response: make(chan submitResponse, 1)}
+	queued := &submission{callerContext: ctx, order: order, response: make(chan submitResponse, 1)}
 	select {
-	case m.submissions <- w:
+	case m.submissions <- queued:
 	default:
-		return &submitResponse{Verdict: chain.Verdict{Reason: "too many orders wait at the head: send it again"}}, nil
+		response := unclear("too many orders wait at the head: send it again")
+		return &response, nil
 	}
 	select {
-	case a := <-w.response:
-		return &a, nil
+	case response := <-queued.response:
+		return &response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// submissionLoop carries out orders, one at a time, while this member is the head. In each view it first
-// pushes its value through the whole chain.
+// submissionLoop carries out changes, one at a time, while this member is the head. In each view it
+// first pushes its value through the whole chain.
 func (m *Member) submissionLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		r, changed, ready := m.replicaLocked(), m.changed, m.activatedView
+		replica, changed, activatedView := m.replicaLocked(), m.changed.wait(), m.register.activatedView
 		m.mu.Unlock()
-		switch {
-		case !r.IsHead():
-			select {
-			case w := <-m.submissions:
-				w.response <- m.notHead()
-			case <-changed:
-			case <-ctx.Done():
-			}
-		case ready != r.View.Number:
+		isHead := replica.IsHead()
+		if isHead && activatedView != replica.View.Number {
 			m.activateView(ctx)
-		default:
-			select {
-			case w := <-m.submissions:
-				if w.callerContext.Err() == nil {
-					w.response <- m.execute(ctx, w)
-				}
-			case <-changed:
-			case <-ctx.Done():
-			}
+			continue
+		}
+		select {
+		case queued := <-m.submissions:
+			m.respond(ctx, queued, isHead)
+		case <-changed:
+		case <-ctx.Done():
 		}
 	}
 }
 
+func (m *Member) respond(ctx context.Context, queued *submission, isHead bool) {
+	switch {
+	case !isHead:
+		queued.response <- m.notHead()
+	case queued.callerContext.Err() == nil:
+		queued.response <- m.execute(ctx, queued)
+	}
+}
+
 func (m *Member) notHead() submitResponse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := m.newest
-	return submitResponse{Verdict: chain.Verdict{Reason: "not the head"}, Newer: &v}
+	newest := m.views.newest
+	response := unclear(notHeadReason)
+	response.Newer = &newest
+	return response
 }
 
-// activateView pushes the head's value until it came through the chain of the newest view, and tells
-// which value that was; nothing if this member is not the head.
+// activateView pushes the head's value until it came through the chain of the newest view, and returns
+// that value. It returns false if this member is not the head, and when ctx ends.
 func (m *Member) activateView(ctx context.Context) (chain.Value, bool) {
 	for {
-		r := m.replica()
-		if !r.IsHead() {
+		replica := m.replica()
+		if !replica.IsHead() {
 			return chain.Value{}, false
 		}
-		err := m.replicate(ctx, r.View, r.Record.Value)
+		err := m.replicate(ctx, replica.View, replica.Record.Value)
 		m.mu.Lock()
-		changed := m.changed
+		changed := m.changed.wait()
 		if err == nil {
-			m.activatedView = r.View.Number
+			m.register.activatedView = replica.View.Number
 		}
 		m.mu.Unlock()
 		if err == nil {
-			return r.Record.Value, true
+			return replica.Record.Value, true
 		}
-		m.wakeTicker() // whoever is in the way may be known by now
-		t := time.NewTimer(heartbeatInterval)
-		select {
-		case <-changed:
-		case <-t.C:
-		case <-ctx.Done():
-		}
-		t.Stop()
+		m.wakeTicker() // the failed member may be known by now
+		wait(ctx, activationRetryDelay, changed)
 		if ctx.Err() != nil {
 			return chain.Value{}, false
 		}
 	}
 }
 
-// execute checks an order and has its value committed.
-func (m *Member) execute(ctx context.Context, w *submission) submitResponse {
-	next, verdict, v, err := m.apply(ctx, w.order)
-	for err == errViewNotActivated { // the view changed meanwhile, and this member is its head
-		if _, ok := m.activateView(ctx); !ok {
-			break
-		}
-		next, verdict, v, err = m.apply(ctx, w.order)
-	}
-	if err != nil {
+// applied is what became of a change at the head's copy.
+type applied struct {
+	view    view.View    // in which it was applied; Number 0: this member is not the head
+	next    *chain.Value // is on disk here; nil: the change is refused, or was taken before
+	verdict chain.Verdict
+}
+
+// execute applies a change and has its value committed.
+func (m *Member) execute(ctx context.Context, queued *submission) submitResponse {
+	result, err := m.applyActivated(ctx, queued.order)
+	switch {
+	case err != nil:
 		m.wakeTicker()
-		return submitResponse{Verdict: chain.Verdict{Reason: err.Error()}}
-	}
-	if v.Number == 0 {
+		return unclear(err.Error())
+	case result.view.Number == 0:
 		return m.notHead()
-	}
-	if next == nil {
-		if verdict.Kind == chain.Taken || verdict.Kind == chain.Unclear {
-			return submitResponse{Verdict: verdict}
-		}
-		// A refusal is final, so the value that it rests on has to be the newest of all.
-		cctx, cancel := context.WithTimeout(w.callerContext, m.options.RequestTimeout)
-		defer cancel()
-		if err := m.confirmView(cctx, v); err != nil {
-			return submitResponse{Verdict: chain.Verdict{Reason: err.Error()}}
-		}
-		return submitResponse{Verdict: verdict}
+	case result.next == nil:
+		return m.confirmVerdict(queued.callerContext, result)
 	}
 	// This member may have been left out and be the head again, with a value that others made.
 	if value, ok := m.activateView(ctx); ok {
-		if _, took := value.Took(w.order.Digest()); took {
-			return submitResponse{Verdict: verdict}
+		if _, taken := value.Took(queued.order.Digest()); taken {
+			return submitResponse{Verdict: result.verdict}
 		}
 	}
 	return m.notHead()
 }
 
-// errViewNotActivated tells that the head's value has not come through the chain of its view.
-var errViewNotActivated = errors.New("the head's value has not come through the chain yet")
-
-// apply checks an order against the head's value and keeps the next value, if there is one. Without
-// a view this member is not the head.
-func (m *Member) apply(ctx context.Context, o *chain.Order) (*chain.Value, chain.Verdict, view.View, error) {
-	if err := m.acquireWrite(ctx); err != nil {
-		return nil, chain.Verdict{}, view.View{}, err
-	}
-	defer m.releaseWrite()
-	r := m.replica()
-	m.mu.Lock()
-	settled := m.activatedView == r.View.Number
-	m.mu.Unlock()
-	switch {
-	case !r.IsHead():
-		return nil, chain.Verdict{}, view.View{}, nil
-	case !settled:
-		return nil, chain.Verdict{}, view.View{}, errViewNotActivated
-	}
-	next, verdict, final := chain.Apply(&r.Record.Value, o, m.options.Validate)
-	if final {
-		return nil, verdict, r.View, nil
-	}
-	return next, verdict, r.View, m.persistRecord(chain.Record{View: r.View.Number, Value: *next})
-}
-
-// handleRead answers at the tail.
-func (m *Member) handleRead(ctx context.Context, _ *empty) (*readResponse, error) {
-	m.mu.Lock()
-	r, seen := m.replicaLocked(), m.newest
-	m.mu.Unlock()
-	if seen.Number == 0 {
-		return &readResponse{Why: "no view is known"}, nil
-	}
-	if r.View.Number != seen.Number || r.View.Tail().ID != m.self.ID {
-		return &readResponse{Newer: &seen, Why: "not the tail"}, nil
+// confirmVerdict answers a change that makes no new value. A refusal is final, so the value on which
+// it rests must be the newest of all: a majority of the voters has to confirm the view.
+func (m *Member) confirmVerdict(ctx context.Context, result applied) submitResponse {
+	if result.verdict.Kind == chain.Taken || result.verdict.Kind == chain.Unclear {
+		return submitResponse{Verdict: result.verdict}
 	}
-	value, ok := r.Answer()
-	if !ok {
-		return &readResponse{Why: "the head's value has not come through yet"}, nil
-	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
-	if err := m.confirmView(ctx, r.View); err != nil {
-		return &readResponse{Why: err.Error()}, nil
+	if err := m.confirmView(ctx, result.view); err != nil {
+		return unclear(err.Error())
 	}
-	return &readResponse{Value: value, OK: true}, nil
+	return submitResponse{Verdict: result.verdict}
 }
 
-// Submit has an order carried out by the head. It returns after RequestTimeout at the latest; Unclear
-// tells that the order may be taken or not: sent again, to any process, it is the same order.
-func (m *Member) Submit(ctx context.Context, o *chain.Order) chain.Verdict {
-	if len(o.Body) > chain.MaxBody {
-		return chain.Verdict{Kind: chain.Invalid, Reason: "the configuration is too large"}
-	}
-	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
-	defer cancel()
-	return routeToRole(ctx, m, chain.Verdict{Reason: ErrNoCore.Error()}, func(v view.View) view.Peer { return v.Head().Peer }, func(ctx context.Context, to view.Peer) attemptResult[chain.Verdict] {
-		var a *submitResponse
-		var err error
-		if to.ID == m.self.ID {
-			a, err = m.handleSubmit(ctx, o)
-		} else {
-			a, err = call[chain.Order, submitResponse](ctx, m, to.Addr, "core.order", o)
+// applyActivated is apply, after the head's value has been pushed through the chain of its view.
+func (m *Member) applyActivated(ctx context.Context, order *chain.Order) (applied, error) {
+	for {
+		result, err := m.apply(ctx, order)
+		if !errors.Is(err, errViewNotActivated) {
+			return result, err
 		}
-		if err != nil {
-			return attemptResult[chain.Verdict]{value: chain.Verdict{Reason: err.Error()}}
+		// The view changed meanwhile, and this member is its head.
+		if _, ok := m.activateView(ctx); !ok {
+			return result, err
 		}
-		return attemptResult[chain.Verdict]{value: a.Verdict, done: a.Verdict.Kind != chain.Unclear || a.Verdict.Final, newer: a.Newer}
-	})
+	}
 }
 
-// Read is the newest acknowledged value, from the tail; Seq 0 means that there is none yet. It
-// returns after RequestTimeout at the latest.
-func (m *Member) Read(ctx context.Context) (chain.Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
-	defer cancel()
-	got := routeToRole(ctx, m, readResponse{Why: ErrNoCore.Error()}, func(v view.View) view.Peer { return v.Tail().Peer }, func(ctx context.Context, to view.Peer) attemptResult[readResponse] {
-		var a *readResponse
-		var err error
-		if to.ID == m.self.ID {
-			a, err = m.handleRead(ctx, &empty{})
-		} else {
-			a, err = call[empty, readResponse](ctx, m, to.Addr, "core.read", &empty{})
-		}
-		if err != nil {
-			return attemptResult[readResponse]{value: readResponse{Why: err.Error()}}
-		}
-		return attemptResult[readResponse]{value: *a, done: a.OK, newer: a.Newer}
-	})
-	if !got.OK {
-		return chain.Value{}, &UnavailableError{Reason: got.Why}
+// apply applies a change to the head's value, and stores the next value if there is one.
+func (m *Member) apply(ctx context.Context, order *chain.Order) (applied, error) {
+	if err := m.acquireWrite(ctx); err != nil {
+		return applied{}, err
 	}
-	if m.IsVoter() {
-		m.advanceCommitted(got.Value) // the copy here may be older
+	defer m.releaseWrite()
+	m.mu.Lock()
+	replica := m.replicaLocked()
+	activated := m.register.activatedView == replica.View.Number
+	m.mu.Unlock()
+	switch {
+	case !replica.IsHead():
+		return applied{}, nil
+	case !activated:
+		return applied{}, errViewNotActivated
+	}
+	next, verdict, final := chain.Apply(&replica.Record.Value, order, m.options.Validate)
+	if final {
+		return applied{view: replica.View, verdict: verdict}, nil
 	}
-	return got.Value, nil
+	err := m.persistRecord(chain.Record{View: replica.View.Number, Value: *next})
+	return applied{view: replica.View, next: next, verdict: verdict}, err
 }
--- /dev/null
+++ b/internal/fleet/controlplane/heartbeat.go
@@ -0,0 +1,271 @@
+package controlplane
+
+import (
+	"context"
+	"slices"
+	"syscall"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// HasQuorum reports whether this process is a voter and was in contact with a majority of the voters
+// in the last 400 ms.
+func (m *Member) HasQuorum() bool {
+	now := time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.hasQuorumLocked(now)
+}
+
+func (m *Member) hasQuorumLocked(now time.Time) bool {
+	return m.peers.hasQuorum(&m.views.learned, now)
+}
+
+// tickLoop sends heartbeats, watches the disk and repairs the view.
+func (m *Member) tickLoop(ctx context.Context) {
+	interval := heartbeatInterval
+	timer := time.NewTimer(interval)
+	defer timer.Stop()
+	for {
+		select {
+		case <-timer.C:
+		case <-m.wakeups:
+		case <-ctx.Done():
+			return
+		}
+		interval = m.tick(time.Now(), interval)
+		timer.Reset(interval)
+	}
+}
+
+// tick does what is due, given that this tick was due an interval after the last one. It returns the
+// time to the next one.
+func (m *Member) tick(now time.Time, interval time.Duration) time.Duration {
+	m.mu.Lock()
+	m.pauses.tick(now, interval)
+	m.sendHeartbeatsLocked(now)
+	m.checkDiskLocked(now)
+	m.learnNewestLocked()
+	interval = heartbeatInterval
+	if !m.views.isVoter(m.self.ID) && !m.joiningLocked() {
+		interval = idleTickInterval
+	}
+	m.mu.Unlock()
+	m.repair(now)
+	return interval
+}
+
+// wakeTicker asks for a tick now.
+func (m *Member) wakeTicker() {
+	select {
+	case m.wakeups <- struct{}{}:
+	default: // it was asked for already
+	}
+}
+
+// joiningLocked reports whether this process asks to become a voter.
+func (m *Member) joiningLocked() bool {
+	if m.views.learned.Number == 0 || m.shuttingDown || !m.diskMonitor.idPersisted {
+		return false
+	}
+	if m.views.isVoter(m.self.ID) {
+		return false
+	}
+	return m.self.Disk || m.views.learned.Memory
+}
+
+// heartbeatIntervalLocked is the time between two heartbeats to a voter; 0: none are sent.
+func (m *Member) heartbeatIntervalLocked() time.Duration {
+	current := &m.views.learned
+	if m.views.isVoter(m.self.ID) {
+		return heartbeatInterval
+	}
+	if !m.joiningLocked() {
+		return 0
+	}
+	isSelf := func(voter view.Peer) bool { return voter.Addr == m.self.Addr }
+	if len(current.Voters) >= view.MaxVoters && !slices.ContainsFunc(current.Voters, isSelf) {
+		return standbyInterval
+	}
+	return joiningInterval
+}
+
+// sendHeartbeatsLocked starts the heartbeats that are due. Of two voters the one with the lower ID
+// sends them, as the request tells as much as the answer; where that is not enough, both do.
+func (m *Member) sendHeartbeatsLocked(now time.Time) {
+	interval := m.heartbeatIntervalLocked()
+	if interval == 0 {
+		return
+	}
+	isVoter := m.views.isVoter(m.self.ID)
+	for _, voter := range m.views.learned.Voters {
+		peer := m.peers.entry(voter, &m.views.learned, m.pauses.resumedAt, now)
+		if peer == nil || peer.inFlight || now.Sub(peer.lastSent) < interval-heartbeatInterval/4 {
+			continue
+		}
+		if isVoter && voter.ID < m.self.ID && now.Sub(peer.lastContact) < passiveContactLimit {
+			continue
+		}
+		peer.inFlight, peer.lastSent = true, now
+		m.spawnLocked(func(ctx context.Context) { m.exchangeHeartbeats(ctx, voter, peer) })
+	}
+}
+
+// exchangeHeartbeats sends a heartbeat to a voter and does what the answer calls for.
+func (m *Member) exchangeHeartbeats(ctx context.Context, voter view.Peer, peer *peerState) {
+	answer, err := m.sendHeartbeat(ctx, voter)
+	m.mu.Lock()
+	peer.inFlight = false
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		peer.refused(time.Now())
+	}
+	m.mu.Unlock()
+	if err != nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
+	defer cancel()
+	m.catchUp(ctx, answer)
+}
+
+// sendHeartbeat sends a heartbeat to a peer and takes its answer.
+func (m *Member) sendHeartbeat(ctx context.Context, to view.Peer) (*heartbeat, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	sentAt := time.Now()
+	m.mu.Lock()
+	request := m.heartbeatLocked(to.ID, sentAt)
+	m.mu.Unlock()
+	answer, err := call[heartbeat, heartbeat](ctx, m, to.Addr, callHeartbeat, request)
+	if err != nil {
+		return nil, err
+	}
+	m.recordHeartbeat(answer, sentAt)
+	m.observeView(answer.News)
+	return answer, nil
+}
+
+// handleHeartbeat answers with a heartbeat, and with the learned view where the sender lacks it.
+func (m *Member) handleHeartbeat(_ context.Context, request *heartbeat) (*heartbeat, error) {
+	now := time.Now()
+	m.recordHeartbeat(request, request.contactTime(now))
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	answer := m.heartbeatLocked(request.Peer.ID, now)
+	if request.View < m.views.learned.Number {
+		learned := m.views.learned
+		answer.News = &learned
+	}
+	if m.register.lags(request) || m.register.diverges(request) {
+		received := *request
+		received.News = nil
+		m.spawnLocked(func(ctx context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, pushTimeout)
+			defer cancel()
+			m.catchUp(ctx, &received)
+		})
+	}
+	return answer, nil
+}
+
+// contactTime is when the sender was last in contact with the receiver, by its own account; zero:
+// never, or too long ago.
+func (h *heartbeat) contactTime(now time.Time) time.Time {
+	if h.AgeMs < 0 || h.AgeMs >= maxContactAge.Milliseconds() {
+		return time.Time{}
+	}
+	return now.Add(-time.Duration(h.AgeMs) * time.Millisecond)
+}
+
+// recordHeartbeat takes a heartbeat of a peer that was in contact at a time; zero: not known.
+func (m *Member) recordHeartbeat(received *heartbeat, contactAt time.Time) {
+	if received.Peer.ID == "" || received.Peer.Addr == "" || len(received.Hears) > maxPeers {
+		return
+	}
+	now := time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	peer := m.peers.entry(received.Peer, &m.views.learned, m.pauses.resumedAt, now)
+	if peer == nil {
+		return
+	}
+	peer.lastHeartbeat = *received
+	peer.lastHeartbeat.News = nil
+	if !contactAt.IsZero() && contactAt.After(peer.lastContact) {
+		peer.contacted(contactAt, m.pauses.resumedAt, now)
+	}
+}
+
+// heartbeatLocked is the heartbeat to a peer.
+func (m *Member) heartbeatLocked(to string, now time.Time) *heartbeat {
+	learned := &m.views.learned
+	replica := m.replicaLocked()
+	message := &heartbeat{
+		Peer:     m.self,
+		View:     learned.Number,
+		Accepted: m.acceptor.undecided(learned.Number),
+		Stuck:    m.acceptor.abandoned(learned.Number, now),
+		Seq:      m.register.committed.Seq,
+		Sum:      m.register.checksum,
+		Hears:    m.peers.reachable(learned, now),
+		Sick:     m.diskUnhealthyLocked(now),
+		Ending:   m.shuttingDown,
+		Complete: replica.Complete(),
+		AgeMs:    -1,
+		UpMs:     now.Sub(m.pauses.resumedAt).Milliseconds(),
+	}
+	if peer := m.peers.byID[to]; peer != nil && !peer.lastContact.IsZero() {
+		message.AgeMs = now.Sub(peer.lastContact).Milliseconds()
+	}
+	return message
+}
+
+// confirmView asks a majority of the voters of a view whether it is in force: none of them knows a
+// newer one or has accepted one. A view that is decided later was not acted on before the answers.
+func (m *Member) confirmView(ctx context.Context, current view.View) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	answers := make(chan *heartbeat, len(current.Voters))
+	for _, voter := range current.Voters {
+		m.requestConfirmation(ctx, voter, answers)
+	}
+	confirmed := 0
+	for range current.Voters {
+		var answer *heartbeat
+		select {
+		case answer = <-answers:
+		case <-ctx.Done():
+			return errors.Wrap(ctx.Err(), "confirm the view")
+		}
+		switch {
+		case answer == nil:
+			continue
+		case answer.View > current.Number || answer.Accepted > current.Number:
+			return errors.Errorf("view %d may be over", current.Number)
+		}
+		if confirmed++; confirmed >= current.Majority() {
+			return nil
+		}
+	}
+	return errors.Errorf("no majority of the voters confirms view %d", current.Number)
+}
+
+// requestConfirmation has the state of a voter sent to answers, or nil if the voter can't be asked.
+func (m *Member) requestConfirmation(ctx context.Context, voter view.Peer, answers chan<- *heartbeat) {
+	if voter.ID == m.self.ID {
+		m.mu.Lock()
+		answers <- m.heartbeatLocked("", time.Now()) // has capacity for all voters
+		m.mu.Unlock()
+		return
+	}
+	m.spawn(func(context.Context) {
+		answer, err := m.sendHeartbeat(ctx, voter)
+		if err != nil || answer.Peer.ID != voter.ID {
+			answer = nil
+		}
+		answers <- answer
+	})
+}
--- /dev/null
+++ b/internal/fleet/controlplane/learn.go
@@ -0,0 +1,150 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// View is the newest view that was observed here, and whether there is one.
+func (m *Member) View() (view.View, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.views.newest, m.views.newest.Number > 0
+}
+
+// IsVoter reports whether this process is a voter of the view that it has learned.
+func (m *Member) IsVoter() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.views.isVoter(m.self.ID)
+}
+
+// handleView answers with the newest view if the caller has an older one.
+func (m *Member) handleView(_ context.Context, request *viewRequest) (*viewResponse, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return &viewResponse{View: m.views.newerThan(request.Have)}, nil
+}
+
+// handleLearn answers once the view, or a newer one, is on disk.
+func (m *Member) handleLearn(ctx context.Context, decided *view.View) (*empty, error) {
+	return &empty{}, m.learnView(ctx, decided)
+}
+
+// observeView notes a view that another process knows. It is not acted on before it is learned.
+func (m *Member) observeView(observed *view.View) {
+	if observed == nil || observed.Check() != nil {
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.views.observe(observed) {
+		m.changed.notify()
+		m.wakeTicker()
+	}
+}
+
+// learnView takes a decided view, which is on disk when learnView returns without an error. A nil
+// view is no error.
+func (m *Member) learnView(ctx context.Context, decided *view.View) error {
+	if decided == nil {
+		return nil
+	}
+	if err := decided.Check(); err != nil {
+		return err
+	}
+	m.observeView(decided)
+	m.mu.Lock()
+	known := decided.Number <= m.views.learned.Number
+	m.mu.Unlock()
+	if known {
+		return nil
+	}
+	if err := m.acquireWrite(ctx); err != nil {
+		return err
+	}
+	defer m.releaseWrite()
+	return m.persistView(decided)
+}
+
+// learnViewOrLog is learnView for callers that need not know: a view that the disk does not take is
+// learned by a later tick.
+func (m *Member) learnViewOrLog(ctx context.Context, decided *view.View) {
+	err := m.learnView(ctx, decided)
+	if err == nil || ctx.Err() != nil {
+		return
+	}
+	now := time.Now()
+	m.mu.Lock()
+	logged := m.views.shouldLogFailure(now)
+	m.mu.Unlock()
+	if logged {
+		logevent.ViewKeep.Error(err, "view", decided.Number)
+	}
+}
+
+// learnNewestLocked starts to learn a newer view that was only observed. Where the disk does not take
+// it, later ticks repeat that.
+func (m *Member) learnNewestLocked() {
+	if !m.views.behind() || m.views.learning {
+		return
+	}
+	m.views.learning = true
+	newest := m.views.newest
+	m.spawnLocked(func(ctx context.Context) {
+		m.learnViewOrLog(ctx, &newest)
+		m.mu.Lock()
+		m.views.learning = false
+		m.mu.Unlock()
+	})
+}
+
+// persistView writes a decided view to disk and then acts by it. The caller holds the write token.
+func (m *Member) persistView(decided *view.View) error {
+	if decided.Number <= m.views.learned.Number { // changes only while the write token is held
+		return nil
+	}
+	record, err := encode(decided)
+	if err != nil {
+		return err
+	}
+	if err := m.disk.Put(keyView, record); err != nil {
+		return err
+	}
+	now := time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.views.learn(decided, now)
+	m.peers.addVoters(&m.views.learned, m.pauses.resumedAt, now)
+	m.proposer.learned(decided.Number)
+	m.wakeTicker()
+	m.changed.notify()
+	logevent.ViewLearned.Log("view", decided.Number, "chain", chainAddresses(m.views.learned))
+	m.logShortfallLocked()
+	return nil
+}
+
+func chainAddresses(v view.View) []string {
+	addresses := make([]string, len(v.Chain))
+	for i, member := range v.Chain {
+		addresses[i] = member.Addr
+	}
+	return addresses
+}
+
+// logShortfallLocked logs once which of the losses to be tolerated the voters of the view can't
+// survive.
+func (m *Member) logShortfallLocked() {
+	shortfall := m.views.learned.Shortfall(m.options.tolerance())
+	if !m.views.isVoter(m.self.ID) || shortfall == m.reported {
+		return
+	}
+	m.reported = shortfall
+	if !shortfall.None() {
+		logevent.ToleranceShort.Log("view", m.views.learned.Number,
+			"voters", len(m.views.learned.Voters), "losses", shortfall.String())
+	}
+}
--- /dev/null
+++ b/internal/fleet/controlplane/member.go
@@ -0,0 +1,209 @@
+package controlplane
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+const (
+	idBytes          = 8
+	incarnationBytes = 4
+)
+
+// Member is one process's part of the control state. All methods are safe for concurrent use.
+type Member struct {
+	options     Options
+	self        view.Peer
+	incarnation string // tells this run of the process from earlier ones in proposal numbers
+	disk        Disk
+	intercept   interceptor // nil, or what carries out calls between members in tests
+
+	writeToken  chan struct{}    // holds a token while no durable step is under way
+	submissions chan *submission // that wait at the head
+	wakeups     chan struct{}    // asks for a tick now
+
+	loops sync.WaitGroup // of Run
+	calls sync.WaitGroup // started by spawn
+
+	mu           sync.Mutex // guards all below
+	changed      broadcast  // of the views and of the committed value
+	views        viewState
+	acceptor     acceptor
+	register     register
+	peers        peerTable
+	pauses       pauseDetector
+	proposer     proposer
+	bootstrap    bootstrapState
+	diskMonitor  diskMonitor
+	discovery    viewDiscovery
+	shuttingDown bool           // Handover was called
+	reported     view.Shortfall // the last shortfall that was logged
+	sending      bool           // a joining member is being sent the value
+	stopped      bool           // Run is ending: no further calls
+	runContext   context.Context
+}
+
+// Open reads the state from the disk. A disk that is empty, or whose file is damaged, makes the
+// process a new member with a new ID. The state is closed by Run.
+func Open(options Options) (*Member, error) {
+	if err := options.validate(); err != nil {
+		return nil, err
+	}
+	disk, err := openDisk(&options)
+	if err != nil {
+		return nil, err
+	}
+	now := time.Now()
+	m := &Member{
+		options:     options,
+		disk:        disk,
+		incarnation: randomHex(incarnationBytes),
+		writeToken:  make(chan struct{}, 1),
+		submissions: make(chan *submission, maxSubmissions),
+		wakeups:     make(chan struct{}, 1),
+		changed:     newBroadcast(),
+		pauses:      newPauseDetector(now),
+		runContext:  context.Background(),
+	}
+	m.writeToken <- struct{}{}
+	if err := m.loadState(); err != nil {
+		disk.Close()
+		return nil, err
+	}
+	m.peers = newPeerTable(m.self.ID)
+	m.proposer = newProposer(m.self.ID + "/" + m.incarnation)
+	if options.FirstStart && m.views.learned.Number == 0 {
+		m.bootstrap = newBootstrap(options.Seeds(), now)
+	}
+	return m, nil
+}
+
+// openDisk opens the store in the options' folder, unless they bring a disk of their own.
+func openDisk(options *Options) (Disk, error) {
+	if options.Disk != nil && options.StateDir != "" {
+		return options.Disk, nil
+	}
+	opened, report, err := store.Open(options.StateDir)
+	if err != nil {
+		return nil, err
+	}
+	if report.Damaged {
+		logevent.DiskDamaged.Log("why", report.Why)
+	} else if report.Torn > 0 {
+		logevent.DiskTorn.Log("bytes", report.Torn)
+	}
+	return opened, nil
+}
+
+func randomHex(length int) string {
+	raw := make([]byte, length)
+	_, _ = rand.Read(raw) // never fails
+	return hex.EncodeToString(raw)
+}
+
+// Run works until ctx ends, and closes the disk. It returns when all that it started has ended.
+func (m *Member) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	m.mu.Lock()
+	m.runContext = ctx
+	m.mu.Unlock()
+	for _, loop := range []func(context.Context){m.tickLoop, m.submissionLoop, m.callbackLoop, m.discoveryLoop} {
+		m.loops.Go(func() { loop(ctx) })
+	}
+	<-ctx.Done()
+	m.mu.Lock()
+	m.stopped = true
+	m.mu.Unlock()
+	m.loops.Wait()
+	m.disk.Close() // before the calls end: some of them may wait for the disk
+	m.calls.Wait()
+	return nil
+}
+
+// spawn runs a short call on a goroutine that Run waits for; its context ends with Run.
+func (m *Member) spawn(call func(context.Context)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.spawnLocked(call)
+}
+
+func (m *Member) spawnLocked(call func(context.Context)) {
+	if m.stopped {
+		return
+	}
+	ctx := m.runContext
+	m.calls.Go(func() { call(ctx) })
+}
+
+// acquireWrite waits for the right to make a durable step; releaseWrite returns it.
+func (m *Member) acquireWrite(ctx context.Context) error {
+	select {
+	case <-m.writeToken:
+		return nil
+	case <-ctx.Done():
+		return errors.Wrap(ctx.Err(), "wait for the state's disk")
+	}
+}
+
+func (m *Member) releaseWrite() { m.writeToken <- struct{}{} }
+
+// replica is this member's part of the chain, as it is on disk.
+func (m *Member) replica() chain.Replica {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.replicaLocked()
+}
+
+func (m *Member) replicaLocked() chain.Replica {
+	return chain.Replica{Me: m.self.ID, View: m.views.learned, Record: m.register.record}
+}
+
+// callbackLoop calls OnView and OnCommit. Both are called from this goroutine only, so a slow one
+// delays the next but nothing else.
+func (m *Member) callbackLoop(ctx context.Context) {
+	var number, seq uint64
+	for {
+		m.mu.Lock()
+		learned, committed, changed := m.views.learned, m.register.committed, m.changed.wait()
+		m.mu.Unlock()
+		if learned.Number > number {
+			number = learned.Number
+			if m.options.OnView != nil {
+				m.options.OnView(learned)
+			}
+		}
+		if committed.Seq > seq {
+			seq = committed.Seq
+			if m.options.OnCommit != nil {
+				m.options.OnCommit(committed)
+			}
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// wait returns after a time, with a change of the channel, or with ctx.
+func wait(ctx context.Context, limit time.Duration, changed <-chan struct{}) {
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
+	select {
+	case <-changed:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- /dev/null
+++ b/internal/fleet/controlplane/messages.go
@@ -0,0 +1,125 @@
+package controlplane
+
+import (
+	"context"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// The names of the calls between members, as they are on the wire.
+const (
+	callHeartbeat = "core.ping"
+	callPrepare   = "core.prepare"
+	callAccept    = "core.accept"
+	callLearn     = "core.learn"
+	callView      = "core.view"
+	callPush      = "core.push"
+	callSubmit    = "core.order"
+	callRead      = "core.read"
+	callValue     = "core.value"
+	callAnnounce  = "core.announce"
+)
+
+// The messages between members. They are encoded by the names of their fields, or by the tags where
+// there are some; both are part of the protocol.
+type (
+	empty struct{}
+
+	// heartbeat is exchanged between the voters, and between them and processes that ask to become
+	// one, as request and as answer.
+	heartbeat struct {
+		Peer view.Peer `msgpack:"p"`
+		// View is the number of the learned view.
+		View uint64 `msgpack:"v"`
+		// Accepted is the number of a view that was accepted and whose decision is not known; 0: none.
+		Accepted uint64 `msgpack:"a,omitempty"`
+		// Stuck tells that it has been so for so long that its proposer must have failed.
+		Stuck bool `msgpack:"k,omitempty"`
+		// Seq is the sequence number of the newest value known as committed, Sum its checksum.
+		Seq uint64 `msgpack:"s"`
+		Sum uint64 `msgpack:"m"`
+		// Hears are the voters that the sender is in contact with and can push to.
+		Hears []string `msgpack:"h,omitempty"`
+		// Sick tells that the sender's disk is unhealthy.
+		Sick bool `msgpack:"x,omitempty"`
+		// Ending tells that the sender is shutting down.
+		Ending bool `msgpack:"e,omitempty"`
+		// Complete tells that the sender holds all that was acknowledged.
+		Complete bool `msgpack:"c,omitempty"`
+		// AgeMs is the time since the sender was last in contact with the receiver, in ms; -1: never.
+		AgeMs int64 `msgpack:"t"`
+		// UpMs is the time since the sender started or resumed, in ms.
+		UpMs int64 `msgpack:"u"`
+		// News is the learned view, in an answer to a process that has an older one.
+		News *view.View `msgpack:"n,omitempty"`
+	}
+
+	// announceRequest announces a process to a seed.
+	announceRequest struct{ Peer view.Peer }
+
+	prepareRequest struct {
+		To string // the ID of the disk that is meant: its machine may have another one by now
+		Q  view.Prepare
+	}
+	acceptRequest struct {
+		To string
+		Q  view.Accept
+	}
+
+	// viewRequest asks for a newer view than that of a number.
+	viewRequest  struct{ Have uint64 }
+	viewResponse struct{ View *view.View }
+
+	pushRequest struct {
+		To string
+		Q  chain.Push
+	}
+	pushResponse struct {
+		OK    bool       // the value is on disk here and on all further members up to the tail
+		Newer *view.View // the view of the push is superseded by this one
+		Why   string     // the reason for refusing the push
+	}
+	submitResponse struct {
+		Verdict chain.Verdict
+		Newer   *view.View // the receiver is not the head: the head of this view is to be asked
+	}
+	readResponse struct {
+		Value chain.Value
+		OK    bool
+		Newer *view.View // the receiver is not the tail: that of this view is to be asked
+		Why   string     // the reason for giving no value
+	}
+	valueResponse struct{ Value chain.Value }
+)
+
+// RegisterHandlers adds the calls between members to the process's table.
+func (m *Member) RegisterHandlers(table *rpc.Table) {
+	rpc.Unary(table, callHeartbeat, m.handleHeartbeat)
+	rpc.Unary(table, callPrepare, m.handlePrepare)
+	rpc.Unary(table, callAccept, m.handleAccept)
+	rpc.Unary(table, callLearn, m.handleLearn)
+	rpc.Unary(table, callView, m.handleView)
+	rpc.Unary(table, callPush, m.handlePush)
+	rpc.Unary(table, callSubmit, m.handleSubmit)
+	rpc.Unary(table, callRead, m.handleRead)
+	rpc.Unary(table, callValue, m.handleValue)
+	rpc.Unary(table, callAnnounce, m.handleAnnounce)
+}
+
+// interceptor carries out a call to an address by calling do, or fails it.
+type interceptor func(ctx context.Context, addr, name string, do func() error) error
+
+// call calls another process.
+func call[Request, Response any](ctx context.Context, m *Member, addr, name string, request *Request) (*Response, error) {
+	if m.intercept == nil {
+		return rpc.Call[Request, Response](ctx, m.options.Pool, addr, name, request)
+	}
+	var response *Response
+	err := m.intercept(ctx, addr, name, func() (err error) {
+		response, err = rpc.Call[Request, Response](ctx, m.options.Pool, addr, name, request)
+		return err
+	})
+	return response, err
+}
--- /dev/null
+++ b/internal/fleet/controlplane/options.go
@@ -0,0 +1,98 @@
+package controlplane
+
+import (
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// Options configure a Member. Addr, Seeds, Pool and Validate are required.
+type Options struct {
+	// Addr is the HOST:PORT at which other processes call this one.
+	Addr   string
+	Zone   string
+	Region string
+	// StateDir is the folder of the state; empty: the state is in memory only.
+	StateDir string
+	// Disk, if not nil, stores the state instead of a store in StateDir, which is then its name.
+	Disk Disk
+	// HasDisk tells that the machine's state outlives its process. Without it StateDir is ignored.
+	HasDisk bool
+	// FirstStart tells that the whole fleet starts for the first time, so that a first view is to be
+	// decided. It must never be set again for a process that took part in that.
+	FirstStart bool
+	// Seeds are the addresses of the processes that decide on the first view. It is called again
+	// whenever addresses are needed.
+	Seeds func() []string
+	// KnownAddresses are further addresses of voters; may be nil.
+	KnownAddresses func() []string
+	// Losses, ZoneLosses and RegionLosses are how many machines, or whole zones or regions, may be
+	// lost at once without loss of the state.
+	Losses       int
+	ZoneLosses   int
+	RegionLosses int
+	// Counted tells that the loss of this machine is one of those to be tolerated.
+	Counted bool
+	// Pool has the connections to other processes.
+	Pool *rpc.Pool
+	// Validate makes the next configuration from the current one and a requested change.
+	Validate chain.Check
+	// OnCommit is called with the newest committed values, with rising Seq; may be nil. Values in
+	// between may be skipped.
+	OnCommit func(chain.Value)
+	// OnView is called with newer views, with rising Number; may be nil. Views in between may be
+	// skipped.
+	OnView func(view.View)
+	// RequestTimeout bounds Submit and Read; 0: 900 ms.
+	RequestTimeout time.Duration
+}
+
+// Disk is the durable storage of a Member. It must be safe for concurrent use.
+type Disk interface {
+	// Get returns the record of a key, and whether there is one.
+	Get(key string) ([]byte, bool)
+	// Put returns nil once the record outlives a loss of power.
+	Put(key string, record []byte) error
+	// Probe makes a write that changes no record.
+	Probe() error
+	// Sweep compares the file with memory and rewrites it where they differ; it reports whether the
+	// file was intact.
+	Sweep() (intact bool, err error)
+	// Health returns without waiting for the disk.
+	Health(now time.Time) store.Health
+	Close()
+}
+
+// validate reports missing options, and completes the optional ones.
+func (o *Options) validate() error {
+	if o.Addr == "" || o.Pool == nil || o.Validate == nil || o.Seeds == nil {
+		return errors.New("core: Addr, Pool, Validate and Seeds are needed")
+	}
+	if o.RequestTimeout <= 0 {
+		o.RequestTimeout = defaultRequestTimeout
+	}
+	if !o.HasDisk {
+		o.StateDir = ""
+	}
+	return nil
+}
+
+// tolerance is the losses that the state has to survive.
+func (o *Options) tolerance() view.Tolerance {
+	return view.Tolerance{Machines: o.Losses, Zones: o.ZoneLosses, Regions: o.RegionLosses}
+}
+
+// repairPolicy is the policy by which repairs of a view are planned.
+func (o *Options) repairPolicy() view.Policy {
+	return view.Policy{
+		Tolerance: o.tolerance(),
+		Silent:    peerTimeout,
+		Settle:    stabilizationDelay,
+		Away:      voterReplacementDelay,
+	}
+}
--- /dev/null
+++ b/internal/fleet/controlplane/proposer.go
@@ -0,0 +1,199 @@
+package controlplane
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// proposer decides when this member proposes a view, and under which proposal number. At most one
+// proposal is under way.
+type proposer struct {
+	name   string            // in proposal numbers: the member and its incarnation
+	rounds map[uint64]uint32 // highest round that was met, by the number of the proposed view
+	active bool              // a proposal is under way
+	// backoffUntil is the earliest time of the next proposal.
+	backoffUntil time.Time
+	// wanted is the reason of the step that is due but delayed; empty: none. wantedSince is when it
+	// became due.
+	wanted      string
+	wantedSince time.Time
+}
+
+func newProposer(name string) proposer {
+	return proposer{name: name, rounds: map[uint64]uint32{}}
+}
+
+// ready reports whether a proposal may be started.
+func (p *proposer) ready(now time.Time) bool { return !p.active && !now.Before(p.backoffUntil) }
+
+// due reports whether a step has been wanted for long enough. rank is how many healthy members
+// propose before this one.
+func (p *proposer) due(step view.Step, rank int, now time.Time) bool {
+	if step.Why != p.wanted {
+		p.wanted, p.wantedSince = step.Why, now
+	}
+	return now.Sub(p.wantedSince) >= step.Wait+time.Duration(rank)*proposerRankDelay
+}
+
+// nothingWanted notes that the view needs no repair.
+func (p *proposer) nothingWanted() { p.wanted = "" }
+
+// learned notes that a view was learned: steps and rounds of older views are void.
+func (p *proposer) learned(number uint64) {
+	p.wanted = ""
+	for instance := range p.rounds {
+		if instance <= number {
+			delete(p.rounds, instance)
+		}
+	}
+}
+
+// begin starts a proposal for a view, under a number that this member has not used.
+func (p *proposer) begin(instance uint64) view.Ballot {
+	p.active = true
+	p.rounds[instance]++
+	return view.Ballot{Round: p.rounds[instance], By: p.name}
+}
+
+// end ends a proposal whose outcome is known.
+func (p *proposer) end() { p.active = false }
+
+// endUndecided ends a proposal that was not decided. seen is the highest round that was met, and
+// learned the number of the learned view.
+func (p *proposer) endUndecided(instance, learned uint64, seen uint32, backoffUntil time.Time) {
+	p.active = false
+	if instance > learned {
+		p.rounds[instance] = max(p.rounds[instance], seen)
+	}
+	p.backoffUntil = backoffUntil
+}
+
+// proposeLocked starts a proposal for the view after the learned one.
+func (m *Member) proposeLocked(step view.Step) {
+	base := m.views.learned
+	ballot := m.proposer.begin(base.Number + 1)
+	m.spawnLocked(func(ctx context.Context) {
+		proposal := view.Propose(base, ballot, step.View)
+		outcome := m.runProposal(ctx, proposal)
+		m.concludeProposal(ctx, proposal, outcome, step.Why)
+		m.wakeTicker()
+	})
+}
+
+// concludeProposal learns and announces what was decided, and allows the next proposal.
+func (m *Member) concludeProposal(ctx context.Context, proposal *view.Proposal, outcome view.Outcome, why string) {
+	instance := proposal.Base.Number + 1
+	switch outcome {
+	case view.Decided:
+		logevent.ViewStep.Log("view", proposal.View.Number, "why", why)
+		m.announceView(proposal.View, proposal.Base.Voters)
+		fallthrough
+	case view.Overtaken:
+		m.learnViewOrLog(ctx, &proposal.View)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.proposer.end()
+	default:
+		logevent.ViewOpen.Log("view", instance, "outcome", outcome, "why", why)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.proposer.endUndecided(instance, m.views.learned.Number, proposal.Seen.Round, time.Now().Add(randomBackoff()))
+	}
+}
+
+func randomBackoff() time.Duration {
+	return minProposalBackoff + rand.N(maxProposalBackoff-minProposalBackoff)
+}
+
+// runProposal carries out both phases of a proposal with its voters.
+func (m *Member) runProposal(ctx context.Context, proposal *view.Proposal) view.Outcome {
+	prepare := proposal.Prepare()
+	outcome := m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Answer, error) {
+		request := &prepareRequest{To: voter.ID, Q: prepare}
+		if m.isSelf(voter) {
+			return m.handlePrepare(ctx, request)
+		}
+		return call[prepareRequest, view.Answer](ctx, m, voter.Addr, callPrepare, request)
+	}, proposal.Promised)
+	if outcome != view.Accepting {
+		return outcome
+	}
+	accept := proposal.Accept()
+	return m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Answer, error) {
+		request := &acceptRequest{To: voter.ID, Q: accept}
+		if m.isSelf(voter) {
+			return m.handleAccept(ctx, request)
+		}
+		return call[acceptRequest, view.Answer](ctx, m, voter.Addr, callAccept, request)
+	}, proposal.Accepted)
+}
+
+// isSelf reports whether a voter is this process: by its ID or, for the first view, by its address.
+func (m *Member) isSelf(voter view.Peer) bool {
+	return voter.ID == m.self.ID || voter.ID == m.self.Addr
+}
+
+// voterAnswer is a voter's answer in one phase; nil: it gave none.
+type voterAnswer struct {
+	voter  string
+	answer *view.Answer
+}
+
+// runPhase sends the request of a phase to all voters at once, and counts their answers until the
+// outcome changes. Voters that don't answer within phaseTimeout are not waited for.
+func (m *Member) runPhase(
+	ctx context.Context,
+	proposal *view.Proposal,
+	send func(context.Context, view.Peer) (*view.Answer, error),
+	count func(voter string, answer view.Answer) view.Outcome,
+) view.Outcome {
+	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
+	defer cancel()
+	voters := proposal.Base.Voters
+	answers := make(chan voterAnswer, len(voters))
+	for _, voter := range voters {
+		m.spawn(func(context.Context) {
+			answer, err := send(ctx, voter)
+			if err != nil {
+				answer = nil
+			}
+			answers <- voterAnswer{voter.ID, answer}
+		})
+	}
+	before := proposal.Outcome()
+	for range voters {
+		select {
+		case received := <-answers:
+			if received.answer == nil {
+				continue
+			}
+			if outcome := count(received.voter, *received.answer); outcome != before {
+				return outcome
+			}
+		case <-ctx.Done():
+			return proposal.Outcome()
+		}
+	}
+	return proposal.Outcome()
+}
+
+// announceView tells the voters of a decided view, and of the one before, in the background. Those
+// that miss it learn it from heartbeats.
+func (m *Member) announceView(decided view.View, formerVoters []view.Peer) {
+	announced := map[string]bool{m.self.ID: true}
+	for _, voter := range append(append([]view.Peer(nil), decided.Voters...), formerVoters...) {
+		if announced[voter.ID] {
+			continue
+		}
+		announced[voter.ID] = true
+		m.spawn(func(ctx context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, callTimeout)
+			defer cancel()
+			_, _ = call[view.View, empty](ctx, m, voter.Addr, callLearn, &decided) // heartbeats repeat it
+		})
+	}
+}
--- /dev/null
+++ b/internal/fleet/controlplane/replication.go
@@ -0,0 +1,130 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+// handlePush stores a value, pushes it on along the chain and answers once the tail has stored it.
+func (m *Member) handlePush(ctx context.Context, request *pushRequest) (*pushResponse, error) {
+	push := &request.Q
+	if request.To != m.self.ID {
+		return &pushResponse{Why: otherDiskReason(m.self.ID)}, nil
+	}
+	if err := push.View.Check(); err != nil {
+		return nil, err
+	}
+	if err := push.Value.Check(); err != nil {
+		return nil, err
+	}
+	if refusal, err := m.storePush(ctx, push); refusal != nil || err != nil {
+		return refusal, err
+	}
+	if push.Direct {
+		return &pushResponse{OK: true}, nil
+	}
+	if err := m.replicate(ctx, push.View, push.Value); err != nil {
+		return &pushResponse{Why: err.Error()}, nil
+	}
+	return &pushResponse{OK: true}, nil
+}
+
+// storePush writes a pushed value to disk. A response or an error refuses the push.
+func (m *Member) storePush(ctx context.Context, push *chain.Push) (*pushResponse, error) {
+	m.observeView(&push.View)
+	if err := m.acquireWrite(ctx); err != nil {
+		return nil, err
+	}
+	defer m.releaseWrite()
+	if err := m.persistView(&push.View); err != nil {
+		return nil, err
+	}
+	if push.View.Number < m.views.learned.Number { // changes only while the write token is held
+		learned := m.views.learned
+		return &pushResponse{Newer: &learned}, nil
+	}
+	replica := m.replica()
+	record, changed, err := replica.Take(push)
+	if err != nil {
+		return &pushResponse{Why: err.Error()}, nil
+	}
+	if !changed {
+		return nil, nil
+	}
+	return nil, m.persistRecord(record)
+}
+
+// replicate pushes a value that is stored here to the next member, if there is one, and notes that it
+// is committed once the tail has stored it. It ends when the view is superseded.
+func (m *Member) replicate(ctx context.Context, current view.View, value chain.Value) error {
+	if successor, ok := current.Next(m.self.ID); ok {
+		if err := m.pushTo(ctx, successor, current, value); err != nil {
+			return err
+		}
+	}
+	if value.Seq > 0 {
+		m.advanceCommitted(value)
+	}
+	return nil
+}
+
+// pushTo pushes a value to the successor, which returns once the tail has stored it.
+func (m *Member) pushTo(ctx context.Context, successor view.Link, current view.View, value chain.Value) error {
+	position := current.Place(m.self.ID)
+	ctx, cancel := m.withinView(ctx, current.Number, pushTimeout-time.Duration(position)*pushTimeoutStep)
+	defer cancel()
+	begun := time.Now()
+	response, err := call[pushRequest, pushResponse](ctx, m, successor.Addr, callPush,
+		&pushRequest{To: successor.ID, Q: chain.Push{View: current, Value: value}})
+	if err != nil {
+		if !errors.Is(ctx.Err(), context.Canceled) { // else the view ended, not the successor
+			m.recordPush(successor.ID, begun, false)
+		}
+		return err
+	}
+	m.recordPush(successor.ID, begun, true)
+	if response.Newer != nil {
+		m.observeView(response.Newer)
+		return errors.Errorf("view %d is over", current.Number)
+	}
+	if !response.OK {
+		return errors.New(response.Why)
+	}
+	return nil
+}
+
+// recordPush notes whether a push reached the successor. Heartbeats may pass where pushes don't, so
+// one that can't be pushed to is no longer reported as reachable.
+func (m *Member) recordPush(id string, begun time.Time, reached bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if peer := m.peers.byID[id]; peer != nil {
+		peer.pushed(begun, time.Now(), reached)
+	}
+}
+
+// withinView is a context that ends when the view of a number is superseded, or after a time.
+func (m *Member) withinView(ctx context.Context, number uint64, limit time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, limit)
+	m.mu.Lock()
+	superseded, learned := m.views.superseded.wait(), m.views.learned.Number
+	m.mu.Unlock()
+	if learned != number {
+		cancel()
+		return ctx, cancel
+	}
+	m.spawn(func(run context.Context) {
+		select {
+		case <-superseded:
+		case <-run.Done():
+		case <-ctx.Done():
+		}
+		cancel()
+	})
+	return ctx, cancel
+}
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -8,54 +9,76 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// Status is what an operator may want to know of a member.
+// Status is the state of a member as it is shown to operators. It is encoded as JSON.
 type Status struct {
 	ID      string
 	Addr    string
 	Dir     string
 	View    view.View
-	Place   int // in the chain, from 0; -1: not in it
-	Voter   bool
-	Linked  bool
-	Whole   bool // holds everything that was acknowledged
-	Record  uint64
-	Commit  uint64
-	Short   view.Shortfall // losses that the voters of View don't bear
+	Place   int            // in the chain, from 0; -1: not in it
+	Voter   bool           // of View
+	Linked  bool           // in contact with a majority of the voters
+	Whole   bool           // holds all that was acknowledged
+	Record  uint64         // sequence number of the value on disk
+	Commit  uint64         // sequence number of the newest value known as committed
+	Short   view.Shortfall // the losses that the voters of View don't survive
 	Pending bool           // a next view was accepted here and its decision is not known
-	Ending  bool
+	Ending  bool           // the member is shutting down
 	Disk    store.Health
-	Peers   []PeerStatus
+	Peers   []PeerStatus // by ID
 }
 
 // PeerStatus is what a member knows of another one.
 type PeerStatus struct {
 	Peer   view.Peer
-	Silent time.Duration
-	View   uint64
-	Commit uint64
-	Sick   bool
-	Ending bool
+	Silent time.Duration // since the last contact
+	View   uint64        // number of the view that it has learned
+	Commit uint64        // sequence number of the newest value that it knows as committed
+	Sick   bool          // its disk is unhealthy
+	Ending bool          // it is shutting down
 }
 
-// Status waits for nothing.
+// Status returns without waiting for the disk or another process.
 func (m *Member) Status() Status {
 	now := time.Now()
 	disk := m.disk.Health(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.replicaLocked()
-	_, voter := m.learned.Voter(m.self.ID)
-	s := Status{ID: m.self.ID, Addr: m.self.Addr, Dir: m.options.StateDir, View: m.learned, Place: m.learned.Place(m.self.ID), Voter: voter,
-		Linked: m.hasQuorumLocked(now), Whole: r.Complete(), Record: m.record.Value.Seq, Commit: m.committed.Seq,
-		Short: m.learned.Shortfall(m.tolerance()), Pending: m.undecidedLocked() != 0, Ending: m.shuttingDown, Disk: disk}
-	for _, p := range m.peers {
-		s.Peers = append(s.Peers, PeerStatus{Peer: p.lastHeartbeat.Peer, Silent: p.silence(now, m.awakeSince), View: p.lastHeartbeat.View, Commit: p.lastHeartbeat.Seq, Sick: p.lastHeartbeat.Sick, Ending: p.lastHeartbeat.Ending})
+	learned := m.views.learned
+	replica := m.replicaLocked()
+	return Status{
+		ID:      m.self.ID,
+		Addr:    m.self.Addr,
+		Dir:     m.options.StateDir,
+		View:    learned,
+		Place:   learned.Place(m.self.ID),
+		Voter:   m.views.isVoter(m.self.ID),
+		Linked:  m.hasQuorumLocked(now),
+		Whole:   replica.Complete(),
+		Record:  m.register.record.Value.Seq,
+		Commit:  m.register.committed.Seq,
+		Short:   learned.Shortfall(m.options.tolerance()),
+		Pending: m.acceptor.undecided(learned.Number) != 0,
+		Ending:  m.shuttingDown,
+		Disk:    disk,
+		Peers:   m.peers.status(m.pauses.resumedAt, now),
 	}
-	slices.SortFunc(s.Peers, func(a, b PeerStatus) int {
-		if a.Peer.ID < b.Peer.ID {
-			return -1
-		}
-		return 1
-	})
-	return s
+}
+
+// status is the status of all peers, by ID.
+func (t *peerTable) status(resumedAt, now time.Time) []PeerStatus {
+	var peers []PeerStatus
+	for _, peer := range t.byID {
+		received := &peer.lastHeartbeat
+		peers = append(peers, PeerStatus{
+			Peer:   received.Peer,
+			Silent: peer.silence(resumedAt, now),
+			View:   received.View,
+			Commit: received.Seq,
+			Sick:   received.Sick,
+			Ending: received.Ending,
+		})
+	}
+	slices.SortFunc(peers, func(a, b PeerStatus) int { return cmp.Compare(a.Peer.ID, b.Peer.ID) })
+	return peers
 }
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -124,7 +124,7 @@
 		parts.run("readiness", func() error { return d.serveReadiness(ctx, open.readiness) })
 	}
 	calls := rpc.NewTable()
-	d.core.Declare(calls)
+	d.core.RegisterHandlers(calls)
 	d.hub.Declare(calls)
 	parts.run("peers", func() error { return rpc.Serve(ctx, open.peers, calls) })
 	parts.run("core", func() error { return d.core.Run(ctx) })
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -89,7 +89,7 @@
 		return
 	}
 	table := rpc.NewTable()
-	p.core.Declare(table)
+	p.core.RegisterHandlers(table)
 	p.hub.Declare(table)
 	declareEcho(table, m.run.random("echo", m.index))
 	listener := m.host.listen()
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -187,7 +187,7 @@
 	l.hub = relay.New(o)
 	l.source = l.hub.Report().Source
 	table := rpc.NewTable()
-	l.core.Declare(table)
+	l.core.RegisterHandlers(table)
 	l.hub.Declare(table)
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
