--- a/internal/agent/answer.go
+++ b/internal/agent/answer.go
@@ -14,7 +14,7 @@
 
 const (
 	// maxBody is the largest body of a request, maxHead the largest head.
-	maxBody, maxHead = 64 << 10, http1.MaxHead
+	maxBody, maxHead = 64 << 10, http1.MaxHeadBytes
 	// maxAnswer is the largest body of an answer. Some are larger than requests may be;
 	// what they take of the memory is bounded by the budget.
 	maxAnswer = 1 << 20
@@ -27,7 +27,7 @@
 // and framing leave no doubt is returned; then nothing of what follows on the
 // connection has been taken for part of it.
 func readAnswer(br *bufio.Reader, want reserve) (*http.Response, []byte, error) {
-	resp, err := http1.ReadAnswerHead(br)
+	resp, err := http1.ReadResponseHead(br)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -55,9 +55,9 @@
 	case n < 0:
 		// It would end where the connection does, and nothing could tell a whole
 		// answer from one that was cut off.
-		return nil, http1.Spoilt("an answer without length")
+		return nil, http1.Malformed("an answer without length")
 	case n > maxAnswer:
-		return nil, http1.Spoilt("body of %d bytes", n)
+		return nil, http1.Malformed("body of %d bytes", n)
 	}
 	if err := want(n); err != nil {
 		return nil, err
@@ -83,12 +83,12 @@
 		switch {
 		case err == io.EOF:
 			return body, nil
-		case err == io.ErrUnexpectedEOF || err != nil && http1.IsNet(err):
+		case err == io.ErrUnexpectedEOF || err != nil && http1.IsNetworkError(err):
 			return nil, err
 		case err != nil:
-			return nil, http1.Spoilt("%v", err)
+			return nil, http1.Malformed("%v", err)
 		case len(body) > maxAnswer:
-			return nil, http1.Spoilt("body over %d bytes", maxAnswer)
+			return nil, http1.Malformed("body over %d bytes", maxAnswer)
 		}
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -127,10 +127,10 @@
 	})
 	if err != nil {
 		s.budget.Release(held)
-		s.pool.ages.Count(cn.slot, !errors.Is(err, http1.ErrSpoilt) && broken(err) == policy.Reset)
+		s.pool.ages.Record(cn.slot, !errors.Is(err, http1.ErrMalformed) && broken(err) == policy.Reset)
 		return result{status: broken(err)}
 	}
-	s.pool.ages.Count(cn.slot, false)
+	s.pool.ages.Record(cn.slot, false)
 	reusable = !resp.Close
 	return result{status: outcome(resp), code: resp.StatusCode, header: resp.Header, body: body, held: held,
 		report: parseReport(resp.Header["Server-Load"], s.reportNames)}
@@ -146,7 +146,7 @@
 func broken(err error) policy.Status {
 	var timeout net.Error
 	switch {
-	case errors.Is(err, http1.ErrSpoilt):
+	case errors.Is(err, http1.ErrMalformed):
 		return policy.Error // an answer that can't be read
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return policy.Timeout
--- a/internal/agent/clientsock_test.go
+++ b/internal/agent/clientconn_test.go
@@ -61,17 +61,17 @@
 func TestCloseWaitsForTheAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	var held atomic.Int64
-	c := http1.NewClientSock(near, &held)
-	if !c.Begin() || held.Load() != 1 {
+	c := http1.NewClientConn(near, &held)
+	if !c.BeginRequest() || held.Load() != 1 {
 		t.Fatal("an open connection takes no request")
 	}
-	if err := c.Close(); err != nil || !c.Closing() {
-		t.Fatalf("closing: %v, noted %v", err, c.Closing())
+	if err := c.Close(); err != nil || !c.CloseRequested() {
+		t.Fatalf("closing: %v, noted %v", err, c.CloseRequested())
 	}
 	wrote := make(chan error, 1)
 	go func() {
 		_, err := c.Write([]byte("a"))
-		c.End()
+		c.EndRequest()
 		c.Close()
 		wrote <- err
 	}()
@@ -81,7 +81,7 @@
 	if err := <-wrote; err != nil {
 		t.Errorf("answer on a connection to be closed: %v", err)
 	}
-	if c.Begin() || held.Load() != 0 {
+	if c.BeginRequest() || held.Load() != 0 {
 		t.Errorf("closed, but takes a request; %d held", held.Load())
 	}
 }
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -66,7 +66,7 @@
 
 // serve accepts clients until the server is shut down.
 func (f *front) serve(ln net.Listener) error {
-	if err := f.server.Serve(&http1.Listener{Listener: ln, Held: &f.held}); !errors.Is(err, http.ErrServerClosed) {
+	if err := f.server.Serve(&http1.Listener{Listener: ln, InFlight: &f.held}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("front: %w", err)
 	}
 	return nil
@@ -129,19 +129,19 @@
 		reject(w, err)
 		return
 	}
-	sock, ok := req.Context().Value(connKey{}).(*http1.ClientSock)
+	sock, ok := req.Context().Value(connKey{}).(*http1.ClientConn)
 	if ok {
-		if !sock.Begin() {
+		if !sock.BeginRequest() {
 			return // its client sends it again, as nothing here has
 		}
-		defer sock.End()
+		defer sock.EndRequest()
 	}
 	f.conns.taken(req.Context())
 	took := make(chan *request, 1)
 	f.loop.post(func() { took <- f.loop.take(c) })
 	select {
 	case a := <-c.answer:
-		if ok && sock.Closing() {
+		if ok && sock.CloseRequested() {
 			w.Header().Set("Connection", "close")
 		}
 		f.write(w, a)
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -26,7 +26,7 @@
 	// The most recently used last.
 	idle map[*backend][]*conn
 	open int
-	ages http1.Ages
+	ages http1.ReuseStats
 }
 
 type conn struct {
@@ -77,8 +77,8 @@
 		p.keep(b, list[:len(list)-1])
 		p.mu.Unlock()
 		age := time.Since(cn.since)
-		if cn.addr == addr && age < p.keepalive && p.ages.Usable(age) && http1.Quiet(cn.Conn, cn.br) {
-			cn.slot = http1.AgeSlot(age)
+		if cn.addr == addr && age < p.keepalive && p.ages.Reusable(age) && http1.IsIdle(cn.Conn, cn.br) {
+			cn.slot = http1.IdleBucket(age)
 			return cn, nil
 		}
 		p.close(cn)
@@ -132,7 +132,7 @@
 func (p *pool) put(cn *conn) {
 	cn.SetDeadline(time.Time{})
 	cn.since = time.Now()
-	if cn.backend.closed.Load() || !http1.Quiet(cn.Conn, cn.br) {
+	if cn.backend.closed.Load() || !http1.IsIdle(cn.Conn, cn.br) {
 		p.close(cn)
 		return
 	}
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -55,11 +55,11 @@
 	}
 	resp, body, err := readAnswer(cn.br, func(n int64) error {
 		if n > freeBody {
-			return http1.Spoilt("a load report of %d bytes", n)
+			return http1.Malformed("a load report of %d bytes", n)
 		}
 		return nil
 	})
-	s.pool.ages.Count(cn.slot, err != nil && !errors.Is(err, http1.ErrSpoilt) && broken(err) == policy.Reset)
+	s.pool.ages.Record(cn.slot, err != nil && !errors.Is(err, http1.ErrMalformed) && broken(err) == policy.Reset)
 	if err != nil {
 		return result{status: broken(err)}, cn.slot > 0
 	}
--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -128,7 +128,7 @@
 
 // notSent classifies a request whose head did not leave whole.
 func (t *attempt) notSent(ctx context.Context) outcome {
-	t.door.pool.ages.Count(t.cn.slot, !t.fresh)
+	t.door.pool.ages.Record(t.cn.slot, !t.fresh)
 	if ctx.Err() != nil {
 		return t.door.gone(ctx, notSent)
 	}
@@ -146,7 +146,7 @@
 		if err := t.await(ctx); err != nil {
 			return nil, err
 		}
-		resp, err := http1.ReadAnswerHead(cn.br)
+		resp, err := http1.ReadResponseHead(cn.br)
 		if err != nil {
 			return nil, err
 		}
@@ -157,16 +157,16 @@
 			if resp.StatusCode == http.StatusBadRequest && resp.Header.Get(hNotRun) != "" {
 				return resp, nil // it could not read ours
 			}
-			return nil, http1.Spoilt("an answer to no request")
+			return nil, http1.Malformed("an answer to no request")
 		}
 		if endsWithConnection(resp, r.method) {
-			return nil, http1.Spoilt("a surplus answer without length")
+			return nil, http1.Malformed("a surplus answer without length")
 		}
 		if _, err := readWhole(cn, resp, r.method); err != nil {
 			return nil, err
 		}
 	}
-	return nil, http1.Spoilt("surplus answers")
+	return nil, http1.Malformed("surplus answers")
 }
 
 // noAnswer classifies a request that was sent and of whose response no head came: it may have run.
@@ -178,7 +178,7 @@
 		t.end = balancer.Timeout
 		return mayRun
 	}
-	t.door.pool.ages.Count(t.cn.slot, !errors.Is(err, http1.ErrSpoilt) && !timedOut(err))
+	t.door.pool.ages.Record(t.cn.slot, !errors.Is(err, http1.ErrMalformed) && !timedOut(err))
 	t.end = broken(err)
 	return mayRun
 }
@@ -186,7 +186,7 @@
 // gotHead notes what the head of the response tells of the connection and the server.
 func (t *attempt) gotHead(resp *http.Response) {
 	d := t.door
-	d.pool.ages.Count(t.cn.slot, false)
+	d.pool.ages.Record(t.cn.slot, false)
 	t.cn.keep = keepFor(resp.Header.Get("Keep-Alive"))
 	d.mu.Lock()
 	t.decision.Attempt.Head(d.now(), resp.StatusCode, load(resp.Header.Get(hLoad)))
@@ -316,7 +316,7 @@
 // broken maps what ended an attempt after the request was sent.
 func broken(err error) balancer.End {
 	switch {
-	case errors.Is(err, http1.ErrSpoilt):
+	case errors.Is(err, http1.ErrMalformed):
 		return balancer.Broken
 	case timedOut(err):
 		return balancer.Timeout
--- a/internal/fleet/gateway/attempt_test.go
+++ b/internal/fleet/gateway/attempt_test.go
@@ -283,7 +283,7 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			for _, cn := range p.idle[first.server.in.ID] {
-				return !http1.Quiet(cn.Conn, cn.br)
+				return !http1.IsIdle(cn.Conn, cn.br)
 			}
 			return p.open == 0 // it came before the connection was put back
 		}, patience, time.Millisecond)
@@ -353,7 +353,7 @@
 		w.door.pool.mu.Lock()
 		defer w.door.pool.mu.Unlock()
 		for _, cn := range w.door.pool.idle[first.server.in.ID] {
-			return !http1.Quiet(cn.Conn, cn.br)
+			return !http1.IsIdle(cn.Conn, cn.br)
 		}
 		return w.door.pool.open == 0 // it came before the connection was put back
 	}, patience, time.Millisecond)
@@ -537,7 +537,7 @@
 }
 
 func TestBlame(t *testing.T) {
-	require.Equal(t, balancer.Broken, broken(http1.Spoilt("x")))
+	require.Equal(t, balancer.Broken, broken(http1.Malformed("x")))
 	require.Equal(t, balancer.Reset, broken(io.EOF))
 	require.Equal(t, balancer.Timeout, broken(os.ErrDeadlineExceeded))
 }
--- a/internal/fleet/gateway/door.go
+++ b/internal/fleet/gateway/door.go
@@ -106,7 +106,7 @@
 	if old.Doc != s.Doc && s.Doc != nil {
 		d.picker.SetConf(now, s.Doc)
 	}
-	d.quota.SetAgents(now, s.Agents)
+	d.quota.SetAgentCount(now, s.Agents)
 	d.mu.Unlock()
 	if old.List != s.List && s.List != nil {
 		d.pool.keepOnly(s.List.ByID)
@@ -149,7 +149,7 @@
 // Serve takes clients until Shutdown.
 func (d *Door) Serve(ln net.Listener) error {
 	watched := &framingListener{Listener: ln, rejected: &d.Figures.Rejected}
-	if err := d.server.Serve(&http1.Listener{Listener: watched, Held: &d.held}); !errors.Is(err, http.ErrServerClosed) {
+	if err := d.server.Serve(&http1.Listener{Listener: watched, InFlight: &d.held}); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve clients")
 	}
 	return nil
@@ -231,12 +231,12 @@
 		return
 	}
 	defer d.memory.Release(r.held)
-	if sock, ok := req.Context().Value(sockKey{}).(*http1.ClientSock); ok {
-		if !sock.Begin() {
+	if sock, ok := req.Context().Value(sockKey{}).(*http1.ClientConn); ok {
+		if !sock.BeginRequest() {
 			panic(http.ErrAbortHandler) // its client sends it again, as nothing here has
 		}
-		defer sock.End()
-		if sock.Closing() {
+		defer sock.EndRequest()
+		if sock.CloseRequested() {
 			w.Header().Set("Connection", "close")
 		}
 	}
@@ -270,7 +270,7 @@
 
 // connContext lets a handler find its connection.
 func connContext(ctx context.Context, nc net.Conn) context.Context {
-	if sock, ok := nc.(*http1.ClientSock); ok {
+	if sock, ok := nc.(*http1.ClientConn); ok {
 		return context.WithValue(ctx, sockKey{}, sock)
 	}
 	return ctx
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -28,7 +28,7 @@
 // readAnswer reads one answer off a connection, and what stands behind it.
 func readAnswer(r io.Reader, method string) (resp *http.Response, body, rest []byte, err error) {
 	cn := connOf(r)
-	if resp, err = http1.ReadAnswerHead(cn.br); err != nil {
+	if resp, err = http1.ReadResponseHead(cn.br); err != nil {
 		return nil, nil, nil, err
 	}
 	if body, err = readWhole(cn, resp, method); err != nil {
@@ -95,7 +95,7 @@
 	broke := errors.New("connection reset")
 	f.Fuzz(func(t *testing.T, text []byte) {
 		cn := connOf(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(broke)))
-		resp, err := http1.ReadAnswerHead(cn.br)
+		resp, err := http1.ReadResponseHead(cn.br)
 		if err != nil {
 			return
 		}
--- a/internal/fleet/gateway/pool.go
+++ b/internal/fleet/gateway/pool.go
@@ -53,7 +53,7 @@
 	mu   sync.Mutex
 	idle map[string][]*conn // by instance; the most recently used last
 	open int
-	ages http1.Ages
+	ages http1.ReuseStats
 }
 
 func newPool(most int) *pool { return &pool{max: most, idle: map[string][]*conn{}} }
@@ -72,8 +72,8 @@
 		p.mu.Unlock()
 		now := time.Now()
 		age := now.Sub(cn.since)
-		if now.Before(cn.until) && p.ages.Usable(age) && http1.Quiet(cn.Conn, cn.br) {
-			cn.slot = http1.AgeSlot(age)
+		if now.Before(cn.until) && p.ages.Reusable(age) && http1.IsIdle(cn.Conn, cn.br) {
+			cn.slot = http1.IdleBucket(age)
 			return cn, false, nil
 		}
 		p.close(cn)
@@ -139,7 +139,7 @@
 	cn.SetDeadline(time.Time{})
 	cn.since = time.Now()
 	cn.until = cn.since.Add(cn.keep)
-	if !http1.Quiet(cn.Conn, cn.br) {
+	if !http1.IsIdle(cn.Conn, cn.br) {
 		p.close(cn)
 		return
 	}
--- a/internal/fleet/gateway/serve.go
+++ b/internal/fleet/gateway/serve.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	d.mu.Lock()
-	d.quota.First(d.now(), r.Service)
+	d.quota.RecordRequest(d.now(), r.Service)
 	d.mu.Unlock()
 	sent, missed, ran := 0, 0, false
 	for {
@@ -127,7 +127,7 @@
 func (d *Door) pay(a *answer, r *request) bool {
 	if !a.paid {
 		d.mu.Lock()
-		a.paid = d.quota.TryRepeat(d.now(), r.Service)
+		a.paid = d.quota.TryRetry(d.now(), r.Service)
 		d.mu.Unlock()
 	}
 	return a.paid
@@ -245,7 +245,7 @@
 	if _, err := cn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")); err != nil {
 		return false, nil
 	}
-	resp, err := http1.ReadAnswerHead(cn.br)
+	resp, err := http1.ReadResponseHead(cn.br)
 	if err != nil {
 		return false, nil
 	}
--- a/internal/fleet/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -44,7 +44,7 @@
 		return &counted{br, resp.ContentLength}, nil
 	}
 	if !resp.ProtoAtLeast(1, 1) { // its chunks, if it has any, were not told of
-		return nil, http1.Spoilt("an answer without length in %s", resp.Proto)
+		return nil, http1.Malformed("an answer without length in %s", resp.Proto)
 	}
 	return &untilClose{cn}, nil
 }
@@ -89,8 +89,8 @@
 		if terr := http1.ReadTrailer(c.br); terr != nil {
 			return n, noEOF(terr)
 		}
-	case err != nil && !http1.IsNet(err) && err != io.ErrUnexpectedEOF:
-		err = http1.Spoilt("%v", err)
+	case err != nil && !http1.IsNetworkError(err) && err != io.ErrUnexpectedEOF:
+		err = http1.Malformed("%v", err)
 	}
 	return n, err
 }
@@ -127,7 +127,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(r, maxFailure+1))
 	if err == nil && len(body) > maxFailure {
-		err = http1.Spoilt("a body over %d bytes", maxFailure)
+		err = http1.Malformed("a body over %d bytes", maxFailure)
 	}
 	return body, err
 }
--- a/internal/fleet/retrybudget/bench_test.go
+++ b/internal/fleet/retrybudget/bench_test.go
@@ -12,8 +12,8 @@
 func BenchmarkServices(b *testing.B) {
 	for _, services := range []int{1, 6, 1000} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
-			q := New(0.2, 10*time.Second, 58)
-			q.SetAgents(0, 367)
+			budget := New(0.2, 10*time.Second, 58)
+			budget.SetAgentCount(0, 367)
 			names := make([]string, services)
 			for i := range names {
 				names[i] = fmt.Sprintf("service-%d", i)
@@ -21,8 +21,8 @@
 			b.ReportAllocs()
 			for i, now := 0, time.Duration(0); b.Loop(); i++ {
 				now += time.Millisecond
-				q.First(now, names[i%services])
-				q.TryRepeat(now, names[i%services])
+				budget.RecordRequest(now, names[i%services])
+				budget.TryRetry(now, names[i%services])
 			}
 		})
 	}
@@ -33,11 +33,11 @@
 	var bytes int64
 	for b.Loop() {
 		bytes = heapsize.Of(func() any {
-			q := New(0.2, 10*time.Second, 58)
+			budget := New(0.2, 10*time.Second, 58)
 			for i := range services {
-				q.First(time.Second, fmt.Sprintf("service-%d", i))
+				budget.RecordRequest(time.Second, fmt.Sprintf("service-%d", i))
 			}
-			return q
+			return budget
 		})
 	}
 	b.ReportMetric(float64(bytes)/services, "B/service")
