--- a/internal/fleet/deltasync/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -10,9 +10,9 @@
 // itemBytes is about what a server's item has.
 const itemBytes = 110
 
-// filled is a set of so many sources that tell items/sources items each.
-func filled(sources, items int) *Set {
-	s := NewSet("self/0")
+// filledStore is a set of so many sources that tell items/sources items each.
+func filledStore(sources, items int) *Store {
+	s := NewStore("self/0")
 	for i := range sources {
 		name := fmt.Sprintf("edge-%d/0123456789ab", i)
 		d := Delta{Source: name}
@@ -29,18 +29,18 @@
 }
 
 // What one session costs its hub at each change that wakes it, also where it lacks nothing.
-func BenchmarkSince(b *testing.B) {
+func BenchmarkDeltasSince(b *testing.B) {
 	for _, sources := range []int{30, 100, 367} {
 		for _, lacks := range []int{0, 1} {
 			b.Run(fmt.Sprintf("sources=%d/lacks=%d", sources, lacks), func(b *testing.B) {
-				s := filled(sources, 850)
+				s := filledStore(sources, 850)
 				v := s.Vector()
 				for i := range lacks {
 					v[s.Sources()[i]]--
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					if len(s.Since(v)) != lacks {
+					if len(s.DeltasSince(v)) != lacks {
 						b.Fatal("wrong")
 					}
 				}
@@ -50,20 +50,20 @@
 }
 
 // All of it, for a peer that has nothing.
-func BenchmarkSinceNothing(b *testing.B) {
-	s := filled(367, 850)
+func BenchmarkDeltasSinceNothing(b *testing.B) {
+	s := filledStore(367, 850)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Since(nil)
+		s.DeltasSince(nil)
 	}
 }
 
 func BenchmarkApply(b *testing.B) {
 	for _, sources := range []int{30, 367} {
 		b.Run(fmt.Sprintf("sources=%d", sources), func(b *testing.B) {
-			s := filled(sources, 850)
+			s := filledStore(sources, 850)
 			name := s.Sources()[0]
-			ver, data := s.Has(name), make([]byte, itemBytes)
+			ver, data := s.Version(name), make([]byte, itemBytes)
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(s.Apply([]Delta{{Source: name, From: ver, Upto: ver + 1, Items: []Item{{Key: "i/i-00000000", Ver: ver + 1, Data: data}}}})) != 1 {
@@ -80,8 +80,8 @@
 	var source, item float64
 	for b.Loop() {
 		const sources, items = 367, 8500
-		few := heapsize.Of(func() any { return filled(sources, 0) })
-		many := heapsize.Of(func() any { return filled(sources, items) })
+		few := heapsize.Of(func() any { return filledStore(sources, 0) })
+		many := heapsize.Of(func() any { return filledStore(sources, items) })
 		source, item = float64(few)/sources, float64(many-few)/items
 	}
 	b.ReportMetric(source, "B/source")
--- a/internal/fleet/deltasync/feed.go
+++ b/internal/fleet/deltasync/feed.go
@@ -16,10 +16,10 @@
 const (
 	// maxItems bounds the items of one source, removed ones included, and maxSources the sources.
 	maxItems, maxSources = 32768, 4096
-	// maxName bounds the name of a source or an item, maxBytes the names and data of all items.
-	maxName, maxBytes = 1024, 32 << 20
-	// maxRemoved is how many removed items a source carries before it has to be rebased.
-	maxRemoved = 2048
+	// maxNameBytes bounds the name of a source or an item, maxBytes the names and data of all items.
+	maxNameBytes, maxBytes = 1024, 32 << 20
+	// maxTombstones is how many removed items a source carries before it has to be rebased.
+	maxTombstones = 2048
 )
 
 // Item is one thing that a source tells. Data is opaque here; nil: the item was removed.
@@ -49,106 +49,106 @@
 	Item   Item
 }
 
-type source struct {
-	upto    uint64
-	items   map[string]*list.Element // of *Item
-	order   list.List                // by rising version
-	removed int
-	bytes   int // of keys and data
+type sourceState struct {
+	version    uint64
+	items      map[string]*list.Element // of *Item
+	byVersion  list.List                // by rising version
+	tombstones int
+	bytes      int // of keys and data
 }
 
-func newSource() *source { return &source{items: map[string]*list.Element{}} }
+func newSourceState() *sourceState { return &sourceState{items: map[string]*list.Element{}} }
 
-func (s *source) put(it Item) Item {
+func (s *sourceState) put(it Item) Item {
 	if len(it.Data) == 0 {
 		it.Data = nil
 	}
 	if e := s.items[it.Key]; e != nil {
 		old := e.Value.(*Item)
 		if old.Data == nil {
-			s.removed--
+			s.tombstones--
 		}
 		s.bytes -= old.size()
-		s.order.Remove(e)
+		s.byVersion.Remove(e)
 	}
 	if it.Data == nil {
-		s.removed++
+		s.tombstones++
 	}
 	s.bytes += it.size()
-	s.items[it.Key] = s.order.PushBack(&it)
-	s.upto = max(s.upto, it.Ver)
+	s.items[it.Key] = s.byVersion.PushBack(&it)
+	s.version = max(s.version, it.Ver)
 	return it
 }
 
-// Set is all that one agent holds. It is not safe for concurrent use.
-type Set struct {
-	self    string
-	sources map[string]*source
-	bytes   int               // of all sources but the own
-	dropped map[string]uint64 // sources that have ended, what was held of them: nobody brings them back
-	ended   []string          // the same, oldest first
+// Store is all that one agent holds. It is not safe for concurrent use.
+type Store struct {
+	ownSource     string
+	sources       map[string]*sourceState
+	remoteBytes   int               // of all sources but the own
+	endedVersions map[string]uint64 // sources that have ended, what was held of them: nobody brings them back
+	endedOrder    []string          // the same, oldest first
 }
 
-// NewSet returns the set of one life of an agent, whose own source has the name self.
-func NewSet(self string) *Set {
-	s := &Set{self: self, sources: map[string]*source{self: newSource()}, dropped: map[string]uint64{}}
+// NewStore returns the set of one life of an agent, whose own source has the name self.
+func NewStore(self string) *Store {
+	s := &Store{ownSource: self, sources: map[string]*sourceState{self: newSourceState()}, endedVersions: map[string]uint64{}}
 	return s
 }
 
-// Self is the name of the own source.
-func (s *Set) Self() string { return s.self }
+// OwnSource is the name of the own source.
+func (s *Store) OwnSource() string { return s.ownSource }
 
 // Put changes an item of the own source and returns its version; empty data removes it. The data is
 // kept, and not to be changed.
-func (s *Set) Put(key string, data []byte) uint64 {
-	own := s.sources[s.self]
-	own.put(Item{Key: key, Ver: own.upto + 1, Data: data})
-	return own.upto
+func (s *Store) Put(key string, data []byte) uint64 {
+	own := s.sources[s.ownSource]
+	own.put(Item{Key: key, Ver: own.version + 1, Data: data})
+	return own.version
 }
 
-// Own is the version of the own source.
-func (s *Set) Own() uint64 { return s.sources[s.self].upto }
+// OwnVersion is the version of the own source.
+func (s *Store) OwnVersion() uint64 { return s.sources[s.ownSource].version }
 
-// Rebase goes on under a new name for the own source, with what is not removed: after its lease
+// StartIncarnation goes on under a new name for the own source, with what is not removed: after its lease
 // lapsed the old name is dropped by everyone, and one that carries many removed items is due, too.
-func (s *Set) Rebase(name string) {
-	old, was := s.sources[s.self], s.self
+func (s *Store) StartIncarnation(name string) {
+	old, was := s.sources[s.ownSource], s.ownSource
 	delete(s.sources, was) // its bytes are not counted
-	s.self = name
-	s.Drop(was)
-	s.sources[name] = newSource()
-	for e := old.order.Front(); e != nil; e = e.Next() {
+	s.ownSource = name
+	s.EndSource(was)
+	s.sources[name] = newSourceState()
+	for e := old.byVersion.Front(); e != nil; e = e.Next() {
 		if it := e.Value.(*Item); it.Data != nil {
 			s.Put(it.Key, it.Data)
 		}
 	}
 }
 
-// Stale tells whether the own source carries so many removed items that it should be rebased.
-func (s *Set) Stale() bool { return s.sources[s.self].removed > maxRemoved }
+// NeedsCompaction tells whether the own source carries so many removed items that it should be rebased.
+func (s *Store) NeedsCompaction() bool { return s.sources[s.ownSource].tombstones > maxTombstones }
 
 // Vector is what the set holds.
-func (s *Set) Vector() Vector {
+func (s *Store) Vector() Vector {
 	v := make(Vector, len(s.sources))
 	for name, src := range s.sources {
-		v[name] = src.upto
+		v[name] = src.version
 	}
 	return v
 }
 
-// Has is the version held of a source, 0 if none is.
-func (s *Set) Has(name string) uint64 {
+// Version is the version held of a source, 0 if none is.
+func (s *Store) Version(name string) uint64 {
 	if src := s.sources[name]; src != nil {
-		return src.upto
+		return src.version
 	}
 	return 0
 }
 
-// Had is the version held of a source, or that was held of it when it ended.
-func (s *Set) Had(name string) uint64 { return max(s.Has(name), s.dropped[name]) }
+// LastVersion is the version held of a source, or that was held of it when it ended.
+func (s *Store) LastVersion(name string) uint64 { return max(s.Version(name), s.endedVersions[name]) }
 
 // Sources are the names of all sources.
-func (s *Set) Sources() []string {
+func (s *Store) Sources() []string {
 	names := make([]string, 0, len(s.sources))
 	for name := range s.sources {
 		names = append(names, name)
@@ -158,7 +158,7 @@
 }
 
 // Item is the newest of a key that a source tells, nil if there is none.
-func (s *Set) Item(name, key string) []byte {
+func (s *Store) Item(name, key string) []byte {
 	if src := s.sources[name]; src != nil {
 		if e := src.items[key]; e != nil {
 			return e.Value.(*Item).Data
@@ -167,16 +167,16 @@
 	return nil
 }
 
-// Since is what someone lacks who has v. The items are shared and not to be changed.
-func (s *Set) Since(v Vector) []Delta {
+// DeltasSince is what someone lacks who has v. The items are shared and not to be changed.
+func (s *Store) DeltasSince(v Vector) []Delta {
 	var out []Delta
 	for name, src := range s.sources {
 		have := v[name]
-		if have >= src.upto {
+		if have >= src.version {
 			continue
 		}
-		d := Delta{Source: name, From: have, Upto: src.upto}
-		for e := src.order.Back(); e != nil && e.Value.(*Item).Ver > have; e = e.Prev() {
+		d := Delta{Source: name, From: have, Upto: src.version}
+		for e := src.byVersion.Back(); e != nil && e.Value.(*Item).Ver > have; e = e.Prev() {
 			d.Items = append(d.Items, *e.Value.(*Item))
 		}
 		slices.Reverse(d.Items)
@@ -194,11 +194,11 @@
 // Apply takes what another agent sent and returns what of it is new. A delta that begins after
 // what is held, that is of the own source or of one that has ended, that is not sound or out of
 // bounds, is passed over whole: its sender is asked anew by the vector.
-func (s *Set) Apply(deltas []Delta) []Change {
+func (s *Store) Apply(deltas []Delta) []Change {
 	var out []Change
 	for i := range deltas {
 		d := &deltas[i]
-		if d.Source == s.self || s.Dropped(d.Source) || !d.sound() {
+		if d.Source == s.ownSource || s.Ended(d.Source) || !d.valid() {
 			continue
 		}
 		src := s.sources[d.Source]
@@ -206,40 +206,40 @@
 			if len(s.sources) >= maxSources {
 				continue
 			}
-			src = newSource()
+			src = newSourceState()
 		}
-		if d.From > src.upto || d.Upto <= src.upto || !s.room(src, d.Items) {
+		if d.From > src.version || d.Upto <= src.version || !s.hasCapacity(src, d.Items) {
 			continue
 		}
 		s.sources[d.Source] = src
-		s.bytes -= src.bytes
-		had := src.upto
+		s.remoteBytes -= src.bytes
+		had := src.version
 		for _, it := range d.Items {
 			if it.Ver > had {
 				out = append(out, Change{d.Source, src.put(it)})
 			}
 		}
-		s.bytes += src.bytes
+		s.remoteBytes += src.bytes
 	}
 	return out
 }
 
-// sound tells whether a delta is one that Since makes.
-func (d *Delta) sound() bool {
+// valid tells whether a delta is one that Since makes.
+func (d *Delta) valid() bool {
 	ver := d.From
 	for i := range d.Items {
 		it := &d.Items[i]
-		if it.Ver <= ver || it.Key == "" || len(it.Key) > maxName {
+		if it.Ver <= ver || it.Key == "" || len(it.Key) > maxNameBytes {
 			return false
 		}
 		ver = it.Ver
 	}
-	return ver > d.From && ver == d.Upto && d.Source != "" && len(d.Source) <= maxName
+	return ver > d.From && ver == d.Upto && d.Source != "" && len(d.Source) <= maxNameBytes
 }
 
-// room tells whether a source may take items within the bounds.
-func (s *Set) room(src *source, items []Item) bool {
-	count, bytes := len(src.items), s.bytes
+// hasCapacity tells whether a source may take items within the bounds.
+func (s *Store) hasCapacity(src *sourceState, items []Item) bool {
+	count, bytes := len(src.items), s.remoteBytes
 	for i := range items {
 		if e := src.items[items[i].Key]; e == nil {
 			count++
@@ -251,24 +251,24 @@
 	return count <= maxItems && bytes <= maxBytes
 }
 
-// Drop forgets a source that has ended, for good. The own one ends by Rebase only.
-func (s *Set) Drop(name string) {
-	if name == s.self {
+// EndSource forgets a source that has ended, for good. The own one ends by Rebase only.
+func (s *Store) EndSource(name string) {
+	if name == s.ownSource {
 		return
 	}
-	had := s.Has(name)
+	had := s.Version(name)
 	if src := s.sources[name]; src != nil {
-		s.bytes -= src.bytes
+		s.remoteBytes -= src.bytes
 		delete(s.sources, name)
 	}
-	if !s.Dropped(name) {
-		s.dropped[name] = had
-		if s.ended = append(s.ended, name); len(s.ended) > maxSources {
-			delete(s.dropped, s.ended[0])
-			s.ended = s.ended[1:]
+	if !s.Ended(name) {
+		s.endedVersions[name] = had
+		if s.endedOrder = append(s.endedOrder, name); len(s.endedOrder) > maxSources {
+			delete(s.endedVersions, s.endedOrder[0])
+			s.endedOrder = s.endedOrder[1:]
 		}
 	}
 }
 
-// Dropped tells whether the source has ended.
-func (s *Set) Dropped(name string) bool { _, is := s.dropped[name]; return is }
+// Ended tells whether the source has ended.
+func (s *Store) Ended(name string) bool { _, is := s.endedVersions[name]; return is }
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -24,12 +24,12 @@
 // agent is a table with the feed of its agent.
 type agent struct {
 	*Table
-	set   *deltasync.Set
+	set   *deltasync.Store
 	lives int
 }
 
 func newAgent(name string) *agent {
-	return &agent{Table: NewTable(name, beat), set: deltasync.NewSet(name)}
+	return &agent{Table: NewTable(name, beat), set: deltasync.NewStore(name)}
 }
 
 func (a *agent) put(in *Instance) {
@@ -64,7 +64,7 @@
 
 // pull takes what another agent has.
 func (a *agent) pull(now time.Duration, from *agent) {
-	for _, c := range a.set.Apply(from.set.Since(a.set.Vector())) {
+	for _, c := range a.set.Apply(from.set.DeltasSince(a.set.Vector())) {
 		if c.Item.Data == nil {
 			a.Untell(now, c.Source, c.Item.Key)
 			continue
@@ -79,8 +79,8 @@
 
 // end takes that another agent's source has ended.
 func (a *agent) end(now time.Duration, source string) {
-	if source != a.set.Self() && a.set.Has(source) > 0 {
-		a.set.Drop(source)
+	if source != a.set.OwnSource() && a.set.Version(source) > 0 {
+		a.set.EndSource(source)
 		a.Ended(now, source)
 	}
 }
@@ -88,8 +88,8 @@
 // rebase goes on as a new life.
 func (a *agent) rebase(now time.Duration) {
 	a.lives++
-	a.set.Rebase(fmt.Sprint(a.set.Self(), ".", a.lives))
-	a.Renamed(now, a.set.Self())
+	a.set.StartIncarnation(fmt.Sprint(a.set.OwnSource(), ".", a.lives))
+	a.Renamed(now, a.set.OwnSource())
 }
 
 func (a *agent) lists(id string) bool { return a.List().ByID[id] != nil }
@@ -300,7 +300,7 @@
 				f.agents[agent.Draw(t, "to")].pull(f.now, f.agents[agent.Draw(t, "from")])
 			},
 			"end": func(t *rapid.T) {
-				f.agents[agent.Draw(t, "at")].end(f.now, f.agents[agent.Draw(t, "of")].set.Self())
+				f.agents[agent.Draw(t, "at")].end(f.now, f.agents[agent.Draw(t, "of")].set.OwnSource())
 			},
 			"rebase": func(t *rapid.T) { f.agents[agent.Draw(t, "agent")].rebase(f.now) },
 			"time": func(t *rapid.T) {
@@ -335,7 +335,7 @@
 		selves := map[string]bool{}
 		for _, a := range f.agents {
 			a.rebase(f.now)
-			selves[a.set.Self()] = true
+			selves[a.set.OwnSource()] = true
 		}
 		for _, a := range f.agents {
 			for _, source := range a.set.Sources() {
@@ -460,7 +460,7 @@
 	assert.False(t, b.lists("dies"))
 	st, ok := b.state("drains")
 	assert.True(t, ok && st == Draining, "an end outlives who told it")
-	assert.Empty(t, b.set.Since(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
+	assert.Empty(t, b.set.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
 }
 
 // Nor does a freeze cost orphans their time: news of their next calls was not heard in it.
@@ -613,9 +613,9 @@
 	a.call(f.now, draining("d", 1))
 	f.sync()
 	a.rebase(f.now)
-	told := a.set.Own()
+	told := a.set.OwnVersion()
 	a.call(f.now, ready("s", 2))
-	assert.Equal(t, told, a.set.Own(), "it is told already")
+	assert.Equal(t, told, a.set.OwnVersion(), "it is told already")
 	b.end(f.now, "a")
 	f.sync()
 	in := ready("s", 2)
@@ -639,11 +639,11 @@
 	a.call(f.now, draining("s", 6))
 	b.call(f.now, Instance{ID: "unknown", State: Gone})
 	f.sync()
-	told := a.set.Own()
+	told := a.set.OwnVersion()
 	a.call(f.now, ready("s", 7))
 	b.call(f.now, ready("s", 7))
-	assert.Equal(t, told, a.set.Own(), "what is late is not told either")
-	assert.Equal(t, uint64(1), b.set.Own())
+	assert.Equal(t, told, a.set.OwnVersion(), "what is late is not told either")
+	assert.Equal(t, uint64(1), b.set.OwnVersion())
 	f.run(deadFor-beat, func() {
 		a.call(f.now, ready("s", 7))
 		b.call(f.now, ready("s", 8))
@@ -659,7 +659,7 @@
 		assert.Empty(t, ag.all)
 		assert.Zero(t, ag.Homes())
 	}
-	for _, d := range a.set.Since(nil) {
+	for _, d := range a.set.DeltasSince(nil) {
 		for _, it := range d.Items {
 			assert.Nil(t, it.Data, it.Key)
 		}
@@ -786,13 +786,13 @@
 	a := f.agents[0]
 	in := ready("s", 0)
 	f.run(time.Minute, f.beats(a, &in))
-	assert.Equal(t, uint64(1), a.set.Own())
+	assert.Equal(t, uint64(1), a.set.OwnVersion())
 	in.Cold = time.Second // passes by itself
 	f.run(beat, f.beats(a, &in))
-	assert.Equal(t, uint64(1), a.set.Own())
+	assert.Equal(t, uint64(1), a.set.OwnVersion())
 	in.Models = []Model{{"m", 2}}
 	f.run(beat, f.beats(a, &in))
-	assert.Equal(t, uint64(2), a.set.Own())
+	assert.Equal(t, uint64(2), a.set.OwnVersion())
 	assert.Equal(t, in.Models, a.List().ByID["s"].Models)
 }
 
--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -151,7 +151,7 @@
 			const source = "edge-7/0123456789ab"
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			ver, in := h.set.Has(source), *benchInstance(0)
+			ver, in := h.set.Version(source), *benchInstance(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				in.Seq++
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -34,10 +34,10 @@
 func (h *Hub) Commit(seq uint64, raw []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if seq <= h.set.Has(configSource) {
+	if seq <= h.set.Version(configSource) {
 		return
 	}
-	h.apply([]deltasync.Delta{{Source: configSource, From: h.set.Has(configSource), Upto: seq,
+	h.apply([]deltasync.Delta{{Source: configSource, From: h.set.Version(configSource), Upto: seq,
 		Items: []deltasync.Item{{Key: configKey, Ver: seq, Data: encode(&Config{seq, raw})}}}})
 }
 
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -54,7 +54,7 @@
 	defer hangUp()
 	core := h.o.Core.IsCore()
 	h.mu.Lock()
-	mine := &hello{Source: h.set.Self(), Addr: h.o.Self.Addr, Core: core, Vector: h.set.Vector()}
+	mine := &hello{Source: h.set.OwnSource(), Addr: h.o.Self.Addr, Core: core, Vector: h.set.Vector()}
 	h.mu.Unlock()
 	if st.Send(&message{Hello: mine, Core: core, Linked: h.o.Core.Linked()}) != nil {
 		return
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -96,7 +96,7 @@
 	start time.Time
 
 	mu        sync.Mutex
-	set       *deltasync.Set
+	set       *deltasync.Store
 	table     *registry.Table
 	leases    *lease.Table
 	members   map[string]Member // by source
@@ -130,8 +130,8 @@
 	h := &Hub{o: o, start: time.Now(), members: map[string]Member{}, sessions: map[*session]bool{},
 		changed: make(chan struct{}), ended: map[string]time.Duration{}, granted: map[string]bool{}, leases: lease.New(leaseLasts),
 		limit: rate.NewLimiter(0, 100*noticeBytes), journal: eventlog.New[deltasync.Change](keepEvents), fullReports: rate.Sometimes{Interval: fullReportEvery}}
-	h.set = deltasync.NewSet(h.newSource())
-	h.table = registry.NewTable(h.set.Self(), o.Beat)
+	h.set = deltasync.NewStore(h.newSource())
+	h.table = registry.NewTable(h.set.OwnSource(), o.Beat)
 	h.journal.View(h.fold)
 	h.journal.Slim(func(c deltasync.Change) deltasync.Change {
 		if len(c.Item.Data) > keepData {
@@ -160,7 +160,7 @@
 // announce changes an item of the own source, which reaches all. The lock is held, as in all that follow.
 func (h *Hub) announce(key string, data []byte) uint64 {
 	ver := h.set.Put(key, data)
-	h.journal.Append(deltasync.Change{Source: h.set.Self(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
+	h.journal.Append(deltasync.Change{Source: h.set.OwnSource(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
 	h.wake()
 	return ver
 }
@@ -179,7 +179,7 @@
 		}
 		return
 	}
-	own := c.Source == h.set.Self()
+	own := c.Source == h.set.OwnSource()
 	h.leases.See(now, c.Source)
 	switch {
 	case key == memberKey:
@@ -202,7 +202,7 @@
 	case strings.HasPrefix(key, leasePrefix):
 		switch agent := key[len(leasePrefix):]; {
 		case !isAgent(agent):
-		case h.set.Dropped(agent):
+		case h.set.Ended(agent):
 			if data != nil && !own {
 				h.announceEnd(agent) // who granted it doesn't know
 			}
@@ -310,7 +310,7 @@
 			h.announce(endPrefix+source, nil)
 		}
 	}
-	if h.set.Stale() {
+	if h.set.NeedsCompaction() {
 		h.rebase()
 	}
 	h.publish()
--- a/internal/fleet/relay/life_test.go
+++ b/internal/fleet/relay/life_test.go
@@ -71,7 +71,7 @@
 func (s *still) pull(from *still) {
 	from.mu.Lock()
 	s.mu.Lock()
-	deltas := from.set.Since(s.set.Vector())
+	deltas := from.set.DeltasSince(s.set.Vector())
 	s.mu.Unlock()
 	from.mu.Unlock()
 	s.mu.Lock()
@@ -79,7 +79,7 @@
 	s.apply(deltas)
 }
 
-func (s *still) source() string { return s.set.Self() }
+func (s *still) source() string { return s.set.OwnSource() }
 
 // ends are the sources that it tells the end of.
 func (s *still) ends() (out []string) {
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string][]byte{}
-	for _, d := range s.set.Since(nil) {
+	for _, d := range s.set.DeltasSince(nil) {
 		if d.Source == source {
 			for _, it := range d.Items {
 				out[it.Key] = it.Data
@@ -126,25 +126,25 @@
 func TestANewLifeIsAcknowledgedAnew(t *testing.T) {
 	s := newStill("a", false)
 	x := s.meet("h", "h/1", true)
-	s.says(x, &message{Core: true, Linked: true, Replicated: s.set.Own()})
+	s.says(x, &message{Core: true, Linked: true, Replicated: s.set.OwnVersion()})
 	for i := range 20 {
 		require.True(t, s.Beat(t.Context(), server(fmt.Sprint("s", i), 1)))
 	}
-	s.says(x, &message{Core: true, Linked: true, Replicated: s.set.Own()})
+	s.says(x, &message{Core: true, Linked: true, Replicated: s.set.OwnVersion()})
 	require.True(t, s.Beat(t.Context(), server("s0", 2)))
 	old := s.source()
 	s.mu.Lock()
 	s.end(old)
 	s.mu.Unlock()
 	require.NotEqual(t, old, s.source())
-	s.says(x, &message{Core: true, Linked: true, Got: s.set.Own() + 5, Replicated: s.set.Own() + 5}) // was on its way
+	s.says(x, &message{Core: true, Linked: true, Got: s.set.OwnVersion() + 5, Replicated: s.set.OwnVersion() + 5}) // was on its way
 	assert.False(t, s.Beat(within(t, 50*time.Millisecond), drains("s0", 3)), "no peer of the new life has it")
 	y := s.meet("h", "h/1", true)
-	s.says(y, &message{Core: true, Linked: true, Got: s.set.Own() + 5, Replicated: s.set.Own() + 5})
+	s.says(y, &message{Core: true, Linked: true, Got: s.set.OwnVersion() + 5, Replicated: s.set.OwnVersion() + 5})
 	assert.False(t, s.Beat(within(t, 50*time.Millisecond), drains("s0", 4)), "nobody has what was not told yet")
-	s.says(y, &message{Core: true, Linked: true, Got: s.set.Own()})
+	s.says(y, &message{Core: true, Linked: true, Got: s.set.OwnVersion()})
 	assert.False(t, s.Beat(within(t, 50*time.Millisecond), drains("s0", 5)), "one hub has it")
-	s.says(y, &message{Core: true, Linked: true, Replicated: s.set.Own()})
+	s.says(y, &message{Core: true, Linked: true, Replicated: s.set.OwnVersion()})
 	assert.True(t, s.Beat(t.Context(), drains("s0", 6)))
 }
 
@@ -153,13 +153,13 @@
 	h := newStill("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	a, o := h.meet("addr of a", "a/1", false), h.meet("addr of o", "o/1", true)
 	require.True(t, h.Beat(t.Context(), server("s", 1)))
-	h.says(a, &message{Got: h.set.Own() + 1})
+	h.says(a, &message{Got: h.set.OwnVersion() + 1})
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 2)))
-	h.says(a, &message{Got: h.set.Own()})
+	h.says(a, &message{Got: h.set.OwnVersion()})
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 3)))
-	h.says(o, &message{Core: true, Got: h.set.Own(), Held: deltasync.Vector{h.source(): h.set.Own() - 1}})
+	h.says(o, &message{Core: true, Got: h.set.OwnVersion(), Held: deltasync.Vector{h.source(): h.set.OwnVersion() - 1}})
 	require.False(t, h.Beat(within(t, 50*time.Millisecond), drains("s", 4)))
-	h.says(o, &message{Core: true, Held: deltasync.Vector{h.source(): h.set.Own()}})
+	h.says(o, &message{Core: true, Held: deltasync.Vector{h.source(): h.set.OwnVersion()}})
 	assert.True(t, h.Beat(t.Context(), drains("s", 5)))
 }
 
@@ -183,10 +183,10 @@
 		return s.table.List().ByID["s"] == nil
 	}, patience, time.Millisecond)
 	s.mu.Lock()
-	s.end(s.set.Self())
+	s.end(s.set.OwnSource())
 	s.mu.Unlock()
 	x := s.meet("h", "h/1", true)
-	s.says(x, &message{Core: true, Replicated: s.set.Own()})
+	s.says(x, &message{Core: true, Replicated: s.set.OwnVersion()})
 	assert.True(t, <-done)
 }
 
@@ -240,7 +240,7 @@
 	s.mu.Unlock()
 	s.tick()
 	assert.NotEqual(t, old, s.source())
-	assert.Less(t, s.set.Own(), uint64(10))
+	assert.Less(t, s.set.OwnVersion(), uint64(10))
 	assert.Contains(t, s.members, s.source())
 	assert.NotContains(t, s.members, old)
 }
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -45,7 +45,7 @@
 func (h *Hub) Bye(ctx context.Context) {
 	h.mu.Lock()
 	h.leaving = true
-	life := h.set.Self()
+	life := h.set.OwnSource()
 	ver := h.announce(endPrefix+life, []byte{1})
 	h.mu.Unlock()
 	h.awaitReceived(ctx, life, ver)
@@ -57,7 +57,7 @@
 	defer h.mu.Unlock()
 	var out []Member
 	for source, m := range h.members {
-		if source != h.set.Self() && !m.Ending && (!core || m.Core) {
+		if source != h.set.OwnSource() && !m.Ending && (!core || m.Core) {
 			out = append(out, m)
 		}
 	}
@@ -69,16 +69,16 @@
 // and goes on as a new life.
 func (h *Hub) end(source string) {
 	now := h.now()
-	if source == h.set.Self() {
+	if source == h.set.OwnSource() {
 		if !h.leaving {
 			h.rebase()
 		}
 		return
 	}
-	if h.set.Dropped(source) {
+	if h.set.Ended(source) {
 		return
 	}
-	h.set.Drop(source)
+	h.set.EndSource(source)
 	h.leases.End(now, source)
 	delete(h.members, source)
 	h.table.Ended(now, source)
@@ -99,14 +99,14 @@
 }
 
 func (h *Hub) rebase() {
-	logevent.OwnLapsed.Log("old", h.set.Self())
-	now, old := h.now(), h.set.Self()
-	h.set.Rebase(h.newSource())
+	logevent.OwnLapsed.Log("old", h.set.OwnSource())
+	now, old := h.now(), h.set.OwnSource()
+	h.set.StartIncarnation(h.newSource())
 	h.leases.End(now, old)
 	delete(h.members, old)
-	h.table.Renamed(now, h.set.Self())
+	h.table.Renamed(now, h.set.OwnSource())
 	for agent := range h.granted { // the new life holds them on
-		h.leases.Grant(now, agent, h.set.Self())
+		h.leases.Grant(now, agent, h.set.OwnSource())
 	}
 	for s := range h.sessions {
 		s.cancel() // it began with the old name, and what the peer has is of that
@@ -124,7 +124,7 @@
 	if !tells && (core || h.attached == 0 || now-h.attached <= 2*leaseLasts) {
 		return
 	}
-	here := map[string]bool{h.set.Self(): true}
+	here := map[string]bool{h.set.OwnSource(): true}
 	for s := range h.sessions {
 		here[s.source] = true
 	}
@@ -145,7 +145,7 @@
 func (h *Hub) grant(core bool) {
 	held := map[string]bool{}
 	for s := range h.sessions {
-		if core && !h.set.Dropped(s.source) {
+		if core && !h.set.Ended(s.source) {
 			held[s.source] = true
 		}
 	}
--- a/internal/fleet/relay/replication.go
+++ b/internal/fleet/relay/replication.go
@@ -18,7 +18,7 @@
 func (h *Hub) replicate(s *session, m *message, hubs []Peer) {
 	for i := range m.Deltas {
 		d := &m.Deltas[i]
-		if h.set.Has(d.Source) < d.Upto {
+		if h.set.Version(d.Source) < d.Upto {
 			continue // it was passed over
 		}
 		s.unacked[d.Source] = true
@@ -32,7 +32,7 @@
 // recordHeld takes the version of a source that a peer holds, and wakes who waits for a majority to
 // hold it. A version that is not known here proves nothing.
 func (h *Hub) recordHeld(s *session, source string, version uint64, hubs []Peer) {
-	version = min(version, h.set.Has(source))
+	version = min(version, h.set.Version(source))
 	if version <= s.held[source] {
 		return
 	}
@@ -45,7 +45,7 @@
 
 // announceReplicated wakes who waits for the replicated version of a source.
 func (h *Hub) announceReplicated(source string) {
-	if source == h.set.Self() {
+	if source == h.set.OwnSource() {
 		h.wake()
 		return
 	}
@@ -67,7 +67,7 @@
 	}
 	held := make(deltasync.Vector, len(s.unacked))
 	for source := range s.unacked {
-		if version := h.set.Has(source); version > 0 {
+		if version := h.set.Version(source); version > 0 {
 			held[source] = version
 		}
 	}
@@ -93,7 +93,7 @@
 // heldBy is the version of a source that a machine of the core is known to hold.
 func (h *Hub) heldBy(addr, source string) uint64 {
 	if addr == h.o.Self.Addr {
-		return h.set.Has(source)
+		return h.set.Version(source)
 	}
 	version := uint64(0)
 	for s := range h.sessions {
@@ -108,7 +108,7 @@
 // announced up to a version.
 func (h *Hub) awaitReplicated(ctx context.Context, life string, version uint64) bool {
 	return h.await(ctx, life, version, func(version uint64, core bool, hubs []Peer) bool {
-		if core && h.replicatedVersion(h.set.Self(), hubs) >= version {
+		if core && h.replicatedVersion(h.set.OwnSource(), hubs) >= version {
 			return true
 		}
 		for s := range h.sessions {
@@ -141,8 +141,8 @@
 	for {
 		core, hubs := h.o.Core.IsCore(), h.o.Core.Hubs()
 		h.mu.Lock()
-		if h.set.Self() != life {
-			life, version = h.set.Self(), h.set.Own()
+		if h.set.OwnSource() != life {
+			life, version = h.set.OwnSource(), h.set.OwnVersion()
 		}
 		done, changed := arrived(version, core, hubs), h.changed
 		h.mu.Unlock()
--- a/internal/fleet/relay/replication_test.go
+++ b/internal/fleet/relay/replication_test.go
@@ -138,11 +138,11 @@
 	s := newStill("a", false)
 	x := s.meet("addr of b", "b/1", false)
 	require.True(t, s.Beat(t.Context(), server("s", 1)))
-	s.says(x, &message{Linked: true, Got: s.set.Own() + 1, Replicated: s.set.Own() + 1})
+	s.says(x, &message{Linked: true, Got: s.set.OwnVersion() + 1, Replicated: s.set.OwnVersion() + 1})
 	assert.False(t, s.Beat(within(t, 50*time.Millisecond), drains("s", 2)), "no hub")
-	s.says(x, &message{Core: true, Linked: true, Got: s.set.Own()})
+	s.says(x, &message{Core: true, Linked: true, Got: s.set.OwnVersion()})
 	assert.False(t, s.Beat(within(t, 50*time.Millisecond), drains("s", 3)), "one hub that has it is not enough")
-	s.says(x, &message{Core: true, Replicated: s.set.Own()})
+	s.says(x, &message{Core: true, Replicated: s.set.OwnVersion()})
 	assert.True(t, s.Beat(t.Context(), drains("s", 4)))
 }
 
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -39,12 +39,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	r := Report{Source: h.set.Self(), Fresh: h.synced, Seq: h.seq, Servers: h.table.Views(now)}
+	r := Report{Source: h.set.OwnSource(), Fresh: h.synced, Seq: h.seq, Servers: h.table.Views(now)}
 	if h.doc != nil {
 		r.Revision = h.doc.Revision
 	}
 	for source, m := range h.members {
-		r.Members = append(r.Members, MemberReport{m, source, h.leases.Held(source), source == h.set.Self()})
+		r.Members = append(r.Members, MemberReport{m, source, h.leases.Held(source), source == h.set.OwnSource()})
 	}
 	slices.SortFunc(r.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
 	for s := range h.sessions {
--- a/internal/fleet/relay/return_test.go
+++ b/internal/fleet/relay/return_test.go
@@ -84,7 +84,7 @@
 	vector := agent.set.Vector()
 	agent.mu.Unlock()
 	hub.mu.Lock()
-	for _, d := range hub.set.Since(vector) {
+	for _, d := range hub.set.DeltasSince(vector) {
 		assert.NotEqual(t, configSource, d.Source, "a hub sends no older configuration")
 	}
 	hub.mu.Unlock()
--- a/internal/fleet/relay/servers.go
+++ b/internal/fleet/relay/servers.go
@@ -106,7 +106,7 @@
 		h.announce(instPrefix+id, encode(told))
 		h.publish()
 	}
-	return h.set.Self(), h.set.Own()
+	return h.set.OwnSource(), h.set.OwnVersion()
 }
 
 // reportFull logs now and then that a server found no room.
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -121,9 +121,9 @@
 	h.mu.Lock()
 	var refusal error
 	switch {
-	case theirs.Source == h.set.Self():
+	case theirs.Source == h.set.OwnSource():
 		refusal = errors.New("a session with itself")
-	case mine != nil && mine.Source != h.set.Self():
+	case mine != nil && mine.Source != h.set.OwnSource():
 		refusal = errors.New("the session was begun by an earlier life")
 	case len(h.sessions) >= maxSessions:
 		refusal = errors.New("too many sessions at this hub: use another")
@@ -133,7 +133,7 @@
 		cancel()
 		return refusal
 	}
-	if h.set.Dropped(theirs.Source) {
+	if h.set.Ended(theirs.Source) {
 		h.announceEnd(theirs.Source) // it was away when that was told
 	}
 	s := &session{peer: peer, source: theirs.Source, core: theirs.Core, dialed: first != nil, has: maps.Clone(theirs.Vector),
@@ -196,7 +196,7 @@
 	}
 	h.apply(m.Deltas)
 	for i := range m.Deltas {
-		if d := &m.Deltas[i]; h.set.Has(d.Source) >= d.Upto {
+		if d := &m.Deltas[i]; h.set.Version(d.Source) >= d.Upto {
 			s.has[d.Source] = max(s.has[d.Source], d.Upto)
 		}
 	}
@@ -204,11 +204,11 @@
 		h.replicate(s, m, hubs)
 	}
 	h.receiveNotices(s, m.Notices)
-	if m.Got > s.got && m.Got <= h.set.Own() {
+	if m.Got > s.got && m.Got <= h.set.OwnVersion() {
 		s.got = m.Got
 		h.wake()
 	}
-	if m.Replicated > s.replicated && m.Replicated <= h.set.Own() {
+	if m.Replicated > s.replicated && m.Replicated <= h.set.OwnVersion() {
 		s.replicated = m.Replicated
 		h.wake()
 	}
@@ -236,7 +236,7 @@
 func (h *Hub) greet(st *stream) error {
 	m := &message{Core: h.o.Core.IsCore(), Linked: h.o.Core.Linked()}
 	h.mu.Lock()
-	m.Hello = &hello{Source: h.set.Self(), Addr: h.o.Self.Addr, Core: true, Vector: h.set.Vector()}
+	m.Hello = &hello{Source: h.set.OwnSource(), Addr: h.o.Self.Addr, Core: true, Vector: h.set.Vector()}
 	h.mu.Unlock()
 	return st.Send(m)
 }
@@ -257,13 +257,13 @@
 		hubs := h.o.Core.Hubs()
 		h.mu.Lock()
 		changed := h.changed
-		m.Deltas = h.set.Since(s.has)
+		m.Deltas = h.set.DeltasSince(s.has)
 		for _, d := range m.Deltas {
 			s.has[d.Source] = d.Upto
 		}
 		var shared []byte // goes ahead, so it says of Full what was said last
 		shared, m.Deltas = h.shareConfig(&message{Core: m.Core, Linked: m.Linked, Full: full}, m.Deltas)
-		m.Got, m.Full, m.Held = h.set.Had(s.source), h.hasAll(), h.acknowledge(s)
+		m.Got, m.Full, m.Held = h.set.LastVersion(s.source), h.hasAll(), h.acknowledge(s)
 		if m.Core && !s.core {
 			m.Replicated = h.replicatedVersion(s.source, hubs)
 		}
--- a/internal/fleet/relay/shared_test.go
+++ b/internal/fleet/relay/shared_test.go
@@ -18,7 +18,7 @@
 	take := func(flags message) (shared []byte, rest []deltasync.Delta) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.shareConfig(&flags, h.set.Since(nil))
+		return h.shareConfig(&flags, h.set.DeltasSince(nil))
 	}
 	first, rest := take(message{Core: true, Linked: true, Full: true})
 	require.NotEmpty(t, first)
@@ -54,7 +54,7 @@
 	h.Commit(1, document(1))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shared, rest := h.shareConfig(&message{Core: true}, h.set.Since(nil))
+	shared, rest := h.shareConfig(&message{Core: true}, h.set.DeltasSince(nil))
 	assert.Empty(t, shared)
 	assert.Len(t, rest, 2)
 }
