--- a/internal/fleet/registry/bench_test.go
+++ b/internal/fleet/registry/bench_test.go
@@ -8,35 +8,35 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-const benchBeat = 1200 * time.Millisecond
+const benchHeartbeatInterval = 1200 * time.Millisecond
 
 func benchInstance(i int) *Instance {
 	return &Instance{ID: fmt.Sprintf("i-%08x", i), Service: fmt.Sprintf("service-%d", i%6), Addr: fmt.Sprintf("10.128.%d.%d:8080", i/250, i%250),
 		Zone: "zone-a", Revision: "v1", Slots: 64, Seq: 1, Models: []Model{{"model-a", 1}}}
 }
 
-// listed is a table that knows so many servers, of which homes beat here.
-func listed(servers, homes int) *Table {
-	t := NewTable("self", benchBeat)
+// filledTable is a table that knows so many servers, of which homes beat here.
+func filledTable(servers, homes int) *Table {
+	t := NewTable("self", benchHeartbeatInterval)
 	for i := range servers {
 		if i < homes {
-			_, _ = t.Beat(time.Second, benchInstance(i))
+			_, _ = t.Heartbeat(time.Second, benchInstance(i))
 		} else {
-			t.Tell(time.Second, fmt.Sprintf("edge-%d", i%360), benchInstance(i))
+			t.Report(time.Second, fmt.Sprintf("edge-%d", i%360), benchInstance(i))
 		}
 	}
 	return t
 }
 
 // A beat that says nothing new.
-func BenchmarkBeat(b *testing.B) {
-	t := listed(850, 3)
+func BenchmarkHeartbeat(b *testing.B) {
+	t := filledTable(850, 3)
 	ins := []*Instance{benchInstance(0), benchInstance(0)}
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
 		in := ins[n%2] // the table keeps the last one
 		in.Seq = n
-		if told, err := t.Beat(time.Second, in); told != nil || err != nil {
+		if told, err := t.Heartbeat(time.Second, in); told != nil || err != nil {
 			b.Fatal("told", told, err)
 		}
 	}
@@ -45,7 +45,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			t := listed(servers, 3)
+			t := filledTable(servers, 3)
 			b.ReportAllocs()
 			for b.Loop() {
 				t.Tick(time.Second)
@@ -58,14 +58,14 @@
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			t := listed(servers, 3)
+			t := filledTable(servers, 3)
 			in := *benchInstance(servers - 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				next := in
 				next.Seq++
 				in = next
-				t.Tell(time.Second, fmt.Sprintf("edge-%d", (servers-1)%360), &next)
+				t.Report(time.Second, fmt.Sprintf("edge-%d", (servers-1)%360), &next)
 				if len(t.List().ByID) != servers {
 					b.Fatal("not listed")
 				}
@@ -80,7 +80,7 @@
 	var bytes int64
 	for b.Loop() {
 		bytes = heapsize.Of(func() any {
-			t := listed(servers, 3)
+			t := filledTable(servers, 3)
 			t.List()
 			return t
 		})
--- a/internal/fleet/registry/final_test.go
+++ b/internal/fleet/registry/final_test.go
@@ -8,19 +8,19 @@
 )
 
 // An end stays final when the one who told it tells it no more, and another still tells what was before.
-func TestAnEndOutlivesItsTeller(t *testing.T) {
+func TestFinalStateOutlivesItsReport(t *testing.T) {
 	t.Parallel()
 	now := time.Minute
-	for name, end := range map[string]State{"draining": Draining, "gone": Gone} {
+	for name, end := range map[string]State{"draining": Draining, "gone": Deregistered} {
 		table := NewTable("self", time.Second)
 		before := &Instance{ID: "s", Service: "m", Addr: "s:1", Seq: 1, State: Ready}
 		after := *before
 		after.Seq, after.State = 2, end
-		table.Tell(now, "former home", before)
+		table.Report(now, "former home", before)
 		assert.Contains(t, table.List().ByID, "s")
-		table.Tell(now, "newer home", &after)
+		table.Report(now, "newer home", &after)
 		assert.NotContains(t, table.List().ByID, "s", name)
-		table.Untell(now, "newer home", "s")
+		table.Withdraw(now, "newer home", "s")
 		assert.NotContains(t, table.List().ByID, "s", name)
 	}
 }
--- a/internal/fleet/registry/late_test.go
+++ b/internal/fleet/registry/late_test.go
@@ -11,15 +11,15 @@
 
 // A server that says first that it leaves, and serves and beats on: it is off the list at once and
 // stays off, at every agent, whatever calls of it come later and with what number.
-func TestAServerThatLeavesFirstAndServesOn(t *testing.T) {
-	f := newFleet("a", "b")
+func TestDeregisteredServerThatKeepsServing(t *testing.T) {
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	a.call(f.now, ready("s", 5))
-	f.sync()
+	f.syncAll()
 	require.True(t, b.lists("s"))
-	b.call(f.now, Instance{ID: "s", State: Gone}) // at another agent than it beats
+	b.call(f.now, Instance{ID: "s", State: Deregistered}) // at another agent than it beats
 	require.False(t, b.lists("s"))
-	f.sync()
+	f.syncAll()
 	require.False(t, a.lists("s"))
 	seq := uint64(6)
 	f.run(30*time.Second, func() {
@@ -28,11 +28,11 @@
 			b.call(f.now, in)
 		}
 		seq += 2
-		f.sync()
+		f.syncAll()
 		for _, agent := range f.agents {
 			state, known := agent.state("s")
 			require.True(t, known)
-			require.Equal(t, Gone, state)
+			require.Equal(t, Deregistered, state)
 			require.False(t, agent.lists("s"))
 		}
 	})
@@ -40,32 +40,32 @@
 
 // Beats that come seconds late, with a lower number than the drain or with a higher one that was
 // given before it was decided, undo no drain, at the agent that took it and at others.
-func TestBeatsThatComeSecondsLateUndoNoDrain(t *testing.T) {
+func TestLateHeartbeatsUndoNoDrain(t *testing.T) {
 	for _, seq := range []uint64{1, 9, 10, 11, 1000} {
 		t.Run(fmt.Sprint(seq), func(t *testing.T) {
-			f := newFleet("a", "b", "c")
+			f := newTestFleet("a", "b", "c")
 			f.agents[0].call(f.now, ready("s", 9))
-			f.sync()
+			f.syncAll()
 			f.agents[1].call(f.now, draining("s", 10))
-			f.sync()
+			f.syncAll()
 			f.run(10*time.Second, func() {
 				for _, agent := range f.agents {
 					agent.call(f.now, ready("s", seq))
 				}
-				f.sync()
+				f.syncAll()
 				for i, agent := range f.agents {
 					state, known := agent.state("s")
 					require.True(t, known, "agent %d", i)
 					require.Equal(t, Draining, state, "agent %d", i)
 				}
 			})
-			f.agents[2].call(f.now, Instance{ID: "s", State: Gone})
-			f.sync()
+			f.agents[2].call(f.now, Instance{ID: "s", State: Deregistered})
+			f.syncAll()
 			f.agents[0].call(f.now, draining("s", seq))
-			f.sync()
+			f.syncAll()
 			for i, agent := range f.agents {
 				state, _ := agent.state("s")
-				assert.Equal(t, Gone, state, "agent %d", i)
+				assert.Equal(t, Deregistered, state, "agent %d", i)
 			}
 		})
 	}
@@ -73,19 +73,19 @@
 
 // A server that crashed comes back at its address under a new id: the new one is listed with its
 // first beat, and the old one is off the list when its beats have been missed.
-func TestACrashedServerIsListedUnderItsNewID(t *testing.T) {
+func TestCrashedServerIsListedUnderItsNewID(t *testing.T) {
 	old, next := ready("s/1", 0), ready("s/2", 0)
-	f := newFleet("home of the old", "home of the new")
+	f := newTestFleet("home of the old", "home of the new")
 	a, b := f.agents[0], f.agents[1]
-	f.run(10*beat, f.beats(a, &old))
-	f.sync()
-	beats := f.beats(b, &next)
+	f.run(10*heartbeatInterval, f.heartbeats(a, &old))
+	f.syncAll()
+	beats := f.heartbeats(b, &next)
 	beats()
 	require.True(t, b.lists("s/2"), "at once")
-	f.sync()
+	f.syncAll()
 	require.True(t, a.lists("s/2"))
-	f.run(3*beat+beat/2+tick, beats)
-	f.sync()
+	f.run(3*heartbeatInterval+heartbeatInterval/2+tickInterval, beats)
+	f.syncAll()
 	for i, agent := range f.agents {
 		assert.True(t, agent.lists("s/2"), "agent %d", i)
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
@@ -93,7 +93,7 @@
 	// A repeat of its last beat, or one from before, seconds late, brings it back at none.
 	a.call(f.now, ready("s/1", old.Seq))
 	b.call(f.now, ready("s/1", old.Seq-1))
-	f.sync()
+	f.syncAll()
 	for i, agent := range f.agents {
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
 	}
@@ -103,11 +103,11 @@
 }
 
 // A server that gives no numbers is listed again, too, when it beats again.
-func TestABeatWithoutNumberBringsALostServerBack(t *testing.T) {
-	f := newFleet("a")
+func TestUnnumberedHeartbeatRevivesExpiredServer(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	a.call(f.now, ready("s", 0))
-	f.run(5*beat, nil)
+	f.run(5*heartbeatInterval, nil)
 	require.False(t, a.lists("s"))
 	a.call(f.now, ready("s", 0))
 	assert.True(t, a.lists("s"))
--- a/internal/fleet/registry/table.go
+++ b/internal/fleet/registry/table.go
@@ -9,179 +9,179 @@
 )
 
 const (
-	// silentBeats is how many beats a server may miss before its home takes it for lost.
-	silentBeats = 3.5
-	// orphanBeats is for how many beats a server is kept whose home has gone: it calls the next agent.
-	orphanBeats = 4
-	// restoreBeats is for how many a server is kept that is known from disk only.
-	restoreBeats = 3
-	// deadFor is how long it is remembered that an instance drained or left, against late calls.
-	deadFor = 90 * time.Second
+	// expiryHeartbeats is how many beats a server may miss before its home takes it for lost.
+	expiryHeartbeats = 3.5
+	// orphanHeartbeats is for how many beats a server is kept whose home has gone: it calls the next agent.
+	orphanHeartbeats = 4
+	// restoredHeartbeats is for how many a server is kept that is known from disk only.
+	restoredHeartbeats = 3
+	// tombstoneRetention is how long it is remembered that an instance drained or left, against late calls.
+	tombstoneRetention = 90 * time.Second
 	// maxInstances bounds what is known of instances.
 	maxInstances = 8192
-	// wake is the pause between two ticks after which the process was frozen: what it did not hear
+	// freezeThreshold is the pause between two ticks after which the process was frozen: what it did not hear
 	// in that time tells nothing.
-	wake = time.Second
+	freezeThreshold = time.Second
 )
 
 // ErrFull answers a call of a server that the table does not know and has no room for.
 var ErrFull = errors.New("the list of servers is full: call another agent, and look for servers that come again under new ids")
 
-// record is what one source tells of an instance.
-type record struct {
+// report is what one source tells of an instance.
+type report struct {
 	*Instance
-	until time.Duration // when it goes by itself; 0: it doesn't
+	expiresAt time.Duration // when it goes by itself; 0: it doesn't
 }
 
-// home is an instance whose beats come here.
-type home struct {
-	last  *Instance // as it beat last
-	heard time.Duration
-	told  *Instance // as the own source tells it
+// localInstance is an instance whose beats come here.
+type localInstance struct {
+	latest        *Instance // as it beat last
+	lastHeartbeat time.Duration
+	published     *Instance // as the own source tells it
 }
 
-// known is all that is told of an instance.
-type known struct {
-	by    map[string]record
-	best  *Instance     // what holds
-	owner string        // the source that tells it
-	dead  time.Duration // since when it is in a state that is not Ready; 0: it is Ready
+// entry is all that is told of an instance.
+type entry struct {
+	reports    map[string]report
+	current    *Instance     // what holds
+	owner      string        // the source that tells it
+	endedSince time.Duration // since when it is in a state that is not Ready; 0: it is Ready
 }
 
 // Table folds beats, leaves and the feed into the list. It is not safe for concurrent use. Times
 // are on the steady clock and above zero.
 type Table struct {
-	self   string
-	beat   time.Duration
-	all    map[string]*known
-	homes  map[string]*home
-	list   *List
-	ver    uint64
-	dirty  bool
-	ticked time.Duration
+	ownSource         string
+	heartbeatInterval time.Duration
+	entries           map[string]*entry
+	local             map[string]*localInstance
+	list              *List
+	listVersion       uint64
+	listStale         bool
+	lastTick          time.Duration
 }
 
 // NewTable returns an empty table for the agent whose own source is self.
 func NewTable(self string, beat time.Duration) *Table {
-	return &Table{self: self, beat: beat, all: map[string]*known{}, homes: map[string]*home{}, list: &List{}}
+	return &Table{ownSource: self, heartbeatInterval: beat, entries: map[string]*entry{}, local: map[string]*localInstance{}, list: &List{}}
 }
 
-// Beat takes a server's call and returns what the own source has to tell of it: nil if nothing
+// Heartbeat takes a server's call and returns what the own source has to tell of it: nil if nothing
 // new, or if the call is late or the instance is known to end. The call of an unknown server to a
 // full table is refused by ErrFull: what it says would be lost.
-func (t *Table) Beat(now time.Duration, in *Instance) (*Instance, error) {
-	k := t.all[in.ID]
-	if k == nil && len(t.all) >= maxInstances {
+func (t *Table) Heartbeat(now time.Duration, in *Instance) (*Instance, error) {
+	k := t.entries[in.ID]
+	if k == nil && len(t.entries) >= maxInstances {
 		return nil, ErrFull
 	}
-	if k != nil && k.best != nil {
-		if k.best.State == Gone || k.best.State == Draining && in.State == Ready {
+	if k != nil && k.current != nil {
+		if k.current.State == Deregistered || k.current.State == Draining && in.State == Ready {
 			return nil, nil
 		}
-		if in.State == Ready && late(in, k.best) {
+		if in.State == Ready && isLate(in, k.current) {
 			return nil, nil
 		}
 	}
-	h := t.homes[in.ID]
+	h := t.local[in.ID]
 	if h == nil {
-		h = &home{}
-		t.homes[in.ID] = h
+		h = &localInstance{}
+		t.local[in.ID] = h
 	}
-	if h.last != nil && in.Seq <= h.last.Seq && in.State <= h.last.State {
-		if in.Seq == h.last.Seq {
-			h.heard = now // the same again; a late one proves nothing
+	if h.latest != nil && in.Seq <= h.latest.Seq && in.State <= h.latest.State {
+		if in.Seq == h.latest.Seq {
+			h.lastHeartbeat = now // the same again; a late one proves nothing
 		}
 		return nil, nil
 	}
-	h.last, h.heard = in, now
-	if h.told != nil && same(h.told, in) && k != nil && k.owner == t.self {
+	h.latest, h.lastHeartbeat = in, now
+	if h.published != nil && samePublished(h.published, in) && k != nil && k.owner == t.ownSource {
 		return nil, nil
 	}
-	h.told = in
-	t.Tell(now, t.self, in)
+	h.published = in
+	t.Report(now, t.ownSource, in)
 	return in, nil
 }
 
-// late tells whether a beat is from before what is known: also a repeated last beat of a server that
+// isLate tells whether a beat is from before what is known: also a repeated last beat of a server that
 // was lost since. A server that gives no numbers is never late.
-func late(in, known *Instance) bool {
-	return in.Seq < known.Seq || known.State == Lost && in.Seq == known.Seq && in.Seq > 0
+func isLate(in, known *Instance) bool {
+	return in.Seq < known.Seq || known.State == Expired && in.Seq == known.Seq && in.Seq > 0
 }
 
-// Leave takes a server's word that it ends, as Beat does.
-func (t *Table) Leave(now time.Duration, id string) (*Instance, error) {
-	k := t.all[id]
-	if k == nil && len(t.all) >= maxInstances {
+// Deregister takes a server's word that it ends, as Beat does.
+func (t *Table) Deregister(now time.Duration, id string) (*Instance, error) {
+	k := t.entries[id]
+	if k == nil && len(t.entries) >= maxInstances {
 		return nil, ErrFull
 	}
-	in := &Instance{ID: id, State: Gone}
-	if k != nil && k.best != nil {
-		if k.best.State == Gone {
+	in := &Instance{ID: id, State: Deregistered}
+	if k != nil && k.current != nil {
+		if k.current.State == Deregistered {
 			return nil, nil
 		}
-		gone := *k.best
-		gone.State = Gone
+		gone := *k.current
+		gone.State = Deregistered
 		in = &gone
 	}
-	if h := t.homes[id]; h != nil && h.last != nil {
-		in.Seq = max(in.Seq, h.last.Seq)
+	if h := t.local[id]; h != nil && h.latest != nil {
+		in.Seq = max(in.Seq, h.latest.Seq)
 	}
 	in.Seq++
-	delete(t.homes, id)
-	t.Tell(now, t.self, in)
+	delete(t.local, id)
+	t.Report(now, t.ownSource, in)
 	return in, nil
 }
 
-// same tells whether what matters to others is alike. A cold start passes by itself.
-func same(a, b *Instance) bool {
+// samePublished tells whether what matters to others is alike. A cold start passes by itself.
+func samePublished(a, b *Instance) bool {
 	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.State == b.State &&
 		a.Slots == b.Slots && a.Revision == b.Revision && slices.Equal(a.Models, b.Models)
 }
 
-// Tell takes what a source tells of an instance. False: the table is full and does not know it.
-func (t *Table) Tell(now time.Duration, source string, in *Instance) bool {
-	k := t.all[in.ID]
+// Report takes what a source tells of an instance. False: the table is full and does not know it.
+func (t *Table) Report(now time.Duration, source string, in *Instance) bool {
+	k := t.entries[in.ID]
 	if k == nil {
-		if len(t.all) >= maxInstances {
+		if len(t.entries) >= maxInstances {
 			return false
 		}
-		k = &known{by: map[string]record{}}
-		t.all[in.ID] = k
+		k = &entry{reports: map[string]report{}}
+		t.entries[in.ID] = k
 	}
-	k.by[source] = record{Instance: in}
-	t.settle(now, k)
+	k.reports[source] = report{Instance: in}
+	t.resolve(now, k)
 	return true
 }
 
-// Untell takes back what a source told of an instance.
-func (t *Table) Untell(now time.Duration, source, id string) {
-	if k := t.all[id]; k != nil {
-		delete(k.by, source)
-		t.settle(now, k)
+// Withdraw takes back what a source told of an instance.
+func (t *Table) Withdraw(now time.Duration, source, id string) {
+	if k := t.entries[id]; k != nil {
+		delete(k.reports, source)
+		t.resolve(now, k)
 	}
 }
 
 // Restore takes an instance that an earlier life of this agent knew: it is listed until its next
 // beats are due. False: more is known of it.
 func (t *Table) Restore(now time.Duration, in *Instance) bool {
-	if t.all[in.ID] != nil || len(t.all) >= maxInstances {
+	if t.entries[in.ID] != nil || len(t.entries) >= maxInstances {
 		return false
 	}
-	k := &known{by: map[string]record{t.self: {in, now + restoreBeats*t.beat}}}
-	t.all[in.ID] = k
-	t.settle(now, k)
+	k := &entry{reports: map[string]report{t.ownSource: {in, now + restoredHeartbeats*t.heartbeatInterval}}}
+	t.entries[in.ID] = k
+	t.resolve(now, k)
 	return true
 }
 
-// settle finds what holds of an instance: an end is final, else the newest call.
-func (t *Table) settle(now time.Duration, k *known) {
+// resolve finds what holds of an instance: an end is final, else the newest call.
+func (t *Table) resolve(now time.Duration, k *entry) {
 	var best *Instance
 	owner := ""
-	for source, r := range k.by {
+	for source, r := range k.reports {
 		better := best == nil
 		if !better {
 			a, b := r.Instance, best
-			ends := func(i *Instance) State { return max(i.State, Lost) } // Ready and Lost go by Seq
+			ends := func(i *Instance) State { return max(i.State, Expired) } // Ready and Lost go by Seq
 			better = cmp.Or(cmp.Compare(ends(a), ends(b)), cmp.Compare(a.Seq, b.Seq), cmp.Compare(a.State, b.State),
 				cmp.Compare(source, owner)) > 0
 		}
@@ -189,40 +189,40 @@
 			best, owner = r.Instance, source
 		}
 	}
-	if k.best != nil && k.best.State >= Draining && (best == nil || best.State < k.best.State) {
+	if k.current != nil && k.current.State >= Draining && (best == nil || best.State < k.current.State) {
 		return // final, whoever told it
 	}
 	switch {
 	case best == nil || best.State == Ready:
-		k.dead = 0
-	case k.best == nil || k.best.State != best.State:
-		k.dead = now
+		k.endedSince = 0
+	case k.current == nil || k.current.State != best.State:
+		k.endedSince = now
 	}
-	if k.best != best {
-		t.dirty = true
+	if k.current != best {
+		t.listStale = true
 	}
-	k.best, k.owner = best, owner
+	k.current, k.owner = best, owner
 }
 
-// Ended takes that a source has ended: its servers call another agent soon, or are dropped.
-func (t *Table) Ended(now time.Duration, source string) {
-	for _, k := range t.all {
-		if r, ok := k.by[source]; ok && r.until == 0 {
-			r.until = now + orphanBeats*t.beat
-			k.by[source] = r
+// SourceEnded takes that a source has ended: its servers call another agent soon, or are dropped.
+func (t *Table) SourceEnded(now time.Duration, source string) {
+	for _, k := range t.entries {
+		if r, ok := k.reports[source]; ok && r.expiresAt == 0 {
+			r.expiresAt = now + orphanHeartbeats*t.heartbeatInterval
+			k.reports[source] = r
 		}
 	}
 }
 
-// Renamed takes that the own source has a new name.
-func (t *Table) Renamed(now time.Duration, self string) {
-	old := t.self
-	t.self = self
-	for _, k := range t.all {
-		if r, ok := k.by[old]; ok {
-			delete(k.by, old)
-			k.by[self] = r
-			t.settle(now, k)
+// RenameOwnSource takes that the own source has a new name.
+func (t *Table) RenameOwnSource(now time.Duration, self string) {
+	old := t.ownSource
+	t.ownSource = self
+	for _, k := range t.entries {
+		if r, ok := k.reports[old]; ok {
+			delete(k.reports, old)
+			k.reports[self] = r
+			t.resolve(now, k)
 		}
 	}
 }
@@ -231,60 +231,60 @@
 // to tell nothing any more.
 func (t *Table) Tick(now time.Duration) (tell []*Instance, untell []string) {
 	slept := time.Duration(0)
-	if t.ticked > 0 && now-t.ticked > wake {
-		slept = now - t.ticked
+	if t.lastTick > 0 && now-t.lastTick > freezeThreshold {
+		slept = now - t.lastTick
 	}
-	t.ticked = now
-	for id, h := range t.homes {
-		switch k := t.all[id]; {
-		case k == nil || k.best == nil:
-			delete(t.homes, id)
+	t.lastTick = now
+	for id, h := range t.local {
+		switch k := t.entries[id]; {
+		case k == nil || k.current == nil:
+			delete(t.local, id)
 		case slept > 0:
-			h.heard = now
-		case k.owner != t.self && k.best.Seq > h.last.Seq:
-			delete(t.homes, id) // it calls another agent
-		case now-h.heard > time.Duration(silentBeats*float64(t.beat)):
-			delete(t.homes, id)
-			if k.best.State < Draining {
-				lost := *h.last
-				lost.State = Lost
-				t.Tell(now, t.self, &lost)
+			h.lastHeartbeat = now
+		case k.owner != t.ownSource && k.current.Seq > h.latest.Seq:
+			delete(t.local, id) // it calls another agent
+		case now-h.lastHeartbeat > time.Duration(expiryHeartbeats*float64(t.heartbeatInterval)):
+			delete(t.local, id)
+			if k.current.State < Draining {
+				lost := *h.latest
+				lost.State = Expired
+				t.Report(now, t.ownSource, &lost)
 				tell = append(tell, &lost)
 			}
 		}
 	}
-	for id, k := range t.all {
+	for id, k := range t.entries {
 		// What was told of a server that calls another agent now would outlive both.
-		if r, own := k.by[t.self]; own && r.until == 0 && t.homes[id] == nil && r.State < Draining &&
-			(r.State == Ready || k.owner != t.self) {
-			r.until = now + orphanBeats*t.beat
-			k.by[t.self] = r
+		if r, own := k.reports[t.ownSource]; own && r.expiresAt == 0 && t.local[id] == nil && r.State < Draining &&
+			(r.State == Ready || k.owner != t.ownSource) {
+			r.expiresAt = now + orphanHeartbeats*t.heartbeatInterval
+			k.reports[t.ownSource] = r
 		}
-		for source, r := range k.by {
+		for source, r := range k.reports {
 			switch {
-			case r.until == 0:
+			case r.expiresAt == 0:
 			case slept > 0:
-				r.until += slept
-				k.by[source] = r
-			case now >= r.until:
-				delete(k.by, source)
-				if source == t.self {
+				r.expiresAt += slept
+				k.reports[source] = r
+			case now >= r.expiresAt:
+				delete(k.reports, source)
+				if source == t.ownSource {
 					untell = append(untell, id)
 				}
-				t.settle(now, k)
+				t.resolve(now, k)
 			}
 		}
-		if old := k.dead > 0 && now-k.dead > deadFor; old || k.best == nil && len(k.by) == 0 {
-			if _, own := k.by[t.self]; own {
+		if old := k.endedSince > 0 && now-k.endedSince > tombstoneRetention; old || k.current == nil && len(k.reports) == 0 {
+			if _, own := k.reports[t.ownSource]; own {
 				untell = append(untell, id)
 			}
-			if old && len(k.by) > 1 {
-				delete(k.by, t.self)
+			if old && len(k.reports) > 1 {
+				delete(k.reports, t.ownSource)
 				continue // others still tell it
 			}
-			delete(t.all, id)
-			delete(t.homes, id)
-			t.dirty = true
+			delete(t.entries, id)
+			delete(t.local, id)
+			t.listStale = true
 		}
 	}
 	slices.Sort(untell)
@@ -294,16 +294,16 @@
 
 // List is the servers that may be sent requests, with a new Version when it changed.
 func (t *Table) List() *List {
-	if !t.dirty {
+	if !t.listStale {
 		return t.list
 	}
-	t.dirty = false
-	t.ver++
-	l := &List{Version: t.ver, ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}}
-	for id, k := range t.all {
-		if k.best != nil && k.best.State == Ready {
-			l.ByID[id] = k.best
-			l.ByService[k.best.Service] = append(l.ByService[k.best.Service], k.best)
+	t.listStale = false
+	t.listVersion++
+	l := &List{Version: t.listVersion, ByService: map[string][]*Instance{}, ByID: map[string]*Instance{}}
+	for id, k := range t.entries {
+		if k.current != nil && k.current.State == Ready {
+			l.ByID[id] = k.current
+			l.ByService[k.current.Service] = append(l.ByService[k.current.Service], k.current)
 		}
 	}
 	for _, s := range l.ByService {
@@ -313,8 +313,8 @@
 	return l
 }
 
-// Homes is how many servers beat here.
-func (t *Table) Homes() int { return len(t.homes) }
+// LocalCount is how many servers beat here.
+func (t *Table) LocalCount() int { return len(t.local) }
 
 // View is what is known of one instance, for operators.
 type View struct {
@@ -326,14 +326,14 @@
 
 // Views lists all that is known, by id.
 func (t *Table) Views(now time.Duration) []View {
-	out := make([]View, 0, len(t.all))
-	for id, k := range t.all {
-		if k.best == nil {
+	out := make([]View, 0, len(t.entries))
+	for id, k := range t.entries {
+		if k.current == nil {
 			continue
 		}
-		v := View{Instance: k.best, Owner: k.owner}
-		if h := t.homes[id]; h != nil {
-			v.Here, v.Age = true, now-h.heard
+		v := View{Instance: k.current, Owner: k.owner}
+		if h := t.local[id]; h != nil {
+			v.Here, v.Age = true, now-h.lastHeartbeat
 		}
 		out = append(out, v)
 	}
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -17,85 +17,85 @@
 )
 
 const (
-	beat = 1200 * time.Millisecond
-	tick = 200 * time.Millisecond
+	heartbeatInterval = 1200 * time.Millisecond
+	tickInterval      = 200 * time.Millisecond
 )
 
-// agent is a table with the feed of its agent.
-type agent struct {
+// testAgent is a table with the feed of its agent.
+type testAgent struct {
 	*Table
-	set   *deltasync.Store
-	lives int
+	store        *deltasync.Store
+	incarnations int
 }
 
-func newAgent(name string) *agent {
-	return &agent{Table: NewTable(name, beat), set: deltasync.NewStore(name)}
+func newTestAgent(name string) *testAgent {
+	return &testAgent{Table: NewTable(name, heartbeatInterval), store: deltasync.NewStore(name)}
 }
 
-func (a *agent) put(in *Instance) {
+func (a *testAgent) publish(in *Instance) {
 	if in != nil {
 		data, err := msgpack.Marshal(in)
 		if err != nil {
 			panic(err)
 		}
-		a.set.Put(in.ID, data)
+		a.store.Put(in.ID, data)
 	}
 }
 
-func (a *agent) call(now time.Duration, in Instance) {
-	if in.State == Gone {
-		told, _ := a.Leave(now, in.ID)
-		a.put(told)
+func (a *testAgent) call(now time.Duration, in Instance) {
+	if in.State == Deregistered {
+		told, _ := a.Deregister(now, in.ID)
+		a.publish(told)
 		return
 	}
-	told, _ := a.Beat(now, &in)
-	a.put(told)
+	told, _ := a.Heartbeat(now, &in)
+	a.publish(told)
 }
 
-func (a *agent) tick(now time.Duration) {
+func (a *testAgent) tick(now time.Duration) {
 	tell, untell := a.Tick(now)
 	for _, in := range tell {
-		a.put(in)
+		a.publish(in)
 	}
 	for _, id := range untell {
-		a.set.Put(id, nil)
+		a.store.Put(id, nil)
 	}
 }
 
-// pull takes what another agent has.
-func (a *agent) pull(now time.Duration, from *agent) {
-	for _, c := range a.set.Apply(from.set.DeltasSince(a.set.Vector())) {
+// syncFrom takes what another agent has.
+func (a *testAgent) syncFrom(now time.Duration, from *testAgent) {
+	for _, c := range a.store.Apply(from.store.DeltasSince(a.store.Vector())) {
 		if c.Item.Data == nil {
-			a.Untell(now, c.Source, c.Item.Key)
+			a.Withdraw(now, c.Source, c.Item.Key)
 			continue
 		}
 		in := new(Instance)
 		if err := msgpack.Unmarshal(c.Item.Data, in); err != nil {
 			panic(err)
 		}
-		a.Tell(now, c.Source, in)
+		a.Report(now, c.Source, in)
 	}
 }
 
-// end takes that another agent's source has ended.
-func (a *agent) end(now time.Duration, source string) {
-	if source != a.set.OwnSource() && a.set.Version(source) > 0 {
-		a.set.EndSource(source)
-		a.Ended(now, source)
+// endSource takes that another agent's source has ended.
+func (a *testAgent) endSource(now time.Duration, source string) {
+	if source != a.store.OwnSource() && a.store.Version(source) > 0 {
+		a.store.EndSource(source)
+		a.SourceEnded(now, source)
 	}
 }
 
-// rebase goes on as a new life.
-func (a *agent) rebase(now time.Duration) {
-	a.lives++
-	a.set.StartIncarnation(fmt.Sprint(a.set.OwnSource(), ".", a.lives))
-	a.Renamed(now, a.set.OwnSource())
+// startIncarnation goes on as a new life.
+func (a *testAgent) startIncarnation(now time.Duration) {
+	a.incarnations++
+	a.store.StartIncarnation(fmt.Sprint(a.store.OwnSource(), ".", a.incarnations))
+	a.RenameOwnSource(now, a.store.OwnSource())
 }
 
-func (a *agent) lists(id string) bool { return a.List().ByID[id] != nil }
+func (a *testAgent) lists(id string) bool { return a.List().ByID[id] != nil }
 
 // state is what is known of an instance, false if nothing is.
-func (a *agent) state(id string) (State, bool) {
+func (a *testAgent) state(id string) (State, bool) {
 	for _, v := range a.Views(1 << 40) {
 		if v.ID == id {
 			return v.State, true
@@ -114,27 +114,27 @@
 	return in
 }
 
-// fleet is agents whose clocks go together.
-type fleet struct {
-	agents []*agent
+// testFleet is agents whose clocks go together.
+type testFleet struct {
+	agents []*testAgent
 	now    time.Duration
 }
 
-func newFleet(names ...string) *fleet {
-	f := &fleet{now: time.Second}
+func newTestFleet(names ...string) *testFleet {
+	f := &testFleet{now: time.Second}
 	for _, name := range names {
-		f.agents = append(f.agents, newAgent(name))
+		f.agents = append(f.agents, newTestAgent(name))
 	}
 	return f
 }
 
-// sync has all know all.
-func (f *fleet) sync() {
+// syncAll has all know all.
+func (f *testFleet) syncAll() {
 	for range 2 {
 		for _, to := range f.agents {
 			for _, from := range f.agents {
 				if to != from {
-					to.pull(f.now, from)
+					to.syncFrom(f.now, from)
 				}
 			}
 		}
@@ -142,9 +142,9 @@
 }
 
 // run ticks all for that long; each is what happens at each tick.
-func (f *fleet) run(d time.Duration, each func()) {
+func (f *testFleet) run(d time.Duration, each func()) {
 	for end := f.now + d; f.now < end; {
-		f.now += tick
+		f.now += tickInterval
 		if each != nil {
 			each()
 		}
@@ -154,12 +154,12 @@
 	}
 }
 
-// beats calls an agent whenever a beat is due.
-func (f *fleet) beats(a *agent, in *Instance) func() {
+// heartbeats calls an agent whenever a beat is due.
+func (f *testFleet) heartbeats(a *testAgent, in *Instance) func() {
 	next := f.now
 	return func() {
 		if f.now >= next {
-			next += beat
+			next += heartbeatInterval
 			in.Seq++
 			a.call(f.now, *in)
 		}
@@ -168,7 +168,7 @@
 
 // Whatever order the calls of a server, late ones too, and the feed between two agents come in: an
 // agent that knows of a drain or an end never lists the server again.
-func TestLateCallsUndoNoEnd(t *testing.T) {
+func TestLateCallsUndoNoFinalState(t *testing.T) {
 	type call struct {
 		in Instance
 		to int
@@ -176,9 +176,9 @@
 	forgetful := false // a seeded defect
 	play := func(calls ...Instance) func(*interleave.Run) error {
 		return func(r *interleave.Run) error {
-			f := newFleet("a", "b")
+			f := newTestFleet("a", "b")
 			f.agents[0].call(f.now, ready("s", 1))
-			f.sync()
+			f.syncAll()
 			var left []call
 			for _, in := range calls {
 				left = append(left, call{in, r.Choose(2)})
@@ -193,8 +193,8 @@
 						if c.in.State != Ready {
 							final[c.to] = true
 							if forgetful {
-								delete(f.agents[c.to].all, "s")
-								delete(f.agents[c.to].homes, "s")
+								delete(f.agents[c.to].entries, "s")
+								delete(f.agents[c.to].local, "s")
 							}
 						}
 						left = append(left[:i:i], left[i+1:]...)
@@ -203,7 +203,7 @@
 				for to := range syncs {
 					if syncs[to] > 0 {
 						able = append(able, func() {
-							f.agents[to].pull(f.now, f.agents[1-to])
+							f.agents[to].syncFrom(f.now, f.agents[1-to])
 							final[to] = final[to] || final[1-to]
 							syncs[to]--
 						})
@@ -220,7 +220,7 @@
 					}
 				}
 			}
-			f.sync()
+			f.syncAll()
 			for i, a := range f.agents {
 				if a.lists("s") {
 					return fmt.Errorf("agent %d lists it at the end", i)
@@ -231,8 +231,8 @@
 	}
 	for name, calls := range map[string][]Instance{
 		"drain": {ready("s", 2), ready("s", 3), draining("s", 4)},
-		"leave": {ready("s", 2), ready("s", 3), {ID: "s", State: Gone}},
-		"both":  {ready("s", 2), draining("s", 3), {ID: "s", State: Gone}},
+		"leave": {ready("s", 2), ready("s", 3), {ID: "s", State: Deregistered}},
+		"both":  {ready("s", 2), draining("s", 3), {ID: "s", State: Deregistered}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			res := interleave.Explore(100, 1e6, play(calls...))
@@ -251,7 +251,7 @@
 // in the end all list the servers that beat, and those alone, and forget the others.
 func TestTablesOfSeveralAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet("a", "b", "c")
+		f := newTestFleet("a", "b", "c")
 		ids := []string{"s0", "s1", "s2"}
 		seq := map[string]uint64{}
 		ends := map[string]bool{}               // said that it drains or leaves
@@ -286,9 +286,9 @@
 				s, at := id.Draw(t, "server"), agent.Draw(t, "at")
 				seq[s]++
 				ends[s] = true
-				f.agents[at].call(f.now, Instance{ID: s, State: Gone})
+				f.agents[at].call(f.now, Instance{ID: s, State: Deregistered})
 				st, ok := f.agents[at].state(s)
-				require.True(t, ok && st == Gone, "%s at %d: %v", s, at, st)
+				require.True(t, ok && st == Deregistered, "%s at %d: %v", s, at, st)
 			},
 			"arrive": func(t *rapid.T) {
 				if len(late) == 0 {
@@ -297,19 +297,19 @@
 				f.agents[agent.Draw(t, "at")].call(f.now, rapid.SampledFrom(late).Draw(t, "call"))
 			},
 			"pull": func(t *rapid.T) {
-				f.agents[agent.Draw(t, "to")].pull(f.now, f.agents[agent.Draw(t, "from")])
+				f.agents[agent.Draw(t, "to")].syncFrom(f.now, f.agents[agent.Draw(t, "from")])
 			},
 			"end": func(t *rapid.T) {
-				f.agents[agent.Draw(t, "at")].end(f.now, f.agents[agent.Draw(t, "of")].set.OwnSource())
+				f.agents[agent.Draw(t, "at")].endSource(f.now, f.agents[agent.Draw(t, "of")].store.OwnSource())
 			},
-			"rebase": func(t *rapid.T) { f.agents[agent.Draw(t, "agent")].rebase(f.now) },
+			"rebase": func(t *rapid.T) { f.agents[agent.Draw(t, "agent")].startIncarnation(f.now) },
 			"time": func(t *rapid.T) {
-				if f.now-start < deadFor-5*time.Second {
-					f.run(time.Duration(rapid.IntRange(1, 25).Draw(t, "ticks"))*tick, nil)
+				if f.now-start < tombstoneRetention-5*time.Second {
+					f.run(time.Duration(rapid.IntRange(1, 25).Draw(t, "ticks"))*tickInterval, nil)
 				}
 			},
 			"freeze": func(t *rapid.T) {
-				if f.now-start < deadFor-5*time.Second {
+				if f.now-start < tombstoneRetention-5*time.Second {
 					f.now += 3 * time.Second
 				}
 			},
@@ -325,8 +325,8 @@
 							known[i][s] = st
 						}
 					}
-					for s := range a.homes {
-						require.Contains(t, a.all, s)
+					for s := range a.local {
+						require.Contains(t, a.entries, s)
 					}
 				}
 			},
@@ -334,17 +334,17 @@
 		// In the end some beat on; a life that others took for ended goes on as a new one.
 		selves := map[string]bool{}
 		for _, a := range f.agents {
-			a.rebase(f.now)
-			selves[a.set.OwnSource()] = true
+			a.startIncarnation(f.now)
+			selves[a.store.OwnSource()] = true
 		}
 		for _, a := range f.agents {
-			for _, source := range a.set.Sources() {
+			for _, source := range a.store.Sources() {
 				if !selves[source] {
-					a.end(f.now, source)
+					a.endSource(f.now, source)
 				}
 			}
 		}
-		f.sync()
+		f.syncAll()
 		alive := map[string]bool{}
 		var each []func()
 		for _, s := range ids {
@@ -357,7 +357,7 @@
 			if st < Draining && !ends[s] && rapid.Bool().Draw(t, "alive") {
 				alive[s] = true
 				in := ready(s, seq[s]+uint64(len(late)))
-				each = append(each, f.beats(f.agents[agent.Draw(t, "home")], &in))
+				each = append(each, f.heartbeats(f.agents[agent.Draw(t, "home")], &in))
 			}
 		}
 		check := func() {
@@ -373,182 +373,182 @@
 				e()
 			}
 			if f.now >= next {
-				next += beat
-				f.sync()
+				next += heartbeatInterval
+				f.syncAll()
 			}
 		}
-		f.run(15*beat, all)
+		f.run(15*heartbeatInterval, all)
 		check()
-		f.run(2*deadFor, all)
+		f.run(2*tombstoneRetention, all)
 		check()
 		for i, a := range f.agents {
-			require.Len(t, a.all, len(alive), "agent %d keeps what has ended", i)
-			require.LessOrEqual(t, len(a.homes), len(alive))
+			require.Len(t, a.entries, len(alive), "agent %d keeps what has ended", i)
+			require.LessOrEqual(t, len(a.local), len(alive))
 		}
 	})
 }
 
 // A home takes a server for lost by its own clock, when no beat came for three and a half.
-func TestSilenceByTheClockOfTheHome(t *testing.T) {
-	f := newFleet("a", "b")
+func TestExpiryByTheClockOfTheHomeAgent(t *testing.T) {
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	in := ready("s", 0)
-	f.run(10*beat, f.beats(a, &in))
-	b.pull(f.now, a)
+	f.run(10*heartbeatInterval, f.heartbeats(a, &in))
+	b.syncFrom(f.now, a)
 	require.True(t, a.lists("s"))
 	// The news of beats reaches nobody: they change nothing.
-	f.run(time.Minute, f.beats(a, &in))
+	f.run(time.Minute, f.heartbeats(a, &in))
 	require.True(t, b.lists("s"), "a cut between agents empties no list")
-	f.run(3*beat, nil)
+	f.run(3*heartbeatInterval, nil)
 	require.True(t, a.lists("s"))
-	f.run(beat+tick, nil)
+	f.run(heartbeatInterval+tickInterval, nil)
 	require.False(t, a.lists("s"))
 	require.True(t, b.lists("s"))
-	b.pull(f.now, a)
+	b.syncFrom(f.now, a)
 	require.False(t, b.lists("s"))
 	// A beat brings it back, wherever it comes; one from before doesn't.
 	b.call(f.now, ready("s", in.Seq-1))
 	require.False(t, b.lists("s"))
 	b.call(f.now, ready("s", in.Seq+1))
 	require.True(t, b.lists("s"))
-	a.pull(f.now, b)
+	a.syncFrom(f.now, b)
 	require.True(t, a.lists("s"))
 }
 
 // A late call proves nothing of a server that has fallen silent.
-func TestALateCallIsNoBeat(t *testing.T) {
-	f := newFleet("a")
+func TestLateCallIsNoHeartbeat(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	in := ready("s", 0)
-	f.run(5*beat, f.beats(a, &in))
-	f.run(10*beat, func() { a.call(f.now, ready("s", 2)) })
+	f.run(5*heartbeatInterval, f.heartbeats(a, &in))
+	f.run(10*heartbeatInterval, func() { a.call(f.now, ready("s", 2)) })
 	assert.False(t, a.lists("s"))
 }
 
 // A home that was frozen heard nobody, and takes nobody for lost by that.
-func TestAFrozenHomeLosesNobody(t *testing.T) {
-	f := newFleet("a")
+func TestFrozenAgentExpiresNobody(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	in := ready("s", 0)
-	f.run(beat, f.beats(a, &in))
+	f.run(heartbeatInterval, f.heartbeats(a, &in))
 	f.now += time.Minute
 	a.tick(f.now)
 	require.True(t, a.lists("s"))
-	f.run(3*beat, nil)
+	f.run(3*heartbeatInterval, nil)
 	require.True(t, a.lists("s"))
-	f.run(beat, nil)
+	f.run(heartbeatInterval, nil)
 	require.False(t, a.lists("s"))
 }
 
 // The servers of an agent that has ended are kept for four beats, in which they call another.
-func TestOrphansAreKeptFourBeats(t *testing.T) {
-	f := newFleet("a", "b")
+func TestOrphansAreRetainedForFourHeartbeats(t *testing.T) {
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	for _, s := range []string{"stays", "dies", "drains"} {
 		a.call(f.now, ready(s, 1))
 	}
 	a.call(f.now, draining("drains", 2))
-	b.pull(f.now, a)
+	b.syncFrom(f.now, a)
 	f.agents = f.agents[1:]
-	b.end(f.now, "a")
-	f.run(4*beat-tick, nil)
+	b.endSource(f.now, "a")
+	f.run(4*heartbeatInterval-tickInterval, nil)
 	require.True(t, b.lists("stays"))
 	require.True(t, b.lists("dies"))
 	in := ready("stays", 5)
-	f.run(4*tick, f.beats(b, &in))
+	f.run(4*tickInterval, f.heartbeats(b, &in))
 	assert.True(t, b.lists("stays"))
 	assert.False(t, b.lists("dies"))
 	st, ok := b.state("drains")
 	assert.True(t, ok && st == Draining, "an end outlives who told it")
-	assert.Empty(t, b.set.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
+	assert.Empty(t, b.store.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
 }
 
 // Nor does a freeze cost orphans their time: news of their next calls was not heard in it.
 func TestOrphansOutliveAFreeze(t *testing.T) {
-	f := newFleet("a", "b")
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	a.call(f.now, ready("s", 1))
-	b.pull(f.now, a)
+	b.syncFrom(f.now, a)
 	f.agents = f.agents[1:]
-	b.end(f.now, "a")
-	f.run(beat, nil)
+	b.endSource(f.now, "a")
+	f.run(heartbeatInterval, nil)
 	f.now += time.Minute
 	b.tick(f.now)
-	f.run(2*beat, nil)
+	f.run(2*heartbeatInterval, nil)
 	assert.True(t, b.lists("s"))
-	f.run(2*beat, nil)
+	f.run(2*heartbeatInterval, nil)
 	assert.False(t, b.lists("s"))
 }
 
 // Two agents end; what both told of a server goes with the later one.
 func TestOrphansOfTwoAgents(t *testing.T) {
-	f := newFleet("a", "b", "c")
+	f := newTestFleet("a", "b", "c")
 	a, b, c := f.agents[0], f.agents[1], f.agents[2]
 	a.call(f.now, ready("s", 1))
 	b.call(f.now, ready("s", 2))
-	f.sync()
+	f.syncAll()
 	f.agents = f.agents[2:]
-	c.end(f.now, "b")
-	f.run(2*beat, nil)
-	c.end(f.now, "a")
-	f.run(3*beat, nil)
+	c.endSource(f.now, "b")
+	f.run(2*heartbeatInterval, nil)
+	c.endSource(f.now, "a")
+	f.run(3*heartbeatInterval, nil)
 	assert.True(t, c.lists("s"))
-	f.run(2*beat, nil)
+	f.run(2*heartbeatInterval, nil)
 	assert.False(t, c.lists("s"))
-	f.run(tick, nil)
-	assert.Empty(t, c.all)
+	f.run(tickInterval, nil)
+	assert.Empty(t, c.entries)
 }
 
 // A server that moved and then died with its new home is not kept by what its old home told.
-func TestAMovedServerDiesWithItsNewHome(t *testing.T) {
-	f := newFleet("a", "b", "c")
+func TestMovedServerExpiresWithItsNewHome(t *testing.T) {
+	f := newTestFleet("a", "b", "c")
 	a, b, c := f.agents[0], f.agents[1], f.agents[2]
 	a.call(f.now, ready("s", 1))
-	f.sync()
+	f.syncAll()
 	b.call(f.now, ready("s", 2))
-	f.sync()
-	f.run(tick, nil)
-	assert.Zero(t, a.Homes())
-	assert.Equal(t, 1, b.Homes())
-	f.agents = []*agent{a, c}
-	a.end(f.now, "b")
-	c.end(f.now, "b")
-	f.run(2*beat, f.sync)
+	f.syncAll()
+	f.run(tickInterval, nil)
+	assert.Zero(t, a.LocalCount())
+	assert.Equal(t, 1, b.LocalCount())
+	f.agents = []*testAgent{a, c}
+	a.endSource(f.now, "b")
+	c.endSource(f.now, "b")
+	f.run(2*heartbeatInterval, f.syncAll)
 	assert.True(t, c.lists("s"), "it may call another agent yet")
-	f.run(20*beat, f.sync)
+	f.run(20*heartbeatInterval, f.syncAll)
 	assert.False(t, a.lists("s"))
 	assert.False(t, c.lists("s"))
-	assert.Empty(t, a.all)
-	assert.Empty(t, c.all)
+	assert.Empty(t, a.entries)
+	assert.Empty(t, c.entries)
 }
 
 // A late call makes another agent the owner for a moment; the home that heard newer ones still
 // tells when the server falls silent.
-func TestTheHomeTellsSilenceAfterALateCall(t *testing.T) {
-	f := newFleet("a", "b")
+func TestHomeAgentReportsExpiryAfterALateCall(t *testing.T) {
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	in := ready("s", 0)
-	f.run(20*beat, f.beats(a, &in))
-	f.sync()
+	f.run(20*heartbeatInterval, f.heartbeats(a, &in))
+	f.syncAll()
 	b.call(f.now, ready("s", 3)) // late: the feed tells the first call only
-	f.sync()
+	f.syncAll()
 	f.agents = f.agents[:1] // the other agent has no part in it
-	f.run(5*beat, nil)
+	f.run(5*heartbeatInterval, nil)
 	assert.False(t, a.lists("s"))
-	b.pull(f.now, a)
+	b.syncFrom(f.now, a)
 	assert.False(t, b.lists("s"))
 }
 
 // A server that moves is listed all the time.
 func TestMovingServersStayListed(t *testing.T) {
-	f := newFleet("a", "b", "c")
+	f := newTestFleet("a", "b", "c")
 	in := ready("s", 0)
 	f.agents[0].call(f.now, in)
-	f.sync()
+	f.syncAll()
 	for i := range 30 {
 		at := f.agents[i%3]
-		f.run(beat, func() {
-			f.sync()
+		f.run(heartbeatInterval, func() {
+			f.syncAll()
 			for _, a := range f.agents {
 				require.True(t, a.lists("s"))
 			}
@@ -556,32 +556,32 @@
 		in.Seq++
 		at.call(f.now, in)
 	}
-	f.sync()
-	f.run(tick, nil)
+	f.syncAll()
+	f.run(tickInterval, nil)
 	homes := 0
 	for _, a := range f.agents {
-		homes += a.Homes()
+		homes += a.LocalCount()
 	}
 	assert.Equal(t, 1, homes)
 }
 
 // What is known from disk is listed until the next beats are due, and gives way to all other news.
 func TestRestore(t *testing.T) {
-	f := newFleet("a", "b")
+	f := newTestFleet("a", "b")
 	a := f.agents[0]
 	for _, s := range []string{"back", "dies", "drained"} {
 		in := ready(s, 7)
 		require.True(t, a.Restore(f.now, &in))
 		require.False(t, a.Restore(f.now, &in), "it is known")
-		a.put(&in)
+		a.publish(&in)
 	}
 	a.call(f.now, draining("drained", 9))
-	f.sync()
+	f.syncAll()
 	beats := ready("back", 8)
-	f.run(2*beat, func() { f.sync() })
+	f.run(2*heartbeatInterval, func() { f.syncAll() })
 	assert.True(t, f.agents[1].lists("dies"), "two beats are a chance to call again")
-	each := f.beats(a, &beats)
-	f.run(2*beat, func() { each(); f.sync() })
+	each := f.heartbeats(a, &beats)
+	f.run(2*heartbeatInterval, func() { each(); f.syncAll() })
 	for i, ag := range f.agents {
 		assert.True(t, ag.lists("back"), "%d", i)
 		assert.False(t, ag.lists("dies"), "%d", i)
@@ -592,74 +592,74 @@
 }
 
 // It expires at the same age whenever the process started.
-func TestRestoreExpiresByBeats(t *testing.T) {
+func TestRestoredInstanceExpires(t *testing.T) {
 	for _, start := range []time.Duration{1, time.Second, time.Hour} {
-		f := newFleet("a")
+		f := newTestFleet("a")
 		f.now = start
 		in := ready("s", 7)
 		require.True(t, f.agents[0].Restore(f.now, &in))
-		f.run(restoreBeats*beat-tick, nil)
+		f.run(restoredHeartbeats*heartbeatInterval-tickInterval, nil)
 		assert.True(t, f.agents[0].lists("s"), "%v", start)
-		f.run(2*tick, nil)
+		f.run(2*tickInterval, nil)
 		assert.False(t, f.agents[0].lists("s"), "%v", start)
 	}
 }
 
 // A new life of the own agent keeps its servers, their homes and the ends that it told.
-func TestRenamed(t *testing.T) {
-	f := newFleet("a", "b")
+func TestRenameOwnSource(t *testing.T) {
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	a.call(f.now, ready("s", 1))
 	a.call(f.now, draining("d", 1))
-	f.sync()
-	a.rebase(f.now)
-	told := a.set.OwnVersion()
+	f.syncAll()
+	a.startIncarnation(f.now)
+	told := a.store.OwnVersion()
 	a.call(f.now, ready("s", 2))
-	assert.Equal(t, told, a.set.OwnVersion(), "it is told already")
-	b.end(f.now, "a")
-	f.sync()
+	assert.Equal(t, told, a.store.OwnVersion(), "it is told already")
+	b.endSource(f.now, "a")
+	f.syncAll()
 	in := ready("s", 2)
-	f.run(10*beat, f.beats(a, &in))
+	f.run(10*heartbeatInterval, f.heartbeats(a, &in))
 	for _, ag := range f.agents {
 		assert.True(t, ag.lists("s"))
 		assert.False(t, ag.lists("d"))
-		assert.Len(t, ag.all["s"].by, 1)
+		assert.Len(t, ag.entries["s"].reports, 1)
 	}
-	assert.Equal(t, "a.1", a.all["s"].owner)
-	assert.Equal(t, 1, a.Homes())
-	f.run(10*beat, f.sync)
+	assert.Equal(t, "a.1", a.entries["s"].owner)
+	assert.Equal(t, 1, a.LocalCount())
+	f.run(10*heartbeatInterval, f.syncAll)
 	assert.False(t, b.lists("s"))
 }
 
 // It is remembered for long that an instance drained or left, and not for good.
 func TestTombstones(t *testing.T) {
-	f := newFleet("a", "b")
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	a.call(f.now, ready("s", 5))
 	a.call(f.now, draining("s", 6))
-	b.call(f.now, Instance{ID: "unknown", State: Gone})
-	f.sync()
-	told := a.set.OwnVersion()
+	b.call(f.now, Instance{ID: "unknown", State: Deregistered})
+	f.syncAll()
+	told := a.store.OwnVersion()
 	a.call(f.now, ready("s", 7))
 	b.call(f.now, ready("s", 7))
-	assert.Equal(t, told, a.set.OwnVersion(), "what is late is not told either")
-	assert.Equal(t, uint64(1), b.set.OwnVersion())
-	f.run(deadFor-beat, func() {
+	assert.Equal(t, told, a.store.OwnVersion(), "what is late is not told either")
+	assert.Equal(t, uint64(1), b.store.OwnVersion())
+	f.run(tombstoneRetention-heartbeatInterval, func() {
 		a.call(f.now, ready("s", 7))
 		b.call(f.now, ready("s", 8))
 		b.call(f.now, draining("s", 2))
 		a.call(f.now, ready("unknown", 9))
-		f.sync()
+		f.syncAll()
 		for _, ag := range f.agents {
 			require.Empty(t, ag.List().ByID)
 		}
 	})
-	f.run(deadFor, f.sync)
+	f.run(tombstoneRetention, f.syncAll)
 	for _, ag := range f.agents {
-		assert.Empty(t, ag.all)
-		assert.Zero(t, ag.Homes())
+		assert.Empty(t, ag.entries)
+		assert.Zero(t, ag.LocalCount())
 	}
-	for _, d := range a.set.DeltasSince(nil) {
+	for _, d := range a.store.DeltasSince(nil) {
 		for _, it := range d.Items {
 			assert.Nil(t, it.Data, it.Key)
 		}
@@ -667,28 +667,28 @@
 }
 
 // A drain is remembered from when it was told, also of a server that was lost long before.
-func TestATombstoneOfALostServer(t *testing.T) {
-	f := newFleet("a")
+func TestTombstoneOfAnExpiredServer(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	a.call(f.now, ready("s", 1))
-	f.run(deadFor, nil)
+	f.run(tombstoneRetention, nil)
 	st, ok := a.state("s")
-	require.True(t, ok && st == Lost)
+	require.True(t, ok && st == Expired)
 	a.call(f.now, draining("s", 9))
-	f.run(deadFor-beat, nil)
+	f.run(tombstoneRetention-heartbeatInterval, nil)
 	a.call(f.now, ready("s", 8))
 	assert.False(t, a.lists("s"))
 }
 
 // A lost one that came back is lost anew.
-func TestLostAgain(t *testing.T) {
-	f := newFleet("a")
+func TestRevivedServerExpiresAgain(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	in := ready("s", 0)
 	for range 30 { // longer than anything is remembered
-		f.run(beat, f.beats(a, &in))
+		f.run(heartbeatInterval, f.heartbeats(a, &in))
 		require.True(t, a.lists("s"))
-		f.run(5*beat, nil)
+		f.run(5*heartbeatInterval, nil)
 		require.False(t, a.lists("s"))
 		_, ok := a.state("s")
 		require.True(t, ok)
@@ -697,35 +697,35 @@
 
 // Everything is bounded, whoever brings it.
 func TestInstancesAreBounded(t *testing.T) {
-	f := newFleet("a", "b")
+	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	for i := range 2 * maxInstances {
 		switch in := ready(fmt.Sprint("s", i), 1); i % 4 {
 		case 0:
 			a.call(f.now, in)
 		case 1:
-			a.Tell(f.now, "x", &in)
+			a.Report(f.now, "x", &in)
 		case 2:
-			a.call(f.now, Instance{ID: in.ID, State: Gone})
+			a.call(f.now, Instance{ID: in.ID, State: Deregistered})
 		case 3:
 			a.Restore(f.now, &in)
 		}
 	}
-	assert.Len(t, a.all, maxInstances)
-	assert.LessOrEqual(t, a.Homes(), maxInstances)
-	b.pull(f.now, a)
+	assert.Len(t, a.entries, maxInstances)
+	assert.LessOrEqual(t, a.LocalCount(), maxInstances)
+	b.syncFrom(f.now, a)
 	f.agents = f.agents[:1]
-	a.Ended(f.now, "x")
-	f.run(10*beat, nil)
+	a.SourceEnded(f.now, "x")
+	f.run(10*heartbeatInterval, nil)
 	assert.Empty(t, a.List().ByID)
-	f.run(deadFor, nil)
-	assert.Empty(t, a.all)
-	assert.Empty(t, a.homes)
+	f.run(tombstoneRetention, nil)
+	assert.Empty(t, a.entries)
+	assert.Empty(t, a.local)
 	a.call(f.now, ready("late", 1))
 	assert.True(t, a.lists("late"), "there is room again")
 }
 
-func TestSound(t *testing.T) {
+func TestValid(t *testing.T) {
 	for name, spoil := range map[string]func(*Instance){
 		"no id":           func(in *Instance) { in.ID = "" },
 		"huge id":         func(in *Instance) { in.ID = strings.Repeat("x", 1<<20) },
@@ -733,7 +733,7 @@
 		"huge address":    func(in *Instance) { in.Addr = strings.Repeat("x", 1<<20) },
 		"huge zone":       func(in *Instance) { in.Zone = strings.Repeat("x", 1<<20) },
 		"huge revision":   func(in *Instance) { in.Revision = strings.Repeat("x", 1<<20) },
-		"unknown state":   func(in *Instance) { in.State = Gone + 1 },
+		"unknown state":   func(in *Instance) { in.State = Deregistered + 1 },
 		"negative slots":  func(in *Instance) { in.Slots = -1 },
 		"absurd slots":    func(in *Instance) { in.Slots = math.MaxInt },
 		"negative cold":   func(in *Instance) { in.Cold = -1 },
@@ -743,17 +743,17 @@
 	} {
 		in := ready("s", 1)
 		in.Models = []Model{{"m", 1}}
-		require.True(t, in.Sound())
+		require.True(t, in.Valid())
 		spoil(&in)
-		assert.False(t, in.Sound(), name)
+		assert.False(t, in.Valid(), name)
 	}
-	gone := Instance{ID: "s", State: Gone}
-	assert.True(t, gone.Sound(), "an end needs no more than the id")
+	gone := Instance{ID: "s", State: Deregistered}
+	assert.True(t, gone.Valid(), "an end needs no more than the id")
 }
 
 // A list is one moment's and changes by its version only.
-func TestLists(t *testing.T) {
-	f := newFleet("a")
+func TestListsAreImmutable(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	empty := a.List()
 	a.call(f.now, ready("s2", 1))
@@ -774,55 +774,55 @@
 	assert.Greater(t, two.Version, one.Version)
 	assert.Len(t, two.ByService["llm"], 1)
 	assert.Len(t, two.ByService["other"], 1)
-	views := a.Views(f.now + beat)
+	views := a.Views(f.now + heartbeatInterval)
 	require.Len(t, views, 3)
-	assert.Equal(t, View{Instance: views[1].Instance, Owner: "a", Here: true, Age: beat}, views[1])
+	assert.Equal(t, View{Instance: views[1].Instance, Owner: "a", Here: true, Age: heartbeatInterval}, views[1])
 	assert.Equal(t, "s1", views[1].ID)
 }
 
 // What changes of a server is told, what doesn't is not.
-func TestOnlyChangesAreTold(t *testing.T) {
-	f := newFleet("a")
+func TestOnlyChangesArePublished(t *testing.T) {
+	f := newTestFleet("a")
 	a := f.agents[0]
 	in := ready("s", 0)
-	f.run(time.Minute, f.beats(a, &in))
-	assert.Equal(t, uint64(1), a.set.OwnVersion())
+	f.run(time.Minute, f.heartbeats(a, &in))
+	assert.Equal(t, uint64(1), a.store.OwnVersion())
 	in.Cold = time.Second // passes by itself
-	f.run(beat, f.beats(a, &in))
-	assert.Equal(t, uint64(1), a.set.OwnVersion())
+	f.run(heartbeatInterval, f.heartbeats(a, &in))
+	assert.Equal(t, uint64(1), a.store.OwnVersion())
 	in.Models = []Model{{"m", 2}}
-	f.run(beat, f.beats(a, &in))
-	assert.Equal(t, uint64(2), a.set.OwnVersion())
+	f.run(heartbeatInterval, f.heartbeats(a, &in))
+	assert.Equal(t, uint64(2), a.store.OwnVersion())
 	assert.Equal(t, in.Models, a.List().ByID["s"].Models)
 }
 
 // A call that a full table can't take is told so; the calls of servers that it knows go on.
-func TestAFullTableRefusesUnknownServers(t *testing.T) {
-	a := newAgent("a")
+func TestFullTableRejectsUnknownServers(t *testing.T) {
+	a := newTestAgent("a")
 	now := time.Second
 	known := ready("known", 1)
-	_, err := a.Beat(now, &known)
+	_, err := a.Heartbeat(now, &known)
 	require.NoError(t, err)
 	for i := range maxInstances - 1 {
 		in := ready(fmt.Sprint("s", i), 1)
-		require.True(t, a.Tell(now, "x", &in))
+		require.True(t, a.Report(now, "x", &in))
 	}
 	late, drains := ready("late", 1), draining("late", 2)
-	_, err = a.Beat(now, &late)
+	_, err = a.Heartbeat(now, &late)
 	require.ErrorIs(t, err, ErrFull)
-	_, err = a.Beat(now, &drains)
+	_, err = a.Heartbeat(now, &drains)
 	require.ErrorIs(t, err, ErrFull, "its end would be lost")
-	_, err = a.Leave(now, "late")
+	_, err = a.Deregister(now, "late")
 	require.ErrorIs(t, err, ErrFull)
-	require.False(t, a.Tell(now, "x", &late))
-	assert.Len(t, a.all, maxInstances)
+	require.False(t, a.Report(now, "x", &late))
+	assert.Len(t, a.entries, maxInstances)
 	known = ready("known", 2)
-	_, err = a.Beat(now, &known)
+	_, err = a.Heartbeat(now, &known)
 	require.NoError(t, err)
-	told, err := a.Leave(now, "known")
+	told, err := a.Deregister(now, "known")
 	require.NoError(t, err)
-	assert.Equal(t, Gone, told.State)
-	_, err = a.Leave(now, "s0")
+	assert.Equal(t, Deregistered, told.State)
+	_, err = a.Deregister(now, "s0")
 	require.NoError(t, err)
 	assert.False(t, a.lists("s0"))
 }
--- a/internal/fleet/registry/types.go
+++ b/internal/fleet/registry/types.go
@@ -12,9 +12,9 @@
 // drains or is gone never comes back: a late call finds it so.
 const (
 	Ready State = iota
-	Lost
+	Expired
 	Draining
-	Gone
+	Deregistered
 )
 
 // Instance is one incarnation of a server, as it registered. It is immutable once listed.
@@ -45,20 +45,20 @@
 }
 
 const (
-	maxText   = 1024 // bytes of each text
-	maxModels = 256
-	maxSlots  = 1 << 20
-	maxCold   = 24 * time.Hour
+	maxTextBytes = 1024 // bytes of each text
+	maxModels    = 256
+	maxSlots     = 1 << 20
+	maxWarmUp    = 24 * time.Hour
 )
 
-// Sound tells whether an instance is within the bounds that all agents hold what they hear of
+// Valid tells whether an instance is within the bounds that all agents hold what they hear of
 // instances to.
-func (in *Instance) Sound() bool {
+func (in *Instance) Valid() bool {
 	for _, m := range in.Models {
-		if len(m.Name) > maxText {
+		if len(m.Name) > maxTextBytes {
 			return false
 		}
 	}
-	return in.ID != "" && max(len(in.ID), len(in.Service), len(in.Addr), len(in.Zone), len(in.Revision)) <= maxText &&
-		in.State <= Gone && in.Slots >= 0 && in.Slots <= maxSlots && in.Cold >= 0 && in.Cold <= maxCold && len(in.Models) <= maxModels
+	return in.ID != "" && max(len(in.ID), len(in.Service), len(in.Addr), len(in.Zone), len(in.Revision)) <= maxTextBytes &&
+		in.State <= Deregistered && in.Slots >= 0 && in.Slots <= maxSlots && in.Cold >= 0 && in.Cold <= maxWarmUp && len(in.Models) <= maxModels
 }
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -190,12 +190,12 @@
 	case strings.HasPrefix(key, instPrefix) && !own: // the own ones the table knows already
 		id := key[len(instPrefix):]
 		if data == nil {
-			h.table.Untell(now, c.Source, id)
+			h.table.Withdraw(now, c.Source, id)
 			return
 		}
 		in := new(registry.Instance)
-		if err := msgpack.Unmarshal(data, in); err == nil && in.ID == id && in.Sound() {
-			if !h.table.Tell(now, c.Source, in) {
+		if err := msgpack.Unmarshal(data, in); err == nil && in.ID == id && in.Valid() {
+			if !h.table.Report(now, c.Source, in) {
 				h.reportFull(id)
 			}
 		}
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -81,7 +81,7 @@
 	h.set.EndSource(source)
 	h.leases.End(now, source)
 	delete(h.members, source)
-	h.table.Ended(now, source)
+	h.table.SourceEnded(now, source)
 	for s := range h.sessions {
 		delete(s.has, source)
 		delete(s.held, source)
@@ -104,7 +104,7 @@
 	h.set.StartIncarnation(h.newSource())
 	h.leases.End(now, old)
 	delete(h.members, old)
-	h.table.Renamed(now, h.set.OwnSource())
+	h.table.RenameOwnSource(now, h.set.OwnSource())
 	for agent := range h.granted { // the new life holds them on
 		h.leases.Grant(now, agent, h.set.OwnSource())
 	}
--- a/internal/fleet/relay/servers.go
+++ b/internal/fleet/relay/servers.go
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, in := range s.Servers {
-		if in == nil || !in.Sound() || in.State != registry.Ready {
+		if in == nil || !in.Valid() || in.State != registry.Ready {
 			continue
 		}
 		if h.table.Restore(h.now(), in) {
@@ -71,11 +71,11 @@
 // answered once a majority of the core holds that; false: it is not known to, and the server had
 // better call another agent. So it had if what it says is out of bounds.
 func (h *Hub) Beat(ctx context.Context, in *registry.Instance) bool {
-	if !in.Sound() {
+	if !in.Valid() {
 		return false
 	}
 	h.mu.Lock()
-	told, err := h.table.Beat(h.now(), in)
+	told, err := h.table.Heartbeat(h.now(), in)
 	life, ver := h.announceServer(in.ID, told, err)
 	h.mu.Unlock()
 	if err != nil {
@@ -86,11 +86,11 @@
 
 // Leave takes a server's word that it ends, as Beat does.
 func (h *Hub) Leave(ctx context.Context, id string) bool {
-	if in := (&registry.Instance{ID: id}); !in.Sound() {
+	if in := (&registry.Instance{ID: id}); !in.Valid() {
 		return false
 	}
 	h.mu.Lock()
-	told, err := h.table.Leave(h.now(), id)
+	told, err := h.table.Deregister(h.now(), id)
 	life, ver := h.announceServer(id, told, err)
 	h.mu.Unlock()
 	return err == nil && h.awaitReplicated(ctx, life, ver)
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -189,7 +189,7 @@
 func (f *fleet) facts() *Facts {
 	facts := &Facts{Watch: f.watch}
 	for _, s := range f.servers {
-		if s.State != registry.Gone && s.upAt <= f.now {
+		if s.State != registry.Deregistered && s.upAt <= f.now {
 			x := s.Server
 			x.InFlight = s.running
 			facts.Servers = append(facts.Servers, x)
@@ -272,7 +272,7 @@
 	}
 	for _, s := range f.servers {
 		if s.State == registry.Draining && s.goneAt <= f.now {
-			s.State = registry.Gone
+			s.State = registry.Deregistered
 			var i int
 			_, err := fmt.Sscanf(s.ID, "s%d-", &i)
 			require.NoError(f.t, err)
@@ -282,7 +282,7 @@
 		}
 	}
 	f.servers = slices.DeleteFunc(f.servers, func(s *simServer) bool {
-		if s.State == registry.Gone && f.now-s.goneAt > 90*time.Second {
+		if s.State == registry.Deregistered && f.now-s.goneAt > 90*time.Second {
 			delete(f.byID, s.ID)
 			return true
 		}
@@ -292,7 +292,7 @@
 
 // crash takes a server away that says nothing; the platform brings the revision back that it had.
 func (f *fleet) crash(s *simServer, back time.Duration) {
-	s.State, s.goneAt = registry.Gone, f.now
+	s.State, s.goneAt = registry.Deregistered, f.now
 	for _, rs := range f.ends {
 		for _, r := range rs {
 			if r.s == s {
@@ -326,7 +326,7 @@
 // traffic plays a second's requests.
 func (f *fleet) traffic() {
 	for _, r := range f.ends[f.now] {
-		if r.s.State == registry.Gone {
+		if r.s.State == registry.Deregistered {
 			continue
 		}
 		if r.a.held[r.s.ID]--; r.a.held[r.s.ID] <= 0 {
@@ -522,7 +522,7 @@
 func (f *fleet) stock() {
 	whole, serving, rules := 0.0, 0.0, f.compiled()
 	for _, s := range f.servers {
-		if s.State == registry.Gone {
+		if s.State == registry.Deregistered {
 			continue
 		}
 		whole += s.Capacity
@@ -595,7 +595,7 @@
 // revisions counts the servers of each revision.
 func (f *fleet) revisions() (old, fresh int) {
 	for _, s := range f.servers {
-		if s.State != registry.Gone {
+		if s.State != registry.Deregistered {
 			if s.Revision == 2 {
 				fresh++
 			} else {
--- a/internal/fleet/rollout/interleave_test.go
+++ b/internal/fleet/rollout/interleave_test.go
@@ -136,7 +136,7 @@
 	}
 	if next != nil && s.bad == notRevived {
 		for i, l := range next.Out {
-			if v := s.server(l.ID); v != nil && v.State == registry.Lost && l.Step < Replacing {
+			if v := s.server(l.ID); v != nil && v.State == registry.Expired && l.Step < Replacing {
 				next.Out[i].Step = Replacing
 			}
 		}
@@ -170,7 +170,7 @@
 	}
 	for _, l := range s.newest().Out {
 		x := s.server(l.ID)
-		if l.Step == Replacing && x.State != registry.Gone && (next.leaving(l.ID) == nil || next.leaving(l.ID).Step != Replacing) {
+		if l.Step == Replacing && x.State != registry.Deregistered && (next.leaving(l.ID) == nil || next.leaving(l.ID).Step != Replacing) {
 			s.cause = fmt.Errorf("%s was handed over, and is taken back", l.ID)
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	for _, id := range s.word {
 		x := s.server(id)
-		if x == nil || x.State == registry.Gone {
+		if x == nil || x.State == registry.Deregistered {
 			continue
 		}
 		do(func() { s.replace(x) })
@@ -300,9 +300,9 @@
 	for i := range s.servers {
 		x := &s.servers[i]
 		if s.may.silences > 0 && x.State == registry.Ready && s.newest().leaving(x.ID) != nil {
-			do(func() { s.may.silences--; x.State = registry.Lost })
+			do(func() { s.may.silences--; x.State = registry.Expired })
 		}
-		if x.State == registry.Lost {
+		if x.State == registry.Expired {
 			do(func() { x.State = registry.Ready })
 		}
 	}
@@ -313,7 +313,7 @@
 func (s *small) count(a *smallAgent) {
 	id := a.pending
 	a.pending = ""
-	if x := s.server(id); x.State == registry.Gone {
+	if x := s.server(id); x.State == registry.Deregistered {
 		return // turned away: it has not run
 	}
 	a.held[id]++
@@ -341,7 +341,7 @@
 	if serving == 0 && s.may.silences == 0 {
 		s.cause = fmt.Errorf("%s is replaced, and nobody else serves", x.ID)
 	}
-	x.State = registry.Gone
+	x.State = registry.Deregistered
 	next := x.Server
 	next.ID, next.State, next.Revision = x.ID+"'", registry.Ready, s.newest().target()
 	s.servers = append(s.servers, smallServer{Server: next})
--- a/internal/fleet/rollout/record_test.go
+++ b/internal/fleet/rollout/record_test.go
@@ -265,8 +265,8 @@
 				}
 			case 3:
 				s := &servers[rapid.IntRange(0, len(servers)-1).Draw(t, "which")]
-				s.State = rapid.SampledFrom([]registry.State{registry.Ready, registry.Lost, registry.Draining, registry.Gone}).Draw(t, "state")
-				if s.State == registry.Gone {
+				s.State = rapid.SampledFrom([]registry.State{registry.Ready, registry.Expired, registry.Draining, registry.Deregistered}).Draw(t, "state")
+				if s.State == registry.Deregistered {
 					serve(s.Addr, rapid.SampledFrom([]int{1, 2, 2, 2}).Draw(t, "revision"))
 				}
 			case 4:
@@ -281,14 +281,14 @@
 			for _, l := range rec.Out { // the platform's turn
 				for i := range servers {
 					if s := &servers[i]; s.ID == l.ID && l.Step == Replacing && s.State == registry.Ready && rapid.Bool().Draw(t, "replaced") {
-						s.State = registry.Gone
+						s.State = registry.Deregistered
 						serve(s.Addr, rec.target())
 					}
 				}
 			}
 			f := &Facts{Agents: w.Agents([]string{"a"}), Watch: w}
 			for _, s := range servers {
-				if s.State != registry.Gone {
+				if s.State != registry.Deregistered {
 					f.Servers = append(f.Servers, s)
 				}
 			}
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -49,7 +49,7 @@
 	}
 	for i := range servers {
 		switch v := &servers[i]; {
-		case v.State > registry.Lost:
+		case v.State > registry.Expired:
 		case v.Revision == r.Spec.To:
 			s.New++
 		case v.Revision == r.Spec.From:
--- a/internal/fleet/rollout/step.go
+++ b/internal/fleet/rollout/step.go
@@ -144,7 +144,7 @@
 	}
 	for i := range t.f.Servers {
 		s := &t.f.Servers[i]
-		if s.State > registry.Lost {
+		if s.State > registry.Expired {
 			continue
 		}
 		if !back {
@@ -481,7 +481,7 @@
 	}
 	there := false
 	for _, s := range t.f.Servers {
-		if s.State > registry.Lost || s.Revision < 0 {
+		if s.State > registry.Expired || s.Revision < 0 {
 			continue
 		}
 		if s.Revision != t.rec.target() {
