--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -37,7 +37,7 @@
 	set    atomic.Pointer[settings.Settings]
 	pool   *rpc.Pool
 	core   *controlplane.Member
-	hub    *relay.Hub
+	hub    *relay.Node
 	door   *gateway.Door
 	ctl    *controlapi.Server
 	ending atomic.Bool
@@ -69,7 +69,7 @@
 		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
 		Seeds: d.seeds, KnownAddresses: d.known, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.pool,
 		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
-		OnCommit: func(v chain.Value) { d.hub.Commit(v.Seq, v.Body) },
+		OnCommit: func(v chain.Value) { d.hub.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
 	})
 	if err != nil {
@@ -82,12 +82,12 @@
 		saved, _ = d.core.LoadRecord(savedServers)
 	}
 	d.hub = relay.New(relay.Options{
-		Save: save, Saved: saved,
-		Self: relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
-		Beat: time.Duration(s.BeatMs) * time.Millisecond, Core: coreView{d.core}, Seeds: d.seeds, OnChange: d.door.Update,
+		SaveServers: save, SavedServers: saved,
+		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
+		HeartbeatInterval: time.Duration(s.BeatMs) * time.Millisecond, Core: coreView{d.core}, SeedAddrs: d.seeds, OnChange: d.door.Update,
 		OnNotice: d.door.Heard, LinkMbps: s.Limits.LinkMbps,
 	})
-	d.door.Notify = d.hub.Notify
+	d.door.Notify = d.hub.BroadcastNotice
 	d.ctl = controlapi.NewServer(&plane{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
 	return d, nil
 }
@@ -111,7 +111,7 @@
 		return nil
 	}
 	var out []string
-	for _, m := range d.hub.Others(true) {
+	for _, m := range d.hub.OtherMembers(true) {
 		out = append(out, m.Addr)
 	}
 	return out
@@ -120,9 +120,9 @@
 // coreView is what the feed asks of the core's member.
 type coreView struct{ m *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.m.IsVoter() }
-func (c coreView) Linked() bool { return c.m.HasQuorum() }
-func (c coreView) Hubs() []relay.Peer {
+func (c coreView) IsMember() bool  { return c.m.IsVoter() }
+func (c coreView) HasQuorum() bool { return c.m.HasQuorum() }
+func (c coreView) Members() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
 		return nil
@@ -142,9 +142,9 @@
 		cancel()
 		if err == nil {
 			if v.Seq > 0 {
-				d.hub.Commit(v.Seq, v.Body)
+				d.hub.ApplyConfig(v.Seq, v.Body)
 			}
-			d.hub.Newest()
+			d.hub.MarkConfigCurrent()
 			return
 		}
 		select {
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -23,7 +23,7 @@
 	for _, m := range b.Models {
 		in.Models = append(in.Models, registry.Model{Name: m.Name, Revision: m.Revision})
 	}
-	if !p.d.hub.Beat(ctx, in) {
+	if !p.d.hub.Heartbeat(ctx, in) {
 		return controlapi.BeatReply{}, apierror.New(apierror.Unavailable, "beat", "call another agent", "no hub has taken it")
 	}
 	return controlapi.BeatReply{Target: p.target()}, nil
@@ -34,7 +34,7 @@
 	if !p.d.ending.Load() {
 		return ""
 	}
-	others := p.d.hub.Others(false)
+	others := p.d.hub.OtherMembers(false)
 	if len(others) == 0 {
 		return ""
 	}
@@ -42,7 +42,7 @@
 }
 
 func (p *plane) Leave(ctx context.Context, id string, _ uint64) error {
-	if !p.d.hub.Leave(ctx, id) {
+	if !p.d.hub.Deregister(ctx, id) {
 		return apierror.New(apierror.Unavailable, "leave", "call another agent", "no hub has taken it")
 	}
 	return nil
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -125,7 +125,7 @@
 	}
 	calls := rpc.NewTable()
 	d.core.RegisterHandlers(calls)
-	d.hub.Declare(calls)
+	d.hub.RegisterHandlers(calls)
 	parts.run("peers", func() error { return rpc.Serve(ctx, open.peers, calls) })
 	parts.run("core", func() error { return d.core.Run(ctx) })
 	parts.run("hub", func() error { return d.hub.Run(ctx) })
@@ -175,7 +175,7 @@
 	by := time.Now().Add(s.Grace() - lastWords)
 	ctx, cancel := context.WithDeadline(context.Background(), by)
 	defer cancel()
-	d.hub.Ending()
+	d.hub.AnnounceDraining()
 	d.ctl.Leave()
 	var wg sync.WaitGroup
 	wg.Go(func() { d.core.Handover(ctx) })
@@ -183,6 +183,6 @@
 	wg.Wait()
 	bye, done := context.WithTimeout(context.Background(), lastWords/2)
 	defer done()
-	d.hub.Bye(bye)
+	d.hub.Depart(bye)
 	logevent.Ended.Log("node", s.Name)
 }
--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -93,7 +93,7 @@
 // listed tells whether the server is still in the list. A connect may have taken long: nothing is
 // begun on a server that was told to drain meanwhile.
 func (t *attempt) listed() bool {
-	return t.door.snap.Load().List.ByID[t.decision.Server.ID] != nil
+	return t.door.snap.Load().Servers.ByID[t.decision.Server.ID] != nil
 }
 
 // send writes the request. An error proves that it has not run.
--- a/internal/fleet/gateway/attempt_test.go
+++ b/internal/fleet/gateway/attempt_test.go
@@ -392,7 +392,7 @@
 	// The picker still has both, the list only one: the moment between a pick and a newer list.
 	gone := w.servers[0]
 	snap := *w.door.snap.Load()
-	snap.List = w.list(gone)
+	snap.Servers = w.list(gone)
 	w.door.snap.Store(&snap)
 	for range 20 {
 		resp, _ := w.ask(post("/one/x", "", "q"))
--- a/internal/fleet/gateway/door.go
+++ b/internal/fleet/gateway/door.go
@@ -100,16 +100,16 @@
 	old := d.snap.Swap(s)
 	now := d.now()
 	d.mu.Lock()
-	if old.List != s.List && s.List != nil {
-		d.picker.SetList(now, s.List)
+	if old.Servers != s.Servers && s.Servers != nil {
+		d.picker.SetList(now, s.Servers)
 	}
-	if old.Doc != s.Doc && s.Doc != nil {
-		d.picker.SetConf(now, s.Doc)
+	if old.Config != s.Config && s.Config != nil {
+		d.picker.SetConf(now, s.Config)
 	}
 	d.quota.SetAgentCount(now, s.Agents)
 	d.mu.Unlock()
-	if old.List != s.List && s.List != nil {
-		d.pool.keepOnly(s.List.ByID)
+	if old.Servers != s.Servers && s.Servers != nil {
+		d.pool.keepOnly(s.Servers.ByID)
 	}
 	if able(s) {
 		d.opened.Do(func() { close(d.able) })
@@ -127,7 +127,7 @@
 
 // able tells whether requests can be served: all is known, there is a configuration and a server.
 func able(s *relay.Snapshot) bool {
-	return s.Fresh && s.Doc != nil && s.List != nil && len(s.List.ByID) > 0
+	return s.Synced && s.Config != nil && s.Servers != nil && len(s.Servers.ByID) > 0
 }
 
 // Able tells whether requests can be served.
@@ -241,7 +241,7 @@
 		}
 	}
 	// The routes may have changed while the body came: no older ones than that are gone by.
-	if now := d.snap.Load(); now.Doc != snap.Doc {
+	if now := d.snap.Load(); now.Config != snap.Config {
 		if r, err = d.reparse(req, now, r); err != nil {
 			d.reject(w, err)
 			return
--- a/internal/fleet/gateway/exchange_test.go
+++ b/internal/fleet/gateway/exchange_test.go
@@ -175,7 +175,7 @@
 	}
 	doc, err := exchangeDoc()
 	require.NoError(t, err)
-	d.Update(&relay.Snapshot{Seq: 1, Doc: doc, List: list, Agents: 1, Fresh: true})
+	d.Update(&relay.Snapshot{ConfigSeq: 1, Config: doc, Servers: list, Agents: 1, Synced: true})
 	for id := range list.ByID {
 		d.pool.open++
 		d.pool.put(newConn(&fakeConn{exchange: x}, id))
--- a/internal/fleet/gateway/front_test.go
+++ b/internal/fleet/gateway/front_test.go
@@ -199,11 +199,11 @@
 	require.Equal(t, 503, ready())
 	// What is known is not all yet.
 	doc := w.doc("")
-	w.door.Update(&relay.Snapshot{Doc: doc, List: w.list(), Agents: 1})
+	w.door.Update(&relay.Snapshot{Config: doc, Servers: w.list(), Agents: 1})
 	resp, _ = w.ask(post("/once/x", "", "q"))
 	refused(t, resp)
 	require.Equal(t, 503, ready())
-	w.door.Update(&relay.Snapshot{Doc: doc, List: w.list(w.servers...), Agents: 1, Fresh: true})
+	w.door.Update(&relay.Snapshot{Config: doc, Servers: w.list(w.servers...), Agents: 1, Synced: true})
 	resp, _ = w.ask(post("/once/x", "", "q"))
 	refused(t, resp)
 	require.Equal(t, 503, ready())
--- a/internal/fleet/gateway/main_test.go
+++ b/internal/fleet/gateway/main_test.go
@@ -333,7 +333,7 @@
 }
 
 func (w *world) update(doc *config.Doc, without ...*server) {
-	w.door.Update(&relay.Snapshot{Seq: w.seq, Doc: doc, List: w.list(without...), Agents: 1, Fresh: true})
+	w.door.Update(&relay.Snapshot{ConfigSeq: w.seq, Config: doc, Servers: w.list(without...), Agents: 1, Synced: true})
 }
 
 // client is one connection of a client.
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -93,7 +93,7 @@
 	if !strings.HasPrefix(path, "/") {
 		return nil, badf(http.StatusBadRequest, "the target is no path")
 	}
-	route := snap.Doc.Match(req.Host, path)
+	route := snap.Config.Match(req.Host, path)
 	if route == nil {
 		return nil, badf(http.StatusNotFound, "no route for this host and path")
 	}
@@ -181,7 +181,7 @@
 
 // readBody reads the whole body within the limits and the request's time.
 func (d *Door) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *relay.Snapshot) error {
-	most := snap.Doc.Limits.BodyBytes
+	most := snap.Config.Limits.BodyBytes
 	if most <= 0 {
 		most = maxBody
 	}
--- a/internal/fleet/gateway/serve.go
+++ b/internal/fleet/gateway/serve.go
@@ -224,7 +224,7 @@
 
 func (d *Door) checkOne(ctx context.Context, in *registry.Instance) (bool, *balancer.Load) {
 	path, host := "/health", in.Addr
-	if doc := d.snap.Load().Doc; doc != nil && doc.Services[in.Service] != nil && doc.Services[in.Service].HealthPath != "" {
+	if doc := d.snap.Load().Config; doc != nil && doc.Services[in.Service] != nil && doc.Services[in.Service].HealthPath != "" {
 		path = doc.Services[in.Service].HealthPath
 	}
 	ctx, cancel := context.WithTimeout(ctx, checkTime)
--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -23,8 +23,8 @@
 		Control: fmt.Sprintf("10.0.%d.%d:8262", i/250, i%250)}
 }
 
-// everything is the feed that a hub sends to a newcomer.
-func everything(agents, hubs, servers, tenants int) []deltasync.Delta {
+// fullSync is the feed that a hub sends to a newcomer.
+func fullSync(agents, hubs, servers, tenants int) []deltasync.Delta {
 	var out []deltasync.Delta
 	for i := range agents + hubs {
 		d := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
@@ -40,7 +40,7 @@
 		} else {
 			for j := i - hubs; j < servers; j += agents {
 				in := benchInstance(j)
-				add(instPrefix+in.ID, encode(in))
+				add(serverPrefix+in.ID, encode(in))
 			}
 		}
 		out = append(out, d)
@@ -60,12 +60,12 @@
 		{"heartbeat", one()},
 		{"server", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "i/i-00000001", Ver: 8, Data: server}}})},
 		{"lease", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "l/edge-300/0123456789ab", Ver: 8, Data: []byte{1}}}})},
-		{"configuration/tenants=0", one(everything(0, 0, 0, 0)...)},
-		{"configuration/tenants=650", one(everything(0, 0, 0, 650)...)},
-		{"configuration/tenants=6500", one(everything(0, 0, 0, 6500)...)},
-		{"everything/agents=30", one(everything(30, 7, 850, 0)...)},
-		{"everything/agents=360", one(everything(360, 7, 850, 0)...)},
-		{"hello/agents=360", &message{Hello: &hello{Source: "edge-1/0123456789ab", Addr: "10.0.0.1:7300", Vector: vector(everything(360, 7, 850, 0))}}},
+		{"configuration/tenants=0", one(fullSync(0, 0, 0, 0)...)},
+		{"configuration/tenants=650", one(fullSync(0, 0, 0, 650)...)},
+		{"configuration/tenants=6500", one(fullSync(0, 0, 0, 6500)...)},
+		{"everything/agents=30", one(fullSync(30, 7, 850, 0)...)},
+		{"everything/agents=360", one(fullSync(360, 7, 850, 0)...)},
+		{"hello/agents=360", &message{Hello: &hello{Source: "edge-1/0123456789ab", Addr: "10.0.0.1:7300", Vector: vectorOf(fullSync(360, 7, 850, 0))}}},
 	} {
 		raw := encode(m.message)
 		b.Run(m.name+"/encode", func(b *testing.B) {
@@ -86,7 +86,7 @@
 	}
 }
 
-func vector(deltas []deltasync.Delta) deltasync.Vector {
+func vectorOf(deltas []deltasync.Delta) deltasync.Vector {
 	v := deltasync.Vector{}
 	for _, d := range deltas {
 		v[d.Source] = d.Upto
@@ -94,24 +94,24 @@
 	return v
 }
 
-// alone is the core of a process that is no machine of it.
-type alone struct{}
+// edgeCore is the core of a process that is no machine of it.
+type edgeCore struct{}
 
-func (alone) IsCore() bool { return false }
-func (alone) Linked() bool { return false }
-func (alone) Hubs() []Peer { return nil }
+func (edgeCore) IsMember() bool  { return false }
+func (edgeCore) HasQuorum() bool { return false }
+func (edgeCore) Members() []Peer { return nil }
 
-func benchHub(agents, hubs, servers, tenants int) *Hub {
-	h := New(Options{Self: *benchMember(9999), Beat: 1200 * time.Millisecond, Core: alone{}, OnChange: func(*Snapshot) {}})
+func newBenchNode(agents, hubs, servers, tenants int) *Node {
+	h := New(Options{Self: *benchMember(9999), HeartbeatInterval: 1200 * time.Millisecond, Core: edgeCore{}, OnChange: func(*Snapshot) {}})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	deltas := everything(agents, hubs, servers, tenants)
+	deltas := fullSync(agents, hubs, servers, tenants)
 	raw := encode(&message{Deltas: deltas})
 	m := new(message)
 	if err := msgpack.Unmarshal(raw, m); err != nil { // as it comes: nothing is shared
 		panic(err)
 	}
-	h.apply(m.Deltas)
+	h.applyDeltasLocked(m.Deltas)
 	return h
 }
 
@@ -123,7 +123,7 @@
 		b.Run(fmt.Sprintf("agents=%d/servers=%d/tenants=%d", n.agents, n.servers, n.tenants), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heapsize.Of(func() any { return benchHub(n.agents, n.hubs, n.servers, n.tenants) })
+				bytes = heapsize.Of(func() any { return newBenchNode(n.agents, n.hubs, n.servers, n.tenants) })
 			}
 			b.ReportMetric(float64(bytes), "B/agent")
 		})
@@ -134,7 +134,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{30, 100, 360} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			h := benchHub(agents, 7, 850, 0)
+			h := newBenchNode(agents, 7, 850, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				h.tick()
@@ -147,30 +147,30 @@
 func BenchmarkApply(b *testing.B) {
 	for _, servers := range []int{112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			h := benchHub(360, 7, servers, 0)
+			h := newBenchNode(360, 7, servers, 0)
 			const source = "edge-7/0123456789ab"
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			ver, in := h.set.Version(source), *benchInstance(0)
+			ver, in := h.items.Version(source), *benchInstance(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				in.Seq++
 				ver++
-				h.apply([]deltasync.Delta{{Source: source, From: ver - 1, Upto: ver, Items: []deltasync.Item{{Key: instPrefix + in.ID, Ver: ver, Data: encode(&in)}}}})
+				h.applyDeltasLocked([]deltasync.Delta{{Source: source, From: ver - 1, Upto: ver, Items: []deltasync.Item{{Key: serverPrefix + in.ID, Ver: ver, Data: encode(&in)}}}})
 			}
 		})
 	}
 }
 
 // A server's beat that says nothing new.
-func BenchmarkBeat(b *testing.B) {
-	h := benchHub(360, 7, 850, 0)
+func BenchmarkHeartbeat(b *testing.B) {
+	h := newBenchNode(360, 7, 850, 0)
 	ctx := b.Context()
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
 		in := benchInstance(90000)
 		in.Seq = n
-		if !h.Beat(ctx, in) {
+		if !h.Heartbeat(ctx, in) {
 			b.Fatal("refused")
 		}
 	}
--- a/internal/fleet/relay/catchup.go
+++ b/internal/fleet/relay/catchup.go
@@ -1,30 +1,30 @@
 package relay
 
-// hasAll tells whether this process has had all that a hub knows, and was not cut off from the core
+// isCompleteLocked tells whether this process has had all that a hub knows, and was not cut off from the core
 // since.
-func (h *Hub) hasAll() bool { return h.synced && !h.behind }
+func (h *Node) isCompleteLocked() bool { return h.synced && !h.stale }
 
-// awaitingDeltas tells whether a machine of the core is still sending its first deltas.
-func (h *Hub) awaitingDeltas() bool {
+// awaitingInitialSyncLocked tells whether a machine of the core is still sending its first deltas.
+func (h *Node) awaitingInitialSyncLocked() bool {
 	for s := range h.sessions {
-		if s.core && !s.reportedFull {
+		if s.peerIsCore && !s.completenessKnown {
 			return true
 		}
 	}
 	return false
 }
 
-// alone tells whether all other machines of the core are here, and none of them knows all either:
+// wholeCoreUnsyncedLocked tells whether all other machines of the core are here, and none of them knows all either:
 // then there is nobody who does.
-func (h *Hub) alone(hubs []Peer) bool {
+func (h *Node) wholeCoreUnsyncedLocked(hubs []Peer) bool {
 	full := map[string]bool{}
 	for s := range h.sessions {
-		if s.reportedFull {
-			full[s.peer] = full[s.peer] || s.full
+		if s.completenessKnown {
+			full[s.peerAddr] = full[s.peerAddr] || s.peerComplete
 		}
 	}
 	for _, p := range hubs {
-		if known, ok := full[p.Addr]; p.Addr != h.o.Self.Addr && (!ok || known) {
+		if known, ok := full[p.Addr]; p.Addr != h.options.Self.Addr && (!ok || known) {
 			return false
 		}
 	}
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -16,9 +16,9 @@
 	Raw []byte `msgpack:"r"`
 }
 
-func (h *Hub) foldConfig(it deltasync.Item) {
+func (h *Node) applyConfigItemLocked(it deltasync.Item) {
 	var cfg Config
-	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.seq || cfg.Seq != it.Ver {
+	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.configSeq || cfg.Seq != it.Ver {
 		return
 	}
 	doc, err := config.Parse(cfg.Raw)
@@ -26,25 +26,25 @@
 		logevent.ConfigBad.Error(err, "seq", cfg.Seq)
 		return
 	}
-	h.seq, h.doc = cfg.Seq, doc
+	h.configSeq, h.config = cfg.Seq, doc
 	logevent.ConfigInForce.Log("seq", cfg.Seq, "revision", doc.Revision)
 }
 
-// Commit takes a configuration that the core has committed. Older ones are passed over.
-func (h *Hub) Commit(seq uint64, raw []byte) {
+// ApplyConfig takes a configuration that the core has committed. Older ones are passed over.
+func (h *Node) ApplyConfig(seq uint64, raw []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if seq <= h.set.Version(configSource) {
+	if seq <= h.items.Version(configSource) {
 		return
 	}
-	h.apply([]deltasync.Delta{{Source: configSource, From: h.set.Version(configSource), Upto: seq,
+	h.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: h.items.Version(configSource), Upto: seq,
 		Items: []deltasync.Item{{Key: configKey, Ver: seq, Data: encode(&Config{seq, raw})}}}})
 }
 
-// Newest takes that all configurations up to now have been committed here.
-func (h *Hub) Newest() {
+// MarkConfigCurrent takes that all configurations up to now have been committed here.
+func (h *Node) MarkConfigCurrent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.newest = true
+	h.configCurrent = true
 	logevent.NewestRead.Log("after", h.now()-time.Second)
 }
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -9,16 +9,16 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// dial keeps the sessions that this agent begins: a machine of the core with all others whose
+// dialLoop keeps the sessions that this agent begins: a machine of the core with all others whose
 // address is above its own, any other agent with one hub.
-func (h *Hub) dial(ctx context.Context) {
+func (h *Node) dialLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	running := map[string]bool{} // by address
 	var mu sync.Mutex
 	turn := 0
 	for ctx.Err() == nil {
-		want := h.wanted(turn)
+		want := h.dialTargets(turn)
 		mu.Lock()
 		for _, addr := range want {
 			if running[addr] {
@@ -26,7 +26,7 @@
 			}
 			running[addr] = true
 			wg.Go(func() {
-				h.dialOne(ctx, addr)
+				h.dialSession(ctx, addr)
 				mu.Lock()
 				delete(running, addr)
 				mu.Unlock()
@@ -38,25 +38,25 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redial):
+		case <-time.After(redialInterval):
 		}
 	}
 }
 
-func (h *Hub) dialOne(ctx context.Context, addr string) {
+func (h *Node) dialSession(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(helloWithin, cancel)
-	st, hangUp, err := rpc.OpenOver[message, message](ctx, h.o.Dialer, addr, "feed.session")
+	late := time.AfterFunc(helloTimeout, cancel)
+	st, hangUp, err := rpc.OpenOver[message, message](ctx, h.options.Dialer, addr, "feed.session")
 	if err != nil {
 		return
 	}
 	defer hangUp()
-	core := h.o.Core.IsCore()
+	core := h.options.Core.IsMember()
 	h.mu.Lock()
-	mine := &hello{Source: h.set.OwnSource(), Addr: h.o.Self.Addr, Core: core, Vector: h.set.Vector()}
+	mine := &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, Core: core, Vector: h.items.Vector()}
 	h.mu.Unlock()
-	if st.Send(&message{Hello: mine, Core: core, Linked: h.o.Core.Linked()}) != nil {
+	if st.Send(&message{Hello: mine, Core: core, Linked: h.options.Core.HasQuorum()}) != nil {
 		return
 	}
 	m, err := st.Recv()
@@ -65,17 +65,17 @@
 	}
 	if m.Hello == nil {
 		h.mu.Lock()
-		h.redirects = nil
+		h.redirectAddrs = nil
 		for _, p := range m.Redirect[:min(len(m.Redirect), 16)] {
-			h.redirects = append(h.redirects, p.Addr)
+			h.redirectAddrs = append(h.redirectAddrs, p.Addr)
 		}
 		h.mu.Unlock()
 		return
 	}
-	if m.Hello.check() != nil {
+	if m.Hello.validate() != nil {
 		return
 	}
 	logevent.SessionBegun.Log("peer", addr)
-	err = h.session(ctx, st, m.Hello, addr, mine, m)
+	err = h.runSession(ctx, st, m.Hello, addr, mine, m)
 	logevent.SessionOver.Log("peer", addr, "err", err)
 }
--- a/internal/fleet/relay/fanout_bench_test.go
+++ b/internal/fleet/relay/fanout_bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkFanOut(b *testing.B) {
 	const sessions, size = 100, 1 << 20
 	m := &message{Linked: true, Full: true, Deltas: []deltasync.Delta{{Source: configSource, Upto: 1,
-		Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, longDocument(1, size)})}}}}}
+		Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, paddedDocument(1, size)})}}}}}
 	b.Run("encode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -26,14 +26,14 @@
 		}
 	})
 	b.Run("send", func(b *testing.B) {
-		send := sendTo(b, sessions)
+		send := newBroadcast(b, sessions)
 		b.ReportAllocs()
 		for b.Loop() {
 			send(func(st *stream) error { return st.Send(m) })
 		}
 	})
 	b.Run("send-encoded", func(b *testing.B) {
-		send := sendTo(b, sessions)
+		send := newBroadcast(b, sessions)
 		b.ReportAllocs()
 		for b.Loop() {
 			shared, err := rpc.Encode(m)
@@ -43,8 +43,8 @@
 	})
 }
 
-// sendTo returns what sends a message to so many readers at once and waits until all have it.
-func sendTo(b *testing.B, readers int) func(func(*stream) error) {
+// newBroadcast returns what sends a message to so many readers at once and waits until all have it.
+func newBroadcast(b *testing.B, readers int) func(func(*stream) error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	table := rpc.NewTable()
--- a/internal/fleet/relay/fulltable_test.go
+++ b/internal/fleet/relay/fulltable_test.go
@@ -12,22 +12,22 @@
 
 // A hub whose table is full answers no call of a server that it can't keep as taken, and takes those
 // of the servers that it knows.
-func TestAFullTableTakesNoUnknownServer(t *testing.T) {
+func TestFullTableRejectsUnknownServers(t *testing.T) {
 	const more = 10_000 // than any table takes
-	h := newStill("h", true, Peer{Addr: "addr of h"})
-	require.True(t, h.Beat(t.Context(), server("known", 1)))
+	h := newManualNode("h", true, Peer{Addr: "addr of h"})
+	require.True(t, h.Heartbeat(t.Context(), server("known", 1)))
 	var items []any
 	for i := range more {
-		items = append(items, instPrefix+fmt.Sprint("s", i), server(fmt.Sprint("s", i), 1))
+		items = append(items, serverPrefix+fmt.Sprint("s", i), server(fmt.Sprint("s", i), 1))
 	}
-	x := h.meet("addr of a", "a/1", false)
-	h.says(x, &message{Deltas: []deltasync.Delta{delta("a/1", items...)}})
-	require.Less(t, len(h.last.List.ByID), more)
-	require.False(t, h.Beat(t.Context(), server("late", 1)))
-	assert.NotContains(t, h.last.List.ByID, "late")
-	assert.False(t, h.Beat(t.Context(), drains("late", 1)))
-	assert.False(t, h.Leave(t.Context(), "late"))
-	assert.True(t, h.Beat(t.Context(), server("known", 2)))
-	assert.True(t, h.Beat(t.Context(), drains("known", 3)))
-	assert.True(t, h.Leave(t.Context(), "known"))
+	x := h.connect("addr of a", "a/1", false)
+	h.deliver(x, &message{Deltas: []deltasync.Delta{initialDelta("a/1", items...)}})
+	require.Less(t, len(h.snapshot.Servers.ByID), more)
+	require.False(t, h.Heartbeat(t.Context(), server("late", 1)))
+	assert.NotContains(t, h.snapshot.Servers.ByID, "late")
+	assert.False(t, h.Heartbeat(t.Context(), drainingServer("late", 1)))
+	assert.False(t, h.Deregister(t.Context(), "late"))
+	assert.True(t, h.Heartbeat(t.Context(), server("known", 2)))
+	assert.True(t, h.Heartbeat(t.Context(), drainingServer("known", 3)))
+	assert.True(t, h.Deregister(t.Context(), "known"))
 }
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -25,39 +25,39 @@
 )
 
 const (
-	// heartbeat is how often a session says something; it is over after silence in which no byte came.
-	heartbeat, silence = 300 * time.Millisecond, time.Second
-	// tickEvery is how often silence and leases are looked at.
-	tickEvery = 200 * time.Millisecond
-	// leaseLasts is how long a lease lasts after its last renewal.
-	leaseLasts = 2500 * time.Millisecond
-	// aloneFor is after how long with a majority of the core a machine of it that met no hub which
+	// heartbeatInterval is how often a session says something; it is over after silence in which no byte came.
+	heartbeatInterval, sessionTimeout = 300 * time.Millisecond, time.Second
+	// tickInterval is how often silence and leases are looked at.
+	tickInterval = 200 * time.Millisecond
+	// leaseDuration is how long a lease lasts after its last renewal.
+	leaseDuration = 2500 * time.Millisecond
+	// selfStartDelay is after how long with a majority of the core a machine of it that met no hub which
 	// knows all goes by what it has: longer than sessions take to come up.
-	aloneFor = 700 * time.Millisecond
-	// saveEvery is how often the list is kept on disk, if it changed.
-	saveEvery = time.Second
-	// endedFor is how long a hub tells that a source has ended.
-	endedFor = 60 * time.Second
-	// keepEvents is how many events of the feed are kept for operators.
-	keepEvents = 256
-	// fullReportEvery is how often it is logged that the list of servers is full.
-	fullReportEvery = 10 * time.Second
+	selfStartDelay = 700 * time.Millisecond
+	// saveInterval is how often the list is kept on disk, if it changed.
+	saveInterval = time.Second
+	// endRetention is how long a hub tells that a source has ended.
+	endRetention = 60 * time.Second
+	// changeLogSize is how many events of the feed are kept for operators.
+	changeLogSize = 256
+	// tableFullLogInterval is how often it is logged that the list of servers is full.
+	tableFullLogInterval = 10 * time.Second
 	// maxSessions bounds the sessions of a process.
 	maxSessions = 1024
-	// maxMember bounds what an agent tells of itself, keepData what is kept of a change for operators.
-	maxMember, keepData = 8 << 10, 4 << 10
+	// maxMemberBytes bounds what an agent tells of itself, maxLoggedBytes what is kept of a change for operators.
+	maxMemberBytes, maxLoggedBytes = 8 << 10, 4 << 10
 
-	configSource, configKey = "config", "c"
-	memberKey               = "m"
-	instPrefix, leasePrefix = "i/", "l/"
-	endPrefix               = "e/"
+	configSource, configKey   = "config", "c"
+	memberKey                 = "m"
+	serverPrefix, leasePrefix = "i/", "l/"
+	endPrefix                 = "e/"
 )
 
 // Core is what the hub asks of the core's view.
 type Core interface {
-	IsCore() bool // this process is a member of the core
-	Linked() bool // and in contact with a majority of it
-	Hubs() []Peer // the machines of the core, as far as known
+	IsMember() bool  // this process is a member of the core
+	HasQuorum() bool // and in contact with a majority of it
+	Members() []Peer // the machines of the core, as far as known
 }
 
 // Peer is a machine of the core.
@@ -65,24 +65,24 @@
 
 // Snapshot is what the data plane goes by: immutable, always one moment's.
 type Snapshot struct {
-	Seq    uint64      // of the configuration
-	Doc    *config.Doc // nil before the first
-	List   *registry.List
-	Agents int  // members, at least this one
-	Fresh  bool // this process has had all that a hub knows
+	ConfigSeq uint64      // of the configuration
+	Config    *config.Doc // nil before the first
+	Servers   *registry.List
+	Agents    int  // members, at least this one
+	Synced    bool // this process has had all that a hub knows
 }
 
 // Options are what a Hub needs.
 type Options struct {
-	Self     Member
-	Beat     time.Duration
-	Core     Core
-	Seeds    func() []string // agents' addresses of the seeds
-	OnChange func(*Snapshot) // called under the hub's lock, in order: short
-	// Save keeps the list of servers on the machine's disk, if it has one, and Saved is what an
+	Self              Member
+	HeartbeatInterval time.Duration
+	Core              Core
+	SeedAddrs         func() []string // agents' addresses of the seeds
+	OnChange          func(*Snapshot) // called under the hub's lock, in order: short
+	// SaveServers keeps the list of servers on the machine's disk, if it has one, and Saved is what an
 	// earlier life kept. Both may be nil.
-	Save  func([]byte) error
-	Saved []byte
+	SaveServers  func([]byte) error
+	SavedServers []byte
 	// OnNotice takes a notice of another agent, of that age: see Notify. It is called under the
 	// hub's lock and may be nil. LinkMbps is the machine's link.
 	OnNotice func(age time.Duration, n *balancer.Notice)
@@ -90,64 +90,64 @@
 	Dialer   rpc.Dialer // of sessions; nil: TCP
 }
 
-// Hub is the feed of one process.
-type Hub struct {
-	o     Options
-	start time.Time
+// Node is the feed of one process.
+type Node struct {
+	options   Options
+	startTime time.Time
 
-	mu        sync.Mutex
-	set       *deltasync.Store
-	table     *registry.Table
-	leases    *lease.Table
-	members   map[string]Member // by source
-	journal   *eventlog.Journal[deltasync.Change]
-	sessions  map[*session]bool
-	changed   chan struct{} // closed and made anew at each change
-	seq       uint64
-	doc       *config.Doc
-	ended     map[string]time.Duration // that this hub tells
-	synced    bool                     // had all of a hub's feed once
-	behind    bool                     // was cut off from the core since, and has not had all again
-	returnAt  time.Duration            // when to try the hubs of the own zone; 0: no need
-	granted   map[string]bool          // sources that it holds leases of
-	linked    time.Duration            // since when it is of the core and linked; 0: it is not
-	attached  time.Duration            // since when it has a session with a linked hub; 0: it has none
-	leaving   bool                     // it has said that it ends
-	newest    bool                     // the core has been asked for the newest configuration
-	redirects []string                 // hubs that others named
-	last      Snapshot
-	shared    sharedMessage // the last long configuration, as it was sent
-	limit     *rate.Limiter // of the bytes that notices make others take
-	// fullReports bounds how often a full list is logged.
-	fullReports rate.Sometimes
+	mu                  sync.Mutex
+	items               *deltasync.Store
+	servers             *registry.Table
+	leases              *lease.Table
+	members             map[string]Member // by source
+	changeLog           *eventlog.Journal[deltasync.Change]
+	sessions            map[*session]bool
+	changed             chan struct{} // closed and made anew at each change
+	configSeq           uint64
+	config              *config.Doc
+	publishedEnds       map[string]time.Duration // that this hub tells
+	synced              bool                     // had all of a hub's feed once
+	stale               bool                     // was cut off from the core since, and has not had all again
+	nextHomeZoneAttempt time.Duration            // when to try the hubs of the own zone; 0: no need
+	grantedLeases       map[string]bool          // sources that it holds leases of
+	quorumSince         time.Duration            // since when it is of the core and linked; 0: it is not
+	attachedSince       time.Duration            // since when it has a session with a linked hub; 0: it has none
+	departing           bool                     // it has said that it ends
+	configCurrent       bool                     // the core has been asked for the newest configuration
+	redirectAddrs       []string                 // hubs that others named
+	published           Snapshot
+	configCache         configCache   // the last long configuration, as it was sent
+	noticeLimiter       *rate.Limiter // of the bytes that notices make others take
+	// tableFullLog bounds how often a full list is logged.
+	tableFullLog rate.Sometimes
 }
 
 // New returns a hub of a new life.
-func New(o Options) *Hub {
+func New(o Options) *Node {
 	if o.Dialer == nil {
 		o.Dialer = rpc.TCP{}
 	}
-	h := &Hub{o: o, start: time.Now(), members: map[string]Member{}, sessions: map[*session]bool{},
-		changed: make(chan struct{}), ended: map[string]time.Duration{}, granted: map[string]bool{}, leases: lease.New(leaseLasts),
-		limit: rate.NewLimiter(0, 100*noticeBytes), journal: eventlog.New[deltasync.Change](keepEvents), fullReports: rate.Sometimes{Interval: fullReportEvery}}
-	h.set = deltasync.NewStore(h.newSource())
-	h.table = registry.NewTable(h.set.OwnSource(), o.Beat)
-	h.journal.View(h.fold)
-	h.journal.Slim(func(c deltasync.Change) deltasync.Change {
-		if len(c.Item.Data) > keepData {
+	h := &Node{options: o, startTime: time.Now(), members: map[string]Member{}, sessions: map[*session]bool{},
+		changed: make(chan struct{}), publishedEnds: map[string]time.Duration{}, grantedLeases: map[string]bool{}, leases: lease.New(leaseDuration),
+		noticeLimiter: rate.NewLimiter(0, 100*noticeSize), changeLog: eventlog.New[deltasync.Change](changeLogSize), tableFullLog: rate.Sometimes{Interval: tableFullLogInterval}}
+	h.items = deltasync.NewStore(h.newSourceName())
+	h.servers = registry.NewTable(h.items.OwnSource(), o.HeartbeatInterval)
+	h.changeLog.View(h.applyChangeLocked)
+	h.changeLog.Slim(func(c deltasync.Change) deltasync.Change {
+		if len(c.Item.Data) > maxLoggedBytes {
 			c.Item.Data = nil
 		}
 		return c
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.announceSelf()
-	h.restore()
+	h.publishMemberLocked()
+	h.restoreServersLocked()
 	return h
 }
 
 // now is the steady clock, above zero.
-func (h *Hub) now() time.Duration { return time.Since(h.start) + time.Second }
+func (h *Node) now() time.Duration { return time.Since(h.startTime) + time.Second }
 
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
@@ -157,54 +157,54 @@
 	return b
 }
 
-// announce changes an item of the own source, which reaches all. The lock is held, as in all that follow.
-func (h *Hub) announce(key string, data []byte) uint64 {
-	ver := h.set.Put(key, data)
-	h.journal.Append(deltasync.Change{Source: h.set.OwnSource(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
-	h.wake()
+// publishItemLocked changes an item of the own source, which reaches all. The lock is held, as in all that follow.
+func (h *Node) publishItemLocked(key string, data []byte) uint64 {
+	ver := h.items.Put(key, data)
+	h.changeLog.Append(deltasync.Change{Source: h.items.OwnSource(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
+	h.notifyWaitersLocked()
 	return ver
 }
 
-func (h *Hub) wake() {
+func (h *Node) notifyWaitersLocked() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// fold has the views take one change of the feed.
-func (h *Hub) fold(_ uint64, c deltasync.Change) {
+// applyChangeLocked has the views take one change of the feed.
+func (h *Node) applyChangeLocked(_ uint64, c deltasync.Change) {
 	now, key, data := h.now(), c.Item.Key, c.Item.Data
 	if c.Source == configSource {
 		if key == configKey {
-			h.foldConfig(c.Item)
+			h.applyConfigItemLocked(c.Item)
 		}
 		return
 	}
-	own := c.Source == h.set.OwnSource()
+	own := c.Source == h.items.OwnSource()
 	h.leases.See(now, c.Source)
 	switch {
 	case key == memberKey:
 		var m Member
-		if len(data) <= maxMember && msgpack.Unmarshal(data, &m) == nil {
+		if len(data) <= maxMemberBytes && msgpack.Unmarshal(data, &m) == nil {
 			h.members[c.Source] = m
 		}
-	case strings.HasPrefix(key, instPrefix) && !own: // the own ones the table knows already
-		id := key[len(instPrefix):]
+	case strings.HasPrefix(key, serverPrefix) && !own: // the own ones the table knows already
+		id := key[len(serverPrefix):]
 		if data == nil {
-			h.table.Withdraw(now, c.Source, id)
+			h.servers.Withdraw(now, c.Source, id)
 			return
 		}
 		in := new(registry.Instance)
 		if err := msgpack.Unmarshal(data, in); err == nil && in.ID == id && in.Valid() {
-			if !h.table.Report(now, c.Source, in) {
-				h.reportFull(id)
+			if !h.servers.Report(now, c.Source, in) {
+				h.logTableFull(id)
 			}
 		}
 	case strings.HasPrefix(key, leasePrefix):
 		switch agent := key[len(leasePrefix):]; {
-		case !isAgent(agent):
-		case h.set.Ended(agent):
+		case !isAgentSource(agent):
+		case h.items.Ended(agent):
 			if data != nil && !own {
-				h.announceEnd(agent) // who granted it doesn't know
+				h.publishEndLocked(agent) // who granted it doesn't know
 			}
 		case data == nil:
 			h.leases.Release(now, agent, c.Source)
@@ -213,46 +213,46 @@
 		}
 	case strings.HasPrefix(key, endPrefix) && data != nil:
 		source := key[len(endPrefix):]
-		if !isAgent(source) || own && source == c.Source { // see Bye
+		if !isAgentSource(source) || own && source == c.Source { // see Bye
 			return
 		}
-		h.end(source)
+		h.endSourceLocked(source)
 		if source == c.Source {
-			h.announceEnd(source) // it has said so itself, and its own words end with it
+			h.publishEndLocked(source) // it has said so itself, and its own words end with it
 		}
 	}
 }
 
-// publish gives the data plane the newest of all, if that is new to it.
-func (h *Hub) publish() {
-	next := Snapshot{Seq: h.seq, Doc: h.doc, List: h.table.List(), Agents: max(len(h.members), 1), Fresh: h.synced}
-	if next != h.last {
-		h.last = next
-		h.o.OnChange(&next)
+// publishSnapshotLocked gives the data plane the newest of all, if that is new to it.
+func (h *Node) publishSnapshotLocked() {
+	next := Snapshot{ConfigSeq: h.configSeq, Config: h.config, Servers: h.servers.List(), Agents: max(len(h.members), 1), Synced: h.synced}
+	if next != h.published {
+		h.published = next
+		h.options.OnChange(&next)
 	}
 }
 
-// apply takes what a peer sent.
-func (h *Hub) apply(deltas []deltasync.Delta) {
+// applyDeltasLocked takes what a peer sent.
+func (h *Node) applyDeltasLocked(deltas []deltasync.Delta) {
 	if len(deltas) == 0 {
 		return
 	}
-	for _, c := range h.set.Apply(deltas) {
-		h.journal.Append(c)
+	for _, c := range h.items.Apply(deltas) {
+		h.changeLog.Append(c)
 	}
-	h.publish()
-	h.wake()
+	h.publishSnapshotLocked()
+	h.notifyWaitersLocked()
 }
 
 // Run keeps sessions and looks at leases and silence, until ctx ends.
-func (h *Hub) Run(ctx context.Context) error {
+func (h *Node) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { h.dial(ctx) })
-	if h.o.Save != nil {
-		wg.Go(func() { h.save(ctx) })
+	wg.Go(func() { h.dialLoop(ctx) })
+	if h.options.SaveServers != nil {
+		wg.Go(func() { h.saveServers(ctx) })
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -264,60 +264,60 @@
 	}
 }
 
-func (h *Hub) tick() {
-	core, linked, hubs := h.o.Core.IsCore(), h.o.Core.Linked(), h.o.Core.Hubs()
+func (h *Node) tick() {
+	core, linked, hubs := h.options.Core.IsMember(), h.options.Core.HasQuorum(), h.options.Core.Members()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	if core != h.o.Self.Core {
-		h.o.Self.Core = core
-		h.announceSelf()
+	if core != h.options.Self.Core {
+		h.options.Self.Core = core
+		h.publishMemberLocked()
 	}
-	tell, untell := h.table.Tick(now)
+	tell, untell := h.servers.Tick(now)
 	for _, in := range tell {
 		logevent.ServerSilent.Log("id", in.ID)
-		h.announce(instPrefix+in.ID, encode(in))
+		h.publishItemLocked(serverPrefix+in.ID, encode(in))
 	}
 	for _, id := range untell {
-		h.announce(instPrefix+id, nil)
+		h.publishItemLocked(serverPrefix+id, nil)
 	}
 	attached := false
 	for s := range h.sessions {
-		if s.expired(now) {
+		if s.timedOut(now) {
 			s.cancel()
 		}
-		attached = attached || s.core && s.linked
+		attached = attached || s.peerIsCore && s.peerHasQuorum
 	}
-	h.dropShared(now)
-	since(&h.linked, now, core && linked)
-	since(&h.attached, now, attached)
+	h.expireEncodedConfigLocked(now)
+	updateSince(&h.quorumSince, now, core && linked)
+	updateSince(&h.attachedSince, now, attached)
 	if core && !linked {
-		h.behind = true
+		h.stale = true
 	}
-	if core && linked && !h.hasAll() && h.newest && (now-h.linked > aloneFor && !h.awaitingDeltas() || h.alone(hubs)) {
+	if core && linked && !h.isCompleteLocked() && h.configCurrent && (now-h.quorumSince > selfStartDelay && !h.awaitingInitialSyncLocked() || h.wholeCoreUnsyncedLocked(hubs)) {
 		// Nobody who could know more has shown up: the whole core has just started, or joined again.
 		if !h.synced {
-			logevent.SyncedAlone.Log("config", h.seq, "linked", now-h.linked)
+			logevent.SyncedAlone.Log("config", h.configSeq, "linked", now-h.quorumSince)
 		}
-		h.synced, h.behind = true, false
-		h.wake()
+		h.synced, h.stale = true, false
+		h.notifyWaitersLocked()
 	}
-	h.grant(core)
-	h.lapse(now, core)
-	for source, at := range h.ended {
-		if now-at > endedFor {
-			delete(h.ended, source)
-			h.announce(endPrefix+source, nil)
+	h.updateGrantedLeasesLocked(core)
+	h.expireLeasesLocked(now, core)
+	for source, at := range h.publishedEnds {
+		if now-at > endRetention {
+			delete(h.publishedEnds, source)
+			h.publishItemLocked(endPrefix+source, nil)
 		}
 	}
-	if h.set.NeedsCompaction() {
-		h.rebase()
+	if h.items.NeedsCompaction() {
+		h.startIncarnationLocked()
 	}
-	h.publish()
+	h.publishSnapshotLocked()
 }
 
-// since keeps in at since when something is so; 0: it isn't.
-func since(at *time.Duration, now time.Duration, is bool) {
+// updateSince keeps in at since when something is so; 0: it isn't.
+func updateSince(at *time.Duration, now time.Duration, is bool) {
 	if !is {
 		*at = 0
 	} else if *at == 0 {
@@ -325,5 +325,5 @@
 	}
 }
 
-// Declare adds the feed's calls to a table.
-func (h *Hub) Declare(t *rpc.Table) { rpc.Streaming(t, "feed.session", h.answer) }
+// RegisterHandlers adds the feed's calls to a table.
+func (h *Node) RegisterHandlers(t *rpc.Table) { rpc.Streaming(t, "feed.session", h.serveSession) }
--- a/internal/fleet/relay/lab_test.go
+++ b/internal/fleet/relay/lab_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds every wait.
-const patience = 30 * time.Second
+// testTimeout bounds every wait.
+const testTimeout = 30 * time.Second
 
 // fakeCore is the core as a test wants it.
 type fakeCore struct {
@@ -38,13 +38,13 @@
 	return c
 }
 
-func (c *fakeCore) IsCore() bool { return c.core.Load() }
-func (c *fakeCore) Linked() bool { return c.linked.Load() }
-func (c *fakeCore) Hubs() []Peer { return *c.hubs.Load() }
+func (c *fakeCore) IsMember() bool  { return c.core.Load() }
+func (c *fakeCore) HasQuorum() bool { return c.linked.Load() }
+func (c *fakeCore) Members() []Peer { return *c.hubs.Load() }
 
-// wires is what lies between the agents of a lab: each is reached through a gate that knows who
+// testNetwork is what lies between the agents of a lab: each is reached through a gate that knows who
 // calls, by the address in the hello. A cut link holds all bytes up, without a word to either end.
-type wires struct {
+type testNetwork struct {
 	ctx     context.Context
 	wg      sync.WaitGroup
 	mu      sync.Mutex
@@ -54,25 +54,25 @@
 	changed chan struct{}
 }
 
-// slow bounds what a link carries to so many bytes a second.
-func (w *wires) slow(from, to string, bytesPerSecond int) {
+// setRate bounds what a link carries to so many bytes a second.
+func (w *testNetwork) setRate(from, to string, bytesPerSecond int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBuffer)
+	w.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBufferBytes)
 }
 
 // throttle waits until a link has carried so many bytes.
-func (w *wires) throttle(from, to string, bytes int) bool {
+func (w *testNetwork) throttle(from, to string, bytes int) bool {
 	w.mu.Lock()
 	limiter := w.rates[[2]string{from, to}]
 	w.mu.Unlock()
 	return limiter == nil || limiter.WaitN(w.ctx, bytes) == nil
 }
 
-// copyBuffer is how much a link carries at once.
-const copyBuffer = 64 << 10
+// copyBufferBytes is how much a link carries at once.
+const copyBufferBytes = 64 << 10
 
-func (w *wires) set(from, to string, cut bool) {
+func (w *testNetwork) setCut(from, to string, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut[[2]string{from, to}] = cut
@@ -80,8 +80,8 @@
 	w.changed = make(chan struct{})
 }
 
-// pass waits until a link carries.
-func (w *wires) pass(from, to string) bool {
+// awaitOpen waits until a link carries.
+func (w *testNetwork) awaitOpen(from, to string) bool {
 	for {
 		w.mu.Lock()
 		cut, changed := w.cut[[2]string{from, to}], w.changed
@@ -97,8 +97,8 @@
 	}
 }
 
-// gate carries connections to an agent, until the lab ends.
-func (w *wires) gate(ln net.Listener, a *agent) {
+// serveProxy carries connections to an agent, until the lab ends.
+func (w *testNetwork) serveProxy(ln net.Listener, a *testAgent) {
 	w.wg.Go(func() {
 		<-w.ctx.Done()
 		ln.Close()
@@ -109,13 +109,13 @@
 			if err != nil {
 				return
 			}
-			w.wg.Go(func() { w.carry(in, a) })
+			w.wg.Go(func() { w.proxyConn(in, a) })
 		}
 	})
 }
 
-func (w *wires) carry(in net.Conn, a *agent) {
-	behind := a.behind.Load()
+func (w *testNetwork) proxyConn(in net.Conn, a *testAgent) {
+	behind := a.backendAddr.Load()
 	if behind == nil { // it has not started
 		in.Close()
 		return
@@ -130,7 +130,7 @@
 	copying := func(dst, src net.Conn, pass func([]byte) bool) {
 		defer dst.Close()
 		defer src.Close()
-		buf := make([]byte, copyBuffer)
+		buf := make([]byte, copyBufferBytes)
 		for {
 			n, err := src.Read(buf)
 			if n > 0 {
@@ -162,44 +162,44 @@
 					}
 				}
 			}
-			return w.pass(caller, a.Addr) && w.throttle(caller, a.Addr, len(p))
+			return w.awaitOpen(caller, a.Addr) && w.throttle(caller, a.Addr, len(p))
 		})
 	})
 	wg.Go(func() {
 		copying(in, out, func(p []byte) bool {
 			<-known // the answering side says nothing before the hello
-			return w.pass(a.Addr, caller) && w.throttle(a.Addr, caller, len(p))
+			return w.awaitOpen(a.Addr, caller) && w.throttle(a.Addr, caller, len(p))
 		})
 	})
 	wg.Wait()
 }
 
-// agent is one process of a lab, over all its lives.
-type agent struct {
-	*lab
+// testAgent is one process of a lab, over all its lives.
+type testAgent struct {
+	*testCluster
 	Member
 	*fakeCore
-	behind atomic.Pointer[string] // where it listens behind its gate, once it has started
-	hub    *Hub
-	snap   atomic.Pointer[Snapshot]
-	disk   atomic.Pointer[[]byte] // the list of servers, if it has one
-	seeds  func() []string
-	stop   func() // ends it without a word
+	backendAddr atomic.Pointer[string] // where it listens behind its gate, once it has started
+	node        *Node
+	snapshot    atomic.Pointer[Snapshot]
+	savedList   atomic.Pointer[[]byte] // the list of servers, if it has one
+	seeds       func() []string
+	stop        func() // ends it without a word
 }
 
-// lab is a core of hubs and agents beside it, over loopback.
-type lab struct {
-	*wires
-	t            *testing.T
-	beat         time.Duration
-	disks        bool
-	hubs, agents []*agent
+// testCluster is a core of hubs and agents beside it, over loopback.
+type testCluster struct {
+	*testNetwork
+	t                       *testing.T
+	heartbeatInterval       time.Duration
+	withDisks               bool
+	coreMembers, edgeAgents []*testAgent
 }
 
-// newLab makes so many of both, and starts none. Their core is linked.
-func newLab(t *testing.T, hubs, agents int) *lab {
+// newTestCluster makes so many of both, and starts none. Their core is linked.
+func newTestCluster(t *testing.T, hubs, agents int) *testCluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &lab{t: t, beat: 500 * time.Millisecond, wires: &wires{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
+	l := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
 	t.Cleanup(func() {
 		for _, a := range l.all() {
 			a.stop()
@@ -209,16 +209,16 @@
 	})
 	var peers []Peer
 	for i := range hubs + agents {
-		a := &agent{lab: l, stop: func() {}, Member: Member{Zone: "far", Region: "region"}}
+		a := &testAgent{testCluster: l, stop: func() {}, Member: Member{Zone: "far", Region: "region"}}
 		if i%3 == 0 {
 			a.Zone = "near"
 		}
 		if i < hubs {
 			a.Name = fmt.Sprint("hub-", i)
-			l.hubs = append(l.hubs, a)
+			l.coreMembers = append(l.coreMembers, a)
 		} else {
 			a.Name = fmt.Sprint("agent-", i-hubs)
-			l.agents = append(l.agents, a)
+			l.edgeAgents = append(l.edgeAgents, a)
 		}
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -227,7 +227,7 @@
 		if i < hubs {
 			peers = append(peers, Peer{a.Addr, a.Zone})
 		}
-		defer l.gate(ln, a) // once all addresses are known
+		defer l.serveProxy(ln, a) // once all addresses are known
 	}
 	for i, a := range l.all() {
 		a.fakeCore = newCore(i < hubs, i < hubs, peers...)
@@ -236,50 +236,52 @@
 	return l
 }
 
-func (l *lab) all() []*agent { return append(l.hubs[:len(l.hubs):len(l.hubs)], l.agents...) }
+func (l *testCluster) all() []*testAgent {
+	return append(l.coreMembers[:len(l.coreMembers):len(l.coreMembers)], l.edgeAgents...)
+}
 
 // start starts all, and has the core tell that there is no newer configuration.
-func (l *lab) start() *lab {
+func (l *testCluster) start() *testCluster {
 	for _, a := range l.all() {
 		a.start()
 	}
-	for _, h := range l.hubs {
-		h.hub.Newest()
+	for _, h := range l.coreMembers {
+		h.node.MarkConfigCurrent()
 	}
 	return l
 }
 
-// started is a lab in which all know all.
-func started(t *testing.T, hubs, agents int) *lab {
-	l := newLab(t, hubs, agents).start()
-	l.settled(hubs + agents)
+// newSyncedCluster is a lab in which all know all.
+func newSyncedCluster(t *testing.T, hubs, agents int) *testCluster {
+	l := newTestCluster(t, hubs, agents).start()
+	l.awaitSynced(hubs + agents)
 	return l
 }
 
-// settled waits until all that run are fresh and know so many members.
-func (l *lab) settled(members int) {
+// awaitSynced waits until all that run are fresh and know so many members.
+func (l *testCluster) awaitSynced(members int) {
 	l.t.Helper()
-	l.eventually("all know all", func(a *agent) bool {
-		s := a.snap.Load()
-		return s != nil && s.Fresh && s.Agents == members
+	l.eventually("all know all", func(a *testAgent) bool {
+		s := a.snapshot.Load()
+		return s != nil && s.Synced && s.Agents == members
 	})
 }
 
 // eventually waits until it is so at all that run, or at those named.
-func (l *lab) eventually(what string, is func(*agent) bool, at ...*agent) {
+func (l *testCluster) eventually(what string, is func(*testAgent) bool, at ...*testAgent) {
 	l.t.Helper()
 	if len(at) == 0 {
 		for _, a := range l.all() {
-			if a.hub != nil {
+			if a.node != nil {
 				at = append(at, a)
 			}
 		}
 	}
 	for _, a := range at {
-		if !assert.Eventually(l.t, func() bool { return is(a) }, patience, 10*time.Millisecond, "%s: %s", what, a.Name) {
+		if !assert.Eventually(l.t, func() bool { return is(a) }, testTimeout, 10*time.Millisecond, "%s: %s", what, a.Name) {
 			for _, a := range l.all() {
-				if a.hub != nil {
-					l.t.Logf("%s: %+v", a.Name, a.hub.Report())
+				if a.node != nil {
+					l.t.Logf("%s: %+v", a.Name, a.node.Report())
 				}
 			}
 			l.t.FailNow()
@@ -288,50 +290,50 @@
 }
 
 // start begins a life.
-func (a *agent) start() {
+func (a *testAgent) start() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
 	behind := ln.Addr().String()
-	a.behind.Store(&behind)
+	a.backendAddr.Store(&behind)
 	ctx, cancel := context.WithCancel(a.ctx)
-	o := Options{Self: a.Member, Beat: a.beat, Core: a.fakeCore, Seeds: a.seeds}
+	o := Options{Self: a.Member, HeartbeatInterval: a.heartbeatInterval, Core: a.fakeCore, SeedAddrs: a.seeds}
 	var last *Snapshot
 	o.OnChange = func(s *Snapshot) { // it is called in order
 		if last != nil {
-			assert.GreaterOrEqual(a.t, s.Seq, last.Seq, "%s: the configuration went back", a.Name)
-			assert.True(a.t, s.Fresh || !last.Fresh, "%s: was fresh", a.Name)
-			assert.GreaterOrEqual(a.t, s.List.Version, last.List.Version, "%s: the list went back", a.Name)
+			assert.GreaterOrEqual(a.t, s.ConfigSeq, last.ConfigSeq, "%s: the configuration went back", a.Name)
+			assert.True(a.t, s.Synced || !last.Synced, "%s: was fresh", a.Name)
+			assert.GreaterOrEqual(a.t, s.Servers.Version, last.Servers.Version, "%s: the list went back", a.Name)
 		}
 		assert.Positive(a.t, s.Agents)
 		last = s
-		a.snap.Store(s)
+		a.snapshot.Store(s)
 	}
-	if a.disks {
-		o.Save = func(b []byte) error { a.disk.Store(&b); return nil }
-		if b := a.disk.Load(); b != nil {
-			o.Saved = *b
+	if a.withDisks {
+		o.SaveServers = func(b []byte) error { a.savedList.Store(&b); return nil }
+		if b := a.savedList.Load(); b != nil {
+			o.SavedServers = *b
 		}
 	}
-	a.snap.Store(nil)
-	a.hub = New(o)
+	a.snapshot.Store(nil)
+	a.node = New(o)
 	table := rpc.NewTable()
-	a.hub.Declare(table)
+	a.node.RegisterHandlers(table)
 	var wg sync.WaitGroup
 	wg.Go(func() { assert.NoError(a.t, rpc.Serve(ctx, ln, table)) })
-	wg.Go(func() { assert.NoError(a.t, a.hub.Run(ctx)) })
+	wg.Go(func() { assert.NoError(a.t, a.node.Run(ctx)) })
 	a.stop = sync.OnceFunc(func() {
 		cancel()
 		wg.Wait()
-		a.hub = nil
+		a.node = nil
 	})
 }
 
-// cutOff cuts an agent from others, or joins them again.
-func (a *agent) cutOff(cut bool, from ...*agent) {
+// setPartitioned cuts an agent from others, or joins them again.
+func (a *testAgent) setPartitioned(cut bool, from ...*testAgent) {
 	for _, b := range from {
 		if a != b {
-			a.set(a.Addr, b.Addr, cut)
-			a.set(b.Addr, a.Addr, cut)
+			a.setCut(a.Addr, b.Addr, cut)
+			a.setCut(b.Addr, a.Addr, cut)
 		}
 	}
 }
@@ -340,28 +342,30 @@
 	return &registry.Instance{ID: id, Service: "llm", Addr: "10.0.0.1:80", Zone: "near", Slots: 8, Seq: seq}
 }
 
-func drains(id string, seq uint64) *registry.Instance {
+func drainingServer(id string, seq uint64) *registry.Instance {
 	in := server(id, seq)
 	in.State = registry.Draining
 	return in
 }
 
-// within is a context that ends after d, or with the test.
-func within(t *testing.T, d time.Duration) context.Context {
+// timeoutContext is a context that ends after d, or with the test.
+func timeoutContext(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func (a *agent) call(in *registry.Instance) bool { return a.hub.Beat(within(a.t, patience), in) }
+func (a *testAgent) heartbeat(in *registry.Instance) bool {
+	return a.node.Heartbeat(timeoutContext(a.t, testTimeout), in)
+}
 
-// beats has a server call the agent until stop is called.
-func (a *agent) beats(id string) (stop func()) {
+// startHeartbeats has a server call the agent until stop is called.
+func (a *testAgent) startHeartbeats(id string) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	tick := time.NewTicker(a.beat)
-	seq, hub := uint64(1), a.hub
-	assert.True(a.t, a.call(server(id, seq)))
+	tick := time.NewTicker(a.heartbeatInterval)
+	seq, hub := uint64(1), a.node
+	assert.True(a.t, a.heartbeat(server(id, seq)))
 	wg.Go(func() {
 		defer tick.Stop()
 		for {
@@ -370,7 +374,7 @@
 				return
 			case <-tick.C:
 				seq++
-				hub.Beat(a.ctx, server(id, seq))
+				hub.Heartbeat(a.ctx, server(id, seq))
 			}
 		}
 	})
@@ -379,44 +383,49 @@
 	return stop
 }
 
-func lists(id string) func(*agent) bool {
-	return func(a *agent) bool { s := a.snap.Load(); return s != nil && s.List.ByID[id] != nil }
+func listsServer(id string) func(*testAgent) bool {
+	return func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Servers.ByID[id] != nil }
 }
 
-func not(is func(*agent) bool) func(*agent) bool { return func(a *agent) bool { return !is(a) } }
+func not(is func(*testAgent) bool) func(*testAgent) bool {
+	return func(a *testAgent) bool { return !is(a) }
+}
 
-func members(n int) func(*agent) bool {
-	return func(a *agent) bool { s := a.snap.Load(); return s != nil && s.Agents == n }
+func hasMembers(n int) func(*testAgent) bool {
+	return func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Agents == n }
 }
 
-func hasConfig(seq uint64) func(*agent) bool {
-	return func(a *agent) bool { s := a.snap.Load(); return s != nil && s.Seq == seq && s.Doc != nil }
+func hasConfig(seq uint64) func(*testAgent) bool {
+	return func(a *testAgent) bool {
+		s := a.snapshot.Load()
+		return s != nil && s.ConfigSeq == seq && s.Config != nil
+	}
 }
 
-// document is a configuration of a revision.
-func document(revision int) []byte {
+// documentOf is a configuration of a revision.
+func documentOf(revision int) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, revision)
 }
 
-// sessions are the peers that it has sessions with.
-func (a *agent) sessions() (peers []string) {
-	for _, s := range a.hub.Report().Sessions {
+// sessionPeers are the peers that it has sessions with.
+func (a *testAgent) sessionPeers() (peers []string) {
+	for _, s := range a.node.Report().Sessions {
 		peers = append(peers, s.Peer)
 	}
 	return peers
 }
 
-// tells tells whether a source has an item here.
-func (a *agent) tells(source, key string) bool {
-	a.hub.mu.Lock()
-	defer a.hub.mu.Unlock()
-	return a.hub.set.Item(source, key) != nil
+// hasItem tells whether a source has an item here.
+func (a *testAgent) hasItem(source, key string) bool {
+	a.node.mu.Lock()
+	defer a.node.mu.Unlock()
+	return a.node.items.Item(source, key) != nil
 }
 
-// hubOf is the hub that an agent has a session with.
-func (l *lab) hubOf(a *agent) *agent {
-	for _, peer := range a.sessions() {
-		for _, h := range l.hubs {
+// relayOf is the hub that an agent has a session with.
+func (l *testCluster) relayOf(a *testAgent) *testAgent {
+	for _, peer := range a.sessionPeers() {
+		for _, h := range l.coreMembers {
 			if h.Addr == peer {
 				return h
 			}
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -22,42 +22,42 @@
 	Control string `msgpack:"o" json:"control"`
 }
 
-// isAgent tells whether a source is an agent's.
-func isAgent(source string) bool { return source != "" && source != configSource }
+// isAgentSource tells whether a source is an agent's.
+func isAgentSource(source string) bool { return source != "" && source != configSource }
 
-func (h *Hub) newSource() string {
+func (h *Node) newSourceName() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:]) // never fails
-	return h.o.Self.Name + "/" + hex.EncodeToString(b[:])
+	return h.options.Self.Name + "/" + hex.EncodeToString(b[:])
 }
 
-func (h *Hub) announceSelf() { h.announce(memberKey, encode(&h.o.Self)) }
+func (h *Node) publishMemberLocked() { h.publishItemLocked(memberKey, encode(&h.options.Self)) }
 
-// Ending tells the others that this agent is about to end.
-func (h *Hub) Ending() {
+// AnnounceDraining tells the others that this agent is about to end.
+func (h *Node) AnnounceDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.o.Self.Ending = true
-	h.announceSelf()
+	h.options.Self.Ending = true
+	h.publishMemberLocked()
 }
 
-// Bye tells that it ends now; it waits until a hub knows, which tells the others.
-func (h *Hub) Bye(ctx context.Context) {
+// Depart tells that it ends now; it waits until a hub knows, which tells the others.
+func (h *Node) Depart(ctx context.Context) {
 	h.mu.Lock()
-	h.leaving = true
-	life := h.set.OwnSource()
-	ver := h.announce(endPrefix+life, []byte{1})
+	h.departing = true
+	life := h.items.OwnSource()
+	ver := h.publishItemLocked(endPrefix+life, []byte{1})
 	h.mu.Unlock()
 	h.awaitReceived(ctx, life, ver)
 }
 
-// Others are the agents' addresses of other members that are not ending, core or not.
-func (h *Hub) Others(core bool) []Member {
+// OtherMembers are the agents' addresses of other members that are not ending, core or not.
+func (h *Node) OtherMembers(core bool) []Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Member
 	for source, m := range h.members {
-		if source != h.set.OwnSource() && !m.Ending && (!core || m.Core) {
+		if source != h.items.OwnSource() && !m.Ending && (!core || m.Core) {
 			out = append(out, m)
 		}
 	}
@@ -65,66 +65,66 @@
 	return out
 }
 
-// end drops a source that a hub has ended. If it is the own one, this agent was taken for gone
+// endSourceLocked drops a source that a hub has ended. If it is the own one, this agent was taken for gone
 // and goes on as a new life.
-func (h *Hub) end(source string) {
+func (h *Node) endSourceLocked(source string) {
 	now := h.now()
-	if source == h.set.OwnSource() {
-		if !h.leaving {
-			h.rebase()
+	if source == h.items.OwnSource() {
+		if !h.departing {
+			h.startIncarnationLocked()
 		}
 		return
 	}
-	if h.set.Ended(source) {
+	if h.items.Ended(source) {
 		return
 	}
-	h.set.EndSource(source)
+	h.items.EndSource(source)
 	h.leases.End(now, source)
 	delete(h.members, source)
-	h.table.SourceEnded(now, source)
+	h.servers.SourceEnded(now, source)
 	for s := range h.sessions {
-		delete(s.has, source)
-		delete(s.held, source)
-		delete(s.unacked, source)
+		delete(s.sent, source)
+		delete(s.acknowledged, source)
+		delete(s.pendingAcks, source)
 	}
 }
 
-// announceEnd announces that a source has ended; only machines of the core do.
-func (h *Hub) announceEnd(source string) {
-	if _, told := h.ended[source]; told || !h.o.Self.Core {
+// publishEndLocked announces that a source has ended; only machines of the core do.
+func (h *Node) publishEndLocked(source string) {
+	if _, told := h.publishedEnds[source]; told || !h.options.Self.Core {
 		return
 	}
-	h.ended[source] = h.now()
-	h.announce(endPrefix+source, []byte{1})
+	h.publishedEnds[source] = h.now()
+	h.publishItemLocked(endPrefix+source, []byte{1})
 }
 
-func (h *Hub) rebase() {
-	logevent.OwnLapsed.Log("old", h.set.OwnSource())
-	now, old := h.now(), h.set.OwnSource()
-	h.set.StartIncarnation(h.newSource())
+func (h *Node) startIncarnationLocked() {
+	logevent.OwnLapsed.Log("old", h.items.OwnSource())
+	now, old := h.now(), h.items.OwnSource()
+	h.items.StartIncarnation(h.newSourceName())
 	h.leases.End(now, old)
 	delete(h.members, old)
-	h.table.RenameOwnSource(now, h.set.OwnSource())
-	for agent := range h.granted { // the new life holds them on
-		h.leases.Grant(now, agent, h.set.OwnSource())
+	h.servers.RenameOwnSource(now, h.items.OwnSource())
+	for agent := range h.grantedLeases { // the new life holds them on
+		h.leases.Grant(now, agent, h.items.OwnSource())
 	}
 	for s := range h.sessions {
 		s.cancel() // it began with the old name, and what the peer has is of that
 		delete(h.sessions, s)
 	}
-	h.announceSelf()
+	h.publishMemberLocked()
 }
 
-// lapse ends sources that nobody holds a lease of. A machine of the core does so for all, once it
+// expireLeasesLocked ends sources that nobody holds a lease of. A machine of the core does so for all, once it
 // has been linked for as long as a lease lasts: before, it may not have heard of leases that others
 // hold. Another agent drops for itself what the core must have ended while it could not hear it.
-func (h *Hub) lapse(now time.Duration, core bool) {
+func (h *Node) expireLeasesLocked(now time.Duration, core bool) {
 	lapsed := h.leases.Lapsed(now)
-	tells := core && h.linked > 0 && now-h.linked > leaseLasts
-	if !tells && (core || h.attached == 0 || now-h.attached <= 2*leaseLasts) {
+	tells := core && h.quorumSince > 0 && now-h.quorumSince > leaseDuration
+	if !tells && (core || h.attachedSince == 0 || now-h.attachedSince <= 2*leaseDuration) {
 		return
 	}
-	here := map[string]bool{h.set.OwnSource(): true}
+	here := map[string]bool{h.items.OwnSource(): true}
 	for s := range h.sessions {
 		here[s.source] = true
 	}
@@ -134,31 +134,31 @@
 		}
 		logevent.Lapsed.Log("source", source)
 		if tells {
-			h.announceEnd(source)
+			h.publishEndLocked(source)
 		}
-		h.end(source)
+		h.endSourceLocked(source)
 	}
 }
 
-// grant tells whose leases this machine of the core holds: of all that it has a session with. Its
+// updateGrantedLeasesLocked tells whose leases this machine of the core holds: of all that it has a session with. Its
 // own others hold: it would outlive it.
-func (h *Hub) grant(core bool) {
+func (h *Node) updateGrantedLeasesLocked(core bool) {
 	held := map[string]bool{}
 	for s := range h.sessions {
-		if core && !h.set.Ended(s.source) {
+		if core && !h.items.Ended(s.source) {
 			held[s.source] = true
 		}
 	}
 	for source := range held {
-		if !h.granted[source] {
-			h.granted[source] = true
-			h.announce(leasePrefix+source, []byte{1})
+		if !h.grantedLeases[source] {
+			h.grantedLeases[source] = true
+			h.publishItemLocked(leasePrefix+source, []byte{1})
 		}
 	}
-	for source := range h.granted {
+	for source := range h.grantedLeases {
 		if !held[source] {
-			delete(h.granted, source)
-			h.announce(leasePrefix+source, nil)
+			delete(h.grantedLeases, source)
+			h.publishItemLocked(leasePrefix+source, nil)
 		}
 	}
 }
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -16,30 +16,30 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// dialed opens a session with a hub as an agent at fault may.
-func (a *agent) dialed() *rpc.Stream[message, message] {
-	st, hangUp, err := rpc.Open[message, message](within(a.t, patience), *a.behind.Load(), "feed.session")
+// openSession opens a session with a hub as an agent at fault may.
+func (a *testAgent) openSession() *rpc.Stream[message, message] {
+	st, hangUp, err := rpc.Open[message, message](timeoutContext(a.t, testTimeout), *a.backendAddr.Load(), "feed.session")
 	require.NoError(a.t, err)
 	a.t.Cleanup(hangUp)
 	return st
 }
 
-// refused tells whether the other side ends a session without a message.
-func refused(st *rpc.Stream[message, message]) bool {
+// isRefused tells whether the other side ends a session without a message.
+func isRefused(st *rpc.Stream[message, message]) bool {
 	_, err := st.Recv()
 	return err != nil
 }
 
 // A session begins with a sound hello, or there is none.
-func TestAWrongHello(t *testing.T) {
+func TestInvalidHelloIsRejected(t *testing.T) {
 	t.Parallel()
-	l := started(t, 1, 1)
-	h := l.hubs[0]
+	l := newSyncedCluster(t, 1, 1)
+	h := l.coreMembers[0]
 	huge := deltasync.Vector{}
-	for i := range maxVector + 1 {
+	for i := range maxVectorEntries + 1 {
 		huge[string(rune('a'+i%26))+strings.Repeat("x", i/26)] = 1
 	}
-	long := strings.Repeat("x", maxName+1)
+	long := strings.Repeat("x", maxNameBytes+1)
 	for name, m := range map[string]*message{
 		"no hello":             {},
 		"no source":            {Hello: &hello{Addr: "x:1"}},
@@ -47,43 +47,43 @@
 		"a huge source":        {Hello: &hello{Source: long, Addr: "x:1"}},
 		"a huge address":       {Hello: &hello{Source: "x/1", Addr: long}},
 		"the configuration":    {Hello: &hello{Source: configSource, Addr: "x:1"}},
-		"the hub's own source": {Hello: &hello{Source: h.hub.Report().Source, Addr: "x:1"}},
+		"the hub's own source": {Hello: &hello{Source: h.node.Report().Source, Addr: "x:1"}},
 		"a huge vector":        {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: huge}},
 	} {
-		st := h.dialed()
+		st := h.openSession()
 		require.NoError(t, st.Send(m), name)
-		assert.True(t, refused(st), name)
+		assert.True(t, isRefused(st), name)
 		if m.Hello != nil {
-			assert.NotContains(t, h.sessions(), m.Hello.Addr, name)
+			assert.NotContains(t, h.sessionPeers(), m.Hello.Addr, name)
 		}
 	}
 	// One that says nothing is given up, and so is one that says something else.
 	begin := time.Now()
-	assert.True(t, refused(h.dialed()))
-	assert.Less(t, time.Since(begin), patience/2)
-	wrong, hangUp, err := rpc.Open[[]string, message](within(t, patience), *h.behind.Load(), "feed.session")
+	assert.True(t, isRefused(h.openSession()))
+	assert.Less(t, time.Since(begin), testTimeout/2)
+	wrong, hangUp, err := rpc.Open[[]string, message](timeoutContext(t, testTimeout), *h.backendAddr.Load(), "feed.session")
 	require.NoError(t, err)
 	defer hangUp()
 	require.NoError(t, wrong.Send(&[]string{"what"}))
 	_, err = wrong.Recv()
 	require.Error(t, err)
-	h.hub.Commit(1, document(1))
+	h.node.ApplyConfig(1, documentOf(1))
 	l.eventually("all go on", hasConfig(1))
-	l.settled(2)
+	l.awaitSynced(2)
 }
 
 // A peer at fault gets a session, and its words change nothing for others.
-func TestAPeerAtFault(t *testing.T) {
+func TestFaultyPeerChangesNothing(t *testing.T) {
 	t.Parallel()
-	l := started(t, 1, 1)
-	h := l.hubs[0]
-	h.hub.Commit(5, document(5))
+	l := newSyncedCluster(t, 1, 1)
+	h := l.coreMembers[0]
+	h.node.ApplyConfig(5, documentOf(5))
 	l.eventually("in force", hasConfig(5))
 	before := map[string]string{}
 	for _, a := range l.all() {
-		before[a.Name] = a.hub.Report().Source
+		before[a.Name] = a.node.Report().Source
 	}
-	st := h.dialed()
+	st := h.openSession()
 	vector := deltasync.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", Core: true, Vector: vector}, Linked: true, Full: true}))
 	_, err := st.Recv()
@@ -104,7 +104,7 @@
 		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, Upto: 12, Items: items(11, configKey)}}},
 		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, Upto: 1 << 50}}},
 		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 1 << 40, Upto: 1 << 50, Items: items(1<<50-1, memberKey)}}},
-		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 2, Items: items(0, "", instPrefix)}}},
+		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 2, Items: items(0, "", serverPrefix)}}},
 		{Deltas: []deltasync.Delta{{Source: "", From: 0, Upto: 1, Items: items(0, memberKey)}}},
 		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
 		{Deltas: []deltasync.Delta{{Source: "x/1", From: 0, Upto: 4, Items: items(0, endPrefix, endPrefix+configSource, leasePrefix, leasePrefix+configSource)}}},
@@ -112,89 +112,89 @@
 	} {
 		require.NoError(t, st.Send(m))
 	}
-	h.hub.Commit(6, document(6))
+	h.node.ApplyConfig(6, documentOf(6))
 	l.eventually("all go on", hasConfig(6))
-	h.beats("s")
-	l.eventually("all go on", lists("s"))
+	h.startHeartbeats("s")
+	l.eventually("all go on", listsServer("s"))
 	for _, a := range l.all() {
-		r := a.hub.Report()
+		r := a.node.Report()
 		assert.Equal(t, before[a.Name], r.Source)
 		assert.Equal(t, int64(6), r.Revision)
 	}
 	st.Close()
-	l.eventually("it is forgotten", members(2))
+	l.eventually("it is forgotten", hasMembers(2))
 }
 
 // A hub answers so many sessions and no more.
 func TestSessionsAreBounded(t *testing.T) {
 	t.Parallel()
-	l := started(t, 1, 1)
-	h := l.hubs[0]
-	h.hub.mu.Lock()
+	l := newSyncedCluster(t, 1, 1)
+	h := l.coreMembers[0]
+	h.node.mu.Lock()
 	var filling []*session
-	for len(h.hub.sessions) < maxSessions {
-		x := &session{source: "x/1", has: deltasync.Vector{}, heard: h.hub.now() + time.Hour, cancel: func() {}, received: func() uint64 { return 0 },
+	for len(h.node.sessions) < maxSessions {
+		x := &session{source: "x/1", sent: deltasync.Vector{}, lastMessage: h.node.now() + time.Hour, cancel: func() {}, bytesReceived: func() uint64 { return 0 },
 			noticeTimer: time.NewTimer(time.Hour)}
-		h.hub.sessions[x] = true
+		h.node.sessions[x] = true
 		filling = append(filling, x)
 	}
-	h.hub.mu.Unlock()
-	st := h.dialed()
+	h.node.mu.Unlock()
+	st := h.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
-	require.True(t, refused(st))
-	h.hub.mu.Lock()
-	assert.Len(t, h.hub.sessions, maxSessions)
-	delete(h.hub.sessions, filling[0])
-	h.hub.mu.Unlock()
-	st = h.dialed()
+	require.True(t, isRefused(st))
+	h.node.mu.Lock()
+	assert.Len(t, h.node.sessions, maxSessions)
+	delete(h.node.sessions, filling[0])
+	h.node.mu.Unlock()
+	st = h.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	_, err := st.Recv()
 	assert.NoError(t, err, "there is room again")
-	h.hub.mu.Lock()
+	h.node.mu.Lock()
 	for _, x := range filling {
-		delete(h.hub.sessions, x)
+		delete(h.node.sessions, x)
 	}
-	h.hub.mu.Unlock()
+	h.node.mu.Unlock()
 }
 
 // An agent that is asked for a session names the hubs, and who named none is not believed.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
-	l := started(t, 2, 2)
-	st := l.agents[0].dialed()
+	l := newSyncedCluster(t, 2, 2)
+	st := l.edgeAgents[0].openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	m, err := st.Recv()
 	require.NoError(t, err)
 	assert.Nil(t, m.Hello)
-	assert.ElementsMatch(t, l.hubs[0].Hubs(), m.Redirect)
+	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
 	// One that knows a seed only, which is no hub, finds its hubs by that.
-	a := l.agents[1]
+	a := l.edgeAgents[1]
 	a.stop()
-	seed := l.agents[0]
+	seed := l.edgeAgents[0]
 	none := []Peer{}
 	a.fakeCore.hubs.Store(&none)
 	a.seeds = func() []string { return []string{seed.Addr} }
 	a.start()
-	l.eventually("fresh", func(a *agent) bool { return a.snap.Load() != nil && a.snap.Load().Fresh }, a)
-	l.eventually("one session with a hub", func(a *agent) bool { return l.hubOf(a) != nil && len(a.sessions()) == 1 }, a)
+	l.eventually("fresh", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
+	l.eventually("one session with a hub", func(a *testAgent) bool { return l.relayOf(a) != nil && len(a.sessionPeers()) == 1 }, a)
 	// Without a view an agent names the machines of the core that it has heard of.
 	seed.fakeCore.hubs.Store(&none)
-	st = seed.dialed()
+	st = seed.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	m, err = st.Recv()
 	require.NoError(t, err)
-	assert.ElementsMatch(t, l.hubs[0].Hubs(), m.Redirect)
+	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
 }
 
 // A peer that does not read holds up nobody else, and its session ends.
-func TestAPeerThatDoesNotRead(t *testing.T) {
+func TestPeerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
-	l := started(t, 2, 1)
-	h := l.hubs[0]
-	st := h.dialed()
+	l := newSyncedCluster(t, 2, 1)
+	h := l.coreMembers[0]
+	st := h.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "deaf/1", Addr: "deaf:1"}}))
-	l.eventually("has a session", func(h *agent) bool {
-		for _, p := range h.sessions() {
+	l.eventually("has a session", func(h *testAgent) bool {
+		for _, p := range h.sessionPeers() {
 			if p == "deaf:1" {
 				return true
 			}
@@ -203,15 +203,15 @@
 	}, h)
 	// More than the kernel holds.
 	for seq := range uint64(3) {
-		raw := append(document(int(seq)+1), strings.Repeat(" ", 4<<20)...)
-		h.hub.Commit(seq+1, raw)
+		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
+		h.node.ApplyConfig(seq+1, raw)
 	}
 	begin := time.Now()
 	l.eventually("all others go on", hasConfig(3))
-	require.True(t, h.call(server("s", 1)))
-	l.eventually("all others go on", lists("s"))
-	l.eventually("it is given up", func(h *agent) bool {
-		for _, p := range h.sessions() {
+	require.True(t, h.heartbeat(server("s", 1)))
+	l.eventually("all others go on", listsServer("s"))
+	l.eventually("it is given up", func(h *testAgent) bool {
+		for _, p := range h.sessionPeers() {
 			if p == "deaf:1" {
 				return false
 			}
@@ -222,10 +222,10 @@
 }
 
 // A hub that accepts and says nothing, or talks nonsense, costs its agent a moment only.
-func TestAHubThatSaysNothing(t *testing.T) {
+func TestUnresponsiveRelay(t *testing.T) {
 	t.Parallel()
-	l := started(t, 1, 1)
-	a := l.agents[0]
+	l := newSyncedCluster(t, 1, 1)
+	a := l.edgeAgents[0]
 	a.stop()
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
@@ -248,12 +248,12 @@
 		t.Cleanup(func() { ln.Close() })
 		return Peer{ln.Addr().String(), a.Zone}
 	}
-	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), l.hubs[0].Hubs()[0]}
+	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), l.coreMembers[0].Members()[0]}
 	a.fakeCore.hubs.Store(&hubs)
 	a.start()
-	l.eventually("fresh", func(a *agent) bool { return a.snap.Load() != nil && a.snap.Load().Fresh }, a)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	l.eventually("fresh", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	assert.True(t, a.hub.Beat(ctx, drains("s", 1)))
+	assert.True(t, a.node.Heartbeat(ctx, drainingServer("s", 1)))
 	a.stop() // before those that it dials
 }
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -35,20 +35,20 @@
 }
 
 // Report tells what this process knows.
-func (h *Hub) Report() Report {
+func (h *Node) Report() Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	r := Report{Source: h.set.OwnSource(), Fresh: h.synced, Seq: h.seq, Servers: h.table.Views(now)}
-	if h.doc != nil {
-		r.Revision = h.doc.Revision
+	r := Report{Source: h.items.OwnSource(), Fresh: h.synced, Seq: h.configSeq, Servers: h.servers.Views(now)}
+	if h.config != nil {
+		r.Revision = h.config.Revision
 	}
 	for source, m := range h.members {
-		r.Members = append(r.Members, MemberReport{m, source, h.leases.Held(source), source == h.set.OwnSource()})
+		r.Members = append(r.Members, MemberReport{m, source, h.leases.Held(source), source == h.items.OwnSource()})
 	}
 	slices.SortFunc(r.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
 	for s := range h.sessions {
-		r.Sessions = append(r.Sessions, SessionReport{s.peer, s.linked, now - s.heard})
+		r.Sessions = append(r.Sessions, SessionReport{s.peerAddr, s.peerHasQuorum, now - s.lastMessage})
 	}
 	slices.SortFunc(r.Sessions, func(a, b SessionReport) int { return cmp.Compare(a.Peer, b.Peer) })
 	return r
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// helloWithin is how long the first message of a session may take.
-	helloWithin = time.Second
-	// redial is the pause between two tries to get a session.
-	redial = 150 * time.Millisecond
-	// maxVector bounds the vector of a hello, maxName its names.
-	maxVector, maxName = 8192, 512
-	// messageWithin is how long one message may take, however steadily its bytes come: the longest
+	// helloTimeout is how long the first message of a session may take.
+	helloTimeout = time.Second
+	// redialInterval is the pause between two tries to get a session.
+	redialInterval = 150 * time.Millisecond
+	// maxVectorEntries bounds the vector of a hello, maxNameBytes its names.
+	maxVectorEntries, maxNameBytes = 8192, 512
+	// messageTimeout is how long one message may take, however steadily its bytes come: the longest
 	// that rpc takes, 16 MB, needs 26 s at 640 KB/s.
-	messageWithin = 30 * time.Second
-	// unlinkedFor is how long a hub may be cut off from the core before its agents try others.
-	unlinkedFor = 400 * time.Millisecond
+	messageTimeout = 30 * time.Second
+	// quorumLossTolerance is how long a hub may be cut off from the core before its agents try others.
+	quorumLossTolerance = 400 * time.Millisecond
 )
 
 // hello begins a session.
@@ -55,75 +55,75 @@
 
 // session is a session with one peer. Its fields belong to the hub's lock.
 type session struct {
-	peer   string
-	source string
-	core   bool
-	dialed bool
-	has    deltasync.Vector // what the peer has
-	got    uint64           // of the own source
-	// held is what the peer has itself said to have: unlike has, not what was only sent to it.
-	held deltasync.Vector
-	// unacked are the sources of which it sent deltas that are not acknowledged yet.
-	unacked map[string]bool
-	// replicated is the version of the own source that a majority of the core holds, as it tells.
-	replicated uint64
-	// replicatedChanged wakes the sender when that of the peer's source has risen.
-	replicatedChanged chan struct{}
-	linked            bool
-	full              bool          // the peer has had all that a hub knows
-	reportedFull      bool          // it has told whether it has had all
-	heard             time.Duration // when the last whole message came
-	since             time.Duration // unlinked since
-	begun             time.Duration
-	// received counts the bytes that the peer has sent; bytes is what it was at the last tick,
+	peerAddr    string
+	source      string
+	peerIsCore  bool
+	outbound    bool
+	sent        deltasync.Vector // what the peer has
+	ownReceived uint64           // of the own source
+	// acknowledged is what the peer has itself said to have: unlike has, not what was only sent to it.
+	acknowledged deltasync.Vector
+	// pendingAcks are the sources of which it sent deltas that are not acknowledged yet.
+	pendingAcks map[string]bool
+	// ownQuorumVersion is the version of the own source that a majority of the core holds, as it tells.
+	ownQuorumVersion uint64
+	// quorumAdvanced wakes the sender when that of the peer's source has risen.
+	quorumAdvanced    chan struct{}
+	peerHasQuorum     bool
+	peerComplete      bool          // the peer has had all that a hub knows
+	completenessKnown bool          // it has told whether it has had all
+	lastMessage       time.Duration // when the last whole message came
+	lastQuorum        time.Duration // unlinked since
+	started           time.Duration
+	// bytesReceived counts the bytes that the peer has sent; bytes is what it was at the last tick,
 	// progress when it had risen.
-	received       func() uint64
-	bytes          uint64
-	progress       time.Duration
+	bytesReceived  func() uint64
+	observedBytes  uint64
+	lastProgress   time.Duration
 	cancel         context.CancelFunc
 	pendingNotices []notice
 	noticeTimer    *time.Timer // when the pending notices are to be sent
 }
 
-// answer serves a session that a peer began.
-func (h *Hub) answer(st *stream) error {
-	late := time.AfterFunc(helloWithin, func() { _ = st.Close() })
+// serveSession serves a session that a peer began.
+func (h *Node) serveSession(st *stream) error {
+	late := time.AfterFunc(helloTimeout, func() { _ = st.Close() })
 	first, err := st.Recv()
 	late.Stop()
 	if err != nil {
 		return errors.Wrap(err, "wait for hello")
 	}
-	if err := first.Hello.check(); err != nil {
+	if err := first.Hello.validate(); err != nil {
 		return err
 	}
-	if !h.o.Core.IsCore() {
-		return st.Send(&message{Redirect: h.hubs()})
+	if !h.options.Core.IsMember() {
+		return st.Send(&message{Redirect: h.knownCoreMembers()})
 	}
-	return h.session(st.Context(), st, first.Hello, first.Hello.Addr, nil, nil)
+	return h.runSession(st.Context(), st, first.Hello, first.Hello.Addr, nil, nil)
 }
 
-// check tells what is wrong with a hello.
-func (m *hello) check() error {
+// validate tells what is wrong with a hello.
+func (m *hello) validate() error {
 	switch {
-	case m == nil || !isAgent(m.Source) || m.Addr == "":
+	case m == nil || !isAgentSource(m.Source) || m.Addr == "":
 		return errors.New("a session begins with hello, by name and address")
-	case max(len(m.Source), len(m.Addr)) > maxName || len(m.Vector) > maxVector:
+	case max(len(m.Source), len(m.Addr)) > maxNameBytes || len(m.Vector) > maxVectorEntries:
 		return errors.New("hello is out of bounds")
 	}
 	return nil
 }
 
-// session runs until the stream or ctx ends. theirs is the peer's hello; where this agent began the
+// runSession runs until the stream or ctx ends. theirs is the peer's hello; where this agent began the
 // session, mine is its own and first what came with theirs.
-func (h *Hub) session(ctx context.Context, st *stream, theirs *hello, peer string, mine *hello, first *message) error {
+func (h *Node) runSession(ctx context.Context, st *stream, theirs *hello, peer string, mine *hello, first *message) error {
 	ctx, cancel := context.WithCancel(ctx)
-	hubs := h.o.Core.Hubs()
+	hubs := h.options.Core.Members()
 	h.mu.Lock()
 	var refusal error
 	switch {
-	case theirs.Source == h.set.OwnSource():
+	case theirs.Source == h.items.OwnSource():
 		refusal = errors.New("a session with itself")
-	case mine != nil && mine.Source != h.set.OwnSource():
+	case mine != nil && mine.Source != h.items.OwnSource():
 		refusal = errors.New("the session was begun by an earlier life")
 	case len(h.sessions) >= maxSessions:
 		refusal = errors.New("too many sessions at this hub: use another")
@@ -133,18 +133,18 @@
 		cancel()
 		return refusal
 	}
-	if h.set.Ended(theirs.Source) {
-		h.announceEnd(theirs.Source) // it was away when that was told
+	if h.items.Ended(theirs.Source) {
+		h.publishEndLocked(theirs.Source) // it was away when that was told
 	}
-	s := &session{peer: peer, source: theirs.Source, core: theirs.Core, dialed: first != nil, has: maps.Clone(theirs.Vector),
-		heard: h.now(), since: h.now(), begun: h.now(), received: st.Received, cancel: cancel, noticeTimer: time.NewTimer(time.Hour),
-		held: deltasync.Vector{}, unacked: map[string]bool{}, replicatedChanged: make(chan struct{}, 1)}
+	s := &session{peerAddr: peer, source: theirs.Source, peerIsCore: theirs.Core, outbound: first != nil, sent: maps.Clone(theirs.Vector),
+		lastMessage: h.now(), lastQuorum: h.now(), started: h.now(), bytesReceived: st.Received, cancel: cancel, noticeTimer: time.NewTimer(time.Hour),
+		acknowledged: deltasync.Vector{}, pendingAcks: map[string]bool{}, quorumAdvanced: make(chan struct{}, 1)}
 	defer s.noticeTimer.Stop()
-	if s.has == nil {
-		s.has = deltasync.Vector{}
+	if s.sent == nil {
+		s.sent = deltasync.Vector{}
 	}
 	for source, version := range theirs.Vector {
-		h.recordHeld(s, source, version, hubs)
+		h.recordAcknowledgedLocked(s, source, version, hubs)
 	}
 	h.sessions[s] = true
 	h.mu.Unlock()
@@ -154,7 +154,7 @@
 		wg.Wait()
 		h.mu.Lock()
 		delete(h.sessions, s)
-		h.wake()
+		h.notifyWaitersLocked()
 		h.mu.Unlock()
 	}()
 	wg.Go(func() {
@@ -163,13 +163,13 @@
 	})
 	wg.Go(func() {
 		defer cancel()
-		if err := h.send(ctx, st, s); err != nil && ctx.Err() == nil {
+		if err := h.sendLoop(ctx, st, s); err != nil && ctx.Err() == nil {
 			logevent.SessionSending.Log("peer", peer, "err", err)
 		}
 	})
 	for m := first; ; {
 		if m != nil {
-			h.receive(s, m)
+			h.handleMessage(s, m)
 		}
 		var err error
 		if m, err = st.Recv(); err != nil {
@@ -178,94 +178,94 @@
 	}
 }
 
-func (h *Hub) receive(s *session, m *message) {
-	core, linked, hubs := h.o.Core.IsCore(), h.o.Core.Linked(), h.o.Core.Hubs()
+func (h *Node) handleMessage(s *session, m *message) {
+	core, linked, hubs := h.options.Core.IsMember(), h.options.Core.HasQuorum(), h.options.Core.Members()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.sessions[s] {
 		return // it was of another life
 	}
 	now := h.now()
-	s.heard = now
+	s.lastMessage = now
 	if m.Linked {
-		s.since = now
+		s.lastQuorum = now
 	}
-	s.core, s.linked = m.Core, m.Linked
+	s.peerIsCore, s.peerHasQuorum = m.Core, m.Linked
 	if m.Hello == nil { // a hello comes before the deltas, and can't tell
-		s.full, s.reportedFull = m.Full, true
+		s.peerComplete, s.completenessKnown = m.Full, true
 	}
-	h.apply(m.Deltas)
+	h.applyDeltasLocked(m.Deltas)
 	for i := range m.Deltas {
-		if d := &m.Deltas[i]; h.set.Version(d.Source) >= d.Upto {
-			s.has[d.Source] = max(s.has[d.Source], d.Upto)
+		if d := &m.Deltas[i]; h.items.Version(d.Source) >= d.Upto {
+			s.sent[d.Source] = max(s.sent[d.Source], d.Upto)
 		}
 	}
-	if core && s.core {
-		h.replicate(s, m, hubs)
+	if core && s.peerIsCore {
+		h.recordReplicationLocked(s, m, hubs)
 	}
-	h.receiveNotices(s, m.Notices)
-	if m.Got > s.got && m.Got <= h.set.OwnVersion() {
-		s.got = m.Got
-		h.wake()
+	h.receiveNoticesLocked(s, m.Notices)
+	if m.Got > s.ownReceived && m.Got <= h.items.OwnVersion() {
+		s.ownReceived = m.Got
+		h.notifyWaitersLocked()
 	}
-	if m.Replicated > s.replicated && m.Replicated <= h.set.OwnVersion() {
-		s.replicated = m.Replicated
-		h.wake()
+	if m.Replicated > s.ownQuorumVersion && m.Replicated <= h.items.OwnVersion() {
+		s.ownQuorumVersion = m.Replicated
+		h.notifyWaitersLocked()
 	}
-	if !s.core || !m.Linked || !m.Full || core && !linked {
+	if !s.peerIsCore || !m.Linked || !m.Full || core && !linked {
 		return
 	}
-	h.behind = false // a message says Full only after all that its sender has: see send
+	h.stale = false // a message says Full only after all that its sender has: see send
 	if !h.synced {
 		h.synced = true
-		logevent.Synced.Log("peer", s.peer, "config", h.seq)
-		h.publish()
+		logevent.Synced.Log("peer", s.peerAddr, "config", h.configSeq)
+		h.publishSnapshotLocked()
 	}
 }
 
-// expired tells whether a peer is to be given up: it has sent nothing for too long, or has taken
+// timedOut tells whether a peer is to be given up: it has sent nothing for too long, or has taken
 // too long over one message. The hub's lock is held.
-func (s *session) expired(now time.Duration) bool {
-	if received := s.received(); received != s.bytes {
-		s.bytes, s.progress = received, now
+func (s *session) timedOut(now time.Duration) bool {
+	if received := s.bytesReceived(); received != s.observedBytes {
+		s.observedBytes, s.lastProgress = received, now
 	}
-	return now-max(s.heard, s.progress) > silence || now-s.heard > messageWithin
+	return now-max(s.lastMessage, s.lastProgress) > sessionTimeout || now-s.lastMessage > messageTimeout
 }
 
-// greet answers a hello. It goes ahead of the deltas, which may take long.
-func (h *Hub) greet(st *stream) error {
-	m := &message{Core: h.o.Core.IsCore(), Linked: h.o.Core.Linked()}
+// sendHello answers a hello. It goes ahead of the deltas, which may take long.
+func (h *Node) sendHello(st *stream) error {
+	m := &message{Core: h.options.Core.IsMember(), Linked: h.options.Core.HasQuorum()}
 	h.mu.Lock()
-	m.Hello = &hello{Source: h.set.OwnSource(), Addr: h.o.Self.Addr, Core: true, Vector: h.set.Vector()}
+	m.Hello = &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, Core: true, Vector: h.items.Vector()}
 	h.mu.Unlock()
 	return st.Send(m)
 }
 
-// send sends what the peer lacks as it comes, and says something now and then. The first message
+// sendLoop sends what the peer lacks as it comes, and says something now and then. The first message
 // has all there is; on the answering side the hello goes before it.
-func (h *Hub) send(ctx context.Context, st *stream, s *session) error {
-	if !s.dialed {
-		if err := h.greet(st); err != nil {
+func (h *Node) sendLoop(ctx context.Context, st *stream, s *session) error {
+	if !s.outbound {
+		if err := h.sendHello(st); err != nil {
 			return err
 		}
 	}
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	due, got, full, core, link, replicated := true, uint64(0), false, false, false, uint64(0)
 	for {
-		m := &message{Core: h.o.Core.IsCore(), Linked: h.o.Core.Linked()}
-		hubs := h.o.Core.Hubs()
+		m := &message{Core: h.options.Core.IsMember(), Linked: h.options.Core.HasQuorum()}
+		hubs := h.options.Core.Members()
 		h.mu.Lock()
 		changed := h.changed
-		m.Deltas = h.set.DeltasSince(s.has)
+		m.Deltas = h.items.DeltasSince(s.sent)
 		for _, d := range m.Deltas {
-			s.has[d.Source] = d.Upto
+			s.sent[d.Source] = d.Upto
 		}
 		var shared []byte // goes ahead, so it says of Full what was said last
-		shared, m.Deltas = h.shareConfig(&message{Core: m.Core, Linked: m.Linked, Full: full}, m.Deltas)
-		m.Got, m.Full, m.Held = h.set.LastVersion(s.source), h.hasAll(), h.acknowledge(s)
-		if m.Core && !s.core {
-			m.Replicated = h.replicatedVersion(s.source, hubs)
+		shared, m.Deltas = h.extractConfigLocked(&message{Core: m.Core, Linked: m.Linked, Full: full}, m.Deltas)
+		m.Got, m.Full, m.Held = h.items.LastVersion(s.source), h.isCompleteLocked(), h.takeAcknowledgementsLocked(s)
+		if m.Core && !s.peerIsCore {
+			m.Replicated = h.quorumVersionLocked(s.source, hubs)
 		}
 		h.mu.Unlock()
 		if len(shared) > 0 {
@@ -287,14 +287,14 @@
 				return nil
 			case <-changed:
 				break wait
-			case <-s.replicatedChanged:
+			case <-s.quorumAdvanced:
 				break wait
 			case <-beat.C:
 				due = true
 				break wait
 			case <-s.noticeTimer.C:
 				h.mu.Lock()
-				m := &message{Core: core, Linked: link, Full: full, Got: got, Replicated: replicated, Notices: h.takeNotices(s)}
+				m := &message{Core: core, Linked: link, Full: full, Got: got, Replicated: replicated, Notices: h.dequeueNoticesLocked(s)}
 				h.mu.Unlock()
 				if err := st.Send(m); err != nil {
 					return err
--- a/internal/fleet/relay/shared.go
+++ b/internal/fleet/relay/shared.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// shareFrom is from how many bytes on a configuration is encoded once for all sessions.
-	shareFrom = 64 << 10
-	// sharedFor is how long the encoded message is kept after its last use.
-	sharedFor = time.Second
+	// minSharedBytes is from how many bytes on a configuration is encoded once for all sessions.
+	minSharedBytes = 64 << 10
+	// configCacheTTL is how long the encoded message is kept after its last use.
+	configCacheTTL = time.Second
 )
 
-// sharedMessage is the last configuration that was sent, encoded with what this process said of itself.
-type sharedMessage struct {
-	from, upto         uint64
+// configCache is the last configuration that was sent, encoded with what this process said of itself.
+type configCache struct {
+	from, to           uint64
 	core, linked, full bool
-	message            []byte
-	used               time.Duration
+	encoded            []byte
+	lastUsed           time.Duration
 }
 
-// shareConfig takes a long configuration out of deltas and returns it as an encoded message that says
+// extractConfigLocked takes a long configuration out of deltas and returns it as an encoded message that says
 // of this process what flags does. The hub's lock is held.
-func (h *Hub) shareConfig(flags *message, deltas []deltasync.Delta) (encoded []byte, rest []deltasync.Delta) {
+func (h *Node) extractConfigLocked(flags *message, deltas []deltasync.Delta) (encoded []byte, rest []deltasync.Delta) {
 	i := slices.IndexFunc(deltas, func(d deltasync.Delta) bool { return d.Source == configSource })
-	if i < 0 || len(deltas[i].Items) == 0 || len(deltas[i].Items[0].Data) < shareFrom {
+	if i < 0 || len(deltas[i].Items) == 0 || len(deltas[i].Items[0].Data) < minSharedBytes {
 		return nil, deltas
 	}
 	config := deltas[i]
-	next := sharedMessage{from: config.From, upto: config.Upto, core: flags.Core, linked: flags.Linked, full: flags.Full,
-		message: h.shared.message, used: h.now()}
-	if !h.shared.isFor(&next) {
-		next.message = encode(&message{Core: flags.Core, Linked: flags.Linked, Full: flags.Full, Deltas: []deltasync.Delta{config}})
+	next := configCache{from: config.From, to: config.Upto, core: flags.Core, linked: flags.Linked, full: flags.Full,
+		encoded: h.configCache.encoded, lastUsed: h.now()}
+	if !h.configCache.matches(&next) {
+		next.encoded = encode(&message{Core: flags.Core, Linked: flags.Linked, Full: flags.Full, Deltas: []deltasync.Delta{config}})
 	}
-	h.shared = next
-	return next.message, slices.Delete(deltas, i, i+1)
+	h.configCache = next
+	return next.encoded, slices.Delete(deltas, i, i+1)
 }
 
-// isFor tells whether the message is the one that another needs.
-func (s *sharedMessage) isFor(other *sharedMessage) bool {
-	return len(s.message) > 0 && s.from == other.from && s.upto == other.upto &&
+// matches tells whether the message is the one that another needs.
+func (s *configCache) matches(other *configCache) bool {
+	return len(s.encoded) > 0 && s.from == other.from && s.to == other.to &&
 		s.core == other.core && s.linked == other.linked && s.full == other.full
 }
 
-// dropShared forgets the encoded message when nobody has needed it for a while. The hub's lock is held.
-func (h *Hub) dropShared(now time.Duration) {
-	if now-h.shared.used > sharedFor {
-		h.shared = sharedMessage{}
+// expireEncodedConfigLocked forgets the encoded message when nobody has needed it for a while. The hub's lock is held.
+func (h *Node) expireEncodedConfigLocked(now time.Duration) {
+	if now-h.configCache.lastUsed > configCacheTTL {
+		h.configCache = configCache{}
 	}
 }
--- a/internal/fleet/relay/shared_test.go
+++ b/internal/fleet/relay/shared_test.go
@@ -12,13 +12,13 @@
 
 // Sessions that lack the same configuration are sent the same bytes, encoded once; what else they lack
 // comes beside it.
-func TestALongConfigurationIsEncodedOnce(t *testing.T) {
-	h := newStill("h", true, Peer{Addr: "addr of h"})
-	h.Commit(1, longDocument(1, longConfig))
+func TestLongConfigurationIsEncodedOnce(t *testing.T) {
+	h := newManualNode("h", true, Peer{Addr: "addr of h"})
+	h.ApplyConfig(1, paddedDocument(1, longConfigBytes))
 	take := func(flags message) (shared []byte, rest []deltasync.Delta) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.shareConfig(&flags, h.set.DeltasSince(nil))
+		return h.extractConfigLocked(&flags, h.items.DeltasSince(nil))
 	}
 	first, rest := take(message{Core: true, Linked: true, Full: true})
 	require.NotEmpty(t, first)
@@ -38,23 +38,23 @@
 	assert.NotSame(t, &first[0], &other[0])
 	require.NoError(t, msgpack.Unmarshal(other, m))
 	// So is the configuration.
-	h.Commit(2, longDocument(2, longConfig))
+	h.ApplyConfig(2, paddedDocument(2, longConfigBytes))
 	newer, _ := take(message{Core: true, Linked: true})
 	newest := new(message)
 	require.NoError(t, msgpack.Unmarshal(newer, newest))
 	assert.Equal(t, uint64(2), newest.Deltas[0].Upto)
 	// It is not kept for long.
-	h.run(2*sharedFor, nil)
-	assert.Empty(t, h.shared.message)
+	h.runFor(2*configCacheTTL, nil)
+	assert.Empty(t, h.configCache.encoded)
 }
 
 // A short configuration goes with the other deltas.
-func TestAShortConfigurationIsNotShared(t *testing.T) {
-	h := newStill("h", true, Peer{Addr: "addr of h"})
-	h.Commit(1, document(1))
+func TestShortConfigurationIsNotShared(t *testing.T) {
+	h := newManualNode("h", true, Peer{Addr: "addr of h"})
+	h.ApplyConfig(1, documentOf(1))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shared, rest := h.shareConfig(&message{Core: true}, h.set.DeltasSince(nil))
+	shared, rest := h.extractConfigLocked(&message{Core: true}, h.items.DeltasSince(nil))
 	assert.Empty(t, shared)
 	assert.Len(t, rest, 2)
 }
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -58,7 +58,7 @@
 	machine *machine
 	life    int
 	core    *controlplane.Member
-	hub     *relay.Hub
+	hub     *relay.Node
 	pool    *rpc.Pool
 	begun   time.Time
 	disk    *disk
@@ -90,7 +90,7 @@
 	}
 	table := rpc.NewTable()
 	p.core.RegisterHandlers(table)
-	p.hub.Declare(table)
+	p.hub.RegisterHandlers(table)
 	declareEcho(table, m.run.random("echo", m.index))
 	listener := m.host.listen()
 	m.mu.Lock()
@@ -115,10 +115,10 @@
 	m := p.machine
 	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.run.seedAddrs, KnownAddresses: p.knownAddrs,
 		Losses: m.run.setup.losses, Counted: m.media != nil, Pool: p.pool, Validate: checkOrder,
-		OnCommit: func(v chain.Value) { p.hub.Commit(v.Seq, v.Body) },
+		OnCommit: func(v chain.Value) { p.hub.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.run.referee.learned(p, v) }}
-	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, Beat: beatEvery,
-		Seeds: m.run.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.run.referee.inForce(p, s) }}
+	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, HeartbeatInterval: beatEvery,
+		SeedAddrs: m.run.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.run.referee.inForce(p, s) }}
 	if m.media != nil {
 		p.disk = openDisk(m.media, m.host)
 		o.HasDisk, o.StateDir, o.Disk = true, m.name, p.disk
@@ -127,8 +127,8 @@
 		return err
 	}
 	if m.media != nil {
-		h.Save = func(b []byte) error { return p.core.SaveRecord(savedServers, b) }
-		h.Saved, _ = p.core.LoadRecord(savedServers)
+		h.SaveServers = func(b []byte) error { return p.core.SaveRecord(savedServers, b) }
+		h.SavedServers, _ = p.core.LoadRecord(savedServers)
 	}
 	h.Core = coreView{p.core}
 	p.hub = relay.New(h)
@@ -143,7 +143,7 @@
 	if p.hub == nil {
 		return nil
 	}
-	for _, m := range p.hub.Others(true) {
+	for _, m := range p.hub.OtherMembers(true) {
 		out = append(out, m.Addr)
 	}
 	return out
@@ -157,9 +157,9 @@
 		cancel()
 		if err == nil {
 			if v.Seq > 0 {
-				p.hub.Commit(v.Seq, v.Body)
+				p.hub.ApplyConfig(v.Seq, v.Body)
 			}
-			p.hub.Newest()
+			p.hub.MarkConfigCurrent()
 			return
 		}
 		pause(ctx, newestPause)
@@ -169,9 +169,9 @@
 // coreView is what the hub asks of the core's member, as in the daemon.
 type coreView struct{ member *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.member.IsVoter() }
-func (c coreView) Linked() bool { return c.member.HasQuorum() }
-func (c coreView) Hubs() (out []relay.Peer) {
+func (c coreView) IsMember() bool  { return c.member.IsVoter() }
+func (c coreView) HasQuorum() bool { return c.member.HasQuorum() }
+func (c coreView) Members() (out []relay.Peer) {
 	v, _ := c.member.View()
 	for _, p := range v.Voters {
 		out = append(out, relay.Peer{Addr: p.Addr, Zone: p.Zone})
@@ -209,12 +209,12 @@
 		return
 	}
 	m.run.log("%s is told to end", m.name)
-	p.hub.Ending()
+	p.hub.AnnounceDraining()
 	grace, cancel := context.WithTimeout(ctx, endGrace)
 	p.core.Handover(grace)
 	cancel()
 	bye, cancel := context.WithTimeout(ctx, byeWait)
-	p.hub.Bye(bye)
+	p.hub.Depart(bye)
 	cancel()
 	if m.running() == p {
 		m.kill(false)
--- a/internal/testbed/controlsim/referee.go
+++ b/internal/testbed/controlsim/referee.go
@@ -97,23 +97,23 @@
 		return
 	}
 	before := p.last.Swap(s)
-	if before != nil && before.Seq == s.Seq {
+	if before != nil && before.ConfigSeq == s.ConfigSeq {
 		return
 	}
-	if before != nil && s.Seq < before.Seq {
-		f.violate(p.machine.name, "goes back from configuration %d to %d", before.Seq, s.Seq)
+	if before != nil && s.ConfigSeq < before.ConfigSeq {
+		f.violate(p.machine.name, "goes back from configuration %d to %d", before.ConfigSeq, s.ConfigSeq)
 	}
-	if s.Doc == nil {
+	if s.Config == nil {
 		return
 	}
-	id := operationOf(s.Doc.Raw())
+	id := operationOf(s.Config.Raw())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known, is := f.configs[s.Seq]; is && known != id {
-		f.violateLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", s.Seq, id, known)
+	if known, is := f.configs[s.ConfigSeq]; is && known != id {
+		f.violateLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", s.ConfigSeq, id, known)
 	}
-	f.configs[s.Seq] = id
-	f.run.log("%s goes by configuration %d, revision %d", p.machine.name, s.Seq, s.Doc.Revision)
+	f.configs[s.ConfigSeq] = id
+	f.run.log("%s goes by configuration %d, revision %d", p.machine.name, s.ConfigSeq, s.Config.Revision)
 }
 
 // orderInput and readInput are what operators ask of the register, answers what they got.
@@ -232,7 +232,7 @@
 // checkInForce looks for machines in touch that go by an older configuration than an acknowledged one.
 func (f *referee) checkInForce(revision int64, acked time.Time) {
 	for _, p := range f.run.inTouch(acked.Add(-inTouchFor)) {
-		if s := p.last.Load(); s == nil || s.Doc == nil || s.Doc.Revision < revision {
+		if s := p.last.Load(); s == nil || s.Config == nil || s.Config.Revision < revision {
 			f.violate(p.machine.name, "revision %d is not in force %v after its acknowledgement", revision, inForceWithin)
 		}
 	}
@@ -246,7 +246,7 @@
 	f.run.log("%s is answered that it drains", id)
 	f.later(inForceWithin, func(acked time.Time) {
 		for _, p := range f.run.inTouch(acked.Add(-inTouchFor)) {
-			if s := p.last.Load(); s != nil && s.List != nil && s.List.ByID[id] != nil {
+			if s := p.last.Load(); s != nil && s.Servers != nil && s.Servers.ByID[id] != nil {
 				f.violate(p.machine.name, "%s is listed %v after its drain was acknowledged", id, inForceWithin)
 			}
 		}
--- a/internal/testbed/controlsim/run.go
+++ b/internal/testbed/controlsim/run.go
@@ -169,7 +169,7 @@
 		s := p.last.Load()
 		status := p.core.Status()
 		switch _, voter := v.Voter(status.ID); {
-		case acked > 0 && (s == nil || s.Doc == nil || s.Doc.Revision < acked):
+		case acked > 0 && (s == nil || s.Config == nil || s.Config.Revision < acked):
 			return fmt.Sprintf("%s lacks revision %d", m.name, acked)
 		case status.Place >= 0 && status.Whole:
 			whole++
--- a/internal/testbed/controlsim/servers.go
+++ b/internal/testbed/controlsim/servers.go
@@ -55,11 +55,11 @@
 func (s *server) beat(ctx context.Context, id string, state registry.State) bool {
 	s.seq++
 	in := &registry.Instance{ID: id, Service: "service", Addr: fmt.Sprintf("10.1.0.%d:80", s.index+1), Zone: "z0", Slots: 4, State: state, Seq: s.seq}
-	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.hub.Beat(ctx, in) })
+	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.hub.Heartbeat(ctx, in) })
 }
 
 func (s *server) leave(ctx context.Context, id string) bool {
-	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.hub.Leave(ctx, id) })
+	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.hub.Deregister(ctx, id) })
 }
 
 // call makes one call at the server's agent; without an answer the next one goes to another agent.
--- a/internal/testbed/hollownode/host.go
+++ b/internal/testbed/hollownode/host.go
@@ -312,8 +312,8 @@
 			s, f := l.core.Status(), l.hub.Report()
 			r.Runs, r.Place, r.Chain, r.View, r.Sessions = true, s.Place, len(s.View.Chain), s.View.Number, len(f.Sessions)
 			l.mu.Lock()
-			if l.last.List != nil {
-				r.Servers = len(l.last.List.ByID)
+			if l.last.Servers != nil {
+				r.Servers = len(l.last.Servers.ByID)
 			}
 			l.mu.Unlock()
 		}
@@ -487,7 +487,7 @@
 		}
 		if l := s.host.nodes[s.home%len(s.host.nodes)].alive(); l != nil && wait == drainFor {
 			once, cancel := context.WithTimeout(ctx, beatWait)
-			l.hub.Leave(once, s.id())
+			l.hub.Deregister(once, s.id())
 			cancel()
 		}
 	}
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -59,7 +59,7 @@
 	node   *node
 	began  time.Duration
 	core   *controlplane.Member
-	hub    *relay.Hub
+	hub    *relay.Node
 	source string // by which it began
 	stop   context.CancelFunc
 	done   chan struct{}
@@ -85,24 +85,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	news := false
-	if s.Seq > l.last.Seq {
-		l.arrivals = append(l.arrivals, arrival{s.Seq, t})
+	if s.ConfigSeq > l.last.ConfigSeq {
+		l.arrivals = append(l.arrivals, arrival{s.ConfigSeq, t})
 		news = true
 	}
 	servers := l.node.host.plan.AllServers
-	if s.List != l.last.List && s.List != nil {
+	if s.Servers != l.last.Servers && s.Servers != nil {
 		for _, id := range *l.node.host.watched.Load() {
-			if l.last.List != nil && l.last.List.ByID[id] != nil && s.List.ByID[id] == nil {
+			if l.last.Servers != nil && l.last.Servers.ByID[id] != nil && s.Servers.ByID[id] == nil {
 				l.gone[id] = t
 				news = true
 			}
 		}
-		if l.full == 0 && len(s.List.ByID) >= servers {
+		if l.full == 0 && len(s.Servers.ByID) >= servers {
 			l.full = t
 			news = true
 		}
 	}
-	if l.ready == 0 && s.Fresh && s.Doc != nil && s.List != nil && len(s.List.ByID) >= min(servers, 1) {
+	if l.ready == 0 && s.Synced && s.Config != nil && s.Servers != nil && len(s.Servers.ByID) >= min(servers, 1) {
 		l.ready = t
 		news = true
 	}
@@ -115,7 +115,7 @@
 
 // has tells whether the life has a configuration, and lists none of some instances.
 func (l *life) has(q *Request) bool {
-	return l.last.Seq >= q.Seq && !slices.ContainsFunc(q.IDs, func(id string) bool { return l.last.List != nil && l.last.List.ByID[id] != nil })
+	return l.last.ConfigSeq >= q.Seq && !slices.ContainsFunc(q.IDs, func(id string) bool { return l.last.Servers != nil && l.last.Servers.ByID[id] != nil })
 }
 
 // await waits until ok of the life, whose lock is held meanwhile, or its end.
@@ -137,9 +137,9 @@
 
 type coreView struct{ m *controlplane.Member }
 
-func (c coreView) IsCore() bool { return c.m.IsVoter() }
-func (c coreView) Linked() bool { return c.m.HasQuorum() }
-func (c coreView) Hubs() []relay.Peer {
+func (c coreView) IsMember() bool  { return c.m.IsVoter() }
+func (c coreView) HasQuorum() bool { return c.m.HasQuorum() }
+func (c coreView) Members() []relay.Peer {
 	v, ok := c.m.View()
 	if !ok {
 		return nil
@@ -165,7 +165,7 @@
 		KnownAddresses: func() []string {
 			var out []string
 			if l.hub != nil {
-				for _, m := range l.hub.Others(true) {
+				for _, m := range l.hub.OtherMembers(true) {
 					out = append(out, m.Addr)
 				}
 			}
@@ -173,22 +173,22 @@
 		},
 		Losses: p.Losses, Counted: n.Dir != "", Pool: pool,
 		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
-		OnCommit: func(v chain.Value) { l.hub.Commit(v.Seq, v.Body) }})
+		OnCommit: func(v chain.Value) { l.hub.ApplyConfig(v.Seq, v.Body) }})
 	if err != nil {
 		ln.Close()
 		return errors.Wrapf(err, "%s", n.Name)
 	}
-	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, Beat: p.Beat,
-		Core: coreView{l.core}, Seeds: seeds, OnChange: l.take}
+	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, HeartbeatInterval: p.Beat,
+		Core: coreView{l.core}, SeedAddrs: seeds, OnChange: l.take}
 	if n.Dir != "" {
-		o.Save = func(b []byte) error { return l.core.SaveRecord(savedServers, b) }
-		o.Saved, _ = l.core.LoadRecord(savedServers)
+		o.SaveServers = func(b []byte) error { return l.core.SaveRecord(savedServers, b) }
+		o.SavedServers, _ = l.core.LoadRecord(savedServers)
 	}
 	l.hub = relay.New(o)
 	l.source = l.hub.Report().Source
 	table := rpc.NewTable()
 	l.core.RegisterHandlers(table)
-	l.hub.Declare(table)
+	l.hub.RegisterHandlers(table)
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
 	n.mu.Lock()
@@ -216,9 +216,9 @@
 		cancel()
 		if err == nil {
 			if v.Seq > 0 {
-				l.hub.Commit(v.Seq, v.Body)
+				l.hub.ApplyConfig(v.Seq, v.Body)
 			}
-			l.hub.Newest()
+			l.hub.MarkConfigCurrent()
 			return
 		}
 		t := time.NewTimer(newestPause)
@@ -240,9 +240,9 @@
 		return
 	}
 	if polite {
-		l.hub.Ending()
+		l.hub.AnnounceDraining()
 		bye, cancel := context.WithTimeout(ctx, byeWait)
-		l.hub.Bye(bye)
+		l.hub.Depart(bye)
 		cancel()
 	}
 	l.mu.Lock()
@@ -264,5 +264,5 @@
 // beat takes a server's call; false: the server calls the next agent.
 func (n *node) beat(ctx context.Context, in *registry.Instance) bool {
 	l := n.alive()
-	return l != nil && l.hub.Beat(ctx, in)
+	return l != nil && l.hub.Heartbeat(ctx, in)
 }
