--- a/internal/agent/membership/gossip.go
+++ b/internal/agent/membership/gossip.go
@@ -1,11 +1,9 @@
-// Package membership is who of the fleet is there, as seen from one agent, and carries the layer's
-// messages between agents. It rides on memberlist: gossip, failure detection and anti-entropy
-// are the library's.
+// Package membership tracks which agents of a fleet are alive and carries messages between them.
+// It is built on hashicorp/memberlist, which provides gossip, failure detection and anti-entropy.
 //
-// Guaranteed: a message is handed on at most once for each time it arrives, whole, and no
-// larger than MaxMessage; who speaks for another fleet or in another version is turned away,
-// and the reason is in the log. Not guaranteed: that a message arrives, or the order in which
-// they do.
+// Guaranteed: a message is delivered at most once for each time it arrives, complete, and no
+// larger than MaxMessage; a peer of another fleet or protocol version is rejected, with the
+// reason in the log. Not guaranteed: delivery, and the order of messages.
 package membership
 
 import (
@@ -30,38 +28,39 @@
 )
 
 const (
-	// Version is that of what peers tell each other. Another is turned away.
+	// Version is the version of the protocol between peers. A peer with another one is rejected.
 	Version = 2
-	// MaxMessage bounds a message, in bytes: it is to fit one datagram.
+	// MaxMessage bounds a message, in bytes, so that it fits into one datagram.
 	MaxMessage = 1300
-	// MaxState bounds what two peers hand each other over a stream, in bytes.
+	// MaxState bounds the state that two peers exchange over a stream, in bytes.
 	MaxState = 512 << 10
-	// MaxMembers bounds the fleet.
+	// MaxMembers bounds the number of members of a fleet.
 	MaxMembers = 4096
-	// receiveRate and receiveBurst bound the messages that are taken; over it they are dropped.
+	// receiveRate and receiveBurst limit the messages accepted a second; messages above
+	// the limit are dropped.
 	receiveRate, receiveBurst = 2000, 2000
-	// joinInterval is the mean time between two tries to reach peers that are missing.
+	// joinInterval is the mean time between two attempts to join seeds that are missing.
 	joinInterval = 2 * time.Second
-	// leaveTimeout bounds the orderly leave.
+	// leaveTimeout bounds the graceful leave.
 	leaveTimeout = 500 * time.Millisecond
-	// rejectionLogInterval bounds how often what one peer does wrong is logged.
+	// rejectionLogInterval bounds how often the rejection of one peer is logged.
 	rejectionLogInterval = time.Minute
 )
 
-// Config is what an agent is told of its fleet.
+// Config describes this agent and how it finds its fleet.
 type Config struct {
-	Fleet       string // its name; peers of another are turned away
-	Name        string // this agent's, unique in the fleet
+	Fleet       string // name of the fleet; peers of another one are rejected
+	Name        string // name of this agent, unique in the fleet
 	Zone        string
 	Region      string
 	Role        string
-	Incarnation uint64 // names this life of the process
+	Incarnation uint64 // identifies this run of the process
 	Bind        string // host:port, for UDP and TCP
-	Advertise   string // host:port where others reach it; empty: Bind
+	Advertise   string // host:port at which peers reach this agent; empty: Bind
 	Seeds       []string
 }
 
-// Peer is another agent, or this one.
+// Peer describes a member of the fleet, this agent included.
 type Peer struct {
 	Name        string
 	Zone        string
@@ -71,7 +70,7 @@
 	Version     int
 }
 
-// nodeMeta is what travels with a member, as an array of msgpack.
+// nodeMeta is the metadata that memberlist gossips with a member, as an array of msgpack.
 type nodeMeta struct {
 	Version     int
 	Fleet       string
@@ -81,98 +80,99 @@
 	Incarnation uint64
 }
 
-// Kind tells which part of the layer a message is for.
+// Kind identifies the task that a message is for.
 type Kind byte
 
-// Send is a message for a peer. Where the mailbox is full the oldest goes: each says all
-// that its sender has to say of its kind.
+// Send is a request to send a message to a peer. If the mailbox is full, the oldest one is
+// dropped: each message carries the complete state of its kind.
 type Send struct {
 	To   string
 	Kind Kind
 	Body []byte
 }
 
-// Sync exchanges states with a peer over a stream, as at a join.
+// Sync is a request to exchange states with a peer over a stream, as at a join.
 type Sync struct{ With string }
 
-// Overflow implements task.Message.
+// Overflow implements supervisor.Message.
 func (Send) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
-// Overflow implements task.Message: it is asked for again.
+// Overflow implements supervisor.Message: a dropped Sync is requested again.
 func (Sync) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
-// MergeInto implements task.Merger: the newest of a kind to a peer is enough.
+// MergeInto implements supervisor.Merger: the newest message of a kind to a peer replaces older ones.
 func (s Send) MergeInto(queued supervisor.Message) (supervisor.Message, bool) {
 	q, ok := queued.(Send)
 	return s, ok && q.To == s.To && q.Kind == s.Kind
 }
 
-// MergeInto implements task.Merger.
+// MergeInto implements supervisor.Merger.
 func (s Sync) MergeInto(queued supervisor.Message) (supervisor.Message, bool) {
 	q, ok := queued.(Sync)
 	return s, ok && q == s
 }
 
-// Handler takes what peers bring; its methods must not block, and are called from the library's
-// goroutines.
+// Handler receives what comes from peers. Its methods are called concurrently from the library's
+// goroutines and must not block.
 type Handler interface {
-	// HandleMessage is a message; from whom it does not say.
+	// HandleMessage takes a message. Its sender is not known.
 	HandleMessage(kind Kind, body []byte)
-	// LocalState is handed to a peer over a stream, and Merge is what a peer hands over; both in the
-	// form of Encode.
+	// LocalState returns what is sent to a peer over a stream, and MergeState takes what a
+	// peer sent; both are encoded by Encode.
 	LocalState() []byte
 	MergeState(state []byte)
-	// MembersChanged is who is there now, this agent included, by name.
+	// MembersChanged takes the current members, this agent included, ordered by name.
 	MembersChanged([]Peer)
 }
 
-// mailboxSize is for one letter to each peer of a site.
+// mailboxSize is enough for one message to each peer of a site.
 const mailboxSize = 512
 
-// Gossip is a task. Its mailbox takes Send and Sync.
+// Gossip is a task that joins the fleet and carries messages. Its mailbox takes Send and Sync.
 type Gossip struct {
 	config         Config
 	handler        Handler
 	mailbox        *supervisor.Mailbox
 	receiveLimiter *rate.Limiter
 
-	mu         sync.Mutex // of what the library's goroutines touch:
+	mu         sync.Mutex // guards the fields below
 	nodes      map[string]*memberlist.Node
 	peers      map[string]Peer
 	lastLogged map[string]time.Time
 }
 
-// New returns the task; Run is its life.
+// New returns a task that does nothing until Run is called.
 func New(config Config, handler Handler) *Gossip {
 	return &Gossip{config: config, handler: handler, mailbox: supervisor.NewMailbox(mailboxSize), receiveLimiter: rate.NewLimiter(receiveRate, receiveBurst),
 		nodes: map[string]*memberlist.Node{}, peers: map[string]Peer{}, lastLogged: map[string]time.Time{}}
 }
 
-// Mailbox takes Send and Sync.
+// Mailbox returns the mailbox for Send and Sync requests.
 func (p *Gossip) Mailbox() *supervisor.Mailbox { return p.mailbox }
 
-// Run joins the fleet and carries messages until ctx is done; then it leaves in order.
+// Run joins the fleet and carries messages until ctx is done; then it leaves gracefully. It may be
+// called again after it has returned.
 func (p *Gossip) Run(ctx context.Context) error {
 	libraryConfig, err := p.libraryConfig()
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	clear(p.nodes) // of an earlier life of the task
+	clear(p.nodes) // left by an earlier run of the task
 	clear(p.peers)
 	p.mu.Unlock()
 	list, err := memberlist.Create(libraryConfig)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("membership: %w", err)
 	}
 	defer func() {
 		if err := errors.Join(list.Leave(leaveTimeout), list.Shutdown()); err != nil {
-			slog.Warn("peers: not left in order", "err", err)
+			slog.Warn("membership: leaving failed", "err", err)
 		}
 	}()
-	slog.Info("peers: listening", "fleet", p.config.Fleet, "addr", p.config.Bind)
-	// A call to a peer that is cut off takes seconds: none is on this goroutine, and each is on
-	// one of its own, as those that can be reached must not wait for it.
+	slog.Info("membership: listening", "fleet", p.config.Fleet, "addr", p.config.Bind)
+	// A join of an unreachable peer takes seconds, so each runs on a goroutine of its own: messages
+	// to reachable peers must not wait for it.
 	joins := newJoinCalls(list)
 	defer joins.wait()
 	joinTimer := time.NewTimer(0)
@@ -201,7 +201,7 @@
 	}
 }
 
-// joinCalls are the joins under way, one to an address at a time and at most maxJoinCalls.
+// joinCalls are the joins in flight, at most one for each address and at most maxJoinCalls.
 type joinCalls struct {
 	memberlist *memberlist.Memberlist
 	running    sync.WaitGroup
@@ -221,21 +221,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.inFlight[addr] || len(c.inFlight) >= maxJoinCalls {
-		return // it is asked for again
+		return // the join timer or the next Sync will retry
 	}
 	c.inFlight[addr] = true
 	c.running.Add(1)
 	go func() {
 		defer c.running.Done()
-		_, _ = c.memberlist.Join([]string{addr}) // tried again while it is missing, and logged by the library
+		_, _ = c.memberlist.Join([]string{addr}) // retried while the seed is missing, and logged by the library
 		c.mu.Lock()
 		delete(c.inFlight, addr)
 		c.mu.Unlock()
 	}()
 }
 
-// missingSeeds are the seeds that are not there, in no order. A split heals by them from either
-// side.
+// missingSeeds returns the seeds that are not members, in random order. Joining them heals a
+// partition from either side.
 func (p *Gossip) missingSeeds(list *memberlist.Memberlist) (out []string) {
 	present := map[string]bool{p.advertisedAddr(): true}
 	for _, n := range list.Members() {
@@ -260,12 +260,12 @@
 func (p *Gossip) sendMessage(list *memberlist.Memberlist, message Send) {
 	node := p.node(message.To)
 	if node == nil || len(message.Body) >= MaxMessage {
-		return // it is not there; or nothing of the layer is so large
+		return // the peer has left; or the message is over the limit, which no task exceeds
 	}
-	_ = list.SendBestEffort(node, append([]byte{byte(message.Kind)}, message.Body...)) // as best it can: whoever needs it says it again
+	_ = list.SendBestEffort(node, append([]byte{byte(message.Kind)}, message.Body...)) // best effort: senders repeat what still holds
 }
 
-// node is a peer as the library knows it; nil if it is not there.
+// node returns the library's record of a peer, or nil if it is not a member.
 func (p *Gossip) node(name string) *memberlist.Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,7 +284,7 @@
 	logger := log.New(logWriter{}, "", 0)
 	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{bind.IP.String()}, BindPort: bind.Port, Logger: logger})
 	if err != nil {
-		return nil, fmt.Errorf("peers: bind: %w", err)
+		return nil, fmt.Errorf("membership: bind: %w", err)
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Logger = p.config.Name, logger
@@ -292,7 +292,7 @@
 	c.BindAddr, c.BindPort = bind.IP.String(), bind.Port
 	c.AdvertiseAddr, c.AdvertisePort = advertised.IP.String(), advertised.Port
 	c.TCPTimeout, c.PushPullInterval = 2*time.Second, 15*time.Second
-	c.DeadNodeReclaimTime = time.Second // a restarted agent may come under another address
+	c.DeadNodeReclaimTime = time.Second // a restarted agent may have another address
 	c.EnableCompression = false         // messages are small
 	d := &delegate{p}
 	c.Delegate, c.Events, c.Alive, c.Merge = d, d, d, d
@@ -304,13 +304,13 @@
 	n, bad := strconv.ParseUint(port, 10, 16)
 	ip := net.ParseIP(host)
 	if err != nil || bad != nil || n == 0 || ip == nil {
-		return nil, fmt.Errorf("peers: %s: %q is no address and port", key, text)
+		return nil, fmt.Errorf("membership: %s: %q is not HOST:PORT", key, text)
 	}
 	return &net.TCPAddr{IP: ip, Port: int(n)}, nil
 }
 
-// boundTransport makes streams come from the address that datagrams come from: on a machine with
-// many addresses others know an agent by it.
+// boundTransport dials streams from the address that datagrams are sent from: on a machine with
+// several addresses peers identify an agent by it.
 type boundTransport struct {
 	*memberlist.NetTransport
 	localAddr *net.TCPAddr
@@ -325,7 +325,7 @@
 	return d.Dial("tcp", a.Addr)
 }
 
-// delegate is what the library calls.
+// delegate implements the callbacks of the library.
 type delegate struct{ gossip *Gossip }
 
 var msgpackHandle = func() *codec.MsgpackHandle {
@@ -334,22 +334,22 @@
 	return h
 }()
 
-// Encode is a value as an array of msgpack, the form of all messages.
+// Encode encodes a value as an array of msgpack, the form of all messages.
 func Encode(v any) ([]byte, error) {
 	var out []byte
 	if err := codec.NewEncoderBytes(&out, msgpackHandle).Encode(v); err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("membership: %w", err)
 	}
 	return out, nil
 }
 
-// Decode reads what Encode wrote; whatever else it is given is an error.
+// Decode decodes what Encode wrote. Anything else is an error.
 func Decode(body []byte, v any) error {
 	if len(body) > MaxState {
-		return fmt.Errorf("peers: a message of %d bytes, at most %d are taken", len(body), MaxState)
+		return fmt.Errorf("membership: a message of %d bytes is over the limit of %d", len(body), MaxState)
 	}
 	if err := codec.NewDecoderBytes(body, msgpackHandle).Decode(v); err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("membership: %w", err)
 	}
 	return nil
 }
@@ -358,7 +358,7 @@
 	c := &d.gossip.config
 	text, err := Encode(nodeMeta{Version, c.Fleet, c.Zone, c.Region, c.Role, c.Incarnation})
 	if err != nil || len(text) > limit {
-		slog.Error("peers: zone, region and role are too long to be told", "bytes", len(text), "most", limit, "err", err)
+		slog.Error("membership: zone, region and role exceed the limit of node metadata", "bytes", len(text), "most", limit, "err", err)
 		return nil
 	}
 	return text
@@ -368,29 +368,29 @@
 	if len(body) < 2 || len(body) > MaxMessage || !d.gossip.receiveLimiter.Allow() {
 		return
 	}
-	d.gossip.handler.HandleMessage(Kind(body[0]), slices.Clone(body[1:])) // the library uses its own again
+	d.gossip.handler.HandleMessage(Kind(body[0]), slices.Clone(body[1:])) // the library reuses its buffer
 }
 
 func (*delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is what a peer gets over a stream; more than it would take is not sent.
+// LocalState implements memberlist.Delegate. State over the limit of the receiver is not sent.
 func (d *delegate) LocalState(bool) []byte {
 	state := d.gossip.handler.LocalState()
 	if len(state) > MaxState {
-		slog.Error("peers: state not handed over", "bytes", len(state), "most", MaxState)
+		slog.Error("membership: state over the limit is not sent", "bytes", len(state), "most", MaxState)
 		return nil
 	}
 	return state
 }
 
-// MergeRemoteState takes a peer's.
+// MergeRemoteState implements memberlist.Delegate.
 func (d *delegate) MergeRemoteState(state []byte, _ bool) {
 	if len(state) > 0 && len(state) <= MaxState {
 		d.gossip.handler.MergeState(slices.Clone(state))
 	}
 }
 
-// NotifyAlive turns away who is not of this fleet.
+// NotifyAlive implements memberlist.AliveDelegate: it rejects members of another fleet.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	_, err := d.gossip.validate(n)
 	if err != nil {
@@ -399,7 +399,7 @@
 	return err
 }
 
-// NotifyMerge turns away the whole state of another fleet.
+// NotifyMerge implements memberlist.MergeDelegate: it rejects the state of another fleet.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
 		if _, err := d.gossip.validate(n); err != nil {
@@ -410,11 +410,11 @@
 	return nil
 }
 
-// validate tells whether a member may be of this fleet.
+// validate decodes the metadata of a member and reports why it may not be part of this fleet.
 func (p *Gossip) validate(n *memberlist.Node) (Peer, error) {
 	var meta nodeMeta
 	if err := Decode(n.Meta, &meta); err != nil {
-		return Peer{}, fmt.Errorf("its description can't be read: %w", err)
+		return Peer{}, fmt.Errorf("its metadata can't be decoded: %w", err)
 	}
 	p.mu.Lock()
 	_, known := p.peers[n.Name]
@@ -431,7 +431,7 @@
 	return Peer{n.Name, meta.Zone, meta.Region, meta.Role, meta.Incarnation, meta.Version}, nil
 }
 
-// logRejected logs a refusal, seldom for each peer.
+// logRejected logs the rejection of a peer, at most once in rejectionLogInterval for each.
 func (p *Gossip) logRejected(n *memberlist.Node, reason error) {
 	p.mu.Lock()
 	now := time.Now()
@@ -444,7 +444,7 @@
 	}
 	p.mu.Unlock()
 	if !suppressed {
-		slog.Warn("peers: turned away", "peer", n.Name, "addr", n.Address(), "why", reason)
+		slog.Warn("membership: peer rejected", "peer", n.Name, "addr", n.Address(), "why", reason)
 	}
 }
 
@@ -454,7 +454,7 @@
 func (p *Gossip) update(n *memberlist.Node) {
 	peer, err := p.validate(n)
 	if err != nil {
-		return // turned away before
+		return // rejected and logged by NotifyAlive
 	}
 	node := *n
 	p.mu.Lock()
@@ -482,7 +482,7 @@
 	p.handler.MembersChanged(members)
 }
 
-// logWriter hands the library's log lines on, at the level that they name.
+// logWriter passes the library's log lines on, at the level that they name.
 type logWriter struct{}
 
 func (logWriter) Write(line []byte) (int, error) {
@@ -490,10 +490,10 @@
 	level := slog.LevelDebug
 	switch {
 	case strings.HasPrefix(text, "[ERR]"):
-		level = slog.LevelInfo // of one message or call, which is made again
+		level = slog.LevelInfo // concerns one message or dial, which is retried
 	case strings.HasPrefix(text, "[WARN]"):
 		level = slog.LevelDebug
 	}
-	slog.Log(context.Background(), level, "peers: library", "line", text)
+	slog.Log(context.Background(), level, "membership: library", "line", text)
 	return len(line), nil
 }
--- a/internal/agent/membership/gossip_test.go
+++ b/internal/agent/membership/gossip_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// testTimeout bounds waits; none needs more than a part of it.
+// testTimeout bounds each wait; all are expected to end far sooner.
 const testTimeout = 30 * time.Second
 
-// recordingHandler notes what peers bring.
+// recordingHandler records messages, states and members.
 type recordingHandler struct {
 	received chan string
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 	}
 }
 
-// waitForMembers waits until so many are there.
+// waitForMembers blocks until there are n members, and returns them.
 func (e *recordingHandler) waitForMembers(t *testing.T, n int) []Peer {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -61,12 +61,12 @@
 		select {
 		case <-e.changed:
 		case <-timeout:
-			t.Fatalf("%v are there, want %d", list, n)
+			t.Fatalf("members: %v, want %d", list, n)
 		}
 	}
 }
 
-// startGossip runs a peer at a free port; the first one's address is the others' seed.
+// startGossip runs a peer at a free port. Its own address is among its seeds.
 func startGossip(t *testing.T, name, fleet string, seeds ...string) (p *Gossip, e *recordingHandler, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,8 +93,8 @@
 	return p, e, stop
 }
 
-// Peers find each other through one seed, know zone and life of each, carry messages, and see
-// one that leaves in order go at once.
+// Peers find each other through one seed, know each other's metadata, exchange messages and states,
+// and learn at once when one leaves gracefully.
 func TestPeersJoinAndExchangeMessages(t *testing.T) {
 	a, ea, _ := startGossip(t, "a", "k")
 	b, eb, stop := startGossip(t, "b", "k", a.config.Bind)
@@ -105,7 +105,7 @@
 			t.Errorf("b is known as %+v", p)
 		}
 	}
-	// Datagrams may be lost, also on this machine.
+	// Datagrams may be lost even on loopback, so the message is repeated.
 	for got := false; !got; {
 		b.Mailbox().Put(Send{To: "c", Kind: 'x', Body: []byte("hello")})
 		select {
@@ -116,7 +116,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	// States are exchanged whenever one asks, both ways.
+	// A Sync exchanges states in both directions.
 	for len(ea.received) > 0 {
 		<-ea.received
 	}
@@ -134,7 +134,7 @@
 	ec.waitForMembers(t, 2)
 }
 
-// logBuffer collects the log.
+// logBuffer is a concurrency-safe buffer of log output.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -152,7 +152,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
-// Another fleet is turned away with a reason, and both go on by themselves.
+// A peer of another fleet is rejected with a reason in the log, and both fleets go on separately.
 func TestPeerOfAnotherFleetIsRejected(t *testing.T) {
 	var log logBuffer
 	old := slog.Default()
--- a/internal/agent/outlier/outlier.go
+++ b/internal/agent/outlier/outlier.go
@@ -1,9 +1,10 @@
-// Package outlier keeps what one agent saw of each report server of late, as a base for
-// votes: what happened to attempts of its own, never what others tell.
+// Package outlier detects unhealthy report servers from the outcomes of one agent's own attempts in
+// a sliding window. Its records are the evidence on which the agent votes; reports of other agents
+// never enter it.
 //
-// It is pure: times are given, as time since some start on the monotonic clock. It holds at
-// most the hosts that it was told are listed. An attempt counts for the incarnation that it
-// was sent to only: a process that started again is another host.
+// It is a pure state machine: callers pass the time, as a duration since a fixed start on the
+// monotonic clock. Memory is bounded by the hosts passed to SetHosts. An attempt counts only for the
+// incarnation that it was sent to: a restarted process is a different host.
 package outlier
 
 import (
@@ -15,71 +16,70 @@
 // Host names one process of a report server.
 type Host struct {
 	ID string
-	// Incarnation is when it started by the list, in Unix ms: a label, never compared to a
-	// clock. 0 is long ago.
+	// Incarnation is its start time by discovery, in Unix ms. It is used as a label and never
+	// compared with a clock; 0 if the host has run for long.
 	Incarnation int64
 }
 
-// Outcome is how an attempt ended.
+// Outcome is how an attempt ended, as far as it tells of the health of its host.
 type Outcome uint8
 
-// The kinds. Full, that a host says it has no room or was given too little time, is neither
-// good nor bad: what is crowded is not sick.
+// The outcomes. Overloaded, a rejection for lack of capacity or an attempt with too short a
+// deadline, counts neither for nor against the host: a busy host is not unhealthy.
 const (
 	Success Outcome = iota
 	Failure
-	NoAnswer // no answer in a time in which others answer
-	Slow     // an answer, late
+	NoAnswer // no answer within the time in which other attempts are answered
+	Slow     // a successful answer that took too long
 	Overloaded
 )
 
-// String names the kind as logs and metrics have it.
+// String returns the name used in logs and metrics.
 func (k Outcome) String() string { return [...]string{"good", "failed", "silent", "slow", "full"}[k] }
 
-// isFailure tells whether the kind speaks against its host.
+// isFailure reports whether the outcome counts against its host.
 func (k Outcome) isFailure() bool { return k == Failure || k == NoAnswer || k == Slow }
 
 const (
-	// buckets is into how many parts the window is cut: a record's age is known to a part.
+	// buckets is the number of buckets of the window, which is the resolution of its sliding.
 	buckets = 10
-	// slowFactor and minSlowRatio are how many times the usual an answer must take to be slow, and
-	// the least part of its aim: an answer that is well in its aim is none, however quick the
-	// others are.
+	// slowFactor and minSlowRatio define a slow answer: it takes slowFactor times the usual latency
+	// and at least minSlowRatio of its latency target.
 	slowFactor, minSlowRatio = 3.0, 0.5
-	// noAnswerFactor is how many times the usual, or a whole aim, an attempt must have waited to
-	// tell of silence: clients that come near their end leave less.
+	// noAnswerFactor is how many times the usual latency, up to the latency target, an attempt must
+	// have waited to count as unanswered: near their deadline clients leave less time.
 	noAnswerFactor = 4.0
-	// minSlowDuration is how long all answers must have been slow: longer than hosts stand still.
+	// minSlowDuration is how long all answers must have been slow; short pauses of a host are shorter.
 	minSlowDuration = time.Second
-	// latencySmoothing is the weight of one answer in what is usual.
+	// latencySmoothing is the weight of one answer in the usual latency.
 	latencySmoothing = 0.02
 )
 
-// Record is what was seen of a host in the window.
+// Record summarizes the attempts at a host in the window.
 type Record struct {
 	Attempts         int
 	Failures         int
-	LastFailure      Outcome       // of the last bad one
-	LastFailureAt    time.Duration // when the last bad one ended, and
-	LastFailureSent  time.Duration // when it had been sent
-	FirstFailureSent time.Duration // when the first bad one since the last good one was sent
-	LastProbeSent    time.Duration // when the last probe that was answered was sent
-	LastSuccessSent  time.Duration // when the last good one was sent; before all others: never
+	LastFailure      Outcome       // outcome of the last failed attempt
+	LastFailureAt    time.Duration // end of the last failed attempt
+	LastFailureSent  time.Duration // when that attempt was sent
+	FirstFailureSent time.Duration // when the first failed attempt since the last success was sent
+	LastProbeSent    time.Duration // when the last answered health check was sent
+	LastSuccessSent  time.Duration // when the last successful attempt was sent; the constant never if there was none
 }
 
-// Log is the evidence of one agent. It is not safe for concurrent use.
+// Log holds the attempts of one agent. It is not safe for concurrent use.
 type Log struct {
 	window          time.Duration
 	hosts           map[string]*hostHistory
 	zoneUtilization map[string]*utilization // by zone
-	usualLatency    map[int]float64         // by class: part of its aim that an answer takes
+	usualLatency    map[int]float64         // by class: latency as a fraction of the latency target, smoothed
 }
 
 type hostHistory struct {
 	host             Host
 	weight           float64
 	zone             string
-	bucketStart      [buckets]time.Duration // start of the part that a bucket counts
+	bucketStart      [buckets]time.Duration // start of the time that each bucket covers
 	attempts         [buckets]int
 	failures         [buckets]int
 	lastFailure      Outcome
@@ -90,14 +90,14 @@
 	lastSuccessSent  time.Duration
 }
 
-// utilization is how busy a zone's hosts said that they are: a running mean of the last probes.
+// utilization is the running mean of the utilization that a zone's hosts reported in health checks.
 type utilization struct {
 	mean  float64
 	count int
 	at    time.Duration
 }
 
-// utilizationSamples is how many probes tell how busy a zone is.
+// utilizationSamples is the number of health checks that the mean covers.
 const utilizationSamples = 8
 
 func (l *Log) addUtilization(zone string, x float64, at time.Duration) {
@@ -111,16 +111,16 @@
 	u.at = at
 }
 
-// never is a time before all others.
+// never is earlier than any time.
 const never = time.Duration(-1 << 62)
 
-// New returns an empty log that remembers attempts for so long.
+// New returns an empty log with a window of the given length.
 func New(window time.Duration) *Log {
 	return &Log{window: window, hosts: map[string]*hostHistory{}, zoneUtilization: map[string]*utilization{}, usualLatency: map[int]float64{}}
 }
 
-// SetHosts says which hosts there are, with weight and zone; others are forgotten. A host in
-// a new incarnation starts with no record.
+// SetHosts replaces the set of hosts; the history of all others is dropped. A host in a new
+// incarnation starts with an empty history.
 func (l *Log) SetHosts(hosts []ListedHost) {
 	listed := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -139,30 +139,31 @@
 	}
 }
 
-// ListedHost is a host as the list has it.
+// ListedHost is a host as discovery lists it.
 type ListedHost struct {
 	Host
 	Zone   string
 	Weight float64
 }
 
-// Observation is one attempt of the agent's own that ended.
+// Observation is the end of one attempt of the agent.
 type Observation struct {
 	Host    Host
 	Class   int
 	Outcome Outcome
-	// LatencyRatio is how long a good answer took, as a part of its class's aim; it may make it Slow.
+	// LatencyRatio is the latency of a successful answer as a fraction of the latency target of its
+	// class; a high one turns Success into Slow.
 	LatencyRatio float64
-	// Sent is when it was sent, At when it ended.
+	// Sent is when the attempt was sent, Ended when it ended.
 	Sent, Ended time.Duration
-	// Probe is no request. That it is answered says only that the process runs; that nothing
-	// comes is silence as any.
+	// Probe marks a health check. Its success shows only that the process runs; its time-out
+	// counts like that of a request.
 	Probe bool
-	// Utilization is how busy the host says that it is, of probes that tell; negative: not told.
+	// Utilization is the utilization that the host reported in a health check; negative if it did not.
 	Utilization float64
 }
 
-// Observe takes an attempt and returns the kind that it counts as.
+// Observe records an attempt and returns the outcome that it counts as.
 func (l *Log) Observe(observation Observation) Outcome {
 	history := l.hosts[observation.Host.ID]
 	if observation.Probe && observation.Outcome == Success {
@@ -185,7 +186,7 @@
 		if !known {
 			usual = observation.LatencyRatio
 		}
-		// Slow ones move it too, or a fleet that is slow as a whole would never be usual.
+		// Slow answers count too, or the usual latency would never follow a fleet that became slow.
 		l.usualLatency[observation.Class] = usual + latencySmoothing*(observation.LatencyRatio-usual)
 	}
 	if history == nil || history.host != observation.Host || observation.Outcome == Overloaded {
@@ -204,14 +205,14 @@
 		}
 		history.lastFailure, history.lastFailureAt, history.lastFailureSent = observation.Outcome, max(history.lastFailureAt, observation.Ended), max(history.lastFailureSent, observation.Sent)
 	} else {
-		// A good answer tells of the time it was sent at: what was sent before a failure says
-		// nothing of what came after.
+		// A success proves the health of the host when the attempt was sent, not when it ended: an
+		// attempt sent before a failure says nothing of the time after it.
 		history.lastSuccessSent = max(history.lastSuccessSent, observation.Sent)
 	}
 	return observation.Outcome
 }
 
-// Record is the record of a host; false if that incarnation is not listed.
+// Record returns the record of a host, or false if that incarnation is not listed.
 func (l *Log) Record(h Host, now time.Duration) (Record, bool) {
 	history := l.hosts[h.ID]
 	if history == nil || history.host != h {
@@ -231,7 +232,7 @@
 	return r
 }
 
-// Incarnation is the listed incarnation of a host; false if it is not listed.
+// Incarnation returns the listed incarnation of a host, or false if the host is not listed.
 func (l *Log) Incarnation(id string) (Host, bool) {
 	history := l.hosts[id]
 	if history == nil {
@@ -240,7 +241,7 @@
 	return history.host, true
 }
 
-// Weight is the part of its zone's listed weight that a host has, and its zone.
+// Weight returns the fraction of its zone's weight that a host has, and its zone.
 func (l *Log) Weight(h Host) (fraction float64, zone string) {
 	history := l.hosts[h.ID]
 	if history == nil || history.host != h {
@@ -258,19 +259,19 @@
 	return history.weight / total, history.zone
 }
 
-// Zone is what was met of a zone's hosts within the window.
+// Zone summarizes the attempts at a zone's hosts in the window.
 type Zone struct {
 	Name                string
-	Weight              float64 // of its hosts, as listed
-	Observed, Unhealthy int     // hosts met, and of them those whose record speaks against them
-	WithFailures        int     // those that failed any attempt
+	Weight              float64 // total weight of its hosts
+	Observed, Unhealthy int     // hosts with attempts in the window, and how many of them are unhealthy
+	WithFailures        int     // observed hosts with at least one failed attempt
 	Attempts            int
-	Failures            int     // of them the bad ones
-	Utilization         float64 // how busy its hosts say that they are, mean of the last
-	UtilizationSamples  int     // so many
+	Failures            int     // failed attempts
+	Utilization         float64 // mean utilization by the last health checks
+	UtilizationSamples  int     // number of health checks in that mean
 }
 
-// Zones are all that have a host listed, by name.
+// Zones returns a summary of each zone with a listed host, ordered by name.
 func (l *Log) Zones(now time.Duration) (out []Zone) {
 	for _, t := range l.hosts {
 		i, ok := slices.BinarySearchFunc(out, t.zone, func(z Zone, name string) int { return cmp.Compare(z.Name, name) })
@@ -296,9 +297,9 @@
 	return out
 }
 
-// UnhealthyFraction is the part of the hosts met within the window whose record speaks against them,
-// by count, and how many were met. An observer to whom much looks bad is likely at fault
-// itself.
+// UnhealthyFraction returns the fraction of the hosts with attempts in the window that are
+// unhealthy, and the number of those hosts. An observer to which most hosts look unhealthy is more
+// likely to be at fault itself.
 func (l *Log) UnhealthyFraction(now time.Duration) (fraction float64, observed int) {
 	unhealthy := 0
 	for _, t := range l.hosts {
@@ -317,23 +318,22 @@
 	return float64(unhealthy) / float64(observed), observed
 }
 
-// Unhealthy tells whether a record speaks against its host: the last that was seen of it, no
-// longer ago than age, was bad. For one agent that is little, as connections break on any host;
-// that a majority has it so at a time is not chance, and waiting for a second failure of each
-// would cost as many requests again. A host that stands still for a moment is slow to many at
-// once, though: slowness counts once it lasted, and costs no request to wait for.
+// Unhealthy reports whether the last attempt at the host failed, no longer than maxAge ago. One
+// failure is weak evidence for one agent, as connections break at any host, but a majority of agents
+// does not see one at the same time by chance, and waiting for a second failure at each would cost
+// as many requests again. A short pause of a host looks slow to many agents at once, though, so
+// slowness counts only once it has lasted for minSlowDuration; waiting for that costs no request.
 func (r Record) Unhealthy(now, maxAge time.Duration) bool {
 	sustained := r.LastFailure != Slow || r.LastFailureAt-r.FirstFailureSent >= minSlowDuration
 	return r.Failures > 0 && sustained && r.LastFailureAt > r.LastSuccessSent && now-r.LastFailureAt <= maxAge
 }
 
-// Healthy tells whether it speaks for its host: the last that was seen, no longer ago than age,
-// was good.
+// Healthy reports whether the last attempt at the host succeeded, no longer than maxAge ago.
 func (r Record) Healthy(now, maxAge time.Duration) bool {
 	return r.LastSuccessSent > r.LastFailureAt && now-r.LastSuccessSent <= maxAge
 }
 
-// Suspects are the hosts whose records speak against them, in the order of their names.
+// Suspects returns the unhealthy hosts, ordered by ID.
 func (l *Log) Suspects(now, age time.Duration) (out []Host) {
 	for _, t := range l.hosts {
 		if t.record(now, l.window).Unhealthy(now, age) {
--- a/internal/agent/outlier/outlier_test.go
+++ b/internal/agent/outlier/outlier_test.go
@@ -22,21 +22,21 @@
 		sec  float64
 	}
 	for _, c := range []struct {
-		name     string
-		seen     []at
-		now      float64
-		against  bool
-		speaksUp bool
+		name    string
+		seen    []at
+		now     float64
+		against bool
+		healthy bool
 	}{
 		{"nothing", nil, 1, false, false},
 		{"one failure and nothing else", []at{{Failure, 1}}, 2, true, false},
-		{"one failure among many good", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
-		{"two failures in a row after many good", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}, {NoAnswer, 5}}, 6, true, false},
-		{"a good answer after failures", []at{{Failure, 1}, {Failure, 2}, {Success, 3}}, 4, false, true},
-		{"what is full", []at{{Overloaded, 1}, {Overloaded, 2}}, 3, false, false},
-		{"failures of long ago", []at{{Failure, 1}, {Failure, 2}}, 13, false, false},
-		{"a good answer of long ago", []at{{Success, 1}}, 12, false, false},
-		{"half of them", []at{{Success, 1}, {Failure, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
+		{"one failure after several successes", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
+		{"two failures in a row after several successes", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}, {NoAnswer, 5}}, 6, true, false},
+		{"a success after failures", []at{{Failure, 1}, {Failure, 2}, {Success, 3}}, 4, false, true},
+		{"overload", []at{{Overloaded, 1}, {Overloaded, 2}}, 3, false, false},
+		{"failures outside the window", []at{{Failure, 1}, {Failure, 2}}, 13, false, false},
+		{"a success outside the window", []at{{Success, 1}}, 12, false, false},
+		{"alternating outcomes", []at{{Success, 1}, {Failure, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
 	} {
 		l := newLog()
 		for _, s := range c.seen {
@@ -45,8 +45,8 @@
 		}
 		now := time.Duration(c.now * float64(time.Second))
 		r, _ := l.Record(hostOne, now)
-		if r.Unhealthy(now, window) != c.against || r.Healthy(now, window) != c.speaksUp {
-			t.Errorf("%s: against %v, for it %v: %+v", c.name, r.Unhealthy(now, window), r.Healthy(now, window), r)
+		if r.Unhealthy(now, window) != c.against || r.Healthy(now, window) != c.healthy {
+			t.Errorf("%s: unhealthy %v, healthy %v: %+v", c.name, r.Unhealthy(now, window), r.Healthy(now, window), r)
 		}
 		if got := len(l.Suspects(now, window)); (got > 0) != c.against {
 			t.Errorf("%s: %d suspects", c.name, got)
@@ -54,8 +54,7 @@
 	}
 }
 
-// A host that stands still for a moment is slow to all who ask it then; one that stays slow
-// for longer is slow.
+// A short pause of a host makes all its answers of that time slow and is ignored; slowness that lasts is not.
 func TestShortSlownessIsIgnored(t *testing.T) {
 	l := newLog()
 	at := func(ms int, ofAim float64) {
@@ -78,7 +77,7 @@
 	}
 }
 
-// An answer to what was sent before a failure says nothing of what came after.
+// A success of an attempt that was sent before a failure does not show that the host recovered.
 func TestLateSuccessDoesNotClearAFailure(t *testing.T) {
 	l := newLog()
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2 * time.Second, Ended: 2 * time.Second})
@@ -88,7 +87,7 @@
 	}
 }
 
-// A process that started again, and one that is not listed, have no record of another.
+// A restarted process starts with an empty history, and hosts that are no longer listed have none.
 func TestIncarnationsHaveSeparateHistories(t *testing.T) {
 	l := newLog()
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 1, Ended: 1})
@@ -105,8 +104,8 @@
 	}
 }
 
-// Slow is what takes several times the usual and much of its aim; a time-out of a client that
-// had hardly any time left is neither good nor bad.
+// An answer is slow if it takes several times the usual latency and a large part of its target. A
+// time-out of a client with hardly any time left counts neither way.
 func TestClassificationOfSlowAndUnanswered(t *testing.T) {
 	l := newLog()
 	for i := range 50 {
@@ -127,7 +126,7 @@
 	}
 }
 
-// Where a whole fleet gets slow that is usual in the end.
+// When the whole fleet becomes slow, its latency becomes the usual one.
 func TestUsualLatencyFollowsASlowFleet(t *testing.T) {
 	l := newLog()
 	slow := 0
@@ -157,7 +156,7 @@
 	}
 }
 
-// A zone's sight counts its hosts, those met in the window, and those whose last was bad.
+// The summary of a zone counts its hosts, those with attempts in the window, and the unhealthy ones.
 func TestZoneSummary(t *testing.T) {
 	l := New(10 * time.Second)
 	var hosts []ListedHost
--- a/internal/agent/supervisor/mailbox.go
+++ b/internal/agent/supervisor/mailbox.go
@@ -1,11 +1,11 @@
-// Package supervisor runs the parts of an agent that do not sit on its loop. A task owns its
-// sockets, files and state; others reach it by messages through its mailbox, and a
-// supervisor owns its lifetime.
+// Package supervisor runs the tasks of an agent that are independent of its event loop. A task
+// owns its sockets, files and state. Other goroutines reach it with messages through its
+// Mailbox, and a Supervisor restarts it after a failure.
 //
-// Guaranteed: a mailbox never holds more than its size and never blocks who puts into it; of
-// messages that are not dropped, those of one sender are taken in the order they were put.
-// Not guaranteed: that a message is taken at all. What happens to one that finds the mailbox
-// full is said by the message itself.
+// Guaranteed: a mailbox never holds more messages than its size, and Put never blocks; messages
+// of one sender that are not dropped are delivered in the order in which they were put.
+// Not guaranteed: delivery. The OverflowPolicy of a message decides what is dropped when the
+// mailbox is full.
 package supervisor
 
 import (
@@ -13,48 +13,48 @@
 	"sync"
 )
 
-// OverflowPolicy says what becomes of a message that finds its mailbox full.
+// OverflowPolicy decides which message is dropped when a mailbox is full.
 type OverflowPolicy uint8
 
 const (
-	// DropNewest drops the message itself: what is queued tells more.
+	// DropNewest drops the new message: the queued ones carry more information.
 	DropNewest OverflowPolicy = iota
-	// DropOldest drops the oldest queued message in its favour: it makes older ones stale.
+	// DropOldest drops the oldest queued message, which the new one makes stale.
 	DropOldest
 )
 
-// Message is what a mailbox carries.
+// Message is an element of a Mailbox.
 type Message interface {
-	// Overflow is asked only when the mailbox is full and the message was not merged.
+	// Overflow is called only when the mailbox is full and the message was not merged.
 	Overflow() OverflowPolicy
 }
 
-// Merger is a message that can be taken into one of its kind that is still queued. It is
-// merged wherever that is so, full or not: a queue of states needs the last one only.
+// Merger is a Message that can be merged with a queued message of its kind. It is merged
+// whether the mailbox is full or not: of several states only the newest is of use.
 type Merger interface {
 	Message
-	// MergeInto returns the queued message with this one taken into it, and false if they do not
-	// go together. It must not change either.
+	// MergeInto returns the queued message merged with this one, or false if the two cannot be
+	// merged. It must not change either of them.
 	MergeInto(queued Message) (Message, bool)
 }
 
-// Mailbox is a bounded queue of messages to one task. Any number of goroutines may put; one
-// takes.
+// Mailbox is a bounded queue of messages to one task. It is safe for any number of senders and
+// one receiver.
 type Mailbox struct {
 	mu      sync.Mutex
 	queue   []Message
 	size    int
 	dropped uint64
-	ready   chan struct{} // holds a token while there may be something to take
+	ready   chan struct{} // holds a token while the queue may be non-empty
 }
 
-// NewMailbox returns an empty mailbox for size messages, one at least.
+// NewMailbox returns an empty mailbox for size messages; a size below one counts as one.
 func NewMailbox(size int) *Mailbox {
 	return &Mailbox{size: max(size, 1), ready: make(chan struct{}, 1)}
 }
 
-// Put queues a message, and tells whether it, or what it was merged into, is queued now. It
-// never waits.
+// Put enqueues a message and reports whether it, or the message that it was merged into, is
+// queued now. It never blocks.
 func (m *Mailbox) Put(msg Message) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,11 +81,11 @@
 	return true
 }
 
-// Ready receives when there may be something to take. A task that selects on it calls Poll
-// until that says that there is nothing.
+// Ready returns a channel that receives a value when the queue may be non-empty. After each
+// value the receiver must call Poll until it returns false.
 func (m *Mailbox) Ready() <-chan struct{} { return m.ready }
 
-// Poll takes the oldest message; false if there is none.
+// Poll dequeues the oldest message, or returns false if there is none.
 func (m *Mailbox) Poll() (Message, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +97,8 @@
 	return msg, true
 }
 
-// Take waits for a message until ctx is done.
+// Take dequeues the oldest message and blocks while there is none. It returns the error of ctx
+// once that is done.
 func (m *Mailbox) Take(ctx context.Context) (Message, error) {
 	for {
 		if msg, ok := m.Poll(); ok {
@@ -111,7 +112,7 @@
 	}
 }
 
-// Dropped is how many messages were dropped so far, queued ones and new ones.
+// Dropped returns the number of messages dropped so far, queued and new ones.
 func (m *Mailbox) Dropped() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/supervisor/supervisor.go
+++ b/internal/agent/supervisor/supervisor.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"runtime/debug"
@@ -10,23 +11,27 @@
 )
 
 const (
-	// initialBackoff and maxBackoff bound the pause before a task that died is started again; it
-	// doubles with each death. A life of backoffResetAfter makes the next pause the first again.
+	// initialBackoff and maxBackoff bound the pause before a failed task is restarted; the pause
+	// doubles with each failure in a row.
 	initialBackoff, maxBackoff = 100 * time.Millisecond, 30 * time.Second
-	backoffResetAfter          = time.Minute
+	// backoffResetAfter is how long a task must have run for its next backoff to be the initial one.
+	backoffResetAfter = time.Minute
 )
 
-// Supervisor owns the lifetimes of tasks. One that dies, by an error or a panic, is started
-// again after a pause that grows; none takes the process with it.
+// errReturnedEarly is the failure of a task that returned without an error before its context was done.
+var errReturnedEarly = errors.New("it returned before its end")
+
+// Supervisor owns the lifetimes of tasks. A task that fails, by an error or a panic, is restarted
+// with exponential backoff; no failure ends the process. All methods are safe for concurrent use.
 type Supervisor struct {
-	ctx       context.Context
+	ctx       context.Context // of all tasks
 	cancel    context.CancelFunc
 	tasks     sync.WaitGroup
-	onFailure func(name string, err error) // told of each death, from the task's goroutine
+	onFailure func(name string, err error) // called on the task's goroutine
 }
 
-// NewSupervisor returns one whose tasks end with ctx. died, if not nil, is told of each
-// death; it must be safe for concurrent use.
+// NewSupervisor returns a supervisor whose tasks end with ctx. It calls onFailure, if that is not
+// nil, after each failure of a task; onFailure must be safe for concurrent use.
 func NewSupervisor(ctx context.Context, onFailure func(name string, err error)) *Supervisor {
 	if onFailure == nil {
 		onFailure = func(string, error) {}
@@ -35,56 +40,65 @@
 	return &Supervisor{ctx: ctx, cancel: cancel, onFailure: onFailure}
 }
 
-// Go starts a task. run works until its context is done and then returns; its error, or its
-// return before that, is its death. Each start calls run anew, so what it keeps between two
-// lives it keeps outside.
+// Go starts a task. run must work until its context is done and then return; an error, or a return
+// before that, is a failure. Each restart calls run again, so state that must survive a restart is
+// kept outside of it.
 func (s *Supervisor) Go(name string, run func(ctx context.Context) error) {
-	s.tasks.Add(1)
-	go func() {
-		defer s.tasks.Done()
-		for failures := 0; ; {
-			startedAt := time.Now()
-			err := runRecovered(s.ctx, run)
-			if s.ctx.Err() != nil {
-				return
-			}
-			if time.Since(startedAt) >= backoffResetAfter {
-				failures = 0
-			}
-			failures++
-			backoff := backoffAfter(failures)
-			slog.Error("task died", "task", name, "err", err, "deaths", failures, "pause", backoff.String())
-			s.onFailure(name, err)
-			timer := time.NewTimer(backoff)
-			select {
-			case <-timer.C:
-			case <-s.ctx.Done():
-				timer.Stop()
-				return
-			}
-		}
-	}()
+	s.tasks.Go(func() { s.restartUntilClosed(name, run) })
 }
 
-// Close ends all tasks and waits for them.
+// Close cancels the context of all tasks and waits until they have returned.
 func (s *Supervisor) Close() {
 	s.cancel()
 	s.tasks.Wait()
 }
 
+func (s *Supervisor) restartUntilClosed(name string, run func(ctx context.Context) error) {
+	for failures := 0; ; {
+		startedAt := time.Now()
+		err := runRecovered(s.ctx, run)
+		if s.ctx.Err() != nil {
+			return
+		}
+		if time.Since(startedAt) >= backoffResetAfter {
+			failures = 0
+		}
+		failures++
+		backoff := backoffAfter(failures)
+		slog.Error("task failed", "task", name, "err", err, "failures", failures, "backoff", backoff.String())
+		s.onFailure(name, err)
+		if !s.sleep(backoff) {
+			return
+		}
+	}
+}
+
+// sleep waits for a duration. It returns false if the supervisor was closed meanwhile.
+func (s *Supervisor) sleep(d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-s.ctx.Done():
+		return false
+	}
+}
+
 func backoffAfter(failures int) time.Duration {
 	return min(initialBackoff<<min(failures-1, 16), maxBackoff)
 }
 
-// runRecovered runs a task until it returns; a panic is an error.
+// runRecovered runs a task until it returns and turns a panic into an error.
 func runRecovered(ctx context.Context, run func(context.Context) error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	if err = run(ctx); err == nil && ctx.Err() == nil {
-		err = fmt.Errorf("it returned before its end")
+	err = run(ctx)
+	if err == nil && ctx.Err() == nil {
+		err = errReturnedEarly
 	}
 	return err
 }
--- a/internal/agent/supervisor/supervisor_test.go
+++ b/internal/agent/supervisor/supervisor_test.go
@@ -42,11 +42,11 @@
 		want    []Message
 		dropped uint64
 	}{
-		{"has room", []Message{newest(1), oldest(2)}, []Message{newest(1), oldest(2)}, 0},
+		{"a mailbox with free capacity", []Message{newest(1), oldest(2)}, []Message{newest(1), oldest(2)}, 0},
 		{"drops the newest", []Message{newest(1), newest(2), newest(3)}, []Message{newest(1), newest(2)}, 1},
 		{"drops the oldest", []Message{oldest(1), oldest(2), oldest(3)}, []Message{oldest(2), oldest(3)}, 1},
-		{"merges where it stands", []Message{state{1, 1}, newest(5), state{1, 2}}, []Message{state{1, 2}, newest(5)}, 0},
-		{"merges only what goes together", []Message{state{1, 1}, state{2, 1}, state{3, 1}}, []Message{state{2, 1}, state{3, 1}}, 1},
+		{"merges at the queued position", []Message{state{1, 1}, newest(5), state{1, 2}}, []Message{state{1, 2}, newest(5)}, 0},
+		{"merges only related messages", []Message{state{1, 1}, state{2, 1}, state{3, 1}}, []Message{state{2, 1}, state{3, 1}}, 1},
 	} {
 		m := NewMailbox(2)
 		for _, msg := range c.put {
@@ -65,7 +65,7 @@
 	}
 }
 
-// One who takes gets all that many put, each sender's in order.
+// One receiver gets every message of several senders, those of each sender in order.
 func TestMessagesArriveOnceAndInOrder(t *testing.T) {
 	m := NewMailbox(4000)
 	var senders sync.WaitGroup
@@ -98,8 +98,8 @@
 	}
 }
 
-// A task that dies, by an error, a panic or a return, is started again after pauses that grow
-// to a bound, and start anew once it has lived for a while.
+// A task that fails, by an error, a panic or an early return, is restarted after a backoff that
+// doubles up to a bound, and that starts over once the task has run for a while.
 func TestFailedTaskIsRestartedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var starts, failures []time.Time
@@ -122,7 +122,7 @@
 		time.Sleep(time.Hour)
 		s.Close()
 		if len(starts) != 16 || len(failures) != 15 {
-			t.Fatalf("%d lives, %d deaths", len(starts), len(failures))
+			t.Fatalf("%d starts, %d failures", len(starts), len(failures))
 		}
 		for i, d := range failures {
 			want := min(initialBackoff<<i, maxBackoff)
