--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -25,22 +25,22 @@
 )
 
 const (
-	// savedServers is the name of the list of servers on disk.
-	savedServers = "servers"
-	// lookEvery is how often the settings file is looked at: it may change without a signal.
-	lookEvery = 2 * time.Second
+	// savedServersName is the name of the list of servers on disk.
+	savedServersName = "servers"
+	// settingsPollInterval is how often the settings file is looked at: it may change without a signal.
+	settingsPollInterval = 2 * time.Second
 )
 
 // Daemon is one process.
 type Daemon struct {
-	path   string
-	set    atomic.Pointer[settings.Settings]
-	pool   *rpc.Pool
-	core   *controlplane.Member
-	hub    *relay.Node
-	door   *gateway.Door
-	ctl    *controlapi.Server
-	ending atomic.Bool
+	settingsPath  string
+	settings      atomic.Pointer[settings.Settings]
+	peerPool      *rpc.Pool
+	core          *controlplane.Member
+	relay         *relay.Node
+	gateway       *gateway.Door
+	controlServer *controlapi.Server
+	draining      atomic.Bool
 }
 
 // New puts a process together by its settings file.
@@ -59,17 +59,17 @@
 	}
 	// Peaks of memory are paid for, and over the limit the process is killed.
 	debug.SetMemoryLimit(s.Limits.MemoryMB << 20 * 6 / 10)
-	d := &Daemon{path: path, pool: rpc.NewPool()}
-	d.set.Store(s)
+	d := &Daemon{settingsPath: path, peerPool: rpc.NewPool()}
+	d.settings.Store(s)
 	addr := peerAddr(s)
 	f := fnv.New64a()
 	f.Write([]byte(s.Name))
-	d.door = gateway.New(s, f.Sum64())
+	d.gateway = gateway.New(s, f.Sum64())
 	d.core, err = controlplane.Open(controlplane.Options{
 		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
-		Seeds: d.seeds, KnownAddresses: d.known, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.pool,
+		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.peerPool,
 		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
-		OnCommit: func(v chain.Value) { d.hub.ApplyConfig(v.Seq, v.Body) },
+		OnCommit: func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
 	})
 	if err != nil {
@@ -78,26 +78,26 @@
 	var save func([]byte) error
 	var saved []byte
 	if s.Disk() {
-		save = func(b []byte) error { return d.core.SaveRecord(savedServers, b) }
-		saved, _ = d.core.LoadRecord(savedServers)
+		save = func(b []byte) error { return d.core.SaveRecord(savedServersName, b) }
+		saved, _ = d.core.LoadRecord(savedServersName)
 	}
-	d.hub = relay.New(relay.Options{
+	d.relay = relay.New(relay.Options{
 		SaveServers: save, SavedServers: saved,
 		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
-		HeartbeatInterval: time.Duration(s.BeatMs) * time.Millisecond, Core: coreView{d.core}, SeedAddrs: d.seeds, OnChange: d.door.Update,
-		OnNotice: d.door.Heard, LinkMbps: s.Limits.LinkMbps,
+		HeartbeatInterval: time.Duration(s.BeatMs) * time.Millisecond, Core: coreAdapter{d.core}, SeedAddrs: d.seedAddrs, OnChange: d.gateway.Update,
+		OnNotice: d.gateway.Heard, LinkMbps: s.Limits.LinkMbps,
 	})
-	d.door.Notify = d.hub.BroadcastNotice
-	d.ctl = controlapi.NewServer(&plane{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
+	d.gateway.Notify = d.relay.BroadcastNotice
+	d.controlServer = controlapi.NewServer(&controlBackend{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
 	return d, nil
 }
 
 var knownContracts = map[string]bool{"base": true, "drain": true, "config": true, "cost": true, "retry": true, "recover": true,
 	"engine": true, "stream": true}
 
-// seeds are the agents' addresses on the machines of the seeds, by the settings as they are now.
-func (d *Daemon) seeds() []string {
-	s := d.set.Load()
+// seedAddrs are the agents' addresses on the machines of the seeds, by the settings as they are now.
+func (d *Daemon) seedAddrs() []string {
+	s := d.settings.Load()
 	out := make([]string, len(s.Seeds))
 	for i, seed := range s.Seeds {
 		out[i] = s.PeerOf(seed)
@@ -105,25 +105,25 @@
 	return out
 }
 
-// known are the agents' addresses of the members that are of the core, as the feed tells.
-func (d *Daemon) known() []string {
-	if d.hub == nil {
+// knownCoreAddrs are the agents' addresses of the members that are of the core, as the feed tells.
+func (d *Daemon) knownCoreAddrs() []string {
+	if d.relay == nil {
 		return nil
 	}
 	var out []string
-	for _, m := range d.hub.OtherMembers(true) {
+	for _, m := range d.relay.OtherMembers(true) {
 		out = append(out, m.Addr)
 	}
 	return out
 }
 
-// coreView is what the feed asks of the core's member.
-type coreView struct{ m *controlplane.Member }
+// coreAdapter is what the feed asks of the core's member.
+type coreAdapter struct{ member *controlplane.Member }
 
-func (c coreView) IsMember() bool  { return c.m.IsVoter() }
-func (c coreView) HasQuorum() bool { return c.m.HasQuorum() }
-func (c coreView) Members() []relay.Peer {
-	v, ok := c.m.View()
+func (c coreAdapter) IsMember() bool  { return c.member.IsVoter() }
+func (c coreAdapter) HasQuorum() bool { return c.member.HasQuorum() }
+func (c coreAdapter) Members() []relay.Peer {
+	v, ok := c.member.View()
 	if !ok {
 		return nil
 	}
@@ -134,17 +134,17 @@
 	return out
 }
 
-// newest asks the core once for the newest configuration, so that no older one is gone by.
-func (d *Daemon) newest(ctx context.Context) {
+// loadNewestConfig asks the core once for the newest configuration, so that no older one is gone by.
+func (d *Daemon) loadNewestConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		once, cancel := context.WithTimeout(ctx, time.Second)
 		v, err := d.core.Read(once)
 		cancel()
 		if err == nil {
 			if v.Seq > 0 {
-				d.hub.ApplyConfig(v.Seq, v.Body)
+				d.relay.ApplyConfig(v.Seq, v.Body)
 			}
-			d.hub.MarkConfigCurrent()
+			d.relay.MarkConfigCurrent()
 			return
 		}
 		select {
@@ -154,11 +154,11 @@
 	}
 }
 
-// watch reads the settings file again when told, and when it has changed. Only the seeds are taken
+// watchSettings reads the settings file again when told, and when it has changed. Only the seeds are taken
 // over: all else is bound to the machine and needs a new start. A file that can't be used leaves
 // the old one in force.
-func (d *Daemon) watch(ctx context.Context, reload <-chan struct{}) {
-	tick := time.NewTicker(lookEvery)
+func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		told := false
@@ -169,15 +169,15 @@
 			told = true
 		case <-tick.C:
 		}
-		s, err := settings.Load(d.path)
+		s, err := settings.Load(d.settingsPath)
 		if err != nil {
 			logevent.SettingsBad.Error(err)
 			continue
 		}
-		if old := d.set.Load(); s.Digest != old.Digest || told {
+		if old := d.settings.Load(); s.Digest != old.Digest || told {
 			next := *old
 			next.Seeds, next.Digest = s.Seeds, s.Digest
-			d.set.Store(&next)
+			d.settings.Store(&next)
 			logevent.SettingsRead.Log("seeds", s.Seeds)
 		}
 	}
--- a/internal/fleet/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -23,54 +23,54 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds every wait of the tests; it is reached only where something is broken.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; it is reached only where something is broken.
+const testTimeout = 20 * time.Second
 
-// machine is one machine on a loopback address of its own.
-type machine struct {
-	t                               *testing.T
-	ip                              string
-	path, dir                       string
-	front, readiness, control, peer int
-	seeds                           string
-	client                          *http.Client
+// testMachine is one machine on a loopback address of its own.
+type testMachine struct {
+	t                                               *testing.T
+	ip                                              string
+	settingsPath, stateDir                          string
+	frontPort, readinessPort, controlPort, peerPort int
+	seeds                                           string
+	client                                          *http.Client
 }
 
-func newMachine(t *testing.T) *machine {
-	m := &machine{t: t, path: filepath.Join(t.TempDir(), "local.toml"), dir: t.TempDir(),
+func newTestMachine(t *testing.T) *testMachine {
+	m := &testMachine{t: t, settingsPath: filepath.Join(t.TempDir(), "local.toml"), stateDir: t.TempDir(),
 		ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250), 1+rand.IntN(250))}
-	for _, port := range []*int{&m.front, &m.readiness, &m.control, &m.peer} {
+	for _, port := range []*int{&m.frontPort, &m.readinessPort, &m.controlPort, &m.peerPort} {
 		ln, err := net.Listen("tcp", m.ip+":0")
 		require.NoError(t, err)
 		*port = ln.Addr().(*net.TCPAddr).Port
 		require.NoError(t, ln.Close())
 	}
-	m.seeds = fmt.Sprintf(`["%s:%d"]`, m.ip, m.control)
+	m.seeds = fmt.Sprintf(`["%s:%d"]`, m.ip, m.controlPort)
 	m.client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	m.write(true)
+	m.writeSettings(true)
 	return m
 }
 
-// newMachines are machines of one fleet: their ports are alike, and each is a seed.
-func newMachines(t *testing.T, count int) []*machine {
-	first := newMachine(t)
-	machines := []*machine{first}
-	seeds := []string{fmt.Sprintf("%q", net.JoinHostPort(first.ip, strconv.Itoa(first.control)))}
+// newTestMachines are machines of one fleet: their ports are alike, and each is a seed.
+func newTestMachines(t *testing.T, count int) []*testMachine {
+	first := newTestMachine(t)
+	machines := []*testMachine{first}
+	seeds := []string{fmt.Sprintf("%q", net.JoinHostPort(first.ip, strconv.Itoa(first.controlPort)))}
 	for len(machines) < count {
-		m := newMachine(t)
-		m.front, m.readiness, m.control, m.peer = first.front, first.readiness, first.control, first.peer
+		m := newTestMachine(t)
+		m.frontPort, m.readinessPort, m.controlPort, m.peerPort = first.frontPort, first.readinessPort, first.controlPort, first.peerPort
 		machines = append(machines, m)
-		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(m.ip, strconv.Itoa(m.control))))
+		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(m.ip, strconv.Itoa(m.controlPort))))
 	}
 	for _, m := range machines {
 		m.seeds = "[" + strings.Join(seeds, ", ") + "]"
-		m.write(true)
+		m.writeSettings(true)
 	}
 	return machines
 }
 
-// write writes the settings file.
-func (m *machine) write(first bool) {
+// writeSettings writes the settings file.
+func (m *testMachine) writeSettings(first bool) {
 	text := fmt.Sprintf(`
 node-name = "edge-1"
 machine-class = "edge"
@@ -104,46 +104,46 @@
 retry-ratio = 0.2
 retry-window-s = 10
 retry-slack = 58
-`, m.ip, m.peer, m.peer, m.seeds, first, m.dir, m.ip, m.front, m.ip, m.readiness, m.ip, m.control)
-	require.NoError(m.t, os.WriteFile(m.path, []byte(text), 0o600))
+`, m.ip, m.peerPort, m.peerPort, m.seeds, first, m.stateDir, m.ip, m.frontPort, m.ip, m.readinessPort, m.ip, m.controlPort)
+	require.NoError(m.t, os.WriteFile(m.settingsPath, []byte(text), 0o600))
 }
 
-// process is one life of a machine's process.
-type process struct {
-	*machine
-	d      *Daemon
-	reload chan struct{}
-	term   context.CancelFunc
-	ended  chan error
+// testProcess is one life of a machine's process.
+type testProcess struct {
+	*testMachine
+	daemon    *Daemon
+	reload    chan struct{}
+	terminate context.CancelFunc
+	exited    chan error
 }
 
-func (m *machine) start() *process {
-	d, err := New(m.path)
+func (m *testMachine) start() *testProcess {
+	d, err := New(m.settingsPath)
 	require.NoError(m.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{machine: m, d: d, reload: make(chan struct{}), term: cancel, ended: make(chan error, 1)}
-	go func() { p.ended <- d.Run(ctx, p.reload) }()
-	m.t.Cleanup(func() { p.term(); p.ended <- <-p.ended })
+	p := &testProcess{testMachine: m, daemon: d, reload: make(chan struct{}), terminate: cancel, exited: make(chan error, 1)}
+	go func() { p.exited <- d.Run(ctx, p.reload) }()
+	m.t.Cleanup(func() { p.terminate(); p.exited <- <-p.exited })
 	return p
 }
 
-// end waits for the process to end.
-func (p *process) end() {
-	p.term()
+// terminateAndWait waits for the process to end.
+func (p *testProcess) terminateAndWait() {
+	p.terminate()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		require.NoError(p.t, err)
-		p.ended <- nil
-	case <-time.After(patience):
+		p.exited <- nil
+	case <-time.After(testTimeout):
 		require.FailNow(p.t, "the process does not end")
 	}
 }
 
-// call makes a call until it is answered with a status.
-func (m *machine) call(want int, method, path, body string, fields ...string) string {
+// callControl makes a call until it is answered with a status.
+func (m *testMachine) callControl(want int, method, path, body string, fields ...string) string {
 	var got string
 	require.Eventually(m.t, func() bool {
-		req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.ip, m.control, path), strings.NewReader(body))
+		req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.ip, m.controlPort, path), strings.NewReader(body))
 		if err != nil {
 			return false
 		}
@@ -158,12 +158,12 @@
 		b, _ := io.ReadAll(resp.Body)
 		got = string(b)
 		return resp.StatusCode == want
-	}, patience, 20*time.Millisecond, "%s %s", method, path)
+	}, testTimeout, 20*time.Millisecond, "%s %s", method, path)
 	return got
 }
 
-func (m *machine) ready() bool {
-	resp, err := m.client.Get(fmt.Sprintf("http://%s:%d/chalkdoor/ready", m.ip, m.readiness))
+func (m *testMachine) isReady() bool {
+	resp, err := m.client.Get(fmt.Sprintf("http://%s:%d/chalkdoor/ready", m.ip, m.readinessPort))
 	if err != nil {
 		return false
 	}
@@ -171,32 +171,32 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func testConfig(revision int) string {
+func configJSON(revision int) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[
 	{"name":"a","hostname":"h.example","path-prefix":"/a/","route-kind":"unsafe","timeout-ms":10000,"setpoint-ms":500,"target-service":"s","max-attempts":1},
 	{"name":"b","hostname":"h.example","path-prefix":"/b/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":500,"target-service":"s","max-attempts":1}],
 	"services":[{"name":"s","health-path":"/health","later":[1,2]}],"limits":{"body-bytes":4194304}}`, revision)
 }
 
-// modelServer answers requests; of streams it sends the first event and then what it is told. It
+// testModelServer answers requests; of streams it sends the first event and then what it is told. It
 // beats once.
-type modelServer struct {
-	more chan int // the number of the next event; 0 ends the stream
+type testModelServer struct {
+	nextEvent chan int // the number of the next event; 0 ends the stream
 }
 
-func (m *machine) modelServer(id string) *modelServer {
-	s := &modelServer{more: make(chan int)}
+func (m *testMachine) startModelServer(id string) *testModelServer {
+	s := &testModelServer{nextEvent: make(chan int)}
 	ln, err := net.Listen("tcp", m.ip+":0")
 	require.NoError(m.t, err)
 	srv := &http.Server{Handler: s}
 	go srv.Serve(ln)
 	m.t.Cleanup(func() { srv.Close() })
-	m.call(200, "PUT", "/chalkdoor/instances/"+id, fmt.Sprintf(
+	m.callControl(200, "PUT", "/chalkdoor/instances/"+id, fmt.Sprintf(
 		`{"target-service":"s","address":%q,"zone":"z","revision":"v1","slots":8,"state":"ready","cold-ms":0,"call-seq":1}`, ln.Addr()), "Content-Type", "application/json")
 	return s
 }
 
-func (s *modelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Chalkdoor-Attempt-Id", r.Header.Get("Chalkdoor-Attempt-Id"))
 	w.Header().Set("Chalkdoor-Server-Seal", "seal")
 	if !strings.HasPrefix(r.URL.Path, "/b/") {
@@ -204,17 +204,17 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	for i := 1; i > 0; i = <-s.more {
+	for i := 1; i > 0; i = <-s.nextEvent {
 		fmt.Fprintf(w, "id: %d\ndata: x\n\n", i)
 		w.(http.Flusher).Flush()
 	}
 }
 
-// ask sends a request to the front on a connection of its own, which the caller closes.
-func (m *machine) ask(path, id string) (*http.Response, func()) {
-	c, err := net.Dial("tcp", net.JoinHostPort(m.ip, strconv.Itoa(m.front)))
+// request sends a request to the front on a connection of its own, which the caller closes.
+func (m *testMachine) request(path, id string) (*http.Response, func()) {
+	c, err := net.Dial("tcp", net.JoinHostPort(m.ip, strconv.Itoa(m.frontPort)))
 	require.NoError(m.t, err)
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nChalkdoor-Attempt-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
 	require.NoError(m.t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -222,14 +222,14 @@
 	return resp, func() { c.Close() }
 }
 
-func TestOneProcess(t *testing.T) {
-	m := newMachine(t)
+func TestSingleProcess(t *testing.T) {
+	m := newTestMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
-	require.False(t, m.ready(), "ready without servers")
-	s := m.modelServer("i-1")
-	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
-	resp, done := m.ask("/a/x", "1")
+	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	require.False(t, m.isReady(), "ready without servers")
+	s := m.startModelServer("i-1")
+	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
+	resp, done := m.request("/a/x", "1")
 	require.Equal(t, 200, resp.StatusCode)
 	require.Equal(t, "seal", resp.Header.Get("Chalkdoor-Server-Seal"))
 	b, _ := io.ReadAll(resp.Body)
@@ -237,167 +237,167 @@
 	done()
 
 	// Another configuration is in force soon, and read back as it was sent.
-	next := strings.Replace(testConfig(7), `"/a/"`, `"/c/"`, 1)
-	m.call(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
-	m.call(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
-	m.call(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
-	require.JSONEq(t, next, m.call(200, "GET", "/chalkdoor/config", ""))
+	next := strings.Replace(configJSON(7), `"/a/"`, `"/c/"`, 1)
+	m.callControl(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
+	m.callControl(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
+	m.callControl(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
+	require.JSONEq(t, next, m.callControl(200, "GET", "/chalkdoor/config", ""))
 	require.Eventually(t, func() bool { // the acknowledgement may come before it is in force here
-		resp, done := m.ask("/c/x", "c")
+		resp, done := m.request("/c/x", "c")
 		defer done()
 		return resp.StatusCode == 200
-	}, patience, 10*time.Millisecond)
-	resp, done = m.ask("/a/x", "a")
+	}, testTimeout, 10*time.Millisecond)
+	resp, done = m.request("/a/x", "a")
 	require.Equal(t, 404, resp.StatusCode)
 	done()
 
 	// The end: what is held is finished, what still comes is served, the entry is told.
-	stream, done := m.ask("/b/x", "2")
+	stream, done := m.request("/b/x", "2")
 	defer done()
-	p.term()
-	require.Eventually(t, func() bool { return !m.ready() }, patience, 5*time.Millisecond)
-	resp, done = m.ask("/c/y", "3")
+	p.terminate()
+	require.Eventually(t, func() bool { return !m.isReady() }, testTimeout, 5*time.Millisecond)
+	resp, done = m.request("/c/y", "3")
 	require.Equal(t, 200, resp.StatusCode)
 	require.True(t, resp.Close)
 	done()
-	s.more <- 2
-	s.more <- 0
+	s.nextEvent <- 2
+	s.nextEvent <- 0
 	b, err := io.ReadAll(stream.Body)
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", string(b))
-	p.end()
+	p.terminateAndWait()
 
 	// Another life has what was acknowledged, and the servers until their next beats.
-	m.write(false)
+	m.writeSettings(false)
 	p = m.start()
-	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
-	require.JSONEq(t, next, m.call(200, "GET", "/chalkdoor/config", ""))
-	resp, done = m.ask("/c/x", "4")
+	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
+	require.JSONEq(t, next, m.callControl(200, "GET", "/chalkdoor/config", ""))
+	resp, done = m.request("/c/x", "4")
 	require.Equal(t, 200, resp.StatusCode)
 	done()
-	p.end()
+	p.terminateAndWait()
 }
 
 // A process that ends says so to the entry before it does anything else.
-func TestAnEndingProcessIsNotReady(t *testing.T) {
-	m := newMachine(t)
+func TestDrainingProcessIsNotReady(t *testing.T) {
+	m := newTestMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
-	m.modelServer("i-1")
-	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
-	p.d.ending.Store(true)
-	require.True(t, p.d.door.Able(), "requests that still come are served")
-	require.False(t, m.ready())
-	p.end()
+	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	m.startModelServer("i-1")
+	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
+	p.daemon.draining.Store(true)
+	require.True(t, p.daemon.gateway.Able(), "requests that still come are served")
+	require.False(t, m.isReady())
+	p.terminateAndWait()
 }
 
 // Machines that leave together are taken out by the entry in time, though streams hold each of them.
-func TestSeveralMachinesLeaveAtOnce(t *testing.T) {
+func TestSeveralMachinesShutDownAtOnce(t *testing.T) {
 	const (
 		answered = time.Second     // the entry asks each second, and counts two misses
 		counted  = 4 * time.Second // by then none may count as ready any more
 	)
-	machines := newMachines(t, 3)
-	var processes []*process
+	machines := newTestMachines(t, 3)
+	var processes []*testProcess
 	for _, m := range machines {
 		processes = append(processes, m.start())
 	}
-	machines[0].call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
-	server := machines[0].modelServer("i-1")
+	machines[0].callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	server := machines[0].startModelServer("i-1")
 	var streams []*http.Response
 	for _, m := range machines {
-		require.Eventually(t, m.ready, patience, 20*time.Millisecond)
-		stream, done := m.ask("/b/x", m.ip)
+		require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
+		stream, done := m.request("/b/x", m.ip)
 		defer done()
 		require.Equal(t, 200, stream.StatusCode)
 		streams = append(streams, stream)
 	}
 	anyReady := func() bool {
-		return slices.ContainsFunc(machines, (*machine).ready)
+		return slices.ContainsFunc(machines, (*testMachine).isReady)
 	}
 	begun := time.Now()
 	for _, p := range processes {
-		p.term()
+		p.terminate()
 	}
 	require.Eventually(t, func() bool { return !anyReady() }, answered, 5*time.Millisecond)
 	require.Never(t, anyReady, counted-time.Since(begun), 50*time.Millisecond)
 	for _, p := range processes {
-		require.Empty(t, p.ended, "ended under its stream")
+		require.Empty(t, p.exited, "ended under its stream")
 	}
-	close(server.more)
+	close(server.nextEvent)
 	for _, stream := range streams {
 		body, err := io.ReadAll(stream.Body)
 		require.NoError(t, err)
 		require.Equal(t, "id: 1\ndata: x\n\n", string(body))
 	}
 	for _, p := range processes {
-		p.end()
+		p.terminateAndWait()
 	}
 }
 
 // Streams that are longer than the grace are broken off, and the process ends within it.
-func TestTheGraceOfAProcess(t *testing.T) {
-	m := newMachine(t)
+func TestShutdownWithinGracePeriod(t *testing.T) {
+	m := newTestMachine(t)
 	p := m.start()
-	m.call(200, "PUT", "/chalkdoor/config", testConfig(5), "If-Match", "0", "Content-Type", "application/json")
-	s := m.modelServer("i-1")
-	require.Eventually(t, m.ready, patience, 20*time.Millisecond)
-	stream, done := m.ask("/b/x", "1")
+	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	s := m.startModelServer("i-1")
+	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
+	stream, done := m.request("/b/x", "1")
 	defer done()
 	begun := time.Now()
-	p.end()
+	p.terminateAndWait()
 	require.Less(t, time.Since(begun), 8*time.Second)
 	b, err := io.ReadAll(stream.Body)
 	require.Error(t, err, "it must not look whole")
 	require.Equal(t, "id: 1\ndata: x\n\n", string(b))
-	close(s.more)
+	close(s.nextEvent)
 }
 
-func TestSettingsThatChange(t *testing.T) {
-	m := newMachine(t)
+func TestSettingsReload(t *testing.T) {
+	m := newTestMachine(t)
 	p := m.start()
 	told := func() { // returns once the signal before has been dealt with
 		for range 2 {
 			select {
 			case p.reload <- struct{}{}:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				require.FailNow(t, "the signal is not heard")
 			}
 		}
 	}
-	own := p.d.seeds()
+	own := p.daemon.seedAddrs()
 	require.Len(t, own, 1)
-	require.NoError(t, os.WriteFile(m.path, []byte("node-name = "), 0o600))
+	require.NoError(t, os.WriteFile(m.settingsPath, []byte("node-name = "), 0o600))
 	told()
-	require.Equal(t, own, p.d.seeds())
-	require.NoError(t, os.Remove(m.path))
+	require.Equal(t, own, p.daemon.seedAddrs())
+	require.NoError(t, os.Remove(m.settingsPath))
 	told()
-	require.Equal(t, own, p.d.seeds())
+	require.Equal(t, own, p.daemon.seedAddrs())
 	m.seeds = `["127.0.0.1:1", "127.0.0.2:1"]`
-	m.write(false)
+	m.writeSettings(false)
 	told()
-	require.Equal(t, []string{fmt.Sprintf("127.0.0.1:%d", m.peer), fmt.Sprintf("127.0.0.2:%d", m.peer)}, p.d.seeds())
+	require.Equal(t, []string{fmt.Sprintf("127.0.0.1:%d", m.peerPort), fmt.Sprintf("127.0.0.2:%d", m.peerPort)}, p.daemon.seedAddrs())
 	// Also without a signal.
 	m.seeds = `["127.0.0.3:1"]`
-	m.write(false)
-	require.Eventually(t, func() bool { return len(p.d.seeds()) == 1 }, patience, 20*time.Millisecond)
-	p.end()
+	m.writeSettings(false)
+	require.Eventually(t, func() bool { return len(p.daemon.seedAddrs()) == 1 }, testTimeout, 20*time.Millisecond)
+	p.terminateAndWait()
 }
 
 // A process that can't listen ends with an error that names the address, and leaves nothing behind.
-func TestAnAddressThatIsTaken(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	for _, what := range []string{"front", "readiness", "control", "peer"} {
-		m := newMachine(t)
-		port := map[string]int{"front": m.front, "readiness": m.readiness, "control": m.control, "peer": m.peer}[what]
+		m := newTestMachine(t)
+		port := map[string]int{"front": m.frontPort, "readiness": m.readinessPort, "control": m.controlPort, "peer": m.peerPort}[what]
 		addr := net.JoinHostPort(m.ip, strconv.Itoa(port))
 		ln, err := net.Listen("tcp", addr)
 		require.NoError(t, err)
 		p := m.start()
 		select {
-		case err := <-p.ended:
+		case err := <-p.exited:
 			require.ErrorContains(t, err, addr)
-			p.ended <- nil
-		case <-time.After(patience):
+			p.exited <- nil
+		case <-time.After(testTimeout):
 			require.FailNow(t, "the process goes on", what)
 		}
 		require.NoError(t, ln.Close())
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -11,10 +11,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// plane is what the calls of servers and operators act on.
-type plane struct{ d *Daemon }
+// controlBackend is what the calls of servers and operators act on.
+type controlBackend struct{ daemon *Daemon }
 
-func (p *plane) Beat(ctx context.Context, b *controlapi.Beat) (controlapi.BeatReply, error) {
+func (p *controlBackend) Beat(ctx context.Context, b *controlapi.Beat) (controlapi.BeatReply, error) {
 	in := &registry.Instance{ID: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Revision: string(b.Revision), Slots: b.Slots,
 		Seq: b.Seq, Cold: time.Duration(b.ColdMs * float64(time.Millisecond))}
 	if b.State == controlapi.Draining {
@@ -23,33 +23,33 @@
 	for _, m := range b.Models {
 		in.Models = append(in.Models, registry.Model{Name: m.Name, Revision: m.Revision})
 	}
-	if !p.d.hub.Heartbeat(ctx, in) {
+	if !p.daemon.relay.Heartbeat(ctx, in) {
 		return controlapi.BeatReply{}, apierror.New(apierror.Unavailable, "beat", "call another agent", "no hub has taken it")
 	}
-	return controlapi.BeatReply{Target: p.target()}, nil
+	return controlapi.BeatReply{Target: p.heartbeatTarget()}, nil
 }
 
-// target is where servers are to beat from now on: elsewhere, if this process is ending.
-func (p *plane) target() string {
-	if !p.d.ending.Load() {
+// heartbeatTarget is where servers are to beat from now on: elsewhere, if this process is ending.
+func (p *controlBackend) heartbeatTarget() string {
+	if !p.daemon.draining.Load() {
 		return ""
 	}
-	others := p.d.hub.OtherMembers(false)
+	others := p.daemon.relay.OtherMembers(false)
 	if len(others) == 0 {
 		return ""
 	}
 	return others[rand.IntN(len(others))].Control
 }
 
-func (p *plane) Leave(ctx context.Context, id string, _ uint64) error {
-	if !p.d.hub.Deregister(ctx, id) {
+func (p *controlBackend) Leave(ctx context.Context, id string, _ uint64) error {
+	if !p.daemon.relay.Deregister(ctx, id) {
 		return apierror.New(apierror.Unavailable, "leave", "call another agent", "no hub has taken it")
 	}
 	return nil
 }
 
-func (p *plane) Submit(ctx context.Context, patch bool, ifMatch int64, body []byte) controlapi.Verdict {
-	v := p.d.core.Submit(ctx, &chain.Order{Patch: patch, IfMatch: ifMatch, Body: body})
+func (p *controlBackend) Submit(ctx context.Context, patch bool, ifMatch int64, body []byte) controlapi.Verdict {
+	v := p.daemon.core.Submit(ctx, &chain.Order{Patch: patch, IfMatch: ifMatch, Body: body})
 	kind := controlapi.Unclear
 	switch v.Kind {
 	case chain.Taken:
@@ -62,25 +62,25 @@
 	return controlapi.Verdict{Kind: kind, Revision: v.Revision, Reason: v.Reason}
 }
 
-func (p *plane) Config(ctx context.Context) ([]byte, bool, error) {
-	v, err := p.d.core.Read(ctx)
+func (p *controlBackend) Config(ctx context.Context) ([]byte, bool, error) {
+	v, err := p.daemon.core.Read(ctx)
 	return v.Body, v.Seq > 0, err
 }
 
-func (p *plane) Ops(_ context.Context, what string) (any, error) {
-	r := p.d.hub.Report()
+func (p *controlBackend) Ops(_ context.Context, what string) (any, error) {
+	r := p.daemon.relay.Report()
 	switch what {
 	case "members":
 		return map[string]any{"source": r.Source, "members": r.Members, "sessions": r.Sessions}, nil
 	case "servers":
-		return map[string]any{"servers": r.Servers, "health": p.d.door.Servers()}, nil
+		return map[string]any{"servers": r.Servers, "health": p.daemon.gateway.Servers()}, nil
 	case "view":
-		return p.d.core.Status(), nil
+		return p.daemon.core.Status(), nil
 	case "figures":
-		return p.d.door.Figures.Read(), nil
+		return p.daemon.gateway.Figures.Read(), nil
 	default:
-		s := p.d.set.Load()
-		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.Disk(), "fresh": r.Fresh, "able": p.d.door.Able(),
-			"ending": p.d.ending.Load(), "config-seq": r.Seq, "revision": r.Revision, "members": len(r.Members), "servers": len(r.Servers)}, nil
+		s := p.daemon.settings.Load()
+		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.Disk(), "fresh": r.Fresh, "able": p.daemon.gateway.Able(),
+			"ending": p.daemon.draining.Load(), "config-seq": r.Seq, "revision": r.Revision, "members": len(r.Members), "servers": len(r.Servers)}, nil
 	}
 }
