--- a/internal/fleet/chain/bench_test.go
+++ b/internal/fleet/chain/bench_test.go
@@ -12,17 +12,17 @@
 
 // One change of a route at the head, by the size of the configuration, up to what goes to the disk.
 func BenchmarkApply(b *testing.B) {
-	check := func(cur []byte, o *Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) }
+	check := func(cur []byte, o *Update) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) }
 	for _, tenants := range []int{0, 650, 6500} {
 		size := sampling.Size{Routes: 60, Services: 6, Tenants: tenants}
-		cur, _, final := Apply(&Value{}, &Order{Body: sampling.Config(1, size)}, check)
+		cur, _, final := Apply(&Value{}, &Update{Body: sampling.Config(1, size)}, check)
 		if final {
 			b.Fatal("refused")
 		}
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(cur.Body)), "B/configuration")
-			o := &Order{Patch: true, IfMatch: 1, Body: sampling.Change(2, size)}
+			o := &Update{Patch: true, IfMatch: 1, Body: sampling.Change(2, size)}
 			for b.Loop() {
 				if next, _, _ := Apply(cur, o, check); next == nil {
 					b.Fatal("refused")
@@ -31,7 +31,7 @@
 		})
 		b.Run(fmt.Sprintf("sum/tenants=%d", tenants), func(b *testing.B) {
 			for b.Loop() {
-				cur.Sum()
+				cur.Checksum()
 			}
 		})
 	}
@@ -41,9 +41,9 @@
 func remembering(b *testing.B) *Value {
 	value := &Value{}
 	body := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: 20})
-	check := func(_ []byte, o *Order) ([]byte, int64, error) { return body, o.IfMatch + 1, nil }
-	for range MaxPast + MaxOlder {
-		next, _, final := Apply(value, &Order{IfMatch: value.Revision}, check)
+	check := func(_ []byte, o *Update) ([]byte, int64, error) { return body, o.IfMatch + 1, nil }
+	for range MaxRecentUpdates + MaxOlderUpdates {
+		next, _, final := Apply(value, &Update{IfMatch: value.Revision}, check)
 		if final {
 			b.Fatal("refused")
 		}
@@ -55,7 +55,7 @@
 // What a push carries and costs to encode, and what the memory adds to a change.
 func BenchmarkMemory(b *testing.B) {
 	value := remembering(b)
-	check := func(cur []byte, o *Order) ([]byte, int64, error) { return cur, o.IfMatch + 1, nil }
+	check := func(cur []byte, o *Update) ([]byte, int64, error) { return cur, o.IfMatch + 1, nil }
 	b.Run("encode", func(b *testing.B) {
 		raw, err := msgpack.Marshal(&Push{Value: *value})
 		if err != nil {
@@ -72,7 +72,7 @@
 	b.Run("change", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if next, _, _ := Apply(value, &Order{IfMatch: value.Revision, Body: []byte("new")}, check); next == nil {
+			if next, _, _ := Apply(value, &Update{IfMatch: value.Revision, Body: []byte("new")}, check); next == nil {
 				b.Fatal("refused")
 			}
 		}
--- a/internal/fleet/chain/chain.go
+++ b/internal/fleet/chain/chain.go
@@ -17,7 +17,7 @@
 //   - a value that came directly makes a joiner complete even while a member before it is dead. It
 //     is no answer for readers, and gives way to whatever comes along the chain of the same view;
 //   - of two orders on one version at most one is committed, and an order that was committed is
-//     known by its digest as taken while it is among the last MaxPast + MaxOlder. An order on a
+//     known by its digest as taken while it is among the last MaxRecentUpdates + MaxOlderUpdates. An order on a
 //     revision from before those is left unclear, never refused.
 //
 // Not guaranteed: that an order without an answer is dropped. It may be committed with the first
@@ -44,14 +44,14 @@
 type Value struct {
 	Seq      uint64
 	Revision int64
-	Body     []byte      // immutable
-	Past     []PastOrder // the last MaxPast taken, oldest first; immutable
-	Older    []byte      `msgpack:",omitempty"` // up to MaxOlder taken before those, encoded; immutable
+	Body     []byte          // immutable
+	Past     []AppliedUpdate // the last MaxRecentUpdates taken, oldest first; immutable
+	Older    []byte          `msgpack:",omitempty"` // up to MaxOlderUpdates taken before those, encoded; immutable
 }
 
-// Sum tells one value from another of the same Seq. Older is left out of it: a process that does
+// Checksum tells one value from another of the same Seq. Older is left out of it: a process that does
 // not know it yet drops it, and its copy is as good.
-func (v *Value) Sum() uint64 {
+func (v *Value) Checksum() uint64 {
 	h := sha256.New()
 	var n [16]byte
 	binary.BigEndian.PutUint64(n[:], v.Seq)
@@ -64,8 +64,8 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// Check refuses a value that no head can have made.
-func (v *Value) Check() error {
+// Validate refuses a value that no head can have made.
+func (v *Value) Validate() error {
 	if len(v.Body) > MaxBody || v.Revision < 0 {
 		return errors.Errorf("value %d has %d bytes and revision %d", v.Seq, len(v.Body), v.Revision)
 	}
@@ -79,8 +79,8 @@
 	Direct bool // it did not come along the chain
 }
 
-// Order is one change that the operator asks for.
-type Order struct {
+// Update is one change that the operator asks for.
+type Update struct {
 	Patch   bool
 	IfMatch int64 // the revision it builds on, 0 for the first
 	Body    []byte
@@ -89,7 +89,7 @@
 // Digest is the same for the same order: one with the same bytes in its body, on the same revision
 // (If-Match) and by the same method (PUT or PATCH). Other white space or another order of keys make
 // another order, even where the configuration would be the same.
-func (o *Order) Digest() (d Digest) {
+func (o *Update) Digest() (d Digest) {
 	h := sha256.New()
 	head := make([]byte, 9)
 	if o.Patch {
@@ -102,27 +102,27 @@
 	return d
 }
 
-// Check makes the next body of an order and the current body, which is nil for the first, or tells
+// Transition makes the next body of an order and the current body, which is nil for the first, or tells
 // why the order is invalid. It is pure and keeps both unchanged.
-type Check func(current []byte, o *Order) (next []byte, revision int64, err error)
+type Transition func(current []byte, o *Update) (next []byte, revision int64, err error)
 
-// Kind is what became of an order.
-type Kind uint8
+// Outcome is what became of an order.
+type Outcome uint8
 
 // The kinds of verdicts. Unclear promises nothing: the order may be taken or not.
 const (
-	Unclear Kind = iota
-	Taken
-	Conflict
-	Invalid
+	OutcomeUnknown Outcome = iota
+	OutcomeCommitted
+	OutcomeConflict
+	OutcomeInvalid
 )
 
 // String is the kind's name.
-func (k Kind) String() string { return [...]string{"unclear", "taken", "conflict", "invalid"}[k&3] }
+func (k Outcome) String() string { return [...]string{"unclear", "taken", "conflict", "invalid"}[k&3] }
 
-// Verdict answers an order.
-type Verdict struct {
-	Kind     Kind
+// Result answers an order.
+type Result struct {
+	Kind     Outcome
 	Revision int64  // Taken: the one it led to; Conflict: the current one
 	Reason   string // Invalid: what is wrong; Unclear: what failed
 	Final    bool   // Unclear: the same order gets the same answer again, at any process
@@ -134,43 +134,43 @@
 
 // Apply checks an order against the current value. Without a final verdict, next is the value to
 // commit for it.
-func Apply(cur *Value, o *Order, check Check) (next *Value, v Verdict, final bool) {
+func Apply(cur *Value, o *Update, check Transition) (next *Value, v Result, final bool) {
 	d := o.Digest()
-	if rev, ok := cur.Took(d); ok {
-		return nil, Verdict{Kind: Taken, Revision: rev}, true
+	if rev, ok := cur.RevisionOf(d); ok {
+		return nil, Result{Kind: OutcomeCommitted, Revision: rev}, true
 	}
 	if o.IfMatch != cur.Revision {
 		if cur.mayHaveTaken(o.IfMatch) {
-			return nil, Verdict{Reason: unknownOrder, Final: true}, true
+			return nil, Result{Reason: unknownOrder, Final: true}, true
 		}
-		return nil, Verdict{Kind: Conflict, Revision: cur.Revision}, true
+		return nil, Result{Kind: OutcomeConflict, Revision: cur.Revision}, true
 	}
 	body, rev, err := check(cur.Body, o)
 	if err == nil && (len(body) > MaxBody || rev <= cur.Revision) {
 		err = errors.Errorf("revision: give one above %d, and a configuration of at most %d bytes", cur.Revision, MaxBody)
 	}
 	if err != nil {
-		return nil, Verdict{Kind: Invalid, Revision: cur.Revision, Reason: err.Error()}, true
+		return nil, Result{Kind: OutcomeInvalid, Revision: cur.Revision, Reason: err.Error()}, true
 	}
-	past, older := cur.remember(PastOrder{d, rev})
-	return &Value{Seq: cur.Seq + 1, Revision: rev, Body: body, Past: past, Older: older}, Verdict{Kind: Taken, Revision: rev}, false
+	past, older := cur.remember(AppliedUpdate{d, rev})
+	return &Value{Seq: cur.Seq + 1, Revision: rev, Body: body, Past: past, Older: older}, Result{Kind: OutcomeCommitted, Revision: rev}, false
 }
 
 // Replica is one member's part in the chain: what is on its disk. A change counts once it is there.
 type Replica struct {
-	Me     string
+	ID     string
 	View   view.View
 	Record Record
 }
 
 // Complete tells whether the member holds all that was acknowledged.
 func (r *Replica) Complete() bool {
-	i := r.View.Place(r.Me)
+	i := r.View.Position(r.ID)
 	return i >= 0 && (r.View.Chain[i].Since == 1 || r.Record.View >= r.View.Chain[i].Since)
 }
 
 // IsHead tells whether the member orders what is written.
-func (r *Replica) IsHead() bool { return r.View.Place(r.Me) == 0 }
+func (r *Replica) IsHead() bool { return r.View.Position(r.ID) == 0 }
 
 // Push is one value on its way along the chain of a view or, from a complete member to one that is
 // not yet, directly.
@@ -180,11 +180,11 @@
 	Direct bool
 }
 
-// Take is what a member does with a push of its own view: the record to keep before the push is
+// Receive is what a member does with a push of its own view: the record to keep before the push is
 // passed on, and whether that is a change. A push of another view is refused, as is one to a
 // member that is the head or no member.
-func (r *Replica) Take(q *Push) (rec Record, change bool, err error) {
-	switch i := r.View.Place(r.Me); {
+func (r *Replica) Receive(q *Push) (rec Record, change bool, err error) {
+	switch i := r.View.Position(r.ID); {
 	case q.View.Number != r.View.Number:
 		return r.Record, false, errors.Errorf("push of view %d at view %d", q.View.Number, r.View.Number)
 	case i <= 0:
@@ -200,10 +200,10 @@
 	return Record{View: q.View.Number, Value: q.Value, Direct: q.Direct}, true, nil
 }
 
-// Answer is what the tail tells a reader, once a majority of the voters has confirmed its view: the
+// CommittedValue is what the tail tells a reader, once a majority of the voters has confirmed its view: the
 // newest committed value. It is not known before the first push of the view came through.
-func (r *Replica) Answer() (Value, bool) {
-	if i := r.View.Place(r.Me); i < 0 || i != len(r.View.Chain)-1 {
+func (r *Replica) CommittedValue() (Value, bool) {
+	if i := r.View.Position(r.ID); i < 0 || i != len(r.View.Chain)-1 {
 		return Value{}, false
 	}
 	return r.Record.Value, len(r.View.Chain) == 1 || r.Record.View == r.View.Number && !r.Record.Direct
--- a/internal/fleet/chain/past.go
+++ b/internal/fleet/chain/past.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// MaxPast is how many taken orders a value remembers with their whole digests.
-	MaxPast = 64
-	// MaxOlder is how many taken orders before those it remembers by the first bytes of theirs.
-	MaxOlder = 960
-	// olderDigest is how many bytes those are. One of MaxOlder remembered orders has the same first
+	// MaxRecentUpdates is how many taken orders a value remembers with their whole digests.
+	MaxRecentUpdates = 64
+	// MaxOlderUpdates is how many taken orders before those it remembers by the first bytes of theirs.
+	MaxOlderUpdates = 960
+	// olderDigest is how many bytes those are. One of MaxOlderUpdates remembered orders has the same first
 	// 8 bytes as a given other order with a chance of 5e-17.
 	olderDigest = 8
 	// maxOlderBytes bounds the encoding of the older orders.
-	maxOlderBytes = MaxOlder * (olderDigest + binary.MaxVarintLen64)
+	maxOlderBytes = MaxOlderUpdates * (olderDigest + binary.MaxVarintLen64)
 )
 
-// PastOrder is an order that was taken, and the revision that it led to.
-type PastOrder struct {
+// AppliedUpdate is an order that was taken, and the revision that it led to.
+type AppliedUpdate struct {
 	Digest   Digest
 	Revision int64
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// Took tells the revision that an order led to, if it is one of those remembered.
-func (v *Value) Took(d Digest) (revision int64, ok bool) {
+// RevisionOf tells the revision that an order led to, if it is one of those remembered.
+func (v *Value) RevisionOf(d Digest) (revision int64, ok bool) {
 	for _, p := range v.Past {
 		if p.Digest == d {
 			return p.Revision, true
@@ -88,16 +88,16 @@
 }
 
 // remember gives the memory of the value after v, which is the one that an order led to.
-func (v *Value) remember(taken PastOrder) (past []PastOrder, older []byte) {
+func (v *Value) remember(taken AppliedUpdate) (past []AppliedUpdate, older []byte) {
 	past = append(append(past, v.Past...), taken)
-	if len(past) <= MaxPast {
+	if len(past) <= MaxRecentUpdates {
 		return past, v.Older
 	}
 	older = append(older, past[0].Digest[:olderDigest]...)
 	older = binary.AppendUvarint(older, uint64(past[1].Revision-past[0].Revision))
 	kept, entries := 0, 1
 	for o := range v.older() {
-		if entries == MaxOlder {
+		if entries == MaxOlderUpdates {
 			break
 		}
 		entries++
@@ -108,7 +108,7 @@
 
 // checkMemory refuses a memory that no head can have made.
 func (v *Value) checkMemory() error {
-	if len(v.Past) > MaxPast || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Past) == 0) {
+	if len(v.Past) > MaxRecentUpdates || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Past) == 0) {
 		return errors.Errorf("value %d remembers %d orders and %d bytes of older ones", v.Seq, len(v.Past), len(v.Older))
 	}
 	entries, end := 0, 0
@@ -116,7 +116,7 @@
 		entries++
 		end = o.end
 	}
-	if end != len(v.Older) || entries > MaxOlder || uint64(len(v.Past)+entries) > v.Seq {
+	if end != len(v.Older) || entries > MaxOlderUpdates || uint64(len(v.Past)+entries) > v.Seq {
 		return errors.Errorf("value %d remembers %d orders and %d older ones in %d of %d bytes", v.Seq, len(v.Past), entries, end, len(v.Older))
 	}
 	return nil
--- a/internal/fleet/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -15,7 +15,7 @@
 	for i, id := range []string{"a", "b", "c"} {
 		p := view.Peer{ID: id, Addr: id + ":1", Disk: true}
 		v.Voters = append(v.Voters, p)
-		v.Chain = append(v.Chain, view.Link{Peer: p, Since: []uint64{1, 1, 4}[i]})
+		v.Chain = append(v.Chain, view.Member{Peer: p, Since: []uint64{1, 1, 4}[i]})
 	}
 	return v
 }
@@ -45,8 +45,8 @@
 		{"directly to one that is not", "c", chain.Record{View: 3}, chain.Push{View: v, Value: newer, Direct: true}, false, chain.Record{View: 5, Value: newer, Direct: true}},
 		{"an older one along the chain after a direct one", "c", chain.Record{View: 5, Value: newer, Direct: true}, chain.Push{View: v, Value: older}, false, chain.Record{View: 5, Value: older}},
 	} {
-		r := chain.Replica{Me: c.me, View: v, Record: c.record}
-		got, change, err := r.Take(&c.push)
+		r := chain.Replica{ID: c.me, View: v, Record: c.record}
+		got, change, err := r.Receive(&c.push)
 		require.Equal(t, c.refused, err != nil, c.name)
 		require.Equal(t, c.want, got, c.name)
 		require.Equal(t, !c.refused && got.View != c.record.View || got.Value.Seq != c.record.Value.Seq, change, c.name)
@@ -61,7 +61,7 @@
 		view uint64
 		want bool
 	}{{"a", 0, true}, {"c", 0, false}, {"c", 3, false}, {"c", 4, true}, {"c", 5, true}, {"d", 5, false}} {
-		r := chain.Replica{Me: c.me, View: chainOf(), Record: chain.Record{View: c.view}}
+		r := chain.Replica{ID: c.me, View: chainOf(), Record: chain.Record{View: c.view}}
 		require.Equal(t, c.want, r.Complete(), "%s with a value of view %d", c.me, c.view)
 	}
 }
@@ -84,7 +84,7 @@
 		{"a middle", "b", chainOf(), chain.Record{View: 5}, false},
 		{"one alone", "a", alone, chain.Record{View: 4}, true},
 	} {
-		_, ok := (&chain.Replica{Me: c.me, View: c.view, Record: c.record}).Answer()
+		_, ok := (&chain.Replica{ID: c.me, View: c.view, Record: c.record}).CommittedValue()
 		require.Equal(t, c.want, ok, c.name)
 	}
 }
--- a/internal/fleet/chain/sim_test.go
+++ b/internal/fleet/chain/sim_test.go
@@ -71,7 +71,7 @@
 // client sends one order after the other, each until it is clear what became of it.
 type client struct {
 	knows int64
-	order *chain.Order
+	order *chain.Update
 	must  uint64 // newest when it was made
 }
 
@@ -86,12 +86,12 @@
 
 	id     string
 	view   view.View
-	vote   view.Vote
+	vote   view.AcceptorState
 	record chain.Record
 
 	activated uint64
 	cur       *client
-	curOrder  *chain.Order
+	curOrder  *chain.Update
 	curSeq    uint64
 	proposal  *view.Proposal
 	rounds    uint32
@@ -106,7 +106,7 @@
 	value chain.Value
 	read  bool
 	who   *client
-	order *chain.Order
+	order *chain.Update
 }
 
 type letter struct {
@@ -123,7 +123,7 @@
 	promised struct {
 		p     *view.Proposal
 		voter string
-		a     view.Answer
+		a     view.Response
 	}
 	accepted promised
 	learn    struct{ v view.View }
@@ -143,7 +143,7 @@
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 7)), defect: d, decided: map[uint64]view.View{}, committed: map[uint64]chain.Value{},
 		orders: map[chain.Digest]*fate{}}
 	pick := func(of ...int) int { return of[s.rng.IntN(len(of))] }
-	s.style = style{late: pick(0, 1, 2), losing: pick(5, 12, 60), power: pick(30, 60, 400), views: pick(1, 3, 6), cutting: pick(4, 16), memory: pick(1, 3, chain.MaxPast)}
+	s.style = style{late: pick(0, 1, 2), losing: pick(5, 12, 60), power: pick(30, 60, 400), views: pick(1, 3, 6), cutting: pick(4, 16), memory: pick(1, 3, chain.MaxRecentUpdates)}
 	var peers []view.Peer
 	for i := range machines {
 		b := &box{addr: fmt.Sprint("m", i), up: true}
@@ -153,7 +153,7 @@
 			peers = append(peers, peer(b))
 		}
 	}
-	first, _ := view.First(peers, view.Tolerance{Machines: losses})
+	first, _ := view.InitialView(peers, view.Tolerance{Machines: losses})
 	s.decided[1] = first
 	for _, b := range s.boxes[:len(peers)] {
 		if s.rng.IntN(4) > 0 { // the others learn it
@@ -177,7 +177,7 @@
 	}
 }
 
-func check(cur []byte, o *chain.Order) ([]byte, int64, error) {
+func check(cur []byte, o *chain.Update) ([]byte, int64, error) {
 	n, err := strconv.ParseInt(string(o.Body), 10, 64)
 	return o.Body, n, err
 }
@@ -187,7 +187,7 @@
 }
 
 func (s *sim) replica(b *box) chain.Replica {
-	return chain.Replica{Me: b.id, View: b.view, Record: b.record}
+	return chain.Replica{ID: b.id, View: b.view, Record: b.record}
 }
 
 // write puts something on a machine's disk; the power may go before or after, and then what follows
@@ -208,7 +208,7 @@
 	b.up, b.hung, b.life = false, false, b.life+1
 	b.activated, b.cur, b.curOrder, b.proposal, b.asks = 0, nil, nil, nil, nil
 	if s.defect == forgetVotes {
-		b.vote = view.Vote{}
+		b.vote = view.AcceptorState{}
 	}
 	if s.defect == learnInMemory {
 		b.view = s.decided[1]
@@ -250,7 +250,7 @@
 	s.lost = append(s.lost, b)
 	s.powerOff(b)
 	id := b.id
-	b.view, b.vote, b.record, b.rounds = view.View{}, view.Vote{}, chain.Record{}, 0
+	b.view, b.vote, b.record, b.rounds = view.View{}, view.AcceptorState{}, chain.Record{}, 0
 	s.rename(b)
 	if s.defect == idOutlivesDisk {
 		b.id = id
@@ -272,7 +272,7 @@
 	if v.Seq == 0 {
 		return
 	}
-	if was, ok := s.committed[v.Seq]; ok && was.Sum() != v.Sum() {
+	if was, ok := s.committed[v.Seq]; ok && was.Checksum() != v.Checksum() {
 		s.fail("two values %d committed", v.Seq)
 	}
 	s.committed[v.Seq] = v
@@ -295,21 +295,25 @@
 	answered := l.life == b.life // an answer reaches the life that asked
 	switch q := l.body.(type) {
 	case prepare:
-		s.ballot(b, mine, q.p.Base, reply, func(a view.Answer) any { return promised{q.p, l.id, a} },
-			func(v view.Vote, n uint64) (view.Vote, view.Answer) { return v.Prepare(n, q.p.Ballot) })
+		s.ballot(b, mine, q.p.Base, reply, func(a view.Response) any { return promised{q.p, l.id, a} },
+			func(v view.AcceptorState, n uint64) (view.AcceptorState, view.Response) {
+				return v.Prepare(n, q.p.Number)
+			})
 	case accept:
 		proposed := q.p.View
-		s.ballot(b, mine, q.p.Base, reply, func(a view.Answer) any { return accepted{q.p, l.id, a} },
-			func(v view.Vote, n uint64) (view.Vote, view.Answer) { return v.Accept(n, q.p.Ballot, proposed) })
+		s.ballot(b, mine, q.p.Base, reply, func(a view.Response) any { return accepted{q.p, l.id, a} },
+			func(v view.AcceptorState, n uint64) (view.AcceptorState, view.Response) {
+				return v.Accept(n, q.p.Number, proposed)
+			})
 	case promised:
-		if answered && b.proposal == q.p && q.p.Outcome() == view.Waiting && q.p.Promised(q.voter, q.a) == view.Accepting {
+		if answered && b.proposal == q.p && q.p.State() == view.Preparing && q.p.HandlePromise(q.voter, q.a) == view.Accepting {
 			for _, to := range q.p.Base.Voters {
 				s.send(b, to, accept{q.p})
 			}
 		}
 	case accepted:
-		if answered && b.proposal == q.p && q.p.Outcome() == view.Accepting {
-			if out := q.p.Accepted(q.voter, q.a); out == view.Decided || out == view.Overtaken {
+		if answered && b.proposal == q.p && q.p.State() == view.Accepting {
+			if out := q.p.HandleAcceptance(q.voter, q.a); out == view.Decided || out == view.Superseded {
 				v := q.p.View
 				for _, to := range append(append([]view.Peer(nil), v.Voters...), q.p.Base.Voters...) {
 					s.send(b, to, learn{v})
@@ -336,13 +340,13 @@
 	}
 }
 
-func (s *sim) ballot(b *box, mine bool, base view.View, reply func(any), wrap func(view.Answer) any, turn func(view.Vote, uint64) (view.Vote, view.Answer)) {
+func (s *sim) ballot(b *box, mine bool, base view.View, reply func(any), wrap func(view.Response) any, turn func(view.AcceptorState, uint64) (view.AcceptorState, view.Response)) {
 	if !mine || !s.learn(b, base) {
 		return
 	}
 	if base.Number < b.view.Number {
 		v := b.view
-		reply(wrap(view.Answer{Newer: &v}))
+		reply(wrap(view.Response{Newer: &v}))
 		return
 	}
 	if _, voter := b.view.Voter(b.id); !voter {
@@ -359,7 +363,7 @@
 		return
 	}
 	r := s.replica(b)
-	if s.defect == olderViews && q.View.Number < b.view.Number && q.View.Place(b.id) > 0 {
+	if s.defect == olderViews && q.View.Number < b.view.Number && q.View.Position(b.id) > 0 {
 		if q.Value.Seq > b.record.Value.Seq {
 			b.record = chain.Record{View: b.view.Number, Value: q.Value}
 		}
@@ -368,7 +372,7 @@
 			return
 		}
 		r = s.replica(b)
-		rec, change, err := r.Take(&q)
+		rec, change, err := r.Receive(&q)
 		if err != nil {
 			return
 		}
@@ -394,7 +398,7 @@
 
 // passOn sends a value on, or back as committed from the tail.
 func (s *sim) passOn(b *box, q chain.Push) {
-	if next, more := q.View.Next(b.id); more {
+	if next, more := q.View.Successor(b.id); more {
 		s.send(b, next.Peer, push{q})
 		return
 	}
@@ -402,7 +406,7 @@
 }
 
 func (s *sim) onAck(b *box, q chain.Push) {
-	i := q.View.Place(b.id)
+	i := q.View.Position(b.id)
 	if i < 0 {
 		return
 	}
@@ -415,7 +419,7 @@
 		b.activated = b.view.Number
 	}
 	if b.cur != nil && q.Value.Seq >= b.curSeq {
-		if _, ok := q.Value.Took(b.curOrder.Digest()); ok || s.defect == takenBySeq {
+		if _, ok := q.Value.RevisionOf(b.curOrder.Digest()); ok || s.defect == takenBySeq {
 			s.taken(b.cur, b.curOrder, b.curSeq)
 		}
 		b.cur = nil
@@ -423,7 +427,7 @@
 }
 
 // taken tells a client that its order was taken.
-func (s *sim) taken(c *client, o *chain.Order, seq uint64) {
+func (s *sim) taken(c *client, o *chain.Update, seq uint64) {
 	f := s.fate(o)
 	if f.refused {
 		s.fail("an order was refused and taken")
@@ -433,7 +437,7 @@
 	s.finish(c, o, 0)
 }
 
-func (s *sim) refused(c *client, o *chain.Order, by chain.Value) {
+func (s *sim) refused(c *client, o *chain.Update, by chain.Value) {
 	if c.order == o && by.Seq < c.must {
 		s.fail("a refusal rests on value %d, %d was acknowledged before the order", by.Seq, c.must)
 	}
@@ -445,7 +449,7 @@
 	s.finish(c, o, by.Revision)
 }
 
-func (s *sim) finish(c *client, o *chain.Order, revision int64) {
+func (s *sim) finish(c *client, o *chain.Update, revision int64) {
 	if c.order != o {
 		return
 	}
@@ -455,7 +459,7 @@
 	c.knows, c.order = revision, nil
 }
 
-func (s *sim) fate(o *chain.Order) *fate {
+func (s *sim) fate(o *chain.Update) *fate {
 	d := o.Digest()
 	if s.orders[d] == nil {
 		s.orders[d] = &fate{}
@@ -472,11 +476,11 @@
 	o := c.order
 	next, verdict, final := chain.Apply(&b.record.Value, o, check)
 	if final {
-		if verdict.Kind == chain.Taken {
+		if verdict.Kind == chain.OutcomeCommitted {
 			s.taken(c, o, 0)
 			return
 		}
-		if verdict.Kind == chain.Unclear && s.defect != forgetPast { // the client reads, and gives this order up
+		if verdict.Kind == chain.OutcomeUnknown && s.defect != forgetPast { // the client reads, and gives this order up
 			s.finish(c, o, b.record.Value.Revision)
 			return
 		}
@@ -515,7 +519,7 @@
 		a.yes = nil
 		return
 	}
-	if a.yes[q.voter] = true; len(a.yes) < a.view.Majority() {
+	if a.yes[q.voter] = true; len(a.yes) < a.view.Quorum() {
 		return
 	}
 	a.yes = nil
@@ -541,7 +545,7 @@
 	if b.view.Number == 0 {
 		return
 	}
-	value, ok := r.Answer()
+	value, ok := r.CommittedValue()
 	if s.defect == staleTail && b.view.Tail().ID == b.id {
 		ok = true
 	}
@@ -571,14 +575,14 @@
 	}
 	var next *view.View
 	pick := func(n view.View) {
-		if n.Check() == nil {
+		if n.Validate() == nil {
 			next = &n
 		}
 	}
 	switch s.rng.IntN(6) {
 	case 0, 4:
-		n := v.Drop(v.Chain[s.rng.IntN(len(v.Chain))].ID)
-		floor := v.Floor(view.Tolerance{Machines: losses}).Machines
+		n := v.RemoveMember(v.Chain[s.rng.IntN(len(v.Chain))].ID)
+		floor := v.RequiredSpread(view.Tolerance{Machines: losses}).Machines
 		if s.defect == tooShort {
 			floor = 1
 		}
@@ -593,8 +597,8 @@
 		}
 	case 1:
 		p := v.Voters[s.rng.IntN(len(v.Voters))]
-		if v.Place(p.ID) < 0 {
-			pick(v.Join(p.ID))
+		if v.Position(p.ID) < 0 {
+			pick(v.AppendMember(p.ID))
 		}
 	case 2, 3:
 		c := s.boxes[s.rng.IntN(len(s.boxes))]
@@ -612,21 +616,21 @@
 				old = p
 			}
 		}
-		if v.Place(old.ID) < 0 {
-			pick(v.Swap(old.ID, peer(c)))
+		if v.Position(old.ID) < 0 {
+			pick(v.ReplaceVoter(old.ID, peer(c)))
 		} else if len(v.Voters) < len(s.boxes) {
-			pick(v.Admit(peer(c)))
+			pick(v.AddVoter(peer(c)))
 		}
 	}
 	b.rounds++
-	b.proposal = view.Propose(v, view.Ballot{Round: b.rounds, By: fmt.Sprint(b.id, "/", b.life)}, next)
+	b.proposal = view.NewProposal(v, view.ProposalNumber{Round: b.rounds, By: fmt.Sprint(b.id, "/", b.life)}, next)
 	for _, to := range v.Voters {
 		s.send(b, to, prepare{b.proposal})
 	}
 }
 
 // whole tells whether a member of the chain is there and says, in a view, that it holds everything.
-func (s *sim) whole(v view.View, l view.Link) bool {
+func (s *sim) whole(v view.View, l view.Member) bool {
 	for _, b := range s.boxes {
 		if r := s.replica(b); b.id == l.ID && b.up {
 			return l.Since == 1 || b.view.Number == v.Number && r.Complete()
@@ -659,7 +663,7 @@
 		if c.order == nil {
 			s.ids++
 			c.must = s.newest
-			c.order = &chain.Order{IfMatch: c.knows, Body: []byte(strconv.Itoa(s.ids*10 + s.rng.IntN(9)))}
+			c.order = &chain.Update{IfMatch: c.knows, Body: []byte(strconv.Itoa(s.ids*10 + s.rng.IntN(9)))}
 		}
 		if runs {
 			s.order(b, c)
@@ -805,7 +809,7 @@
 	for _, b := range s.boxes {
 		found = append(found, peer(b))
 	}
-	first, _ := view.First(found, view.Tolerance{Machines: losses})
+	first, _ := view.InitialView(found, view.Tolerance{Machines: losses})
 	s.decided[1] = first
 	for _, b := range s.boxes {
 		b.view = first
@@ -832,7 +836,7 @@
 // change has a machine propose a next view, and all take part that are there.
 func (s *sim) change(b *box, next view.View) {
 	b.rounds++
-	b.proposal = view.Propose(b.view, view.Ballot{Round: b.rounds, By: b.id}, &next)
+	b.proposal = view.NewProposal(b.view, view.ProposalNumber{Round: b.rounds, By: b.id}, &next)
 	for _, to := range b.view.Voters {
 		s.send(b, to, prepare{b.proposal})
 	}
@@ -845,7 +849,7 @@
 
 // asks has a client send an order to a machine.
 func (s *sim) asks(c int, b *box, ifMatch, body int64) {
-	s.clients[c].order, s.clients[c].must = &chain.Order{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(body, 10))}, s.newest
+	s.clients[c].order, s.clients[c].must = &chain.Update{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(body, 10))}, s.newest
 	s.order(b, s.clients[c])
 	s.all()
 }
@@ -863,7 +867,7 @@
 			}
 			s.held = pushOf(1)
 			s.asks(0, a, 0, 10) // its push to b is late
-			s.change(b, b.view.Drop(a.id))
+			s.change(b, b.view.RemoveMember(a.id))
 			late := s.mail
 			s.mail, s.held = nil, pushOf(2)
 			s.asks(1, b, 0, 20)
@@ -878,18 +882,18 @@
 				_, pushed := l.body.(push)
 				return taught || pushed || l.to == d.addr
 			}
-			s.change(a, a.view.Drop(d.id)) // a alone knows that it is decided
+			s.change(a, a.view.RemoveMember(d.id)) // a alone knows that it is decided
 			s.mail = nil
 			for _, o := range []*box{b, c} {
 				s.powerOff(o)
 				o.up = true
 			}
 			s.held = func(l letter) bool { return l.to == a.addr }
-			s.change(d, d.view.Drop(a.id))
+			s.change(d, d.view.RemoveMember(a.id))
 		}},
 		{"a tail that wakes is read", readUnasked, func(s *sim, a, b, c, d *box) {
 			d.hung = true
-			s.change(a, a.view.Drop(d.id))
+			s.change(a, a.view.RemoveMember(d.id))
 			s.asks(0, a, 0, 10)
 			d.hung = false
 			s.read(d)
@@ -898,7 +902,7 @@
 		{"a head that wakes refuses an order", refuseUnasked, func(s *sim, a, b, c, d *box) {
 			s.asks(0, a, 0, 10)
 			a.hung = true
-			s.change(b, b.view.Drop(a.id))
+			s.change(b, b.view.RemoveMember(a.id))
 			s.asks(1, b, 10, 20)
 			a.hung = false
 			s.asks(2, a, 20, 30)
@@ -907,13 +911,13 @@
 			s.held = func(l letter) bool { _, is := l.body.(push); return is }
 			s.asks(0, a, 0, 10)
 			s.mail, s.held = nil, nil // a alone has it
-			s.change(b, b.view.Drop(a.id))
+			s.change(b, b.view.RemoveMember(a.id))
 			s.asks(1, b, 0, 20)
-			s.change(b, b.view.Join(a.id))
-			s.change(b, b.view.Drop(b.id))
-			s.change(c, c.view.Drop(c.id))
-			s.change(d, d.view.Join(b.id))
-			s.change(d, d.view.Drop(d.id))
+			s.change(b, b.view.AppendMember(a.id))
+			s.change(b, b.view.RemoveMember(b.id))
+			s.change(c, c.view.RemoveMember(c.id))
+			s.change(d, d.view.AppendMember(b.id))
+			s.change(d, d.view.RemoveMember(d.id))
 		}},
 	} {
 		t.Run(turn.name, func(t *testing.T) {
--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -11,14 +11,14 @@
 
 // acceptor is this member's vote on the view after the learned one, as it is on disk.
 type acceptor struct {
-	vote view.Vote
+	vote view.AcceptorState
 	// acceptedAt is when a view was first accepted in this run of the process; zero if the vote was
 	// read at the start.
 	acceptedAt time.Time
 }
 
 // record takes a vote that is on disk.
-func (a *acceptor) record(vote view.Vote, now time.Time) {
+func (a *acceptor) record(vote view.AcceptorState, now time.Time) {
 	if vote.Accepted != nil && (a.vote.Instance != vote.Instance || a.vote.Accepted == nil) {
 		a.acceptedAt = now
 	}
@@ -40,42 +40,42 @@
 
 // voteTransition is what an acceptor does with a request: its next vote on an instance, and the answer that
 // may be given once that vote is on disk.
-type voteTransition func(vote view.Vote, instance uint64) (view.Vote, view.Answer)
+type voteTransition func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response)
 
 // handlePrepare answers once the promise is on disk.
-func (m *Member) handlePrepare(ctx context.Context, request *prepareRequest) (*view.Answer, error) {
+func (m *Member) handlePrepare(ctx context.Context, request *prepareRequest) (*view.Response, error) {
 	prepare := &request.Q
 	if prepare.Base.Number == 0 {
 		return m.prepareFirstView(request), nil
 	}
-	return m.castVote(ctx, request.To, &prepare.Base, func(vote view.Vote, instance uint64) (view.Vote, view.Answer) {
+	return m.castVote(ctx, request.To, &prepare.Base, func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response) {
 		return vote.Prepare(instance, prepare.Ballot)
 	})
 }
 
 // handleAccept answers once the acceptance is on disk.
-func (m *Member) handleAccept(ctx context.Context, request *acceptRequest) (*view.Answer, error) {
+func (m *Member) handleAccept(ctx context.Context, request *acceptRequest) (*view.Response, error) {
 	accept := &request.Q
 	if accept.View.Number != accept.Base.Number+1 {
 		return nil, errors.Errorf("view %d proposed after %d", accept.View.Number, accept.Base.Number)
 	}
-	if err := accept.View.Check(); err != nil {
+	if err := accept.View.Validate(); err != nil {
 		return nil, err
 	}
 	if accept.Base.Number == 0 {
 		return m.acceptFirstView(request), nil
 	}
-	return m.castVote(ctx, request.To, &accept.Base, func(vote view.Vote, instance uint64) (view.Vote, view.Answer) {
+	return m.castVote(ctx, request.To, &accept.Base, func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response) {
 		return vote.Accept(instance, accept.Ballot, accept.View)
 	})
 }
 
 // castVote votes on the view after base. A base that is newer than the learned view is learned first.
-func (m *Member) castVote(ctx context.Context, to string, base *view.View, cast voteTransition) (*view.Answer, error) {
+func (m *Member) castVote(ctx context.Context, to string, base *view.View, cast voteTransition) (*view.Response, error) {
 	if to != m.self.ID {
-		return &view.Answer{Refused: otherDiskReason(m.self.ID)}, nil
+		return &view.Response{Refused: otherDiskReason(m.self.ID)}, nil
 	}
-	if err := base.Check(); err != nil {
+	if err := base.Validate(); err != nil {
 		return nil, err
 	}
 	m.observeView(base)
@@ -89,10 +89,10 @@
 	// The learned view and the vote change only while the write token is held.
 	if base.Number < m.views.learned.Number {
 		learned := m.views.learned
-		return &view.Answer{Newer: &learned}, nil
+		return &view.Response{Newer: &learned}, nil
 	}
 	if !m.views.isVoter(m.self.ID) {
-		return &view.Answer{Refused: "no voter of this view"}, nil
+		return &view.Response{Refused: "no voter of this view"}, nil
 	}
 	vote, answer := cast(m.acceptor.vote, base.Number+1)
 	if !answer.OK {
@@ -105,7 +105,7 @@
 }
 
 // persistVote writes a vote to disk. The caller holds the write token.
-func (m *Member) persistVote(vote view.Vote) error {
+func (m *Member) persistVote(vote view.AcceptorState) error {
 	record, err := encode(&vote)
 	if err != nil {
 		return err
--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -14,7 +14,7 @@
 // and a full memory of taken orders.
 func BenchmarkCommit(b *testing.B) {
 	s := newTestCluster(b, 4, 1)
-	s.check = func(_ []byte, o *chain.Order) ([]byte, int64, error) {
+	s.check = func(_ []byte, o *chain.Update) ([]byte, int64, error) {
 		revision, err := strconv.ParseInt(string(bytes.TrimSpace(o.Body)), 10, 64)
 		return o.Body, revision, err
 	}
@@ -23,8 +23,8 @@
 	revision := int64(0)
 	commit := func() {
 		body := append([]byte(strconv.FormatInt(revision+1, 10)), bytes.Repeat([]byte{' '}, 20<<10)...)
-		verdict := out.member.Submit(b.Context(), &chain.Order{IfMatch: revision, Body: body})
-		require.Equal(b, chain.Taken, verdict.Kind, verdict.Reason)
+		verdict := out.member.Submit(b.Context(), &chain.Update{IfMatch: revision, Body: body})
+		require.Equal(b, chain.OutcomeCommitted, verdict.Kind, verdict.Reason)
 		revision++
 	}
 	out.waitUntil("view 1", func() bool { _, known := out.member.View(); return known })
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -25,7 +25,7 @@
 	lastJoin  time.Time
 	withDisk  map[string]view.Peer // the announced machines with a disk, by ID
 	diskless  []view.Peer          // and those without
-	vote      view.Vote
+	vote      view.AcceptorState
 	announced map[string]bool // seeds that have acknowledged this process's announcement
 	round     uint32          // of this process's last proposal, or a higher one that it met
 	// backoffUntil is the earliest time of the next proposal.
@@ -109,19 +109,19 @@
 }
 
 // bootstrapRefusalLocked is the answer of a process that is no acceptor of the first view; nil: it is one.
-func (m *Member) bootstrapRefusalLocked(to string, base *view.View) *view.Answer {
+func (m *Member) bootstrapRefusalLocked(to string, base *view.View) *view.Response {
 	if newest := m.views.newerThan(0); newest != nil {
-		return &view.Answer{Newer: newest}
+		return &view.Response{Newer: newest}
 	}
 	seeds := m.bootstrap.seeds
 	if seeds == nil || to != m.self.Addr || !slices.Equal(bootstrapBase(seeds).Voters, base.Voters) {
-		return &view.Answer{Refused: "no seed of a first start with these seeds"}
+		return &view.Response{Refused: "no seed of a first start with these seeds"}
 	}
 	return nil
 }
 
 // prepareFirstView is handlePrepare for the first view.
-func (m *Member) prepareFirstView(request *prepareRequest) *view.Answer {
+func (m *Member) prepareFirstView(request *prepareRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
@@ -133,7 +133,7 @@
 }
 
 // acceptFirstView is handleAccept for the first view.
-func (m *Member) acceptFirstView(request *acceptRequest) *view.Answer {
+func (m *Member) acceptFirstView(request *acceptRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
@@ -220,19 +220,19 @@
 	peers := m.bootstrap.peers()
 	round, due := m.bootstrap.beginRound(rank, now)
 	m.mu.Unlock()
-	first, ok := view.First(peers, m.options.tolerance())
+	first, ok := view.InitialView(peers, m.options.tolerance())
 	if !due || !ok {
 		return
 	}
-	ballot := view.Ballot{Round: round, By: m.self.Addr + "/" + m.incarnation}
-	proposal := view.Propose(bootstrapBase(m.bootstrap.seeds), ballot, &first)
+	ballot := view.ProposalNumber{Round: round, By: m.self.Addr + "/" + m.incarnation}
+	proposal := view.NewProposal(bootstrapBase(m.bootstrap.seeds), ballot, &first)
 	switch m.runProposal(ctx, proposal) {
-	case view.Decided, view.Overtaken:
+	case view.Decided, view.Superseded:
 		m.learnViewOrLog(ctx, &proposal.View)
 		m.announceView(proposal.View, nil)
 	default:
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.bootstrap.contended(proposal.Seen.Round, rank, now)
+		m.bootstrap.contended(proposal.HighestSeen.Round, rank, now)
 	}
 }
--- a/internal/fleet/controlplane/catchup.go
+++ b/internal/fleet/controlplane/catchup.go
@@ -40,7 +40,7 @@
 // fetchCommitted takes the newest committed value of a peer.
 func (m *Member) fetchCommitted(ctx context.Context, addr string) {
 	response, err := call[empty, valueResponse](ctx, m, addr, callValue, &empty{})
-	if err == nil && response.Value.Seq > 0 && response.Value.Check() == nil {
+	if err == nil && response.Value.Seq > 0 && response.Value.Validate() == nil {
 		m.advanceCommitted(response.Value)
 	}
 	m.mu.Lock()
@@ -63,7 +63,7 @@
 		return
 	}
 	response, err := call[empty, valueResponse](ctx, m, received.Peer.Addr, callValue, &empty{})
-	if err != nil || response.Value.Seq != received.Seq || response.Value.Sum() != received.Sum {
+	if err != nil || response.Value.Seq != received.Seq || response.Value.Checksum() != received.Sum {
 		return
 	}
 	m.replaceValue(ctx, response.Value, received.Sum)
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -23,36 +23,36 @@
 // Submit has a change carried out by the head of the chain. It returns after RequestTimeout at the
 // latest. With an Unclear verdict the change may be taken or not: submitted again, at any process, it
 // is the same change.
-func (m *Member) Submit(ctx context.Context, order *chain.Order) chain.Verdict {
+func (m *Member) Submit(ctx context.Context, order *chain.Update) chain.Result {
 	if len(order.Body) > chain.MaxBody {
-		return chain.Verdict{Kind: chain.Invalid, Reason: "the configuration is too large"}
+		return chain.Result{Kind: chain.OutcomeInvalid, Reason: "the configuration is too large"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
-	request := routedRequest[chain.Verdict]{
+	request := routedRequest[chain.Result]{
 		role: func(v view.View) view.Peer { return v.Head().Peer },
-		send: func(ctx context.Context, head view.Peer) attemptResult[chain.Verdict] {
+		send: func(ctx context.Context, head view.Peer) attemptResult[chain.Result] {
 			return m.submitTo(ctx, head, order)
 		},
 	}
-	return route(ctx, m, request, chain.Verdict{Reason: ErrNoCore.Error()})
+	return route(ctx, m, request, chain.Result{Reason: ErrNoCore.Error()})
 }
 
-func (m *Member) submitTo(ctx context.Context, head view.Peer, order *chain.Order) attemptResult[chain.Verdict] {
+func (m *Member) submitTo(ctx context.Context, head view.Peer, order *chain.Update) attemptResult[chain.Result] {
 	var response *submitResponse
 	var err error
 	if head.ID == m.self.ID {
 		response, err = m.handleSubmit(ctx, order)
 	} else {
-		response, err = call[chain.Order, submitResponse](ctx, m, head.Addr, callSubmit, order)
+		response, err = call[chain.Update, submitResponse](ctx, m, head.Addr, callSubmit, order)
 	}
 	if err != nil {
-		return attemptResult[chain.Verdict]{value: chain.Verdict{Reason: err.Error()}}
+		return attemptResult[chain.Result]{value: chain.Result{Reason: err.Error()}}
 	}
 	verdict := response.Verdict
-	return attemptResult[chain.Verdict]{
+	return attemptResult[chain.Result]{
 		value: verdict,
-		final: verdict.Kind != chain.Unclear || verdict.Final,
+		final: verdict.Kind != chain.OutcomeUnknown || verdict.Final,
 		newer: response.Newer,
 	}
 }
@@ -101,7 +101,7 @@
 	if replica.View.Number != newest.Number || replica.View.Tail().ID != m.self.ID {
 		return &readResponse{Newer: &newest, Why: "not the tail"}, nil
 	}
-	value, ok := replica.Answer()
+	value, ok := replica.CommittedValue()
 	if !ok {
 		return &readResponse{Why: "the head's value has not come through yet"}, nil
 	}
--- a/internal/fleet/controlplane/core_test.go
+++ b/internal/fleet/controlplane/core_test.go
@@ -28,7 +28,7 @@
 const waitLimit = 20 * time.Second
 
 // applyNumber takes bodies that are numbers above the current one.
-func applyNumber(cur []byte, o *chain.Order) ([]byte, int64, error) {
+func applyNumber(cur []byte, o *chain.Update) ([]byte, int64, error) {
 	n, err := strconv.ParseInt(string(o.Body), 10, 64)
 	if err != nil || n <= 0 {
 		return nil, 0, errors.New("no number")
@@ -58,7 +58,7 @@
 	nodes         []*testNode
 	machineLosses int // of machines
 	zoneLosses    int // losses of zones
-	check         chain.Check
+	check         chain.Transition
 
 	mu                sync.Mutex
 	partitions        map[[2]string]bool                     // what is sent from one address to the other is lost
@@ -313,16 +313,16 @@
 	}
 }
 
-func (p *testNode) submitRevision(ifMatch, body int64) chain.Verdict {
+func (p *testNode) submitRevision(ifMatch, body int64) chain.Result {
 	return p.submitUntilClear(revisionUpdate(ifMatch, body))
 }
 
 // submitUntilClear sends an order until it is clear what became of it.
-func (p *testNode) submitUntilClear(o *chain.Order) chain.Verdict {
+func (p *testNode) submitUntilClear(o *chain.Update) chain.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
-		if v := p.member.Submit(ctx, o); v.Kind != chain.Unclear || ctx.Err() != nil {
+		if v := p.member.Submit(ctx, o); v.Kind != chain.OutcomeUnknown || ctx.Err() != nil {
 			return v
 		}
 	}
@@ -358,12 +358,12 @@
 	rev := int64(0)
 	for i, p := range s.nodes {
 		next := int64(10 * (i + 1))
-		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, p.submitRevision(rev, next))
-		require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: next}, s.nodes[0].submitRevision(rev, next), "the same again")
-		require.Equal(t, chain.Conflict, p.submitRevision(rev, next+5).Kind)
+		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, p.submitRevision(rev, next))
+		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, s.nodes[0].submitRevision(rev, next), "the same again")
+		require.Equal(t, chain.OutcomeConflict, p.submitRevision(rev, next+5).Kind)
 		rev = next
 	}
-	require.Equal(t, chain.Invalid, s.nodes[5].submitRevision(rev, 3).Kind)
+	require.Equal(t, chain.OutcomeInvalid, s.nodes[5].submitRevision(rev, 3).Kind)
 	for _, p := range s.nodes {
 		require.Equal(t, rev, p.read().Revision)
 	}
@@ -374,16 +374,16 @@
 	s := newTestCluster(t, 4, 1)
 	s.startAll(true)
 	out := s.nodes[4]
-	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
 	v, _ := out.member.View()
 	head := s.nodeAt(v.Head().Addr)
 	head.kill()
-	require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
 	require.Equal(t, int64(2), out.read().Revision)
 	out.waitUntil("the head is left out", func() bool { return out.chainLen() == 3 })
 	s.start(head, false)
 	head.waitUntil("the chain is whole again", func() bool { return head.chainLen() == 4 })
-	require.Equal(t, chain.Taken, head.submitRevision(2, 3).Kind)
+	require.Equal(t, chain.OutcomeCommitted, head.submitRevision(2, 3).Kind)
 	head.waitUntil("the value comes", func() bool { c, _ := head.member.Committed(); return c.Revision == 3 })
 }
 
@@ -392,7 +392,7 @@
 	s := newTestCluster(t, 4, 1)
 	s.startAll(true)
 	out := s.nodes[4]
-	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
 	p := s.nodes[1]
 	was := p.member.Status().ID
 	p.kill()
@@ -403,7 +403,7 @@
 		v, _ := p.member.View()
 		return p.member.IsVoter() && len(v.Voters) == 4 && len(v.Chain) == 4
 	})
-	require.Equal(t, chain.Taken, p.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, p.submitRevision(1, 2).Kind)
 }
 
 func (s *testCluster) nodeAt(addr string) *testNode {
--- a/internal/fleet/controlplane/diskmonitor.go
+++ b/internal/fleet/controlplane/diskmonitor.go
@@ -86,7 +86,7 @@
 
 // sweep compares the file with memory.
 func (m *Member) sweep(context.Context) {
-	intact, err := m.disk.Sweep()
+	intact, err := m.disk.Scrub()
 	m.mu.Lock()
 	m.diskMonitor.busy = false
 	m.mu.Unlock()
@@ -102,5 +102,5 @@
 	if health.Oldest > diskStallLimit || health.Failing > 0 {
 		return true
 	}
-	return !health.Good && m.views.learned.Place(m.self.ID) < 0
+	return !health.Good && m.views.learned.Position(m.self.ID) < 0
 }
--- a/internal/fleet/controlplane/guards_test.go
+++ b/internal/fleet/controlplane/guards_test.go
@@ -85,12 +85,12 @@
 	p.waitUntil("the value of this view", func() bool { return place == 0 || p.member.replica().Record.View == number })
 	s.isolate(p, true, true)
 	suspendRepairs(members, false)
-	out.waitUntil("the others go on", func() bool { v, _ := out.member.View(); return v.Place(p.member.self.ID) < 0 })
-	require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
+	out.waitUntil("the others go on", func() bool { v, _ := out.member.View(); return v.Position(p.member.self.ID) < 0 })
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
 	r := p.member.replica()
 	require.EqualValues(t, 1, r.Record.Value.Revision, "it did not learn")
 	require.Equal(t, number, r.View.Number, "it did not learn")
-	require.Equal(t, place, r.View.Place(p.member.self.ID))
+	require.Equal(t, place, r.View.Position(p.member.self.ID))
 	return out, p, s
 }
 
@@ -104,7 +104,7 @@
 func TestPartitionedTailAnswersNoRead(t *testing.T) {
 	t.Parallel()
 	_, tail, _ := partitionedMember(t, 3)
-	_, holds := func() (chain.Value, bool) { r := tail.member.replica(); return r.Answer() }()
+	_, holds := func() (chain.Value, bool) { r := tail.member.replica(); return r.CommittedValue() }()
 	require.True(t, holds, "it would answer")
 	answer, err := tail.member.handleRead(contextFor(t, time.Second), &empty{})
 	require.NoError(t, err)
@@ -114,10 +114,10 @@
 func TestPartitionedHeadRejectsNothing(t *testing.T) {
 	t.Parallel()
 	_, head, _ := partitionedMember(t, 0)
-	for name, order := range map[string]*chain.Order{"on the newest revision": revisionUpdate(2, 3), "invalid": revisionUpdate(1, 0)} {
+	for name, order := range map[string]*chain.Update{"on the newest revision": revisionUpdate(2, 3), "invalid": revisionUpdate(1, 0)} {
 		answer, err := head.member.handleSubmit(contextFor(t, time.Second), order)
 		if err == nil {
-			require.Equal(t, chain.Unclear, answer.Verdict.Kind, name)
+			require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind, name)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	s.isolate(head, true, true)
 	answer, err := head.member.handleSubmit(contextFor(t, time.Second), revisionUpdate(1, 2))
 	if err == nil {
-		require.Equal(t, chain.Unclear, answer.Verdict.Kind)
+		require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind)
 	}
 }
 
@@ -166,10 +166,14 @@
 	_, p, s := partitionedMember(t, 2)
 	base, ctx := p.member.replica().View, contextFor(t, waitLimit)
 	instance := base.Number + 1
-	high := view.Ballot{Round: 1000, By: "a proposer"}
-	vote := func() view.Vote { p.member.mu.Lock(); defer p.member.mu.Unlock(); return p.member.acceptor.vote }
-	promise := func(b view.Ballot) (*view.Answer, error) {
-		return p.member.handlePrepare(ctx, &prepareRequest{To: p.member.self.ID, Q: view.Prepare{Base: base, Ballot: b}})
+	high := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	vote := func() view.AcceptorState {
+		p.member.mu.Lock()
+		defer p.member.mu.Unlock()
+		return p.member.acceptor.vote
+	}
+	promise := func(b view.ProposalNumber) (*view.Response, error) {
+		return p.member.handlePrepare(ctx, &prepareRequest{To: p.member.self.ID, Q: view.PrepareRequest{Base: base, Ballot: b}})
 	}
 	requireDiskWriteFirst(t, p, func() error {
 		a, err := promise(high)
@@ -177,9 +181,9 @@
 		return err
 	}, func() bool { v := vote(); return v.Instance == instance && v.Promised == high })
 
-	next := base.Drop(base.Tail().ID)
+	next := base.RemoveMember(base.Tail().ID)
 	requireDiskWriteFirst(t, p, func() error {
-		a, err := p.member.handleAccept(ctx, &acceptRequest{To: p.member.self.ID, Q: view.Accept{Base: base, Ballot: high, View: next}})
+		a, err := p.member.handleAccept(ctx, &acceptRequest{To: p.member.self.ID, Q: view.AcceptRequest{Base: base, Ballot: high, View: next}})
 		assert.True(t, err != nil || a.OK)
 		return err
 	}, func() bool { return vote().Accepted != nil })
@@ -187,10 +191,10 @@
 	s.restart(p)
 	require.Equal(t, high, vote().Promised, "the promise outlives the process")
 	require.NotNil(t, vote().Accepted)
-	a, err := promise(view.Ballot{Round: 999, By: "another proposer"})
+	a, err := promise(view.ProposalNumber{Round: 999, By: "another proposer"})
 	require.NoError(t, err)
 	require.False(t, a.OK)
-	a, err = promise(view.Ballot{Round: 1001, By: "another proposer"})
+	a, err = promise(view.ProposalNumber{Round: 1001, By: "another proposer"})
 	require.NoError(t, err)
 	require.True(t, a.OK)
 	require.NotNil(t, a.Accepted, "what was accepted is told")
@@ -244,7 +248,7 @@
 	head := members[0]
 	m := head.member
 	next := m.replica().View
-	next = next.Drop(next.Tail().ID)
+	next = next.RemoveMember(next.Tail().ID)
 	again := make(chan struct{}, 1)
 	s.setObserveCall(func(from, name string, answered bool) {
 		if from != head.addr || name != "core.push" {
@@ -271,7 +275,7 @@
 	s.setObserveCall(nil)
 	s.isolate(head, false, false)
 	suspendRepairs(members, false)
-	require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
 }
 
 func TestMinorityProposesNothing(t *testing.T) {
@@ -280,7 +284,7 @@
 	s.machineLosses = 0 // one member is enough, so that the others would be dropped
 	s.startAll(true)
 	out := s.nodes[4]
-	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
 	for _, p := range s.nodes[:4] {
 		p.waitUntil("in touch", p.member.HasQuorum)
 	}
@@ -300,12 +304,12 @@
 	t.Parallel()
 	_, p, _ := partitionedMember(t, 3)
 	r, ctx := p.member.replica(), contextFor(t, eventBound)
-	ballot := view.Ballot{Round: 1000, By: "a proposer"}
-	promised, err := p.member.handlePrepare(ctx, &prepareRequest{To: "a lost disk", Q: view.Prepare{Base: r.View, Ballot: ballot}})
+	ballot := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	promised, err := p.member.handlePrepare(ctx, &prepareRequest{To: "a lost disk", Q: view.PrepareRequest{Base: r.View, Ballot: ballot}})
 	require.NoError(t, err)
 	require.False(t, promised.OK)
-	next := r.View.Drop(r.View.Chain[0].ID)
-	accepted, err := p.member.handleAccept(ctx, &acceptRequest{To: "a lost disk", Q: view.Accept{Base: r.View, Ballot: ballot, View: next}})
+	next := r.View.RemoveMember(r.View.Chain[0].ID)
+	accepted, err := p.member.handleAccept(ctx, &acceptRequest{To: "a lost disk", Q: view.AcceptRequest{Base: r.View, Ballot: ballot, View: next}})
 	require.NoError(t, err)
 	require.False(t, accepted.OK)
 	value, _, _ := chain.Apply(&r.Record.Value, revisionUpdate(1, 7), applyNumber)
@@ -338,13 +342,13 @@
 	p := s.nodes[0]
 	s.start(p, false)
 	base := bootstrapBase(s.seeds)
-	ballot := view.Ballot{Round: 1, By: "a proposer"}
-	a, err := p.member.handlePrepare(contextFor(t, eventBound), &prepareRequest{To: p.addr, Q: view.Prepare{Base: base, Ballot: ballot}})
+	ballot := view.ProposalNumber{Round: 1, By: "a proposer"}
+	a, err := p.member.handlePrepare(contextFor(t, eventBound), &prepareRequest{To: p.addr, Q: view.PrepareRequest{Base: base, Ballot: ballot}})
 	require.NoError(t, err)
 	require.False(t, a.OK)
-	first, ok := view.First([]view.Peer{p.member.self}, view.Tolerance{Machines: s.machineLosses})
+	first, ok := view.InitialView([]view.Peer{p.member.self}, view.Tolerance{Machines: s.machineLosses})
 	require.True(t, ok)
-	a, err = p.member.handleAccept(contextFor(t, eventBound), &acceptRequest{To: p.addr, Q: view.Accept{Base: base, Ballot: ballot, View: first}})
+	a, err = p.member.handleAccept(contextFor(t, eventBound), &acceptRequest{To: p.addr, Q: view.AcceptRequest{Base: base, Ballot: ballot, View: first}})
 	require.NoError(t, err)
 	require.False(t, a.OK)
 }
@@ -354,11 +358,11 @@
 	t.Parallel()
 	_, _, members := steadyCluster(t) // nobody finishes what is left undecided
 	base, ctx := members[0].member.replica().View, contextFor(t, eventBound)
-	next := base.Drop(base.Tail().ID)
+	next := base.RemoveMember(base.Tail().ID)
 	tail := members[3]
 	require.NoError(t, tail.member.confirmView(ctx, base))
 	for _, p := range members[:2] {
-		a, err := p.member.handleAccept(ctx, &acceptRequest{To: p.member.self.ID, Q: view.Accept{Base: base, Ballot: view.Ballot{Round: 1, By: "a proposer"}, View: next}})
+		a, err := p.member.handleAccept(ctx, &acceptRequest{To: p.member.self.ID, Q: view.AcceptRequest{Base: base, Ballot: view.ProposalNumber{Round: 1, By: "a proposer"}, View: next}})
 		require.NoError(t, err)
 		require.True(t, a.OK)
 	}
@@ -405,11 +409,11 @@
 	s, out := bootstrapped(t, 5, 1)
 	v, _ := out.member.View()
 	require.Len(t, v.Chain, 4)
-	require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
 	for _, p := range s.nodes[:5] {
 		newest := func() bool { c, _ := p.member.Committed(); return c.Revision == 2 }
 		s.waitUntil(contextFor(t, eventBound), newest)
-		require.True(t, newest(), "place %d", v.Place(p.member.self.ID))
+		require.True(t, newest(), "place %d", v.Position(p.member.self.ID))
 	}
 }
 
@@ -428,14 +432,14 @@
 	members[0].waitUntil("the head has the first in hand, and waits for its disk's turn", func() bool { return len(m.submissions) == 1 })
 	s.isolate(members[0], true, true)
 	next := m.replica().View
-	next = next.Drop(next.Tail().ID)
+	next = next.RemoveMember(next.Tail().ID)
 	require.NoError(t, m.persistView(&next))
 	m.releaseWrite()
 	watch := time.NewTimer(2 * absenceWatch)
 	defer watch.Stop()
 	select {
 	case a := <-first.response:
-		require.NotEqual(t, chain.Taken, a.Verdict.Kind, "the chain of the view may not have the order")
+		require.NotEqual(t, chain.OutcomeCommitted, a.Verdict.Kind, "the chain of the view may not have the order")
 	case <-watch.C:
 	}
 }
@@ -445,7 +449,7 @@
 	_, p, _ := partitionedMember(t, 2)
 	m, ctx := p.member, contextFor(t, eventBound)
 	older := m.replica().View
-	newer := older.Drop(older.Tail().ID)
+	newer := older.RemoveMember(older.Tail().ID)
 	require.NoError(t, m.learnView(ctx, &newer))
 	require.NoError(t, m.learnView(ctx, &older))
 	require.NoError(t, m.acquireWrite(ctx))
@@ -505,7 +509,7 @@
 	during, cancel := m.withinView(ctx, v.Number, waitLimit)
 	defer cancel()
 	require.NoError(t, during.Err())
-	next := v.Drop(v.Tail().ID)
+	next := v.RemoveMember(v.Tail().ID)
 	require.NoError(t, m.learnView(ctx, &next))
 	select {
 	case <-during.Done():
--- a/internal/fleet/controlplane/handover.go
+++ b/internal/fleet/controlplane/handover.go
@@ -110,14 +110,14 @@
 		return changed, handoverWaiting
 	}
 	health := m.healthLocked(now)
-	inChain := learned.Place(m.self.ID) >= 0
+	inChain := learned.Position(m.self.ID) >= 0
 	mayLeave := view.MayLeave(learned, m.self.ID, health, m.options.repairPolicy())
 	if !inChain && mayLeave {
 		return changed, handoverDone
 	}
 	if m.proposer.ready(now) && m.hasQuorumLocked(now) {
 		step, due := view.Plan(learned, m.self.ID, health, m.options.repairPolicy())
-		if due && (inChain || step.View == nil || step.Removes == m.self.ID) {
+		if due && (inChain || step.View == nil || step.RemovedVoter == m.self.ID) {
 			m.proposeLocked(step)
 			return changed, handoverWaiting
 		}
@@ -138,7 +138,7 @@
 	missing := m.announceAndWait(ctx, learned, learned.Voters)
 	for len(missing) > 0 && ctx.Err() == nil {
 		missing = m.announceAndWait(ctx, learned, missing)
-		if len(learned.Voters)-len(missing) >= learned.Majority() {
+		if len(learned.Voters)-len(missing) >= learned.Quorum() {
 			return
 		}
 		wait(ctx, announceRetryDelay, nil)
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -123,7 +123,7 @@
 	s.machineLosses = 0
 	s.startAll(true)
 	old, out := s.nodes[0], s.nodes[1]
-	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
 	fresh := newTestCluster(t, 1, 0).nodes[0]
 	s.nodes = append([]*testNode{fresh}, s.nodes...)
 	s.start(fresh, false)
@@ -158,10 +158,10 @@
 	}
 	for i, p := range s.nodes[:4] {
 		ctx, cancel := context.WithTimeout(context.Background(), faultUpdateLimit)
-		verdict := p.member.Submit(ctx, &chain.Order{IfMatch: 1, Body: []byte{byte('2' + i)}})
-		require.Equal(t, chain.Unclear, verdict.Kind)
-		stale := p.member.Submit(ctx, &chain.Order{IfMatch: 0, Body: []byte("9")})
-		require.Equal(t, chain.Unclear, stale.Kind, "a refusal needs a majority too")
+		verdict := p.member.Submit(ctx, &chain.Update{IfMatch: 1, Body: []byte{byte('2' + i)}})
+		require.Equal(t, chain.OutcomeUnknown, verdict.Kind)
+		stale := p.member.Submit(ctx, &chain.Update{IfMatch: 0, Body: []byte("9")})
+		require.Equal(t, chain.OutcomeUnknown, stale.Kind, "a refusal needs a majority too")
 		_, err := p.member.Read(ctx)
 		require.Error(t, err)
 		cancel()
@@ -171,11 +171,11 @@
 	cut(false)
 	// One of the four orders at most takes effect, before the next one or in its place.
 	verdict := out.submitRevision(1, 20)
-	if verdict.Kind == chain.Conflict {
+	if verdict.Kind == chain.OutcomeConflict {
 		require.Contains(t, []int64{2, 3, 4, 5}, out.read().Revision)
 		verdict = out.submitRevision(out.read().Revision, 20)
 	}
-	require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: 20}, verdict)
+	require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: 20}, verdict)
 	for _, p := range s.nodes {
 		require.Equal(t, int64(20), p.read().Revision)
 	}
@@ -192,7 +192,7 @@
 	}
 	s.startAll(true)
 	out := s.nodes[6]
-	require.Equal(t, chain.Taken, out.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
 	for i, zone := range []string{"a", "b", "c", "a"} {
 		for _, p := range s.nodes[:6] {
 			p.waitUntil("it is in touch", p.member.HasQuorum)
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -12,7 +12,7 @@
 // submission is a change that waits at the head.
 type submission struct {
 	callerContext context.Context
-	order         *chain.Order
+	order         *chain.Update
 	response      chan submitResponse // has capacity for the one response
 }
 
@@ -21,13 +21,13 @@
 
 // unclear is the response to a change that may be taken or not.
 func unclear(reason string) submitResponse {
-	return submitResponse{Verdict: chain.Verdict{Reason: reason}}
+	return submitResponse{Verdict: chain.Result{Reason: reason}}
 }
 
 const notHeadReason = "not the head"
 
 // handleSubmit answers when it is known what became of the change, or when its caller is gone.
-func (m *Member) handleSubmit(ctx context.Context, order *chain.Order) (*submitResponse, error) {
+func (m *Member) handleSubmit(ctx context.Context, order *chain.Update) (*submitResponse, error) {
 	m.mu.Lock()
 	newest := m.views.newest
 	isHead := newest.Number > 0 && !m.views.behind() && m.views.learned.Head().ID == m.self.ID
@@ -123,7 +123,7 @@
 type applied struct {
 	view    view.View    // in which it was applied; Number 0: this member is not the head
 	next    *chain.Value // is on disk here; nil: the change is refused, or was taken before
-	verdict chain.Verdict
+	verdict chain.Result
 }
 
 // execute applies a change and has its value committed.
@@ -140,7 +140,7 @@
 	}
 	// This member may have been left out and be the head again, with a value that others made.
 	if value, ok := m.activateView(ctx); ok {
-		if _, taken := value.Took(queued.order.Digest()); taken {
+		if _, taken := value.RevisionOf(queued.order.Digest()); taken {
 			return submitResponse{Verdict: result.verdict}
 		}
 	}
@@ -150,7 +150,7 @@
 // confirmVerdict answers a change that makes no new value. A refusal is final, so the value on which
 // it rests must be the newest of all: a majority of the voters has to confirm the view.
 func (m *Member) confirmVerdict(ctx context.Context, result applied) submitResponse {
-	if result.verdict.Kind == chain.Taken || result.verdict.Kind == chain.Unclear {
+	if result.verdict.Kind == chain.OutcomeCommitted || result.verdict.Kind == chain.OutcomeUnknown {
 		return submitResponse{Verdict: result.verdict}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
@@ -162,7 +162,7 @@
 }
 
 // applyActivated is apply, after the head's value has been pushed through the chain of its view.
-func (m *Member) applyActivated(ctx context.Context, order *chain.Order) (applied, error) {
+func (m *Member) applyActivated(ctx context.Context, order *chain.Update) (applied, error) {
 	for {
 		result, err := m.apply(ctx, order)
 		if !errors.Is(err, errViewNotActivated) {
@@ -176,7 +176,7 @@
 }
 
 // apply applies a change to the head's value, and stores the next value if there is one.
-func (m *Member) apply(ctx context.Context, order *chain.Order) (applied, error) {
+func (m *Member) apply(ctx context.Context, order *chain.Update) (applied, error) {
 	if err := m.acquireWrite(ctx); err != nil {
 		return applied{}, err
 	}
--- a/internal/fleet/controlplane/heartbeat.go
+++ b/internal/fleet/controlplane/heartbeat.go
@@ -246,7 +246,7 @@
 		case answer.View > current.Number || answer.Accepted > current.Number:
 			return errors.Errorf("view %d may be over", current.Number)
 		}
-		if confirmed++; confirmed >= current.Majority() {
+		if confirmed++; confirmed >= current.Quorum() {
 			return nil
 		}
 	}
--- a/internal/fleet/controlplane/learn.go
+++ b/internal/fleet/controlplane/learn.go
@@ -36,7 +36,7 @@
 
 // observeView notes a view that another process knows. It is not acted on before it is learned.
 func (m *Member) observeView(observed *view.View) {
-	if observed == nil || observed.Check() != nil {
+	if observed == nil || observed.Validate() != nil {
 		return
 	}
 	m.mu.Lock()
@@ -53,7 +53,7 @@
 	if decided == nil {
 		return nil
 	}
-	if err := decided.Check(); err != nil {
+	if err := decided.Validate(); err != nil {
 		return err
 	}
 	m.observeView(decided)
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -166,7 +166,7 @@
 }
 
 func (m *Member) replicaLocked() chain.Replica {
-	return chain.Replica{Me: m.self.ID, View: m.views.learned, Record: m.register.record}
+	return chain.Replica{ID: m.self.ID, View: m.views.learned, Record: m.register.record}
 }
 
 // callbackLoop calls OnView and OnCommit. Both are called from this goroutine only, so a slow one
--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -61,11 +61,11 @@
 
 	prepareRequest struct {
 		To string // the ID of the disk that is meant: its machine may have another one by now
-		Q  view.Prepare
+		Q  view.PrepareRequest
 	}
 	acceptRequest struct {
 		To string
-		Q  view.Accept
+		Q  view.AcceptRequest
 	}
 
 	// viewRequest asks for a newer view than that of a number.
@@ -82,7 +82,7 @@
 		Why   string     // the reason for refusing the push
 	}
 	submitResponse struct {
-		Verdict chain.Verdict
+		Verdict chain.Result
 		Newer   *view.View // the receiver is not the head: the head of this view is to be asked
 	}
 	readResponse struct {
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -41,7 +41,7 @@
 	// Pool has the connections to other processes.
 	Pool *rpc.Pool
 	// Validate makes the next configuration from the current one and a requested change.
-	Validate chain.Check
+	Validate chain.Transition
 	// OnCommit is called with the newest committed values, with rising Seq; may be nil. Values in
 	// between may be skipped.
 	OnCommit func(chain.Value)
@@ -60,9 +60,9 @@
 	Put(key string, record []byte) error
 	// Probe makes a write that changes no record.
 	Probe() error
-	// Sweep compares the file with memory and rewrites it where they differ; it reports whether the
+	// Scrub compares the file with memory and rewrites it where they differ; it reports whether the
 	// file was intact.
-	Sweep() (intact bool, err error)
+	Scrub() (intact bool, err error)
 	// Health returns without waiting for the disk.
 	Health(now time.Time) store.Health
 	Close()
@@ -90,9 +90,9 @@
 // repairPolicy is the policy by which repairs of a view are planned.
 func (o *Options) repairPolicy() view.Policy {
 	return view.Policy{
-		Tolerance: o.tolerance(),
-		Silent:    peerTimeout,
-		Settle:    stabilizationDelay,
-		Away:      voterReplacementDelay,
+		Tolerance:    o.tolerance(),
+		FailAfter:    peerTimeout,
+		StableAfter:  stabilizationDelay,
+		ReplaceAfter: voterReplacementDelay,
 	}
 }
--- a/internal/fleet/controlplane/orders_test.go
+++ b/internal/fleet/controlplane/orders_test.go
@@ -14,8 +14,8 @@
 )
 
 // revisionUpdate is an order that leads to a revision.
-func revisionUpdate(ifMatch, revision int64) *chain.Order {
-	return &chain.Order{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(revision, 10))}
+func revisionUpdate(ifMatch, revision int64) *chain.Update {
+	return &chain.Update{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(revision, 10))}
 }
 
 // applyUpdates has the head hold a value that is n orders further, as if they had been committed.
@@ -40,20 +40,20 @@
 func TestRepeatedUpdateAfterManyUpdates(t *testing.T) {
 	t.Parallel()
 	s, out := bootstrapped(t, 4, 1)
-	newest := s.chainMember(0).applyUpdates(chain.MaxPast+chain.MaxOlder) + 1
-	require.Equal(t, chain.Taken, out.submitRevision(newest-1, newest).Kind)
+	newest := s.chainMember(0).applyUpdates(chain.MaxRecentUpdates+chain.MaxOlderUpdates) + 1
+	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(newest-1, newest).Kind)
 	for _, p := range s.nodes {
-		for _, revision := range []int64{newest, newest - chain.MaxPast, newest - chain.MaxPast - chain.MaxOlder + 1} {
-			require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: revision}, p.submitRevision(revision-1, revision))
+		for _, revision := range []int64{newest, newest - chain.MaxRecentUpdates, newest - chain.MaxRecentUpdates - chain.MaxOlderUpdates + 1} {
+			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision}, p.submitRevision(revision-1, revision))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		begun := time.Now()
 		verdict := p.member.Submit(ctx, revisionUpdate(0, 1))
 		cancel()
-		require.Equal(t, chain.Unclear, verdict.Kind)
+		require.Equal(t, chain.OutcomeUnknown, verdict.Kind)
 		require.Contains(t, verdict.Reason, "read the configuration")
 		require.Less(t, time.Since(begun), p.ack, "it is not tried again until the time is out")
-		require.Equal(t, chain.Verdict{Kind: chain.Conflict, Revision: newest}, p.submitRevision(newest-1, newest+1))
+		require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: newest}, p.submitRevision(newest-1, newest+1))
 	}
 	require.Equal(t, newest, out.read().Revision)
 }
@@ -64,15 +64,15 @@
 	s, out := bootstrapped(t, 4, 1)
 	for i, patch := range []bool{false, true} {
 		revision := int64(i + 1)
-		order := chain.Order{Patch: patch, IfMatch: revision, Body: []byte(strconv.FormatInt(revision+1, 10))}
-		require.Equal(t, chain.Taken, out.submitUntilClear(&order).Kind)
+		order := chain.Update{Patch: patch, IfMatch: revision, Body: []byte(strconv.FormatInt(revision+1, 10))}
+		require.Equal(t, chain.OutcomeCommitted, out.submitUntilClear(&order).Kind)
 		for _, p := range s.nodes {
-			require.Equal(t, chain.Verdict{Kind: chain.Taken, Revision: revision + 1}, p.submitUntilClear(&order))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision + 1}, p.submitUntilClear(&order))
 			other, method := order, order
 			other.Body = append([]byte("0"), order.Body...) // the same number in other bytes
 			method.Patch = !patch
-			require.Equal(t, chain.Verdict{Kind: chain.Conflict, Revision: revision + 1}, p.submitUntilClear(&other))
-			require.Equal(t, chain.Verdict{Kind: chain.Conflict, Revision: revision + 1}, p.submitUntilClear(&method))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, p.submitUntilClear(&other))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, p.submitUntilClear(&method))
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	Seq      uint64
 	Revision int64
 	Body     []byte
-	Past     []chain.PastOrder
+	Past     []chain.AppliedUpdate
 }
 
 type olderRecord struct {
@@ -95,10 +95,10 @@
 func TestRecordOfAnOlderVersionIsRead(t *testing.T) {
 	t.Parallel()
 	value := &chain.Value{}
-	for revision := range int64(chain.MaxPast) {
+	for revision := range int64(chain.MaxRecentUpdates) {
 		value, _, _ = chain.Apply(value, revisionUpdate(revision, revision+1), applyNumber)
 	}
-	former := olderRecord{View: 3, Value: olderValue{Seq: 2 * chain.MaxPast, Revision: value.Revision, Body: value.Body, Past: value.Past}}
+	former := olderRecord{View: 3, Value: olderValue{Seq: 2 * chain.MaxRecentUpdates, Revision: value.Revision, Body: value.Body, Past: value.Past}}
 	raw, err := encode(&former)
 	require.NoError(t, err)
 	dir := stateDir(t)
@@ -112,10 +112,10 @@
 	defer m.disk.Close()
 	read := m.replica().Record
 	require.EqualValues(t, 3, read.View)
-	require.NoError(t, read.Value.Check())
+	require.NoError(t, read.Value.Validate())
 	next, _, final := chain.Apply(&read.Value, revisionUpdate(value.Revision, value.Revision+1), applyNumber)
 	require.False(t, final)
-	revision, took := next.Took(revisionUpdate(0, 1).Digest())
+	revision, took := next.RevisionOf(revisionUpdate(0, 1).Digest())
 	require.True(t, took, "the oldest of the former memory is still remembered")
 	require.EqualValues(t, 1, revision)
 }
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -147,7 +147,7 @@
 		}
 	}
 	_, voter := current.Voter(t.selfID)
-	return voter && inContact >= current.Majority()
+	return voter && inContact >= current.Quorum()
 }
 
 // reachable are the other voters of a view that are in contact and can be pushed to.
@@ -183,20 +183,20 @@
 func (p *peerState) health(current *view.View, resumedAt, now time.Time) view.Health {
 	received := &p.lastHeartbeat
 	health := view.Health{
-		Peer:     received.Peer,
-		Silent:   p.silence(resumedAt, now),
-		Sick:     received.Sick,
-		Ending:   received.Ending,
-		Hears:    received.Hears,
-		Up:       time.Duration(received.UpMs) * time.Millisecond,
-		Pending:  received.Stuck && received.Accepted == current.Number+1,
-		Complete: holdsAll(current, received),
+		Peer:          received.Peer,
+		SinceContact:  p.silence(resumedAt, now),
+		DiskUnhealthy: received.Sick,
+		Leaving:       received.Ending,
+		ConnectedTo:   received.Hears,
+		Uptime:        time.Duration(received.UpMs) * time.Millisecond,
+		Undecided:     received.Stuck && received.Accepted == current.Number+1,
+		Complete:      holdsAll(current, received),
 	}
 	if p.processEnded(now) {
-		health.Silent = max(health.Silent, peerTimeout)
+		health.SinceContact = max(health.SinceContact, peerTimeout)
 	}
-	if health.Silent < peerTimeout && !p.lastContact.IsZero() && !p.contactSince.Before(resumedAt) {
-		health.Well = max(1, now.Sub(p.contactSince))
+	if health.SinceContact < peerTimeout && !p.lastContact.IsZero() && !p.contactSince.Before(resumedAt) {
+		health.StableFor = max(1, now.Sub(p.contactSince))
 	}
 	return health
 }
@@ -205,7 +205,7 @@
 // that did holds it for as long as it stays in the chain, also where it has not learned the later
 // views: nothing was acknowledged in these without it.
 func holdsAll(current *view.View, received *heartbeat) bool {
-	position := current.Place(received.Peer.ID)
+	position := current.Position(received.Peer.ID)
 	if position < 0 {
 		return false
 	}
--- a/internal/fleet/controlplane/persistence.go
+++ b/internal/fleet/controlplane/persistence.go
@@ -26,10 +26,10 @@
 // State is the state of a member as it is on disk.
 type State struct {
 	ID     string
-	View   view.View    // the learned view; Number 0: none
-	Vote   view.Vote    // on the view after it, if that is its instance
-	Record chain.Record // View 0: no value was received
-	Sum    uint64       // the checksum of the record's value, as heartbeats have it
+	View   view.View          // the learned view; Number 0: none
+	Vote   view.AcceptorState // on the view after it, if that is its instance
+	Record chain.Record       // View 0: no value was received
+	Sum    uint64             // the checksum of the record's value, as heartbeats have it
 }
 
 // Inspect reads the state in a folder that no process uses, and changes nothing.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return state, err
 	}
-	state.Sum = state.Record.Value.Sum()
+	state.Sum = state.Record.Value.Checksum()
 	return state, nil
 }
 
--- a/internal/fleet/controlplane/proposer.go
+++ b/internal/fleet/controlplane/proposer.go
@@ -33,10 +33,10 @@
 // due reports whether a step has been wanted for long enough. rank is how many healthy members
 // propose before this one.
 func (p *proposer) due(step view.Step, rank int, now time.Time) bool {
-	if step.Why != p.wanted {
-		p.wanted, p.wantedSince = step.Why, now
+	if step.Reason != p.wanted {
+		p.wanted, p.wantedSince = step.Reason, now
 	}
-	return now.Sub(p.wantedSince) >= step.Wait+time.Duration(rank)*proposerRankDelay
+	return now.Sub(p.wantedSince) >= step.Delay+time.Duration(rank)*proposerRankDelay
 }
 
 // nothingWanted notes that the view needs no repair.
@@ -53,10 +53,10 @@
 }
 
 // begin starts a proposal for a view, under a number that this member has not used.
-func (p *proposer) begin(instance uint64) view.Ballot {
+func (p *proposer) begin(instance uint64) view.ProposalNumber {
 	p.active = true
 	p.rounds[instance]++
-	return view.Ballot{Round: p.rounds[instance], By: p.name}
+	return view.ProposalNumber{Round: p.rounds[instance], By: p.name}
 }
 
 // end ends a proposal whose outcome is known.
@@ -77,22 +77,22 @@
 	base := m.views.learned
 	ballot := m.proposer.begin(base.Number + 1)
 	m.spawnLocked(func(ctx context.Context) {
-		proposal := view.Propose(base, ballot, step.View)
+		proposal := view.NewProposal(base, ballot, step.View)
 		outcome := m.runProposal(ctx, proposal)
-		m.concludeProposal(ctx, proposal, outcome, step.Why)
+		m.concludeProposal(ctx, proposal, outcome, step.Reason)
 		m.wakeTicker()
 	})
 }
 
 // concludeProposal learns and announces what was decided, and allows the next proposal.
-func (m *Member) concludeProposal(ctx context.Context, proposal *view.Proposal, outcome view.Outcome, why string) {
+func (m *Member) concludeProposal(ctx context.Context, proposal *view.Proposal, outcome view.ProposalState, why string) {
 	instance := proposal.Base.Number + 1
 	switch outcome {
 	case view.Decided:
 		logevent.ViewStep.Log("view", proposal.View.Number, "why", why)
 		m.announceView(proposal.View, proposal.Base.Voters)
 		fallthrough
-	case view.Overtaken:
+	case view.Superseded:
 		m.learnViewOrLog(ctx, &proposal.View)
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -101,7 +101,7 @@
 		logevent.ViewOpen.Log("view", instance, "outcome", outcome, "why", why)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.proposer.endUndecided(instance, m.views.learned.Number, proposal.Seen.Round, time.Now().Add(randomBackoff()))
+		m.proposer.endUndecided(instance, m.views.learned.Number, proposal.HighestSeen.Round, time.Now().Add(randomBackoff()))
 	}
 }
 
@@ -110,26 +110,26 @@
 }
 
 // runProposal carries out both phases of a proposal with its voters.
-func (m *Member) runProposal(ctx context.Context, proposal *view.Proposal) view.Outcome {
-	prepare := proposal.Prepare()
-	outcome := m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Answer, error) {
+func (m *Member) runProposal(ctx context.Context, proposal *view.Proposal) view.ProposalState {
+	prepare := proposal.PrepareRequest()
+	outcome := m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Response, error) {
 		request := &prepareRequest{To: voter.ID, Q: prepare}
 		if m.isSelf(voter) {
 			return m.handlePrepare(ctx, request)
 		}
-		return call[prepareRequest, view.Answer](ctx, m, voter.Addr, callPrepare, request)
-	}, proposal.Promised)
+		return call[prepareRequest, view.Response](ctx, m, voter.Addr, callPrepare, request)
+	}, proposal.HandlePromise)
 	if outcome != view.Accepting {
 		return outcome
 	}
-	accept := proposal.Accept()
-	return m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Answer, error) {
+	accept := proposal.AcceptRequest()
+	return m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Response, error) {
 		request := &acceptRequest{To: voter.ID, Q: accept}
 		if m.isSelf(voter) {
 			return m.handleAccept(ctx, request)
 		}
-		return call[acceptRequest, view.Answer](ctx, m, voter.Addr, callAccept, request)
-	}, proposal.Accepted)
+		return call[acceptRequest, view.Response](ctx, m, voter.Addr, callAccept, request)
+	}, proposal.HandleAcceptance)
 }
 
 // isSelf reports whether a voter is this process: by its ID or, for the first view, by its address.
@@ -140,7 +140,7 @@
 // voterAnswer is a voter's answer in one phase; nil: it gave none.
 type voterAnswer struct {
 	voter  string
-	answer *view.Answer
+	answer *view.Response
 }
 
 // runPhase sends the request of a phase to all voters at once, and counts their answers until the
@@ -148,9 +148,9 @@
 func (m *Member) runPhase(
 	ctx context.Context,
 	proposal *view.Proposal,
-	send func(context.Context, view.Peer) (*view.Answer, error),
-	count func(voter string, answer view.Answer) view.Outcome,
-) view.Outcome {
+	send func(context.Context, view.Peer) (*view.Response, error),
+	count func(voter string, answer view.Response) view.ProposalState,
+) view.ProposalState {
 	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
 	defer cancel()
 	voters := proposal.Base.Voters
@@ -164,7 +164,7 @@
 			answers <- voterAnswer{voter.ID, answer}
 		})
 	}
-	before := proposal.Outcome()
+	before := proposal.State()
 	for range voters {
 		select {
 		case received := <-answers:
@@ -175,10 +175,10 @@
 				return outcome
 			}
 		case <-ctx.Done():
-			return proposal.Outcome()
+			return proposal.State()
 		}
 	}
-	return proposal.Outcome()
+	return proposal.State()
 }
 
 // announceView tells the voters of a decided view, and of the one before, in the background. Those
--- a/internal/fleet/controlplane/register.go
+++ b/internal/fleet/controlplane/register.go
@@ -54,7 +54,7 @@
 
 // advanceCommitted takes a value that the tail of the chain has stored.
 func (m *Member) advanceCommitted(value chain.Value) {
-	checksum := value.Sum()
+	checksum := value.Checksum()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.register.advance(&value, checksum) {
--- a/internal/fleet/controlplane/repair.go
+++ b/internal/fleet/controlplane/repair.go
@@ -39,14 +39,14 @@
 	replica := m.replicaLocked()
 	uptime := now.Sub(m.pauses.resumedAt)
 	health[m.self.ID] = view.Health{
-		Peer:     m.self,
-		Well:     max(1, uptime),
-		Sick:     m.diskUnhealthyLocked(now),
-		Ending:   m.shuttingDown,
-		Hears:    m.peers.reachable(learned, now),
-		Up:       uptime,
-		Complete: replica.Complete(),
-		Pending:  m.acceptor.abandoned(learned.Number, now),
+		Peer:          m.self,
+		StableFor:     max(1, uptime),
+		DiskUnhealthy: m.diskUnhealthyLocked(now),
+		Leaving:       m.shuttingDown,
+		ConnectedTo:   m.peers.reachable(learned, now),
+		Uptime:        uptime,
+		Complete:      replica.Complete(),
+		Undecided:     m.acceptor.abandoned(learned.Number, now),
 	}
 	return health
 }
@@ -59,7 +59,7 @@
 		if candidate == id {
 			break
 		}
-		if h, known := health[candidate]; known && h.Silent < peerTimeout && !h.Sick && !h.Ending {
+		if h, known := health[candidate]; known && h.SinceContact < peerTimeout && !h.DiskUnhealthy && !h.Leaving {
 			rank++
 		}
 	}
@@ -73,7 +73,7 @@
 		order = append(order, member.ID)
 	}
 	for _, voter := range current.Voters {
-		if current.Place(voter.ID) < 0 {
+		if current.Position(voter.ID) < 0 {
 			order = append(order, voter.ID)
 		}
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	members := replica.View.Chain
-	for _, predecessor := range members[:replica.View.Place(m.self.ID)] {
+	for _, predecessor := range members[:replica.View.Position(m.self.ID)] {
 		if h := health[predecessor.ID]; h.Complete && isAvailable(h) {
 			return
 		}
@@ -104,7 +104,9 @@
 }
 
 // isAvailable reports whether a member answers and its disk takes writes.
-func isAvailable(health view.Health) bool { return health.Silent < peerTimeout && !health.Sick }
+func isAvailable(health view.Health) bool {
+	return health.SinceContact < peerTimeout && !health.DiskUnhealthy
+}
 
 // inViewLocked reports whether a peer has learned the view of a number and no newer one.
 func (m *Member) inViewLocked(id string, number uint64) bool {
@@ -114,7 +116,7 @@
 
 // sendSnapshot pushes this member's value to another one directly. That member's heartbeats tell
 // whether it came.
-func (m *Member) sendSnapshot(ctx context.Context, to view.Link, replica chain.Replica) {
+func (m *Member) sendSnapshot(ctx context.Context, to view.Member, replica chain.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	push := chain.Push{View: replica.View, Value: replica.Record.Value, Direct: true}
--- a/internal/fleet/controlplane/replication.go
+++ b/internal/fleet/controlplane/replication.go
@@ -16,10 +16,10 @@
 	if request.To != m.self.ID {
 		return &pushResponse{Why: otherDiskReason(m.self.ID)}, nil
 	}
-	if err := push.View.Check(); err != nil {
+	if err := push.View.Validate(); err != nil {
 		return nil, err
 	}
-	if err := push.Value.Check(); err != nil {
+	if err := push.Value.Validate(); err != nil {
 		return nil, err
 	}
 	if refusal, err := m.storePush(ctx, push); refusal != nil || err != nil {
@@ -49,7 +49,7 @@
 		return &pushResponse{Newer: &learned}, nil
 	}
 	replica := m.replica()
-	record, changed, err := replica.Take(push)
+	record, changed, err := replica.Receive(push)
 	if err != nil {
 		return &pushResponse{Why: err.Error()}, nil
 	}
@@ -62,7 +62,7 @@
 // replicate pushes a value that is stored here to the next member, if there is one, and notes that it
 // is committed once the tail has stored it. It ends when the view is superseded.
 func (m *Member) replicate(ctx context.Context, current view.View, value chain.Value) error {
-	if successor, ok := current.Next(m.self.ID); ok {
+	if successor, ok := current.Successor(m.self.ID); ok {
 		if err := m.pushTo(ctx, successor, current, value); err != nil {
 			return err
 		}
@@ -74,8 +74,8 @@
 }
 
 // pushTo pushes a value to the successor, which returns once the tail has stored it.
-func (m *Member) pushTo(ctx context.Context, successor view.Link, current view.View, value chain.Value) error {
-	position := current.Place(m.self.ID)
+func (m *Member) pushTo(ctx context.Context, successor view.Member, current view.View, value chain.Value) error {
+	position := current.Position(m.self.ID)
 	ctx, cancel := m.withinView(ctx, current.Number, pushTimeout-time.Duration(position)*pushTimeoutStep)
 	defer cancel()
 	begun := time.Now()
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -51,7 +51,7 @@
 		Addr:    m.self.Addr,
 		Dir:     m.options.StateDir,
 		View:    learned,
-		Place:   learned.Place(m.self.ID),
+		Place:   learned.Position(m.self.ID),
 		Voter:   m.views.isVoter(m.self.ID),
 		Linked:  m.hasQuorumLocked(now),
 		Whole:   replica.Complete(),
--- a/internal/fleet/controlplane/trouble_test.go
+++ b/internal/fleet/controlplane/trouble_test.go
@@ -24,7 +24,7 @@
 	s := newTestCluster(t, disks, others)
 	s.startAll(true)
 	last := s.nodes[len(s.nodes)-1]
-	require.Equal(t, chain.Taken, last.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, last.submitRevision(0, 1).Kind)
 	for _, p := range s.nodes[:disks] {
 		p.waitUntil("in touch", p.member.HasQuorum)
 	}
@@ -41,7 +41,7 @@
 func (p *testNode) submitInTime(ifMatch, body int64) {
 	p.tb.Helper()
 	begun := time.Now()
-	require.Equal(p.tb, chain.Taken, p.submitRevision(ifMatch, body).Kind)
+	require.Equal(p.tb, chain.OutcomeCommitted, p.submitRevision(ifMatch, body).Kind)
 	took := time.Since(begun)
 	p.tb.Logf("taken after %v", took)
 	require.Less(p.tb, took, faultUpdateLimit)
@@ -51,7 +51,7 @@
 	s.tb.Helper()
 	p.waitUntil("the chain is whole again", func() bool {
 		v, _ := p.member.View()
-		return len(v.Chain) == min(len(v.Voters), view.Most(view.Tolerance{Machines: s.machineLosses}))
+		return len(v.Chain) == min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: s.machineLosses}))
 	})
 }
 
@@ -65,7 +65,7 @@
 			out.submitInTime(1, 2)
 			ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 			defer cancel()
-			require.Equal(t, chain.Unclear, head.member.Submit(ctx, &chain.Order{IfMatch: 1, Body: []byte("7")}).Kind)
+			require.Equal(t, chain.OutcomeUnknown, head.member.Submit(ctx, &chain.Update{IfMatch: 1, Body: []byte("7")}).Kind)
 			_, err := head.member.Read(ctx)
 			require.Error(t, err)
 			s.isolate(head, false, bothWays)
@@ -139,7 +139,7 @@
 			wiped.dir = stateDir(t)
 			s.startAll(false)
 			require.Equal(t, int64(2), out.read().Revision)
-			require.Equal(t, chain.Taken, out.submitRevision(2, 3).Kind)
+			require.Equal(t, chain.OutcomeCommitted, out.submitRevision(2, 3).Kind)
 			s.awaitFullChain(out)
 		})
 	}
@@ -175,11 +175,11 @@
 		require.NoError(t, ctx.Err())
 		cancel()
 		v, _ := p.member.View()
-		require.Negative(t, v.Place(p.member.Status().ID))
+		require.Negative(t, v.Position(p.member.Status().ID))
 		p.kill()
 		begun := time.Now()
 		r := out.read().Revision
-		require.Equal(t, chain.Taken, out.submitRevision(r, r+1).Kind)
+		require.Equal(t, chain.OutcomeCommitted, out.submitRevision(r, r+1).Kind)
 		require.Less(t, time.Since(begun), 400*time.Millisecond)
 		s.start(p, false)
 		s.awaitFullChain(out)
@@ -191,7 +191,7 @@
 	s := newTestCluster(t, 0, 5)
 	s.startAll(true)
 	p := s.nodes[4]
-	require.Equal(t, chain.Taken, p.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, p.submitRevision(0, 1).Kind)
 	v, _ := p.member.View()
 	require.True(t, v.Memory)
 	require.Len(t, v.Voters, 5)
@@ -220,7 +220,7 @@
 			}
 			s.startAll(false)
 			require.Equal(t, int64(1), out.read().Revision)
-			require.Equal(t, chain.Taken, out.submitRevision(1, 2).Kind)
+			require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
 		})
 	}
 }
@@ -236,7 +236,7 @@
 					s.start(p, true)
 				}
 			}
-			require.Equal(t, chain.Taken, s.nodes[5].submitRevision(0, 1).Kind)
+			require.Equal(t, chain.OutcomeCommitted, s.nodes[5].submitRevision(0, 1).Kind)
 			lost := s.nodes[seed]
 			s.start(lost, false) // as a process that is started again
 			lost.waitUntil("it comes later", lost.member.IsVoter)
@@ -250,7 +250,7 @@
 	s.startAll(false)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*bootstrapDisklessDelay)
 	defer cancel()
-	require.Equal(t, chain.Unclear, s.nodes[3].member.Submit(ctx, &chain.Order{Body: []byte("1")}).Kind)
+	require.Equal(t, chain.OutcomeUnknown, s.nodes[3].member.Submit(ctx, &chain.Update{Body: []byte("1")}).Kind)
 	<-ctx.Done()
 	for _, p := range s.nodes {
 		_, known := p.member.View()
@@ -265,7 +265,7 @@
 }
 
 type registerOutput struct {
-	kind     chain.Kind
+	kind     chain.Outcome
 	revision int64
 }
 
@@ -274,17 +274,17 @@
 	Step: func(state, input, output any) []any {
 		cur, in, out := state.(int64), input.(registerInput), output.(registerOutput)
 		switch {
-		case in.read && out.kind != chain.Unclear && out.revision != cur:
+		case in.read && out.kind != chain.OutcomeUnknown && out.revision != cur:
 			return nil
 		case in.read:
 			return []any{cur}
-		case out.kind == chain.Taken && in.ifMatch == cur:
+		case out.kind == chain.OutcomeCommitted && in.ifMatch == cur:
 			return []any{in.body}
-		case out.kind == chain.Conflict && in.ifMatch != cur:
+		case out.kind == chain.OutcomeConflict && in.ifMatch != cur:
 			return []any{cur}
-		case out.kind == chain.Unclear && in.ifMatch == cur:
+		case out.kind == chain.OutcomeUnknown && in.ifMatch == cur:
 			return []any{cur, in.body}
-		case out.kind == chain.Unclear:
+		case out.kind == chain.OutcomeUnknown:
 			return []any{cur}
 		}
 		return nil
@@ -326,7 +326,7 @@
 				if i%3 == 0 {
 					in.read = true
 					if v, err := member(i).Read(octx); err == nil {
-						out = registerOutput{chain.Taken, v.Revision}
+						out = registerOutput{chain.OutcomeCommitted, v.Revision}
 						knows = v.Revision
 					}
 				} else {
@@ -335,18 +335,18 @@
 					order := revisionUpdate(in.ifMatch, in.body)
 					v := member(i).Submit(octx, order)
 					// An answer that is lost, or came too late: the same order goes to other agents.
-					for again := 1; again <= maxResubmissions && (v.Kind == chain.Unclear || again == 1 && i%2 == 0); again++ {
+					for again := 1; again <= maxResubmissions && (v.Kind == chain.OutcomeUnknown || again == 1 && i%2 == 0); again++ {
 						first := v
 						rctx, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 						v = member(i+again).Submit(rctx, order)
 						cancel()
-						if first.Kind == chain.Unclear {
+						if first.Kind == chain.OutcomeUnknown {
 							repeatedUnclear.Add(1)
 							continue
 						}
-						if v.Kind != chain.Unclear {
+						if v.Kind != chain.OutcomeUnknown {
 							assert.Equal(t, first.Kind, v.Kind, "a repeated order gets another answer")
-							if first.Kind == chain.Taken { // a refusal names the newest revision
+							if first.Kind == chain.OutcomeCommitted { // a refusal names the newest revision
 								assert.Equal(t, first.Revision, v.Revision)
 							}
 							repeatedClear.Add(1)
@@ -354,13 +354,13 @@
 						v = first
 					}
 					out = registerOutput{v.Kind, v.Revision}
-					if v.Kind == chain.Taken || v.Kind == chain.Conflict {
+					if v.Kind == chain.OutcomeCommitted || v.Kind == chain.OutcomeConflict {
 						knows = v.Revision
 					}
 				}
 				cancel()
 				op.Input, op.Output, op.Return = in, out, int64(time.Since(begun))
-				if out.kind == chain.Unclear {
+				if out.kind == chain.OutcomeUnknown {
 					if in.read {
 						continue
 					}
@@ -401,7 +401,7 @@
 	wg.Wait()
 	taken := 0
 	for _, op := range ops {
-		if op.Output.(registerOutput).kind == chain.Taken && !op.Input.(registerInput).read {
+		if op.Output.(registerOutput).kind == chain.OutcomeCommitted && !op.Input.(registerInput).read {
 			taken++
 		}
 	}
@@ -437,7 +437,7 @@
 	rec.Value.Body = []byte("7")
 	require.NoError(t, p.member.persistRecord(rec))
 	p.member.mu.Lock()
-	p.member.register.committed, p.member.register.checksum = rec.Value, rec.Value.Sum()
+	p.member.register.committed, p.member.register.checksum = rec.Value, rec.Value.Checksum()
 	p.member.mu.Unlock()
 	p.member.releaseWrite()
 	p.waitUntil("it is what the others hold", func() bool {
@@ -476,7 +476,7 @@
 	for awake, want := range map[time.Time]bool{m.pauses.resumedAt: true, now: false} {
 		m.pauses.resumedAt = awake
 		for id, h := range m.healthLocked(now) {
-			require.Equal(t, want && id != m.self.ID, h.Silent >= peerTimeout)
+			require.Equal(t, want && id != m.self.ID, h.SinceContact >= peerTimeout)
 		}
 	}
 }
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -68,7 +68,7 @@
 	d.core, err = controlplane.Open(controlplane.Options{
 		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.Disk(), FirstStart: s.FirstStart,
 		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.Counted, Pool: d.peerPool,
-		Validate: func(cur []byte, o *chain.Order) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
+		Validate: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Next(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
 	})
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -49,14 +49,14 @@
 }
 
 func (p *controlBackend) Submit(ctx context.Context, patch bool, ifMatch int64, body []byte) controlapi.Verdict {
-	v := p.daemon.core.Submit(ctx, &chain.Order{Patch: patch, IfMatch: ifMatch, Body: body})
+	v := p.daemon.core.Submit(ctx, &chain.Update{Patch: patch, IfMatch: ifMatch, Body: body})
 	kind := controlapi.Unclear
 	switch v.Kind {
-	case chain.Taken:
+	case chain.OutcomeCommitted:
 		kind = controlapi.Taken
-	case chain.Conflict:
+	case chain.OutcomeConflict:
 		kind = controlapi.Conflict
-	case chain.Invalid:
+	case chain.OutcomeInvalid:
 		kind = controlapi.Invalid
 	}
 	return controlapi.Verdict{Kind: kind, Revision: v.Revision, Reason: v.Reason}
--- a/internal/fleet/lease/bench_test.go
+++ b/internal/fleet/lease/bench_test.go
@@ -23,7 +23,7 @@
 			t := granted(agents)
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(t.Lapsed(time.Second)) > 0 {
+				if len(t.Expired(time.Second)) > 0 {
 					b.Fatal("lapsed")
 				}
 			}
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -16,13 +16,13 @@
 // meanwhile get their whole time again.
 const wake = time.Second
 
-// maxAgents bounds the sources of which leases are known.
-const maxAgents = 8192
+// maxLeases bounds the sources of which leases are known.
+const maxLeases = 8192
 
 // Table is what one agent knows of leases. It is not safe for concurrent use.
 type Table struct {
 	lasts  time.Duration
-	agents map[string]*agent
+	leases map[string]*agent
 	ticked time.Duration
 }
 
@@ -33,53 +33,53 @@
 
 // New returns an empty table. A lease lasts for that long after its last renewal.
 func New(lasts time.Duration) *Table {
-	return &Table{lasts: lasts, agents: map[string]*agent{}}
+	return &Table{lasts: lasts, leases: map[string]*agent{}}
 }
 
-// See takes that a source is there; without a lease it is ended after a lease's time.
-func (t *Table) See(now time.Duration, source string) {
-	if t.agents[source] == nil && len(t.agents) < maxAgents {
-		t.agents[source] = &agent{by: map[string]bool{}, free: now}
+// Observe takes that a source is there; without a lease it is ended after a lease's time.
+func (t *Table) Observe(now time.Duration, source string) {
+	if t.leases[source] == nil && len(t.leases) < maxLeases {
+		t.leases[source] = &agent{by: map[string]bool{}, free: now}
 	}
 }
 
 // Grant takes that a core machine holds a lease of a source.
 func (t *Table) Grant(now time.Duration, source, by string) {
-	t.See(now, source)
-	if a := t.agents[source]; a != nil {
+	t.Observe(now, source)
+	if a := t.leases[source]; a != nil {
 		a.by[by] = true
 	}
 }
 
-// Release takes that it holds it no more.
-func (t *Table) Release(now time.Duration, source, by string) {
-	if a := t.agents[source]; a != nil && a.by[by] {
+// Revoke takes that it holds it no more.
+func (t *Table) Revoke(now time.Duration, source, by string) {
+	if a := t.leases[source]; a != nil && a.by[by] {
 		if delete(a.by, by); len(a.by) == 0 {
 			a.free = now
 		}
 	}
 }
 
-// End forgets a source, and the leases that it held of others.
-func (t *Table) End(now time.Duration, source string) {
-	delete(t.agents, source)
-	for other := range t.agents {
-		t.Release(now, other, source)
+// Remove forgets a source, and the leases that it held of others.
+func (t *Table) Remove(now time.Duration, source string) {
+	delete(t.leases, source)
+	for other := range t.leases {
+		t.Revoke(now, other, source)
 	}
 }
 
-// Held tells whether anyone holds a lease of a source.
-func (t *Table) Held(source string) bool {
-	a := t.agents[source]
+// Granted tells whether anyone holds a lease of a source.
+func (t *Table) Granted(source string) bool {
+	a := t.leases[source]
 	return a != nil && len(a.by) > 0
 }
 
-// Lapsed are the sources that nobody has held a lease of for as long as one lasts.
-func (t *Table) Lapsed(now time.Duration) []string {
+// Expired are the sources that nobody has held a lease of for as long as one lasts.
+func (t *Table) Expired(now time.Duration) []string {
 	frozen := t.ticked > 0 && now-t.ticked > wake
 	t.ticked = now
 	var out []string
-	for source, a := range t.agents {
+	for source, a := range t.leases {
 		switch {
 		case len(a.by) > 0:
 		case frozen:
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -24,7 +24,7 @@
 func (c *clock) run(d time.Duration) (lapsed []string) {
 	for end := c.now + d; c.now < end; {
 		c.now += min(200*time.Millisecond, end-c.now)
-		lapsed = c.Lapsed(c.now)
+		lapsed = c.Expired(c.now)
 	}
 	return lapsed
 }
@@ -34,30 +34,30 @@
 	c.Grant(c.now, "a", "h1")
 	c.Grant(c.now, "a", "h2")
 	assert.Empty(t, c.run(time.Minute), "a held one never lapses")
-	c.Release(c.now, "a", "h1")
-	c.Release(c.now, "a", "h1") // twice is once
-	c.Release(c.now, "a", "h3") // it held none
-	c.Release(c.now, "b", "h1") // of nobody
-	assert.True(t, c.Held("a"))
+	c.Revoke(c.now, "a", "h1")
+	c.Revoke(c.now, "a", "h1") // twice is once
+	c.Revoke(c.now, "a", "h3") // it held none
+	c.Revoke(c.now, "b", "h1") // of nobody
+	assert.True(t, c.Granted("a"))
 	assert.Empty(t, c.run(time.Minute), "another hub holds it")
-	c.Release(c.now, "a", "h2")
-	assert.False(t, c.Held("a"))
+	c.Revoke(c.now, "a", "h2")
+	assert.False(t, c.Granted("a"))
 	assert.Empty(t, c.run(lasts))
-	c.Release(c.now, "a", "h2") // a late word renews nothing
+	c.Revoke(c.now, "a", "h2") // a late word renews nothing
 	assert.Equal(t, []string{"a"}, c.run(time.Millisecond))
-	c.End(c.now, "a")
+	c.Remove(c.now, "a")
 	assert.Empty(t, c.run(time.Minute))
-	assert.Empty(t, c.agents)
+	assert.Empty(t, c.leases)
 }
 
 func TestAGrantInTimeKeepsIt(t *testing.T) {
 	c := newClock()
 	c.Grant(c.now, "a", "h1")
-	c.Release(c.now, "a", "h1")
+	c.Revoke(c.now, "a", "h1")
 	require.Empty(t, c.run(lasts))
 	c.Grant(c.now, "a", "h2")
 	assert.Empty(t, c.run(time.Minute))
-	c.Release(c.now, "a", "h2")
+	c.Revoke(c.now, "a", "h2")
 	assert.Empty(t, c.run(lasts), "it has its whole time again")
 	assert.Equal(t, []string{"a"}, c.run(time.Millisecond))
 }
@@ -65,12 +65,12 @@
 // A source that is there without a lease has the time of one to get it.
 func TestSeenWithoutLease(t *testing.T) {
 	c := newClock()
-	c.See(c.now, "a")
+	c.Observe(c.now, "a")
 	require.Empty(t, c.run(lasts))
-	c.See(c.now, "a") // its news renews nothing
+	c.Observe(c.now, "a") // its news renews nothing
 	assert.Equal(t, []string{"a"}, c.run(time.Millisecond))
-	assert.False(t, c.Held("a"))
-	assert.False(t, c.Held("nobody"))
+	assert.False(t, c.Granted("a"))
+	assert.False(t, c.Granted("nobody"))
 }
 
 // With a hub go the leases that it held, not those that others hold.
@@ -80,10 +80,10 @@
 	c.Grant(c.now, "b", "h1")
 	c.Grant(c.now, "b", "h2")
 	c.Grant(c.now, "h1", "h2")
-	c.End(c.now, "h1")
-	assert.False(t, c.Held("a"))
-	assert.True(t, c.Held("b"))
-	assert.False(t, c.Held("h1"))
+	c.Remove(c.now, "h1")
+	assert.False(t, c.Granted("a"))
+	assert.True(t, c.Granted("b"))
+	assert.False(t, c.Granted("h1"))
 	assert.Equal(t, []string{"a"}, c.run(lasts+time.Millisecond))
 }
 
@@ -91,10 +91,10 @@
 func TestAFreezeGivesLeasesTheirTimeAgain(t *testing.T) {
 	c := newClock()
 	c.Grant(c.now, "a", "h1")
-	c.Release(c.now, "a", "h1")
+	c.Revoke(c.now, "a", "h1")
 	require.Empty(t, c.run(lasts-time.Millisecond))
 	c.now += 10 * time.Second
-	assert.Empty(t, c.Lapsed(c.now))
+	assert.Empty(t, c.Expired(c.now))
 	assert.Empty(t, c.run(lasts))
 	assert.Equal(t, []string{"a"}, c.run(time.Millisecond))
 }
@@ -120,7 +120,7 @@
 		}
 		name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "n")) })
 		t.Repeat(map[string]func(*rapid.T){
-			"see": func(t *rapid.T) { a := name.Draw(t, "a"); c.See(c.now, a); see(a) },
+			"see": func(t *rapid.T) { a := name.Draw(t, "a"); c.Observe(c.now, a); see(a) },
 			"grant": func(t *rapid.T) {
 				a, h := name.Draw(t, "a"), name.Draw(t, "h")
 				c.Grant(c.now, a, h)
@@ -129,12 +129,12 @@
 			},
 			"release": func(t *rapid.T) {
 				a, h := name.Draw(t, "a"), name.Draw(t, "h")
-				c.Release(c.now, a, h)
+				c.Revoke(c.now, a, h)
 				release(a, h)
 			},
 			"end": func(t *rapid.T) {
 				h := name.Draw(t, "h")
-				c.End(c.now, h)
+				c.Remove(c.now, h)
 				delete(held, h)
 				for a := range held {
 					release(a, h)
@@ -149,12 +149,12 @@
 						want = append(want, a)
 					}
 				}
-				require.ElementsMatch(t, want, c.Lapsed(c.now))
+				require.ElementsMatch(t, want, c.Expired(c.now))
 			},
 			"": func(t *rapid.T) {
-				require.Len(t, c.agents, len(held))
+				require.Len(t, c.leases, len(held))
 				for a, by := range held {
-					require.Equal(t, len(by) > 0, c.Held(a))
+					require.Equal(t, len(by) > 0, c.Granted(a))
 				}
 			},
 		})
@@ -163,12 +163,12 @@
 
 func TestLeasesAreBounded(t *testing.T) {
 	c := newClock()
-	for i := range 2 * maxAgents {
+	for i := range 2 * maxLeases {
 		c.Grant(c.now, fmt.Sprint("a", i), "h1")
-		c.See(c.now, fmt.Sprint("b", i))
+		c.Observe(c.now, fmt.Sprint("b", i))
 	}
-	assert.Len(t, c.agents, maxAgents)
-	c.End(c.now, "a0")
+	assert.Len(t, c.leases, maxLeases)
+	c.Remove(c.now, "a0")
 	c.Grant(c.now, "new", "h1")
-	assert.True(t, c.Held("new"))
+	assert.True(t, c.Granted("new"))
 }
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -180,7 +180,7 @@
 		return
 	}
 	own := c.Source == h.items.OwnSource()
-	h.leases.See(now, c.Source)
+	h.leases.Observe(now, c.Source)
 	switch {
 	case key == memberKey:
 		var m Member
@@ -207,7 +207,7 @@
 				h.publishEndLocked(agent) // who granted it doesn't know
 			}
 		case data == nil:
-			h.leases.Release(now, agent, c.Source)
+			h.leases.Revoke(now, agent, c.Source)
 		default:
 			h.leases.Grant(now, agent, c.Source)
 		}
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -79,7 +79,7 @@
 		return
 	}
 	h.items.EndSource(source)
-	h.leases.End(now, source)
+	h.leases.Remove(now, source)
 	delete(h.members, source)
 	h.servers.SourceEnded(now, source)
 	for s := range h.sessions {
@@ -102,7 +102,7 @@
 	logevent.OwnLapsed.Log("old", h.items.OwnSource())
 	now, old := h.now(), h.items.OwnSource()
 	h.items.StartIncarnation(h.newSourceName())
-	h.leases.End(now, old)
+	h.leases.Remove(now, old)
 	delete(h.members, old)
 	h.servers.RenameOwnSource(now, h.items.OwnSource())
 	for agent := range h.grantedLeases { // the new life holds them on
@@ -119,7 +119,7 @@
 // has been linked for as long as a lease lasts: before, it may not have heard of leases that others
 // hold. Another agent drops for itself what the core must have ended while it could not hear it.
 func (h *Node) expireLeasesLocked(now time.Duration, core bool) {
-	lapsed := h.leases.Lapsed(now)
+	lapsed := h.leases.Expired(now)
 	tells := core && h.quorumSince > 0 && now-h.quorumSince > leaseDuration
 	if !tells && (core || h.attachedSince == 0 || now-h.attachedSince <= 2*leaseDuration) {
 		return
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -44,7 +44,7 @@
 		r.Revision = h.config.Revision
 	}
 	for source, m := range h.members {
-		r.Members = append(r.Members, MemberReport{m, source, h.leases.Held(source), source == h.items.OwnSource()})
+		r.Members = append(r.Members, MemberReport{m, source, h.leases.Granted(source), source == h.items.OwnSource()})
 	}
 	slices.SortFunc(r.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
 	for s := range h.sessions {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -53,10 +53,10 @@
 
 // Store is safe for concurrent use. One goroutine of its own does all disk work after Open.
 type Store struct {
-	dir string // "": in memory
-	ops chan op
-	end chan struct{}
-	wg  sync.WaitGroup
+	dir        string // "": in memory
+	operations chan operation
+	end        chan struct{}
+	wg         sync.WaitGroup
 
 	mu      sync.Mutex
 	waiting []time.Time // when the operations under way were asked for, oldest first
@@ -75,18 +75,18 @@
 	stale bool   // the file may hold other than live: read it anew first
 }
 
-type op struct {
-	key  string
-	val  []byte
-	do   func() error
-	done chan error
+type operation struct {
+	key   string
+	value []byte
+	query func() error
+	done  chan error
 }
 
 // Open reads the store of a folder, which it makes if it has to. With dir "" the records are kept
 // in memory. The report says what was cut or set aside. It fails only where the file can't be read;
 // a disk that takes no writes shows with the first Put.
 func Open(dir string) (*Store, Report, error) {
-	s := &Store{dir: dir, ops: make(chan op, maxQueue), end: make(chan struct{}), live: map[string]string{}, next: 1}
+	s := &Store{dir: dir, operations: make(chan operation, maxQueue), end: make(chan struct{}), live: map[string]string{}, next: 1}
 	var rep Report
 	if dir != "" {
 		var err error
@@ -199,15 +199,15 @@
 	if len(key) > 64 || len(val) > MaxRecord {
 		return errors.Errorf("record %s has %d bytes: at most %d", key, len(val), MaxRecord)
 	}
-	return s.ask(op{key: key, val: val, done: make(chan error, 1)})
+	return s.submit(operation{key: key, value: val, done: make(chan error, 1)})
 }
 
 // Probe writes a small record, to learn whether the disk takes one.
 func (s *Store) Probe() error { return s.Put(probeKey, nil) }
 
-// Sweep reads the file back and rewrites it where it is not what was written. It tells whether it was.
-func (s *Store) Sweep() (whole bool, err error) {
-	err = s.ask(op{done: make(chan error, 1), do: func() error { whole, err = s.sweep(); return err }})
+// Scrub reads the file back and rewrites it where it is not what was written. It tells whether it was.
+func (s *Store) Scrub() (whole bool, err error) {
+	err = s.submit(operation{done: make(chan error, 1), query: func() error { whole, err = s.sweep(); return err }})
 	return whole, err
 }
 
@@ -215,7 +215,7 @@
 func (s *Store) Get(key string) ([]byte, bool) {
 	var val []byte
 	var ok bool
-	err := s.ask(op{done: make(chan error, 1), do: func() error { v, is := s.live[key]; val, ok = []byte(v), is; return nil }})
+	err := s.submit(operation{done: make(chan error, 1), query: func() error { v, is := s.live[key]; val, ok = []byte(v), is; return nil }})
 	return val, ok && err == nil
 }
 
@@ -244,14 +244,14 @@
 	return h
 }
 
-func (s *Store) ask(o op) error {
+func (s *Store) submit(o operation) error {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return ErrClosed
 	}
 	select {
-	case s.ops <- o:
+	case s.operations <- o:
 		s.waiting = append(s.waiting, time.Now())
 	default:
 		s.mu.Unlock()
@@ -271,7 +271,7 @@
 	s.mu.Lock()
 	was := s.closed
 	if s.closed = true; !was {
-		close(s.ops)
+		close(s.operations)
 	}
 	s.mu.Unlock()
 	done := make(chan struct{})
@@ -290,12 +290,12 @@
 func (s *Store) run() {
 	defer s.wg.Done()
 	defer s.detach()
-	for o := range s.ops {
+	for o := range s.operations {
 		err := s.do(o)
 		s.mu.Lock()
 		s.waiting = s.waiting[1:]
 		switch {
-		case o.do != nil && err == nil: // a read says nothing of writes
+		case o.query != nil && err == nil: // a read says nothing of writes
 		case err == nil:
 			s.good, s.failing = true, time.Time{}
 		case s.failing.IsZero():
@@ -308,12 +308,12 @@
 	}
 }
 
-func (s *Store) do(o op) (err error) {
-	if o.do != nil {
-		return o.do()
+func (s *Store) do(o operation) (err error) {
+	if o.query != nil {
+		return o.query()
 	}
 	if s.dir == "" {
-		s.live[o.key] = string(o.val)
+		s.live[o.key] = string(o.value)
 		return nil
 	}
 	if s.stale {
@@ -322,13 +322,13 @@
 			return err
 		}
 	}
-	return s.write(o.key, o.val)
+	return s.write(o.key, o.value)
 }
 
 // trim rewrites a file that has grown long, while nobody waits unless it is very long.
 func (s *Store) trim() {
 	most := slack + 4*s.records()
-	if s.dir == "" || s.stale || s.size <= most || s.size <= 2*most && len(s.ops) > 0 {
+	if s.dir == "" || s.stale || s.size <= most || s.size <= 2*most && len(s.operations) > 0 {
 		return
 	}
 	err := s.rewrite() // the records are safe; the file may stay long for now
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -72,7 +72,7 @@
 	s, _ := open(t, "")
 	require.NoError(t, s.Put("a", []byte("1")))
 	require.Equal(t, "1", get(s, "a"))
-	whole, err := s.Sweep()
+	whole, err := s.Scrub()
 	require.NoError(t, err)
 	require.True(t, whole)
 }
@@ -196,7 +196,7 @@
 	s, _ := open(t, dir)
 	require.NoError(t, s.Put("id", []byte("x1")))
 	require.NoError(t, s.Put("value", []byte("v1")))
-	whole, err := s.Sweep()
+	whole, err := s.Scrub()
 	require.NoError(t, err)
 	require.True(t, whole)
 	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_RDWR, 0)
@@ -204,10 +204,10 @@
 	_, err = f.WriteAt([]byte{0xff}, 30)
 	require.NoError(t, err)
 	require.NoError(t, f.Close())
-	whole, err = s.Sweep()
+	whole, err = s.Scrub()
 	require.NoError(t, err)
 	require.False(t, whole)
-	whole, err = s.Sweep()
+	whole, err = s.Scrub()
 	require.NoError(t, err)
 	require.True(t, whole)
 	require.NoError(t, s.Put("value", []byte("v2")))
@@ -300,14 +300,14 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		_ = s.ask(op{done: make(chan error, 1), do: func() error { close(stalled); <-release; return nil }})
+		_ = s.submit(operation{done: make(chan error, 1), query: func() error { close(stalled); <-release; return nil }})
 	}()
 	<-stalled
 	for range maxQueue {
 		wg.Add(1)
 		go func() { defer wg.Done(); _ = s.Probe() }()
 	}
-	require.Eventually(t, func() bool { return len(s.ops) == maxQueue }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(s.operations) == maxQueue }, 10*time.Second, time.Millisecond)
 	require.ErrorIs(t, s.Probe(), ErrBusy)
 	require.GreaterOrEqual(t, s.Health(time.Now().Add(time.Second)).Oldest, time.Second)
 	close(release)
--- a/internal/fleet/view/first_test.go
+++ b/internal/fleet/view/first_test.go
@@ -15,7 +15,7 @@
 // of them with views of their own to propose. A question is taken by a seed at any moment or never,
 // and so is its answer by the one that asked; a seed may be killed at any moment.
 type founding struct {
-	votes   [3]Vote
+	votes   [3]AcceptorState
 	gone    [3]bool
 	calls   [2][3]call
 	props   [2]*Proposal
@@ -29,7 +29,7 @@
 // call is one question of the phase that a proposal is in.
 type call struct {
 	asked, done bool
-	a           Answer
+	a           Response
 }
 
 var seeds = func() (v View) {
@@ -45,7 +45,7 @@
 	for i, p := range f.props {
 		if p != nil {
 			q := *p
-			q.promised, q.accepted, q.refused = maps.Clone(p.promised), maps.Clone(p.accepted), maps.Clone(p.refused)
+			q.promises, q.acceptances, q.rejections = maps.Clone(p.promises), maps.Clone(p.acceptances), maps.Clone(p.rejections)
 			c.props[i] = &q
 		}
 	}
@@ -62,18 +62,18 @@
 // key is all of a state that matters to what follows.
 type key struct {
 	votes [3]struct {
-		promised, at Ballot
+		promised, at ProposalNumber
 		accepted     string
 	}
 	props [2]struct {
-		outcome                     Outcome
-		at                          Ballot
+		outcome                     ProposalState
+		at                          ProposalNumber
 		found, view                 string
 		promised, accepted, refused int
 	}
 	calls [2][3]struct {
 		asked, done, ok bool
-		at              Ballot
+		at              ProposalNumber
 		accepted        string
 	}
 	gone           [3]bool
@@ -91,8 +91,8 @@
 	}
 	for i, p := range f.props {
 		if q := &k.props[i]; p != nil {
-			q.outcome, q.at, q.found, q.view = p.outcome, p.at, named(p.found), named(&p.View)
-			q.promised, q.accepted, q.refused = len(p.promised), len(p.accepted), len(p.refused)
+			q.outcome, q.at, q.found, q.view = p.state, p.acceptedNumber, named(p.acceptedView), named(&p.View)
+			q.promised, q.accepted, q.refused = len(p.promises), len(p.acceptances), len(p.rejections)
 		}
 		for j, c := range f.calls[i] {
 			q := &k.calls[i][j]
@@ -106,7 +106,7 @@
 // that are killed, 2 to 4, and of the questions and answers of each proposer, 5 to 10.
 func (f *founding) able() (out []int) {
 	for by := range 2 {
-		if !f.gone[by] && (f.rounds[by] == 0 || f.retries > 0 && f.rounds[by] < 9) && (f.props[by] == nil || f.props[by].outcome != Decided) {
+		if !f.gone[by] && (f.rounds[by] == 0 || f.retries > 0 && f.rounds[by] < 9) && (f.props[by] == nil || f.props[by].state != Decided) {
 			out = append(out, by)
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	for by, p := range f.props {
 		for seed, c := range f.calls[by] {
-			if p != nil && !c.done && (c.asked || !f.gone[seed]) && (p.outcome == Waiting || p.outcome == Accepting) {
+			if p != nil && !c.done && (c.asked || !f.gone[seed]) && (p.state == Preparing || p.state == Accepting) {
 				out = append(out, 5+3*by+seed)
 			}
 		}
@@ -145,14 +145,14 @@
 	}
 	f.rounds[by]++
 	p := Peer{ID: fmt.Sprint("first", by), Addr: "a"}
-	own := View{Number: 1, Voters: []Peer{p}, Chain: []Link{{p, 1}}}
-	f.props[by] = Propose(seeds, Ballot{Round: f.rounds[by], By: fmt.Sprint("seed", by)}, &own)
+	own := View{Number: 1, Voters: []Peer{p}, Chain: []Member{{p, 1}}}
+	f.props[by] = NewProposal(seeds, ProposalNumber{Round: f.rounds[by], By: fmt.Sprint("seed", by)}, &own)
 	f.calls[by] = [3]call{}
 }
 
 func (f *founding) kill(seed int) {
 	f.kills--
-	f.votes[seed] = Vote{}
+	f.votes[seed] = AcceptorState{}
 	f.gone[seed] = !f.forgets
 	if seed < 2 {
 		f.props[seed], f.calls[seed], f.rounds[seed] = nil, [3]call{}, 9 // it proposes no more
@@ -164,24 +164,24 @@
 	p, c := f.props[by], &f.calls[by][seed]
 	if !c.asked {
 		c.asked = true
-		if p.outcome == Waiting {
-			f.votes[seed], c.a = f.votes[seed].Prepare(1, p.Ballot)
+		if p.state == Preparing {
+			f.votes[seed], c.a = f.votes[seed].Prepare(1, p.Number)
 		} else {
-			f.votes[seed], c.a = f.votes[seed].Accept(1, p.Ballot, p.View)
+			f.votes[seed], c.a = f.votes[seed].Accept(1, p.Number, p.View)
 		}
 		return nil
 	}
 	c.done = true
-	was := p.outcome
-	if was == Waiting {
-		p.Promised(seeds.Voters[seed].ID, c.a)
+	was := p.state
+	if was == Preparing {
+		p.HandlePromise(seeds.Voters[seed].ID, c.a)
 	} else {
-		p.Accepted(seeds.Voters[seed].ID, c.a)
+		p.HandleAcceptance(seeds.Voters[seed].ID, c.a)
 	}
 	switch {
-	case p.outcome == Accepting && was == Waiting:
+	case p.state == Accepting && was == Preparing:
 		f.calls[by] = [3]call{}
-	case p.outcome == Decided:
+	case p.state == Decided:
 		if f.decided != nil && !f.decided.Equal(p.View) {
 			return fmt.Errorf("two first views: %s and %s", named(f.decided), named(&p.View))
 		}
@@ -200,7 +200,7 @@
 		res := interleave.Search(start, 3_000_000)
 		t.Log(res)
 		require.NoError(t, res.Err, res.Trace)
-		require.True(t, res.Exhausted, res.Why)
+		require.True(t, res.Exhausted, res.Limit)
 	}
 }
 
--- a/internal/fleet/view/placement.go
+++ b/internal/fleet/view/placement.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// First is view 1 of the peers that were found, at most MaxVoters of them. Peers with a disk go
+// InitialView is view 1 of the peers that were found, at most MaxVoters of them. Peers with a disk go
 // first and then those whose loss is counted; without any disk the state is kept in memory.
-func First(found []Peer, t Tolerance) (View, bool) {
+func InitialView(found []Peer, t Tolerance) (View, bool) {
 	pool := filter(found, func(p Peer) bool { return p.Disk })
 	v := View{Number: 1, Memory: len(pool) == 0}
 	if v.Memory {
@@ -17,11 +17,11 @@
 		return View{}, false
 	}
 	v.Voters = extend(nil, pool, t, true)
-	members := pick(nil, v.Voters, Most(t), t.Regions > 0)
-	slices.SortFunc(v.Voters, byID)
-	slices.SortFunc(members, byID)
+	members := pick(nil, v.Voters, MaxChainLength(t), t.Regions > 0)
+	slices.SortFunc(v.Voters, comparePeers)
+	slices.SortFunc(members, comparePeers)
 	for _, p := range members {
-		v.Chain = append(v.Chain, Link{Peer: p, Since: 1})
+		v.Chain = append(v.Chain, Member{Peer: p, Since: 1})
 	}
 	return v, true
 }
@@ -47,7 +47,7 @@
 // pick takes up to n peers of a pool, each time one of the domain that has least of those taken.
 func pick(taken, pool []Peer, n int, regionsFirst bool) (out []Peer) {
 	taken, pool = slices.Clone(taken), slices.Clone(pool)
-	slices.SortFunc(pool, byID)
+	slices.SortFunc(pool, comparePeers)
 	for len(out) < n && len(pool) > 0 {
 		i := leastLoaded(taken, pool, regionsFirst)
 		out, taken = append(out, pool[i]), append(taken, pool[i])
--- a/internal/fleet/view/placement_guards_test.go
+++ b/internal/fleet/view/placement_guards_test.go
@@ -22,7 +22,7 @@
 	if !due || step.View == nil {
 		return s.v
 	}
-	require.NoError(t, step.View.Check(), step.Why)
+	require.NoError(t, step.View.Validate(), step.Reason)
 	return *step.View
 }
 
@@ -31,8 +31,8 @@
 	t.Parallel()
 	s := newScene(t, "a b c").comesAt("x", "c")
 	s.silent("c", 200*time.Millisecond)
-	s.with("b", func(h *Health) { h.Sick = true })
-	require.GreaterOrEqual(t, s.planned(t).Place("b"), 0, "a alone would hold everything")
+	s.with("b", func(h *Health) { h.DiskUnhealthy = true })
+	require.GreaterOrEqual(t, s.planned(t).Position("b"), 0, "a alone would hold everything")
 }
 
 // A machine with a new disk gets no vote while its former disk is a member of the chain.
@@ -49,7 +49,7 @@
 	t.Parallel()
 	s := newScene(t, "a b")
 	s.comes(machine("x"))
-	s.silent("b", 2*policy.Away)
+	s.silent("b", 2*policy.ReplaceAfter)
 	_, votes := s.planned(t).Voter("b")
 	require.True(t, votes)
 }
@@ -59,6 +59,6 @@
 	t.Parallel()
 	s := newScene(t, "a b")
 	s.comes(machine("x"))
-	s.silent("b", policy.Silent)
+	s.silent("b", policy.FailAfter)
 	require.Len(t, s.planned(t).Voters, 2)
 }
--- a/internal/fleet/view/plan.go
+++ b/internal/fleet/view/plan.go
@@ -7,32 +7,32 @@
 
 // Health is what a member knows of another one at a moment.
 type Health struct {
-	Peer     Peer          // what it says that it is
-	Silent   time.Duration // since it was last known to hear and to be heard
-	Well     time.Duration // for how long it has been without a break in that; 0: it is silent
-	Sick     bool          // its disk fails or holds operations up
-	Ending   bool          // it asked to be left out
-	Complete bool          // in the view planned from, as a member of the chain, it holds everything
-	Hears    []string      // whom it is in touch with, by its own word
-	Up       time.Duration // since its start or waking, before which it heard nobody
-	Pending  bool          // it has accepted a next view and does not know the decision
+	Peer          Peer          // what it says that it is
+	SinceContact  time.Duration // since it was last known to hear and to be heard
+	StableFor     time.Duration // for how long it has been without a break in that; 0: it is silent
+	DiskUnhealthy bool          // its disk fails or holds operations up
+	Leaving       bool          // it asked to be left out
+	Complete      bool          // in the view planned from, as a member of the chain, it holds everything
+	ConnectedTo   []string      // whom it is in touch with, by its own word
+	Uptime        time.Duration // since its start or waking, before which it heard nobody
+	Undecided     bool          // it has accepted a next view and does not know the decision
 }
 
 // Policy bounds the repair of a view.
 type Policy struct {
-	Tolerance Tolerance     // losses to be borne at once
-	Silent    time.Duration // a silent member of the chain is dropped after
-	Settle    time.Duration // a member that is back is believed after
-	Away      time.Duration // a voter may be swapped for a newcomer after
+	Tolerance    Tolerance     // losses to be borne at once
+	FailAfter    time.Duration // a silent member of the chain is dropped after
+	StableAfter  time.Duration // a member that is back is believed after
+	ReplaceAfter time.Duration // a voter may be swapped for a newcomer after
 }
 
 // Step is the next view that Plan wants and why.
 type Step struct {
-	View    *View // nil: finish what was left undecided
-	Why     string
-	Urgent  bool          // an order may be waiting for it
-	Wait    time.Duration // for how long it has to be wanted
-	Removes string        // the voter that the step takes the vote from; "": none
+	View         *View // nil: finish what was left undecided
+	Reason       string
+	Urgent       bool          // an order may be waiting for it
+	Delay        time.Duration // for how long it has to be wanted
+	RemovedVoter string        // the voter that the step takes the vote from; "": none
 }
 
 // Plan is the next step of repair as me sees it, or none. health has an entry for each peer that
@@ -64,15 +64,15 @@
 // the chain and its vote need not be handed over, or nobody is there that could take its place.
 func MayLeave(v View, me string, health map[string]Health, p Policy) bool {
 	pl := newPlanner(v, health, p)
-	if v.Place(me) < 0 {
+	if v.Position(me) < 0 {
 		_, due := pl.handOverVote(pl.newcomers())
 		return !due
 	}
 	for id, h := range health {
-		if id == me || h.Ending || h.Complete && pl.ok(id) {
+		if id == me || h.Leaving || h.Complete && pl.ok(id) {
 			continue
 		}
-		if _, voter := v.Voter(id); voter || pl.eligible(h.Peer) && h.Silent < p.Silent {
+		if _, voter := v.Voter(id); voter || pl.eligible(h.Peer) && h.SinceContact < p.FailAfter {
 			return false
 		}
 	}
@@ -90,7 +90,7 @@
 func newPlanner(v View, health map[string]Health, p Policy) *planner {
 	pl := &planner{view: v, health: health, policy: p, usable: make(map[string]bool, len(health))}
 	for id, h := range health {
-		pl.usable[id] = h.Silent < p.Silent && !h.Sick && !h.Ending && !pl.replaced(id)
+		pl.usable[id] = h.SinceContact < p.FailAfter && !h.DiskUnhealthy && !h.Leaving && !pl.replaced(id)
 	}
 	return pl
 }
@@ -107,10 +107,14 @@
 func (pl *planner) ok(id string) bool { return pl.usable[id] }
 
 // ready tells whether a peer has been well for long enough to be given a place.
-func (pl *planner) ready(id string) bool { return pl.ok(id) && pl.health[id].Well >= pl.policy.Settle }
+func (pl *planner) ready(id string) bool {
+	return pl.ok(id) && pl.health[id].StableFor >= pl.policy.StableAfter
+}
 
 // hears tells whether a peer is in touch with another, by its own word.
-func (pl *planner) hears(id, other string) bool { return slices.Contains(pl.health[id].Hears, other) }
+func (pl *planner) hears(id, other string) bool {
+	return slices.Contains(pl.health[id].ConnectedTo, other)
+}
 
 // replaced tells whether another disk answers at a voter's address.
 func (pl *planner) replaced(id string) bool {
@@ -119,7 +123,7 @@
 		return false
 	}
 	for other, h := range pl.health {
-		if other != id && h.Peer.Addr == old.Addr && h.Silent < pl.health[id].Silent {
+		if other != id && h.Peer.Addr == old.Addr && h.SinceContact < pl.health[id].SinceContact {
 			return true
 		}
 	}
@@ -155,8 +159,8 @@
 // finish is the step that ends a decision which was left open.
 func (pl *planner) finish() (Step, bool) {
 	for _, voter := range pl.view.Voters {
-		if h, known := pl.health[voter.ID]; known && h.Pending && h.Silent < pl.policy.Silent {
-			return Step{Why: "finish a view that was left undecided", Urgent: true}, true
+		if h, known := pl.health[voter.ID]; known && h.Undecided && h.SinceContact < pl.policy.FailAfter {
+			return Step{Reason: "finish a view that was left undecided", Urgent: true}, true
 		}
 	}
 	return Step{}, false
@@ -169,14 +173,14 @@
 		switch {
 		case pl.replaced(l.ID):
 			out = append(out, trouble{id: l.ID, why: "its disk was lost"})
-		case !known || h.Silent >= pl.policy.Silent:
+		case !known || h.SinceContact >= pl.policy.FailAfter:
 			out = append(out, trouble{id: l.ID, why: "it is silent"})
-		case h.Sick:
+		case h.DiskUnhealthy:
 			out = append(out, trouble{id: l.ID, why: "its disk is in trouble"})
-		case h.Ending:
+		case h.Leaving:
 			out = append(out, trouble{id: l.ID, why: "it is about to end", ending: true})
 		case pl.unreached(i):
-			out = append(out, trouble{id: l.ID, why: "its predecessor can't reach it", wait: pl.policy.Settle})
+			out = append(out, trouble{id: l.ID, why: "its predecessor can't reach it", wait: pl.policy.StableAfter})
 		}
 	}
 	return out
@@ -189,19 +193,19 @@
 		return false
 	}
 	before := pl.view.Chain[i-1].ID
-	return pl.ready(before) && pl.health[before].Up >= 2*pl.policy.Silent && !pl.hears(before, pl.view.Chain[i].ID)
+	return pl.ready(before) && pl.health[before].Uptime >= 2*pl.policy.FailAfter && !pl.hears(before, pl.view.Chain[i].ID)
 }
 
 // drop is the step that leaves the first member out without which the floor stands.
 func (pl *planner) drop(troubles []trouble) (Step, bool) {
 	for _, bad := range troubles {
-		next := pl.view.Drop(bad.id)
+		next := pl.view.RemoveMember(bad.id)
 		if len(next.Chain) == 0 || !pl.health[next.Chain[0].ID].Complete {
 			continue
 		}
 		left := pl.members(func(id string) bool { return id != bad.id && pl.ok(id) && pl.health[id].Complete })
 		if SpreadOf(left).Covers(pl.floorWithout(bad)) {
-			return Step{View: &next, Why: "drop " + bad.id + " from the chain: " + bad.why, Urgent: true, Wait: bad.wait}, true
+			return Step{View: &next, Reason: "drop " + bad.id + " from the chain: " + bad.why, Urgent: true, Delay: bad.wait}, true
 		}
 	}
 	return Step{}, false
@@ -213,7 +217,7 @@
 func (pl *planner) floorWithout(bad trouble) Spread {
 	tolerance := pl.policy.Tolerance
 	voters := filter(pl.voters(), func(p Peer) bool { return !bad.ending || p.ID != bad.id })
-	floor := View{Voters: voters}.Floor(tolerance)
+	floor := View{Voters: voters}.RequiredSpread(tolerance)
 	holders := pl.members(func(id string) bool { return id != bad.id && pl.ok(id) })
 	holders = append(holders, pl.joinable()...)
 	if bad.ending {
@@ -229,10 +233,10 @@
 // joinable lists the voters outside of the chain that are in touch with all of its healthy members.
 func (pl *planner) joinable() []Peer {
 	return filter(pl.voters(), func(p Peer) bool {
-		if pl.view.Place(p.ID) >= 0 || !pl.ready(p.ID) {
+		if pl.view.Position(p.ID) >= 0 || !pl.ready(p.ID) {
 			return false
 		}
-		return !slices.ContainsFunc(pl.view.Chain, func(l Link) bool {
+		return !slices.ContainsFunc(pl.view.Chain, func(l Member) bool {
 			return pl.ok(l.ID) && !(pl.hears(l.ID, p.ID) && pl.hears(p.ID, l.ID))
 		})
 	})
@@ -251,8 +255,8 @@
 	}
 	all := pl.members(func(string) bool { return true })
 	id := joinable[leastLoaded(all, joinable, pl.policy.Tolerance.Regions > 0)].ID
-	next := pl.view.Join(id)
-	return Step{View: &next, Why: "add " + id + " " + why, Urgent: urgent}, true
+	next := pl.view.AppendMember(id)
+	return Step{View: &next, Reason: "add " + id + " " + why, Urgent: urgent}, true
 }
 
 // chainIsShort tells whether the chain is to grow: in length, or to zones and regions that it lacks.
@@ -261,7 +265,7 @@
 	switch {
 	case len(pl.view.Chain) == len(pl.view.Voters):
 		return false
-	case len(pl.view.Chain) < Most(tolerance):
+	case len(pl.view.Chain) < MaxChainLength(tolerance):
 		return true
 	case tolerance.Zones == 0 && tolerance.Regions == 0:
 		return false
@@ -296,12 +300,12 @@
 // still has a place in the chain waits until that is dropped.
 func (pl *planner) newcomers() (came []Peer) {
 	for id, h := range pl.health {
-		inChain := slices.ContainsFunc(pl.view.Chain, func(l Link) bool { return l.Addr == h.Peer.Addr })
+		inChain := slices.ContainsFunc(pl.view.Chain, func(l Member) bool { return l.Addr == h.Peer.Addr })
 		if !inChain && pl.eligible(h.Peer) && pl.ready(id) {
 			came = append(came, h.Peer)
 		}
 	}
-	slices.SortFunc(came, byID)
+	slices.SortFunc(came, comparePeers)
 	return came
 }
 
@@ -309,7 +313,7 @@
 func (pl *planner) swapLostDisk(came []Peer) (Step, bool) {
 	for _, c := range came {
 		for _, q := range pl.view.Voters {
-			if q.Addr == c.Addr && pl.view.Place(q.ID) < 0 {
+			if q.Addr == c.Addr && pl.view.Position(q.ID) < 0 {
 				return pl.swap(q.ID, c, ", the new disk of its machine"), true
 			}
 		}
@@ -322,7 +326,7 @@
 func (pl *planner) handOverVote(came []Peer) (Step, bool) {
 	for _, voter := range pl.view.Voters {
 		h, known := pl.health[voter.ID]
-		if !known || !h.Ending || h.Silent >= pl.policy.Silent || pl.view.Place(voter.ID) >= 0 {
+		if !known || !h.Leaving || h.SinceContact >= pl.policy.FailAfter || pl.view.Position(voter.ID) >= 0 {
 			continue
 		}
 		q := pl.located(voter)
@@ -332,8 +336,8 @@
 			return pl.swap(q.ID, c, ", as it is about to end"), true
 		}
 		if len(rest) > 0 && retired.now.Less(pl.bearing(pl.voters()).now) {
-			next := pl.view.Retire(q.ID)
-			return Step{View: &next, Why: "retire " + q.ID + ", which is about to end", Removes: q.ID}, true
+			next := pl.view.RemoveVoter(q.ID)
+			return Step{View: &next, Reason: "retire " + q.ID + ", which is about to end", RemovedVoter: q.ID}, true
 		}
 	}
 	return Step{}, false
@@ -359,7 +363,7 @@
 func (pl *planner) swapAbsent(came []Peer) (Step, bool) {
 	for _, q := range pl.view.Voters {
 		h, known := pl.health[q.ID]
-		if known && h.Silent < pl.policy.Away || pl.view.Place(q.ID) >= 0 {
+		if known && h.SinceContact < pl.policy.ReplaceAfter || pl.view.Position(q.ID) >= 0 {
 			continue
 		}
 		if c, can := pl.substitute(pl.located(q), came); can {
@@ -410,22 +414,22 @@
 	needed, standBy := false, false
 	for _, q := range pl.view.Voters {
 		h, known := pl.health[q.ID]
-		if !known || h.Silent >= pl.policy.Silent || h.Ending && pl.view.Place(q.ID) < 0 {
+		if !known || h.SinceContact >= pl.policy.FailAfter || h.Leaving && pl.view.Position(q.ID) < 0 {
 			return Step{}, false
 		}
-		needed = needed || h.Ending
-		standBy = standBy || pl.ok(q.ID) && pl.view.Place(q.ID) < 0
+		needed = needed || h.Leaving
+		standBy = standBy || pl.ok(q.ID) && pl.view.Position(q.ID) < 0
 	}
 	grow := tolerance.Zones == 0 && tolerance.Regions == 0 || needed && !standBy
 	more := extend(pl.voters(), came, tolerance, grow)
 	if len(more) == 0 {
 		return Step{}, false
 	}
-	next := pl.view.Admit(more[0])
-	return Step{View: &next, Why: "admit " + more[0].ID + " as a voter"}, true
+	next := pl.view.AddVoter(more[0])
+	return Step{View: &next, Reason: "admit " + more[0].ID + " as a voter"}, true
 }
 
 func (pl *planner) swap(old string, c Peer, why string) Step {
-	next := pl.view.Swap(old, c)
-	return Step{View: &next, Why: "swap " + old + " for " + c.ID + why, Removes: old}
+	next := pl.view.ReplaceVoter(old, c)
+	return Step{View: &next, Reason: "swap " + old + " for " + c.ID + why, RemovedVoter: old}
 }
--- a/internal/fleet/view/plan_test.go
+++ b/internal/fleet/view/plan_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var policy = Policy{Tolerance: Tolerance{Machines: 1}, Silent: 600 * time.Millisecond, Settle: 300 * time.Millisecond, Away: 2 * time.Second}
+var policy = Policy{Tolerance: Tolerance{Machines: 1}, FailAfter: 600 * time.Millisecond, StableAfter: 300 * time.Millisecond, ReplaceAfter: 2 * time.Second}
 
 func machineLosses(n int) Tolerance { return Tolerance{Machines: n} }
 
@@ -31,7 +31,7 @@
 }
 
 func newScene(t *testing.T, names string) *scene {
-	v, ok := First(peers(names), machineLosses(9))
+	v, ok := InitialView(peers(names), machineLosses(9))
 	require.True(t, ok)
 	s := &scene{v: v, health: map[string]Health{}}
 	for _, p := range v.Voters {
@@ -41,11 +41,11 @@
 }
 
 func (s *scene) comes(p Peer) {
-	h := Health{Peer: p, Well: time.Hour, Up: time.Hour, Complete: s.v.Place(p.ID) >= 0}
+	h := Health{Peer: p, StableFor: time.Hour, Uptime: time.Hour, Complete: s.v.Position(p.ID) >= 0}
 	for id, o := range s.health {
-		o.Hears = append(o.Hears, p.ID)
+		o.ConnectedTo = append(o.ConnectedTo, p.ID)
 		s.health[id] = o
-		h.Hears = append(h.Hears, id)
+		h.ConnectedTo = append(h.ConnectedTo, id)
 	}
 	s.health[p.ID] = h
 }
@@ -58,7 +58,7 @@
 }
 
 func (s *scene) silent(id string, d time.Duration) *scene {
-	return s.with(id, func(h *Health) { h.Silent, h.Well = d, 0 })
+	return s.with(id, func(h *Health) { h.SinceContact, h.StableFor = d, 0 })
 }
 
 func (s *scene) policy() Policy {
@@ -74,9 +74,9 @@
 	t.Helper()
 	require.NotNil(t, step.View)
 	require.Equal(t, s.v.Number+1, step.View.Number)
-	require.NoError(t, step.View.Check())
+	require.NoError(t, step.View.Validate())
 	for id, h := range s.health {
-		i := step.View.Place(id)
+		i := step.View.Position(id)
 		h.Complete = i >= 0 && h.Complete && step.View.Chain[i].Since <= s.v.Number
 		s.health[id] = h
 	}
@@ -102,14 +102,14 @@
 	step, ok := s.plan(t)
 	require.True(t, ok, "a step is due")
 	s.take(t, step)
-	require.Equal(t, chain, s.chain(), step.Why)
+	require.Equal(t, chain, s.chain(), step.Reason)
 	return step
 }
 
 func (s *scene) nothing(t *testing.T) {
 	t.Helper()
 	step, ok := s.plan(t)
-	require.False(t, ok, step.Why)
+	require.False(t, ok, step.Reason)
 }
 
 func TestNothingIsDoneWhileAllAreWell(t *testing.T) {
@@ -119,23 +119,23 @@
 
 func TestMembersInTroubleAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*Health){
-		"silent": func(h *Health) { h.Silent, h.Well = 600*time.Millisecond, 0 },
-		"sick":   func(h *Health) { h.Sick = true },
-		"ending": func(h *Health) { h.Ending = true },
+		"silent": func(h *Health) { h.SinceContact, h.StableFor = 600*time.Millisecond, 0 },
+		"sick":   func(h *Health) { h.DiskUnhealthy = true },
+		"ending": func(h *Health) { h.Leaving = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScene(t, "a b c d").with("a", change)
 			require.True(t, s.next(t, "b c d").Urgent)
 			if name == "ending" { // three voters bear a loss, four of which one is away don't
-				require.Equal(t, "a", s.next(t, "b c d").Removes)
+				require.Equal(t, "a", s.next(t, "b c d").RemovedVoter)
 				require.Equal(t, peers("b c d"), s.v.Voters)
 			}
 			s.nothing(t)
 			s.with("a", func(h *Health) {
-				*h = Health{Peer: machine("a"), Well: 200 * time.Millisecond, Hears: []string{"b", "c", "d"}}
+				*h = Health{Peer: machine("a"), StableFor: 200 * time.Millisecond, ConnectedTo: []string{"b", "c", "d"}}
 			})
 			s.nothing(t)
-			s.with("a", func(h *Health) { h.Well = 300 * time.Millisecond })
+			s.with("a", func(h *Health) { h.StableFor = 300 * time.Millisecond })
 			if name == "ending" {
 				s.next(t, "b c d")
 				require.Equal(t, peers("a b c d"), s.v.Voters)
@@ -153,9 +153,9 @@
 	s := newScene(t, "a b c d")
 	s.silent("c", time.Second)
 	s.next(t, "a b d")
-	s.with("d", func(h *Health) { h.Sick = true })
+	s.with("d", func(h *Health) { h.DiskUnhealthy = true })
 	s.next(t, "a b")
-	s.with("d", func(h *Health) { h.Sick = false })
+	s.with("d", func(h *Health) { h.DiskUnhealthy = false })
 	s.silent("a", time.Second)
 	require.True(t, s.next(t, "a b d").Urgent)
 	s.nothing(t)
@@ -167,7 +167,7 @@
 func TestNoDropWithoutASecondMember(t *testing.T) {
 	s := newScene(t, "a b c").silent("c", time.Second)
 	s.next(t, "a b")
-	s.with("b", func(h *Health) { h.Sick = true })
+	s.with("b", func(h *Health) { h.DiskUnhealthy = true })
 	s.nothing(t)
 }
 
@@ -175,8 +175,8 @@
 	s := newScene(t, "a b c d")
 	s.silent("d", time.Second).next(t, "a b c")
 	s.silent("c", time.Second).next(t, "a b")
-	s.with("c", func(h *Health) { h.Silent, h.Well = 0, time.Second })
-	s.with("d", func(h *Health) { h.Silent, h.Well = 0, time.Second })
+	s.with("c", func(h *Health) { h.SinceContact, h.StableFor = 0, time.Second })
+	s.with("d", func(h *Health) { h.SinceContact, h.StableFor = 0, time.Second })
 	s.next(t, "a b c")
 	s.nothing(t) // c does not hold everything yet: one joins at a time
 	s.with("c", func(h *Health) { h.Complete = true })
@@ -187,21 +187,21 @@
 
 func TestUnreachedSuccessorIsDropped(t *testing.T) {
 	s := newScene(t, "a b c d")
-	s.with("b", func(h *Health) { h.Hears = []string{"a", "d"} })
+	s.with("b", func(h *Health) { h.ConnectedTo = []string{"a", "d"} })
 	step, _ := s.plan(t)
-	require.Equal(t, policy.Settle, step.Wait, "not for a moment")
+	require.Equal(t, policy.StableAfter, step.Delay, "not for a moment")
 	s.next(t, "a b d")
 	s.nothing(t) // b can't reach it
-	started := newScene(t, "a b c d").with("b", func(h *Health) { h.Hears, h.Up = nil, time.Second })
+	started := newScene(t, "a b c d").with("b", func(h *Health) { h.ConnectedTo, h.Uptime = nil, time.Second })
 	started.nothing(t) // b has just started
-	s.with("b", func(h *Health) { h.Hears = []string{"a", "c", "d"} })
+	s.with("b", func(h *Health) { h.ConnectedTo = []string{"a", "c", "d"} })
 	s.next(t, "a b d c")
 }
 
 // Beyond what the losses ask for, voters stand by; the one of the zone that has least goes first.
 func TestVotersStandBy(t *testing.T) {
 	s := &scene{health: map[string]Health{}}
-	s.v, _ = First(peers("a1 a2 a3 b1 b2 b3"), machineLosses(1))
+	s.v, _ = InitialView(peers("a1 a2 a3 b1 b2 b3"), machineLosses(1))
 	for _, p := range s.v.Voters {
 		s.comes(p)
 	}
@@ -214,7 +214,7 @@
 	s.with("a3", func(h *Health) { h.Complete = true })
 	s.next(t, "b1 b2 a3 b3")
 	s.with("b3", func(h *Health) { h.Complete = true })
-	s.with("a1", func(h *Health) { h.Silent, h.Well = 0, time.Second })
+	s.with("a1", func(h *Health) { h.SinceContact, h.StableFor = 0, time.Second })
 	s.nothing(t)
 }
 
@@ -223,10 +223,10 @@
 	s.silent("b", 200*time.Millisecond)
 	fresh := Peer{ID: "x", Addr: "b:1", Disk: true, Counted: true}
 	s.comes(fresh)
-	s.with("x", func(h *Health) { h.Well = 100 * time.Millisecond })
+	s.with("x", func(h *Health) { h.StableFor = 100 * time.Millisecond })
 	s.next(t, "a c d")
 	s.nothing(t)
-	s.with("x", func(h *Health) { h.Well = 300 * time.Millisecond })
+	s.with("x", func(h *Health) { h.StableFor = 300 * time.Millisecond })
 	s.next(t, "a c d")
 	_, old := s.v.Voter("b")
 	require.False(t, old)
@@ -245,7 +245,7 @@
 	require.Len(t, s.v.Voters, 4)
 	s.next(t, "a c d e")
 	s.with("e", func(h *Health) { h.Complete = true })
-	s.with("b", func(h *Health) { h.Silent, h.Well = 0, time.Second })
+	s.with("b", func(h *Health) { h.SinceContact, h.StableFor = 0, time.Second })
 	s.next(t, "a c d e")
 	require.Len(t, s.v.Voters, 5, "the old one comes as one more")
 	s.nothing(t)
@@ -276,7 +276,7 @@
 }
 
 func TestUndecidedViewIsFinished(t *testing.T) {
-	s := newScene(t, "a b c").with("b", func(h *Health) { h.Pending = true })
+	s := newScene(t, "a b c").with("b", func(h *Health) { h.Undecided = true })
 	step, ok := s.plan(t)
 	require.True(t, ok)
 	require.Nil(t, step.View)
@@ -287,37 +287,37 @@
 }
 
 func TestFirstView(t *testing.T) {
-	_, ok := First(nil, machineLosses(1))
+	_, ok := InitialView(nil, machineLosses(1))
 	require.False(t, ok)
 
 	loose := machine("z")
 	loose.Disk = false
-	v, ok := First(append(peers("c a b"), loose), machineLosses(1))
+	v, ok := InitialView(append(peers("c a b"), loose), machineLosses(1))
 	require.True(t, ok)
-	require.NoError(t, v.Check())
+	require.NoError(t, v.Validate())
 	require.Equal(t, peers("a b c"), v.Voters)
 	require.False(t, v.Memory)
-	require.Equal(t, 2, v.Majority())
+	require.Equal(t, 2, v.Quorum())
 	require.Equal(t, "a", v.Head().ID)
 	require.Equal(t, "c", v.Tail().ID)
 
-	v, _ = First([]Peer{loose}, machineLosses(1))
+	v, _ = InitialView([]Peer{loose}, machineLosses(1))
 	require.True(t, v.Memory)
 
 	uncounted := machine("b")
 	uncounted.Counted = false
-	v, _ = First([]Peer{machine("a"), uncounted}, machineLosses(1))
+	v, _ = InitialView([]Peer{machine("a"), uncounted}, machineLosses(1))
 	require.Equal(t, peers("a"), v.Voters)
 
 	// Of many, each zone gives its part.
-	v, _ = First(peers("a1 a2 a3 a4 a5 a6 a7 a8 b1 b2 b3 b4 b5 c1 c2 c3"), machineLosses(2))
+	v, _ = InitialView(peers("a1 a2 a3 a4 a5 a6 a7 a8 b1 b2 b3 b4 b5 c1 c2 c3"), machineLosses(2))
 	require.Equal(t, peers("a1 a2 a3 b1 b2 b3 c1 c2 c3"), v.Voters)
 	s := &scene{v: v}
 	require.Equal(t, "a1 a2 b1 b2 c1", s.chain(), "and to the chain, which is not longer than losses ask for")
 }
 
 func TestImproperViewsAreRefused(t *testing.T) {
-	good, _ := First(peers("a b c"), machineLosses(1))
+	good, _ := InitialView(peers("a b c"), machineLosses(1))
 	for name, change := range map[string]func(v *View){
 		"no number":          func(v *View) { v.Number = 0 },
 		"no voters":          func(v *View) { v.Voters = nil },
@@ -332,54 +332,54 @@
 		"long id":            func(v *View) { v.Voters[2].ID = strings.Repeat("x", 200) },
 	} {
 		v := good.Clone()
-		require.NoError(t, v.Check())
+		require.NoError(t, v.Validate())
 		change(&v)
-		require.Error(t, v.Check(), name)
+		require.Error(t, v.Validate(), name)
 	}
 }
 
 func TestProposal(t *testing.T) {
-	base, _ := First(peers("a b c"), machineLosses(1))
-	own, others := base.Drop("a"), base.Drop("c")
-	b := Ballot{Round: 2, By: "a/1"}
+	base, _ := InitialView(peers("a b c"), machineLosses(1))
+	own, others := base.RemoveMember("a"), base.RemoveMember("c")
+	b := ProposalNumber{Round: 2, By: "a/1"}
 	t.Run("own view", func(t *testing.T) {
-		p := Propose(base, b, &own)
-		require.Equal(t, Waiting, p.Promised("a", Answer{OK: true}))
-		require.Equal(t, Waiting, p.Promised("a", Answer{OK: true}), "one voice a voter")
-		require.Equal(t, Waiting, p.Promised("x", Answer{OK: true}), "no voter")
-		require.Equal(t, Accepting, p.Promised("b", Answer{OK: true}))
+		p := NewProposal(base, b, &own)
+		require.Equal(t, Preparing, p.HandlePromise("a", Response{OK: true}))
+		require.Equal(t, Preparing, p.HandlePromise("a", Response{OK: true}), "one voice a voter")
+		require.Equal(t, Preparing, p.HandlePromise("x", Response{OK: true}), "no voter")
+		require.Equal(t, Accepting, p.HandlePromise("b", Response{OK: true}))
 		require.True(t, own.Equal(p.View))
-		require.Equal(t, Accepting, p.Accepted("a", Answer{OK: true}))
-		require.Equal(t, Decided, p.Accepted("c", Answer{OK: true}))
+		require.Equal(t, Accepting, p.HandleAcceptance("a", Response{OK: true}))
+		require.Equal(t, Decided, p.HandleAcceptance("c", Response{OK: true}))
 	})
 	t.Run("another's goes first", func(t *testing.T) {
-		p := Propose(base, b, &own)
-		p.Promised("a", Answer{OK: true, At: Ballot{Round: 1, By: "c"}, Accepted: &others})
-		require.Equal(t, Accepting, p.Promised("b", Answer{OK: true, At: Ballot{Round: 1, By: "b"}, Accepted: &own}))
+		p := NewProposal(base, b, &own)
+		p.HandlePromise("a", Response{OK: true, At: ProposalNumber{Round: 1, By: "c"}, Accepted: &others})
+		require.Equal(t, Accepting, p.HandlePromise("b", Response{OK: true, At: ProposalNumber{Round: 1, By: "b"}, Accepted: &own}))
 		require.True(t, others.Equal(p.View))
 	})
 	t.Run("contended", func(t *testing.T) {
-		p := Propose(base, b, &own)
-		require.Equal(t, Waiting, p.Promised("a", Answer{Promised: Ballot{Round: 7}}))
-		require.Equal(t, Contended, p.Promised("b", Answer{Promised: Ballot{Round: 3}}))
-		require.Equal(t, uint32(7), p.Seen.Round)
+		p := NewProposal(base, b, &own)
+		require.Equal(t, Preparing, p.HandlePromise("a", Response{Promised: ProposalNumber{Round: 7}}))
+		require.Equal(t, Contended, p.HandlePromise("b", Response{Promised: ProposalNumber{Round: 3}}))
+		require.Equal(t, uint32(7), p.HighestSeen.Round)
 	})
 	t.Run("overtaken", func(t *testing.T) {
-		p := Propose(base, b, &own)
-		require.Equal(t, Overtaken, p.Promised("a", Answer{Newer: &others}))
+		p := NewProposal(base, b, &own)
+		require.Equal(t, Superseded, p.HandlePromise("a", Response{Newer: &others}))
 		require.True(t, others.Equal(p.View))
 	})
 	t.Run("nothing to finish", func(t *testing.T) {
-		p := Propose(base, b, nil)
-		p.Promised("a", Answer{OK: true})
-		require.Equal(t, Idle, p.Promised("b", Answer{OK: true}))
+		p := NewProposal(base, b, nil)
+		p.HandlePromise("a", Response{OK: true})
+		require.Equal(t, Idle, p.HandlePromise("b", Response{OK: true}))
 	})
 }
 
 func TestVote(t *testing.T) {
-	low, high := Ballot{Round: 1, By: "a"}, Ballot{Round: 1, By: "b"}
+	low, high := ProposalNumber{Round: 1, By: "a"}, ProposalNumber{Round: 1, By: "b"}
 	view2 := View{Number: 2}
-	v, a := Vote{}.Prepare(2, low)
+	v, a := AcceptorState{}.Prepare(2, low)
 	require.True(t, a.OK)
 	_, a = v.Prepare(2, low)
 	require.False(t, a.OK, "a ballot is promised once")
@@ -392,7 +392,7 @@
 	require.True(t, a.OK)
 	_, a = v.Accept(2, high, view2)
 	require.True(t, a.OK, "the same again")
-	_, a = v.Prepare(2, Ballot{Round: 2})
+	_, a = v.Prepare(2, ProposalNumber{Round: 2})
 	require.Equal(t, &view2, a.Accepted)
 	require.Equal(t, high, a.At)
 	_, a = v.Prepare(3, low)
--- a/internal/fleet/view/sim_test.go
+++ b/internal/fleet/view/sim_test.go
@@ -50,7 +50,7 @@
 
 	// On disk.
 	view    View
-	vote    Vote
+	vote    AcceptorState
 	heldIn  uint64 // the view in which its copy was given to it
 	heldSeq int    // the newest order in its copy
 
@@ -134,7 +134,7 @@
 	if wiped {
 		s.names++
 		m.peer.ID = fmt.Sprintf("m%02d", s.names)
-		m.view, m.vote, m.heldIn, m.heldSeq = View{}, Vote{}, 0, 0
+		m.view, m.vote, m.heldIn, m.heldSeq = View{}, AcceptorState{}, 0, 0
 	}
 	s.note("start %s in %s/%s, wiped %v", m.peer.ID, m.peer.Region, m.peer.Zone, wiped)
 	m.up, m.ending, m.cut, m.awake = true, false, false, s.now
@@ -169,7 +169,7 @@
 }
 
 func (m *simMachine) complete(v View) bool {
-	i := v.Place(m.peer.ID)
+	i := v.Position(m.peer.ID)
 	return i >= 0 && (v.Chain[i].Since == 1 || m.heldIn >= v.Chain[i].Since)
 }
 
@@ -223,12 +223,12 @@
 
 func (s *sim) hear(a, b *simMachine) {
 	p := s.known(a, b.peer)
-	if p.contact < 0 || s.now-p.contact > policy.Silent {
+	if p.contact < 0 || s.now-p.contact > policy.FailAfter {
 		p.well = s.now
 	}
 	p.contact, p.view = s.now, b.view.Number
-	p.said = Health{Peer: b.peer, Ending: b.ending, Complete: b.complete(b.view), Hears: b.hears, Up: s.now - b.awake,
-		Pending: b.pending() && s.now-b.votedAt > policy.Settle}
+	p.said = Health{Peer: b.peer, Leaving: b.ending, Complete: b.complete(b.view), ConnectedTo: b.hears, Uptime: s.now - b.awake,
+		Undecided: b.pending() && s.now-b.votedAt > policy.StableAfter}
 }
 
 func (m *simMachine) inTouch(id string, now time.Duration) bool {
@@ -240,23 +240,23 @@
 	out := make(map[string]Health, len(m.peers)+1)
 	for id, p := range m.peers {
 		h := p.said
-		h.Silent = s.now - max(p.contact, p.made, m.awake)
-		if h.Silent < policy.Silent && p.contact >= 0 {
-			h.Well = max(1, s.now-p.well)
+		h.SinceContact = s.now - max(p.contact, p.made, m.awake)
+		if h.SinceContact < policy.FailAfter && p.contact >= 0 {
+			h.StableFor = max(1, s.now-p.well)
 		}
 		h.Complete = false
-		if i := m.view.Place(id); i >= 0 {
+		if i := m.view.Position(id); i >= 0 {
 			since := m.view.Chain[i].Since
 			h.Complete = since == 1 || p.said.Complete && p.view >= since && p.view <= m.view.Number
 			if s.defect == lastWordVoid {
 				h.Complete = since == 1 || p.said.Complete && p.view == m.view.Number
 			}
 		}
-		h.Pending = h.Pending && p.view == m.view.Number
+		h.Undecided = h.Undecided && p.view == m.view.Number
 		out[id] = h
 	}
-	out[m.peer.ID] = Health{Peer: m.peer, Well: max(1, s.now-m.awake), Ending: m.ending, Hears: m.hears, Up: s.now - m.awake,
-		Complete: m.complete(m.view), Pending: m.pending() && s.now-m.votedAt > policy.Settle}
+	out[m.peer.ID] = Health{Peer: m.peer, StableFor: max(1, s.now-m.awake), Leaving: m.ending, ConnectedTo: m.hears, Uptime: s.now - m.awake,
+		Complete: m.complete(m.view), Undecided: m.pending() && s.now-m.votedAt > policy.StableAfter}
 	if s.defect == incompleteCounted {
 		for _, l := range m.view.Chain {
 			if h, known := out[l.ID]; known {
@@ -278,7 +278,7 @@
 			n++
 		}
 	}
-	return n >= m.view.Majority()
+	return n >= m.view.Quorum()
 }
 
 // turn is how many healthy members have the duty of repair before a machine.
@@ -288,7 +288,7 @@
 		order = append(order, l.ID)
 	}
 	for _, p := range m.view.Voters {
-		if m.view.Place(p.ID) < 0 {
+		if m.view.Position(p.ID) < 0 {
 			order = append(order, p.ID)
 		}
 	}
@@ -296,7 +296,7 @@
 		if id == m.peer.ID {
 			return n
 		}
-		if h, known := health[id]; known && h.Silent < policy.Silent && !h.Ending {
+		if h, known := health[id]; known && h.SinceContact < policy.FailAfter && !h.Leaving {
 			n++
 		}
 	}
@@ -306,10 +306,10 @@
 // plan is Plan, with the defect.
 func (s *sim) plan(m *simMachine, health map[string]Health) (Step, bool) {
 	if next, found := s.wrongStep(m, health); found {
-		return Step{View: &next, Why: "by the defect"}, true
+		return Step{View: &next, Reason: "by the defect"}, true
 	}
 	step, due := Plan(m.view, m.peer.ID, health, s.policy())
-	if due && s.defect == leavingVoteKept && step.Removes != "" && health[step.Removes].Ending {
+	if due && s.defect == leavingVoteKept && step.RemovedVoter != "" && health[step.RemovedVoter].Leaving {
 		return Step{}, false
 	}
 	return step, due
@@ -329,8 +329,8 @@
 // dropBelowFloor drops a member in trouble whatever is left, as long as the head is complete.
 func (s *sim) dropBelowFloor(m *simMachine, health map[string]Health) (View, bool) {
 	for _, l := range m.view.Chain {
-		if h := health[l.ID]; h.Silent >= policy.Silent || h.Ending {
-			next := m.view.Drop(l.ID)
+		if h := health[l.ID]; h.SinceContact >= policy.FailAfter || h.Leaving {
+			next := m.view.RemoveMember(l.ID)
 			return next, len(next.Chain) > 0 && health[next.Chain[0].ID].Complete
 		}
 	}
@@ -341,21 +341,21 @@
 func (s *sim) wrongVoters(m *simMachine, health map[string]Health) (View, bool) {
 	var came []Peer
 	for id, h := range health {
-		if _, voter := m.view.Voter(id); !voter && !h.Ending && h.Silent < policy.Silent && h.Well >= policy.Settle {
+		if _, voter := m.view.Voter(id); !voter && !h.Leaving && h.SinceContact < policy.FailAfter && h.StableFor >= policy.StableAfter {
 			came = append(came, h.Peer)
 		}
 	}
 	if len(came) == 0 || len(m.view.Voters) >= MaxVoters {
 		return View{}, false
 	}
-	slices.SortFunc(came, byID)
+	slices.SortFunc(came, comparePeers)
 	for _, q := range m.view.Voters {
-		away := health[q.ID].Silent >= policy.Silent
+		away := health[q.ID].SinceContact >= policy.FailAfter
 		switch {
-		case s.defect == presentVoterSwapped && !away && q.ID != m.peer.ID && m.view.Place(q.ID) < 0:
-			return m.view.Swap(q.ID, came[0]), true
+		case s.defect == presentVoterSwapped && !away && q.ID != m.peer.ID && m.view.Position(q.ID) < 0:
+			return m.view.ReplaceVoter(q.ID, came[0]), true
 		case s.defect == admitWhileAway && away:
-			return m.view.Admit(came[0]), true
+			return m.view.AddVoter(came[0]), true
 		}
 	}
 	return View{}, false
@@ -383,10 +383,10 @@
 		m.wantWhy = ""
 		return false
 	}
-	if step.Why != m.wantWhy {
-		m.wantWhy, m.wantSince = step.Why, s.now
+	if step.Reason != m.wantWhy {
+		m.wantWhy, m.wantSince = step.Reason, s.now
 	}
-	if s.now-m.wantSince >= step.Wait+time.Duration(turn)*simTurn {
+	if s.now-m.wantSince >= step.Delay+time.Duration(turn)*simTurn {
 		s.propose(m, step)
 	}
 	return true
@@ -401,7 +401,7 @@
 		return
 	}
 	health := s.health(m)
-	inChain := m.view.Place(m.peer.ID) >= 0
+	inChain := m.view.Position(m.peer.ID) >= 0
 	mayLeave := MayLeave(m.view, m.peer.ID, health, s.policy())
 	if !inChain && (mayLeave || s.defect == leavingVoteKept) {
 		s.endProcess(m)
@@ -409,7 +409,7 @@
 	}
 	if s.hasMajority(m) && s.now >= m.notBefore {
 		step, due := s.plan(m, health)
-		if due && (inChain || step.View == nil || step.Removes == m.peer.ID) {
+		if due && (inChain || step.View == nil || step.RemovedVoter == m.peer.ID) {
 			s.propose(m, step)
 			m.idle = 0
 			return
@@ -439,8 +439,8 @@
 		s.checkStep(m, step)
 	}
 	m.round++
-	ballot := Ballot{Round: m.round, By: m.peer.ID + "/" + strconv.Itoa(m.life)}
-	m.proposal = &simProposal{Proposal: Propose(m.view, ballot, step.View), step: step}
+	ballot := ProposalNumber{Round: m.round, By: m.peer.ID + "/" + strconv.Itoa(m.life)}
+	m.proposal = &simProposal{Proposal: NewProposal(m.view, ballot, step.View), step: step}
 }
 
 // checkStep asserts what has to hold at each step that is wanted: a member leaves the chain only
@@ -451,14 +451,14 @@
 		return // it can't be decided any more
 	}
 	next := *step.View
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		s.fail("%v", err)
 	}
 	for _, p := range m.view.Voters {
 		o := s.byID(p.ID)
 		_, stays := next.Voter(p.ID)
-		if there := o != nil && o.up && !o.cut && s.now-max(o.awake, o.healed) > policy.Silent; there && !o.ending && !stays {
-			s.fail("%s takes the vote of %s, which is there", step.Why, p.ID)
+		if there := o != nil && o.up && !o.cut && s.now-max(o.awake, o.healed) > policy.FailAfter; there && !o.ending && !stays {
+			s.fail("%s takes the vote of %s, which is there", step.Reason, p.ID)
 		}
 	}
 	if len(next.Chain) >= len(m.view.Chain) {
@@ -472,19 +472,19 @@
 	}
 	voters := slices.DeleteFunc(slices.Clone(m.view.Voters), func(p Peer) bool {
 		o := s.byID(p.ID)
-		return next.Place(p.ID) < 0 && m.view.Place(p.ID) >= 0 && o != nil && o.ending
+		return next.Position(p.ID) < 0 && m.view.Position(p.ID) >= 0 && o != nil && o.ending
 	})
-	if floor := (View{Voters: voters}).Floor(s.tolerance); !SpreadOf(holders).Covers(floor) {
-		s.fail("%s: %s leaves copies on %v, the floor is %+v", m.peer.ID, step.Why, holders, floor)
+	if floor := (View{Voters: voters}).RequiredSpread(s.tolerance); !SpreadOf(holders).Covers(floor) {
+		s.fail("%s: %s leaves copies on %v, the floor is %+v", m.peer.ID, step.Reason, holders, floor)
 	}
 }
 
 // holds tells whether a member holds all that was acknowledged, as far as others can know: a machine
 // that stopped is silent to them only after a time.
-func (s *sim) holds(l Link, v View) bool {
+func (s *sim) holds(l Member, v View) bool {
 	m := s.byID(l.ID)
 	if stopped, ever := s.stopped[l.ID]; ever && (m == nil || !m.up) {
-		return s.now-stopped <= policy.Silent+simTick
+		return s.now-stopped <= policy.FailAfter+simTick
 	}
 	return m != nil && m.up && m.complete(v) && m.heldSeq >= s.acked
 }
@@ -505,54 +505,54 @@
 		if to := s.byID(voter.ID); to != nil && s.reaches(m, to) && s.rng.IntN(50) > 0 {
 			if a := s.ask(to, p); s.rng.IntN(50) > 0 { // an answer may be lost
 				if p.accepting {
-					p.Accepted(voter.ID, a)
+					p.HandleAcceptance(voter.ID, a)
 				} else {
-					p.Promised(voter.ID, a)
+					p.HandlePromise(voter.ID, a)
 				}
 			}
 		}
 	}
-	switch out := p.Outcome(); {
+	switch out := p.State(); {
 	case out == Accepting && !p.accepting:
 		p.accepting = true
 		return
 	case out == Decided:
-		kind, _, _ := strings.Cut(p.step.Why, " ")
+		kind, _, _ := strings.Cut(p.step.Reason, " ")
 		s.steps[kind]++
-		s.note("%s decides view %d: %s", m.peer.ID, p.View.Number, p.step.Why)
+		s.note("%s decides view %d: %s", m.peer.ID, p.View.Number, p.step.Reason)
 		s.learn(m, p.View)
 		for _, other := range s.machines {
 			if s.reaches(m, other) && s.rng.IntN(10) > 0 {
 				s.learn(other, p.View)
 			}
 		}
-	case out == Overtaken:
+	case out == Superseded:
 		s.learn(m, p.View)
 	default:
-		m.round = max(m.round, p.Seen.Round)
+		m.round = max(m.round, p.HighestSeen.Round)
 		m.notBefore = s.now + simTick/2 + time.Duration(s.rng.Int64N(int64(3*simTick/2)))
 	}
 	m.proposal = nil
 }
 
 // ask is a voter's answer to the phase that a proposal is in.
-func (s *sim) ask(to *simMachine, p *simProposal) Answer {
+func (s *sim) ask(to *simMachine, p *simProposal) Response {
 	s.learn(to, p.Base)
 	if p.Base.Number < to.view.Number {
 		newer := to.view
-		return Answer{Newer: &newer}
+		return Response{Newer: &newer}
 	}
 	if !to.isVoter() {
-		return Answer{Refused: "no voter"}
+		return Response{Refused: "no voter"}
 	}
-	var a Answer
+	var a Response
 	if p.accepting {
 		if !to.pending() {
 			to.votedAt = s.now
 		}
-		to.vote, a = to.vote.Accept(p.Base.Number+1, p.Ballot, p.View)
+		to.vote, a = to.vote.Accept(p.Base.Number+1, p.Number, p.View)
 	} else {
-		to.vote, a = to.vote.Prepare(p.Base.Number+1, p.Ballot)
+		to.vote, a = to.vote.Prepare(p.Base.Number+1, p.Number)
 	}
 	return a
 }
@@ -560,7 +560,7 @@
 // push has the heads settle their views and take an order.
 func (s *sim) push() {
 	for _, m := range s.machines {
-		if !m.up || m.view.Place(m.peer.ID) != 0 {
+		if !m.up || m.view.Position(m.peer.ID) != 0 {
 			continue
 		}
 		if m.activated == m.view.Number {
@@ -724,7 +724,7 @@
 	}
 	for _, lost := range s.losses() {
 		left := slices.DeleteFunc(slices.Clone(voters), lost)
-		if len(left) < v.Majority() {
+		if len(left) < v.Quorum() {
 			return fmt.Sprintf("view %d of %s: only %s would be left of the voters", v.Number, ids(v.Voters), ids(left))
 		}
 		if len(slices.DeleteFunc(slices.Clone(copies), lost)) == 0 {
@@ -778,7 +778,7 @@
 		}
 		found = append(found, s.add(fmt.Sprint("z", z), fmt.Sprint("r", z%regions)).peer)
 	}
-	s.newest, _ = First(found, s.tolerance)
+	s.newest, _ = InitialView(found, s.tolerance)
 	s.short = s.newest.Shortfall(s.tolerance)
 	s.decided[1] = s.newest
 	for _, m := range s.machines {
--- a/internal/fleet/view/tolerance.go
+++ b/internal/fleet/view/tolerance.go
@@ -128,12 +128,12 @@
 	return sum
 }
 
-// Floor is the least spread of the complete copies of the chain: one machine, zone and region more
+// RequiredSpread is the least spread of the complete copies of the chain: one machine, zone and region more
 // than may be lost, but no more than any tolerated loss leaves of those that the voters are in, so
 // that it does not hold orders up. Of machines only so many losses count as leave a majority.
-func (v View) Floor(t Tolerance) Spread {
+func (v View) RequiredSpread(t Tolerance) Spread {
 	all := SpreadOf(v.Voters)
-	machines := min(t.Machines, max(0, all.Machines-v.Majority()))
+	machines := min(t.Machines, max(0, all.Machines-v.Quorum()))
 	zones, regions := perDomain(v.Voters, zoneOf), perDomain(v.Voters, regionOf)
 	zonesOfRegion := map[domain]int{}
 	for zone := range zones {
@@ -159,6 +159,6 @@
 	return n
 }
 
-// Most is how long a chain grows. Each member more is one more sync on the way of an order, and one
+// MaxChainLength is how long a chain grows. Each member more is one more sync on the way of an order, and one
 // more machine whose trouble holds it up; the voters beside it are there to take a place.
-func Most(t Tolerance) int { return max(0, t.Machines, t.Zones, t.Regions) + 3 }
+func MaxChainLength(t Tolerance) int { return max(0, t.Machines, t.Zones, t.Regions) + 3 }
--- a/internal/fleet/view/tolerance_test.go
+++ b/internal/fleet/view/tolerance_test.go
@@ -63,9 +63,9 @@
 		{"r/a/1 r/a/2 r/a/3 r/a/4 r/a/5", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5", "1 2 3 4"}, // none could bear it
 		{"r/a/1 r/a/2", Tolerance{Machines: 2}, "1 2", "1 2"},
 	} {
-		v, ok := First(located(c.found), c.tolerance)
+		v, ok := InitialView(located(c.found), c.tolerance)
 		require.True(t, ok)
-		require.NoError(t, v.Check())
+		require.NoError(t, v.Validate())
 		if c.chain == "" { // regions r r r r s q: at most as many of r as leave a majority
 			require.True(t, v.Shortfall(c.tolerance).None(), "%+v", v.Voters)
 			continue
@@ -77,19 +77,19 @@
 		for _, l := range v.Chain {
 			members = append(members, l.Peer)
 		}
-		require.True(t, SpreadOf(members).Covers(v.Floor(c.tolerance)))
+		require.True(t, SpreadOf(members).Covers(v.RequiredSpread(c.tolerance)))
 	}
 }
 
 func TestFloorIsWhatLossesLeave(t *testing.T) {
 	v := View{Voters: located("r/a/1 r/a/2 r/a/3 r/b/4 r/c/5")}
-	require.Equal(t, Spread{Machines: 3, Zones: 1, Regions: 1}, v.Floor(Tolerance{Machines: 2, Zones: 1}), "two machines may be two zones")
+	require.Equal(t, Spread{Machines: 3, Zones: 1, Regions: 1}, v.RequiredSpread(Tolerance{Machines: 2, Zones: 1}), "two machines may be two zones")
 	v = View{Voters: located("r/a/1 r/b/2 s/c/3 s/d/4")}
-	require.Equal(t, Spread{Machines: 2, Zones: 1, Regions: 1}, v.Floor(Tolerance{Machines: 1}))
-	require.Equal(t, Spread{Machines: 2, Zones: 2, Regions: 1}, v.Floor(Tolerance{Machines: 1, Zones: 1}))
-	require.Equal(t, Spread{Machines: 1, Zones: 2, Regions: 1}, v.Floor(Tolerance{Zones: 1, Regions: 1}))
-	require.Equal(t, Spread{Machines: 1, Zones: 2, Regions: 1}, v.Floor(Tolerance{Zones: 2, Regions: 1}))
-	require.Equal(t, Spread{Machines: 3, Zones: 1, Regions: 1}, v.Floor(Tolerance{Machines: 9, Zones: 9, Regions: 9}))
+	require.Equal(t, Spread{Machines: 2, Zones: 1, Regions: 1}, v.RequiredSpread(Tolerance{Machines: 1}))
+	require.Equal(t, Spread{Machines: 2, Zones: 2, Regions: 1}, v.RequiredSpread(Tolerance{Machines: 1, Zones: 1}))
+	require.Equal(t, Spread{Machines: 1, Zones: 2, Regions: 1}, v.RequiredSpread(Tolerance{Zones: 1, Regions: 1}))
+	require.Equal(t, Spread{Machines: 1, Zones: 2, Regions: 1}, v.RequiredSpread(Tolerance{Zones: 2, Regions: 1}))
+	require.Equal(t, Spread{Machines: 3, Zones: 1, Regions: 1}, v.RequiredSpread(Tolerance{Machines: 9, Zones: 9, Regions: 9}))
 }
 
 // A record of a version without regions is read, and is the same view as it was.
@@ -111,7 +111,7 @@
 		Chain  []oldLink
 		Memory bool
 	}
-	now, _ := First(peers("a b c"), machineLosses(1))
+	now, _ := InitialView(peers("a b c"), machineLosses(1))
 	old := oldView{Number: 1}
 	for _, p := range now.Voters {
 		o := oldPeer{p.ID, p.Addr, p.Zone, p.Disk, p.Counted}
@@ -124,11 +124,11 @@
 	var read View
 	require.Equal(t, oldRaw, raw, "without regions the record is what it was")
 	require.NoError(t, msgpack.Unmarshal(oldRaw, &read))
-	require.NoError(t, read.Check())
+	require.NoError(t, read.Validate())
 	require.True(t, now.Equal(read))
 
 	// An older version reads a record with regions.
-	regional, _ := First(located("r/a/1 r/b/2 s/c/3"), machineLosses(1))
+	regional, _ := InitialView(located("r/a/1 r/b/2 s/c/3"), machineLosses(1))
 	require.False(t, now.Equal(regional))
 	raw, err = msgpack.Marshal(&regional)
 	require.NoError(t, err)
@@ -140,7 +140,7 @@
 
 // zoned is a scene with zones and regions of its own.
 func zoned(t *testing.T, names string, tolerance Tolerance) *scene {
-	v, ok := First(located(names), tolerance)
+	v, ok := InitialView(located(names), tolerance)
 	require.True(t, ok)
 	s := &scene{v: v, health: map[string]Health{}, tolerance: &tolerance}
 	for _, p := range v.Voters {
@@ -149,7 +149,7 @@
 	return s
 }
 
-func (s *scene) ending(id string) *scene { return s.with(id, func(h *Health) { h.Ending = true }) }
+func (s *scene) ending(id string) *scene { return s.with(id, func(h *Health) { h.Leaving = true }) }
 
 // fill has all members of the chain hold everything.
 func (s *scene) fill() *scene {
@@ -163,8 +163,8 @@
 func TestLeavingMemberHoldsTheOnlyCopyOfItsZone(t *testing.T) {
 	s := zoned(t, "r/a/a1 r/a/a2 r/b/b1 r/b/b2 r/c/c1 r/c/c2", Tolerance{Machines: 1, Zones: 1})
 	require.Equal(t, "a1 a2 b1 c1", s.chain())
-	s.silent("c1", policy.Silent).next(t, "a1 a2 b1")
-	s.silent("c2", policy.Silent).ending("b1")
+	s.silent("c1", policy.FailAfter).next(t, "a1 a2 b1")
+	s.silent("c2", policy.FailAfter).ending("b1")
 	s.next(t, "a1 a2 b1 b2")
 	require.False(t, MayLeave(s.v, "b1", s.health, s.policy()))
 	s.nothing(t)
@@ -174,22 +174,22 @@
 // A lost zone is dropped although no copy outside of the zone that stays is left.
 func TestLostZoneDoesNotHoldOrdersUp(t *testing.T) {
 	s := zoned(t, "r/a/a1 r/a/a2 r/b/b1", Tolerance{Machines: 1, Zones: 1})
-	s.silent("b1", policy.Silent)
+	s.silent("b1", policy.FailAfter)
 	s.next(t, "a1 a2")
 }
 
 // A zone that comes back is joined beyond the chain's length where the chain lacks it.
 func TestChainIsExtendedToAnotherZone(t *testing.T) {
 	s := zoned(t, "r/a/a1 r/a/a2 r/a/a3 r/a/a4 r/b/b1", Tolerance{Machines: 1, Zones: 1})
-	s.silent("b1", policy.Silent)
-	for s.v.Place("b1") >= 0 || len(s.v.Chain) < 4 {
+	s.silent("b1", policy.FailAfter)
+	for s.v.Position("b1") >= 0 || len(s.v.Chain) < 4 {
 		step, due := s.plan(t)
 		require.True(t, due)
 		s.take(t, step)
 		s.fill()
 	}
 	require.Equal(t, "a1 a2 a3 a4", s.chain())
-	s.with("b1", func(h *Health) { h.Silent, h.Well = 0, policy.Settle })
+	s.with("b1", func(h *Health) { h.SinceContact, h.StableFor = 0, policy.StableAfter })
 	s.next(t, "a1 a2 a3 a4 b1")
 }
 
@@ -197,7 +197,7 @@
 	s := zoned(t, "r/a/1 r/b/2 r/c/3 s/d/4 s/e/5 q/f/6", Tolerance{Machines: 1, Regions: 1})
 	s.v.Chain = s.v.Chain[:0]
 	for _, p := range located("r/a/1 s/d/4") {
-		s.v.Chain = append(s.v.Chain, Link{Peer: p, Since: 1})
+		s.v.Chain = append(s.v.Chain, Member{Peer: p, Since: 1})
 	}
 	s.fill().next(t, "1 4 6")
 }
@@ -209,7 +209,7 @@
 	require.True(t, MayLeave(s.v, "a", s.health, s.policy()), "two voters bear no more than three")
 	s.comes(machine("d"))
 	require.False(t, MayLeave(s.v, "a", s.health, s.policy()))
-	require.Equal(t, "a", s.next(t, "b c").Removes)
+	require.Equal(t, "a", s.next(t, "b c").RemovedVoter)
 	require.Equal(t, "b c d", ids(s.v.Voters))
 	s.next(t, "b c d")
 
@@ -219,17 +219,17 @@
 	s.next(t, "a b c")
 	s.next(t, "a b c d")
 	s.fill().ending("a").next(t, "b c d")
-	require.Equal(t, "a", s.next(t, "b c d").Removes)
+	require.Equal(t, "a", s.next(t, "b c d").RemovedVoter)
 	require.Equal(t, "b c d", ids(s.v.Voters))
 
 	// And it died meanwhile: the two that stay are a majority of three, not of four.
 	s = newScene(t, "a b c")
 	s.comes(machine("d"))
 	s.next(t, "a b c")
-	s.silent("d", policy.Silent).ending("a")
+	s.silent("d", policy.FailAfter).ending("a")
 	s.next(t, "b c")
-	require.Equal(t, "a", s.next(t, "b c").Removes)
-	require.Equal(t, 2, s.v.Majority())
+	require.Equal(t, "a", s.next(t, "b c").RemovedVoter)
+	require.Equal(t, 2, s.v.Quorum())
 
 	five := newScene(t, "a b c d e").ending("a")
 	five.next(t, "b c d e")
@@ -255,7 +255,7 @@
 
 func TestSwapDoesNotConcentrateVotesInAZone(t *testing.T) {
 	s := zoned(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 1, Zones: 1})
-	s.silent("c1", policy.Away).next(t, "a1 b1")
+	s.silent("c1", policy.ReplaceAfter).next(t, "a1 b1")
 	s.comes(located("r/a/a2")[0])
 	s.nothing(t)
 	s.comes(located("r/c/c2")[0])
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -47,18 +47,18 @@
 	Counted bool   `msgpack:"c,omitempty"` // its loss is one of those to be borne
 }
 
-// Link is one member of the chain.
-type Link struct {
+// Member is one member of the chain.
+type Member struct {
 	Peer
 	Since uint64 // number of the view in which it joined
 }
 
 // View is immutable once decided.
 type View struct {
-	Number uint64 // from 1; 0 is no view
-	Voters []Peer // at most MaxVoters, by ID
-	Chain  []Link // head first
-	Memory bool   // no machine had a disk: the state lives as long as a majority does
+	Number uint64   // from 1; 0 is no view
+	Voters []Peer   // at most MaxVoters, by ID
+	Chain  []Member // head first
+	Memory bool     // no machine had a disk: the state lives as long as a majority does
 }
 
 // Clone shares nothing with v.
@@ -72,8 +72,8 @@
 	return v.Number == o.Number && v.Memory == o.Memory && slices.Equal(v.Voters, o.Voters) && slices.Equal(v.Chain, o.Chain)
 }
 
-// Check refuses a view that can't have been decided.
-func (v View) Check() error {
+// Validate refuses a view that can't have been decided.
+func (v View) Validate() error {
 	switch {
 	case v.Number == 0:
 		return errors.New("view without a number")
@@ -110,30 +110,30 @@
 	return Peer{}, false
 }
 
-// Majority is how many voters decide.
-func (v View) Majority() int { return len(v.Voters)/2 + 1 }
+// Quorum is how many voters decide.
+func (v View) Quorum() int { return len(v.Voters)/2 + 1 }
 
-// Place is the index of a member in the chain, or -1.
-func (v View) Place(id string) int {
-	return slices.IndexFunc(v.Chain, func(l Link) bool { return l.ID == id })
+// Position is the index of a member in the chain, or -1.
+func (v View) Position(id string) int {
+	return slices.IndexFunc(v.Chain, func(l Member) bool { return l.ID == id })
 }
 
 // Head orders what is written; a view has one.
-func (v View) Head() Link { return v.Chain[0] }
+func (v View) Head() Member { return v.Chain[0] }
 
 // Tail commits and answers.
-func (v View) Tail() Link { return v.Chain[len(v.Chain)-1] }
+func (v View) Tail() Member { return v.Chain[len(v.Chain)-1] }
 
-// Next is the member after id, if there is one.
-func (v View) Next(id string) (Link, bool) {
-	i := v.Place(id)
+// Successor is the member after id, if there is one.
+func (v View) Successor(id string) (Member, bool) {
+	i := v.Position(id)
 	if i < 0 || i+1 >= len(v.Chain) {
-		return Link{}, false
+		return Member{}, false
 	}
 	return v.Chain[i+1], true
 }
 
-func byID(a, b Peer) int {
+func comparePeers(a, b Peer) int {
 	switch {
 	case a.ID < b.ID:
 		return -1
@@ -149,41 +149,41 @@
 	return n
 }
 
-// Drop is the next view without a member of the chain; it stays a voter.
-func (v View) Drop(id string) View {
+// RemoveMember is the next view without a member of the chain; it stays a voter.
+func (v View) RemoveMember(id string) View {
 	n := v.next()
-	n.Chain = slices.DeleteFunc(n.Chain, func(l Link) bool { return l.ID == id })
+	n.Chain = slices.DeleteFunc(n.Chain, func(l Member) bool { return l.ID == id })
 	return n
 }
 
-// Join is the next view with a voter at the tail.
-func (v View) Join(id string) View {
+// AppendMember is the next view with a voter at the tail.
+func (v View) AppendMember(id string) View {
 	n := v.next()
-	if p, ok := v.Voter(id); ok && v.Place(id) < 0 {
-		n.Chain = append(n.Chain, Link{Peer: p, Since: n.Number})
+	if p, ok := v.Voter(id); ok && v.Position(id) < 0 {
+		n.Chain = append(n.Chain, Member{Peer: p, Since: n.Number})
 	}
 	return n
 }
 
-// Admit is the next view with a newcomer as a voter.
-func (v View) Admit(p Peer) View {
+// AddVoter is the next view with a newcomer as a voter.
+func (v View) AddVoter(p Peer) View {
 	n := v.next()
 	n.Voters = append(n.Voters, p)
-	slices.SortFunc(n.Voters, byID)
+	slices.SortFunc(n.Voters, comparePeers)
 	return n
 }
 
-// Swap is the next view with a newcomer in a voter's place; the voter must not be in the chain.
-func (v View) Swap(old string, p Peer) View {
+// ReplaceVoter is the next view with a newcomer in a voter's place; the voter must not be in the chain.
+func (v View) ReplaceVoter(old string, p Peer) View {
 	n := v.next()
 	n.Voters = slices.DeleteFunc(n.Voters, func(q Peer) bool { return q.ID == old })
 	n.Voters = append(n.Voters, p)
-	slices.SortFunc(n.Voters, byID)
+	slices.SortFunc(n.Voters, comparePeers)
 	return n
 }
 
-// Retire is the next view without a voter; it must not be in the chain.
-func (v View) Retire(id string) View {
+// RemoveVoter is the next view without a voter; it must not be in the chain.
+func (v View) RemoveVoter(id string) View {
 	n := v.next()
 	n.Voters = slices.DeleteFunc(n.Voters, func(q Peer) bool { return q.ID == id })
 	return n
--- a/internal/interleave/interleave.go
+++ b/internal/interleave/interleave.go
@@ -15,12 +15,12 @@
 
 // Run is one play. It is used by one goroutine.
 type Run struct {
-	prefix []int // choices to take first
-	taken  []int
-	of     []int // how many there were at each
-	seen   map[uint64]int
-	cut    bool
-	depth  int
+	prefix    []int // choices to take first
+	choices   []int
+	options   []int // how many there were at each
+	visited   map[uint64]int
+	truncated bool
+	depth     int
 }
 
 // Choose picks one of n things, from 0; with n of 1 or less there is nothing to choose.
@@ -29,31 +29,31 @@
 		return 0
 	}
 	pick := 0
-	if i := len(r.taken); i < len(r.prefix) {
+	if i := len(r.choices); i < len(r.prefix) {
 		pick = r.prefix[i]
 	}
-	r.taken, r.of = append(r.taken, pick), append(r.of, n)
+	r.choices, r.options = append(r.choices, pick), append(r.options, n)
 	return pick
 }
 
-// Seen tells whether a play came to a state before with at least as many choices left; the
+// Visited tells whether a play came to a state before with at least as many choices left; the
 // code then ends its play, as all that can follow has been played. Two states of one hash
 // must be alike in all that matters to what follows. The hash is asked for only where it is
 // needed.
-func (r *Run) Seen(hash func() uint64) bool {
-	if len(r.taken) < len(r.prefix) {
+func (r *Run) Visited(hash func() uint64) bool {
+	if len(r.choices) < len(r.prefix) {
 		return false // on the way to where this play parts from the one before
 	}
-	left := r.depth - len(r.taken)
+	left := r.depth - len(r.choices)
 	if left <= 0 {
-		r.cut = true
+		r.truncated = true
 		return true
 	}
 	state := hash()
-	if was, ok := r.seen[state]; ok && was >= left {
+	if was, ok := r.visited[state]; ok && was >= left {
 		return true
 	}
-	r.seen[state] = left
+	r.visited[state] = left
 	return false
 }
 
@@ -63,7 +63,7 @@
 	States    int // different ones that were told
 	// Exhausted tells that no bound cut the search; Why names the one that did.
 	Exhausted bool
-	Why       string
+	Limit     string
 	// Err is the first error of a play, and Trace the choices that lead to it, for Replay.
 	Err   error
 	Trace string
@@ -73,7 +73,7 @@
 func (r *Result) String() string {
 	how := "exhausted"
 	if !r.Exhausted {
-		how = "not exhausted: " + r.Why
+		how = "not exhausted: " + r.Limit
 	}
 	if r.Err != nil {
 		how = "found after: " + r.Err.Error() + " by " + r.Trace
@@ -89,37 +89,37 @@
 	var prefix []int
 	cut := false
 	for {
-		r := &Run{prefix: prefix, seen: seen, depth: depth}
+		r := &Run{prefix: prefix, visited: seen, depth: depth}
 		err := play(r)
 		res.Schedules++
 		res.States = len(seen)
-		cut = cut || r.cut
+		cut = cut || r.truncated
 		if err != nil {
-			res.Err, res.Trace = err, trace(r.taken)
+			res.Err, res.Trace = err, formatTrace(r.choices)
 			return res
 		}
 		// The next sequence: the last choice that has a further one.
-		i := len(r.taken) - 1
-		for i >= 0 && r.taken[i]+1 >= r.of[i] {
+		i := len(r.choices) - 1
+		for i >= 0 && r.choices[i]+1 >= r.options[i] {
 			i--
 		}
 		switch {
 		case i < 0:
 			if res.Exhausted = !cut; cut {
-				res.Why = fmt.Sprintf("plays of more than %d choices", depth)
+				res.Limit = fmt.Sprintf("plays of more than %d choices", depth)
 			}
 			return res
 		case res.Schedules >= most:
-			res.Why = fmt.Sprintf("%d schedules", most)
+			res.Limit = fmt.Sprintf("%d schedules", most)
 			return res
 		}
-		prefix = append(append([]int(nil), r.taken[:i]...), r.taken[i]+1)
+		prefix = append(append([]int(nil), r.choices[:i]...), r.choices[i]+1)
 	}
 }
 
 // Replay plays the choices of a trace once.
 func Replay(text string, play func(*Run) error) error {
-	r := &Run{seen: map[uint64]int{}, depth: 1 << 30}
+	r := &Run{visited: map[uint64]int{}, depth: 1 << 30}
 	for _, f := range strings.Fields(text) {
 		n, err := strconv.Atoi(f)
 		if err != nil {
@@ -130,7 +130,7 @@
 	return play(r)
 }
 
-func trace(choices []int) string {
+func formatTrace(choices []int) string {
 	out := make([]string, len(choices))
 	for i, c := range choices {
 		out[i] = strconv.Itoa(c)
--- a/internal/interleave/interleave_test.go
+++ b/internal/interleave/interleave_test.go
@@ -9,7 +9,7 @@
 
 // Two tasks that add one to a number without a lock, by a read and a write each: all six
 // orders are played, four of them lose an addition, and each trace replays its own.
-func race(locked bool) func(*Run) error {
+func lostUpdate(locked bool) func(*Run) error {
 	return func(r *Run) error {
 		value, step, read := 0, [2]int{}, [2]int{}
 		for step[0] < 2 || step[1] < 2 {
@@ -33,20 +33,20 @@
 	}
 }
 
-func TestALostAdditionIsFoundAndReplayed(t *testing.T) {
-	res := Explore(100, 100, race(false))
+func TestLostUpdateIsFoundAndReplayed(t *testing.T) {
+	res := Explore(100, 100, lostUpdate(false))
 	if res.Err == nil || res.Exhausted {
 		t.Fatalf("%s, want a lost addition", res)
 	}
-	if err := Replay(res.Trace, race(false)); err == nil || err.Error() != res.Err.Error() {
+	if err := Replay(res.Trace, lostUpdate(false)); err == nil || err.Error() != res.Err.Error() {
 		t.Errorf("replayed: %v, want %v", err, res.Err)
 	}
-	if res := Explore(100, 100, race(true)); res.Err != nil || !res.Exhausted || res.Schedules != 2 {
+	if res := Explore(100, 100, lostUpdate(true)); res.Err != nil || !res.Exhausted || res.Schedules != 2 {
 		t.Errorf("with a lock: %s, want two schedules and no error", res)
 	}
 }
 
-func TestAllSequencesArePlayedOnce(t *testing.T) {
+func TestEachSequenceIsExecutedOnce(t *testing.T) {
 	seen := map[string]bool{}
 	res := Explore(100, 1000, func(r *Run) error {
 		text := ""
@@ -66,12 +66,12 @@
 
 // What follows a state is played once, and not cut off for one that was met with fewer
 // choices left.
-func TestSeenStates(t *testing.T) {
+func TestVisitedStates(t *testing.T) {
 	count := func(r *Run) error {
 		sum := 0
 		for range 10 {
 			sum += r.Choose(2)
-			if r.Seen(func() uint64 { return uint64(len(r.taken))<<32 | uint64(sum) }) {
+			if r.Visited(func() uint64 { return uint64(len(r.choices))<<32 | uint64(sum) }) {
 				return nil
 			}
 		}
@@ -82,22 +82,22 @@
 		t.Errorf("%s, want 65 states", res)
 	}
 	res = Explore(5, 1e6, count)
-	if res.Exhausted || !strings.Contains(res.Why, "more than 5 choices") {
+	if res.Exhausted || !strings.Contains(res.Limit, "more than 5 choices") {
 		t.Errorf("%s, want that the depth cut it", res)
 	}
-	if res = Explore(100, 3, func(r *Run) error { r.Choose(9); return nil }); res.Exhausted || res.Why != "3 schedules" {
+	if res = Explore(100, 3, func(r *Run) error { r.Choose(9); return nil }); res.Exhausted || res.Limit != "3 schedules" {
 		t.Errorf("%s, want that the number of schedules cut it", res)
 	}
 }
 
-// adders are the two tasks of race as a state to search.
-type adders struct {
+// adderState are the two tasks of race as a state to search.
+type adderState struct {
 	value      int
 	step, read [2]int
 	locked     bool
 }
 
-func (a *adders) able() (out []int) {
+func (a *adderState) enabledSteps() (out []int) {
 	for i := range a.step {
 		if a.step[i] < 2 && !(a.locked && a.step[1-i] == 1) {
 			out = append(out, i)
@@ -106,10 +106,10 @@
 	return out
 }
 
-func (a *adders) Steps() int { return len(a.able()) }
+func (a *adderState) Steps() int { return len(a.enabledSteps()) }
 
-func (a *adders) Do(n int) error {
-	i := a.able()[n]
+func (a *adderState) Do(n int) error {
+	i := a.enabledSteps()[n]
 	if a.step[i]++; a.step[i] == 1 {
 		a.read[i] = a.value
 	} else {
@@ -121,24 +121,24 @@
 	return nil
 }
 
-func (a *adders) Clone() *adders { c := *a; return &c }
+func (a *adderState) Clone() *adderState { c := *a; return &c }
 
-func (a *adders) Hash() uint64 {
+func (a *adderState) Hash() uint64 {
 	return uint64(a.value)<<8 | uint64(a.step[0])<<6 | uint64(a.step[1])<<4 | uint64(a.read[0])<<2 | uint64(a.read[1])
 }
 
 func TestSearchFindsTheShortest(t *testing.T) {
-	res := Search(&adders{}, 100)
+	res := Search(&adderState{}, 100)
 	if res.Err == nil || len(strings.Fields(res.Trace)) != 4 {
 		t.Fatalf("%s, want a lost addition after four steps", res)
 	}
-	if err := Walk(&adders{}, res.Trace); err == nil || err.Error() != res.Err.Error() {
+	if err := Walk(&adderState{}, res.Trace); err == nil || err.Error() != res.Err.Error() {
 		t.Errorf("replayed: %v, want %v", err, res.Err)
 	}
-	if res := Search(&adders{locked: true}, 100); res.Err != nil || !res.Exhausted || res.States != 9 {
+	if res := Search(&adderState{locked: true}, 100); res.Err != nil || !res.Exhausted || res.States != 9 {
 		t.Errorf("with a lock: %s, want nine states and no error", res)
 	}
-	if res := Search(&adders{}, 3); res.Exhausted || res.Why != "3 states" {
+	if res := Search(&adderState{}, 3); res.Exhausted || res.Limit != "3 states" {
 		t.Errorf("%s, want that the number of states cut it", res)
 	}
 }
--- a/internal/interleave/search.go
+++ b/internal/interleave/search.go
@@ -35,7 +35,7 @@
 		for ; ways[id].state >= 0; id = ways[id].state {
 			choices = append([]int{int(ways[id].step)}, choices...)
 		}
-		return trace(choices)
+		return formatTrace(choices)
 	}
 	queue := []node{{start, 0}}
 	for len(queue) > 0 {
@@ -53,7 +53,7 @@
 				continue
 			}
 			if len(seen) >= most {
-				res.States, res.Why = len(seen), fmt.Sprintf("%d states", most)
+				res.States, res.Limit = len(seen), fmt.Sprintf("%d states", most)
 				return res
 			}
 			seen[h] = true
--- a/internal/testbed/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -186,8 +186,8 @@
 // Probe writes a small record.
 func (d *disk) Probe() error { return d.Put(probeKey, nil) }
 
-// Sweep finds what was written: damaged records are tested with the store.
-func (d *disk) Sweep() (bool, error) { return true, nil }
+// Scrub finds what was written: damaged records are tested with the store.
+func (d *disk) Scrub() (bool, error) { return true, nil }
 
 // Health never waits for the disk.
 func (d *disk) Health(now time.Time) store.Health {
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func checkOrder(current []byte, o *chain.Order) ([]byte, int64, error) {
+func checkOrder(current []byte, o *chain.Update) ([]byte, int64, error) {
 	return config.Next(current, o.Patch, o.Body)
 }
 
--- a/internal/testbed/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -53,26 +53,26 @@
 	called := o.run.now()
 	out := answer{}
 	var p *process
-	for tries := 0; out.kind == chain.Unclear && (tries == 0 || o.run.now()-called < orderPatience && ctx.Err() == nil); tries++ {
+	for tries := 0; out.kind == chain.OutcomeUnknown && (tries == 0 || o.run.now()-called < orderPatience && ctx.Err() == nil); tries++ {
 		if tries > 0 {
 			pause(ctx, repeatPause)
 		}
 		if p = o.run.pick(o.random, p); p == nil {
 			continue
 		}
-		v := o.submit(ctx, p, &chain.Order{IfMatch: in.ifMatch, Body: body}, tries < loseAtMost)
+		v := o.submit(ctx, p, &chain.Update{IfMatch: in.ifMatch, Body: body}, tries < loseAtMost)
 		out = answer{kind: v.Kind, revision: v.Revision}
 		o.run.log("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Kind, v.Revision, v.Reason)
 	}
 	switch out.kind {
-	case chain.Taken:
+	case chain.OutcomeCommitted:
 		if out.revision != in.revision {
 			o.run.referee.violate("operators", "order %s led to revision %d, not %d", in.id, out.revision, in.revision)
 		}
 		o.knows = out.revision
-	case chain.Conflict:
+	case chain.OutcomeConflict:
 		o.knows = out.revision
-	case chain.Invalid:
+	case chain.OutcomeInvalid:
 		o.run.referee.violate("operators", "order %s is invalid", in.id)
 		return
 	}
@@ -81,16 +81,16 @@
 }
 
 // submit makes one call; the answer may be lost on the way.
-func (o *operator) submit(ctx context.Context, p *process, order *chain.Order, maybeLost bool) (v chain.Verdict) {
+func (o *operator) submit(ctx context.Context, p *process, order *chain.Update, maybeLost bool) (v chain.Result) {
 	answered := exchange(ctx, p, attemptWait, func(ctx context.Context) bool {
 		v = p.core.Submit(ctx, order)
 		return true
 	})
 	switch {
 	case !answered:
-		return chain.Verdict{Reason: "no answer"}
+		return chain.Result{Reason: "no answer"}
 	case maybeLost && o.random.Float64() < o.run.setup.lostAnswers:
-		return chain.Verdict{Reason: "the answer is lost"}
+		return chain.Result{Reason: "the answer is lost"}
 	}
 	return v
 }
@@ -113,7 +113,7 @@
 	}
 	o.run.log("operator %d: reads revision %d at %s", o.index, v.Revision, p.machine.name)
 	o.knows = v.Revision
-	o.run.referee.record(o.index, readInput{}, answer{chain.Taken, v.Revision, operationOf(v.Body)}, called)
+	o.run.referee.record(o.index, readInput{}, answer{chain.OutcomeCommitted, v.Revision, operationOf(v.Body)}, called)
 }
 
 // configuration is the little of a configuration that runs need.
--- a/internal/testbed/controlsim/referee.go
+++ b/internal/testbed/controlsim/referee.go
@@ -124,7 +124,7 @@
 	}
 	readInput struct{}
 	answer    struct {
-		kind     chain.Kind
+		kind     chain.Outcome
 		revision int64
 		id       string // of a read
 	}
@@ -148,13 +148,13 @@
 		}
 		next := register{in.revision, in.id}
 		switch fits := in.ifMatch == cur.revision; {
-		case out.kind == chain.Taken && fits:
+		case out.kind == chain.OutcomeCommitted && fits:
 			return []any{next}
-		case out.kind == chain.Conflict && !fits && out.revision == cur.revision:
+		case out.kind == chain.OutcomeConflict && !fits && out.revision == cur.revision:
 			return []any{cur}
-		case out.kind == chain.Unclear && fits:
+		case out.kind == chain.OutcomeUnknown && fits:
 			return []any{cur, next}
-		case out.kind == chain.Unclear:
+		case out.kind == chain.OutcomeUnknown:
 			return []any{cur}
 		}
 		return nil
@@ -175,7 +175,7 @@
 // record takes one order or read with its answer.
 func (f *referee) record(operator int, input any, out answer, called time.Duration) {
 	op := porcupine.Operation{ClientId: operator, Input: input, Call: int64(called), Output: out, Return: int64(f.run.now())}
-	if out.kind == chain.Unclear {
+	if out.kind == chain.OutcomeUnknown {
 		op.Return = 1 << 60 // it may be taken at any later time
 	}
 	f.mu.Lock()
@@ -183,7 +183,7 @@
 	f.history = append(f.history, op)
 	if in, isOrder := input.(orderInput); !isOrder {
 		f.reads++
-	} else if out.kind == chain.Taken {
+	} else if out.kind == chain.OutcomeCommitted {
 		f.taken++
 		f.acked = max(f.acked, in.revision)
 	}
@@ -192,10 +192,10 @@
 // answered takes that an operator has the last answer to an order.
 func (f *referee) answered(in orderInput, out answer, called time.Duration) {
 	switch took := f.run.now() - called; {
-	case out.kind == chain.Taken:
+	case out.kind == chain.OutcomeCommitted:
 		f.checkCopies(in.revision)
 		f.later(inForceWithin, func(acked time.Time) { f.checkInForce(in.revision, acked) })
-	case out.kind == chain.Unclear && took >= ackWithin && f.run.stable(called-stableFor, called+ackWithin):
+	case out.kind == chain.OutcomeUnknown && took >= ackWithin && f.run.stable(called-stableFor, called+ackWithin):
 		f.violate("operators", "order %s was not answered within %v of a stable core", in.id, took)
 	}
 }
@@ -214,7 +214,7 @@
 			copies++
 		}
 	}
-	if floor := f.run.view().Floor(view.Tolerance{Machines: f.run.setup.losses}).Machines; copies < floor {
+	if floor := f.run.view().RequiredSpread(view.Tolerance{Machines: f.run.setup.losses}).Machines; copies < floor {
 		f.violate("core", "revision %d is acknowledged with %d copies, not %d", revision, copies, floor)
 	}
 }
--- a/internal/testbed/controlsim/run.go
+++ b/internal/testbed/controlsim/run.go
@@ -177,7 +177,7 @@
 			return m.name + " is not in touch with the core"
 		}
 	}
-	if want := min(len(v.Voters), view.Most(view.Tolerance{Machines: r.setup.losses})); whole < want {
+	if want := min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: r.setup.losses})); whole < want {
 		return fmt.Sprintf("the chain has %d complete members, not %d", whole, want)
 	}
 	return ""
--- a/internal/testbed/hollownode/fleet.go
+++ b/internal/testbed/hollownode/fleet.go
@@ -293,7 +293,7 @@
 // submit has an order taken by an agent drawn, and notes it. It is called by one goroutine.
 func (f *fleet) submit(ctx context.Context, patch bool, body []byte) error {
 	c := Change{Seq: f.seq + 1, Sent: now()}
-	q := &Request{Do: doSubmit, Order: chain.Order{Patch: patch, IfMatch: f.revision, Body: body}}
+	q := &Request{Do: doSubmit, Order: chain.Update{Patch: patch, IfMatch: f.revision, Body: body}}
 	for {
 		i := rand.IntN(len(f.agents))
 		q.Node = rand.IntN(f.split[i])
@@ -303,8 +303,8 @@
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case err != nil || a.Verdict.Kind == chain.Unclear: // the same again, to another agent
-		case a.Verdict.Kind == chain.Taken:
+		case err != nil || a.Verdict.Kind == chain.OutcomeUnknown: // the same again, to another agent
+		case a.Verdict.Kind == chain.OutcomeCommitted:
 			c.Acked = a.At
 			f.mu.Lock()
 			f.seq, f.revision = c.Seq, a.Verdict.Revision
--- a/internal/testbed/hollownode/host.go
+++ b/internal/testbed/hollownode/host.go
@@ -113,15 +113,15 @@
 
 // Request is one thing to do.
 type Request struct {
-	Do      string      `msgpack:"d"`
-	First   bool        `msgpack:"f,omitempty"`
-	Node    int         `msgpack:"n,omitempty"`
-	Polite  bool        `msgpack:"p,omitempty"`
-	Order   chain.Order `msgpack:"o"`
-	Seq     uint64      `msgpack:"s,omitempty"`
-	IDs     []string    `msgpack:"i,omitempty"`
-	Changes []Change    `msgpack:"c,omitempty"`
-	Drains  []Change    `msgpack:"r,omitempty"`
+	Do      string       `msgpack:"d"`
+	First   bool         `msgpack:"f,omitempty"`
+	Node    int          `msgpack:"n,omitempty"`
+	Polite  bool         `msgpack:"p,omitempty"`
+	Order   chain.Update `msgpack:"o"`
+	Seq     uint64       `msgpack:"s,omitempty"`
+	IDs     []string     `msgpack:"i,omitempty"`
+	Changes []Change     `msgpack:"c,omitempty"`
+	Drains  []Change     `msgpack:"r,omitempty"`
 }
 
 // Change is a change of the configuration, or with ID the drain of a server. Times are on the
@@ -146,7 +146,7 @@
 
 // Reply answers a request.
 type Reply struct {
-	Verdict chain.Verdict `msgpack:"v"`
+	Verdict chain.Result  `msgpack:"v"`
 	At      time.Duration `msgpack:"t"`
 	ID      string        `msgpack:"i,omitempty"`
 	Report  *HostReport   `msgpack:"r,omitempty"`
