--- a/internal/fleet/balancer/attempt.go
+++ b/internal/fleet/balancer/attempt.go
@@ -8,19 +8,19 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
-// End is how an attempt ended.
-type End uint8
+// Outcome is how an attempt ended.
+type Outcome uint8
 
 // The ends.
 const (
-	Served        End = iota // answered, whole
-	ClientError              // a 4xx of the server about the request: says nothing of the server
-	NotRun                   // turned away, full: demotes nobody
-	WrongInstance            // 421: the list is old
-	ConnectFailed            // refused, or no connection came
+	Succeeded     Outcome = iota // answered, whole
+	ClientError                  // a 4xx of the server about the request: says nothing of the server
+	Rejected                     // turned away, full: demotes nobody
+	Misdirected                  // 421: the list is old
+	ConnectFailed                // refused, or no connection came
 	Reset
 	Timeout
-	Broken      // the answer was cut or spoilt
+	BadResponse // the answer was cut or spoilt
 	ServerError // a 5xx that ran
 	Cancelled   // the client left: no verdict
 )
@@ -28,151 +28,151 @@
 // Attempt is one send of a request. Its methods are given the same clock as the Picker's and
 // are as little safe for concurrent use.
 type Attempt struct {
-	p        *Picker
-	s        *server
-	run      *inference.Run
-	chain    []Part
-	at       time.Duration // sent
-	first    time.Duration // estimated
-	prompt   int
-	seq      uint64 // of the instance, as listed when it was placed
-	status   int
-	urgency  int
-	aimAt    time.Duration
-	heard    bool
-	streamed bool
-	ended    bool
+	picker         *Picker
+	server         *server
+	sequence       *inference.Sequence
+	prefixes       []Segment
+	sentAt         time.Duration // sent
+	estimate       time.Duration // estimated
+	promptTokens   int
+	instanceSeq    uint64 // of the instance, as listed when it was placed
+	status         int
+	priorityClass  int
+	targetAt       time.Duration
+	responded      bool
+	firstEventSeen bool
+	ended          bool
 }
 
 // Sent tells that the request left for the server.
 func (a *Attempt) Sent(now time.Duration) {
-	a.at = now
-	a.run.Sent(now)
+	a.sentAt = now
+	a.sequence.Sent(now)
 }
 
-// Head takes the head of the answer, with the load that it tells, if any.
-func (a *Attempt) Head(now time.Duration, status int, load *Load) {
-	a.hear(now)
+// Headers takes the head of the answer, with the load that it tells, if any.
+func (a *Attempt) Headers(now time.Duration, status int, load *Load) {
+	a.recordResponse(now)
 	a.status = status
 	if load != nil && !a.ended {
-		a.s.engine.Heard(now, *load)
+		a.server.inference.ObserveLoad(now, *load)
 		waits := 0.0
 		if load.Waiting > 0 {
 			waits = 1
 		}
-		a.s.service.waits += waitsSmooth * (waits - a.s.service.waits)
+		a.server.service.queueingRatio += queueingSmoothing * (waits - a.server.service.queueingRatio)
 	}
 }
 
-// Event takes n events of the answer.
-func (a *Attempt) Event(now time.Duration, n int) {
-	a.hear(now)
-	a.begin(now)
-	a.run.Events(now, n)
+// Events takes n events of the answer.
+func (a *Attempt) Events(now time.Duration, n int) {
+	a.recordResponse(now)
+	a.recordFirstEvent(now)
+	a.sequence.Events(now, n)
 }
 
-// begin notes the first event, or that there was none up to now.
-func (a *Attempt) begin(now time.Duration) {
-	if !a.streamed {
-		a.s.service.late[a.urgency].met(now, now > a.aimAt)
+// recordFirstEvent notes the first event, or that there was none up to now.
+func (a *Attempt) recordFirstEvent(now time.Duration) {
+	if !a.firstEventSeen {
+		a.server.service.lateness[a.priorityClass].recordObserved(now, now > a.targetAt)
 	}
-	a.streamed = true
+	a.firstEventSeen = true
 }
 
-func (a *Attempt) hear(now time.Duration) {
-	a.heard = true
-	a.s.heard = max(a.s.heard, now)
+func (a *Attempt) recordResponse(now time.Duration) {
+	a.responded = true
+	a.server.lastResponseAt = max(a.server.lastResponseAt, now)
 }
 
 // End takes the end of the attempt, once; further calls do nothing.
-func (a *Attempt) End(now time.Duration, end End) {
+func (a *Attempt) End(now time.Duration, end Outcome) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	s, p := a.s, a.p
-	s.inflight--
-	s.service.inflight--
-	if i := slices.Index(s.out, a); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
+	s, p := a.server, a.picker
+	s.inFlight--
+	s.service.inFlight--
+	if i := slices.Index(s.attempts, a); i >= 0 {
+		s.attempts = slices.Delete(s.attempts, i, i+1)
 	}
-	if end == Served && !a.streamed {
-		a.run.Events(now, 1)
+	if end == Succeeded && !a.firstEventSeen {
+		a.sequence.Events(now, 1)
 	}
-	a.run.End(now, end != NotRun && end != WrongInstance && end != ConnectFailed && end != ClientError)
-	if end == WrongInstance {
-		p.disown(s.inst.ID, a.seq)
+	a.sequence.End(now, end != Rejected && end != Misdirected && end != ConnectFailed && end != ClientError)
+	if end == Misdirected {
+		p.removeMisdirected(s.instance.ID, a.instanceSeq)
 	}
 	if !s.listed {
 		return
 	}
 	switch end {
-	case Served:
-		a.hear(now)
-		p.fails(now, s, 0)
-		s.Served(millis(a.at), millis(now))
+	case Succeeded:
+		a.recordResponse(now)
+		p.updateFailureRate(now, s, 0)
+		s.Served(millis(a.sentAt), millis(now))
 	case ClientError:
-		a.hear(now)
-	case NotRun:
-		a.hear(now)
-		s.fullTo = now + duration(millis(fullFor)*(0.5+p.rng.Float64()))
+		a.recordResponse(now)
+	case Rejected:
+		a.recordResponse(now)
+		s.fullUntil = now + duration(millis(fullBackoff)*(0.5+p.rng.Float64()))
 	case ConnectFailed:
 		// One that says no is there; one that lets the connect run out is not.
-		p.demote(now, s, now-a.at >= connectSilent)
-		p.refresh(now, s.service)
-	case Reset, Broken, ServerError:
-		s.heard = max(s.heard, now)
+		p.markUnhealthy(now, s, now-a.sentAt >= connectTimeoutThreshold)
+		p.allowChecks(now, s.service)
+	case Reset, BadResponse, ServerError:
+		s.lastResponseAt = max(s.lastResponseAt, now)
 		if a.status != http.StatusGatewayTimeout { // it ran out of the client's time
-			p.demote(now, s, false)
+			p.markUnhealthy(now, s, false)
 		}
 	case Timeout:
 		// One that was given less time than answers take, or that answered others meanwhile, is
 		// not to blame.
-		if !a.heard && s.heard < a.at && now-a.at >= max(2*a.first, silentLeast) {
-			p.demote(now, s, true)
+		if !a.responded && s.lastResponseAt < a.sentAt && now-a.sentAt >= max(2*a.estimate, minUnresponsiveTime) {
+			p.markUnhealthy(now, s, true)
 		}
 	}
 }
 
-// disown takes an instance out that is not at its address, unless it was named anew since.
-func (p *Picker) disown(id string, seq uint64) {
-	s := p.byID[id]
-	if s == nil || s.inst.Seq > seq {
+// removeMisdirected takes an instance out that is not at its address, unless it was named anew since.
+func (p *Picker) removeMisdirected(id string, seq uint64) {
+	s := p.servers[id]
+	if s == nil || s.instance.Seq > seq {
 		return
 	}
-	if len(p.wrong) < maxWrong {
-		p.wrong[id] = seq
+	if len(p.misdirected) < maxMisdirected {
+		p.misdirected[id] = seq
 	}
-	p.unlist(s)
+	p.removeServer(s)
 }
 
-// maxWrong bounds the instances that are kept out of the list by their own word.
-const maxWrong = 4096
+// maxMisdirected bounds the instances that are kept out of the list by their own word.
+const maxMisdirected = 4096
 
-// Notice is what one agent tells others of a request that it sent: loads that servers tell are
+// PrefillNotice is what one agent tells others of a request that it sent: loads that servers tell are
 // old, and long prompts hold up whoever comes after them unaware.
-type Notice struct {
-	Instance         string
-	Chain            []Part // of the prompt's shared parts, as the sender hashes them
-	Prompt, Uncached int    // tokens, and those of them that are to be read
+type PrefillNotice struct {
+	Instance                     string
+	Prefixes                     []Segment // of the prompt's shared parts, as the sender hashes them
+	PromptTokens, UncachedTokens int       // tokens, and those of them that are to be read
 }
 
-// Notice is what others may be told of the attempt, and how long it keeps the server reading:
+// PrefillNotice is what others may be told of the attempt, and how long it keeps the server reading:
 // the longer, the more it tells.
-func (a *Attempt) Notice() (Notice, time.Duration) {
-	n := Notice{Instance: a.s.inst.ID, Prompt: a.prompt, Uncached: a.run.Uncached()}
-	if len(a.chain) > 1 {
-		n.Chain = a.chain[:len(a.chain)-1]
+func (a *Attempt) PrefillNotice() (PrefillNotice, time.Duration) {
+	n := PrefillNotice{Instance: a.server.instance.ID, PromptTokens: a.promptTokens, UncachedTokens: a.sequence.UncachedTokens()}
+	if len(a.prefixes) > 1 {
+		n.Prefixes = a.prefixes[:len(a.prefixes)-1]
 	}
-	return n, a.run.Work()
+	return n, a.sequence.PrefillTime()
 }
 
-// Heard takes a notice of another agent, of a request that was sent so long ago.
-func (p *Picker) Heard(now, age time.Duration, n *Notice) {
-	if s := p.byID[n.Instance]; s != nil && n.Prompt >= 0 && len(n.Chain) <= maxNoticeParts {
-		s.engine.Foreign(now, age, n.Chain, n.Prompt, n.Uncached)
+// ObserveRemotePrefill takes a notice of another agent, of a request that was sent so long ago.
+func (p *Picker) ObserveRemotePrefill(now, age time.Duration, n *PrefillNotice) {
+	if s := p.servers[n.Instance]; s != nil && n.PromptTokens >= 0 && len(n.Prefixes) <= maxNoticePrefixes {
+		s.inference.BeginRemote(now, age, n.Prefixes, n.PromptTokens, n.UncachedTokens)
 	}
 }
 
-// maxNoticeParts bounds the parts of a notice.
-const maxNoticeParts = 64
+// maxNoticePrefixes bounds the parts of a notice.
+const maxNoticePrefixes = 64
--- a/internal/fleet/balancer/bench_test.go
+++ b/internal/fleet/balancer/bench_test.go
@@ -22,25 +22,25 @@
 
 func benchPicker(servers int) *Picker {
 	p := New(Options{Zone: "zone-0", Seed: 1})
-	p.SetConf(0, &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm",
+	p.UpdateConfig(0, &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm",
 		Engine: &config.Engine{Slots: 64, CacheTokens: 600_000, Stride: 4}}}})
-	p.SetList(0, benchList(servers))
+	p.UpdateInstances(0, benchList(servers))
 	return p
 }
 
-// met has a picker place and end so many requests, of as many shared prefixes, each with a part of
+// pickRequests has a picker place and end so many requests, of as many shared prefixes, each with a part of
 // a session of its own.
-func met(p *Picker, prefixes int) {
+func pickRequests(p *Picker, prefixes int) {
 	route := &config.Route{Name: "r", Kind: config.Streaming, MaxAttempts: 2}
 	now := time.Duration(0)
 	for i := range uint64(prefixes) {
 		now += 10 * time.Millisecond
-		d := p.Place(now, &Request{Route: route, Service: "llm", Model: "m",
-			Parts:  []Part{{ID: inference.Mix(i), Tokens: 200}, {ID: inference.Mix(i + 1<<40), Tokens: 50}},
-			Prompt: 250, Out: 20, Left: 3 * time.Second, Setpoint: time.Second})
-		if d.Kind == Send {
-			d.Attempt.Event(now+time.Millisecond, 1)
-			d.Attempt.End(now+2*time.Millisecond, Served)
+		d := p.Pick(now, &Request{Route: route, Service: "llm", Model: "m",
+			Segments:     []Segment{{ID: inference.Mix64(i), Tokens: 200}, {ID: inference.Mix64(i + 1<<40), Tokens: 50}},
+			PromptTokens: 250, MaxOutputTokens: 20, TimeLeft: 3 * time.Second, LatencyTarget: time.Second})
+		if d.Action == Forward {
+			d.Attempt.Events(now+time.Millisecond, 1)
+			d.Attempt.End(now+2*time.Millisecond, Succeeded)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 			lists[1].ByService["llm"] = lists[1].ByService["llm"][1:]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.SetList(time.Duration(i)*time.Millisecond, lists[i%2])
+				p.UpdateInstances(time.Duration(i)*time.Millisecond, lists[i%2])
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 			for b.Loop() {
 				bytes = heapsize.Of(func() any {
 					p := benchPicker(servers)
-					met(p, prefixes)
+					pickRequests(p, prefixes)
 					return p
 				})
 			}
@@ -88,7 +88,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			p := benchPicker(servers)
 			for now := time.Duration(0); b.Loop(); now += time.Second {
-				if len(p.Checks(now)) > 0 {
+				if len(p.DueHealthChecks(now)) > 0 {
 					b.Fatal("due")
 				}
 			}
--- a/internal/fleet/balancer/pick_test.go
+++ b/internal/fleet/balancer/pick_test.go
@@ -18,11 +18,11 @@
 const ms = time.Millisecond
 
 var (
-	urgent = &config.Route{Name: "urgent", Kind: config.Streaming, Resumable: true, MaxAttempts: 2}
-	draft  = &config.Route{Name: "draft", Kind: config.Streaming, Priority: 1, MaxAttempts: 1}
+	urgentRoute = &config.Route{Name: "urgent", Kind: config.Streaming, Resumable: true, MaxAttempts: 2}
+	draftRoute  = &config.Route{Name: "draft", Kind: config.Streaming, Priority: 1, MaxAttempts: 1}
 )
 
-func instances(n int) []*registry.Instance {
+func testInstances(n int) []*registry.Instance {
 	var all []*registry.Instance
 	for i := range n {
 		all = append(all, &registry.Instance{ID: fmt.Sprintf("i-%04d", i), Service: "llm", Zone: fmt.Sprintf("z%d", i%3), Slots: 8, Seq: 1})
@@ -30,7 +30,7 @@
 	return all
 }
 
-func listOf(all ...*registry.Instance) *registry.List {
+func instanceList(all ...*registry.Instance) *registry.List {
 	l := &registry.List{ByService: map[string][]*registry.Instance{}, ByID: map[string]*registry.Instance{}}
 	for _, in := range all {
 		l.ByService[in.Service] = append(l.ByService[in.Service], in)
@@ -39,57 +39,57 @@
 	return l
 }
 
-func document() *config.Doc {
+func testConfig() *config.Doc {
 	return &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm", HealthPath: "/health",
 		Engine: &config.Engine{Slots: 8, CacheTokens: 400_000, Stride: 4}}}}
 }
 
-func picker(seed uint64, n int) *Picker {
+func newTestPicker(seed uint64, n int) *Picker {
 	p := New(Options{Zone: "z0", Seed: seed})
-	p.SetConf(0, document())
-	p.SetList(0, listOf(instances(n)...))
+	p.UpdateConfig(0, testConfig())
+	p.UpdateInstances(0, instanceList(testInstances(n)...))
 	return p
 }
 
-// ask is a request whose prompt has a shared part, and one of its own.
-func ask(shared, own uint64) *Request {
-	return &Request{Route: urgent, Service: "llm", Model: "m", Parts: []Part{{ID: shared, Tokens: 2000}, {ID: own, Tokens: 500}},
-		Prompt: 2500, Out: 20, Left: 3 * time.Second, Setpoint: 500 * ms}
+// newTestRequest is a request whose prompt has a shared part, and one of its own.
+func newTestRequest(shared, own uint64) *Request {
+	return &Request{Route: urgentRoute, Service: "llm", Model: "m", Segments: []Segment{{ID: shared, Tokens: 2000}, {ID: own, Tokens: 500}},
+		PromptTokens: 2500, MaxOutputTokens: 20, TimeLeft: 3 * time.Second, LatencyTarget: 500 * ms}
 }
 
-func (p *Picker) state(id string) policy.State { return p.byID[id].State() }
+func (p *Picker) stateOf(id string) policy.State { return p.servers[id].State() }
 
-// send places the request and lets it leave.
-func send(t require.TestingT, p *Picker, now time.Duration, r *Request) *Attempt {
-	d := p.Place(now, r)
-	require.Equal(t, Send, d.Kind, d.Why)
+// mustForward places the request and lets it leave.
+func mustForward(t require.TestingT, p *Picker, now time.Duration, r *Request) *Attempt {
+	d := p.Pick(now, r)
+	require.Equal(t, Forward, d.Action, d.Reason)
 	d.Attempt.Sent(now)
 	return d.Attempt
 }
 
-func serve(a *Attempt, now time.Duration) {
-	a.Head(now, 200, nil)
-	a.Event(now, 1)
-	a.End(now+ms, Served)
+func succeed(a *Attempt, now time.Duration) {
+	a.Headers(now, 200, nil)
+	a.Events(now, 1)
+	a.End(now+ms, Succeeded)
 }
 
 func TestTiersByOwnAttempts(t *testing.T) {
 	for _, x := range []struct {
-		end  End
+		end  Outcome
 		want policy.State
 	}{
-		{Served, policy.Connected}, {ClientError, policy.Unknown}, {NotRun, policy.Unknown}, {Cancelled, policy.Unknown},
-		{ConnectFailed, policy.Unhealthy}, {Reset, policy.Unhealthy}, {Broken, policy.Unhealthy}, {ServerError, policy.Unhealthy},
+		{Succeeded, policy.Connected}, {ClientError, policy.Unknown}, {Rejected, policy.Unknown}, {Cancelled, policy.Unknown},
+		{ConnectFailed, policy.Unhealthy}, {Reset, policy.Unhealthy}, {BadResponse, policy.Unhealthy}, {ServerError, policy.Unhealthy},
 		{Timeout, policy.Unhealthy},
 	} {
-		p := picker(1, 3)
-		a := send(t, p, 0, ask(1, 2))
-		id := a.s.inst.ID
+		p := newTestPicker(1, 3)
+		a := mustForward(t, p, 0, newTestRequest(1, 2))
+		id := a.server.instance.ID
 		a.End(2*time.Second, x.end)
-		assert.Equal(t, x.want, p.state(id), "end %d", x.end)
+		assert.Equal(t, x.want, p.stateOf(id), "end %d", x.end)
 		a.End(3*time.Second, Reset)
-		assert.Equal(t, x.want, p.state(id), "an attempt ends once")
-		assert.Zero(t, p.byID[id].inflight+p.services["llm"].inflight)
+		assert.Equal(t, x.want, p.stateOf(id), "an attempt ends once")
+		assert.Zero(t, p.servers[id].inFlight+p.services["llm"].inFlight)
 	}
 }
 
@@ -97,264 +97,264 @@
 	for name, during := range map[string]func(p *Picker, a *Attempt) time.Duration{
 		"it was short": func(*Picker, *Attempt) time.Duration { return 100 * ms },
 		"the server answered others": func(p *Picker, a *Attempt) time.Duration {
-			a.s.heard = time.Second
+			a.server.lastResponseAt = time.Second
 			return 2 * time.Second
 		},
 		"the answer had begun": func(p *Picker, a *Attempt) time.Duration {
-			a.Head(ms, 200, nil)
+			a.Headers(ms, 200, nil)
 			return 2 * time.Second
 		},
 	} {
-		p := picker(1, 3)
-		a := send(t, p, 0, ask(1, 2))
+		p := newTestPicker(1, 3)
+		a := mustForward(t, p, 0, newTestRequest(1, 2))
 		a.End(during(p, a), Timeout)
-		assert.Equal(t, policy.Unknown, p.state(a.s.inst.ID), name)
+		assert.Equal(t, policy.Unknown, p.stateOf(a.server.instance.ID), name)
 	}
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
-	a.Head(time.Second, 504, nil)
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	a.Headers(time.Second, 504, nil)
 	a.End(time.Second, ServerError)
-	assert.Equal(t, policy.Unknown, p.state(a.s.inst.ID), "the client's deadline is no fault of the server")
+	assert.Equal(t, policy.Unknown, p.stateOf(a.server.instance.ID), "the client's deadline is no fault of the server")
 }
 
 func TestUnhealthyIsPassedOverAndComesBack(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
-	bad := a.s
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	bad := a.server
 	a.End(10*ms, Reset)
 	for i := range uint64(20) {
-		b := send(t, p, 20*ms, ask(1, 10+i))
-		require.NotEqual(t, bad, b.s)
-		serve(b, 60*ms)
+		b := mustForward(t, p, 20*ms, newTestRequest(1, 10+i))
+		require.NotEqual(t, bad, b.server)
+		succeed(b, 60*ms)
 	}
-	assert.Empty(t, p.Checks(100*ms), "held")
-	due := p.Checks(300 * ms)
+	assert.Empty(t, p.DueHealthChecks(100*ms), "held")
+	due := p.DueHealthChecks(300 * ms)
 	require.Len(t, due, 1, "refreshed, and validated in the background")
-	assert.Equal(t, bad.inst, due[0])
-	assert.Empty(t, p.Checks(301*ms), "once")
-	assert.Equal(t, 1, p.rank(310*ms, bad, &prompt{Request: ask(1, 2)}))
-	assert.Equal(t, 0, p.rank(time.Second, bad, &prompt{Request: ask(1, 2)}), "it lapses")
-	p.Checked(320*ms, bad.inst.ID, true, nil)
+	assert.Equal(t, bad.instance, due[0])
+	assert.Empty(t, p.DueHealthChecks(301*ms), "once")
+	assert.Equal(t, 1, p.serverRank(310*ms, bad, &pickContext{Request: newTestRequest(1, 2)}))
+	assert.Equal(t, 0, p.serverRank(time.Second, bad, &pickContext{Request: newTestRequest(1, 2)}), "it lapses")
+	p.HealthCheckDone(320*ms, bad.instance.ID, true, nil)
 	assert.Equal(t, policy.Connected, bad.State())
 }
 
 func TestSilentServerIsNotTriedBeforeItsCheck(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.End(time.Second, Timeout)
-	require.True(t, a.s.Silent())
-	p.Checks(2 * time.Second)
-	q := &prompt{Request: ask(1, 2)}
-	assert.Equal(t, 1, p.rank(5*time.Second, a.s, q))
-	p.Checked(5*time.Second, a.s.inst.ID, false, nil)
-	assert.Equal(t, policy.Unhealthy, a.s.State())
-	assert.Greater(t, a.s.Hold(holdUnit, holdLeast), holdUnit, "the next hold is longer")
+	require.True(t, a.server.Silent())
+	p.DueHealthChecks(2 * time.Second)
+	q := &pickContext{Request: newTestRequest(1, 2)}
+	assert.Equal(t, 1, p.serverRank(5*time.Second, a.server, q))
+	p.HealthCheckDone(5*time.Second, a.server.instance.ID, false, nil)
+	assert.Equal(t, policy.Unhealthy, a.server.State())
+	assert.Greater(t, a.server.Hold(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next hold is longer")
 }
 
 func TestWhatMustNotRunTwiceChecksNoServer(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	for range 10 { // no stray failure
-		p.fails(0, a.s, 1)
+		p.updateFailureRate(0, a.server, 1)
 	}
 	a.End(ms, Reset)
-	p.Checks(time.Second)
-	require.Equal(t, policy.UnhealthyPending, a.s.State())
-	r := ask(1, 2)
-	r.Route = draft
-	assert.Equal(t, 1, p.rank(time.Minute, a.s, &prompt{Request: r, once: true}))
-	assert.Equal(t, 0, p.rank(time.Minute, a.s, &prompt{Request: r}))
+	p.DueHealthChecks(time.Second)
+	require.Equal(t, policy.UnhealthyPending, a.server.State())
+	r := newTestRequest(1, 2)
+	r.Route = draftRoute
+	assert.Equal(t, 1, p.serverRank(time.Minute, a.server, &pickContext{Request: r, nonIdempotent: true}))
+	assert.Equal(t, 0, p.serverRank(time.Minute, a.server, &pickContext{Request: r}))
 }
 
 func TestOwnAttemptsOutrankHealthAnswers(t *testing.T) {
-	p := picker(1, 2)
-	a, b := send(t, p, 0, ask(1, 2)), send(t, p, 0, ask(1, 3))
-	for b.s != a.s {
-		b = send(t, p, 0, ask(1, 3))
+	p := newTestPicker(1, 2)
+	a, b := mustForward(t, p, 0, newTestRequest(1, 2)), mustForward(t, p, 0, newTestRequest(1, 3))
+	for b.server != a.server {
+		b = mustForward(t, p, 0, newTestRequest(1, 3))
 	}
 	a.End(ms, Reset)
-	due := p.Checks(time.Second)
+	due := p.DueHealthChecks(time.Second)
 	require.Len(t, due, 1)
-	serve(b, 1100*ms)
-	require.Equal(t, policy.Connected, a.s.State(), "it served meanwhile")
-	p.Checked(1200*ms, due[0].ID, false, nil)
-	assert.Equal(t, policy.Connected, a.s.State())
+	succeed(b, 1100*ms)
+	require.Equal(t, policy.Connected, a.server.State(), "it served meanwhile")
+	p.HealthCheckDone(1200*ms, due[0].ID, false, nil)
+	assert.Equal(t, policy.Connected, a.server.State())
 }
 
 func TestServedBeforeTheFailureSaysNothing(t *testing.T) {
-	p := picker(1, 1)
-	a, b := send(t, p, 0, ask(1, 2)), send(t, p, 0, ask(1, 3))
+	p := newTestPicker(1, 1)
+	a, b := mustForward(t, p, 0, newTestRequest(1, 2)), mustForward(t, p, 0, newTestRequest(1, 3))
 	a.End(10*ms, Reset)
-	serve(b, 20*ms)
-	assert.Equal(t, policy.Unhealthy, a.s.State())
+	succeed(b, 20*ms)
+	assert.Equal(t, policy.Unhealthy, a.server.State())
 }
 
 func TestEmptyTierPassesDown(t *testing.T) {
-	p := picker(1, 2)
-	for _, s := range p.byID {
-		p.demote(0, s, false)
+	p := newTestPicker(1, 2)
+	for _, s := range p.servers {
+		p.markUnhealthy(0, s, false)
 	}
-	a := send(t, p, ms, ask(1, 2))
-	assert.Equal(t, policy.Unhealthy, a.s.State(), "requests never wait for validation")
+	a := mustForward(t, p, ms, newTestRequest(1, 2))
+	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests never wait for validation")
 }
 
 func TestRefusedConnectAndListChangesRefresh(t *testing.T) {
-	p := picker(1, 4)
-	all := instances(5)
-	bad := p.byID["i-0003"]
+	p := newTestPicker(1, 4)
+	all := testInstances(5)
+	bad := p.servers["i-0003"]
 	bad.Strike()
 	bad.Strike()
 	bad.Strike()
 	bad.Failed(true, 0)
-	p.SetList(300*ms, listOf(all[:4]...))
+	p.UpdateInstances(300*ms, instanceList(all[:4]...))
 	assert.Equal(t, policy.Unhealthy, bad.State(), "nothing has changed")
-	p.SetList(300*ms, listOf(all...))
+	p.UpdateInstances(300*ms, instanceList(all...))
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "a server came")
 
 	bad.Failed(true, 400)
-	a := send(t, p, 700*ms, ask(1, 2))
+	a := mustForward(t, p, 700*ms, newTestRequest(1, 2))
 	a.End(701*ms, ConnectFailed)
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "another one refused a connect")
-	assert.Equal(t, policy.Unhealthy, a.s.State())
-	assert.False(t, a.s.Silent(), "one that says no is there")
+	assert.Equal(t, policy.Unhealthy, a.server.State())
+	assert.False(t, a.server.Silent(), "one that says no is there")
 }
 
 func TestChecksAreCapped(t *testing.T) {
-	p := picker(1, 20)
-	for _, s := range p.byID {
-		p.demote(0, s, true)
+	p := newTestPicker(1, 20)
+	for _, s := range p.servers {
+		p.markUnhealthy(0, s, true)
 	}
 	now, begun := time.Second, 0
 	for ; now < 4*time.Second; now += 50 * ms {
-		due := p.Checks(now)
+		due := p.DueHealthChecks(now)
 		begun += len(due)
-		assert.LessOrEqual(t, p.checking, checkCap)
+		assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight)
 		for _, in := range due {
-			p.Checked(now+ms, in.ID, false, nil)
+			p.HealthCheckDone(now+ms, in.ID, false, nil)
 		}
 	}
 	assert.LessOrEqual(t, begun, int(checkBurst+3*checkRate)+1)
 	assert.Greater(t, begun, 10)
-	assert.Equal(t, illNext, p.Next(now))
-	p.Checks(now)
-	p.Checks(now + 2*checkMost)
-	assert.LessOrEqual(t, p.checking, checkCap, "what is never ended is given up")
+	assert.Equal(t, unhealthyCheckInterval, p.NextHealthCheck(now))
+	p.DueHealthChecks(now)
+	p.DueHealthChecks(now + 2*checkTimeout)
+	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "what is never ended is given up")
 }
 
 func TestSilenceIsValidated(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
-	p.Checks(500 * ms)
-	assert.Equal(t, policy.Unknown, a.s.State())
-	due := p.Checks(2 * time.Second)
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	p.DueHealthChecks(500 * ms)
+	assert.Equal(t, policy.Unknown, a.server.State())
+	due := p.DueHealthChecks(2 * time.Second)
 	require.Len(t, due, 1)
-	assert.Equal(t, a.s.inst, due[0])
-	assert.Equal(t, policy.UnhealthyPending, a.s.State())
-	assert.NotEqual(t, a.s, send(t, p, 2*time.Second, ask(1, 3)).s, "and passed over meanwhile")
-	serve(a, 2100*ms)
-	assert.Equal(t, policy.Connected, a.s.State())
+	assert.Equal(t, a.server.instance, due[0])
+	assert.Equal(t, policy.UnhealthyPending, a.server.State())
+	assert.NotEqual(t, a.server, mustForward(t, p, 2*time.Second, newTestRequest(1, 3)).server, "and passed over meanwhile")
+	succeed(a, 2100*ms)
+	assert.Equal(t, policy.Connected, a.server.State())
 }
 
 func TestFullServersAreLeftAloneForAMoment(t *testing.T) {
-	p := picker(1, 2)
-	a := send(t, p, 0, ask(1, 2))
-	a.End(ms, NotRun)
-	b := send(t, p, 2*ms, ask(1, 3))
-	assert.NotEqual(t, a.s, b.s)
-	b.End(3*ms, NotRun)
-	d := p.Place(4*ms, ask(1, 4))
-	assert.Equal(t, Refuse, d.Kind)
-	assert.Greater(t, d.After, 50*ms)
-	assert.LessOrEqual(t, d.After, 3*fullFor/2)
-	send(t, p, 400*ms, ask(1, 5))
+	p := newTestPicker(1, 2)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	a.End(ms, Rejected)
+	b := mustForward(t, p, 2*ms, newTestRequest(1, 3))
+	assert.NotEqual(t, a.server, b.server)
+	b.End(3*ms, Rejected)
+	d := p.Pick(4*ms, newTestRequest(1, 4))
+	assert.Equal(t, Reject, d.Action)
+	assert.Greater(t, d.RetryAfter, 50*ms)
+	assert.LessOrEqual(t, d.RetryAfter, 3*fullBackoff/2)
+	mustForward(t, p, 400*ms, newTestRequest(1, 5))
 }
 
 func TestWrongInstanceIsGoneUntilNamedAnew(t *testing.T) {
-	p := picker(1, 2)
-	a := send(t, p, 0, ask(1, 2))
-	in := *a.s.inst
-	list := listOf(instances(2)...)
-	a.End(ms, WrongInstance)
-	assert.NotContains(t, p.byID, in.ID)
-	p.SetList(2*ms, list)
-	assert.NotContains(t, p.byID, in.ID, "the same news do not bring it back")
+	p := newTestPicker(1, 2)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	in := *a.server.instance
+	list := instanceList(testInstances(2)...)
+	a.End(ms, Misdirected)
+	assert.NotContains(t, p.servers, in.ID)
+	p.UpdateInstances(2*ms, list)
+	assert.NotContains(t, p.servers, in.ID, "the same news do not bring it back")
 	assert.Len(t, p.services["llm"].ring, 1)
 	in.Seq++
 	list.ByID[in.ID] = &in
 	list.ByService["llm"] = []*registry.Instance{&in}
-	p.SetList(3*ms, list)
-	assert.Contains(t, p.byID, in.ID)
-	assert.Empty(t, p.wrong)
-	p.SetList(4*ms, listOf())
-	assert.Empty(t, p.byID)
+	p.UpdateInstances(3*ms, list)
+	assert.Contains(t, p.servers, in.ID)
+	assert.Empty(t, p.misdirected)
+	p.UpdateInstances(4*ms, instanceList())
+	assert.Empty(t, p.servers)
 }
 
 func TestListChanges(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	var rest []*registry.Instance
-	for _, in := range instances(3) {
-		if in.ID != a.s.inst.ID {
+	for _, in := range testInstances(3) {
+		if in.ID != a.server.instance.ID {
 			rest = append(rest, in)
 		}
 	}
-	p.SetList(ms, listOf(rest...))
+	p.UpdateInstances(ms, instanceList(rest...))
 	for i := range uint64(20) {
-		assert.NotEqual(t, a.s, send(t, p, 2*ms, ask(1, i)).s, "one that is not listed any more gets nothing")
+		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server, "one that is not listed any more gets nothing")
 	}
-	a.End(3*ms, Served)
-	assert.Equal(t, policy.Unknown, a.s.State(), "its attempts end without a verdict")
-	p.SetList(4*ms, listOf(instances(3)...))
-	assert.NotSame(t, a.s, p.byID[a.s.inst.ID], "what comes back is new")
-	p.SetList(5*ms, nil)
-	p.SetConf(5*ms, nil)
-	assert.Len(t, p.byID, 3)
-
-	moved := *instances(1)[0]
+	a.End(3*ms, Succeeded)
+	assert.Equal(t, policy.Unknown, a.server.State(), "its attempts end without a verdict")
+	p.UpdateInstances(4*ms, instanceList(testInstances(3)...))
+	assert.NotSame(t, a.server, p.servers[a.server.instance.ID], "what comes back is new")
+	p.UpdateInstances(5*ms, nil)
+	p.UpdateConfig(5*ms, nil)
+	assert.Len(t, p.servers, 3)
+
+	moved := *testInstances(1)[0]
 	moved.Service = "other"
-	p.SetList(6*ms, listOf(&moved))
-	assert.Equal(t, "other", p.byID[moved.ID].service.name)
+	p.UpdateInstances(6*ms, instanceList(&moved))
+	assert.Equal(t, "other", p.servers[moved.ID].service.name)
 	assert.Empty(t, p.services["llm"].servers)
-	p.SetConf(7*ms, &config.Doc{})
+	p.UpdateConfig(7*ms, &config.Doc{})
 	assert.NotContains(t, p.services, "gone")
-	d := p.Place(7*ms, ask(1, 2))
-	assert.Equal(t, Refuse, d.Kind)
-	assert.Equal(t, "no server of the service is known", d.Why)
+	d := p.Pick(7*ms, newTestRequest(1, 2))
+	assert.Equal(t, Reject, d.Action)
+	assert.Equal(t, "no server of the service is known", d.Reason)
 }
 
 func TestTriedServersAreSkipped(t *testing.T) {
-	p := picker(1, 3)
-	r := ask(1, 2)
+	p := newTestPicker(1, 3)
+	r := newTestRequest(1, 2)
 	for range 3 {
-		a := send(t, p, 0, r)
-		require.NotContains(t, r.Tried, a.s.inst.ID)
-		r.Tried = append(r.Tried, a.s.inst.ID)
+		a := mustForward(t, p, 0, r)
+		require.NotContains(t, r.Tried, a.server.instance.ID)
+		r.Tried = append(r.Tried, a.server.instance.ID)
 	}
-	d := p.Place(0, r)
-	assert.Equal(t, Refuse, d.Kind)
-	assert.Equal(t, "every server was tried", d.Why)
+	d := p.Pick(0, r)
+	assert.Equal(t, Reject, d.Action)
+	assert.Equal(t, "every server was tried", d.Reason)
 }
 
 func TestModelsAreHeldByTheirServers(t *testing.T) {
-	all := instances(4)
+	all := testInstances(4)
 	for i, in := range all {
 		in.Models = []registry.Model{{Name: []string{"m", "n"}[i%2], Revision: 1}}
 	}
-	p := picker(1, 0)
-	p.SetList(0, listOf(all...))
+	p := newTestPicker(1, 0)
+	p.UpdateInstances(0, instanceList(all...))
 	for i := range uint64(30) {
-		assert.Equal(t, "m", send(t, p, 0, ask(i, 100+i)).s.inst.Models[0].Name)
+		assert.Equal(t, "m", mustForward(t, p, 0, newTestRequest(i, 100+i)).server.instance.Models[0].Name)
 	}
-	r := ask(1, 2)
+	r := newTestRequest(1, 2)
 	r.Model = "unheard of"
-	send(t, p, 0, r)
-	s := p.byID["i-0000"]
-	s.engine.Begin(0, inference.Chain(nil, "m", r.Parts), 2500, 1)
-	require.NotZero(t, s.engine.Cached(inference.Chain(nil, "m", r.Parts)))
+	mustForward(t, p, 0, r)
+	s := p.servers["i-0000"]
+	s.inference.Begin(0, inference.AppendPrefixes(nil, "m", r.Segments), 2500, 1)
+	require.NotZero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)))
 	next := *all[0]
 	next.Models = []registry.Model{{Name: "m", Revision: 2}}
-	p.SetList(ms, listOf(append([]*registry.Instance{&next}, all[1:]...)...))
-	assert.Zero(t, s.engine.Cached(inference.Chain(nil, "m", r.Parts)), "other weights keep nothing of the old")
+	p.UpdateInstances(ms, instanceList(append([]*registry.Instance{&next}, all[1:]...)...))
+	assert.Zero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)), "other weights keep nothing of the old")
 }
 
 func TestAgentsAgreeOnAKeysServer(t *testing.T) {
@@ -363,13 +363,13 @@
 		for key := range uint64(50) {
 			var want *registry.Instance
 			for agent := range uint64(8) {
-				p := picker(agent, n)
-				p.opt.Zone = ""
-				a := send(t, p, 0, ask(key, agent))
+				p := newTestPicker(agent, n)
+				p.options.Zone = ""
+				a := mustForward(t, p, 0, newTestRequest(key, agent))
 				if want == nil {
-					want = a.s.inst
+					want = a.server.instance
 				}
-				require.Equal(t, want.ID, a.s.inst.ID, "key %d", key)
+				require.Equal(t, want.ID, a.server.instance.ID, "key %d", key)
 			}
 			used[want.ID] = true
 		}
@@ -381,10 +381,10 @@
 	moved := 0
 	const keys = 200
 	for key := range uint64(keys) {
-		p, q := picker(1, 12), picker(1, 11)
-		a, b := send(t, p, 0, ask(key, 1)), send(t, q, 0, ask(key, 1))
-		if a.s.inst.ID != b.s.inst.ID {
-			assert.Equal(t, "i-0011", a.s.inst.ID, "only those of the server that went")
+		p, q := newTestPicker(1, 12), newTestPicker(1, 11)
+		a, b := mustForward(t, p, 0, newTestRequest(key, 1)), mustForward(t, q, 0, newTestRequest(key, 1))
+		if a.server.instance.ID != b.server.instance.ID {
+			assert.Equal(t, "i-0011", a.server.instance.ID, "only those of the server that went")
 			moved++
 		}
 	}
@@ -392,104 +392,104 @@
 }
 
 func TestCapBoundsAServersShare(t *testing.T) {
-	p := picker(1, 10)
+	p := newTestPicker(1, 10)
 	most := map[string]int{}
 	for i := range uint64(100) {
-		a := send(t, p, 0, ask(7, i))
-		most[a.s.inst.ID]++
-		assert.LessOrEqual(t, a.s.inflight, int(capFactor*float64(i+1)/10)+1)
+		a := mustForward(t, p, 0, newTestRequest(7, i))
+		most[a.server.instance.ID]++
+		assert.LessOrEqual(t, a.server.inFlight, int(boundedLoadFactor*float64(i+1)/10)+1)
 	}
 	assert.GreaterOrEqual(t, len(most), 3)
 }
 
 func TestHotKeysSpread(t *testing.T) {
-	p := picker(1, 10)
+	p := newTestPicker(1, 10)
 	now := time.Duration(0)
 	for i := range uint64(400) { // one key in two requests
 		key := 1000 + i%20
 		if i%2 == 0 {
 			key = 7
 		}
-		serve(send(t, p, now, ask(key, i)), now+40*ms)
+		succeed(mustForward(t, p, now, newTestRequest(key, i)), now+40*ms)
 		now += 50 * ms
 	}
-	hot := inference.Chain(nil, "m", ask(7, 0).Parts)[0].ID
-	assert.Greater(t, p.services["llm"].keys.homes(now, hot, 10), 2)
-	assert.Equal(t, 1, p.services["llm"].keys.homes(now, 12345, 10))
-	assert.Equal(t, 1, p.services["llm"].keys.homes(now+10*time.Minute, hot, 10), "it is forgotten")
+	hot := inference.AppendPrefixes(nil, "m", newTestRequest(7, 0).Segments)[0].ID
+	assert.Greater(t, p.services["llm"].keyLoads.subsetSize(now, hot, 10), 2)
+	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now, 12345, 10))
+	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now+10*time.Minute, hot, 10), "it is forgotten")
 }
 
 func TestKeysAreBounded(t *testing.T) {
-	var k keys
+	var k keyLoads
 	for i := range uint64(5 * maxKeys) {
 		k.add(time.Duration(i)*ms, i, 10)
-		require.LessOrEqual(t, len(k.each), maxKeys)
+		require.LessOrEqual(t, len(k.byKey), maxKeys)
 	}
-	assert.Equal(t, time.Duration(5*maxKeys-1)*ms, k.last(5*maxKeys-1))
-	assert.Equal(t, time.Duration(-1), k.last(0))
+	assert.Equal(t, time.Duration(5*maxKeys-1)*ms, k.lastSeen(5*maxKeys-1))
+	assert.Equal(t, time.Duration(-1), k.lastSeen(0))
 }
 
 func TestShortSharedPartsAreNoKey(t *testing.T) {
-	p := picker(1, 12)
+	p := newTestPicker(1, 12)
 	used := map[*server]bool{}
 	for i := range uint64(30) {
-		r := ask(1, i)
-		r.Parts[0].Tokens, r.Prompt = 20, 520
-		a := send(t, p, 0, r)
-		used[a.s] = true
-		serve(a, 0)
+		r := newTestRequest(1, i)
+		r.Segments[0].Tokens, r.PromptTokens = 20, 520
+		a := mustForward(t, p, 0, r)
+		used[a.server] = true
+		succeed(a, 0)
 	}
 	assert.Greater(t, len(used), 5)
 }
 
 func TestNothingIsRefusedWhereHalfIsFreeAndNothingWaits(t *testing.T) {
-	p := picker(1, 4)
-	r := ask(1, 2)
-	r.Left, r.Setpoint = ms, ms
-	for i := range p.services["llm"].late {
-		p.services["llm"].late[i] = lateness{part{1, 0}, part{1, 0}}
+	p := newTestPicker(1, 4)
+	r := newTestRequest(1, 2)
+	r.TimeLeft, r.LatencyTarget = ms, ms
+	for i := range p.services["llm"].lateness {
+		p.services["llm"].lateness[i] = lateness{decayingMean{1, 0}, decayingMean{1, 0}}
 	}
 	for range 8 {
-		send(t, p, 0, r)
+		mustForward(t, p, 0, r)
 	}
 }
 
-func overload(p *Picker) {
-	for _, s := range p.byID {
-		s.engine.Heard(0, Load{Running: 8, Waiting: 20, Slots: 8})
+func reportOverload(p *Picker) {
+	for _, s := range p.servers {
+		s.inference.ObserveLoad(0, Load{Running: 8, Waiting: 20, Slots: 8})
 	}
 }
 
 func TestNoChanceIsRefusedAtOnce(t *testing.T) {
-	p := picker(1, 4)
-	overload(p)
-	r := ask(1, 2)
-	d := p.Place(0, r)
-	require.Equal(t, Send, d.Kind, "it may be late, yet it is served")
-	r.Left = 100 * ms
-	d = p.Place(0, r)
-	require.Equal(t, Refuse, d.Kind)
+	p := newTestPicker(1, 4)
+	reportOverload(p)
+	r := newTestRequest(1, 2)
+	d := p.Pick(0, r)
+	require.Equal(t, Forward, d.Action, "it may be late, yet it is served")
+	r.TimeLeft = 100 * ms
+	d = p.Pick(0, r)
+	require.Equal(t, Reject, d.Action)
 	assert.Nil(t, d.Attempt)
-	assert.Equal(t, "no server can answer in the time left", d.Why)
-	assert.LessOrEqual(t, d.After, 51*ms, "clients wait up to a third of their time")
+	assert.Equal(t, "no server can answer in the time left", d.Reason)
+	assert.LessOrEqual(t, d.RetryAfter, 51*ms, "clients wait up to a third of their time")
 }
 
 func TestLessUrgentIsRefusedFirstAndNeverAll(t *testing.T) {
 	share := func(route *config.Route, late float64, expected bool) float64 {
-		p := picker(1, 4)
-		overload(p)
+		p := newTestPicker(1, 4)
+		reportOverload(p)
 		refused := 0
 		for i := range uint64(1000) {
 			v := p.services["llm"]
-			v.late[0] = lateness{part{late, 0}, part{late, 0}}
-			v.late[1] = lateness{}
+			v.lateness[0] = lateness{decayingMean{late, 0}, decayingMean{late, 0}}
+			v.lateness[1] = lateness{}
 			if !expected {
-				v.late[0].real = part{}
+				v.lateness[0].observed = decayingMean{}
 			}
-			r := ask(i, i)
-			r.Route, r.Left = route, time.Minute
-			d := p.Place(0, r)
-			if d.Kind == Refuse {
+			r := newTestRequest(i, i)
+			r.Route, r.TimeLeft = route, time.Minute
+			d := p.Pick(0, r)
+			if d.Action == Reject {
 				refused++
 				continue
 			}
@@ -497,38 +497,38 @@
 		}
 		return float64(refused) / 1000
 	}
-	assert.Zero(t, share(draft, 0.1, true), "nothing is short")
-	assert.InDelta(t, 0.3, share(draft, 0.3, true), 0.06)
-	assert.InDelta(t, shedMost, share(draft, 1, true), 0.06, "some are always sent")
-	assert.Zero(t, share(draft, 1, false), "an estimate alone refuses nothing")
-	assert.Zero(t, share(urgent, 0.4, true))
-	assert.InDelta(t, 0.5, share(urgent, 1, true), 0.06, "those that come late anyway")
+	assert.Zero(t, share(draftRoute, 0.1, true), "nothing is short")
+	assert.InDelta(t, 0.3, share(draftRoute, 0.3, true), 0.06)
+	assert.InDelta(t, maxShedRatio, share(draftRoute, 1, true), 0.06, "some are always sent")
+	assert.Zero(t, share(draftRoute, 1, false), "an estimate alone refuses nothing")
+	assert.Zero(t, share(urgentRoute, 0.4, true))
+	assert.InDelta(t, 0.5, share(urgentRoute, 1, true), 0.06, "those that come late anyway")
 }
 
 func TestPriority(t *testing.T) {
 	last := -1
-	for u := range urgencies {
-		got := priority(u)
+	for u := range priorityClasses {
+		got := serverPriority(u)
 		assert.GreaterOrEqual(t, got, last)
 		assert.LessOrEqual(t, got, 9)
 		last = got
 	}
-	assert.Equal(t, 0, priority(0))
-	assert.Equal(t, 5, priority(1), "what servers take where nothing is said")
+	assert.Equal(t, 0, serverPriority(0))
+	assert.Equal(t, 5, serverPriority(1), "what servers take where nothing is said")
 }
 
 func TestColdServersGetLess(t *testing.T) {
-	p := picker(1, 0)
-	all := instances(4)
+	p := newTestPicker(1, 0)
+	all := testInstances(4)
 	all[0].Cold = 10 * time.Second
-	p.SetList(0, listOf(all...))
+	p.UpdateInstances(0, instanceList(all...))
 	count := func(now time.Duration) (n int) {
 		for i := range uint64(200) {
-			a := send(t, p, now, ask(i, i))
-			if a.s.inst == all[0] {
+			a := mustForward(t, p, now, newTestRequest(i, i))
+			if a.server.instance == all[0] {
 				n++
 			}
-			serve(a, now)
+			succeed(a, now)
 		}
 		return n
 	}
@@ -538,29 +538,29 @@
 }
 
 func TestNoticesTellOfLongPrompts(t *testing.T) {
-	p, q := picker(1, 3), picker(2, 3)
-	long := ask(1, 2)
-	long.Parts[1].Tokens, long.Prompt = 30_000, 32_000
-	a := send(t, p, 0, long)
-	n, work := a.Notice()
-	assert.Equal(t, 32_000, n.Uncached)
+	p, q := newTestPicker(1, 3), newTestPicker(2, 3)
+	long := newTestRequest(1, 2)
+	long.Segments[1].Tokens, long.PromptTokens = 30_000, 32_000
+	a := mustForward(t, p, 0, long)
+	n, work := a.PrefillNotice()
+	assert.Equal(t, 32_000, n.UncachedTokens)
 	assert.Greater(t, work, 300*ms)
-	before := send(t, q, 0, ask(1, 3))
+	before := mustForward(t, q, 0, newTestRequest(1, 3))
 	before.End(0, Cancelled)
-	require.Equal(t, a.s.inst.ID, before.s.inst.ID, "they share a key")
-	q.Heard(5*ms, 5*ms, &n)
-	assert.NotEqual(t, a.s.inst.ID, send(t, q, 5*ms, ask(1, 4)).s.inst.ID, "who has to be quick goes elsewhere")
-	assert.Equal(t, 2000, q.byID[n.Instance].engine.Cached(n.Chain), "its parts are kept there now")
-	q.Heard(5*ms, 0, &Notice{Instance: "unknown"})
-	q.Heard(5*ms, 0, &Notice{Instance: n.Instance, Chain: make([]Part, maxNoticeParts+1), Prompt: 1})
-	assert.Equal(t, 1, q.byID[n.Instance].engine.Queued(6*ms))
+	require.Equal(t, a.server.instance.ID, before.server.instance.ID, "they share a key")
+	q.ObserveRemotePrefill(5*ms, 5*ms, &n)
+	assert.NotEqual(t, a.server.instance.ID, mustForward(t, q, 5*ms, newTestRequest(1, 4)).server.instance.ID, "who has to be quick goes elsewhere")
+	assert.Equal(t, 2000, q.servers[n.Instance].inference.CachedTokens(n.Prefixes), "its parts are kept there now")
+	q.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: "unknown"})
+	q.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: n.Instance, Prefixes: make([]Segment, maxNoticePrefixes+1), PromptTokens: 1})
+	assert.Equal(t, 1, q.servers[n.Instance].inference.QueuedPrefills(6*ms))
 }
 
 func TestSnapshot(t *testing.T) {
-	p := picker(1, 3)
-	a := send(t, p, 0, ask(1, 2))
-	a.Head(10*ms, 200, &Load{Running: 1, Waiting: 2, Slots: 8})
-	b := send(t, p, 0, ask(3, 4))
+	p := newTestPicker(1, 3)
+	a := mustForward(t, p, 0, newTestRequest(1, 2))
+	a.Headers(10*ms, 200, &Load{Running: 1, Waiting: 2, Slots: 8})
+	b := mustForward(t, p, 0, newTestRequest(3, 4))
 	b.End(20*ms, Reset)
 	views := p.Snapshot(120 * ms)
 	require.Len(t, views, 3)
@@ -569,10 +569,10 @@
 		assert.Equal(t, "llm", v.Service)
 		assert.Greater(t, v.Estimate, time.Duration(0))
 		switch v.ID {
-		case b.s.inst.ID:
+		case b.server.instance.ID:
 			assert.Equal(t, "unhealthy", v.State)
 			assert.Equal(t, 100*ms, v.InState)
-		case a.s.inst.ID:
+		case a.server.instance.ID:
 			assert.Equal(t, 1, v.InFlight)
 			assert.Equal(t, Load{Running: 1, Waiting: 2, Slots: 8}, v.Load)
 			assert.Equal(t, 110*ms, v.LoadAge)
@@ -587,7 +587,7 @@
 // listed or was tried, and while no server is loaded nothing is refused.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Options{Zone: "z1", Seed: rapid.Uint64().Draw(t, "seed"), PartBytes: 20_000})
+		p := New(Options{Zone: "z1", Seed: rapid.Uint64().Draw(t, "seed"), PrefixIndexBytes: 20_000})
 		now, seq := time.Duration(0), uint64(1)
 		listed := map[string]uint64{} // by id, the call-seq
 		var out []*Attempt
@@ -606,80 +606,80 @@
 				clear(listed)
 				n := rapid.SampledFrom([]int{0, 1, 3, 10, 90}).Draw(t, "n")
 				seq += uint64(rapid.IntRange(0, 1).Draw(t, "news"))
-				for _, in := range instances(n) {
+				for _, in := range testInstances(n) {
 					if rapid.IntRange(0, 5).Draw(t, "in") > 0 {
 						in.Seq, in.Cold = seq, time.Duration(rapid.IntRange(0, 2).Draw(t, "cold"))*time.Second
 						all = append(all, in)
 						listed[in.ID] = seq
 					}
 				}
-				p.SetList(now, listOf(all...))
-				for id, s := range p.wrong {
+				p.UpdateInstances(now, instanceList(all...))
+				for id, s := range p.misdirected {
 					if s >= seq {
 						delete(listed, id)
 					}
 				}
 			},
-			"conf": func(*rapid.T) { p.SetConf(now, document()) },
+			"conf": func(*rapid.T) { p.UpdateConfig(now, testConfig()) },
 			"place": func(t *rapid.T) {
 				pass(t)
-				r := ask(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(out)))
-				r.Left = time.Duration(rapid.IntRange(-10, 5000).Draw(t, "left")) * ms
+				r := newTestRequest(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(out)))
+				r.TimeLeft = time.Duration(rapid.IntRange(-10, 5000).Draw(t, "left")) * ms
 				r.Elapsed = time.Duration(rapid.IntRange(0, 1000).Draw(t, "elapsed")) * ms
-				r.Route = rapid.SampledFrom([]*config.Route{urgent, draft, nil}).Draw(t, "route")
+				r.Route = rapid.SampledFrom([]*config.Route{urgentRoute, draftRoute, nil}).Draw(t, "route")
 				if rapid.Bool().Draw(t, "plain") {
-					r.Parts = nil
+					r.Segments = nil
 				}
 				for i := range rapid.IntRange(0, 3).Draw(t, "tried") {
 					r.Tried = append(r.Tried, fmt.Sprintf("i-%04d", i))
 				}
-				d := p.Place(now, r)
-				if d.Kind == Refuse {
+				d := p.Pick(now, r)
+				if d.Action == Reject {
 					require.Nil(t, d.Attempt)
-					require.GreaterOrEqual(t, d.After, afterLeast)
-					require.NotEmpty(t, d.Why)
+					require.GreaterOrEqual(t, d.RetryAfter, minRetryAfter)
+					require.NotEmpty(t, d.Reason)
 					return
 				}
-				require.Contains(t, listed, d.Server.ID)
-				require.NotContains(t, r.Tried, d.Server.ID)
+				require.Contains(t, listed, d.Instance.ID)
+				require.NotContains(t, r.Tried, d.Instance.ID)
 				out = append(out, d.Attempt)
 			},
 			"sent": func(t *rapid.T) { attempt(t).Sent(now) },
 			"head": func(t *rapid.T) {
 				pass(t)
-				attempt(t).Head(now, 200, &Load{Running: rapid.IntRange(0, 9).Draw(t, "run"), Waiting: rapid.IntRange(0, 9).Draw(t, "wait"), Slots: 8})
+				attempt(t).Headers(now, 200, &Load{Running: rapid.IntRange(0, 9).Draw(t, "run"), Waiting: rapid.IntRange(0, 9).Draw(t, "wait"), Slots: 8})
 			},
-			"event": func(t *rapid.T) { pass(t); attempt(t).Event(now, 1) },
+			"event": func(t *rapid.T) { pass(t); attempt(t).Events(now, 1) },
 			"end": func(t *rapid.T) {
 				pass(t)
 				a := attempt(t)
-				end := End(rapid.IntRange(0, int(Cancelled)).Draw(t, "end"))
-				if !a.ended && end == WrongInstance && listed[a.s.inst.ID] <= a.seq {
-					delete(listed, a.s.inst.ID)
+				end := Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "end"))
+				if !a.ended && end == Misdirected && listed[a.server.instance.ID] <= a.instanceSeq {
+					delete(listed, a.server.instance.ID)
 				}
 				a.End(now, end)
 			},
 			"checks": func(t *rapid.T) {
 				pass(t)
-				checks = append(checks, p.Checks(now)...)
-				require.Greater(t, p.Next(now), time.Duration(0))
+				checks = append(checks, p.DueHealthChecks(now)...)
+				require.Greater(t, p.NextHealthCheck(now), time.Duration(0))
 			},
 			"checked": func(t *rapid.T) {
 				if len(checks) > 0 {
-					p.Checked(now, checks[0].ID, rapid.Bool().Draw(t, "ok"), nil)
+					p.HealthCheckDone(now, checks[0].ID, rapid.Bool().Draw(t, "ok"), nil)
 					checks = checks[1:]
 				}
 			},
 			"heard": func(t *rapid.T) {
-				p.Heard(now, 0, &Notice{Instance: fmt.Sprintf("i-%04d", rapid.IntRange(0, 9).Draw(t, "i")), Prompt: 9000, Uncached: 9000})
+				p.ObserveRemotePrefill(now, 0, &PrefillNotice{Instance: fmt.Sprintf("i-%04d", rapid.IntRange(0, 9).Draw(t, "i")), PromptTokens: 9000, UncachedTokens: 9000})
 			},
 			"": func(t *rapid.T) {
-				require.Len(t, p.byID, len(listed))
+				require.Len(t, p.servers, len(listed))
 				checking, inflight := 0, 0
-				for id, s := range p.byID {
+				for id, s := range p.servers {
 					require.Contains(t, listed, id)
-					require.Len(t, s.out, s.inflight)
-					if s.checking {
+					require.Len(t, s.attempts, s.inFlight)
+					if s.checkInFlight {
 						checking++
 					}
 				}
@@ -688,11 +688,11 @@
 						inflight++
 					}
 				}
-				require.Equal(t, checking, p.checking)
-				require.LessOrEqual(t, checking, checkCap)
+				require.Equal(t, checking, p.checksInFlight)
+				require.LessOrEqual(t, checking, maxChecksInFlight)
 				sum := 0
 				for _, v := range p.services {
-					sum += v.inflight
+					sum += v.inFlight
 					require.Len(t, v.ring, len(v.servers))
 				}
 				require.Equal(t, inflight, sum)
@@ -705,18 +705,18 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			p := picker(1, n)
+			p := newTestPicker(1, n)
 			i, now := uint64(0), time.Duration(0)
 			var out []*Attempt
 			for b.Loop() {
 				i++
 				now += 50 * time.Microsecond
-				d := p.Place(now, ask(i%500, i))
-				if d.Kind == Send {
+				d := p.Pick(now, newTestRequest(i%500, i))
+				if d.Action == Forward {
 					out = append(out, d.Attempt)
 				}
 				if len(out) > 20 {
-					serve(out[0], now)
+					succeed(out[0], now)
 					out = out[1:]
 				}
 			}
--- a/internal/fleet/balancer/sim_test.go
+++ b/internal/fleet/balancer/sim_test.go
@@ -16,68 +16,68 @@
 // This file simulates a fleet of agents before model servers, in simulated time: the servers
 // batch, read prompts piece by piece between the tokens of others, and keep parts.
 
-type simKind struct {
-	name             string
-	rate             float64 // a second, over the fleet
-	aim, deadline    time.Duration
-	priority         int
-	chain            []simPart // the shared parts
-	own, ownSpread   float64   // tokens
-	ownMost          int
-	events, eventsSD float64
-	cutoff           int // attempts
-	zipf             float64
+type simTraffic struct {
+	name                    string
+	rate                    float64 // a second, over the fleet
+	latencyTarget, deadline time.Duration
+	priority                int
+	sharedSegments          []simSegment // the shared parts
+	ownTokens, ownSpread    float64      // tokens
+	maxOwnTokens            int
+	events, eventsSpread    float64
+	maxAttempts             int // attempts
+	zipf                    float64
 }
 
-type simPart struct {
-	tokens, things int
-	spread         float64
+type simSegment struct {
+	tokens, variants int
+	spread           float64
 }
 
 type simSite struct {
-	servers, slots, cache, stride int
-	zones, agents                 int
-	step, slot, read, pairs       float64 // ms, ms a stream, ms a thousand tokens, ms a million pairs
-	firstMs                       float64
-	kinds                         []simKind
-	hot                           float64 // part of the first kind's requests with one key
-	load                          float64 // factor on the rates
-	clump                         float64
-	slow                          map[int]float64 // servers that take so many times as long
-	dark                          map[int]bool    // servers that answer nothing
-	seed                          uint64
-	length                        time.Duration
-	notice, noticeLeast           time.Duration
-	shared                        bool // prompts are read side by side, not in turn
+	servers, slots, cacheTokens, tokensPerEvent int
+	zones, agents                               int
+	stepMs, streamMs, prefillMs, attentionMs    float64 // ms, ms a stream, ms a thousand tokens, ms a million pairs
+	responseMs                                  float64
+	traffic                                     []simTraffic
+	hotShare                                    float64 // part of the first kind's requests with one key
+	loadFactor                                  float64 // factor on the rates
+	burst                                       float64
+	slowdown                                    map[int]float64 // servers that take so many times as long
+	unresponsive                                map[int]bool    // servers that answer nothing
+	seed                                        uint64
+	duration                                    time.Duration
+	noticeDelay, minNoticePrefill               time.Duration
+	interleavedPrefill                          bool // prompts are read side by side, not in turn
 }
 
 type simResult struct {
-	served, late, refused, failed [2]int
-	asked                         [2]int
-	first                         [2][]float64 // ms
-	promptTokens, again, shared   float64
-	work                          []float64 // per server, ms of reading
-	cross                         int
-	sent                          int
-	darkSends                     int
-	placeNs                       time.Duration
-	notices                       int
+	served, late, rejected, failed               [2]int
+	offered                                      [2]int
+	firstTokenMs                                 [2][]float64 // ms
+	promptTokens, recomputedTokens, sharedTokens float64
+	prefillMs                                    []float64 // per server, ms of reading
+	crossZone                                    int
+	sent                                         int
+	sentToUnresponsive                           int
+	pickTime                                     time.Duration
+	notices                                      int
 }
 
-func (r *simResult) inTime(k int) float64 {
-	return float64(r.served[k]-r.late[k]) / float64(max(r.asked[k], 1))
+func (r *simResult) onTimeRatio(k int) float64 {
+	return float64(r.served[k]-r.late[k]) / float64(max(r.offered[k], 1))
 }
 
-func (r *simResult) herd() float64 {
+func (r *simResult) imbalance() float64 {
 	sum, most := 0.0, 0.0
-	for _, w := range r.work {
+	for _, w := range r.prefillMs {
 		sum += w
 		most = max(most, w)
 	}
-	return most * float64(len(r.work)) / sum
+	return most * float64(len(r.prefillMs)) / sum
 }
 
-func (r *simResult) hit() float64 { return 1 - r.again/r.shared }
+func (r *simResult) cacheHitRatio() float64 { return 1 - r.recomputedTokens/r.sharedTokens }
 
 func quantile(x []float64, q float64) float64 {
 	if len(x) == 0 {
@@ -90,8 +90,8 @@
 
 func (r *simResult) String() string {
 	return fmt.Sprintf("in time %.3f/%.3f  refused %d/%d failed %d/%d  first p50 %.0f/%.0f p95 %.0f/%.0f  hit %.3f again/prompt %.4f  herd %.2f cross %.2f",
-		r.inTime(0), r.inTime(1), r.refused[0], r.refused[1], r.failed[0], r.failed[1], quantile(r.first[0], .5), quantile(r.first[1], .5),
-		quantile(r.first[0], .95), quantile(r.first[1], .95), r.hit(), r.again/r.promptTokens, r.herd(), float64(r.cross)/float64(max(r.sent, 1)))
+		r.onTimeRatio(0), r.onTimeRatio(1), r.rejected[0], r.rejected[1], r.failed[0], r.failed[1], quantile(r.firstTokenMs[0], .5), quantile(r.firstTokenMs[1], .5),
+		quantile(r.firstTokenMs[0], .95), quantile(r.firstTokenMs[1], .95), r.cacheHitRatio(), r.recomputedTokens/r.promptTokens, r.imbalance(), float64(r.crossZone)/float64(max(r.sent, 1)))
 }
 
 // event queue
@@ -99,7 +99,7 @@
 type simEvent struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type simQueue []simEvent
@@ -118,15 +118,15 @@
 }
 
 type sim struct {
-	site    *simSite
-	rng     *rand.Rand
-	now     time.Duration
-	queue   simQueue
-	seq     int
-	servers []*simServer
-	agents  []*Picker
-	result  simResult
-	read    map[uint64]bool // chains that some server has read
+	site             *simSite
+	rng              *rand.Rand
+	now              time.Duration
+	queue            simQueue
+	seq              int
+	servers          []*simServer
+	agents           []*Picker
+	result           simResult
+	computedPrefixes map[uint64]bool // chains that some server has read
 }
 
 func (m *sim) after(d time.Duration, do func()) {
@@ -135,31 +135,31 @@
 }
 
 type simJob struct {
-	chain       []Part
-	prompt, out int
-	left        int // tokens to read
-	cached      int
-	given       int
-	priority    int
-	at          time.Duration
-	first       func(load Load)
-	done        func(load Load, events int)
-	reject      func()
-	started     bool
+	prefixes             []Segment
+	prompt, outputTokens int
+	remaining            int // tokens to read
+	cached               int
+	emitted              int
+	priority             int
+	arrivedAt            time.Duration
+	first                func(load Load)
+	done                 func(load Load, events int)
+	reject               func()
+	started              bool
 }
 
 type simServer struct {
-	m         *sim
-	i         int
-	zone      string
-	kept      map[uint64]time.Duration
-	tokens    map[uint64]int
-	keptSum   int
-	waiting   []*simJob
-	batch     []*simJob
-	stepping  bool
-	slow      float64
-	usedByRun int
+	sim            *sim
+	index          int
+	zone           string
+	cachedAt       map[uint64]time.Duration
+	prefixTokens   map[uint64]int
+	cachedTokens   int
+	waiting        []*simJob
+	batch          []*simJob
+	stepping       bool
+	slowdown       float64
+	reservedTokens int
 }
 
 func (s *simServer) load() Load {
@@ -169,15 +169,15 @@
 			running++
 		}
 	}
-	return Load{Running: running, Waiting: len(s.batch) - running + len(s.waiting), Slots: s.m.site.slots}
+	return Load{Running: running, Waiting: len(s.batch) - running + len(s.waiting), Slots: s.sim.site.slots}
 }
 
 func (s *simServer) arrive(j *simJob) {
-	if len(s.waiting) >= 3*s.m.site.slots || j.prompt+j.out > s.m.site.cache {
+	if len(s.waiting) >= 3*s.sim.site.slots || j.prompt+j.outputTokens > s.sim.site.cacheTokens {
 		j.reject()
 		return
 	}
-	j.at = s.m.now
+	j.arrivedAt = s.sim.now
 	i := len(s.waiting)
 	for i > 0 && s.waiting[i-1].priority > j.priority {
 		i--
@@ -189,50 +189,50 @@
 }
 
 func (s *simServer) admit() {
-	for len(s.waiting) > 0 && len(s.batch) < s.m.site.slots {
+	for len(s.waiting) > 0 && len(s.batch) < s.sim.site.slots {
 		j := s.waiting[0]
-		if s.usedByRun+j.prompt+j.out > s.m.site.cache {
+		if s.reservedTokens+j.prompt+j.outputTokens > s.sim.site.cacheTokens {
 			return
 		}
 		s.waiting = s.waiting[1:]
-		s.usedByRun += j.prompt + j.out
-		for _, p := range j.chain {
-			if _, ok := s.kept[p.ID]; !ok {
+		s.reservedTokens += j.prompt + j.outputTokens
+		for _, p := range j.prefixes {
+			if _, ok := s.cachedAt[p.ID]; !ok {
 				break
 			}
 			j.cached += p.Tokens
 		}
 		j.cached = min(j.cached, j.prompt-1)
-		j.left = j.prompt - j.cached
+		j.remaining = j.prompt - j.cached
 		shared := 0
-		for _, p := range j.chain[:len(j.chain)-1] {
+		for _, p := range j.prefixes[:len(j.prefixes)-1] {
 			shared += p.Tokens
-			if _, ok := s.kept[p.ID]; !ok {
-				if s.m.read[p.ID] {
-					s.m.result.again += float64(p.Tokens)
+			if _, ok := s.cachedAt[p.ID]; !ok {
+				if s.sim.computedPrefixes[p.ID] {
+					s.sim.result.recomputedTokens += float64(p.Tokens)
 				}
 			}
-			s.m.read[p.ID] = true
+			s.sim.computedPrefixes[p.ID] = true
 		}
-		s.m.result.shared += float64(shared)
-		s.m.result.promptTokens += float64(j.prompt)
-		for _, p := range j.chain {
-			if _, ok := s.kept[p.ID]; !ok {
-				s.keptSum += p.Tokens
-				s.tokens[p.ID] = p.Tokens
+		s.sim.result.sharedTokens += float64(shared)
+		s.sim.result.promptTokens += float64(j.prompt)
+		for _, p := range j.prefixes {
+			if _, ok := s.cachedAt[p.ID]; !ok {
+				s.cachedTokens += p.Tokens
+				s.prefixTokens[p.ID] = p.Tokens
 			}
-			s.kept[p.ID] = s.m.now
+			s.cachedAt[p.ID] = s.sim.now
 		}
-		for s.keptSum+s.usedByRun > s.m.site.cache && len(s.kept) > 0 {
+		for s.cachedTokens+s.reservedTokens > s.sim.site.cacheTokens && len(s.cachedAt) > 0 {
 			var oldest uint64
 			at := time.Duration(math.MaxInt64)
-			for id, t := range s.kept {
+			for id, t := range s.cachedAt {
 				if t < at || t == at && id < oldest {
 					oldest, at = id, t
 				}
 			}
-			s.keptSum -= s.tokens[oldest]
-			delete(s.kept, oldest)
+			s.cachedTokens -= s.prefixTokens[oldest]
+			delete(s.cachedAt, oldest)
 		}
 		s.batch = append(s.batch, j)
 	}
@@ -245,12 +245,12 @@
 		return
 	}
 	s.stepping = true
-	site := s.m.site
+	site := s.sim.site
 	budget, ms := 2048, 0.0
 	running := 0
 	var finished []*simJob
 	part := budget
-	if site.shared {
+	if site.interleavedPrefill {
 		reading := 0
 		for _, j := range s.batch {
 			if !j.started {
@@ -264,36 +264,36 @@
 			running++
 			continue
 		}
-		if n := min(budget, j.left, part); n > 0 {
+		if n := min(budget, j.remaining, part); n > 0 {
 			budget -= n
-			at := j.prompt - j.left
-			ms += float64(n)*site.read/1e3 + float64(n)*(float64(at)+float64(n)/2)/1e6*site.pairs
-			s.m.result.work[s.i] += float64(n) * site.read / 1e3
-			j.left -= n
-			if j.left == 0 {
+			at := j.prompt - j.remaining
+			ms += float64(n)*site.prefillMs/1e3 + float64(n)*(float64(at)+float64(n)/2)/1e6*site.attentionMs
+			s.sim.result.prefillMs[s.index] += float64(n) * site.prefillMs / 1e3
+			j.remaining -= n
+			if j.remaining == 0 {
 				finished = append(finished, j)
 			}
 		}
 	}
-	ms += site.step + site.slot*float64(running)
-	ms *= s.slow
-	s.m.after(duration(ms), func() {
+	ms += site.stepMs + site.streamMs*float64(running)
+	ms *= s.slowdown
+	s.sim.after(duration(ms), func() {
 		for _, j := range finished {
 			j.started = true
-			j.given = 1
+			j.emitted = 1
 			load := s.load()
-			s.m.after(duration(site.firstMs), func() { j.first(load) })
+			s.sim.after(duration(site.responseMs), func() { j.first(load) })
 		}
 		s.batch = slices.DeleteFunc(s.batch, func(j *simJob) bool {
-			if !j.started || slices.Contains(finished, j) && j.out > 1 {
+			if !j.started || slices.Contains(finished, j) && j.outputTokens > 1 {
 				return false
 			}
-			if j.given++; j.given < j.out {
+			if j.emitted++; j.emitted < j.outputTokens {
 				return false
 			}
-			s.usedByRun -= j.prompt + j.out
+			s.reservedTokens -= j.prompt + j.outputTokens
 			load := s.load()
-			s.m.after(duration(site.firstMs), func() { j.done(load, max(j.out/site.stride, 1)) })
+			s.sim.after(duration(site.responseMs), func() { j.done(load, max(j.outputTokens/site.tokensPerEvent, 1)) })
 			return true
 		})
 		s.step()
@@ -301,17 +301,17 @@
 }
 
 func simulate(site simSite) *simResult {
-	m := &sim{site: &site, rng: rand.New(rand.NewPCG(site.seed, 77)), read: map[uint64]bool{}}
+	m := &sim{site: &site, rng: rand.New(rand.NewPCG(site.seed, 77)), computedPrefixes: map[uint64]bool{}}
 	list := &registry.List{Version: 1, ByService: map[string][]*registry.Instance{}, ByID: map[string]*registry.Instance{}}
-	m.result.work = make([]float64, site.servers)
+	m.result.prefillMs = make([]float64, site.servers)
 	for i := range site.servers {
 		slow := 1.0
-		if x := site.slow[i]; x > 0 {
+		if x := site.slowdown[i]; x > 0 {
 			slow = x
 		}
 		zone := fmt.Sprintf("z%d", i%site.zones)
-		m.servers = append(m.servers, &simServer{m: m, i: i, zone: zone, kept: map[uint64]time.Duration{},
-			tokens: map[uint64]int{}, slow: slow})
+		m.servers = append(m.servers, &simServer{sim: m, index: i, zone: zone, cachedAt: map[uint64]time.Duration{},
+			prefixTokens: map[uint64]int{}, slowdown: slow})
 		in := &registry.Instance{ID: fmt.Sprintf("i-%04d-%d", i, site.seed), Service: "llm", Zone: zone, Slots: site.slots, Seq: 1}
 		list.ByService["llm"] = append(list.ByService["llm"], in)
 		list.ByID[in.ID] = in
@@ -321,52 +321,52 @@
 		index[in.ID] = i
 	}
 	doc := &config.Doc{Services: map[string]*config.Service{"llm": {Name: "llm", HealthPath: "/health",
-		Engine: &config.Engine{Slots: site.slots, CacheTokens: site.cache, Stride: site.stride}}}}
+		Engine: &config.Engine{Slots: site.slots, CacheTokens: site.cacheTokens, Stride: site.tokensPerEvent}}}}
 	for i := range site.agents {
 		p := New(Options{Zone: fmt.Sprintf("z%d", i%site.zones), Seed: site.seed*1000 + uint64(i)})
-		p.SetConf(0, doc)
-		p.SetList(0, list)
+		p.UpdateConfig(0, doc)
+		p.UpdateInstances(0, list)
 		m.agents = append(m.agents, p)
 		var poll func()
 		poll = func() {
-			for _, in := range p.Checks(m.now) {
-				ok := !site.dark[index[in.ID]]
+			for _, in := range p.DueHealthChecks(m.now) {
+				ok := !site.unresponsive[index[in.ID]]
 				wait := time.Millisecond
 				if !ok {
 					wait = 300 * time.Millisecond
 				}
-				m.after(wait, func() { p.Checked(m.now, in.ID, ok, nil) })
+				m.after(wait, func() { p.HealthCheckDone(m.now, in.ID, ok, nil) })
 			}
-			m.after(p.Next(m.now), poll)
+			m.after(p.NextHealthCheck(m.now), poll)
 		}
 		m.after(0, poll)
 	}
-	for k := range site.kinds {
+	for k := range site.traffic {
 		m.traffic(k, list, index)
 	}
 	for len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(simEvent)
-		if m.now = e.at; m.now > site.length+20*time.Second {
+		if m.now = e.at; m.now > site.duration+20*time.Second {
 			break
 		}
-		e.do()
+		e.run()
 	}
 	return &m.result
 }
 
 func (m *sim) traffic(k int, list *registry.List, index map[string]int) {
 	site := m.site
-	kind := &site.kinds[k]
-	route := &config.Route{Name: kind.name, Priority: kind.priority, MaxAttempts: kind.cutoff}
+	kind := &site.traffic[k]
+	route := &config.Route{Name: kind.name, Priority: kind.priority, MaxAttempts: kind.maxAttempts}
 	// tokens of shared parts are drawn once
-	sizes := make([][]int, len(kind.chain))
-	for i, c := range kind.chain {
-		for range c.things {
+	sizes := make([][]int, len(kind.sharedSegments))
+	for i, c := range kind.sharedSegments {
+		for range c.variants {
 			sizes[i] = append(sizes[i], max(int(float64(c.tokens)*math.Exp(c.spread*m.rng.NormFloat64()-c.spread*c.spread/2)), 16))
 		}
 	}
-	last := kind.chain[len(kind.chain)-1]
-	weights := make([]float64, last.things)
+	last := kind.sharedSegments[len(kind.sharedSegments)-1]
+	weights := make([]float64, last.variants)
 	sum := 0.0
 	for i := range weights {
 		sum += math.Pow(float64(i+1), -kind.zipf)
@@ -375,93 +375,93 @@
 	count := uint64(0)
 	request := func() {
 		thing, _ := slices.BinarySearch(weights, m.rng.Float64()*sum)
-		if k == 0 && m.rng.Float64() < site.hot {
+		if k == 0 && m.rng.Float64() < site.hotShare {
 			thing = 0
 		}
 		count++
-		var parts []Part
+		var parts []Segment
 		prompt := 0
-		for i := range kind.chain {
-			n := thing % kind.chain[i].things
-			parts = append(parts, Part{ID: uint64(k+1)<<40 | uint64(i+1)<<32 | uint64(n), Tokens: sizes[i][n]})
+		for i := range kind.sharedSegments {
+			n := thing % kind.sharedSegments[i].variants
+			parts = append(parts, Segment{ID: uint64(k+1)<<40 | uint64(i+1)<<32 | uint64(n), Tokens: sizes[i][n]})
 			prompt += sizes[i][n]
 		}
-		own := min(max(int(kind.own*math.Exp(kind.ownSpread*m.rng.NormFloat64()-kind.ownSpread*kind.ownSpread/2)), 8), kind.ownMost)
-		parts = append(parts, Part{ID: uint64(k+1)<<60 | count, Tokens: own})
+		own := min(max(int(kind.ownTokens*math.Exp(kind.ownSpread*m.rng.NormFloat64()-kind.ownSpread*kind.ownSpread/2)), 8), kind.maxOwnTokens)
+		parts = append(parts, Segment{ID: uint64(k+1)<<60 | count, Tokens: own})
 		prompt += own
-		out := max(int(kind.events*math.Exp(kind.eventsSD*m.rng.NormFloat64()-kind.eventsSD*kind.eventsSD/2)), 1) * site.stride
-		m.result.asked[k]++
+		out := max(int(kind.events*math.Exp(kind.eventsSpread*m.rng.NormFloat64()-kind.eventsSpread*kind.eventsSpread/2)), 1) * site.tokensPerEvent
+		m.result.offered[k]++
 		p := m.agents[m.rng.IntN(len(m.agents))]
-		m.try(k, route, p, parts, prompt, out, m.now, nil, index)
+		m.attempt(k, route, p, parts, prompt, out, m.now, nil, index)
 	}
 	var next func()
 	next = func() {
-		if m.now > site.length {
+		if m.now > site.duration {
 			return
 		}
 		n := 1
-		if site.clump > 1 && m.rng.Float64() < 0.2 {
-			n = int(site.clump)
+		if site.burst > 1 && m.rng.Float64() < 0.2 {
+			n = int(site.burst)
 		}
 		for range n {
 			request()
 		}
-		mean := 1 / (kind.rate * site.load) * (1 + 0.2*(max(site.clump, 1)-1))
+		mean := 1 / (kind.rate * site.loadFactor) * (1 + 0.2*(max(site.burst, 1)-1))
 		m.after(duration(m.rng.ExpFloat64()*mean*1e3), next)
 	}
 	m.after(0, next)
 }
 
-func (m *sim) try(k int, route *config.Route, p *Picker, parts []Part, prompt, out int, sent time.Duration, tried []string, index map[string]int) {
-	kind := &m.site.kinds[k]
+func (m *sim) attempt(k int, route *config.Route, p *Picker, parts []Segment, prompt, out int, sent time.Duration, tried []string, index map[string]int) {
+	kind := &m.site.traffic[k]
 	at := time.Now()
-	d := p.Place(m.now, &Request{Route: route, Service: "llm", Model: "m", Parts: parts, Prompt: prompt, Out: out,
-		Left: kind.deadline - (m.now - sent), Setpoint: kind.aim, Elapsed: m.now - sent, Tried: tried})
-	m.result.placeNs += time.Since(at)
-	if d.Kind == Refuse {
-		m.result.refused[k]++
+	d := p.Pick(m.now, &Request{Route: route, Service: "llm", Model: "m", Segments: parts, PromptTokens: prompt, MaxOutputTokens: out,
+		TimeLeft: kind.deadline - (m.now - sent), LatencyTarget: kind.latencyTarget, Elapsed: m.now - sent, Tried: tried})
+	m.result.pickTime += time.Since(at)
+	if d.Action == Reject {
+		m.result.rejected[k]++
 		return
 	}
-	s := m.servers[index[d.Server.ID]]
+	s := m.servers[index[d.Instance.ID]]
 	m.result.sent++
 	net := 200 * time.Microsecond
-	if s.zone != p.opt.Zone {
+	if s.zone != p.options.Zone {
 		net = 500 * time.Microsecond
-		m.result.cross++
+		m.result.crossZone++
 	}
 	a := d.Attempt
 	a.Sent(m.now)
-	if n, work := a.Notice(); m.site.notice > 0 && work >= m.site.noticeLeast {
+	if n, work := a.PrefillNotice(); m.site.noticeDelay > 0 && work >= m.site.minNoticePrefill {
 		m.result.notices++
 		from := m.now
-		m.after(m.site.notice, func() {
+		m.after(m.site.noticeDelay, func() {
 			for _, q := range m.agents {
 				if q != p {
-					q.Heard(m.now, m.now-from, &n)
+					q.ObserveRemotePrefill(m.now, m.now-from, &n)
 				}
 			}
 		})
 	}
 	again := func() {
-		if len(tried)+1 < kind.cutoff {
-			m.try(k, route, p, parts, prompt, out, sent, append(slices.Clone(tried), d.Server.ID), index)
+		if len(tried)+1 < kind.maxAttempts {
+			m.attempt(k, route, p, parts, prompt, out, sent, append(slices.Clone(tried), d.Instance.ID), index)
 		} else {
 			m.result.failed[k]++
 		}
 	}
-	if m.site.dark[s.i] {
-		m.result.darkSends++
+	if m.site.unresponsive[s.index] {
+		m.result.sentToUnresponsive++
 		m.after(time.Second, func() { a.End(m.now, Timeout); again() })
 		return
 	}
-	job := &simJob{chain: inference.Chain(nil, "m", parts), prompt: prompt, out: out, priority: d.Priority}
+	job := &simJob{prefixes: inference.AppendPrefixes(nil, "m", parts), prompt: prompt, outputTokens: out, priority: d.Priority}
 	job.first = func(load Load) {
 		m.after(net, func() {
-			a.Head(m.now, 200, &load)
-			a.Event(m.now, 1)
+			a.Headers(m.now, 200, &load)
+			a.Events(m.now, 1)
 			first := m.now - sent + 6*time.Millisecond
-			m.result.first[k] = append(m.result.first[k], millis(first))
-			late := first > kind.aim
+			m.result.firstTokenMs[k] = append(m.result.firstTokenMs[k], millis(first))
+			late := first > kind.latencyTarget
 			if late {
 				m.result.late[k]++
 			}
@@ -471,44 +471,44 @@
 		m.after(net, func() {
 			m.result.served[k]++
 			if events > 1 {
-				a.Event(m.now, events-1)
+				a.Events(m.now, events-1)
 			}
-			a.End(m.now, Served)
+			a.End(m.now, Succeeded)
 		})
 	}
 	job.reject = func() {
 		m.after(net, func() {
-			a.End(m.now, NotRun)
+			a.End(m.now, Rejected)
 			again()
 		})
 	}
 	m.after(net, func() { s.arrive(job) })
 }
 
-// twoKinds are long drafts and short urgent answers.
-func twoKinds(long, short, events, few float64, keys [2]int, aims [2]time.Duration) []simKind {
-	return []simKind{
-		{name: "long", rate: long, aim: aims[0], deadline: 15 * time.Second, priority: 1, cutoff: 1, zipf: 0.3,
-			chain: []simPart{{512, 1, 0.4}, {4870, keys[0], 0.7}}, own: 6610, ownSpread: 1.4, ownMost: 54600, events: events, eventsSD: 0.44},
-		{name: "short", rate: short, aim: aims[1], deadline: 3 * time.Second, priority: 0, cutoff: 2, zipf: 0.3,
-			chain: []simPart{{341, 40, 0.4}, {227, keys[1], 0.7}}, own: 1800, ownSpread: 1.3, ownMost: 6870, events: few, eventsSD: 1.4},
+// mixedTraffic are long drafts and short urgent answers.
+func mixedTraffic(long, short, events, few float64, keys [2]int, aims [2]time.Duration) []simTraffic {
+	return []simTraffic{
+		{name: "long", rate: long, latencyTarget: aims[0], deadline: 15 * time.Second, priority: 1, maxAttempts: 1, zipf: 0.3,
+			sharedSegments: []simSegment{{512, 1, 0.4}, {4870, keys[0], 0.7}}, ownTokens: 6610, ownSpread: 1.4, maxOwnTokens: 54600, events: events, eventsSpread: 0.44},
+		{name: "short", rate: short, latencyTarget: aims[1], deadline: 3 * time.Second, priority: 0, maxAttempts: 2, zipf: 0.3,
+			sharedSegments: []simSegment{{341, 40, 0.4}, {227, keys[1], 0.7}}, ownTokens: 1800, ownSpread: 1.3, maxOwnTokens: 6870, events: few, eventsSpread: 1.4},
 	}
 }
 
-func small(seed uint64) simSite {
-	return simSite{servers: 18, slots: 64, cache: 678399, stride: 5, zones: 4, agents: 9, step: 3.82, slot: 0.0227,
-		read: 1e3 / 68.2, pairs: 0.242, firstMs: 36, kinds: twoKinds(30.6, 118, 76.4, 4.5, [2]int{115, 671},
-			[2]time.Duration{800 * time.Millisecond, 400 * time.Millisecond}), load: 1, clump: 3, seed: seed, length: 30 * time.Second}
+func site18(seed uint64) simSite {
+	return simSite{servers: 18, slots: 64, cacheTokens: 678399, tokensPerEvent: 5, zones: 4, agents: 9, stepMs: 3.82, streamMs: 0.0227,
+		prefillMs: 1e3 / 68.2, attentionMs: 0.242, responseMs: 36, traffic: mixedTraffic(30.6, 118, 76.4, 4.5, [2]int{115, 671},
+			[2]time.Duration{800 * time.Millisecond, 400 * time.Millisecond}), loadFactor: 1, burst: 3, seed: seed, duration: 30 * time.Second}
 }
 
-func other(seed uint64) simSite {
-	return simSite{servers: 12, slots: 48, cache: 529555, stride: 4, zones: 3, agents: 12, step: 4.23, slot: 0.00077,
-		read: 1e3 / 64.2, pairs: 0.647, firstMs: 0.67, kinds: twoKinds(13.7, 68.5, 95.6, 5.64, [2]int{77, 258},
-			[2]time.Duration{1000 * time.Millisecond, 500 * time.Millisecond}), load: 1, clump: 3, seed: seed, length: 30 * time.Second}
+func site12(seed uint64) simSite {
+	return simSite{servers: 12, slots: 48, cacheTokens: 529555, tokensPerEvent: 4, zones: 3, agents: 12, stepMs: 4.23, streamMs: 0.00077,
+		prefillMs: 1e3 / 64.2, attentionMs: 0.647, responseMs: 0.67, traffic: mixedTraffic(13.7, 68.5, 95.6, 5.64, [2]int{77, 258},
+			[2]time.Duration{1000 * time.Millisecond, 500 * time.Millisecond}), loadFactor: 1, burst: 3, seed: seed, duration: 30 * time.Second}
 }
 
-func grown(seed uint64) simSite {
-	return simSite{servers: 112, slots: 12, cache: 499261, stride: 8, zones: 4, agents: 72, step: 3.82, slot: 0.0227,
-		read: 1e3 / 68.2, pairs: 0.242, firstMs: 36, kinds: twoKinds(130, 628, 48, 3, [2]int{700, 4000},
-			[2]time.Duration{800 * time.Millisecond, 400 * time.Millisecond}), load: 1, clump: 3, seed: seed, length: 20 * time.Second}
+func site112(seed uint64) simSite {
+	return simSite{servers: 112, slots: 12, cacheTokens: 499261, tokensPerEvent: 8, zones: 4, agents: 72, stepMs: 3.82, streamMs: 0.0227,
+		prefillMs: 1e3 / 68.2, attentionMs: 0.242, responseMs: 36, traffic: mixedTraffic(130, 628, 48, 3, [2]int{700, 4000},
+			[2]time.Duration{800 * time.Millisecond, 400 * time.Millisecond}), loadFactor: 1, burst: 3, seed: seed, duration: 20 * time.Second}
 }
--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -26,9 +26,9 @@
 	request  *request
 	decision balancer.Decision
 	cn       *conn
-	fresh    bool         // the connection is new
-	end      balancer.End // what the picker is told of it
-	reusable bool         // the response was read whole, and the server keeps the connection
+	fresh    bool             // the connection is new
+	end      balancer.Outcome // what the picker is told of it
+	reusable bool             // the response was read whole, and the server keeps the connection
 }
 
 // attempt offers the request to one server and passes its answer on.
@@ -61,7 +61,7 @@
 
 // connect takes an idle connection to the server or opens one.
 func (t *attempt) connect(ctx context.Context) (err error) {
-	t.cn, t.fresh, err = t.door.pool.get(ctx, t.decision.Server, t.request.deadline)
+	t.cn, t.fresh, err = t.door.pool.get(ctx, t.decision.Instance, t.request.deadline)
 	return err
 }
 
@@ -93,7 +93,7 @@
 // listed tells whether the server is still in the list. A connect may have taken long: nothing is
 // begun on a server that was told to drain meanwhile.
 func (t *attempt) listed() bool {
-	return t.door.snap.Load().Servers.ByID[t.decision.Server.ID] != nil
+	return t.door.snap.Load().Servers.ByID[t.decision.Instance.ID] != nil
 }
 
 // send writes the request. An error proves that it has not run.
@@ -103,13 +103,13 @@
 	if r.header.Get(hPriority) != "" {
 		priority = -1
 	}
-	head := r.head(t.decision.Server.ID, priority, time.Until(r.deadline), t.answer.last, t.expectedVersion())
+	head := r.head(t.decision.Instance.ID, priority, time.Until(r.deadline), t.answer.last, t.expectedVersion())
 	if err := t.cn.send(head, r.body); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	t.decision.Attempt.Sent(d.now())
-	notice, work := t.decision.Attempt.Notice()
+	notice, work := t.decision.Attempt.PrefillNotice()
 	d.mu.Unlock()
 	if d.Notify != nil {
 		d.Notify(notice, work)
@@ -189,14 +189,14 @@
 	d.pool.ages.Record(t.cn.slot, false)
 	t.cn.keep = keepFor(resp.Header.Get("Keep-Alive"))
 	d.mu.Lock()
-	t.decision.Attempt.Head(d.now(), resp.StatusCode, load(resp.Header.Get(hLoad)))
+	t.decision.Attempt.Headers(d.now(), resp.StatusCode, load(resp.Header.Get(hLoad)))
 	d.mu.Unlock()
 }
 
 // passOn passes a success on to the client.
 func (t *attempt) passOn(ctx context.Context, resp *http.Response) (out outcome) {
 	if resp.Header.Get(hSeal) == "" || resp.Header.Get("Content-Encoding") != "" {
-		t.end = balancer.Broken
+		t.end = balancer.BadResponse
 		return mayRun
 	}
 	if t.request.Route.Kind == config.Streaming && t.request.method != http.MethodHead {
@@ -248,14 +248,14 @@
 		t.end = balancer.ClientError // it may have other weights, and be the server that is listed
 		return true
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		t.end = balancer.WrongInstance
+		t.end = balancer.Misdirected
 		return true
 	case resp.Header.Get(hNotRun) == "":
 		return false
 	case resp.StatusCode == http.StatusBadRequest:
 		t.end = balancer.ClientError
 	default:
-		t.end = balancer.NotRun
+		t.end = balancer.Rejected
 	}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 60 {
 		t.answer.retryIn = time.Duration(s * float64(time.Second))
@@ -270,7 +270,7 @@
 	if !r.Route.Idempotent() || r.Route.MaxAttempts <= len(r.Tried)+1 {
 		return r.deadline
 	}
-	wait := time.Duration(firstWait * float64(r.Setpoint))
+	wait := time.Duration(firstWait * float64(r.LatencyTarget))
 	if a.begun {
 		wait = pauseWait * time.Duration(r.Route.GapAimMs) * time.Millisecond
 	}
@@ -314,10 +314,10 @@
 }
 
 // broken maps what ended an attempt after the request was sent.
-func broken(err error) balancer.End {
+func broken(err error) balancer.Outcome {
 	switch {
 	case errors.Is(err, http1.ErrMalformed):
-		return balancer.Broken
+		return balancer.BadResponse
 	case timedOut(err):
 		return balancer.Timeout
 	}
@@ -326,7 +326,7 @@
 
 // success passes on an answer that is no stream. Up to maxWhole it is held until it is whole; of a
 // longer one the client sees by its length or its last chunk whether it was.
-func (t *attempt) success(ctx context.Context, resp *http.Response) (outcome, balancer.End, bool) {
+func (t *attempt) success(ctx context.Context, resp *http.Response) (outcome, balancer.Outcome, bool) {
 	d, cn, a, r := t.door, t.cn, t.answer, t.request
 	src, err := bodyOf(cn, resp, r.method)
 	if err != nil {
@@ -342,7 +342,7 @@
 	case len(body) <= maxWhole:
 		d.Figures.Served.Add(1)
 		d.whole(a, &failure{resp.StatusCode, resp.Header, body})
-		return done, balancer.Served, true
+		return done, balancer.Succeeded, true
 	}
 	copyHead(a.w.Header(), resp.Header)
 	if resp.ContentLength >= 0 {
@@ -358,5 +358,5 @@
 		return left, broken(err), false
 	}
 	d.Figures.Served.Add(1)
-	return done, balancer.Served, true
+	return done, balancer.Succeeded, true
 }
--- a/internal/fleet/gateway/attempt_test.go
+++ b/internal/fleet/gateway/attempt_test.go
@@ -537,7 +537,7 @@
 }
 
 func TestBlame(t *testing.T) {
-	require.Equal(t, balancer.Broken, broken(http1.Malformed("x")))
+	require.Equal(t, balancer.BadResponse, broken(http1.Malformed("x")))
 	require.Equal(t, balancer.Reset, broken(io.EOF))
 	require.Equal(t, balancer.Timeout, broken(os.ErrDeadlineExceeded))
 }
--- a/internal/fleet/gateway/door.go
+++ b/internal/fleet/gateway/door.go
@@ -70,7 +70,7 @@
 
 	// Notify, where it is set, is told of each request that was sent, and about how long that keeps
 	// its server reading.
-	Notify func(n balancer.Notice, work time.Duration)
+	Notify func(n balancer.PrefillNotice, work time.Duration)
 }
 
 // New returns a door that refuses all until it is told what to go by.
@@ -101,10 +101,10 @@
 	now := d.now()
 	d.mu.Lock()
 	if old.Servers != s.Servers && s.Servers != nil {
-		d.picker.SetList(now, s.Servers)
+		d.picker.UpdateInstances(now, s.Servers)
 	}
 	if old.Config != s.Config && s.Config != nil {
-		d.picker.SetConf(now, s.Config)
+		d.picker.UpdateConfig(now, s.Config)
 	}
 	d.quota.SetAgentCount(now, s.Agents)
 	d.mu.Unlock()
@@ -172,8 +172,8 @@
 		d.pool.sweep()
 		now := d.now()
 		d.mu.Lock()
-		due := d.picker.Checks(now)
-		wait := d.picker.Next(now) - now
+		due := d.picker.DueHealthChecks(now)
+		wait := d.picker.NextHealthCheck(now) - now
 		d.mu.Unlock()
 		for _, in := range due {
 			wg.Go(func() { d.check(ctx, in) })
@@ -310,15 +310,15 @@
 }
 
 // Servers is what this agent holds of each server, for operators.
-func (d *Door) Servers() []balancer.ServerView {
+func (d *Door) Servers() []balancer.ServerStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.picker.Snapshot(d.now())
 }
 
 // Heard takes another agent's notice of a request that it sent that long ago.
-func (d *Door) Heard(age time.Duration, n *balancer.Notice) {
+func (d *Door) Heard(age time.Duration, n *balancer.PrefillNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picker.Heard(d.now(), age, n)
+	d.picker.ObserveRemotePrefill(d.now(), age, n)
 }
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -109,17 +109,17 @@
 		return nil, badf(http.StatusBadRequest, "%s is missing", hID)
 	}
 	r.Route, r.Model = route, h.Get(hModel)
-	r.Setpoint = time.Duration(route.SetpointMs) * time.Millisecond
+	r.LatencyTarget = time.Duration(route.SetpointMs) * time.Millisecond
 	left := min(time.Duration(route.TimeoutMs)*time.Millisecond, maxDeadline)
 	if ms, err := strconv.ParseFloat(h.Get(hDeadline), 64); err == nil && ms > 0 {
 		left = min(left, time.Duration(min(ms, float64(maxDeadline.Milliseconds()))*float64(time.Millisecond)))
 	}
 	r.deadline = arrived.Add(left)
 	in, out, _ := strings.Cut(h.Get(hTokens), ",")
-	r.Prompt, _ = strconv.Atoi(strings.TrimSpace(in)) // a guess: none is 0
-	r.Out, _ = strconv.Atoi(strings.TrimSpace(out))
-	r.Prompt, r.Out = max(r.Prompt, 0), max(r.Out, 0)
-	r.Parts = parts(h.Get(hPrefix))
+	r.PromptTokens, _ = strconv.Atoi(strings.TrimSpace(in)) // a guess: none is 0
+	r.MaxOutputTokens, _ = strconv.Atoi(strings.TrimSpace(out))
+	r.PromptTokens, r.MaxOutputTokens = max(r.PromptTokens, 0), max(r.MaxOutputTokens, 0)
+	r.Segments = parts(h.Get(hPrefix))
 	r.Service = d.service(route)
 	return r, nil
 }
@@ -134,11 +134,11 @@
 }
 
 // parts reads the parts of a prompt. What can't be read ends them: they are a hint.
-func parts(text string) []balancer.Part {
+func parts(text string) []balancer.Segment {
 	if text == "" {
 		return nil
 	}
-	var out []balancer.Part
+	var out []balancer.Segment
 	for part := range strings.SplitSeq(text, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(part), ":")
 		tokens, err := strconv.Atoi(n)
@@ -151,7 +151,7 @@
 			f.Write([]byte(id))
 			x = f.Sum64()
 		}
-		out = append(out, balancer.Part{ID: x, Tokens: tokens})
+		out = append(out, balancer.Segment{ID: x, Tokens: tokens})
 	}
 	return out
 }
--- a/internal/fleet/gateway/serve.go
+++ b/internal/fleet/gateway/serve.go
@@ -77,19 +77,19 @@
 	sent, missed, ran := 0, 0, false
 	for {
 		now := d.now()
-		r.Left, r.Elapsed = time.Until(r.deadline), time.Since(r.arrived)
+		r.TimeLeft, r.Elapsed = time.Until(r.deadline), time.Since(r.arrived)
 		d.mu.Lock()
-		dec := d.picker.Place(now, &r.Request)
+		dec := d.picker.Pick(now, &r.Request)
 		d.mu.Unlock()
-		if dec.Kind == balancer.Refuse || r.Left <= 0 {
-			if dec.Kind != balancer.Refuse {
+		if dec.Action == balancer.Reject || r.TimeLeft <= 0 {
+			if dec.Action != balancer.Reject {
 				d.end(dec.Attempt, balancer.Cancelled)
 			}
-			d.giveUp(a, r, ran, dec.After, dec.Why)
+			d.giveUp(a, r, ran, dec.RetryAfter, dec.Reason)
 			return
 		}
 		out := d.attempt(ctx, a, r, dec)
-		r.Tried = append(r.Tried, dec.Server.ID)
+		r.Tried = append(r.Tried, dec.Instance.ID)
 		switch out {
 		case done:
 			return
@@ -159,12 +159,12 @@
 	}
 }
 
-func (d *Door) end(at *balancer.Attempt, how balancer.End) {
+func (d *Door) end(at *balancer.Attempt, how balancer.Outcome) {
 	now := d.now()
 	d.mu.Lock()
 	at.End(now, how)
 	d.mu.Unlock()
-	if how != balancer.Served && how != balancer.Cancelled && how != balancer.ClientError {
+	if how != balancer.Succeeded && how != balancer.Cancelled && how != balancer.ClientError {
 		d.look()
 	}
 }
@@ -217,7 +217,7 @@
 	ok, l := d.checkOne(ctx, in)
 	now := d.now()
 	d.mu.Lock()
-	d.picker.Checked(now, in.ID, ok, l)
+	d.picker.HealthCheckDone(now, in.ID, ok, l)
 	d.mu.Unlock()
 	d.look()
 }
--- a/internal/fleet/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -158,11 +158,11 @@
 // stream passes the events of a server's answer on as they come, whole ones only. Ids that do not
 // follow on each other are not this stream's: it is broken there, and goes on at another server
 // where it may be resumed.
-func (t *attempt) stream(ctx context.Context, resp *http.Response) (outcome, balancer.End, bool) {
+func (t *attempt) stream(ctx context.Context, resp *http.Response) (outcome, balancer.Outcome, bool) {
 	d, cn, a, r := t.door, t.cn, t.answer, t.request
 	body, err := bodyOf(cn, resp, r.method)
 	if err != nil {
-		return mayRun, balancer.Broken, false
+		return mayRun, balancer.BadResponse, false
 	}
 	if !a.join(version(resp.Header.Get(hVersions))) {
 		return mayRun, balancer.Cancelled, false // nothing is wrong with the server
@@ -184,14 +184,14 @@
 			buf = append(buf[:0], buf[whole:]...)
 			now := d.now()
 			d.mu.Lock()
-			t.decision.Attempt.Event(now, events)
+			t.decision.Attempt.Events(now, events)
 			d.mu.Unlock()
 		}
 		switch {
 		case bad || len(buf) > maxEvent:
-			return mayRun, balancer.Broken, false
+			return mayRun, balancer.BadResponse, false
 		case err == io.EOF && len(bytes.TrimSpace(buf)) > 0:
-			return mayRun, balancer.Broken, false // it ends within an event
+			return mayRun, balancer.BadResponse, false // it ends within an event
 		case err == io.EOF:
 			if !a.begun { // an empty stream
 				if err := a.pass(resp, nil); err != nil {
@@ -199,7 +199,7 @@
 				}
 			}
 			d.Figures.Served.Add(1)
-			return done, balancer.Served, true
+			return done, balancer.Succeeded, true
 		case err != nil && ctx.Err() != nil:
 			how := balancer.Timeout
 			if ctx.Err() == context.Canceled {
--- a/internal/fleet/inference/queue.go
+++ b/internal/fleet/inference/queue.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// maxQueue bounds the prompts known one by one; what comes beyond it is taken into the last.
-const maxQueue = 64
+// maxQueuedPrefills bounds the prompts known one by one; what comes beyond it is taken into the last.
+const maxQueuedPrefills = 64
 
-// queue is the prompts that a server has to read, in the order they came: it reads one after
+// prefillQueue is the prompts that a server has to read, in the order they came: it reads one after
 // the other, each from its arrival on at the earliest.
-type queue struct {
-	jobs []job
-	at   time.Duration // up to when jobs are worked off
-	last uint64
+type prefillQueue struct {
+	jobs       []queuedPrefill
+	advancedTo time.Duration // up to when jobs are worked off
+	lastID     uint64
 }
 
-type job struct {
-	id   uint64
-	at   time.Duration
-	work float64 // ms that are left
+type queuedPrefill struct {
+	id          uint64
+	arrivedAt   time.Duration
+	remainingMs float64 // ms that are left
 }
 
-// add puts a prompt that came at the time given, and returns its number.
-func (q *queue) add(at time.Duration, work float64) uint64 {
-	if n := len(q.jobs); n >= maxQueue {
-		q.jobs[n-1].work += work
+// push puts a prompt that came at the time given, and returns its number.
+func (q *prefillQueue) push(at time.Duration, work float64) uint64 {
+	if n := len(q.jobs); n >= maxQueuedPrefills {
+		q.jobs[n-1].remainingMs += work
 		return q.jobs[n-1].id
 	}
 	i := len(q.jobs)
-	for i > 0 && q.jobs[i-1].at > at {
+	for i > 0 && q.jobs[i-1].arrivedAt > at {
 		i--
 	}
-	q.last++
-	q.jobs = slices.Insert(q.jobs, i, job{q.last, at, work})
-	return q.last
+	q.lastID++
+	q.jobs = slices.Insert(q.jobs, i, queuedPrefill{q.lastID, at, work})
+	return q.lastID
 }
 
-// left is the work in ms that is left, of no job more than so much.
-func (q *queue) left(now time.Duration, most float64) (sum float64) {
-	q.drain(now)
+// backlogMs is the work in ms that is left, of no job more than so much.
+func (q *prefillQueue) backlogMs(now time.Duration, most float64) (sum float64) {
+	q.advance(now)
 	for i := range q.jobs {
-		sum += min(q.jobs[i].work, most)
+		sum += min(q.jobs[i].remainingMs, most)
 	}
 	return sum
 }
 
 // len is the number of prompts left.
-func (q *queue) len(now time.Duration) int {
-	q.drain(now)
+func (q *prefillQueue) len(now time.Duration) int {
+	q.advance(now)
 	return len(q.jobs)
 }
 
-// read tells that a prompt is read or gone, and, where they are read in order, all before it.
-func (q *queue) read(id uint64, inOrder bool) {
-	i := slices.IndexFunc(q.jobs, func(j job) bool { return j.id == id })
+// complete tells that a prompt is read or gone, and, where they are read in order, all before it.
+func (q *prefillQueue) complete(id uint64, inOrder bool) {
+	i := slices.IndexFunc(q.jobs, func(j queuedPrefill) bool { return j.id == id })
 	switch {
 	case i < 0:
 	case inOrder:
@@ -64,21 +64,21 @@
 	}
 }
 
-func (q *queue) drain(now time.Duration) {
+func (q *prefillQueue) advance(now time.Duration) {
 	done := 0
 	for ; done < len(q.jobs); done++ {
 		j := &q.jobs[done]
-		begin := max(q.at, j.at)
-		if passed := millis(now - begin); passed < j.work {
+		begin := max(q.advancedTo, j.arrivedAt)
+		if passed := millis(now - begin); passed < j.remainingMs {
 			if passed > 0 {
-				j.work -= passed
+				j.remainingMs -= passed
 			}
 			break
 		}
-		q.at = begin + duration(j.work)
+		q.advancedTo = begin + duration(j.remainingMs)
 	}
 	if done > 0 {
 		q.jobs = slices.Delete(q.jobs, 0, done)
 	}
-	q.at = max(q.at, now)
+	q.advancedTo = max(q.advancedTo, now)
 }
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -85,7 +85,7 @@
 	SavedServers []byte
 	// OnNotice takes a notice of another agent, of that age: see Notify. It is called under the
 	// hub's lock and may be nil. LinkMbps is the machine's link.
-	OnNotice func(age time.Duration, n *balancer.Notice)
+	OnNotice func(age time.Duration, n *balancer.PrefillNotice)
 	LinkMbps float64
 	Dialer   rpc.Dialer // of sessions; nil: TCP
 }
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -36,7 +36,7 @@
 	//lint:ignore U1000 msgpack reads this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Instance string
-	Chain    []balancer.Part
+	Chain    []balancer.Segment
 	Prompt   int
 	Uncached int
 	AgeMs    int // when it was passed on
@@ -47,14 +47,14 @@
 
 // BroadcastNotice tells the other agents of a request that was just sent and keeps its server reading for
 // about work. What there is no room for is dropped, the shorter ones first.
-func (h *Node) BroadcastNotice(n balancer.Notice, work time.Duration) {
+func (h *Node) BroadcastNotice(n balancer.PrefillNotice, work time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.noticeLimiter.SetLimit(rate.Limit(h.noticeBytesPerSecondLocked()))
 	if work < minPriorityPrefill && h.noticeLimiter.Tokens() < float64(h.noticeLimiter.Burst())/2 || !h.noticeLimiter.AllowN(time.Now(), noticeSize) {
 		return
 	}
-	out := notice{Instance: n.Instance, Chain: n.Chain, Prompt: n.Prompt, Uncached: n.Uncached, sentAt: h.now()}
+	out := notice{Instance: n.Instance, Chain: n.Prefixes, Prompt: n.PromptTokens, Uncached: n.UncachedTokens, sentAt: h.now()}
 	for s := range h.sessions {
 		s.enqueueNotice(out)
 	}
@@ -84,7 +84,7 @@
 		}
 		n.sentAt = now - age
 		if h.options.OnNotice != nil {
-			h.options.OnNotice(age, &balancer.Notice{Instance: n.Instance, Chain: n.Chain, Prompt: n.Prompt, Uncached: n.Uncached})
+			h.options.OnNotice(age, &balancer.PrefillNotice{Instance: n.Instance, Prefixes: n.Chain, PromptTokens: n.Prompt, UncachedTokens: n.Uncached})
 		}
 		if n.Hops++; !core || n.Hops >= maxHops {
 			continue
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -362,9 +362,9 @@
 
 func (f *fleet) request(rings map[string][]*simServer) {
 	f.requests++
-	key := inference.Mix(f.zipf.Uint64() + 1)
+	key := inference.Mix64(f.zipf.Uint64() + 1)
 	// Sessions live for ten minutes.
-	session := inference.Mix(key + f.rng.Uint64N(20)<<8 + uint64((f.now+time.Duration(key%600)*time.Second)/(10*time.Minute)))
+	session := inference.Mix64(key + f.rng.Uint64N(20)<<8 + uint64((f.now+time.Duration(key%600)*time.Second)/(10*time.Minute)))
 	// A client comes to one agent, but for a few that came anew.
 	a := f.agents[session%uint64(len(f.agents))]
 	if f.rng.Float64() < 0.02 {
@@ -477,7 +477,7 @@
 				side.capacity += s.Capacity
 			}
 		}
-		x := inference.Mix(key ^ s.hash)
+		x := inference.Mix64(key ^ s.hash)
 		if a.rules.Filling(s.ID) {
 			if _, kept := s.cache[key]; !kept && (side.n == 0 || x > side.score[0]) && !a.filler.Allow(f.now, a.rules, s.ID, len(f.agents)) {
 				continue
--- a/internal/fleet/rollout/groups.go
+++ b/internal/fleet/rollout/groups.go
@@ -33,7 +33,7 @@
 	Key   uint64 `msgpack:"k"`
 }
 
-func (g Group) bucket() uint16 { return uint16(inference.Mix(g.Key^hashID(g.Route)) % buckets) }
+func (g Group) bucket() uint16 { return uint16(inference.Mix64(g.Key^hashID(g.Route)) % buckets) }
 
 // Tracker is an agent's part: what it sent where. It is not safe for concurrent use.
 type Tracker struct {
--- a/internal/fleet/rollout/rollout.go
+++ b/internal/fleet/rollout/rollout.go
@@ -402,7 +402,7 @@
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return inference.Mix(h)
+	return inference.Mix64(h)
 }
 
 // String is a line about a server.
--- a/internal/fleet/rollout/rules.go
+++ b/internal/fleet/rollout/rules.go
@@ -81,7 +81,7 @@
 	if share >= 1 || share <= 0 {
 		return share >= 1
 	}
-	return part(inference.Mix(hashID(id)+session*0x9e3779b97f4a7c15)) < share
+	return part(inference.Mix64(hashID(id)+session*0x9e3779b97f4a7c15)) < share
 }
 
 // part maps a hash to 0 up to 1.
@@ -175,8 +175,8 @@
 	if f.bits == nil {
 		f.bits = make([]uint64, sessionBits/64)
 	}
-	h := inference.Mix(session)
-	step := inference.Mix(h) | 1
+	h := inference.Mix64(session)
+	step := inference.Mix64(h) | 1
 	for range probes {
 		fn(&f.bits[h%sessionBits/64], 1<<(h%64))
 		h += step
@@ -217,7 +217,7 @@
 			return b
 		}
 	}
-	return part(inference.Mix(session^0x5e55)) < cut
+	return part(inference.Mix64(session^0x5e55)) < cut
 }
 
 // Cut is the part of all that can be done that the new revision can do, by the capacities of the
