--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -38,7 +38,7 @@
 	peerPool      *rpc.Pool
 	core          *controlplane.Member
 	relay         *relay.Node
-	gateway       *gateway.Door
+	gateway       *gateway.Gateway
 	controlServer *controlapi.Server
 	draining      atomic.Bool
 }
@@ -85,9 +85,9 @@
 		SaveServers: save, SavedServers: saved,
 		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
 		HeartbeatInterval: time.Duration(s.BeatMs) * time.Millisecond, Core: coreAdapter{d.core}, SeedAddrs: d.seedAddrs, OnChange: d.gateway.Update,
-		OnNotice: d.gateway.Heard, LinkMbps: s.Limits.LinkMbps,
+		OnNotice: d.gateway.ObserveNotice, LinkMbps: s.Limits.LinkMbps,
 	})
-	d.gateway.Notify = d.relay.BroadcastNotice
+	d.gateway.OnSent = d.relay.BroadcastNotice
 	d.controlServer = controlapi.NewServer(&controlBackend{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
 	return d, nil
 }
--- a/internal/fleet/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -286,7 +286,7 @@
 	m.startModelServer("i-1")
 	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
 	p.daemon.draining.Store(true)
-	require.True(t, p.daemon.gateway.Able(), "requests that still come are served")
+	require.True(t, p.daemon.gateway.Servable(), "requests that still come are served")
 	require.False(t, m.isReady())
 	p.terminateAndWait()
 }
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -73,14 +73,14 @@
 	case "members":
 		return map[string]any{"source": r.Source, "members": r.Members, "sessions": r.Sessions}, nil
 	case "servers":
-		return map[string]any{"servers": r.Servers, "health": p.daemon.gateway.Servers()}, nil
+		return map[string]any{"servers": r.Servers, "health": p.daemon.gateway.ServerViews()}, nil
 	case "view":
 		return p.daemon.core.Status(), nil
 	case "figures":
-		return p.daemon.gateway.Figures.Read(), nil
+		return p.daemon.gateway.Counters.Values(), nil
 	default:
 		s := p.daemon.settings.Load()
-		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.Disk(), "fresh": r.Fresh, "able": p.daemon.gateway.Able(),
+		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.Disk(), "fresh": r.Fresh, "able": p.daemon.gateway.Servable(),
 			"ending": p.daemon.draining.Load(), "config-seq": r.Seq, "revision": r.Revision, "members": len(r.Members), "servers": len(r.Servers)}, nil
 	}
 }
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -158,7 +158,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	d.gateway.Ready(w, r)
+	d.gateway.ServeReadiness(w, r)
 }
 
 // abort breaks off all that is held: a part of the process has failed.
--- a/internal/fleet/gateway/bench_test.go
+++ b/internal/fleet/gateway/bench_test.go
@@ -16,32 +16,32 @@
 // The benchmarks pass requests through a door from one client to one server, whose own part is
 // kept as small as it gets: they read lines until one that ends a message, and write fixed bytes.
 func BenchmarkRequest(b *testing.B) {
-	first := "HTTP/1.1 200 OK\r\n" + hID + ": 9c41d07be2a35f68\r\n" + hSeal + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" + hLoad + ": 3,0,64\r\nKeep-Alive: timeout=20\r\n"
+	first := "HTTP/1.1 200 OK\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" + headerServerSeal + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" + headerServerLoad + ": 3,0,64\r\nKeep-Alive: timeout=20\r\n"
 	for _, c := range []struct {
 		name, path string
 		answer     []string
 	}{
 		{"whole", "/once/x", []string{first + "Content-Length: 506\r\n\r\n" + strings.Repeat("y", 500) + "\n#end\n"[:6]}},
-		{"stream-1", "/resume/x", pieces(first, 1)},
-		{"stream-6", "/resume/x", pieces(first, 6)},
-		{"stream-96", "/resume/x", pieces(first, 96)},
+		{"stream-1", "/resume/x", streamWrites(first, 1)},
+		{"stream-6", "/resume/x", streamWrites(first, 6)},
+		{"stream-96", "/resume/x", streamWrites(first, 96)},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			w := prepare(b, 0, nil)
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			harness := newUnconfiguredHarness(b, 0, nil)
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(b, err)
 			go func() {
 				for {
-					nc, err := ln.Accept()
+					netConn, err := listener.Accept()
 					if err != nil {
 						return
 					}
 					go func() {
-						defer nc.Close()
-						br := bufio.NewReader(nc)
-						for readTo(br, "#end\n") == nil {
+						defer netConn.Close()
+						reader := bufio.NewReader(netConn)
+						for readThrough(reader, "#end\n") == nil {
 							for _, piece := range c.answer {
-								if _, err := io.WriteString(nc, piece); err != nil {
+								if _, err := io.WriteString(netConn, piece); err != nil {
 									return
 								}
 							}
@@ -49,28 +49,28 @@
 					}()
 				}
 			}()
-			s := &server{ln: ln}
-			w.add(s, "s")
-			w.update(w.doc(""))
-			cl := w.dial()
-			request := []byte(benchRequest(c.path))
+			server := &testServer{listener: listener}
+			harness.addServer(server, "s")
+			harness.update(harness.document(""))
+			client := harness.dial()
+			request := []byte(benchmarkRequest(c.path))
 			end := "#end\n"
 			if len(c.answer) > 1 {
 				end = "0\r\n"
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := cl.Write(request); err != nil {
+				if _, err := client.Write(request); err != nil {
 					b.Fatal(err)
 				}
-				if err := readTo(cl.br, end); err != nil {
+				if err := readThrough(client.reader, end); err != nil {
 					b.Fatal(err)
 				}
 				if end == "0\r\n" {
-					_, _ = cl.br.Discard(2)
+					_, _ = client.reader.Discard(2)
 				}
 			}
-			cl.Close()
+			client.Close()
 		})
 	}
 }
@@ -78,7 +78,7 @@
 // BenchmarkFraming reads the head of a request and its body from a connection in memory, as it is
 // and with its framing watched.
 func BenchmarkFraming(b *testing.B) {
-	request := []byte(benchRequest("/once/x"))
+	request := []byte(benchmarkRequest("/once/x"))
 	for _, c := range []struct {
 		name    string
 		watched bool
@@ -89,11 +89,11 @@
 			if c.watched {
 				conn = &framingConn{Conn: source}
 			}
-			br := bufio.NewReader(conn)
+			reader := bufio.NewReader(conn)
 			b.ReportAllocs()
 			b.SetBytes(int64(len(request)))
 			for b.Loop() {
-				req, err := http.ReadRequest(br)
+				req, err := http.ReadRequest(reader)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -108,35 +108,35 @@
 // repeatedConn brings one request again and again.
 type repeatedConn struct {
 	net.Conn
-	data []byte
-	at   int
+	data   []byte
+	offset int
 }
 
 func (c *repeatedConn) Read(p []byte) (int, error) {
-	n := copy(p, c.data[c.at:])
-	c.at = (c.at + n) % len(c.data)
+	n := copy(p, c.data[c.offset:])
+	c.offset = (c.offset + n) % len(c.data)
 	return n, nil
 }
 
-func benchRequest(path string) string {
-	fields := hModel + ": m\r\n" + hTokens + ": 1460,80\r\n" + hPrefix + ": 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n" + hDeadline + ": 20000\r\n"
+func benchmarkRequest(path string) string {
+	fields := headerModel + ": m\r\n" + headerTokenCount + ": 1460,80\r\n" + headerPromptPrefix + ": 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n" + headerDeadline + ": 20000\r\n"
 	body := strings.Repeat("x", 1000) + "\n#end\n"
-	return "POST " + path + " HTTP/1.1\r\nHost: h.example\r\n" + hID + ": 9c41d07be2a35f68\r\n" + fields + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body
+	return "POST " + path + " HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" + fields + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body
 }
 
-func pieces(first string, n int) []string {
+func streamWrites(first string, n int) []string {
 	out := []string{first + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"}
 	for i := 1; i <= n; i++ {
-		e := piece(i)
+		e := eventText(i)
 		out = append(out, fmt.Sprintf("%x\r\n%s\r\n", len(e), e))
 	}
 	return append(out, "0\r\n\r\n")
 }
 
-// readTo reads lines up to the one that is the end.
-func readTo(br *bufio.Reader, end string) error {
+// readThrough reads lines up to the one that is the end.
+func readThrough(reader *bufio.Reader, end string) error {
 	for {
-		line, err := br.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/gateway/framing_conn.go
+++ b/internal/fleet/gateway/framing_conn.go
@@ -7,10 +7,10 @@
 	logged "chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// brokenMessage ends any part of a message in a way that net/http refuses: a NUL is part of no
+// malformedRemainder ends any part of a message in a way that net/http refuses: a NUL is part of no
 // line of a request, and a bare line feed of no line of a chunk. net/http then answers 400 and
 // closes. It gets bytes and no error, as an error would end the request ahead of this one, too.
-const brokenMessage = "\x00\n\x00\r\n\r\n"
+const malformedRemainder = "\x00\n\x00\r\n\r\n"
 
 // framingListener accepts connections whose requests' framing is watched.
 type framingListener struct {
@@ -32,37 +32,37 @@
 // come one after the other.
 type framingConn struct {
 	net.Conn
-	rejected *atomic.Int64
-	scanner  framingScanner
-	doubt    error  // what was found
-	rest     string // of brokenMessage
+	rejected   *atomic.Int64
+	scanner    framingScanner
+	framingErr error  // what was found
+	remainder  string // of malformedRemainder
 }
 
 // Read reads from the connection, or what takes the place of a doubtful request.
 func (c *framingConn) Read(p []byte) (int, error) {
-	if c.doubt != nil {
-		return c.readBroken(p)
+	if c.framingErr != nil {
+		return c.readRemainder(p)
 	}
 	n, err := c.Conn.Read(p)
 	good, doubt := c.scanner.scan(p[:n])
 	if doubt == nil {
 		return n, err
 	}
-	c.doubt, c.rest = doubt, brokenMessage
+	c.framingErr, c.remainder = doubt, malformedRemainder
 	c.rejected.Add(1)
 	logged.DoubtfulFraming.Log("client", c.RemoteAddr(), "err", doubt)
 	if good > 0 {
 		return good, nil
 	}
-	return c.readBroken(p)
+	return c.readRemainder(p)
 }
 
-func (c *framingConn) readBroken(p []byte) (int, error) {
-	if c.rest == "" {
-		return 0, c.doubt
+func (c *framingConn) readRemainder(p []byte) (int, error) {
+	if c.remainder == "" {
+		return 0, c.framingErr
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.remainder)
+	c.remainder = c.remainder[n:]
 	return n, nil
 }
 
--- a/internal/fleet/gateway/framing.go
+++ b/internal/fleet/gateway/framing_scanner.go
@@ -14,22 +14,22 @@
 
 // The doubts that a scanner tells of.
 var (
-	errEmptyLines      = &framingError{"more empty lines ahead of a request than are skipped: send none"}
-	errRequestLine     = &framingError{"malformed request line: send METHOD SP TARGET SP HTTP/1.1 CRLF"}
-	errVersion         = &framingError{"unknown protocol version: send HTTP/1.1"}
-	errLineEnd         = &framingError{"bare CR or LF: end lines with CRLF"}
-	errFolded          = &framingError{"folded header line: send each field on one line"}
-	errFieldName       = &framingError{"malformed field name: send a token and a colon without white space"}
-	errFieldValue      = &framingError{"control character in a field: leave it out"}
-	errLength          = &framingError{"malformed Content-Length: send one decimal number"}
-	errLengths         = &framingError{"several Content-Length fields: send one"}
-	errLengthAndCoding = &framingError{"Content-Length beside Transfer-Encoding: send one of them"}
-	errCoding          = &framingError{"Transfer-Encoding other than chunked: send chunked or Content-Length"}
-	errCodings         = &framingError{"several Transfer-Encoding fields: send one"}
-	errCodingVersion   = &framingError{"Transfer-Encoding in HTTP/1.0: send HTTP/1.1"}
-	errChunkSize       = &framingError{"malformed chunk size: send hexadecimal digits"}
-	errChunkEnd        = &framingError{"chunk data not followed by CRLF: send the size of the data"}
-	errTrailer         = &framingError{"framing field in a trailer: send it in the header"}
+	errEmptyLines                = &framingError{"more empty lines ahead of a request than are skipped: send none"}
+	errRequestLine               = &framingError{"malformed request line: send METHOD SP TARGET SP HTTP/1.1 CRLF"}
+	errVersion                   = &framingError{"unknown protocol version: send HTTP/1.1"}
+	errLineEnd                   = &framingError{"bare CR or LF: end lines with CRLF"}
+	errFoldedField               = &framingError{"folded header line: send each field on one line"}
+	errFieldName                 = &framingError{"malformed field name: send a token and a colon without white space"}
+	errFieldValue                = &framingError{"control character in a field: leave it out"}
+	errContentLength             = &framingError{"malformed Content-Length: send one decimal number"}
+	errContentLengthRepeated     = &framingError{"several Content-Length fields: send one"}
+	errLengthAndTransferEncoding = &framingError{"Content-Length beside Transfer-Encoding: send one of them"}
+	errTransferEncoding          = &framingError{"Transfer-Encoding other than chunked: send chunked or Content-Length"}
+	errTransferEncodingRepeated  = &framingError{"several Transfer-Encoding fields: send one"}
+	errTransferEncodingVersion   = &framingError{"Transfer-Encoding in HTTP/1.0: send HTTP/1.1"}
+	errChunkSize                 = &framingError{"malformed chunk size: send hexadecimal digits"}
+	errChunkEnd                  = &framingError{"chunk data not followed by CRLF: send the size of the data"}
+	errTrailerField              = &framingError{"framing field in a trailer: send it in the header"}
 )
 
 const (
@@ -48,7 +48,7 @@
 type scanState uint8
 
 const (
-	stateStart scanState = iota // of a request line
+	stateMessageStart scanState = iota // of a request line
 	stateEmptyLineEnd
 	stateMethod
 	stateTarget
@@ -72,9 +72,9 @@
 type fieldKind uint8
 
 const (
-	fieldPlain fieldKind = iota
-	fieldLength
-	fieldCoding
+	fieldOther fieldKind = iota
+	fieldContentLength
+	fieldTransferEncoding
 )
 
 // framingScanner follows the requests of one connection and finds the first byte of a doubtful
@@ -87,17 +87,17 @@
 	version     [versionLength]byte
 	versionRead uint8 // bytes of it
 
-	name        [len(transferEncoding)]byte
-	nameLength  uint8 // one over the size of name: a longer one
-	field       fieldKind
-	hasDigits   bool  // of a length
-	digitsOver  bool  // white space has followed them
-	matched     uint8 // bytes of chunkedCoding
-	chunkDigits uint8
-
-	hasLength bool
-	hasCoding bool
-	remaining int64 // bytes of a body or a chunk
+	name          [len(transferEncoding)]byte
+	nameLength    uint8 // one over the size of name: a longer one
+	field         fieldKind
+	hasDigits     bool  // of a length
+	digitsEnded   bool  // white space has followed them
+	codingMatched uint8 // bytes of chunkedCoding
+	chunkDigits   uint8
+
+	hasContentLength    bool
+	hasTransferEncoding bool
+	remaining           int64 // bytes of a body or a chunk
 }
 
 // scan reads the next bytes of the connection. It returns how many of them are beyond doubt, and
@@ -117,9 +117,9 @@
 func (s *framingScanner) step(p []byte) (int, *framingError) {
 	switch s.state {
 	case stateMethod:
-		return s.scanWord(p, classToken, stateTarget)
+		return s.scanToken(p, classToken, stateTarget)
 	case stateTarget:
-		return s.scanWord(p, classTarget, stateVersion)
+		return s.scanToken(p, classTarget, stateVersion)
 	case stateFieldName:
 		return s.scanFieldName(p)
 	case stateFieldValue:
@@ -136,10 +136,10 @@
 // scanByte reads one byte where parts begin or end.
 func (s *framingScanner) scanByte(b byte) *framingError {
 	switch s.state {
-	case stateStart:
+	case stateMessageStart:
 		return s.scanStart(b)
 	case stateEmptyLineEnd:
-		return s.expect(b, '\n', stateStart, errLineEnd)
+		return s.expect(b, '\n', stateMessageStart, errLineEnd)
 	case stateVersion:
 		return s.scanVersion(b)
 	case stateRequestLineEnd, stateFieldEnd:
@@ -186,9 +186,9 @@
 	return nil
 }
 
-// scanWord reads the method or the target, up to the space that ends it.
-func (s *framingScanner) scanWord(p []byte, class byteClass, next scanState) (int, *framingError) {
-	n := spanOf(p, class)
+// scanToken reads the method or the target, up to the space that ends it.
+func (s *framingScanner) scanToken(p []byte, class byteClass, next scanState) (int, *framingError) {
+	n := prefixLength(p, class)
 	if n == len(p) {
 		return n, nil
 	}
@@ -227,7 +227,7 @@
 		s.state = stateFieldsEnd
 		return nil
 	case ' ', '\t':
-		return errFolded
+		return errFoldedField
 	}
 	if byteClasses[b]&classToken == 0 {
 		return errFieldName
@@ -239,8 +239,8 @@
 }
 
 func (s *framingScanner) scanFieldName(p []byte) (int, *framingError) {
-	n := spanOf(p, classToken)
-	s.keepName(p[:n])
+	n := prefixLength(p, classToken)
+	s.appendName(p[:n])
 	if n == len(p) {
 		return n, nil
 	}
@@ -254,8 +254,8 @@
 	return n + 1, nil
 }
 
-// keepName keeps as much of a field's name as tells whether it frames the message.
-func (s *framingScanner) keepName(p []byte) {
+// appendName keeps as much of a field's name as tells whether it frames the message.
+func (s *framingScanner) appendName(p []byte) {
 	if int(s.nameLength)+len(p) > len(s.name) {
 		s.nameLength = uint8(len(s.name) + 1)
 		return
@@ -266,53 +266,53 @@
 
 // beginValue takes a field's name whose colon has come.
 func (s *framingScanner) beginValue() *framingError {
-	s.field = fieldPlain
+	s.field = fieldOther
 	if int(s.nameLength) > len(s.name) {
 		return nil
 	}
 	name := s.name[:s.nameLength]
 	switch {
 	case len(name) == len(contentLength) && bytes.EqualFold(name, []byte(contentLength)):
-		return s.beginLength()
+		return s.beginContentLength()
 	case len(name) == len(transferEncoding) && bytes.EqualFold(name, []byte(transferEncoding)):
-		return s.beginCoding()
+		return s.beginTransferEncoding()
 	}
 	return nil
 }
 
-func (s *framingScanner) beginLength() *framingError {
+func (s *framingScanner) beginContentLength() *framingError {
 	switch {
 	case s.inTrailer:
-		return errTrailer
-	case s.hasLength:
-		return errLengths
-	case s.hasCoding:
-		return errLengthAndCoding
-	}
-	s.field, s.hasLength = fieldLength, true
-	s.hasDigits, s.digitsOver = false, false
+		return errTrailerField
+	case s.hasContentLength:
+		return errContentLengthRepeated
+	case s.hasTransferEncoding:
+		return errLengthAndTransferEncoding
+	}
+	s.field, s.hasContentLength = fieldContentLength, true
+	s.hasDigits, s.digitsEnded = false, false
 	return nil
 }
 
-func (s *framingScanner) beginCoding() *framingError {
+func (s *framingScanner) beginTransferEncoding() *framingError {
 	switch {
 	case s.inTrailer:
-		return errTrailer
-	case s.hasCoding:
-		return errCodings
-	case s.hasLength:
-		return errLengthAndCoding
+		return errTrailerField
+	case s.hasTransferEncoding:
+		return errTransferEncodingRepeated
+	case s.hasContentLength:
+		return errLengthAndTransferEncoding
 	case s.version[versionLength-1] != '1':
-		return errCodingVersion
+		return errTransferEncodingVersion
 	}
-	s.field, s.hasCoding = fieldCoding, true
-	s.matched = 0
+	s.field, s.hasTransferEncoding = fieldTransferEncoding, true
+	s.codingMatched = 0
 	return nil
 }
 
 func (s *framingScanner) scanFieldValue(p []byte) (int, *framingError) {
-	n := spanOf(p, classValue)
-	if s.field != fieldPlain {
+	n := prefixLength(p, classValue)
+	if s.field != fieldOther {
 		if i, doubt := s.scanFramingValue(p[:n]); doubt != nil {
 			return i, doubt
 		}
@@ -337,10 +337,10 @@
 func (s *framingScanner) scanFramingValue(p []byte) (int, *framingError) {
 	for i, b := range p {
 		var doubt *framingError
-		if s.field == fieldLength {
-			doubt = s.scanLength(b)
+		if s.field == fieldContentLength {
+			doubt = s.scanContentLength(b)
 		} else {
-			doubt = s.scanCoding(b)
+			doubt = s.scanTransferEncoding(b)
 		}
 		if doubt != nil {
 			return i, doubt
@@ -349,43 +349,43 @@
 	return len(p), nil
 }
 
-// scanLength reads a byte of Content-Length: digits, with white space around them at most.
-func (s *framingScanner) scanLength(b byte) *framingError {
+// scanContentLength reads a byte of Content-Length: digits, with white space around them at most.
+func (s *framingScanner) scanContentLength(b byte) *framingError {
 	if b == ' ' || b == '\t' {
-		s.digitsOver = s.hasDigits
+		s.digitsEnded = s.hasDigits
 		return nil
 	}
-	if b < '0' || b > '9' || s.digitsOver {
-		return errLength
+	if b < '0' || b > '9' || s.digitsEnded {
+		return errContentLength
 	}
 	digit := int64(b - '0')
 	if s.remaining > (math.MaxInt64-digit)/10 {
-		return errLength
+		return errContentLength
 	}
 	s.remaining = s.remaining*10 + digit
 	s.hasDigits = true
 	return nil
 }
 
-// scanCoding reads a byte of Transfer-Encoding: spaces, and then chunked in just these letters.
-func (s *framingScanner) scanCoding(b byte) *framingError {
-	if b == ' ' && s.matched == 0 {
+// scanTransferEncoding reads a byte of Transfer-Encoding: spaces, and then chunked in just these letters.
+func (s *framingScanner) scanTransferEncoding(b byte) *framingError {
+	if b == ' ' && s.codingMatched == 0 {
 		return nil
 	}
-	if int(s.matched) == len(chunkedCoding) || b != chunkedCoding[s.matched] {
-		return errCoding
+	if int(s.codingMatched) == len(chunkedCoding) || b != chunkedCoding[s.codingMatched] {
+		return errTransferEncoding
 	}
-	s.matched++
+	s.codingMatched++
 	return nil
 }
 
 // endFramingValue checks that a value that frames the message is whole.
 func (s *framingScanner) endFramingValue() *framingError {
 	switch {
-	case s.field == fieldLength && !s.hasDigits:
-		return errLength
-	case s.field == fieldCoding && int(s.matched) < len(chunkedCoding):
-		return errCoding
+	case s.field == fieldContentLength && !s.hasDigits:
+		return errContentLength
+	case s.field == fieldTransferEncoding && int(s.codingMatched) < len(chunkedCoding):
+		return errTransferEncoding
 	}
 	return nil
 }
@@ -397,7 +397,7 @@
 		return errLineEnd
 	case s.inTrailer:
 		*s = framingScanner{}
-	case s.hasCoding:
+	case s.hasTransferEncoding:
 		s.state = stateChunkSize
 	case s.remaining > 0:
 		s.state = stateBody
@@ -503,8 +503,8 @@
 	return classes
 }
 
-// spanOf is how many bytes at the start are of a class.
-func spanOf(p []byte, class byteClass) int {
+// prefixLength is how many bytes at the start are of a class.
+func prefixLength(p []byte, class byteClass) int {
 	for i, b := range p {
 		if byteClasses[b]&class == 0 {
 			return i
--- a/internal/fleet/gateway/framing_scan_test.go
+++ b/internal/fleet/gateway/framing_scanner_test.go
@@ -20,8 +20,8 @@
 	chunkedHead = postHead + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// properRequests are read in one way only.
-var properRequests = map[string]string{
+// unambiguousRequests are read in one way only.
+var unambiguousRequests = map[string]string{
 	"no body":               getHead,
 	"a length":              postHead + "Content-Length: 5\r\n\r\nhello",
 	"length 0":              postHead + "Content-Length: 0\r\n\r\n",
@@ -46,35 +46,35 @@
 	"a long name":           postHead + strings.Repeat("Content-Length", 20) + ": 5\r\n\r\n",
 }
 
-// doubtfulRequests are read in several ways, or refused by some.
-var doubtfulRequests = map[string]struct {
+// ambiguousRequests are read in several ways, or refused by some.
+var ambiguousRequests = map[string]struct {
 	request string
 	doubt   *framingError
 }{
-	"length and chunks":          {postHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", errLengthAndCoding},
-	"chunks and length":          {postHead + "Transfer-Encoding: chunked\r\ncontent-LENGTH: 0\r\n\r\n", errLengthAndCoding},
-	"two lengths":                {postHead + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", errLengths},
-	"the same length twice":      {postHead + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", errLengths},
-	"two codings":                {postHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", errCodings},
-	"a list of lengths":          {postHead + "Content-Length: 5, 5\r\n\r\nhello", errLength},
-	"a length in two parts":      {postHead + "Content-Length: 5 5\r\n\r\nhello", errLength},
-	"a signed length":            {postHead + "Content-Length: +5\r\n\r\nhello", errLength},
-	"a negative length":          {postHead + "Content-Length: -5\r\n\r\nhello", errLength},
-	"a hexadecimal length":       {postHead + "Content-Length: 0x5\r\n\r\nhello", errLength},
-	"no length":                  {postHead + "Content-Length: \r\n\r\n", errLength},
-	"a length over 63 bits":      {postHead + "Content-Length: 9223372036854775808\r\n\r\n", errLength},
-	"a length over 64 bits":      {postHead + "Content-Length: 18446744073709551621\r\n\r\nhello", errLength},
-	"another coding":             {postHead + "Transfer-Encoding: gzip\r\n\r\n", errCoding},
-	"a list of codings":          {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", errCoding},
-	"chunked and more":           {postHead + "Transfer-Encoding: chunked, identity\r\n\r\n", errCoding},
-	"a longer word":              {postHead + "Transfer-Encoding: chunkedx\r\n\r\n", errCoding},
-	"a shorter word":             {postHead + "Transfer-Encoding: chunke\r\n\r\n", errCoding},
-	"capitals":                   {postHead + "Transfer-Encoding: Chunked\r\n\r\n", errCoding},
-	"a tab":                      {postHead + "Transfer-Encoding:\tchunked\r\n\r\n", errCoding},
-	"a space behind":             {postHead + "Transfer-Encoding: chunked \r\n\r\n", errCoding},
-	"no coding":                  {postHead + "Transfer-Encoding:\r\n\r\n", errCoding},
+	"length and chunks":          {postHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", errLengthAndTransferEncoding},
+	"chunks and length":          {postHead + "Transfer-Encoding: chunked\r\ncontent-LENGTH: 0\r\n\r\n", errLengthAndTransferEncoding},
+	"two lengths":                {postHead + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", errContentLengthRepeated},
+	"the same length twice":      {postHead + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", errContentLengthRepeated},
+	"two codings":                {postHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", errTransferEncodingRepeated},
+	"a list of lengths":          {postHead + "Content-Length: 5, 5\r\n\r\nhello", errContentLength},
+	"a length in two parts":      {postHead + "Content-Length: 5 5\r\n\r\nhello", errContentLength},
+	"a signed length":            {postHead + "Content-Length: +5\r\n\r\nhello", errContentLength},
+	"a negative length":          {postHead + "Content-Length: -5\r\n\r\nhello", errContentLength},
+	"a hexadecimal length":       {postHead + "Content-Length: 0x5\r\n\r\nhello", errContentLength},
+	"no length":                  {postHead + "Content-Length: \r\n\r\n", errContentLength},
+	"a length over 63 bits":      {postHead + "Content-Length: 9223372036854775808\r\n\r\n", errContentLength},
+	"a length over 64 bits":      {postHead + "Content-Length: 18446744073709551621\r\n\r\nhello", errContentLength},
+	"another coding":             {postHead + "Transfer-Encoding: gzip\r\n\r\n", errTransferEncoding},
+	"a list of codings":          {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", errTransferEncoding},
+	"chunked and more":           {postHead + "Transfer-Encoding: chunked, identity\r\n\r\n", errTransferEncoding},
+	"a longer word":              {postHead + "Transfer-Encoding: chunkedx\r\n\r\n", errTransferEncoding},
+	"a shorter word":             {postHead + "Transfer-Encoding: chunke\r\n\r\n", errTransferEncoding},
+	"capitals":                   {postHead + "Transfer-Encoding: Chunked\r\n\r\n", errTransferEncoding},
+	"a tab":                      {postHead + "Transfer-Encoding:\tchunked\r\n\r\n", errTransferEncoding},
+	"a space behind":             {postHead + "Transfer-Encoding: chunked \r\n\r\n", errTransferEncoding},
+	"no coding":                  {postHead + "Transfer-Encoding:\r\n\r\n", errTransferEncoding},
 	"a vertical tab":             {postHead + "Transfer-Encoding: \x0bchunked\r\n\r\n", errFieldValue},
-	"chunks in HTTP/1.0":         {"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", errCodingVersion},
+	"chunks in HTTP/1.0":         {"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", errTransferEncodingVersion},
 	"HTTP/2.0":                   {"PRI * HTTP/2.0\r\n\r\n", errVersion},
 	"HTTP/1.2":                   {"GET /a HTTP/1.2\r\n\r\n", errVersion},
 	"HTTP/1.10":                  {"GET /a HTTP/1.10\r\n\r\n", errRequestLine},
@@ -97,10 +97,10 @@
 	"a CR in a field":            {"GET /a HTTP/1.1\r\nHost: h\rX-A: 1\r\n\r\n", errLineEnd},
 	"a LF for the empty line":    {"GET /a HTTP/1.1\r\nHost: h\r\n\n", errFieldName},
 	"a CR for the empty line":    {"GET /a HTTP/1.1\r\nHost: h\r\n\rX", errLineEnd},
-	"folded":                     {postHead + "X-A: 1\r\n b\r\n\r\n", errFolded},
-	"folded by a tab":            {postHead + "X-A: 1\r\n\tb\r\n\r\n", errFolded},
-	"a space ahead of fields":    {"GET /a HTTP/1.1\r\n Host: h\r\n\r\n", errFolded},
-	"a folded coding":            {postHead + "Transfer-Encoding:\r\n chunked\r\n\r\n", errCoding},
+	"folded":                     {postHead + "X-A: 1\r\n b\r\n\r\n", errFoldedField},
+	"folded by a tab":            {postHead + "X-A: 1\r\n\tb\r\n\r\n", errFoldedField},
+	"a space ahead of fields":    {"GET /a HTTP/1.1\r\n Host: h\r\n\r\n", errFoldedField},
+	"a folded coding":            {postHead + "Transfer-Encoding:\r\n chunked\r\n\r\n", errTransferEncoding},
 	"a space behind a name":      {postHead + "Content-Length : 5\r\n\r\nhello", errFieldName},
 	"a tab behind a name":        {postHead + "Transfer-Encoding\t: chunked\r\n\r\n", errFieldName},
 	"a space in a name":          {postHead + "X A: 1\r\n\r\n", errFieldName},
@@ -127,89 +127,89 @@
 	"a LF behind a chunk":        {chunkedHead + "5\r\nhello\n0\r\n\r\n", errChunkEnd},
 	"a CR behind a chunk":        {chunkedHead + "5\r\nhello\r0\r\n\r\n", errChunkEnd},
 	"a longer chunk":             {chunkedHead + "4\r\nhello\r\n0\r\n\r\n", errChunkEnd},
-	"a length in the trailer":    {chunkedHead + "0\r\nContent-Length: 5\r\n\r\n", errTrailer},
-	"a coding in the trailer":    {chunkedHead + "0\r\nTransfer-Encoding: chunked\r\n\r\n", errTrailer},
-	"a folded trailer":           {chunkedHead + "0\r\nX-A: 1\r\n b\r\n\r\n", errFolded},
+	"a length in the trailer":    {chunkedHead + "0\r\nContent-Length: 5\r\n\r\n", errTrailerField},
+	"a coding in the trailer":    {chunkedHead + "0\r\nTransfer-Encoding: chunked\r\n\r\n", errTrailerField},
+	"a folded trailer":           {chunkedHead + "0\r\nX-A: 1\r\n b\r\n\r\n", errFoldedField},
 	"a NUL in the trailer":       {chunkedHead + "0\r\nX-A: 1\x00\r\n\r\n", errFieldValue},
 	"a LF in the trailer":        {chunkedHead + "0\r\nX-A: 1\n\r\n", errLineEnd},
 	"a CR for the trailer's end": {chunkedHead + "0\r\n\rX", errLineEnd},
 }
 
-// span is where a request's head and the whole request end.
-type span struct{ head, end int }
+// requestSpan is where a request's head and the whole request end.
+type requestSpan struct{ headEnd, requestEnd int }
 
-// scanned is what a scanner makes of the bytes of a connection.
-type scanned struct {
-	spans   []span
-	headEnd int // of the last one, if it isn't whole; else 0
-	doubtAt int // the first doubtful byte; -1: none
-	doubt   error
+// scanResult is what a scanner makes of the bytes of a connection.
+type scanResult struct {
+	spans       []requestSpan
+	headEnd     int // of the last one, if it isn't whole; else 0
+	errorOffset int // the first doubtful byte; -1: none
+	err         error
 }
 
 // scanAll has a scanner read byte by byte.
-func scanAll(data []byte) scanned {
-	out := scanned{doubtAt: -1}
-	var s framingScanner
+func scanAll(data []byte) scanResult {
+	out := scanResult{errorOffset: -1}
+	var scanner framingScanner
 	for i := range data {
-		before := s
-		_, out.doubt = s.scan(data[i : i+1])
-		if out.doubt != nil {
-			out.doubtAt = i
+		before := scanner
+		_, out.err = scanner.scan(data[i : i+1])
+		if out.err != nil {
+			out.errorOffset = i
 			return out
 		}
 		if before.state == stateFieldsEnd && !before.inTrailer {
 			out.headEnd = i + 1
 		}
-		if out.headEnd > 0 && s.state == stateStart {
-			out.spans = append(out.spans, span{out.headEnd, i + 1})
+		if out.headEnd > 0 && scanner.state == stateMessageStart {
+			out.spans = append(out.spans, requestSpan{out.headEnd, i + 1})
 			out.headEnd = 0
 		}
 	}
 	return out
 }
 
-// read is a request as net/http reads it.
-type read struct {
-	span
+// parsedRequest is a request as net/http reads it.
+type parsedRequest struct {
+	requestSpan
 	text string // its line, its fields and its body
 }
 
-// readAll has net/http read requests as its server does, until one can't be read whole. It returns
+// parseAll has net/http read requests as its server does, until one can't be read whole. It returns
 // the whole ones, and where the head of one ends whose body can't be read.
-func readAll(src io.Reader, consumed func(*bufio.Reader) int) (whole []read, headEnd int) {
-	br := bufio.NewReader(src)
+func parseAll(src io.Reader, consumed func(*bufio.Reader) int) (whole []parsedRequest, headEnd int) {
+	reader := bufio.NewReader(src)
 	for method := ""; ; {
 		if method == http.MethodPost {
-			discardEmptyLines(br)
+			discardEmptyLines(reader)
 		}
-		req, err := http.ReadRequest(br)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return whole, 0
 		}
 		method = req.Method
-		r := read{span: span{head: consumed(br)}}
+		r := parsedRequest{requestSpan: requestSpan{headEnd: consumed(reader)}}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
-			return whole, r.head
+			return whole, r.headEnd
 		}
-		r.end = consumed(br)
+		r.requestEnd = consumed(reader)
 		r.text = fmt.Sprintf("%s %s %s %v %q", req.Method, req.RequestURI, req.Proto, req.Header, body)
 		whole = append(whole, r)
 	}
 }
 
 // discardEmptyLines does what net/http's server does behind a POST.
-func discardEmptyLines(br *bufio.Reader) {
-	start, _ := br.Peek(4)
+func discardEmptyLines(reader *bufio.Reader) {
+	start, _ := reader.Peek(4)
 	n := len(start) - len(bytes.TrimLeft(start, "\r\n"))
-	_, _ = br.Discard(n)
+	_, _ = reader.Discard(n)
 }
 
 // scriptedConn is a connection that brings given bytes, so many at a time.
 type scriptedConn struct {
 	net.Conn
-	data  []byte
-	piece int
+	data     []byte
+	readSize int
 }
 
 func (c *scriptedConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
@@ -218,77 +218,77 @@
 	if len(c.data) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(p, c.data[:min(c.piece, len(c.data))])
+	n := copy(p, c.data[:min(c.readSize, len(c.data))])
 	c.data = c.data[n:]
 	return n, nil
 }
 
-// compare checks that scanner and net/http see the same requests, and that net/http gets no other
+// compareWithNetHTTP checks that scanner and net/http see the same requests, and that net/http gets no other
 // ones through a watched connection.
-func compare(t *testing.T, data []byte, piece int) {
-	seen := scanAll(data)
+func compareWithNetHTTP(t *testing.T, data []byte, readSize int) {
+	scanned := scanAll(data)
 	src := bytes.NewReader(data)
-	whole, headEnd := readAll(src, func(br *bufio.Reader) int { return len(data) - src.Len() - br.Buffered() })
+	whole, headEnd := parseAll(src, func(reader *bufio.Reader) int { return len(data) - src.Len() - reader.Buffered() })
 	for i, r := range whole {
-		if i >= len(seen.spans) {
-			require.GreaterOrEqual(t, seen.doubtAt, 0, "net/http reads request %d of %q, the scanner is still in it", i, data)
-			require.Less(t, seen.doubtAt, r.end, "net/http reads request %d of %q, the scanner doubts what follows", i, data)
+		if i >= len(scanned.spans) {
+			require.GreaterOrEqual(t, scanned.errorOffset, 0, "net/http reads request %d of %q, the scanner is still in it", i, data)
+			require.Less(t, scanned.errorOffset, r.requestEnd, "net/http reads request %d of %q, the scanner doubts what follows", i, data)
 			break
 		}
-		require.Equal(t, r.span, seen.spans[i], "the ends of request %d of %q", i, data)
+		require.Equal(t, r.requestSpan, scanned.spans[i], "the ends of request %d of %q", i, data)
 	}
-	if headEnd > 0 && seen.doubtAt < 0 && len(whole) == len(seen.spans) {
-		require.Equal(t, headEnd, seen.headEnd, "the end of the last head of %q", data)
+	if headEnd > 0 && scanned.errorOffset < 0 && len(whole) == len(scanned.spans) {
+		require.Equal(t, headEnd, scanned.headEnd, "the end of the last head of %q", data)
 	}
 
 	var rejected atomic.Int64
-	conn := &framingConn{Conn: &scriptedConn{data: data, piece: piece}, rejected: &rejected}
-	passed, _ := readAll(conn, func(*bufio.Reader) int { return 0 })
-	require.Len(t, passed, min(len(whole), len(seen.spans)), "requests of %q", data)
+	conn := &framingConn{Conn: &scriptedConn{data: data, readSize: readSize}, rejected: &rejected}
+	passed, _ := parseAll(conn, func(*bufio.Reader) int { return 0 })
+	require.Len(t, passed, min(len(whole), len(scanned.spans)), "requests of %q", data)
 	for i := range passed {
 		require.Equal(t, whole[i].text, passed[i].text, "request %d of %q", i, data)
 	}
 	require.LessOrEqual(t, rejected.Load(), int64(1))
 }
 
-func TestProperFraming(t *testing.T) {
-	for name, request := range properRequests {
+func TestUnambiguousFraming(t *testing.T) {
+	for name, request := range unambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			data := request + request + "\r\n\r\n" + getHead
-			seen := scanAll([]byte(data))
-			require.NoError(t, seen.doubt)
-			require.Len(t, seen.spans, 3)
-			require.Equal(t, len(request), seen.spans[0].end)
-			require.Equal(t, 2*len(request), seen.spans[1].end)
-			require.Equal(t, len(data), seen.spans[2].end)
-			for piece := 1; piece <= len(data); piece++ {
-				compare(t, []byte(data), piece)
+			scanned := scanAll([]byte(data))
+			require.NoError(t, scanned.err)
+			require.Len(t, scanned.spans, 3)
+			require.Equal(t, len(request), scanned.spans[0].requestEnd)
+			require.Equal(t, 2*len(request), scanned.spans[1].requestEnd)
+			require.Equal(t, len(data), scanned.spans[2].requestEnd)
+			for readSize := 1; readSize <= len(data); readSize++ {
+				compareWithNetHTTP(t, []byte(data), readSize)
 			}
 		})
 	}
 }
 
 // A doubt is found behind other requests as well, wherever the bytes are split.
-func TestFramingDoubts(t *testing.T) {
-	for name, c := range doubtfulRequests {
+func TestFramingErrors(t *testing.T) {
+	for name, c := range ambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			for _, ahead := range []string{"", getHead, chunkedHead + "1\r\nx\r\n0\r\n\r\n"} {
 				data := []byte(ahead + c.request + getHead)
-				seen := scanAll(data)
-				require.Equal(t, c.doubt, seen.doubt)
+				scanned := scanAll(data)
+				require.Equal(t, c.doubt, scanned.err)
 				for split := range len(data) {
-					var s framingScanner
-					n, doubt := s.scan(data[:split])
-					if doubt == nil {
+					var scanner framingScanner
+					n, framingErr := scanner.scan(data[:split])
+					if framingErr == nil {
 						require.Equal(t, split, n)
-						n, doubt = s.scan(data[split:])
+						n, framingErr = scanner.scan(data[split:])
 						n += split
 					}
-					require.Equal(t, c.doubt, doubt)
-					require.Equal(t, seen.doubtAt, n)
+					require.Equal(t, c.doubt, framingErr)
+					require.Equal(t, scanned.errorOffset, n)
 				}
-				for _, piece := range []int{1, 2, 3, 7, 50, len(data)} {
-					compare(t, data, piece)
+				for _, readSize := range []int{1, 2, 3, 7, 50, len(data)} {
+					compareWithNetHTTP(t, data, readSize)
 				}
 			}
 		})
@@ -296,16 +296,16 @@
 }
 
 // Wherever a request breaks off, what takes the place of its rest is read by nobody as its end.
-func TestABrokenMessageIsRefused(t *testing.T) {
-	for name, request := range properRequests {
+func TestMalformedRemainder(t *testing.T) {
+	for name, request := range unambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			for end := range len(request) {
 				for _, ahead := range []string{"", postHead + "Content-Length: 1\r\n\r\nx"} {
-					if neverDoubted(request[:end]) {
+					if endsInBody(request[:end]) {
 						continue
 					}
-					data := strings.NewReader(ahead + request[:end] + brokenMessage + getHead)
-					whole, _ := readAll(data, func(*bufio.Reader) int { return 0 })
+					data := strings.NewReader(ahead + request[:end] + malformedRemainder + getHead)
+					whole, _ := parseAll(data, func(*bufio.Reader) int { return 0 })
 					require.Len(t, whole, strings.Count(ahead, postHead), "%q", request[:end])
 				}
 			}
@@ -313,19 +313,19 @@
 	}
 }
 
-// neverDoubted tells whether the bytes end within data, whose length is known.
-func neverDoubted(message string) bool {
-	var s framingScanner
-	_, _ = s.scan([]byte(message))
-	return s.state == stateBody || s.state == stateChunkData
+// endsInBody tells whether the bytes end within data, whose length is known.
+func endsInBody(message string) bool {
+	var scanner framingScanner
+	_, _ = scanner.scan([]byte(message))
+	return scanner.state == stateBody || scanner.state == stateChunkData
 }
 
-func TestScanningAllocatesNothing(t *testing.T) {
+func TestScannerDoesNotAllocate(t *testing.T) {
 	request := []byte(postHead + "Content-Length: 5\r\nTE: trailers\r\n\r\nhello" + chunkedHead + "5;a\r\nhello\r\n0\r\nX-A: 1\r\n\r\n")
-	var s framingScanner
+	var scanner framingScanner
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if _, doubt := s.scan(request); doubt != nil {
-			t.Error(doubt)
+		if _, framingErr := scanner.scan(request); framingErr != nil {
+			t.Error(framingErr)
 		}
 	}))
 }
@@ -333,13 +333,13 @@
 // FuzzFraming compares the scanner with net/http: whatever request net/http reads, the scanner sees
 // its end at the same byte or has refused it.
 func FuzzFraming(f *testing.F) {
-	for _, request := range properRequests {
+	for _, request := range unambiguousRequests {
 		f.Add([]byte(request+"\r\n"+getHead), uint8(0))
 	}
-	for _, c := range doubtfulRequests {
+	for _, c := range ambiguousRequests {
 		f.Add([]byte(getHead+c.request+getHead), uint8(7))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, piece uint8) {
-		compare(t, data, int(piece)+1)
+		compareWithNetHTTP(t, data, int(piece)+1)
 	})
 }
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -15,8 +15,8 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// connOf is a connection on which a server sends the given bytes and closes.
-func connOf(r io.Reader) *conn { return newConn(readConn{r: r}, "i-0") }
+// connReading is a connection on which a server sends the given bytes and closes.
+func connReading(r io.Reader) *conn { return newConn(readConn{r: r}, "i-0") }
 
 type readConn struct {
 	net.Conn // nil: nothing but reads is played
@@ -25,24 +25,24 @@
 
 func (c readConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// readAnswer reads one answer off a connection, and what stands behind it.
-func readAnswer(r io.Reader, method string) (resp *http.Response, body, rest []byte, err error) {
-	cn := connOf(r)
-	if resp, err = http1.ReadResponseHead(cn.br); err != nil {
+// readOneResponse reads one answer off a connection, and what stands behind it.
+func readOneResponse(r io.Reader, method string) (resp *http.Response, body, rest []byte, err error) {
+	conn := connReading(r)
+	if resp, err = http1.ReadResponseHead(conn.reader); err != nil {
 		return nil, nil, nil, err
 	}
-	if body, err = readWhole(cn, resp, method); err != nil {
+	if body, err = readBoundedBody(conn, resp, method); err != nil {
 		return nil, nil, nil, err
 	}
-	rest, err = io.ReadAll(cn.br)
+	rest, err = io.ReadAll(conn.reader)
 	return resp, body, rest, err
 }
 
-// FuzzAnswer reads any bytes as an answer: the same comes of them however they are cut into reads;
+// FuzzResponse reads any bytes as an answer: the same comes of them however they are cut into reads;
 // nothing but what stands behind the answer is left; and a beginning of an answer that tells its
 // length is never a whole one.
-func FuzzAnswer(f *testing.F) {
-	for _, a := range serverAnswers {
+func FuzzResponse(f *testing.F) {
+	for _, a := range scriptedResponses {
 		f.Add([]byte(a.text+"HTTP/1.1 "), false)
 	}
 	f.Add([]byte("HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n00\r\nA: b\r\n\r\nrest"), false)
@@ -54,8 +54,8 @@
 		if bare {
 			method = http.MethodHead
 		}
-		resp, body, rest, err := readAnswer(bytes.NewReader(text), method)
-		slow, slowBody, slowRest, slowErr := readAnswer(iotest.OneByteReader(bytes.NewReader(text)), method)
+		resp, body, rest, err := readOneResponse(bytes.NewReader(text), method)
+		slow, slowBody, slowRest, slowErr := readOneResponse(iotest.OneByteReader(bytes.NewReader(text)), method)
 		require.Equal(t, err == nil, slowErr == nil, "%v, byte by byte %v", err, slowErr)
 		if err != nil {
 			return
@@ -65,9 +65,9 @@
 		require.True(t, bytes.Equal(body, slowBody))
 		require.True(t, bytes.Equal(rest, slowRest))
 		require.GreaterOrEqual(t, resp.StatusCode, 200)
-		require.LessOrEqual(t, len(body), maxFailure)
+		require.LessOrEqual(t, len(body), maxFailureBodyBytes)
 		require.True(t, bytes.HasSuffix(text, rest))
-		if endsWithConnection(resp, method) {
+		if isCloseDelimited(resp, method) {
 			require.Empty(t, rest)
 			require.True(t, bytes.HasSuffix(text, body))
 			return
@@ -77,30 +77,30 @@
 			if cut == 0 || cut > len(answer) {
 				continue
 			}
-			_, _, _, err := readAnswer(bytes.NewReader(answer[:len(answer)-cut]), method)
+			_, _, _, err := readOneResponse(bytes.NewReader(answer[:len(answer)-cut]), method)
 			require.Error(t, err, "a beginning of an answer looks whole")
 		}
-		if len(resp.TransferEncoding) == 0 && !bodiless(resp, method) {
+		if len(resp.TransferEncoding) == 0 && !hasNoBody(resp, method) {
 			require.EqualValues(t, resp.ContentLength, len(body))
 			require.True(t, bytes.HasSuffix(answer, body))
 		}
 	})
 }
 
-// FuzzReset reads any bytes as an answer whose connection is reset: one without length is never whole.
-func FuzzReset(f *testing.F) {
-	for _, a := range serverAnswers {
+// FuzzResetResponse reads any bytes as an answer whose connection is reset: one without length is never whole.
+func FuzzResetResponse(f *testing.F) {
+	for _, a := range scriptedResponses {
 		f.Add([]byte(a.text))
 	}
 	broke := errors.New("connection reset")
 	f.Fuzz(func(t *testing.T, text []byte) {
-		cn := connOf(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(broke)))
-		resp, err := http1.ReadResponseHead(cn.br)
+		conn := connReading(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(broke)))
+		resp, err := http1.ReadResponseHead(conn.reader)
 		if err != nil {
 			return
 		}
-		_, err = readWhole(cn, resp, http.MethodPost)
-		if endsWithConnection(resp, http.MethodPost) {
+		_, err = readBoundedBody(conn, resp, http.MethodPost)
+		if isCloseDelimited(resp, http.MethodPost) {
 			require.Error(t, err)
 		}
 	})
@@ -110,15 +110,15 @@
 // at once, only whole ones, with ids that follow on each other, and none of another version where
 // the stream goes on at another server.
 func FuzzEvents(f *testing.F) {
-	f.Add(events(3, 5), 7, int64(3), true)
-	f.Add(changed("4", 3)+piece(4), 20, int64(3), true)
-	f.Add(changed("3", 3)+piece(5), 0, int64(3), true)
+	f.Add(eventTexts(3, 5), 7, int64(3), true)
+	f.Add(versionChange("4", 3)+eventText(4), 20, int64(3), true)
+	f.Add(versionChange("3", 3)+eventText(5), 0, int64(3), true)
 	f.Add("data: x\n\nid: 7\n\n", 3, int64(0), false)
 	f.Add("versions:\nid: 1\n\n\n\n", 3, int64(0), true)
 	f.Fuzz(func(t *testing.T, text string, cut int, next int64, joining bool) {
-		start := func() *answer { return &answer{version: "3", joining: joining, next: next} }
+		start := func() *clientResponse { return &clientResponse{version: "3", resuming: joining, nextEventID: next} }
 		once := start()
-		whole, n, bad := once.take([]byte(text))
+		whole, n, bad := once.acceptEvents([]byte(text))
 		require.LessOrEqual(t, whole, len(text))
 		taken := text[:whole]
 		require.True(t, taken == "" || strings.HasSuffix(taken, "\n\n"))
@@ -128,13 +128,13 @@
 		}
 		cut = min(max(cut, 0), len(text))
 		twice := start()
-		whole1, n1, bad1 := twice.take([]byte(text[:cut]))
+		whole1, n1, bad1 := twice.acceptEvents([]byte(text[:cut]))
 		if bad1 {
 			require.Equal(t, whole, whole1)
 			require.True(t, bad)
 			return
 		}
-		whole2, n2, bad2 := twice.take([]byte(text[whole1:]))
+		whole2, n2, bad2 := twice.acceptEvents([]byte(text[whole1:]))
 		require.Equal(t, whole, whole1+whole2)
 		require.Equal(t, n, n1+n2)
 		require.Equal(t, bad, bad2)
--- /dev/null
+++ b/internal/fleet/gateway/handler_test.go
@@ -0,0 +1,374 @@
+package gateway
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/fleet/settings"
+)
+
+// A message that may be read in two ways, or not at all, gets an error and its connection is closed:
+// what stands behind it may be part of it. No server sees a request that no client sent.
+func TestRequestSmuggling(t *testing.T) {
+	hidden := "POST /once/hidden HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": hidden\r\nContent-Length: 0\r\n\r\n"
+	chunked := "0\r\n\r\n" + hidden
+	for name, request := range map[string]string{
+		"chunks in HTTP/1.0":     strings.Replace(requestHead("POST", "/once/x", "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n"), "HTTP/1.1", "HTTP/1.0", 1) + "0\r\n\r\n" + hidden,
+		"two lengths":            requestHead("POST", "/once/x", "Content-Length: 200\r\nContent-Length: 0\r\n") + hidden,
+		"a list of lengths":      requestHead("POST", "/once/x", "Content-Length: 0, 200\r\n") + hidden,
+		"a signed length":        requestHead("POST", "/once/x", "Content-Length: +0\r\n") + hidden,
+		"a negative length":      requestHead("POST", "/once/x", "Content-Length: -1\r\n") + hidden,
+		"a hex length":           requestHead("POST", "/once/x", "Content-Length: 0x0\r\n") + hidden,
+		"an empty length":        requestHead("POST", "/once/x", "Content-Length:\r\n") + hidden,
+		"a space before a colon": requestHead("POST", "/once/x", "Content-Length : 200\r\n") + hidden,
+		"a tab before a colon":   requestHead("POST", "/once/x", "Transfer-Encoding\t: chunked\r\n") + chunked,
+		"two codings":            requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n") + chunked,
+		"a list of codings":      requestHead("POST", "/once/x", "Transfer-Encoding: identity, chunked\r\n") + chunked,
+		"another coding":         requestHead("POST", "/once/x", "Transfer-Encoding: xchunked\r\n") + chunked,
+		"an unknown coding":      requestHead("POST", "/once/x", "Transfer-Encoding: gzip\r\n") + chunked,
+		"a coding in quotes":     requestHead("POST", "/once/x", "Transfer-Encoding: \"chunked\"\r\n") + chunked,
+		"a bad chunk size":       requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "0x5\r\nshort\r\n" + chunked,
+		"a signed chunk size":    requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "+5\r\nshort\r\n" + chunked,
+		"a huge chunk size":      requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "ffffffffffffffff5\r\nshort\r\n" + chunked,
+		"no end of a chunk":      requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "5\r\nshort" + chunked,
+		"a bare line feed":       requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "5;\nxx\r\nshort\r\n" + chunked,
+		"a line feed in a field": requestHead("POST", "/once/x", "X-A: 1\rContent-Length: 5\r\n") + hidden,
+		"a NUL in a field":       requestHead("POST", "/once/x", "X-A: 1\x00\r\n") + hidden,
+		"a name with a space":    requestHead("POST", "/once/x", "X A: 1\r\n") + hidden,
+		"a name of nothing":      requestHead("POST", "/once/x", ": 1\r\n") + hidden,
+		"no colon":               requestHead("POST", "/once/x", "X-A\r\n") + hidden,
+		"two hosts":              requestHead("POST", "/once/x", "Host: other.example\r\n") + hidden,
+		"no host":                "POST /once/x HTTP/1.1\r\n" + headerAttemptID + ": x\r\n\r\n" + hidden,
+		"a bad host":             "POST /once/x HTTP/1.1\r\nHost: h.example/once/\r\n" + headerAttemptID + ": x\r\n\r\n" + hidden,
+		"two ids":                requestHead("POST", "/once/x", headerAttemptID+": other\r\n") + hidden,
+		"no id":                  "POST /once/x HTTP/1.1\r\nHost: h.example\r\n\r\n" + hidden,
+		"an empty id":            "POST /once/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ":\r\n\r\n" + hidden,
+		"a bad target":           requestHead("POST", "/once/x y", "") + hidden,
+		"a target with CR":       requestHead("POST", "/once/x\ry", "") + hidden,
+		"no path":                requestHead("POST", "once/x", "") + hidden,
+		"a star":                 requestHead("OPTIONS", "*", "") + hidden,
+		"an authority":           requestHead("CONNECT", "h.example:80", "") + hidden,
+		"no version":             "POST /once/x\r\nHost: h.example\r\n" + headerAttemptID + ": x\r\n\r\n" + hidden,
+		"another version":        strings.Replace(requestHead("POST", "/once/x", ""), "HTTP/1.1", "HTTP/2.0", 1) + hidden,
+		"an old version":         strings.Replace(requestHead("POST", "/once/x", "Connection: keep-alive\r\n"), "HTTP/1.1", "HTTP/1.0", 1) + hidden,
+		"HTTP/2":                 "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + hidden,
+		"TLS":                    "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + hidden,
+		"a large head":           requestHead("POST", "/once/x", "X-A: "+strings.Repeat("x", 128<<10)+"\r\n") + hidden,
+		"many fields":            requestHead("POST", "/once/x", strings.Repeat("X-A: 1\r\n", 20000)) + hidden,
+	} {
+		t.Run(name, func(t *testing.T) {
+			harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+			client := harness.dial()
+			_, _ = client.Write([]byte(request)) // the door may have had enough before the end
+			for {
+				resp, err := http.ReadResponse(client.reader, nil)
+				if err != nil {
+					require.False(t, isTimeout(err), "the connection is still open")
+					break
+				}
+				require.GreaterOrEqual(t, resp.StatusCode, 400)
+				require.True(t, resp.Close, "%d keeps the connection", resp.StatusCode)
+				_, _ = io.Copy(io.Discard, resp.Body)
+			}
+			harness.requireNoCall()
+		})
+	}
+}
+
+// Lengths that are the same twice may be read in one way only.
+func TestRepeatedContentLength(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	resp, _ := harness.roundTrip(requestHead("POST", "/once/x", "Content-Length: 1\r\nContent-Length: 1\r\n") + "q")
+	if resp.StatusCode == 200 {
+		require.Equal(t, []string{"1"}, harness.nextCall().header["Content-Length"])
+	} else {
+		require.Equal(t, 400, resp.StatusCode)
+	}
+}
+
+func TestPipelinedRequests(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
+		if strings.Contains(call.requestLine, "/stream/") {
+			return call.startStream("s") && call.writeEvents(1, 3) && call.endStream()
+		}
+		return call.respondSuccess()
+	})
+	client := harness.dial()
+	client.write(postRequest("/once/1", "", "1") + requestHead("GET", "/safe/2", "") + postRequest("/stream/3", "", "3") + postRequest("/none/4", "", "4") +
+		requestHead("POST", "/once/5", "Transfer-Encoding: chunked\r\n") + "1\r\n5\r\n0\r\n\r\n" + postRequest("/once/6", "", "6"))
+	for i, want := range []string{"served 1", "served ", eventTexts(1, 3), "", "served 5", "served 6"} {
+		resp, body := client.readResponse()
+		if i == 3 {
+			require.Equal(t, 404, resp.StatusCode)
+			continue
+		}
+		require.Equal(t, 200, resp.StatusCode)
+		require.Equal(t, want, body)
+	}
+	client.write(postRequest("/once/7", "", "7"))
+	_, body := client.readResponse()
+	require.Equal(t, "served 7", body)
+}
+
+func TestNoRoute(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	client := harness.dial()
+	for _, request := range []string{
+		postRequest("/none/x", "", strings.Repeat("x", 20000)), postRequest("/", "", "x"), postRequest("/once", "", "x"),
+		strings.Replace(postRequest("/once/x", "", "x"), "h.example", "other.example", 1),
+		requestHead("POST", "/none/x", "Transfer-Encoding: chunked\r\n") + "5\r\nshort\r\n0\r\n\r\n",
+	} {
+		client.write(request)
+		resp, _ := client.readResponse()
+		require.Equal(t, 404, resp.StatusCode)
+		require.False(t, resp.Close)
+	}
+	client.write(postRequest("/once/x", "", "x"))
+	resp, _ := client.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	harness.nextCall()
+	harness.requireNoCall()
+}
+
+func TestAbsoluteFormTarget(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	for target, path := range map[string]string{"http://h.example/once/a%2Fb?x=1": "/once/a%2Fb?x=1", "HTTP://h.example:80//once/": ""} {
+		resp, _ := harness.roundTrip(postRequest(target, "", "q"))
+		if path == "" {
+			require.Equal(t, 404, resp.StatusCode)
+			continue
+		}
+		require.Equal(t, 200, resp.StatusCode)
+		call := harness.nextCall()
+		require.Equal(t, "POST "+path+" HTTP/1.1", call.requestLine)
+		require.Equal(t, "h.example", call.header.Get("Host"))
+	}
+}
+
+func TestExpectContinue(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	client := harness.dial()
+	for range 2 {
+		client.write(requestHead("POST", "/once/x", "Expect: 100-continue\r\nContent-Length: 5\r\n"))
+		line, err := client.reader.ReadString('\n')
+		require.NoError(t, err)
+		require.Equal(t, "HTTP/1.1 100 Continue\r\n", line)
+		_, _ = client.reader.ReadString('\n')
+		client.write("hello")
+		_, body := client.readResponse()
+		require.Equal(t, "served hello", body)
+		require.NotContains(t, harness.nextCall().header, "Expect")
+	}
+	// Without a route nobody waits for the body.
+	client.write(requestHead("POST", "/none/x", "Expect: 100-continue\r\nContent-Length: 5\r\n"))
+	resp, _ := client.readResponse()
+	require.Equal(t, 404, resp.StatusCode)
+}
+
+func TestConnectionClose(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	client := harness.dial()
+	client.write(postRequest("/once/x", "Connection: close\r\n", "q"))
+	resp, _ := client.readResponse()
+	require.True(t, resp.Close)
+	client.requireClosed()
+	require.EqualValues(t, 1, harness.servers[0].connCount.Load())
+}
+
+func TestStartup(t *testing.T) {
+	harness := newUnconfiguredHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	start := time.Now()
+	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
+	requireRefused(t, resp)
+	require.GreaterOrEqual(t, time.Since(start), startupWait)
+	ready := func() int {
+		recorder := httptest.NewRecorder()
+		harness.gateway.ServeReadiness(recorder, nil)
+		return recorder.Code
+	}
+	require.Equal(t, 503, ready())
+	// What is known is not all yet.
+	document := harness.document("")
+	harness.gateway.Update(&relay.Snapshot{Config: document, Servers: harness.serverList(), Agents: 1})
+	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
+	requireRefused(t, resp)
+	require.Equal(t, 503, ready())
+	harness.gateway.Update(&relay.Snapshot{Config: document, Servers: harness.serverList(harness.servers...), Agents: 1, Synced: true})
+	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
+	requireRefused(t, resp)
+	require.Equal(t, 503, ready())
+	harness.requireNoCall()
+	// One that waits is served as soon as all is known.
+	client := harness.dial()
+	client.write(postRequest("/once/x", "", "q"))
+	harness.update(document)
+	resp, _ = client.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.Equal(t, 200, ready())
+}
+
+// The entry's question waits for nothing.
+func TestReadinessTakesNoLock(t *testing.T) {
+	harness := newHarness(t, 1, nil)
+	harness.gateway.mu.Lock()
+	defer harness.gateway.mu.Unlock()
+	harness.gateway.pool.mu.Lock()
+	defer harness.gateway.pool.mu.Unlock()
+	recorder := httptest.NewRecorder()
+	harness.gateway.ServeReadiness(recorder, nil)
+	require.Equal(t, 200, recorder.Code)
+}
+
+func TestShutdown(t *testing.T) {
+	release := make(chan bool)
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
+		if strings.Contains(call.requestLine, "/stream/") {
+			call.startStream("s")
+			call.writeEvents(1, 2)
+			<-release
+			return call.writeEvents(3, 4) && call.endStream()
+		}
+		if strings.Contains(call.requestLine, "/slow") {
+			<-release
+		}
+		return call.respondSuccess()
+	})
+	finish := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(finish)
+	idle, fresh := harness.dial(), harness.dial()
+	idle.write(postRequest("/once/x", "", "q"))
+	_, _ = idle.readResponse()
+	stream := harness.dial()
+	stream.write(postRequest("/stream/x", "", "q"))
+	streamed := stream.readHead()
+	slow := harness.dial()
+	slow.write(postRequest("/once/slow", "", "q"))
+	half := harness.dial()
+	request := postRequest("/once/half", "", strings.Repeat("x", 20000))
+	half.write(request[:10000])
+	for range 3 {
+		harness.nextCall()
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	done := make(chan bool)
+	go func() {
+		harness.gateway.Shutdown(ctx, 300*time.Millisecond)
+		close(done)
+	}()
+	idle.requireClosed()
+	recorder := httptest.NewRecorder()
+	harness.gateway.ServeReadiness(recorder, nil)
+	require.Equal(t, 503, recorder.Code)
+	// In the linger what comes is served, and its connection closed.
+	fresh.write(postRequest("/once/fresh", "", "q"))
+	resp, _ := fresh.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.True(t, resp.Close)
+	fresh.requireClosed()
+	late := harness.dial()
+	late.write(postRequest("/once/late", "", "q"))
+	resp, _ = late.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.True(t, resp.Close)
+	half.write(request[10000:])
+	resp, _ = half.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.True(t, resp.Close)
+	require.Eventually(t, func() bool { // the linger is over
+		conn, err := net.Dial("tcp", harness.addr)
+		if err == nil {
+			conn.Close()
+		}
+		return err != nil
+	}, testTimeout, 10*time.Millisecond)
+	select {
+	case <-done:
+		require.FailNow(t, "ended under requests")
+	default:
+	}
+	finish()
+	resp, body := slow.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.Equal(t, "served q", body)
+	require.True(t, resp.Close)
+	b, err := io.ReadAll(streamed.Body)
+	require.NoError(t, err)
+	require.Equal(t, eventTexts(1, 4), string(b))
+	<-done
+}
+
+// What is left at the end of the grace is broken off, at the client and at the server.
+func TestShutdownCancelsRequests(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
+		call.startStream("s")
+		call.writeEvents(1, 2)
+		call.requireClosed(t)
+		return false
+	})
+	client := harness.dial()
+	client.write(postRequest("/stream/x", "", "q"))
+	resp := client.readHead()
+	call := harness.nextCall()
+	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+	defer cancel()
+	harness.gateway.Shutdown(ctx, 0)
+	require.EqualValues(t, 0, harness.gateway.inFlight.Load(), "a request is still held")
+	b, err := io.ReadAll(resp.Body)
+	require.Error(t, err, "it must not look whole")
+	require.False(t, isTimeout(err), "the connection is still open")
+	require.Equal(t, eventTexts(1, 2), string(b))
+	call.requireClosed(t)
+}
+
+// A request that comes as its connection is closed for idling gets an answer, or none at all and has
+// not run.
+func TestRequestOnClosingConnection(t *testing.T) {
+	for range 20 {
+		harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+		client := harness.dial()
+		client.write(postRequest("/once/x", "", "q"))
+		_, _ = client.readResponse()
+		harness.nextCall()
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+		done := make(chan bool)
+		go func() {
+			harness.gateway.Shutdown(ctx, 10*time.Millisecond)
+			close(done)
+		}()
+		_, _ = client.Write([]byte(postRequest("/once/y", "", "q")))
+		resp, err := http.ReadResponse(client.reader, nil)
+		<-done
+		cancel()
+		if err == nil {
+			require.Equal(t, 200, resp.StatusCode)
+			harness.nextCall()
+		} else {
+			harness.requireNoCall()
+		}
+	}
+}
+
+func TestIdleClientsDoNotBlockOthers(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() }, func(nodeSettings *settings.Settings) { nodeSettings.Limits.FDs = 400 })
+	var conns []*testClient
+	for range 300 {
+		conns = append(conns, harness.dial())
+	}
+	// Whoever comes is served, though others hold connections that they don't use.
+	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
+	require.Equal(t, 200, resp.StatusCode)
+	for _, client := range conns {
+		client.Close()
+	}
+}
--- a/internal/fleet/gateway/pool.go
+++ b/internal/fleet/gateway/pool.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	// connectTime bounds a connect: a server that is there takes it at once.
-	connectTime = 400 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unacknowledged: a server behind a cut says nothing.
-	userTimeout = 3 * time.Second
-	// idleMost is how long a connection may have idled to be used again, where the server does not
-	// say; keepMargin is taken off what it says.
-	idleMost, keepMargin = 8 * time.Second, 500 * time.Millisecond
-	// perServer bounds the idle connections kept to one server.
-	perServer = 64
+	// connectTimeout bounds a connect: a server that is there takes it at once.
+	connectTimeout = 400 * time.Millisecond
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged: a server behind a cut says nothing.
+	tcpUserTimeout = 3 * time.Second
+	// defaultKeepAlive is how long a connection may have idled to be used again, where the server does not
+	// say; keepAliveMargin is taken off what it says.
+	defaultKeepAlive, keepAliveMargin = 8 * time.Second, 500 * time.Millisecond
+	// maxIdlePerServer bounds the idle connections kept to one server.
+	maxIdlePerServer = 64
 )
 
-var errTooMany = errors.New("no descriptor left for a connection")
+var errPoolExhausted = errors.New("no descriptor left for a connection")
 
 // conn is a connection to one server.
 type conn struct {
 	net.Conn
-	br    *bufio.Reader
-	id    string
-	until time.Time     // when it may not be used any more; idle
-	since time.Time     // idle since
-	keep  time.Duration // as the server says
-	slot  int
+	reader      *bufio.Reader
+	instanceID  string
+	usableUntil time.Time     // when it may not be used any more; idle
+	idleSince   time.Time     // idle since
+	keepAlive   time.Duration // as the server says
+	idleBucket  int
 	// upload is the sending of the request that is under way.
 	upload upload
 }
@@ -48,15 +48,15 @@
 // purpose: it sends again by itself on a broken kept connection, and does not tell whether the
 // last byte was written, on which hangs whether a request may have run.
 type pool struct {
-	max int
+	maxOpen int
 
-	mu   sync.Mutex
-	idle map[string][]*conn // by instance; the most recently used last
-	open int
-	ages http1.ReuseStats
+	mu    sync.Mutex
+	idle  map[string][]*conn // by instance; the most recently used last
+	open  int
+	reuse http1.ReuseStats
 }
 
-func newPool(most int) *pool { return &pool{max: most, idle: map[string][]*conn{}} }
+func newPool(most int) *pool { return &pool{maxOpen: most, idle: map[string][]*conn{}} }
 
 // get returns an idle connection that is still good, the most recently used first, or opens one;
 // fresh tells which.
@@ -68,23 +68,23 @@
 			break
 		}
 		cn := list[len(list)-1]
-		p.store(in.ID, list[:len(list)-1])
+		p.setIdleLocked(in.ID, list[:len(list)-1])
 		p.mu.Unlock()
 		now := time.Now()
-		age := now.Sub(cn.since)
-		if now.Before(cn.until) && p.ages.Reusable(age) && http1.IsIdle(cn.Conn, cn.br) {
-			cn.slot = http1.IdleBucket(age)
+		age := now.Sub(cn.idleSince)
+		if now.Before(cn.usableUntil) && p.reuse.Reusable(age) && http1.IsIdle(cn.Conn, cn.reader) {
+			cn.idleBucket = http1.IdleBucket(age)
 			return cn, false, nil
 		}
 		p.close(cn)
 	}
-	if p.open >= p.max && !p.evict() {
+	if p.open >= p.maxOpen && !p.evictLocked() {
 		p.mu.Unlock()
-		return nil, true, errTooMany
+		return nil, true, errPoolExhausted
 	}
 	p.open++
 	p.mu.Unlock()
-	dialer := net.Dialer{Deadline: until, Timeout: connectTime, KeepAlive: -1, Control: control}
+	dialer := net.Dialer{Deadline: until, Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout}
 	nc, err := dialer.DialContext(ctx, "tcp", in.Addr)
 	if err != nil {
 		p.mu.Lock()
@@ -97,18 +97,18 @@
 
 // newConn is a connection that was just opened to a server.
 func newConn(nc net.Conn, id string) *conn {
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, 4<<10), id: id, keep: idleMost}
+	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, 4<<10), instanceID: id, keepAlive: defaultKeepAlive}
 }
 
-func control(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		// Best effort: time-outs of requests bound them, too.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
 
-// store keeps what is idle of a server. The lock is held.
-func (p *pool) store(id string, list []*conn) {
+// setIdleLocked keeps what is idle of a server. The lock is held.
+func (p *pool) setIdleLocked(id string, list []*conn) {
 	if len(list) == 0 {
 		delete(p.idle, id)
 		return
@@ -116,18 +116,18 @@
 	p.idle[id] = list
 }
 
-// evict closes the connection that has been idle longest. The lock is held.
-func (p *pool) evict() bool {
+// evictLocked closes the connection that has been idle longest. The lock is held.
+func (p *pool) evictLocked() bool {
 	var oldest *conn
 	for _, list := range p.idle {
-		if oldest == nil || list[0].since.Before(oldest.since) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			oldest = list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.store(oldest.id, p.idle[oldest.id][1:])
+	p.setIdleLocked(oldest.instanceID, p.idle[oldest.instanceID][1:])
 	p.open--
 	oldest.Close()
 	return true
@@ -137,19 +137,19 @@
 // rest would be taken for the next answer.
 func (p *pool) put(cn *conn) {
 	cn.SetDeadline(time.Time{})
-	cn.since = time.Now()
-	cn.until = cn.since.Add(cn.keep)
-	if !http1.IsIdle(cn.Conn, cn.br) {
+	cn.idleSince = time.Now()
+	cn.usableUntil = cn.idleSince.Add(cn.keepAlive)
+	if !http1.IsIdle(cn.Conn, cn.reader) {
 		p.close(cn)
 		return
 	}
 	p.mu.Lock()
-	if len(p.idle[cn.id]) >= perServer {
+	if len(p.idle[cn.instanceID]) >= maxIdlePerServer {
 		p.mu.Unlock()
 		p.close(cn)
 		return
 	}
-	p.idle[cn.id] = append(p.idle[cn.id], cn)
+	p.idle[cn.instanceID] = append(p.idle[cn.instanceID], cn)
 	p.mu.Unlock()
 }
 
@@ -162,8 +162,8 @@
 	p.mu.Unlock()
 }
 
-// keepOnly closes the idle connections to servers that are not listed any more.
-func (p *pool) keepOnly(listed map[string]*registry.Instance) {
+// retainListed closes the idle connections to servers that are not listed any more.
+func (p *pool) retainListed(listed map[string]*registry.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
@@ -177,32 +177,32 @@
 	}
 }
 
-// sweep closes connections that have idled too long.
-func (p *pool) sweep() {
+// closeExpired closes connections that have idled too long.
+func (p *pool) closeExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		n := 0
-		for n < len(list) && !now.Before(list[n].until) {
+		for n < len(list) && !now.Before(list[n].usableUntil) {
 			list[n].Close()
 			n++
 		}
 		p.open -= n
-		p.store(id, list[n:])
+		p.setIdleLocked(id, list[n:])
 	}
 }
 
-func (p *pool) closeAll() { p.keepOnly(nil) }
+func (p *pool) closeAll() { p.retainListed(nil) }
 
-// keepFor reads for how long a server keeps the connection, from Keep-Alive: timeout=N.
-func keepFor(field string) time.Duration {
+// parseKeepAlive reads for how long a server keeps the connection, from Keep-Alive: timeout=N.
+func parseKeepAlive(field string) time.Duration {
 	for part := range strings.SplitSeq(field, ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if n, err := strconv.Atoi(v); err == nil && n >= 0 && n < 3600 {
-				return max(time.Duration(n)*time.Second-keepMargin, 0)
+				return max(time.Duration(n)*time.Second-keepAliveMargin, 0)
 			}
 		}
 	}
-	return idleMost
+	return defaultKeepAlive
 }
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -20,121 +20,121 @@
 
 // The header fields of the protocol.
 const (
-	hID       = "Chalkdoor-Attempt-Id"
-	hDeadline = "Chalkdoor-Deadline-Ms"
-	hPrefix   = "Chalkdoor-Prompt-Prefix"
-	hTokens   = "Chalkdoor-Token-Count"
-	hModel    = "Chalkdoor-Model"
-	hSeal     = "Chalkdoor-Server-Seal"
-	hExpect   = "Chalkdoor-Expect-Instance"
-	hInstance = "Chalkdoor-Instance-Id"
-	hLoad     = "Chalkdoor-Server-Load"
-	hNotRun   = "Chalkdoor-Not-Run"
-	hLast     = "Last-Event-Id"
-	hPriority = "Priority"
+	headerAttemptID      = "Chalkdoor-Attempt-Id"
+	headerDeadline       = "Chalkdoor-Deadline-Ms"
+	headerPromptPrefix   = "Chalkdoor-Prompt-Prefix"
+	headerTokenCount     = "Chalkdoor-Token-Count"
+	headerModel          = "Chalkdoor-Model"
+	headerServerSeal     = "Chalkdoor-Server-Seal"
+	headerExpectInstance = "Chalkdoor-Expect-Instance"
+	headerInstanceID     = "Chalkdoor-Instance-Id"
+	headerServerLoad     = "Chalkdoor-Server-Load"
+	headerNotRun         = "Chalkdoor-Not-Run"
+	headerLastEventID    = "Last-Event-Id"
+	headerPriority       = "Priority"
 )
 
-// clientFields are what a client says of its request. They reach the server as they came, also
+// endToEndFields are what a client says of its request. They reach the server as they came, also
 // where Connection names them.
-var clientFields = []string{hModel, hTokens, hPrefix, hLast}
+var endToEndFields = []string{headerModel, headerTokenCount, headerPromptPrefix, headerLastEventID}
 
 const (
-	// maxParts bounds the parts of a prompt, maxDeadline the time that a client may give.
-	maxParts, maxDeadline = 64, 10 * time.Minute
-	// freeBody is read before memory is asked for.
-	freeBody = 16 << 10
+	// maxPromptParts bounds the parts of a prompt, maxRequestTimeout the time that a client may give.
+	maxPromptParts, maxRequestTimeout = 64, 10 * time.Minute
+	// unreservedBodyBytes is read before memory is asked for.
+	unreservedBodyBytes = 16 << 10
 )
 
 // request is one try of a client.
 type request struct {
 	balancer.Request
-	id       string
-	method   string
-	target   string // as it came, byte for byte
-	host     string
-	header   http.Header
-	body     []byte
-	held     int64
-	arrived  time.Time
-	deadline time.Time
-	last     string // Last-Event-Id of the client
+	attemptID     string
+	method        string
+	target        string // as it came, byte for byte
+	host          string
+	header        http.Header
+	body          []byte
+	reservedBytes int64
+	receivedAt    time.Time
+	deadline      time.Time
+	lastEventID   string // Last-Event-Id of the client
 }
 
-// bad is what is wrong with a request, and the status that says so.
-type bad struct {
-	status int
-	text   string
+// requestError is what is wrong with a request, and the status that says so.
+type requestError struct {
+	status  int
+	message string
 }
 
-func (b *bad) Error() string { return b.text }
+func (b *requestError) Error() string { return b.message }
 
-func badf(status int, format string, args ...any) error {
-	return &bad{status, fmt.Sprintf(format, args...)}
+func requestErrorf(status int, format string, args ...any) error {
+	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
-var errNoMemory = errors.New("no memory for a body")
+var errBodyMemory = errors.New("no memory for a body")
 
 // parse finds the route of a request and what the request tells of itself.
-func (d *Door) parse(req *http.Request, snap *relay.Snapshot, arrived time.Time) (*request, error) {
+func (d *Gateway) parse(req *http.Request, snap *relay.Snapshot, arrived time.Time) (*request, error) {
 	if !req.ProtoAtLeast(1, 1) {
 		// The end of a stream would be that of the connection, and a cut one would look whole.
-		return nil, badf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
+		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
 	}
 	target := req.RequestURI
 	if len(target) >= 7 && strings.EqualFold(target[:7], "http://") { // the absolute form
 		rest := target[7:]
 		i := strings.IndexByte(rest, '/')
 		if i < 0 {
-			return nil, badf(http.StatusBadRequest, "the target has no path")
+			return nil, requestErrorf(http.StatusBadRequest, "the target has no path")
 		}
 		target = rest[i:]
 	}
 	path, _, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(path, "/") {
-		return nil, badf(http.StatusBadRequest, "the target is no path")
+		return nil, requestErrorf(http.StatusBadRequest, "the target is no path")
 	}
 	route := snap.Config.Match(req.Host, path)
 	if route == nil {
-		return nil, badf(http.StatusNotFound, "no route for this host and path")
+		return nil, requestErrorf(http.StatusNotFound, "no route for this host and path")
 	}
 	h := req.Header
-	for _, name := range []string{hID, hDeadline, hPrefix, hTokens, hModel, hLast} {
+	for _, name := range []string{headerAttemptID, headerDeadline, headerPromptPrefix, headerTokenCount, headerModel, headerLastEventID} {
 		if len(h[name]) > 1 {
-			return nil, badf(http.StatusBadRequest, "%s more than once", name)
+			return nil, requestErrorf(http.StatusBadRequest, "%s more than once", name)
 		}
 	}
-	r := &request{id: h.Get(hID), method: req.Method, target: target, host: req.Host, header: h, arrived: arrived,
-		last: h.Get(hLast)}
-	if r.id == "" {
-		return nil, badf(http.StatusBadRequest, "%s is missing", hID)
+	r := &request{attemptID: h.Get(headerAttemptID), method: req.Method, target: target, host: req.Host, header: h, receivedAt: arrived,
+		lastEventID: h.Get(headerLastEventID)}
+	if r.attemptID == "" {
+		return nil, requestErrorf(http.StatusBadRequest, "%s is missing", headerAttemptID)
 	}
-	r.Route, r.Model = route, h.Get(hModel)
+	r.Route, r.Model = route, h.Get(headerModel)
 	r.LatencyTarget = time.Duration(route.SetpointMs) * time.Millisecond
-	left := min(time.Duration(route.TimeoutMs)*time.Millisecond, maxDeadline)
-	if ms, err := strconv.ParseFloat(h.Get(hDeadline), 64); err == nil && ms > 0 {
-		left = min(left, time.Duration(min(ms, float64(maxDeadline.Milliseconds()))*float64(time.Millisecond)))
+	left := min(time.Duration(route.TimeoutMs)*time.Millisecond, maxRequestTimeout)
+	if ms, err := strconv.ParseFloat(h.Get(headerDeadline), 64); err == nil && ms > 0 {
+		left = min(left, time.Duration(min(ms, float64(maxRequestTimeout.Milliseconds()))*float64(time.Millisecond)))
 	}
 	r.deadline = arrived.Add(left)
-	in, out, _ := strings.Cut(h.Get(hTokens), ",")
+	in, out, _ := strings.Cut(h.Get(headerTokenCount), ",")
 	r.PromptTokens, _ = strconv.Atoi(strings.TrimSpace(in)) // a guess: none is 0
 	r.MaxOutputTokens, _ = strconv.Atoi(strings.TrimSpace(out))
 	r.PromptTokens, r.MaxOutputTokens = max(r.PromptTokens, 0), max(r.MaxOutputTokens, 0)
-	r.Segments = parts(h.Get(hPrefix))
-	r.Service = d.service(route)
+	r.Segments = parsePromptParts(h.Get(headerPromptPrefix))
+	r.Service = d.chooseService(route)
 	return r, nil
 }
 
 // reparse has a request that was read go by a newer configuration.
-func (d *Door) reparse(req *http.Request, snap *relay.Snapshot, old *request) (*request, error) {
-	r, err := d.parse(req, snap, old.arrived)
+func (d *Gateway) reparse(req *http.Request, snap *relay.Snapshot, old *request) (*request, error) {
+	r, err := d.parse(req, snap, old.receivedAt)
 	if err == nil {
-		r.body, r.held = old.body, old.held
+		r.body, r.reservedBytes = old.body, old.reservedBytes
 	}
 	return r, err
 }
 
-// parts reads the parts of a prompt. What can't be read ends them: they are a hint.
-func parts(text string) []balancer.Segment {
+// parsePromptParts reads the parts of a prompt. What can't be read ends them: they are a hint.
+func parsePromptParts(text string) []balancer.Segment {
 	if text == "" {
 		return nil
 	}
@@ -142,7 +142,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(part), ":")
 		tokens, err := strconv.Atoi(n)
-		if !ok || err != nil || tokens < 0 || len(out) == maxParts {
+		if !ok || err != nil || tokens < 0 || len(out) == maxPromptParts {
 			break
 		}
 		x, err := strconv.ParseUint(id, 16, 64)
@@ -156,8 +156,8 @@
 	return out
 }
 
-// service draws the service of a request by the route's weights.
-func (d *Door) service(route *config.Route) string {
+// chooseService draws the service of a request by the route's weights.
+func (d *Gateway) chooseService(route *config.Route) string {
 	if len(route.Splits) == 1 {
 		return route.Splits[0].Service
 	}
@@ -180,34 +180,34 @@
 }
 
 // readBody reads the whole body within the limits and the request's time.
-func (d *Door) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *relay.Snapshot) error {
+func (d *Gateway) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *relay.Snapshot) error {
 	most := snap.Config.Limits.BodyBytes
 	if most <= 0 {
-		most = maxBody
+		most = defaultMaxBodyBytes
 	}
 	if req.ContentLength > most {
-		return badf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
+		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
 	}
 	if req.ContentLength == 0 {
 		return nil
 	}
-	by := time.Now().Add(bodyTime)
+	by := time.Now().Add(readBodyTimeout)
 	if r.deadline.Before(by) {
 		by = r.deadline
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(by)
 	var buf bytes.Buffer
 	src := http.MaxBytesReader(nil, req.Body, most)
-	_, err := io.CopyN(&buf, src, freeBody)
+	_, err := io.CopyN(&buf, src, unreservedBodyBytes)
 	if err == nil {
 		want := req.ContentLength
 		if want < 0 {
 			want = most
 		}
-		if !d.memory.TryAcquire(want) {
-			return errNoMemory
+		if !d.bodyMemory.TryAcquire(want) {
+			return errBodyMemory
 		}
-		r.held = want
+		r.reservedBytes = want
 		_, err = io.Copy(&buf, src)
 	} else if errors.Is(err, io.EOF) {
 		err = nil
@@ -215,14 +215,14 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		d.memory.Release(r.held)
-		return badf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
-	case timedOut(err):
-		d.memory.Release(r.held)
-		return badf(http.StatusRequestTimeout, "the body did not come in time")
+		d.bodyMemory.Release(r.reservedBytes)
+		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
+	case isTimeout(err):
+		d.bodyMemory.Release(r.reservedBytes)
+		return requestErrorf(http.StatusRequestTimeout, "the body did not come in time")
 	case err != nil:
-		d.memory.Release(r.held)
-		return badf(http.StatusBadRequest, "the body can't be read")
+		d.bodyMemory.Release(r.reservedBytes)
+		return requestErrorf(http.StatusBadRequest, "the body can't be read")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	r.body = buf.Bytes()
@@ -235,22 +235,22 @@
 	h := http1.EndToEnd(r.header)
 	h.Del("Content-Length")
 	h.Del("Host")
-	for _, name := range clientFields {
+	for _, name := range endToEndFields {
 		if values, ok := r.header[name]; ok {
 			h[name] = values
 		}
 	}
-	h.Set(hDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	h.Set(hExpect, instance)
-	h.Set(hID, r.id) // also where Connection names it
+	h.Set(headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	h.Set(headerExpectInstance, instance)
+	h.Set(headerAttemptID, r.attemptID) // also where Connection names it
 	if priority >= 0 {
-		h.Set(hPriority, strconv.Itoa(priority))
+		h.Set(headerPriority, strconv.Itoa(priority))
 	}
 	if last != "" {
-		h.Set(hLast, last)
+		h.Set(headerLastEventID, last)
 	}
 	if version != "" {
-		h.Set(hExpectVersion, version)
+		h.Set(headerExpectVersion, version)
 	}
 	if len(r.body) > 0 || r.method != http.MethodGet && r.method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(r.body)))
--- a/internal/fleet/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -20,74 +20,74 @@
 // The header fields of the version of a server's weights: what an answer was made with, and what a
 // request is to be run with.
 const (
-	hVersions      = "Versions"
-	hExpectVersion = "Expect-Version"
+	headerVersions      = "Versions"
+	headerExpectVersion = "Expect-Version"
 )
 
 const (
-	// maxWhole is up to how many bytes an answer is held whole, maxFailure bounds one that is no
-	// success or belongs to no request, maxEvent one event of a stream.
-	maxWhole, maxFailure, maxEvent = 64 << 10, 64 << 10, 256 << 10
-	// writeTime is how long a client may take to read what is sent to it.
-	writeTime = 10 * time.Second
+	// maxBufferedBodyBytes is up to how many bytes an answer is held whole, maxFailureBodyBytes bounds one that is no
+	// success or belongs to no request, maxEventBytes one event of a stream.
+	maxBufferedBodyBytes, maxFailureBodyBytes, maxEventBytes = 64 << 10, 64 << 10, 256 << 10
+	// clientWriteTimeout is how long a client may take to read what is sent to it.
+	clientWriteTimeout = 10 * time.Second
 )
 
-// bodyOf reads a body as it comes; at io.EOF it was whole, any other error says it was not.
-func bodyOf(cn *conn, resp *http.Response, method string) (io.Reader, error) {
-	br := cn.br
+// newBodyReader reads a body as it comes; at io.EOF it was whole, any other error says it was not.
+func newBodyReader(cn *conn, resp *http.Response, method string) (io.Reader, error) {
+	br := cn.reader
 	switch {
-	case bodiless(resp, method):
+	case hasNoBody(resp, method):
 		return bytes.NewReader(nil), nil
 	case len(resp.TransferEncoding) > 0:
-		return &chunked{r: httputil.NewChunkedReader(br), br: br}, nil
+		return &chunkedBody{chunks: httputil.NewChunkedReader(br), reader: br}, nil
 	case resp.ContentLength >= 0:
-		return &counted{br, resp.ContentLength}, nil
+		return &lengthDelimitedBody{br, resp.ContentLength}, nil
 	}
 	if !resp.ProtoAtLeast(1, 1) { // its chunks, if it has any, were not told of
 		return nil, http1.Malformed("an answer without length in %s", resp.Proto)
 	}
-	return &untilClose{cn}, nil
+	return &closeDelimitedBody{cn}, nil
 }
 
-// bodiless tells whether an answer has no body whatever its head says.
-func bodiless(resp *http.Response, method string) bool {
+// hasNoBody tells whether an answer has no body whatever its head says.
+func hasNoBody(resp *http.Response, method string) bool {
 	return method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 }
 
-// endsWithConnection tells whether an answer has no length and ends where its connection does.
-func endsWithConnection(resp *http.Response, method string) bool {
-	return !bodiless(resp, method) && len(resp.TransferEncoding) == 0 && resp.ContentLength < 0
+// isCloseDelimited tells whether an answer has no length and ends where its connection does.
+func isCloseDelimited(resp *http.Response, method string) bool {
+	return !hasNoBody(resp, method) && len(resp.TransferEncoding) == 0 && resp.ContentLength < 0
 }
 
-// untilClose reads a body that ends with its connection. It is whole only if the server closed the
+// closeDelimitedBody reads a body that ends with its connection. It is whole only if the server closed the
 // connection; a reset comes as an error. Where the request was not sent whole the two can't be told
 // apart: the write that failed may have been told of the reset in place of the read.
-type untilClose struct{ cn *conn }
+type closeDelimitedBody struct{ conn *conn }
 
-func (u *untilClose) Read(p []byte) (int, error) {
-	n, err := u.cn.br.Read(p)
-	if err == io.EOF && !u.cn.upload.complete() {
+func (u *closeDelimitedBody) Read(p []byte) (int, error) {
+	n, err := u.conn.reader.Read(p)
+	if err == io.EOF && !u.conn.upload.complete() {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-type chunked struct {
-	r    io.Reader
-	br   *bufio.Reader
-	over bool
+type chunkedBody struct {
+	chunks   io.Reader
+	reader   *bufio.Reader
+	complete bool
 }
 
-func (c *chunked) Read(p []byte) (int, error) {
-	if c.over {
+func (c *chunkedBody) Read(p []byte) (int, error) {
+	if c.complete {
 		return 0, io.EOF
 	}
-	n, err := c.r.Read(p)
+	n, err := c.chunks.Read(p)
 	switch {
 	case err == io.EOF:
-		c.over = true
-		if terr := http1.ReadTrailer(c.br); terr != nil {
-			return n, noEOF(terr)
+		c.complete = true
+		if terr := http1.ReadTrailer(c.reader); terr != nil {
+			return n, unexpectedEOF(terr)
 		}
 	case err != nil && !http1.IsNetworkError(err) && err != io.ErrUnexpectedEOF:
 		err = http1.Malformed("%v", err)
@@ -95,39 +95,39 @@
 	return n, err
 }
 
-func noEOF(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-type counted struct {
-	r    io.Reader
-	left int64
+type lengthDelimitedBody struct {
+	reader    io.Reader
+	remaining int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
-	if c.left == 0 {
+func (c *lengthDelimitedBody) Read(p []byte) (int, error) {
+	if c.remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := c.r.Read(p[:min(int64(len(p)), c.left)])
-	if c.left -= int64(n); c.left > 0 {
-		err = noEOF(err)
+	n, err := c.reader.Read(p[:min(int64(len(p)), c.remaining)])
+	if c.remaining -= int64(n); c.remaining > 0 {
+		err = unexpectedEOF(err)
 	} else if err == io.EOF {
 		err = nil
 	}
 	return n, err
 }
 
-func readWhole(cn *conn, resp *http.Response, method string) ([]byte, error) {
-	r, err := bodyOf(cn, resp, method)
+func readBoundedBody(cn *conn, resp *http.Response, method string) ([]byte, error) {
+	r, err := newBodyReader(cn, resp, method)
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(r, maxFailure+1))
-	if err == nil && len(body) > maxFailure {
-		err = http1.Malformed("a body over %d bytes", maxFailure)
+	body, err := io.ReadAll(io.LimitReader(r, maxFailureBodyBytes+1))
+	if err == nil && len(body) > maxFailureBodyBytes {
+		err = http1.Malformed("a body over %d bytes", maxFailureBodyBytes)
 	}
 	return body, err
 }
@@ -145,27 +145,27 @@
 
 // awaitBody waits for more of a body, unless nothing more of it is due.
 func (t *attempt) awaitBody(ctx context.Context, body io.Reader) error {
-	if c, ok := body.(*counted); ok && c.left == 0 {
+	if c, ok := body.(*lengthDelimitedBody); ok && c.remaining == 0 {
 		return nil
 	}
-	err := t.await(ctx)
-	if _, ok := body.(*untilClose); ok && err == io.ErrUnexpectedEOF {
+	err := t.awaitData(ctx)
+	if _, ok := body.(*closeDelimitedBody); ok && err == io.ErrUnexpectedEOF {
 		return nil // the body tells whether this is its end
 	}
 	return err
 }
 
-// stream passes the events of a server's answer on as they come, whole ones only. Ids that do not
+// relayStream passes the events of a server's answer on as they come, whole ones only. Ids that do not
 // follow on each other are not this stream's: it is broken there, and goes on at another server
 // where it may be resumed.
-func (t *attempt) stream(ctx context.Context, resp *http.Response) (outcome, balancer.Outcome, bool) {
-	d, cn, a, r := t.door, t.cn, t.answer, t.request
-	body, err := bodyOf(cn, resp, r.method)
+func (t *attempt) relayStream(ctx context.Context, resp *http.Response) (outcome, balancer.Outcome, bool) {
+	d, cn, a, r := t.gateway, t.conn, t.response, t.request
+	body, err := newBodyReader(cn, resp, r.method)
 	if err != nil {
-		return mayRun, balancer.BadResponse, false
+		return outcomeUnknown, balancer.BadResponse, false
 	}
-	if !a.join(version(resp.Header.Get(hVersions))) {
-		return mayRun, balancer.Cancelled, false // nothing is wrong with the server
+	if !a.startUpstream(parseVersion(resp.Header.Get(headerVersions))) {
+		return outcomeUnknown, balancer.Cancelled, false // nothing is wrong with the server
 	}
 	var buf []byte
 	chunk := make([]byte, 8<<10)
@@ -175,11 +175,11 @@
 			n, err = body.Read(chunk)
 		}
 		buf = append(buf, chunk[:n]...)
-		whole, events, bad := a.take(buf)
+		whole, events, bad := a.acceptEvents(buf)
 		if whole > 0 {
-			if werr := a.pass(resp, buf[:whole]); werr != nil {
-				d.Figures.Left.Add(1)
-				return left, balancer.Cancelled, false
+			if werr := a.writeEvents(resp, buf[:whole]); werr != nil {
+				d.Counters.ClientDisconnects.Add(1)
+				return outcomeClientGone, balancer.Cancelled, false
 			}
 			buf = append(buf[:0], buf[whole:]...)
 			now := d.now()
@@ -188,32 +188,32 @@
 			d.mu.Unlock()
 		}
 		switch {
-		case bad || len(buf) > maxEvent:
-			return mayRun, balancer.BadResponse, false
+		case bad || len(buf) > maxEventBytes:
+			return outcomeUnknown, balancer.BadResponse, false
 		case err == io.EOF && len(bytes.TrimSpace(buf)) > 0:
-			return mayRun, balancer.BadResponse, false // it ends within an event
+			return outcomeUnknown, balancer.BadResponse, false // it ends within an event
 		case err == io.EOF:
-			if !a.begun { // an empty stream
-				if err := a.pass(resp, nil); err != nil {
-					return left, balancer.Cancelled, false
+			if !a.headerSent { // an empty stream
+				if err := a.writeEvents(resp, nil); err != nil {
+					return outcomeClientGone, balancer.Cancelled, false
 				}
 			}
-			d.Figures.Served.Add(1)
-			return done, balancer.Succeeded, true
+			d.Counters.Served.Add(1)
+			return outcomeAnswered, balancer.Succeeded, true
 		case err != nil && ctx.Err() != nil:
 			how := balancer.Timeout
 			if ctx.Err() == context.Canceled {
 				how = balancer.Cancelled
 			}
-			return d.gone(ctx, mayRun), how, false
+			return d.cancelledOutcome(ctx, outcomeUnknown), how, false
 		case err != nil:
-			return mayRun, broken(err), false
+			return outcomeUnknown, attemptEndOf(err), false
 		}
 	}
 }
 
-// version reads the version of a server's weights; "" if none is told.
-func version(field string) string {
+// parseVersion reads the version of a server's weights; "" if none is told.
+func parseVersion(field string) string {
 	n, err := strconv.ParseUint(strings.TrimSpace(field), 10, 64)
 	if err != nil {
 		return ""
@@ -228,37 +228,37 @@
 	if !ok {
 		return "", false
 	}
-	return version(string(value)), true
+	return parseVersion(string(value)), true
 }
 
-// join has a stream go by the version of the server that is to begin it or go on with it. It tells
+// startUpstream has a stream go by the version of the server that is to begin it or go on with it. It tells
 // whether it may: events of different versions are never joined.
-func (a *answer) join(version string) bool {
-	if a.begun && version != a.version {
+func (a *clientResponse) startUpstream(version string) bool {
+	if a.headerSent && version != a.version {
 		return false
 	}
 	a.version = version
-	a.joining = a.begun
+	a.resuming = a.headerSent
 	return true
 }
 
-// takeVersion notes the version that an event tells of, and tells whether it may follow what the
+// acceptVersion notes the version that an event tells of, and tells whether it may follow what the
 // client has: a run may change its weights, but not at the place where it goes on with another's.
-func (a *answer) takeVersion(event []byte) bool {
+func (a *clientResponse) acceptVersion(event []byte) bool {
 	version, told := eventVersion(event)
-	if told && a.joining && version != a.version {
+	if told && a.resuming && version != a.version {
 		return false
 	}
 	if told {
 		a.version = version
 	}
-	a.joining = false
+	a.resuming = false
 	return true
 }
 
-// take finds the whole events at the start of what has come: how many bytes, and how many events.
+// acceptEvents finds the whole events at the start of what has come: how many bytes, and how many events.
 // bad: what follows them is no event that is due.
-func (a *answer) take(buf []byte) (whole, events int, bad bool) {
+func (a *clientResponse) acceptEvents(buf []byte) (whole, events int, bad bool) {
 	for {
 		i := bytes.Index(buf[whole:], []byte("\n\n"))
 		if i < 0 {
@@ -267,30 +267,30 @@
 		event := buf[whole : whole+i+2]
 		id, ok := eventID(event)
 		switch {
-		case !ok && a.next > 0, ok && a.next > 0 && id != a.next, !a.takeVersion(event):
+		case !ok && a.nextEventID > 0, ok && a.nextEventID > 0 && id != a.nextEventID, !a.acceptVersion(event):
 			return whole, events, true
 		case ok:
-			a.next = id + 1
-			a.last = strconv.FormatInt(id, 10)
+			a.nextEventID = id + 1
+			a.lastEventID = strconv.FormatInt(id, 10)
 		}
 		whole += i + 2
 		events++
 	}
 }
 
-// pass sends events to the client, the head of the first server before the first.
-func (a *answer) pass(resp *http.Response, events []byte) error {
-	if err := a.rc.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+// writeEvents sends events to the client, the head of the first server before the first.
+func (a *clientResponse) writeEvents(resp *http.Response, events []byte) error {
+	if err := a.controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout)); err != nil {
 		return errors.Wrap(err, "bound a write")
 	}
-	if !a.begun {
-		a.begun = true
-		copyHead(a.w.Header(), resp.Header)
-		a.w.Header().Del("Content-Length")
-		a.w.WriteHeader(resp.StatusCode)
+	if !a.headerSent {
+		a.headerSent = true
+		copyEndToEndHeader(a.writer.Header(), resp.Header)
+		a.writer.Header().Del("Content-Length")
+		a.writer.WriteHeader(resp.StatusCode)
 	}
-	if _, err := a.w.Write(events); err != nil {
+	if _, err := a.writer.Write(events); err != nil {
 		return err
 	}
-	return a.rc.Flush()
+	return a.controller.Flush()
 }
--- a/internal/fleet/gateway/stream_test.go
+++ b/internal/fleet/gateway/stream_test.go
@@ -28,86 +28,86 @@
 	return string(got)
 }
 
-func TestEventsArePassedOnAsTheyCome(t *testing.T) {
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resume/x"} {
 		more := make(chan bool)
-		w := newWorld(t, 1, func(a *arrival, _ int) bool {
-			a.stream("s")
+		harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
+			call.startStream("s")
 			for i := 1; i <= 5; i++ {
-				a.chunk(piece(i))
+				call.writeChunk(eventText(i))
 				<-more
 			}
-			return a.ended()
+			return call.endStream()
 		})
-		c := w.dial()
-		c.send(post(path, "", "q"))
-		resp := c.head()
+		client := harness.dial()
+		client.write(postRequest(path, "", "q"))
+		resp := client.readHead()
 		require.Equal(t, 200, resp.StatusCode)
-		require.Equal(t, "s", resp.Header.Get(hSeal))
+		require.Equal(t, "s", resp.Header.Get(headerServerSeal))
 		require.Equal(t, "text/event-stream", resp.Header.Get("Content-Type"))
 		for i := 1; i <= 5; i++ {
-			require.Equal(t, piece(i), readEvent(t, resp)) // before the server sends the next
+			require.Equal(t, eventText(i), readEvent(t, resp)) // before the server sends the next
 			more <- true
 		}
 		_, err := io.ReadFull(resp.Body, make([]byte, 1))
 		require.Equal(t, io.EOF, err)
-		require.EqualValues(t, 1, w.n.Load())
+		require.EqualValues(t, 1, harness.callCount.Load())
 	}
 }
 
 // Chunks and writes need not end where events do.
-func TestEventsInPieces(t *testing.T) {
-	w := newWorld(t, 1, func(a *arrival, _ int) bool {
-		all := events(1, 30)
-		a.stream("s")
+func TestEventsSplitAcrossChunks(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
+		all := eventTexts(1, 30)
+		call.startStream("s")
 		for i, size := 0, 1; i < len(all); i, size = i+size, size%37+1 {
 			size = min(size, len(all)-i)
-			a.chunk(all[i : i+size])
+			call.writeChunk(all[i : i+size])
 		}
-		return a.ended()
+		return call.endStream()
 	})
 	for _, path := range []string{"/stream/x", "/resume/x"} {
-		_, body := w.ask(post(path, "", "q"))
-		require.Equal(t, events(1, 30), body)
+		_, body := harness.roundTrip(postRequest(path, "", "q"))
+		require.Equal(t, eventTexts(1, 30), body)
 	}
 }
 
-func TestAStreamWithALength(t *testing.T) {
-	w := newWorld(t, 1, func(a *arrival, _ int) bool { return a.answer(200, sealed, events(1, 3)) })
+func TestStreamWithContentLength(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respond(200, sealField, eventTexts(1, 3)) })
 	for range 2 {
-		_, body := w.ask(post("/stream/x", "", "q"))
-		require.Equal(t, events(1, 3), body)
+		_, body := harness.roundTrip(postRequest("/stream/x", "", "q"))
+		require.Equal(t, eventTexts(1, 3), body)
 	}
-	require.EqualValues(t, 1, w.servers[0].conns.Load())
+	require.EqualValues(t, 1, harness.servers[0].connCount.Load())
 }
 
-func TestAnEmptyStream(t *testing.T) {
-	w := newWorld(t, 1, func(a *arrival, _ int) bool { return a.stream("s") && a.ended() })
-	resp, body := w.ask(post("/stream/x", "", "q"))
+func TestEmptyStream(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.startStream("s") && call.endStream() })
+	resp, body := harness.roundTrip(postRequest("/stream/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
-	require.Equal(t, "s", resp.Header.Get(hSeal))
+	require.Equal(t, "s", resp.Header.Get(headerServerSeal))
 	require.Empty(t, body)
 }
 
-// breaks are the ways in which a server breaks a stream off after its second event, which the
+// streamFaults are the ways in which a server breaks a stream off after its second event, which the
 // client has read by then: a reset drops what has not been read.
-var breaks = map[string]func(a *arrival) bool{
-	"reset":             func(a *arrival) bool { return a.reset() },
-	"closed":            func(a *arrival) bool { return false },
-	"within an event":   func(a *arrival) bool { a.chunk("id: 3\ndata: pie"); return false },
-	"within a chunk":    func(a *arrival) bool { a.send("ff\r\nid: 3\ndata: pie"); return a.reset() },
-	"after an event":    func(a *arrival) bool { a.send("%x\r\n%s", len(piece(3)), piece(3)); return false },
-	"after a size":      func(a *arrival) bool { a.send("20\r\n"); return false },
-	"a bad chunk":       func(a *arrival) bool { return a.send("zz\r\n") },
-	"a bad chunk's end": func(a *arrival) bool { return a.send("%x\r\n%sXX", len(piece(3)), piece(3)) },
-	"ends in an event":  func(a *arrival) bool { return a.chunk("id: 3\ndata: pie") && a.ended() },
-	"a piece twice":     func(a *arrival) bool { return a.chunk(piece(2)) && a.ended() },
-	"a piece missing":   func(a *arrival) bool { return a.chunk(piece(5)) && a.ended() },
-	"an event too long": func(a *arrival) bool { return a.chunk("id: 3\ndata: " + strings.Repeat("x", maxEvent)) },
+var streamFaults = map[string]func(a *upstreamCall) bool{
+	"reset":             func(a *upstreamCall) bool { return a.resetOnClose() },
+	"closed":            func(a *upstreamCall) bool { return false },
+	"within an event":   func(a *upstreamCall) bool { a.writeChunk("id: 3\ndata: pie"); return false },
+	"within a chunk":    func(a *upstreamCall) bool { a.write("ff\r\nid: 3\ndata: pie"); return a.resetOnClose() },
+	"after an event":    func(a *upstreamCall) bool { a.write("%x\r\n%s", len(eventText(3)), eventText(3)); return false },
+	"after a size":      func(a *upstreamCall) bool { a.write("20\r\n"); return false },
+	"a bad chunk":       func(a *upstreamCall) bool { return a.write("zz\r\n") },
+	"a bad chunk's end": func(a *upstreamCall) bool { return a.write("%x\r\n%sXX", len(eventText(3)), eventText(3)) },
+	"ends in an event":  func(a *upstreamCall) bool { return a.writeChunk("id: 3\ndata: pie") && a.endStream() },
+	"a piece twice":     func(a *upstreamCall) bool { return a.writeChunk(eventText(2)) && a.endStream() },
+	"a piece missing":   func(a *upstreamCall) bool { return a.writeChunk(eventText(5)) && a.endStream() },
+	"an event too long": func(a *upstreamCall) bool { return a.writeChunk("id: 3\ndata: " + strings.Repeat("x", maxEventBytes)) },
 }
 
-// brokenAfter is the last event that gets through.
-func brokenAfter(name string) int {
+// lastCompleteEvent is the last event that gets through.
+func lastCompleteEvent(name string) int {
 	if name == "after an event" || name == "a bad chunk's end" {
 		return 3 // whole by itself
 	}
@@ -120,196 +120,200 @@
 
 // A stream that a server breaks off breaks off for the client, too, where it may not be resumed,
 // or the budget has no room for that.
-func TestABrokenStreamBreaks(t *testing.T) {
-	for name, broke := range breaks {
+func TestBrokenStreamIsTruncated(t *testing.T) {
+	for name, breakOff := range streamFaults {
 		for _, path := range []string{"/stream/x", "/quick-once/x", "/resume/x", "/quick/x"} {
 			t.Run(name+path, func(t *testing.T) {
 				read := make(chan bool)
-				w := newWorld(t, 2, func(a *arrival, _ int) bool {
-					a.stream("s")
-					a.events(1, 2)
+				harness := newHarness(t, 2, func(call *upstreamCall, _ int) bool {
+					call.startStream("s")
+					call.writeEvents(1, 2)
 					<-read
-					return broke(a)
-				}, func(s *settings.Settings) {
+					return breakOff(call)
+				}, func(nodeSettings *settings.Settings) {
 					if path == "/resume/x" || path == "/quick/x" {
-						s.Bounds.RetryRatio, s.Bounds.RetrySlack = 0, 0
+						nodeSettings.Bounds.RetryRatio, nodeSettings.Bounds.RetrySlack = 0, 0
 					}
 				})
-				w.update(w.doc(quickRoutes))
-				c := w.dial()
-				c.send(post(path, "", "q"))
-				resp := c.head()
+				harness.update(harness.document(quickRoutes))
+				client := harness.dial()
+				client.write(postRequest(path, "", "q"))
+				resp := client.readHead()
 				require.Equal(t, 200, resp.StatusCode)
-				require.Equal(t, piece(1), readEvent(t, resp))
-				require.Equal(t, piece(2), readEvent(t, resp))
+				require.Equal(t, eventText(1), readEvent(t, resp))
+				require.Equal(t, eventText(2), readEvent(t, resp))
 				close(read)
 				rest, err := io.ReadAll(resp.Body)
 				require.Error(t, err, "it must not look whole")
-				require.False(t, timedOut(err), "the connection is still open")
-				require.Equal(t, events(3, brokenAfter(name)), string(rest))
-				require.EqualValues(t, 1, w.n.Load(), "it must not run twice")
+				require.False(t, isTimeout(err), "the connection is still open")
+				require.Equal(t, eventTexts(3, lastCompleteEvent(name)), string(rest))
+				require.EqualValues(t, 1, harness.callCount.Load(), "it must not run twice")
 			})
 		}
 	}
 }
 
-func TestABrokenStreamGoesOnAtAnotherServer(t *testing.T) {
-	for name, broke := range breaks {
+func TestBrokenStreamResumes(t *testing.T) {
+	for name, breakOff := range streamFaults {
 		for _, path := range []string{"/resume/x", "/quick/x"} {
 			t.Run(name+path, func(t *testing.T) {
 				read := make(chan bool)
-				w := newWorld(t, 3, func(a *arrival, n int) bool {
+				harness := newHarness(t, 3, func(call *upstreamCall, n int) bool {
 					if n == 0 {
-						a.stream("first")
-						a.events(1, 2)
+						call.startStream("first")
+						call.writeEvents(1, 2)
 						<-read
-						return broke(a)
+						return breakOff(call)
 					}
 					var last int
-					fmt.Sscan(a.header.Get(hLast), &last)
-					return a.stream("second") && a.events(last+1, 6) && a.ended()
+					fmt.Sscan(call.header.Get(headerLastEventID), &last)
+					return call.startStream("second") && call.writeEvents(last+1, 6) && call.endStream()
 				})
-				w.update(w.doc(quickRoutes))
-				c := w.dial()
-				c.send(post(path, hDeadline+": 9000\r\n", "q"))
-				resp := c.head()
-				require.Equal(t, piece(1), readEvent(t, resp))
-				require.Equal(t, piece(2), readEvent(t, resp))
+				harness.update(harness.document(quickRoutes))
+				client := harness.dial()
+				client.write(postRequest(path, headerDeadline+": 9000\r\n", "q"))
+				resp := client.readHead()
+				require.Equal(t, eventText(1), readEvent(t, resp))
+				require.Equal(t, eventText(2), readEvent(t, resp))
 				close(read)
 				rest, err := io.ReadAll(resp.Body)
 				require.NoError(t, err)
-				require.Equal(t, events(3, 6), string(rest))
-				require.Equal(t, []string{"first"}, resp.Header[hSeal])
-				first, second := w.next(), w.next()
-				require.NotSame(t, first.server, second.server)
-				require.Equal(t, first.id(), second.id())
-				require.Empty(t, first.header.Get(hLast))
-				require.Equal(t, fmt.Sprint(brokenAfter(name)), second.header.Get(hLast))
-				require.Equal(t, "q", second.body)
-				require.EqualValues(t, 1, w.door.Figures.Resumed.Load())
-				require.EqualValues(t, 1, w.door.Figures.Repeats.Load())
+				require.Equal(t, eventTexts(3, 6), string(rest))
+				require.Equal(t, []string{"first"}, resp.Header[headerServerSeal])
+				firstCall, secondCall := harness.nextCall(), harness.nextCall()
+				require.NotSame(t, firstCall.server, secondCall.server)
+				require.Equal(t, firstCall.attemptID(), secondCall.attemptID())
+				require.Empty(t, firstCall.header.Get(headerLastEventID))
+				require.Equal(t, fmt.Sprint(lastCompleteEvent(name)), secondCall.header.Get(headerLastEventID))
+				require.Equal(t, "q", secondCall.body)
+				require.EqualValues(t, 1, harness.gateway.Counters.Resumed.Load())
+				require.EqualValues(t, 1, harness.gateway.Counters.Retries.Load())
 			})
 		}
 	}
 }
 
 // A server that breaks off before the first event has given no answer.
-func TestAStreamThatBreaksBeforeItsFirstEvent(t *testing.T) {
-	for name, broke := range map[string]func(a *arrival) bool{
-		"closed":         func(a *arrival) bool { return false },
-		"after its head": func(a *arrival) bool { a.stream("s"); return false },
-		"in its event":   func(a *arrival) bool { a.stream("s"); a.send("20\r\nid: 1\n"); return false },
+func TestStreamBrokenBeforeFirstEvent(t *testing.T) {
+	for name, breakOff := range map[string]func(call *upstreamCall) bool{
+		"closed":         func(call *upstreamCall) bool { return false },
+		"after its head": func(call *upstreamCall) bool { call.startStream("s"); return false },
+		"in its event":   func(call *upstreamCall) bool { call.startStream("s"); call.write("20\r\nid: 1\n"); return false },
 	} {
 		for path, status := range map[string]int{"/stream/x": 502, "/quick-once/x": 502, "/resume/x": 200, "/quick/x": 200} {
 			t.Run(name+path, func(t *testing.T) {
-				w := newWorld(t, 2, func(a *arrival, n int) bool {
+				harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 					if n == 0 {
-						return broke(a)
+						return breakOff(call)
 					}
-					return a.stream("second") && a.events(1, 3) && a.ended()
+					return call.startStream("second") && call.writeEvents(1, 3) && call.endStream()
 				})
-				w.update(w.doc(quickRoutes))
-				resp, body := w.ask(post(path, "", "q"))
+				harness.update(harness.document(quickRoutes))
+				resp, body := harness.roundTrip(postRequest(path, "", "q"))
 				require.Equal(t, status, resp.StatusCode)
 				if status == 200 {
-					require.Equal(t, events(1, 3), body)
-					require.Equal(t, "second", resp.Header.Get(hSeal))
+					require.Equal(t, eventTexts(1, 3), body)
+					require.Equal(t, "second", resp.Header.Get(headerServerSeal))
 				} else {
-					require.EqualValues(t, 1, w.n.Load())
+					require.EqualValues(t, 1, harness.callCount.Load())
 				}
 			})
 		}
 	}
 }
 
-func TestAStreamGoesOnTwice(t *testing.T) {
-	w := newWorld(t, 3, func(a *arrival, n int) bool {
+func TestStreamResumesTwice(t *testing.T) {
+	harness := newHarness(t, 3, func(call *upstreamCall, n int) bool {
 		if n < 2 {
-			return a.stream(fmt.Sprint("seal", n)) && a.events(3*n+1, 3*n+3) && false
+			return call.startStream(fmt.Sprint("seal", n)) && call.writeEvents(3*n+1, 3*n+3) && false
 		}
-		return a.stream("last") && a.events(7, 8) && a.ended()
+		return call.startStream("last") && call.writeEvents(7, 8) && call.endStream()
 	})
-	resp, body := w.ask(post("/resume/x", "", "q"))
-	require.Equal(t, events(1, 8), body)
-	require.Equal(t, "seal0", resp.Header.Get(hSeal))
+	resp, body := harness.roundTrip(postRequest("/resume/x", "", "q"))
+	require.Equal(t, eventTexts(1, 8), body)
+	require.Equal(t, "seal0", resp.Header.Get(headerServerSeal))
 }
 
-func TestAttemptsOfAStreamEnd(t *testing.T) {
-	w := newWorld(t, 6, func(a *arrival, n int) bool { return a.stream("s") && a.events(n+1, n+1) && false })
-	c := w.dial()
-	c.send(post("/resume/x", "", "q"))
-	_, body, err := c.answer()
+func TestMaxAttemptsOfStream(t *testing.T) {
+	harness := newHarness(t, 6, func(call *upstreamCall, n int) bool {
+		return call.startStream("s") && call.writeEvents(n+1, n+1) && false
+	})
+	client := harness.dial()
+	client.write(postRequest("/resume/x", "", "q"))
+	_, body, err := client.tryReadResponse()
 	require.Error(t, err)
-	require.Equal(t, events(1, 3), body)
-	require.EqualValues(t, 3, w.n.Load())
+	require.Equal(t, eventTexts(1, 3), body)
+	require.EqualValues(t, 3, harness.callCount.Load())
 }
 
 // Where the server that is to go on does not, the answer breaks off or goes on at a third; nothing
 // of a failure gets into the stream.
-func TestAStreamDoesNotGoOn(t *testing.T) {
-	for name, second := range map[string]func(a *arrival) bool{
-		"full":         func(a *arrival) bool { return a.answer(503, hNotRun+": 1\r\n", "full") },
-		"failed":       func(a *arrival) bool { return a.answer(500, "", "failed") },
-		"not found":    func(a *arrival) bool { return a.answer(404, "", "nothing") },
-		"no seal":      func(a *arrival) bool { return a.answer(200, "", events(3, 4)) },
-		"from 1 again": func(a *arrival) bool { return a.stream("s") && a.events(1, 4) && a.ended() },
-		"closed":       func(a *arrival) bool { return false },
+func TestResumeFails(t *testing.T) {
+	for name, second := range map[string]func(call *upstreamCall) bool{
+		"full":      func(call *upstreamCall) bool { return call.respond(503, headerNotRun+": 1\r\n", "full") },
+		"failed":    func(call *upstreamCall) bool { return call.respond(500, "", "failed") },
+		"not found": func(call *upstreamCall) bool { return call.respond(404, "", "nothing") },
+		"no seal":   func(call *upstreamCall) bool { return call.respond(200, "", eventTexts(3, 4)) },
+		"from 1 again": func(call *upstreamCall) bool {
+			return call.startStream("s") && call.writeEvents(1, 4) && call.endStream()
+		},
+		"closed": func(call *upstreamCall) bool { return false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2, func(a *arrival, n int) bool {
+			harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 				if n == 0 {
-					return a.stream("s") && a.events(1, 2) && false
+					return call.startStream("s") && call.writeEvents(1, 2) && false
 				}
-				return second(a)
+				return second(call)
 			})
-			c := w.dial()
-			c.send(post("/resume/x", "", "q"))
-			_, body, err := c.answer()
+			client := harness.dial()
+			client.write(postRequest("/resume/x", "", "q"))
+			_, body, err := client.tryReadResponse()
 			require.Error(t, err)
-			require.Equal(t, events(1, 2), body)
+			require.Equal(t, eventTexts(1, 2), body)
 
-			w = newWorld(t, 3, func(a *arrival, n int) bool {
+			harness = newHarness(t, 3, func(call *upstreamCall, n int) bool {
 				switch n {
 				case 0:
-					return a.stream("s") && a.events(1, 2) && false
+					return call.startStream("s") && call.writeEvents(1, 2) && false
 				case 1:
-					return second(a)
+					return second(call)
 				}
-				return a.stream("s") && a.events(3, 4) && a.ended()
+				return call.startStream("s") && call.writeEvents(3, 4) && call.endStream()
 			})
-			_, body = w.ask(post("/resume/x", "", "q"))
-			require.Equal(t, events(1, 4), body)
+			_, body = harness.roundTrip(postRequest("/resume/x", "", "q"))
+			require.Equal(t, eventTexts(1, 4), body)
 		})
 	}
 }
 
 // Whatever servers do to a stream, what the client gets is a beginning of it in whole events, and
 // looks complete only where it is.
-func TestStreamsUnderAnyTrouble(t *testing.T) {
+func TestStreamsUnderRandomFaults(t *testing.T) {
 	const last = 12
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		path := []string{"/stream/x", "/quick-once/x", "/resume/x", "/quick/x"}[rng.IntN(4)]
 		var mu sync.Mutex // of rng and said
 		said := ""
-		w := newWorld(t, 3, func(a *arrival, _ int) bool {
+		harness := newHarness(t, 3, func(call *upstreamCall, _ int) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			from := 1
-			if _, err := fmt.Sscan(a.header.Get(hLast), &from); err == nil {
+			if _, err := fmt.Sscan(call.header.Get(headerLastEventID), &from); err == nil {
 				from++
 			}
 			upTo := from - 1 + rng.IntN(last-from+2)
 			trouble := rng.IntN(11)
 			said += fmt.Sprintf("%d to %d, trouble %d; ", from, upTo, trouble)
 			if trouble == 0 {
-				return a.answer(503, hNotRun+": 1\r\n", "full")
+				return call.respond(503, headerNotRun+": 1\r\n", "full")
 			}
-			a.stream(fmt.Sprint("from ", from))
-			all := events(from, upTo)
+			call.startStream(fmt.Sprint("from ", from))
+			all := eventTexts(from, upTo)
 			for size := 1 + rng.IntN(120); len(all) > 0; {
 				n := min(size, len(all))
-				a.chunk(all[:n])
+				call.writeChunk(all[:n])
 				all = all[n:]
 			}
 			if upTo == 0 && trouble > 5 && trouble < 8 {
@@ -317,142 +321,144 @@
 			}
 			switch trouble {
 			case 1:
-				return a.reset()
+				return call.resetOnClose()
 			case 2:
 				return false
 			case 3:
-				a.chunk(piece(upTo + 1)[:7])
+				call.writeChunk(eventText(upTo + 1)[:7])
 				return false
 			case 4:
-				a.send("40\r\n%s", piece(upTo + 1)[:7])
+				call.write("40\r\n%s", eventText(upTo + 1)[:7])
 				return false
 			case 5:
-				a.send("0\r\n")
+				call.write("0\r\n")
 				return false
 			case 6:
-				return a.chunk(piece(upTo)) && a.ended()
+				return call.writeChunk(eventText(upTo)) && call.endStream()
 			case 7:
-				return a.chunk(piece(upTo+2)) && a.ended()
+				return call.writeChunk(eventText(upTo+2)) && call.endStream()
 			case 8:
-				return a.send("HTTP/1.1 200 OK\r\n\r\n")
+				return call.write("HTTP/1.1 200 OK\r\n\r\n")
 			}
-			return a.events(upTo+1, last) && a.ended() && a.send("%s", []string{"", "\r\n", "HTTP/1.1 200 OK\r\n"}[rng.IntN(3)])
-		}, func(s *settings.Settings) {
+			return call.writeEvents(upTo+1, last) && call.endStream() && call.write("%s", []string{"", "\r\n", "HTTP/1.1 200 OK\r\n"}[rng.IntN(3)])
+		}, func(nodeSettings *settings.Settings) {
 			if rng.IntN(4) == 0 {
-				s.Bounds.RetryRatio, s.Bounds.RetrySlack = 0, 0
+				nodeSettings.Bounds.RetryRatio, nodeSettings.Bounds.RetrySlack = 0, 0
 			}
 		})
-		w.update(w.doc(quickRoutes))
-		c := w.dial()
-		c.send(post(path, "", "q"))
-		resp, body, err := c.answer()
+		harness.update(harness.document(quickRoutes))
+		client := harness.dial()
+		client.write(postRequest(path, "", "q"))
+		resp, body, err := client.tryReadResponse()
 		mu.Lock()
-		told := fmt.Sprintf("seed %d, %s: %s-> %d %q %v", seed, path, said, resp.StatusCode, body, err)
+		description := fmt.Sprintf("seed %d, %s: %s-> %d %q %v", seed, path, said, resp.StatusCode, body, err)
 		mu.Unlock()
 		switch {
 		case resp.StatusCode == 502 || resp.StatusCode == 503:
-			require.NoError(t, err, told)
-			require.Empty(t, resp.Header.Get(hSeal), told)
+			require.NoError(t, err, description)
+			require.Empty(t, resp.Header.Get(headerServerSeal), description)
 			if resp.StatusCode == 503 {
-				require.Equal(t, strings.Count(told, "trouble"), strings.Count(told, "trouble 0"), told) // none has run
+				require.Equal(t, strings.Count(description, "trouble"), strings.Count(description, "trouble 0"), description) // none has run
 			}
 			continue
 		case err == nil:
-			require.Equal(t, events(1, last), body, told)
+			require.Equal(t, eventTexts(1, last), body, description)
 		default:
-			require.Less(t, len(body), len(events(1, last))+1, told)
-			require.Equal(t, events(1, strings.Count(body, "\n\n")), body, told)
+			require.Less(t, len(body), len(eventTexts(1, last))+1, description)
+			require.Equal(t, eventTexts(1, strings.Count(body, "\n\n")), body, description)
 		}
-		require.Equal(t, 200, resp.StatusCode, told)
-		require.Equal(t, "from 1", resp.Header.Get(hSeal), told)
+		require.Equal(t, 200, resp.StatusCode, description)
+		require.Equal(t, "from 1", resp.Header.Get(headerServerSeal), description)
 		if path == "/stream/x" || path == "/quick-once/x" {
-			require.LessOrEqual(t, strings.Count(told, "trouble")-strings.Count(told, "trouble 0"), 1, told)
+			require.LessOrEqual(t, strings.Count(description, "trouble")-strings.Count(description, "trouble 0"), 1, description)
 		}
-		w.close()
+		harness.close()
 	}
 }
 
 // A client may itself take up a stream that was cut.
-func TestAClientTakesAStreamUp(t *testing.T) {
-	w := newWorld(t, 2, func(a *arrival, n int) bool {
+func TestClientResumesStream(t *testing.T) {
+	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		if n == 0 {
-			return a.stream("a") && a.events(5, 6) && false
+			return call.startStream("a") && call.writeEvents(5, 6) && false
 		}
-		return a.stream("b") && a.events(7, 8) && a.ended()
+		return call.startStream("b") && call.writeEvents(7, 8) && call.endStream()
 	})
-	_, body := w.ask(post("/resume/x", hLast+": 4\r\n", "q"))
-	require.Equal(t, events(5, 8), body)
-	require.Equal(t, "4", w.next().header.Get(hLast))
-	require.Equal(t, []string{"6"}, w.next().header[hLast])
+	_, body := harness.roundTrip(postRequest("/resume/x", headerLastEventID+": 4\r\n", "q"))
+	require.Equal(t, eventTexts(5, 8), body)
+	require.Equal(t, "4", harness.nextCall().header.Get(headerLastEventID))
+	require.Equal(t, []string{"6"}, harness.nextCall().header[headerLastEventID])
 }
 
 // A server that is silent over a stream is left for another, where there may be one.
-func TestASilentServerIsLeftForAnother(t *testing.T) {
+func TestStalledServerIsReplaced(t *testing.T) {
 	for _, begun := range []bool{false, true} {
-		w := newWorld(t, 2, func(a *arrival, n int) bool {
+		harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 			if n == 0 {
 				if begun {
-					a.stream("s")
-					a.events(1, 2)
+					call.startStream("s")
+					call.writeEvents(1, 2)
 				}
-				a.gone(t)
+				call.requireClosed(t)
 				return false
 			}
 			var last int
-			fmt.Sscan(a.header.Get(hLast), &last)
-			return a.stream("s") && a.events(last+1, 4) && a.ended()
+			fmt.Sscan(call.header.Get(headerLastEventID), &last)
+			return call.startStream("s") && call.writeEvents(last+1, 4) && call.endStream()
 		})
-		w.update(w.doc(quickRoutes))
+		harness.update(harness.document(quickRoutes))
 		begin := time.Now()
-		_, body := w.ask(post("/quick/x", "", "q"))
-		require.Equal(t, events(1, 4), body)
+		_, body := harness.roundTrip(postRequest("/quick/x", "", "q"))
+		require.Equal(t, eventTexts(1, 4), body)
 		require.Less(t, time.Since(begin), 5*time.Second)
 	}
 }
 
 // Silence is no reason to break an answer off where no other server may go on with it.
-func TestASilentServerIsWaitedForWithoutBudget(t *testing.T) {
-	w := newWorld(t, 2, func(a *arrival, n int) bool {
-		a.stream("s")
-		a.events(1, 2)
-		return a.await(1200*time.Millisecond) && a.events(3, 4) && a.ended()
-	}, func(s *settings.Settings) { s.Bounds.RetryRatio, s.Bounds.RetrySlack = 0, 0 })
-	w.update(w.doc(quickRoutes))
-	_, body := w.ask(post("/quick/x", "", "q"))
-	require.Equal(t, events(1, 4), body)
-	require.EqualValues(t, 1, w.n.Load())
+func TestStalledServerWithoutBudget(t *testing.T) {
+	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
+		call.startStream("s")
+		call.writeEvents(1, 2)
+		return call.pause(1200*time.Millisecond) && call.writeEvents(3, 4) && call.endStream()
+	}, func(nodeSettings *settings.Settings) {
+		nodeSettings.Bounds.RetryRatio, nodeSettings.Bounds.RetrySlack = 0, 0
+	})
+	harness.update(harness.document(quickRoutes))
+	_, body := harness.roundTrip(postRequest("/quick/x", "", "q"))
+	require.Equal(t, eventTexts(1, 4), body)
+	require.EqualValues(t, 1, harness.callCount.Load())
 }
 
 // A client that does not read holds up its own stream, and nothing else.
-func TestAClientThatDoesNotRead(t *testing.T) {
+func TestSlowClient(t *testing.T) {
 	blocked := make(chan bool)
-	w := newWorld(t, 1, func(a *arrival, n int) bool {
-		if !strings.Contains(a.line, "/stream/") {
-			return a.serve()
+	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
+		if !strings.Contains(call.requestLine, "/stream/") {
+			return call.respondSuccess()
 		}
-		a.stream("s")
+		call.startStream("s")
 		data := strings.Repeat("x", 64<<10)
 		for i := 1; ; i++ {
-			_ = a.conn.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-			if !a.chunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, data)) {
+			_ = call.conn.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
+			if !call.writeChunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, data)) {
 				break
 			}
 		}
 		blocked <- true
-		a.gone(t)
+		call.requireClosed(t)
 		return false
 	})
-	c := w.dial()
-	require.NoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(4<<10))
-	c.send(post("/stream/x", "", "q"))
-	a := w.next()
+	client := harness.dial()
+	require.NoError(t, client.Conn.(*net.TCPConn).SetReadBuffer(4<<10))
+	client.write(postRequest("/stream/x", "", "q"))
+	call := harness.nextCall()
 	<-blocked // the server is held up in turn: nothing is hoarded between
 	for range 10 {
-		resp, _ := w.ask(post("/once/x", "", "q"))
+		resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 		require.Equal(t, 200, resp.StatusCode)
 	}
-	w.update(w.doc(""))
-	require.NotEmpty(t, w.door.Servers())
-	c.Close()
-	_ = a
+	harness.update(harness.document(""))
+	require.NotEmpty(t, harness.gateway.ServerViews())
+	client.Close()
+	_ = call
 }
--- a/internal/fleet/gateway/send.go
+++ b/internal/fleet/gateway/upload.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// bodyWithHead is how much of a body goes out in one write with the head, before anything is read:
+// inlineBodyBytes is how much of a body goes out in one write with the head, before anything is read:
 // about what a connection takes without waiting for the server.
-const bodyWithHead = 16 << 10
+const inlineBodyBytes = 16 << 10
 
 // upload is the sending of what did not go out with a request's head. It goes on while the answer
 // is read: a server may answer before it has read a long body. The zero upload is complete.
@@ -26,8 +26,8 @@
 	}
 }
 
-// running tells whether there is still something being written.
-func (u *upload) running() bool {
+// inProgress tells whether there is still something being written.
+func (u *upload) inProgress() bool {
 	if u.done == nil {
 		return false
 	}
@@ -40,14 +40,14 @@
 }
 
 // complete tells whether all was written.
-func (u *upload) complete() bool { return !u.running() && u.err == nil }
+func (u *upload) complete() bool { return !u.inProgress() && u.err == nil }
 
 // send writes a request: its head and the start of its body at once, and what is left of a long
 // body in a goroutine, which pool.close waits for. The error is nil where the head has left whole:
 // from then on the server may run the request, whether or not the rest of the body follows. An
 // error proves that it can't: no server can run half a head.
 func (cn *conn) send(head, body []byte) error {
-	first := min(len(body), bodyWithHead)
+	first := min(len(body), inlineBodyBytes)
 	n, err := cn.Write(append(head, body[:first]...))
 	cn.upload = upload{err: err}
 	if n < len(head) {
@@ -55,13 +55,13 @@
 	}
 	if rest := body[first:]; err == nil && len(rest) > 0 {
 		cn.upload.done = make(chan struct{})
-		go cn.sendRest(rest)
+		go cn.sendRemainder(rest)
 	}
 	return nil
 }
 
-// sendRest writes what is left of a body.
-func (cn *conn) sendRest(rest []byte) {
+// sendRemainder writes what is left of a body.
+func (cn *conn) sendRemainder(rest []byte) {
 	_, cn.upload.err = cn.Write(rest)
 	close(cn.upload.done)
 }
@@ -76,12 +76,12 @@
 	if cn.upload.done == nil {
 		return true
 	}
-	unacknowledged, err := sendQueue(cn.Conn)
+	unacknowledged, err := unacknowledgedBytes(cn.Conn)
 	return err == nil && unacknowledged == 0
 }
 
-// sendQueue is how many bytes were written to a connection and are not acknowledged yet.
-func sendQueue(nc net.Conn) (n int, err error) {
+// unacknowledgedBytes is how many bytes were written to a connection and are not acknowledged yet.
+func unacknowledgedBytes(nc net.Conn) (n int, err error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return 0, nil
--- /dev/null
+++ b/internal/fleet/gateway/upload_test.go
@@ -0,0 +1,269 @@
+package gateway
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/config"
+)
+
+// longBodyBytes is more than the buffers of a connection hold whose reader takes nothing.
+const longBodyBytes = 8 << 20
+
+// longBodyDocument is the routes of the tests with room for long bodies.
+func (h *testHarness) longBodyDocument(more string) *config.Doc {
+	h.revision++
+	text := strings.Replace(testConfig, `"body-bytes":65536`, fmt.Sprintf(`"body-bytes":%d`, longBodyBytes), 1)
+	document, err := config.Parse(fmt.Appendf(nil, text, h.revision, more))
+	require.NoError(h.t, err)
+	return document
+}
+
+// pendingUpload is a request whose body has not been read yet, as a server sees it.
+type pendingUpload struct {
+	net.Conn
+	reader   *bufio.Reader
+	server   *testServer
+	header   http.Header
+	length   int
+	sequence int // request, of all servers
+}
+
+func (u *pendingUpload) write(format string, args ...any) {
+	_, _ = fmt.Fprintf(u.Conn, format, args...) // what the door makes of it is checked
+}
+
+// respond writes a whole answer to the request.
+func (u *pendingUpload) respond(status int, fields, body string) {
+	u.write("HTTP/1.1 %d X\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s", status, headerAttemptID, u.header.Get(headerAttemptID), len(body), fields, body)
+}
+
+// read takes so much of the body.
+func (u *pendingUpload) read(n int) (string, error) {
+	body := make([]byte, n)
+	got, err := io.ReadFull(u.reader, body)
+	return string(body[:got]), err
+}
+
+// reset ends the connection with RST.
+func (u *pendingUpload) reset() {
+	_ = u.Conn.(*net.TCPConn).SetLinger(0)
+	u.Close()
+}
+
+// newUploadHarness starts servers that are handed each request once its head has been read, and whose
+// connections take little unread.
+func newUploadHarness(t *testing.T, servers int, handle func(upload *pendingUpload)) *testHarness {
+	harness := newUnconfiguredHarness(t, 0, nil)
+	for range servers {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		server := &testServer{listener: listener}
+		harness.addServer(server, "s")
+		harness.wg.Go(func() {
+			for {
+				conn, err := listener.Accept()
+				if err != nil {
+					return
+				}
+				server.connCount.Add(1)
+				harness.track(conn)
+				harness.wg.Go(func() {
+					defer conn.Close()
+					reader := bufio.NewReader(conn)
+					for {
+						req, err := http.ReadRequest(reader)
+						if err != nil {
+							return
+						}
+						if req.URL.Path == "/health" {
+							_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", headerInstanceID, server.instance.ID)
+							continue
+						}
+						server.requestCount.Add(1)
+						handle(&pendingUpload{Conn: conn, reader: reader, server: server, header: req.Header, length: int(req.ContentLength), sequence: int(harness.callCount.Add(1)) - 1})
+					}
+				})
+			}
+		})
+	}
+	harness.update(harness.longBodyDocument(""))
+	return harness
+}
+
+// requestCount is how many requests reached any server.
+func (h *testHarness) requestCount() (n int64) {
+	for _, server := range h.servers {
+		n += server.requestCount.Load()
+	}
+	return n
+}
+
+// A server that has the head and a part of the body may have run the request, whether or not the
+// rest could be written.
+func TestTruncatedUploadMayHaveExecuted(t *testing.T) {
+	for name, end := range map[string]func(upload *pendingUpload){
+		"reset":  func(upload *pendingUpload) { upload.reset() },
+		"closed": func(upload *pendingUpload) { upload.Close() },
+	} {
+		for _, part := range []int{0, 1, 100 << 10, longBodyBytes - 1} {
+			t.Run(fmt.Sprintf("%s after %d", name, part), func(t *testing.T) {
+				handle := func(upload *pendingUpload) {
+					if upload.sequence == 0 {
+						_, _ = upload.read(part)
+						end(upload)
+						return
+					}
+					_, _ = upload.read(upload.length)
+					upload.respond(200, sealField, "served")
+				}
+				body := strings.Repeat("x", longBodyBytes)
+				harness := newUploadHarness(t, 2, handle)
+				resp, _ := harness.roundTrip(postRequest("/once/x", "", body))
+				require.Equal(t, 502, resp.StatusCode)
+				require.EqualValues(t, 1, harness.requestCount(), "it must not be sent twice")
+
+				harness = newUploadHarness(t, 2, handle)
+				resp, got := harness.roundTrip(postRequest("/safe/x", "", body))
+				require.Equal(t, 200, resp.StatusCode)
+				require.Equal(t, "served", got)
+				require.EqualValues(t, 2, harness.requestCount())
+			})
+		}
+	}
+}
+
+// The word of a server that has not run a request counts also where it did not read its body.
+func TestUploadRejectedByServerIsRetried(t *testing.T) {
+	for name, first := range map[string]func(upload *pendingUpload){
+		"full":             func(upload *pendingUpload) { upload.respond(503, headerNotRun+": 1\r\n", "full") },
+		"another instance": func(upload *pendingUpload) { upload.respond(421, "", "") },
+	} {
+		for _, part := range []int{0, 100 << 10} {
+			t.Run(fmt.Sprintf("%s after %d", name, part), func(t *testing.T) {
+				harness := newUploadHarness(t, 2, func(upload *pendingUpload) {
+					_, _ = upload.read(part)
+					if upload.sequence == 0 {
+						first(upload)
+						_, _ = io.Copy(io.Discard, upload.reader) // until the door closes the connection
+						return
+					}
+					_, _ = upload.read(upload.length - part)
+					upload.respond(200, sealField, "served")
+				})
+				resp, got := harness.roundTrip(postRequest("/once/x", "", strings.Repeat("x", longBodyBytes)))
+				require.Equal(t, 200, resp.StatusCode)
+				require.Equal(t, "served", got)
+			})
+		}
+	}
+}
+
+// A server may answer before it has read the body, and read on later: what it reads there is a part
+// of that body and nothing else, and neither the answer nor another request waits for that.
+func TestResponseBeforeUploadEnds(t *testing.T) {
+	body := bytes.Repeat([]byte("0123456789abcdef"), longBodyBytes/16)
+	for _, size := range []int{100 << 10, 1 << 20, longBodyBytes} {
+		for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/resume/x"} {
+			t.Run(fmt.Sprint(path, size), func(t *testing.T) {
+				answered := make(chan bool)
+				rest := make(chan string, 1)
+				harness := newUploadHarness(t, 1, func(upload *pendingUpload) {
+					if upload.length < size {
+						_, _ = upload.read(upload.length)
+						upload.respond(200, sealField, "small")
+						return
+					}
+					upload.respond(200, sealField, eventTexts(1, 2))
+					select {
+					case <-answered:
+					case <-t.Context().Done():
+					}
+					all, err := upload.read(upload.length)
+					if err != nil {
+						upload.Close()
+					}
+					rest <- all
+				})
+				start := time.Now()
+				resp, answer := harness.roundTrip(postRequest(path, "", string(body[:size])))
+				require.Less(t, time.Since(start), tcpUserTimeout, "the answer is held up by the body")
+				require.Equal(t, 200, resp.StatusCode)
+				require.Equal(t, eventTexts(1, 2), answer)
+				if size >= 1<<20 { // more than a server's side takes unread
+					_, answer = harness.roundTrip(postRequest("/once/x", "", "q"))
+					require.Equal(t, "small", answer)
+				}
+				close(answered)
+				got := <-rest
+				require.True(t, strings.HasPrefix(string(body[:size]), got), "other bytes than the body's")
+				_, answer = harness.roundTrip(postRequest("/once/x", "", "q"))
+				require.Equal(t, "small", answer)
+			})
+		}
+	}
+}
+
+// A server that is still to take a body is not silent: a request that another server could be sent
+// stays with it.
+func TestSlowUploadIsNoStall(t *testing.T) {
+	harness := newUploadHarness(t, 2, func(upload *pendingUpload) {
+		select {
+		case <-time.After(minStallTimeout + 400*time.Millisecond): // over the patience of the route
+		case <-t.Context().Done():
+		}
+		_, _ = upload.read(upload.length)
+		upload.respond(200, sealField, eventTexts(1, 1))
+	})
+	harness.update(harness.longBodyDocument(quickRoutes))
+	resp, body := harness.roundTrip(postRequest("/quick/x", "", strings.Repeat("x", longBodyBytes)))
+	require.Equal(t, 200, resp.StatusCode)
+	require.Equal(t, eventTexts(1, 1), body)
+	require.EqualValues(t, 1, harness.requestCount())
+}
+
+// A long body is delivered once the server's side has it all, and not while it waits to be taken.
+func TestDelivered(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	for _, size := range []int{0, inlineBodyBytes, inlineBodyBytes + 1, longBodyBytes} {
+		netConn, err := net.Dial("tcp", listener.Addr().String())
+		require.NoError(t, err)
+		peer, err := listener.Accept()
+		require.NoError(t, err)
+		conn := newConn(netConn, "i-0")
+		require.NoError(t, conn.send([]byte("head"), make([]byte, size)))
+		if size == longBodyBytes {
+			require.False(t, conn.delivered())
+		}
+		_, err = io.CopyN(io.Discard, peer, int64(len("head")+size))
+		require.NoError(t, err)
+		conn.upload.wait()
+		require.Eventually(t, conn.delivered, testTimeout, time.Millisecond)
+		netConn.Close()
+		peer.Close()
+	}
+}
+
+// A long body that was cut was not delivered, whatever is still to be sent.
+func TestTruncatedUploadIsNotDelivered(t *testing.T) {
+	conn := newConn(&fakeConn{exchange: &exchange{requestBytesRead: 10, writeFails: true}}, "i-0")
+	require.NoError(t, conn.send([]byte("head"), make([]byte, 10)), "the head has left")
+	require.False(t, conn.delivered())
+	conn = newConn(&fakeConn{exchange: &exchange{requestBytesRead: 4 + inlineBodyBytes, writeFails: true}}, "i-0")
+	require.NoError(t, conn.send([]byte("head"), make([]byte, longBodyBytes)))
+	conn.upload.wait()
+	require.False(t, conn.delivered())
+	conn = newConn(&fakeConn{exchange: &exchange{requestBytesRead: 3, writeFails: true}}, "i-0")
+	require.Error(t, conn.send([]byte("head"), nil), "the head has not left")
+}
