--- a/cmd/agentlab/main.go
+++ b/cmd/agentlab/main.go
@@ -16,21 +16,21 @@
 )
 
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Play experiments: real agents between emulated clients, servers, discovery and links, with faults."`
-	List    listCmd    `cmd:"" help:"Name the experiments."`
-	Report  reportCmd  `cmd:"" help:"Print a report again."`
-	Compare compareCmd `cmd:"" help:"Set two reports, or two groups of them, side by side."`
-	Fleet   fleetCmd   `cmd:"" help:"Play a whole fleet in simulated time: the decision module of every agent against modelled servers."`
+	Run     runCmd     `name:"run" cmd:"" help:"Play experiments: real agents between emulated clients, servers, discovery and links, with faults."`
+	List    listCmd    `name:"list" cmd:"" help:"Name the experiments."`
+	Report  reportCmd  `name:"report" cmd:"" help:"Print a report again."`
+	Compare compareCmd `name:"compare" cmd:"" help:"Set two reports, or two groups of them, side by side."`
+	Fleet   fleetCmd   `name:"fleet" cmd:"" help:"Play a whole fleet in simulated time: the decision module of every agent against modelled servers."`
 }
 
 type fleetCmd struct {
-	Scenario []string `arg:"" optional:"" help:"What goes wrong: ${scenarios}. All if none is named."`
-	Seeds    uint64   `default:"3" help:"Plays of each, with the seeds from 1."`
-	Agents   int      `default:"300" help:"Agents; the load grows with them."`
-	Servers  int      `default:"170" help:"Report servers."`
-	Load     float64  `default:"1" help:"Times the usual load of an agent."`
-	Recall   bool     `help:"Agents that start again come with what they knew."`
-	Seconds  bool     `help:"Also print every second of each play."`
+	Scenario []string `name:"scenario" arg:"" optional:"" help:"What goes wrong: ${scenarios}. All if none is named."`
+	Seeds    uint64   `name:"seeds" default:"3" help:"Plays of each, with the seeds from 1."`
+	Agents   int      `name:"agents" default:"300" help:"Agents; the load grows with them."`
+	Servers  int      `name:"servers" default:"170" help:"Report servers."`
+	Load     float64  `name:"load" default:"1" help:"Times the usual load of an agent."`
+	Recall   bool     `name:"recall" help:"Agents that start again come with what they knew."`
+	Seconds  bool     `name:"seconds" help:"Also print every second of each play."`
 }
 
 func main() {
--- a/cmd/agentlab/run.go
+++ b/cmd/agentlab/run.go
@@ -25,12 +25,12 @@
 var errFailed = errors.New("not all claims were kept")
 
 type runCmd struct {
-	Name   []string `arg:"" help:"Experiments, by name or as files. agentlab list names those there are."`
-	Seed   uint64   `default:"1" help:"Of all that is drawn: arrivals, servers, and whom faults befall."`
-	Repeat uint64   `default:"1" help:"Plays of each, with as many seeds from the first."`
-	Quick  bool     `help:"The short form, within 45 s."`
-	Out    string   `help:"Folder for reports and plots." type:"path" default:"out"`
-	Bin    string   `help:"The agent's program; built from this source if there is none beside agentlab." type:"path" placeholder:"FILE"`
+	Name   []string `name:"name" arg:"" help:"Experiments, by name or as files. agentlab list names those there are."`
+	Seed   uint64   `name:"seed" default:"1" help:"Of all that is drawn: arrivals, servers, and whom faults befall."`
+	Repeat uint64   `name:"repeat" default:"1" help:"Plays of each, with as many seeds from the first."`
+	Quick  bool     `name:"quick" help:"The short form, within 45 s."`
+	Out    string   `name:"out" help:"Folder for reports and plots." type:"path" default:"out"`
+	Bin    string   `name:"bin" help:"The agent's program; built from this source if there is none beside agentlab." type:"path" placeholder:"FILE"`
 }
 
 // Run plays and ends each play with a line PASSED or FAILED.
@@ -180,7 +180,7 @@
 }
 
 type reportCmd struct {
-	Dir string `arg:"" help:"Folder of a report." type:"path"`
+	Dir string `name:"dir" arg:"" help:"Folder of a report." type:"path"`
 }
 
 // Run prints a report again, and draws its plots anew.
@@ -197,8 +197,8 @@
 }
 
 type compareCmd struct {
-	A string `arg:"" help:"Folder of a report, or of one for each seed." type:"path"`
-	B string `arg:"" help:"The other." type:"path"`
+	A string `name:"a" arg:"" help:"Folder of a report, or of one for each seed." type:"path"`
+	B string `name:"b" arg:"" help:"The other." type:"path"`
 }
 
 // Run sets two reports side by side.
--- a/cmd/chalkdoor/main.go
+++ b/cmd/chalkdoor/main.go
@@ -36,12 +36,12 @@
 }
 
 type cli struct {
-	Agent      agentCmd                     `cmd:"" help:"Run the agent, as without arguments, with an operations file."`
-	Check      checkCmd                     `cmd:"" help:"Check an operations file (.toml) or a configuration of the platform (.json), and say by key what is wrong."`
-	State      stateCmd                     `cmd:"" help:"Look at what an agent keeps on disk."`
-	Example    exampleCmd                   `cmd:"" help:"Print an operations file with every key, its default and what it is for."`
-	Version    versionCmd                   `cmd:"" help:"Print the version."`
-	Completion kongplete.InstallCompletions `cmd:"" help:"Print the lines that set up completion in your shell."`
+	Agent      agentCmd                     `name:"agent" cmd:"" help:"Run the agent, as without arguments, with an operations file."`
+	Check      checkCmd                     `name:"check" cmd:"" help:"Check an operations file (.toml) or a configuration of the platform (.json), and say by key what is wrong."`
+	State      stateCmd                     `name:"state" cmd:"" help:"Look at what an agent keeps on disk."`
+	Example    exampleCmd                   `name:"example" cmd:"" help:"Print an operations file with every key, its default and what it is for."`
+	Version    versionCmd                   `name:"version" cmd:"" help:"Print the version."`
+	Completion kongplete.InstallCompletions `name:"completion" cmd:"" help:"Print the lines that set up completion in your shell."`
 }
 
 const description = `One agent of the fleet: it takes the requests of the application beside it over HTTP/1.1, places each on a report server that discovery lists, and gives every request exactly one final answer.
@@ -76,14 +76,14 @@
 }
 
 type agentCmd struct {
-	Ops string `help:"The operations file." type:"path" placeholder:"FILE"`
+	Ops string `name:"ops" help:"The operations file." type:"path" placeholder:"FILE"`
 }
 
 // Run serves until SIGTERM.
 func (a *agentCmd) Run() error { return serve(a.Ops) }
 
 type checkCmd struct {
-	File string `arg:"" help:"The file." type:"path"`
+	File string `name:"file" arg:"" help:"The file." type:"path"`
 }
 
 // Run says that a file is sound, or all that is wrong with it.
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -13,14 +13,14 @@
 )
 
 type stateCmd struct {
-	Verify stateVerify `cmd:"" help:"Say whether all that is kept is sound, and what is not."`
-	Show   stateShow   `cmd:"" help:"Show what would be believed, as a table."`
-	Export stateExport `cmd:"" help:"Print what would be believed, as JSON."`
-	Repair stateRepair `cmd:"" help:"Set aside what can't be used and keep what can; no agent may use the folder."`
+	Verify stateVerify `name:"verify" cmd:"" help:"Say whether all that is kept is sound, and what is not."`
+	Show   stateShow   `name:"show" cmd:"" help:"Show what would be believed, as a table."`
+	Export stateExport `name:"export" cmd:"" help:"Print what would be believed, as JSON."`
+	Repair stateRepair `name:"repair" cmd:"" help:"Set aside what can't be used and keep what can; no agent may use the folder."`
 }
 
 type stateDir struct {
-	Dir string `arg:"" help:"The folder." type:"path"`
+	Dir string `name:"dir" arg:"" help:"The folder." type:"path"`
 }
 
 var errUnsound = errors.New("not all that is kept is sound")
--- a/cmd/controlsim/hunt.go
+++ b/cmd/controlsim/hunt.go
@@ -29,11 +29,11 @@
 )
 
 type huntCmd struct {
-	Seeds   uint64  `default:"100" help:"Seeds of each point."`
-	First   uint64  `default:"0" help:"The first of them."`
-	Point   string  `default:"all" help:"The operators' point, 1 to 5, or all."`
-	Minutes float64 `default:"0" help:"No run begins later. 0: all seeds are played."`
-	Jobs    int     `default:"4" help:"Runs at once, a process each."`
+	Seeds   uint64  `name:"seeds" default:"100" help:"Seeds of each point."`
+	First   uint64  `name:"first" default:"0" help:"The first of them."`
+	Point   string  `name:"point" default:"all" help:"The operators' point, 1 to 5, or all."`
+	Minutes float64 `name:"minutes" default:"0" help:"No run begins later. 0: all seeds are played."`
+	Jobs    int     `name:"jobs" default:"4" help:"Runs at once, a process each."`
 }
 
 // tally sums up the runs of a point.
--- a/cmd/controlsim/main.go
+++ b/cmd/controlsim/main.go
@@ -15,14 +15,14 @@
 )
 
 type cli struct {
-	Hunt   huntCmd   `cmd:"" help:"Play many seeds and sum up by point. Status 1: a promise was broken."`
-	Replay replayCmd `cmd:"" help:"Play one seed twice and print its log. Status 1: a promise was broken."`
-	Work   workCmd   `cmd:"" hidden:"" help:"A worker of a hunt."`
+	Hunt   huntCmd   `name:"hunt" cmd:"" help:"Play many seeds and sum up by point. Status 1: a promise was broken."`
+	Replay replayCmd `name:"replay" cmd:"" help:"Play one seed twice and print its log. Status 1: a promise was broken."`
+	Work   workCmd   `name:"work" cmd:"" hidden:"" help:"A worker of a hunt."`
 }
 
 type replayCmd struct {
-	Seed  uint64 `arg:"" help:"The seed."`
-	Point int    `required:"" help:"The operators' point, 1 to 5."`
+	Seed  uint64 `name:"seed" arg:"" help:"The seed."`
+	Point int    `name:"point" required:"" help:"The operators' point, 1 to 5."`
 }
 
 func (c *replayCmd) Validate() error {
@@ -40,11 +40,11 @@
 }
 
 type workCmd struct {
-	Point   string        `default:"all"`
-	First   uint64        `required:""`
-	Step    uint64        `required:""`
-	End     uint64        `required:""`
-	Minutes time.Duration `default:"0s"`
+	Point   string        `name:"point" default:"all"`
+	First   uint64        `name:"first" required:""`
+	Step    uint64        `name:"step" required:""`
+	End     uint64        `name:"end" required:""`
+	Minutes time.Duration `name:"minutes" default:"0s"`
 }
 
 func (c *workCmd) Run() error {
--- a/cmd/edgectl/config.go
+++ b/cmd/edgectl/config.go
@@ -43,16 +43,16 @@
 }
 
 type putCmd struct {
-	File    string `arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `help:"The version that it builds on, 0 for the first; without it the current one is read." placeholder:"N"`
+	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
+	IfMatch *int64 `name:"if-match" help:"The version that it builds on, 0 for the first; without it the current one is read." placeholder:"N"`
 }
 
 // Run sends a whole configuration.
 func (c *putCmd) Run(s *session) error { return s.submit(false, c.File, c.IfMatch) }
 
 type patchCmd struct {
-	File    string `arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `help:"The version that it builds on; without it the current one is read." placeholder:"N"`
+	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
+	IfMatch *int64 `name:"if-match" help:"The version that it builds on; without it the current one is read." placeholder:"N"`
 }
 
 // Run sends a change of items.
@@ -102,9 +102,9 @@
 }
 
 type checkCmd struct {
-	File  string `arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	Patch bool   `help:"The file is a change of named items."`
-	On    string `help:"File with the configuration that it builds on; a change is checked on the agents' current one without it." placeholder:"FILE"`
+	File  string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
+	Patch bool   `name:"patch" help:"The file is a change of named items."`
+	On    string `name:"on" help:"File with the configuration that it builds on; a change is checked on the agents' current one without it." placeholder:"FILE"`
 }
 
 // Run says that a file is sound, or what is wrong with it first.
--- a/cmd/edgectl/main.go
+++ b/cmd/edgectl/main.go
@@ -39,25 +39,25 @@
 Exit statuses: 0 done; 1 called wrongly, or a file can't be read; 2 refused as invalid; 3 another version is in place; 4 no clear answer in time; 5 the state on disk is damaged; 6 there is no such thing.`
 
 type cli struct {
-	Agent   []string      `help:"Control address of an agent; give more of them to have others tried." placeholder:"IP:PORT" env:"CHALKDOOR_AGENTS"`
-	JSON    bool          `help:"Print JSON."`
-	Timeout time.Duration `help:"The most time that a call may take, with all its tries." default:"15s"`
+	Agent   []string      `name:"agent" help:"Control address of an agent; give more of them to have others tried." placeholder:"IP:PORT" env:"CHALKDOOR_AGENTS"`
+	JSON    bool          `name:"json" help:"Print JSON."`
+	Timeout time.Duration `name:"timeout" help:"The most time that a call may take, with all its tries." default:"15s"`
 
 	Config struct {
-		Put   putCmd   `cmd:"" help:"Send a whole configuration."`
-		Patch patchCmd `cmd:"" help:"Send a change of named items."`
-		Get   getCmd   `cmd:"" help:"Print the newest configuration, as it was sent."`
-		Check checkCmd `cmd:"" help:"Check a file without sending it, and say by key what is wrong."`
-	} `cmd:"" help:"The configuration."`
-	Members readCmd `cmd:"" help:"Print the agents that hold a lease."`
-	Servers readCmd `cmd:"" help:"Print the servers that are listed."`
-	View    readCmd `cmd:"" help:"Print the agreed view and its chain."`
-	Status  readCmd `cmd:"" help:"Print how an agent stands."`
-	Figures readCmd `cmd:"" help:"Print what an agent has counted and measured."`
+		Put   putCmd   `name:"put" cmd:"" help:"Send a whole configuration."`
+		Patch patchCmd `name:"patch" cmd:"" help:"Send a change of named items."`
+		Get   getCmd   `name:"get" cmd:"" help:"Print the newest configuration, as it was sent."`
+		Check checkCmd `name:"check" cmd:"" help:"Check a file without sending it, and say by key what is wrong."`
+	} `name:"config" cmd:"" help:"The configuration."`
+	Members readCmd `name:"members" cmd:"" help:"Print the agents that hold a lease."`
+	Servers readCmd `name:"servers" cmd:"" help:"Print the servers that are listed."`
+	View    readCmd `name:"view" cmd:"" help:"Print the agreed view and its chain."`
+	Status  readCmd `name:"status" cmd:"" help:"Print how an agent stands."`
+	Figures readCmd `name:"figures" cmd:"" help:"Print what an agent has counted and measured."`
 	State   struct {
-		Verify verifyCmd `cmd:"" help:"Check the state that an agent keeps on disk; it may not run meanwhile."`
-	} `cmd:"" help:"State on disk."`
-	Version versionCmd `cmd:"" help:"Print the version."`
+		Verify verifyCmd `name:"verify" cmd:"" help:"Check the state that an agent keeps on disk; it may not run meanwhile."`
+	} `name:"state" cmd:"" help:"State on disk."`
+	Version versionCmd `name:"version" cmd:"" help:"Print the version."`
 }
 
 // session is what commands run with.
--- a/cmd/edgectl/read.go
+++ b/cmd/edgectl/read.go
@@ -17,7 +17,7 @@
 )
 
 type readCmd struct {
-	Each bool `help:"Ask each agent, and print what each of them says."`
+	Each bool `name:"each" help:"Ask each agent, and print what each of them says."`
 }
 
 // Run prints what the command's name asks for: the answer of the first agent that gives one, or
@@ -212,7 +212,7 @@
 }
 
 type verifyCmd struct {
-	Dir string `arg:"" help:"The state-dir of the agent." type:"existingdir"`
+	Dir string `name:"dir" arg:"" help:"The state-dir of the agent." type:"existingdir"`
 }
 
 // Run prints what a state file holds and whether it is whole.
--- a/cmd/edged/main.go
+++ b/cmd/edged/main.go
@@ -22,10 +22,10 @@
 type cli struct {
 	Verbosity int `short:"v" name:"verbosity" default:"0" help:"Log more: 1 events of control, 2 of single requests."`
 
-	Run     runCmd     `cmd:"" default:"1" help:"Serve, by the settings file that $CHALKDOOR_NODE_FILE names."`
-	Check   checkCmd   `cmd:"" help:"Tell what is wrong with a settings file."`
-	Events  eventsCmd  `cmd:"" help:"Print the catalogue of logged events."`
-	Version versionCmd `cmd:"" help:"Print the version."`
+	Run     runCmd     `name:"run" cmd:"" default:"1" help:"Serve, by the settings file that $CHALKDOOR_NODE_FILE names."`
+	Check   checkCmd   `name:"check" cmd:"" help:"Tell what is wrong with a settings file."`
+	Events  eventsCmd  `name:"events" cmd:"" help:"Print the catalogue of logged events."`
+	Version versionCmd `name:"version" cmd:"" help:"Print the version."`
 }
 
 type runCmd struct{}
@@ -53,7 +53,7 @@
 }
 
 type checkCmd struct {
-	File string `arg:"" help:"The settings file."`
+	File string `name:"file" arg:"" help:"The settings file."`
 }
 
 func (c checkCmd) Run() error {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -28,19 +28,19 @@
 var errBroken = errors.New("rules are broken")
 
 type cli struct {
-	Play playCmd `cmd:"" help:"Start a fleet, play clients, an operator and a fault, and print what came of it."`
+	Play playCmd `name:"play" cmd:"" help:"Start a fleet, play clients, an operator and a fault, and print what came of it."`
 }
 
 type playCmd struct {
-	Agents  int           `default:"5" help:"Machines that run edged."`
-	Core    int           `default:"3" help:"Of them with a disk."`
-	Servers int           `default:"6" help:"Model servers."`
-	For     time.Duration `default:"20s" help:"Length of the traffic."`
-	Rate    float64       `help:"Requests a second. 0: 12 for each agent."`
-	Seed    uint64        `default:"1" help:"Of all that is drawn."`
-	Fault   string        `default:"kill-core" enum:"${faults}" help:"What goes wrong: ${enum}."`
-	Dir     string        `help:"Folder for settings, state and logs, which are kept. Without it they go when the play ends."`
-	Edged   string        `help:"The daemon's program. Without it: edged beside this program, or built by go build."`
+	Agents  int           `name:"agents" default:"5" help:"Machines that run edged."`
+	Core    int           `name:"core" default:"3" help:"Of them with a disk."`
+	Servers int           `name:"servers" default:"6" help:"Model servers."`
+	For     time.Duration `name:"for" default:"20s" help:"Length of the traffic."`
+	Rate    float64       `name:"rate" help:"Requests a second. 0: 12 for each agent."`
+	Seed    uint64        `name:"seed" default:"1" help:"Of all that is drawn."`
+	Fault   string        `name:"fault" default:"kill-core" enum:"${faults}" help:"What goes wrong: ${enum}."`
+	Dir     string        `name:"dir" help:"Folder for settings, state and logs, which are kept. Without it they go when the play ends."`
+	Edged   string        `name:"edged" help:"The daemon's program. Without it: edged beside this program, or built by go build."`
 	JSON    bool          `name:"json" help:"Print the figures as JSON."`
 }
 
--- a/cmd/mutationtest/main.go
+++ b/cmd/mutationtest/main.go
@@ -21,14 +21,14 @@
 )
 
 type cli struct {
-	Root  string        `default:"." help:"Root of the tree."`
-	Only  string        `default:"." help:"Pattern of the ids to play."`
-	Point int           `default:"0" help:"The point whose defects are played; 0: all."`
-	Jobs  int           `default:"2" help:"Defects that are played beside each other."`
-	Limit time.Duration `default:"60s" help:"Time limit of one run of tests."`
-	Trust bool          `help:"Don't first run the tests without any defect."`
-	Show  bool          `help:"Print the tests' output, too."`
-	List  bool          `help:"Print the defects and play none."`
+	Root  string        `name:"root" default:"." help:"Root of the tree."`
+	Only  string        `name:"only" default:"." help:"Pattern of the ids to play."`
+	Point int           `name:"point" default:"0" help:"The point whose defects are played; 0: all."`
+	Jobs  int           `name:"jobs" default:"2" help:"Defects that are played beside each other."`
+	Limit time.Duration `name:"limit" default:"60s" help:"Time limit of one run of tests."`
+	Trust bool          `name:"trust" help:"Don't first run the tests without any defect."`
+	Show  bool          `name:"show" help:"Print the tests' output, too."`
+	List  bool          `name:"list" help:"Print the defects and play none."`
 }
 
 // errNotAllFound tells that the summary names defects that were not found.
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -25,33 +25,33 @@
 const edged = "chalkdoor.example/chalkdoor/cmd/edged"
 
 type cli struct {
-	Run  runCmd  `cmd:"" default:"withargs" help:"Play a fleet and print what it cost."`
-	Host hostCmd `cmd:"" hidden:"" help:"One process of a play."`
+	Run  runCmd  `name:"run" cmd:"" default:"withargs" help:"Play a fleet and print what it cost."`
+	Host hostCmd `name:"host" cmd:"" hidden:"" help:"One process of a play."`
 }
 
 type runCmd struct {
-	Agents  int           `default:"100" help:"Hollow agents."`
-	Core    int           `default:"5" help:"Machines of the core, a process each."`
-	Hosts   int           `default:"2" help:"Processes that the agents share. 0: agents and core run in this one, and processor time is not told apart."`
-	Real    int           `default:"0" help:"Real daemons that run beside them as agents."`
-	Servers int           `default:"200" help:"Model servers, spread over the agents."`
-	Beat    time.Duration `default:"1200ms" help:"Period of a server's beats."`
-	Changes float64       `default:"30" help:"Changes of the configuration a minute."`
-	Drains  float64       `default:"12" help:"Servers that drain a minute."`
-	Churn   float64       `default:"0" help:"Agents that leave and come back a minute."`
-	Lose    string        `default:"none" enum:"none,head,middle,tail" help:"Member of the chain that is killed after a third of the time and back after two: ${enum}."`
-	Routes  int           `default:"60" help:"Routes of the configuration."`
-	Models  int           `default:"6" help:"Services of the configuration, one for each model."`
-	Tenants int           `default:"0" help:"Tenants of the configuration."`
-	For     time.Duration `default:"20s" help:"Length of the window that is measured."`
-	Spread  time.Duration `default:"0s" help:"Time over which the agents start. 0: all start at once."`
-	Dir     string        `help:"Folder for state and logs, which are kept. Without it they go when the play ends."`
-	Edged   string        `help:"The daemon's program. Without it: edged beside this program, or built by go build."`
+	Agents  int           `name:"agents" default:"100" help:"Hollow agents."`
+	Core    int           `name:"core" default:"5" help:"Machines of the core, a process each."`
+	Hosts   int           `name:"hosts" default:"2" help:"Processes that the agents share. 0: agents and core run in this one, and processor time is not told apart."`
+	Real    int           `name:"real" default:"0" help:"Real daemons that run beside them as agents."`
+	Servers int           `name:"servers" default:"200" help:"Model servers, spread over the agents."`
+	Beat    time.Duration `name:"beat" default:"1200ms" help:"Period of a server's beats."`
+	Changes float64       `name:"changes" default:"30" help:"Changes of the configuration a minute."`
+	Drains  float64       `name:"drains" default:"12" help:"Servers that drain a minute."`
+	Churn   float64       `name:"churn" default:"0" help:"Agents that leave and come back a minute."`
+	Lose    string        `name:"lose" default:"none" enum:"none,head,middle,tail" help:"Member of the chain that is killed after a third of the time and back after two: ${enum}."`
+	Routes  int           `name:"routes" default:"60" help:"Routes of the configuration."`
+	Models  int           `name:"models" default:"6" help:"Services of the configuration, one for each model."`
+	Tenants int           `name:"tenants" default:"0" help:"Tenants of the configuration."`
+	For     time.Duration `name:"for" default:"20s" help:"Length of the window that is measured."`
+	Spread  time.Duration `name:"spread" default:"0s" help:"Time over which the agents start. 0: all start at once."`
+	Dir     string        `name:"dir" help:"Folder for state and logs, which are kept. Without it they go when the play ends."`
+	Edged   string        `name:"edged" help:"The daemon's program. Without it: edged beside this program, or built by go build."`
 	JSON    string        `name:"json" help:"File for the figures as JSON; - prints them in place of the tables."`
 }
 
 type hostCmd struct {
-	Addr string `arg:"" help:"Address at which it is steered."`
+	Addr string `name:"addr" arg:"" help:"Address at which it is steered."`
 }
 
 func main() {
--- a/internal/agent/consensus/council.go
+++ b/internal/agent/consensus/council.go
@@ -113,11 +113,12 @@
 
 // Decision is what was agreed on, as of now.
 type Decision struct {
-	Term, Index uint64
-	Table       zonefailover.Table
+	Term  uint64             `json:"Term"`
+	Index uint64             `json:"Index"`
+	Table zonefailover.Table `json:"Table"`
 	// Vouched is that a majority has just borne it out. What a voter finds in its log, at its
 	// start or after a pause, may be as old as the log.
-	Vouched bool
+	Vouched bool `json:"Vouched"`
 }
 
 // Report is what an agent sees, for the machine. The newest of an agent is enough.
--- /dev/null
+++ b/internal/agent/coordination/golden_test.go
@@ -0,0 +1,27 @@
+package coordination
+
+import (
+	"testing"
+
+	"chalkdoor.example/chalkdoor/internal/agent/ejection"
+	"chalkdoor.example/chalkdoor/internal/agent/membership"
+	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
+	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
+	"chalkdoor.example/chalkdoor/internal/goldentest"
+)
+
+// messageCodec is the encoding of messages between agents.
+var messageCodec = goldentest.Codec{Extension: ".message", Marshal: membership.Encode, Unmarshal: membership.Decode}
+
+func TestGoldenMessages(t *testing.T) {
+	goldentest.RoundTrip[ejection.Letter](t, messageCodec, "ballot")
+	goldentest.RoundTrip[stalerouting.Word](t, messageCodec, "uplink")
+	goldentest.RoundTrip[ping](t, messageCodec, "ping")
+	goldentest.RoundTrip[zonefailover.Report](t, messageCodec, "zone-report")
+	goldentest.RoundTrip[stalerouting.Decided](t, messageCodec, "zone-decision")
+	goldentest.RoundTrip[state](t, messageCodec, "state-exchange")
+}
+
+func TestGoldenTrace(t *testing.T) {
+	goldentest.Output[Line](t, goldentest.JSON, "trace")
+}
--- /dev/null
+++ b/internal/agent/opsconfig/golden_test.go
@@ -0,0 +1,23 @@
+package opsconfig
+
+import (
+	"bytes"
+	"testing"
+
+	"chalkdoor.example/chalkdoor/internal/goldentest"
+)
+
+// TestGoldenExample compares sections, keys and defaults of the example, without its comments.
+func TestGoldenExample(t *testing.T) {
+	var example bytes.Buffer
+	if err := Example(&example); err != nil {
+		t.Fatal(err)
+	}
+	var keys []byte
+	for line := range bytes.Lines(example.Bytes()) {
+		if !bytes.HasPrefix(line, []byte("#")) {
+			keys = append(keys, line...)
+		}
+	}
+	goldentest.File(t, "example.toml", keys)
+}
--- a/internal/agent/snapshot/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -35,15 +35,15 @@
 
 // Site is what an agent knows of its site by its neighbours, ages as of the save.
 type Site struct {
-	Dark    bool // the uplink was lost
-	Entries []stalerouting.Entry
+	Dark    bool                 `json:"Dark"` // the uplink was lost
+	Entries []stalerouting.Entry `json:"Entries"`
 }
 
 // head is what a list's version counts for. No id of a server is empty.
 type head struct {
-	Discovery string
-	Version   uint64
-	Targets   int
+	Discovery string `json:"Discovery"`
+	Version   uint64 `json:"Version"`
+	Targets   int    `json:"Targets"`
 }
 
 const (
@@ -58,8 +58,13 @@
 
 // load is what is known of all servers together.
 type load struct {
-	Demand, Peak, Admitted, CalmLat, FleetLat, Answers float64
-	Expect                                             []float64
+	Demand   float64   `json:"Demand"`
+	Peak     float64   `json:"Peak"`
+	Admitted float64   `json:"Admitted"`
+	CalmLat  float64   `json:"CalmLat"`
+	FleetLat float64   `json:"FleetLat"`
+	Answers  float64   `json:"Answers"`
+	Expect   []float64 `json:"Expect"`
 }
 
 // Encode is a state as tables.
--- a/internal/agent/stalerouting/set.go
+++ b/internal/agent/stalerouting/set.go
@@ -71,10 +71,10 @@
 
 // Entry is one process of a server as discovery told of it.
 type Entry struct {
-	ID          string
-	Incarnation int64 // when it started by the list, in Unix ms: a label, never compared to a clock
-	State       State
-	Age         time.Duration // since somebody of the site was told so
+	ID          string        `json:"ID"`
+	Incarnation int64         `json:"Incarnation"` // when it started by the list, in Unix ms: a label, never compared to a clock
+	State       State         `json:"State"`
+	Age         time.Duration `json:"Age"` // since somebody of the site was told so
 }
 
 // check tells what is wrong with an entry of another process, by field.
--- a/internal/agent/zonefailover/parts.go
+++ b/internal/agent/zonefailover/parts.go
@@ -8,8 +8,9 @@
 
 // Part is which part of a site's traffic goes to a zone.
 type Part struct {
-	Site, Zone string
-	Share      float64
+	Site  string  `json:"Site"`
+	Zone  string  `json:"Zone"`
+	Share float64 `json:"Share"`
 }
 
 const (
--- a/internal/agent/zonefailover/zones.go
+++ b/internal/agent/zonefailover/zones.go
@@ -170,24 +170,25 @@
 
 // Track is how a zone stands to some of the agents.
 type Track struct {
-	Share  float64       // of its weight that they use
-	Hold   time.Duration // the last one, doubled with each further leave
-	Leaves int           // counts them
+	Share  float64       `json:"Share"`  // of its weight that they use
+	Hold   time.Duration `json:"Hold"`   // the last one, doubled with each further leave
+	Leaves int           `json:"Leaves"` // counts them
 }
 
 // Zone is one line of a table.
 type Zone struct {
-	Name string
+	Name string `json:"Name"`
 	// Out is for the agents of other sites, In for those of its own.
-	Out, In Track
+	Out Track `json:"Out"`
+	In  Track `json:"In"`
 }
 
 // Table is what is decided, whole. Of two the one of the higher number is the newer.
 type Table struct {
-	Version int
-	Number  uint64
-	Zones   []Zone // by name; one that is not named is used whole by all
-	Parts   []Part // by site and zone; of a site that is not named nothing is decided
+	Version int    `json:"Version"`
+	Number  uint64 `json:"Number"`
+	Zones   []Zone `json:"Zones"` // by name; one that is not named is used whole by all
+	Parts   []Part `json:"Parts"` // by site and zone; of a site that is not named nothing is decided
 }
 
 // Check tells what is wrong with a table of another process, by field.
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -276,16 +276,20 @@
 
 // ServerStatus is what the agent holds of one server, for operators: nothing decides by it.
 type ServerStatus struct {
-	ID, Service, Zone string
-	State             string
-	InState           time.Duration
-	Silent            bool
-	Strikes           int
-	InFlight, Unread  int
-	Full, Cold        bool
-	Estimate          time.Duration // to the first token of a short prompt
-	Load              Load
-	LoadAge           time.Duration // of Load; negative: none was told
+	ID       string        `json:"ID"`
+	Service  string        `json:"Service"`
+	Zone     string        `json:"Zone"`
+	State    string        `json:"State"`
+	InState  time.Duration `json:"InState"`
+	Silent   bool          `json:"Silent"`
+	Strikes  int           `json:"Strikes"`
+	InFlight int           `json:"InFlight"`
+	Unread   int           `json:"Unread"`
+	Full     bool          `json:"Full"`
+	Cold     bool          `json:"Cold"`
+	Estimate time.Duration `json:"Estimate"` // to the first token of a short prompt
+	Load     Load          `json:"Load"`
+	LoadAge  time.Duration `json:"LoadAge"` // of Load; negative: none was told
 }
 
 // Snapshot lists what is known of the servers, by service and id.
--- a/internal/fleet/chain/chain.go
+++ b/internal/fleet/chain/chain.go
@@ -42,11 +42,11 @@
 
 // Value is the register. Seq counts committed orders; 0 is the empty register.
 type Value struct {
-	Seq      uint64
-	Revision int64
-	Body     []byte          // immutable
-	Past     []AppliedUpdate // the last MaxRecentUpdates taken, oldest first; immutable
-	Older    []byte          `msgpack:",omitempty"` // up to MaxOlderUpdates taken before those, encoded; immutable
+	Seq      uint64          `msgpack:"Seq"`
+	Revision int64           `msgpack:"Revision"`
+	Body     []byte          `msgpack:"Body"`            // immutable
+	Past     []AppliedUpdate `msgpack:"Past"`            // the last MaxRecentUpdates taken, oldest first; immutable
+	Older    []byte          `msgpack:"Older,omitempty"` // up to MaxOlderUpdates taken before those, encoded; immutable
 }
 
 // Checksum tells one value from another of the same Seq. Older is left out of it: a process that does
@@ -74,16 +74,16 @@
 
 // Record is what a member keeps on disk.
 type Record struct {
-	View   uint64 // number of the view in which the value was given; 0: never
-	Value  Value
-	Direct bool // it did not come along the chain
+	View   uint64 `msgpack:"View"` // number of the view in which the value was given; 0: never
+	Value  Value  `msgpack:"Value"`
+	Direct bool   `msgpack:"Direct"` // it did not come along the chain
 }
 
 // Update is one change that the operator asks for.
 type Update struct {
-	Patch   bool
-	IfMatch int64 // the revision it builds on, 0 for the first
-	Body    []byte
+	Patch   bool   `msgpack:"Patch"`
+	IfMatch int64  `msgpack:"IfMatch"` // the revision it builds on, 0 for the first
+	Body    []byte `msgpack:"Body"`
 }
 
 // Digest is the same for the same order: one with the same bytes in its body, on the same revision
@@ -122,10 +122,10 @@
 
 // Result answers an order.
 type Result struct {
-	Kind     Outcome
-	Revision int64  // Taken: the one it led to; Conflict: the current one
-	Reason   string // Invalid: what is wrong; Unclear: what failed
-	Final    bool   // Unclear: the same order gets the same answer again, at any process
+	Kind     Outcome `msgpack:"Kind"`
+	Revision int64   `msgpack:"Revision"` // Taken: the one it led to; Conflict: the current one
+	Reason   string  `msgpack:"Reason"`   // Invalid: what is wrong; Unclear: what failed
+	Final    bool    `msgpack:"Final"`    // Unclear: the same order gets the same answer again, at any process
 }
 
 // unknownOrder is the reason of an Unclear verdict on an order that may be one of the forgotten.
@@ -175,9 +175,9 @@
 // Push is one value on its way along the chain of a view or, from a complete member to one that is
 // not yet, directly.
 type Push struct {
-	View   view.View
-	Value  Value
-	Direct bool
+	View   view.View `msgpack:"View"`
+	Value  Value     `msgpack:"Value"`
+	Direct bool      `msgpack:"Direct"`
 }
 
 // Receive is what a member does with a push of its own view: the record to keep before the push is
--- a/internal/fleet/chain/past.go
+++ b/internal/fleet/chain/past.go
@@ -22,8 +22,8 @@
 
 // AppliedUpdate is an order that was taken, and the revision that it led to.
 type AppliedUpdate struct {
-	Digest   Digest
-	Revision int64
+	Digest   Digest `msgpack:"Digest"`
+	Revision int64  `msgpack:"Revision"`
 }
 
 // olderOrder is an order of the older memory.
--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -57,41 +57,49 @@
 	}
 
 	// announceRequest announces a process to a seed.
-	announceRequest struct{ Peer view.Peer }
+	announceRequest struct {
+		Peer view.Peer `msgpack:"Peer"`
+	}
 
 	prepareRequest struct {
-		To string // the ID of the disk that is meant: its machine may have another one by now
-		Q  view.PrepareRequest
+		To string              `msgpack:"To"` // the ID of the disk that is meant: its machine may have another one by now
+		Q  view.PrepareRequest `msgpack:"Q"`
 	}
 	acceptRequest struct {
-		To string
-		Q  view.AcceptRequest
+		To string             `msgpack:"To"`
+		Q  view.AcceptRequest `msgpack:"Q"`
 	}
 
 	// viewRequest asks for a newer view than that of a number.
-	viewRequest  struct{ Have uint64 }
-	viewResponse struct{ View *view.View }
+	viewRequest struct {
+		Have uint64 `msgpack:"Have"`
+	}
+	viewResponse struct {
+		View *view.View `msgpack:"View"`
+	}
 
 	pushRequest struct {
-		To string
-		Q  chain.Push
+		To string     `msgpack:"To"`
+		Q  chain.Push `msgpack:"Q"`
 	}
 	pushResponse struct {
-		OK    bool       // the value is on disk here and on all further members up to the tail
-		Newer *view.View // the view of the push is superseded by this one
-		Why   string     // the reason for refusing the push
+		OK    bool       `msgpack:"OK"`    // the value is on disk here and on all further members up to the tail
+		Newer *view.View `msgpack:"Newer"` // the view of the push is superseded by this one
+		Why   string     `msgpack:"Why"`   // the reason for refusing the push
 	}
 	submitResponse struct {
-		Verdict chain.Result
-		Newer   *view.View // the receiver is not the head: the head of this view is to be asked
+		Verdict chain.Result `msgpack:"Verdict"`
+		Newer   *view.View   `msgpack:"Newer"` // the receiver is not the head: the head of this view is to be asked
 	}
 	readResponse struct {
-		Value chain.Value
-		OK    bool
-		Newer *view.View // the receiver is not the tail: that of this view is to be asked
-		Why   string     // the reason for giving no value
+		Value chain.Value `msgpack:"Value"`
+		OK    bool        `msgpack:"OK"`
+		Newer *view.View  `msgpack:"Newer"` // the receiver is not the tail: that of this view is to be asked
+		Why   string      `msgpack:"Why"`   // the reason for giving no value
+	}
+	valueResponse struct {
+		Value chain.Value `msgpack:"Value"`
 	}
-	valueResponse struct{ Value chain.Value }
 )
 
 // RegisterHandlers adds the calls between members to the process's table.
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -11,31 +11,31 @@
 
 // Status is the state of a member as it is shown to operators. It is encoded as JSON.
 type Status struct {
-	ID      string
-	Addr    string
-	Dir     string
-	View    view.View
-	Place   int            // in the chain, from 0; -1: not in it
-	Voter   bool           // of View
-	Linked  bool           // in contact with a majority of the voters
-	Whole   bool           // holds all that was acknowledged
-	Record  uint64         // sequence number of the value on disk
-	Commit  uint64         // sequence number of the newest value known as committed
-	Short   view.Shortfall // the losses that the voters of View don't survive
-	Pending bool           // a next view was accepted here and its decision is not known
-	Ending  bool           // the member is shutting down
-	Disk    store.Health
-	Peers   []PeerStatus // by ID
+	ID      string         `json:"ID"`
+	Addr    string         `json:"Addr"`
+	Dir     string         `json:"Dir"`
+	View    view.View      `json:"View"`
+	Place   int            `json:"Place"`   // in the chain, from 0; -1: not in it
+	Voter   bool           `json:"Voter"`   // of View
+	Linked  bool           `json:"Linked"`  // in contact with a majority of the voters
+	Whole   bool           `json:"Whole"`   // holds all that was acknowledged
+	Record  uint64         `json:"Record"`  // sequence number of the value on disk
+	Commit  uint64         `json:"Commit"`  // sequence number of the newest value known as committed
+	Short   view.Shortfall `json:"Short"`   // the losses that the voters of View don't survive
+	Pending bool           `json:"Pending"` // a next view was accepted here and its decision is not known
+	Ending  bool           `json:"Ending"`  // the member is shutting down
+	Disk    store.Health   `json:"Disk"`
+	Peers   []PeerStatus   `json:"Peers"` // by ID
 }
 
 // PeerStatus is what a member knows of another one.
 type PeerStatus struct {
-	Peer   view.Peer
-	Silent time.Duration // since the last contact
-	View   uint64        // number of the view that it has learned
-	Commit uint64        // sequence number of the newest value that it knows as committed
-	Sick   bool          // its disk is unhealthy
-	Ending bool          // it is shutting down
+	Peer   view.Peer     `json:"Peer"`
+	Silent time.Duration `json:"Silent"` // since the last contact
+	View   uint64        `json:"View"`   // number of the view that it has learned
+	Commit uint64        `json:"Commit"` // sequence number of the newest value that it knows as committed
+	Sick   bool          `json:"Sick"`   // its disk is unhealthy
+	Ending bool          `json:"Ending"` // it is shutting down
 }
 
 // Status returns without waiting for the disk or another process.
--- a/internal/fleet/inference/engine.go
+++ b/internal/fleet/inference/engine.go
@@ -33,8 +33,8 @@
 // Segment is a part of a prompt. Its ID names the part alone, or after Chain the whole prompt up to
 // and with it.
 type Segment struct {
-	ID     uint64
-	Tokens int
+	ID     uint64 `msgpack:"ID"`
+	Tokens int    `msgpack:"Tokens"`
 }
 
 // AppendPrefixes appends the parts to out with the ids of the chains that end with them, for one model:
@@ -60,7 +60,11 @@
 }
 
 // Load is what a server's answer tells of it: requests that run, that wait, and its places.
-type Load struct{ Running, Waiting, Slots int }
+type Load struct {
+	Running int `json:"Running"`
+	Waiting int `json:"Waiting"`
+	Slots   int `json:"Slots"`
+}
 
 // Capacity is what a server can hold. MaxPrefixes bounds the parts remembered of it, each of about
 // BytesPerPrefix.
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -61,7 +61,10 @@
 }
 
 // Peer is a machine of the core.
-type Peer struct{ Addr, Zone string }
+type Peer struct {
+	Addr string `msgpack:"Addr"`
+	Zone string `msgpack:"Zone"`
+}
 
 // Snapshot is what the data plane goes by: immutable, always one moment's.
 type Snapshot struct {
--- a/internal/fleet/rollout/judge.go
+++ b/internal/fleet/rollout/judge.go
@@ -149,7 +149,7 @@
 // SeenCell is the counts of a cell.
 type SeenCell struct {
 	Cell
-	Counts
+	Counts `msgpack:"Counts,noinline"` // its keys are also some of Cell's
 }
 
 // Take hands out what is new since it was taken last.
--- a/internal/fleet/store/scan.go
+++ b/internal/fleet/store/scan.go
@@ -12,19 +12,19 @@
 
 // Entry is the newest record of a name.
 type Entry struct {
-	Number uint64 // its place among all records that were written
-	Bytes  int
+	Number uint64 `json:"Number"` // its place among all records that were written
+	Bytes  int    `json:"Bytes"`
 }
 
 // Report is what a state file holds.
 type Report struct {
-	Bytes   int64            // of whole records
-	Records int              // older ones among them
-	Entries map[string]Entry // by name
-	Torn    int64            // bytes behind the last whole record: a write that a loss of power cut
-	Damaged bool             // records before the last one are not whole
-	Why     string           // what is wrong where it was torn or damaged
-	Aside   bool             // an earlier file was set aside as damaged
+	Bytes   int64            `json:"Bytes"`   // of whole records
+	Records int              `json:"Records"` // older ones among them
+	Entries map[string]Entry `json:"Entries"` // by name
+	Torn    int64            `json:"Torn"`    // bytes behind the last whole record: a write that a loss of power cut
+	Damaged bool             `json:"Damaged"` // records before the last one are not whole
+	Why     string           `json:"Why"`     // what is wrong where it was torn or damaged
+	Aside   bool             `json:"Aside"`   // an earlier file was set aside as damaged
 }
 
 // Verify reads the state file of a folder that no process uses, and changes nothing.
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -221,10 +221,10 @@
 
 // Health is what a store's disk does.
 type Health struct {
-	Oldest  time.Duration // age of the oldest operation that is not done
-	Failing time.Duration // since when each operation has failed; 0: the last was good
-	Good    bool          // an operation was good since Open
-	Err     error         // of the last operation, or of the last rewriting of the file
+	Oldest  time.Duration `json:"Oldest"`  // age of the oldest operation that is not done
+	Failing time.Duration `json:"Failing"` // since when each operation has failed; 0: the last was good
+	Good    bool          `json:"Good"`    // an operation was good since Open
+	Err     error         `json:"Err"`     // of the last operation, or of the last rewriting of the file
 }
 
 // Health never waits for the disk.
--- a/internal/fleet/view/paxos.go
+++ b/internal/fleet/view/paxos.go
@@ -4,8 +4,8 @@
 // met, so it does not grow with restarts; By names one life of one proposer, so that no two
 // proposals share a ballot.
 type ProposalNumber struct {
-	Round uint32
-	By    string
+	Round uint32 `msgpack:"Round"`
+	By    string `msgpack:"By"`
 }
 
 // Less orders ballots.
@@ -16,34 +16,34 @@
 // AcceptorState is what an acceptor has to keep on disk, for the instance it votes on: the view after the
 // one that it knows. That of an older instance is void.
 type AcceptorState struct {
-	Instance uint64 // number of the view voted on
-	Promised ProposalNumber
-	At       ProposalNumber // of what was accepted
-	Accepted *View          // nil: nothing
+	Instance uint64         `msgpack:"Instance"` // number of the view voted on
+	Promised ProposalNumber `msgpack:"Promised"`
+	At       ProposalNumber `msgpack:"At"`       // of what was accepted
+	Accepted *View          `msgpack:"Accepted"` // nil: nothing
 }
 
 // PrepareRequest asks for a promise. Base is the view whose voters decide; a voter that does not know it
 // yet learns it from here. With Base.Number 0 the voters are the seeds, by address.
 type PrepareRequest struct {
-	Base   View
-	Ballot ProposalNumber
+	Base   View           `msgpack:"Base"`
+	Ballot ProposalNumber `msgpack:"Ballot"`
 }
 
 // AcceptRequest asks to accept a view.
 type AcceptRequest struct {
-	Base   View
-	Ballot ProposalNumber
-	View   View
+	Base   View           `msgpack:"Base"`
+	Ballot ProposalNumber `msgpack:"Ballot"`
+	View   View           `msgpack:"View"`
 }
 
 // Response is an acceptor's to both.
 type Response struct {
-	OK       bool
-	Promised ProposalNumber // what stands against it, or the ballot itself
-	At       ProposalNumber // Prepare: of what was accepted before
-	Accepted *View          // Prepare: what was accepted before
-	Newer    *View          // the acceptor knows a newer view than Base: nothing else counts
-	Refused  string         // the acceptor has no vote here, and why
+	OK       bool           `msgpack:"OK"`
+	Promised ProposalNumber `msgpack:"Promised"` // what stands against it, or the ballot itself
+	At       ProposalNumber `msgpack:"At"`       // Prepare: of what was accepted before
+	Accepted *View          `msgpack:"Accepted"` // Prepare: what was accepted before
+	Newer    *View          `msgpack:"Newer"`    // the acceptor knows a newer view than Base: nothing else counts
+	Refused  string         `msgpack:"Refused"`  // the acceptor has no vote here, and why
 }
 
 // Prepare is the vote after a question for a promise, and the answer that may go out once the vote
--- a/internal/fleet/view/tolerance.go
+++ b/internal/fleet/view/tolerance.go
@@ -34,9 +34,9 @@
 // Shortfall is how many of the losses of each kind that are to be borne are not: a majority of the
 // voters stands after so many fewer, whichever they are.
 type Shortfall struct {
-	Machines int
-	Zones    int
-	Regions  int
+	Machines int `json:"Machines"`
+	Zones    int `json:"Zones"`
+	Regions  int `json:"Regions"`
 }
 
 // None tells whether a majority stands after each tolerated loss.
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -39,26 +39,26 @@
 // Peer is one machine of the core, known by the id of its disk: a lost disk comes back as another
 // peer at the same address.
 type Peer struct {
-	ID      string `msgpack:"i"` // random, made with the disk's first file
-	Addr    string `msgpack:"a"` // HOST:PORT at which its agent is called
-	Zone    string `msgpack:"z"`
-	Region  string `msgpack:"r,omitempty"` // "" in records of versions that did not keep it
-	Disk    bool   `msgpack:"d,omitempty"` // what it has promised outlives its process
-	Counted bool   `msgpack:"c,omitempty"` // its loss is one of those to be borne
+	ID      string `msgpack:"i" json:"ID"`   // random, made with the disk's first file
+	Addr    string `msgpack:"a" json:"Addr"` // HOST:PORT at which its agent is called
+	Zone    string `msgpack:"z" json:"Zone"`
+	Region  string `msgpack:"r,omitempty" json:"Region"`  // "" in records of versions that did not keep it
+	Disk    bool   `msgpack:"d,omitempty" json:"Disk"`    // what it has promised outlives its process
+	Counted bool   `msgpack:"c,omitempty" json:"Counted"` // its loss is one of those to be borne
 }
 
 // Member is one member of the chain.
 type Member struct {
 	Peer
-	Since uint64 // number of the view in which it joined
+	Since uint64 `msgpack:"Since" json:"Since"` // number of the view in which it joined
 }
 
 // View is immutable once decided.
 type View struct {
-	Number uint64   // from 1; 0 is no view
-	Voters []Peer   // at most MaxVoters, by ID
-	Chain  []Member // head first
-	Memory bool     // no machine had a disk: the state lives as long as a majority does
+	Number uint64   `msgpack:"Number" json:"Number"` // from 1; 0 is no view
+	Voters []Peer   `msgpack:"Voters" json:"Voters"` // at most MaxVoters, by ID
+	Chain  []Member `msgpack:"Chain" json:"Chain"`   // head first
+	Memory bool     `msgpack:"Memory" json:"Memory"` // no machine had a disk: the state lives as long as a majority does
 }
 
 // Clone shares nothing with v.
--- a/policy/types.go
+++ b/policy/types.go
@@ -248,37 +248,37 @@
 // Memory is what an agent has learned, as plain values with ages, to outlive its process.
 // What of it is believed is decided when it comes back.
 type Memory struct {
-	AgeMs    float64 // since it was taken; the worst case where that is not known
-	Servers  []ServerMemory
-	Keys     []KeyMemory // the most popular first
-	Demand   float64     // of the fleet, were nothing refused, and
-	Peak     float64     // its capacity, in warm servers of weight one
-	Admitted float64
-	CalmLat  float64 // mean answer time as a part of the aim, calm
-	FleetLat float64 // and of late
-	Answers  float64
-	Expect   []float64 // answer times by class, ms
+	AgeMs    float64        `json:"AgeMs"` // since it was taken; the worst case where that is not known
+	Servers  []ServerMemory `json:"Servers"`
+	Keys     []KeyMemory    `json:"Keys"`   // the most popular first
+	Demand   float64        `json:"Demand"` // of the fleet, were nothing refused, and
+	Peak     float64        `json:"Peak"`   // its capacity, in warm servers of weight one
+	Admitted float64        `json:"Admitted"`
+	CalmLat  float64        `json:"CalmLat"`  // mean answer time as a part of the aim, calm
+	FleetLat float64        `json:"FleetLat"` // and of late
+	Answers  float64        `json:"Answers"`
+	Expect   []float64      `json:"Expect"` // answer times by class, ms
 }
 
 // ServerMemory is what was known of one server.
 type ServerMemory struct {
-	Server    Addr
-	StartedMs float64 // as listed: another process is another server
-	State     State
-	InStateMs float64 // for how long
-	Silent    bool
-	Strikes   int
-	Failing   float64
-	Lat       float64 // mean answer time as a part of the aim
-	RTTMs     float64
-	Samples   int
-	Window    float64
+	Server    Addr    `json:"Server"`
+	StartedMs float64 `json:"StartedMs"` // as listed: another process is another server
+	State     State   `json:"State"`
+	InStateMs float64 `json:"InStateMs"` // for how long
+	Silent    bool    `json:"Silent"`
+	Strikes   int     `json:"Strikes"`
+	Failing   float64 `json:"Failing"`
+	Lat       float64 `json:"Lat"` // mean answer time as a part of the aim
+	RTTMs     float64 `json:"RTTMs"`
+	Samples   int     `json:"Samples"`
+	Window    float64 `json:"Window"`
 }
 
 // KeyMemory is how often a key was asked for of late.
 type KeyMemory struct {
-	Key   uint64
-	Count float64
+	Key   uint64  `json:"Key"`
+	Count float64 `json:"Count"`
 }
 
 // ActionKind tells which fields of an Action count.
