--- a/internal/fleet/deltasync/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -7,10 +7,10 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// itemBytes is about what a server's item has.
+// itemBytes is about the size of a server's item.
 const itemBytes = 110
 
-// filledStore is a set of so many sources that tell items/sources items each.
+// filledStore returns a store with so many sources, which have items/sources items each.
 func filledStore(sources, items int) *Store {
 	s := NewStore("self/0")
 	for i := range sources {
@@ -28,7 +28,7 @@
 	return s
 }
 
-// What one session costs its hub at each change that wakes it, also where it lacks nothing.
+// BenchmarkDeltasSince measures what a session costs its relay at each change, also where the peer lacks nothing.
 func BenchmarkDeltasSince(b *testing.B) {
 	for _, sources := range []int{30, 100, 367} {
 		for _, lacks := range []int{0, 1} {
@@ -49,7 +49,7 @@
 	}
 }
 
-// All of it, for a peer that has nothing.
+// BenchmarkDeltasSinceNothing measures the deltas for a peer that has nothing.
 func BenchmarkDeltasSinceNothing(b *testing.B) {
 	s := filledStore(367, 850)
 	b.ReportAllocs()
@@ -75,7 +75,7 @@
 	}
 }
 
-// What a set holds for each source, and for each item beyond its data.
+// BenchmarkHeap measures the memory per source, and per item beyond its data.
 func BenchmarkHeap(b *testing.B) {
 	var source, item float64
 	for b.Loop() {
--- a/internal/fleet/deltasync/overlap_test.go
+++ b/internal/fleet/deltasync/delta_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// deltaUpTo is what source "b" tells from its first version up to one, an item each.
+// deltaUpTo is the delta of source "b" up to a version, one item per version.
 func deltaUpTo(upto uint64) Delta {
 	d := Delta{Source: "b", Upto: upto}
 	for ver := uint64(1); ver <= upto; ver++ {
@@ -15,7 +15,7 @@
 	return d
 }
 
-// Of a delta that begins before what is held only what is newer counts.
+// Of a delta that begins before the present version, only the newer items are applied.
 func TestOverlappingDeltaYieldsOnlyNewItems(t *testing.T) {
 	t.Parallel()
 	s := NewStore("a")
@@ -28,7 +28,7 @@
 	assert.EqualValues(t, 3, s.Version("b"))
 }
 
-// A source that has ended is brought back by nobody.
+// A source that has ended is not revived.
 func TestEndedSourceIsNotRevived(t *testing.T) {
 	t.Parallel()
 	s := NewStore("a")
--- a/internal/fleet/deltasync/feed_test.go
+++ b/internal/fleet/deltasync/store_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// syncSimulation is what sources truly said, and sets that tell each other of it over links that lose,
-// reorder and repeat.
+// syncSimulation is stores that replicate to each other over links that lose, reorder and repeat, and the
+// true history of their sources.
 type syncSimulation struct {
 	t            *rapid.T
 	stores       []*Store
-	history      map[string][]map[string]string // by source, what it held at each version
-	ended        []map[string]bool              // by set
-	newestSeen   []Vector                       // by set: the newest that it held of each source
+	history      map[string][]map[string]string // by source, its items at each version
+	ended        []map[string]bool              // by store
+	newestSeen   []Vector                       // by store: the newest version that it had of each source
 	inFlight     [][]Delta
 	incarnations int
 }
@@ -59,8 +59,8 @@
 	old, held := s.OwnSource(), w.history[s.OwnSource()][s.OwnVersion()]
 	s.StartIncarnation(w.newSourceName())
 	w.ended[i][old] = true
-	require.LessOrEqual(w.t, int(s.OwnVersion()), len(held), "nothing but what is not removed")
-	// The versions in between: items in the order of their last change.
+	require.LessOrEqual(w.t, int(s.OwnVersion()), len(held), "no tombstones")
+	// The versions in between have the items in the order of their last change.
 	w.history[s.OwnSource()] = make([]map[string]string, len(held)+1)
 	for v := range w.history[s.OwnSource()] {
 		at := map[string]string{}
@@ -69,18 +69,18 @@
 		}
 		w.history[s.OwnSource()][v] = at
 	}
-	require.Equal(w.t, held, w.history[s.OwnSource()][s.OwnVersion()], "a new life has what the old one had")
+	require.Equal(w.t, held, w.history[s.OwnSource()][s.OwnVersion()], "a new incarnation has what the old one had")
 }
 
-// check proves of one set that it holds of each source exactly what that had said at the version,
-// and no less than it held before.
+// check requires of one store that it has of each source exactly what that had at the version, and no
+// less than it had before.
 func (w *syncSimulation) check(i int) {
 	s := w.stores[i]
 	bytes := 0
 	for _, name := range s.Sources() {
-		require.False(w.t, w.ended[i][name], "%s came back", name)
+		require.False(w.t, w.ended[i][name], "%s was revived", name)
 		ver := s.Version(name)
-		require.GreaterOrEqual(w.t, ver, w.newestSeen[i][name], "%s went back", name)
+		require.GreaterOrEqual(w.t, ver, w.newestSeen[i][name], "%s regressed", name)
 		w.newestSeen[i][name] = ver
 		got := map[string]string{}
 		for key := range s.sources[name].items {
@@ -108,13 +108,13 @@
 	}())
 }
 
-// Whatever links do to what is on its way, no set goes back, holds what was never said or brings
-// back what has ended, and all are alike once they tell each other what they lack by their vectors.
+// Whatever links do to deltas in flight, no store regresses, has what was never published or revives
+// what has ended, and all converge once they exchange deltas by their vectors.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSyncSimulation(t, rapid.IntRange(2, 4).Draw(t, "sets"))
 		which := rapid.IntRange(0, len(w.stores)-1)
-		var old []Vector // of any set at any time
+		var old []Vector // of any store at any time
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				w.put(w.stores[which.Draw(t, "set")], rapid.StringMatching("[a-e]").Draw(t, "key"), rapid.StringMatching("[xyz]{0,2}").Draw(t, "data"))
@@ -127,14 +127,14 @@
 				old = append(old, v)
 				w.inFlight = append(w.inFlight, w.stores[which.Draw(t, "from")].DeltasSince(v))
 			},
-			"arrive": func(t *rapid.T) { // in any order, also twice, also at others; what never does is lost
+			"arrive": func(t *rapid.T) { // in any order, also twice, also at other stores; deltas that never do are lost
 				if len(w.inFlight) == 0 {
 					t.Skip()
 				}
 				s := w.stores[which.Draw(t, "at")]
 				before := s.Vector()
 				for _, c := range s.Apply(rapid.SampledFrom(w.inFlight).Draw(t, "message")) {
-					require.Greater(t, c.Item.Ver, before[c.Source], "an old change is told as new")
+					require.Greater(t, c.Item.Ver, before[c.Source], "an old change is returned as new")
 				}
 			},
 			"drop": func(t *rapid.T) {
@@ -152,7 +152,7 @@
 				}
 			},
 		})
-		for range w.stores { // one round tells neighbours, so that many rounds tell all
+		for range w.stores { // one round syncs neighbours, so that many rounds sync all
 			for i, to := range w.stores {
 				for _, from := range w.stores {
 					to.Apply(from.DeltasSince(to.Vector()))
@@ -163,14 +163,14 @@
 		for i, s := range w.stores {
 			for j, other := range w.stores {
 				if !w.ended[i][other.OwnSource()] {
-					require.Equal(t, other.OwnVersion(), s.Version(other.OwnSource()), "set %d of the source of set %d", i, j)
+					require.Equal(t, other.OwnVersion(), s.Version(other.OwnSource()), "store %d of the source of store %d", i, j)
 				}
 			}
 		}
 	})
 }
 
-// itemsAfter are n items of rising version after from.
+// itemsAfter returns n items of rising versions after from.
 func itemsAfter(from uint64, n int, key func(int) string) []Item {
 	out := make([]Item, n)
 	for i := range out {
@@ -185,14 +185,14 @@
 	return Delta{Source: source, From: from, Upto: from + uint64(len(items)), Items: items}
 }
 
-// What a peer at fault sends changes nothing.
+// Deltas that a faulty peer sends change nothing.
 func TestInvalidDeltasAreIgnored(t *testing.T) {
 	x := []byte("x")
 	for name, d := range map[string]Delta{
 		"own source":           {Source: "me", Upto: 9, Items: []Item{{"a", 9, x}}},
 		"no source":            {Upto: 3, Items: []Item{{"a", 3, x}}},
 		"ended source":         {Source: "gone", Upto: 3, Items: []Item{{"a", 3, x}}},
-		"after what is held":   {Source: "it", From: 4, Upto: 5, Items: []Item{{"a", 5, x}}},
+		"after a gap":          {Source: "it", From: 4, Upto: 5, Items: []Item{{"a", 5, x}}},
 		"nothing new":          {Source: "it", From: 0, Upto: 2, Items: []Item{{"a", 2, x}}},
 		"backwards":            {Source: "it", From: 2, Upto: 1, Items: []Item{{"a", 1, x}}},
 		"falling versions":     {Source: "it", From: 2, Upto: 4, Items: []Item{{"a", 4, x}, {"b", 3, x}}},
@@ -217,13 +217,13 @@
 			assert.Empty(t, s.Apply([]Delta{d}))
 			assert.Equal(t, vector, s.Vector())
 			assert.Equal(t, before, s.DeltasSince(nil))
-			// And it bars no sound one.
+			// It does not prevent a valid one.
 			assert.Len(t, s.Apply([]Delta{{Source: "it", From: 2, Upto: 3, Items: []Item{{"c", 3, x}}}}), 1)
 		})
 	}
 }
 
-// The bound is on what is kept: a source all of whose items have changed can be caught up with.
+// The bound is on what is stored: a source all of whose items have changed can be synced.
 func TestAllItemsOfASourceMayChange(t *testing.T) {
 	s := NewStore("me")
 	require.Len(t, s.Apply([]Delta{deltaWith("it", 0, itemsAfter(0, maxItems, numberedKey))}), maxItems)
@@ -241,7 +241,7 @@
 	s.EndSource("s0")
 	assert.Zero(t, s.Version("s0"))
 	assert.Equal(t, uint64(1), s.LastVersion("s0"))
-	assert.Len(t, s.Apply([]Delta{deltaWith("late", 0, itemsAfter(0, 1, numberedKey))}), 1, "there is room again")
+	assert.Len(t, s.Apply([]Delta{deltaWith("late", 0, itemsAfter(0, 1, numberedKey))}), 1, "there is capacity again")
 	for i := range 2 * maxSources {
 		s.EndSource(fmt.Sprint("s", i))
 	}
@@ -257,10 +257,10 @@
 	for i := range 8 {
 		s.Apply([]Delta{{Source: fmt.Sprint("s", i), Upto: 1, Items: []Item{{"a", 1, big}}}})
 	}
-	assert.Len(t, s.Sources(), 1+3, "the fourth would pass the bound by its key")
+	assert.Len(t, s.Sources(), 1+3, "the fourth would exceed the bound by its key")
 	s.EndSource("s0")
 	assert.Len(t, s.Apply([]Delta{{Source: "s9", Upto: 1, Items: []Item{{"a", 1, big}}}}), 1)
-	// One that takes the place of another is counted once.
+	// An item that replaces another is counted once.
 	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 1, Upto: 2, Items: []Item{{"a", 2, big}}}}), 1)
 	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 2, Upto: 3, Items: []Item{{"a", 3, nil}}}}), 1)
 	assert.Len(t, s.Apply([]Delta{{Source: "s8", Upto: 1, Items: []Item{{"a", 1, big}}}}), 1)
@@ -279,23 +279,23 @@
 	assert.True(t, s.Ended("one"))
 	assert.Equal(t, Vector{"two": 2, "it": 3}, s.Vector())
 	assert.Equal(t, []Delta{{Source: "two", Upto: 2, Items: []Item{{"b", 1, []byte("2")}, {"a", 2, []byte("3")}}}}, s.DeltasSince(Vector{"it": 3}))
-	assert.Empty(t, s.Apply([]Delta{deltaWith("one", 0, itemsAfter(0, 9, numberedKey))}), "nobody brings the old life back")
+	assert.Empty(t, s.Apply([]Delta{deltaWith("one", 0, itemsAfter(0, 9, numberedKey))}), "the old incarnation is not revived")
 	assert.Equal(t, uint64(3), s.Put("c", []byte("5")))
 }
 
-// Removed items stay until the source goes on under a new name.
+// Tombstones remain until the source starts a new incarnation.
 func TestTombstonesRequireCompaction(t *testing.T) {
 	s := NewStore("one")
 	for i := range maxTombstones {
 		s.Put(numberedKey(i), []byte("x"))
 		s.Put(numberedKey(i), nil)
-		s.Put(numberedKey(i), nil) // once more: counted once
+		s.Put(numberedKey(i), nil) // again: counted once
 	}
 	s.Put("back", nil)
 	require.True(t, s.NeedsCompaction())
 	s.Put("back", []byte("x"))
 	require.False(t, s.NeedsCompaction())
-	s.Put("empty", []byte{}) // is removed, too: so it is at all who are told
+	s.Put("empty", []byte{}) // is a tombstone, too: so it is at all who receive it
 	require.True(t, s.NeedsCompaction())
 	require.Nil(t, s.Item("one", "empty"))
 	s.StartIncarnation("two")
@@ -304,7 +304,7 @@
 	assert.Equal(t, []byte("x"), s.Item("two", "back"))
 }
 
-// What was handed out stays as it was while the set goes on.
+// Deltas that were returned do not change with the store.
 func TestDeltasAreImmutable(t *testing.T) {
 	s := NewStore("me")
 	s.Put("a", []byte("1"))
@@ -315,7 +315,7 @@
 	assert.Equal(t, []Delta{{Source: "me", Upto: 2, Items: []Item{{"a", 1, []byte("1")}, {"b", 2, []byte("2")}}}}, d)
 }
 
-// The own source cannot be dropped: its life ends by Rebase.
+// The own source cannot be ended but by StartIncarnation.
 func TestOwnSourceCannotBeEnded(t *testing.T) {
 	s := NewStore("me")
 	s.Put("a", []byte("1"))
--- a/internal/fleet/registry/bench_test.go
+++ b/internal/fleet/registry/bench_test.go
@@ -15,7 +15,7 @@
 		Zone: "zone-a", Revision: "v1", Slots: 64, Seq: 1, Models: []Model{{"model-a", 1}}}
 }
 
-// filledTable is a table that knows so many servers, of which homes beat here.
+// filledTable returns a table with so many servers, of which homes send their heartbeats here.
 func filledTable(servers, homes int) *Table {
 	t := NewTable("self", benchHeartbeatInterval)
 	for i := range servers {
@@ -28,13 +28,13 @@
 	return t
 }
 
-// A beat that says nothing new.
+// BenchmarkHeartbeat measures a heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	t := filledTable(850, 3)
 	ins := []*Instance{benchInstance(0), benchInstance(0)}
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
-		in := ins[n%2] // the table keeps the last one
+		in := ins[n%2] // the table retains the latest one
 		in.Seq = n
 		if told, err := t.Heartbeat(time.Second, in); told != nil || err != nil {
 			b.Fatal("told", told, err)
@@ -54,7 +54,7 @@
 	}
 }
 
-// The list after one server has changed.
+// BenchmarkList measures the list after one server has changed.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// What a table and its list hold for each server.
+// BenchmarkHeap measures the memory of a table and its list per server.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 8000
 	var bytes int64
--- /dev/null
+++ b/internal/fleet/registry/calls.go
@@ -0,0 +1,85 @@
+package registry
+
+import (
+	"slices"
+	"time"
+)
+
+// Heartbeat takes a heartbeat of a server, and returns what the own source has to publish: nil if the
+// heartbeat says nothing new, or comes too late to count. It returns ErrFull if the table is full and
+// the server is not in it.
+func (t *Table) Heartbeat(now time.Duration, instance *Instance) (update *Instance, err error) {
+	e := t.entries[instance.ID]
+	if e == nil && len(t.entries) >= maxInstances {
+		return nil, ErrFull
+	}
+	if e != nil && e.current != nil {
+		if e.current.State == Deregistered || e.current.State == Draining && instance.State == Ready {
+			return nil, nil
+		}
+		if instance.State == Ready && isLate(instance, e.current) {
+			return nil, nil
+		}
+	}
+	local := t.local[instance.ID]
+	if local == nil {
+		local = &localInstance{}
+		t.local[instance.ID] = local
+	}
+	if local.isRepeated(instance) {
+		if instance.Seq == local.latest.Seq {
+			local.lastHeartbeat = now // of an older call, the time proves nothing
+		}
+		return nil, nil
+	}
+	local.latest, local.lastHeartbeat = instance, now
+	if local.published != nil && samePublished(local.published, instance) && e != nil && e.owner == t.ownSource {
+		return nil, nil
+	}
+	local.published = instance
+	t.Report(now, t.ownSource, instance)
+	return instance, nil
+}
+
+// isRepeated reports whether a call is the latest one again, or an older one that is no end.
+func (local *localInstance) isRepeated(instance *Instance) bool {
+	return local.latest != nil && instance.Seq <= local.latest.Seq && instance.State <= local.latest.State
+}
+
+// isLate reports whether a heartbeat is older than what is known, or repeats the last one before the
+// server expired. A server that does not count its calls is never late.
+func isLate(instance, known *Instance) bool {
+	return instance.Seq < known.Seq || known.State == Expired && instance.Seq == known.Seq && instance.Seq > 0
+}
+
+// samePublished reports whether two calls are alike in what other agents need. The warm-up time is
+// not compared: it passes by itself.
+func samePublished(a, b *Instance) bool {
+	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.State == b.State &&
+		a.Slots == b.Slots && a.Revision == b.Revision && slices.Equal(a.Models, b.Models)
+}
+
+// Deregister takes that a server ends, and returns what the own source has to publish, as Heartbeat
+// does.
+func (t *Table) Deregister(now time.Duration, id string) (update *Instance, err error) {
+	e := t.entries[id]
+	if e == nil && len(t.entries) >= maxInstances {
+		return nil, ErrFull
+	}
+	update = &Instance{ID: id, State: Deregistered}
+	if e != nil && e.current != nil {
+		if e.current.State == Deregistered {
+			return nil, nil
+		}
+		ended := *e.current
+		ended.State = Deregistered
+		update = &ended
+	}
+	if local := t.local[id]; local != nil && local.latest != nil {
+		update.Seq = max(update.Seq, local.latest.Seq)
+	}
+	update.Seq++
+	delete(t.local, id)
+	t.Report(now, t.ownSource, update)
+	return update, nil
+}
--- a/internal/fleet/registry/final_test.go
+++ b/internal/fleet/registry/final_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An end stays final when the one who told it tells it no more, and another still tells what was before.
+// A final state remains when its report is withdrawn while another source still reports an earlier state.
 func TestFinalStateOutlivesItsReport(t *testing.T) {
 	t.Parallel()
 	now := time.Minute
--- a/internal/fleet/registry/late_test.go
+++ b/internal/fleet/registry/late_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A server that says first that it leaves, and serves and beats on: it is off the list at once and
-// stays off, at every agent, whatever calls of it come later and with what number.
+// A server that deregisters and continues to serve and to send heartbeats: it is off the list at once
+// and remains off, at every agent, whatever calls of it come later and with what number.
 func TestDeregisteredServerThatKeepsServing(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	a.call(f.now, ready("s", 5))
 	f.syncAll()
 	require.True(t, b.lists("s"))
-	b.call(f.now, Instance{ID: "s", State: Deregistered}) // at another agent than it beats
+	b.call(f.now, Instance{ID: "s", State: Deregistered}) // at another agent than its home
 	require.False(t, b.lists("s"))
 	f.syncAll()
 	require.False(t, a.lists("s"))
@@ -38,8 +38,8 @@
 	})
 }
 
-// Beats that come seconds late, with a lower number than the drain or with a higher one that was
-// given before it was decided, undo no drain, at the agent that took it and at others.
+// Heartbeats that come seconds late, with a lower number than the drain or with a higher one that was
+// assigned before, undo no drain, neither at the agent that received it nor at others.
 func TestLateHeartbeatsUndoNoDrain(t *testing.T) {
 	for _, seq := range []uint64{1, 9, 10, 11, 1000} {
 		t.Run(fmt.Sprint(seq), func(t *testing.T) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A server that crashed comes back at its address under a new id: the new one is listed with its
-// first beat, and the old one is off the list when its beats have been missed.
+// A server that crashed comes back at its address under a new ID: the new one is listed with its first
+// heartbeat, and the old one is off the list once it has missed its heartbeats.
 func TestCrashedServerIsListedUnderItsNewID(t *testing.T) {
 	old, next := ready("s/1", 0), ready("s/2", 0)
 	f := newTestFleet("home of the old", "home of the new")
@@ -90,19 +90,19 @@
 		assert.True(t, agent.lists("s/2"), "agent %d", i)
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
 	}
-	// A repeat of its last beat, or one from before, seconds late, brings it back at none.
+	// Its last heartbeat again, or an earlier one, seconds late, revives it nowhere.
 	a.call(f.now, ready("s/1", old.Seq))
 	b.call(f.now, ready("s/1", old.Seq-1))
 	f.syncAll()
 	for i, agent := range f.agents {
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
 	}
-	// One that was lost and beats on is listed again.
+	// One that expired and sends heartbeats again is listed again.
 	b.call(f.now, ready("s/1", old.Seq+1))
 	assert.True(t, b.lists("s/1"))
 }
 
-// A server that gives no numbers is listed again, too, when it beats again.
+// A server that does not count its calls is listed again, too, when it sends heartbeats again.
 func TestUnnumberedHeartbeatRevivesExpiredServer(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -21,7 +21,7 @@
 	tickInterval      = 200 * time.Millisecond
 )
 
-// testAgent is a table with the feed of its agent.
+// testAgent is a table with the replicated items of its agent.
 type testAgent struct {
 	*Table
 	store        *deltasync.Store
@@ -62,7 +62,7 @@
 	}
 }
 
-// syncFrom takes what another agent has.
+// syncFrom applies what another agent has.
 func (a *testAgent) syncFrom(now time.Duration, from *testAgent) {
 	for _, c := range a.store.Apply(from.store.DeltasSince(a.store.Vector())) {
 		if c.Item.Data == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// endSource takes that another agent's source has ended.
+// endSource ends the source of another agent.
 func (a *testAgent) endSource(now time.Duration, source string) {
 	if source != a.store.OwnSource() && a.store.Version(source) > 0 {
 		a.store.EndSource(source)
@@ -85,7 +85,7 @@
 	}
 }
 
-// startIncarnation goes on as a new life.
+// startIncarnation continues as a new incarnation.
 func (a *testAgent) startIncarnation(now time.Duration) {
 	a.incarnations++
 	a.store.StartIncarnation(fmt.Sprint(a.store.OwnSource(), ".", a.incarnations))
@@ -94,7 +94,7 @@
 
 func (a *testAgent) lists(id string) bool { return a.List().ByID[id] != nil }
 
-// state is what is known of an instance, false if nothing is.
+// state returns the state of an instance, or false if nothing is known of it.
 func (a *testAgent) state(id string) (State, bool) {
 	for _, v := range a.Views(1 << 40) {
 		if v.ID == id {
@@ -114,7 +114,7 @@
 	return in
 }
 
-// testFleet is agents whose clocks go together.
+// testFleet is agents with a common clock.
 type testFleet struct {
 	agents []*testAgent
 	now    time.Duration
@@ -128,7 +128,7 @@
 	return f
 }
 
-// syncAll has all know all.
+// syncAll replicates everything to all agents.
 func (f *testFleet) syncAll() {
 	for range 2 {
 		for _, to := range f.agents {
@@ -141,7 +141,7 @@
 	}
 }
 
-// run ticks all for that long; each is what happens at each tick.
+// run ticks all agents for a duration and calls each before every tick.
 func (f *testFleet) run(d time.Duration, each func()) {
 	for end := f.now + d; f.now < end; {
 		f.now += tickInterval
@@ -154,7 +154,7 @@
 	}
 }
 
-// heartbeats calls an agent whenever a beat is due.
+// heartbeats returns a function that calls an agent whenever a heartbeat is due.
 func (f *testFleet) heartbeats(a *testAgent, in *Instance) func() {
 	next := f.now
 	return func() {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Whatever order the calls of a server, late ones too, and the feed between two agents come in: an
+// In whatever order the calls of a server, late ones too, and the deltas between two agents arrive: an
 // agent that knows of a drain or an end never lists the server again.
 func TestLateCallsUndoNoFinalState(t *testing.T) {
 	type call struct {
@@ -243,20 +243,21 @@
 	}
 	forgetful = true
 	res := interleave.Explore(100, 1e6, play(ready("s", 2), draining("s", 3)))
-	assert.Error(t, res.Err, "an agent that forgets ends is found")
+	assert.Error(t, res.Err, "an agent that forgets final states is found")
 }
 
-// Several servers call several agents in any order, late calls too; agents tell each other, end,
-// go on as new lives and fall behind. What drains or is gone never comes back where it is known;
-// in the end all list the servers that beat, and those alone, and forget the others.
+// Several servers call several agents in any order, late calls too; agents replicate to each other, end,
+// start new incarnations and fall behind. A server that is known to drain or to have ended is never
+// listed again. In the end all agents list exactly the servers that send heartbeats, and forget the
+// others.
 func TestTablesOfSeveralAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet("a", "b", "c")
 		ids := []string{"s0", "s1", "s2"}
 		seq := map[string]uint64{}
-		ends := map[string]bool{}               // said that it drains or leaves
-		var late []Instance                     // calls on their way
-		known := []map[string]State{{}, {}, {}} // by agent: ends
+		ends := map[string]bool{}               // has reported that it drains or ends
+		var late []Instance                     // calls in flight
+		known := []map[string]State{{}, {}, {}} // by agent: final states
 		agent := rapid.IntRange(0, 2)
 		id := rapid.SampledFrom(ids)
 		start := f.now
@@ -331,7 +332,7 @@
 				}
 			},
 		})
-		// In the end some beat on; a life that others took for ended goes on as a new one.
+		// In the end some continue to send heartbeats; an agent that others ended continues as a new incarnation.
 		selves := map[string]bool{}
 		for _, a := range f.agents {
 			a.startIncarnation(f.now)
@@ -382,13 +383,13 @@
 		f.run(2*tombstoneRetention, all)
 		check()
 		for i, a := range f.agents {
-			require.Len(t, a.entries, len(alive), "agent %d keeps what has ended", i)
+			require.Len(t, a.entries, len(alive), "agent %d retains what has ended", i)
 			require.LessOrEqual(t, len(a.local), len(alive))
 		}
 	})
 }
 
-// A home takes a server for lost by its own clock, when no beat came for three and a half.
+// A home expires a server by its own clock, after three and a half heartbeat intervals without one.
 func TestExpiryByTheClockOfTheHomeAgent(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -396,9 +397,9 @@
 	f.run(10*heartbeatInterval, f.heartbeats(a, &in))
 	b.syncFrom(f.now, a)
 	require.True(t, a.lists("s"))
-	// The news of beats reaches nobody: they change nothing.
+	// Heartbeats that change nothing are not replicated.
 	f.run(time.Minute, f.heartbeats(a, &in))
-	require.True(t, b.lists("s"), "a cut between agents empties no list")
+	require.True(t, b.lists("s"), "a partition between agents empties no list")
 	f.run(3*heartbeatInterval, nil)
 	require.True(t, a.lists("s"))
 	f.run(heartbeatInterval+tickInterval, nil)
@@ -406,7 +407,7 @@
 	require.True(t, b.lists("s"))
 	b.syncFrom(f.now, a)
 	require.False(t, b.lists("s"))
-	// A beat brings it back, wherever it comes; one from before doesn't.
+	// A heartbeat revives it, at whatever agent; an earlier one does not.
 	b.call(f.now, ready("s", in.Seq-1))
 	require.False(t, b.lists("s"))
 	b.call(f.now, ready("s", in.Seq+1))
@@ -415,7 +416,7 @@
 	require.True(t, a.lists("s"))
 }
 
-// A late call proves nothing of a server that has fallen silent.
+// A late call does not renew a server that sends no heartbeats.
 func TestLateCallIsNoHeartbeat(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
@@ -425,7 +426,7 @@
 	assert.False(t, a.lists("s"))
 }
 
-// A home that was frozen heard nobody, and takes nobody for lost by that.
+// A home that was frozen received no heartbeats, and expires nobody for that.
 func TestFrozenAgentExpiresNobody(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
@@ -440,7 +441,8 @@
 	require.False(t, a.lists("s"))
 }
 
-// The servers of an agent that has ended are kept for four beats, in which they call another.
+// The servers of an agent that has ended are retained for four heartbeat intervals, in which they call
+// another agent.
 func TestOrphansAreRetainedForFourHeartbeats(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -459,11 +461,11 @@
 	assert.True(t, b.lists("stays"))
 	assert.False(t, b.lists("dies"))
 	st, ok := b.state("drains")
-	assert.True(t, ok && st == Draining, "an end outlives who told it")
-	assert.Empty(t, b.store.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is told")
+	assert.True(t, ok && st == Draining, "a final state outlives its source")
+	assert.Empty(t, b.store.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is published")
 }
 
-// Nor does a freeze cost orphans their time: news of their next calls was not heard in it.
+// A freeze does not count against orphans: their next calls may not have been received in it.
 func TestOrphansOutliveAFreeze(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -480,7 +482,7 @@
 	assert.False(t, b.lists("s"))
 }
 
-// Two agents end; what both told of a server goes with the later one.
+// Two agents end; the server that both report is dropped with the later one.
 func TestOrphansOfTwoAgents(t *testing.T) {
 	f := newTestFleet("a", "b", "c")
 	a, b, c := f.agents[0], f.agents[1], f.agents[2]
@@ -499,7 +501,7 @@
 	assert.Empty(t, c.entries)
 }
 
-// A server that moved and then died with its new home is not kept by what its old home told.
+// A server that moved and then crashed with its new home is not retained by the report of its old home.
 func TestMovedServerExpiresWithItsNewHome(t *testing.T) {
 	f := newTestFleet("a", "b", "c")
 	a, b, c := f.agents[0], f.agents[1], f.agents[2]
@@ -514,7 +516,7 @@
 	a.endSource(f.now, "b")
 	c.endSource(f.now, "b")
 	f.run(2*heartbeatInterval, f.syncAll)
-	assert.True(t, c.lists("s"), "it may call another agent yet")
+	assert.True(t, c.lists("s"), "it may yet call another agent")
 	f.run(20*heartbeatInterval, f.syncAll)
 	assert.False(t, a.lists("s"))
 	assert.False(t, c.lists("s"))
@@ -522,17 +524,17 @@
 	assert.Empty(t, c.entries)
 }
 
-// A late call makes another agent the owner for a moment; the home that heard newer ones still
-// tells when the server falls silent.
+// A late call makes another agent the owner briefly; the home that has received newer ones still reports
+// when the server expires.
 func TestHomeAgentReportsExpiryAfterALateCall(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
 	in := ready("s", 0)
 	f.run(20*heartbeatInterval, f.heartbeats(a, &in))
 	f.syncAll()
-	b.call(f.now, ready("s", 3)) // late: the feed tells the first call only
+	b.call(f.now, ready("s", 3)) // late: only the first call was replicated
 	f.syncAll()
-	f.agents = f.agents[:1] // the other agent has no part in it
+	f.agents = f.agents[:1] // the other agent takes no part
 	f.run(5*heartbeatInterval, nil)
 	assert.False(t, a.lists("s"))
 	b.syncFrom(f.now, a)
@@ -565,7 +567,7 @@
 	assert.Equal(t, 1, homes)
 }
 
-// What is known from disk is listed until the next beats are due, and gives way to all other news.
+// Servers from disk are listed until their next heartbeats are due, and all other reports supersede them.
 func TestRestore(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a := f.agents[0]
@@ -579,7 +581,7 @@
 	f.syncAll()
 	beats := ready("back", 8)
 	f.run(2*heartbeatInterval, func() { f.syncAll() })
-	assert.True(t, f.agents[1].lists("dies"), "two beats are a chance to call again")
+	assert.True(t, f.agents[1].lists("dies"), "two heartbeat intervals are a chance to call again")
 	each := f.heartbeats(a, &beats)
 	f.run(2*heartbeatInterval, func() { each(); f.syncAll() })
 	for i, ag := range f.agents {
@@ -605,7 +607,7 @@
 	}
 }
 
-// A new life of the own agent keeps its servers, their homes and the ends that it told.
+// A new incarnation retains its servers, their homes and the final states that it reported.
 func TestRenameOwnSource(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -615,7 +617,7 @@
 	a.startIncarnation(f.now)
 	told := a.store.OwnVersion()
 	a.call(f.now, ready("s", 2))
-	assert.Equal(t, told, a.store.OwnVersion(), "it is told already")
+	assert.Equal(t, told, a.store.OwnVersion(), "it is published already")
 	b.endSource(f.now, "a")
 	f.syncAll()
 	in := ready("s", 2)
@@ -631,7 +633,7 @@
 	assert.False(t, b.lists("s"))
 }
 
-// It is remembered for long that an instance drained or left, and not for good.
+// It is remembered for tombstoneRetention that an instance drained or ended, and not for ever.
 func TestTombstones(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -642,7 +644,7 @@
 	told := a.store.OwnVersion()
 	a.call(f.now, ready("s", 7))
 	b.call(f.now, ready("s", 7))
-	assert.Equal(t, told, a.store.OwnVersion(), "what is late is not told either")
+	assert.Equal(t, told, a.store.OwnVersion(), "late calls are not published either")
 	assert.Equal(t, uint64(1), b.store.OwnVersion())
 	f.run(tombstoneRetention-heartbeatInterval, func() {
 		a.call(f.now, ready("s", 7))
@@ -666,7 +668,7 @@
 	}
 }
 
-// A drain is remembered from when it was told, also of a server that was lost long before.
+// A drain is remembered from when it was reported, also of a server that had expired long before.
 func TestTombstoneOfAnExpiredServer(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
@@ -680,12 +682,12 @@
 	assert.False(t, a.lists("s"))
 }
 
-// A lost one that came back is lost anew.
+// A server that was revived expires again.
 func TestRevivedServerExpiresAgain(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
 	in := ready("s", 0)
-	for range 30 { // longer than anything is remembered
+	for range 30 { // longer than tombstoneRetention
 		f.run(heartbeatInterval, f.heartbeats(a, &in))
 		require.True(t, a.lists("s"))
 		f.run(5*heartbeatInterval, nil)
@@ -695,7 +697,7 @@
 	}
 }
 
-// Everything is bounded, whoever brings it.
+// The table is bounded, whatever adds to it.
 func TestInstancesAreBounded(t *testing.T) {
 	f := newTestFleet("a", "b")
 	a, b := f.agents[0], f.agents[1]
@@ -722,7 +724,7 @@
 	assert.Empty(t, a.entries)
 	assert.Empty(t, a.local)
 	a.call(f.now, ready("late", 1))
-	assert.True(t, a.lists("late"), "there is room again")
+	assert.True(t, a.lists("late"), "there is capacity again")
 }
 
 func TestValid(t *testing.T) {
@@ -748,10 +750,10 @@
 		assert.False(t, in.Valid(), name)
 	}
 	gone := Instance{ID: "s", State: Deregistered}
-	assert.True(t, gone.Valid(), "an end needs no more than the id")
+	assert.True(t, gone.Valid(), "an end needs no more than the ID")
 }
 
-// A list is one moment's and changes by its version only.
+// A list is immutable and changes only with its version.
 func TestListsAreImmutable(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
@@ -764,7 +766,7 @@
 	one := a.List()
 	assert.Same(t, one, a.List())
 	assert.Greater(t, one.Version, empty.Version)
-	a.call(f.now, ready("s1", 2)) // a beat that tells nothing new
+	a.call(f.now, ready("s1", 2)) // a heartbeat that changes nothing
 	assert.Same(t, one, a.List())
 	a.call(f.now, draining("s2", 2))
 	assert.Empty(t, empty.ByID)
@@ -780,7 +782,7 @@
 	assert.Equal(t, "s1", views[1].ID)
 }
 
-// What changes of a server is told, what doesn't is not.
+// Changes of a server are published, repetitions are not.
 func TestOnlyChangesArePublished(t *testing.T) {
 	f := newTestFleet("a")
 	a := f.agents[0]
@@ -796,7 +798,7 @@
 	assert.Equal(t, in.Models, a.List().ByID["s"].Models)
 }
 
-// A call that a full table can't take is told so; the calls of servers that it knows go on.
+// A full table rejects calls of unknown servers, and takes those of the servers in it.
 func TestFullTableRejectsUnknownServers(t *testing.T) {
 	a := newTestAgent("a")
 	now := time.Second
