--- a/internal/fleet/gateway/attempt_test.go
+++ b/internal/fleet/gateway/attempt_test.go
@@ -556,10 +556,10 @@
 	require.EqualValues(t, 0, f["failed"])
 }
 
-func TestAttemptEndOf(t *testing.T) {
-	require.Equal(t, balancer.BadResponse, attemptEndOf(http1.Malformed("x")))
-	require.Equal(t, balancer.Reset, attemptEndOf(io.EOF))
-	require.Equal(t, balancer.Timeout, attemptEndOf(os.ErrDeadlineExceeded))
+func TestReportedOutcomeOf(t *testing.T) {
+	require.Equal(t, balancer.BadResponse, reportedOutcomeOf(http1.Malformed("x")))
+	require.Equal(t, balancer.Reset, reportedOutcomeOf(io.EOF))
+	require.Equal(t, balancer.Timeout, reportedOutcomeOf(os.ErrDeadlineExceeded))
 }
 
 // A long answer is passed on without being held whole.
--- /dev/null
+++ b/internal/fleet/gateway/body.go
@@ -0,0 +1,91 @@
+package gateway
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+)
+
+const (
+	// defaultMaxBodyBytes bounds a request body where the configuration has no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// unreservedBodyBytes are read of each body before memory is reserved for it: most are shorter.
+	unreservedBodyBytes = 16 << 10
+)
+
+// errBodyMemory means that the memory for request bodies is used up.
+var errBodyMemory = errors.New("no memory for a body")
+
+// readBody reads the complete body of a request within the configured size, the memory for bodies and
+// the request's deadline. Its error is errBodyMemory or a *requestError; then nothing is reserved.
+func (g *Gateway) readBody(w http.ResponseWriter, req *http.Request, r *request, snapshot *relay.Snapshot) error {
+	limit := snapshot.Config.Limits.BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
+	}
+	if req.ContentLength > limit {
+		return bodyTooLarge(limit)
+	}
+	if req.ContentLength == 0 {
+		return nil
+	}
+	deadline := time.Now().Add(readBodyTimeout)
+	if r.deadline.Before(deadline) {
+		deadline = r.deadline
+	}
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(deadline) // a closed connection fails its reads
+	body, reserved, err := g.readReserved(http.MaxBytesReader(nil, req.Body, limit), req.ContentLength, limit)
+	if err != nil {
+		g.bodyMemory.Release(reserved)
+		return bodyError(err, limit)
+	}
+	_ = controller.SetReadDeadline(time.Time{})
+	r.body, r.reservedBytes = body, reserved
+	return nil
+}
+
+// readReserved reads a body of the given length, -1 if unknown, and reserves memory for one that is
+// not short. It returns how many bytes are reserved, also with an error.
+func (g *Gateway) readReserved(source io.Reader, length, limit int64) (body []byte, reserved int64, err error) {
+	var buffer bytes.Buffer
+	_, err = io.CopyN(&buffer, source, unreservedBodyBytes)
+	switch {
+	case errors.Is(err, io.EOF): // a short one
+		return buffer.Bytes(), 0, nil
+	case err != nil:
+		return nil, 0, err
+	}
+	want := length
+	if want < 0 {
+		want = limit
+	}
+	if !g.bodyMemory.TryAcquire(want) {
+		return nil, 0, errBodyMemory
+	}
+	_, err = io.Copy(&buffer, source)
+	return buffer.Bytes(), want, err
+}
+
+// bodyError returns the error with which a body that could not be read is answered.
+func bodyError(err error, limit int64) error {
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.Is(err, errBodyMemory):
+		return err
+	case errors.As(err, &tooLarge):
+		return bodyTooLarge(limit)
+	case isTimeout(err):
+		return requestErrorf(http.StatusRequestTimeout, "the body did not come in time")
+	}
+	return requestErrorf(http.StatusBadRequest, "the body can't be read")
+}
+
+func bodyTooLarge(limit int64) error {
+	return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", limit)
+}
--- a/internal/fleet/gateway/framing_conn.go
+++ b/internal/fleet/gateway/framing_conn.go
@@ -4,18 +4,18 @@
 	"net"
 	"sync/atomic"
 
-	logged "chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// malformedRemainder ends any part of a message in a way that net/http refuses: a NUL is part of no
-// line of a request, and a bare line feed of no line of a chunk. net/http then answers 400 and
-// closes. It gets bytes and no error, as an error would end the request ahead of this one, too.
+// malformedRemainder ends any part of a message in a way that net/http refuses: no line of a request
+// contains a NUL, and no line of a chunk a bare line feed. net/http then answers 400 and closes the
+// connection. It is given these bytes and no error, as an error would also end the request before.
 const malformedRemainder = "\x00\n\x00\r\n\r\n"
 
-// framingListener accepts connections whose requests' framing is watched.
+// framingListener accepts connections that reject requests with ambiguous framing.
 type framingListener struct {
 	net.Listener
-	rejected *atomic.Int64 // doubtful requests
+	rejected *atomic.Int64 // counts the rejected requests
 }
 
 // Accept waits for a connection.
@@ -27,36 +27,37 @@
 	return &framingConn{Conn: conn, rejected: l.rejected}, nil
 }
 
-// framingConn passes on what it reads up to the first doubt about where a request ends; what
-// follows never reaches the server. net/http reads one byte ahead while a handler runs: all reads
-// come one after the other.
+// framingConn passes on what it reads up to the first byte at which the end of a request is ambiguous;
+// what follows never reaches the server. It relies on reads being sequential: net/http reads one byte
+// ahead while a handler runs, but never concurrently with another read.
 type framingConn struct {
 	net.Conn
 	rejected   *atomic.Int64
 	scanner    framingScanner
-	framingErr error  // what was found
-	remainder  string // of malformedRemainder
+	framingErr error  // that the scanner found; nil: none
+	remainder  string // of malformedRemainder that is still to be read
 }
 
-// Read reads from the connection, or what takes the place of a doubtful request.
+// Read reads from the connection, or what replaces an ambiguous request.
 func (c *framingConn) Read(p []byte) (int, error) {
 	if c.framingErr != nil {
 		return c.readRemainder(p)
 	}
 	n, err := c.Conn.Read(p)
-	good, doubt := c.scanner.scan(p[:n])
-	if doubt == nil {
+	accepted, framingErr := c.scanner.scan(p[:n])
+	if framingErr == nil {
 		return n, err
 	}
-	c.framingErr, c.remainder = doubt, malformedRemainder
+	c.framingErr, c.remainder = framingErr, malformedRemainder
 	c.rejected.Add(1)
-	logged.DoubtfulFraming.Log("client", c.RemoteAddr(), "err", doubt)
-	if good > 0 {
-		return good, nil
+	logevent.DoubtfulFraming.Log("client", c.RemoteAddr(), "err", framingErr)
+	if accepted > 0 {
+		return accepted, nil
 	}
 	return c.readRemainder(p)
 }
 
+// readRemainder reads what replaces an ambiguous request, and after that the framing error.
 func (c *framingConn) readRemainder(p []byte) (int, error) {
 	if c.remainder == "" {
 		return 0, c.framingErr
@@ -66,8 +67,8 @@
 	return n, nil
 }
 
-// CloseWrite closes the sending side, which net/http does ahead of a close where a last answer is
-// to arrive before a reset.
+// CloseWrite closes the sending side, if the connection can do that. net/http uses it to let a last
+// response arrive before a reset.
 func (c *framingConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -106,38 +106,38 @@
 	})
 }
 
-// FuzzEvents has any bytes come as events, in two pieces cut anywhere: the same events are taken as
-// at once, only whole ones, with ids that follow on each other, and none of another version where
-// the stream goes on at another server.
+// FuzzEvents has an eventSequence accept arbitrary bytes, at once and in two parts cut anywhere. Both ways
+// accept the same events: complete ones only, with consecutive IDs, and none of another version of the
+// weights where another server takes over.
 func FuzzEvents(f *testing.F) {
 	f.Add(eventTexts(3, 5), 7, int64(3), true)
 	f.Add(versionChange("4", 3)+eventText(4), 20, int64(3), true)
 	f.Add(versionChange("3", 3)+eventText(5), 0, int64(3), true)
 	f.Add("data: x\n\nid: 7\n\n", 3, int64(0), false)
 	f.Add("versions:\nid: 1\n\n\n\n", 3, int64(0), true)
-	f.Fuzz(func(t *testing.T, text string, cut int, next int64, joining bool) {
-		start := func() *clientResponse { return &clientResponse{version: "3", resuming: joining, nextEventID: next} }
-		once := start()
-		whole, n, bad := once.acceptEvents([]byte(text))
-		require.LessOrEqual(t, whole, len(text))
-		taken := text[:whole]
-		require.True(t, taken == "" || strings.HasSuffix(taken, "\n\n"))
-		first, _, _ := strings.Cut(taken, "\n\n")
-		if v, told := eventVersion([]byte(first + "\n\n")); told && joining && taken != "" {
-			require.Equal(t, "3", v)
+	f.Fuzz(func(t *testing.T, text string, cut int, nextID int64, resuming bool) {
+		start := eventSequence{version: "3", resuming: resuming, nextID: nextID}
+		once := start
+		all, valid := once.accept([]byte(text))
+		require.LessOrEqual(t, all.bytes, len(text))
+		accepted := text[:all.bytes]
+		require.True(t, accepted == "" || strings.HasSuffix(accepted, "\n\n"))
+		first, _, _ := strings.Cut(accepted, "\n\n")
+		if version, ok := eventVersion([]byte(first + "\n\n")); ok && resuming && accepted != "" {
+			require.Equal(t, "3", version)
 		}
 		cut = min(max(cut, 0), len(text))
-		twice := start()
-		whole1, n1, bad1 := twice.acceptEvents([]byte(text[:cut]))
-		if bad1 {
-			require.Equal(t, whole, whole1)
-			require.True(t, bad)
+		twice := start
+		firstPart, firstValid := twice.accept([]byte(text[:cut]))
+		if !firstValid {
+			require.Equal(t, all, firstPart)
+			require.False(t, valid)
 			return
 		}
-		whole2, n2, bad2 := twice.acceptEvents([]byte(text[whole1:]))
-		require.Equal(t, whole, whole1+whole2)
-		require.Equal(t, n, n1+n2)
-		require.Equal(t, bad, bad2)
+		secondPart, secondValid := twice.accept([]byte(text[firstPart.bytes:]))
+		require.Equal(t, all.bytes, firstPart.bytes+secondPart.bytes)
+		require.Equal(t, all.events, firstPart.events+secondPart.events)
+		require.Equal(t, valid, secondValid)
 		require.Equal(t, once, twice)
 	})
 }
--- /dev/null
+++ b/internal/fleet/gateway/handler.go
@@ -0,0 +1,149 @@
+package gateway
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/relay"
+	"chalkdoor.example/chalkdoor/internal/http1"
+)
+
+const (
+	// defaultRetryAfter is the Retry-After of a request for which no server was available.
+	defaultRetryAfter = 400 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After.
+	minRetryAfter = 10 * time.Millisecond
+	// rejectedBodyTimeout is how long the body of a rejected request may take to arrive.
+	rejectedBodyTimeout = 200 * time.Millisecond
+	// finalWriteTimeout is how long after the deadline of a request its response may take to be
+	// written.
+	finalWriteTimeout = 250 * time.Millisecond
+)
+
+// The reasons for which the gateway refuses a request, as they are logevent.
+const (
+	reasonStarting = "starting"
+	reasonMemory   = "memory"
+	reasonAttempts = "attempts"
+	reasonBudget   = "budget"
+)
+
+// ServeHTTP gives one request its final response. It panics with http.ErrAbortHandler where a
+// response can't be completed: the client then sees that it is truncated.
+func (g *Gateway) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	receivedAt := time.Now()
+	g.Counters.Requests.Add(1)
+	snapshot := g.snapshot.Load()
+	if !isServable(snapshot) {
+		snapshot = g.waitServable(req.Context())
+		if !isServable(snapshot) {
+			g.refuse(w, defaultRetryAfter, reasonStarting)
+			return
+		}
+	}
+	r, err := g.receive(w, req, snapshot, receivedAt)
+	if err != nil {
+		g.rejectOrRefuse(w, err)
+		return
+	}
+	defer g.bodyMemory.Release(r.reservedBytes)
+	if conn, ok := req.Context().Value(clientConnKey{}).(*http1.ClientConn); ok {
+		if !conn.BeginRequest() {
+			// The connection was closed before the request was sent on. Its client sends it again,
+			// which is safe: nothing has executed it.
+			panic(http.ErrAbortHandler)
+		}
+		defer conn.EndRequest()
+		if conn.CloseRequested() {
+			w.Header().Set("Connection", "close")
+		}
+	}
+	// The configuration may have changed while the body arrived. A request must not be sent
+	// according to an older one.
+	if current := g.snapshot.Load(); current.Config != snapshot.Config {
+		if r, err = reparse(req, current, r); err != nil {
+			g.reject(w, err)
+			return
+		}
+	}
+	defer limitWriteTime(w, r.deadline.Add(finalWriteTimeout))()
+	g.forward(req.Context(), w, r)
+}
+
+// receive parses a request and reads its body.
+func (g *Gateway) receive(w http.ResponseWriter, req *http.Request, snapshot *relay.Snapshot, receivedAt time.Time) (*request, error) {
+	r, err := parseRequest(req, snapshot, receivedAt)
+	if err != nil {
+		return nil, err
+	}
+	if err := g.readBody(w, req, r, snapshot); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// limitWriteTime fails writes to a client from the given time on: a client that does not read would
+// occupy its server. The returned function lifts the limit for the next request of the connection.
+func limitWriteTime(w http.ResponseWriter, deadline time.Time) (release func()) {
+	expired := make(chan struct{})
+	timer := time.AfterFunc(time.Until(deadline), func() {
+		defer close(expired)
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now()) // a closed connection takes no writes
+	})
+	return func() {
+		if !timer.Stop() {
+			<-expired
+		}
+	}
+}
+
+// clientConnKey is the context key of a client's connection, a *http1.ClientConn.
+type clientConnKey struct{}
+
+// withClientConn adds a client's connection to the context of its requests.
+func withClientConn(ctx context.Context, conn net.Conn) context.Context {
+	if clientConn, ok := conn.(*http1.ClientConn); ok {
+		return context.WithValue(ctx, clientConnKey{}, clientConn)
+	}
+	return ctx
+}
+
+// rejectOrRefuse answers a request that could not be received.
+func (g *Gateway) rejectOrRefuse(w http.ResponseWriter, err error) {
+	if errors.Is(err, errBodyMemory) {
+		g.refuse(w, defaultRetryAfter, reasonMemory)
+		return
+	}
+	g.reject(w, err)
+}
+
+// refuse answers a request that was not executed with 503 and Retry-After.
+func (g *Gateway) refuse(w http.ResponseWriter, retryAfter time.Duration, reason string) {
+	g.Counters.Refused.Add(1)
+	logevent.Refused.Log("reason", reason, "retryAfter", retryAfter)
+	seconds := max(retryAfter, minRetryAfter).Seconds()
+	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// reject answers an invalid request with the status of its requestError.
+func (g *Gateway) reject(w http.ResponseWriter, err error) {
+	g.Counters.Rejected.Add(1)
+	status := http.StatusBadRequest
+	var invalid *requestError
+	if errors.As(err, &invalid) {
+		status = invalid.status
+	}
+	if status != http.StatusNotFound {
+		// Bound the wait for the rest of a body, which net/http would read.
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectedBodyTimeout))
+		w.Header().Set("Connection", "close")
+	}
+	http.Error(w, err.Error(), status)
+}
--- a/internal/fleet/gateway/pool.go
+++ b/internal/fleet/gateway/pool.go
@@ -1,82 +1,56 @@
 package gateway
 
 import (
-	"bufio"
 	"context"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/go-faster/errors"
-	"golang.org/x/sys/unix"
 
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 const (
-	// connectTimeout bounds a connect: a server that is there takes it at once.
+	// connectTimeout bounds a connect: a healthy server takes it at once.
 	connectTimeout = 400 * time.Millisecond
-	// tcpUserTimeout is how long sent bytes may stay unacknowledged: a server behind a cut says nothing.
-	tcpUserTimeout = 3 * time.Second
-	// defaultKeepAlive is how long a connection may have idled to be used again, where the server does not
-	// say; keepAliveMargin is taken off what it says.
-	defaultKeepAlive, keepAliveMargin = 8 * time.Second, 500 * time.Millisecond
-	// maxIdlePerServer bounds the idle connections kept to one server.
+	// maxIdlePerServer bounds the idle connections to one server.
 	maxIdlePerServer = 64
 )
 
+// errPoolExhausted means that as many connections to servers are in use as may be open.
 var errPoolExhausted = errors.New("no descriptor left for a connection")
 
-// conn is a connection to one server.
-type conn struct {
-	net.Conn
-	reader      *bufio.Reader
-	instanceID  string
-	usableUntil time.Time     // when it may not be used any more; idle
-	idleSince   time.Time     // idle since
-	keepAlive   time.Duration // as the server says
-	idleBucket  int
-	// upload is the sending of the request that is under way.
-	upload upload
-}
-
-// pool keeps idle connections to servers and bounds all there are. http.Transport is not used on
-// purpose: it sends again by itself on a broken kept connection, and does not tell whether the
-// last byte was written, on which hangs whether a request may have run.
+// pool keeps idle connections to servers and bounds the number of all open ones. http.Transport is not
+// used, for two reasons: it repeats requests by itself if an idle connection turns out to be broken,
+// and it does not tell whether the last byte was written, which decides whether a request may have
+// been executed. A pool is safe for concurrent use.
 type pool struct {
 	maxOpen int
+	reuse   http1.ReuseStats
 
-	mu    sync.Mutex
-	idle  map[string][]*conn // by instance; the most recently used last
-	open  int
-	reuse http1.ReuseStats
+	mu   sync.Mutex         // guards the fields below
+	idle map[string][]*conn // by instance ID; the most recently used last
+	open int                // connections, idle or in use
 }
 
-func newPool(most int) *pool { return &pool{maxOpen: most, idle: map[string][]*conn{}} }
+func newPool(maxOpen int) *pool { return &pool{maxOpen: maxOpen, idle: map[string][]*conn{}} }
 
-// get returns an idle connection that is still good, the most recently used first, or opens one;
-// fresh tells which.
-func (p *pool) get(ctx context.Context, in *registry.Instance, until time.Time) (cn *conn, fresh bool, err error) {
+// get returns an idle connection to a server that is still usable, the most recently used first, or
+// opens one; dialed tells which. The caller has to give it back by put or close.
+func (p *pool) get(ctx context.Context, instance *registry.Instance, deadline time.Time) (c *conn, dialed bool, err error) {
 	for {
 		p.mu.Lock()
-		list := p.idle[in.ID]
-		if len(list) == 0 {
-			break
+		c := p.takeIdleLocked(instance.ID)
+		if c == nil {
+			break // with the lock held
 		}
-		cn := list[len(list)-1]
-		p.setIdleLocked(in.ID, list[:len(list)-1])
 		p.mu.Unlock()
-		now := time.Now()
-		age := now.Sub(cn.idleSince)
-		if now.Before(cn.usableUntil) && p.reuse.Reusable(age) && http1.IsIdle(cn.Conn, cn.reader) {
-			cn.idleBucket = http1.IdleBucket(age)
-			return cn, false, nil
+		if p.usable(c) {
+			return c, false, nil
 		}
-		p.close(cn)
+		p.close(c)
 	}
 	if p.open >= p.maxOpen && !p.evictLocked() {
 		p.mu.Unlock()
@@ -84,39 +58,49 @@
 	}
 	p.open++
 	p.mu.Unlock()
-	dialer := net.Dialer{Deadline: until, Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout}
-	nc, err := dialer.DialContext(ctx, "tcp", in.Addr)
+	dialer := net.Dialer{Deadline: deadline, Timeout: connectTimeout, KeepAlive: -1, Control: setUserTimeout}
+	netConn, err := dialer.DialContext(ctx, "tcp", instance.Addr)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
 		return nil, true, err
 	}
-	return newConn(nc, in.ID), true, nil
+	return newConn(netConn, instance.ID), true, nil
 }
 
-// newConn is a connection that was just opened to a server.
-func newConn(nc net.Conn, id string) *conn {
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, 4<<10), instanceID: id, keepAlive: defaultKeepAlive}
+// takeIdleLocked removes the most recently used idle connection to a server; nil if there is none.
+func (p *pool) takeIdleLocked(instanceID string) *conn {
+	list := p.idle[instanceID]
+	if len(list) == 0 {
+		return nil
+	}
+	last := len(list) - 1
+	p.setIdleLocked(instanceID, list[:last])
+	return list[last]
 }
 
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	return raw.Control(func(fd uintptr) {
-		// Best effort: time-outs of requests bound them, too.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
-	})
+// usable reports whether a connection that was idle may carry a request.
+func (p *pool) usable(c *conn) bool {
+	now := time.Now()
+	idleTime := now.Sub(c.idleSince)
+	if !now.Before(c.usableUntil) || !p.reuse.Reusable(idleTime) || !http1.IsIdle(c.Conn, c.reader) {
+		return false
+	}
+	c.idleBucket = http1.IdleBucket(idleTime)
+	return true
 }
 
-// setIdleLocked keeps what is idle of a server. The lock is held.
-func (p *pool) setIdleLocked(id string, list []*conn) {
+// setIdleLocked replaces the idle connections to a server.
+func (p *pool) setIdleLocked(instanceID string, list []*conn) {
 	if len(list) == 0 {
-		delete(p.idle, id)
+		delete(p.idle, instanceID)
 		return
 	}
-	p.idle[id] = list
+	p.idle[instanceID] = list
 }
 
-// evictLocked closes the connection that has been idle longest. The lock is held.
+// evictLocked closes the connection that has been idle longest. It reports false if none is idle.
 func (p *pool) evictLocked() bool {
 	var oldest *conn
 	for _, list := range p.idle {
@@ -133,76 +117,66 @@
 	return true
 }
 
-// put keeps a connection for the next request, unless it brought more than it was asked for: the
-// rest would be taken for the next answer.
-func (p *pool) put(cn *conn) {
-	cn.SetDeadline(time.Time{})
-	cn.idleSince = time.Now()
-	cn.usableUntil = cn.idleSince.Add(cn.keepAlive)
-	if !http1.IsIdle(cn.Conn, cn.reader) {
-		p.close(cn)
+// put returns a connection for the next request. It closes one that has brought bytes which were not
+// asked for, as they would be taken for the next response.
+func (p *pool) put(c *conn) {
+	c.SetDeadline(time.Time{})
+	c.idleSince = time.Now()
+	c.usableUntil = c.idleSince.Add(c.keepAlive)
+	if !http1.IsIdle(c.Conn, c.reader) {
+		p.close(c)
 		return
 	}
 	p.mu.Lock()
-	if len(p.idle[cn.instanceID]) >= maxIdlePerServer {
+	if len(p.idle[c.instanceID]) >= maxIdlePerServer {
 		p.mu.Unlock()
-		p.close(cn)
+		p.close(c)
 		return
 	}
-	p.idle[cn.instanceID] = append(p.idle[cn.instanceID], cn)
+	p.idle[c.instanceID] = append(p.idle[c.instanceID], c)
 	p.mu.Unlock()
 }
 
-// close ends a connection, and waits for what is still being written on it, which that ends.
-func (p *pool) close(cn *conn) {
-	cn.Close()
-	cn.upload.wait()
+// close closes a connection and waits until nothing is written to it any more.
+func (p *pool) close(c *conn) {
+	c.Close()
+	c.upload.wait()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// retainListed closes the idle connections to servers that are not listed any more.
+// retainListed closes the idle connections to servers that are no longer listed.
 func (p *pool) retainListed(listed map[string]*registry.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, list := range p.idle {
-		if listed[id] == nil {
-			for _, cn := range list {
-				cn.Close()
-			}
-			p.open -= len(list)
-			delete(p.idle, id)
+	for instanceID, list := range p.idle {
+		if listed[instanceID] != nil {
+			continue
+		}
+		for _, c := range list {
+			c.Close()
 		}
+		p.open -= len(list)
+		delete(p.idle, instanceID)
 	}
 }
 
-// closeExpired closes connections that have idled too long.
+// closeExpired closes connections that have been idle for too long.
 func (p *pool) closeExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, list := range p.idle {
-		n := 0
-		for n < len(list) && !now.Before(list[n].usableUntil) {
-			list[n].Close()
-			n++
+	for instanceID, list := range p.idle {
+		expired := 0
+		for expired < len(list) && !now.Before(list[expired].usableUntil) {
+			list[expired].Close()
+			expired++
 		}
-		p.open -= n
-		p.setIdleLocked(id, list[n:])
+		p.open -= expired
+		p.setIdleLocked(instanceID, list[expired:])
 	}
 }
 
+// closeAll closes all idle connections.
 func (p *pool) closeAll() { p.retainListed(nil) }
-
-// parseKeepAlive reads for how long a server keeps the connection, from Keep-Alive: timeout=N.
-func parseKeepAlive(field string) time.Duration {
-	for part := range strings.SplitSeq(field, ",") {
-		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if n, err := strconv.Atoi(v); err == nil && n >= 0 && n < 3600 {
-				return max(time.Duration(n)*time.Second-keepAliveMargin, 0)
-			}
-		}
-	}
-	return defaultKeepAlive
-}
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -1,264 +1,170 @@
 package gateway
 
 import (
-	"bytes"
 	"fmt"
 	"hash/fnv"
-	"io"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
-	"chalkdoor.example/chalkdoor/internal/fleet/config"
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
-	"chalkdoor.example/chalkdoor/internal/http1"
-)
-
-// The header fields of the protocol.
-const (
-	headerAttemptID      = "Chalkdoor-Attempt-Id"
-	headerDeadline       = "Chalkdoor-Deadline-Ms"
-	headerPromptPrefix   = "Chalkdoor-Prompt-Prefix"
-	headerTokenCount     = "Chalkdoor-Token-Count"
-	headerModel          = "Chalkdoor-Model"
-	headerServerSeal     = "Chalkdoor-Server-Seal"
-	headerExpectInstance = "Chalkdoor-Expect-Instance"
-	headerInstanceID     = "Chalkdoor-Instance-Id"
-	headerServerLoad     = "Chalkdoor-Server-Load"
-	headerNotRun         = "Chalkdoor-Not-Run"
-	headerLastEventID    = "Last-Event-Id"
-	headerPriority       = "Priority"
 )
 
-// endToEndFields are what a client says of its request. They reach the server as they came, also
-// where Connection names them.
-var endToEndFields = []string{headerModel, headerTokenCount, headerPromptPrefix, headerLastEventID}
-
 const (
-	// maxPromptParts bounds the parts of a prompt, maxRequestTimeout the time that a client may give.
-	maxPromptParts, maxRequestTimeout = 64, 10 * time.Minute
-	// unreservedBodyBytes is read before memory is asked for.
-	unreservedBodyBytes = 16 << 10
+	// maxPromptSegments bounds the segments of a prompt that a client may describe.
+	maxPromptSegments = 64
+	// maxRequestTimeout bounds the time that a route or a client may give a request.
+	maxRequestTimeout = 10 * time.Minute
 )
 
-// request is one try of a client.
+// request is one attempt of a client, as it was received.
 type request struct {
 	balancer.Request
-	attemptID     string
+	attemptID     string // chosen by the client, sent to each server
 	method        string
-	target        string // as it came, byte for byte
+	target        string // the request target, byte for byte
 	host          string
 	header        http.Header
 	body          []byte
-	reservedBytes int64
+	reservedBytes int64 // of the gateway's body memory
 	receivedAt    time.Time
 	deadline      time.Time
-	lastEventID   string // Last-Event-Id of the client
+	lastEventID   string // of a stream that the client resumes; "" if none
 }
 
-// requestError is what is wrong with a request, and the status that says so.
+// requestError says what is wrong with a request, and with which status it is answered.
 type requestError struct {
 	status  int
 	message string
 }
 
-func (b *requestError) Error() string { return b.message }
+func (e *requestError) Error() string { return e.message }
 
 func requestErrorf(status int, format string, args ...any) error {
 	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
-var errBodyMemory = errors.New("no memory for a body")
-
-// parse finds the route of a request and what the request tells of itself.
-func (d *Gateway) parse(req *http.Request, snap *relay.Snapshot, arrived time.Time) (*request, error) {
+// parseRequest matches a request to its route and reads its header fields. Its error is a *requestError.
+func parseRequest(req *http.Request, snapshot *relay.Snapshot, receivedAt time.Time) (*request, error) {
 	if !req.ProtoAtLeast(1, 1) {
-		// The end of a stream would be that of the connection, and a cut one would look whole.
+		// Without chunks the end of a stream would be that of the connection, and a truncated one
+		// would look complete.
 		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
 	}
-	target := req.RequestURI
-	if len(target) >= 7 && strings.EqualFold(target[:7], "http://") { // the absolute form
-		rest := target[7:]
-		i := strings.IndexByte(rest, '/')
-		if i < 0 {
-			return nil, requestErrorf(http.StatusBadRequest, "the target has no path")
-		}
-		target = rest[i:]
+	target, err := originForm(req.RequestURI)
+	if err != nil {
+		return nil, err
 	}
 	path, _, _ := strings.Cut(target, "?")
-	if !strings.HasPrefix(path, "/") {
-		return nil, requestErrorf(http.StatusBadRequest, "the target is no path")
-	}
-	route := snap.Config.Match(req.Host, path)
+	route := snapshot.Config.Match(req.Host, path)
 	if route == nil {
 		return nil, requestErrorf(http.StatusNotFound, "no route for this host and path")
 	}
-	h := req.Header
-	for _, name := range []string{headerAttemptID, headerDeadline, headerPromptPrefix, headerTokenCount, headerModel, headerLastEventID} {
-		if len(h[name]) > 1 {
-			return nil, requestErrorf(http.StatusBadRequest, "%s more than once", name)
-		}
-	}
-	r := &request{attemptID: h.Get(headerAttemptID), method: req.Method, target: target, host: req.Host, header: h, receivedAt: arrived,
-		lastEventID: h.Get(headerLastEventID)}
-	if r.attemptID == "" {
-		return nil, requestErrorf(http.StatusBadRequest, "%s is missing", headerAttemptID)
-	}
-	r.Route, r.Model = route, h.Get(headerModel)
+	header := req.Header
+	if err := checkFields(header); err != nil {
+		return nil, err
+	}
+	r := &request{
+		attemptID:   header.Get(headerAttemptID),
+		method:      req.Method,
+		target:      target,
+		host:        req.Host,
+		header:      header,
+		receivedAt:  receivedAt,
+		lastEventID: header.Get(headerLastEventID),
+	}
+	timeout := time.Duration(route.TimeoutMs) * time.Millisecond
+	r.deadline = receivedAt.Add(clientTimeout(header.Get(headerDeadline), min(timeout, maxRequestTimeout)))
+	r.Route, r.Model = route, header.Get(headerModel)
 	r.LatencyTarget = time.Duration(route.SetpointMs) * time.Millisecond
-	left := min(time.Duration(route.TimeoutMs)*time.Millisecond, maxRequestTimeout)
-	if ms, err := strconv.ParseFloat(h.Get(headerDeadline), 64); err == nil && ms > 0 {
-		left = min(left, time.Duration(min(ms, float64(maxRequestTimeout.Milliseconds()))*float64(time.Millisecond)))
-	}
-	r.deadline = arrived.Add(left)
-	in, out, _ := strings.Cut(h.Get(headerTokenCount), ",")
-	r.PromptTokens, _ = strconv.Atoi(strings.TrimSpace(in)) // a guess: none is 0
-	r.MaxOutputTokens, _ = strconv.Atoi(strings.TrimSpace(out))
-	r.PromptTokens, r.MaxOutputTokens = max(r.PromptTokens, 0), max(r.MaxOutputTokens, 0)
-	r.Segments = parsePromptParts(h.Get(headerPromptPrefix))
-	r.Service = d.chooseService(route)
+	r.PromptTokens, r.MaxOutputTokens = parseTokenCount(header.Get(headerTokenCount))
+	r.Segments = parsePromptSegments(header.Get(headerPromptPrefix))
+	r.Service = chooseService(route)
 	return r, nil
 }
 
-// reparse has a request that was read go by a newer configuration.
-func (d *Gateway) reparse(req *http.Request, snap *relay.Snapshot, old *request) (*request, error) {
-	r, err := d.parse(req, snap, old.receivedAt)
+// reparse applies a newer configuration to a request that was received.
+func reparse(req *http.Request, snapshot *relay.Snapshot, received *request) (*request, error) {
+	r, err := parseRequest(req, snapshot, received.receivedAt)
 	if err == nil {
-		r.body, r.reservedBytes = old.body, old.reservedBytes
+		r.body, r.reservedBytes = received.body, received.reservedBytes
 	}
 	return r, err
 }
 
-// parsePromptParts reads the parts of a prompt. What can't be read ends them: they are a hint.
-func parsePromptParts(text string) []balancer.Segment {
-	if text == "" {
-		return nil
-	}
-	var out []balancer.Segment
-	for part := range strings.SplitSeq(text, ",") {
-		id, n, ok := strings.Cut(strings.TrimSpace(part), ":")
-		tokens, err := strconv.Atoi(n)
-		if !ok || err != nil || tokens < 0 || len(out) == maxPromptParts {
-			break
-		}
-		x, err := strconv.ParseUint(id, 16, 64)
-		if err != nil {
-			f := fnv.New64a()
-			f.Write([]byte(id))
-			x = f.Sum64()
+// originForm returns a request target without scheme and authority, if it has them (RFC 9112,
+// sections 3.2.1 and 3.2.2). It changes nothing else of the target.
+func originForm(target string) (string, error) {
+	const scheme = "http://"
+	if len(target) >= len(scheme) && strings.EqualFold(target[:len(scheme)], scheme) {
+		authorityAndPath := target[len(scheme):]
+		pathStart := strings.IndexByte(authorityAndPath, '/')
+		if pathStart < 0 {
+			return "", requestErrorf(http.StatusBadRequest, "the target has no path")
 		}
-		out = append(out, balancer.Segment{ID: x, Tokens: tokens})
+		target = authorityAndPath[pathStart:]
+	}
+	if !strings.HasPrefix(target, "/") {
+		return "", requestErrorf(http.StatusBadRequest, "the target is no path")
 	}
-	return out
+	return target, nil
 }
 
-// chooseService draws the service of a request by the route's weights.
-func (d *Gateway) chooseService(route *config.Route) string {
-	if len(route.Splits) == 1 {
-		return route.Splits[0].Service
-	}
-	sum := 0.0
-	for _, s := range route.Splits {
-		sum += s.Weight
-	}
-	at := d.draw() * sum
-	for _, s := range route.Splits {
-		if at -= s.Weight; at < 0 && s.Weight > 0 {
-			return s.Service
+// checkFields reports repeated fields that have to be unique, and a missing attempt ID.
+func checkFields(header http.Header) error {
+	for _, name := range uniqueFields {
+		if len(header[name]) > 1 {
+			return requestErrorf(http.StatusBadRequest, "%s more than once", name)
 		}
 	}
-	for _, s := range route.Splits {
-		if s.Weight > 0 {
-			return s.Service
-		}
+	if header.Get(headerAttemptID) == "" {
+		return requestErrorf(http.StatusBadRequest, "%s is missing", headerAttemptID)
 	}
-	return route.Splits[0].Service
+	return nil
 }
 
-// readBody reads the whole body within the limits and the request's time.
-func (d *Gateway) readBody(w http.ResponseWriter, req *http.Request, r *request, snap *relay.Snapshot) error {
-	most := snap.Config.Limits.BodyBytes
-	if most <= 0 {
-		most = defaultMaxBodyBytes
-	}
-	if req.ContentLength > most {
-		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
+// clientTimeout returns the time that a client gives its request, in milliseconds, but at most limit.
+// A value that can't be read gives the limit.
+func clientTimeout(field string, limit time.Duration) time.Duration {
+	milliseconds, err := strconv.ParseFloat(field, 64)
+	if err != nil || !(milliseconds > 0) { // NaN compares as false
+		return limit
 	}
-	if req.ContentLength == 0 {
+	milliseconds = min(milliseconds, float64(maxRequestTimeout.Milliseconds()))
+	return min(limit, time.Duration(milliseconds*float64(time.Millisecond)))
+}
+
+// parseTokenCount reads the client's estimate of the tokens of its prompt and of the response. It is
+// a hint: what can't be read is 0.
+func parseTokenCount(field string) (prompt, output int) {
+	promptText, outputText, _ := strings.Cut(field, ",")
+	prompt, _ = strconv.Atoi(strings.TrimSpace(promptText))
+	output, _ = strconv.Atoi(strings.TrimSpace(outputText))
+	return max(prompt, 0), max(output, 0)
+}
+
+// parsePromptSegments reads the segments of a prompt, "ID:TOKENS" separated by commas. They are a hint: the
+// first that can't be read ends them. An ID that is no hexadecimal number is hashed.
+func parsePromptSegments(field string) []balancer.Segment {
+	if field == "" {
 		return nil
 	}
-	by := time.Now().Add(readBodyTimeout)
-	if r.deadline.Before(by) {
-		by = r.deadline
-	}
-	_ = http.NewResponseController(w).SetReadDeadline(by)
-	var buf bytes.Buffer
-	src := http.MaxBytesReader(nil, req.Body, most)
-	_, err := io.CopyN(&buf, src, unreservedBodyBytes)
-	if err == nil {
-		want := req.ContentLength
-		if want < 0 {
-			want = most
-		}
-		if !d.bodyMemory.TryAcquire(want) {
-			return errBodyMemory
+	var parts []balancer.Segment
+	for part := range strings.SplitSeq(field, ",") {
+		idText, tokensText, ok := strings.Cut(strings.TrimSpace(part), ":")
+		tokens, err := strconv.Atoi(tokensText)
+		if !ok || err != nil || tokens < 0 || len(parts) == maxPromptSegments {
+			break
 		}
-		r.reservedBytes = want
-		_, err = io.Copy(&buf, src)
-	} else if errors.Is(err, io.EOF) {
-		err = nil
-	}
-	var large *http.MaxBytesError
-	switch {
-	case errors.As(err, &large):
-		d.bodyMemory.Release(r.reservedBytes)
-		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", most)
-	case isTimeout(err):
-		d.bodyMemory.Release(r.reservedBytes)
-		return requestErrorf(http.StatusRequestTimeout, "the body did not come in time")
-	case err != nil:
-		d.bodyMemory.Release(r.reservedBytes)
-		return requestErrorf(http.StatusBadRequest, "the body can't be read")
-	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	r.body = buf.Bytes()
-	return nil
-}
-
-// head is the request's head as it goes to a server. The target is what the client sent:
-// http.Request would write another form of it.
-func (r *request) head(instance string, priority int, left time.Duration, last, version string) []byte {
-	h := http1.EndToEnd(r.header)
-	h.Del("Content-Length")
-	h.Del("Host")
-	for _, name := range endToEndFields {
-		if values, ok := r.header[name]; ok {
-			h[name] = values
+		id, err := strconv.ParseUint(idText, 16, 64)
+		if err != nil {
+			hash := fnv.New64a()
+			hash.Write([]byte(idText))
+			id = hash.Sum64()
 		}
+		parts = append(parts, balancer.Segment{ID: id, Tokens: tokens})
 	}
-	h.Set(headerDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	h.Set(headerExpectInstance, instance)
-	h.Set(headerAttemptID, r.attemptID) // also where Connection names it
-	if priority >= 0 {
-		h.Set(headerPriority, strconv.Itoa(priority))
-	}
-	if last != "" {
-		h.Set(headerLastEventID, last)
-	}
-	if version != "" {
-		h.Set(headerExpectVersion, version)
-	}
-	if len(r.body) > 0 || r.method != http.MethodGet && r.method != http.MethodHead {
-		h.Set("Content-Length", strconv.Itoa(len(r.body)))
-	}
-	var out bytes.Buffer
-	out.Grow(512)
-	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.method, r.target, r.host)
-	_ = h.Write(&out) // a buffer takes all
-	out.WriteString("\r\n")
-	return out.Bytes()
+	return parts
 }
--- a/internal/fleet/gateway/request_test.go
+++ b/internal/fleet/gateway/request_test.go
@@ -278,13 +278,13 @@
 	require.EqualValues(t, 400-to, harness.servers[0].requestCount.Load())
 }
 
-func TestParsePromptParts(t *testing.T) {
-	require.Len(t, parsePromptParts("5c1e07a2:800,91bd3f06:410, e4402b7d:250"), 3)
-	require.Equal(t, uint64(0x5c1e07a2), parsePromptParts("5c1e07a2:800")[0].ID)
-	require.Equal(t, 800, parsePromptParts("5c1e07a2:800")[0].Tokens)
-	require.Len(t, parsePromptParts("a:1,b,c:2"), 1)
-	require.Len(t, parsePromptParts("a:1,b:-1"), 1)
-	require.Len(t, parsePromptParts("a:1,zz:1,not-hex-and-longer-than-sixteen:2"), 3)
-	require.Len(t, parsePromptParts(strings.Repeat("a:1,", 1000)), maxPromptParts)
-	require.Nil(t, parsePromptParts(""))
+func TestParsePromptSegments(t *testing.T) {
+	require.Len(t, parsePromptSegments("5c1e07a2:800,91bd3f06:410, e4402b7d:250"), 3)
+	require.Equal(t, uint64(0x5c1e07a2), parsePromptSegments("5c1e07a2:800")[0].ID)
+	require.Equal(t, 800, parsePromptSegments("5c1e07a2:800")[0].Tokens)
+	require.Len(t, parsePromptSegments("a:1,b,c:2"), 1)
+	require.Len(t, parsePromptSegments("a:1,b:-1"), 1)
+	require.Len(t, parsePromptSegments("a:1,zz:1,not-hex-and-longer-than-sixteen:2"), 3)
+	require.Len(t, parsePromptSegments(strings.Repeat("a:1,", 1000)), maxPromptSegments)
+	require.Nil(t, parsePromptSegments(""))
 }
--- a/internal/fleet/gateway/upload.go
+++ b/internal/fleet/gateway/upload.go
@@ -8,25 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// inlineBodyBytes is how much of a body goes out in one write with the head, before anything is read:
+// inlineBodyBytes is how much of a body is written together with the head, before anything is read:
 // about what a connection takes without waiting for the server.
 const inlineBodyBytes = 16 << 10
 
-// upload is the sending of what did not go out with a request's head. It goes on while the answer
-// is read: a server may answer before it has read a long body. The zero upload is complete.
+// upload is the sending of the part of a request that was not written together with its head. It runs
+// while the response is read: a server may answer before it has read a long body. The zero upload is
+// complete.
 type upload struct {
-	done chan struct{} // closed once nothing more is written; nil: it was sent at once
-	err  error         // why it is not complete; set before done is closed
+	done chan struct{} // closed once nothing more is written; nil: all was written at once
+	err  error         // why it is incomplete; written before done is closed, read after
 }
 
-// wait returns once nothing more is written. The end of the connection or of its time brings that about.
+// wait returns once nothing more is written. Closing the connection ends an upload, and so does its
+// write deadline.
 func (u *upload) wait() {
 	if u.done != nil {
 		<-u.done
 	}
 }
 
-// inProgress tells whether there is still something being written.
+// inProgress reports whether something is still being written.
 func (u *upload) inProgress() bool {
 	if u.done == nil {
 		return false
@@ -39,60 +41,61 @@
 	}
 }
 
-// complete tells whether all was written.
+// complete reports whether the request was written completely.
 func (u *upload) complete() bool { return !u.inProgress() && u.err == nil }
 
-// send writes a request: its head and the start of its body at once, and what is left of a long
-// body in a goroutine, which pool.close waits for. The error is nil where the head has left whole:
-// from then on the server may run the request, whether or not the rest of the body follows. An
-// error proves that it can't: no server can run half a head.
-func (cn *conn) send(head, body []byte) error {
-	first := min(len(body), inlineBodyBytes)
-	n, err := cn.Write(append(head, body[:first]...))
-	cn.upload = upload{err: err}
+// send writes a request: its head and the start of its body at once, the remainder of a long body in a
+// goroutine, for which pool.close waits. The error is nil if the head was written completely: from
+// then on the server may execute the request, whether or not the remainder follows. An error proves
+// that it can't, as no server executes half a head.
+func (c *conn) send(head, body []byte) error {
+	inline := min(len(body), inlineBodyBytes)
+	n, err := c.Write(append(head, body[:inline]...))
+	c.upload = upload{err: err}
 	if n < len(head) {
 		return err
 	}
-	if rest := body[first:]; err == nil && len(rest) > 0 {
-		cn.upload.done = make(chan struct{})
-		go cn.sendRemainder(rest)
+	if remainder := body[inline:]; err == nil && len(remainder) > 0 {
+		c.upload.done = make(chan struct{})
+		go c.sendRemainder(remainder)
 	}
 	return nil
 }
 
-// sendRemainder writes what is left of a body.
-func (cn *conn) sendRemainder(rest []byte) {
-	_, cn.upload.err = cn.Write(rest)
-	close(cn.upload.done)
+// sendRemainder writes the remainder of a body.
+func (c *conn) sendRemainder(remainder []byte) {
+	_, c.upload.err = c.Write(remainder)
+	close(c.upload.done)
 }
 
-// delivered tells whether the server's side has all of the request. What is written may still wait
-// behind a body that the server, which has answered early, does not read: another request would
-// wait there, too. Of a request that went out at once the answer says so.
-func (cn *conn) delivered() bool {
-	if !cn.upload.complete() {
+// delivered reports whether the server's host has received the complete request. Written bytes may
+// still wait behind a body that the server, which has answered early, does not read, and another
+// request would wait there, too. For a request that was written at once the response proves it.
+func (c *conn) delivered() bool {
+	if !c.upload.complete() {
 		return false
 	}
-	if cn.upload.done == nil {
+	if c.upload.done == nil {
 		return true
 	}
-	unacknowledged, err := unacknowledgedBytes(cn.Conn)
+	unacknowledged, err := unacknowledgedBytes(c.Conn)
 	return err == nil && unacknowledged == 0
 }
 
-// unacknowledgedBytes is how many bytes were written to a connection and are not acknowledged yet.
-func unacknowledgedBytes(nc net.Conn) (n int, err error) {
-	sc, ok := nc.(syscall.Conn)
+// unacknowledgedBytes returns how many bytes were written to a connection and are not yet acknowledged
+// by the peer's host (SIOCOUTQ, tcp(7)). It is 0 for a connection that is no socket.
+func unacknowledgedBytes(netConn net.Conn) (n int, err error) {
+	socket, ok := netConn.(syscall.Conn)
 	if !ok {
 		return 0, nil
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
-		return 0, errors.Wrap(err, "look at a connection")
+		return 0, errors.Wrap(err, "access the socket of a connection")
 	}
-	cerr := raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
-	if err = errors.Join(err, cerr); err != nil {
-		return 0, errors.Wrap(err, "ask for what is not acknowledged")
+	controlErr := raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	if err = errors.Join(err, controlErr); err != nil {
+		return 0, errors.Wrap(err, "read the send queue of a socket")
 	}
 	return n, nil
 }
