--- a/internal/http1/clientconn.go
+++ b/internal/http1/clientconn.go
@@ -6,25 +6,32 @@
 	"sync/atomic"
 )
 
-// ClientConn is a client's connection that is not closed under a request.
+// ClientConn is a connection of a client that is not closed under a request.
 //
-// net/http counts a connection as idle until it has read the whole head of the next
-// request, and so does whoever makes room: what closes idle connections may meet one of
-// which the head is read already. The request would go on to a backend, and its client,
-// which sees the connection end without an answer, would send it once more: an effect
-// twice. So a request is either dropped here before it is sent on, when the connection was
-// closed first, or the close waits for its answer.
+// net/http counts a connection as idle until it has read the complete head of the next request, and so
+// does the code that closes idle connections to make room: either may close one whose head is read
+// already. The request would be forwarded, and its client, which sees the connection end without a
+// response, would send it again: it would be executed twice. So each request is either dropped before
+// it is forwarded, if the connection was closed first, or the close is deferred until its response is
+// written. All methods are safe for concurrent use.
 type ClientConn struct {
 	net.Conn
-	inFlight *atomic.Int64 // connections that a request keeps open, of all
+	inFlight *atomic.Int64 // connections that a request keeps open, of all clients
 
-	mu             sync.Mutex
-	active         bool // a request of it is with the loop
-	closeRequested bool // to close, while one was
+	mu             sync.Mutex // guards the fields below
+	active         bool       // a request is being served
+	closeRequested bool       // while one was being served
 	closed         bool
 }
 
-// BeginRequest tells whether the connection is open and is to stay so, and keeps it so until End.
+// NewClientConn returns the connection as a Listener accepts it. It counts in inFlight from
+// BeginRequest until EndRequest or, if a close was deferred, until that close.
+func NewClientConn(conn net.Conn, inFlight *atomic.Int64) *ClientConn {
+	return &ClientConn{Conn: conn, inFlight: inFlight}
+}
+
+// BeginRequest keeps the connection open until EndRequest. It reports false if the connection is
+// closed or about to be: then the request must be dropped.
 func (c *ClientConn) BeginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,8 +43,8 @@
 	return true
 }
 
-// EndRequest lets it close again. One that was to be closed meanwhile is closed by the server,
-// when it has written the answer.
+// EndRequest allows the connection to be closed again. The HTTP server closes it after it has written
+// the response, if CloseRequested.
 func (c *ClientConn) EndRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,14 +54,15 @@
 	}
 }
 
-// CloseRequested tells whether the connection was to be closed while a request was open on it.
+// CloseRequested reports whether a close was deferred because of a request.
 func (c *ClientConn) CloseRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeRequested
 }
 
-// Close closes the connection, or has it closed once its request is answered.
+// Close closes the connection. While a request is being served it only records that: the HTTP server
+// closes the connection again after the response.
 func (c *ClientConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,29 +77,26 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite is what net/http uses to let a last answer arrive before a reset.
+// CloseWrite closes the sending side, if the connection can do that. net/http uses it to let a last
+// response arrive before a reset.
 func (c *ClientConn) CloseWrite() error {
-	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return w.CloseWrite()
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
 	return nil
 }
 
-// Listener accepts ClientSocks.
+// Listener accepts connections as ClientConns.
 type Listener struct {
 	net.Listener
-	InFlight *atomic.Int64 // connections that a request keeps open
+	InFlight *atomic.Int64 // counts the connections that a request keeps open
 }
 
+// Accept waits for a connection and returns it as a *ClientConn.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &ClientConn{Conn: conn, inFlight: l.InFlight}, nil
-}
-
-// NewClientConn returns the connection as a Listener accepts it.
-func NewClientConn(conn net.Conn, inFlight *atomic.Int64) *ClientConn {
-	return &ClientConn{Conn: conn, inFlight: inFlight}
+	return NewClientConn(conn, l.InFlight), nil
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,5 +1,3 @@
-// Package http1 is what the agents share of HTTP/1.1: reading answers of servers that may be in any
-// trouble, connections that are not closed under a request, and for how long idle ones are good.
 package http1
 
 import (
@@ -7,31 +5,32 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"net"
 	"net/http"
 	"net/textproto"
 	"strings"
-	"syscall"
 )
 
 const (
-	// MaxHeadBytes is the largest head of a message.
+	// MaxHeadBytes is the largest head of a response, and the largest trailer.
 	MaxHeadBytes = 16 << 10
-	// maxInterimResponses bounds the 1xx answers that may come ahead of the final one.
+	// maxInterimResponses bounds the 1xx responses that may precede the final one.
 	maxInterimResponses = 8
+	// protocolPrefix is how the status line of any response begins.
+	protocolPrefix = "HTTP/"
 )
 
-// ErrMalformed marks an answer that can't be read: its request may have run, and its
-// connection is of no further use.
-var ErrMalformed = errors.New("spoilt answer")
+// ErrMalformed marks a response that can't be parsed, or not in one way only. Its request may have been
+// executed, and its connection must not be used again.
+var ErrMalformed = errors.New("malformed response")
 
-// Malformed returns an ErrMalformed that says why.
+// Malformed returns an error that wraps ErrMalformed and says what is wrong.
 func Malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// ReadResponseHead reads the head of one final answer. Only one whose framing leaves no doubt is
-// returned; its Body is not to be used, as what follows has not been read.
+// ReadResponseHead reads the head of one final response, and drops interim ones before it. It returns
+// only a head whose framing is unambiguous. The Body of the response must not be used: nothing after
+// the head has been read. The error is an ErrMalformed, or that of the connection, io.EOF included.
 func ReadResponseHead(reader *bufio.Reader) (*http.Response, error) {
 	for range maxInterimResponses + 1 {
 		head, err := readHead(reader)
@@ -41,35 +40,36 @@
 		if err := checkHead(head); err != nil {
 			return nil, err
 		}
-		// net/http parses the head alone; it gets no hold of the connection, as it
-		// would read past this answer.
-		resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(head)), nil)
+		// net/http parses the head alone: given the connection it would read past this response.
+		response, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(head)), nil)
 		if err != nil {
 			return nil, Malformed("%v", err)
 		}
 		switch {
-		case resp.ProtoMajor != 1:
-			return nil, Malformed("protocol %s", resp.Proto)
-		case resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode < 100:
-			return nil, Malformed("status %d", resp.StatusCode)
-		case resp.StatusCode >= 200:
-			return resp, nil
+		case response.ProtoMajor != 1:
+			return nil, Malformed("protocol %s", response.Proto)
+		case response.StatusCode == http.StatusSwitchingProtocols || response.StatusCode < 100:
+			return nil, Malformed("status %d", response.StatusCode)
+		case response.StatusCode >= 200:
+			return response, nil
 		}
 	}
-	return nil, Malformed("more than %d interim answers", maxInterimResponses)
+	return nil, Malformed("more than %d interim responses", maxInterimResponses)
 }
 
 // readHead reads up to the empty line, and never more than MaxHeadBytes.
 func readHead(reader *bufio.Reader) ([]byte, error) {
-	var head []byte
-	// Noise may bring no line at all: its first bytes tell it.
-	for _, length := range []int{1, len("HTTP/")} {
-		if start, err := reader.Peek(length); err != nil {
+	// Arbitrary bytes may contain no line end to wait for: the first ones give them away.
+	for _, length := range []int{1, len(protocolPrefix)} {
+		start, err := reader.Peek(length)
+		if err != nil {
 			return nil, err
-		} else if string(start) != "HTTP/"[:length] {
+		}
+		if string(start) != protocolPrefix[:length] {
 			return nil, Malformed("no status line")
 		}
 	}
+	var head []byte
 	for {
 		line, err := reader.ReadSlice('\n')
 		head = append(head, line...)
@@ -84,8 +84,8 @@
 	}
 }
 
-// checkHead looks for what net/http settles without a word: a length beside chunked, or more
-// than one of them, or a name with a space at its end, which others may take for the name.
+// checkHead rejects what net/http accepts silently: repeated framing fields, a length beside a transfer
+// coding, and names with a trailing space, which others may take for the name without it.
 func checkHead(head []byte) error {
 	_, fields, _ := bytes.Cut(head, []byte("\n"))
 	header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
@@ -104,67 +104,20 @@
 	return nil
 }
 
-// ReadTrailer reads what ends a chunked body: trailers, which nobody here wants, and an empty line.
+// ReadTrailer reads what follows the last chunk of a body: the trailer, which is dropped, and an empty
+// line. Its errors are those of ReadResponseHead.
 func ReadTrailer(reader *bufio.Reader) error {
 	for size := 0; size <= MaxHeadBytes; {
 		line, err := reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
 			break
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
 		if size += len(line); len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return nil
 		}
 	}
-	return Malformed("trailers too large")
-}
-
-// hopByHopHeaders names the header fields that are for one connection only.
-var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
-
-// EndToEnd is a copy of header fields without those that are for one connection only.
-func EndToEnd(header http.Header) http.Header {
-	endToEnd := header.Clone()
-	for _, list := range header.Values("Connection") {
-		for name := range strings.SplitSeq(list, ",") {
-			endToEnd.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range hopByHopHeaders {
-		endToEnd.Del(name)
-	}
-	return endToEnd
-}
-
-// IsNetworkError tells errors of the connection from those of what came on it.
-func IsNetworkError(err error) bool {
-	var net net.Error
-	return errors.As(err, &net)
-}
-
-// IsIdle tells whether a connection on which nothing is asked is still open and
-// silent. One that the peer closed, or that brings bytes nobody asked for, must not
-// carry a request: it would end as a reset, or take those bytes for its answer.
-func IsIdle(conn net.Conn, reader *bufio.Reader) bool {
-	if reader.Buffered() > 0 {
-		return false
-	}
-	syscallConn, ok := conn.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := syscallConn.SyscallConn()
-	if err != nil {
-		return false
-	}
-	idle := false
-	err = raw.Read(func(fd uintptr) bool {
-		var buffer [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		idle = errors.Is(err, syscall.EAGAIN)
-		return true
-	})
-	return err == nil && idle
+	return Malformed("trailer too large")
 }
--- a/internal/http1/reusestats.go
+++ b/internal/http1/reusestats.go
@@ -8,57 +8,66 @@
 )
 
 const (
-	// bucketStep is the first bound between idle times that are told apart; each further one
-	// is twice the one before.
+	// bucketStep is the upper bound of the first bucket of idle times; each further bound is twice the
+	// one before.
 	bucketStep = 5 * time.Millisecond
-	// resetMargin is how much more often than new ones kept connections may break before a
-	// new one is worth its handshake.
+	// bucketCount is the number of buckets, the one of new connections included.
+	bucketCount = 16
+	// resetMargin is how much more often than new connections reused ones may be reset, as a fraction
+	// of the attempts, before a new one is worth its handshake.
 	resetMargin = 0.04
-	// decayInterval is after how long what was seen counts half.
+	// minNewAttempts is how many attempts on new connections the fraction of their resets is taken of
+	// at the least.
+	minNewAttempts = 10
+	// decayInterval is after how long the statistics are halved.
 	decayInterval = 10 * time.Second
 )
 
-// ReuseStats learns for how long a connection may have idled to be used again. A backend
-// says at the latest when it closes one; some close sooner, and something on the way
-// may forget a connection without a word to either end. The next request on it then
-// ends as a reset, and an unsafe one has failed.
+// ReuseStats learns after how long an idle connection must not be used again. A server says at the
+// latest when it closes one; some close earlier, and a middlebox may drop a connection without a
+// notice to either end. The next request on it then ends with a reset, and one that is not idempotent
+// has failed. The zero value has seen nothing. It is safe for concurrent use.
 type ReuseStats struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	decayedAt time.Time
-	// Attempts and breaks without a byte of an answer, by idle time; first the new ones.
-	attempts, resets [16]float64
+	// attempts, and those that ended with a reset before the first byte of a response, by bucket of
+	// the idle time; bucket 0 is for new connections.
+	attempts, resets [bucketCount]float64
 }
 
-// IdleBucket is the slot of an idle time, from 1 on.
+// IdleBucket returns the bucket of an idle time: 1 or above.
 func IdleBucket(idleTime time.Duration) int {
-	return min(1+bits.Len64(uint64(max(idleTime, 0)/bucketStep)), len(ReuseStats{}.attempts)-1)
+	return min(1+bits.Len64(uint64(max(idleTime, 0)/bucketStep)), bucketCount-1)
 }
 
-// Record takes an attempt's end; slot is 0 for a new connection.
-func (a *ReuseStats) Record(bucket int, reset bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if now := time.Now(); now.Sub(a.decayedAt) > decayInterval {
-		a.decayedAt = now
-		for i := range a.attempts {
-			a.attempts[i] /= 2
-			a.resets[i] /= 2
+// Record counts an attempt on a connection that had been idle for a time of the given bucket, 0 if it
+// was new, and whether it ended with a reset before the first byte of a response.
+func (s *ReuseStats) Record(bucket int, reset bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now := time.Now(); now.Sub(s.decayedAt) > decayInterval {
+		s.decayedAt = now
+		for i := range s.attempts {
+			s.attempts[i] /= 2
+			s.resets[i] /= 2
 		}
 	}
-	a.attempts[bucket]++
+	s.attempts[bucket]++
 	if reset {
-		a.resets[bucket]++
+		s.resets[bucket]++
 	}
 }
 
-// Reusable tells whether a connection that idled so long is as good as a new one. Where a
-// shorter time breaks them a longer one does.
-func (a *ReuseStats) Reusable(idleTime time.Duration) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	limit := resetMargin + a.resets[0]/max(a.attempts[0], 10)
-	for i := 1; i <= IdleBucket(idleTime); i++ {
-		if a.resets[i]-math.Sqrt(a.resets[i]) > limit*a.attempts[i] { // beyond chance
+// Reusable reports whether a connection that has been idle for the given time is as good as a new one.
+// If connections are reset after a shorter time, they are after a longer one.
+func (s *ReuseStats) Reusable(idleTime time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	limit := resetMargin + s.resets[0]/max(s.attempts[0], minNewAttempts)
+	for bucket := 1; bucket <= IdleBucket(idleTime); bucket++ {
+		// One standard deviation of a count is its square root: less is chance.
+		certain := s.resets[bucket] - math.Sqrt(s.resets[bucket])
+		if certain > limit*s.attempts[bucket] {
 			return false
 		}
 	}
