--- a/cmd/agentlab/main.go
+++ b/cmd/agentlab/main.go
@@ -88,7 +88,7 @@
 func seconds(out io.Writer, r *fleetsim.Result) {
 	for i, s := range r.Seconds {
 		fmt.Fprintf(out, "%4d s  asked %d served %d late %d refused %d failed %d  handshakes %d  shed %.2f admission %.2f demand %.0f of %.0f held %d  util warm %.2f cold %.2f choked %d\n",
-			i, s.Asked, s.Served, s.Late, s.Refused, s.Failed, s.Handshakes, s.Agents.Shed, s.Agents.Admission,
-			s.Agents.Demand, s.Agents.Capacity, s.Agents.Held, s.WarmUtil, s.ColdUtil, s.Choked)
+			i, s.Asked, s.Served, s.Late, s.Refused, s.Failed, s.Handshakes, s.Agents.LoadShedding, s.Agents.Admission,
+			s.Agents.Demand, s.Agents.Capacity, s.Agents.Pending, s.WarmUtil, s.ColdUtil, s.Choked)
 	}
 }
--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -125,7 +125,7 @@
 	}
 	c.Bound = time.Duration(file.Council.Bound)
 	for _, class := range cfg.Settings.Classes {
-		c.Aims = append(c.Aims, time.Duration(class.AimMs*float64(time.Millisecond)))
+		c.Aims = append(c.Aims, time.Duration(class.LatencyTargetMs*float64(time.Millisecond)))
 	}
 	return coordination.Start(ctx, c)
 }
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -26,7 +26,7 @@
 var errUnsound = errors.New("not all that is kept is sound")
 
 // inspect loads the folder and what of it is not believed.
-func (d *stateDir) inspect() (*snapshot.Generation, *policy.Memory, []snapshot.Problem, error) {
+func (d *stateDir) inspect() (*snapshot.Generation, *policy.Snapshot, []snapshot.Problem, error) {
 	g, problems, err := snapshot.Inspect(d.Dir, snapshot.Now)
 	if err != nil || g == nil {
 		return nil, nil, problems, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,7 +52,7 @@
 	// what came last has its whole time, and the end is well before that.
 	held := 100 * time.Millisecond
 	for _, c := range cfg.Settings.Classes {
-		held = max(held, ms(c.GiveUpMs)+50*time.Millisecond)
+		held = max(held, ms(c.ClientTimeoutMs)+50*time.Millisecond)
 	}
 	if err := f.shutdown(held); err != nil {
 		slog.Warn("shutdown", "err", err) // connections that never brought a request
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -201,13 +201,13 @@
 	now := time.Now()
 	drained := &backend{}
 	drained.closed.Store(true)
-	if res := s.do(t.Context(), drained, b.addr, c, now, now.Add(patience)); res.status != policy.Moot {
-		t.Errorf("drained: ended as %d, want %d", res.status, policy.Moot)
+	if res := s.do(t.Context(), drained, b.addr, c, now, now.Add(patience)); res.status != policy.NotSent {
+		t.Errorf("drained: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := s.do(ctx, &backend{}, b.addr, c, now, now.Add(patience)); res.status != policy.Moot {
-		t.Errorf("withdrawn: ended as %d, want %d", res.status, policy.Moot)
+	if res := s.do(ctx, &backend{}, b.addr, c, now, now.Add(patience)); res.status != policy.NotSent {
+		t.Errorf("withdrawn: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
 	if res := s.do(t.Context(), &backend{}, b.addr, c, now, now.Add(patience)); res.status != policy.OK {
@@ -580,7 +580,7 @@
 func TestUnknownTenant(t *testing.T) {
 	b := newBackend(t, serving)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
-		c.Settings.Tenants = []policy.Tenant{{Name: "acme", Portion: 1}}
+		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaShare: 1}}
 	})
 	for name, want := range map[string]int{"acme": 200, "nobody": 400, "": 400} {
 		req := newRequest(a.addr, "order", "x")
--- a/internal/agent/answer_test.go
+++ b/internal/agent/answer_test.go
@@ -134,8 +134,8 @@
 	b := newBackend(t, serving)
 	now := time.Now()
 	full := testSender(0)
-	if res := full.do(t.Context(), &backend{}, b.addr, testCall(nil), now, now.Add(patience)); res.status != policy.Moot {
-		t.Errorf("no descriptor: ended as %d, want %d", res.status, policy.Moot)
+	if res := full.do(t.Context(), &backend{}, b.addr, testCall(nil), now, now.Add(patience)); res.status != policy.NotSent {
+		t.Errorf("no descriptor: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -50,10 +50,10 @@
 
 func newSender(c *Config, budget *semaphore.Weighted) *sender {
 	s := &sender{pool: newPool(c), budget: budget}
-	if how := c.Settings.Report.How; how != "off" {
-		s.probeNames = c.Settings.Report.Names
+	if how := c.Settings.LoadReport.Mode; how != "off" {
+		s.probeNames = c.Settings.LoadReport.Metrics
 		if how == "inline" {
-			s.reportNames = c.Settings.Report.Names
+			s.reportNames = c.Settings.LoadReport.Metrics
 		}
 	}
 	return s
@@ -66,7 +66,7 @@
 	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
 	// off a connect; an answer that was already there stands, and what was never
 	// written never ran.
-	if ctx.Err() != nil && r.code == 0 && r.status != policy.Moot {
+	if ctx.Err() != nil && r.code == 0 && r.status != policy.NotSent {
 		r.status = policy.Cancelled
 	}
 	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
@@ -80,7 +80,7 @@
 		// Refused or never came up: not a byte was sent. Only what the backend had the
 		// time for, or did, is its fault.
 		if ours(err) || deadline.Before(connectBy) && !errors.Is(err, syscall.ECONNREFUSED) {
-			return result{status: policy.Moot}
+			return result{status: policy.NotSent}
 		}
 		return result{status: policy.ConnectFailed}
 	}
@@ -100,7 +100,7 @@
 	// nothing is begun on a backend that was told to drain meanwhile.
 	if ctx.Err() != nil || b.closed.Load() {
 		reusable = true
-		return result{status: policy.Moot}
+		return result{status: policy.NotSent}
 	}
 	head := c.head(time.Until(deadline))
 	whole := int64(len(head) + len(c.body))
@@ -163,7 +163,7 @@
 		return policy.OK
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Not-Started") == "1":
-		return policy.Full
+		return policy.Rejected
 	case code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests:
 		return policy.Cancelled
 	}
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -221,7 +221,7 @@
 		return outlier.Failure, true
 	case policy.Timeout:
 		return outlier.NoAnswer, true
-	case policy.Full:
+	case policy.Rejected:
 		return outlier.Overloaded, true
 	}
 	return 0, false
--- a/internal/agent/coordination/layer_test.go
+++ b/internal/agent/coordination/layer_test.go
@@ -59,7 +59,7 @@
 // silence, not a failure.
 func TestSights(t *testing.T) {
 	l := bare()
-	for _, s := range []agent.Sight{{Status: policy.Cancelled}, {Status: policy.Moot}, {Status: policy.OK, Class: 7}} {
+	for _, s := range []agent.Sight{{Status: policy.Cancelled}, {Status: policy.NotSent}, {Status: policy.OK, Class: 7}} {
 		l.Attempted(s)
 	}
 	if m, ok := l.box.Poll(); ok {
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -255,7 +255,7 @@
 
 // apply takes a list into the table and returns the module's entries, the backends
 // whose idle connections are of no more use, and those gone.
-func (t *table) apply(l *List, full bool) (entries []policy.Entry, stale, gone []*backend) {
+func (t *table) apply(l *List, full bool) (entries []policy.Endpoint, stale, gone []*backend) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -263,7 +263,7 @@
 			continue
 		}
 		named[s.ID] = true
-		e := policy.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: s.StartedMs, Weight: s.Weight}
+		e := policy.Endpoint{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, StartedMs: s.StartedMs, Weight: s.Weight}
 		if z, ok := t.zones[s.Zone]; ok {
 			e.Zone = z
 		}
@@ -272,11 +272,11 @@
 		}
 		switch s.State {
 		case "up":
-			e.Health = policy.Ready
+			e.Status = policy.Ready
 		case "removed":
-			e.Health = policy.Gone
+			e.Status = policy.Removed
 		default: // draining, and whatever else is not said to be up
-			e.Health = policy.Draining
+			e.Status = policy.Draining
 		}
 		b := t.backend(s.ID)
 		e.Server = b.name
@@ -285,10 +285,10 @@
 			stale = append(stale, b)
 			b.addr = s.Addr
 		}
-		if b.closed.Store(e.Health != policy.Ready); e.Health != policy.Ready {
+		if b.closed.Store(e.Status != policy.Ready); e.Status != policy.Ready {
 			stale = append(stale, b)
 		}
-		if b.gone = e.Health == policy.Gone; b.gone {
+		if b.gone = e.Status == policy.Removed; b.gone {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -172,9 +172,9 @@
 	go l.writeLog()
 	l.carryOut(l.balancer.Start(l.now(), l.actions[:0]))
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(l.firstList(), policy.ListCached, true)
+	l.list(l.firstList(), policy.UpdateCached, true)
 	if l.recall != nil {
-		l.handle(&policy.Event{Kind: policy.EvRecall, Memory: l.recall.Memory})
+		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.recall.Memory})
 		l.recall = nil
 	}
 	if l.pushed() {
@@ -240,41 +240,41 @@
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case policy.ActSend:
+		case policy.ActionSend:
 			l.send(a)
-		case policy.ActCancel:
+		case policy.ActionCancel:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
 					t.cancel()
 				}
 			}
-		case policy.ActRefuse:
+		case policy.ActionReject:
 			if r := l.requests[a.Request]; r != nil {
-				l.refuse(r, a.Ms)
+				l.refuse(r, a.DurationMs)
 			}
-		case policy.ActFail:
+		case policy.ActionFail:
 			if r := l.requests[a.Request]; r != nil {
 				l.finish(r, answer{verdict: failed})
 			}
-		case policy.ActTimer:
+		case policy.ActionTimer:
 			token := a.Token
-			time.AfterFunc(ms(a.Ms), func() {
-				l.post(func() { l.handle(&policy.Event{Kind: policy.EvTimer, Token: token}) })
+			time.AfterFunc(ms(a.DurationMs), func() {
+				l.post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
 			})
-		case policy.ActFollow:
+		case policy.ActionWatch:
 			l.follow()
-		case policy.ActFetch:
+		case policy.ActionFetch:
 			if !l.fetching {
 				l.fetching = true
 				go l.disc.fetch()
 			}
-		case policy.ActClose:
+		case policy.ActionCloseIdle:
 			if b := l.table.byAddr[a.Server]; b != nil {
 				l.sender.pool.hangUp(b)
 			}
-		case policy.ActLog:
+		case policy.ActionLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
-		case policy.ActProbe:
+		case policy.ActionProbe:
 			l.probe(a)
 		}
 	}
@@ -295,7 +295,7 @@
 		return r
 	}
 	left := time.Until(c.deadline)
-	most := l.cfg.Settings.Limits.OpenCap
+	most := l.cfg.Settings.Limits.MaxOpenRequests
 	if left <= 0 || most > 0 && l.open > most {
 		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
@@ -305,9 +305,9 @@
 		l.post(func() { l.late(r) })
 	})
 	left -= min(moduleMargin, left/8)
-	l.handle(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: c.class, Tenant: c.tenant,
-		Key: c.key, LeftMs: float64(left.Microseconds()) / 1000, HintMs: c.hintMs,
-		HasHint: c.hasHint, Retry: c.retry})
+	l.handle(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: c.tenant,
+		Key: c.key, RemainingMs: float64(left.Microseconds()) / 1000, WorkHintMs: c.hintMs,
+		HasWorkHint: c.hasHint, IsRetry: c.retry})
 	return r
 }
 
@@ -347,14 +347,14 @@
 			t.cancel()
 		}
 	}
-	l.handle(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+	l.handle(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
 }
 
 // refuse answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
 func (l *loop) refuse(r *request, afterMs float64) {
 	c := &l.cfg.Settings.Classes[r.call.class]
-	if r.mayRun > 0 && (c.Effect == policy.SingleShot || c.Effect == policy.Guarded && c.Group != policy.GroupAll) {
+	if r.mayRun > 0 && (c.Idempotency == policy.NonIdempotent || c.Idempotency == policy.Deduplicated && c.DedupScope != policy.DedupEverywhere) {
 		l.guard(2, "refusal after an attempt that may have run", r)
 		l.finish(r, answer{verdict: failed})
 		return
@@ -416,17 +416,17 @@
 	r.attempts = append(r.attempts, t)
 	until := r.call.deadline.Add(-backstopMargin)
 	now := time.Now()
-	if a.Ms != 0 {
-		until = earliest(until, now.Add(ms(a.Ms)))
+	if a.DurationMs != 0 {
+		until = earliest(until, now.Add(ms(a.DurationMs)))
 	}
 	if rule, why := l.forbidden(r, b, now, until); why != "" {
 		l.guard(rule, why, r)
 		t.done = true
-		l.pending = append(l.pending, policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: index,
-			Server: a.Server, Status: policy.Moot, Final: r.answered})
+		l.pending = append(l.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
+			Server: a.Server, Status: policy.NotSent, Final: r.answered})
 		return
 	}
-	if age := l.now() - b.startedMs; b.startedMs > 0 && age < l.cfg.Settings.Contract.ColdMs {
+	if age := l.now() - b.startedMs; b.startedMs > 0 && age < l.cfg.Settings.Contract.SlowStartMs {
 		l.observer.SentCold()
 	}
 	t.startedMs = b.startedMs
@@ -458,7 +458,7 @@
 		return 2, "second attempt while one is out"
 	case len(r.attempts) > l.cfg.Settings.Limits.MaxAttempts:
 		return 2, "more attempts than allowed"
-	case r.mayRun > 0 && c.Effect == policy.SingleShot:
+	case r.mayRun > 0 && c.Idempotency == policy.NonIdempotent:
 		return 2, "repeat of an unsafe request that may have run"
 	case !until.After(now):
 		return 1, "attempt without time"
@@ -476,7 +476,7 @@
 	if l.layer != nil {
 		l.layer.Attempted(Sight{ID: t.backend.id, Zone: l.targets[t.backend.id].Zone, StartedMs: t.startedMs, Class: r.call.class, Status: res.status, Took: ms(res.latencyMs)})
 	}
-	if res.status.NeverRan() {
+	if res.status.NotExecuted() {
 		r.mayRun--
 	}
 	switch {
@@ -491,8 +491,8 @@
 	default:
 		l.budget.Release(res.held)
 	}
-	l.handle(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: index, Server: t.backend.name,
-		Status: res.status, LatencyMs: res.latencyMs, Final: r.answered, Report: res.report})
+	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index, Server: t.backend.name,
+		Status: res.status, LatencyMs: res.latencyMs, Final: r.answered, LoadReport: res.report})
 	l.forget(r)
 	l.table.forget(t.backend)
 }
@@ -535,15 +535,15 @@
 			l.followAgain()
 			return
 		}
-		l.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
+		l.handle(&policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFailed})
 		return
 	}
 	if list.Version < l.version && !(watch && list.Full) {
 		return
 	}
-	kind := policy.ListDelta
+	kind := policy.UpdateDelta
 	if list.Full {
-		kind = policy.ListFull
+		kind = policy.UpdateFull
 	}
 	if l.layer != nil {
 		l.layer.Told(list.Servers, list.Full)
@@ -554,14 +554,14 @@
 	}
 }
 
-func (l *loop) list(list *List, kind policy.ListKind, full bool) {
+func (l *loop) list(list *List, kind policy.UpdateKind, full bool) {
 	l.version, l.unknown = list.Version, l.unknown && !full
 	l.note(list, full)
 	entries, stale, gone := l.table.apply(list, full)
 	for _, b := range stale {
 		l.sender.pool.hangUp(b)
 	}
-	l.handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
+	l.handle(&policy.Event{Kind: policy.EventDiscovery, Update: kind, Endpoints: entries})
 	for _, b := range gone {
 		l.table.forget(b)
 	}
--- a/internal/agent/metrics/golden_test.go
+++ b/internal/agent/metrics/golden_test.go
@@ -19,7 +19,7 @@
 	m.Answered("class", "served", time.Millisecond, time.Second, 1)
 	m.SentCold()
 	m.Guarded(1, "what")
-	for _, status := range []policy.Status{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.Moot} {
+	for _, status := range []policy.Status{policy.OK, policy.Error, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent} {
 		m.Attempted(status, time.Millisecond)
 	}
 	families, err := m.registry.Gather()
--- a/internal/agent/metrics/metrics.go
+++ b/internal/agent/metrics/metrics.go
@@ -114,7 +114,7 @@
 		return "ok"
 	case policy.Error:
 		return "error"
-	case policy.Full:
+	case policy.Rejected:
 		return "full"
 	case policy.Timeout:
 		return "timeout"
@@ -124,7 +124,7 @@
 		return "reset"
 	case policy.Cancelled:
 		return "cancelled"
-	case policy.Moot:
+	case policy.NotSent:
 		return "moot"
 	}
 	return strconv.Itoa(int(s))
--- a/internal/agent/metrics/metrics_test.go
+++ b/internal/agent/metrics/metrics_test.go
@@ -38,7 +38,7 @@
 	m := New("n1", false)
 	m.Answered("full-report", "served", 30*time.Millisecond, time.Second, 2)
 	m.Answered("full-report", "refused", time.Millisecond, 1900*time.Millisecond, 0)
-	m.Attempted(policy.Full, time.Millisecond)
+	m.Attempted(policy.Rejected, time.Millisecond)
 	m.Attempted(policy.OK, 20*time.Millisecond)
 	m.Attempted(policy.Status(7), 20*time.Millisecond)
 	m.SentCold()
@@ -61,7 +61,7 @@
 	}
 	var err error
 	m.Serving(func(context.Context) (agent.Stats, error) {
-		return agent.Stats{Figures: policy.Figures{States: [4]int{5, 2, 1, 3}, Admission: 0.75}, Connections: 9, Idle: 4}, err
+		return agent.Stats{BalancerStats: policy.BalancerStats{States: [4]int{5, 2, 1, 3}, Admission: 0.75}, Connections: 9, Idle: 4}, err
 	})
 	want(t, scrape(t, m),
 		`chalkdoor_servers{agent="n1",state="connected"} 5`, `chalkdoor_servers{agent="n1",state="unhealthy"} 3`,
--- a/internal/agent/metrics/state.go
+++ b/internal/agent/metrics/state.go
@@ -27,12 +27,12 @@
 	add := func(name, help string, value func(*agent.Stats) float64) {
 		s.gauges = append(s.gauges, gauge{prometheus.NewDesc("chalkdoor_"+name, help, nil, nil), value})
 	}
-	add("servers_cold", "Listed servers that are not yet warm.", func(x *agent.Stats) float64 { return float64(x.Cold) })
+	add("servers_cold", "Listed servers that are not yet warm.", func(x *agent.Stats) float64 { return float64(x.WarmingUp) })
 	add("aperture_servers", "Servers that the agent keeps to.", func(x *agent.Stats) float64 { return float64(x.Aperture) })
 	add("requests_open", "Requests without a final answer.", func(x *agent.Stats) float64 { return float64(x.Open) })
-	add("requests_held", "Requests that wait for room.", func(x *agent.Stats) float64 { return float64(x.Held) })
+	add("requests_held", "Requests that wait for room.", func(x *agent.Stats) float64 { return float64(x.Pending) })
 	add("admission_ratio", "Part of the requests for which there is room.", func(x *agent.Stats) float64 { return x.Admission })
-	add("shed_ratio", "Part of the requests refused for being served late.", func(x *agent.Stats) float64 { return x.Shed })
+	add("shed_ratio", "Part of the requests refused for being served late.", func(x *agent.Stats) float64 { return x.LoadShedding })
 	add("demand_servers", "Load were nothing refused, in warm servers of weight one.", func(x *agent.Stats) float64 { return x.Demand })
 	add("capacity_servers", "What the listed servers can do, in the same unit.", func(x *agent.Stats) float64 { return x.Capacity })
 	add("connections", "Connections to report servers.", func(x *agent.Stats) float64 { return float64(x.Connections) })
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -30,7 +30,7 @@
 
 // Stats is what an agent holds at a moment.
 type Stats struct {
-	policy.Figures
+	policy.BalancerStats
 	Open        int // requests without an answer
 	Connections int // to backends, and of them
 	Idle        int
@@ -121,14 +121,14 @@
 // told. The list that the platform hands to a new start may be older, and name servers as up
 // of which the agent had been told that they drain.
 type Kept struct {
-	Memory    *policy.Memory
+	Memory    *policy.Snapshot
 	Discovery string // whose list it is: versions of another are not its
 	List      List
 }
 
 // kept is what the loop has now.
 func (l *loop) kept() *Kept {
-	k := &Kept{Memory: l.balancer.Memory(l.now()), Discovery: l.disc.addr, List: List{Version: l.version, Full: true}}
+	k := &Kept{Memory: l.balancer.Snapshot(l.now()), Discovery: l.disc.addr, List: List{Version: l.version, Full: true}}
 	for _, t := range l.targets {
 		k.List.Servers = append(k.List.Servers, t)
 	}
@@ -160,13 +160,13 @@
 		l.fetching = true
 		go l.disc.fetch()
 	}
-	var out []policy.Standing
+	var out []policy.Override
 	at := map[string]int{}
 	for _, s := range o.Standings {
 		// A server that is not listed, or listed as another process by now, is left out.
 		if b := l.table.byID[s.ID]; b != nil && b.startedMs == s.StartedMs {
 			at[s.ID] = len(out)
-			out = append(out, policy.Standing{Server: b.name, Part: s.Part, Pull: 1, UntilMs: l.until(s.Left), Try: s.Try, Probe: s.Probe})
+			out = append(out, policy.Override{Server: b.name, ShareFactor: s.Part, TrafficWeight: 1, ExpiresMs: l.until(s.Left), Trial: s.Try, Probe: s.Probe})
 		}
 	}
 	// A zone's share, and its pull, are ones of each of its servers. Pulls are measured so that
@@ -189,15 +189,15 @@
 		j, named := at[id]
 		if !named {
 			j = len(out)
-			out = append(out, policy.Standing{Server: b.name, Part: 1, UntilMs: l.until(z.Left)})
+			out = append(out, policy.Override{Server: b.name, ShareFactor: 1, ExpiresMs: l.until(z.Left)})
 		}
 		s := &out[j]
-		s.Part *= z.Share
-		s.Pull = pulls[z.Zone]
-		s.UntilMs = min(s.UntilMs, l.until(z.Left)) // neither outlasts its own time
-		s.Try, s.Probe = s.Try && z.Share > 0, s.Probe && z.Share > 0
+		s.ShareFactor *= z.Share
+		s.TrafficWeight = pulls[z.Zone]
+		s.ExpiresMs = min(s.ExpiresMs, l.until(z.Left)) // neither outlasts its own time
+		s.Trial, s.Probe = s.Trial && z.Share > 0, s.Probe && z.Share > 0
 	}
-	l.handle(&policy.Event{Kind: policy.EvStandings, Standings: out, Within: within / max(whole, 1e-9), Parted: pulled})
+	l.handle(&policy.Event{Kind: policy.EventOverrides, Overrides: out, ReachableShare: within / max(whole, 1e-9), ZoneWeighted: pulled})
 }
 
 // leastPull is what a server weighs at the least, as a part of the mean, where its zone is to get
@@ -256,7 +256,7 @@
 	}
 	if len(changed.Servers) > 0 {
 		l.log(slog.LevelInfo, "list goes on by what neighbours were told", "servers", len(changed.Servers))
-		l.list(&changed, policy.ListDelta, false)
+		l.list(&changed, policy.UpdateDelta, false)
 	}
 }
 
@@ -282,7 +282,7 @@
 func (l *loop) stats(ctx context.Context) (Stats, error) {
 	got := make(chan Stats, 1)
 	read := func() {
-		s := Stats{Figures: l.balancer.Figures(), Open: l.open, Probes: l.probes, ListVersion: l.version}
+		s := Stats{BalancerStats: l.balancer.Stats(), Open: l.open, Probes: l.probes, ListVersion: l.version}
 		s.Connections, s.Idle = l.sender.pool.count()
 		got <- s
 	}
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -37,7 +37,7 @@
 	cn, err := s.pool.get(ctx, b, addr, earliest(deadline, time.Now().Add(s.pool.connectTimeout)))
 	if err != nil {
 		if ours(err) {
-			return result{status: policy.Moot}, false
+			return result{status: policy.NotSent}, false
 		}
 		return result{status: policy.ConnectFailed}, false
 	}
@@ -73,7 +73,7 @@
 
 // util is how busy a load report says that its server is; negative if it does not.
 func (l *loop) util(report []float32) float64 {
-	if i := slices.Index(l.cfg.Settings.Report.Names, "util"); i >= 0 && i < len(report) {
+	if i := slices.Index(l.cfg.Settings.LoadReport.Metrics, "util"); i >= 0 && i < len(report) {
 		return float64(report[i])
 	}
 	return -1
@@ -83,8 +83,8 @@
 // can't be made is told as Moot: it says nothing of the backend.
 func (l *loop) probe(a *policy.Action) {
 	server, b := a.Server, l.table.byAddr[a.Server]
-	if !l.cfg.Settings.Limits.Probing || b == nil || b.addr == "" || b.closed.Load() || l.probes >= maxProbes {
-		l.pending = append(l.pending, policy.Event{Kind: policy.EvProbed, Server: server, Status: policy.Moot})
+	if !l.cfg.Settings.Limits.AllowProbes || b == nil || b.addr == "" || b.closed.Load() || l.probes >= maxProbes {
+		l.pending = append(l.pending, policy.Event{Kind: policy.EventProbeEnded, Server: server, Status: policy.NotSent})
 		return
 	}
 	l.probes++
@@ -96,8 +96,8 @@
 			if l.layer != nil {
 				l.layer.Attempted(Sight{ID: b.id, StartedMs: startedMs, Status: r.status, Took: ms(r.latencyMs), Probe: true, Util: l.util(r.report)})
 			}
-			l.handle(&policy.Event{Kind: policy.EvProbed, Server: server, Status: r.status,
-				LatencyMs: r.latencyMs, Report: r.report})
+			l.handle(&policy.Event{Kind: policy.EventProbeEnded, Server: server, Status: r.status,
+				LatencyMs: r.latencyMs, LoadReport: r.report})
 		})
 	}()
 }
--- a/internal/agent/probe_test.go
+++ b/internal/agent/probe_test.go
@@ -13,8 +13,8 @@
 
 // probing lets the agent probe, and get load reports from probes alone.
 func probing(c *Config) {
-	c.Settings.Limits.Probing = true
-	c.Settings.Report.How = "on_probe"
+	c.Settings.Limits.AllowProbes = true
+	c.Settings.LoadReport.Mode = "on_probe"
 }
 
 // reporting answers probes with a report and all else with its path.
@@ -81,9 +81,9 @@
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), probing)
 	a.loop.post(func() {
 		name := a.loop.table.byID["s-1"].name
-		a.loop.carryOut([]policy.Action{{Kind: policy.ActProbe, Server: name}})
-		a.loop.carryOut([]policy.Action{{Kind: policy.ActProbe, Server: policy.Addr{1}}})
-		if n := len(a.loop.pending); a.loop.probes != 1 || n != 1 || a.loop.pending[n-1].Status != policy.Moot {
+		a.loop.carryOut([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
+		a.loop.carryOut([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
+		if n := len(a.loop.pending); a.loop.probes != 1 || n != 1 || a.loop.pending[n-1].Status != policy.NotSent {
 			t.Errorf("%d probes under way, pending %+v", a.loop.probes, a.loop.pending)
 		}
 	})
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -103,10 +103,10 @@
 		return refuse("Request-Id is no token of 1 to %d characters", maxToken)
 	}
 	_, keyed := h["Idempotency-Key"]
-	switch effect := f.cfg.Settings.Classes[c.class].Effect; {
-	case (effect == policy.Free) != (req.Method == http.MethodGet):
+	switch effect := f.cfg.Settings.Classes[c.class].Idempotency; {
+	case (effect == policy.Idempotent) != (req.Method == http.MethodGet):
 		return refuse("method %s does not fit the class", req.Method)
-	case keyed != (effect == policy.Guarded):
+	case keyed != (effect == policy.Deduplicated):
 		return refuse("Idempotency-Key does not fit the class")
 	case keyed && !token(h.Get("Idempotency-Key")):
 		return refuse("Idempotency-Key is no token of 1 to %d characters", maxToken)
--- a/internal/agent/simprotocol/wire.go
+++ b/internal/agent/simprotocol/wire.go
@@ -75,7 +75,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
-	pools [16][]policy.Entry
+	pools [16][]policy.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -168,44 +168,44 @@
 		rec.Kind = 0
 		return d.pool(raw, tail)
 	case codeTargets:
-		ev.Kind, ev.List = policy.EvList, policy.ListKind(raw[5])
-		if raw[5] > uint8(policy.ListFailed) {
+		ev.Kind, ev.Update = policy.EventDiscovery, policy.UpdateKind(raw[5])
+		if raw[5] > uint8(policy.UpdateFailed) {
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
-		if ev.List != policy.ListFailed {
+		if ev.Update != policy.UpdateFailed {
 			table := be.Uint32(raw[10:])
 			if int64(table) >= int64(len(d.pools)) {
 				return fmt.Errorf("targets: table: %d is out of range", table)
 			}
-			ev.Entries = d.pools[table]
+			ev.Endpoints = d.pools[table]
 		}
 	case codeAsk:
-		ev.Kind, ev.Request = policy.EvRequest, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EventRequest, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Class, ev.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
-		ev.Key, ev.LeftMs, ev.HintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
-		ev.HasHint, ev.Retry = raw[39]&1 != 0, raw[39]&2 != 0
+		ev.Key, ev.RemainingMs, ev.WorkHintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
+		ev.HasWorkHint, ev.IsRetry = raw[39]&1 != 0, raw[39]&2 != 0
 	case codeVerdict:
-		ev.Kind, ev.Request = policy.EvOutcome, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EventAttemptEnded, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), policy.Addr(raw[11:17])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
-		ev.Report, err = report("verdict: report", raw[28:])
-		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.Moot)) {
+		ev.LoadReport, err = report("verdict: report", raw[28:])
+		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.NotSent)) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
 	case codeFlowing:
-		ev.Kind, ev.Request = policy.EvStarted, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EventStreamStarted, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Server, ev.LatencyMs, ev.Attempt = policy.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
 	case codeDropped:
-		ev.Kind, ev.Request = policy.EvDropped, policy.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = policy.EventClientGone, policy.RequestID(be.Uint32(raw[5:]))
 	case codeHealth:
-		ev.Kind, ev.Server = policy.EvProbed, policy.Addr(raw[5:11])
+		ev.Kind, ev.Server = policy.EventProbeEnded, policy.Addr(raw[5:11])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[11:])), getF64(raw[13:])
-		ev.Report, err = report("health: report", raw[21:])
+		ev.LoadReport, err = report("health: report", raw[21:])
 	case codeFired:
-		ev.Kind, ev.Token = policy.EvTimer, be.Uint32(raw[5:])
+		ev.Kind, ev.Token = policy.EventTimer, be.Uint32(raw[5:])
 	case codePeerData:
-		ev.Kind = policy.EvPeer
+		ev.Kind = policy.EventPeerMessage
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
@@ -223,19 +223,19 @@
 	if err != nil {
 		return err
 	}
-	entries := make([]policy.Entry, 0, len(lines)/entrySize)
+	entries := make([]policy.Endpoint, 0, len(lines)/entrySize)
 	for ; len(lines) > 0; lines = lines[entrySize:] {
-		if lines[10] > uint8(policy.Gone) {
+		if lines[10] > uint8(policy.Removed) {
 			return fmt.Errorf("pool: health: unknown value %d", lines[10])
 		}
-		entries = append(entries, policy.Entry{
-			Zone:    int(be.Uint16(lines)),
-			SinceMs: getF64(lines[2:]),
-			Health:  policy.Health(lines[10]),
-			Server:  policy.Addr(lines[11:17]),
-			Weight:  float64(math.Float32frombits(be.Uint32(lines[17:]))),
-			Cell:    int(be.Uint16(lines[21:])),
-			Kind:    int(lines[23]),
+		entries = append(entries, policy.Endpoint{
+			Zone:      int(be.Uint16(lines)),
+			StartedMs: getF64(lines[2:]),
+			Status:    policy.ListedStatus(lines[10]),
+			Server:    policy.Addr(lines[11:17]),
+			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
+			Cell:      int(be.Uint16(lines[21:])),
+			Kind:      int(lines[23]),
 		})
 	}
 	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
@@ -303,34 +303,34 @@
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
-	case policy.ActSend:
+	case policy.ActionSend:
 		raw := e.record(codeCallOut, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
-		putF64(raw[15:], a.Ms)
-	case policy.ActCancel:
+		putF64(raw[15:], a.DurationMs)
+	case policy.ActionCancel:
 		raw := e.record(codeRetract, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
-	case policy.ActRefuse:
+	case policy.ActionReject:
 		raw := e.record(codeNotNow, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
-		putF64(raw[9:], a.Ms)
-	case policy.ActFail:
+		putF64(raw[9:], a.DurationMs)
+	case policy.ActionFail:
 		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
-	case policy.ActProbe:
+	case policy.ActionProbe:
 		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
-	case policy.ActTimer:
+	case policy.ActionTimer:
 		raw := e.record(codeNotifyMe, instance)
-		putF64(raw[5:], a.Ms)
+		putF64(raw[5:], a.DurationMs)
 		be.PutUint32(raw[13:], a.Token)
-	case policy.ActFollow:
+	case policy.ActionWatch:
 		e.record(codeFollow, instance)[5] = 1
-	case policy.ActFetch:
+	case policy.ActionFetch:
 		e.record(codeReadList, instance)
-	case policy.ActClose:
+	case policy.ActionCloseIdle:
 		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
-	case policy.ActLog:
+	case policy.ActionLog:
 		e.text(codeTrace, instance, a.Text)
 	}
 }
--- a/internal/agent/simprotocol/wire_test.go
+++ b/internal/agent/simprotocol/wire_test.go
@@ -51,14 +51,14 @@
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
 	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EvRequest || ask.Request != 0x5d3a91c4 || ask.LeftMs != 240 ||
-		ask.HintMs != 12 || !ask.HasHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
+	if recs[0].Instance != 3 || ask.Kind != policy.EventRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
+		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.IsRetry || ask.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
-	if e := recs[1].Event; e.Kind != policy.EvTimer || e.Token != 0x4d {
+	if e := recs[1].Event; e.Kind != policy.EventTimer || e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
 	}
-	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EvDropped || e.Request != 0x0e6f2b19 {
+	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EventClientGone || e.Request != 0x0e6f2b19 {
 		t.Errorf("dropped: %+v", recs[2])
 	}
 }
@@ -72,11 +72,11 @@
 		t.Fatal(err)
 	}
 	v := recs[0].Event
-	if v.Kind != policy.EvOutcome || v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
-		v.Status != policy.OK || v.LatencyMs != 18.5 || !v.Final || len(v.Report) != 2 || v.Report[1] != 2 {
+	if v.Kind != policy.EventAttemptEnded || v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+		v.Status != policy.OK || v.LatencyMs != 18.5 || !v.Final || len(v.LoadReport) != 2 || v.LoadReport[1] != 2 {
 		t.Errorf("verdict: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != policy.EvProbed || p.Status != policy.OK || p.LatencyMs != 1.4 || p.Report != nil {
+	if p := recs[1].Event; p.Kind != policy.EventProbeEnded || p.Status != policy.OK || p.LatencyMs != 1.4 || p.LoadReport != nil {
 		t.Errorf("health: %+v", p)
 	}
 }
@@ -96,11 +96,11 @@
 		t.Fatal(err)
 	}
 	a, b := recs[0].Event, recs[1].Event
-	if a.List != policy.ListCached || b.List != policy.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
+	if a.Update != policy.UpdateCached || b.Update != policy.UpdateFull || a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
-	e := a.Entries[0]
-	if e.Zone != 1 || e.SinceMs != 6100 || e.Health != policy.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
+	e := a.Endpoints[0]
+	if e.Zone != 1 || e.StartedMs != 6100 || e.Status != policy.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
 		t.Errorf("entry: %+v", e)
 	}
 }
@@ -122,16 +122,16 @@
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
-		{Kind: policy.ActSend, Request: 0x5d3a91c4, Server: s, Ms: 80},
-		{Kind: policy.ActTimer, Ms: 500, Token: 0x4d},
-		{Kind: policy.ActRefuse, Request: 0x0e6f2b19, Ms: 250},
-		{Kind: policy.ActFail, Request: 0x0e6f2b19},
-		{Kind: policy.ActCancel, Request: 0x5d3a91c4, Attempt: 1},
-		{Kind: policy.ActProbe, Server: s},
-		{Kind: policy.ActFollow},
-		{Kind: policy.ActFetch},
-		{Kind: policy.ActClose, Server: s},
-		{Kind: policy.ActLog, Text: "two servers known"},
+		{Kind: policy.ActionSend, Request: 0x5d3a91c4, Server: s, DurationMs: 80},
+		{Kind: policy.ActionTimer, DurationMs: 500, Token: 0x4d},
+		{Kind: policy.ActionReject, Request: 0x0e6f2b19, DurationMs: 250},
+		{Kind: policy.ActionFail, Request: 0x0e6f2b19},
+		{Kind: policy.ActionCancel, Request: 0x5d3a91c4, Attempt: 1},
+		{Kind: policy.ActionProbe, Server: s},
+		{Kind: policy.ActionWatch},
+		{Kind: policy.ActionFetch},
+		{Kind: policy.ActionCloseIdle, Server: s},
+		{Kind: policy.ActionLog, Text: "two servers known"},
 	} {
 		e.Add(3, &a)
 	}
@@ -182,7 +182,7 @@
 
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
-	if err != nil || len(s.Classes) != 1 || s.Classes[0].AimMs != 5 || s.RoundMs != 5 {
+	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyTargetMs != 5 || s.RoundMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
@@ -219,14 +219,14 @@
 	if err != nil || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if e := recs[0].Event; e.Kind != policy.EvStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
+	if e := recs[0].Event; e.Kind != policy.EventStreamStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
 		e.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
 		t.Errorf("flowing: %+v", e)
 	}
-	if e := recs[1].Event; e.Kind != policy.EvList || e.List != policy.ListFailed || e.Entries != nil {
+	if e := recs[1].Event; e.Kind != policy.EventDiscovery || e.Update != policy.UpdateFailed || e.Endpoints != nil {
 		t.Errorf("targets of a failed call: %+v", e)
 	}
-	if e := recs[2].Event; e.Kind != policy.EvPeer {
+	if e := recs[2].Event; e.Kind != policy.EventPeerMessage {
 		t.Errorf("peer_data: %+v", e)
 	}
 }
--- a/internal/agent/snapshot/golden_test.go
+++ b/internal/agent/snapshot/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestGoldenRecords(t *testing.T) {
-	goldentest.RoundTrip[policy.ServerMemory](t, goldentest.JSON, "server")
+	goldentest.RoundTrip[policy.ServerSnapshot](t, goldentest.JSON, "server")
 	goldentest.RoundTrip[load](t, goldentest.JSON, "load")
 	goldentest.RoundTrip[head](t, goldentest.JSON, "list-head")
 	goldentest.RoundTrip[Site](t, goldentest.JSON, "site")
--- a/internal/agent/snapshot/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -26,7 +26,7 @@
 // State is all that an agent keeps: what it has learned, and the list as it was told, each
 // entry in discovery's own form.
 type State struct {
-	Memory    *policy.Memory
+	Memory    *policy.Snapshot
 	Discovery string
 	Version   uint64
 	Targets   map[string]json.RawMessage // by id
@@ -116,13 +116,13 @@
 // is missing is no list: what it leaves out would count as gone.
 func Decode(g *Generation) (st *State, problems []Problem) {
 	st = &State{}
-	m := &policy.Memory{AgeMs: float64(g.Age) / float64(time.Millisecond)}
+	m := &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)}
 	drop := func(table, key string, why any) {
 		problems = append(problems, Problem{fmt.Sprintf("%s %q", table, key), fmt.Sprint(why)})
 	}
 	for _, key := range sorted(g.Tables[tableServers]) {
 		r := g.Tables[tableServers][key]
-		var s policy.ServerMemory
+		var s policy.ServerSnapshot
 		if r.Version != versionServers {
 			drop(tableServers, key, "version "+strconv.Itoa(int(r.Version)))
 		} else if err := json.Unmarshal(r.Value, &s); err != nil {
@@ -141,7 +141,7 @@
 			continue
 		}
 		for raw := r.Value; len(raw) > 0; raw = raw[16:] {
-			m.Keys = append(m.Keys, policy.KeyMemory{Key: binary.BigEndian.Uint64(raw), Count: math.Float64frombits(binary.BigEndian.Uint64(raw[8:]))})
+			m.Keys = append(m.Keys, policy.KeyCount{Key: binary.BigEndian.Uint64(raw), Count: math.Float64frombits(binary.BigEndian.Uint64(raw[8:]))})
 		}
 	}
 	if r, ok := g.Tables[tableLoad]["now"]; ok {
--- a/internal/agent/snapshot/memory_test.go
+++ b/internal/agent/snapshot/memory_test.go
@@ -15,19 +15,19 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-func memory(servers, keys int) *policy.Memory {
-	m := &policy.Memory{Demand: 3.5, Peak: 10, Admitted: 0.9, CalmLat: 0.1, FleetLat: 0.2, Answers: 77, Expect: []float64{20, 40}}
+func memory(servers, keys int) *policy.Snapshot {
+	m := &policy.Snapshot{Demand: 3.5, Peak: 10, Admitted: 0.9, CalmLat: 0.1, FleetLat: 0.2, Answers: 77, Expect: []float64{20, 40}}
 	for i := range servers {
-		m.Servers = append(m.Servers, policy.ServerMemory{Server: policy.Addr{10, 0, byte(i >> 8), byte(i), 1, 2}, StartedMs: float64(i),
+		m.Servers = append(m.Servers, policy.ServerSnapshot{Server: policy.Addr{10, 0, byte(i >> 8), byte(i), 1, 2}, StartedMs: float64(i),
 			State: policy.State(i % 4), InStateMs: 5, Silent: i%2 == 0, Strikes: i % 3, Failing: 0.25, Lat: 0.1, RTTMs: 12, Samples: 4, Window: 2})
 	}
 	for i := range keys {
-		m.Keys = append(m.Keys, policy.KeyMemory{Key: uint64(i) * 0x9e3779b97f4a7c15, Count: 1 / float64(i+1)})
+		m.Keys = append(m.Keys, policy.KeyCount{Key: uint64(i) * 0x9e3779b97f4a7c15, Count: 1 / float64(i+1)})
 	}
 	return m
 }
 
-func state(m *policy.Memory) *State {
+func state(m *policy.Snapshot) *State {
 	return &State{Memory: m, Discovery: "127.0.0.1:9", Version: 7,
 		Targets: map[string]json.RawMessage{"s-1": json.RawMessage(`{"id":"s-1"}`), "s-2": json.RawMessage(`{"id":"s-2","state":"draining"}`)}}
 }
--- a/internal/fleet/balancer/attempt.go
+++ b/internal/fleet/balancer/attempt.go
@@ -110,7 +110,7 @@
 	case Succeeded:
 		a.recordResponse(now)
 		p.updateFailureRate(now, s, 0)
-		s.Served(millis(a.sentAt), millis(now))
+		s.RecordSuccess(millis(a.sentAt), millis(now))
 	case ClientError:
 		a.recordResponse(now)
 	case Rejected:
--- a/internal/fleet/balancer/health.go
+++ b/internal/fleet/balancer/health.go
@@ -64,10 +64,10 @@
 		switch {
 		case q.nonIdempotent && !p.failureRateTolerable(s):
 			after = math.Inf(1)
-		case s.Silent():
+		case s.TimedOut():
 			after = unresponsivePendingTimeoutMs
 		}
-		rank = s.Rank(millis(now), after)
+		rank = s.Priority(millis(now), after)
 	}
 	if models := s.instance.Models; len(models) > 0 && q.Model != "" &&
 		!slices.ContainsFunc(models, func(m registry.Model) bool { return m.Name == q.Model }) {
@@ -92,15 +92,15 @@
 // markUnhealthy makes a server Unhealthy. Failures of one moment are one strike.
 func (p *Picker) markUnhealthy(now time.Duration, s *server, silent bool) {
 	p.updateFailureRate(now, s, 1)
-	if s.Failed(silent, millis(now)) && (silent || !p.failureRateTolerable(s)) {
-		s.Strike()
+	if s.RecordFailure(silent, millis(now)) && (silent || !p.failureRateTolerable(s)) {
+		s.RecordEjection()
 	}
 }
 
 // allowChecks lets the Unhealthy servers of a service be validated: something has changed.
 func (p *Picker) allowChecks(now time.Duration, v *service) {
 	for _, s := range v.servers {
-		s.Refresh(minEjectionMs, millis(now))
+		s.BeginValidation(minEjectionMs, millis(now))
 	}
 }
 
@@ -111,11 +111,11 @@
 	for _, v := range p.services {
 		for _, s := range v.servers {
 			p.detectUnresponsive(now, s)
-			hold := s.Hold(baseEjectionMs, minEjectionMs)
-			if !s.Silent() && p.failureRateTolerable(s) {
+			hold := s.EjectionTime(baseEjectionMs, minEjectionMs)
+			if !s.TimedOut() && p.failureRateTolerable(s) {
 				hold = minEjectionMs
 			}
-			s.Refresh(hold, millis(now))
+			s.BeginValidation(hold, millis(now))
 			if s.checkInFlight && now-s.checkStartedAt > checkTimeout {
 				s.checkInFlight = false
 				p.checksInFlight--
@@ -143,7 +143,7 @@
 		}
 		most := max(duration(unresponsiveFactor*millis(a.estimate+s.service.latency.FirstTokenError())), minUnresponsiveTime)
 		if now-a.sentAt > most && s.lastResponseAt < a.sentAt {
-			s.Enter(policy.UnhealthyPending, millis(now))
+			s.Transition(policy.UnhealthyPending, millis(now))
 		}
 		return
 	}
@@ -166,7 +166,7 @@
 	}
 	if ok {
 		s.lastResponseAt = now
-		s.Enter(policy.Connected, millis(now))
+		s.Transition(policy.Connected, millis(now))
 	} else if s.lastResponseAt < s.checkStartedAt {
 		p.markUnhealthy(now, s, true)
 	}
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -110,7 +110,7 @@
 
 // server is one listed instance.
 type server struct {
-	policy.Tier
+	policy.EndpointHealth
 	service           *service
 	instance          *registry.Instance
 	ringHash          uint64
@@ -205,7 +205,7 @@
 }
 
 func (p *Picker) addServer(now time.Duration, v *service, in *registry.Instance, all int) {
-	s := &server{Tier: policy.NewTier(millis(now)), service: v, instance: in, ringHash: hashID(in.ID), listed: true,
+	s := &server{EndpointHealth: policy.NewEndpointHealth(millis(now)), service: v, instance: in, ringHash: hashID(in.ID), listed: true,
 		inference: inference.NewServer(v.capacityOf(in, p.prefixesPerServer(all)), v.latency), lastResponseAt: -1, listedAt: now, slowStartUntil: now + in.Cold}
 	p.servers[in.ID], v.membershipChanged = s, true
 	i, _ := slices.BinarySearchFunc(v.servers, s, compareByID)
@@ -298,7 +298,7 @@
 	for _, v := range p.services {
 		for _, s := range v.servers {
 			view := ServerStatus{ID: s.instance.ID, Service: v.name, Zone: s.instance.Zone, State: policy.StateNames[s.State()],
-				InState: now - duration(s.Since()), Silent: s.Silent(), Strikes: s.Strikes(), InFlight: s.inFlight,
+				InState: now - duration(s.Since()), Silent: s.TimedOut(), Strikes: s.Ejections(), InFlight: s.inFlight,
 				Unread: s.inference.OwnPrefills(), Full: now < s.fullUntil, Cold: now < s.slowStartUntil, LoadAge: -1}
 			view.Estimate, _ = s.inference.EstimateFirstToken(now, nil, statusPromptTokens, 0)
 			if load, age, ok := s.inference.Load(now); ok {
--- a/internal/fleet/balancer/pick_test.go
+++ b/internal/fleet/balancer/pick_test.go
@@ -142,13 +142,13 @@
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.End(time.Second, Timeout)
-	require.True(t, a.server.Silent())
+	require.True(t, a.server.TimedOut())
 	p.DueHealthChecks(2 * time.Second)
 	q := &pickContext{Request: newTestRequest(1, 2)}
 	assert.Equal(t, 1, p.serverRank(5*time.Second, a.server, q))
 	p.HealthCheckDone(5*time.Second, a.server.instance.ID, false, nil)
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.Greater(t, a.server.Hold(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next hold is longer")
+	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next hold is longer")
 }
 
 func TestWhatMustNotRunTwiceChecksNoServer(t *testing.T) {
@@ -202,21 +202,21 @@
 	p := newTestPicker(1, 4)
 	all := testInstances(5)
 	bad := p.servers["i-0003"]
-	bad.Strike()
-	bad.Strike()
-	bad.Strike()
-	bad.Failed(true, 0)
+	bad.RecordEjection()
+	bad.RecordEjection()
+	bad.RecordEjection()
+	bad.RecordFailure(true, 0)
 	p.UpdateInstances(300*ms, instanceList(all[:4]...))
 	assert.Equal(t, policy.Unhealthy, bad.State(), "nothing has changed")
 	p.UpdateInstances(300*ms, instanceList(all...))
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "a server came")
 
-	bad.Failed(true, 400)
+	bad.RecordFailure(true, 400)
 	a := mustForward(t, p, 700*ms, newTestRequest(1, 2))
 	a.End(701*ms, ConnectFailed)
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "another one refused a connect")
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.False(t, a.server.Silent(), "one that says no is there")
+	assert.False(t, a.server.TimedOut(), "one that says no is there")
 }
 
 func TestChecksAreCapped(t *testing.T) {
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -102,13 +102,13 @@
 	shares, works := []float64{0.6, 0.4}, []float64{36, 62} // as published
 	mean := 0.0
 	for i, c := range set.Classes {
-		effect := map[policy.Effect]referee.Effect{policy.SingleShot: referee.Once, policy.Guarded: referee.Keyed, policy.Free: referee.Repeat}[c.Effect]
-		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Effect: effect, Share: shares[i], WorkMs: works[i], Worth: c.Credit,
-			LateFor: c.LateShare, Aim: time.Duration(c.AimMs) * time.Millisecond, GiveUp: time.Duration(c.GiveUpMs) * time.Millisecond})
+		effect := map[policy.Idempotency]referee.Effect{policy.NonIdempotent: referee.Once, policy.Deduplicated: referee.Keyed, policy.Idempotent: referee.Repeat}[c.Idempotency]
+		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Effect: effect, Share: shares[i], WorkMs: works[i], Worth: c.Value,
+			LateFor: c.LateValueShare, Aim: time.Duration(c.LatencyTargetMs) * time.Millisecond, GiveUp: time.Duration(c.ClientTimeoutMs) * time.Millisecond})
 		mean += shares[i] * works[i]
 	}
 	for _, t := range set.Tenants {
-		cfg.Tenants = append(cfg.Tenants, loadgen.Tenant{Name: t.Name, Share: t.Portion})
+		cfg.Tenants = append(cfg.Tenants, loadgen.Tenant{Name: t.Name, Share: t.QuotaShare})
 	}
 	capacity := float64(fl.Servers) * float64(fleetsim.Server().Cores) * (slowest + quickest) / 2 * 1000 / mean
 	cfg.Rate = ld.Use * capacity
@@ -317,9 +317,9 @@
 			calls += a.view.Calls()
 		}
 		fig["list_calls"], fig["agent_cpu_ms"] = float64(calls), float64(cpu.Milliseconds())/asked
-		rules := referee.Rules{AnswerSlack: time.Duration(w.set.Contract.AnswerSlackMs) * time.Millisecond,
+		rules := referee.Rules{AnswerSlack: time.Duration(w.set.Contract.ResponseGraceMs) * time.Millisecond,
 			DrainGrace: time.Duration(w.set.Contract.DrainGraceMs) * time.Millisecond,
-			KeyWindow:  w.effectsWindow(), Slack: socketSlack, ParallelTries: w.set.Limits.ParallelTries}
+			KeyWindow:  w.effectsWindow(), Slack: socketSlack, ParallelTries: w.set.Limits.AllowParallelAttempts}
 		for _, v := range referee.Check(events, rules, end) {
 			r.Violations = append(r.Violations, v.String())
 		}
--- a/internal/testbed/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -206,7 +206,7 @@
 
 // effectsWindow is for how long report servers drop the repeats of a key.
 func (w *world) effectsWindow() time.Duration {
-	return time.Duration(w.set.Classes[len(w.set.Classes)-1].KeyTTLMs) * time.Millisecond
+	return time.Duration(w.set.Classes[len(w.set.Classes)-1].DedupWindowMs) * time.Millisecond
 }
 
 // endAgents ends all agents in order, those that are paused, too.
@@ -363,7 +363,7 @@
 // startAgent starts an agent's process.
 func (w *world) startAgent(a *agent, discovery string) error {
 	set := w.set
-	set.Index, set.Replicas = a.index, len(w.agents)
+	set.AgentIndex, set.AgentCount = a.index, len(w.agents)
 	for i, z := range w.fleet.Zones {
 		if z == a.zone {
 			set.Zone = i
--- a/internal/testbed/fleetsim/fleet.go
+++ b/internal/testbed/fleetsim/fleet.go
@@ -51,7 +51,7 @@
 	Worth, Earned                           float64
 
 	// At its end, on the mean of the agents, and of the servers that are there.
-	Agents             policy.Figures
+	Agents             policy.BalancerStats
 	WarmUtil, ColdUtil float64
 	Choked             int
 }
@@ -156,7 +156,7 @@
 	agents  []*agent
 	servers []*server
 	byAddr  map[policy.Addr]*server
-	listed  []policy.Entry // what discovery has told
+	listed  []policy.Endpoint // what discovery has told
 	jobs    map[uint64]func(at float64)
 	nextJob uint64
 	zipf    []float64
@@ -254,12 +254,12 @@
 func (p *play) look(s *Second) {
 	n := float64(len(p.agents))
 	for _, a := range p.agents {
-		f := a.bal.Figures()
-		s.Agents.Shed += f.Shed / n
+		f := a.bal.Stats()
+		s.Agents.LoadShedding += f.LoadShedding / n
 		s.Agents.Admission += f.Admission / n
 		s.Agents.Demand += f.Demand / n
 		s.Agents.Capacity += f.Capacity / n
-		s.Agents.Held += f.Held
+		s.Agents.Pending += f.Pending
 	}
 	warm, cold := 0.0, 0.0
 	for _, x := range p.servers {
@@ -313,19 +313,19 @@
 	s.Server, s.since, s.silent, s.tick = backendmodel.New(cfg, since), since, false, 0
 }
 
-func (p *play) entry(s *server) policy.Entry {
-	e := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, SinceMs: s.since, Health: policy.Ready,
+func (p *play) entry(s *server) policy.Endpoint {
+	e := policy.Endpoint{Server: s.addr, Zone: s.zone, Cell: s.zone, StartedMs: s.since, Status: policy.Ready,
 		Weight: float64(p.Server.Cores)}
 	switch {
 	case s.gone:
-		e.Health = policy.Gone
+		e.Status = policy.Removed
 	case s.drains:
-		e.Health = policy.Draining
+		e.Status = policy.Draining
 	}
 	return e
 }
 
-func (p *play) entries() (list []policy.Entry) {
+func (p *play) entries() (list []policy.Endpoint) {
 	for _, s := range p.servers {
 		if !s.gone {
 			list = append(list, p.entry(s))
@@ -336,14 +336,14 @@
 
 // tell lets discovery tell what has changed, late.
 func (p *play) tell(changed ...*server) {
-	var list []policy.Entry
+	var list []policy.Endpoint
 	for _, s := range changed {
 		list = append(list, p.entry(s))
 	}
 	p.after(p.ListMs, func() {
 		p.listed = p.entries()
 		for _, a := range p.agents {
-			p.handle(a, &policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: list})
+			p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateDelta, Endpoints: list})
 		}
 	})
 }
@@ -371,12 +371,12 @@
 // ---- agents ----
 
 func (p *play) boot(a *agent) error {
-	var memory *policy.Memory
+	var memory *policy.Snapshot
 	if a.bal != nil && p.Recall {
-		memory = a.bal.Memory(p.now)
+		memory = a.bal.Snapshot(p.now)
 	}
 	set := p.Settings
-	set.Index, set.Replicas, set.Zone = a.index, p.Agents, a.zone
+	set.AgentIndex, set.AgentCount, set.Zone = a.index, p.Agents, a.zone
 	bal, err := policy.New(set, p.rng.Uint64())
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -393,9 +393,9 @@
 	a.life++
 	a.bal, a.idle, a.reqs = bal, map[policy.Addr][]float64{}, map[policy.RequestID]*request{}
 	p.carryOut(a, bal.Start(p.now, nil))
-	p.handle(a, &policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: p.listed})
+	p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateCached, Endpoints: p.listed})
 	if memory != nil {
-		p.handle(a, &policy.Event{Kind: policy.EvRecall, Memory: memory})
+		p.handle(a, &policy.Event{Kind: policy.EventRestore, Snapshot: memory})
 	}
 	return nil
 }
@@ -418,31 +418,31 @@
 	for _, act := range actions {
 		r := a.reqs[act.Request]
 		switch act.Kind {
-		case policy.ActSend:
+		case policy.ActionSend:
 			p.send(a, r, &act)
-		case policy.ActCancel:
+		case policy.ActionCancel:
 			p.cancel(a, r, act.Attempt)
-		case policy.ActRefuse, policy.ActFail:
+		case policy.ActionReject, policy.ActionFail:
 			if r == nil || r.over {
 				continue
 			}
 			p.close(a, r)
 			s := p.second(r.ask.first)
-			if act.Kind == policy.ActFail {
+			if act.Kind == policy.ActionFail {
 				p.failed(a, r)
-			} else if !p.comeAgain(a, r.ask, act.Ms) {
+			} else if !p.comeAgain(a, r.ask, act.DurationMs) {
 				s.Refused++
 			}
-		case policy.ActTimer:
+		case policy.ActionTimer:
 			token := act.Token
-			p.still(a, act.Ms, func() { p.handle(a, &policy.Event{Kind: policy.EvTimer, Token: token}) })
-		case policy.ActFetch:
+			p.still(a, act.DurationMs, func() { p.handle(a, &policy.Event{Kind: policy.EventTimer, Token: token}) })
+		case policy.ActionFetch:
 			p.still(a, 10, func() {
-				p.handle(a, &policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: p.listed})
+				p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFull, Endpoints: p.listed})
 			})
-		case policy.ActClose:
+		case policy.ActionCloseIdle:
 			delete(a.idle, act.Server)
-		case policy.ActProbe:
+		case policy.ActionProbe:
 			p.probe(a, act.Server)
 		}
 	}
@@ -466,7 +466,7 @@
 
 func (p *play) failed(a *agent, r *request) {
 	for _, t := range r.tries {
-		if t.mayRun && p.Settings.Classes[r.ask.class].Effect == policy.SingleShot {
+		if t.mayRun && p.Settings.Classes[r.ask.class].Idempotency == policy.NonIdempotent {
 			p.second(r.ask.first).Failed++
 			return
 		}
@@ -525,25 +525,25 @@
 			return
 		}
 		t.over = true
-		t.mayRun = !st.NeverRan()
+		t.mayRun = !st.NotExecuted()
 		if st == policy.OK && !r.over {
 			r.over = true
 			p.served(r.ask)
 		}
 		switch st {
-		case policy.OK, policy.Full, policy.Error:
+		case policy.OK, policy.Rejected, policy.Error:
 			a.idle[s.addr] = append(a.idle[s.addr], p.now)
 		case policy.Timeout:
 			p.second(t.sent).Timeouts++
 		}
-		if st == policy.Full {
+		if st == policy.Rejected {
 			p.second(t.sent).Full++
 		}
-		p.handle(a, &policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: n, Server: s.addr, Status: st,
+		p.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: s.addr, Status: st,
 			LatencyMs: p.now - t.sent, Final: r.over})
 		p.forget(a, r)
 	}
-	p.still(a, max(act.Ms, 0), func() { end(policy.Timeout) })
+	p.still(a, max(act.DurationMs, 0), func() { end(policy.Timeout) })
 	ms, up := p.connect(a, s)
 	if !up {
 		p.still(a, ms, func() { end(policy.ConnectFailed) })
@@ -565,11 +565,11 @@
 		id := p.nextJob
 		p.work(s)
 		if !s.Offer(p.now, backendmodel.Job{ID: id, Key: r.ask.key, WorkMs: r.ask.work}) {
-			p.still(a, way, func() { end(policy.Full) })
+			p.still(a, way, func() { end(policy.Rejected) })
 			return
 		}
 		t.job = id
-		if r.ask.ran++; r.ask.ran > 1 && p.Settings.Classes[r.ask.class].Effect == policy.SingleShot {
+		if r.ask.ran++; r.ask.ran > 1 && p.Settings.Classes[r.ask.class].Idempotency == policy.NonIdempotent {
 			p.out.Twice++
 		}
 		of := s.Server
@@ -594,7 +594,7 @@
 		}
 	})
 	p.still(a, 0, func() {
-		p.handle(a, &policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: n, Server: t.to.addr,
+		p.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: t.to.addr,
 			Status: policy.Cancelled, LatencyMs: p.now - t.sent, Final: r.over})
 		p.forget(a, r)
 	})
@@ -605,7 +605,7 @@
 	p.second(p.now).Probes++
 	told := func(ms float64, st policy.Status, report []float32) {
 		p.still(a, ms, func() {
-			p.handle(a, &policy.Event{Kind: policy.EvProbed, Server: addr, Status: st, LatencyMs: ms, Report: report})
+			p.handle(a, &policy.Event{Kind: policy.EventProbeEnded, Server: addr, Status: st, LatencyMs: ms, LoadReport: report})
 		})
 	}
 	ms, up := p.connect(a, s)
@@ -635,7 +635,7 @@
 		c.work = p.WorkMs[c.class] * p.rng.ExpFloat64()
 		s := p.second(p.now)
 		s.Asked++
-		s.Worth += p.Settings.Classes[c.class].Credit
+		s.Worth += p.Settings.Classes[c.class].Value
 		p.request(a, c, false)
 		p.arrive(a)
 	})
@@ -670,7 +670,7 @@
 func (p *play) request(a *agent, c *ask, retry bool) {
 	class := p.Settings.Classes[c.class]
 	a.nextID++
-	r := &request{id: a.nextID, ask: c, deadline: c.first + class.GiveUpMs}
+	r := &request{id: a.nextID, ask: c, deadline: c.first + class.ClientTimeoutMs}
 	a.reqs[r.id] = r
 	left := r.deadline - p.now
 	p.still(a, left, func() {
@@ -678,11 +678,11 @@
 			p.out.Lost++
 			p.second(c.first).Failed++
 			p.close(a, r)
-			p.handle(a, &policy.Event{Kind: policy.EvDropped, Request: r.id})
+			p.handle(a, &policy.Event{Kind: policy.EventClientGone, Request: r.id})
 		}
 	})
-	p.handle(a, &policy.Event{Kind: policy.EvRequest, Request: r.id, Class: c.class, Tenant: -1, Key: c.key,
-		LeftMs: left - min(8, left/8), Retry: retry && p.Settings.Clients.MarksRetry})
+	p.handle(a, &policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: -1, Key: c.key,
+		RemainingMs: left - min(8, left/8), IsRetry: retry && p.Settings.Clients.MarksRetry})
 }
 
 // comeAgain tells whether the client tries once more, after the wait it was given at least.
@@ -692,7 +692,7 @@
 	if c.pushy {
 		wait, most = 50*p.rng.Float64(), pushyTries
 	}
-	if p.RetryMs <= 0 || c.again >= most || p.now+wait >= c.first+p.Settings.Classes[c.class].GiveUpMs {
+	if p.RetryMs <= 0 || c.again >= most || p.now+wait >= c.first+p.Settings.Classes[c.class].ClientTimeoutMs {
 		return false
 	}
 	c.again++
@@ -702,11 +702,11 @@
 
 func (p *play) served(c *ask) {
 	s, class := p.second(c.first), p.Settings.Classes[c.class]
-	if p.now-c.first <= class.AimMs {
+	if p.now-c.first <= class.LatencyTargetMs {
 		s.Served++
-		s.Earned += class.Credit
+		s.Earned += class.Value
 		return
 	}
 	s.Late++
-	s.Earned += class.Credit * class.LateShare
+	s.Earned += class.Value * class.LateValueShare
 }
--- a/internal/testbed/fleetsim/scenes.go
+++ b/internal/testbed/fleetsim/scenes.go
@@ -119,17 +119,17 @@
 func Settings() policy.Settings {
 	set := policy.Settings{
 		Classes: []policy.Class{
-			{Name: "quick-check", AimMs: 480, GiveUpMs: 2370, Effect: policy.SingleShot, KeyTTLMs: 5000, Credit: 2},
-			{Name: "full-report", AimMs: 950, GiveUpMs: 1900, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 4000, Credit: 5},
+			{Name: "quick-check", LatencyTargetMs: 480, ClientTimeoutMs: 2370, Idempotency: policy.NonIdempotent, DedupWindowMs: 5000, Value: 2},
+			{Name: "full-report", LatencyTargetMs: 950, ClientTimeoutMs: 1900, Idempotency: policy.Deduplicated, DedupScope: policy.DedupEverywhere, DedupWindowMs: 4000, Value: 5},
 		},
-		Limits: policy.Limits{Cancelling: true, ConnectTimeoutMs: 100, KeepaliveMs: 10000, MaxAttempts: 5,
-			MaxRetryAfterMs: 2500, ParallelTries: true, Probing: true, RetryAfter: true, OpenCap: 25000},
-		Contract: policy.Contract{AnswerSlackMs: 20, AskWithinMs: 10000, ColdFrom: 0.13, ColdMs: 24000,
-			DrainGraceMs: 2000, FallMultiple: 4, TipAfterMs: 1000},
-		Prices:     policy.Prices{CrossZone: 0.01, Handshake: 0.08, LateFail: 0.03, Probe: 0.08, Waste: 0.11, List: 0.05},
-		Objective:  policy.Objective{Whole: 0.5, WorstWindow: 0.3, WorstClass: 0.1, WorstTenant: 0.1},
-		Report:     policy.Report{How: "on_probe", Names: []string{"inflight", "util", "latency_ms", "qps"}},
-		Membership: "pushed", RoundMs: 1, Weights: "rough", WorthBy: "request",
+		Limits: policy.Limits{AllowCancel: true, ConnectTimeoutMs: 100, KeepaliveMs: 10000, MaxAttempts: 5,
+			MaxRetryAfterMs: 2500, AllowParallelAttempts: true, AllowProbes: true, AllowRetryAfter: true, MaxOpenRequests: 25000},
+		Contract: policy.Contract{ResponseGraceMs: 20, DiscoveryDeadlineMs: 10000, SlowStartFloor: 0.13, SlowStartMs: 24000,
+			DrainGraceMs: 2000, CollapseLoadFactor: 4, CollapseAfterMs: 1000},
+		Prices:     policy.Prices{CrossZone: 0.01, Handshake: 0.08, LateFailure: 0.03, Probe: 0.08, Waste: 0.11, Discovery: 0.05},
+		Objective:  policy.Objective{Overall: 0.5, WorstWindow: 0.3, WorstClass: 0.1, WorstTenant: 0.1},
+		LoadReport: policy.LoadReport{Mode: "on_probe", Metrics: []string{"inflight", "util", "latency_ms", "qps"}},
+		Membership: "pushed", RoundMs: 1, Weights: "rough", ValueBy: "request",
 	}
 	set.Clients.MarksRetry, set.FamilyInfo.WarmKeys = true, true
 	return set
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,35 +6,35 @@
 	"testing"
 )
 
-// bigRig is an agent of a fleet with so many servers that has measured them all, with so
+// newBenchAgent is an agent of a fleet with so many servers that has measured them all, with so
 // many requests held that no server may be sent, and every third server Unhealthy if ill.
-func bigRig(b *testing.B, servers, held int, ill bool) *rig {
+func newBenchAgent(b *testing.B, servers, held int, ill bool) *testAgent {
 	set := testSettings()
-	set.Limits.Probing = true
-	set.Limits.OpenCap = 1 << 20
-	set.Replicas = 300
-	set.Report = Report{How: "on_probe", Names: []string{"inflight", "util"}}
+	set.Limits.AllowProbes = true
+	set.Limits.MaxOpenRequests = 1 << 20
+	set.AgentCount = 300
+	set.LoadReport = LoadReport{Mode: "on_probe", Metrics: []string{"inflight", "util"}}
 	bal, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &rig{b: bal, now: 1e6, popular: true}
+	r := &testAgent{balancer: bal, now: 1e6, splitKeys: true}
 	bal.Start(r.now, nil)
-	entries := make([]Entry, servers)
+	entries := make([]Endpoint, servers)
 	for i := range entries {
-		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 3}
+		entries[i] = Endpoint{Server: addr(i), Status: Ready, Weight: 1, Cell: i % 2, Zone: i % 3}
 	}
-	r.list(ListCached, entries...)
+	r.updateList(UpdateCached, entries...)
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 4 * servers {
-		r.serve(2, 1+rng.Uint64N(500))
+		r.serveRequest(2, 1+rng.Uint64N(500))
 	}
 	if ill {
 		for i, s := range bal.servers {
 			if i%3 == 0 {
-				bal.fails(s, 1)
-				s.failing = 1
-				bal.demote(s, true)
+				bal.recordFailureRate(s, 1)
+				s.failureRate = 1
+				bal.eject(s, true)
 			}
 		}
 	}
@@ -42,39 +42,39 @@
 		return r
 	}
 	for _, s := range bal.servers {
-		s.window, s.sentAt, s.rtt = 0.001, 1e12, 1
+		s.concurrencyLimit, s.lastSentAt, s.meanLatencyMs = 0.001, 1e12, 1
 	}
 	for i := range held {
-		r.id++
-		req := &request{id: r.id, class: 2, key: 1 + rng.Uint64N(500), first: r.now, arrived: r.now,
-			aimAt: 1e12, deadline: 1e12}
+		r.lastID++
+		req := &request{id: r.lastID, class: 2, key: 1 + rng.Uint64N(500), firstArrivedAt: r.now, arrivedAt: r.now,
+			targetAt: 1e12, deadline: 1e12}
 		if i%2 == 0 { // has waited for its key long enough
-			req.arrived = -1e12
+			req.arrivedAt = -1e12
 		}
-		req.spot = req.key
+		req.hashKey = req.key
 		bal.requests[req.id] = req
-		bal.held = append(bal.held, req)
+		bal.pending = append(bal.pending, req)
 	}
 	return r
 }
 
-// serve lets one request come and be served.
-func (r *rig) serve(class int, key uint64) {
+// serveRequest lets one request come and be served.
+func (r *testAgent) serveRequest(class int, key uint64) {
 	r.now += 20
-	r.id++
-	id := r.id
-	ev := Event{Kind: EvRequest, Request: id, Class: class, Key: key, LeftMs: 600}
-	actions := r.b.Handle(r.now, &ev, nil)
+	r.lastID++
+	id := r.lastID
+	ev := Event{Kind: EventRequest, Request: id, Class: class, Key: key, RemainingMs: 600}
+	actions := r.balancer.Handle(r.now, &ev, nil)
 	for i := range actions {
 		switch a := &actions[i]; a.Kind {
-		case ActSend:
+		case ActionSend:
 			r.now += 10
-			r.b.Handle(r.now, &Event{Kind: EvOutcome, Request: id, Server: a.Server, Status: OK, LatencyMs: 10, Final: true}, nil)
-		case ActProbe:
-			r.b.Handle(r.now, &Event{Kind: EvProbed, Server: a.Server, Status: OK, LatencyMs: 1, Report: []float32{1, 0.4}}, nil)
+			r.balancer.Handle(r.now, &Event{Kind: EventAttemptEnded, Request: id, Server: a.Server, Status: OK, LatencyMs: 10, Final: true}, nil)
+		case ActionProbe:
+			r.balancer.Handle(r.now, &Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1, LoadReport: []float32{1, 0.4}}, nil)
 		}
 	}
-	r.b.Handle(r.now, &Event{Kind: EvDropped, Request: id}, nil) // of no effect on a served one
+	r.balancer.Handle(r.now, &Event{Kind: EventClientGone, Request: id}, nil) // of no effect on a served one
 }
 
 // BenchmarkRequest is what one keyed request costs from its arrival to its answer or,
@@ -84,11 +84,11 @@
 		for _, ill := range []bool{false, true} {
 			for _, servers := range []int{10, 60, 200, 1000} {
 				b.Run(fmt.Sprintf("held=%d/ill=%v/servers=%d", held, ill, servers), func(b *testing.B) {
-					r := bigRig(b, servers, held, ill)
+					r := newBenchAgent(b, servers, held, ill)
 					rng := rand.New(rand.NewPCG(3, 3))
 					b.ReportAllocs()
 					for b.Loop() {
-						r.serve(2, 1+rng.Uint64N(500))
+						r.serveRequest(2, 1+rng.Uint64N(500))
 					}
 				})
 			}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenEncodings(t *testing.T) {
-	goldentest.RoundTrip[Memory](t, goldentest.JSON, "memory")
+	goldentest.RoundTrip[Snapshot](t, goldentest.JSON, "memory")
 }
--- a/policy/guards.go
+++ b/policy/guards.go
@@ -8,121 +8,121 @@
 // This file holds the guards of the four rules.
 
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
-// hasRoom, whose credit every attempt to a cold server is charged in send. What the site has
+// hasCapacity, whose credit every attempt to a cold server is charged in send. What the site has
 // ejected gets trials only.
 func (b *Balancer) maySend(r *request, s *server, trial bool) bool {
-	if !s.usable || b.share(s) <= 0 && !trial || r.closed || r.open > 0 || b.now >= r.deadline ||
-		len(r.attempts) >= b.set.Limits.MaxAttempts {
+	if !s.ready || b.effectiveShare(s) <= 0 && !trial || r.finished || r.inFlight > 0 || b.now >= r.deadline ||
+		len(r.attempts) >= b.settings.Limits.MaxAttempts {
 		return false
 	}
 	for _, a := range r.attempts {
-		if a.s == s && len(b.servers) > len(r.attempts) {
+		if a.server == s && len(b.servers) > len(r.attempts) {
 			return false // further attempts go elsewhere
 		}
 	}
-	c := &b.set.Classes[r.class]
-	if r.risky == 0 || c.Effect == Free {
+	c := &b.settings.Classes[r.class]
+	if r.maybeExecuted == 0 || c.Idempotency == Idempotent {
 		return true
 	}
-	guarded := c.Group == GroupAll || c.Group == GroupZone && s.zone == r.ranOn.zone ||
-		c.Group == GroupCell && s.cell == r.ranOn.cell
-	return c.Effect == Guarded && guarded && b.now-r.ranAt <= c.KeyTTLMs-2*b.set.RoundMs
+	guarded := c.DedupScope == DedupEverywhere || c.DedupScope == DedupWithinZone && s.zone == r.executedOn.zone ||
+		c.DedupScope == DedupWithinCell && s.cell == r.executedOn.cell
+	return c.Idempotency == Deduplicated && guarded && b.now-r.executedAt <= c.DedupWindowMs-2*b.settings.RoundMs
 }
 
 func (b *Balancer) send(r *request, s *server) {
-	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.out) == 0, sentAt: b.now}
+	a := &attempt{request: r, server: s, index: len(r.attempts), soleInFlight: len(s.inFlight) == 0, sentAt: b.now}
 	r.attempts = append(r.attempts, a)
-	r.open++
-	if r.risky == 0 {
-		r.ranAt, r.ranOn = b.now, s
+	r.inFlight++
+	if r.maybeExecuted == 0 {
+		r.executedAt, r.executedOn = b.now, s
 	}
-	r.risky++
-	s.out = append(s.out, a)
-	if b.sentAt > 0 {
-		b.gap = mean(b.gap, b.now-b.sentAt, slowSmooth)
+	r.maybeExecuted++
+	s.inFlight = append(s.inFlight, a)
+	if b.lastSentAt > 0 {
+		b.sendInterval = movingMean(b.sendInterval, b.now-b.lastSentAt, fleetMeanWeight)
 	}
-	s.sentAt, b.sentAt = b.now, b.now
-	b.inflight++
-	if b.ramp(s) < 1 {
-		s.credit--
+	s.lastSentAt, b.lastSentAt = b.now, b.now
+	b.inFlight++
+	if b.slowStartFactor(s) < 1 {
+		s.slowStartCredit--
 	}
-	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now})
+	b.emit(Action{Kind: ActionSend, Request: r.id, Server: s.addr, DurationMs: r.deadline - b.now})
 }
 
-// earn keeps each cold server's credit, in requests: of each that comes first it may get its
+// accrueSlowStart keeps each cold server's credit, in requests: of each that comes first it may get its
 // share by weight and ramp, also of what is refused, or the servers that could bear it would
 // idle. Then the shares of all agents together stay in proportion to what servers can do,
 // without any agreement. Who comes again earns nothing; where that isn't told, only what is
 // admitted counts, as refusals could multiply what comes.
-func (b *Balancer) earn() {
-	b.capacity() // and its peak: what is lost of late is no reason to push the cold ones
-	all := b.peak
+func (b *Balancer) accrueSlowStart() {
+	b.currentCapacity() // and its peak: what is lost of late is no reason to push the cold ones
+	all := b.peakCapacity
 	if all == 0 {
 		return
 	}
-	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + 1/all
-	b.flowAt = b.now
+	b.warmSendRate = b.warmSendRate*math.Exp((b.warmSendRateAt-b.now)/b.settings.Contract.SlowStartMs) + 1/all
+	b.warmSendRateAt = b.now
 	b.survey()
-	earned := float64(len(b.ring)) / float64(max(len(b.near), 1)) // the others' part is theirs
-	earned *= min(b.set.Contract.FallMultiple/coldMargin, 1)
-	for _, o := range b.cold {
-		if k := b.ramp(o); k < 1 && o.near {
-			o.credit = min(o.credit+earned*k*o.weight*b.share(o)*b.pull(o)/all, coldBurst)
+	earned := float64(len(b.hashRing)) / float64(max(len(b.aperture), 1)) // the others' part is theirs
+	earned *= min(b.settings.Contract.CollapseLoadFactor/slowStartLoadMargin, 1)
+	for _, o := range b.warmingUp {
+		if k := b.slowStartFactor(o); k < 1 && o.inAperture {
+			o.slowStartCredit = min(o.slowStartCredit+earned*k*o.weight*b.effectiveShare(o)*b.effectiveTraffic(o)/all, slowStartBurst)
 		}
 	}
 }
 
-// end is the guard of all final answers but served ones: a refusal where the
+// endUnserved is the guard of all final answers but served ones: a refusal where the
 // class allows the claim that a retry is harmless, else a failure.
-func (b *Balancer) end(r *request) {
-	if r.closed {
+func (b *Balancer) endUnserved(r *request) {
+	if r.finished {
 		return
 	}
-	b.remember(r)
-	c := &b.set.Classes[r.class]
+	b.rememberUnserved(r)
+	c := &b.settings.Classes[r.class]
 	// Past the window a repeat of a guarded request would run again.
-	harmless := r.risky == 0 || c.Effect == Free ||
-		c.Effect == Guarded && c.Group == GroupAll && b.now-r.ranAt < c.KeyTTLMs
-	b.close(r)
+	harmless := r.maybeExecuted == 0 || c.Idempotency == Idempotent ||
+		c.Idempotency == Deduplicated && c.DedupScope == DedupEverywhere && b.now-r.executedAt < c.DedupWindowMs
+	b.finish(r)
 	if harmless {
-		b.do(Action{Kind: ActRefuse, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
+		b.emit(Action{Kind: ActionReject, Request: r.id, DurationMs: b.settings.Limits.MaxRetryAfterMs})
 	} else {
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.emit(Action{Kind: ActionFail, Request: r.id})
 	}
 }
 
-// close forgets a finished request as soon as no attempt of it is out.
-func (b *Balancer) close(r *request) {
-	r.closed = true
-	if i := slices.Index(b.held, r); i >= 0 {
-		b.held = slices.Delete(b.held, i, i+1)
+// finish forgets a finished request as soon as no attempt of it is out.
+func (b *Balancer) finish(r *request) {
+	r.finished = true
+	if i := slices.Index(b.pending, r); i >= 0 {
+		b.pending = slices.Delete(b.pending, i, i+1)
 	}
 	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancelling {
-			b.do(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
+		if !a.ended && b.settings.Limits.AllowCancel {
+			b.emit(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 		}
 	}
-	if r.open == 0 {
+	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-// further holds an unanswered request for another server where its class and time
+// retryElsewhere holds an unanswered request for another server where its class and time
 // allow, and ends it otherwise. Further attempts are earned by served requests: where few
 // are served they would only multiply the load.
-func (b *Balancer) further(r *request, why Status) {
-	c := &b.set.Classes[r.class]
-	able := r.risky == 0 || c.Effect != SingleShot
-	earned := b.again >= 1 || why == Moot // which reached no server, and costs none
-	if !able || !earned || len(r.attempts) >= b.set.Limits.MaxAttempts || b.now >= r.deadline {
-		if why == Full || why == Timeout {
-			b.gain(0) // errors and lost connections tell nothing of crowds
+func (b *Balancer) retryElsewhere(r *request, why Status) {
+	c := &b.settings.Classes[r.class]
+	able := r.maybeExecuted == 0 || c.Idempotency != NonIdempotent
+	earned := b.retryTokens >= 1 || why == NotSent // which reached no server, and costs none
+	if !able || !earned || len(r.attempts) >= b.settings.Limits.MaxAttempts || b.now >= r.deadline {
+		if why == Rejected || why == Timeout {
+			b.recordGoodput(0) // errors and lost connections tell nothing of crowds
 		}
-		b.end(r)
+		b.endUnserved(r)
 		return
 	}
-	if why != Moot {
-		b.again--
+	if why != NotSent {
+		b.retryTokens--
 	}
-	b.held = append(b.held, r)
+	b.pending = append(b.pending, r)
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// world plays random clients, servers and lists against one Balancer and
+// simulation plays random clients, servers and lists against one Balancer and
 // checks the rules from outside, on the actions alone.
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      Settings
-	b        *Balancer
-	now      float64
-	next     RequestID
-	reqs     map[RequestID]*worldReq
-	timers   []worldTimer
-	list     map[Addr]Entry
-	badSince map[Addr]float64 // told that it drains or is gone
-	history  []Action
+type simulation struct {
+	t             *testing.T
+	rng           *rand.Rand
+	settings      Settings
+	balancer      *Balancer
+	now           float64
+	lastID        RequestID
+	requests      map[RequestID]*simRequest
+	timers        []simTimer
+	list          map[Addr]Endpoint
+	drainingSince map[Addr]float64 // told that it drains or is gone
+	history       []Action
 }
 
-type worldTry struct {
+type simAttempt struct {
 	server Addr
 	sentAt float64
 	endsAt float64
@@ -32,134 +32,134 @@
 	ended  bool
 }
 
-type worldReq struct {
-	class    int
-	deadline float64
-	tries    []*worldTry
-	final    int
+type simRequest struct {
+	class        int
+	deadline     float64
+	attempts     []*simAttempt
+	finalAnswers int
 }
 
-type worldTimer struct {
+type simTimer struct {
 	at    float64
 	token uint32
 }
 
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rng.IntN(2) == 0
-	s.Limits.Cancelling = rng.IntN(2) == 0
-	s.Limits.Probing = rng.IntN(2) == 0
+	s.Limits.AllowParallelAttempts = rng.IntN(2) == 0
+	s.Limits.AllowCancel = rng.IntN(2) == 0
+	s.Limits.AllowProbes = rng.IntN(2) == 0
 	s.Limits.MaxAttempts = 1 + rng.IntN(5)
-	s.Classes[2].Group = []Group{GroupAll, GroupZone, GroupCell}[rng.IntN(3)]
-	s.Classes[2].KeyTTLMs = 100 + 900*rng.Float64()
+	s.Classes[2].DedupScope = []DedupScope{DedupEverywhere, DedupWithinZone, DedupWithinCell}[rng.IntN(3)]
+	s.Classes[2].DedupWindowMs = 100 + 900*rng.Float64()
 	for i := range s.Classes {
-		s.Classes[i].AimMs = 50 + 400*rng.Float64()
-		s.Classes[i].LateShare = []float64{0, 0.2}[rng.IntN(2)]
+		s.Classes[i].LatencyTargetMs = 50 + 400*rng.Float64()
+		s.Classes[i].LateValueShare = []float64{0, 0.2}[rng.IntN(2)]
 	}
 	if rng.IntN(2) == 0 {
 		s.Membership = "on_request"
 	}
 	if rng.IntN(2) == 0 {
-		s.Tenants = []Tenant{{Name: "a", Portion: 0.7}, {Name: "b", Portion: 0.3}}
-		s.OverShareWorth = 0.1
+		s.Tenants = []Tenant{{Name: "a", QuotaShare: 0.7}, {Name: "b", QuotaShare: 0.3}}
+		s.OverQuotaValue = 0.1
 	}
 	s.Clients.MarksRetry = rng.IntN(2) == 0
 	return s
 }
 
-func (w *world) apply(actions []Action) {
+func (w *simulation) apply(actions []Action) {
 	w.history = append(w.history, actions...)
 	for _, a := range actions {
-		r := w.reqs[a.Request]
+		r := w.requests[a.Request]
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			w.checkSend(r, &a)
 			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
+			st := []Status{OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
 			if st == Timeout {
-				ends = w.now + a.Ms
+				ends = w.now + a.DurationMs
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
-		case ActRefuse, ActFail:
-			if r.final++; r.final > 1 {
+			r.attempts = append(r.attempts, &simAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.DurationMs), status: st})
+		case ActionReject, ActionFail:
+			if r.finalAnswers++; r.finalAnswers > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+			if w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
-			c := w.set.Classes[r.class]
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+			c := w.settings.Classes[r.class]
+			if a.Kind == ActionReject && r.mayHaveRun() && (c.Idempotency == NonIdempotent || c.Idempotency == Deduplicated && c.DedupScope != DedupEverywhere) {
+				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Idempotency)
 			}
-		case ActCancel:
-			if !w.set.Limits.Cancelling {
+		case ActionCancel:
+			if !w.settings.Limits.AllowCancel {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
-			if try := r.tries[a.Attempt]; !try.ended {
+			if try := r.attempts[a.Attempt]; !try.ended {
 				try.status, try.endsAt = Cancelled, w.now+5
 			}
-		case ActProbe:
-			if !w.set.Limits.Probing {
+		case ActionProbe:
+			if !w.settings.Limits.AllowProbes {
 				w.t.Fatal("probed where it is not allowed")
 			}
-		case ActTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+		case ActionTimer:
+			w.timers = append(w.timers, simTimer{w.now + a.DurationMs, a.Token})
 		}
 	}
 }
 
-func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NeverRan() })
+func (r *simRequest) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(t *simAttempt) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
-func (w *world) checkSend(r *worldReq, a *Action) {
-	c := w.set.Classes[r.class]
-	if r.final > 0 || w.now > r.deadline {
+func (w *simulation) checkSend(r *simRequest, a *Action) {
+	c := w.settings.Classes[r.class]
+	if r.finalAnswers > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
 	}
-	if len(r.tries) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.tries)+1, w.set.Limits.MaxAttempts)
+	if len(r.attempts) >= w.settings.Limits.MaxAttempts {
+		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.settings.Limits.MaxAttempts)
 	}
-	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
+	if since, bad := w.drainingSince[a.Server]; bad && w.now-since > w.settings.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
-	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+	for _, t := range r.attempts {
+		if !t.ended && !w.settings.Limits.AllowParallelAttempts {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
-		if t.ended && t.status.NeverRan() {
+		if t.ended && t.status.NotExecuted() {
 			continue
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == SingleShot:
+		case c.Idempotency == NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Idempotency == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == Guarded && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
+		case c.Idempotency == Deduplicated && (c.DedupScope == DedupWithinZone && x.Zone != y.Zone || c.DedupScope == DedupWithinCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
 }
 
-func (w *world) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
+func (w *simulation) handle(ev Event) { w.apply(w.balancer.Handle(w.now, &ev, nil)) }
 
-func (w *world) step() {
-	w.now += w.set.RoundMs
+func (w *simulation) step() {
+	w.now += w.settings.RoundMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
 			i--
-			w.handle(Event{Kind: EvTimer, Token: t.token})
+			w.handle(Event{Kind: EventTimer, Token: t.token})
 		}
 	}
-	for id := RequestID(1); id <= w.next; id++ {
-		r := w.reqs[id]
+	for id := RequestID(1); id <= w.lastID; id++ {
+		r := w.requests[id]
 		if r == nil {
 			continue
 		}
 		open := false
-		for i, t := range r.tries {
+		for i, t := range r.attempts {
 			if t.ended {
 				continue
 			}
@@ -169,97 +169,97 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // a second copy's answer changes nothing
-				r.final = min(r.final, 1)
+				r.finalAnswers++ // a second copy's answer changes nothing
+				r.finalAnswers = min(r.finalAnswers, 1)
 			}
-			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
-				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
+			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
+				LatencyMs: w.now - t.sentAt, Final: r.finalAnswers > 0})
 		}
-		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+		if r.finalAnswers == 0 && w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
 			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
 		}
-		if r.final > 0 && !open && len(r.tries) > 0 && w.now > r.deadline+100 {
-			delete(w.reqs, id)
+		if r.finalAnswers > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
+			delete(w.requests, id)
 		}
 	}
 }
 
-func (w *world) changeList() {
+func (w *simulation) changeList() {
 	s := addr(w.rng.IntN(8))
-	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
-		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
+	e := Endpoint{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
+		Status: []ListedStatus{Ready, Ready, Draining, Removed}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
-		e.SinceMs = w.now - 100*w.rng.Float64()
+		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
 	w.list[s] = e
-	if e.Health == Ready {
-		delete(w.badSince, s)
-	} else if _, told := w.badSince[s]; !told {
-		w.badSince[s] = w.now
+	if e.Status == Ready {
+		delete(w.drainingSince, s)
+	} else if _, told := w.drainingSince[s]; !told {
+		w.drainingSince[s] = w.now
 	}
-	w.handle(Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(Event{Kind: EventDiscovery, Update: UpdateDelta, Endpoints: []Endpoint{e}})
 }
 
-func play(t *testing.T, seed uint64) []Action {
+func runSimulation(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*worldReq{},
-		list: map[Addr]Entry{}, badSince: map[Addr]float64{}}
+	w := &simulation{t: t, rng: rng, settings: randomSettings(rng), now: 5000, requests: map[RequestID]*simRequest{},
+		list: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 	var err error
-	if w.b, err = New(w.set, seed); err != nil {
+	if w.balancer, err = New(w.settings, seed); err != nil {
 		t.Fatal(err)
 	}
-	w.apply(w.b.Start(w.now, nil))
+	w.apply(w.balancer.Start(w.now, nil))
 	for range 10 {
 		w.changeList()
 	}
 	for i := range 1500 {
 		w.step()
 		for i < 1200 && rng.IntN(3) == 0 {
-			w.next++
+			w.lastID++
 			left := 20 + 800*rng.Float64()
-			class := rng.IntN(len(w.set.Classes))
-			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
-			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				LeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+			class := rng.IntN(len(w.settings.Classes))
+			w.requests[w.lastID] = &simRequest{class: class, deadline: w.now + left}
+			w.handle(Event{Kind: EventRequest, Request: w.lastID, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
+				RemainingMs: left, HasWorkHint: rng.IntN(2) == 0, WorkHintMs: 100 * rng.Float64(), IsRetry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
 			w.changeList()
 		case 1:
-			if r := w.reqs[w.next]; r != nil && r.final == 0 {
-				r.final = 1
-				w.handle(Event{Kind: EvDropped, Request: w.next})
+			if r := w.requests[w.lastID]; r != nil && r.finalAnswers == 0 {
+				r.finalAnswers = 1
+				w.handle(Event{Kind: EventClientGone, Request: w.lastID})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
-			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
-			w.handle(Event{Kind: EvTimer, Token: 99})
-			w.handle(Event{Kind: EvList, List: ListFailed})
+			w.handle(Event{Kind: EventAttemptEnded, Request: 1 << 30, Server: addr(1), Status: OK})
+			w.handle(Event{Kind: EventClientGone, Request: 1 << 30})
+			w.handle(Event{Kind: EventTimer, Token: 99})
+			w.handle(Event{Kind: EventDiscovery, Update: UpdateFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.held), w.b.inflight)
+	if n := len(w.balancer.requests); n != 0 || len(w.balancer.pending) != 0 || w.balancer.inFlight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.balancer.pending), w.balancer.inFlight)
 	}
-	for _, s := range w.b.servers {
-		if len(s.out) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.out))
+	for _, s := range w.balancer.servers {
+		if len(s.inFlight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.addr, len(s.inFlight))
 		}
 	}
-	if len(w.b.pasts) > maxHeld {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.pasts))
+	if len(w.balancer.unserved) > maxPending {
+		t.Errorf("seed %d: %d past requests remembered", seed, len(w.balancer.unserved))
 	}
 	return w.history
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestContractHoldsInRandomSimulations(t *testing.T) {
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSimulation(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(play(t, seed), play(t, seed)) {
+		if !reflect.DeepEqual(runSimulation(t, seed), runSimulation(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -6,31 +6,31 @@
 	"testing"
 )
 
-// smallAgents are agents of one fleet with few requests each, and settings by which a
+// newSmallAgents are agents of one fleet with few requests each, and settings by which a
 // connection has a price.
-func smallAgents(t *testing.T, agents, servers int) []*rig {
+func newSmallAgents(t *testing.T, agents, servers int) []*testAgent {
 	set := testSettings()
-	set.Replicas, set.Prices.Handshake, set.Limits.KeepaliveMs = agents, 0.08, 10000
-	var rigs []*rig
+	set.AgentCount, set.Prices.Handshake, set.Limits.KeepaliveMs = agents, 0.08, 10000
+	var rigs []*testAgent
 	for i := range agents {
-		set.Index = i
-		r := newRig(t, set, servers)
-		r.b.rng = rand.New(rand.NewPCG(uint64(i), 2))
-		r.popular = true
+		set.AgentIndex = i
+		r := newTestAgent(t, set, servers)
+		r.balancer.rng = rand.New(rand.NewPCG(uint64(i), 2))
+		r.splitKeys = true
 		rigs = append(rigs, r)
 	}
 	return rigs
 }
 
-// spend lets each agent have a request every so often, and returns where they went.
-func spend(rigs []*rig, every, until float64, rng *rand.Rand) map[Addr]int {
+// sendSteadily lets each agent have a request every so often, and returns where they went.
+func sendSteadily(rigs []*testAgent, every, until float64, rng *rand.Rand) map[Addr]int {
 	got := map[Addr]int{}
 	for _, r := range rigs {
 		end := r.now + until
 		for r.now += every * rng.Float64(); r.now < end; r.now += every {
-			id, s := r.sent(0, 1+rng.Uint64N(500))
+			id, s := r.mustSend(0, 1+rng.Uint64N(500))
 			got[s]++
-			r.outcome(id, 0, s, OK, 20)
+			r.endAttempt(id, 0, s, OK, 20)
 		}
 	}
 	return got
@@ -38,15 +38,15 @@
 
 // zone+mass: of 300 agents each earned a cold server a request in 100 s and then waited for
 // a key that was the server's own: it had warmed up before it got its share.
-func TestColdServerGetsItsShareOfManySmallAgentsAtOnce(t *testing.T) {
+func TestManySmallAgentsSpendSlowStartCreditAtOnce(t *testing.T) {
 	const servers = 60
-	rigs := smallAgents(t, 300, servers)
+	rigs := newSmallAgents(t, 300, servers)
 	rng := rand.New(rand.NewPCG(5, 5))
-	spend(rigs, 70, 2000, rng)
+	sendSteadily(rigs, 70, 2000, rng)
 	for _, r := range rigs {
-		r.list(ListDelta, Entry{Server: addr(7), Health: Ready, Weight: 1, SinceMs: 1e6 + 1990})
+		r.updateList(UpdateDelta, Endpoint{Server: addr(7), Status: Ready, Weight: 1, StartedMs: 1e6 + 1990})
 	}
-	got := spend(rigs, 70, 3000, rng)
+	got := sendSteadily(rigs, 70, 3000, rng)
 	all := 0
 	for _, n := range got {
 		all += n
@@ -60,52 +60,52 @@
 // Agents with few requests keep to few servers, all agents together to all alike.
 func TestApertureFollowsTrafficAndIsEven(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 6))
-	rigs := smallAgents(t, 300, 100)
-	got := spend(rigs, 70, 6000, rng)
+	rigs := newSmallAgents(t, 300, 100)
+	got := sendSteadily(rigs, 70, 6000, rng)
 	for i := range 100 {
 		if n := got[addr(i)]; n < 100 || n > 500 {
 			t.Errorf("server %d got %d requests, the mean is %d", i, n, 300*6000/70/100)
 		}
 	}
-	few, many := len(rigs[0].b.near), smallAgents(t, 1, 100)
+	few, many := len(rigs[0].balancer.aperture), newSmallAgents(t, 1, 100)
 	if few > 50 {
 		t.Errorf("an agent with 14 requests a second keeps to %d of 100 servers, want some 30", few)
 	}
-	if spend(many, 4, 6000, rng); len(many[0].b.near) < 75 {
-		t.Errorf("an agent with 250 requests a second keeps to %d of 100 servers, want most", len(many[0].b.near))
+	if sendSteadily(many, 4, 6000, rng); len(many[0].balancer.aperture) < 75 {
+		t.Errorf("an agent with 250 requests a second keeps to %d of 100 servers, want most", len(many[0].balancer.aperture))
 	}
-	kept := slices.Clone(rigs[0].b.near)
-	rigs[0].list(ListDelta, Entry{Server: addr(200), Health: Ready, Weight: 1})
+	kept := slices.Clone(rigs[0].balancer.aperture)
+	rigs[0].updateList(UpdateDelta, Endpoint{Server: addr(200), Status: Ready, Weight: 1})
 	for _, s := range kept {
-		if !slices.Contains(rigs[0].b.near, s) && len(rigs[0].b.near) >= len(kept) {
-			t.Errorf("a new server took %v's place", s.id)
+		if !slices.Contains(rigs[0].balancer.aperture, s) && len(rigs[0].balancer.aperture) >= len(kept) {
+			t.Errorf("a new server took %v's place", s.addr)
 		}
 	}
 }
 
 // An aperture without a healthy server is no reason to fail: the request goes elsewhere.
-func TestLostApertureIsLeft(t *testing.T) {
-	r := smallAgents(t, 300, 100)[0]
-	spend([]*rig{r}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
-	for _, s := range r.b.near {
-		r.b.demote(s, true)
+func TestRequestLeavesAnUnhealthyAperture(t *testing.T) {
+	r := newSmallAgents(t, 300, 100)[0]
+	sendSteadily([]*testAgent{r}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
+	for _, s := range r.balancer.aperture {
+		r.balancer.eject(s, true)
 	}
-	if _, s := r.sent(0, 5); r.b.byAddr[s].near {
+	if _, s := r.mustSend(0, 5); r.balancer.serverByAddr[s].inAperture {
 		t.Errorf("sent to %v of an aperture that is lost", s)
 	}
 }
 
 // Nor is one of cold servers alone: they may not be sent all that an agent has.
-func TestColdApertureIsLeft(t *testing.T) {
-	r := smallAgents(t, 300, 100)[0]
-	spend([]*rig{r}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
-	var started []Entry
-	for _, s := range r.b.near {
-		started = append(started, Entry{Server: s.id, Health: Ready, Weight: 1, SinceMs: r.now})
-	}
-	r.list(ListDelta, started...)
+func TestRequestLeavesAWarmingUpAperture(t *testing.T) {
+	r := newSmallAgents(t, 300, 100)[0]
+	sendSteadily([]*testAgent{r}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
+	var started []Endpoint
+	for _, s := range r.balancer.aperture {
+		started = append(started, Endpoint{Server: s.addr, Status: Ready, Weight: 1, StartedMs: r.now})
+	}
+	r.updateList(UpdateDelta, started...)
 	for range 20 { // which all stay out
-		if _, s := r.sent(0, 0); r.b.ramp(r.b.byAddr[s]) < 1 && r.b.byAddr[s].credit < -1 {
+		if _, s := r.mustSend(0, 0); r.balancer.slowStartFactor(r.balancer.serverByAddr[s]) < 1 && r.balancer.serverByAddr[s].slowStartCredit < -1 {
 			t.Errorf("a cold server got more than its credit")
 		}
 	}
@@ -116,34 +116,34 @@
 	set := testSettings()
 	for _, c := range []struct{ price, keep float64 }{{0, 10000}, {0.08, 0}} {
 		set.Prices.Handshake, set.Limits.KeepaliveMs = c.price, c.keep
-		r := newRig(t, set, 100)
-		spend([]*rig{r}, 500, 6000, rand.New(rand.NewPCG(9, 9)))
-		if len(r.b.near) != 100 {
-			t.Errorf("price %v and keepalive %v: keeps to %d of 100", c.price, c.keep, len(r.b.near))
+		r := newTestAgent(t, set, 100)
+		sendSteadily([]*testAgent{r}, 500, 6000, rand.New(rand.NewPCG(9, 9)))
+		if len(r.balancer.aperture) != 100 {
+			t.Errorf("price %v and keepalive %v: keeps to %d of 100", c.price, c.keep, len(r.balancer.aperture))
 		}
 	}
 }
 
 // On a large fleet the sample for a key is the same at all agents, and each server is in
 // as many samples as the next.
-func TestSampleOfALargeFleet(t *testing.T) {
-	a, b := newRig(t, testSettings(), 1000), newRig(t, testSettings(), 1000)
+func TestSubsetOfALargeFleet(t *testing.T) {
+	a, b := newTestAgent(t, testSettings(), 1000), newTestAgent(t, testSettings(), 1000)
 	count := map[Addr]int{}
 	for key := range uint64(4000) {
-		req := &request{key: key + 1, spot: key + 1}
-		x, y := a.b.window(req, a.b.near), b.b.window(req, b.b.near)
-		if len(x) != tierSample {
-			t.Fatalf("a sample of %d, want %d", len(x), tierSample)
+		req := &request{key: key + 1, hashKey: key + 1}
+		x, y := a.balancer.subsetFor(req, a.balancer.aperture), b.balancer.subsetFor(req, b.balancer.aperture)
+		if len(x) != subsetSize {
+			t.Fatalf("a sample of %d, want %d", len(x), subsetSize)
 		}
 		for i, s := range x {
-			if s.id != y[i].id {
+			if s.addr != y[i].addr {
 				t.Fatalf("key %d: agents sample differently", key)
 			}
-			count[s.id]++
+			count[s.addr]++
 		}
 	}
 	for id, n := range count {
-		if mean := 4000 * tierSample / 1000; n < mean/2 || n > 2*mean {
+		if mean := 4000 * subsetSize / 1000; n < mean/2 || n > 2*mean {
 			t.Errorf("server %v is in %d samples, the mean is %d", id, n, mean)
 		}
 	}
@@ -151,56 +151,56 @@
 
 // What the survey counts once is what counting anew would tell, through all that changes it.
 func TestSurveyIsCurrent(t *testing.T) {
-	r := newRig(t, testSettings(), 30)
+	r := newTestAgent(t, testSettings(), 30)
 	rng := rand.New(rand.NewPCG(4, 4))
 	for step := range 3000 {
 		r.now += 20 * rng.Float64()
 		switch s := addr(rng.IntN(35)); rng.IntN(12) {
 		case 0:
-			r.list(ListDelta, Entry{Server: s, Health: Health(rng.IntN(3)), Weight: 1 + rng.Float64(), SinceMs: r.now})
+			r.updateList(UpdateDelta, Endpoint{Server: s, Status: ListedStatus(rng.IntN(3)), Weight: 1 + rng.Float64(), StartedMs: r.now})
 		default:
-			id, actions := r.ask(0, 1+rng.Uint64N(99))
-			if a := find(actions, ActSend); a != nil {
+			id, actions := r.request(0, 1+rng.Uint64N(99))
+			if a := findAction(actions, ActionSend); a != nil {
 				r.now += 5
-				r.outcome(id, 0, a.Server, []Status{OK, OK, OK, Error, ConnectFailed}[rng.IntN(5)], 5)
+				r.endAttempt(id, 0, a.Server, []Status{OK, OK, OK, Error, ConnectFailed}[rng.IntN(5)], 5)
 			}
 		}
 		ill, warm, all := 0, 0.0, 0.0
-		for _, s := range r.b.servers {
+		for _, s := range r.balancer.servers {
 			if s.state > Unknown {
 				ill++
 			}
-			if s.usable && s.state <= Unknown && r.b.ramp(s) == 1 {
+			if s.ready && s.state <= Unknown && r.balancer.slowStartFactor(s) == 1 {
 				warm += s.weight
 			}
-			if s.usable && s.state < Unhealthy {
-				all += s.weight * r.b.ramp(s)
+			if s.ready && s.state < Unhealthy {
+				all += s.weight * r.balancer.slowStartFactor(s)
 			}
 		}
-		r.b.capAt = 0
-		if gotWarm, gotAll := r.b.warmWeight(), r.b.capacity(); len(r.b.ill) != ill ||
+		r.balancer.capacityAt = 0
+		if gotWarm, gotAll := r.balancer.currentWarmWeight(), r.balancer.currentCapacity(); len(r.balancer.unhealthy) != ill ||
 			max(gotWarm-warm, warm-gotWarm, gotAll-all, all-gotAll) > 1e-6 {
 			t.Fatalf("step %d: %d ill, %.3f warm, %.3f in all; counted anew %d, %.3f, %.3f", step,
-				len(r.b.ill), gotWarm, gotAll, ill, warm, all)
+				len(r.balancer.unhealthy), gotWarm, gotAll, ill, warm, all)
 		}
 	}
 }
 
 // join+mass: clients that came again and again for what was refused were let in at last, each
 // of them, and their refusals were taken for requests served late.
-func TestPushyClientsAreNotLetInByComingAgain(t *testing.T) {
-	r := newRig(t, testSettings(), 10)
-	r.b.demand, r.b.admitted = 2*r.b.capacity(), 1 // room for less than half
-	in, before := 0, r.b.tried
+func TestRepeatedRetriesDoNotPassAdmission(t *testing.T) {
+	r := newTestAgent(t, testSettings(), 10)
+	r.balancer.demand, r.balancer.admittedShare = 2*r.balancer.currentCapacity(), 1 // room for less than half
+	in, before := 0, r.balancer.attempted
 	for client := range uint64(300) {
 		for try := range 8 {
 			r.now++
-			r.id++
-			id := r.id
-			ev := Event{Kind: EvRequest, Request: id, Class: 0, Key: 1 + client, LeftMs: 600, Retry: try > 0}
-			if a := find(r.do(ev), ActSend); a != nil {
+			r.lastID++
+			id := r.lastID
+			ev := Event{Kind: EventRequest, Request: id, Class: 0, Key: 1 + client, RemainingMs: 600, IsRetry: try > 0}
+			if a := findAction(r.handle(ev), ActionSend); a != nil {
 				in++
-				r.outcome(id, 0, a.Server, Cancelled, 1)
+				r.endAttempt(id, 0, a.Server, Cancelled, 1)
 				break
 			}
 		}
@@ -208,14 +208,14 @@
 	if in > 250 || in < 150 { // with luck drawn anew for each of eight tries nearly all
 		t.Errorf("%d of 300 clients were let in by coming again, want as many as two tries let in", in)
 	}
-	if r.b.shed() > 0 || before == 0 {
-		t.Errorf("refusals for want of room were taken for a crowd: shed %.2f", r.b.shed())
+	if r.balancer.sheddingShare() > 0 || before == 0 {
+		t.Errorf("refusals for want of room were taken for a crowd: shed %.2f", r.balancer.sheddingShare())
 	}
 }
 
 // join+mass: where half of what came was refused the cold servers that were to take over
 // earned half, and the warm ones choked. A client that comes again earns nothing more.
-func TestRefusalsTakeNothingFromColdServers(t *testing.T) {
+func TestRejectionsAccrueSlowStartCredit(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		retry, marked bool
@@ -230,21 +230,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.Clients.MarksRetry = c.marked
-			r := newRig(t, set, 10)
-			r.list(ListDelta, Entry{Server: addr(10), Health: Ready, Weight: 1, SinceMs: r.now})
-			cold := r.b.byAddr[addr(10)]
+			r := newTestAgent(t, set, 10)
+			r.updateList(UpdateDelta, Endpoint{Server: addr(10), Status: Ready, Weight: 1, StartedMs: r.now})
+			cold := r.balancer.serverByAddr[addr(10)]
 			earned, share := 0.0, 0.0
 			for range 400 {
 				r.now++
-				r.b.demand, r.b.admitted = c.demand*r.b.capacity(), 1
-				cold.credit = 0
-				id, ask := r.id+1, Event{Kind: EvRequest, Request: r.id + 1, Class: 1, LeftMs: 600, Retry: c.retry}
-				r.id++
-				if a := find(r.do(ask), ActSend); a != nil {
-					r.outcome(id, 0, a.Server, OK, 5)
+				r.balancer.demand, r.balancer.admittedShare = c.demand*r.balancer.currentCapacity(), 1
+				cold.slowStartCredit = 0
+				id, ask := r.lastID+1, Event{Kind: EventRequest, Request: r.lastID + 1, Class: 1, RemainingMs: 600, IsRetry: c.retry}
+				r.lastID++
+				if a := findAction(r.handle(ask), ActionSend); a != nil {
+					r.endAttempt(id, 0, a.Server, OK, 5)
 				}
-				earned += cold.credit
-				share += r.b.ramp(cold) / r.b.peak * set.Contract.FallMultiple / coldMargin
+				earned += cold.slowStartCredit
+				share += r.balancer.slowStartFactor(cold) / r.balancer.peakCapacity * set.Contract.CollapseLoadFactor / slowStartLoadMargin
 			}
 			if part := earned / share; part < c.least || part > c.most {
 				t.Errorf("earned %.2f of its share of what came, want %.2f to %.2f", part, c.least, c.most)
@@ -255,42 +255,42 @@
 
 // An agent that refuses more than the others do by now gets back to them by the room that its
 // probes see; by its own refusals alone it took that room for its doing.
-func TestWhoRefusesMoreThanOthersComesBack(t *testing.T) {
-	r := loadedRig(t, 0.7)
-	if refused := r.refusedOf(200); refused > 0 {
+func TestAdmissionRecoversWithTheFleet(t *testing.T) {
+	r := newLoadedAgent(t, 0.7)
+	if refused := r.countRejected(200); refused > 0 {
 		t.Fatalf("%d of 200 refused at 0.7 of the capacity", refused)
 	}
-	r.b.admitted, r.b.demand = 0.3, 0.92*r.b.capacity()/0.3
-	s := r.b.servers[0]
-	for range int(4 * busyMemory) {
-		r.b.admitted = r.b.admission()
-		r.b.busy(s, []float32{1, 0.7}) // the others serve all that comes
+	r.balancer.admittedShare, r.balancer.demand = 0.3, 0.92*r.balancer.currentCapacity()/0.3
+	s := r.balancer.servers[0]
+	for range int(4 * utilizationWindow) {
+		r.balancer.admittedShare = r.balancer.admissionShare()
+		r.balancer.recordUtilization(s, []float32{1, 0.7}) // the others serve all that comes
 	}
-	if a := r.b.admission(); a < 0.97 {
-		t.Errorf("lets in %.2f after %d probes that saw room for all", a, int(4*busyMemory))
+	if a := r.balancer.admissionShare(); a < 0.97 {
+		t.Errorf("lets in %.2f after %d probes that saw room for all", a, int(4*utilizationWindow))
 	}
 }
 
 // The load is that of the warm servers: a cold one gets no more than its credit, and idle
 // cold servers made an agent take crowded warm ones for half full.
-func TestColdServersAreNoSampleOfTheLoad(t *testing.T) {
+func TestWarmingUpServersAreNoLoadSample(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
-	set.Report = Report{How: "on_probe", Names: []string{"util"}}
-	r := newRig(t, set, 4)
+	set.Limits.AllowProbes = true
+	set.LoadReport = LoadReport{Mode: "on_probe", Metrics: []string{"util"}}
+	r := newTestAgent(t, set, 4)
 	for i := range 6 {
-		r.list(ListDelta, Entry{Server: addr(4 + i), Health: Ready, Weight: 1, SinceMs: r.now - 7000})
+		r.updateList(UpdateDelta, Endpoint{Server: addr(4 + i), Status: Ready, Weight: 1, StartedMs: r.now - 7000})
 	}
 	probed := 0
 	for range 2000 {
 		r.now++
-		_, actions := r.ask(0, 0)
-		if a := find(actions, ActProbe); a != nil {
+		_, actions := r.request(0, 0)
+		if a := findAction(actions, ActionProbe); a != nil {
 			probed++
-			if r.b.ramp(r.b.byAddr[a.Server]) < 1 {
+			if r.balancer.slowStartFactor(r.balancer.serverByAddr[a.Server]) < 1 {
 				t.Fatalf("a cold server was sampled")
 			}
-			r.do(Event{Kind: EvProbed, Server: a.Server, Status: OK, LatencyMs: 1, Report: []float32{0.5}})
+			r.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1, LoadReport: []float32{0.5}})
 		}
 	}
 	if probed < 20 {
@@ -300,7 +300,7 @@
 
 // join+mass: clients that came again near their end had their requests time out after 60 to
 // 100 ms, and each of these put out a server that had done nothing wrong, and its zone.
-func TestTimeOutsOfTheImpatientPutNoServerOut(t *testing.T) {
+func TestShortTimeoutsEjectNoServer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		left    float64 // times the usual answer time, 20 ms
@@ -311,27 +311,27 @@
 		{"much more", 10, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testSettings(), 10)
+			r := newTestAgent(t, testSettings(), 10)
 			for range 400 {
 				r.now += 5
-				id, actions := r.ask(0, r.b.rng.Uint64())
-				if a := find(actions, ActSend); a != nil {
+				id, actions := r.request(0, r.balancer.rng.Uint64())
+				if a := findAction(actions, ActionSend); a != nil {
 					r.now += 20
-					r.outcome(id, 0, a.Server, OK, 20)
+					r.endAttempt(id, 0, a.Server, OK, 20)
 				}
 			}
 			ill := 0
 			for range c.tries {
-				r.id++
-				left := c.left * r.b.expect[0]
-				a := find(r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, LeftMs: left}), ActSend)
+				r.lastID++
+				left := c.left * r.balancer.expectedLatency[0]
+				a := findAction(r.handle(Event{Kind: EventRequest, Request: r.lastID, Class: 0, RemainingMs: left}), ActionSend)
 				if a == nil {
 					t.Fatal("not sent")
 				}
 				r.now += left
-				r.outcome(r.id, 0, a.Server, Timeout, left)
+				r.endAttempt(r.lastID, 0, a.Server, Timeout, left)
 			}
-			for _, s := range r.b.servers {
+			for _, s := range r.balancer.servers {
 				if s.state > Unknown {
 					ill++
 				}
@@ -345,20 +345,20 @@
 
 // A request that has no time for an answer is refused at once and costs no server anything,
 // and while much is refused one that has hardly the time.
-func TestNoTimeLeftIsRefusedAtOnce(t *testing.T) {
-	r := loadedRig(t, 0.7)
-	usual := r.b.expect[1]
+func TestRequestWithoutTimeIsRejectedAtOnce(t *testing.T) {
+	r := newLoadedAgent(t, 0.7)
+	usual := r.balancer.expectedLatency[1]
 	for _, c := range []struct {
 		times, demand float64
 		sent          bool
 	}{{0.8, 0.5, false}, {1.4, 0.5, true}, {1.4, 3, false}} {
-		r.b.demand = c.demand * r.b.capacity()
+		r.balancer.demand = c.demand * r.balancer.currentCapacity()
 		sent := false
 		for range 60 { // some are refused for want of room
-			r.id++
-			a := find(r.do(Event{Kind: EvRequest, Request: r.id, Class: 1, LeftMs: c.times*usual + 5}), ActSend)
+			r.lastID++
+			a := findAction(r.handle(Event{Kind: EventRequest, Request: r.lastID, Class: 1, RemainingMs: c.times*usual + 5}), ActionSend)
 			if sent = sent || a != nil; a != nil {
-				r.outcome(r.id, 0, a.Server, Cancelled, 1)
+				r.endAttempt(r.lastID, 0, a.Server, Cancelled, 1)
 			}
 		}
 		if sent != c.sent {
@@ -369,33 +369,33 @@
 
 // A server that is met crowded again and again gets more than every second turn to recover;
 // one that answers in time has none of that left.
-func TestRestGrowsWhileAServerStaysCrowded(t *testing.T) {
+func TestPauseGrowsWhileAServerStaysOverloaded(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 300
-	r := newRig(t, set, 4)
-	r.b.gap = 10
-	s := r.b.servers[0]
+	set.AgentCount = 300
+	r := newTestAgent(t, set, 4)
+	r.balancer.sendInterval = 10
+	s := r.balancer.servers[0]
 	var rests []float64
 	for range 6 {
-		r.b.now = r.now
-		r.b.rest(s)
-		rests = append(rests, s.restUntil-r.now)
+		r.balancer.now = r.now
+		r.balancer.pause(s)
+		rests = append(rests, s.pausedUntil-r.now)
 	}
-	turn := r.b.gap * 4
+	turn := r.balancer.sendInterval * 4
 	if rests[0] > 1.5*turn || rests[3] < 4*turn || rests[5] > 1.5*16*turn {
 		t.Errorf("rests of %.0f, a turn is %.0f", rests, turn)
 	}
 	for range 5 {
-		r.b.served(&attempt{r: &request{aimAt: r.now + 100}, s: s, sentAt: r.now}, &Event{Status: OK, LatencyMs: 5})
+		r.balancer.onServed(&attempt{request: &request{targetAt: r.now + 100}, server: s, sentAt: r.now}, &Event{Status: OK, LatencyMs: 5})
 	}
-	if s.crowds != 0 {
-		t.Errorf("still counts as crowded %d times in a row", s.crowds)
+	if s.overloadStreak != 0 {
+		t.Errorf("still counts as crowded %d times in a row", s.overloadStreak)
 	}
-	few := newRig(t, testSettings(), 4)
+	few := newTestAgent(t, testSettings(), 4)
 	for range 6 {
-		few.b.rest(few.b.servers[0])
+		few.balancer.pause(few.balancer.servers[0])
 	}
-	if n := few.b.servers[0].crowds; n != 0 {
+	if n := few.balancer.servers[0].overloadStreak; n != 0 {
 		t.Errorf("one of 3 agents doubles rests %d times", n)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,18 +10,18 @@
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.AimMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("aimMs"), c.AimMs)
-		case !(c.GiveUpMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("giveUpMs"), c.GiveUpMs)
-		case !(c.Credit >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.Credit)
-		case c.Effect != Free && c.Effect != Guarded && c.Effect != SingleShot:
-			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Guarded && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
-			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Guarded && !(c.KeyTTLMs >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.KeyTTLMs)
+		case !(c.LatencyTargetMs > 0):
+			return fmt.Errorf("%s: must be above 0, is %v", at("aimMs"), c.LatencyTargetMs)
+		case !(c.ClientTimeoutMs > 0):
+			return fmt.Errorf("%s: must be above 0, is %v", at("giveUpMs"), c.ClientTimeoutMs)
+		case !(c.Value >= 0):
+			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.Value)
+		case c.Idempotency != Idempotent && c.Idempotency != Deduplicated && c.Idempotency != NonIdempotent:
+			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Idempotency)
+		case c.Idempotency == Deduplicated && c.DedupScope != DedupEverywhere && c.DedupScope != DedupWithinZone && c.DedupScope != DedupWithinCell:
+			return fmt.Errorf("%s: unknown group %q", at("group"), c.DedupScope)
+		case c.Idempotency == Deduplicated && !(c.DedupWindowMs >= 0):
+			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.DedupWindowMs)
 		}
 	}
 	if s.Membership != "pushed" && s.Membership != "on_request" {
@@ -31,16 +31,16 @@
 		key   string
 		value float64
 	}{
-		{"contract.answerSlackMs", s.Contract.AnswerSlackMs},
-		{"contract.askWithinMs", s.Contract.AskWithinMs},
-		{"contract.coldFrom", s.Contract.ColdFrom},
-		{"contract.coldMs", s.Contract.ColdMs},
+		{"contract.answerSlackMs", s.Contract.ResponseGraceMs},
+		{"contract.askWithinMs", s.Contract.DiscoveryDeadlineMs},
+		{"contract.coldFrom", s.Contract.SlowStartFloor},
+		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
-		{"contract.fallMultiple", s.Contract.FallMultiple},
-		{"contract.tipAfterMs", s.Contract.TipAfterMs},
+		{"contract.fallMultiple", s.Contract.CollapseLoadFactor},
+		{"contract.tipAfterMs", s.Contract.CollapseAfterMs},
 		{"limits.maxAttempts", float64(s.Limits.MaxAttempts)},
 		{"limits.maxRetryAfterMs", s.Limits.MaxRetryAfterMs},
-		{"replicasOfMe", float64(s.Replicas)},
+		{"replicasOfMe", float64(s.AgentCount)},
 		{"roundMs", s.RoundMs},
 	} {
 		if !(f.value >= 0) {
--- a/policy/verdicts.go
+++ b/policy/verdicts.go
@@ -8,208 +8,210 @@
 
 // This file holds what outcomes and probes say about servers, and what follows from it.
 
-func (b *Balancer) onOutcome(ev *Event) {
+func (b *Balancer) onAttemptEnded(ev *Event) {
 	r := b.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	s := a.s
-	a.done = true
-	r.open--
-	b.inflight--
-	if i := slices.Index(s.out, a); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
+	s := a.server
+	a.ended = true
+	r.inFlight--
+	b.inFlight--
+	if i := slices.Index(s.inFlight, a); i >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
-	if ev.Status.NeverRan() {
-		r.risky--
+	if ev.Status.NotExecuted() {
+		r.maybeExecuted--
 	}
-	r.wrote = r.wrote || ev.Status != ConnectFailed && ev.Status != Moot
-	b.judge(a, ev)
-	if r.closed || ev.Final || ev.Status == OK {
-		b.close(r)
+	r.reachedServer = r.reachedServer || ev.Status != ConnectFailed && ev.Status != NotSent
+	b.observeAttempt(a, ev)
+	if r.finished || ev.Final || ev.Status == OK {
+		b.finish(r)
 	} else {
-		b.further(r, ev.Status)
+		b.retryElsewhere(r, ev.Status)
 	}
 }
 
-// judge takes what an attempt's end says about its server.
-func (b *Balancer) judge(a *attempt, ev *Event) {
-	s := a.s
+// observeAttempt takes what an attempt's end says about its server.
+func (b *Balancer) observeAttempt(a *attempt, ev *Event) {
+	s := a.server
 	switch ev.Status {
 	case OK:
-		b.fails(s, 0)
-		b.served(a, ev)
+		b.recordFailureRate(s, 0)
+		b.onServed(a, ev)
 	case Error, Reset:
-		b.fails(s, 1)
-		s.heard = b.now
-		b.demote(s, false)
+		b.recordFailureRate(s, 1)
+		s.lastResponseAt = b.now
+		b.eject(s, false)
 	case ConnectFailed:
 		// One that says no is there; one that lets the connect run out is not.
-		b.fails(s, 1)
-		s.silentFrom = a.sentAt
-		b.demote(s, ev.LatencyMs >= b.set.Limits.ConnectTimeoutMs)
-		if s.lostAt == 0 {
-			s.lostAt = b.now
+		b.recordFailureRate(s, 1)
+		s.timedOutFrom = a.sentAt
+		b.eject(s, ev.LatencyMs >= b.settings.Limits.ConnectTimeoutMs)
+		if s.unreachableSince == 0 {
+			s.unreachableSince = b.now
 		}
 	case Timeout:
 		// A server that answered others meanwhile is not to blame for a costly
 		// request; it counts as slow. One that was given less time than answers take is not
 		// to blame at all: clients that come again near their end would put out whole zones.
-		if ev.LatencyMs < b.expect[a.r.class] {
+		if ev.LatencyMs < b.expectedLatency[a.request.class] {
 			break
 		}
-		b.rest(s)
-		if s.heard > a.sentAt {
-			b.learn(s, b.partOfAim(a.r, ev.LatencyMs))
-		} else if ev.LatencyMs >= min(silence*b.expect[a.r.class], b.set.Classes[a.r.class].AimMs) {
-			s.silentFrom = a.sentAt
-			b.demote(s, true)
+		b.pause(s)
+		if s.lastResponseAt > a.sentAt {
+			b.recordLatency(s, b.relativeLatency(a.request, ev.LatencyMs))
+		} else if ev.LatencyMs >= min(timeoutLatencyFactor*b.expectedLatency[a.request.class], b.settings.Classes[a.request.class].LatencyTargetMs) {
+			s.timedOutFrom = a.sentAt
+			b.eject(s, true)
 		}
-	case Full:
-		s.heard = b.now
-		b.cut(s, 0.7, 1)
-		b.rest(s)
+	case Rejected:
+		s.lastResponseAt = b.now
+		b.reduceConcurrency(s, 0.7, 1)
+		b.pause(s)
 	}
 }
 
-// weighZone moves the own zone's weight up while the part of what is sent there and not
+// adjustLocalWeight moves the own zone's weight up while the part of what is sent there and not
 // served in time is under the price of crossing, and down while it is above: one zone may
 // have more traffic than its servers can carry.
-func (b *Balancer) weighZone(s *server, missed bool) {
-	if s.zone != b.set.Zone {
+func (b *Balancer) adjustLocalWeight(s *server, missed bool) {
+	if s.zone != b.settings.Zone {
 		return
 	}
-	x := b.set.Prices.CrossZone
+	x := b.settings.Prices.CrossZone
 	if missed {
 		x--
 	}
-	b.own = min(max(b.own*(1+ownStep*x), ownLeast), ownMost)
+	b.localWeight = min(max(b.localWeight*(1+localWeightStep*x), localWeightMin), localWeightMax)
 }
 
-// crowded tells whether a server reports well more requests than the mean of the others:
+// reportsOverload tells whether a server reports well more requests than the mean of the others:
 // the cap by what all agents have in flight there.
-func (b *Balancer) crowded(s *server, report []float32) bool {
-	x, ok := b.reported(report, "inflight")
+func (b *Balancer) reportsOverload(s *server, report []float32) bool {
+	x, ok := b.reportedMetric(report, "inflight")
 	if !ok {
 		return false
 	}
 	x /= s.weight
-	b.load = mean(b.load, x, 4*slowSmooth)
-	return x > loadFactor*b.load+1
+	b.meanReported = movingMean(b.meanReported, x, 4*fleetMeanWeight)
+	return x > overloadInFlightFactor*b.meanReported+1
 }
 
-// rest lets a crowded server miss about one turn of this agent. One that sees it twice a
+// pause lets a crowded server miss about one turn of this agent. One that sees it twice a
 // minute cannot follow its crowd by window; but all agents together send it less by the
 // part of them that met it crowded. Each time in a row doubles the turns, or the queue of one
 // that turned slower under its crowd would stay. Of few agents each follows by its window, and
 // a rest would leave the server idle: up to 15 double nothing.
-func (b *Balancer) rest(s *server) {
-	b.weighZone(s, true)
-	turns := b.gap * float64(len(b.near)) * float64(int(1)<<s.crowds)
-	s.restUntil = b.now + min(turns, b.set.Contract.ColdMs)*(0.5+b.rng.Float64())
-	s.crowds = min(s.crowds+1, crowdsMost, max(bits.Len(uint(b.set.Replicas))-4, 0))
+func (b *Balancer) pause(s *server) {
+	b.adjustLocalWeight(s, true)
+	turns := b.sendInterval * float64(len(b.aperture)) * float64(int(1)<<s.overloadStreak)
+	s.pausedUntil = b.now + min(turns, b.settings.Contract.SlowStartMs)*(0.5+b.rng.Float64())
+	s.overloadStreak = min(s.overloadStreak+1, maxOverloadStreak, max(bits.Len(uint(b.settings.AgentCount))-4, 0))
 }
 
-func (b *Balancer) served(a *attempt, ev *Event) {
-	s, r, rtt := a.s, a.r, ev.LatencyMs
-	b.again = min(b.again+againShare, againMost)
-	b.heardFrom(s)
-	s.rtt = mean(s.rtt, rtt, smooth)
-	c := &b.set.Classes[r.class]
-	b.expect[r.class] = mean(b.expect[r.class], min(rtt, 2*c.AimMs), 4*slowSmooth)
+func (b *Balancer) onServed(a *attempt, ev *Event) {
+	s, r, rtt := a.server, a.request, ev.LatencyMs
+	b.retryTokens = min(b.retryTokens+retryBudgetRatio, retryBudgetMax)
+	b.onResponse(s)
+	s.meanLatencyMs = movingMean(s.meanLatencyMs, rtt, serverMeanWeight)
+	c := &b.settings.Classes[r.class]
+	b.expectedLatency[r.class] = movingMean(b.expectedLatency[r.class], min(rtt, 2*c.LatencyTargetMs), 4*fleetMeanWeight)
 	gain := 0.0
-	if b.now <= r.aimAt {
-		b.weighZone(s, false)
-		b.won[r.class] += 1 - fade
+	if b.now <= r.targetAt {
+		b.adjustLocalWeight(s, false)
+		b.classOnTime[r.class] += 1 - mixDecay
 		gain = 1
 	}
-	if !r.closed {
-		b.gain(gain)
+	if !r.finished {
+		b.recordGoodput(gain)
 	}
-	x := b.partOfAim(r, rtt)
-	b.answers++
-	b.fleetLat = mean(b.fleetLat, x, max(slowSmooth, 1/b.answers))
+	x := b.relativeLatency(r, rtt)
+	b.responses++
+	b.fleetLatency = movingMean(b.fleetLatency, x, max(fleetMeanWeight, 1/b.responses))
 	switch {
-	case b.answers <= learnFor:
+	case b.responses <= baselineResponses:
 		// One quick answer must not set the measure, nor a crowd at the start.
-		b.calmLat = min(b.fleetLat, crowdShare/2)
-	case b.fleetLat < b.calmLat:
-		b.calmLat = mean(b.calmLat, b.fleetLat, slowSmooth)
+		b.baselineLatency = min(b.fleetLatency, overloadTargetShare/2)
+	case b.fleetLatency < b.baselineLatency:
+		b.baselineLatency = movingMean(b.baselineLatency, b.fleetLatency, fleetMeanWeight)
 	default:
 		// Hardly, or a crowd would become the measure; an attempt that was alone of its agent
 		// tells the more the fewer agents there are, as those see most of the load.
-		rise := slowSmooth / 250
-		if a.alone {
-			rise = slowSmooth / min(2*math.Pow(float64(max(b.set.Replicas, 1)), 3), 250)
+		rise := fleetMeanWeight / 250
+		if a.soleInFlight {
+			rise = fleetMeanWeight / min(2*math.Pow(float64(max(b.settings.AgentCount, 1)), 3), 250)
 		}
-		b.calmLat = mean(b.calmLat, b.fleetLat, rise)
+		b.baselineLatency = movingMean(b.baselineLatency, b.fleetLatency, rise)
 	}
-	b.learn(s, x)
-	if late := b.now > r.aimAt; b.crowded(s, ev.Report) || late {
-		b.rest(s)
+	b.recordLatency(s, x)
+	if late := b.now > r.targetAt; b.reportsOverload(s, ev.LoadReport) || late {
+		b.pause(s)
 	} else {
-		s.crowds = max(s.crowds-1, 0)
+		s.overloadStreak = max(s.overloadStreak-1, 0)
 	}
-	limit := b.limit(s)
-	counts, changed := s.Served(a.sentAt, b.now)
+	limit := b.overloadLatency(s)
+	counts, changed := s.RecordSuccess(a.sentAt, b.now)
 	if !counts {
 		return
 	}
 	if changed {
-		b.epoch++
+		b.generation++
 	}
 	switch {
-	case s.lat > limit && b.now-s.cutAt > rtt:
+	case s.latency > limit && b.now-s.limitReducedAt > rtt:
 		least := 1.0
-		if s.lat > tipFactor*limit {
-			least = leastWindow
+		if s.latency > severeOverloadFactor*limit {
+			least = minConcurrency
 		}
-		b.cut(s, 0.85, least)
-	case s.lat < limit && float64(len(s.out)+2) > s.window && b.answers > learnFor:
-		s.window += min(1/s.window, s.window)
+		b.reduceConcurrency(s, 0.85, least)
+	case s.latency < limit && float64(len(s.inFlight)+2) > s.concurrencyLimit && b.responses > baselineResponses:
+		s.concurrencyLimit += min(1/s.concurrencyLimit, s.concurrencyLimit)
 	}
 }
 
-// limit is the mean answer time, as a part of the aim, from which a server counts as
+// overloadLatency is the mean answer time, as a part of the aim, from which a server counts as
 // crowded. A few agents see most of the load, and need not fear to crowd a server that
 // answers well within the aim. A cold server is slow before it is crowded.
-func (b *Balancer) limit(s *server) float64 {
-	least := 2 * crowdShare / (2 + float64(b.set.Replicas))
-	return min(crowdShare, max(crowdFactor*b.calmLat, least)) / b.ramp(s)
+func (b *Balancer) overloadLatency(s *server) float64 {
+	least := 2 * overloadTargetShare / (2 + float64(b.settings.AgentCount))
+	return min(overloadTargetShare, max(overloadBaselineFactor*b.baselineLatency, least)) / b.slowStartFactor(s)
 }
 
-// heardFrom notes an answer. A server that no connect reached for long may be a new
+// onResponse notes an answer. A server that no connect reached for long may be a new
 // process, cold and not yet listed as such: it is ramped as if it had started now. Quick
 // answers do not clear it: a cold server is quick while it has little.
-func (b *Balancer) heardFrom(s *server) {
-	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.TipAfterMs {
-		s.startedAt, s.window, s.credit = b.now, 1, 0
-		b.epoch++
+func (b *Balancer) onResponse(s *server) {
+	if s.unreachableSince > 0 && b.now-s.unreachableSince > b.settings.Contract.CollapseAfterMs {
+		s.assumedStartAt, s.concurrencyLimit, s.slowStartCredit = b.now, 1, 0
+		b.generation++
 	}
-	s.heard, s.lostAt = b.now, 0
-	if s.suspect {
-		b.clearZone(s.zone)
+	s.lastResponseAt, s.unreachableSince = b.now, 0
+	if s.zoneSuspected {
+		b.clearZoneSuspicion(s.zone)
 	}
 }
 
-// stray tells whether the server fails no more than may happen to any: connections break,
+// toleratesFailures tells whether the server fails no more than may happen to any: connections break,
 // and answers come spoilt.
-func (b *Balancer) stray(s *server) bool { return s.failing < strayMost+strayFactor*b.failing }
+func (b *Balancer) toleratesFailures(s *server) bool {
+	return s.failureRate < baseFailureTolerance+failureToleranceFactor*b.failureRate
+}
 
-// demote makes a server Unhealthy. Failures of one moment count as one strike.
-func (b *Balancer) demote(s *server, silent bool) {
-	if s.Failed(silent, b.now) {
-		b.epoch++
-		if silent || !b.stray(s) {
-			s.Strike()
-			s.lat, s.samples, s.window = 0, 0, max(s.window/2, 1)
+// eject makes a server Unhealthy. Failures of one moment count as one strike.
+func (b *Balancer) eject(s *server, silent bool) {
+	if s.RecordFailure(silent, b.now) {
+		b.generation++
+		if silent || !b.toleratesFailures(s) {
+			s.RecordEjection()
+			s.latency, s.latencySamples, s.concurrencyLimit = 0, 0, max(s.concurrencyLimit/2, 1)
 		}
 	}
 	if silent {
 		b.suspectZone(s.zone)
 	}
-	b.refetch()
+	b.fetchList()
 }
 
 // suspectZone passes over a failure domain of which several servers have fallen silent and
@@ -217,108 +219,108 @@
 func (b *Balancer) suspectZone(zone int) {
 	heard, lost := 0.0, 0
 	for _, s := range b.servers {
-		if s.zone == zone && s.usable {
-			heard = max(heard, s.heard)
+		if s.zone == zone && s.ready {
+			heard = max(heard, s.lastResponseAt)
 		}
 	}
 	for _, s := range b.servers {
-		if s.zone == zone && s.usable && s.state >= UnhealthyPending && s.silent && s.silentFrom > heard {
+		if s.zone == zone && s.ready && s.state >= UnhealthyPending && s.timedOut && s.timedOutFrom > heard {
 			lost++
 		}
 	}
-	if lost < zoneLost {
+	if lost < zoneSuspicionCount {
 		return
 	}
 	for _, s := range b.servers {
-		if s.zone == zone && s.usable && s.state <= Unknown {
-			b.enter(s, UnhealthyPending)
-			s.silent, s.suspect = true, true
+		if s.zone == zone && s.ready && s.state <= Unknown {
+			b.transition(s, UnhealthyPending)
+			s.timedOut, s.zoneSuspected = true, true
 		}
 	}
 }
 
-// clearZone takes back a suspicion that an answer from the zone has refuted.
-func (b *Balancer) clearZone(zone int) {
+// clearZoneSuspicion takes back a suspicion that an answer from the zone has refuted.
+func (b *Balancer) clearZoneSuspicion(zone int) {
 	for _, s := range b.servers {
-		if s.zone == zone && s.suspect {
-			if s.suspect = false; s.state == UnhealthyPending {
-				b.enter(s, Unknown)
-				s.silent = false
+		if s.zone == zone && s.zoneSuspected {
+			if s.zoneSuspected = false; s.state == UnhealthyPending {
+				b.transition(s, Unknown)
+				s.timedOut = false
 			}
 		}
 	}
 }
 
-// holdFor is how long a server stays Unhealthy before it is validated again: one aim, or a
+// ejectionTime is how long a server stays Unhealthy before it is validated again: one aim, or a
 // turn of the agent's own where it meets the server seldom, doubled with each further strike.
 // While the others have no room there is none: a server that fails some requests is better
 // than refusing them all. One that answers nothing is not.
-func (b *Balancer) holdFor(s *server) float64 {
-	if (b.scarce || b.stray(s)) && !s.silent {
+func (b *Balancer) ejectionTime(s *server) float64 {
+	if (b.saturated || b.toleratesFailures(s)) && !s.timedOut {
 		return 0
 	}
-	unit := b.aimMin
-	if !s.silent {
-		unit = max(unit, b.gap*float64(len(b.near)))
+	unit := b.minLatencyTarget
+	if !s.timedOut {
+		unit = max(unit, b.sendInterval*float64(len(b.aperture)))
 	}
-	return s.Hold(unit, b.aimMin)
+	return s.EjectionTime(unit, b.minLatencyTarget)
 }
 
-// watchSilence demotes servers that took attempts and have answered nothing for
+// ejectTimedOut demotes servers that took attempts and have answered nothing for
 // several answer times: hung or gone silent, they would stay Connected.
-func (b *Balancer) watchSilence() {
+func (b *Balancer) ejectTimedOut() {
 	for _, s := range b.servers {
-		if len(s.out) == 0 || s.state == Unhealthy {
+		if len(s.inFlight) == 0 || s.state == Unhealthy {
 			continue
 		}
-		a := s.out[0]
-		if b.now-max(s.heard, a.sentAt) >= b.expect[a.r.class]*8/float64(min(len(s.out), 3)) {
-			s.silentFrom = a.sentAt
-			b.demote(s, true)
+		a := s.inFlight[0]
+		if b.now-max(s.lastResponseAt, a.sentAt) >= b.expectedLatency[a.request.class]*8/float64(min(len(s.inFlight), 3)) {
+			s.timedOutFrom = a.sentAt
+			b.eject(s, true)
 		}
 	}
 }
 
-// revalidate is what each request triggers: servers that were Unhealthy long
+// validateUnhealthy is what each request triggers: servers that were Unhealthy long
 // enough are refreshed to pending and validated in the background.
-func (b *Balancer) revalidate() {
+func (b *Balancer) validateUnhealthy() {
 	b.survey()
-	for _, s := range b.ill {
+	for _, s := range b.unhealthy {
 		// One attempt that hangs must not keep out a server that answers the others.
-		free := len(s.out) == 0 || !s.silent && b.stray(s)
-		if s.usable && free && s.Refresh(b.holdFor(s), b.now) {
-			b.epoch++
-			b.refetch()
+		free := len(s.inFlight) == 0 || !s.timedOut && b.toleratesFailures(s)
+		if s.ready && free && s.BeginValidation(b.ejectionTime(s), b.now) {
+			b.generation++
+			b.fetchList()
 		}
 		// That the process runs, all that a probe can tell, is known of one that answered.
-		pending := s.state == UnhealthyPending && s.usable && s.silent && (b.within == 1 || b.share(s) > 0)
-		if pending && b.set.Limits.Probing && !s.probing && b.mayProbe >= 1 && b.probes < probeCap {
-			b.probe(s)
+		pending := s.state == UnhealthyPending && s.ready && s.timedOut && (b.reachableShare == 1 || b.effectiveShare(s) > 0)
+		if pending && b.settings.Limits.AllowProbes && !s.probing && b.probeTokens >= 1 && b.probesInFlight < maxProbesInFlight {
+			b.sendProbe(s)
 		}
 	}
 }
 
-func (b *Balancer) onProbed(ev *Event) {
-	s := b.byAddr[ev.Server]
+func (b *Balancer) onProbeEnded(ev *Event) {
+	s := b.serverByAddr[ev.Server]
 	if s == nil || !s.probing {
 		return
 	}
 	s.probing = false
-	b.probes--
-	if ev.Status == OK && s.sampled { // those that are validated are no fair sample
-		b.busy(s, ev.Report)
+	b.probesInFlight--
+	if ev.Status == OK && s.samplingLoad { // those that are validated are no fair sample
+		b.recordUtilization(s, ev.LoadReport)
 	}
-	s.sampled = false
+	s.samplingLoad = false
 	switch {
-	case ev.Status == Moot || s.state == Unhealthy: // no more is known than before
+	case ev.Status == NotSent || s.state == Unhealthy: // no more is known than before
 	case s.state <= Unknown:
 		if ev.Status == Timeout || ev.Status == ConnectFailed {
-			b.enter(s, UnhealthyPending) // it may only stand still: a second probe tells
+			b.transition(s, UnhealthyPending) // it may only stand still: a second probe tells
 		}
 	case ev.Status == OK:
-		b.heardFrom(s)
-		b.enter(s, Connected)
-	case ev.Status != Full:
-		b.demote(s, true)
+		b.onResponse(s)
+		b.transition(s, Connected)
+	case ev.Status != Rejected:
+		b.eject(s, true)
 	}
 }
