--- /dev/null
+++ b/policy/events.go
@@ -0,0 +1,136 @@
+package policy
+
+// Addr identifies a server: four bytes of address and a port. Only equality counts; it is returned in
+// actions exactly as it was listed.
+type Addr [6]byte
+
+// RequestID identifies one request of a client; an ID is never used twice.
+type RequestID uint32
+
+// ListedStatus is the state in which discovery lists a server.
+type ListedStatus uint8
+
+// The states of the list.
+const (
+	Draining ListedStatus = iota
+	Ready
+	Removed
+)
+
+// Endpoint is one entry of the list of servers.
+type Endpoint struct {
+	Server    Addr
+	Zone      int
+	Cell      int
+	Kind      int
+	StartedMs float64 // clock time of the latest start; 0: long ago
+	Status    ListedStatus
+	Weight    float64
+}
+
+// UpdateKind tells how a discovery event changes the endpoint list.
+type UpdateKind uint8
+
+// The kinds of updates.
+const (
+	UpdateDelta  UpdateKind = iota // only the given endpoints changed
+	UpdateFull                     // servers that are not named are removed
+	UpdateCached                   // as UpdateFull, from before the agent's start
+	UpdateFailed                   // the call to discovery failed
+)
+
+// Status is how an attempt or a probe ended.
+type Status uint16
+
+// The endings, by their numbers on the simulator's wire.
+const (
+	OK            Status = 100
+	Error         Status = 301
+	Rejected      Status = 302 // the server refused to start it
+	Timeout       Status = 303
+	ConnectFailed Status = 304
+	Reset         Status = 305
+	Cancelled     Status = 306
+	NotSent       Status = 307 // it failed at this agent, which tells nothing of the server
+)
+
+// NotExecuted tells whether the ending proves that the server did not execute the request.
+func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+
+// EventKind tells which fields of an Event count.
+type EventKind uint8
+
+// The kinds of events, each with its fields.
+const (
+	EventRequest       EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, IsRetry and the hint
+	EventAttemptEnded                       // Request, Attempt, Server, Status, LatencyMs, Final, LoadReport
+	EventStreamStarted                      // Request, Attempt, Server, LatencyMs: a streaming response began
+	EventClientGone                         // Request: the client cancelled it
+	EventDiscovery                          // Update, Endpoints
+	EventProbeEnded                         // Server, Status, LatencyMs, LoadReport
+	EventTimer                              // Token
+	EventPeerMessage                        // a message of another agent; it has no effect
+	EventRestore                            // Snapshot of an earlier process; after the first list
+	EventOverrides                          // Overrides, all that hold; ZoneWeighted; ReachableShare
+)
+
+// Event is something that happened to one agent.
+type Event struct {
+	Kind           EventKind
+	Request        RequestID
+	Class          int
+	Tenant         int
+	Key            uint64  // for affinity; 0: none
+	RemainingMs    float64 // until the client's deadline
+	WorkHintMs     float64
+	HasWorkHint    bool
+	IsRetry        bool
+	Attempt        int // index among the request's attempts
+	Server         Addr
+	Status         Status
+	LatencyMs      float64
+	Final          bool      // the request has its final response
+	LoadReport     []float32 // in the order of Settings.LoadReport.Metrics
+	Update         UpdateKind
+	Endpoints      []Endpoint // neither changed nor retained by the Balancer
+	Token          uint32     // of the timer
+	Snapshot       *Snapshot  // neither changed nor retained by the Balancer
+	Overrides      []Override
+	ZoneWeighted   bool    // the Overrides' TrafficWeights place traffic between zones
+	ReachableShare float64 // part of the fleet and of its demand that this agent's site reaches; 1: all
+}
+
+// ActionKind tells which fields of an Action count.
+type ActionKind uint8
+
+// The kinds of actions, each with its fields.
+const (
+	ActionSend      ActionKind = iota + 1 // Request, Server, DurationMs: the time-out
+	ActionCancel                          // Request, Attempt
+	ActionReject                          // Request, DurationMs: when to retry; a retry is harmless
+	ActionFail                            // Request: it may have been executed
+	ActionProbe                           // Server
+	ActionTimer                           // DurationMs, Token
+	ActionWatch                           // subscribe to changes of the endpoint list
+	ActionFetch                           // fetch the full endpoint list once
+	ActionLog                             // Text
+	ActionCloseIdle                       // Server: close its idle connections; never asked for here
+)
+
+// Action is something the caller has to do, in the order given.
+type Action struct {
+	Kind       ActionKind
+	Request    RequestID
+	Server     Addr
+	Attempt    int
+	DurationMs float64
+	Token      uint32
+	Text       string
+}
+
+// sanitized is the event with numbers that make sense.
+func (event *Event) sanitized() *Event {
+	sane := *event
+	sane.RemainingMs, sane.LatencyMs = finiteOrZero(sane.RemainingMs), finiteOrZero(sane.LatencyMs)
+	return &sane
+}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -2,202 +2,148 @@
 
 import "math"
 
-// This file picks the server: tiers, then the capped hash of the key.
+const (
+	// loadCapFactor bounds the load of one server (bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2018):
+	// how far above its even share of the agent's attempts it may go before a request moves on to the next
+	// in its key's order.
+	loadCapFactor = 3.0
+	// affinityWaitShare is the part of its target time that a request may wait for one of the
+	// affinityServers first in its key's order: to go on at once would bring the key to other caches just
+	// when time is short.
+	affinityWaitShare, affinityServers = 0.25, 2
+	// passesPerTier is the number of passes over a tier: one without the paused servers, one with them.
+	passesPerTier = 2
+	// allTiers is the number of health tiers.
+	allTiers = 3
+)
 
-// hashKeyFor is where a key's hash starts. A key with more than maxKeyShare of a server's share of
-// this agent's requests is split at random into parts, each with an order of its own: of
-// many agents none has enough in flight for the cap to move a popular key on. While little is
-// known each key has two parts.
-func (b *Balancer) hashKeyFor(key uint64) uint64 {
-	if key == 0 {
-		return 0
-	}
-	all := float64(len(b.aperture)) / maxKeyShare
-	b.countKey(key, keyHistoryFactor*all)
-	parts := b.keyCounts[key] * all / (b.keyTotal + all/2)
-	if i := uint64(b.rng.Float64() * math.Ceil(parts)); i > 0 {
-		return mixBits(key + i)
-	}
-	return key
-}
-
-// priorityFor is the server's tier for the request.
-func (b *Balancer) priorityFor(s *server, r *request) int {
-	lapse := b.minLatencyTarget
-	switch {
-	case b.settings.Classes[r.class].Idempotency == NonIdempotent && !b.toleratesFailures(s):
-		lapse = math.Inf(1) // what must not run twice does not check a server while others are healthy
-	case !b.settings.Limits.AllowProbes:
-		lapse = 0
-	case s.timedOut:
-		lapse = maxEjectionMs // its probe tells
-	}
-	return s.Priority(b.now, lapse)
-}
-
-// pick walks the best tier that has anyone in the order of the key's hash and
-// takes the first server that is under its cap and has room.
+// pick chooses the server of a request, or nil: of the best tier that has any, the first in the order of the
+// key's rendezvous hash that is under its load cap and has capacity.
 //
-// On a large fleet the tiers are formed of a sample of the aperture, the same at all agents
-// for a key. Where few there are healthy and warm a sample of all takes its place, and only
-// where few of that are, too, all servers are ranked.
-func (b *Balancer) pick(r *request) *server {
-	if s := b.pickTrial(r); s != nil {
-		return s
-	}
-	if len(b.aperture) < len(b.hashRing) || len(b.hashRing) > subsetThreshold {
-		for _, ring := range [][]*server{b.aperture, b.hashRing} {
-			if s, enough := b.pickAmong(r, b.subsetFor(r, ring), 2); s != nil || enough {
-				return s
+// On a large fleet the tiers are formed of a subset of the aperture, the same at all agents for a key. Where
+// few servers there are healthy and warm a subset of all servers takes its place, and only where that has
+// few, too, all servers are considered.
+func (b *Balancer) pick(req *request) *server {
+	if srv := b.pickTrial(req); srv != nil {
+		return srv
+	}
+	if len(b.aperture.servers) < len(b.hashRing) || len(b.hashRing) > subsetThreshold {
+		for _, ring := range [][]*server{b.aperture.servers, b.hashRing} {
+			if srv, enough := b.pickAmong(req, b.subsetFor(req, ring), 1); srv != nil || enough {
+				return srv
 			}
 		}
 	}
-	s, _ := b.pickAmong(r, b.servers, 6)
-	return s
+	srv, _ := b.pickAmong(req, b.servers, allTiers)
+	return srv
 }
 
-// subsetFor is the sample for a request: the servers that follow its key's place on the ring.
-// Places are by count and not by hash, so that each server is in as many samples as the
-// next; a change of the list moves each by one at the most.
-func (b *Balancer) subsetFor(r *request, ring []*server) []*server {
-	if len(ring) <= subsetThreshold {
-		return ring
-	}
-	x := mixBits(mixBits(r.hashKey))
-	if r.key == 0 {
-		x = b.rng.Uint64()
+// pickAmong is the pick among some servers and the best of their tiers. Without a pick, enough tells
+// whether a tier had enough warm servers to wait for: those that warm up may not be sent everything.
+func (b *Balancer) pickAmong(req *request, servers []*server, tiers int) (best *server, enough bool) {
+	waits := b.waitsForAffinity(req)
+	for pass := range tiers * passesPerTier {
+		skipPaused := pass%passesPerTier == 0
+		tier := b.formTier(req, servers, pass/passesPerTier, skipPaused, waits)
+		if req.tierWeight == 0 {
+			continue // an empty tier
+		}
+		if skipPaused && (len(tier.candidates) == 0 || tier.pausedWeight > req.tierWeight/2) {
+			continue // with most of a tier paused all of it is overloaded, and none is passed over
+		}
+		req.tierWeight *= float64(len(b.servers)) / float64(len(servers))
+		candidates := tier.candidates
+		if waits && len(candidates) > affinityServers {
+			req.preferred, req.preferredAt = tier.preferred, b.generation
+			candidates = req.preferred[:]
+		}
+		for _, srv := range candidates {
+			if (best == nil || srv.rendezvous < best.rendezvous) && b.belowLoadCap(srv, req) {
+				best = srv
+			}
+		}
+		return best, tier.warm > 0 && 2*tier.warm >= tier.warmingUp
 	}
-	at := int(float64(x>>11) / (1 << 53) * float64(len(ring)))
-	b.subset = append(b.subset[:0], ring[at:min(at+subsetSize, len(ring))]...)
-	return append(b.subset, ring[:subsetSize-len(b.subset)]...)
+	return nil, false
 }
 
-// updateAperture keeps the aperture: the servers that an agent of little traffic keeps to, where
-// connections have a price. The set follows from the agent's number, so that all together use
-// all servers alike, and grows with its traffic, so that each brings a server as much.
-func (b *Balancer) updateAperture() {
-	b.recentArrivals = b.recentArrivals * math.Exp((b.arrivalsAt-b.now)/arrivalWindowMs)
-	b.arrivalsAt = b.now
-	n := float64(len(b.hashRing))
-	want := n
-	if b.settings.Prices.Handshake > 0 && b.settings.Limits.KeepaliveMs > 0 {
-		rate := b.recentArrivals / arrivalWindowMs // requests a ms
-		want = min(max(rate*b.settings.Limits.KeepaliveMs*apertureKeepaliveShare, minAperture), n)
-	}
-	if b.apertureVersion == b.listVersion && want <= b.apertureSize*1.3 && want >= b.apertureSize/1.5 {
-		return
-	}
-	b.apertureVersion, b.apertureSize = b.listVersion, want
-	b.generation++
-	b.aperture = b.aperture[:0]
-	for _, s := range b.hashRing {
-		s.inAperture = want >= n || float64(mixBits(s.hash^mixBits(uint64(b.settings.AgentIndex)+1))>>11)/(1<<53) < want/n
-		if s.inAperture {
-			b.aperture = append(b.aperture, s)
-		}
-	}
+// healthTier is a health tier as one request sees it.
+type healthTier struct {
+	candidates      []*server                // scratch space: valid until the next one is formed
+	preferred       [affinityServers]*server // the first of them in the key's order
+	pausedWeight    float64                  // of servers left out as they are paused
+	warm, warmingUp int
 }
 
-// pickAmong is the pick among some servers, in so many passes of two a tier. Without a pick it
-// tells whether a tier had enough warm servers to wait for: cold ones may not be sent all.
-func (b *Balancer) pickAmong(r *request, servers []*server, passes int) (best *server, enough bool) {
-	waits := b.waitsForAffinity(r)
-	for pass := range passes {
-		// Of each tier those that rest come last, unless most do: then all are crowded.
-		rank, rest := pass/2, pass%2 == 0
-		tier, resting, warm, cold := b.candidates[:0], 0.0, 0, 0
-		r.tierWeight = 0
-		var near [affinityServers]*server
-		for _, s := range servers {
-			if b.priorityFor(s, r) != rank || !b.maySend(r, s, false) {
-				continue
-			}
-			r.tierWeight += s.weight * b.slowStartFactor(s) * b.effectiveShare(s) * b.effectiveTraffic(s)
-			if b.slowStartFactor(s) < 1 {
-				cold++
-			} else {
-				warm++
-			}
-			if rest && b.now < s.pausedUntil {
-				resting += s.weight * b.slowStartFactor(s) * b.effectiveShare(s) * b.effectiveTraffic(s)
-				continue
-			}
-			if !b.slowStartAllows(s, r) || !waits && !b.hasCapacity(s, r) {
-				continue
-			}
-			s.rendezvous = b.rendezvousScore(r, s)
-			tier = append(tier, s)
-			for i, at := 0, s; i < affinityServers && at != nil; i++ {
-				if near[i] == nil || at.rendezvous < near[i].rendezvous {
-					near[i], at = at, near[i]
-				}
-			}
+// formTier collects the servers of one priority that the request may be sent to, scores them, and notes the
+// tier's weight in the request.
+func (b *Balancer) formTier(req *request, servers []*server, priority int,
+	skipPaused, waits bool) healthTier {
+	formed := healthTier{candidates: b.candidates[:0]}
+	req.tierWeight = 0
+	for _, srv := range servers {
+		if b.priorityFor(srv, req) != priority || !b.maySend(req, srv, false) {
+			continue
 		}
-		b.candidates = tier
-		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
-			continue // an empty tier passes down
+		req.tierWeight += b.currentWeight(srv)
+		if b.slowStartFactor(srv) < 1 {
+			formed.warmingUp++
+		} else {
+			formed.warm++
 		}
-		r.tierWeight *= float64(len(b.servers)) / float64(len(servers))
-		if waits && len(tier) > affinityServers {
-			r.preferred, r.preferredAt = near, b.generation
-			tier = r.preferred[:]
+		if skipPaused && b.now < srv.pausedUntil {
+			formed.pausedWeight += b.currentWeight(srv)
+			continue
 		}
-		for _, s := range tier {
-			if (best == nil || s.rendezvous < best.rendezvous) && b.belowLoadCap(s, r) {
-				best = s
-			}
+		if !b.slowStartAllows(srv) || !waits && !b.hasCapacity(srv) {
+			continue
 		}
-		return best, warm > 0 && 2*warm >= cold
+		srv.rendezvous = b.rendezvousScore(req, srv)
+		formed.candidates = append(formed.candidates, srv)
+		formed.prefer(srv)
 	}
-	return nil, false
+	b.candidates = formed.candidates
+	return formed
 }
 
-// waitsForAffinity tells whether the request still waits for the servers nearest its key.
-func (b *Balancer) waitsForAffinity(r *request) bool {
-	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrivedAt < affinityWaitShare*(r.targetAt-r.arrivedAt)
+// prefer inserts a server among the preferred ones if it precedes any of them.
+func (t *healthTier) prefer(srv *server) {
+	for i := 0; i < affinityServers && srv != nil; i++ {
+		if t.preferred[i] == nil || srv.rendezvous < t.preferred[i].rendezvous {
+			t.preferred[i], srv = srv, t.preferred[i]
+		}
+	}
 }
 
-// rendezvousScore orders servers by weighted rendezvous hashing: every agent of a zone
-// finds the same order for a key, and a server's share of keys is that of its weight.
-func (b *Balancer) rendezvousScore(r *request, s *server) float64 {
-	x := mixBits(r.hashKey ^ s.hash)
-	if r.key == 0 {
-		x = b.rng.Uint64()
-	}
-	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.effectiveShare(s) * b.effectiveTraffic(s)
-	if b.slowStartFactor(s) < 1 {
-		w *= slowStartKeyFactor
-	}
-	if s.zone == b.settings.Zone && !b.zoneWeighted {
-		w *= b.localWeight
+// priorityFor is the server's tier for the request.
+func (b *Balancer) priorityFor(srv *server, req *request) int {
+	lapseMs := b.minLatencyTarget
+	switch {
+	case b.settings.Classes[req.class].Idempotency == NonIdempotent && !b.toleratesFailures(srv):
+		lapseMs = math.Inf(1) // such a request validates no server while others are healthy
+	case !b.settings.Limits.AllowProbes:
+		lapseMs = 0
+	case srv.timedOut:
+		lapseMs = maxEjectionMs // a probe validates it
 	}
-	return -math.Log(u+1e-18) / w
+	return srv.Priority(b.now, lapseMs)
 }
 
-// belowLoadCap tells whether the server is under its cap in the tier of the request's
-// last pick and has room.
-func (b *Balancer) belowLoadCap(s *server, r *request) bool {
-	share := s.weight * b.slowStartFactor(s) * b.effectiveShare(s) * b.effectiveTraffic(s) / r.tierWeight
-	return float64(len(s.inFlight)) < math.Ceil(loadCapFactor*float64(b.inFlight+1)*share) && b.hasCapacity(s, r)
+// waitsForAffinity tells whether the request still waits for the first servers in its key's order.
+func (b *Balancer) waitsForAffinity(req *request) bool {
+	return req.key != 0 && len(req.attempts) == 0 &&
+		b.now-req.arrivedAt < affinityWaitShare*(req.targetAt-req.arrivedAt)
 }
 
-// hasCapacity bounds what a server holds of this agent: its window, one at a time
-// until it is validated, and a cold server's credit.
-func (b *Balancer) hasCapacity(s *server, r *request) bool {
-	if s.state >= UnhealthyPending && (len(s.inFlight) == 0 || !b.toleratesFailures(s)) {
-		return len(s.inFlight) == 0
-	}
-	// A window under one is kept by pausing: with many agents even one attempt of
-	// each can be too much, and a server that tipped needs rest to recover.
-	if len(s.inFlight) >= max(int(s.concurrencyLimit), 1) || s.concurrencyLimit < 1 && b.now-s.lastSentAt < s.meanLatencyMs/s.concurrencyLimit {
-		return false
-	}
-	return b.slowStartAllows(s, r)
+// currentWeight is the server's weight by slow start and overrides.
+func (b *Balancer) currentWeight(srv *server) float64 {
+	return srv.weight * b.slowStartFactor(srv) * b.effectiveShare(srv) * b.effectiveTraffic(srv)
 }
 
-// slowStartAllows tells whether a server is warm, or the agent may send it the request by its credit.
-func (b *Balancer) slowStartAllows(s *server, r *request) bool {
-	return b.slowStartFactor(s) == 1 || s.slowStartCredit >= 1 ||
-		b.currentWarmWeight() == 0 && (b.now-s.lastSentAt)*b.warmSendRate*s.weight*b.slowStartFactor(s) >= b.settings.Contract.SlowStartMs
+// belowLoadCap tells whether the server is under its load cap, in the tier of the request's last pick,
+// and has capacity.
+func (b *Balancer) belowLoadCap(srv *server, req *request) bool {
+	share := b.currentWeight(srv) / req.tierWeight
+	return float64(len(srv.inFlight)) < math.Ceil(loadCapFactor*float64(b.inFlight+1)*share) &&
+		b.hasCapacity(srv)
 }
--- /dev/null
+++ b/policy/snapshot.go
@@ -0,0 +1,170 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+)
+
+const (
+	// snapshotMaxAgeMs is the age up to which a snapshot is believed of servers and load,
+	// snapshotKeysMaxAgeMs that for the popularity of keys and expected latencies.
+	snapshotMaxAgeMs, snapshotKeysMaxAgeMs = 30e3, 600e3
+	// maxSnapshotKeys bounds the keys of a snapshot.
+	maxSnapshotKeys = 10_000
+	// maxRestoredSamples and maxRestoredConcurrency bound how much weight a restored mean and how much
+	// concurrency a restored server has.
+	maxRestoredSamples, maxRestoredConcurrency = 5, 64
+)
+
+// Snapshot is what an agent has learned, as plain values with ages, to outlive its process. What of it is
+// believed is decided when it is restored.
+type Snapshot struct {
+	AgeMs    float64          `json:"AgeMs"` // since it was taken; an upper bound where that is not known
+	Servers  []ServerSnapshot `json:"Servers"`
+	Keys     []KeyCount       `json:"Keys"`     // the most popular first
+	Demand   float64          `json:"Demand"`   // of the fleet if nothing were rejected, and
+	Peak     float64          `json:"Peak"`     // its capacity, both in warm servers of weight one
+	Admitted float64          `json:"Admitted"` // part of the requests
+	CalmLat  float64          `json:"CalmLat"`  // mean relative latency without overload
+	FleetLat float64          `json:"FleetLat"` // and of late
+	Answers  float64          `json:"Answers"`  // served requests
+	Expect   []float64        `json:"Expect"`   // expected latencies of the classes, ms
+}
+
+// ServerSnapshot is what was known of one server.
+type ServerSnapshot struct {
+	Server    Addr    `json:"Server"`
+	StartedMs float64 `json:"StartedMs"` // as listed: another process is another server
+	State     State   `json:"State"`
+	InStateMs float64 `json:"InStateMs"` // for how long
+	Silent    bool    `json:"Silent"`    // ejected for a time-out
+	Strikes   int     `json:"Strikes"`   // ejections of late
+	Failing   float64 `json:"Failing"`   // failure rate
+	Lat       float64 `json:"Lat"`       // mean relative latency
+	RTTMs     float64 `json:"RTTMs"`     // mean latency
+	Samples   int     `json:"Samples"`
+	Window    float64 `json:"Window"` // concurrency limit
+}
+
+// KeyCount is how often a key was requested of late.
+type KeyCount struct {
+	Key   uint64  `json:"Key"`
+	Count float64 `json:"Count"`
+}
+
+// Snapshot is what the Balancer has learned so far.
+func (b *Balancer) Snapshot(now float64) *Snapshot {
+	snapshot := &Snapshot{
+		Demand:   b.admission.demand,
+		Peak:     b.capacity.peak,
+		Admitted: b.admission.admittedShare,
+		CalmLat:  b.latency.baseline,
+		FleetLat: b.latency.recent,
+		Answers:  b.latency.responses,
+		Expect:   slices.Clone(b.latency.expected),
+	}
+	for _, srv := range b.servers {
+		snapshot.Servers = append(snapshot.Servers, srv.snapshot(now))
+	}
+	for key, count := range b.keys.counts {
+		snapshot.Keys = append(snapshot.Keys, KeyCount{key, count})
+	}
+	slices.SortFunc(snapshot.Keys, func(x, y KeyCount) int {
+		return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Key, y.Key))
+	})
+	snapshot.Keys = snapshot.Keys[:min(len(snapshot.Keys), maxSnapshotKeys)]
+	return snapshot
+}
+
+func (srv *server) snapshot(now float64) ServerSnapshot {
+	return ServerSnapshot{
+		Server:    srv.addr,
+		StartedMs: srv.listedStartAt,
+		State:     srv.state,
+		InStateMs: max(now-srv.since, 0),
+		Silent:    srv.timedOut,
+		Strikes:   srv.ejections,
+		Failing:   srv.failureRate,
+		Lat:       srv.latency,
+		RTTMs:     srv.meanLatencyMs,
+		Samples:   srv.latencySamples,
+		Window:    srv.concurrencyLimit,
+	}
+}
+
+// restore takes over what an earlier process knew and is likely to hold still: of servers listed as the same
+// process, and never so that one waits for more than one validation.
+func (b *Balancer) restore(snapshot *Snapshot) {
+	if snapshot == nil || !(snapshot.AgeMs >= 0) || snapshot.AgeMs > snapshotKeysMaxAgeMs {
+		return
+	}
+	b.restoreKeys(snapshot)
+	b.restoreLatency(snapshot)
+	recent := snapshot.AgeMs <= snapshotMaxAgeMs
+	if recent {
+		b.restoreLoad(snapshot)
+	}
+	for i := range snapshot.Servers {
+		saved := &snapshot.Servers[i]
+		srv := b.serverByAddr[saved.Server]
+		if srv == nil || !srv.ready || srv.listedStartAt != finiteOrZero(saved.StartedMs) ||
+			srv.state != Unknown {
+			continue
+		}
+		srv.slowStartCredit = 0 // it was drawn before: a restart of the agent must not draw another
+		if recent {
+			b.restoreServer(srv, saved)
+		}
+	}
+}
+
+// restoreKeys takes over the popularity of keys, less with age.
+func (b *Balancer) restoreKeys(snapshot *Snapshot) {
+	for _, key := range snapshot.Keys[:min(len(snapshot.Keys), maxSnapshotKeys)] {
+		if count := finiteOrZero(key.Count) *
+			(1 - snapshot.AgeMs/snapshotKeysMaxAgeMs); count >= minKeyCount {
+			b.keys.counts[key.Key] += count
+			b.keys.total += count
+		}
+	}
+}
+
+func (b *Balancer) restoreLatency(snapshot *Snapshot) {
+	model := &b.latency
+	for i := range model.expected {
+		if i < len(snapshot.Expect) && finiteOrZero(snapshot.Expect[i]) > 0 {
+			model.expected[i] = min(snapshot.Expect[i],
+				maxRelativeLatency*b.settings.Classes[i].LatencyTargetMs)
+		}
+	}
+	if baseline := finiteOrZero(snapshot.CalmLat); baseline > 0 && snapshot.Answers > baselineResponses {
+		model.baseline = min(baseline, overloadTargetShare)
+		model.recent = min(finiteOrZero(snapshot.FleetLat), maxRelativeLatency)
+		model.responses = baselineResponses + 1
+	}
+}
+
+// restoreLoad takes over the demand on the fleet; two probes outweigh it.
+func (b *Balancer) restoreLoad(snapshot *Snapshot) {
+	if !(finiteOrZero(snapshot.Demand) > 0) || !(snapshot.Admitted > 0) || snapshot.Admitted > 1 {
+		return
+	}
+	b.admission.demand, b.admission.admittedShare = snapshot.Demand, snapshot.Admitted
+	b.admission.samples = utilizationWindow / 2
+	b.capacity.peak = max(b.capacity.peak, min(finiteOrZero(snapshot.Peak), 2*b.currentCapacity()))
+}
+
+// restoreServer takes over what was known of a server's process.
+func (b *Balancer) restoreServer(srv *server, saved *ServerSnapshot) {
+	srv.failureRate = min(finiteOrZero(saved.Failing), 1)
+	srv.latency = min(finiteOrZero(saved.Lat), maxRelativeLatency)
+	srv.meanLatencyMs = finiteOrZero(saved.RTTMs)
+	srv.latencySamples = min(max(saved.Samples, 0), maxRestoredSamples)
+	srv.concurrencyLimit = max(min(finiteOrZero(saved.Window), maxRestoredConcurrency), minConcurrency)
+	b.transition(srv, min(saved.State, UnhealthyPending))
+	if srv.state == UnhealthyPending {
+		srv.timedOut, srv.ejections = saved.Silent, min(saved.Strikes, 1)
+		// Spread over the lapse of the tier, as agents that start together must not act in step.
+		srv.since = b.now - b.rng.Float64()*b.minLatencyTarget
+	}
+}
