--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -74,6 +74,15 @@
 	return a != nil && len(a.by) > 0
 }
 
+// UnheldFor is how long nobody has held a lease of a source; 0 if somebody does or the source is not known.
+func (t *Table) UnheldFor(now time.Duration, source string) time.Duration {
+	a := t.leases[source]
+	if a == nil || len(a.by) > 0 {
+		return 0
+	}
+	return now - a.free
+}
+
 // Expired are the sources that nobody has held a lease of for as long as one lasts.
 func (t *Table) Expired(now time.Duration) []string {
 	frozen := t.ticked > 0 && now-t.ticked > wake
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -31,6 +31,9 @@
 	tickInterval = 200 * time.Millisecond
 	// leaseDuration is how long a lease lasts after its last renewal.
 	leaseDuration = 2500 * time.Millisecond
+	// sourceExpiry is how long nobody has held a lease of a source that an agent outside of the core drops, and
+	// how long a relay with a quorum has been sending it messages meanwhile.
+	sourceExpiry = 2 * leaseDuration
 	// selfStartDelay is after how long with a majority of the core a machine of it that met no hub which
 	// knows all goes by what it has: longer than sessions take to come up.
 	selfStartDelay = 700 * time.Millisecond
@@ -114,7 +117,7 @@
 	nextHomeZoneAttempt time.Duration            // when to try the hubs of the own zone; 0: no need
 	grantedLeases       map[string]bool          // sources that it holds leases of
 	quorumSince         time.Duration            // since when it is of the core and linked; 0: it is not
-	attachedSince       time.Duration            // since when it has a session with a linked hub; 0: it has none
+	attachedSince       time.Duration            // since when a relay with a quorum has been sending it messages; 0: none has
 	departing           bool                     // it has said that it ends
 	configCurrent       bool                     // the core has been asked for the newest configuration
 	redirectAddrs       []string                 // hubs that others named
@@ -289,7 +292,7 @@
 		if s.timedOut(now) {
 			s.cancel()
 		}
-		attached = attached || s.peerIsCore && s.peerHasQuorum
+		attached = attached || s.peerIsCore && s.peerHasQuorum && now-s.lastMessage <= sessionTimeout
 	}
 	h.expireEncodedConfigLocked(now)
 	updateSince(&h.quorumSince, now, core && linked)
--- a/internal/fleet/relay/life_test.go
+++ b/internal/fleet/relay/life_test.go
@@ -120,6 +120,11 @@
 	return d
 }
 
+// leaseDelta is a later delta of a source, which grants a lease or, without data, releases it.
+func leaseDelta(source string, from uint64, agent string, data []byte) deltasync.Delta {
+	return deltasync.Delta{Source: source, From: from, Upto: from + 1, Items: []deltasync.Item{{Key: leasePrefix + agent, Ver: from + 1, Data: data}}}
+}
+
 var presentData = []byte{1}
 
 // A life that goes on under a new name is told nothing by what peers had of the old one.
@@ -358,6 +363,42 @@
 	assert.Equal(t, 3, s.snapshot.Agents)
 }
 
+// An agent drops no source whose lease the core may still renew: a relay that was cut off comes back just
+// before its lease expires, and the agent's ticks are not those of the core.
+func TestAgentAllowsTheCoreTimeToRenewALease(t *testing.T) {
+	agent, away := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(away)
+	relay := agent.connect("addr of h", "h/1", true)
+	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
+	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
+	require.Contains(t, agent.members, away.source(), "the core may not have ended it")
+	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), presentData)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
+	require.Contains(t, agent.members, away.source(), "the lease was renewed")
+	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, away.source(), nil)}})
+	agent.runFor(sourceExpiry+2*tickInterval, agent.heartbeatFrom(relay))
+	assert.NotContains(t, agent.members, away.source(), "nobody has held its lease for long")
+}
+
+// An agent whose relay is silent, frozen or cut off, drops nothing: another relay may hold the lease.
+func TestAgentBehindASilentRelayDropsNothing(t *testing.T) {
+	agent, away := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(away)
+	frozen := agent.connect("addr of h", "h/1", true)
+	agent.deliver(frozen, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
+	agent.deliver(frozen, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
+	agent.runFor(sessionTimeout+3*tickInterval, nil)
+	require.Contains(t, agent.members, away.source(), "the frozen relay cannot tell")
+	next := agent.connect("addr of o", "o/1", true)
+	agent.deliver(next, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), presentData)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(next))
+	assert.Contains(t, agent.members, away.source())
+}
+
 // Only machines of the core with a majority say that they know all by themselves.
 func TestSelfStart(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -117,11 +117,13 @@
 
 // expireLeasesLocked ends sources that nobody holds a lease of. A machine of the core does so for all, once it
 // has been linked for as long as a lease lasts: before, it may not have heard of leases that others
-// hold. Another agent drops for itself what the core must have ended while it could not hear it.
+// hold. Another agent drops for itself what the core must have ended while it could not hear it. It never
+// accepts a dropped source again, so it allows the core as long again to end the source or to renew its
+// lease, and drops nothing while its own relay is silent: the renewal may be on its way.
 func (h *Node) expireLeasesLocked(now time.Duration, core bool) {
 	lapsed := h.leases.Expired(now)
 	tells := core && h.quorumSince > 0 && now-h.quorumSince > leaseDuration
-	if !tells && (core || h.attachedSince == 0 || now-h.attachedSince <= 2*leaseDuration) {
+	if !tells && (core || h.attachedSince == 0 || now-h.attachedSince <= sourceExpiry) {
 		return
 	}
 	here := map[string]bool{h.items.OwnSource(): true}
@@ -129,7 +131,7 @@
 		here[s.source] = true
 	}
 	for _, source := range lapsed {
-		if here[source] {
+		if here[source] || !tells && h.leases.UnheldFor(now, source) <= sourceExpiry {
 			continue
 		}
 		logevent.Lapsed.Log("source", source)
--- a/internal/testbed/controlsim/open_seeds_test.go
+++ b/internal/testbed/controlsim/open_seeds_test.go
@@ -21,3 +21,6 @@
 
 // After a one-way cut of a hub and a loss of power, a drain is not known to an agent for over 2 s.
 func TestDrainAfterAOneWayCutAndALossOfPower(t *testing.T) { requireNoViolation(t, 1, 50113) }
+
+// After a freeze of the head and one of another member, an agent does not know of a drain for over 2 s.
+func TestDrainAfterFreezesOfTwoMembers(t *testing.T) { requireNoViolation(t, 2, 81096) }
