--- a/internal/agent/coordination/interleave_test.go
+++ b/internal/agent/coordination/interleave_test.go
@@ -32,7 +32,7 @@
 		l := bare()
 		host := func(id string) outlier.Host { return outlier.Host{ID: id} }
 		vote := []func(){
-			func() { l.hand([]ejection.Standing{{Host: host("a"), Until: time.Hour, Try: true}}) },
+			func() { l.hand([]ejection.Standing{{Host: host("a"), Until: time.Hour, Trial: true}}) },
 			func() {
 				if bad == forgetTries {
 					clear(l.tries)
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -87,11 +87,11 @@
 // Start starts the tasks; they end with ctx, and Close waits for them. Only what makes no
 // sense is an error: a task that can't do its work is tried again, and the agent serves.
 func Start(ctx context.Context, cfg Config) (*Layer, error) {
-	cfg.Vote.Self, cfg.Vote.Boot = cfg.Peers.Name, cfg.Peers.Incarnation
+	cfg.Vote.Self, cfg.Vote.Incarnation = cfg.Peers.Name, cfg.Peers.Incarnation
 	if err := cfg.Vote.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
-	cfg.Site.Self, cfg.Site.Site, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Roll.Members, cfg.Peers.Incarnation
+	cfg.Site.Self, cfg.Site.Site, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Electorate.Members, cfg.Peers.Incarnation
 	if err := cfg.Site.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
@@ -140,7 +140,7 @@
 		hosts   []outlier.ListedHost
 		entries []stalerouting.Entry
 	}
-	letter  struct{ *ejection.Letter }
+	letter  struct{ *ejection.VoteMessage }
 	members struct{ list []membership.Peer }
 )
 
@@ -168,7 +168,7 @@
 	if !ok || o.From != m.From {
 		return m, false
 	}
-	if o.Boot == m.Boot && o.Sent > m.Sent {
+	if o.Incarnation == m.Incarnation && o.Sent > m.Sent {
 		return o, true
 	}
 	return m, true
@@ -243,8 +243,8 @@
 	var err error
 	switch kind {
 	case KindLetter:
-		var m ejection.Letter
-		if err = decode(body, &m, m.Check); err == nil {
+		var m ejection.VoteMessage
+		if err = decode(body, &m, m.Validate); err == nil {
 			s.l.box.Put(letter{&m})
 		}
 	case KindWord:
@@ -328,17 +328,17 @@
 // vote is the task that owns the evidence and the ballot. Another life of it begins without
 // either, as a process that starts again does.
 func (l *Layer) vote(ctx context.Context) error {
-	log := outlier.New(l.cfg.Vote.Age)
+	log := outlier.New(l.cfg.Vote.MaxEvidenceAge)
 	cfg := l.cfg.Vote
 	var disk *cover
 	var saved chan result
 	if l.cfg.VotesDir != "" {
 		var err error
-		if disk, cfg.Promised, err = openCover(l.cfg.VotesDir, cfg.Whole()); err != nil {
+		if disk, cfg.EarlierPromisesFor, err = openCover(l.cfg.VotesDir, cfg.MaxPromise()); err != nil {
 			return err // without it nothing may be promised: a next life would not know
 		}
 		defer disk.close()
-		cfg.Covers, saved = true, disk.saved
+		cfg.PersistsPromises, saved = true, disk.saved
 	}
 	core, err := ejection.New(cfg, log)
 	if err != nil {
@@ -359,7 +359,7 @@
 				case listed:
 					log.SetHosts(m.hosts)
 				case letter:
-					if err := core.Receive(l.now(), m.Letter); err != nil {
+					if err := core.Receive(l.now(), m.VoteMessage); err != nil {
 						slog.Debug("vote: letter not believed", "err", err)
 					}
 				case members:
@@ -371,11 +371,11 @@
 			if r.err != nil {
 				return fmt.Errorf("vote: cover: %w", r.err)
 			}
-			core.Covered(r.until)
+			core.PromisesPersisted(r.until)
 		case <-tick.C:
 			out := core.Tick(l.now())
-			if out.Cover > 0 && disk != nil {
-				disk.extend(l.now(), out.Cover)
+			if out.PersistPromisesUntil > 0 && disk != nil {
+				disk.extend(l.now(), out.PersistPromisesUntil)
 			}
 			l.carryOut(out)
 			if l.cfg.Council != nil {
@@ -401,7 +401,7 @@
 	var views []zonefailover.View
 	for _, z := range seen[:min(len(seen), zonefailover.MaxZones)] {
 		s := zonefailover.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Observed, Bad: z.Unhealthy, Hurt: z.WithFailures, Tries: z.Attempts, Failed: z.Failures, Util: min(z.Utilization, 1), Probes: z.UtilizationSamples}
-		r.Rate += float64(z.Attempts) / l.cfg.Vote.Age.Seconds()
+		r.Rate += float64(z.Attempts) / l.cfg.Vote.MaxEvidenceAge.Seconds()
 		r.Zones, views = append(r.Zones, s), append(views, s.View())
 	}
 	now := l.now()
@@ -420,22 +420,22 @@
 }
 
 // carryOut does what the core asks.
-func (l *Layer) carryOut(out *ejection.Out) {
-	for to, m := range out.Letters {
+func (l *Layer) carryOut(out *ejection.Actions) {
+	for to, m := range out.Messages {
 		l.send(to, KindLetter, m)
 	}
-	for _, n := range out.Notes {
+	for _, n := range out.Trace {
 		level := slog.LevelDebug
 		if n.Kind == "eject" || n.Kind == "return" {
 			level = slog.LevelInfo
 		}
-		slog.Log(context.Background(), level, "vote: "+n.Kind, "host", n.Host.ID, "incarnation", n.Host.Incarnation, "why", n.Why.String(),
-			"attempts", n.Attempts, "bad", n.Bad, "roll", n.Roll, "granters", len(n.Granters))
-		l.trace.write(Line{Kind: n.Kind, Host: n.Host.ID, Incarnation: n.Host.Incarnation, Why: n.Why.String(), Roll: n.Roll,
-			Attempts: n.Attempts, Bad: n.Bad, Granters: n.Granters, LeftMs: max(n.Until-n.At, 0).Milliseconds()}, n.At, l.now())
+		slog.Log(context.Background(), level, "vote: "+n.Kind, "host", n.Host.ID, "incarnation", n.Host.Incarnation, "why", n.Reason.String(),
+			"attempts", n.Attempts, "bad", n.Failures, "roll", n.Electorate, "granters", len(n.Granters))
+		l.trace.write(Line{Kind: n.Kind, Host: n.Host.ID, Incarnation: n.Host.Incarnation, Why: n.Reason.String(), Roll: n.Electorate,
+			Attempts: n.Attempts, Bad: n.Failures, Granters: n.Granters, LeftMs: max(n.Until-n.At, 0).Milliseconds()}, n.At, l.now())
 	}
-	if out.Changed {
-		l.hand(out.Table)
+	if out.StandingsChanged {
+		l.hand(out.Standings)
 	}
 }
 
@@ -448,11 +448,11 @@
 	named := map[outlier.Host]bool{}
 	for _, s := range table {
 		named[s.Host] = true
-		if s.Try || s.Probe {
+		if s.Trial || s.Probe {
 			l.tries[s.Host] = s.Probe
 		}
 		probe, asked := l.tries[s.Host]
-		l.table = append(l.table, agent.Standing{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation), Part: s.Part,
+		l.table = append(l.table, agent.Standing{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation), Part: s.Share,
 			Left: s.Until, Try: asked && !probe, Probe: asked && probe})
 	}
 	for h, probe := range l.tries {
--- a/internal/agent/coordination/layer_test.go
+++ b/internal/agent/coordination/layer_test.go
@@ -26,7 +26,7 @@
 func TestHandOver(t *testing.T) {
 	l := bare()
 	a, b := outlier.Host{ID: "a"}, outlier.Host{ID: "b", Incarnation: 3}
-	l.hand([]ejection.Standing{{Host: a, Until: time.Hour, Try: true}, {Host: b, Part: 1, Probe: true}})
+	l.hand([]ejection.Standing{{Host: a, Until: time.Hour, Trial: true}, {Host: b, Share: 1, Probe: true}})
 	l.hand([]ejection.Standing{{Host: a, Until: time.Hour}})
 	<-l.Ready()
 	got := map[string]agent.Standing{}
@@ -75,17 +75,17 @@
 // Letters of one peer merge, the newer staying whichever came last; the list replaces itself.
 func TestMessagesMerge(t *testing.T) {
 	l := bare()
-	newer, older := &ejection.Letter{From: "a", Boot: 1, Sent: 2}, &ejection.Letter{From: "a", Boot: 1, Sent: 1}
+	newer, older := &ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 2}, &ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 1}
 	l.box.Put(letter{newer})
 	l.box.Put(letter{older})
-	l.box.Put(letter{&ejection.Letter{From: "b"}})
+	l.box.Put(letter{&ejection.VoteMessage{From: "b"}})
 	l.Listed([]agent.Target{{ID: "x", State: "up"}})
 	l.Listed([]agent.Target{{ID: "y", State: "up"}, {ID: "z", State: "draining"}})
 	var got []supervisor.Message
 	for m, ok := l.box.Poll(); ok; m, ok = l.box.Poll() {
 		got = append(got, m)
 	}
-	if len(got) != 3 || got[0].(letter).Letter != newer {
+	if len(got) != 3 || got[0].(letter).VoteMessage != newer {
 		t.Fatalf("%d messages: %+v", len(got), got)
 	}
 	if hosts := got[2].(listed).hosts; len(hosts) != 1 || hosts[0].ID != "y" {
@@ -100,7 +100,7 @@
 	if _, err := Start(t.Context(), cfg); err == nil {
 		t.Error("started without an electorate")
 	}
-	cfg.Vote.Roll.Members = []string{"a"}
+	cfg.Vote.Electorate.Members = []string{"a"}
 	l, err := Start(context.Background(), cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -187,7 +187,7 @@
 func TestReports(t *testing.T) {
 	s := bareSite(t)
 	l := s.l
-	l.cfg.Vote.Age = 10 * time.Second
+	l.cfg.Vote.MaxEvidenceAge = 10 * time.Second
 	l.cfg.Council = &consensus.Config{Self: "a", Voters: []consensus.Voter{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
 	l.council = consensus.New(*l.cfg.Council, nil)
 	var was reporter
--- a/internal/agent/ejection/bench_test.go
+++ b/internal/agent/ejection/bench_test.go
@@ -15,7 +15,7 @@
 	for _, n := range []int{3, 13, 100, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				s := settled(b, 1, n, 48)
+				s := newConvergedSim(b, 1, n, 48)
 				before := s.sent
 				s.run(2 * time.Second)
 				calm := float64(s.sent-before) / 2 / float64(n)
--- a/internal/agent/ejection/core.go
+++ b/internal/agent/ejection/core.go
@@ -59,88 +59,88 @@
 )
 
 const (
-	// drift is how far the rates of two clocks may be apart.
-	drift = 0.01
-	// mostLease bounds a lease, and so how long a voter without memory stays silent.
-	mostLease = 10 * time.Minute
-	// panicMet is how many hosts an observer must have met for a majority of them to count as
+	// clockDrift is how far the rates of two clocks may be apart.
+	clockDrift = 0.01
+	// maxLease bounds a lease, and so how long a voter without memory stays silent.
+	maxLease = 10 * time.Minute
+	// minPanicObservations is how many hosts an observer must have met for a majority of them to count as
 	// its own fault.
-	panicMet = 4
-	// beats is how many members get the state each second without a change, each of them once
+	minPanicObservations = 4
+	// heartbeatsPerSecond is how many members get the state each second without a change, each of them once
 	// at the most.
-	beats = 10
-	// renewTimes is how many times the longest lease a voter's own evidence is good for
+	heartbeatsPerSecond = 10
+	// renewalAgeFactor is how many times the longest lease a voter's own evidence is good for
 	// renewals, as long as anybody's newer one bears it out.
-	renewTimes = 4
-	// trialRounds is how many rounds of trials there are in a lease.
-	trialRounds = 2
-	// owedAfter is how long a motion waits for the members' own evidence before the first of
-	// them owes it an attempt, owedEach how much later the next does.
-	owedAfter, owedEach = 100 * time.Millisecond, 40 * time.Millisecond
+	renewalAgeFactor = 4
+	// trialRoundsPerLease is how many rounds of trials there are in a lease.
+	trialRoundsPerLease = 2
+	// firstAttemptDelay is how long a motion waits for the members' own evidence before the first of
+	// them owes it an attempt, attemptStagger how much later the next does.
+	firstAttemptDelay, attemptStagger = 100 * time.Millisecond, 40 * time.Millisecond
 )
 
-// again are the times after a change at which the state is sent once more, as letters get lost.
-var again = [...]time.Duration{200 * time.Millisecond, time.Second}
+// repeatDelays are the times after a change at which the state is sent once more, as letters get lost.
+var repeatDelays = [...]time.Duration{200 * time.Millisecond, time.Second}
 
-// steps are the parts of its share that a host gets one after the other when it returns.
-var steps = [...]float64{0.1, 0.3, 1}
+// slowStartShares are the parts of its share that a host gets one after the other when it returns.
+var slowStartShares = [...]float64{0.1, 0.3, 1}
 
-// Roll is a site's electorate.
-type Roll struct {
+// Electorate is a site's electorate.
+type Electorate struct {
 	Number  uint64
 	Members []string
 }
 
 // Quorum is a strict majority.
-func (r *Roll) Quorum() int { return len(r.Members)/2 + 1 }
+func (r *Electorate) Quorum() int { return len(r.Members)/2 + 1 }
 
 // Config is what a voter is told.
 type Config struct {
-	Self string
-	Boot uint64 // names this life of the process; never that of another
-	Roll Roll
-	// Cap is the part of a zone's weight that may be ejected at once, at most a half.
-	Cap float64
+	Self        string
+	Incarnation uint64 // names this life of the process; never that of another
+	Electorate  Electorate
+	// MaxEjectedFraction is the part of a zone's weight that may be ejected at once, at most a half.
+	MaxEjectedFraction float64
 	// Lease is how long the first ejection of a host lasts. Each further one within Remember
 	// lasts twice as long as the one before, up to Longest.
-	Lease, Longest, Remember time.Duration
-	// Age is how old evidence may be to vote by.
-	Age time.Duration
-	// Step is how long a returning host gets each part of its share.
-	Step time.Duration
-	// Trial is the time between two trials of an ejected host.
-	Trial time.Duration
-	// Promised is for how long after its start promises of earlier lives may stand; negative:
+	Lease, MaxLease, EscalationWindow time.Duration
+	// MaxEvidenceAge is how old evidence may be to vote by.
+	MaxEvidenceAge time.Duration
+	// SlowStartStep is how long a returning host gets each part of its share.
+	SlowStartStep time.Duration
+	// TrialInterval is the time between two trials of an ejected host.
+	TrialInterval time.Duration
+	// EarlierPromisesFor is for how long after its start promises of earlier lives may stand; negative:
 	// it is not known.
-	Promised time.Duration
-	// Covers is that the caller keeps on disk until when promises may stand: see Covered.
-	Covers bool
+	EarlierPromisesFor time.Duration
+	// PersistsPromises is that the caller keeps on disk until when promises may stand: see Covered.
+	PersistsPromises bool
 }
 
 // Defaults are the times and the cap where nothing else is said.
 func Defaults() Config {
-	return Config{Cap: 0.4, Lease: 8 * time.Second, Longest: time.Minute, Remember: 2 * time.Minute,
-		Age: 10 * time.Second, Step: time.Second, Trial: time.Second, Promised: -1}
+	return Config{MaxEjectedFraction: 0.4, Lease: 8 * time.Second, MaxLease: time.Minute, EscalationWindow: 2 * time.Minute,
+		MaxEvidenceAge: 10 * time.Second, SlowStartStep: time.Second, TrialInterval: time.Second, EarlierPromisesFor: -1}
 }
 
 // Validate tells what makes no sense, by key.
-func (c *Config) Validate() error {
+func (config *Config) Validate() error {
 	switch {
-	case !(c.Cap > 0) || c.Cap > 0.5:
-		return fmt.Errorf("cap: must be above 0 and at most 0.5, is %v", c.Cap)
-	case c.Lease < 100*time.Millisecond || c.Lease > c.Longest:
-		return fmt.Errorf("lease: must be 100ms to longest (%v), is %v", c.Longest, c.Lease)
-	case c.Longest > mostLease/2:
-		return fmt.Errorf("longest: must be at most %v, is %v", mostLease/2, c.Longest)
-	case c.Age < 100*time.Millisecond || c.Age > c.Longest:
-		return fmt.Errorf("age: must be 100ms to longest (%v), is %v", c.Longest, c.Age)
-	case c.Remember < 0 || c.Step <= 0 || c.Trial <= 0:
-		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", c.Remember, c.Step, c.Trial)
-	case len(c.Roll.Members) == 0:
+	case !(config.MaxEjectedFraction > 0) || config.MaxEjectedFraction > 0.5:
+		return fmt.Errorf("cap: must be above 0 and at most 0.5, is %v", config.MaxEjectedFraction)
+	case config.Lease < 100*time.Millisecond || config.Lease > config.MaxLease:
+		return fmt.Errorf("lease: must be 100ms to longest (%v), is %v", config.MaxLease, config.Lease)
+	case config.MaxLease > maxLease/2:
+		return fmt.Errorf("longest: must be at most %v, is %v", maxLease/2, config.MaxLease)
+	case config.MaxEvidenceAge < 100*time.Millisecond || config.MaxEvidenceAge > config.MaxLease:
+		return fmt.Errorf("age: must be 100ms to longest (%v), is %v", config.MaxLease, config.MaxEvidenceAge)
+	case config.EscalationWindow < 0 || config.SlowStartStep <= 0 || config.TrialInterval <= 0:
+		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", config.EscalationWindow, config.SlowStartStep, config.TrialInterval)
+	case len(config.Electorate.Members) == 0:
 		return fmt.Errorf("electorate: nobody is in it")
 	}
-	for i, m := range c.Roll.Members {
-		if m == "" || len(m) > maxName || slices.Contains(c.Roll.Members[:i], m) {
+	for i, m := range config.Electorate.Members {
+		if m == "" || len(m) > maxName || slices.Contains(config.Electorate.Members[:i], m) {
 			return fmt.Errorf("electorate: %q is no name, or named twice", m)
 		}
 	}
@@ -150,216 +150,220 @@
 // Standing is what the agent is to do with a host. One that is not named gets its whole share.
 type Standing struct {
 	Host outlier.Host
-	// Part of its share; 0 is ejected. It holds until Until, and is 1 after it.
-	Part  float64
+	// Share of its share; 0 is ejected. It holds until Until, and is 1 after it.
+	Share float64
 	Until time.Duration
-	// Try asks for one attempt of a request that may be repeated, Probe for a probe.
-	Try, Probe bool
-}
-
-// Note is a step of the vote, for traces and logs.
-type Note struct {
-	At       time.Duration
-	Kind     string // "grant", "renew", "over_cap", "deny", "suspect", "eject", "hold", "return"
-	Host     outlier.Host
-	Why      Why
-	Roll     uint64
-	Attempts int
-	Bad      int
-	Granters []string      // eject, hold and return: whose grants
-	Until    time.Duration // grant, eject and hold
-}
-
-// Out is what the core asks of its caller.
-type Out struct {
-	// Letters are for members by name.
-	Letters map[string]*Letter
-	// Table is the whole of the standings, if Changed.
-	Table   []Standing
-	Changed bool
-	Notes   []Note
-	// Cover, if not 0, asks for it to be on disk that promises may stand until then, and for
+	// Trial asks for one attempt of a request that may be repeated, Probe for a probe.
+	Trial, Probe bool
+}
+
+// TraceEvent is a step of the vote, for traces and logs.
+type TraceEvent struct {
+	At         time.Duration
+	Kind       string // "grant", "renew", "over_cap", "deny", "suspect", "eject", "hold", "return"
+	Host       outlier.Host
+	Reason     Reason
+	Electorate uint64
+	Attempts   int
+	Failures   int
+	Granters   []string      // eject, hold and return: whose grants
+	Until      time.Duration // grant, eject and hold
+}
+
+// Actions is what the core asks of its caller.
+type Actions struct {
+	// Messages are for members by name.
+	Messages map[string]*VoteMessage
+	// Standings is the whole of the standings, if Changed.
+	Standings        []Standing
+	StandingsChanged bool
+	Trace            []TraceEvent
+	// PersistPromisesUntil, if not 0, asks for it to be on disk that promises may stand until then, and for
 	// Covered once it is.
-	Cover time.Duration
-}
-
-// Core is one member's vote: a state machine without I/O, not safe for concurrent use.
-type Core struct {
-	cfg       Config
-	log       *outlier.Log
-	now       time.Duration
-	born      time.Duration
-	started   bool
-	covered   time.Duration // until when promises may stand by what is on disk
-	voter     bool
-	changedAt time.Duration
-	sentAgain int // of again
-	beatAt    time.Duration
-	beatNext  int // of the roll
-	peers     map[string]*peer
-	mine      map[outlier.Host]*own
-	standing  map[outlier.Host]*standing
-	table     []Standing
-	out       *Out
+	PersistPromisesUntil time.Duration
+}
+
+// Voter is one member's vote: a state machine without I/O, not safe for concurrent use.
+type Voter struct {
+	config            Config
+	evidence          *outlier.Log
+	now               time.Duration
+	startedAt         time.Duration
+	started           bool
+	persistedUntil    time.Duration // until when promises may stand by what is on disk
+	isMember          bool
+	changedAt         time.Duration
+	repeats           int // of again
+	lastHeartbeat     time.Duration
+	nextHeartbeatPeer int // of the roll
+	peers             map[string]*peer
+	own               map[outlier.Host]*ownVote
+	ejections         map[outlier.Host]*ejection
+	standings         []Standing
+	actions           *Actions
 }
 
 // peer is what is known of another member.
 type peer struct {
-	boot    uint64
-	stamp   time.Duration // the newest Sent of that life, and
-	stampAt time.Duration // when it came
-	votes   map[outlier.Host]vote
-}
-
-type vote struct {
-	answer Answer
-	until  time.Duration
-	why    Why
-	seen   time.Duration // when its newest evidence against the host came, or later
-}
-
-// own is this member's answer on a host.
-type own struct {
-	answer   Answer
-	why      Why
-	until    time.Duration // of a grant, for others
-	promised time.Duration // until when it counts against the bound; 0: never
-	weight   float64       // of the zone, when granted
-	zone     string
-	granted  time.Duration // when last; evidence before it is used up
-	grants   int           // of late: each lasts longer than the one before
-	record   outlier.Record
-	owedAt   time.Duration // when a motion without own evidence was first met; 0: none
-	tried    bool          // the attempt or probe owed to it was asked for
-	probed   bool          // and the probe was answered
-}
-
-// standing is how a host stands by the count.
-type standing struct {
-	ejected bool
-	since   time.Duration // ejected, or returned
-	until   time.Duration
-	lease   time.Duration // the last known
-	round   int64         // of trials
-	tried   time.Duration // when it began
+	incarnation          uint64
+	newestSent           time.Duration // the newest Sent of that life, and
+	newestSentReceivedAt time.Duration // when it came
+	votes                map[outlier.Host]peerVote
+}
+
+type peerVote struct {
+	vote       Vote
+	until      time.Duration
+	reason     Reason
+	evidenceAt time.Duration // when its newest evidence against the host came, or later
+}
+
+// ownVote is this member's answer on a host.
+type ownVote struct {
+	vote             Vote
+	reason           Reason
+	until            time.Duration // of a grant, for others
+	promisedUntil    time.Duration // until when it counts against the bound; 0: never
+	weight           float64       // of the zone, when granted
+	zone             string
+	grantedAt        time.Duration // when last; evidence before it is used up
+	grants           int           // of late: each lasts longer than the one before
+	record           outlier.Record
+	owedSince        time.Duration // when a motion without own evidence was first met; 0: none
+	attemptRequested bool          // the attempt or probe owed to it was asked for
+	probeAnswered    bool          // and the probe was answered
+}
+
+// ejection is how a host stands by the count.
+type ejection struct {
+	ejected         bool
+	since           time.Duration // ejected, or returned
+	until           time.Duration
+	lease           time.Duration // the last known
+	trialRound      int64         // of trials
+	trialRoundBegan time.Duration // when it began
 }
 
 // New returns a member that has seen nothing. The log is the caller's to feed, between calls.
-func New(cfg Config, log *outlier.Log) (*Core, error) {
-	if err := cfg.Validate(); err != nil {
+func New(config Config, evidence *outlier.Log) (*Voter, error) {
+	if err := config.Validate(); err != nil {
 		return nil, fmt.Errorf("ballot: %w", err)
 	}
-	c := &Core{cfg: cfg, log: log, peers: map[string]*peer{}, mine: map[outlier.Host]*own{}, standing: map[outlier.Host]*standing{}}
-	for _, m := range cfg.Roll.Members {
-		if m == cfg.Self {
-			c.voter = true
+	voter := &Voter{config: config, evidence: evidence, peers: map[string]*peer{}, own: map[outlier.Host]*ownVote{}, ejections: map[outlier.Host]*ejection{}}
+	for _, member := range config.Electorate.Members {
+		if member == config.Self {
+			voter.isMember = true
 		} else {
-			c.peers[m] = &peer{votes: map[outlier.Host]vote{}}
+			voter.peers[member] = &peer{votes: map[outlier.Host]peerVote{}}
 		}
 	}
-	return c, nil
+	return voter, nil
 }
 
 // Receive takes a letter. One that is stale, of another roll or of no member is dropped with
 // the reason as its error.
-func (c *Core) Receive(now time.Duration, l *Letter) error {
-	c.begin(now)
-	p := c.peers[l.From]
-	switch err := l.Check(); {
+func (c *Voter) Receive(now time.Duration, message *VoteMessage) error {
+	c.advanceClock(now)
+	sender := c.peers[message.From]
+	switch err := message.Validate(); {
 	case err != nil:
 		return err
-	case p == nil:
-		return fmt.Errorf("letter: from: %s is not in the roll", l.From)
-	case l.Roll != c.cfg.Roll.Number:
-		return fmt.Errorf("letter: roll: %s votes by roll %d, this is %d", l.From, l.Roll, c.cfg.Roll.Number)
-	case l.Boot == p.boot && l.Sent < p.stamp:
-		return fmt.Errorf("letter: sent: an older one of %s", l.From)
-	}
-	if l.Boot != p.boot {
+	case sender == nil:
+		return fmt.Errorf("letter: from: %s is not in the roll", message.From)
+	case message.Electorate != c.config.Electorate.Number:
+		return fmt.Errorf("letter: roll: %s votes by roll %d, this is %d", message.From, message.Electorate, c.config.Electorate.Number)
+	case message.Incarnation == sender.incarnation && message.Sent < sender.newestSent:
+		return fmt.Errorf("letter: sent: an older one of %s", message.From)
+	}
+	if message.Incarnation != sender.incarnation {
 		// Another life. What the one before said holds until this one's word can be dated.
-		p.boot = l.Boot
+		sender.incarnation = message.Incarnation
 	}
-	p.stamp, p.stampAt = l.Sent, now
-	if l.EchoBoot != c.cfg.Boot || l.Echo > now {
+	sender.newestSent, sender.newestSentReceivedAt = message.Sent, now
+	if message.EchoIncarnation != c.config.Incarnation || message.Echo > now {
 		return nil // it can't be dated; ours will bring an echo
 	}
-	sent := min(l.Echo+time.Duration(float64(l.Kept)*(1-drift)), now)
-	votes := make(map[outlier.Host]vote, len(l.Entries))
-	for _, e := range l.Entries {
-		votes[e.Host] = vote{e.Answer, sent + e.Left, e.Why, sent - e.Seen}
+	sent := min(message.Echo+time.Duration(float64(message.EchoAge)*(1-clockDrift)), now)
+	votes := make(map[outlier.Host]peerVote, len(message.Entries))
+	for _, entry := range message.Entries {
+		votes[entry.Host] = peerVote{entry.Vote, sent + entry.ValidFor, entry.Reason, sent - entry.EvidenceAge}
 	}
-	p.votes = votes
+	sender.votes = votes
 	return nil
 }
 
-// begin sets the clock; the first call is the start of the quarantine.
-func (c *Core) begin(now time.Duration) {
+// advanceClock sets the clock; the first call is the start of the quarantine.
+func (c *Voter) advanceClock(now time.Duration) {
 	if !c.started {
-		c.started, c.born, c.beatAt, c.changedAt = true, now, now, now
+		c.started, c.startedAt, c.lastHeartbeat, c.changedAt = true, now, now, now
 	}
 	c.now = max(c.now, now)
 }
 
 // quarantined tells whether an earlier life may have granted what still stands.
-func (c *Core) quarantined() bool {
-	if c.cfg.Promised >= 0 {
-		return c.now-c.born < c.cfg.Promised
+func (c *Voter) quarantined() bool {
+	if c.config.EarlierPromisesFor >= 0 {
+		return c.now-c.startedAt < c.config.EarlierPromisesFor
 	}
-	return c.now-c.born < c.cfg.Whole()
+	return c.now-c.startedAt < c.config.MaxPromise()
 }
 
-// Whole is how long a promise stands at the most.
-func (c *Config) Whole() time.Duration { return time.Duration(float64(c.Longest) * (1 + 2*drift)) }
+// MaxPromise is how long a promise stands at the most.
+func (c *Config) MaxPromise() time.Duration {
+	return time.Duration(float64(c.MaxLease) * (1 + 2*clockDrift))
+}
 
-// Covered takes that it is on disk, synced, that promises may stand until a time.
-func (c *Core) Covered(until time.Duration) { c.covered = max(c.covered, until) }
+// PromisesPersisted takes that it is on disk, synced, that promises may stand until a time.
+func (c *Voter) PromisesPersisted(until time.Duration) {
+	c.persistedUntil = max(c.persistedUntil, until)
+}
 
 // Tick decides anew, with all that has come and was seen, and returns what is to be done. It
 // is to be called every few tens of milliseconds.
-func (c *Core) Tick(now time.Duration) *Out {
-	c.begin(now)
-	c.out = &Out{Letters: map[string]*Letter{}}
-	before := c.answers()
-	part, met := c.log.UnhealthyFraction(c.now)
-	inPanic := met >= panicMet && part > 0.5
-	for _, h := range c.hosts() {
-		c.answer(h, inPanic)
-	}
-	for _, h := range c.candidates() {
-		c.grant(h)
-	}
-	c.forget()
-	for _, h := range c.hosts() {
-		c.count(h)
-	}
-	if !slices.Equal(before, c.answers()) {
-		c.changedAt, c.sentAgain = c.now, 0
-		c.letters(c.cfg.Roll.Members)
+func (c *Voter) Tick(now time.Duration) *Actions {
+	c.advanceClock(now)
+	c.actions = &Actions{Messages: map[string]*VoteMessage{}}
+	announced := c.announcedVotes()
+	fraction, observed := c.evidence.UnhealthyFraction(c.now)
+	inPanic := observed >= minPanicObservations && fraction > 0.5
+	for _, host := range c.knownHosts() {
+		c.updateOwnVote(host, inPanic)
+	}
+	for _, host := range c.grantCandidates() {
+		c.grantWithinCap(host)
+	}
+	c.expire()
+	for _, host := range c.knownHosts() {
+		c.updateEjection(host)
+	}
+	if !slices.Equal(announced, c.announcedVotes()) {
+		c.changedAt, c.repeats = c.now, 0
+		c.queueMessages(c.config.Electorate.Members)
 	} else {
-		c.repeat()
+		c.repeatState()
 	}
-	table := c.standings()
-	if !slices.Equal(table, c.table) {
-		c.table, c.out.Table, c.out.Changed = table, table, true
+	standings := c.currentStandings()
+	if !slices.Equal(standings, c.standings) {
+		c.standings, c.actions.Standings, c.actions.StandingsChanged = standings, standings, true
 	}
-	return c.out
+	return c.actions
 }
 
-// hosts are those that anyone has something to say of, in the order of their names.
-func (c *Core) hosts() []outlier.Host {
+// knownHosts are those that anyone has something to say of, in the order of their names.
+func (c *Voter) knownHosts() []outlier.Host {
 	set := map[outlier.Host]bool{}
-	for _, h := range c.log.Suspects(c.now, c.cfg.Age) {
+	for _, h := range c.evidence.Suspects(c.now, c.config.MaxEvidenceAge) {
 		set[h] = true
 	}
-	for h := range c.mine {
+	for h := range c.own {
 		set[h] = true
 	}
-	for h := range c.standing {
+	for h := range c.ejections {
 		set[h] = true
 	}
 	for _, p := range c.peers {
 		for h, v := range p.votes {
-			if v.until > c.now && v.answer >= Suspect {
+			if v.until > c.now && v.vote >= Suspect {
 				set[h] = true
 			}
 		}
@@ -376,419 +380,421 @@
 	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// favour counts the members that want a host ejected, and those that deny it, by what each
+// tally counts the members that want a host ejected, and those that deny it, by what each
 // said last.
-func (c *Core) favour(h outlier.Host) (in, against int) {
-	each := func(a Answer) {
+func (c *Voter) tally(host outlier.Host) (inFavour, against int) {
+	add := func(a Vote) {
 		switch a {
 		case Suspect, Grant:
-			in++
+			inFavour++
 		case Deny:
 			against++
 		}
 	}
-	if m := c.mine[h]; m != nil && c.voter {
-		each(m.answer)
+	if m := c.own[host]; m != nil && c.isMember {
+		add(m.vote)
 	}
 	for _, p := range c.peers {
-		if v, ok := p.votes[h]; ok && v.until > c.now {
-			each(v.answer)
+		if v, ok := p.votes[host]; ok && v.until > c.now {
+			add(v.vote)
 		}
 	}
-	return in, against
+	return inFavour, against
 }
 
-// granters are the members whose grants for a host are live, and when so many have lapsed
+// liveGrants are the members whose grants for a host are live, and when so many have lapsed
 // that no majority is left.
-func (c *Core) granters(h outlier.Host) (names []string, until time.Duration) {
-	var ends []time.Duration
-	for _, name := range c.cfg.Roll.Members {
-		end, live := time.Duration(0), false
+func (c *Voter) liveGrants(host outlier.Host) (names []string, until time.Duration) {
+	var expiries []time.Duration
+	for _, name := range c.config.Electorate.Members {
+		expiry, live := time.Duration(0), false
 		if p := c.peers[name]; p != nil {
-			v, ok := p.votes[h]
-			end, live = v.until, ok && v.answer == Grant
-		} else if m := c.mine[h]; m != nil {
-			end, live = m.until, m.answer == Grant
+			v, ok := p.votes[host]
+			expiry, live = v.until, ok && v.vote == Grant
+		} else if m := c.own[host]; m != nil {
+			expiry, live = m.until, m.vote == Grant
 		}
-		if live && end > c.now {
-			names, ends = append(names, name), append(ends, end)
+		if live && expiry > c.now {
+			names, expiries = append(names, name), append(expiries, expiry)
 		}
 	}
-	if q := c.cfg.Roll.Quorum(); len(ends) >= q {
-		slices.Sort(ends)
-		until = ends[len(ends)-q]
+	if quorum := c.config.Electorate.Quorum(); len(expiries) >= quorum {
+		slices.Sort(expiries)
+		until = expiries[len(expiries)-quorum]
 	}
 	return names, until
 }
 
-// answer is this member's own answer on a host by what it saw; a grant comes later.
-func (c *Core) answer(h outlier.Host, inPanic bool) {
-	r, listed := c.log.Record(h, c.now)
-	m := c.mine[h]
-	if m == nil {
+// updateOwnVote is this member's own answer on a host by what it saw; a grant comes later.
+func (c *Voter) updateOwnVote(host outlier.Host, inPanic bool) {
+	record, listed := c.evidence.Record(host, c.now)
+	own := c.own[host]
+	if own == nil {
 		if !listed {
 			return
 		}
-		m = &own{granted: -1}
-		c.mine[h] = m
+		own = &ownVote{grantedAt: -1}
+		c.own[host] = own
 	}
-	m.record = r
-	was := m.answer
-	live := m.answer == Grant && m.until > c.now
+	own.record = record
+	before := own.vote
+	granted := own.vote == Grant && own.until > c.now
 	switch {
-	case !c.voter:
-		m.answer, m.why = Abstain, NotInRoll
+	case !c.isMember:
+		own.vote, own.reason = Abstain, ReasonNotInElectorate
 	case c.quarantined():
-		m.answer, m.why = Abstain, Quarantine
+		own.vote, own.reason = Abstain, ReasonQuarantine
 	case inPanic:
-		m.answer, m.why = Abstain, InPanic
+		own.vote, own.reason = Abstain, ReasonPanic
 	case !listed:
-		m.answer, m.why = Abstain, NoEvidence
-	case r.Healthy(c.now, c.cfg.Age) && (m.granted < 0 || r.LastSuccessSent > m.granted):
-		m.answer, m.why = Deny, BySuccess
-	case live: // as promised; a renewal is grant's
-	case r.Unhealthy(c.now, c.cfg.Age) && (m.granted < 0 || r.LastFailureSent > m.granted):
-		if m.answer != Suspect { // or it says OverCap, for which nothing has changed
-			m.why = whyOf(r.LastFailure)
+		own.vote, own.reason = Abstain, ReasonNoEvidence
+	case record.Healthy(c.now, c.config.MaxEvidenceAge) && (own.grantedAt < 0 || record.LastSuccessSent > own.grantedAt):
+		own.vote, own.reason = Deny, ReasonSuccess
+	case granted: // as promised; a renewal is grant's
+	case record.Unhealthy(c.now, c.config.MaxEvidenceAge) && (own.grantedAt < 0 || record.LastFailureSent > own.grantedAt):
+		if own.vote != Suspect { // or it says ReasonEjectionCap, for which nothing has changed
+			own.reason = reasonFor(record.LastFailure)
 		}
-		m.answer = Suspect
+		own.vote = Suspect
 	default:
-		m.answer, m.why = Abstain, NoEvidence
+		own.vote, own.reason = Abstain, ReasonNoEvidence
 	}
-	if m.answer != was && m.answer != Abstain {
-		c.note(m.answer.String(), h, m)
+	if own.vote != before && own.vote != Abstain {
+		c.trace(own.vote.String(), host, own)
 	}
-	if r.LastProbeSent > r.LastFailureAt && m.tried && m.owedAt > 0 && r.LastProbeSent > m.owedAt && !m.probed {
-		m.tried, m.probed = false, true // that it runs is no evidence: it is to be tried, once
+	if record.LastProbeSent > record.LastFailureAt && own.attemptRequested && own.owedSince > 0 && record.LastProbeSent > own.owedSince && !own.probeAnswered {
+		own.attemptRequested, own.probeAnswered = false, true // that it runs is no evidence: it is to be tried, once
 	}
-	if r.Attempts > 0 && (r.Healthy(c.now, c.cfg.Age) || r.Unhealthy(c.now, c.cfg.Age)) {
-		m.owedAt, m.tried, m.probed = 0, false, false
+	if record.Attempts > 0 && (record.Healthy(c.now, c.config.MaxEvidenceAge) || record.Unhealthy(c.now, c.config.MaxEvidenceAge)) {
+		own.owedSince, own.attemptRequested, own.probeAnswered = 0, false, false
 	}
 }
 
-func whyOf(k outlier.Outcome) Why {
+func reasonFor(k outlier.Outcome) Reason {
 	switch k {
 	case outlier.NoAnswer:
-		return BySilence
+		return ReasonNoAnswer
 	case outlier.Slow:
-		return BySlowness
+		return ReasonSlowness
 	}
-	return ByFailures
+	return ReasonFailures
 }
 
-// candidates are the hosts that this member may grant or renew now, the most wanted first, so
+// grantCandidates are the hosts that this member may grant or renew now, the most wanted first, so
 // that voters whose bounds are near spend them on the same hosts.
-func (c *Core) candidates() []outlier.Host {
+func (c *Voter) grantCandidates() []outlier.Host {
 	var out []outlier.Host
-	wanted := map[outlier.Host]int{}
-	for h, m := range c.mine {
+	votesFor := map[outlier.Host]int{}
+	for h, own := range c.own {
 		// A renewal needs evidence of its own that is not too old, and of anyone that is newer
 		// than the grant: one trial that fails keeps a host out, where each member would have
 		// to try it otherwise.
-		r := m.record
-		sick := r.LastFailureAt > r.LastSuccessSent && c.now-r.LastFailureAt <= renewTimes*c.cfg.Longest
-		renew := m.answer == Grant && m.until > c.now && m.until-c.now < (m.until-m.granted)/2 && sick && c.newest(h) > m.granted
-		if m.answer != Suspect && !renew {
+		record := own.record
+		unhealthy := record.LastFailureAt > record.LastSuccessSent && c.now-record.LastFailureAt <= renewalAgeFactor*c.config.MaxLease
+		renewalDue := own.vote == Grant && own.until > c.now && own.until-c.now < (own.until-own.grantedAt)/2 && unhealthy && c.newestEvidence(h) > own.grantedAt
+		if own.vote != Suspect && !renewalDue {
 			continue
 		}
-		if in, _ := c.favour(h); in >= c.cfg.Roll.Quorum() {
-			wanted[h] = in
+		if inFavour, _ := c.tally(h); inFavour >= c.config.Electorate.Quorum() {
+			votesFor[h] = inFavour
 			out = append(out, h)
 		}
 	}
 	slices.SortFunc(out, func(a, b outlier.Host) int {
-		return cmp.Or(cmp.Compare(wanted[b], wanted[a]), cmp.Compare(hash(a, 0, ""), hash(b, 0, "")), compare(a, b))
+		return cmp.Or(cmp.Compare(votesFor[b], votesFor[a]), cmp.Compare(hash(a, 0, ""), hash(b, 0, "")), compare(a, b))
 	})
 	return out
 }
 
-// newest is when the newest evidence of anyone against a host was met.
-func (c *Core) newest(h outlier.Host) time.Duration {
+// newestEvidence is when the newest evidence of anyone against a host was met.
+func (c *Voter) newestEvidence(h outlier.Host) time.Duration {
 	at := time.Duration(-1)
-	if m := c.mine[h]; m != nil {
+	if m := c.own[h]; m != nil {
 		at = m.record.LastFailureSent
 	}
 	for _, p := range c.peers {
-		if v, ok := p.votes[h]; ok && v.answer >= Suspect && v.until > c.now {
-			at = max(at, v.seen)
+		if v, ok := p.votes[h]; ok && v.vote >= Suspect && v.until > c.now {
+			at = max(at, v.evidenceAt)
 		}
 	}
 	return at
 }
 
-// lease is how long this member's next grant for a host lasts.
-func (c *Core) lease(m *own) time.Duration {
-	return min(c.cfg.Lease<<min(m.grants, 16), c.cfg.Longest)
+// nextLease is how long this member's next grant for a host lasts.
+func (c *Voter) nextLease(m *ownVote) time.Duration {
+	return min(c.config.Lease<<min(m.grants, 16), c.config.MaxLease)
 }
 
-// grant promises, if the bound allows.
-func (c *Core) grant(h outlier.Host) {
-	m := c.mine[h]
-	weight, zone := c.log.Weight(h)
-	q, n := float64(c.cfg.Roll.Quorum()), float64(len(c.cfg.Roll.Members))
-	sum := weight
-	for o, p := range c.mine {
-		if o != h && p.zone == zone && p.promised > c.now {
-			sum += p.weight
+// grantWithinCap promises, if the bound allows.
+func (c *Voter) grantWithinCap(host outlier.Host) {
+	own := c.own[host]
+	weight, zone := c.evidence.Weight(host)
+	quorum, members := float64(c.config.Electorate.Quorum()), float64(len(c.config.Electorate.Members))
+	promised := weight
+	for other, otherVote := range c.own {
+		if other != host && otherVote.zone == zone && otherVote.promisedUntil > c.now {
+			promised += otherVote.weight
 		}
 	}
-	if weight <= 0 || sum > c.cfg.Cap*q/n+1e-9 {
-		if m.answer == Suspect && m.why != OverCap {
-			m.why = OverCap
-			c.note("over_cap", h, m)
+	if weight <= 0 || promised > c.config.MaxEjectedFraction*quorum/members+1e-9 {
+		if own.vote == Suspect && own.reason != ReasonEjectionCap {
+			own.reason = ReasonEjectionCap
+			c.trace("over_cap", host, own)
 		}
 		return
 	}
-	if c.cfg.Covers && c.now+c.cfg.Whole() > c.covered {
-		c.out.Cover = c.now + 2*c.cfg.Whole() // so that the next promises need not wait
-		if c.now+time.Duration(float64(c.lease(m))*(1+2*drift)) > c.covered {
+	if c.config.PersistsPromises && c.now+c.config.MaxPromise() > c.persistedUntil {
+		c.actions.PersistPromisesUntil = c.now + 2*c.config.MaxPromise() // so that the next promises need not wait
+		if c.now+time.Duration(float64(c.nextLease(own))*(1+2*clockDrift)) > c.persistedUntil {
 			return
 		}
 	}
-	lease, kind := c.lease(m), "grant"
-	if m.answer == Grant {
+	lease, kind := c.nextLease(own), "grant"
+	if own.vote == Grant {
 		kind = "renew"
 	}
-	m.grants++
-	m.answer, m.why = Grant, whyOf(m.record.LastFailure)
-	m.granted, m.until = c.now, c.now+lease
+	own.grants++
+	own.vote, own.reason = Grant, reasonFor(own.record.LastFailure)
+	own.grantedAt, own.until = c.now, c.now+lease
 	// Weights move with the list; a promise is counted at the most that it was.
-	if m.promised <= c.now || m.zone != zone {
-		m.weight = 0
+	if own.promisedUntil <= c.now || own.zone != zone {
+		own.weight = 0
 	}
-	m.weight, m.zone = max(m.weight, weight), zone
-	m.promised = c.now + time.Duration(float64(lease)*(1+2*drift))
-	c.note(kind, h, m)
+	own.weight, own.zone = max(own.weight, weight), zone
+	own.promisedUntil = c.now + time.Duration(float64(lease)*(1+2*clockDrift))
+	c.trace(kind, host, own)
 }
 
-// count sets a host's standing by the live grants.
-func (c *Core) count(h outlier.Host) {
-	names, until := c.granters(h)
-	ejected := len(names) >= c.cfg.Roll.Quorum()
-	s := c.standing[h]
-	if s == nil {
+// updateEjection sets a host's standing by the live grants.
+func (c *Voter) updateEjection(host outlier.Host) {
+	names, until := c.liveGrants(host)
+	ejected := len(names) >= c.config.Electorate.Quorum()
+	state := c.ejections[host]
+	if state == nil {
 		if !ejected {
 			return
 		}
-		s = &standing{}
-		c.standing[h] = s
+		state = &ejection{}
+		c.ejections[host] = state
 	}
-	if ejected && s.ejected && until > s.until {
-		c.out.Notes = append(c.out.Notes, Note{At: c.now, Kind: "hold", Host: h, Roll: c.cfg.Roll.Number, Granters: names, Until: until})
+	if ejected && state.ejected && until > state.until {
+		c.actions.Trace = append(c.actions.Trace, TraceEvent{At: c.now, Kind: "hold", Host: host, Electorate: c.config.Electorate.Number, Granters: names, Until: until})
 	}
-	if ejected && until > s.until {
-		s.lease = until - c.now
+	if ejected && until > state.until {
+		state.lease = until - c.now
 	}
-	s.until = until
+	state.until = until
 	switch {
-	case ejected && !s.ejected:
-		s.ejected, s.since, s.tried = true, c.now, c.now
-		c.out.Notes = append(c.out.Notes, Note{At: c.now, Kind: "eject", Host: h, Roll: c.cfg.Roll.Number, Granters: names, Until: until})
-	case !ejected && s.ejected:
-		s.ejected, s.since = false, c.now
-		c.out.Notes = append(c.out.Notes, Note{At: c.now, Kind: "return", Host: h, Roll: c.cfg.Roll.Number, Granters: names})
-	case !ejected && c.now-s.since < c.returning():
+	case ejected && !state.ejected:
+		state.ejected, state.since, state.trialRoundBegan = true, c.now, c.now
+		c.actions.Trace = append(c.actions.Trace, TraceEvent{At: c.now, Kind: "eject", Host: host, Electorate: c.config.Electorate.Number, Granters: names, Until: until})
+	case !ejected && state.ejected:
+		state.ejected, state.since = false, c.now
+		c.actions.Trace = append(c.actions.Trace, TraceEvent{At: c.now, Kind: "return", Host: host, Electorate: c.config.Electorate.Number, Granters: names})
+	case !ejected && c.now-state.since < c.slowStartDuration():
 		// No step is earned while the last that was seen here was bad.
-		if m := c.mine[h]; m != nil && m.answer == Suspect {
-			s.since = c.now
+		if m := c.own[host]; m != nil && m.vote == Suspect {
+			state.since = c.now
 		}
 	}
 }
 
-// forget drops what nobody has anything to say of any more.
-func (c *Core) forget() {
-	for h, m := range c.mine {
-		_, listed := c.log.Incarnation(h.ID)
-		in, _ := c.favour(h)
-		if m.answer > Deny || m.promised > c.now || in > 0 && listed {
+// expire drops what nobody has anything to say of any more.
+func (c *Voter) expire() {
+	for host, own := range c.own {
+		_, listed := c.evidence.Incarnation(host.ID)
+		inFavour, _ := c.tally(host)
+		if own.vote > Deny || own.promisedUntil > c.now || inFavour > 0 && listed {
 			continue
 		}
-		if !listed || c.now-m.promised > c.cfg.Remember || m.grants == 0 {
-			delete(c.mine, h)
+		if !listed || c.now-own.promisedUntil > c.config.EscalationWindow || own.grants == 0 {
+			delete(c.own, host)
 		}
 	}
-	for h, s := range c.standing {
-		if !s.ejected && c.now-s.since > c.returning() {
-			delete(c.standing, h)
+	for host, state := range c.ejections {
+		if !state.ejected && c.now-state.since > c.slowStartDuration() {
+			delete(c.ejections, host)
 		}
 	}
 	for _, p := range c.peers {
-		for h, v := range p.votes {
+		for host, v := range p.votes {
 			if v.until <= c.now {
-				delete(p.votes, h)
+				delete(p.votes, host)
 			}
 		}
 	}
 }
 
-// returning is how long a host takes to get its whole share back.
-func (c *Core) returning() time.Duration { return time.Duration(len(steps)-1) * c.cfg.Step }
+// slowStartDuration is how long a host takes to get its whole share back.
+func (c *Voter) slowStartDuration() time.Duration {
+	return time.Duration(len(slowStartShares)-1) * c.config.SlowStartStep
+}
 
-// standings is the table for the agent.
-func (c *Core) standings() (out []Standing) {
-	for _, h := range c.hosts() {
-		if s := c.standing[h]; s != nil && s.ejected {
-			out = append(out, c.asking(Standing{Host: h, Until: s.until}, c.trial(h, s)))
+// currentStandings is the table for the agent.
+func (c *Voter) currentStandings() (out []Standing) {
+	for _, host := range c.knownHosts() {
+		if state := c.ejections[host]; state != nil && state.ejected {
+			out = append(out, c.withRequestedAttempt(Standing{Host: host, Until: state.until}, c.trialDue(host, state)))
 			continue
-		} else if s != nil && c.now-s.since < c.returning() {
-			out = append(out, Standing{Host: h, Part: steps[(c.now-s.since)/c.cfg.Step], Until: s.since + c.returning()})
+		} else if state != nil && c.now-state.since < c.slowStartDuration() {
+			out = append(out, Standing{Host: host, Share: slowStartShares[(c.now-state.since)/c.config.SlowStartStep], Until: state.since + c.slowStartDuration()})
 			continue
 		}
-		if c.owes(h) {
-			out = append(out, c.asking(Standing{Host: h, Part: 1}, true))
+		if c.owesAttempt(host) {
+			out = append(out, c.withRequestedAttempt(Standing{Host: host, Share: 1}, true))
 		}
 	}
 	return out
 }
 
-// asking asks for an attempt, or for a probe where the host is said to be silent: nobody's
+// withRequestedAttempt asks for an attempt, or for a probe where the host is said to be silent: nobody's
 // request is lost to find that out. One that answers probes again is tried.
-func (c *Core) asking(s Standing, ask bool) Standing {
-	if !ask {
-		return s
+func (c *Voter) withRequestedAttempt(standing Standing, attemptDue bool) Standing {
+	if !attemptDue {
+		return standing
 	}
-	silent := false
+	unanswered := false
 	for _, p := range c.peers {
-		v, ok := p.votes[s.Host]
-		silent = silent || ok && v.answer >= Suspect && v.why == BySilence && v.until > c.now
+		v, ok := p.votes[standing.Host]
+		unanswered = unanswered || ok && v.vote >= Suspect && v.reason == ReasonNoAnswer && v.until > c.now
 	}
-	m := c.mine[s.Host]
-	if m != nil && m.answer >= Suspect {
-		silent = m.record.LastFailure == outlier.NoAnswer
+	own := c.own[standing.Host]
+	if own != nil && own.vote >= Suspect {
+		unanswered = own.record.LastFailure == outlier.NoAnswer
 	}
-	s.Probe = silent && (m == nil || m.record.LastProbeSent <= m.record.LastFailureAt || c.now-m.record.LastProbeSent > c.cfg.Age)
-	s.Try = !s.Probe
-	return s
+	standing.Probe = unanswered && (own == nil || own.record.LastProbeSent <= own.record.LastFailureAt || c.now-own.record.LastProbeSent > c.config.MaxEvidenceAge)
+	standing.Trial = !standing.Probe
+	return standing
 }
 
-// trial tells whether this member is to try an ejected host now: one is drawn for each round,
-// another for the next, trialRounds in a lease. Once a third of the members deny, a majority
+// trialDue tells whether this member is to try an ejected host now: one is drawn for each round,
+// another for the next, trialRoundsPerLease in a lease. Once a third of the members deny, a majority
 // is to try it in two rounds; fewer may be liars.
-func (c *Core) trial(h outlier.Host, s *standing) bool {
-	each, few := max(c.cfg.Trial, s.lease/trialRounds), 1
-	if _, against := c.favour(h); 3*against >= len(c.cfg.Roll.Members) {
-		each, few = c.cfg.Trial, (c.cfg.Roll.Quorum()+1)/2
+func (c *Voter) trialDue(host outlier.Host, state *ejection) bool {
+	interval, voters := max(c.config.TrialInterval, state.lease/trialRoundsPerLease), 1
+	if _, against := c.tally(host); 3*against >= len(c.config.Electorate.Members) {
+		interval, voters = c.config.TrialInterval, (c.config.Electorate.Quorum()+1)/2
 	}
-	if c.now-s.tried < each {
+	if c.now-state.trialRoundBegan < interval {
 		return false
 	}
-	s.round, s.tried = s.round+1, c.now
-	return c.rank(h, s.round) < few
+	state.trialRound, state.trialRoundBegan = state.trialRound+1, c.now
+	return c.rank(host, state.trialRound) < voters
 }
 
-// owes tells whether this member is to attempt a host that another moved and that it has not
+// owesAttempt tells whether this member is to attempt a host that another moved and that it has not
 // met of late: one after the other, until enough have voted or somebody denies.
-func (c *Core) owes(h outlier.Host) bool {
-	m := c.mine[h]
-	if m == nil || m.tried || m.answer != Abstain || m.why != NoEvidence {
+func (c *Voter) owesAttempt(host outlier.Host) bool {
+	own := c.own[host]
+	if own == nil || own.attemptRequested || own.vote != Abstain || own.reason != ReasonNoEvidence {
 		return false
 	}
-	in, against := c.favour(h)
-	if in == 0 || in >= c.cfg.Roll.Quorum() || against >= 2*in {
-		m.owedAt = 0
+	inFavour, against := c.tally(host)
+	if inFavour == 0 || inFavour >= c.config.Electorate.Quorum() || against >= 2*inFavour {
+		own.owedSince = 0
 		return false
 	}
-	if m.owedAt == 0 {
-		m.owedAt = c.now
+	if own.owedSince == 0 {
+		own.owedSince = c.now
 	}
-	if c.now-m.owedAt < owedAfter+time.Duration(c.rank(h, -1))*owedEach {
+	if c.now-own.owedSince < firstAttemptDelay+time.Duration(c.rank(host, -1))*attemptStagger {
 		return false
 	}
-	m.tried = true
+	own.attemptRequested = true
 	return true
 }
 
 // rank is this member's place among all for a host and a round, the same at all.
-func (c *Core) rank(h outlier.Host, round int64) (place int) {
-	mine := hash(h, round, c.cfg.Self)
-	for _, name := range c.cfg.Roll.Members {
-		if hash(h, round, name) < mine {
-			place++
+func (c *Voter) rank(host outlier.Host, round int64) (rank int) {
+	ownHash := hash(host, round, c.config.Self)
+	for _, name := range c.config.Electorate.Members {
+		if hash(host, round, name) < ownHash {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func hash(h outlier.Host, round int64, name string) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%d\x00%s", h.ID, h.Incarnation, round, name))
 }
 
-// said is an answer as others are told it, without what changes with the clock.
-type said struct {
+// announcedVote is an answer as others are told it, without what changes with the clock.
+type announcedVote struct {
 	host   outlier.Host
-	answer Answer
-	why    Why
+	vote   Vote
+	reason Reason
 	until  time.Duration
 }
 
-// answers is what others are to know, in the order of names: what only this member cares for
+// announcedVotes is what others are to know, in the order of names: what only this member cares for
 // is not.
-func (c *Core) answers() (out []said) {
-	for h, m := range c.mine {
-		if in, _ := c.favour(h); in == 0 {
+func (c *Voter) announcedVotes() (out []announcedVote) {
+	for host, own := range c.own {
+		if in, _ := c.tally(host); in == 0 {
 			continue
 		}
-		s := said{h, m.answer, m.why, 0}
-		if m.answer == Grant {
-			s.until = m.until
+		announced := announcedVote{host, own.vote, own.reason, 0}
+		if own.vote == Grant {
+			announced.until = own.until
 		}
-		out = append(out, s)
+		out = append(out, announced)
 	}
-	slices.SortFunc(out, func(a, b said) int {
-		return cmp.Or(cmp.Compare(b.answer, a.answer), compare(a.host, b.host))
+	slices.SortFunc(out, func(a, b announcedVote) int {
+		return cmp.Or(cmp.Compare(b.vote, a.vote), compare(a.host, b.host))
 	})
 	return out[:min(len(out), maxEntries)]
 }
 
-// letters writes to members.
-func (c *Core) letters(to []string) {
+// queueMessages writes to members.
+func (c *Voter) queueMessages(members []string) {
 	var entries []Entry
-	for _, s := range c.answers() {
-		m := c.mine[s.host]
-		e := Entry{Host: s.host, Answer: m.answer, Why: m.why, Attempts: m.record.Attempts, Bad: m.record.Failures, Left: c.cfg.Age}
-		switch m.answer {
+	for _, announced := range c.announcedVotes() {
+		own := c.own[announced.host]
+		entry := Entry{Host: announced.host, Vote: own.vote, Reason: own.reason, Attempts: own.record.Attempts, Failures: own.record.Failures, ValidFor: c.config.MaxEvidenceAge}
+		switch own.vote {
 		case Grant:
-			e.Left = max(m.until-c.now, 0)
+			entry.ValidFor = max(own.until-c.now, 0)
 		case Suspect:
-			e.Left = max(c.cfg.Age-(c.now-m.record.LastFailureAt), 0)
+			entry.ValidFor = max(c.config.MaxEvidenceAge-(c.now-own.record.LastFailureAt), 0)
 		case Deny:
-			e.Left = max(c.cfg.Age-(c.now-m.record.LastSuccessSent), 0)
+			entry.ValidFor = max(c.config.MaxEvidenceAge-(c.now-own.record.LastSuccessSent), 0)
 		}
-		e.Seen = min(max(c.now-m.record.LastFailureSent, 0), mostLease)
-		entries = append(entries, e)
+		entry.EvidenceAge = min(max(c.now-own.record.LastFailureSent, 0), maxLease)
+		entries = append(entries, entry)
 	}
-	for _, name := range to {
+	for _, name := range members {
 		p := c.peers[name]
 		if p == nil {
 			continue
 		}
-		l := &Letter{Version: Version, From: c.cfg.Self, Boot: c.cfg.Boot, Roll: c.cfg.Roll.Number, Sent: c.now, Entries: entries}
-		if p.boot != 0 {
-			l.EchoBoot, l.Echo, l.Kept = p.boot, p.stamp, c.now-p.stampAt
+		message := &VoteMessage{Version: Version, From: c.config.Self, Incarnation: c.config.Incarnation, Electorate: c.config.Electorate.Number, Sent: c.now, Entries: entries}
+		if p.incarnation != 0 {
+			message.EchoIncarnation, message.Echo, message.EchoAge = p.incarnation, p.newestSent, c.now-p.newestSentReceivedAt
 		}
-		c.out.Letters[name] = l
+		c.actions.Messages[name] = message
 	}
 }
 
-// repeat sends the state once more: some times after a change to all, and in turn to one.
-func (c *Core) repeat() {
-	if c.sentAgain < len(again) && c.now-c.changedAt >= again[c.sentAgain] {
-		c.sentAgain++
-		c.letters(c.cfg.Roll.Members)
+// repeatState sends the state once more: some times after a change to all, and in turn to one.
+func (c *Voter) repeatState() {
+	if c.repeats < len(repeatDelays) && c.now-c.changedAt >= repeatDelays[c.repeats] {
+		c.repeats++
+		c.queueMessages(c.config.Electorate.Members)
 		return
 	}
-	n := len(c.cfg.Roll.Members)
-	if every := time.Second / time.Duration(min(beats, n)); c.now-c.beatAt >= every {
-		c.beatAt = c.now // and not later by one: after a pause no burst is owed
-		c.letters(c.cfg.Roll.Members[c.beatNext : c.beatNext+1])
-		c.beatNext = (c.beatNext + 1) % n
+	members := len(c.config.Electorate.Members)
+	if interval := time.Second / time.Duration(min(heartbeatsPerSecond, members)); c.now-c.lastHeartbeat >= interval {
+		c.lastHeartbeat = c.now // and not later by one: after a pause no burst is owed
+		c.queueMessages(c.config.Electorate.Members[c.nextHeartbeatPeer : c.nextHeartbeatPeer+1])
+		c.nextHeartbeatPeer = (c.nextHeartbeatPeer + 1) % members
 	}
 }
 
-func (c *Core) note(kind string, h outlier.Host, m *own) {
-	n := Note{At: c.now, Kind: kind, Host: h, Why: m.why, Roll: c.cfg.Roll.Number, Attempts: m.record.Attempts, Bad: m.record.Failures}
-	if m.answer == Grant {
-		n.Until = m.until
+func (c *Voter) trace(kind string, host outlier.Host, own *ownVote) {
+	event := TraceEvent{At: c.now, Kind: kind, Host: host, Reason: own.reason, Electorate: c.config.Electorate.Number, Attempts: own.record.Attempts, Failures: own.record.Failures}
+	if own.vote == Grant {
+		event.Until = own.until
 	}
-	c.out.Notes = append(c.out.Notes, n)
+	c.actions.Trace = append(c.actions.Trace, event)
 }
--- a/internal/agent/ejection/core_test.go
+++ b/internal/agent/ejection/core_test.go
@@ -10,20 +10,20 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// settled is a site whose voters may vote.
-func settled(t testing.TB, seed uint64, members, hosts int) *sim {
+// newConvergedSim is a site whose voters may vote.
+func newConvergedSim(t testing.TB, seed uint64, members, hosts int) *sim {
 	s := newSim(t, seed, members, hosts, 1)
-	s.run(s.cfg.Longest + time.Second)
+	s.run(s.cfg.MaxLease + time.Second)
 	if len(s.ejected) > 0 {
 		t.Fatalf("ejected in calm: %v", s.ejected)
 	}
 	return s
 }
 
-func TestABadHostIsEjectedByAllAndReturnsBySteps(t *testing.T) {
+func TestUnhealthyHostIsEjectedAndReturnsBySlowStart(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 13, 40} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			s := settled(t, 1, n, 12)
+			s := newConvergedSim(t, 1, n, 12)
 			h := s.hosts[3].Host
 			s.bad[h] = outlier.Failure
 			s.run(2 * time.Second)
@@ -34,7 +34,7 @@
 				t.Errorf("also ejected: %v", s.ejected)
 			}
 			delete(s.bad, h)
-			s.run(s.cfg.Longest + 2*time.Second)
+			s.run(s.cfg.MaxLease + 2*time.Second)
 			if got := s.holding(h); got != 0 {
 				t.Errorf("%d of %d still hold it ejected when it is well", got, n)
 			}
@@ -43,16 +43,16 @@
 				t.Errorf("%d returns at %d members", got, n)
 			}
 			for _, m := range s.members {
-				if st, ok := m.table[h]; ok && st.Part != 1 {
-					t.Errorf("%s gives it %v", m.name, st.Part)
+				if st, ok := m.table[h]; ok && st.Share != 1 {
+					t.Errorf("%s gives it %v", m.name, st.Share)
 				}
 			}
 		})
 	}
 }
 
-func TestStepsOfAReturn(t *testing.T) {
-	s := settled(t, 2, 3, 12)
+func TestSlowStartShares(t *testing.T) {
+	s := newConvergedSim(t, 2, 3, 12)
 	h := s.hosts[0].Host
 	s.bad[h] = outlier.Failure
 	for s.holding(h) < 3 {
@@ -64,15 +64,15 @@
 		s.run(tick)
 		st, ok := s.members[0].table[h]
 		part := 1.0
-		if ok && !st.Try || ok && st.Part < 1 {
-			part = st.Part
+		if ok && !st.Trial || ok && st.Share < 1 {
+			part = st.Share
 		}
 		if len(parts) == 0 || parts[len(parts)-1] != part {
 			parts = append(parts, part)
 		}
 	}
 	for i, p := range parts[1:] { // up by one step at a time, down to any
-		if at := slices.Index(steps[:], parts[i]); p > parts[i] && (at+1 >= len(steps) || p != steps[at+1]) {
+		if at := slices.Index(slowStartShares[:], parts[i]); p > parts[i] && (at+1 >= len(slowStartShares) || p != slowStartShares[at+1]) {
 			t.Errorf("parts %v", parts)
 		}
 	}
@@ -82,8 +82,8 @@
 }
 
 // A host that stays bad stays out, but for trials, and each ejection is longer.
-func TestFurtherEjectionsLastLonger(t *testing.T) {
-	s := settled(t, 3, 3, 12)
+func TestRepeatedEjectionsLastLonger(t *testing.T) {
+	s := newConvergedSim(t, 3, 3, 12)
 	h := s.hosts[0].Host
 	for range 3 {
 		s.bad[h] = outlier.Failure
@@ -97,7 +97,7 @@
 			lengths = append(lengths, n.Until)
 		}
 	}
-	if first, last := lengths[0], lengths[len(lengths)-1]; first != s.cfg.Lease || last != s.cfg.Longest {
+	if first, last := lengths[0], lengths[len(lengths)-1]; first != s.cfg.Lease || last != s.cfg.MaxLease {
 		t.Errorf("lengths of the grants: %v", lengths)
 	}
 	if s.failed > 60 {
@@ -106,8 +106,8 @@
 }
 
 // One that is bad for all its life is met by trials alone.
-func TestAnEjectedHostGetsTrialsOnly(t *testing.T) {
-	s := settled(t, 4, 5, 12)
+func TestEjectedHostGetsOnlyTrials(t *testing.T) {
+	s := newConvergedSim(t, 4, 5, 12)
 	h := s.hosts[0].Host
 	s.bad[h] = outlier.Failure
 	s.run(time.Second)
@@ -130,8 +130,8 @@
 }
 
 // Whether a silent host is silent still is asked by probes: no request is lost for it.
-func TestASilentHostIsProbed(t *testing.T) {
-	s := settled(t, 4, 5, 12)
+func TestUnansweringHostIsProbed(t *testing.T) {
+	s := newConvergedSim(t, 4, 5, 12)
 	h := s.hosts[0].Host
 	s.bad[h] = outlier.NoAnswer
 	s.run(2 * time.Second)
@@ -144,7 +144,7 @@
 		t.Errorf("%d requests lost to trials, %d probes, %d of 5 hold it ejected", s.failed-before, s.probes, s.holding(h))
 	}
 	delete(s.bad, h)
-	s.run(s.cfg.Longest + 2*time.Second)
+	s.run(s.cfg.MaxLease + 2*time.Second)
 	if s.holding(h) != 0 {
 		t.Errorf("%d of 5 hold it ejected after it is back", s.holding(h))
 	}
@@ -152,8 +152,8 @@
 
 // Half of all hosts bad: never more than the cap (checked at each step), and once most of
 // what an observer meets looks bad, nobody votes.
-func TestCapAndPanic(t *testing.T) {
-	s := settled(t, 5, 7, 12)
+func TestEjectionCapAndPanicThreshold(t *testing.T) {
+	s := newConvergedSim(t, 5, 7, 12)
 	for _, h := range s.hosts[:8] {
 		s.bad[h.Host] = outlier.Failure
 	}
@@ -163,7 +163,7 @@
 			t.Errorf("%d members hold %v ejected in a panic", got, h.Host)
 		}
 	}
-	s = settled(t, 5, 7, 12)
+	s = newConvergedSim(t, 5, 7, 12)
 	for _, h := range s.hosts[:5] {
 		s.bad[h.Host] = outlier.Failure
 	}
@@ -185,8 +185,8 @@
 }
 
 // A bad link at three agents of thirteen makes every server look bad to them.
-func TestABadRackEjectsNobody(t *testing.T) {
-	s := settled(t, 6, 13, 12)
+func TestObserverWithMostHostsUnhealthyAbstains(t *testing.T) {
+	s := newConvergedSim(t, 6, 13, 12)
 	for range 80 {
 		for _, m := range s.members[:3] {
 			for _, h := range s.hosts {
@@ -202,16 +202,16 @@
 }
 
 // Liars under a majority remove nobody; under a third of them do not keep a bad host in.
-func TestLiars(t *testing.T) {
+func TestFaultyVoters(t *testing.T) {
 	for _, c := range []struct{ members, liars int }{{3, 1}, {9, 2}, {13, 4}, {13, 6}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			s := settled(t, 7, c.members, 12)
+			s := newConvergedSim(t, 7, c.members, 12)
 			well, ill := s.hosts[0].Host, s.hosts[1].Host
-			s.lying = func(m *member, l *Letter) {
-				if !slices.Contains(s.cfg.Roll.Members[:c.liars], m.name) {
+			s.lying = func(m *member, l *VoteMessage) {
+				if !slices.Contains(s.cfg.Electorate.Members[:c.liars], m.name) {
 					return
 				}
-				l.Entries = []Entry{{Host: well, Answer: Grant, Attempts: 9, Bad: 9, Left: s.cfg.Lease}, {Host: ill, Answer: Deny, Attempts: 9, Left: s.cfg.Age}}
+				l.Entries = []Entry{{Host: well, Vote: Grant, Attempts: 9, Failures: 9, ValidFor: s.cfg.Lease}, {Host: ill, Vote: Deny, Attempts: 9, ValidFor: s.cfg.MaxEvidenceAge}}
 			}
 			s.run(3 * time.Second)
 			s.bad[ill] = outlier.Failure
@@ -228,11 +228,11 @@
 
 // A site in two halves and in three parts: a part without a majority ejects nothing, and
 // after the healing all have one view within the time of a beat to each.
-func TestSplit(t *testing.T) {
+func TestPartitionedElectorate(t *testing.T) {
 	for _, parts := range []int{2, 3} {
-		s := settled(t, 8, 9, 12)
+		s := newConvergedSim(t, 8, 9, 12)
 		part := func(name string) int { // 5 and 4, or 3 each
-			i := slices.Index(s.cfg.Roll.Members, name)
+			i := slices.Index(s.cfg.Electorate.Members, name)
 			return min(i*parts/9, parts-1)
 		}
 		s.cut = func(a, b string) bool { return part(a) != part(b) }
@@ -247,8 +247,8 @@
 				}
 			}
 			st, named := m.table[h]
-			ejected := named && st.Part == 0 && st.Until > s.clock(m)
-			if ejected != (in >= s.cfg.Roll.Quorum()) {
+			ejected := named && st.Share == 0 && st.Until > s.clock(m)
+			if ejected != (in >= s.cfg.Electorate.Quorum()) {
 				t.Errorf("%d parts: %s, one of %d, holds it ejected: %v", parts, m.name, in, ejected)
 			}
 		}
@@ -261,8 +261,8 @@
 }
 
 // A host that started again during the vote is another.
-func TestAReplacedHostIsNotEjected(t *testing.T) {
-	s := settled(t, 9, 5, 12)
+func TestNewIncarnationIsNotEjected(t *testing.T) {
+	s := newConvergedSim(t, 9, 5, 12)
 	old := s.hosts[0].Host
 	s.bad[old] = outlier.Failure
 	s.run(100 * time.Millisecond)
@@ -279,8 +279,8 @@
 
 // A voter that was paused for 10 s wakes with letters that came meanwhile: it counts no grant
 // that has lapsed.
-func TestAPausedMemberActsOnNothingStale(t *testing.T) {
-	s := settled(t, 10, 3, 12)
+func TestPausedMemberIgnoresExpiredGrants(t *testing.T) {
+	s := newConvergedSim(t, 10, 3, 12)
 	h := s.hosts[0].Host
 	s.bad[h] = outlier.Failure
 	s.run(300 * time.Millisecond)
@@ -292,14 +292,14 @@
 	}
 	delete(s.bad, h)
 	s.run(9*time.Second + tick)
-	if st, ok := m.table[h]; ok && st.Part == 0 && st.Until > s.clock(m) {
+	if st, ok := m.table[h]; ok && st.Share == 0 && st.Until > s.clock(m) {
 		t.Errorf("awake at %v it holds the host ejected until %v", s.clock(m), st.Until)
 	}
 }
 
 // Whatever is lost, repeated, late, paused, killed or cut: the cap holds over all views
 // together at each step.
-func TestTheCapHoldsUnderAllOfIt(t *testing.T) {
+func TestCapHoldsUnderRandomFaults(t *testing.T) {
 	ejected, returned := 0, 0
 	for seed := range uint64(60) {
 		n := []int{2, 3, 5, 9}[seed%4]
@@ -333,22 +333,24 @@
 	t.Logf("%d ejections, %d returns", ejected, returned)
 }
 
-func TestLettersThatAreTurnedAway(t *testing.T) {
-	s := settled(t, 11, 3, 4)
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	s := newConvergedSim(t, 11, 3, 4)
 	c := s.members[0].core
-	good := Letter{Version: Version, From: "n1", Boot: 9, Roll: 1, Sent: time.Hour}
-	for want, change := range map[string]func(*Letter){
-		"version: 2":                 func(l *Letter) { l.Version = 2 },
-		"from: a name of 0 bytes":    func(l *Letter) { l.From = "" },
-		"from: z is not in the roll": func(l *Letter) { l.From = "z" },
-		"votes by roll 4, this is 1": func(l *Letter) { l.Roll = 4 },
-		"entries: 25":                func(l *Letter) { l.Entries = make([]Entry, 25) },
-		"entries[0].host: a name":    func(l *Letter) { l.Entries = make([]Entry, 1) },
-		"unknown answer 9":           func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Answer: 9}} },
-		"entries[0].bad: 2 of 1":     func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Attempts: 1, Bad: 2}} },
-		"entries[0].left":            func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Left: time.Hour}} },
-		"s is named twice":           func(l *Letter) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}}, {Host: outlier.Host{ID: "s"}}} },
-		"must not be negative":       func(l *Letter) { l.Kept = -1 },
+	good := VoteMessage{Version: Version, From: "n1", Incarnation: 9, Electorate: 1, Sent: time.Hour}
+	for want, change := range map[string]func(*VoteMessage){
+		"version: 2":                 func(l *VoteMessage) { l.Version = 2 },
+		"from: a name of 0 bytes":    func(l *VoteMessage) { l.From = "" },
+		"from: z is not in the roll": func(l *VoteMessage) { l.From = "z" },
+		"votes by roll 4, this is 1": func(l *VoteMessage) { l.Electorate = 4 },
+		"entries: 25":                func(l *VoteMessage) { l.Entries = make([]Entry, 25) },
+		"entries[0].host: a name":    func(l *VoteMessage) { l.Entries = make([]Entry, 1) },
+		"unknown answer 9":           func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Vote: 9}} },
+		"entries[0].bad: 2 of 1":     func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Attempts: 1, Failures: 2}} },
+		"entries[0].left":            func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, ValidFor: time.Hour}} },
+		"s is named twice": func(l *VoteMessage) {
+			l.Entries = []Entry{{Host: outlier.Host{ID: "s"}}, {Host: outlier.Host{ID: "s"}}}
+		},
+		"must not be negative": func(l *VoteMessage) { l.EchoAge = -1 },
 	} {
 		l := good
 		change(&l)
@@ -361,17 +363,17 @@
 	}
 }
 
-func TestWhatIsWrongWithTheSettingsIsToldByKey(t *testing.T) {
+func TestValidationNamesTheKey(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"cap:":                       func(c *Config) { c.Cap = 0.6 },
-		"lease:":                     func(c *Config) { c.Lease = c.Longest + 1 },
-		"longest:":                   func(c *Config) { c.Longest = time.Hour },
-		"age:":                       func(c *Config) { c.Age = 0 },
-		"electorate: nobody":         func(c *Config) { c.Roll.Members = nil },
-		`electorate: "a" is no name`: func(c *Config) { c.Roll.Members = []string{"a", "a"} },
+		"cap:":                       func(c *Config) { c.MaxEjectedFraction = 0.6 },
+		"lease:":                     func(c *Config) { c.Lease = c.MaxLease + 1 },
+		"longest:":                   func(c *Config) { c.MaxLease = time.Hour },
+		"age:":                       func(c *Config) { c.MaxEvidenceAge = 0 },
+		"electorate: nobody":         func(c *Config) { c.Electorate.Members = nil },
+		`electorate: "a" is no name`: func(c *Config) { c.Electorate.Members = []string{"a", "a"} },
 	} {
 		c := Defaults()
-		c.Self, c.Roll = "a", Roll{1, []string{"a", "b"}}
+		c.Self, c.Electorate = "a", Electorate{1, []string{"a", "b"}}
 		change(&c)
 		if _, err := New(c, outlier.New(time.Second)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -381,10 +383,10 @@
 
 // Voters with a disk promise nothing beyond what is on it, and ask for more before that is used
 // up; one whose earlier life's promises have lapsed votes at once.
-func TestNoPromiseBeyondTheCover(t *testing.T) {
-	s := settled(t, 1, 3, 12)
+func TestNoPromiseBeyondPersistedTime(t *testing.T) {
+	s := newConvergedSim(t, 1, 3, 12)
 	for _, m := range s.members {
-		m.core.cfg.Covers = true
+		m.core.config.PersistsPromises = true
 	}
 	h := s.hosts[3].Host
 	s.bad[h] = outlier.Failure
@@ -393,29 +395,29 @@
 		t.Fatalf("%d hold it ejected without a cover", got)
 	}
 	for _, m := range s.members {
-		asked := m.core.out.Cover
-		if asked < m.core.now+s.cfg.Whole() {
+		asked := m.core.actions.PersistPromisesUntil
+		if asked < m.core.now+s.cfg.MaxPromise() {
 			t.Fatalf("%s asks for a cover until %v at %v", m.name, asked, m.core.now)
 		}
-		m.core.Covered(asked)
+		m.core.PromisesPersisted(asked)
 	}
 	s.run(2 * time.Second)
 	if got := s.holding(h); got != 3 {
 		t.Errorf("%d of 3 hold it ejected with a cover", got)
 	}
 	for _, n := range s.notes {
-		if n.Kind == "grant" && n.Until > n.At+s.cfg.Longest {
+		if n.Kind == "grant" && n.Until > n.At+s.cfg.MaxLease {
 			t.Errorf("granted until %v at %v", n.Until, n.At)
 		}
 	}
 	cfg := s.cfg
-	cfg.Self, cfg.Promised = "x", 0
-	cfg.Roll.Members = []string{"x"}
-	c, err := New(cfg, outlier.New(cfg.Age))
+	cfg.Self, cfg.EarlierPromisesFor = "x", 0
+	cfg.Electorate.Members = []string{"x"}
+	c, err := New(cfg, outlier.New(cfg.MaxEvidenceAge))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.begin(time.Second); c.quarantined() {
+	if c.advanceClock(time.Second); c.quarantined() {
 		t.Error("silent though no promise stands")
 	}
 }
--- a/internal/agent/ejection/interleave_test.go
+++ b/internal/agent/ejection/interleave_test.go
@@ -32,7 +32,7 @@
 	bad      defect
 	now      time.Duration
 	voters   [3]*voter3
-	mail     [3][3]*Letter
+	mail     [3][3]*VoteMessage
 	says     [3][3]string // the last sent on each way
 	promised map[string]time.Duration
 	passed   int
@@ -46,7 +46,7 @@
 }
 
 type voter3 struct {
-	core  *Core
+	core  *Voter
 	log   *outlier.Log
 	due   bool // something came, or time passed, since its tick
 	table []Standing
@@ -57,10 +57,10 @@
 var three = []outlier.ListedHost{{Host: outlier.Host{ID: "x"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "y"}, Zone: "z", Weight: 1}, {Host: outlier.Host{ID: "w"}, Zone: "z", Weight: 1}}
 
 func (s *small) config(i int, boot uint64) Config {
-	c := Config{Self: fmt.Sprint("v", i), Boot: boot, Roll: Roll{Number: 1, Members: []string{"v0", "v1", "v2"}}, Cap: 0.5, Lease: 2 * time.Second,
-		Longest: 2 * time.Second, Age: 2 * time.Second, Remember: 0, Step: time.Second, Trial: time.Second, Promised: -1}
+	c := Config{Self: fmt.Sprint("v", i), Incarnation: boot, Electorate: Electorate{Number: 1, Members: []string{"v0", "v1", "v2"}}, MaxEjectedFraction: 0.5, Lease: 2 * time.Second,
+		MaxLease: 2 * time.Second, MaxEvidenceAge: 2 * time.Second, EscalationWindow: 0, SlowStartStep: time.Second, TrialInterval: time.Second, EarlierPromisesFor: -1}
 	if s.bad == wholeCap {
-		c.Cap = 0.5 * 3 / 2 * 2
+		c.MaxEjectedFraction = 0.5 * 3 / 2 * 2
 	}
 	return c
 }
@@ -69,7 +69,7 @@
 	s := &small{bad: bad, promised: map[string]time.Duration{}, now: 10 * time.Second}
 	for i := range s.voters {
 		s.start(i, uint64(1+i))
-		s.voters[i].core.started, s.voters[i].core.born = true, 0 // long out of quarantine
+		s.voters[i].core.started, s.voters[i].core.startedAt = true, 0 // long out of quarantine
 		s.see(i)
 	}
 	return s
@@ -78,20 +78,20 @@
 // start is a new life that knows nothing.
 func (s *small) start(i int, boot uint64) {
 	cfg := s.config(i, boot)
-	log := outlier.New(cfg.Age)
+	log := outlier.New(cfg.MaxEvidenceAge)
 	log.SetHosts(three)
-	core := &Core{cfg: cfg, log: log, voter: true, peers: map[string]*peer{}, mine: map[outlier.Host]*own{}, standing: map[outlier.Host]*standing{}}
-	for _, m := range cfg.Roll.Members {
+	core := &Voter{config: cfg, evidence: log, isMember: true, peers: map[string]*peer{}, own: map[outlier.Host]*ownVote{}, ejections: map[outlier.Host]*ejection{}}
+	for _, m := range cfg.Electorate.Members {
 		if m != cfg.Self {
-			core.peers[m] = &peer{votes: map[outlier.Host]vote{}}
+			core.peers[m] = &peer{votes: map[outlier.Host]peerVote{}}
 		}
 	}
 	if s.covers && i == 0 {
-		core.cfg.Covers, core.cfg.Promised = true, max(s.disk-s.now, 0)
+		core.config.PersistsPromises, core.config.EarlierPromisesFor = true, max(s.disk-s.now, 0)
 		s.saving = 0 // what was not synced is lost
 	}
 	if s.bad == noQuarantine {
-		core.started, core.born = true, s.now-time.Hour
+		core.started, core.startedAt = true, s.now-time.Hour
 	}
 	s.voters[i] = &voter3{core: core, log: log, due: true}
 }
@@ -119,42 +119,42 @@
 	v := s.voters[i]
 	v.due = false
 	if s.bad == forgetPromise {
-		for _, m := range v.core.mine {
-			if m.answer != Grant || m.until <= s.now {
-				m.promised = 0
+		for _, m := range v.core.own {
+			if m.vote != Grant || m.until <= s.now {
+				m.promisedUntil = 0
 			}
 		}
 	}
 	out := v.core.Tick(s.now)
-	for to, l := range out.Letters {
+	for to, l := range out.Messages {
 		j := int(to[1] - '0')
 		if says := said3(l); s.says[i][j] != says { // what only says the same again may as well be lost
 			s.says[i][j] = says
 			s.mail[i][j] = l
 		}
 	}
-	if out.Cover > 0 && s.saving == 0 && i == 0 {
-		s.saving = out.Cover
+	if out.PersistPromisesUntil > 0 && s.saving == 0 && i == 0 {
+		s.saving = out.PersistPromisesUntil
 		if s.bad == notSynced {
-			v.core.Covered(out.Cover)
+			v.core.PromisesPersisted(out.PersistPromisesUntil)
 			v.due = true
 		}
 	}
-	if out.Changed {
-		v.table = out.Table
+	if out.StandingsChanged {
+		v.table = out.Standings
 	}
-	for _, n := range out.Notes {
+	for _, n := range out.Trace {
 		if n.Kind == "grant" || n.Kind == "renew" {
-			key := v.core.cfg.Self + n.Host.ID
+			key := v.core.config.Self + n.Host.ID
 			s.promised[key] = max(s.promised[key], n.Until)
 		}
 	}
 }
 
-func (s *small) deliver(i, j int, l *Letter) {
+func (s *small) deliver(i, j int, l *VoteMessage) {
 	c := *l
-	if s.bad == wrongEnd && c.EchoBoot != 0 {
-		c.Echo, c.Kept = s.now, 0
+	if s.bad == wrongEnd && c.EchoIncarnation != 0 {
+		c.Echo, c.EchoAge = s.now, 0
 	}
 	v := s.voters[j]
 	_ = v.core.Receive(s.now, &c) // what is stale is dropped
@@ -167,7 +167,7 @@
 	out := map[string]bool{}
 	for _, v := range s.voters {
 		for _, st := range v.table {
-			if st.Part > 0 || st.Until <= s.now && s.bad != staleTable {
+			if st.Share > 0 || st.Until <= s.now && s.bad != staleTable {
 				continue
 			}
 			out[st.Host.ID] = true
@@ -178,7 +178,7 @@
 				}
 			}
 			if n < 2 {
-				return fmt.Errorf("%s holds %s ejected on the promises of %d of 3", v.core.cfg.Self, st.Host.ID, n)
+				return fmt.Errorf("%s holds %s ejected on the promises of %d of 3", v.core.config.Self, st.Host.ID, n)
 			}
 		}
 	}
@@ -189,12 +189,12 @@
 }
 
 // said3 is what a letter says, without its times.
-func said3(l *Letter) string {
-	text := fmt.Sprint(l.Boot)
+func said3(l *VoteMessage) string {
+	text := fmt.Sprint(l.Incarnation)
 	for _, e := range l.Entries {
-		text += fmt.Sprint(" ", e.Host.ID, e.Answer)
-		if e.Answer == Grant {
-			text += fmt.Sprint(l.Sent + e.Left)
+		text += fmt.Sprint(" ", e.Host.ID, e.Vote)
+		if e.Vote == Grant {
+			text += fmt.Sprint(l.Sent + e.ValidFor)
 		}
 	}
 	return text
@@ -203,15 +203,15 @@
 // state is a hash of all that matters to what follows.
 func (s *small) state() uint64 {
 	f := fnv.New64a()
-	fmt.Fprint(f, s.now, s.passed, s.crashes, s.promised, s.disk, s.saving, s.voters[0].core.covered)
+	fmt.Fprint(f, s.now, s.passed, s.crashes, s.promised, s.disk, s.saving, s.voters[0].core.persistedUntil)
 	for i, v := range s.voters {
 		c := v.core
-		fmt.Fprint(f, v.due, v.table, v.well, c.born, c.cfg.Boot, s.says[i])
+		fmt.Fprint(f, v.due, v.table, v.well, c.startedAt, c.config.Incarnation, s.says[i])
 		for _, h := range three {
-			if m := c.mine[h.Host]; m != nil {
+			if m := c.own[h.Host]; m != nil {
 				fmt.Fprint(f, *m)
 			}
-			if t := c.standing[h.Host]; t != nil {
+			if t := c.ejections[h.Host]; t != nil {
 				fmt.Fprint(f, *t)
 			}
 			r, _ := v.log.Record(h.Host, s.now)
@@ -219,7 +219,7 @@
 		}
 		for _, name := range []string{"v0", "v1", "v2"} {
 			if p := c.peers[name]; p != nil {
-				fmt.Fprint(f, p.boot, p.stamp)
+				fmt.Fprint(f, p.incarnation, p.newestSent)
 				for _, h := range three {
 					fmt.Fprint(f, p.votes[h.Host])
 				}
@@ -263,7 +263,7 @@
 	if s.saving > 0 {
 		steps = append(steps, func() {
 			s.disk, s.saving = s.saving, 0
-			s.voters[0].core.Covered(s.disk)
+			s.voters[0].core.PromisesPersisted(s.disk)
 			s.voters[0].due = true
 		})
 	}
@@ -299,24 +299,24 @@
 	n.promised = maps.Clone(s.promised)
 	for i, v := range s.voters {
 		w := *v
-		w.log = outlier.New(v.core.cfg.Age)
+		w.log = outlier.New(v.core.config.MaxEvidenceAge)
 		w.log.SetHosts(three)
 		w.seen = nil
 		core := *v.core
-		core.log, core.out = w.log, nil
-		core.peers, core.mine, core.standing = map[string]*peer{}, map[outlier.Host]*own{}, map[outlier.Host]*standing{}
+		core.evidence, core.actions = w.log, nil
+		core.peers, core.own, core.ejections = map[string]*peer{}, map[outlier.Host]*ownVote{}, map[outlier.Host]*ejection{}
 		for k, p := range v.core.peers {
 			q := *p
 			q.votes = maps.Clone(p.votes)
 			core.peers[k] = &q
 		}
-		for k, m := range v.core.mine {
+		for k, m := range v.core.own {
 			o := *m
-			core.mine[k] = &o
+			core.own[k] = &o
 		}
-		for k, t := range v.core.standing {
+		for k, t := range v.core.ejections {
 			o := *t
-			core.standing[k] = &o
+			core.ejections[k] = &o
 		}
 		w.core = &core
 		n.voters[i] = &w
@@ -331,14 +331,14 @@
 func begun(bad defect, seconds, crashes int, heal, disk bool) *small {
 	s := newSmall(bad)
 	s.seconds, s.mayCrash, s.mayHeal, s.covers = seconds, crashes, heal, disk
-	s.voters[0].core.cfg.Covers = disk
+	s.voters[0].core.config.PersistsPromises = disk
 	for range 2 {
 		for i := range 3 {
 			c := s.voters[i].core
-			c.out = &Out{Letters: map[string]*Letter{}}
-			c.begin(s.now)
-			c.letters([]string{"v0", "v1", "v2"})
-			for to, l := range c.out.Letters {
+			c.actions = &Actions{Messages: map[string]*VoteMessage{}}
+			c.advanceClock(s.now)
+			c.queueMessages([]string{"v0", "v1", "v2"})
+			for to, l := range c.actions.Messages {
 				s.deliver(i, int(to[1]-'0'), l)
 			}
 		}
--- a/internal/agent/ejection/sim_test.go
+++ b/internal/agent/ejection/sim_test.go
@@ -21,13 +21,13 @@
 	members []*member
 	hosts   []outlier.ListedHost
 	bad     map[outlier.Host]outlier.Outcome
-	mail    []mail
+	mail    []messageInTransit
 	lose    float64
 	late    time.Duration // of a letter, at the most
 	cut     func(from, to string) bool
 	rate    float64 // attempts a second of a member
-	lying   func(m *member, l *Letter)
-	notes   []Note // of all, At in the simulation's time
+	lying   func(m *member, l *VoteMessage)
+	notes   []TraceEvent // of all, At in the simulation's time
 	by      []string
 	boots   uint64
 	sent    int
@@ -38,20 +38,20 @@
 
 type member struct {
 	name   string
-	core   *Core
+	core   *Voter
 	log    *outlier.Log
 	born   time.Duration
 	speed  float64 // of its clock
 	paused time.Duration
-	inbox  []*Letter // what came while it was paused
+	inbox  []*VoteMessage // what came while it was paused
 	table  map[outlier.Host]Standing
 	due    float64
 }
 
-type mail struct {
+type messageInTransit struct {
 	at     time.Duration
 	to     string
-	letter *Letter
+	letter *VoteMessage
 }
 
 const tick = 25 * time.Millisecond
@@ -59,16 +59,16 @@
 func newSim(t testing.TB, seed uint64, members, hosts int, zones int) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), bad: map[outlier.Host]outlier.Outcome{}, late: 10 * time.Millisecond,
 		rate: 20, ejected: map[outlier.Host]bool{}, cut: func(string, string) bool { return false }}
-	s.cfg = Config{Roll: Roll{Number: 1}, Cap: 0.5, Lease: 2 * time.Second, Longest: 4 * time.Second, Remember: 20 * time.Second,
-		Age: 3 * time.Second, Step: 500 * time.Millisecond, Trial: 250 * time.Millisecond}
+	s.cfg = Config{Electorate: Electorate{Number: 1}, MaxEjectedFraction: 0.5, Lease: 2 * time.Second, MaxLease: 4 * time.Second, EscalationWindow: 20 * time.Second,
+		MaxEvidenceAge: 3 * time.Second, SlowStartStep: 500 * time.Millisecond, TrialInterval: 250 * time.Millisecond}
 	for i := range members {
-		s.cfg.Roll.Members = append(s.cfg.Roll.Members, fmt.Sprintf("n%d", i))
+		s.cfg.Electorate.Members = append(s.cfg.Electorate.Members, fmt.Sprintf("n%d", i))
 	}
 	for i := range hosts {
 		s.hosts = append(s.hosts, outlier.ListedHost{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
 	}
-	for _, name := range s.cfg.Roll.Members {
-		m := &member{name: name, speed: 1 + drift/4*(2*s.rng.Float64()-1)}
+	for _, name := range s.cfg.Electorate.Members {
+		m := &member{name: name, speed: 1 + clockDrift/4*(2*s.rng.Float64()-1)}
 		s.members = append(s.members, m)
 		s.start(m)
 	}
@@ -79,8 +79,8 @@
 func (s *sim) start(m *member) {
 	s.boots++
 	cfg := s.cfg
-	cfg.Self, cfg.Boot = m.name, s.boots
-	m.log = outlier.New(cfg.Age)
+	cfg.Self, cfg.Incarnation = m.name, s.boots
+	m.log = outlier.New(cfg.MaxEvidenceAge)
 	m.log.SetHosts(s.hosts)
 	core, err := New(cfg, m.log)
 	if err != nil {
@@ -105,7 +105,7 @@
 				continue
 			}
 			s.mail = slices.Delete(s.mail, i, i+1)
-			m := s.named(x.to)
+			m := s.memberByName(x.to)
 			if m.paused > s.now {
 				m.inbox = append(m.inbox, x.letter)
 				continue
@@ -121,18 +121,18 @@
 			}
 			m.inbox = nil
 			s.attempts(m)
-			s.take(m, m.core.Tick(s.clock(m)))
+			s.applyActions(m, m.core.Tick(s.clock(m)))
 		}
 		s.check()
 	}
 }
 
-func (s *sim) named(name string) *member {
+func (s *sim) memberByName(name string) *member {
 	return s.members[slices.IndexFunc(s.members, func(m *member) bool { return m.name == name })]
 }
 
-func (s *sim) take(m *member, out *Out) {
-	for to, l := range out.Letters {
+func (s *sim) applyActions(m *member, out *Actions) {
+	for to, l := range out.Messages {
 		if s.lying != nil {
 			c := *l
 			c.Entries = slices.Clone(l.Entries)
@@ -147,10 +147,10 @@
 			n = 2
 		}
 		for range n {
-			s.mail = append(s.mail, mail{s.now + time.Duration(s.rng.Float64()*float64(s.late)), to, l})
+			s.mail = append(s.mail, messageInTransit{s.now + time.Duration(s.rng.Float64()*float64(s.late)), to, l})
 		}
 	}
-	for _, n := range out.Notes {
+	for _, n := range out.Trace {
 		n.At, n.Until = s.now, max(n.Until-s.clock(m), 0) // what is left of it
 		s.notes = append(s.notes, n)
 		s.by = append(s.by, m.name)
@@ -158,11 +158,11 @@
 			s.ejected[n.Host] = true
 		}
 	}
-	if out.Changed {
+	if out.StandingsChanged {
 		m.table = map[outlier.Host]Standing{}
-		for _, st := range out.Table {
+		for _, st := range out.Standings {
 			switch m.table[st.Host] = st; {
-			case st.Try:
+			case st.Trial:
 				s.attempt(m, st.Host)
 			case st.Probe:
 				now, kind := s.clock(m), outlier.Success
@@ -180,7 +180,7 @@
 	for m.due += s.rate * tick.Seconds(); m.due >= 1; m.due-- {
 		h := s.hosts[s.rng.IntN(len(s.hosts))].Host
 		st, named := m.table[h]
-		if named && s.clock(m) < st.Until && s.rng.Float64() >= st.Part {
+		if named && s.clock(m) < st.Until && s.rng.Float64() >= st.Share {
 			continue
 		}
 		// Its own demotion: not one that the last attempt failed on, for a while.
@@ -209,7 +209,7 @@
 	seen := map[outlier.Host]bool{}
 	for _, m := range s.members {
 		for h, st := range m.table {
-			if st.Part > 0 || st.Until <= s.clock(m) || seen[h] || m.paused > s.now {
+			if st.Share > 0 || st.Until <= s.clock(m) || seen[h] || m.paused > s.now {
 				continue
 			}
 			seen[h] = true
@@ -227,8 +227,8 @@
 				all += l.Weight
 			}
 		}
-		if n/all > s.cfg.Cap+1e-9 {
-			s.t.Fatalf("at %v: %.0f of %.0f of zone %s are ejected, the cap is %v", s.now, n, all, zone, s.cfg.Cap)
+		if n/all > s.cfg.MaxEjectedFraction+1e-9 {
+			s.t.Fatalf("at %v: %.0f of %.0f of zone %s are ejected, the cap is %v", s.now, n, all, zone, s.cfg.MaxEjectedFraction)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 // standing is how members see a host: how many hold it ejected.
 func (s *sim) holding(h outlier.Host) (n int) {
 	for _, m := range s.members {
-		if st, ok := m.table[h]; ok && st.Part == 0 && st.Until > s.clock(m) {
+		if st, ok := m.table[h]; ok && st.Share == 0 && st.Until > s.clock(m) {
 			n++
 		}
 	}
--- a/internal/agent/opsconfig/ops.go
+++ b/internal/agent/opsconfig/ops.go
@@ -167,8 +167,8 @@
 func Default() File {
 	v, s, z := ejection.Defaults(), stalerouting.Defaults(), zonefailover.Defaults()
 	return File{Log: Log{Format: "text", Level: "info"}, State: State{Every: Duration(time.Second)},
-		Fleet: Fleet{Role: "agent", Seeds: []string{}}, Vote: Vote{Electorate: []string{}, Roll: 1, Cap: v.Cap, Lease: Duration(v.Lease), Longest: Duration(v.Longest),
-			Remember: Duration(v.Remember), Age: Duration(v.Age), Step: Duration(v.Step), Trial: Duration(v.Trial)},
+		Fleet: Fleet{Role: "agent", Seeds: []string{}}, Vote: Vote{Electorate: []string{}, Roll: 1, Cap: v.MaxEjectedFraction, Lease: Duration(v.Lease), Longest: Duration(v.MaxLease),
+			Remember: Duration(v.EscalationWindow), Age: Duration(v.MaxEvidenceAge), Step: Duration(v.SlowStartStep), Trial: Duration(v.TrialInterval)},
 		Council: Council{Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second), After: Duration(z.After),
 			Hold: Duration(z.Hold), HoldMost: Duration(z.HoldMost), Step: Duration(z.Step), Most: z.Most, Target: z.Target},
 		Site: Site{Quiet: Duration(s.Quiet), Beat: Duration(s.Beat), Step: Duration(s.Step), Hold: Duration(s.Hold)}}
@@ -176,9 +176,9 @@
 
 // Ballot is the vote of one agent as its package has it.
 func (v *Vote) Ballot(self string) ejection.Config {
-	return ejection.Config{Self: self, Roll: ejection.Roll{Number: v.Roll, Members: v.Electorate}, Cap: v.Cap, Lease: time.Duration(v.Lease),
-		Longest: time.Duration(v.Longest), Remember: time.Duration(v.Remember), Age: time.Duration(v.Age), Step: time.Duration(v.Step),
-		Trial: time.Duration(v.Trial), Promised: -1}
+	return ejection.Config{Self: self, Electorate: ejection.Electorate{Number: v.Roll, Members: v.Electorate}, MaxEjectedFraction: v.Cap, Lease: time.Duration(v.Lease),
+		MaxLease: time.Duration(v.Longest), EscalationWindow: time.Duration(v.Remember), MaxEvidenceAge: time.Duration(v.Age), SlowStartStep: time.Duration(v.Step),
+		TrialInterval: time.Duration(v.Trial), EarlierPromisesFor: -1}
 }
 
 // Error is one thing that is wrong with an operations file.
--- a/internal/testbed/experiment/layer.go
+++ b/internal/testbed/experiment/layer.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		w.liars = append(w.liars, faultyvoter.Start(context.Background(), faultyvoter.Config{Against: against, Roll: ejection.Roll{Number: 1, Members: w.electorate(zone)},
+		w.liars = append(w.liars, faultyvoter.Start(context.Background(), faultyvoter.Config{Against: against, Roll: ejection.Electorate{Number: 1, Members: w.electorate(zone)},
 			Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Incarnation: uint64(1 + i), Bind: own, Advertise: addr,
 				Seeds: []string{w.agents[0].peers}}}))
 	}
--- a/internal/testbed/faultyvoter/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -26,7 +26,7 @@
 // Config is how a liar is made.
 type Config struct {
 	Peers   membership.Config
-	Roll    ejection.Roll
+	Roll    ejection.Electorate
 	Against []outlier.Host // servers that it wants out, whatever they do
 }
 
@@ -62,15 +62,15 @@
 
 // HandleMessage is of peers.Sink.
 func (l *Liar) HandleMessage(kind membership.Kind, body []byte) {
-	var m ejection.Letter
-	if kind != coordination.KindLetter || membership.Decode(body, &m) != nil || m.Check() != nil {
+	var m ejection.VoteMessage
+	if kind != coordination.KindLetter || membership.Decode(body, &m) != nil || m.Validate() != nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard[m.From] = heard{m.Boot, m.Sent, time.Since(l.start)}
+	l.heard[m.From] = heard{m.Incarnation, m.Sent, time.Since(l.start)}
 	for _, e := range m.Entries {
-		if e.Answer >= ejection.Suspect && !slices.Contains(l.cfg.Against, e.Host) && len(l.deny) < most {
+		if e.Vote >= ejection.Suspect && !slices.Contains(l.cfg.Against, e.Host) && len(l.deny) < most {
 			l.deny[e.Host] = true
 		}
 	}
@@ -106,10 +106,10 @@
 	defer l.mu.Unlock()
 	var entries []ejection.Entry
 	for _, h := range l.cfg.Against[:min(len(l.cfg.Against), most)] {
-		entries = append(entries, ejection.Entry{Host: h, Answer: ejection.Grant, Attempts: 9, Bad: 9, Left: leftFor})
+		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Grant, Attempts: 9, Failures: 9, ValidFor: leftFor})
 	}
 	for h := range l.deny {
-		entries = append(entries, ejection.Entry{Host: h, Answer: ejection.Deny, Why: ejection.BySuccess, Attempts: 9, Left: leftFor})
+		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Deny, Reason: ejection.ReasonSuccess, Attempts: 9, ValidFor: leftFor})
 	}
 	slices.SortFunc(entries, func(a, b ejection.Entry) int { return strings.Compare(a.Host.ID, b.Host.ID) })
 	now := time.Since(l.start)
@@ -117,9 +117,9 @@
 		if name == l.cfg.Peers.Name {
 			continue
 		}
-		m := ejection.Letter{Version: ejection.Version, From: l.cfg.Peers.Name, Boot: l.cfg.Peers.Incarnation, Roll: l.cfg.Roll.Number, Sent: now, Entries: entries}
+		m := ejection.VoteMessage{Version: ejection.Version, From: l.cfg.Peers.Name, Incarnation: l.cfg.Peers.Incarnation, Electorate: l.cfg.Roll.Number, Sent: now, Entries: entries}
 		if h, ok := l.heard[name]; ok {
-			m.EchoBoot, m.Echo, m.Kept = h.boot, h.sent, now-h.at
+			m.EchoIncarnation, m.Echo, m.EchoAge = h.boot, h.sent, now-h.at
 		}
 		body, err := membership.Encode(&m)
 		if err != nil {
