--- a/internal/agent/ejection/bench_test.go
+++ b/internal/agent/ejection/bench_test.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// A site of so many members, one of 48 hosts bad, 20 attempts a second each: letters a second
+// A site with one unhealthy host of 48 and 20 attempts a second of each member: messages a second
 // of a member in calm, the most in a second while it is voted out, the simulated time until all
 // hold it ejected, and how many of its requests failed by then.
 func BenchmarkSite(b *testing.B) {
@@ -20,17 +20,17 @@
 				s.run(2 * time.Second)
 				calm := float64(s.sent-before) / 2 / float64(n)
 				h := s.hosts[0].Host
-				s.bad[h] = outlier.Failure
+				s.outcomes[h] = outlier.Failure
 				from, worst := s.now, 0.0
-				for s.holding(h) < n && s.now-from < time.Minute {
+				for s.ejectedAt(h) < n && s.now-from < time.Minute {
 					before = s.sent
-					for second := s.now + time.Second; s.now < second && s.holding(h) < n; {
+					for second := s.now + time.Second; s.now < second && s.ejectedAt(h) < n; {
 						s.run(tick)
 					}
 					worst = max(worst, float64(s.sent-before)/float64(n))
 				}
-				b.ReportMetric(calm, "calm-letters/s")
-				b.ReportMetric(worst, "most-letters/s")
+				b.ReportMetric(calm, "idle-messages/s")
+				b.ReportMetric(worst, "max-messages/s")
 				b.ReportMetric(float64((s.now - from).Milliseconds()), "sim-ms-to-eject")
 				b.ReportMetric(float64(s.failed)/float64(n), "failed/member")
 			}
--- a/internal/agent/ejection/message.go
+++ b/internal/agent/ejection/message.go
@@ -1,6 +1,7 @@
 package ejection
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"time"
@@ -8,72 +9,73 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// Vote is what a voter says of a host.
+// Vote is the position of a voter on the ejection of a host.
 type Vote uint8
 
-// The answers. Suspect and Grant are in favour of an ejection, Deny is against; whoever
-// abstains says why.
+// The votes. Suspect and Grant are for the ejection, Deny is against it; an abstention has a Reason.
 const (
 	Abstain Vote = iota
-	Deny         // the last that was seen of the host was good
-	Suspect      // the last that was seen of it was bad; nothing is promised
-	Grant        // the same, and a promise: the host counts against the voter's bound
+	Deny         // the last attempt at the host succeeded
+	Suspect      // the last attempt at it failed; nothing is promised
+	Grant        // as Suspect, with a promise that counts against the cap until it expires
 )
 
-// String names the answer as logs and traces have it.
+// String returns the name used in logs and traces.
 func (a Vote) String() string { return [...]string{"abstain", "deny", "suspect", "grant"}[a] }
 
-// Reason is the reason of an answer.
+// Reason explains a vote.
 type Reason uint8
 
-// The reasons: what kind of evidence there is, or why there is no vote.
+// The reasons: the kind of evidence, or why the voter abstains.
 const (
 	ReasonFailures Reason = iota
 	ReasonNoAnswer
 	ReasonSlowness
 	ReasonSuccess
 	ReasonNoEvidence
-	ReasonEjectionCap // the voter has granted as much as it may
-	ReasonPanic       // so much looks bad that the observer is the likelier fault
-	ReasonQuarantine  // an earlier life may have granted what this one does not know of
+	ReasonEjectionCap // the promises of the voter have reached the cap
+	ReasonPanic       // most hosts look unhealthy, so the voter itself is probably at fault
+	ReasonQuarantine  // grants of an earlier run, unknown to this one, may still stand
 	ReasonNotInElectorate
 )
 
-// String names the reason as logs and traces have it.
+// String returns the name used in logs and traces.
 func (w Reason) String() string {
 	return [...]string{"failures", "silence", "slowness", "success", "no_evidence", "over_cap", "panic", "quarantine", "not_in_roll"}[w]
 }
 
-// Entry is a voter's answer on one host. It holds for Left from when it was sent.
+// Entry is a voter's vote on one host. It is valid for ValidFor from when the message was sent.
 type Entry struct {
 	Host               outlier.Host
 	Vote               Vote
 	Reason             Reason
 	Attempts, Failures int
-	EvidenceAge        time.Duration // how old the newest evidence is that speaks against the host
+	EvidenceAge        time.Duration // age of the newest evidence against the host
 	ValidFor           time.Duration
 }
 
 const (
-	// Version is that of the letters. Another is turned away.
+	// Version is the version of the protocol. Messages of another one are rejected.
 	Version = 1
-	// maxEntries bounds a letter, and so what a voter may be busy with at once.
+	// maxEntries bounds a message, and with it the hosts that a voter votes on at once.
 	maxEntries = 24
 	// maxName bounds the names of members and hosts.
 	maxName = 128
 )
 
-// VoteMessage is all that one voter says, to one other. It is the voter's whole state: the newest
-// one makes all before it stale, so any may be lost, repeated or come late.
+// VoteMessage carries all votes of one voter to one other. Each message holds the complete state, so
+// that the newest one replaces all earlier ones and any may be lost, repeated or delayed.
 //
-// Sent is the sender's clock. Echo gives back the newest Sent that the sender had from the
-// addressee, of the life EchoIncarnation, and Kept for how long it had it by then. So the addressee
-// knows, by its own clock alone, a time before which the letter was not sent: Echo + Kept.
+// Sent is a time on the sender's clock. Echo is the newest Sent that the sender had received from the
+// addressee, of the run EchoIncarnation, and EchoAge is how long before it had received that. So the
+// addressee knows, by its own clock alone, a time before which the message was not sent: Echo + EchoAge.
+//
+// It is encoded as an array, so the order of the fields is part of the protocol.
 type VoteMessage struct {
 	Version         int
 	From            string
-	Incarnation     uint64 // names the life of the sender's process
-	Electorate      uint64 // number of the roll that the sender votes by
+	Incarnation     uint64 // identifies the run of the sender's process
+	Electorate      uint64 // number of the sender's electorate
 	Sent            time.Duration
 	EchoIncarnation uint64
 	Echo            time.Duration
@@ -81,31 +83,103 @@
 	Entries         []Entry
 }
 
-// Validate tells what is wrong with a letter of another process, by field.
+// Validate returns an error that names the first invalid field of a message of another process.
 func (message *VoteMessage) Validate() error {
 	switch {
 	case message.Version != Version:
-		return fmt.Errorf("letter: version: %d, %d is spoken", message.Version, Version)
+		return fmt.Errorf("vote message: version: %d, this one is %d", message.Version, Version)
 	case message.From == "" || len(message.From) > maxName:
-		return fmt.Errorf("letter: from: a name of %d bytes", len(message.From))
+		return fmt.Errorf("vote message: from: a name of %d bytes", len(message.From))
 	case len(message.Entries) > maxEntries:
-		return fmt.Errorf("letter: entries: %d, at most %d are taken", len(message.Entries), maxEntries)
+		return fmt.Errorf("vote message: entries: %d, at most %d are allowed", len(message.Entries), maxEntries)
 	case message.Sent < 0 || message.Echo < 0 || message.EchoAge < 0:
-		return fmt.Errorf("letter: sent, echo and kept must not be negative, are %v, %v and %v", message.Sent, message.Echo, message.EchoAge)
+		return fmt.Errorf("vote message: sent, echo and kept must not be negative, are %v, %v and %v", message.Sent, message.Echo, message.EchoAge)
 	}
 	for i, e := range message.Entries {
 		switch {
 		case e.Host.ID == "" || len(e.Host.ID) > maxName:
-			return fmt.Errorf("letter: entries[%d].host: a name of %d bytes", i, len(e.Host.ID))
+			return fmt.Errorf("vote message: entries[%d].host: a name of %d bytes", i, len(e.Host.ID))
 		case e.Vote > Grant || e.Reason > ReasonNotInElectorate:
-			return fmt.Errorf("letter: entries[%d]: unknown answer %d or reason %d", i, e.Vote, e.Reason)
+			return fmt.Errorf("vote message: entries[%d]: unknown answer %d or reason %d", i, e.Vote, e.Reason)
 		case e.Attempts < 0 || e.Failures < 0 || e.Failures > e.Attempts:
-			return fmt.Errorf("letter: entries[%d].bad: %d of %d attempts", i, e.Failures, e.Attempts)
+			return fmt.Errorf("vote message: entries[%d].bad: %d of %d attempts", i, e.Failures, e.Attempts)
 		case e.ValidFor < 0 || e.ValidFor > maxLease || e.EvidenceAge < 0 || e.EvidenceAge > maxLease:
-			return fmt.Errorf("letter: entries[%d].left and seen: must be 0 to %v, are %v and %v", i, maxLease, e.ValidFor, e.EvidenceAge)
+			return fmt.Errorf("vote message: entries[%d].left and seen: must be 0 to %v, are %v and %v", i, maxLease, e.ValidFor, e.EvidenceAge)
 		case slices.ContainsFunc(message.Entries[:i], func(o Entry) bool { return o.Host == e.Host }):
-			return fmt.Errorf("letter: entries[%d].host: %s is named twice", i, e.Host.ID)
+			return fmt.Errorf("vote message: entries[%d].host: %s is named twice", i, e.Host.ID)
 		}
 	}
 	return nil
 }
+
+// announcedVote is a vote as it is sent, without the fields that change with the clock.
+type announcedVote struct {
+	host   outlier.Host
+	vote   Vote
+	reason Reason
+	until  time.Duration
+}
+
+// announcedVotes returns the votes to send, the strongest first. Votes on hosts that no member wants
+// ejected are left out.
+func (v *Voter) announcedVotes() (out []announcedVote) {
+	for host, own := range v.own {
+		if in, _ := v.tally(host); in == 0 {
+			continue
+		}
+		announced := announcedVote{host, own.vote, own.reason, 0}
+		if own.vote == Grant {
+			announced.until = own.until
+		}
+		out = append(out, announced)
+	}
+	slices.SortFunc(out, func(a, b announcedVote) int {
+		return cmp.Or(cmp.Compare(b.vote, a.vote), compare(a.host, b.host))
+	})
+	return out[:min(len(out), maxEntries)]
+}
+
+// queueMessages adds a message with all announced votes for each of the given members.
+func (v *Voter) queueMessages(members []string) {
+	var entries []Entry
+	for _, announced := range v.announcedVotes() {
+		own := v.own[announced.host]
+		entry := Entry{Host: announced.host, Vote: own.vote, Reason: own.reason, Attempts: own.record.Attempts, Failures: own.record.Failures, ValidFor: v.config.MaxEvidenceAge}
+		switch own.vote {
+		case Grant:
+			entry.ValidFor = max(own.until-v.now, 0)
+		case Suspect:
+			entry.ValidFor = max(v.config.MaxEvidenceAge-(v.now-own.record.LastFailureAt), 0)
+		case Deny:
+			entry.ValidFor = max(v.config.MaxEvidenceAge-(v.now-own.record.LastSuccessSent), 0)
+		}
+		entry.EvidenceAge = min(max(v.now-own.record.LastFailureSent, 0), maxLease)
+		entries = append(entries, entry)
+	}
+	for _, name := range members {
+		p := v.peers[name]
+		if p == nil {
+			continue
+		}
+		message := &VoteMessage{Version: Version, From: v.config.Self, Incarnation: v.config.Incarnation, Electorate: v.config.Electorate.Number, Sent: v.now, Entries: entries}
+		if p.incarnation != 0 {
+			message.EchoIncarnation, message.Echo, message.EchoAge = p.incarnation, p.newestSent, v.now-p.newestSentReceivedAt
+		}
+		v.actions.Messages[name] = message
+	}
+}
+
+// repeatState repeats the votes: to all members at repeatDelays after a change, else to one in turn.
+func (v *Voter) repeatState() {
+	if v.repeats < len(repeatDelays) && v.now-v.changedAt >= repeatDelays[v.repeats] {
+		v.repeats++
+		v.queueMessages(v.config.Electorate.Members)
+		return
+	}
+	members := len(v.config.Electorate.Members)
+	if interval := time.Second / time.Duration(min(heartbeatsPerSecond, members)); v.now-v.lastHeartbeat >= interval {
+		v.lastHeartbeat = v.now // not advanced by the interval: a pause must not be followed by a burst
+		v.queueMessages(v.config.Electorate.Members[v.nextHeartbeatPeer : v.nextHeartbeatPeer+1])
+		v.nextHeartbeatPeer = (v.nextHeartbeatPeer + 1) % members
+	}
+}
