--- a/internal/agent/coordination/golden_test.go
+++ b/internal/agent/coordination/golden_test.go
@@ -14,7 +14,7 @@
 var messageCodec = goldentest.Codec{Extension: ".message", Marshal: membership.Encode, Unmarshal: membership.Decode}
 
 func TestGoldenMessages(t *testing.T) {
-	goldentest.RoundTrip[ejection.Letter](t, messageCodec, "ballot")
+	goldentest.RoundTrip[ejection.VoteMessage](t, messageCodec, "ballot")
 	goldentest.RoundTrip[stalerouting.Word](t, messageCodec, "uplink")
 	goldentest.RoundTrip[ping](t, messageCodec, "ping")
 	goldentest.RoundTrip[zonefailover.Report](t, messageCodec, "zone-report")
