--- a/internal/fleet/balancer/health.go
+++ b/internal/fleet/balancer/health.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	// healthTiers is the number of ranks that a server may have.
+	// healthTiers is the number of health ranks of policy.EndpointHealth.
 	healthTiers = 3
-	// baseEjectionMs and minEjectionMs, in ms, are how long a failed server stays Unhealthy: doubled with
-	// each strike, and the least.
+	// baseEjectionMs is how long a failed server stays Unhealthy, doubled with each further ejection;
+	// minEjectionMs is the least.
 	baseEjectionMs, minEjectionMs = 500.0, 250.0
-	// pendingTimeoutMs and unresponsivePendingTimeoutMs, in ms, are after which an UnhealthyPending server counts as healthy
-	// again without a verdict: a silent one costs whoever tries it a time-out.
+	// pendingTimeoutMs is how long an UnhealthyPending server waits for the verdict of a health
+	// check before it counts as healthy again. One that timed out waits for
+	// unresponsivePendingTimeoutMs: it costs whoever tries it another time-out.
 	pendingTimeoutMs, unresponsivePendingTimeoutMs = 500.0, 4000.0
-	// maxChecksInFlight bounds the validations under way, checkRate and checkBurst, in a second, those
-	// that are begun: they are priced. checkTimeout is when one that was not ended is given up.
-	maxChecksInFlight, checkRate, checkBurst = 2, 4.0, 4.0
-	checkTimeout                             = 5 * time.Second
-	// fullBackoff is how long a server that turned a request away counts as full.
-	fullBackoff = 200 * time.Millisecond
-	// unresponsiveFactor is how many of its estimates, with its error, and minUnresponsiveTime how long an attempt
-	// goes without an answer before its server is validated.
-	unresponsiveFactor, minUnresponsiveTime = 3.0, 600 * time.Millisecond
-	// tolerableFailureRate is the part of its attempts that a server may fail, beyond fleetFailureFactor times what
-	// the others do, before its hold grows; failureRateWindowMs in ms is how long it is known.
-	tolerableFailureRate, fleetFailureFactor, serverFailureSmoothing, fleetFailureSmoothing = 0.2, 1.5, 0.15, 0.005
-	failureRateWindowMs                                                                     = 5000.0
-	// connectTimeoutThreshold is how long a failed connect must have taken to be silence and no answer.
-	connectTimeoutThreshold = 200 * time.Millisecond
-	// connectionIdleTime is for how long a connection is taken to stay open.
-	connectionIdleTime = 10 * time.Second
-	// queueingSmoothing is the weight of one load told in the part of those in which something waited.
-	queueingSmoothing = 0.05
-	// idleCheckInterval, busyCheckInterval and unhealthyCheckInterval are how soon Checks wants to be asked again: without load,
-	// with attempts to watch, and with servers to validate.
+	// maxChecksInFlight bounds concurrent health checks.
+	maxChecksInFlight = 2
+	// healthCheckRate and healthCheckBurst bound health checks per second: they are priced.
+	healthCheckRate, healthCheckBurst = 4.0, 4.0
+	// checkTimeout is when a health check that was never ended is given up.
+	checkTimeout = 5 * time.Second
+	// An attempt without a response for unresponsiveFactor times its estimate and the usual error,
+	// and for minUnresponsiveTime, has its server checked.
+	unresponsiveFactor  = 3.0
+	minUnresponsiveTime = 600 * time.Millisecond
+	// A server is ejected for longer with each further ejection only if it fails more than
+	// tolerableFailureRate of its attempts plus fleetFailureFactor times what the others do.
+	tolerableFailureRate, fleetFailureFactor = 0.2, 1.5
+	// serverFailureSmoothing and fleetFailureSmoothing are the weights of one attempt in the
+	// failure rates, and failureRateWindowMs is after how long an old rate counts for little.
+	serverFailureSmoothing, fleetFailureSmoothing = 0.15, 0.005
+	failureRateWindowMs                           = 5000.0
+)
+
+// How soon DueHealthChecks wants to be called again.
+const (
 	idleCheckInterval      = time.Second
-	busyCheckInterval      = 100 * time.Millisecond
-	unhealthyCheckInterval = 50 * time.Millisecond
+	busyCheckInterval      = 100 * time.Millisecond // attempts have to be watched
+	unhealthyCheckInterval = 50 * time.Millisecond  // servers have to be checked
 )
 
-// tokenBucket is a token bucket.
+// tokenBucket is a rate limit with a burst.
 type tokenBucket struct {
-	rate, burst, tokens float64
-	refilledAt          time.Duration
+	rate       float64 // tokens a second
+	burst      float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 func (b *tokenBucket) refill(now time.Duration) {
@@ -55,84 +58,89 @@
 	b.refilledAt = now
 }
 
-// serverRank is the server's tier for a request. What must not run twice does not check a server while
-// others are healthy. One that does not hold the model comes after all that do.
-func (p *Picker) serverRank(now time.Duration, s *server, q *pickContext) int {
+// serverRank is the server's rank for a request, 0 the best. A server that does not hold the model
+// comes after all that do.
+func (p *Picker) serverRank(now time.Duration, s *server, pick *pickContext) int {
 	rank := 0
 	if s.State() > policy.Unknown {
-		after := pendingTimeoutMs
-		switch {
-		case q.nonIdempotent && !p.failureRateTolerable(s):
-			after = math.Inf(1)
-		case s.TimedOut():
-			after = unresponsivePendingTimeoutMs
-		}
-		rank = s.Priority(millis(now), after)
+		rank = s.Priority(millis(now), p.pendingTimeout(s, pick))
 	}
-	if models := s.instance.Models; len(models) > 0 && q.Model != "" &&
-		!slices.ContainsFunc(models, func(m registry.Model) bool { return m.Name == q.Model }) {
+	if !s.holdsModel(pick.Model) {
 		rank += healthTiers
 	}
 	return rank
 }
 
-// updateFailureRate counts an attempt's end as a failure of the server, or not.
-func (p *Picker) updateFailureRate(now time.Duration, s *server, x float64) {
+// pendingTimeout is when an unchecked server may be tried by a request, in ms. One that must not
+// run twice is never the first to try it.
+func (p *Picker) pendingTimeout(s *server, pick *pickContext) float64 {
+	switch {
+	case pick.nonIdempotent && !p.failureRateTolerable(s):
+		return math.Inf(1)
+	case s.TimedOut():
+		return unresponsivePendingTimeoutMs
+	default:
+		return pendingTimeoutMs
+	}
+}
+
+// holdsModel reports whether the server holds the model, as far as it names any.
+func (s *server) holdsModel(name string) bool {
+	models := s.instance.Models
+	return len(models) == 0 || name == "" ||
+		slices.ContainsFunc(models, func(m registry.Model) bool { return m.Name == name })
+}
+
+// updateFailureRate counts an attempt in the failure rates of its server and of all servers.
+func (p *Picker) updateFailureRate(now time.Duration, s *server, failed bool) {
+	sample := 0.0
+	if failed {
+		sample = 1
+	}
 	age := millis(now - s.failureRateAt)
-	s.failureRate += max(serverFailureSmoothing, 1-math.Exp(-age/failureRateWindowMs)) * (x - s.failureRate)
+	s.failureRate += max(serverFailureSmoothing, 1-math.Exp(-age/failureRateWindowMs)) * (sample - s.failureRate)
 	s.failureRateAt = now
-	p.failureRate += fleetFailureSmoothing * (x - p.failureRate)
+	p.failureRate += fleetFailureSmoothing * (sample - p.failureRate)
 }
 
-// failureRateTolerable tells whether the server fails no more than may happen to any.
+// failureRateTolerable reports whether the server fails no more than any server may.
 func (p *Picker) failureRateTolerable(s *server) bool {
 	return s.failureRate < tolerableFailureRate+fleetFailureFactor*p.failureRate
 }
 
-// markUnhealthy makes a server Unhealthy. Failures of one moment are one strike.
-func (p *Picker) markUnhealthy(now time.Duration, s *server, silent bool) {
-	p.updateFailureRate(now, s, 1)
-	if s.RecordFailure(silent, millis(now)) && (silent || !p.failureRateTolerable(s)) {
+// markUnhealthy ejects a server. Concurrent failures are one ejection.
+func (p *Picker) markUnhealthy(now time.Duration, s *server, timedOut bool) {
+	p.updateFailureRate(now, s, true)
+	if s.RecordFailure(timedOut, millis(now)) && (timedOut || !p.failureRateTolerable(s)) {
 		s.RecordEjection()
 	}
 }
 
-// allowChecks lets the Unhealthy servers of a service be validated: something has changed.
-func (p *Picker) allowChecks(now time.Duration, v *service) {
-	for _, s := range v.servers {
+// allowChecks lets the Unhealthy servers of a service be checked early, as something has changed.
+func (p *Picker) allowChecks(now time.Duration, svc *service) {
+	for _, s := range svc.servers {
 		s.BeginValidation(minEjectionMs, millis(now))
 	}
 }
 
-// DueHealthChecks are the background validations that are due: a GET of the service's health-path to
-// each, ended by Checked. No request waits for them.
+// DueHealthChecks returns the instances to check now, each by a GET of its service's health path
+// whose end is given to HealthCheckDone. No request waits for a check.
 func (p *Picker) DueHealthChecks(now time.Duration) (due []*registry.Instance) {
 	p.checkBudget.refill(now)
-	for _, v := range p.services {
-		for _, s := range v.servers {
+	for _, svc := range p.services {
+		for _, s := range svc.servers {
 			p.detectUnresponsive(now, s)
-			hold := s.EjectionTime(baseEjectionMs, minEjectionMs)
-			if !s.TimedOut() && p.failureRateTolerable(s) {
-				hold = minEjectionMs
-			}
-			s.BeginValidation(hold, millis(now))
-			if s.checkInFlight && now-s.checkStartedAt > checkTimeout {
-				s.checkInFlight = false
-				p.checksInFlight--
+			p.refreshEjection(now, s)
+			p.abandonCheck(now, s)
+			if p.startCheck(now, s) {
+				due = append(due, s.instance)
 			}
-			if s.State() != policy.UnhealthyPending || s.checkInFlight || p.checksInFlight >= maxChecksInFlight || p.checkBudget.tokens < 1 {
-				continue
-			}
-			p.checkBudget.tokens--
-			p.checksInFlight++
-			s.checkInFlight, s.checkStartedAt = true, now
-			due = append(due, s.instance)
 		}
 	}
 	return due
 }
 
-// detectUnresponsive has a server validated that took attempts and answers none.
+// detectUnresponsive has a server checked whose oldest unanswered attempt is overdue.
 func (p *Picker) detectUnresponsive(now time.Duration, s *server) {
 	if len(s.attempts) == 0 || s.State() > policy.Unknown {
 		return
@@ -141,17 +149,45 @@
 		if a.responded {
 			continue
 		}
-		most := max(duration(unresponsiveFactor*millis(a.estimate+s.service.latency.FirstTokenError())), minUnresponsiveTime)
-		if now-a.sentAt > most && s.lastResponseAt < a.sentAt {
+		limit := max(duration(unresponsiveFactor*millis(a.estimate+s.service.latency.FirstTokenError())), minUnresponsiveTime)
+		if now-a.sentAt > limit && s.lastResponseAt < a.sentAt {
 			s.Transition(policy.UnhealthyPending, millis(now))
 		}
 		return
 	}
 }
 
-// HealthCheckDone takes the end of a validation, with the load that it told, if any. What the server's
-// own answers to requests said meanwhile outranks it.
-func (p *Picker) HealthCheckDone(now time.Duration, id string, ok bool, load *Load) {
+// refreshEjection ends an ejection that is over.
+func (p *Picker) refreshEjection(now time.Duration, s *server) {
+	ejectionMs := s.EjectionTime(baseEjectionMs, minEjectionMs)
+	if !s.TimedOut() && p.failureRateTolerable(s) {
+		ejectionMs = minEjectionMs
+	}
+	s.BeginValidation(ejectionMs, millis(now))
+}
+
+// abandonCheck gives up a check that was never ended.
+func (p *Picker) abandonCheck(now time.Duration, s *server) {
+	if s.checkInFlight && now-s.checkStartedAt > checkTimeout {
+		s.checkInFlight = false
+		p.checksInFlight--
+	}
+}
+
+// startCheck begins the check of a server, if it needs one and the limits allow it.
+func (p *Picker) startCheck(now time.Duration, s *server) bool {
+	if s.State() != policy.UnhealthyPending || s.checkInFlight || p.checksInFlight >= maxChecksInFlight || p.checkBudget.tokens < 1 {
+		return false
+	}
+	p.checkBudget.tokens--
+	p.checksInFlight++
+	s.checkInFlight, s.checkStartedAt = true, now
+	return true
+}
+
+// HealthCheckDone records the end of a health check, with the load that it reported, if any. The
+// server's responses to requests since then take precedence over its result.
+func (p *Picker) HealthCheckDone(now time.Duration, id string, healthy bool, load *Load) {
 	s := p.servers[id]
 	if s == nil || !s.checkInFlight {
 		return
@@ -164,7 +200,7 @@
 	if s.State() != policy.UnhealthyPending {
 		return
 	}
-	if ok {
+	if healthy {
 		s.lastResponseAt = now
 		s.Transition(policy.Connected, millis(now))
 	} else if s.lastResponseAt < s.checkStartedAt {
@@ -172,18 +208,18 @@
 	}
 }
 
-// NextHealthCheck is how long after now Checks wants to be asked again at the latest.
-func (p *Picker) NextHealthCheck(time.Duration) time.Duration {
-	next := idleCheckInterval
-	for _, v := range p.services {
-		for _, s := range v.servers {
+// HealthCheckInterval is how soon DueHealthChecks wants to be called again.
+func (p *Picker) HealthCheckInterval() time.Duration {
+	interval := idleCheckInterval
+	for _, svc := range p.services {
+		for _, s := range svc.servers {
 			if s.State() > policy.Unknown {
 				return unhealthyCheckInterval
 			}
 		}
-		if v.inFlight > 0 {
-			next = busyCheckInterval
+		if svc.inFlight > 0 {
+			interval = busyCheckInterval
 		}
 	}
-	return next
+	return interval
 }
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -1,326 +1,340 @@
-// Package balancer decides which server a request goes to, or that it is refused, as one agent
-// sees the fleet: tiers by what its own attempts met, among the best of them a hash of the
-// prompt's shared parts under a cap of load, and of the few that come first the server where
-// the request loses least by being late, by reading parts again and by what its reading costs
-// others.
-//
-// All agents find the same order of servers for a key without talking; where a key is hot, more
-// of that order share it. It is pure: times of one steady clock go in. A Picker is not safe for
-// concurrent use.
 package balancer
 
 import (
-	"math/rand/v2"
+	"math"
 	"slices"
-	"strings"
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
-	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Segment is a part of a prompt, by the id that clients give it.
+const (
+	// boundedLoadFactor is how far above its even share of the agent's attempts a server may go
+	// before a key's request moves on to the next in hash order: the c of Mirrokni, Thorup and
+	// Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016.
+	boundedLoadFactor = 4.0
+	// maxFullScan is the number of servers up to which all are ranked for each request; of more,
+	// ringSampleSize are.
+	maxFullScan, ringSampleSize = 64, 48
+	// fallbackCandidates are the servers after a key's subset that are considered, and
+	// randomCandidates those that are drawn: agents that know the same loads must not all pick the
+	// same server.
+	fallbackCandidates, randomCandidates = 2, 2
+	maxCandidates                        = maxSubsetSize + fallbackCandidates + randomCandidates
+	// minKeyTokens is the length from which shared segments are worth an affinity.
+	minKeyTokens = 128
+	// minRetryAfter is the least advice of a rejection, and maxRetryAfterShare the most as a part of
+	// the time left: clients wait no longer.
+	minRetryAfter      = 50 * time.Millisecond
+	maxRetryAfterShare = 1.0 / 3
+	// noServerRetryAfter is the advice where no server is known: lists change within seconds.
+	noServerRetryAfter = time.Second
+	// defaultServerPriority is what servers assume of a request without a priority, and
+	// maxServerPriority the least urgent.
+	defaultServerPriority, maxServerPriority = 5, 9
+)
+
+// Segment is a part of a prompt, by the ID that clients give it.
 type Segment = inference.Segment
 
-// Load is what a server's answer tells of it.
+// Load is the load that a server reports with a response.
 type Load = inference.Load
 
-// Request is one try of a client that is to be placed, for the first time or again.
+// Request is a request that has to be picked a server for, for its first attempt or a retry.
 type Request struct {
 	Route           *config.Route
 	Service         string // of the route's splits, the one that was drawn
 	Model           string
-	Segments        []Segment // in order; the last is the request's own, or its session's
-	PromptTokens    int       // tokens
-	MaxOutputTokens int       // tokens at the most
-	TimeLeft        time.Duration
-	LatencyTarget   time.Duration
+	Segments        []Segment // of the prompt, in order; the last is the request's or session's own
+	PromptTokens    int
+	MaxOutputTokens int
+	TimeLeft        time.Duration // until the client's deadline
+	LatencyTarget   time.Duration // for the first token, from Elapsed 0; 0: none
 	Elapsed         time.Duration // since the request was read
-	Tried           []string      // ids of the instances that it was offered to
+	Tried           []string      // IDs of the instances that it was offered to
 }
 
 // Action is what is to become of a request.
 type Action uint8
 
-// The kinds of decisions.
+// The actions.
 const (
-	Forward Action = iota // to Server; Attempt has begun and has to be ended
-	Reject                // nothing has run; After is when there may be room
+	Forward Action = iota // to Instance; the Attempt has begun and must be ended
+	Reject                // nothing has run; RetryAfter says when there may be capacity
 )
 
-// Decision is what Place decided.
-type Decision struct {
-	Action     Action
-	Instance   *registry.Instance
-	Attempt    *Attempt
-	Priority   int           // for the server, 0 the most urgent to 9
-	RetryAfter time.Duration // honest advice to the client
-	Reason     string        // of a refusal
-}
-
-// Options are what a Picker is told at its start.
-type Options struct {
-	Zone string // the agent's own
-	Seed uint64 // of all its randomness
-	// PrefixIndexBytes bounds what is remembered of the prompt parts that servers keep, over all
-	// servers; 0: 4 MB.
-	PrefixIndexBytes int
+// String is the action's name.
+func (a Action) String() string {
+	if a == Forward {
+		return "forward"
+	}
+	return "reject"
 }
 
+// The reasons of rejections.
 const (
-	defaultPrefixIndexBytes = 4 << 20
-	// minPrefixesPerServer is what is remembered of each server however many there are.
-	minPrefixesPerServer = 16
-	// statusPromptTokens is the tokens of the prompt that a view's estimate is for.
-	statusPromptTokens = 1000
+	reasonNoServer   = "no server of the service is known"
+	reasonAllFull    = "all servers are full"
+	reasonAllTried   = "every server was tried"
+	reasonNoTime     = "no server can answer in the time left"
+	reasonOverloaded = "the servers are overloaded, and what is more urgent goes first"
 )
 
-// Picker holds what one agent knows of the servers.
-type Picker struct {
-	options        Options
-	rng            *rand.Rand
-	services       map[string]*service
-	servers        map[string]*server
-	misdirected    map[string]uint64 // instances that answered 421, by id, with the call-seq they were listed by
-	checkBudget    tokenBucket
-	checksInFlight int
-	failureRate    float64 // part of all attempts that fail
-
-	prefixScratch []Segment // scratch
-	tierScratch   []*server
-	sampleScratch []*server
+// Decision is the result of a pick.
+type Decision struct {
+	Action     Action
+	Instance   *registry.Instance
+	Attempt    *Attempt
+	Priority   int           // for the server, from 0, the most urgent, to 9
+	RetryAfter time.Duration // of a rejection
+	Reason     string        // of a rejection
 }
 
-// service is the servers of one service.
-type service struct {
-	name              string
-	configured        bool
-	engineConfig      config.Engine // the zero value where it is no model service
-	latency           *inference.LatencyModel
-	servers           []*server // by id
-	ring              []*server // by hash
-	membershipChanged bool      // servers came or went since the list was taken
-	inFlight          int
-	keyLoads          keyLoads
-	lateness          [priorityClasses]lateness
-	queueingRatio     float64 // part of the loads told in which something waited
+// pickContext is what of a request decides where it goes.
+type pickContext struct {
+	*Request
+	priorityClass int
+	key           uint64        // prefix that is worth an affinity; 0: none
+	sharedTokens  int           // of the segments before the last
+	keySeenAt     time.Duration // when the key came last, negative if unknown
+	nonIdempotent bool
 }
 
-// server is one listed instance.
-type server struct {
-	policy.EndpointHealth
-	service           *service
-	instance          *registry.Instance
-	ringHash          uint64
-	inference         *inference.Server
-	listedAt          time.Duration // listed
-	inFlight          int
-	openConnections   int           // the most in flight of late: as many connections may be open
-	openConnectionsAt time.Duration // when it was
-	slowStartUntil    time.Duration
-	fullUntil         time.Duration
-	lastResponseAt    time.Duration // when it last answered anything
-	failureRate       float64       // part of its attempts that fail
-	failureRateAt     time.Duration
-	attempts          []*Attempt // oldest first
-	checkInFlight     bool
-	checkStartedAt    time.Duration
-	listed            bool
+// Pick decides where the request goes. It is forwarded unless it has no chance in its time, the
+// servers are full, or they are overloaded and it is less urgent or late anyway.
+func (p *Picker) Pick(now time.Duration, r *Request) Decision {
+	svc := p.services[r.Service]
+	if svc == nil || len(svc.servers) == 0 {
+		return reject(r, noServerRetryAfter, reasonNoServer)
+	}
+	pick := p.newPickContext(svc, r)
+	best := p.bestTier(now, svc, &pick)
+	switch {
+	case len(best.servers) == 0 && best.freeIn > 0:
+		return reject(r, best.freeIn, reasonAllFull)
+	case len(best.servers) == 0:
+		return reject(r, minRetryAfter, reasonAllTried)
+	}
+	chosen := p.bestCandidate(now, svc, &pick, best)
+	if len(r.Tried) == 0 {
+		svc.lateness[pick.priorityClass].recordExpected(now, chosen.lateProbability)
+	}
+	if reason := p.rejectionReason(now, svc, &pick, &chosen); reason != "" {
+		return reject(r, chosen.firstToken-max(r.LatencyTarget-r.Elapsed, 0)/2, reason)
+	}
+	attempt := p.beginAttempt(now, &pick, &chosen)
+	return Decision{Action: Forward, Instance: chosen.server.instance, Attempt: attempt, Priority: serverPriority(pick.priorityClass)}
 }
 
-// New returns a picker that knows no server.
-func New(opt Options) *Picker {
-	if opt.PrefixIndexBytes <= 0 {
-		opt.PrefixIndexBytes = defaultPrefixIndexBytes
+// beginAttempt records that the request is forwarded to the candidate.
+func (p *Picker) beginAttempt(now time.Duration, pick *pickContext, chosen *candidate) *Attempt {
+	s := chosen.server
+	a := &Attempt{
+		picker:        p,
+		server:        s,
+		sequence:      s.inference.Begin(now, p.prefixScratch, pick.PromptTokens, pick.MaxOutputTokens),
+		prefixes:      slices.Clone(p.prefixScratch),
+		sentAt:        now,
+		targetAt:      now + pick.timeToTarget(),
+		estimate:      chosen.firstToken,
+		promptTokens:  pick.PromptTokens,
+		instanceSeq:   s.instance.Seq,
+		priorityClass: pick.priorityClass,
+	}
+	s.addAttempt(now, a)
+	if pick.key != 0 {
+		s.service.keyLoads.add(now, pick.key, millis(a.sequence.PrefillTime()))
 	}
-	return &Picker{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, inference.Mix64(opt.Seed))),
-		services: map[string]*service{}, servers: map[string]*server{}, misdirected: map[string]uint64{},
-		checkBudget: tokenBucket{rate: checkRate, burst: checkBurst, tokens: checkBurst}}
+	return a
 }
 
-func (p *Picker) getOrCreateService(name string) *service {
-	v := p.services[name]
-	if v == nil {
-		v = &service{name: name, latency: inference.NewLatencyModel()}
-		p.services[name] = v
-	}
-	return v
+func reject(r *Request, retryAfter time.Duration, reason string) Decision {
+	retryAfter = max(min(retryAfter, duration(millis(r.TimeLeft)*maxRetryAfterShare)), minRetryAfter)
+	return Decision{Action: Reject, Reason: reason, RetryAfter: retryAfter}
 }
 
-// UpdateInstances takes the list of servers as it stands. New instances are Unknown, those that are
-// not in it leave every tier at once.
-func (p *Picker) UpdateInstances(now time.Duration, list *registry.List) {
-	if list == nil {
-		return
+// newPickContext derives the request's key: the prefix of all its segments but the last, which is
+// its own. The prefixes are left in prefixScratch.
+func (p *Picker) newPickContext(svc *service, r *Request) pickContext {
+	pick := pickContext{Request: r}
+	if r.Route != nil {
+		pick.priorityClass = min(max(r.Route.Priority, 0), priorityClasses-1)
+		pick.nonIdempotent = !r.Route.Idempotent()
 	}
-	for id, s := range p.servers {
-		if list.ByID[id] == nil {
-			p.removeServer(s)
-		}
+	p.prefixScratch = inference.AppendPrefixes(p.prefixScratch[:0], r.Model, r.Segments)
+	shared := len(p.prefixScratch) - 1
+	if shared < 1 {
+		return pick
 	}
-	for name, instances := range list.ByService {
-		v := p.getOrCreateService(name)
-		for _, in := range instances {
-			if seq, ok := p.misdirected[in.ID]; ok && in.Seq <= seq {
-				continue
-			}
-			delete(p.misdirected, in.ID)
-			s := p.servers[in.ID]
-			if s != nil && s.service != v {
-				p.removeServer(s) // an id of another service is another server
-				s = nil
-			}
-			if s == nil {
-				p.addServer(now, v, in, len(list.ByID))
-				continue
-			}
-			if !slices.Equal(s.instance.Models, in.Models) {
-				s.inference.ResetCache()
-			}
-			s.instance = in
-			s.inference.SetCapacity(v.capacityOf(in, p.prefixesPerServer(len(list.ByID))))
-		}
+	for _, prefix := range p.prefixScratch[:shared] {
+		pick.sharedTokens += prefix.Tokens
 	}
-	for id := range p.misdirected {
-		if list.ByID[id] == nil {
-			delete(p.misdirected, id)
-		}
-	}
-	for name, v := range p.services {
-		if v.membershipChanged {
-			p.allowChecks(now, v)
-		}
-		v.membershipChanged = false
-		p.removeIfUnused(name, v)
+	if pick.sharedTokens >= minKeyTokens {
+		pick.key = p.prefixScratch[shared-1].ID
+		pick.keySeenAt = svc.keyLoads.lastSeen(pick.key)
 	}
+	return pick
 }
 
-// removeIfUnused drops a service that nothing names any more.
-func (p *Picker) removeIfUnused(name string, v *service) {
-	if len(v.servers) == 0 && v.inFlight == 0 && !v.configured {
-		delete(p.services, name)
+// timeToTarget is the time in which the first token has its full value.
+func (c *pickContext) timeToTarget() time.Duration {
+	if c.LatencyTarget <= 0 {
+		return c.TimeLeft
 	}
+	return min(c.TimeLeft, c.LatencyTarget-c.Elapsed)
 }
 
-func (p *Picker) addServer(now time.Duration, v *service, in *registry.Instance, all int) {
-	s := &server{EndpointHealth: policy.NewEndpointHealth(millis(now)), service: v, instance: in, ringHash: hashID(in.ID), listed: true,
-		inference: inference.NewServer(v.capacityOf(in, p.prefixesPerServer(all)), v.latency), lastResponseAt: -1, listedAt: now, slowStartUntil: now + in.Cold}
-	p.servers[in.ID], v.membershipChanged = s, true
-	i, _ := slices.BinarySearchFunc(v.servers, s, compareByID)
-	v.servers = slices.Insert(v.servers, i, s)
-	i, _ = slices.BinarySearchFunc(v.ring, s, compareByRingHash)
-	v.ring = slices.Insert(v.ring, i, s)
-}
-
-func (p *Picker) removeServer(s *server) {
-	s.listed, s.service.membershipChanged = false, true
-	delete(p.servers, s.instance.ID)
-	if s.checkInFlight {
-		s.checkInFlight = false
-		p.checksInFlight--
+// serverPriority is the priority that a server is given: 0 for the most urgent class, the servers'
+// default for the next, and up to 9 for those after it.
+func serverPriority(class int) int {
+	if class == 0 {
+		return 0
 	}
-	is := func(x *server) bool { return x == s }
-	s.service.servers = slices.DeleteFunc(s.service.servers, is)
-	s.service.ring = slices.DeleteFunc(s.service.ring, is)
+	return min(defaultServerPriority-1+class, maxServerPriority)
 }
 
-func compareByID(a, b *server) int { return strings.Compare(a.instance.ID, b.instance.ID) }
+// tier is the servers that a request may go to, all of one health rank.
+type tier struct {
+	servers    []*server
+	represents int           // the number of servers that servers are a sample of
+	freeIn     time.Duration // if all are full: when the first may have capacity
+}
 
-func compareByRingHash(a, b *server) int {
-	if a.ringHash != b.ringHash {
-		if a.ringHash < b.ringHash {
-			return -1
+// bestTier returns the servers of the best rank, of a sample of the ring if that has healthy ones.
+func (p *Picker) bestTier(now time.Duration, svc *service, pick *pickContext) tier {
+	for _, pool := range [2][]*server{p.sampleRing(svc, pick.key), svc.ring} {
+		rank, freeIn := p.collectTier(now, pool, pick)
+		if len(p.tierScratch) > 0 && rank == 0 || len(pool) == len(svc.ring) {
+			return tier{p.tierScratch, len(p.tierScratch) * len(svc.ring) / len(pool), freeIn}
 		}
-		return 1
 	}
-	return compareByID(a, b)
+	return tier{}
 }
 
-// UpdateConfig takes the configuration in force.
-func (p *Picker) UpdateConfig(_ time.Duration, doc *config.Doc) {
-	if doc == nil {
-		return
-	}
-	for name, v := range p.services {
-		v.configured = false
-		if doc.Services[name] == nil {
-			p.removeIfUnused(name, v)
+// collectTier leaves the servers of the pool's best rank that are not full in tierScratch. freeIn
+// is when the first full one of that rank may have capacity, 0 if none is full.
+func (p *Picker) collectTier(now time.Duration, pool []*server, pick *pickContext) (best int, freeIn time.Duration) {
+	best = 2 * healthTiers
+	p.tierScratch = p.tierScratch[:0]
+	for _, s := range pool {
+		rank := p.serverRank(now, s, pick)
+		if rank > best || slices.Contains(pick.Tried, s.instance.ID) {
+			continue
 		}
-	}
-	for name, c := range doc.Services {
-		v := p.getOrCreateService(name)
-		v.configured, v.engineConfig = true, config.Engine{}
-		if c.Engine != nil {
-			v.engineConfig = *c.Engine
+		if rank < best {
+			best, freeIn, p.tierScratch = rank, 0, p.tierScratch[:0]
 		}
-		for _, s := range v.servers {
-			s.inference.SetCapacity(v.capacityOf(s.instance, p.prefixesPerServer(len(p.servers))))
+		if now < s.fullUntil {
+			if wait := s.fullUntil - now; freeIn == 0 || wait < freeIn {
+				freeIn = wait
+			}
+			continue
 		}
+		p.tierScratch = append(p.tierScratch, s)
 	}
+	return best, freeIn
 }
 
-func (v *service) capacityOf(in *registry.Instance, parts int) inference.Capacity {
-	s := inference.Capacity{Slots: v.engineConfig.Slots, CacheTokens: v.engineConfig.CacheTokens, TokensPerEvent: v.engineConfig.Stride, MaxPrefixes: parts}
-	if in.Slots > 0 {
-		s.Slots = in.Slots
+// sampleRing returns the part of a large ring that follows a key's position, which is the same at
+// all agents, or a random one without a key. A change of the list moves each sample by one server
+// at most.
+func (p *Picker) sampleRing(svc *service, key uint64) []*server {
+	if len(svc.ring) <= maxFullScan {
+		return svc.ring
+	}
+	position := inference.Mix64(key)
+	if key == 0 {
+		position = p.rng.Uint64()
 	}
-	return s
+	start := int(float64(position>>11) / (1 << 53) * float64(len(svc.ring)))
+	p.sampleScratch = append(p.sampleScratch[:0], svc.ring[start:min(start+ringSampleSize, len(svc.ring))]...)
+	return append(p.sampleScratch, svc.ring[:ringSampleSize-len(p.sampleScratch)]...)
 }
 
-// prefixesPerServer is how many prompt parts may be remembered of each server.
-func (p *Picker) prefixesPerServer(servers int) int {
-	return max(p.options.PrefixIndexBytes/inference.BytesPerPrefix/max(servers, 1), minPrefixesPerServer)
+// candidate is a server that is considered for a request.
+type candidate struct {
+	server          *server
+	score           uint64 // rendezvous hash
+	inSubset        bool   // it is one of those that the key belongs to
+	cost            float64
+	lateProbability float64
+	firstToken      time.Duration // estimate
 }
 
-// ServerStatus is what the agent holds of one server, for operators: nothing decides by it.
-type ServerStatus struct {
-	ID       string        `json:"ID"`
-	Service  string        `json:"Service"`
-	Zone     string        `json:"Zone"`
-	State    string        `json:"State"`
-	InState  time.Duration `json:"InState"`
-	Silent   bool          `json:"Silent"`
-	Strikes  int           `json:"Strikes"`
-	InFlight int           `json:"InFlight"`
-	Unread   int           `json:"Unread"`
-	Full     bool          `json:"Full"`
-	Cold     bool          `json:"Cold"`
-	Estimate time.Duration `json:"Estimate"` // to the first token of a short prompt
-	Load     Load          `json:"Load"`
-	LoadAge  time.Duration `json:"LoadAge"` // of Load; negative: none was told
+// candidates is a list of bounded length.
+type candidates struct {
+	list [maxCandidates]candidate
+	n    int
 }
 
-// Snapshot lists what is known of the servers, by service and id.
-func (p *Picker) Snapshot(now time.Duration) []ServerStatus {
-	views := make([]ServerStatus, 0, len(p.servers))
-	for _, v := range p.services {
-		for _, s := range v.servers {
-			view := ServerStatus{ID: s.instance.ID, Service: v.name, Zone: s.instance.Zone, State: policy.StateNames[s.State()],
-				InState: now - duration(s.Since()), Silent: s.TimedOut(), Strikes: s.Ejections(), InFlight: s.inFlight,
-				Unread: s.inference.OwnPrefills(), Full: now < s.fullUntil, Cold: now < s.slowStartUntil, LoadAge: -1}
-			view.Estimate, _ = s.inference.EstimateFirstToken(now, nil, statusPromptTokens, 0)
-			if load, age, ok := s.inference.Load(now); ok {
-				view.Load, view.LoadAge = load, age
-			}
-			views = append(views, view)
-		}
+// insert keeps the servers of the highest scores, up to limit, in descending order.
+func (c *candidates) insert(s *server, score uint64, limit int) {
+	if c.n == limit && score <= c.list[c.n-1].score {
+		return
 	}
-	slices.SortFunc(views, func(a, b ServerStatus) int {
-		return strings.Compare(a.Service+"\x00"+a.ID, b.Service+"\x00"+b.ID)
-	})
-	return views
+	i := min(c.n, limit-1)
+	for ; i > 0 && c.list[i-1].score < score; i-- {
+		c.list[i] = c.list[i-1]
+	}
+	c.list[i] = candidate{server: s, score: score}
+	c.n = min(c.n+1, limit)
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// append adds a server at the end.
+func (c *candidates) append(s *server) {
+	c.list[c.n] = candidate{server: s}
+	c.n++
+}
 
-func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func (c *candidates) contains(s *server) bool {
+	return slices.ContainsFunc(c.list[:c.n], func(other candidate) bool { return other.server == s })
+}
 
-func hashID(id string) uint64 {
-	h := uint64(14695981039346656037)
-	for i := range len(id) {
-		h = (h ^ uint64(id[i])) * 1099511628211
+// bestCandidate considers the key's subset of the tier, the servers that follow it in hash order
+// and some random ones, and returns the one of least cost.
+func (p *Picker) bestCandidate(now time.Duration, svc *service, pick *pickContext, t tier) candidate {
+	subset := 1
+	if pick.key != 0 {
+		subset = min(svc.keyLoads.subsetSize(now, pick.key, t.represents), len(t.servers))
+	}
+	var considered candidates
+	p.addByHash(&considered, pick.key, t, subset, svc.inFlight)
+	prefillCostPerMs := prefillCost + congestionCost*svc.worstExpectedLateness(now)
+	best := &considered.list[0]
+	for i := range considered.n {
+		c := &considered.list[i]
+		c.inSubset = pick.key != 0 && i < subset
+		p.estimateCost(now, svc, pick, c, prefillCostPerMs)
+		if c.cost < best.cost {
+			best = c
+		}
+	}
+	return *best
+}
+
+// addByHash adds the servers of the tier that come first in the key's hash order (at random
+// without a key) and some random ones, all below the load bound; if there is none, any one.
+func (p *Picker) addByHash(considered *candidates, key uint64, t tier, subset, inFlight int) {
+	bound := int(math.Ceil(boundedLoadFactor * float64(inFlight+1) / float64(t.represents)))
+	for _, s := range t.servers {
+		if s.inFlight >= bound {
+			continue
+		}
+		score := inference.Mix64(key ^ s.ringHash)
+		if key == 0 {
+			score = p.rng.Uint64()
+		}
+		considered.insert(s, score, subset+fallbackCandidates)
+	}
+	for range randomCandidates {
+		s := t.servers[p.rng.IntN(len(t.servers))]
+		if s.inFlight < bound && !considered.contains(s) {
+			considered.append(s)
+		}
+	}
+	if considered.n == 0 { // all are at the bound
+		considered.append(t.servers[p.rng.IntN(len(t.servers))])
 	}
-	return inference.Mix64(h)
 }
--- a/internal/fleet/balancer/pick_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -155,7 +155,7 @@
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	for range 10 { // no stray failure
-		p.updateFailureRate(0, a.server, 1)
+		p.updateFailureRate(0, a.server, true)
 	}
 	a.End(ms, Reset)
 	p.DueHealthChecks(time.Second)
@@ -233,9 +233,9 @@
 			p.HealthCheckDone(now+ms, in.ID, false, nil)
 		}
 	}
-	assert.LessOrEqual(t, begun, int(checkBurst+3*checkRate)+1)
+	assert.LessOrEqual(t, begun, int(healthCheckBurst+3*healthCheckRate)+1)
 	assert.Greater(t, begun, 10)
-	assert.Equal(t, unhealthyCheckInterval, p.NextHealthCheck(now))
+	assert.Equal(t, unhealthyCheckInterval, p.HealthCheckInterval())
 	p.DueHealthChecks(now)
 	p.DueHealthChecks(now + 2*checkTimeout)
 	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "what is never ended is given up")
@@ -567,11 +567,11 @@
 	for i, v := range views {
 		assert.Equal(t, fmt.Sprintf("i-%04d", i), v.ID)
 		assert.Equal(t, "llm", v.Service)
-		assert.Greater(t, v.Estimate, time.Duration(0))
+		assert.Greater(t, v.FirstTokenEstimate, time.Duration(0))
 		switch v.ID {
 		case b.server.instance.ID:
 			assert.Equal(t, "unhealthy", v.State)
-			assert.Equal(t, 100*ms, v.InState)
+			assert.Equal(t, 100*ms, v.TimeInState)
 		case a.server.instance.ID:
 			assert.Equal(t, 1, v.InFlight)
 			assert.Equal(t, Load{Running: 1, Waiting: 2, Slots: 8}, v.Load)
@@ -662,7 +662,7 @@
 			"checks": func(t *rapid.T) {
 				pass(t)
 				checks = append(checks, p.DueHealthChecks(now)...)
-				require.Greater(t, p.NextHealthCheck(now), time.Duration(0))
+				require.Greater(t, p.HealthCheckInterval(), time.Duration(0))
 			},
 			"checked": func(t *rapid.T) {
 				if len(checks) > 0 {
--- a/internal/fleet/balancer/sim_test.go
+++ b/internal/fleet/balancer/sim_test.go
@@ -337,7 +337,7 @@
 				}
 				m.after(wait, func() { p.HealthCheckDone(m.now, in.ID, ok, nil) })
 			}
-			m.after(p.NextHealthCheck(m.now), poll)
+			m.after(p.HealthCheckInterval(), poll)
 		}
 		m.after(0, poll)
 	}
--- a/internal/fleet/gateway/lifecycle.go
+++ b/internal/fleet/gateway/lifecycle.go
@@ -51,7 +51,7 @@
 		now := g.now()
 		g.mu.Lock()
 		due := g.picker.DueHealthChecks(now)
-		wait := g.picker.NextHealthCheck(now) - now
+		wait := g.picker.HealthCheckInterval() - now
 		g.mu.Unlock()
 		for _, instance := range due {
 			checks.Go(func() { g.checkHealth(ctx, instance) })
