--- a/internal/fleet/controlplane/core_test.go
+++ b/internal/fleet/controlplane/core_test.go
@@ -22,18 +22,18 @@
 	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leaktest.Main(m) }
+func TestMain(member *testing.M) { leaktest.Main(member) }
 
 // waitLimit bounds each wait of a test; it is reached only where something is broken.
 const waitLimit = 20 * time.Second
 
 // applyNumber takes bodies that are numbers above the current one.
-func applyNumber(cur []byte, o *chain.Update) ([]byte, int64, error) {
-	n, err := strconv.ParseInt(string(o.Body), 10, 64)
-	if err != nil || n <= 0 {
+func applyNumber(current []byte, update *chain.Update) ([]byte, int64, error) {
+	revision, err := strconv.ParseInt(string(update.Body), 10, 64)
+	if err != nil || revision <= 0 {
 		return nil, 0, errors.New("no number")
 	}
-	return o.Body, n, nil
+	return update.Body, revision, nil
 }
 
 // testNode is one process of a site on loopback; its machine keeps its address and its folder.
@@ -67,39 +67,39 @@
 	observeCall       func(from, name string, answered bool) // sees each call as it is sent and as it is answered
 }
 
-func (s *testCluster) setObserveCall(tap func(from, name string, answered bool)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.observeCall = tap
+func (cluster *testCluster) setObserveCall(tap func(from, name string, answered bool)) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.observeCall = tap
 }
 
 // partition loses what is sent from one process to others, until it is whole again.
-func (s *testCluster) partition(from, to *testNode, lost bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.partitions[[2]string{from.addr, to.addr}] = lost
-	close(s.partitionsChanged)
-	s.partitionsChanged = make(chan struct{})
+func (cluster *testCluster) partition(from, to *testNode, lost bool) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.partitions[[2]string{from.addr, to.addr}] = lost
+	close(cluster.partitionsChanged)
+	cluster.partitionsChanged = make(chan struct{})
 }
 
 // isolate cuts a process from all others, both ways or only what it sends.
-func (s *testCluster) isolate(p *testNode, lost, bothWays bool) {
-	for _, o := range s.nodes {
-		if o != p {
-			s.partition(p, o, lost)
+func (cluster *testCluster) isolate(node *testNode, lost, bothWays bool) {
+	for _, other := range cluster.nodes {
+		if other != node {
+			cluster.partition(node, other, lost)
 			if bothWays {
-				s.partition(o, p, lost)
+				cluster.partition(other, node, lost)
 			}
 		}
 	}
 }
 
 // awaitDelivery waits until what is sent from one process to another arrives.
-func (s *testCluster) awaitDelivery(ctx context.Context, from, to string) error {
+func (cluster *testCluster) awaitDelivery(ctx context.Context, from, to string) error {
 	for {
-		s.mu.Lock()
-		lost, heal := s.partitions[[2]string{from, to}], s.partitionsChanged
-		s.mu.Unlock()
+		cluster.mu.Lock()
+		lost, heal := cluster.partitions[[2]string{from, to}], cluster.partitionsChanged
+		cluster.mu.Unlock()
 		if !lost {
 			return nil
 		}
@@ -195,193 +195,193 @@
 var addressCount atomic.Int32
 
 func newTestCluster(t testing.TB, disks, others int) *testCluster {
-	s := &testCluster{tb: t, machineLosses: 1, check: applyNumber, partitions: map[[2]string]bool{}, partitionsChanged: make(chan struct{})}
+	cluster := &testCluster{tb: t, machineLosses: 1, check: applyNumber, partitions: map[[2]string]bool{}, partitionsChanged: make(chan struct{})}
 	for i := range disks + others {
 		// An address of its own: no outgoing connection ever has its port.
 		n := addressCount.Add(1)
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250))
 		require.NoError(t, err)
-		p := &testNode{tb: t, zone: "z", addr: ln.Addr().String()}
+		node := &testNode{tb: t, zone: "z", addr: ln.Addr().String()}
 		require.NoError(t, ln.Close())
 		if i < disks {
-			p.dir = stateDir(t)
+			node.dir = stateDir(t)
 		}
-		s.nodes = append(s.nodes, p)
+		cluster.nodes = append(cluster.nodes, node)
 		if i < 3 {
-			s.seeds = append(s.seeds, p.addr)
+			cluster.seeds = append(cluster.seeds, node.addr)
 		}
 	}
 	t.Cleanup(func() {
-		for _, p := range s.nodes {
-			p.kill()
+		for _, node := range cluster.nodes {
+			node.kill()
 		}
 	})
-	return s
+	return cluster
 }
 
 // start starts a process; it answers calls when start returns.
-func (s *testCluster) start(p *testNode, first bool) {
-	ln, err := net.Listen("tcp", p.addr)
-	require.NoError(s.tb, err)
+func (cluster *testCluster) start(node *testNode, first bool) {
+	ln, err := net.Listen("tcp", node.addr)
+	require.NoError(cluster.tb, err)
 	pool := rpc.NewPool()
-	p.changes = make(chan struct{}, 1)
+	node.changes = make(chan struct{}, 1)
 	note := func() {
 		select {
-		case p.changes <- struct{}{}:
+		case node.changes <- struct{}{}:
 		default:
 		}
 	}
-	if p.ack == 0 {
-		p.ack = 5 * time.Second
+	if node.ack == 0 {
+		node.ack = 5 * time.Second
 	}
-	m, err := Open(Options{Addr: p.addr, Zone: p.zone, StateDir: p.dir, HasDisk: p.dir != "", FirstStart: first,
-		Seeds: func() []string { return s.seeds }, Losses: s.machineLosses, ZoneLosses: s.zoneLosses, Counted: true, Pool: pool, Validate: s.check, RequestTimeout: p.ack,
+	member, err := Open(Options{Addr: node.addr, Zone: node.zone, StateDir: node.dir, HasDisk: node.dir != "", FirstStart: first,
+		Seeds: func() []string { return cluster.seeds }, Losses: cluster.machineLosses, ZoneLosses: cluster.zoneLosses, Counted: true, Pool: pool, Validate: cluster.check, RequestTimeout: node.ack,
 		OnCommit: func(v chain.Value) {
-			p.mu.Lock()
-			p.commits = append(p.commits, v.Seq)
-			p.mu.Unlock()
+			node.mu.Lock()
+			node.commits = append(node.commits, v.Seq)
+			node.mu.Unlock()
 			note()
 		}, OnView: func(view.View) { note() }})
-	require.NoError(s.tb, err)
-	p.disk = &faultyDisk{Store: m.disk.(*store.Store)}
-	m.disk = p.disk
-	m.intercept = func(ctx context.Context, to, name string, do func() error) error {
-		s.mu.Lock()
-		deaf, tap := s.unpushable != nil && s.unpushable.addr == to && name == "core.push", s.observeCall
-		s.mu.Unlock()
+	require.NoError(cluster.tb, err)
+	node.disk = &faultyDisk{Store: member.disk.(*store.Store)}
+	member.disk = node.disk
+	member.intercept = func(ctx context.Context, to, name string, do func() error) error {
+		cluster.mu.Lock()
+		deaf, tap := cluster.unpushable != nil && cluster.unpushable.addr == to && name == "core.push", cluster.observeCall
+		cluster.mu.Unlock()
 		if tap != nil {
-			tap(p.addr, name, false)
-			defer tap(p.addr, name, true)
+			tap(node.addr, name, false)
+			defer tap(node.addr, name, true)
 		}
 		if deaf {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if err := s.awaitDelivery(ctx, p.addr, to); err != nil {
+		if err := cluster.awaitDelivery(ctx, node.addr, to); err != nil {
 			return err
 		}
 		if err := do(); err != nil {
 			return err
 		}
-		return s.awaitDelivery(ctx, to, p.addr)
+		return cluster.awaitDelivery(ctx, to, node.addr)
 	}
 	t := rpc.NewTable()
-	m.RegisterHandlers(t)
+	member.RegisterHandlers(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	p.member, p.cancel, p.done = m, cancel, make(chan struct{})
-	done := p.done
+	node.member, node.cancel, node.done = member, cancel, make(chan struct{})
+	done := node.done
 	go func() {
 		defer close(done)
 		defer pool.Close()
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() { defer wg.Done(); _ = rpc.Serve(ctx, ln, t) }()
-		_ = m.Run(ctx)
+		_ = member.Run(ctx)
 		wg.Wait()
 	}()
 }
 
 // kill ends a process; what it kept stays on its disk.
-func (p *testNode) kill() {
-	if p.member != nil {
-		p.cancel()
-		<-p.done
-		p.member = nil
+func (node *testNode) kill() {
+	if node.member != nil {
+		node.cancel()
+		<-node.done
+		node.member = nil
 	}
 }
 
-func (s *testCluster) startAll(first bool) {
-	for _, p := range s.nodes {
-		s.start(p, first)
+func (cluster *testCluster) startAll(first bool) {
+	for _, node := range cluster.nodes {
+		cluster.start(node, first)
 	}
 }
 
 // waitUntil waits for something that views or values of a process bring.
-func (p *testNode) waitUntil(what string, ok func() bool) {
-	p.tb.Helper()
+func (node *testNode) waitUntil(what string, ok func() bool) {
+	node.tb.Helper()
 	end := time.NewTimer(waitLimit)
 	defer end.Stop()
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
 	for !ok() {
 		select {
-		case <-p.changes:
+		case <-node.changes:
 		case <-poll.C:
 		case <-end.C:
-			require.FailNow(p.tb, "waited in vain", "%s; %+v", what, p.member.Status())
+			require.FailNow(node.tb, "waited in vain", "%s; %+v", what, node.member.Status())
 		}
 	}
 }
 
-func (p *testNode) submitRevision(ifMatch, body int64) chain.Result {
-	return p.submitUntilClear(revisionUpdate(ifMatch, body))
+func (node *testNode) submitRevision(ifMatch, body int64) chain.Result {
+	return node.submitUntilClear(revisionUpdate(ifMatch, body))
 }
 
 // submitUntilClear sends an order until it is clear what became of it.
-func (p *testNode) submitUntilClear(o *chain.Update) chain.Result {
+func (node *testNode) submitUntilClear(update *chain.Update) chain.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
-		if v := p.member.Submit(ctx, o); v.Kind != chain.OutcomeUnknown || ctx.Err() != nil {
-			return v
+		if result := node.member.Submit(ctx, update); result.Kind != chain.OutcomeUnknown || ctx.Err() != nil {
+			return result
 		}
 	}
 }
 
-func (p *testNode) read() chain.Value {
+func (node *testNode) read() chain.Value {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
-		v, err := p.member.Read(ctx)
+		v, err := node.member.Read(ctx)
 		if err == nil || ctx.Err() != nil {
-			require.NoError(p.tb, err)
+			require.NoError(node.tb, err)
 			return v
 		}
 	}
 }
 
-func (p *testNode) chainLen() int {
-	v, _ := p.member.View()
+func (node *testNode) chainLen() int {
+	v, _ := node.member.View()
 	return len(v.Chain)
 }
 
 func TestBootstrapAndUpdates(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 4, 2)
-	s.startAll(true)
-	for _, p := range s.nodes {
-		p.waitUntil("view 1", func() bool { _, ok := p.member.View(); return ok })
+	cluster := newTestCluster(t, 4, 2)
+	cluster.startAll(true)
+	for _, node := range cluster.nodes {
+		node.waitUntil("view 1", func() bool { _, ok := node.member.View(); return ok })
 	}
-	v, _ := s.nodes[0].member.View()
+	v, _ := cluster.nodes[0].member.View()
 	require.Len(t, v.Voters, 4)
 	require.Len(t, v.Chain, 4)
 	rev := int64(0)
-	for i, p := range s.nodes {
+	for i, node := range cluster.nodes {
 		next := int64(10 * (i + 1))
-		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, p.submitRevision(rev, next))
-		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, s.nodes[0].submitRevision(rev, next), "the same again")
-		require.Equal(t, chain.OutcomeConflict, p.submitRevision(rev, next+5).Kind)
+		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, node.submitRevision(rev, next))
+		require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: next}, cluster.nodes[0].submitRevision(rev, next), "the same again")
+		require.Equal(t, chain.OutcomeConflict, node.submitRevision(rev, next+5).Kind)
 		rev = next
 	}
-	require.Equal(t, chain.OutcomeInvalid, s.nodes[5].submitRevision(rev, 3).Kind)
-	for _, p := range s.nodes {
-		require.Equal(t, rev, p.read().Revision)
+	require.Equal(t, chain.OutcomeInvalid, cluster.nodes[5].submitRevision(rev, 3).Kind)
+	for _, node := range cluster.nodes {
+		require.Equal(t, rev, node.read().Revision)
 	}
 }
 
 func TestHeadStopsAndRejoins(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 4, 1)
-	s.startAll(true)
-	out := s.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
-	v, _ := out.member.View()
-	head := s.nodeAt(v.Head().Addr)
+	cluster := newTestCluster(t, 4, 1)
+	cluster.startAll(true)
+	client := cluster.nodes[4]
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	v, _ := client.member.View()
+	head := cluster.nodeAt(v.Head().Addr)
 	head.kill()
-	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
-	require.Equal(t, int64(2), out.read().Revision)
-	out.waitUntil("the head is left out", func() bool { return out.chainLen() == 3 })
-	s.start(head, false)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+	require.Equal(t, int64(2), client.read().Revision)
+	client.waitUntil("the head is left out", func() bool { return client.chainLen() == 3 })
+	cluster.start(head, false)
 	head.waitUntil("the chain is whole again", func() bool { return head.chainLen() == 4 })
 	require.Equal(t, chain.OutcomeCommitted, head.submitRevision(2, 3).Kind)
 	head.waitUntil("the value comes", func() bool { c, _ := head.member.Committed(); return c.Revision == 3 })
@@ -389,29 +389,29 @@
 
 func TestWipedDiskJoinsAsNewMember(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 4, 1)
-	s.startAll(true)
-	out := s.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(0, 1).Kind)
-	p := s.nodes[1]
-	was := p.member.Status().ID
-	p.kill()
-	p.dir = stateDir(t)
-	s.start(p, false)
-	require.NotEqual(t, was, p.member.Status().ID)
-	p.waitUntil("the newcomer votes and is in the chain", func() bool {
-		v, _ := p.member.View()
-		return p.member.IsVoter() && len(v.Voters) == 4 && len(v.Chain) == 4
+	cluster := newTestCluster(t, 4, 1)
+	cluster.startAll(true)
+	client := cluster.nodes[4]
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	node := cluster.nodes[1]
+	was := node.member.Status().ID
+	node.kill()
+	node.dir = stateDir(t)
+	cluster.start(node, false)
+	require.NotEqual(t, was, node.member.Status().ID)
+	node.waitUntil("the newcomer votes and is in the chain", func() bool {
+		v, _ := node.member.View()
+		return node.member.IsVoter() && len(v.Voters) == 4 && len(v.Chain) == 4
 	})
-	require.Equal(t, chain.OutcomeCommitted, p.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, node.submitRevision(1, 2).Kind)
 }
 
-func (s *testCluster) nodeAt(addr string) *testNode {
-	for _, p := range s.nodes {
-		if p.addr == addr {
-			return p
+func (cluster *testCluster) nodeAt(addr string) *testNode {
+	for _, node := range cluster.nodes {
+		if node.addr == addr {
+			return node
 		}
 	}
-	require.FailNow(s.tb, "no process at "+addr)
+	require.FailNow(cluster.tb, "no process at "+addr)
 	return nil
 }
--- a/internal/fleet/controlplane/orders_test.go
+++ b/internal/fleet/controlplane/orders_test.go
@@ -19,19 +19,19 @@
 }
 
 // applyUpdates has the head hold a value that is n orders further, as if they had been committed.
-func (p *testNode) applyUpdates(n int) (revision int64) {
+func (node *testNode) applyUpdates(n int) (revision int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	require.NoError(p.tb, p.member.acquireWrite(ctx))
-	defer p.member.releaseWrite()
-	record := p.member.replica().Record
+	require.NoError(node.tb, node.member.acquireWrite(ctx))
+	defer node.member.releaseWrite()
+	record := node.member.replica().Record
 	for range n {
 		revision = record.Value.Revision
 		next, _, final := chain.Apply(&record.Value, revisionUpdate(revision, revision+1), applyNumber)
-		require.False(p.tb, final)
+		require.False(node.tb, final)
 		record.Value = *next
 	}
-	require.NoError(p.tb, p.member.persistRecord(record))
+	require.NoError(node.tb, node.member.persistRecord(record))
 	return record.Value.Revision
 }
 
@@ -39,40 +39,40 @@
 // left unclear. Where it is unclear for good the answer comes at once.
 func TestRepeatedUpdateAfterManyUpdates(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
-	newest := s.chainMember(0).applyUpdates(chain.MaxRecentUpdates+chain.MaxOlderUpdates) + 1
-	require.Equal(t, chain.OutcomeCommitted, out.submitRevision(newest-1, newest).Kind)
-	for _, p := range s.nodes {
+	cluster, client := bootstrapped(t, 4, 1)
+	newest := cluster.chainMember(0).applyUpdates(chain.MaxRecentUpdates+chain.MaxOlderUpdates) + 1
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(newest-1, newest).Kind)
+	for _, node := range cluster.nodes {
 		for _, revision := range []int64{newest, newest - chain.MaxRecentUpdates, newest - chain.MaxRecentUpdates - chain.MaxOlderUpdates + 1} {
-			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision}, p.submitRevision(revision-1, revision))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision}, node.submitRevision(revision-1, revision))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		begun := time.Now()
-		verdict := p.member.Submit(ctx, revisionUpdate(0, 1))
+		verdict := node.member.Submit(ctx, revisionUpdate(0, 1))
 		cancel()
 		require.Equal(t, chain.OutcomeUnknown, verdict.Kind)
 		require.Contains(t, verdict.Reason, "read the configuration")
-		require.Less(t, time.Since(begun), p.ack, "it is not tried again until the time is out")
-		require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: newest}, p.submitRevision(newest-1, newest+1))
+		require.Less(t, time.Since(begun), node.ack, "it is not tried again until the time is out")
+		require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: newest}, node.submitRevision(newest-1, newest+1))
 	}
-	require.Equal(t, newest, out.read().Revision)
+	require.Equal(t, newest, client.read().Revision)
 }
 
 // Orders that name one revision: the same one is acknowledged at each process, others are refused.
 func TestUpdatesOfOneRevision(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapped(t, 4, 1)
 	for i, patch := range []bool{false, true} {
 		revision := int64(i + 1)
 		order := chain.Update{Patch: patch, IfMatch: revision, Body: []byte(strconv.FormatInt(revision+1, 10))}
-		require.Equal(t, chain.OutcomeCommitted, out.submitUntilClear(&order).Kind)
-		for _, p := range s.nodes {
-			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision + 1}, p.submitUntilClear(&order))
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(&order).Kind)
+		for _, node := range cluster.nodes {
+			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision + 1}, node.submitUntilClear(&order))
 			other, method := order, order
 			other.Body = append([]byte("0"), order.Body...) // the same number in other bytes
 			method.Patch = !patch
-			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, p.submitUntilClear(&other))
-			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, p.submitUntilClear(&method))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, node.submitUntilClear(&other))
+			require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}, node.submitUntilClear(&method))
 		}
 	}
 }
@@ -107,10 +107,10 @@
 	require.NoError(t, disk.Put(keyValue, raw))
 	disk.Close()
 
-	m, err := Open(Options{Addr: "127.0.0.1:1", StateDir: dir, HasDisk: true, Pool: rpc.NewPool(), Validate: applyNumber, Seeds: func() []string { return nil }})
+	member, err := Open(Options{Addr: "127.0.0.1:1", StateDir: dir, HasDisk: true, Pool: rpc.NewPool(), Validate: applyNumber, Seeds: func() []string { return nil }})
 	require.NoError(t, err)
-	defer m.disk.Close()
-	read := m.replica().Record
+	defer member.disk.Close()
+	read := member.replica().Record
 	require.EqualValues(t, 3, read.View)
 	require.NoError(t, read.Value.Validate())
 	next, _, final := chain.Apply(&read.Value, revisionUpdate(value.Revision, value.Revision+1), applyNumber)
--- a/internal/fleet/controlplane/trouble_test.go
+++ b/internal/fleet/controlplane/trouble_test.go
@@ -21,37 +21,37 @@
 
 // bootstrapped is a site that has taken its first order, and one of its processes without a disk.
 func bootstrapped(t testing.TB, disks, others int) (*testCluster, *testNode) {
-	s := newTestCluster(t, disks, others)
-	s.startAll(true)
-	last := s.nodes[len(s.nodes)-1]
+	cluster := newTestCluster(t, disks, others)
+	cluster.startAll(true)
+	last := cluster.nodes[len(cluster.nodes)-1]
 	require.Equal(t, chain.OutcomeCommitted, last.submitRevision(0, 1).Kind)
-	for _, p := range s.nodes[:disks] {
-		p.waitUntil("in touch", p.member.HasQuorum)
+	for _, node := range cluster.nodes[:disks] {
+		node.waitUntil("in touch", node.member.HasQuorum)
 	}
-	s.awaitFullChain(last)
-	return s, last
+	cluster.awaitFullChain(last)
+	return cluster, last
 }
 
-func (s *testCluster) chainMember(i int) *testNode {
-	v, _ := s.nodes[len(s.nodes)-1].member.View()
-	return s.nodeAt(v.Chain[i].Addr)
+func (cluster *testCluster) chainMember(i int) *testNode {
+	v, _ := cluster.nodes[len(cluster.nodes)-1].member.View()
+	return cluster.nodeAt(v.Chain[i].Addr)
 }
 
 // submitInTime has an order taken and tells if that took too long.
-func (p *testNode) submitInTime(ifMatch, body int64) {
-	p.tb.Helper()
+func (node *testNode) submitInTime(ifMatch, body int64) {
+	node.tb.Helper()
 	begun := time.Now()
-	require.Equal(p.tb, chain.OutcomeCommitted, p.submitRevision(ifMatch, body).Kind)
+	require.Equal(node.tb, chain.OutcomeCommitted, node.submitRevision(ifMatch, body).Kind)
 	took := time.Since(begun)
-	p.tb.Logf("taken after %v", took)
-	require.Less(p.tb, took, faultUpdateLimit)
+	node.tb.Logf("taken after %v", took)
+	require.Less(node.tb, took, faultUpdateLimit)
 }
 
-func (s *testCluster) awaitFullChain(p *testNode) {
-	s.tb.Helper()
-	p.waitUntil("the chain is whole again", func() bool {
-		v, _ := p.member.View()
-		return len(v.Chain) == min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: s.machineLosses}))
+func (cluster *testCluster) awaitFullChain(node *testNode) {
+	cluster.tb.Helper()
+	node.waitUntil("the chain is whole again", func() bool {
+		v, _ := node.member.View()
+		return len(v.Chain) == min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: cluster.machineLosses}))
 	})
 }
 
@@ -59,41 +59,41 @@
 	t.Parallel()
 	for name, bothWays := range map[string]bool{"both ways": true, "one way": false} {
 		t.Run(name, func(t *testing.T) {
-			s, out := bootstrapped(t, 4, 1)
-			head := s.chainMember(0)
-			s.isolate(head, true, bothWays)
-			out.submitInTime(1, 2)
+			cluster, client := bootstrapped(t, 4, 1)
+			head := cluster.chainMember(0)
+			cluster.isolate(head, true, bothWays)
+			client.submitInTime(1, 2)
 			ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 			defer cancel()
 			require.Equal(t, chain.OutcomeUnknown, head.member.Submit(ctx, &chain.Update{IfMatch: 1, Body: []byte("7")}).Kind)
 			_, err := head.member.Read(ctx)
 			require.Error(t, err)
-			s.isolate(head, false, bothWays)
-			s.awaitFullChain(out)
+			cluster.isolate(head, false, bothWays)
+			cluster.awaitFullChain(client)
 			head.waitUntil("it learns", func() bool { c, _ := head.member.Committed(); return c.Revision == 2 })
-			out.submitInTime(2, 3)
+			client.submitInTime(2, 3)
 		})
 	}
 }
 
 func TestPartitionBetweenMiddleAndTail(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
-	s.partition(s.chainMember(2), s.chainMember(3), true)
-	s.partition(s.chainMember(3), s.chainMember(2), true)
-	out.submitInTime(1, 2)
-	require.Equal(t, int64(2), out.read().Revision)
+	cluster, client := bootstrapped(t, 4, 1)
+	cluster.partition(cluster.chainMember(2), cluster.chainMember(3), true)
+	cluster.partition(cluster.chainMember(3), cluster.chainMember(2), true)
+	client.submitInTime(1, 2)
+	require.Equal(t, int64(2), client.read().Revision)
 }
 
 // Pings go through, pushes don't.
 func TestSuccessorThatReceivesNoPushesIsReplaced(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
-	head, next := s.chainMember(0), s.chainMember(1)
-	s.mu.Lock()
-	s.unpushable = next
-	s.mu.Unlock()
-	out.submitInTime(1, 2)
+	cluster, client := bootstrapped(t, 4, 1)
+	head, next := cluster.chainMember(0), cluster.chainMember(1)
+	cluster.mu.Lock()
+	cluster.unpushable = next
+	cluster.mu.Unlock()
+	client.submitInTime(1, 2)
 	require.Equal(t, 3, head.chainLen())
 }
 
@@ -102,25 +102,25 @@
 	for place := range 4 {
 		t.Run(fmt.Sprint("full at ", place), func(t *testing.T) {
 			t.Parallel()
-			s, out := bootstrapped(t, 4, 1)
-			p := s.chainMember(place)
-			p.disk.setFailWrites(true)
-			out.submitInTime(1, 2)
-			require.Equal(t, int64(2), out.read().Revision)
-			p.disk.setFailWrites(false)
-			s.awaitFullChain(out)
-			out.submitInTime(2, 3)
+			cluster, client := bootstrapped(t, 4, 1)
+			node := cluster.chainMember(place)
+			node.disk.setFailWrites(true)
+			client.submitInTime(1, 2)
+			require.Equal(t, int64(2), client.read().Revision)
+			node.disk.setFailWrites(false)
+			cluster.awaitFullChain(client)
+			client.submitInTime(2, 3)
 		})
 		t.Run(fmt.Sprint("stalled at ", place), func(t *testing.T) {
 			t.Parallel()
-			s, out := bootstrapped(t, 4, 1)
-			p := s.chainMember(place)
-			p.disk.stall(true)
-			out.submitInTime(1, 2)
-			require.Equal(t, int64(2), out.read().Revision)
-			p.disk.stall(false)
-			s.awaitFullChain(out)
-			out.submitInTime(2, 3)
+			cluster, client := bootstrapped(t, 4, 1)
+			node := cluster.chainMember(place)
+			node.disk.stall(true)
+			client.submitInTime(1, 2)
+			require.Equal(t, int64(2), client.read().Revision)
+			node.disk.stall(false)
+			cluster.awaitFullChain(client)
+			client.submitInTime(2, 3)
 		})
 	}
 }
@@ -130,35 +130,35 @@
 	for place := range 4 {
 		t.Run(fmt.Sprint("the disk at ", place), func(t *testing.T) {
 			t.Parallel()
-			s, out := bootstrapped(t, 4, 1)
-			out.submitInTime(1, 2)
-			wiped := s.chainMember(place)
-			for _, p := range s.nodes {
-				p.kill()
+			cluster, client := bootstrapped(t, 4, 1)
+			client.submitInTime(1, 2)
+			wiped := cluster.chainMember(place)
+			for _, node := range cluster.nodes {
+				node.kill()
 			}
 			wiped.dir = stateDir(t)
-			s.startAll(false)
-			require.Equal(t, int64(2), out.read().Revision)
-			require.Equal(t, chain.OutcomeCommitted, out.submitRevision(2, 3).Kind)
-			s.awaitFullChain(out)
+			cluster.startAll(false)
+			require.Equal(t, int64(2), client.read().Revision)
+			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(2, 3).Kind)
+			cluster.awaitFullChain(client)
 		})
 	}
 }
 
 func TestReplacementAtAnotherAddress(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
-	gone := s.chainMember(1)
+	cluster, client := bootstrapped(t, 4, 1)
+	gone := cluster.chainMember(1)
 	gone.kill()
 	fresh := newTestCluster(t, 1, 0).nodes[0]
-	s.nodes = append([]*testNode{fresh}, s.nodes...)
-	s.start(fresh, false)
+	cluster.nodes = append([]*testNode{fresh}, cluster.nodes...)
+	cluster.start(fresh, false)
 	fresh.waitUntil("it has the place of the one that is gone", func() bool {
 		v, _ := fresh.member.View()
 		return fresh.member.IsVoter() && len(v.Voters) == 4 && len(v.Chain) == 4
 	})
-	out.submitInTime(1, 2)
-	s.start(gone, false)
+	client.submitInTime(1, 2)
+	cluster.start(gone, false)
 	gone.waitUntil("the old one comes as one more", func() bool {
 		v, _ := gone.member.View()
 		return gone.member.IsVoter() && len(v.Voters) == 5 && len(v.Chain) == 4
@@ -167,46 +167,46 @@
 
 func TestHandoverLeavesTheChain(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapped(t, 4, 1)
 	for range 3 {
-		p := s.chainMember(0)
+		node := cluster.chainMember(0)
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
-		p.member.Handover(ctx)
+		node.member.Handover(ctx)
 		require.NoError(t, ctx.Err())
 		cancel()
-		v, _ := p.member.View()
-		require.Negative(t, v.Position(p.member.Status().ID))
-		p.kill()
+		v, _ := node.member.View()
+		require.Negative(t, v.Position(node.member.Status().ID))
+		node.kill()
 		begun := time.Now()
-		r := out.read().Revision
-		require.Equal(t, chain.OutcomeCommitted, out.submitRevision(r, r+1).Kind)
+		replica := client.read().Revision
+		require.Equal(t, chain.OutcomeCommitted, client.submitRevision(replica, replica+1).Kind)
 		require.Less(t, time.Since(begun), 400*time.Millisecond)
-		s.start(p, false)
-		s.awaitFullChain(out)
+		cluster.start(node, false)
+		cluster.awaitFullChain(client)
 	}
 }
 
 func TestClusterWithoutDisks(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 0, 5)
-	s.startAll(true)
-	p := s.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, p.submitRevision(0, 1).Kind)
-	v, _ := p.member.View()
+	cluster := newTestCluster(t, 0, 5)
+	cluster.startAll(true)
+	node := cluster.nodes[4]
+	require.Equal(t, chain.OutcomeCommitted, node.submitRevision(0, 1).Kind)
+	v, _ := node.member.View()
 	require.True(t, v.Memory)
 	require.Len(t, v.Voters, 5)
-	lost := s.nodes[0]
+	lost := cluster.nodes[0]
 	lost.kill()
-	p.submitInTime(1, 2)
-	s.start(lost, false)
+	node.submitInTime(1, 2)
+	cluster.start(lost, false)
 	lost.waitUntil("it comes as a newcomer", func() bool {
 		v, _ := lost.member.View()
 		return lost.member.IsVoter() && len(v.Voters) == 5 && len(v.Chain) == 4
 	})
 	require.Equal(t, int64(2), lost.read().Revision)
-	p.submitInTime(2, 3)
-	for _, p := range s.nodes { // one of them stands by
-		p.waitUntil("it has the value", func() bool { c, _ := p.member.Committed(); return c.Revision == 3 })
+	node.submitInTime(2, 3)
+	for _, node := range cluster.nodes { // one of them stands by
+		node.waitUntil("it has the value", func() bool { c, _ := node.member.Committed(); return c.Revision == 3 })
 	}
 }
 
@@ -214,13 +214,13 @@
 	t.Parallel()
 	for disks := 1; disks <= 3; disks++ {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
-			s, out := bootstrapped(t, disks, 3)
-			for _, p := range s.nodes {
-				p.kill()
+			cluster, client := bootstrapped(t, disks, 3)
+			for _, node := range cluster.nodes {
+				node.kill()
 			}
-			s.startAll(false)
-			require.Equal(t, int64(1), out.read().Revision)
-			require.Equal(t, chain.OutcomeCommitted, out.submitRevision(1, 2).Kind)
+			cluster.startAll(false)
+			require.Equal(t, int64(1), client.read().Revision)
+			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
 		})
 	}
 }
@@ -230,15 +230,15 @@
 	t.Parallel()
 	for seed := range 3 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newTestCluster(t, 4, 2)
-			for i, p := range s.nodes {
+			cluster := newTestCluster(t, 4, 2)
+			for i, node := range cluster.nodes {
 				if i != seed {
-					s.start(p, true)
+					cluster.start(node, true)
 				}
 			}
-			require.Equal(t, chain.OutcomeCommitted, s.nodes[5].submitRevision(0, 1).Kind)
-			lost := s.nodes[seed]
-			s.start(lost, false) // as a process that is started again
+			require.Equal(t, chain.OutcomeCommitted, cluster.nodes[5].submitRevision(0, 1).Kind)
+			lost := cluster.nodes[seed]
+			cluster.start(lost, false) // as a process that is started again
 			lost.waitUntil("it comes later", lost.member.IsVoter)
 		})
 	}
@@ -246,14 +246,14 @@
 
 func TestNoBootstrapAfterFirstStart(t *testing.T) {
 	t.Parallel()
-	s := newTestCluster(t, 3, 1)
-	s.startAll(false)
+	cluster := newTestCluster(t, 3, 1)
+	cluster.startAll(false)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*bootstrapDisklessDelay)
 	defer cancel()
-	require.Equal(t, chain.OutcomeUnknown, s.nodes[3].member.Submit(ctx, &chain.Update{Body: []byte("1")}).Kind)
+	require.Equal(t, chain.OutcomeUnknown, cluster.nodes[3].member.Submit(ctx, &chain.Update{Body: []byte("1")}).Kind)
 	<-ctx.Done()
-	for _, p := range s.nodes {
-		_, known := p.member.View()
+	for _, node := range cluster.nodes {
+		_, known := node.member.View()
 		require.False(t, known)
 	}
 }
@@ -300,16 +300,16 @@
 // register, where an order and its repeats are one operation.
 func TestHistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	s, _ := bootstrapped(t, 4, 1)
+	cluster, _ := bootstrapped(t, 4, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var repeatedClear, repeatedUnclear atomic.Int64
 	begun := time.Now()
-	members := make([]*Member, len(s.nodes))
-	for i, p := range s.nodes {
-		members[i] = p.member
+	members := make([]*Member, len(cluster.nodes))
+	for i, node := range cluster.nodes {
+		members[i] = node.member
 	}
 	member := func(i int) *Member { mu.Lock(); defer mu.Unlock(); return members[i%len(members)] }
 	var wg sync.WaitGroup
@@ -321,12 +321,12 @@
 			for i := c; ctx.Err() == nil; i++ {
 				op := porcupine.Operation{ClientId: c, Call: int64(time.Since(begun))}
 				var in registerInput
-				var out registerOutput
+				var client registerOutput
 				octx, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 				if i%3 == 0 {
 					in.read = true
 					if v, err := member(i).Read(octx); err == nil {
-						out = registerOutput{chain.OutcomeCommitted, v.Revision}
+						client = registerOutput{chain.OutcomeCommitted, v.Revision}
 						knows = v.Revision
 					}
 				} else {
@@ -353,14 +353,14 @@
 						}
 						v = first
 					}
-					out = registerOutput{v.Kind, v.Revision}
+					client = registerOutput{v.Kind, v.Revision}
 					if v.Kind == chain.OutcomeCommitted || v.Kind == chain.OutcomeConflict {
 						knows = v.Revision
 					}
 				}
 				cancel()
-				op.Input, op.Output, op.Return = in, out, int64(time.Since(begun))
-				if out.kind == chain.OutcomeUnknown {
+				op.Input, op.Output, op.Return = in, client, int64(time.Since(begun))
+				if client.kind == chain.OutcomeUnknown {
 					if in.read {
 						continue
 					}
@@ -373,30 +373,30 @@
 		}()
 	}
 	for i := 0; ctx.Err() == nil; i++ {
-		p := s.chainMember(0)
+		node := cluster.chainMember(0)
 		switch i % 3 {
 		case 0:
 			j := -1
-			for k, o := range s.nodes {
-				if o == p {
+			for k, o := range cluster.nodes {
+				if o == node {
 					j = k
 				}
 			}
-			p.kill()
-			s.start(p, false)
+			node.kill()
+			cluster.start(node, false)
 			mu.Lock()
-			members[j] = p.member
+			members[j] = node.member
 			mu.Unlock()
 		case 1:
-			s.isolate(p, true, true)
-			s.waitUntil(ctx, func() bool { v, _ := s.nodes[4].member.View(); return v.Head().Addr != p.addr })
-			s.isolate(p, false, true)
+			cluster.isolate(node, true, true)
+			cluster.waitUntil(ctx, func() bool { v, _ := cluster.nodes[4].member.View(); return v.Head().Addr != node.addr })
+			cluster.isolate(node, false, true)
 		case 2:
-			p.disk.stall(true)
-			s.waitUntil(ctx, func() bool { v, _ := s.nodes[4].member.View(); return v.Head().Addr != p.addr })
-			p.disk.stall(false)
+			node.disk.stall(true)
+			cluster.waitUntil(ctx, func() bool { v, _ := cluster.nodes[4].member.View(); return v.Head().Addr != node.addr })
+			node.disk.stall(false)
 		}
-		s.waitUntil(ctx, func() bool { v, _ := s.nodes[4].member.View(); return len(v.Chain) == 4 })
+		cluster.waitUntil(ctx, func() bool { v, _ := cluster.nodes[4].member.View(); return len(v.Chain) == 4 })
 	}
 	wg.Wait()
 	taken := 0
@@ -413,7 +413,7 @@
 }
 
 // waitUntil waits for a condition or ctx.
-func (s *testCluster) waitUntil(ctx context.Context, ok func() bool) {
+func (cluster *testCluster) waitUntil(ctx context.Context, ok func() bool) {
 	poll := time.NewTicker(20 * time.Millisecond)
 	defer poll.Stop()
 	for !ok() {
@@ -427,33 +427,33 @@
 
 func TestDivergentValueIsRepaired(t *testing.T) {
 	t.Parallel()
-	s, out := bootstrapped(t, 4, 1)
-	p := s.chainMember(1)
-	p.waitUntil("the value comes", func() bool { c, _ := p.member.Committed(); return c.Revision == 1 })
+	cluster, client := bootstrapped(t, 4, 1)
+	node := cluster.chainMember(1)
+	node.waitUntil("the value comes", func() bool { c, _ := node.member.Committed(); return c.Revision == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	require.NoError(t, p.member.acquireWrite(ctx))
-	rec := p.member.replica().Record
+	require.NoError(t, node.member.acquireWrite(ctx))
+	rec := node.member.replica().Record
 	rec.Value.Body = []byte("7")
-	require.NoError(t, p.member.persistRecord(rec))
-	p.member.mu.Lock()
-	p.member.register.committed, p.member.register.checksum = rec.Value, rec.Value.Checksum()
-	p.member.mu.Unlock()
-	p.member.releaseWrite()
-	p.waitUntil("it is what the others hold", func() bool {
-		c, _ := p.member.Committed()
-		return string(c.Body) == "1" && string(p.member.replica().Record.Value.Body) == "1"
+	require.NoError(t, node.member.persistRecord(rec))
+	node.member.mu.Lock()
+	node.member.register.committed, node.member.register.checksum = rec.Value, rec.Value.Checksum()
+	node.member.mu.Unlock()
+	node.member.releaseWrite()
+	node.waitUntil("it is what the others hold", func() bool {
+		c, _ := node.member.Committed()
+		return string(c.Body) == "1" && string(node.member.replica().Record.Value.Body) == "1"
 	})
-	out.submitInTime(1, 2)
+	client.submitInTime(1, 2)
 }
 
 func TestInspect(t *testing.T) {
 	t.Parallel()
-	s, _ := bootstrapped(t, 3, 1)
-	p := s.chainMember(2)
-	status := p.member.Status()
-	p.kill()
-	st, rep, err := Inspect(p.dir)
+	cluster, _ := bootstrapped(t, 3, 1)
+	node := cluster.chainMember(2)
+	status := node.member.Status()
+	node.kill()
+	st, rep, err := Inspect(node.dir)
 	require.NoError(t, err)
 	require.False(t, rep.Damaged)
 	require.Equal(t, status.ID, st.ID)
@@ -467,16 +467,16 @@
 // A process that slept counts the silence of others from its waking.
 func TestResumedProcessTrustsNoEarlierContact(t *testing.T) {
 	t.Parallel()
-	s, _ := bootstrapped(t, 4, 1)
-	m := s.chainMember(0).member
+	cluster, _ := bootstrapped(t, 4, 1)
+	member := cluster.chainMember(0).member
 	now := time.Now().Add(time.Hour)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	require.False(t, m.hasQuorumLocked(now))
-	for awake, want := range map[time.Time]bool{m.pauses.resumedAt: true, now: false} {
-		m.pauses.resumedAt = awake
-		for id, h := range m.healthLocked(now) {
-			require.Equal(t, want && id != m.self.ID, h.SinceContact >= peerTimeout)
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	require.False(t, member.hasQuorumLocked(now))
+	for awake, want := range map[time.Time]bool{member.pauses.resumedAt: true, now: false} {
+		member.pauses.resumedAt = awake
+		for id, h := range member.healthLocked(now) {
+			require.Equal(t, want && id != member.self.ID, h.SinceContact >= peerTimeout)
 		}
 	}
 }
