--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -61,6 +61,12 @@
 	return base
 }
 
+// isAcceptor reports whether this process votes on the first view with the voters of a base. It does
+// not if it was started again, or with other seeds.
+func (b *bootstrapState) isAcceptor(base *view.View) bool {
+	return b.seeds != nil && slices.Equal(bootstrapBase(b.seeds).Voters, base.Voters)
+}
+
 // join takes the announcement of a process.
 func (b *bootstrapState) join(peer view.Peer, now time.Time) {
 	if b.seeds == nil || peer.ID == "" || peer.Addr == "" {
@@ -113,8 +119,7 @@
 	if newest := m.views.newerThan(0); newest != nil {
 		return &view.Response{Newer: newest}
 	}
-	seeds := m.bootstrap.seeds
-	if seeds == nil || to != m.self.Addr || !slices.Equal(bootstrapBase(seeds).Voters, base.Voters) {
+	if !m.bootstrap.isAcceptor(base) || to != m.self.Addr {
 		return &view.Response{Refused: "no seed of a first start with these seeds"}
 	}
 	return nil
--- a/internal/fleet/controlplane/bootstrap_test.go
+++ b/internal/fleet/controlplane/bootstrap_test.go
@@ -100,3 +100,13 @@
 	require.EqualValues(t, 5, state.round, "the next proposal is above the round that was met")
 	require.Equal(t, start.Add(3*bootstrapRankDelay/4), state.backoffUntil, "later seeds wait for longer")
 }
+
+func TestBootstrapAcceptor(t *testing.T) {
+	t.Parallel()
+	state := newBootstrap(testSeeds, start)
+	sameSeeds, otherSeeds := bootstrapBase(testSeeds), bootstrapBase([]string{"a:1", "b:1", "x:1"})
+	require.True(t, state.isAcceptor(&sameSeeds))
+	require.False(t, state.isAcceptor(&otherSeeds))
+	var restarted bootstrapState
+	require.False(t, restarted.isAcceptor(&sameSeeds))
+}
--- /dev/null
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -0,0 +1,427 @@
+package controlplane
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/store"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+)
+
+const (
+	// waitLimit bounds each wait of a test; it is reached only where something is broken.
+	waitLimit = 20 * time.Second
+	// pollInterval is the time between two looks at a condition.
+	pollInterval = 20 * time.Millisecond
+	// testRequestTimeout bounds Submit and Read, unless a node names another time.
+	testRequestTimeout = 5 * time.Second
+	// maxSeeds is how many nodes of a cluster are seeds.
+	maxSeeds = 3
+)
+
+// testNode is one process of a cluster on loopback; its machine keeps its address and its folder.
+type testNode struct {
+	tb             testing.TB
+	addr           string
+	zone           string
+	dir            string
+	requestTimeout time.Duration
+	member         *Member // nil: the process does not run
+	disk           *faultyDisk
+	cancel         context.CancelFunc
+	done           chan struct{} // closed when the process has ended
+	changes        chan struct{} // a view or a value was learned
+}
+
+// link is the direction from one address to another.
+type link struct{ from, to string }
+
+// callObserver is called with each call of a node as it is sent and as it is answered.
+type callObserver func(from, name string, answered bool)
+
+// testCluster is the nodes of a test, with the faults between them.
+type testCluster struct {
+	tb            testing.TB
+	seeds         []string
+	nodes         []*testNode
+	machineLosses int // to be tolerated
+	zoneLosses    int // to be tolerated
+	validate      chain.Transition
+
+	mu                sync.Mutex
+	partitions        map[link]bool // what is sent in this direction is lost
+	partitionsChanged chan struct{} // closed when partitions change
+	unpushable        *testNode     // no push of a value reaches it
+	observeCall       callObserver
+}
+
+// addressCount counts the addresses of all tests.
+var addressCount atomic.Int32
+
+// unusedAddress is an address on a loopback IP of its own, so that no outgoing connection ever has its
+// port.
+func unusedAddress(t testing.TB) string {
+	t.Helper()
+	n := addressCount.Add(1)
+	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n/250, 1+n%250))
+	require.NoError(t, err)
+	require.NoError(t, listener.Close())
+	return listener.Addr().String()
+}
+
+// newTestCluster makes a cluster of nodes that have a disk, and of others after them; none runs.
+func newTestCluster(t testing.TB, withDisk, diskless int) *testCluster {
+	t.Helper()
+	cluster := &testCluster{
+		tb:                t,
+		machineLosses:     1,
+		validate:          applyNumber,
+		partitions:        map[link]bool{},
+		partitionsChanged: make(chan struct{}),
+	}
+	for i := range withDisk + diskless {
+		node := &testNode{tb: t, zone: "z", addr: unusedAddress(t), requestTimeout: testRequestTimeout}
+		if i < withDisk {
+			node.dir = stateDir(t)
+		}
+		cluster.nodes = append(cluster.nodes, node)
+		if i < maxSeeds {
+			cluster.seeds = append(cluster.seeds, node.addr)
+		}
+	}
+	t.Cleanup(func() {
+		for _, node := range cluster.nodes {
+			node.kill()
+		}
+	})
+	return cluster
+}
+
+func (cluster *testCluster) setObserveCall(observe callObserver) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.observeCall = observe
+}
+
+// setPartition makes what is sent from one node to another get lost, or arrive again.
+func (cluster *testCluster) setPartition(from, to *testNode, lost bool) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.partitions[link{from.addr, to.addr}] = lost
+	close(cluster.partitionsChanged)
+	cluster.partitionsChanged = make(chan struct{})
+}
+
+// setIsolated does the same between a node and all others, both ways or only for what it sends.
+func (cluster *testCluster) setIsolated(node *testNode, lost, bothWays bool) {
+	for _, other := range cluster.nodes {
+		if other == node {
+			continue
+		}
+		cluster.setPartition(node, other, lost)
+		if bothWays {
+			cluster.setPartition(other, node, lost)
+		}
+	}
+}
+
+// awaitDelivery waits until what is sent from one address to another arrives.
+func (cluster *testCluster) awaitDelivery(ctx context.Context, from, to string) error {
+	for {
+		cluster.mu.Lock()
+		lost, changed := cluster.partitions[link{from, to}], cluster.partitionsChanged
+		cluster.mu.Unlock()
+		if !lost {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// interceptorOf carries out the calls of a node with the faults of the cluster.
+func (cluster *testCluster) interceptorOf(node *testNode) interceptor {
+	return func(ctx context.Context, to, name string, do func() error) error {
+		cluster.mu.Lock()
+		lost := cluster.unpushable != nil && cluster.unpushable.addr == to && name == callPush
+		observe := cluster.observeCall
+		cluster.mu.Unlock()
+		if observe != nil {
+			observe(node.addr, name, false)
+			defer observe(node.addr, name, true)
+		}
+		if lost {
+			<-ctx.Done()
+			return ctx.Err()
+		}
+		if err := cluster.awaitDelivery(ctx, node.addr, to); err != nil {
+			return err
+		}
+		if err := do(); err != nil {
+			return err
+		}
+		return cluster.awaitDelivery(ctx, to, node.addr)
+	}
+}
+
+// open makes the member of a node.
+func (cluster *testCluster) open(node *testNode, pool *rpc.Pool, firstStart bool) *Member {
+	cluster.tb.Helper()
+	changes := make(chan struct{}, 1)
+	notify := func() {
+		select {
+		case changes <- struct{}{}:
+		default:
+		}
+	}
+	member, err := Open(Options{
+		Addr:           node.addr,
+		Zone:           node.zone,
+		StateDir:       node.dir,
+		HasDisk:        node.dir != "",
+		FirstStart:     firstStart,
+		Seeds:          func() []string { return cluster.seeds },
+		Losses:         cluster.machineLosses,
+		ZoneLosses:     cluster.zoneLosses,
+		Counted:        true,
+		Pool:           pool,
+		Validate:       cluster.validate,
+		RequestTimeout: node.requestTimeout,
+		OnCommit:       func(chain.Value) { notify() },
+		OnView:         func(view.View) { notify() },
+	})
+	require.NoError(cluster.tb, err)
+	node.changes = changes
+	node.disk = &faultyDisk{Store: member.disk.(*store.Store)}
+	member.disk = node.disk
+	member.intercept = cluster.interceptorOf(node)
+	return member
+}
+
+// start starts a node; it answers calls when start returns.
+func (cluster *testCluster) start(node *testNode, firstStart bool) {
+	cluster.tb.Helper()
+	listener, err := net.Listen("tcp", node.addr)
+	require.NoError(cluster.tb, err)
+	pool := rpc.NewPool()
+	member := cluster.open(node, pool, firstStart)
+	table := rpc.NewTable()
+	member.RegisterHandlers(table)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	node.member, node.cancel, node.done = member, cancel, done
+	go func() {
+		defer close(done)
+		defer pool.Close()
+		var serving sync.WaitGroup
+		serving.Go(func() { _ = rpc.Serve(ctx, listener, table) })
+		_ = member.Run(ctx)
+		serving.Wait()
+	}()
+}
+
+func (cluster *testCluster) startAll(firstStart bool) {
+	cluster.tb.Helper()
+	for _, node := range cluster.nodes {
+		cluster.start(node, firstStart)
+	}
+}
+
+// kill ends a node; what it stored stays on its disk.
+func (node *testNode) kill() {
+	if node.member != nil {
+		node.cancel()
+		<-node.done
+		node.member = nil
+	}
+}
+
+// restart ends a node and starts it again with what is on its disk.
+func (cluster *testCluster) restart(node *testNode) {
+	cluster.tb.Helper()
+	node.kill()
+	cluster.start(node, false)
+}
+
+// nodeAt is the node with an address.
+func (cluster *testCluster) nodeAt(addr string) *testNode {
+	cluster.tb.Helper()
+	for _, node := range cluster.nodes {
+		if node.addr == addr {
+			return node
+		}
+	}
+	require.FailNow(cluster.tb, "no process at "+addr)
+	return nil
+}
+
+// chainMember is the node at a position in the chain, as the last node knows it.
+func (cluster *testCluster) chainMember(position int) *testNode {
+	cluster.tb.Helper()
+	current, _ := cluster.nodes[len(cluster.nodes)-1].member.View()
+	return cluster.nodeAt(current.Chain[position].Addr)
+}
+
+// awaitFullChain waits until a node knows a chain of all voters that it may have.
+func (cluster *testCluster) awaitFullChain(node *testNode) {
+	cluster.tb.Helper()
+	maxLength := view.MaxChainLength(view.Tolerance{Machines: cluster.machineLosses})
+	node.waitUntil("the chain is complete again", func() bool {
+		current, _ := node.member.View()
+		return len(current.Chain) == min(len(current.Voters), maxLength)
+	})
+}
+
+// bootstrapped is a cluster that has taken its first update, and its last node.
+func bootstrapped(t testing.TB, withDisk, diskless int) (*testCluster, *testNode) {
+	t.Helper()
+	cluster := newTestCluster(t, withDisk, diskless)
+	cluster.startAll(true)
+	last := cluster.nodes[len(cluster.nodes)-1]
+	require.Equal(t, chain.OutcomeCommitted, last.submitRevision(0, 1).Kind)
+	for _, node := range cluster.nodes[:withDisk] {
+		node.waitUntil("in contact with a majority", node.member.HasQuorum)
+	}
+	cluster.awaitFullChain(last)
+	return cluster, last
+}
+
+// waitUntil waits for something that views or values of a node bring.
+func (node *testNode) waitUntil(what string, ok func() bool) {
+	node.tb.Helper()
+	limit := time.NewTimer(waitLimit)
+	defer limit.Stop()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	for !ok() {
+		select {
+		case <-node.changes:
+		case <-poll.C:
+		case <-limit.C:
+			require.FailNow(node.tb, "waited in vain", "%s; %+v", what, node.member.Status())
+		}
+	}
+}
+
+// pollUntil waits for a condition or ctx.
+func pollUntil(ctx context.Context, ok func() bool) {
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	for !ok() {
+		select {
+		case <-poll.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// submitRevision submits an update of one revision that leads to another.
+func (node *testNode) submitRevision(ifMatch, revision int64) chain.Result {
+	return node.submitUntilClear(revisionUpdate(ifMatch, revision))
+}
+
+// submitUntilClear submits an update until it is clear what became of it.
+func (node *testNode) submitUntilClear(update *chain.Update) chain.Result {
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	defer cancel()
+	for {
+		result := node.member.Submit(ctx, update)
+		if result.Kind != chain.OutcomeUnknown || ctx.Err() != nil {
+			return result
+		}
+	}
+}
+
+// submitInTime has an update committed, and fails the test if that takes too long.
+func (node *testNode) submitInTime(ifMatch, revision int64) {
+	node.tb.Helper()
+	begun := time.Now()
+	require.Equal(node.tb, chain.OutcomeCommitted, node.submitRevision(ifMatch, revision).Kind)
+	took := time.Since(begun)
+	node.tb.Logf("committed after %v", took)
+	require.Less(node.tb, took, faultUpdateLimit)
+}
+
+// read reads until there is an answer.
+func (node *testNode) read() chain.Value {
+	node.tb.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	defer cancel()
+	for {
+		value, err := node.member.Read(ctx)
+		if err == nil || ctx.Err() != nil {
+			require.NoError(node.tb, err)
+			return value
+		}
+	}
+}
+
+// knowsView reports whether a node knows a view.
+func (node *testNode) knowsView() bool {
+	_, known := node.member.View()
+	return known
+}
+
+// hasRevision reports whether a node knows a revision as committed.
+func (node *testNode) hasRevision(revision int64) bool {
+	committed, _ := node.member.Committed()
+	return committed.Revision == revision
+}
+
+// chainLength is the length of the chain that a node knows.
+func (node *testNode) chainLength() int {
+	current, _ := node.member.View()
+	return len(current.Chain)
+}
+
+func (node *testNode) chainPosition() int { return node.member.Status().Place }
+
+// isMemberOf reports whether a node votes, in a view with a number of voters and chain members.
+func (node *testNode) isMemberOf(voters, members int) bool {
+	current, _ := node.member.View()
+	return node.member.IsVoter() && len(current.Voters) == voters && len(current.Chain) == members
+}
+
+func (node *testNode) id() string { return node.member.self.ID }
+
+// learnedView is the view by which a node acts.
+func (node *testNode) learnedView() view.View { return node.member.replica().View }
+
+// storedRevision is the revision of the value on a node's disk.
+func (node *testNode) storedRevision() int64 { return node.member.replica().Record.Value.Revision }
+
+// prepare asks a node, as the owner of a disk, for a promise.
+func (node *testNode) prepare(ctx context.Context, disk string, base view.View, number view.ProposalNumber) (*view.Response, error) {
+	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Q: view.PrepareRequest{Base: base, Ballot: number}})
+}
+
+// accept asks a node, as the owner of a disk, to accept a view.
+func (node *testNode) accept(ctx context.Context, disk string, base view.View, number view.ProposalNumber, next view.View) (*view.Response, error) {
+	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Q: view.AcceptRequest{Base: base, Ballot: number, View: next}})
+}
+
+// push pushes a value to a node, as the owner of a disk.
+func (node *testNode) push(ctx context.Context, disk string, current view.View, value *chain.Value) (*pushResponse, error) {
+	return node.member.handlePush(ctx, &pushRequest{To: disk, Q: chain.Push{View: current, Value: *value}})
+}
+
+// valueAfter is the value that an update of the node's stored value leads to.
+func (node *testNode) valueAfter(update *chain.Update) *chain.Value {
+	replica := node.member.replica()
+	next, _, _ := chain.Apply(&replica.Record.Value, update, applyNumber)
+	return next
+}
--- a/internal/fleet/controlplane/guards_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -12,91 +12,101 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// The tests of this file each hold one guard of the code to its word: taken out, the test fails
-// within seconds.
+// Each test of this file is for one check in the code that keeps the state safe: without that check
+// the test fails within seconds.
 
 const (
 	// absenceWatch is how long a test watches that something does not happen.
 	absenceWatch = 150 * time.Millisecond
-	// eventBound is when something that has to happen has not.
+	// eventBound is how long something that has to happen may take.
 	eventBound = 5 * time.Second
 )
 
-// chainMembers are the processes of the chain, head first, once a view of out has as many.
-func (cluster *testCluster) chainMembers(client *testNode, n int) (members []*testNode) {
+// chainMembers are the nodes of the chain, head first, once a node knows a chain of a length.
+func (cluster *testCluster) chainMembers(client *testNode, length int) (members []*testNode) {
 	cluster.tb.Helper()
-	client.waitUntil("the chain is whole", func() bool {
-		v, _ := client.member.View()
+	client.waitUntil("the chain is complete", func() bool {
+		current, _ := client.member.View()
 		members = nil
-		for _, l := range v.Chain {
-			members = append(members, cluster.nodeAt(l.Addr))
+		for _, member := range current.Chain {
+			members = append(members, cluster.nodeAt(member.Addr))
 		}
-		return len(members) == n
+		return len(members) == length
 	})
 	return members
 }
 
-// suspendRepairs has no member start a proposal, or lets them again.
-func suspendRepairs(members []*testNode, held bool) {
+// suspendRepairs lets no member start a proposal, until resumeRepairs.
+func suspendRepairs(members []*testNode) { setBackoff(members, time.Now().Add(time.Hour)) }
+
+func resumeRepairs(members []*testNode) { setBackoff(members, time.Time{}) }
+
+func setBackoff(members []*testNode, until time.Time) {
 	for _, node := range members {
 		node.member.mu.Lock()
-		node.member.proposer.backoffUntil = time.Time{}
-		if held {
-			node.member.proposer.backoffUntil = time.Now().Add(time.Hour)
-		}
+		node.member.proposer.backoffUntil = until
 		node.member.mu.Unlock()
 	}
 }
 
-// agreeOnFullChain tells whether all members are in one view with all of them in its chain, and none proposes.
+// agreeOnFullChain reports whether all members have learned one view with all of them in its chain,
+// and none can propose another.
 func agreeOnFullChain(members []*testNode) bool {
+	number := members[0].learnedView().Number
 	for _, node := range members {
 		node.member.mu.Lock()
-		v, busy, held := node.member.views.learned, node.member.proposer.active, node.member.proposer.backoffUntil.After(time.Now())
+		learned, proposer := node.member.views.learned, node.member.proposer
 		node.member.mu.Unlock()
-		if busy || !held || len(v.Chain) != len(members) || v.Number != members[0].member.replica().View.Number {
+		suspended := !proposer.active && proposer.backoffUntil.After(time.Now())
+		if !suspended || len(learned.Chain) != len(members) || learned.Number != number {
 			return false
 		}
 	}
 	return true
 }
 
-// steadyCluster is a founded site of four members, head first, whose view stays as it is however busy the
-// machine is.
+// steadyCluster is a bootstrapped cluster of four members, head first, whose view stays as it is
+// however busy the machine is.
 func steadyCluster(t *testing.T) (cluster *testCluster, client *testNode, members []*testNode) {
 	t.Helper()
 	cluster, client = bootstrapped(t, 4, 1)
-	client.waitUntil("a view that all are in", func() bool {
-		suspendRepairs(members, false)
+	client.waitUntil("all members agree on a view", func() bool {
+		resumeRepairs(members)
 		members = cluster.chainMembers(client, 4)
-		suspendRepairs(members, true)
+		suspendRepairs(members)
 		return agreeOnFullChain(members)
 	})
 	return cluster, client, members
 }
 
-// partitionedMember cuts a member of the chain off, both ways, and has the others go on without it, up to
-// revision 2. The member knows neither their view nor their value.
-func partitionedMember(t *testing.T, place int) (client, node *testNode, cluster *testCluster) {
+// partitionedMember isolates the member at a position of the chain, both ways, and has the others go
+// on without it, up to revision 2. The member knows neither their view nor their value.
+func partitionedMember(t *testing.T, position int) (client, node *testNode, cluster *testCluster) {
 	t.Helper()
 	cluster, client, members := steadyCluster(t)
-	node = members[place]
-	number := node.member.replica().View.Number
-	node.waitUntil("the value of this view", func() bool { return place == 0 || node.member.replica().Record.View == number })
-	cluster.isolate(node, true, true)
-	suspendRepairs(members, false)
-	client.waitUntil("the others go on", func() bool { v, _ := client.member.View(); return v.Position(node.member.self.ID) < 0 })
+	node = members[position]
+	number := node.learnedView().Number
+	node.waitUntil("the value of this view", func() bool {
+		return position == 0 || node.member.replica().Record.View == number
+	})
+	cluster.setIsolated(node, true, true)
+	resumeRepairs(members)
+	client.waitUntil("the others go on", func() bool {
+		current, _ := client.member.View()
+		return current.Position(node.id()) < 0
+	})
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
 	replica := node.member.replica()
 	require.EqualValues(t, 1, replica.Record.Value.Revision, "it did not learn")
 	require.Equal(t, number, replica.View.Number, "it did not learn")
-	require.Equal(t, place, replica.View.Position(node.member.self.ID))
+	require.Equal(t, position, replica.View.Position(node.id()))
 	return client, node, cluster
 }
 
-// contextFor is the time of one call.
-func contextFor(t *testing.T, d time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), d)
+// contextFor is a context that ends after a time, or with the test.
+func contextFor(t *testing.T, limit time.Duration) context.Context {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -104,8 +114,9 @@
 func TestPartitionedTailAnswersNoRead(t *testing.T) {
 	t.Parallel()
 	_, tail, _ := partitionedMember(t, 3)
-	_, holds := func() (chain.Value, bool) { replica := tail.member.replica(); return replica.CommittedValue() }()
-	require.True(t, holds, "it would answer")
+	replica := tail.member.replica()
+	_, ok := replica.CommittedValue()
+	require.True(t, ok, "it would answer")
 	answer, err := tail.member.handleRead(contextFor(t, time.Second), &empty{})
 	require.NoError(t, err)
 	require.False(t, answer.OK, "an old value is read")
@@ -114,8 +125,11 @@
 func TestPartitionedHeadRejectsNothing(t *testing.T) {
 	t.Parallel()
 	_, head, _ := partitionedMember(t, 0)
-	for name, order := range map[string]*chain.Update{"on the newest revision": revisionUpdate(2, 3), "invalid": revisionUpdate(1, 0)} {
-		answer, err := head.member.handleSubmit(contextFor(t, time.Second), order)
+	for name, update := range map[string]*chain.Update{
+		"of the newest revision": revisionUpdate(2, 3),
+		"invalid":                revisionUpdate(1, 0),
+	} {
+		answer, err := head.member.handleSubmit(contextFor(t, time.Second), update)
 		if err == nil {
 			require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind, name)
 		}
@@ -126,21 +140,21 @@
 	t.Parallel()
 	cluster, _, members := steadyCluster(t)
 	head := members[0]
-	cluster.isolate(head, true, true)
+	cluster.setIsolated(head, true, true)
 	answer, err := head.member.handleSubmit(contextFor(t, time.Second), revisionUpdate(1, 2))
 	if err == nil {
 		require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind)
 	}
 }
 
-// requireDiskWriteFirst asks something of a process whose disk stalls: no answer may come, nor may the
-// process show it, while the disk holds the write.
-func requireDiskWriteFirst(t *testing.T, node *testNode, ask func() error, shows func() bool) {
+// requireDiskWriteFirst sends a request to a node whose disk stalls: neither may an answer come nor
+// the change be visible before the write is done.
+func requireDiskWriteFirst(t *testing.T, node *testNode, request func() error, visible func() bool) {
 	t.Helper()
-	node.disk.stall(true)
+	node.disk.setStalled(true)
 	answered := make(chan error, 1)
-	go func() { answered <- ask() }()
-	node.waitUntil("the disk holds the write", func() bool { return node.disk.hasBlockedWrite() || len(answered) > 0 })
+	go func() { answered <- request() }()
+	node.waitUntil("the write stalls", func() bool { return node.disk.hasStalledWrite() || len(answered) > 0 })
 	watch := time.NewTimer(absenceWatch)
 	defer watch.Stop()
 	select {
@@ -149,96 +163,91 @@
 		answered <- err
 	case <-watch.C:
 	}
-	assert.False(t, shows(), "shown before it is on disk")
-	node.disk.stall(false)
+	assert.False(t, visible(), "visible before it is on disk")
+	node.disk.setStalled(false)
 	require.NoError(t, <-answered)
-	require.True(t, shows())
-}
-
-// restart ends a process and starts it again with what is on its disk.
-func (cluster *testCluster) restart(node *testNode) {
-	node.kill()
-	cluster.start(node, false)
+	require.True(t, visible())
 }
 
 func TestVoteIsOnDiskBeforeItIsAnswered(t *testing.T) {
 	t.Parallel()
 	_, node, cluster := partitionedMember(t, 2)
-	base, ctx := node.member.replica().View, contextFor(t, waitLimit)
-	instance := base.Number + 1
-	high := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	base, ctx := node.learnedView(), contextFor(t, waitLimit)
+	number := view.ProposalNumber{Round: 1000, By: "a proposer"}
 	vote := func() view.AcceptorState {
 		node.member.mu.Lock()
 		defer node.member.mu.Unlock()
 		return node.member.acceptor.vote
 	}
-	promise := func(b view.ProposalNumber) (*view.Response, error) {
-		return node.member.handlePrepare(ctx, &prepareRequest{To: node.member.self.ID, Q: view.PrepareRequest{Base: base, Ballot: b}})
-	}
 	requireDiskWriteFirst(t, node, func() error {
-		answer, err := promise(high)
+		answer, err := node.prepare(ctx, node.id(), base, number)
 		assert.True(t, err != nil || answer.OK)
 		return err
-	}, func() bool { v := vote(); return v.Instance == instance && v.Promised == high })
+	}, func() bool { return vote().Instance == base.Number+1 && vote().Promised == number })
 
 	next := base.RemoveMember(base.Tail().ID)
 	requireDiskWriteFirst(t, node, func() error {
-		answer, err := node.member.handleAccept(ctx, &acceptRequest{To: node.member.self.ID, Q: view.AcceptRequest{Base: base, Ballot: high, View: next}})
+		answer, err := node.accept(ctx, node.id(), base, number, next)
 		assert.True(t, err != nil || answer.OK)
 		return err
 	}, func() bool { return vote().Accepted != nil })
 
 	cluster.restart(node)
-	require.Equal(t, high, vote().Promised, "the promise outlives the process")
+	require.Equal(t, number, vote().Promised, "the promise outlives the process")
 	require.NotNil(t, vote().Accepted)
-	answer, err := promise(view.ProposalNumber{Round: 999, By: "another proposer"})
+	answer, err := node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 999, By: "another proposer"})
 	require.NoError(t, err)
 	require.False(t, answer.OK)
-	answer, err = promise(view.ProposalNumber{Round: 1001, By: "another proposer"})
+	answer, err = node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 1001, By: "another proposer"})
 	require.NoError(t, err)
 	require.True(t, answer.OK)
-	require.NotNil(t, answer.Accepted, "what was accepted is told")
+	require.NotNil(t, answer.Accepted, "a promise reports what was accepted")
 }
 
 func TestViewIsOnDiskBeforeItIsLearned(t *testing.T) {
 	t.Parallel()
 	client, node, cluster := partitionedMember(t, 2)
 	next, _ := client.member.View()
-	requireDiskWriteFirst(t, node, func() error { return node.member.learnView(contextFor(t, waitLimit), &next) },
-		func() bool { return node.member.replica().View.Number >= next.Number })
+	learn := func() error { return node.member.learnView(contextFor(t, waitLimit), &next) }
+	learned := func() bool { return node.learnedView().Number >= next.Number }
+	requireDiskWriteFirst(t, node, learn, learned)
 	cluster.restart(node)
-	require.GreaterOrEqual(t, node.member.replica().View.Number, next.Number)
+	require.True(t, learned())
 }
 
 func TestValueIsOnDiskBeforeItIsAnswered(t *testing.T) {
 	t.Parallel()
 	_, tail, cluster := partitionedMember(t, 3)
-	replica := tail.member.replica()
-	value, _, _ := chain.Apply(&replica.Record.Value, revisionUpdate(1, 7), applyNumber)
-	requireDiskWriteFirst(t, tail, func() error {
-		answer, err := tail.member.handlePush(contextFor(t, waitLimit), &pushRequest{To: tail.member.self.ID, Q: chain.Push{View: replica.View, Value: *value}})
+	value := tail.valueAfter(revisionUpdate(1, 7))
+	push := func() error {
+		answer, err := tail.push(contextFor(t, waitLimit), tail.id(), tail.learnedView(), value)
 		assert.True(t, err != nil || answer.OK)
 		return err
-	}, func() bool { return tail.member.replica().Record.Value.Revision == 7 })
+	}
+	requireDiskWriteFirst(t, tail, push, func() bool { return tail.storedRevision() == 7 })
 	cluster.restart(tail)
-	require.EqualValues(t, 7, tail.member.replica().Record.Value.Revision)
+	require.EqualValues(t, 7, tail.storedRevision())
 }
 
-// A process in which nothing ran for a while counts from its waking.
+// A process in which nothing ran for a while counts from the moment at which it resumed.
 func TestPausedProcessDetectsItsPause(t *testing.T) {
 	t.Parallel()
 	cluster, _ := bootstrapped(t, 4, 1)
 	member := cluster.chainMember(0).member
 	member.mu.Lock() // no tick passes
 	before := member.pauses.resumedAt
-	frozenFor := time.NewTimer(3 * pauseThreshold)
-	<-frozenFor.C
+	pause := time.NewTimer(3 * pauseThreshold)
+	<-pause.C
 	member.mu.Unlock()
 	member.wakeTicker()
 	ctx := contextFor(t, eventBound)
-	awake := func() time.Time { member.mu.Lock(); defer member.mu.Unlock(); return member.pauses.resumedAt }
-	cluster.waitUntil(ctx, func() bool { return awake().After(before) })
-	require.True(t, awake().After(before), "it believes what it held before it was frozen")
+	resumed := func() bool {
+		member.mu.Lock()
+		defer member.mu.Unlock()
+		return member.pauses.resumedAt.After(before)
+	}
+	pollUntil(ctx, resumed)
+	require.True(t, resumed(), "it trusts contacts from before the pause")
 }
 
 // A view that is learned while a push of the one before is answered has no push of its own yet.
@@ -249,32 +258,32 @@
 	member := head.member
 	next := member.replica().View
 	next = next.RemoveMember(next.Tail().ID)
-	again := make(chan struct{}, 1)
+	pushedAgain := make(chan struct{}, 1)
 	cluster.setObserveCall(func(from, name string, answered bool) {
-		if from != head.addr || name != "core.push" {
+		if from != head.addr || name != callPush {
 			return
 		}
 		if answered && member.replica().View.Number < next.Number {
 			assert.NoError(t, member.learnView(context.Background(), &next))
-			cluster.isolate(head, true, false)
+			cluster.setIsolated(head, true, false)
 			return
 		}
 		if !answered && member.replica().View.Number == next.Number {
 			select {
-			case again <- struct{}{}:
+			case pushedAgain <- struct{}{}:
 			default:
 			}
 		}
 	})
 	go func() { _, _ = member.handleSubmit(contextFor(t, eventBound), revisionUpdate(1, 2)) }()
 	select {
-	case <-again:
+	case <-pushedAgain:
 	case <-contextFor(t, eventBound).Done():
-		require.Fail(t, "the newer view is taken for pushed through")
+		require.Fail(t, "the newer view counts as activated")
 	}
 	cluster.setObserveCall(nil)
-	cluster.isolate(head, false, false)
-	suspendRepairs(members, false)
+	cluster.setIsolated(head, false, false)
+	resumeRepairs(members)
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
 }
 
@@ -286,13 +295,13 @@
 	client := cluster.nodes[4]
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
 	for _, node := range cluster.nodes[:4] {
-		node.waitUntil("in touch", node.member.HasQuorum)
+		node.waitUntil("in contact with a majority", node.member.HasQuorum)
 	}
 	cluster.awaitFullChain(client)
 	head := cluster.chainMember(0)
 	member := head.member
-	cluster.isolate(head, true, true)
-	head.waitUntil("it is out of touch", func() bool { return !member.HasQuorum() })
+	cluster.setIsolated(head, true, true)
+	head.waitUntil("it has no majority", func() bool { return !member.HasQuorum() })
 	rounds := func() uint32 {
 		member.mu.Lock()
 		defer member.mu.Unlock()
@@ -300,44 +309,41 @@
 	}
 	before := rounds()
 	ctx := contextFor(t, 2*time.Second)
-	cluster.waitUntil(ctx, func() bool { return rounds() > before })
+	pollUntil(ctx, func() bool { return rounds() > before })
 	require.Equal(t, before, rounds(), "it proposes without a majority")
 }
 
 func TestRequestForAnotherDiskIsRejected(t *testing.T) {
 	t.Parallel()
+	const lostDisk = "a lost disk"
 	_, node, _ := partitionedMember(t, 3)
-	replica, ctx := node.member.replica(), contextFor(t, eventBound)
-	ballot := view.ProposalNumber{Round: 1000, By: "a proposer"}
-	promised, err := node.member.handlePrepare(ctx, &prepareRequest{To: "a lost disk", Q: view.PrepareRequest{Base: replica.View, Ballot: ballot}})
+	base, ctx := node.learnedView(), contextFor(t, eventBound)
+	number := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	promised, err := node.prepare(ctx, lostDisk, base, number)
 	require.NoError(t, err)
 	require.False(t, promised.OK)
-	next := replica.View.RemoveMember(replica.View.Chain[0].ID)
-	accepted, err := node.member.handleAccept(ctx, &acceptRequest{To: "a lost disk", Q: view.AcceptRequest{Base: replica.View, Ballot: ballot, View: next}})
+	accepted, err := node.accept(ctx, lostDisk, base, number, base.RemoveMember(base.Chain[0].ID))
 	require.NoError(t, err)
 	require.False(t, accepted.OK)
-	value, _, _ := chain.Apply(&replica.Record.Value, revisionUpdate(1, 7), applyNumber)
-	pushed, err := node.member.handlePush(ctx, &pushRequest{To: "a lost disk", Q: chain.Push{View: replica.View, Value: *value}})
+	pushed, err := node.push(ctx, lostDisk, base, node.valueAfter(revisionUpdate(1, 7)))
 	require.NoError(t, err)
 	require.False(t, pushed.OK)
-	require.EqualValues(t, 1, node.member.replica().Record.Value.Revision)
+	require.EqualValues(t, 1, node.storedRevision())
 }
 
 func TestPushOfAnOlderViewIsAnsweredWithTheNewerOne(t *testing.T) {
 	t.Parallel()
 	client, node, _ := partitionedMember(t, 3)
-	older := node.member.replica().View
+	older := node.learnedView()
 	next, _ := client.member.View()
 	ctx := contextFor(t, eventBound)
 	require.NoError(t, node.member.learnView(ctx, &next))
-	replica := node.member.replica()
-	value, _, _ := chain.Apply(&replica.Record.Value, revisionUpdate(1, 7), applyNumber)
-	answer, err := node.member.handlePush(ctx, &pushRequest{To: node.member.self.ID, Q: chain.Push{View: older, Value: *value}})
+	answer, err := node.push(ctx, node.id(), older, node.valueAfter(revisionUpdate(1, 7)))
 	require.NoError(t, err)
 	require.False(t, answer.OK)
-	require.NotNil(t, answer.Newer, "the sender is told")
+	require.NotNil(t, answer.Newer, "the sender learns of it")
 	require.Equal(t, next.Number, answer.Newer.Number)
-	require.EqualValues(t, 1, node.member.replica().Record.Value.Revision)
+	require.EqualValues(t, 1, node.storedRevision())
 }
 
 func TestRestartedProcessHasNoVoteOnFirstView(t *testing.T) {
@@ -345,14 +351,14 @@
 	cluster := newTestCluster(t, 3, 0)
 	node := cluster.nodes[0]
 	cluster.start(node, false)
-	base := bootstrapBase(cluster.seeds)
-	ballot := view.ProposalNumber{Round: 1, By: "a proposer"}
-	answer, err := node.member.handlePrepare(contextFor(t, eventBound), &prepareRequest{To: node.addr, Q: view.PrepareRequest{Base: base, Ballot: ballot}})
+	base, ctx := bootstrapBase(cluster.seeds), contextFor(t, eventBound)
+	number := view.ProposalNumber{Round: 1, By: "a proposer"}
+	answer, err := node.prepare(ctx, node.addr, base, number)
 	require.NoError(t, err)
 	require.False(t, answer.OK)
 	first, ok := view.InitialView([]view.Peer{node.member.self}, view.Tolerance{Machines: cluster.machineLosses})
 	require.True(t, ok)
-	answer, err = node.member.handleAccept(contextFor(t, eventBound), &acceptRequest{To: node.addr, Q: view.AcceptRequest{Base: base, Ballot: ballot, View: first}})
+	answer, err = node.accept(ctx, node.addr, base, number, first)
 	require.NoError(t, err)
 	require.False(t, answer.OK)
 }
@@ -360,13 +366,13 @@
 // A view is no more confirmed once members have accepted the next one, as that may be decided.
 func TestAcceptedViewEndsTheOneBefore(t *testing.T) {
 	t.Parallel()
-	_, _, members := steadyCluster(t) // nobody finishes what is left undecided
-	base, ctx := members[0].member.replica().View, contextFor(t, eventBound)
+	_, _, members := steadyCluster(t) // nobody finishes the undecided proposal
+	base, ctx := members[0].learnedView(), contextFor(t, eventBound)
 	next := base.RemoveMember(base.Tail().ID)
 	tail := members[3]
 	require.NoError(t, tail.member.confirmView(ctx, base))
 	for _, node := range members[:2] {
-		answer, err := node.member.handleAccept(ctx, &acceptRequest{To: node.member.self.ID, Q: view.AcceptRequest{Base: base, Ballot: view.ProposalNumber{Round: 1, By: "a proposer"}, View: next}})
+		answer, err := node.accept(ctx, node.id(), base, view.ProposalNumber{Round: 1, By: "a proposer"}, next)
 		require.NoError(t, err)
 		require.True(t, answer.OK)
 	}
@@ -376,14 +382,12 @@
 func TestRejectedPushIsNoAcknowledgement(t *testing.T) {
 	t.Parallel()
 	_, _, members := steadyCluster(t)
-	member := members[0].member
-	replica := member.replica()
-	forged := replica.View.Clone()
-	forged.Chain[1].ID = "a lost disk" // its machine has another one by now, and refuses
-	value, _, _ := chain.Apply(&replica.Record.Value, revisionUpdate(1, 2), applyNumber)
-	require.Error(t, member.replicate(contextFor(t, eventBound), forged, *value))
-	committed, _ := member.Committed()
-	require.EqualValues(t, 1, committed.Revision)
+	head := members[0]
+	forged := head.learnedView().Clone()
+	forged.Chain[1].ID = "a lost disk" // its machine has another one by now, and rejects the push
+	value := head.valueAfter(revisionUpdate(1, 2))
+	require.Error(t, head.member.replicate(contextFor(t, eventBound), forged, *value))
+	require.True(t, head.hasRevision(1))
 }
 
 func TestJoinerCountsOnceItReportsComplete(t *testing.T) {
@@ -392,58 +396,67 @@
 	member := members[0].member
 	member.mu.Lock()
 	defer member.mu.Unlock()
-	defer func(v view.View) { member.views.learned = v }(member.views.learned)
-	member.views.learned = member.views.learned.Clone()
+	original := member.views.learned
+	defer func() { member.views.learned = original }()
+	member.views.learned = original.Clone()
 	member.views.learned.Number++
 	joiner := &member.views.learned.Chain[3]
 	joiner.Since = member.views.learned.Number
-	said := &member.peers.byID[joiner.ID].lastHeartbeat
-	for _, c := range []struct {
+	received := &member.peers.byID[joiner.ID].lastHeartbeat
+	for _, test := range []struct {
+		name     string
 		view     uint64
 		complete bool
 		want     bool
-	}{{joiner.Since, true, true}, {joiner.Since, false, false}, {joiner.Since - 1, true, false}} {
-		said.View, said.Complete = c.view, c.complete
-		require.Equal(t, c.want, member.healthLocked(time.Now())[joiner.ID].Complete)
+	}{
+		{"complete in its first view", joiner.Since, true, true},
+		{"not complete", joiner.Since, false, false},
+		{"complete in an older view", joiner.Since - 1, true, false},
+	} {
+		received.View, received.Complete = test.view, test.complete
+		require.Equal(t, test.want, member.healthLocked(time.Now())[joiner.ID].Complete, test.name)
 	}
 }
 
 func TestMemberOutsideTheChainCatchesUp(t *testing.T) {
 	t.Parallel()
 	cluster, client := bootstrapped(t, 5, 1)
-	v, _ := client.member.View()
-	require.Len(t, v.Chain, 4)
+	current, _ := client.member.View()
+	require.Len(t, current.Chain, 4)
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
 	for _, node := range cluster.nodes[:5] {
-		newest := func() bool { c, _ := node.member.Committed(); return c.Revision == 2 }
-		cluster.waitUntil(contextFor(t, eventBound), newest)
-		require.True(t, newest(), "place %d", v.Position(node.member.self.ID))
+		newest := func() bool { return node.hasRevision(2) }
+		pollUntil(contextFor(t, eventBound), newest)
+		require.True(t, newest(), "position %d", current.Position(node.id()))
 	}
 }
 
-// An order that reaches the head while the view changes waits for the first push of the new view,
-// also where it was taken already.
+// An update that reaches the head while the view changes waits for the first push of the new view,
+// also if it was committed before.
 func TestSubmissionWaitsForActivationOfTheView(t *testing.T) {
 	t.Parallel()
 	cluster, _, members := steadyCluster(t)
 	member := members[0].member
 	ctx := contextFor(t, waitLimit)
 	require.NoError(t, member.acquireWrite(ctx))
-	first := &submission{callerContext: ctx, order: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}
-	for _, w := range []*submission{first, {callerContext: ctx, order: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}} {
-		member.submissions <- w // has room
+	var queued [2]*submission
+	for i := range queued {
+		queued[i] = &submission{callerContext: ctx, order: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}
+		member.submissions <- queued[i] // has capacity
 	}
-	members[0].waitUntil("the head has the first in hand, and waits for its disk's turn", func() bool { return len(member.submissions) == 1 })
-	cluster.isolate(members[0], true, true)
-	next := member.replica().View
-	next = next.RemoveMember(next.Tail().ID)
+	members[0].waitUntil("the head executes the first and waits for the write token", func() bool {
+		return len(member.submissions) == 1
+	})
+	cluster.setIsolated(members[0], true, true)
+	current := members[0].learnedView()
+	next := current.RemoveMember(current.Tail().ID)
 	require.NoError(t, member.persistView(&next))
 	member.releaseWrite()
 	watch := time.NewTimer(2 * absenceWatch)
 	defer watch.Stop()
 	select {
-	case answer := <-first.response:
-		require.NotEqual(t, chain.OutcomeCommitted, answer.Verdict.Kind, "the chain of the view may not have the order")
+	case answer := <-queued[0].response:
+		require.NotEqual(t, chain.OutcomeCommitted, answer.Verdict.Kind, "the chain of the view may not have the update")
 	case <-watch.C:
 	}
 }
@@ -459,36 +472,34 @@
 	require.NoError(t, member.acquireWrite(ctx))
 	require.NoError(t, member.persistView(&older))
 	member.releaseWrite()
-	require.Equal(t, newer.Number, member.replica().View.Number)
+	require.Equal(t, newer.Number, node.learnedView().Number)
 
 	before, _ := member.Committed()
 	next, _, _ := chain.Apply(&before, revisionUpdate(before.Revision, 8), applyNumber)
 	member.advanceCommitted(*next)
 	member.advanceCommitted(before)
-	committed, _ := member.Committed()
-	require.EqualValues(t, 8, committed.Revision)
+	require.True(t, node.hasRevision(8))
 }
 
 func TestMinorityHasNoQuorum(t *testing.T) {
 	t.Parallel()
 	_, node, _ := partitionedMember(t, 1)
-	cluster, linked := node.member.Status(), node.member.HasQuorum()
-	require.False(t, linked)
-	require.False(t, cluster.Linked)
+	require.False(t, node.member.HasQuorum())
+	require.False(t, node.member.Status().Linked)
 }
 
-// A view that a member has only heard of is learned by its own ticks.
+// A view that a member has only observed is learned by its own ticks.
 func TestObservedViewIsLearned(t *testing.T) {
 	t.Parallel()
-	client, node, cluster := partitionedMember(t, 2)
+	client, node, _ := partitionedMember(t, 2)
 	next, _ := client.member.View()
 	node.member.observeView(&next)
-	learned := func() bool { return node.member.replica().View.Number >= next.Number }
-	cluster.waitUntil(contextFor(t, eventBound), learned)
+	learned := func() bool { return node.learnedView().Number >= next.Number }
+	pollUntil(contextFor(t, eventBound), learned)
 	require.True(t, learned())
 }
 
-// A tail that has heard of a newer view, and has not learned it yet, sends readers there.
+// A tail that has observed a newer view, and has not learned it yet, refers readers to that one.
 func TestTailAnswersWithObservedNewerView(t *testing.T) {
 	t.Parallel()
 	client, tail, _ := partitionedMember(t, 3)
@@ -504,7 +515,7 @@
 	require.Equal(t, next.Number, answer.Newer.Number)
 }
 
-// What is done within a view ends with it, also where the view was over before.
+// A push ends with its view, also where the view was superseded before.
 func TestPushEndsWithItsView(t *testing.T) {
 	t.Parallel()
 	_, node, _ := partitionedMember(t, 2)
@@ -518,7 +529,7 @@
 	select {
 	case <-during.Done():
 	case <-contextFor(t, eventBound).Done():
-		require.Fail(t, "it outlives the view")
+		require.Fail(t, "the push outlives the view")
 	}
 	after, cancelAfter := member.withinView(ctx, v.Number, waitLimit)
 	defer cancelAfter()
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -77,7 +77,7 @@
 		Old: "	if request.To != m.self.ID {", New: "	if request.To == \"\" {",
 		Packages: in(corePackage), Run: "^TestRequestForAnotherDiskIsRejected$"},
 	{ID: "core-restarted-votes-on-first-view", Point: Races, File: "internal/fleet/controlplane/bootstrap.go",
-		Old: "if seeds == nil || to != m.self.Addr || !slices.Equal(bootstrapBase(seeds).Voters, base.Voters) {", New: "if to != m.self.Addr {",
+		Old: "if !m.bootstrap.isAcceptor(base) || to != m.self.Addr {", New: "if to != m.self.Addr {",
 		Packages: in(corePackage), Run: "^TestRestartedProcessHasNoVoteOnFirstView$"},
 	{ID: "core-joiner-counts-as-complete", Point: SecondLoss, File: "internal/fleet/controlplane/peers.go",
 		Old: "since == 1 || received.Complete && received.View >= since", New: "since == 1 || received.View >= since",
