--- a/internal/fleet/retrybudget/bench_test.go
+++ b/internal/fleet/retrybudget/bench_test.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// A request's first send and the question for a further one, of one service among others.
+// BenchmarkServices records a request and asks for a retry, for one service among others.
 func BenchmarkServices(b *testing.B) {
 	for _, services := range []int{1, 6, 1000} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -28,6 +28,7 @@
 	}
 }
 
+// BenchmarkHeap measures the memory of each service that is counted.
 func BenchmarkHeap(b *testing.B) {
 	const services = 1000
 	var bytes int64
@@ -42,3 +43,15 @@
 	}
 	b.ReportMetric(float64(bytes)/services, "B/service")
 }
+
+// BenchmarkTryRetry records a request and asks for a retry, for one service alone.
+func BenchmarkTryRetry(b *testing.B) {
+	budget := New(0.2, window, 58)
+	budget.SetAgentCount(0, 9)
+	now := time.Duration(0)
+	for b.Loop() {
+		now += time.Millisecond
+		budget.RecordRequest(now, "s")
+		budget.TryRetry(now, "s")
+	}
+}
--- a/internal/fleet/retrybudget/budget_test.go
+++ b/internal/fleet/retrybudget/budget_test.go
@@ -17,7 +17,7 @@
 func TestNewProcessHasNoSlackShare(t *testing.T) {
 	budget := New(0.2, window, 58)
 	budget.SetAgentCount(time.Hour, 9)
-	assert.Zero(t, budget.SlackShare(time.Hour+window), "its predecessor may have spent it up to now")
+	assert.Zero(t, budget.SlackShare(time.Hour+window), "its predecessor may have spent it until now")
 	assert.False(t, budget.TryRetry(time.Hour+window, "s"))
 	assert.Equal(t, 5, budget.SlackShare(time.Hour+window+1), "0.8 x 58 / 9")
 	for range 5 {
@@ -39,7 +39,7 @@
 		}
 	}
 	assert.Equal(t, 17, allowed, "0.85 x 0.2 x 100")
-	assert.False(t, budget.TryRetry(now+window+window/windowBuckets, "s"), "old requests earn nothing")
+	assert.False(t, budget.TryRetry(now+window+window/windowBuckets, "s"), "requests before the window earn nothing")
 }
 
 func TestSlackShareFollowsPeakAgents(t *testing.T) {
@@ -47,11 +47,11 @@
 	budget.SetAgentCount(0, 10)
 	budget.SetAgentCount(5*window, 2)
 	assert.Equal(t, 8, budget.SlackShare(5*window))
-	assert.Equal(t, 8, budget.SlackShare(7*window), "who is not heard may still spend")
+	assert.Equal(t, 8, budget.SlackShare(7*window), "agents that are no longer known may still send")
 	assert.Equal(t, 40, budget.SlackShare(8*window+1))
 	budget.SetAgentCount(8*window+2, 10)
-	assert.Equal(t, 8, budget.SlackShare(8*window+2), "newcomers count at once")
-	assert.Equal(t, 8, budget.SlackShare(20*window), "the last number told holds")
+	assert.Equal(t, 8, budget.SlackShare(8*window+2), "new agents count at once")
+	assert.Equal(t, 8, budget.SlackShare(20*window), "the last number stays in force")
 	assert.Zero(t, New(0.2, window, 100).SlackShare(5*window), "no agents known")
 }
 
@@ -62,65 +62,113 @@
 	}
 	assert.Len(t, budget.services, maxServices)
 	budget.RecordRequest(3*window, "late")
-	assert.Len(t, budget.services, 1, "idle ones give way")
+	assert.Len(t, budget.services, 1, "idle services are evicted")
 }
 
-// TestFleetStaysWithinBudget plays agents that die, start again and hear each other late, with as many
-// repeats as each is allowed, and counts as the operators do: arrivals beyond the first in any
-// window against the requests of that window, of the one before or of the one half a window
-// earlier.
-func TestFleetStaysWithinBudget(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
-		// The part of the slack that is not given out covers that few requests lie unevenly: agents
-		// count the windows that end with each of their sends, the operators others.
-		slack := float64(rapid.IntRange(20, 250).Draw(t, "slack"))
-		agents := rapid.IntRange(1, 20).Draw(t, "agents")
-		rate := rapid.Float64Range(0.1, 40).Draw(t, "rate") // a second and agent
-		swing := rapid.Float64Range(0, 0.5).Draw(t, "swing")
-		burst := time.Duration(rapid.IntRange(0, 60).Draw(t, "burst")) * time.Second
-		deaths := rapid.Float64Range(0, 0.3).Draw(t, "deaths") // a second and agent
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		var firsts, repeats []time.Duration
-		all := make([]*Budget, agents)
-		step := 50 * time.Millisecond
-		for now := time.Duration(0); now < 6*window; now += step {
-			for i := range all {
-				if all[i] == nil || rng.Float64() < deaths*step.Seconds() {
-					all[i] = New(ratio, window, slack)
-					all[i].SetAgentCount(now, agents)
-				}
-				if rng.IntN(20) == 0 { // a cut: it hears of less than all, for a while
-					all[i].SetAgentCount(now, agents-rng.IntN(2)*(agents/2))
-				} else if rng.IntN(3) == 0 {
-					all[i].SetAgentCount(now, agents)
-				}
-				wave := 1 + swing*float64(1-2*(int(now/(7*time.Second))%2))
-				if now >= burst && now < burst+4*time.Second {
-					wave *= 1.5
-				}
-				for x := rate * wave * step.Seconds(); x > 0; x-- {
-					if rng.Float64() >= x {
-						continue
-					}
-					firsts = append(firsts, now)
-					all[i].RecordRequest(now, "s")
-				}
-				for all[i].TryRetry(now, "s") {
-					repeats = append(repeats, now)
-				}
-			}
+// fleetModel is a fleet of agents that die, restart and know of each other late. It records the time of
+// each request and of each retry that a budget has allowed.
+type fleetModel struct {
+	ratio, slack      float64
+	rate              float64       // requests a second and agent
+	swing             float64       // of the rate, as a fraction
+	burstStart        time.Duration // of a higher rate
+	deathRate         float64       // deaths a second and agent
+	random            *rand.Rand
+	agents            []*Budget // nil before its first start
+	requests, retries []time.Duration
+}
+
+const (
+	// modelStep is the time that one step of a fleetModel takes.
+	modelStep = 50 * time.Millisecond
+	// burstDuration is how long a burst lasts, swingPeriod how long the rate stays high or low.
+	burstDuration, swingPeriod = 4 * time.Second, 7 * time.Second
+)
+
+func drawFleet(t *rapid.T) *fleetModel {
+	m := &fleetModel{
+		ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
+		// The part of the slack that is not distributed covers that a few requests are unevenly
+		// distributed: agents count the windows that end with each of their sends, operators others.
+		slack: float64(rapid.IntRange(20, 250).Draw(t, "slack")),
+	}
+	m.agents = make([]*Budget, rapid.IntRange(1, 20).Draw(t, "agents"))
+	m.rate = rapid.Float64Range(0.1, 40).Draw(t, "rate")
+	m.swing = rapid.Float64Range(0, 0.5).Draw(t, "swing")
+	m.burstStart = time.Duration(rapid.IntRange(0, 60).Draw(t, "burst")) * time.Second
+	m.deathRate = rapid.Float64Range(0, 0.3).Draw(t, "deaths")
+	m.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+	return m
+}
+
+// run plays all agents for the given time.
+func (m *fleetModel) run(duration time.Duration) {
+	for now := time.Duration(0); now < duration; now += modelStep {
+		for i := range m.agents {
+			m.restart(now, i)
+			m.updateAgentCount(now, m.agents[i])
+			m.send(now, m.agents[i])
 		}
-		in := func(times []time.Duration, from, to time.Duration) int {
-			i, _ := slices.BinarySearch(times, from)
-			j, _ := slices.BinarySearch(times, to)
-			return j - i
+	}
+}
+
+// restart starts an agent for the first time, or, at the death rate, again.
+func (m *fleetModel) restart(now time.Duration, agent int) {
+	if m.agents[agent] == nil || m.random.Float64() < m.deathRate*modelStep.Seconds() {
+		m.agents[agent] = New(m.ratio, window, m.slack)
+		m.agents[agent].SetAgentCount(now, len(m.agents))
+	}
+}
+
+// updateAgentCount tells an agent of all others or, during a partition, of some of them.
+func (m *fleetModel) updateAgentCount(now time.Duration, budget *Budget) {
+	all := len(m.agents)
+	if m.random.IntN(20) == 0 {
+		budget.SetAgentCount(now, all-m.random.IntN(2)*(all/2))
+	} else if m.random.IntN(3) == 0 {
+		budget.SetAgentCount(now, all)
+	}
+}
+
+// send sends the requests of one step at the rate of now, and then all retries that are allowed.
+func (m *fleetModel) send(now time.Duration, budget *Budget) {
+	rate := m.rate * (1 + m.swing*float64(1-2*(int(now/swingPeriod)%2)))
+	if now >= m.burstStart && now < m.burstStart+burstDuration {
+		rate *= 1.5
+	}
+	for expected := rate * modelStep.Seconds(); expected > 0; expected-- {
+		if m.random.Float64() >= expected {
+			continue
 		}
-		for from := time.Duration(0); from < 5*window; from += step {
-			requests := max(in(firsts, from, from+window), in(firsts, from-window, from), in(firsts, from-window/2, from+window/2))
-			got := in(repeats, from, from+window)
-			if most := ratio*float64(requests) + slack; float64(got) > most {
-				t.Fatalf("%d repeats in the window from %v, allowed are %.1f", got, from, most)
+		m.requests = append(m.requests, now)
+		budget.RecordRequest(now, "s")
+	}
+	for budget.TryRetry(now, "s") {
+		m.retries = append(m.retries, now)
+	}
+}
+
+// countBetween returns how many of the ascending times are in [from, to).
+func countBetween(times []time.Duration, from, to time.Duration) int {
+	first, _ := slices.BinarySearch(times, from)
+	end, _ := slices.BinarySearch(times, to)
+	return end - first
+}
+
+// TestFleetStaysWithinBudget counts as the operators do: retries in any window against the requests of
+// that window, of the one before, or of the one half a window earlier.
+func TestFleetStaysWithinBudget(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		fleet := drawFleet(t)
+		fleet.run(6 * window)
+		for from := time.Duration(0); from < 5*window; from += modelStep {
+			requests := max(
+				countBetween(fleet.requests, from, from+window),
+				countBetween(fleet.requests, from-window, from),
+				countBetween(fleet.requests, from-window/2, from+window/2))
+			retries := countBetween(fleet.retries, from, from+window)
+			if limit := fleet.ratio*float64(requests) + fleet.slack; float64(retries) > limit {
+				t.Fatalf("%d retries in the window from %v, allowed are %.1f", retries, from, limit)
 			}
 		}
 	})
@@ -134,14 +182,3 @@
 	})
 	require.Zero(t, allocs)
 }
-
-func BenchmarkTryRetry(b *testing.B) {
-	budget := New(0.2, window, 58)
-	budget.SetAgentCount(0, 9)
-	now := time.Duration(0)
-	for b.Loop() {
-		now += time.Millisecond
-		budget.RecordRequest(now, "s")
-		budget.TryRetry(now, "s")
-	}
-}
