--- a/internal/fleet/rollout/bench_test.go
+++ b/internal/fleet/rollout/bench_test.go
@@ -10,25 +10,25 @@
 
 // What the holder spends a second at the full size: 850 servers of which 24 move, 360 agents.
 func BenchmarkStep(b *testing.B) {
-	sp := defaults()
+	sp := defaultSpec()
 	sp.Service, sp.Model, sp.From, sp.To, sp.Pace.AtOnce = "s", "m", 1, 2, 24
 	rec, err := (&Record{}).Start(&sp)
 	if err != nil {
 		b.Fatal(err)
 	}
-	rec.Begun, rec.Whole = true, map[string]float64{"r": 8500}
-	f := &Facts{Watch: NewWatch(rec)}
+	rec.Initialized, rec.InitialCapacity = true, map[string]float64{"r": 8500}
+	f := &Observation{Reports: NewReportAggregator(rec)}
 	sends := Sends{Buckets: map[string]map[string][]uint32{"r": {}}}
 	for i := range 850 {
-		s := Server{ID: fmt.Sprintf("s%04d", i), Addr: fmt.Sprint(i), Zone: "z", Region: "r", State: registry.Ready, Revision: 1, Capacity: 10, Busy: 0.5, InFlight: -1, Well: true}
+		s := Server{ID: fmt.Sprintf("s%04d", i), Addr: fmt.Sprint(i), Zone: "z", Region: "r", State: registry.Ready, Revision: 1, Capacity: 10, Utilization: 0.5, InFlight: -1, Healthy: true}
 		if i < 12 {
-			rec.Out = append(rec.Out, Leaving{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Step: Thinner})
+			rec.Draining = append(rec.Draining, DrainingServer{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Step: DrainTenth})
 		} else if i < 24 {
 			s.Revision = 2
-			rec.In = append(rec.In, Entering{ID: s.ID, Step: Tenth})
+			rec.Ramping = append(rec.Ramping, RampingServer{ID: s.ID, Step: RampTenth})
 		} else if i < 400 {
 			s.Revision = 2
-			rec.addFull(s.ID)
+			rec.addFullShare(s.ID)
 		}
 		f.Servers = append(f.Servers, s)
 		for k := range 100 {
@@ -36,15 +36,15 @@
 		}
 	}
 	for i := range 360 {
-		f.Agents = append(f.Agents, Agent{Source: fmt.Sprint("a", i), Obeys: 1})
+		f.Agents = append(f.Agents, Agent{Source: fmt.Sprint("a", i), AppliedVersion: 1})
 	}
-	f.Watch.Tick(time.Hour)
-	f.Watch.Groups.Add(&sp, "r", &sends)
-	m := NewMachine()
-	m.Step(time.Hour, rec, f)
+	f.Reports.Tick(time.Hour)
+	f.Reports.Replicas.Add(&sp, "r", &sends)
+	m := NewController()
+	m.Reconcile(time.Hour, rec, f)
 	now := time.Hour
 	for b.Loop() {
 		now += time.Second
-		m.Step(now, rec, f)
+		m.Reconcile(now, rec, f)
 	}
 }
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -44,9 +44,9 @@
 	zipf    *rand.Zipf
 	now     time.Duration
 	rec     *Record
-	rules   *Rules
-	machine *Machine
-	watch   *Watch
+	rules   *RoutingRules
+	machine *Controller
+	watch   *ReportAggregator
 	holding bool
 	servers []*simServer
 	byID    map[string]*simServer
@@ -89,11 +89,11 @@
 type simAgent struct {
 	id       string
 	region   string
-	rules    *Rules
-	tracker  *Tracker
-	meter    *Meter
-	sessions *Sessions
-	filler   *Filler
+	rules    *RoutingRules
+	tracker  *SendTracker
+	meter    *SampleRecorder
+	sessions *SessionAffinity
+	filler   *WarmupLimiter
 	held     map[string]int
 	seq      uint64
 	cut      bool
@@ -118,8 +118,8 @@
 	}
 	for i := range m.agents {
 		region, _, _ := cut(m.zones[i%len(m.zones)])
-		f.agents = append(f.agents, &simAgent{id: fmt.Sprintf("a%d", i), region: region, tracker: NewTracker(), meter: NewMeter(),
-			sessions: &Sessions{}, filler: NewFiller(), held: map[string]int{}, member: true, rules: (&Record{}).Rules()})
+		f.agents = append(f.agents, &simAgent{id: fmt.Sprintf("a%d", i), region: region, tracker: NewSendTracker(), meter: NewSampleRecorder(),
+			sessions: &SessionAffinity{}, filler: NewWarmupLimiter(), held: map[string]int{}, member: true, rules: (&Record{}).Rules()})
 	}
 	f.rec = &Record{}
 	return f
@@ -138,7 +138,7 @@
 	region, zone, _ := cut(f.m.zones[i%len(f.m.zones)])
 	f.nextID++
 	s := &simServer{Server: Server{ID: fmt.Sprintf("s%04d-%d", i, f.nextID), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: zone, Region: region,
-		Revision: revision, Capacity: 10, Well: true}, cache: map[uint64]uint64{}}
+		Revision: revision, Capacity: 10, Healthy: true}, cache: map[uint64]uint64{}}
 	s.hash = hashID(s.Addr)
 	f.servers = append(f.servers, s)
 	f.byID[s.ID] = s
@@ -146,7 +146,7 @@
 }
 
 func (f *fleet) start(change ...func(*Spec)) {
-	spec := defaults()
+	spec := defaultSpec()
 	spec.Service, spec.Model, spec.From, spec.To = "s", "m", 1, 2
 	if f.m.spec != nil {
 		f.m.spec(&spec)
@@ -154,7 +154,7 @@
 	for _, c := range change {
 		c(&spec)
 	}
-	require.Empty(f.t, spec.reasons())
+	require.Empty(f.t, spec.validationErrors())
 	rec, err := f.rec.Start(&spec)
 	require.NoError(f.t, err)
 	f.keep(rec)
@@ -164,12 +164,12 @@
 
 // takeOver is another holder, which knows the record and nothing else.
 func (f *fleet) takeOver() {
-	f.machine, f.watch = NewMachine(), NewWatch(f.rec)
+	f.machine, f.watch = NewController(), NewReportAggregator(f.rec)
 }
 
 func (f *fleet) keep(rec *Record) {
 	require.Equal(f.t, f.rec.Version+1, rec.Version)
-	require.NoError(f.t, rec.Check())
+	require.NoError(f.t, rec.Validate())
 	raw, err := rec.Encode()
 	require.NoError(f.t, err)
 	back, err := Decode(raw)
@@ -186,8 +186,8 @@
 	f.recordBytes = max(f.recordBytes, len(raw))
 }
 
-func (f *fleet) facts() *Facts {
-	facts := &Facts{Watch: f.watch}
+func (f *fleet) facts() *Observation {
+	facts := &Observation{Reports: f.watch}
 	for _, s := range f.servers {
 		if s.State != registry.Deregistered && s.upAt <= f.now {
 			x := s.Server
@@ -206,7 +206,7 @@
 }
 
 // compiled is the newest record's rules, which all agents share here.
-func (f *fleet) compiled() *Rules {
+func (f *fleet) compiled() *RoutingRules {
 	if f.rules == nil || f.rules.Version != f.rec.Version {
 		f.rules = f.rec.Rules()
 	}
@@ -225,25 +225,25 @@
 				a.rules = f.compiled()
 			}
 			a.seq++
-			r := &Report{Source: a.id, Seq: a.seq, Region: a.region, Number: f.rec.Number, Obeys: a.rules.Version, Held: map[string]int{}, Sends: a.tracker.Take(), Seen: a.meter.Take()}
+			r := &Report{Source: a.id, Seq: a.seq, Region: a.region, Rollout: f.rec.Number, AppliedVersion: a.rules.Version, InFlight: map[string]int{}, Sends: a.tracker.Take(), Samples: a.meter.Take()}
 			for id, n := range a.held {
-				if n > 0 && a.rules.Leaving(id) {
-					r.Held[id] = n
+				if n > 0 && a.rules.IsDraining(id) {
+					r.InFlight[id] = n
 				}
 			}
-			require.NoError(f.t, f.watch.Report(r))
+			require.NoError(f.t, f.watch.Add(r))
 		}
 		f.watch.Tick(f.now)
 		if f.holding {
 			for range 3 {
-				next := f.machine.Step(f.now, f.rec, f.facts())
+				next := f.machine.Reconcile(f.now, f.rec, f.facts())
 				if next == nil {
 					break
 				}
 				f.keep(next)
 			}
 		}
-		f.mostOut = max(f.mostOut, len(f.rec.Out)+len(f.rec.In))
+		f.mostOut = max(f.mostOut, len(f.rec.Draining)+len(f.rec.Ramping))
 	} else {
 		for _, a := range f.agents {
 			if !a.cut {
@@ -261,8 +261,8 @@
 
 // platform replaces what is handed over, and takes down what drains.
 func (f *fleet) platform() {
-	for _, l := range f.rec.Out {
-		if s := f.byID[l.ID]; s != nil && l.Step == Replacing && s.State == registry.Ready {
+	for _, l := range f.rec.Draining {
+		if s := f.byID[l.ID]; s != nil && l.Step == DrainReplacing && s.State == registry.Ready {
 			for _, a := range f.agents {
 				require.Zero(f.t, a.held[s.ID], "%s is replaced while %s holds requests there", s.ID, a.id)
 			}
@@ -276,7 +276,7 @@
 			var i int
 			_, err := fmt.Sscanf(s.ID, "s%d-", &i)
 			require.NoError(f.t, err)
-			n := f.serve(i, f.rec.target())
+			n := f.serve(i, f.rec.targetRevision())
 			n.upAt = f.now + f.m.load
 			n.State = registry.Ready
 		}
@@ -333,7 +333,7 @@
 			delete(r.a.held, r.s.ID)
 		}
 		r.s.running--
-		r.a.meter.Ended(&r.sample, r.isNew, r.a.rules.Entering(r.s.ID))
+		r.a.meter.Record(&r.sample, r.isNew, r.a.rules.IsRamping(r.s.ID))
 	}
 	delete(f.ends, f.now)
 	// Windows of a ring, as the picker forms them.
@@ -355,7 +355,7 @@
 		f.request(ring)
 	}
 	for _, s := range f.servers {
-		s.Busy = 0.8*s.Busy + 0.2*min(s.work/1000, 2)
+		s.Utilization = 0.8*s.Utilization + 0.2*min(s.work/1000, 2)
 		s.work = 0
 	}
 }
@@ -386,9 +386,9 @@
 	if len(f.sides) < 1<<22 {
 		f.sides[session] = isNew
 	}
-	a.sessions.Ran(f.now, session, isNew)
+	a.sessions.Record(f.now, session, isNew)
 	group := Group{Route: "r", Key: key}
-	a.tracker.Sent(f.now, s.ID, group)
+	a.tracker.Record(f.now, s.ID, group)
 	slow, fails := 1.0, 0.0
 	if isNew {
 		slow, fails = max(f.m.newSlow, 1), f.m.newFails
@@ -412,10 +412,10 @@
 	s.cache[key] = s.uses
 	s.work += work
 	// A queue as long as the server is busy.
-	busy := min(s.Busy, 0.98)
+	busy := min(s.Utilization, 0.98)
 	first += f.m.firstMs * busy * busy / (1 - busy) / 4
 	end := f.now + time.Second*time.Duration(1+f.rng.IntN(max(int(f.m.stream/time.Second), 1)))
-	sample := Sample{Group: group, Prompt: 5000, Server: s.ID, First: time.Duration(first * float64(time.Millisecond)), Aim: 800 * time.Millisecond, Events: 50, Cold: cold, Failed: f.rng.Float64() < fails}
+	sample := Sample{Group: group, PromptTokens: 5000, Server: s.ID, FirstToken: time.Duration(first * float64(time.Millisecond)), FirstTokenTarget: 800 * time.Millisecond, Events: 50, CacheMiss: cold, Failed: f.rng.Float64() < fails}
 	if first > 800 {
 		f.late++
 	}
@@ -469,16 +469,16 @@
 			if share == 0 {
 				continue
 			}
-			if a.rules.Leaving(s.ID) {
+			if a.rules.IsDraining(s.ID) {
 				side.capacity += s.Capacity * share
-			} else if !Takes(s.ID, session, share) {
+			} else if !AcceptsSession(s.ID, session, share) {
 				continue
 			} else { // it takes a share of the sessions whole
 				side.capacity += s.Capacity
 			}
 		}
 		x := inference.Mix64(key ^ s.hash)
-		if a.rules.Filling(s.ID) {
+		if a.rules.IsWarming(s.ID) {
 			if _, kept := s.cache[key]; !kept && (side.n == 0 || x > side.score[0]) && !a.filler.Allow(f.now, a.rules, s.ID, len(f.agents)) {
 				continue
 			}
@@ -486,11 +486,11 @@
 		side.add(s, x)
 	}
 	first, other := &sides[0], &sides[1]
-	if a.rules.Active && a.sessions.New(session, Cut(sides[0].capacity, sides[1].capacity)) {
+	if a.rules.Active && a.sessions.PrefersNew(session, NewCapacityShare(sides[0].capacity, sides[1].capacity)) {
 		first, other = other, first
 	}
 	for _, b := range []*best{first, other} { // the other side only rather than a queue
-		if s := f.among(a, b); s != nil && s.Busy < 0.85 {
+		if s := f.among(a, b); s != nil && s.Utilization < 0.85 {
 			return s
 		}
 	}
@@ -504,14 +504,14 @@
 	if b.n == 0 {
 		return nil
 	}
-	if first := b.order[0]; a.rules.Leaving(first.ID) && f.rng.Float64() >= a.rules.Share(first.ID, first.Addr, first.Revision) {
+	if first := b.order[0]; a.rules.IsDraining(first.ID) && f.rng.Float64() >= a.rules.Share(first.ID, first.Addr, first.Revision) {
 		if b.n == 1 {
 			return nil // the last of its side
 		}
-		return b.order[1+f.rng.IntN(min(b.n-1, max(a.rules.Floor, 1)))]
+		return b.order[1+f.rng.IntN(min(b.n-1, max(a.rules.SpreadServers, 1)))]
 	}
 	for _, s := range b.order[:b.n] {
-		if s.Busy < 0.85 {
+		if s.Utilization < 0.85 {
 			return s
 		}
 	}
@@ -534,11 +534,11 @@
 		return
 	}
 	f.leastServing = min(f.leastServing, serving/whole)
-	if f.rec.Phase == Back && f.turnedAt == 0 {
+	if f.rec.Phase == PhaseRollback && f.turnedAt == 0 {
 		f.turnedAt = f.now
 	}
-	for _, l := range f.rec.Out {
-		if l.Step >= Closed && l.Step < Replacing && f.rec.Phase == Forward && !f.closed[l.ID] {
+	for _, l := range f.rec.Draining {
+		if l.Step >= DrainClosed && l.Step < DrainReplacing && f.rec.Phase == PhaseForward && !f.closed[l.ID] {
 			f.closed[l.ID] = true
 			f.truth(f.byID[l.ID])
 		}
@@ -551,12 +551,12 @@
 	for key, all := range f.asked {
 		n, lately := 0, false
 		for _, s := range all {
-			if f.now-s.at <= window {
+			if f.now-s.at <= replicaWindow {
 				n++
 			}
-			lately = lately || s.to == x && f.now-s.at < epoch
+			lately = lately || s.to == x && f.now-s.at < epochDuration
 		}
-		if float64(n) < 1.5*window.Seconds()/f.rec.Spec.Keep.LiveS || !lately {
+		if float64(n) < 1.5*replicaWindow.Seconds()/f.rec.Spec.Safety.LiveSeconds || !lately {
 			continue
 		}
 		have := 0
@@ -583,7 +583,7 @@
 	from := f.now
 	for !ok() {
 		if f.now-from > 6*time.Hour {
-			require.FailNow(f.t, "waited in vain for "+what, "%s %+v out %v in %v waits %q", f.rec.Phase, f.rec.Why, f.rec.Out, f.rec.In, f.machine.waits)
+			require.FailNow(f.t, "waited in vain for "+what, "%s %+v out %v in %v waits %q", f.rec.Phase, f.rec.Reason, f.rec.Draining, f.rec.Ramping, f.machine.waitReasons)
 		}
 		f.second()
 	}
@@ -610,13 +610,13 @@
 func small18(seed uint64) makeup {
 	return makeup{zones: []string{"k/a", "k/b", "k/c", "k/d"}, servers: 18, agents: 9, rate: 75, prompts: 400, keep: 120, readMs: 79, firstMs: 60,
 		workMs: 120, stream: 4 * time.Second, load: 30 * time.Second, seed: seed,
-		spec: func(s *Spec) { s.Keep.Peak = 0.6 }}
+		spec: func(s *Spec) { s.Safety.PeakLoad = 0.6 }}
 }
 
 // small6 is a third of it.
 func small6(seed uint64) makeup {
 	m := small18(seed)
 	m.zones, m.servers, m.agents, m.rate, m.prompts = m.zones[:3], 6, 3, 25, 130
-	m.spec = func(s *Spec) { s.Keep.Peak, s.Judge.Samples = 0.5, 100 }
+	m.spec = func(s *Spec) { s.Safety.PeakLoad, s.Judge.MinSamples = 0.5, 100 }
 	return m
 }
--- a/internal/fleet/rollout/golden_test.go
+++ b/internal/fleet/rollout/golden_test.go
@@ -8,7 +8,7 @@
 
 func TestGoldenEncodings(t *testing.T) {
 	goldentest.RoundTrip[Record](t, goldentest.Msgpack, "record")
-	goldentest.RoundTrip[settled](t, goldentest.Msgpack, "record-rest")
+	goldentest.RoundTrip[stablePart](t, goldentest.Msgpack, "record-rest")
 	goldentest.RoundTrip[Report](t, goldentest.Msgpack, "report")
 }
 
--- a/internal/fleet/rollout/interleave_test.go
+++ b/internal/fleet/rollout/interleave_test.go
@@ -45,7 +45,7 @@
 	servers []smallServer
 	word    []string // servers that the platform was told of
 	cause   error
-	watch   *Watch // of nobody's reports: it is the same for all
+	watch   *ReportAggregator // of nobody's reports: it is the same for all
 	sums    map[*Record]uint64
 }
 
@@ -70,24 +70,24 @@
 
 func newSmall(bad defect, m may) *small {
 	s := &small{bad: bad, may: m}
-	spec := defaults()
+	spec := defaultSpec()
 	spec.Service, spec.Model, spec.From, spec.To = "s", "m", 1, 2
-	spec.Pace.GapS, spec.Pace.SpreadS, spec.Pace.StageS, spec.Pace.FinishS = 0, 0, 0, 0
-	spec.Keep = Keep{Usable: 1, LiveS: 15}
-	spec.Judge.Own = 0
+	spec.Pace.GapSeconds, spec.Pace.SpreadSeconds, spec.Pace.StageSeconds, spec.Pace.FinishSeconds = 0, 0, 0, 0
+	spec.Safety = Safety{UsableCapacity: 1, LiveSeconds: 15}
+	spec.Judge.MinServerRequests = 0
 	rec, err := (&Record{}).Start(&spec)
 	if err != nil {
 		panic(err) // of this test's own making
 	}
 	s.kept = []*Record{{}, rec}
-	s.watch, s.sums = NewWatch(rec), map[*Record]uint64{}
-	s.watch.Judge.sums[family{}] = &sums{old: 1e6, new: 1e6}
+	s.watch, s.sums = NewReportAggregator(rec), map[*Record]uint64{}
+	s.watch.Judge.comparisons[cohort{}] = &comparison{baseline: 1e6, canary: 1e6}
 	for i := range s.agents {
 		s.agents[i] = smallAgent{held: map[string]int{}, member: true}
 		s.reports[i] = Report{Source: fmt.Sprint(i)}
 	}
 	for _, id := range []string{"a", "b"} {
-		s.servers = append(s.servers, smallServer{Server: Server{ID: id, Addr: id, Region: "r", Zone: "z", Revision: 1, Capacity: 1, Well: true, InFlight: -1}})
+		s.servers = append(s.servers, smallServer{Server: Server{ID: id, Addr: id, Region: "r", Zone: "z", Revision: 1, Capacity: 1, Healthy: true, InFlight: -1}})
 	}
 	return s
 }
@@ -100,19 +100,19 @@
 	if !on.Active() {
 		return nil, 0
 	}
-	f := &Facts{Watch: s.watch}
+	f := &Observation{Reports: s.watch}
 	for i, a := range s.agents {
-		if !a.member || s.bad == oneIsAll && s.reports[i].Obeys == 0 {
+		if !a.member || s.bad == oneIsAll && s.reports[i].AppliedVersion == 0 {
 			continue
 		}
 		r := s.reports[i]
 		if s.bad == assumed {
-			r.Obeys = 1 << 30
+			r.AppliedVersion = 1 << 30
 		}
 		if s.bad == oldAck {
-			r.Obeys += 2
+			r.AppliedVersion += 2
 		}
-		f.Agents = append(f.Agents, Agent{Source: r.Source, Obeys: r.Obeys, Held: r.Held})
+		f.Agents = append(f.Agents, Agent{Source: r.Source, AppliedVersion: r.AppliedVersion, InFlight: r.InFlight})
 	}
 	for _, x := range s.servers {
 		v := x.Server
@@ -128,16 +128,16 @@
 		on = on.clone()
 		on.Spec.Pace.AtOnce = 2
 	}
-	m := NewMachine()
-	m.learn = 0
-	next := m.Step(later, on, f)
+	m := NewController()
+	m.learningPeriod = 0
+	next := m.Reconcile(later, on, f)
 	if next != nil && s.bad == twoAtOnce {
 		next.Spec.Pace.AtOnce = 1
 	}
 	if next != nil && s.bad == notRevived {
-		for i, l := range next.Out {
-			if v := s.server(l.ID); v != nil && v.State == registry.Expired && l.Step < Replacing {
-				next.Out[i].Step = Replacing
+		for i, l := range next.Draining {
+			if v := s.server(l.ID); v != nil && v.State == registry.Expired && l.Step < DrainReplacing {
+				next.Draining[i].Step = DrainReplacing
 			}
 		}
 	}
@@ -162,28 +162,28 @@
 		s.may.stale--
 		next.Version = uint64(len(s.kept))
 	}
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		s.cause = err
 	}
 	if next.Version != uint64(len(s.kept)) {
 		s.cause = fmt.Errorf("version %d follows on %d", next.Version, len(s.kept)-1)
 	}
-	for _, l := range s.newest().Out {
+	for _, l := range s.newest().Draining {
 		x := s.server(l.ID)
-		if l.Step == Replacing && x.State != registry.Deregistered && (next.leaving(l.ID) == nil || next.leaving(l.ID).Step != Replacing) {
+		if l.Step == DrainReplacing && x.State != registry.Deregistered && (next.draining(l.ID) == nil || next.draining(l.ID).Step != DrainReplacing) {
 			s.cause = fmt.Errorf("%s was handed over, and is taken back", l.ID)
 		}
 	}
 	s.kept = append(s.kept, next)
-	if n := len(next.Out) + len(next.In); n > next.Spec.Pace.AtOnce && next.Phase == Forward {
+	if n := len(next.Draining) + len(next.Ramping); n > next.Spec.Pace.AtOnce && next.Phase == PhaseForward {
 		s.cause = fmt.Errorf("%d servers are out", n)
 	}
 }
 
 // tell has the platform know of the servers that a record hands over.
 func (s *small) tell(r *Record) {
-	for _, l := range r.Out {
-		if l.Step == Replacing && !slices.Contains(s.word, l.ID) {
+	for _, l := range r.Draining {
+		if l.Step == DrainReplacing && !slices.Contains(s.word, l.ID) {
 			s.word = append(s.word, l.ID)
 		}
 	}
@@ -207,7 +207,7 @@
 			do(func() { s.holders[h] = len(s.kept) - 1 })
 		}
 	}
-	if s.may.aborts > 0 && s.newest().Phase == Forward {
+	if s.may.aborts > 0 && s.newest().Phase == PhaseForward {
 		do(func() {
 			s.may.aborts--
 			next, _ := s.newest().Abort(1, "")
@@ -222,17 +222,17 @@
 		if s.bad == deafAgent && a.obeys > 1 && !a.cut {
 			do(func() { a.obeys = 1 })
 		}
-		if a.mail == nil && !a.cut && a.pending == "" && (s.reports[i].Obeys != uint64(a.obeys) || !maps.Equal(s.reports[i].Held, a.held)) {
+		if a.mail == nil && !a.cut && a.pending == "" && (s.reports[i].AppliedVersion != uint64(a.obeys) || !maps.Equal(s.reports[i].InFlight, a.held)) {
 			do(func() {
 				a.seq++
-				a.mail = &Report{Source: fmt.Sprint(i), Seq: a.seq, Obeys: uint64(a.obeys), Held: maps.Clone(a.held)}
+				a.mail = &Report{Source: fmt.Sprint(i), Seq: a.seq, AppliedVersion: uint64(a.obeys), InFlight: maps.Clone(a.held)}
 			})
 		}
 		if s.bad == lateCount && a.pending != "" && a.mail == nil {
 			do(func() { // it tells of the newest record while a request is chosen by an older one
 				a.seq++
 				a.obeys = len(s.kept) - 1
-				a.mail = &Report{Source: fmt.Sprint(i), Seq: a.seq, Obeys: uint64(a.obeys), Held: maps.Clone(a.held)}
+				a.mail = &Report{Source: fmt.Sprint(i), Seq: a.seq, AppliedVersion: uint64(a.obeys), InFlight: maps.Clone(a.held)}
 			})
 		}
 		if a.mail != nil {
@@ -240,9 +240,9 @@
 				r := a.mail
 				a.mail = nil
 				if s.bad == forgetful {
-					held := s.reports[i].Held
+					held := s.reports[i].InFlight
 					s.reports[i] = *r
-					s.reports[i].Held = held
+					s.reports[i].InFlight = held
 					return
 				}
 				s.reports[i] = *r
@@ -260,7 +260,7 @@
 				if x.State == registry.Ready && share > 0 {
 					do(func() {
 						s.may.requests--
-						if x.Revision == 2 && s.kept[a.obeys].Phase == Forward && rules.Share(x.ID, x.Addr, x.Revision) == 0 {
+						if x.Revision == 2 && s.kept[a.obeys].Phase == PhaseForward && rules.Share(x.ID, x.Addr, x.Revision) == 0 {
 							s.cause = fmt.Errorf("%s gets requests before it was taken in", x.ID)
 						}
 						a.pending = x.ID
@@ -299,7 +299,7 @@
 	}
 	for i := range s.servers {
 		x := &s.servers[i]
-		if s.may.silences > 0 && x.State == registry.Ready && s.newest().leaving(x.ID) != nil {
+		if s.may.silences > 0 && x.State == registry.Ready && s.newest().draining(x.ID) != nil {
 			do(func() { s.may.silences--; x.State = registry.Expired })
 		}
 		if x.State == registry.Expired {
@@ -343,7 +343,7 @@
 	}
 	x.State = registry.Deregistered
 	next := x.Server
-	next.ID, next.State, next.Revision = x.ID+"'", registry.Ready, s.newest().target()
+	next.ID, next.State, next.Revision = x.ID+"'", registry.Ready, s.newest().targetRevision()
 	s.servers = append(s.servers, smallServer{Server: next})
 }
 
@@ -370,11 +370,11 @@
 		return h
 	}
 	f := fnv.New64a()
-	fmt.Fprint(f, r.Version, r.Phase, r.Begun, r.Full)
-	for _, l := range r.Out {
+	fmt.Fprint(f, r.Version, r.Phase, r.Initialized, r.FullShare)
+	for _, l := range r.Draining {
 		fmt.Fprint(f, " ", l.ID, l.Step, l.Since)
 	}
-	for _, e := range r.In {
+	for _, e := range r.Ramping {
 		fmt.Fprint(f, " ", e.ID, e.Step, e.Since)
 	}
 	s.sums[r] = f.Sum64()
@@ -395,12 +395,12 @@
 	}
 	put(s.may.requests, s.may.cuts, s.may.silences, s.may.aborts, s.may.stale, len(s.kept), int(s.sum(len(s.kept)-1)))
 	for i, a := range s.agents {
-		put('a', a.obeys, int(s.sum(a.obeys)), int(s.reports[i].Obeys))
+		put('a', a.obeys, int(s.sum(a.obeys)), int(s.reports[i].AppliedVersion))
 		holds(a.held)
-		holds(s.reports[i].Held)
+		holds(s.reports[i].InFlight)
 		if a.mail != nil {
-			put('m', int(a.mail.Obeys))
-			holds(a.mail.Held)
+			put('m', int(a.mail.AppliedVersion))
+			holds(a.mail.InFlight)
 		}
 		if a.cut {
 			put('c')
--- a/internal/fleet/rollout/judge.go
+++ b/internal/fleet/rollout/judge.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// slot is for how long requests are compared with each other only: load and mix change.
-	slot = 10 * time.Second
-	// memory is the time in which what was compared fades, and z how many deviations a difference
-	// has to lie beyond what is borne: it is looked at thousands of times. zOne is that of one
+	// slotDuration is for how long requests are compared with each other only: load and mix change.
+	slotDuration = 10 * time.Second
+	// comparisonDecayTime is the time in which what was compared fades, and z how many deviations a difference
+	// has to lie beyond what is borne: it is looked at thousands of times. cohortDeviations is that of one
 	// kind, size or group among hundreds.
-	memory, z, zOne = 30 * time.Minute, 4.0, 5.0
-	// maxCells bounds what one report and one slot hold, maxFamilies what is compared by itself.
-	maxCells, maxFamilies = 2048, 1024
-	// sizes and classes are the classes of prompts by their length and of groups by their hash.
-	sizes, classes = 8, 8
+	comparisonDecayTime, overallDeviations, cohortDeviations = 30 * time.Minute, 4.0, 5.0
+	// maxStrata bounds what one report and one slot hold, maxCohorts what is compared by itself.
+	maxStrata, maxCohorts = 2048, 1024
+	// sizeClasses and classes are the classes of prompts by their length and of groups by their hash.
+	sizeClasses, groupClasses = 8, 8
 )
 
 // Sample is one attempt that ended, as its agent saw it.
 type Sample struct {
-	Group   Group
-	Prompt  int // tokens
-	Server  string
-	First   time.Duration // to the first token; 0: none came
-	Aim     time.Duration // in which it had to come
-	Pause   time.Duration // the longest between two events
-	GapAim  time.Duration // 0: none is asked for
-	Events  int
-	Cold    bool // the server had to read shared parts that others keep: its first token tells nothing
-	Failed  bool // it may have run and has no whole answer, but for the client's own leaving
-	Refused bool // the server turned it away unrun
+	Group            Group
+	PromptTokens     int // tokens
+	Server           string
+	FirstToken       time.Duration // to the first token; 0: none came
+	FirstTokenTarget time.Duration // in which it had to come
+	LongestGap       time.Duration // the longest between two events
+	GapTarget        time.Duration // 0: none is asked for
+	Events           int
+	CacheMiss        bool // the server had to read shared parts that others keep: its first token tells nothing
+	Failed           bool // it may have run and has no whole answer, but for the client's own leaving
+	Rejected         bool // the server turned it away unrun
 }
 
-// Cell is what is compared with its like only: attempts of one kind, length and class of groups at
+// Stratum is what is compared with its like only: attempts of one kind, length and class of groups at
 // servers of one side.
-type Cell struct {
+type Stratum struct {
 	Route string `msgpack:"r"`
 	Size  uint8  `msgpack:"s"`
 	Class uint8  `msgpack:"c"`
@@ -48,120 +48,124 @@
 
 // Counts are sums over attempts. Times and events count as logarithms: of ratios.
 type Counts struct {
-	N        int     `msgpack:"n"` // attempts
-	Refused  int     `msgpack:"r"`
-	Failed   int     `msgpack:"f"`
-	Late     int     `msgpack:"l"`
-	Paused   int     `msgpack:"p"`
-	Answered int     `msgpack:"a"` // with a first token
-	Warm     int     `msgpack:"m"` // of them, from kept parts
-	First    float64 `msgpack:"t"` // ms
-	FirstSq  float64 `msgpack:"u"`
-	Whole    int     `msgpack:"w"` // answered, and not failed
-	Length   float64 `msgpack:"e"` // events
-	LengthSq float64 `msgpack:"g"`
+	Attempts             int     `msgpack:"n"` // attempts
+	Rejected             int     `msgpack:"r"`
+	Failed               int     `msgpack:"f"`
+	Late                 int     `msgpack:"l"`
+	Stalled              int     `msgpack:"p"`
+	Answered             int     `msgpack:"a"` // with a first token
+	CacheHits            int     `msgpack:"m"` // of them, from kept parts
+	LogFirstToken        float64 `msgpack:"t"` // ms
+	LogFirstTokenSquared float64 `msgpack:"u"`
+	Completed            int     `msgpack:"w"` // answered, and not failed
+	LogEvents            float64 `msgpack:"e"` // events
+	LogEventsSquared     float64 `msgpack:"g"`
 }
 
 func (c *Counts) add(s *Sample) {
-	c.N++
-	if s.Refused {
-		c.Refused++
+	c.Attempts++
+	if s.Rejected {
+		c.Rejected++
 		return
 	}
 	if s.Failed {
 		c.Failed++
 	}
-	if s.First <= 0 {
+	if s.FirstToken <= 0 {
 		return
 	}
 	c.Answered++
-	if s.GapAim > 0 && s.Pause > s.GapAim {
-		c.Paused++
+	if s.GapTarget > 0 && s.LongestGap > s.GapTarget {
+		c.Stalled++
 	}
-	x := math.Log(math.Max(s.First.Seconds()*1e3, 0.1))
-	if !s.Cold {
-		c.Warm, c.First, c.FirstSq = c.Warm+1, c.First+x, c.FirstSq+x*x
-		if s.Aim > 0 && s.First > s.Aim {
+	x := math.Log(math.Max(s.FirstToken.Seconds()*1e3, 0.1))
+	if !s.CacheMiss {
+		c.CacheHits, c.LogFirstToken, c.LogFirstTokenSquared = c.CacheHits+1, c.LogFirstToken+x, c.LogFirstTokenSquared+x*x
+		if s.FirstTokenTarget > 0 && s.FirstToken > s.FirstTokenTarget {
 			c.Late++
 		}
 	}
 	if !s.Failed && s.Events > 0 {
 		x = math.Log(float64(s.Events))
-		c.Whole, c.Length, c.LengthSq = c.Whole+1, c.Length+x, c.LengthSq+x*x
+		c.Completed, c.LogEvents, c.LogEventsSquared = c.Completed+1, c.LogEvents+x, c.LogEventsSquared+x*x
 	}
 }
 
 func (c *Counts) merge(o *Counts) {
-	c.N, c.Refused, c.Failed, c.Late, c.Paused = c.N+o.N, c.Refused+o.Refused, c.Failed+o.Failed, c.Late+o.Late, c.Paused+o.Paused
-	c.Answered, c.Warm, c.First, c.FirstSq = c.Answered+o.Answered, c.Warm+o.Warm, c.First+o.First, c.FirstSq+o.FirstSq
-	c.Whole, c.Length, c.LengthSq = c.Whole+o.Whole, c.Length+o.Length, c.LengthSq+o.LengthSq
+	c.Attempts, c.Rejected, c.Failed, c.Late, c.Stalled = c.Attempts+o.Attempts, c.Rejected+o.Rejected, c.Failed+o.Failed, c.Late+o.Late, c.Stalled+o.Stalled
+	c.Answered, c.CacheHits, c.LogFirstToken, c.LogFirstTokenSquared = c.Answered+o.Answered, c.CacheHits+o.CacheHits, c.LogFirstToken+o.LogFirstToken, c.LogFirstTokenSquared+o.LogFirstTokenSquared
+	c.Completed, c.LogEvents, c.LogEventsSquared = c.Completed+o.Completed, c.LogEvents+o.LogEvents, c.LogEventsSquared+o.LogEventsSquared
 }
 
-// sane refuses what no agent can have counted: one bad report must not decide for all.
-func (c *Counts) sane() bool {
-	most := 20 * float64(c.N)
-	return c.N >= 0 && c.N < 1e7 && c.Refused >= 0 && c.Failed >= 0 && c.Late >= 0 && c.Paused >= 0 && c.Whole >= 0 &&
-		c.Refused <= c.N && c.Failed <= c.N && c.Answered <= c.N && c.Warm >= 0 && c.Warm <= c.Answered && c.Late <= c.Warm &&
-		c.Paused <= c.Answered && c.Whole <= c.Answered && math.Abs(c.First) <= most && c.FirstSq >= 0 && c.FirstSq <= 20*most &&
-		math.Abs(c.Length) <= most && c.LengthSq >= 0 && c.LengthSq <= 20*most
+// plausible refuses what no agent can have counted: one bad report must not decide for all.
+func (c *Counts) plausible() bool {
+	most := 20 * float64(c.Attempts)
+	return c.Attempts >= 0 && c.Attempts < 1e7 && c.Rejected >= 0 && c.Failed >= 0 && c.Late >= 0 && c.Stalled >= 0 && c.Completed >= 0 &&
+		c.Rejected <= c.Attempts && c.Failed <= c.Attempts && c.Answered <= c.Attempts && c.CacheHits >= 0 && c.CacheHits <= c.Answered && c.Late <= c.CacheHits &&
+		c.Stalled <= c.Answered && c.Completed <= c.Answered && math.Abs(c.LogFirstToken) <= most && c.LogFirstTokenSquared >= 0 && c.LogFirstTokenSquared <= 20*most &&
+		math.Abs(c.LogEvents) <= most && c.LogEventsSquared >= 0 && c.LogEventsSquared <= 20*most
 }
 
-// Meter is an agent's part: what it saw of both sides. It is not safe for concurrent use.
-type Meter struct {
-	cells map[Cell]*Counts
-	own   map[string]*Counts
+// SampleRecorder is an agent's part: what it saw of both sides. It is not safe for concurrent use.
+type SampleRecorder struct {
+	counts       map[Stratum]*Counts
+	serverCounts map[string]*Counts
 }
 
-// NewMeter returns one that saw nothing.
-func NewMeter() *Meter { return &Meter{cells: map[Cell]*Counts{}, own: map[string]*Counts{}} }
+// NewSampleRecorder returns one that saw nothing.
+func NewSampleRecorder() *SampleRecorder {
+	return &SampleRecorder{counts: map[Stratum]*Counts{}, serverCounts: map[string]*Counts{}}
+}
 
-// Ended takes an attempt that ended at a server of one side; own: the server is on its way in.
-func (m *Meter) Ended(s *Sample, isNew, own bool) {
-	c := Cell{Route: s.Group.Route, Size: sizeOf(s.Prompt), Class: uint8(s.Group.bucket() % classes), New: isNew}
-	if m.cells[c] == nil {
-		if len(m.cells) >= maxCells {
+// Record takes an attempt that ended at a server of one side; own: the server is on its way in.
+func (m *SampleRecorder) Record(s *Sample, isNew, own bool) {
+	c := Stratum{Route: s.Group.Route, Size: sizeClass(s.PromptTokens), Class: uint8(s.Group.bucket() % groupClasses), New: isNew}
+	if m.counts[c] == nil {
+		if len(m.counts) >= maxStrata {
 			return
 		}
-		m.cells[c] = &Counts{}
+		m.counts[c] = &Counts{}
 	}
-	m.cells[c].add(s)
+	m.counts[c].add(s)
 	if !own {
 		return
 	}
-	if m.own[s.Server] == nil {
-		if len(m.own) >= maxMoving {
+	if m.serverCounts[s.Server] == nil {
+		if len(m.serverCounts) >= maxInTransition {
 			return
 		}
-		m.own[s.Server] = &Counts{}
+		m.serverCounts[s.Server] = &Counts{}
 	}
-	m.own[s.Server].add(s)
+	m.serverCounts[s.Server].add(s)
 }
 
-// sizeOf is a prompt's class: to 256 tokens, and for each doubling.
-func sizeOf(tokens int) uint8 { return uint8(min(max(bits.Len(uint(max(tokens, 0)))-8, 0), sizes-1)) }
+// sizeClass is a prompt's class: to 256 tokens, and for each doubling.
+func sizeClass(tokens int) uint8 {
+	return uint8(min(max(bits.Len(uint(max(tokens, 0)))-8, 0), sizeClasses-1))
+}
 
-// Seen is what a report tells of both sides.
-type Seen struct {
-	Cells []SeenCell         `msgpack:"c,omitempty"`
-	Own   map[string]*Counts `msgpack:"o,omitempty"` // by server on its way in
+// SampleReport is what a report tells of both sides.
+type SampleReport struct {
+	Strata  []StratumCounts    `msgpack:"c,omitempty"`
+	Servers map[string]*Counts `msgpack:"o,omitempty"` // by server on its way in
 }
 
-// SeenCell is the counts of a cell.
-type SeenCell struct {
-	Cell
+// StratumCounts is the counts of a cell.
+type StratumCounts struct {
+	Stratum
 	Counts `msgpack:"Counts,noinline"` // its keys are also some of Cell's
 }
 
 // Take hands out what is new since it was taken last.
-func (m *Meter) Take() Seen {
-	var s Seen
-	for cell, c := range m.cells {
-		s.Cells = append(s.Cells, SeenCell{cell, *c})
+func (m *SampleRecorder) Take() SampleReport {
+	var s SampleReport
+	for cell, c := range m.counts {
+		s.Strata = append(s.Strata, StratumCounts{cell, *c})
 	}
-	if len(m.own) > 0 {
-		s.Own = m.own
+	if len(m.serverCounts) > 0 {
+		s.Servers = m.serverCounts
 	}
-	m.cells, m.own = map[Cell]*Counts{}, map[string]*Counts{}
+	m.counts, m.serverCounts = map[Stratum]*Counts{}, map[string]*Counts{}
 	return s
 }
 
@@ -170,130 +174,132 @@
 
 // The rulings. Open: too few requests were compared.
 const (
-	Open Ruling = iota
-	Fine
-	Worse
+	RulingInconclusive Ruling = iota
+	RulingPass
+	RulingFail
 )
 
 // Verdict is a ruling and what it rests on.
 type Verdict struct {
-	Ruling Ruling  `json:"ruling"`
-	Why    string  `json:"why,omitempty"`
-	Old    float64 `json:"old"` // requests compared, faded
-	New    float64 `json:"new"`
-	Slower float64 `json:"slower"` // ratio of times to the first token
+	Ruling           Ruling  `json:"ruling"`
+	Reason           string  `json:"why,omitempty"`
+	BaselineRequests float64 `json:"old"` // requests compared, faded
+	CanaryRequests   float64 `json:"new"`
+	LatencyRatio     float64 `json:"slower"` // ratio of times to the first token
 }
 
 // Judge compares the new revision with the old one: by strata of one kind, length, class of groups
 // and slot of time, put together as Mantel and Haenszel do. It is not safe for concurrent use.
 type Judge struct {
-	ends  time.Duration // of the slot
-	cells map[Cell]*Counts
-	sums  map[family]*sums
+	slotEndsAt  time.Duration // of the slot
+	counts      map[Stratum]*Counts
+	comparisons map[cohort]*comparison
 }
 
-// family is a set of strata that is judged by itself; the zero value is all of them.
-type family struct {
+// cohort is a set of strata that is judged by itself; the zero value is all of them.
+type cohort struct {
 	route string
 	size  int // 1 + the class; 0: all
 	class int
 }
 
 const (
-	failed = iota
-	refused
-	late
-	paused
-	slower
-	longer
-	measures
+	metricFailures = iota
+	metricRejections
+	metricLateness
+	metricStalls
+	metricLatency
+	metricLength
+	metricCount
 )
 
-var measureNames = [measures]string{"fail", "are turned away", "are late", "pause too long", "slower", "length"}
+var metricNames = [metricCount]string{"fail", "are turned away", "are late", "pause too long", "slower", "length"}
 
-// sums is what strata came to. For each measure the weights of the strata, the weighted differences
+// comparison is what strata came to. For each measure the weights of the strata, the weighted differences
 // and their variance.
-type sums struct {
-	old, new  float64
-	weight    [measures]float64
-	diff, dev [measures]float64
+type comparison struct {
+	baseline, canary     float64
+	weight               [metricCount]float64
+	difference, variance [metricCount]float64
 }
 
 // NewJudge returns one that has compared nothing.
-func NewJudge() *Judge { return &Judge{cells: map[Cell]*Counts{}, sums: map[family]*sums{}} }
+func NewJudge() *Judge {
+	return &Judge{counts: map[Stratum]*Counts{}, comparisons: map[cohort]*comparison{}}
+}
 
 // Add takes what an agent saw.
-func (j *Judge) Add(cells []SeenCell) {
-	for i := range cells[:min(len(cells), maxCells)] {
+func (j *Judge) Add(cells []StratumCounts) {
+	for i := range cells[:min(len(cells), maxStrata)] {
 		c := &cells[i]
-		if !c.sane() || c.Size >= sizes || c.Class >= classes || len(c.Route) > maxName {
+		if !c.plausible() || c.Size >= sizeClasses || c.Class >= groupClasses || len(c.Route) > maxName {
 			continue
 		}
-		if j.cells[c.Cell] == nil {
-			if len(j.cells) >= 2*maxCells {
+		if j.counts[c.Stratum] == nil {
+			if len(j.counts) >= 2*maxStrata {
 				continue
 			}
-			j.cells[c.Cell] = &Counts{}
+			j.counts[c.Stratum] = &Counts{}
 		}
-		j.cells[c.Cell].merge(&c.Counts)
+		j.counts[c.Stratum].merge(&c.Counts)
 	}
 }
 
 // Tick ends the slot when it is over.
 func (j *Judge) Tick(now time.Duration) {
-	if j.ends == 0 {
-		j.ends = now + slot
+	if j.slotEndsAt == 0 {
+		j.slotEndsAt = now + slotDuration
 	}
-	if now < j.ends {
+	if now < j.slotEndsAt {
 		return
 	}
-	fade := math.Exp(-float64(now-j.ends+slot) / float64(memory))
-	j.ends = now + slot
-	for f, s := range j.sums {
-		s.old, s.new = s.old*fade, s.new*fade
-		for i := range measures {
-			s.weight[i], s.diff[i], s.dev[i] = s.weight[i]*fade, s.diff[i]*fade, s.dev[i]*fade*fade
+	fade := math.Exp(-float64(now-j.slotEndsAt+slotDuration) / float64(comparisonDecayTime))
+	j.slotEndsAt = now + slotDuration
+	for f, s := range j.comparisons {
+		s.baseline, s.canary = s.baseline*fade, s.canary*fade
+		for i := range metricCount {
+			s.weight[i], s.difference[i], s.variance[i] = s.weight[i]*fade, s.difference[i]*fade, s.variance[i]*fade*fade
 		}
-		if s.old+s.new < 0.5 {
-			delete(j.sums, f)
+		if s.baseline+s.canary < 0.5 {
+			delete(j.comparisons, f)
 		}
 	}
 	// In one order, so that sums come out alike whoever adds them up.
-	var order []Cell
-	for cell := range j.cells {
+	var order []Stratum
+	for cell := range j.counts {
 		if cell.New {
 			order = append(order, cell)
 		}
 	}
-	slices.SortFunc(order, func(a, b Cell) int {
+	slices.SortFunc(order, func(a, b Stratum) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Size, b.Size), cmp.Compare(a.Class, b.Class))
 	})
 	for _, cell := range order {
 		was := cell
 		was.New = false
-		o, n := j.cells[was], j.cells[cell]
+		o, n := j.counts[was], j.counts[cell]
 		if o == nil {
 			continue
 		}
 		size, class := int(cell.Size)+1, int(cell.Class)+1
-		for _, f := range []family{{}, {route: cell.Route}, {route: cell.Route, size: size}, {route: cell.Route, class: class}} {
-			s := j.sums[f]
+		for _, f := range []cohort{{}, {route: cell.Route}, {route: cell.Route, size: size}, {route: cell.Route, class: class}} {
+			s := j.comparisons[f]
 			if s == nil {
-				if len(j.sums) >= maxFamilies {
+				if len(j.comparisons) >= maxCohorts {
 					continue
 				}
-				s = &sums{}
-				j.sums[f] = s
+				s = &comparison{}
+				j.comparisons[f] = s
 			}
-			s.compare(o, n)
+			s.addStratum(o, n)
 		}
 	}
-	clear(j.cells)
+	clear(j.counts)
 }
 
-// compare adds one stratum.
-func (s *sums) compare(o, n *Counts) {
-	s.old, s.new = s.old+float64(o.N), s.new+float64(n.N)
+// addStratum adds one stratum.
+func (s *comparison) addStratum(o, n *Counts) {
+	s.baseline, s.canary = s.baseline+float64(o.Attempts), s.canary+float64(n.Attempts)
 	part := func(m, xo, no, xn, nn int) {
 		if no == 0 || nn == 0 {
 			return
@@ -301,15 +307,15 @@
 		a, b := float64(nn), float64(no)
 		all, hit := a+b, float64(xo+xn)
 		s.weight[m] += a * b / all
-		s.diff[m] += (float64(xn)*b - float64(xo)*a) / all
+		s.difference[m] += (float64(xn)*b - float64(xo)*a) / all
 		if all > 1 {
-			s.dev[m] += a * b * hit * (all - hit) / (all * all * (all - 1))
+			s.variance[m] += a * b * hit * (all - hit) / (all * all * (all - 1))
 		}
 	}
-	part(failed, o.Failed, o.N-o.Refused, n.Failed, n.N-n.Refused)
-	part(refused, o.Refused, o.N, n.Refused, n.N)
-	part(late, o.Late, o.Warm, n.Late, n.Warm)
-	part(paused, o.Paused, o.Answered, n.Paused, n.Answered)
+	part(metricFailures, o.Failed, o.Attempts-o.Rejected, n.Failed, n.Attempts-n.Rejected)
+	part(metricRejections, o.Rejected, o.Attempts, n.Rejected, n.Attempts)
+	part(metricLateness, o.Late, o.CacheHits, n.Late, n.CacheHits)
+	part(metricStalls, o.Stalled, o.Answered, n.Stalled, n.Answered)
 	mean := func(m, no int, so, qo float64, nn int, sn, qn float64) {
 		if no == 0 || nn == 0 || no+nn < 3 {
 			return
@@ -318,28 +324,28 @@
 		w := a * b / (a + b)
 		spread := math.Max(qo-so*so/b, 0) + math.Max(qn-sn*sn/a, 0)
 		s.weight[m] += w
-		s.diff[m] += w * (sn/a - so/b)
+		s.difference[m] += w * (sn/a - so/b)
 		// Strata of a few requests know little of their spread: it is taken to be no less than a
 		// tenth either way.
-		s.dev[m] += w * math.Max(spread/(a+b-2), 0.01)
+		s.variance[m] += w * math.Max(spread/(a+b-2), 0.01)
 	}
-	mean(slower, o.Warm, o.First, o.FirstSq, n.Warm, n.First, n.FirstSq)
-	mean(longer, o.Whole, o.Length, o.LengthSq, n.Whole, n.Length, n.LengthSq)
+	mean(metricLatency, o.CacheHits, o.LogFirstToken, o.LogFirstTokenSquared, n.CacheHits, n.LogFirstToken, n.LogFirstTokenSquared)
+	mean(metricLength, o.Completed, o.LogEvents, o.LogEventsSquared, n.Completed, n.LogEvents, n.LogEventsSquared)
 }
 
-// worse is the measure in which the new side is surely worse than is borne, -1 if there is none.
-func (s *sums) worse(spec *JudgeSpec, z float64) (measure int, diff float64) {
-	borne := [measures]float64{spec.FailBy, spec.RefuseBy, spec.LateBy, spec.PauseBy, math.Log(spec.SlowerBy), math.Log(math.Max(spec.LengthBy, 1))}
-	for m := range measures {
-		if s.weight[m] <= 0 || m == longer && spec.LengthBy == 0 {
+// regression is the measure in which the new side is surely worse than is borne, -1 if there is none.
+func (s *comparison) regression(spec *JudgeSpec, z float64) (measure int, diff float64) {
+	borne := [metricCount]float64{spec.MaxFailureIncrease, spec.MaxRejectionIncrease, spec.MaxLatenessIncrease, spec.MaxStallIncrease, math.Log(spec.MaxLatencyRatio), math.Log(math.Max(spec.MaxLengthRatio, 1))}
+	for m := range metricCount {
+		if s.weight[m] <= 0 || m == metricLength && spec.MaxLengthRatio == 0 {
 			continue
 		}
-		d, dev := s.diff[m]/s.weight[m], math.Sqrt(s.dev[m])/s.weight[m]
-		if m == longer {
+		d, dev := s.difference[m]/s.weight[m], math.Sqrt(s.variance[m])/s.weight[m]
+		if m == metricLength {
 			d = math.Abs(d)
 		}
 		chance := z * dev
-		if m < slower { // as Bernstein bounds it: few of a few may be chance
+		if m < metricLatency { // as Bernstein bounds it: few of a few may be chance
 			chance += z * z / (3 * s.weight[m])
 		}
 		if d-chance > borne[m] {
@@ -351,47 +357,47 @@
 
 // Verdict is what holds by now.
 func (j *Judge) Verdict(spec *JudgeSpec) Verdict {
-	all := j.sums[family{}]
+	all := j.comparisons[cohort{}]
 	if all == nil {
-		return Verdict{Slower: 1, Why: fmt.Sprintf("0 of %d requests were compared", spec.Samples)}
+		return Verdict{LatencyRatio: 1, Reason: fmt.Sprintf("0 of %d requests were compared", spec.MinSamples)}
 	}
-	v := Verdict{Ruling: Fine, Old: all.old, New: all.new, Slower: 1}
-	if all.weight[slower] > 0 {
-		v.Slower = math.Exp(all.diff[slower] / all.weight[slower])
+	v := Verdict{Ruling: RulingPass, BaselineRequests: all.baseline, CanaryRequests: all.canary, LatencyRatio: 1}
+	if all.weight[metricLatency] > 0 {
+		v.LatencyRatio = math.Exp(all.difference[metricLatency] / all.weight[metricLatency])
 	}
-	if n := math.Min(all.old, all.new); n < float64(spec.Samples) {
-		v.Ruling, v.Why = Open, fmt.Sprintf("%.0f of %d requests were compared", n, spec.Samples)
+	if n := math.Min(all.baseline, all.canary); n < float64(spec.MinSamples) {
+		v.Ruling, v.Reason = RulingInconclusive, fmt.Sprintf("%.0f of %d requests were compared", n, spec.MinSamples)
 		// What fails at once need not be sent as many requests as what is fine.
-		if n < float64(min(spec.Samples, 30)) {
+		if n < float64(min(spec.MinSamples, 30)) {
 			return v
 		}
 	}
-	var names []family
-	for f := range j.sums {
+	var names []cohort
+	for f := range j.comparisons {
 		names = append(names, f)
 	}
-	slices.SortFunc(names, func(a, b family) int {
+	slices.SortFunc(names, func(a, b cohort) int {
 		return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.size, b.size), cmp.Compare(a.class, b.class))
 	})
 	for _, f := range names {
-		s, limit := j.sums[f], zOne
-		if f == (family{}) {
-			limit = z
+		s, limit := j.comparisons[f], cohortDeviations
+		if f == (cohort{}) {
+			limit = overallDeviations
 		}
-		if math.Min(s.old, s.new) < 30 {
+		if math.Min(s.baseline, s.canary) < 30 {
 			continue
 		}
-		if m, d := s.worse(spec, limit); m >= 0 {
-			v.Ruling, v.Why = Worse, fmt.Sprintf("%s: %s", f, describe(m, d))
+		if m, d := s.regression(spec, limit); m >= 0 {
+			v.Ruling, v.Reason = RulingFail, fmt.Sprintf("%s: %s", f, describeRegression(m, d))
 			return v
 		}
 	}
 	return v
 }
 
-func (f family) String() string {
+func (f cohort) String() string {
 	switch {
-	case f == family{}:
+	case f == cohort{}:
 		return "all requests"
 	case f.size > 0:
 		return fmt.Sprintf("route %s, prompts up to %d tokens", f.route, 1<<(f.size+7)-1)
@@ -401,12 +407,12 @@
 	return "route " + f.route
 }
 
-func describe(m int, d float64) string {
+func describeRegression(m int, d float64) string {
 	switch m {
-	case slower:
+	case metricLatency:
 		return fmt.Sprintf("first tokens take %.2f times as long", math.Exp(d))
-	case longer:
+	case metricLength:
 		return fmt.Sprintf("streams differ in length by a factor of %.2f", math.Exp(d))
 	}
-	return fmt.Sprintf("%.1f in 100 more %s", 100*d, measureNames[m])
+	return fmt.Sprintf("%.1f in 100 more %s", 100*d, metricNames[m])
 }
--- a/internal/fleet/rollout/parts_test.go
+++ b/internal/fleet/rollout/parts_test.go
@@ -15,14 +15,14 @@
 func TestSharesByStep(t *testing.T) {
 	r := started(t)
 	assert.InDelta(t, 1, r.Rules().Share("any", "", 2), 0, "no stock was taken: nothing changes")
-	r.Begun = true
-	r.Out = []Leaving{{ID: "a", Addr: "x", Step: Thin}, {ID: "b", Step: Thinner}, {ID: "c", Step: Closed}, {ID: "d", Step: Passing}, {ID: "e", Addr: "y", Step: Replacing}}
-	r.In = []Entering{{ID: "f", Step: Filling}, {ID: "g", Step: Third}}
-	r.addFull("h")
+	r.Initialized = true
+	r.Draining = []DrainingServer{{ID: "a", Addr: "x", Step: DrainThird}, {ID: "b", Step: DrainTenth}, {ID: "c", Step: DrainClosed}, {ID: "d", Step: DrainMigrating}, {ID: "e", Addr: "y", Step: DrainReplacing}}
+	r.Ramping = []RampingServer{{ID: "f", Step: RampWarming}, {ID: "g", Step: RampThird}}
+	r.addFullShare("h")
 	u := r.Rules()
 	for id, want := range map[string]float64{"a": 0.3, "b": 0.1, "c": 0, "d": 0, "e": 0} {
 		assert.InDelta(t, want, u.Share(id, "", 1), 0, id)
-		assert.True(t, u.Leaving(id))
+		assert.True(t, u.IsDraining(id))
 	}
 	assert.InDelta(t, 0.1, u.Share("f", "", 2), 0)
 	assert.InDelta(t, 0.3, u.Share("g", "", 2), 0)
@@ -30,11 +30,11 @@
 	assert.InDelta(t, 0, u.Share("new", "", 2), 0, "nobody has taken it in")
 	assert.InDelta(t, 1, u.Share("old", "", 1), 0)
 	assert.InDelta(t, 1, u.Share("other", "", -1), 0)
-	assert.True(t, u.Filling("f"))
-	assert.False(t, u.Filling("g"))
-	assert.True(t, u.Pass("d"))
-	assert.False(t, u.Pass("c"))
-	assert.Equal(t, 3, len(u.Out()))
+	assert.True(t, u.IsWarming("f"))
+	assert.False(t, u.IsWarming("g"))
+	assert.True(t, u.ShouldMigrate("d"))
+	assert.False(t, u.ShouldMigrate("c"))
+	assert.Equal(t, 3, len(u.ClosedServers()))
 
 	// An abort changes nothing before the holder has taken stock, and then the sides.
 	b, err := r.Abort(1, "")
@@ -42,80 +42,80 @@
 	assert.InDelta(t, 1, b.Rules().Share("h", "", 2), 0)
 	assert.InDelta(t, 0, b.Rules().Share("new", "", 2), 0)
 	assert.InDelta(t, 1, b.Rules().Share("old", "", 1), 0)
-	b.Begun, b.Full = true, nil
-	b.addFull("old")
+	b.Initialized, b.FullShare = true, nil
+	b.addFullShare("old")
 	assert.InDelta(t, 1, b.Rules().Share("old", "", 1), 0)
 	assert.InDelta(t, 0, b.Rules().Share("unknown", "", 1), 0)
 	assert.InDelta(t, 0, b.Rules().Share("late", "y", 2), 0, "it was handed over before, and came up with what is left")
 	assert.InDelta(t, 1, b.Rules().Share("h", "z", 2), 0)
-	b.end(TurnedBack)
+	b.finish(PhaseRolledBack)
 	assert.InDelta(t, 1, b.Rules().Share("late", "y", 2), 0)
 }
 
 func TestSharesOfSessionsAreNestedAndEven(t *testing.T) {
 	const n = 20000
-	for _, share := range []float64{tenth, third} {
+	for _, share := range []float64{tenthShare, thirdShare} {
 		got := 0
 		for i := range uint64(n) {
-			if Takes("s", i, share) {
+			if AcceptsSession("s", i, share) {
 				got++
-				assert.True(t, Takes("s", i, 1))
-				if share == tenth {
-					assert.True(t, Takes("s", i, third))
+				assert.True(t, AcceptsSession("s", i, 1))
+				if share == tenthShare {
+					assert.True(t, AcceptsSession("s", i, thirdShare))
 				}
 			}
 		}
 		assert.InDelta(t, share, float64(got)/n, 0.01)
 	}
-	assert.False(t, Takes("s", 1, 0))
+	assert.False(t, AcceptsSession("s", 1, 0))
 }
 
 func TestSessionsKeepTheirRevision(t *testing.T) {
-	s := &Sessions{}
+	s := &SessionAffinity{}
 	now := time.Hour
 	for i := range uint64(5000) {
-		s.Ran(now, i, s.New(i, 0.5))
+		s.Record(now, i, s.PrefersNew(i, 0.5))
 	}
 	strayed := 0
 	for i := range uint64(5000) {
 		was := part2(i) < 0.5
-		if s.New(i, 0.9) != was {
+		if s.PrefersNew(i, 0.9) != was {
 			strayed++
 		}
-		if s.New(i, 0.1) != was {
+		if s.PrefersNew(i, 0.1) != was {
 			strayed++
 		}
 	}
 	assert.LessOrEqual(t, strayed, 100, "strangers are mistaken for others now and then")
 	fresh := 0
 	for i := range uint64(5000) {
-		if s.New(1<<40+i, 0.9) {
+		if s.PrefersNew(1<<40+i, 0.9) {
 			fresh++
 		}
 	}
 	assert.InDelta(t, 4500, fresh, 250)
 	// Silent ones are forgotten, as are those beyond what it remembers.
-	s.Ran(now+2*sessionWindow, 1<<50, true)
-	s.Ran(now+4*sessionWindow, 1<<51, true)
+	s.Record(now+2*sessionWindow, 1<<50, true)
+	s.Record(now+4*sessionWindow, 1<<51, true)
 	changed := 0
 	for i := range uint64(5000) {
-		if s.New(i, 1) != (part2(i) < 0.5) {
+		if s.PrefersNew(i, 1) != (part2(i) < 0.5) {
 			changed++
 		}
 	}
 	assert.Greater(t, changed, 2300)
-	for i := range uint64(10 * sessionMost) {
-		s.Ran(now+4*sessionWindow, i, true)
+	for i := range uint64(10 * sessionFilterCapacity) {
+		s.Record(now+4*sessionWindow, i, true)
 	}
-	assert.LessOrEqual(t, s.count, sessionMost)
+	assert.LessOrEqual(t, s.count, sessionFilterCapacity)
 }
 
 // part2 is where a session stands that nobody remembers.
 func part2(session uint64) float64 {
 	lo, hi := 0.0, 1.0
-	var s Sessions
+	var s SessionAffinity
 	for range 50 {
-		if mid := (lo + hi) / 2; s.New(session, mid) {
+		if mid := (lo + hi) / 2; s.PrefersNew(session, mid) {
 			hi = mid
 		} else {
 			lo = mid
@@ -126,10 +126,10 @@
 
 func TestFillingGoesAtItsPace(t *testing.T) {
 	r := started(t)
-	r.Begun = true
-	r.In = []Entering{{ID: "a"}, {ID: "b"}}
+	r.Initialized = true
+	r.Ramping = []RampingServer{{ID: "a"}, {ID: "b"}}
 	u := r.Rules()
-	f := NewFiller()
+	f := NewWarmupLimiter()
 	const agents = 4
 	n := 0
 	for at := time.Duration(0); at < 100*time.Second; at += 10 * time.Millisecond {
@@ -137,52 +137,52 @@
 			n++
 		}
 	}
-	assert.InDelta(t, 100*u.Fill/agents, n, 3)
-	for i := range 10 * maxMoving {
+	assert.InDelta(t, 100*u.WarmupPromptsPerSecond/agents, n, 3)
+	for i := range 10 * maxInTransition {
 		f.Allow(0, u, fmt.Sprint("x", i), agents)
 	}
-	assert.LessOrEqual(t, len(f.limits), maxMoving)
+	assert.LessOrEqual(t, len(f.limits), maxInTransition)
 }
 
 func TestGroupsKnowWhoHoldsThem(t *testing.T) {
 	s := spec(t)
 	now := time.Hour
-	g := NewGroups()
+	g := NewReplicaMap()
 	g.Tick(now)
-	a, b := NewTracker(), NewTracker()
+	a, b := NewSendTracker(), NewSendTracker()
 	hot := Group{"r.dossier", 77}
 	for i := range 400 {
-		a.Sent(now, []string{"x", "y"}[i%2], hot)
-		a.Sent(now, "x", Group{"quick", uint64(i)})
+		a.Record(now, []string{"x", "y"}[i%2], hot)
+		a.Record(now, "x", Group{"quick", uint64(i)})
 	}
 	for range 30 {
-		b.Sent(now, "x", Group{"quick", 1000})
+		b.Record(now, "x", Group{"quick", 1000})
 	}
-	b.Sent(now, "z", Group{"quick", 1000})
+	b.Record(now, "z", Group{"quick", 1000})
 	ra, rb := a.Take(), b.Take()
 	g.Add(s, "n", &ra)
 	g.Add(s, "s", &rb)
 	assert.Empty(t, a.Take().Buckets)
 
-	servers := map[string]replica{"x": {"n", oldSide, true}, "y": {"n", oldSide, true}, "z": {"n", newSide, true}, "w": {"s", oldSide, true}}
-	n, worst := g.short("x", servers, 20, false)
+	servers := map[string]serverReplica{"x": {"n", oldRevision, true}, "y": {"n", oldRevision, true}, "z": {"n", newRevision, true}, "w": {"s", oldRevision, true}}
+	n, worst := g.shortages("x", servers, 20, false)
 	assert.Equal(t, 2, n, "the hot one by its hash and by its name; the others come seldom or are asked for elsewhere")
 	assert.Equal(t, 3, worst.Need)
 	assert.Equal(t, 1, worst.Have)
 	assert.Contains(t, worst.Group, "r.dossier/")
-	n, _ = g.short("x", servers, 20, true)
+	n, _ = g.shortages("x", servers, 20, true)
 	assert.Zero(t, n, "y holds it, too")
 	y := servers["y"]
 	y.serves = false
 	servers["y"] = y
-	n, worst = g.short("x", servers, 20, true)
+	n, worst = g.shortages("x", servers, 20, true)
 	assert.Equal(t, 2, n)
-	assert.Equal(t, Short{worst.Group, 0, 1}, worst)
-	n, _ = g.short("w", servers, 20, false)
+	assert.Equal(t, Shortage{worst.Group, 0, 1}, worst)
+	n, _ = g.shortages("w", servers, 20, false)
 	assert.Zero(t, n)
 
 	for range 2 * epochs {
-		now += epoch
+		now += epochDuration
 		g.Tick(now)
 	}
 	assert.Empty(t, g.rows)
@@ -191,25 +191,25 @@
 
 func TestGroupsAreBounded(t *testing.T) {
 	s := spec(t)
-	g, tr := NewGroups(), NewTracker()
-	for i := range 4 * maxPairs {
+	g, tr := NewReplicaMap(), NewSendTracker()
+	for i := range 4 * maxReportPairs {
 		for range 3 {
-			tr.Sent(time.Second, fmt.Sprint("s", i), Group{"quick", uint64(i)})
+			tr.Record(time.Second, fmt.Sprint("s", i), Group{"quick", uint64(i)})
 		}
 	}
-	assert.LessOrEqual(t, len(tr.pairs), maxPairs)
-	assert.LessOrEqual(t, len(tr.hot), hotKeys)
+	assert.LessOrEqual(t, len(tr.bucketSends), maxReportPairs)
+	assert.LessOrEqual(t, len(tr.hotCounts), trackedHotGroups)
 	r := tr.Take()
 	for i := range 4 {
 		g.Add(s, fmt.Sprint("region", i*7), &r)
 	}
-	many := Sends{Hot: map[string][]Hot{"x": nil}, Buckets: map[string]map[string][]uint32{}}
-	for i := range 3 * maxHot {
-		many.Hot["x"] = append(many.Hot["x"], Hot{Group{"r", uint64(i)}, -5})
+	many := Sends{Hot: map[string][]HotGroupSends{"x": nil}, Buckets: map[string]map[string][]uint32{}}
+	for i := range 3 * maxHotGroups {
+		many.Hot["x"] = append(many.Hot["x"], HotGroupSends{Group{"r", uint64(i)}, -5})
 		many.Buckets[fmt.Sprint(i)] = map[string][]uint32{"x": {math.MaxUint32}}
 	}
 	g.Add(s, "n", &many)
-	assert.LessOrEqual(t, len(g.hot), maxHot)
+	assert.LessOrEqual(t, len(g.hot), maxHotGroups)
 	assert.LessOrEqual(t, len(g.regions), maxRegions)
 	assert.LessOrEqual(t, len(g.routes), 254)
 }
@@ -218,16 +218,16 @@
 func TestAReportIsSmall(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	zipf := rand.NewZipf(rng, 1.1, 20, 1_600_000)
-	tr, m := NewTracker(), NewMeter()
+	tr, m := NewSendTracker(), NewSampleRecorder()
 	bytes, reports := 0, 0
 	for at := time.Second; at < 300*time.Second; at += time.Second {
 		for range 19 {
 			g := Group{"r-" + fmt.Sprint(rng.IntN(4)), zipf.Uint64() + 1}
 			s := fmt.Sprintf("i-%08x", g.Key%850)
-			tr.Sent(at, s, g)
-			m.Ended(&Sample{Group: g, Prompt: 500 << rng.IntN(5), Server: s, First: 300 * time.Millisecond, Aim: 800 * time.Millisecond, Events: 50}, rng.IntN(2) == 0, false)
+			tr.Record(at, s, g)
+			m.Record(&Sample{Group: g, PromptTokens: 500 << rng.IntN(5), Server: s, FirstToken: 300 * time.Millisecond, FirstTokenTarget: 800 * time.Millisecond, Events: 50}, rng.IntN(2) == 0, false)
 		}
-		r := &Report{Source: "agent/0123456789ab", Seq: uint64(at / time.Second), Region: "north", Number: 1, Obeys: 7, Sends: tr.Take(), Seen: m.Take()}
+		r := &Report{Source: "agent/0123456789ab", Seq: uint64(at / time.Second), Region: "north", Rollout: 1, AppliedVersion: 7, Sends: tr.Take(), Samples: m.Take()}
 		raw, err := msgpack.Marshal(r)
 		require.NoError(t, err)
 		bytes += len(raw)
@@ -241,7 +241,7 @@
 // often as it changes.
 func judged(seed uint64, seconds int, perSecond float64, newPart float64, change func(s *Sample, isNew bool, rng *rand.Rand), look func(*Judge)) *Judge {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	j, m := NewJudge(), NewMeter()
+	j, m := NewJudge(), NewSampleRecorder()
 	for sec := range seconds {
 		// Load and mix change in time, and new servers get another mix.
 		load := 1 + 0.8*math.Sin(float64(sec)/200)
@@ -252,17 +252,17 @@
 				prompt = 6000
 			}
 			first := (40 + float64(prompt)/60) * load * math.Exp(0.4*rng.NormFloat64())
-			s := &Sample{Group: Group{[]string{"a", "b"}[prompt/3001], uint64(rng.IntN(50))}, Prompt: prompt, Server: "s",
-				First: time.Duration(first * 1e6), Aim: 300 * time.Millisecond, GapAim: 300 * time.Millisecond, Pause: time.Duration(100+100*rng.ExpFloat64()) * time.Millisecond,
-				Events: 20 + rng.IntN(60), Failed: rng.Float64() < 0.01, Refused: rng.Float64() < 0.02*load}
+			s := &Sample{Group: Group{[]string{"a", "b"}[prompt/3001], uint64(rng.IntN(50))}, PromptTokens: prompt, Server: "s",
+				FirstToken: time.Duration(first * 1e6), FirstTokenTarget: 300 * time.Millisecond, GapTarget: 300 * time.Millisecond, LongestGap: time.Duration(100+100*rng.ExpFloat64()) * time.Millisecond,
+				Events: 20 + rng.IntN(60), Failed: rng.Float64() < 0.01, Rejected: rng.Float64() < 0.02*load}
 			if change != nil {
 				change(s, isNew, rng)
 			}
-			m.Ended(s, isNew, false)
+			m.Record(s, isNew, false)
 		}
-		j.Add(m.Take().Cells)
+		j.Add(m.Take().Strata)
 		j.Tick(time.Duration(sec+1) * time.Second)
-		if look != nil && sec%int(slot/time.Second) == 0 {
+		if look != nil && sec%int(slotDuration/time.Second) == 0 {
 			look(j)
 		}
 	}
@@ -272,7 +272,7 @@
 // Two revisions that are alike are never told apart, however often one looks and whatever load and
 // mix do.
 func TestAlikeRevisionsAreFine(t *testing.T) {
-	sp := defaults().Judge
+	sp := defaultSpec().Judge
 	seeds := uint64(60)
 	if slow {
 		seeds = 2
@@ -281,66 +281,66 @@
 		for _, part := range []float64{0.01, 0.5, 0.95} {
 			j := judged(seed, 600, 40, part, nil, func(j *Judge) {
 				v := j.Verdict(&sp)
-				assert.NotEqual(t, Worse, v.Ruling, "seed %d, part %v: %+v", seed, part, v)
+				assert.NotEqual(t, RulingFail, v.Ruling, "seed %d, part %v: %+v", seed, part, v)
 			})
 			v := j.Verdict(&sp)
 			if part == 0.5 {
-				assert.Equal(t, Fine, v.Ruling)
-				assert.InDelta(t, 1, v.Slower, 0.03)
+				assert.Equal(t, RulingPass, v.Ruling)
+				assert.InDelta(t, 1, v.LatencyRatio, 0.03)
 			}
 		}
 	}
 }
 
 func TestWhatIsWorseIsFound(t *testing.T) {
-	sp := defaults().Judge
+	sp := defaultSpec().Judge
 	for name, change := range map[string]func(s *Sample, isNew bool, rng *rand.Rand){
 		"fail":            func(s *Sample, isNew bool, rng *rand.Rand) { s.Failed = s.Failed || isNew && rng.Float64() < 0.06 },
-		"are turned away": func(s *Sample, isNew bool, rng *rand.Rand) { s.Refused = s.Refused || isNew && rng.Float64() < 0.12 },
+		"are turned away": func(s *Sample, isNew bool, rng *rand.Rand) { s.Rejected = s.Rejected || isNew && rng.Float64() < 0.12 },
 		"pause too long": func(s *Sample, isNew bool, rng *rand.Rand) {
-			s.Pause += map[bool]time.Duration{true: 150 * time.Millisecond}[isNew]
+			s.LongestGap += map[bool]time.Duration{true: 150 * time.Millisecond}[isNew]
 		},
 		"late": func(s *Sample, isNew bool, _ *rand.Rand) {
-			s.First = time.Duration(float64(s.First) * map[bool]float64{true: 1.7, false: 1}[isNew])
+			s.FirstToken = time.Duration(float64(s.FirstToken) * map[bool]float64{true: 1.7, false: 1}[isNew])
 		},
 		"streams differ": func(s *Sample, isNew bool, _ *rand.Rand) { s.Events *= map[bool]int{true: 4, false: 1}[isNew] },
 		"route b": func(s *Sample, isNew bool, rng *rand.Rand) {
 			s.Failed = s.Failed || isNew && s.Group.Route == "b" && rng.Float64() < 0.1
 		},
 		"groups of class 3": func(s *Sample, isNew bool, rng *rand.Rand) {
-			s.Failed = s.Failed || isNew && s.Group.bucket()%classes == 3 && rng.Float64() < 0.3
+			s.Failed = s.Failed || isNew && s.Group.bucket()%groupClasses == 3 && rng.Float64() < 0.3
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := judged(1, 900, 40, 0.3, change, nil).Verdict(&sp)
-			assert.Equal(t, Worse, v.Ruling, "%+v", v)
+			assert.Equal(t, RulingFail, v.Ruling, "%+v", v)
 			if name != "groups of class 3" && name != "route b" {
-				assert.Contains(t, v.Why, name)
+				assert.Contains(t, v.Reason, name)
 			}
 		})
 	}
 	// What is borne is no reason.
 	v := judged(1, 900, 40, 0.3, func(s *Sample, isNew bool, _ *rand.Rand) {
 		if isNew {
-			s.First = s.First * 115 / 100
+			s.FirstToken = s.FirstToken * 115 / 100
 		}
-	}, nil).Verdict(&JudgeSpec{Samples: 100, FailBy: 0.01, RefuseBy: 0.03, LateBy: 0.2, PauseBy: 0.03, SlowerBy: 1.3, LengthBy: 2})
-	assert.Equal(t, Fine, v.Ruling, "%+v", v)
-	assert.InDelta(t, 1.15, v.Slower, 0.03)
+	}, nil).Verdict(&JudgeSpec{MinSamples: 100, MaxFailureIncrease: 0.01, MaxRejectionIncrease: 0.03, MaxLatenessIncrease: 0.2, MaxStallIncrease: 0.03, MaxLatencyRatio: 1.3, MaxLengthRatio: 2})
+	assert.Equal(t, RulingPass, v.Ruling, "%+v", v)
+	assert.InDelta(t, 1.15, v.LatencyRatio, 0.03)
 }
 
 func TestWhatOneAgentReportsWronglyDecidesNothing(t *testing.T) {
 	j := NewJudge()
-	for _, bad := range []Counts{{N: -1}, {N: 1, Failed: 5}, {N: 10, First: math.Inf(1)}, {N: 10, Answered: 10, Warm: 3, Late: 4}, {N: 10, FirstSq: math.NaN()}} {
-		j.Add([]SeenCell{{Cell{Route: "r", New: true}, bad}, {Cell{Route: "r"}, Counts{N: 100}}})
-		assert.NotContains(t, j.cells, Cell{Route: "r", New: true}, "%+v", bad)
+	for _, bad := range []Counts{{Attempts: -1}, {Attempts: 1, Failed: 5}, {Attempts: 10, LogFirstToken: math.Inf(1)}, {Attempts: 10, Answered: 10, CacheHits: 3, Late: 4}, {Attempts: 10, LogFirstTokenSquared: math.NaN()}} {
+		j.Add([]StratumCounts{{Stratum{Route: "r", New: true}, bad}, {Stratum{Route: "r"}, Counts{Attempts: 100}}})
+		assert.NotContains(t, j.counts, Stratum{Route: "r", New: true}, "%+v", bad)
 	}
-	w := NewWatch(started(t))
-	assert.Error(t, w.Report(&Report{}))
-	require.NoError(t, w.Report(&Report{Source: "a", Seq: 2, Number: 1, Obeys: 5}))
-	require.NoError(t, w.Report(&Report{Source: "a", Seq: 1, Number: 1, Obeys: 3}), "a late one is passed over")
-	assert.EqualValues(t, 5, w.Agents([]string{"a", "b"})[0].Obeys)
-	assert.Zero(t, w.Agents([]string{"a", "b"})[1].Obeys)
+	w := NewReportAggregator(started(t))
+	assert.Error(t, w.Add(&Report{}))
+	require.NoError(t, w.Add(&Report{Source: "a", Seq: 2, Rollout: 1, AppliedVersion: 5}))
+	require.NoError(t, w.Add(&Report{Source: "a", Seq: 1, Rollout: 1, AppliedVersion: 3}), "a late one is passed over")
+	assert.EqualValues(t, 5, w.Agents([]string{"a", "b"})[0].AppliedVersion)
+	assert.Zero(t, w.Agents([]string{"a", "b"})[1].AppliedVersion)
 	w.Agents([]string{"b"})
 	assert.Empty(t, w.agents)
 }
--- a/internal/fleet/rollout/record_test.go
+++ b/internal/fleet/rollout/record_test.go
@@ -56,7 +56,7 @@
 
 	b, err := p.Abort(1, "")
 	require.NoError(t, err)
-	assert.Equal(t, Back, b.Phase)
+	assert.Equal(t, PhaseRollback, b.Phase)
 	assert.EqualValues(t, 4, b.Version)
 	twice, err = b.Abort(1, "another operator")
 	require.NoError(t, err)
@@ -64,15 +64,15 @@
 	_, err = b.Start(spec(t))
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 
-	e := b.change()
-	e.end(TurnedBack)
+	e := b.nextVersion()
+	e.finish(PhaseRolledBack)
 	_, err = e.Abort(1, "")
 	assert.Equal(t, apierror.NotFound, apierror.KindOf(err))
 	n, err := e.Start(spec(t))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, n.Number)
-	assert.Len(t, n.Past, 1)
-	assert.Empty(t, n.Why)
+	assert.Len(t, n.History, 1)
+	assert.Empty(t, n.Reason)
 }
 
 // Two operators at once: each order is made on the record that was read, one write is kept.
@@ -99,31 +99,31 @@
 
 func TestANewHolderFencesTheOldOne(t *testing.T) {
 	r := started(t)
-	a, err := r.Seize(1, "a")
+	a, err := r.Claim(1, "a")
 	require.NoError(t, err)
-	same, err := a.Seize(1, "a")
+	same, err := a.Claim(1, "a")
 	require.NoError(t, err)
 	assert.Same(t, a, same)
-	late := a.change() // what a has under way
-	b, err := a.Seize(2, "b")
+	late := a.nextVersion() // what a has under way
+	b, err := a.Claim(2, "b")
 	require.NoError(t, err)
 	assert.Equal(t, late.Version, b.Version, "one of them is kept")
-	_, err = b.Seize(1, "a")
+	_, err = b.Claim(1, "a")
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 }
 
 func TestPartsOfARecordAreOfOne(t *testing.T) {
 	r := started(t)
-	r.Out = []Leaving{{ID: "a", Addr: "x:1", Zone: "z", Step: Passing, Since: 1}}
-	r.addFull("b")
+	r.Draining = []DrainingServer{{ID: "a", Addr: "x:1", Zone: "z", Step: DrainMigrating, Since: 1}}
+	r.addFullShare("b")
 	moving, rest, err := r.Split()
 	require.NoError(t, err)
 	back, ok, err := Join(moving, rest)
 	require.NoError(t, err)
 	require.True(t, ok)
 	assert.Equal(t, r, back)
-	n := r.change()
-	n.addFull("c")
+	n := r.nextVersion()
+	n.addFullShare("c")
 	moving2, rest2, err := n.Split()
 	require.NoError(t, err)
 	_, ok, err = Join(moving2, rest)
@@ -140,26 +140,26 @@
 
 func TestPastIsBounded(t *testing.T) {
 	r := &Record{}
-	for range 3 * maxPast {
+	for range 3 * maxHistory {
 		n, err := r.Start(spec(t))
 		require.NoError(t, err)
-		r = n.change()
-		r.end(Done)
-		require.NoError(t, r.Check())
+		r = n.nextVersion()
+		r.finish(PhaseDone)
+		require.NoError(t, r.Validate())
 	}
-	require.Len(t, r.Past, maxPast)
-	assert.EqualValues(t, 3*maxPast, r.Past[maxPast-1].Number)
+	require.Len(t, r.History, maxHistory)
+	assert.EqualValues(t, 3*maxHistory, r.History[maxHistory-1].Number)
 }
 
 func TestARecordComesBackAsItWas(t *testing.T) {
 	r := started(t)
-	r, err := r.Seize(3, "a")
+	r, err := r.Claim(3, "a")
 	require.NoError(t, err)
-	r.Begun, r.Whole = true, map[string]float64{"r": 4}
-	r.Out = []Leaving{{ID: "a", Addr: "x:1", Zone: "z", Step: Passing, Since: 1}}
-	r.In = []Entering{{ID: "b", Step: Third, Since: 1}}
+	r.Initialized, r.InitialCapacity = true, map[string]float64{"r": 4}
+	r.Draining = []DrainingServer{{ID: "a", Addr: "x:1", Zone: "z", Step: DrainMigrating, Since: 1}}
+	r.Ramping = []RampingServer{{ID: "b", Step: RampThird, Since: 1}}
 	for i := range 850 {
-		r.addFull(fmt.Sprint("s", i))
+		r.addFullShare(fmt.Sprint("s", i))
 	}
 	raw, err := r.Encode()
 	require.NoError(t, err)
@@ -167,8 +167,8 @@
 	back, err := Decode(raw)
 	require.NoError(t, err)
 	assert.Equal(t, r, back)
-	assert.True(t, back.full("s17"))
-	assert.False(t, back.full("s850"))
+	assert.True(t, back.hasFullShare("s17"))
+	assert.False(t, back.hasFullShare("s850"))
 
 	_, err = Decode(raw[:len(raw)/2])
 	assert.Equal(t, apierror.Damaged, apierror.KindOf(err))
@@ -178,13 +178,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, &Record{}, none)
 	for _, bad := range []func(*Record){
-		func(r *Record) { r.Phase = 77 }, func(r *Record) { r.Number = 0 }, func(r *Record) { r.Out[0].Since = 99 }, func(r *Record) { r.In[0].ID = "a" },
-		func(r *Record) { r.Full[0], r.Full[1] = r.Full[1], r.Full[0] }, func(r *Record) { r.Spec.To = r.Spec.From }, func(r *Record) { r.Why = strings.Repeat("x", 600) },
-		func(r *Record) { r.Out = append(r.Out, r.Out[0]) }, func(r *Record) { r.Holder = strings.Repeat("x", 600) },
+		func(r *Record) { r.Phase = 77 }, func(r *Record) { r.Number = 0 }, func(r *Record) { r.Draining[0].Since = 99 }, func(r *Record) { r.Ramping[0].ID = "a" },
+		func(r *Record) { r.FullShare[0], r.FullShare[1] = r.FullShare[1], r.FullShare[0] }, func(r *Record) { r.Spec.To = r.Spec.From }, func(r *Record) { r.Reason = strings.Repeat("x", 600) },
+		func(r *Record) { r.Draining = append(r.Draining, r.Draining[0]) }, func(r *Record) { r.Holder = strings.Repeat("x", 600) },
 	} {
 		c := r.clone()
 		bad(c)
-		assert.Error(t, c.Check())
+		assert.Error(t, c.Validate())
 	}
 }
 
@@ -204,32 +204,32 @@
 	f := newFleet(t, small6(1))
 	f.play(300)
 	f.start()
-	f.until("a few", func() bool { return f.rec.Moved >= 2 })
+	f.until("a few", func() bool { return f.rec.Replaced >= 2 })
 	s := f.machine.Status(f.now, f.rec, f.facts())
-	assert.Equal(t, 6, s.Old+s.New)
-	assert.Positive(t, s.Left)
-	assert.Less(t, s.Left, 3*time.Hour)
+	assert.Equal(t, 6, s.OldServers+s.NewServers)
+	assert.Positive(t, s.TimeLeft)
+	assert.Less(t, s.TimeLeft, 3*time.Hour)
 	text, err := json.Marshal(&s)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `"phase":"forward"`)
 	assert.Contains(t, s.String(), "rollout 1 of s, model m from 1 to 2: forward")
-	f.until("a server for the platform", func() bool { return len(f.rec.Out) > 0 && f.rec.Out[0].Step == Replacing })
+	f.until("a server for the platform", func() bool { return len(f.rec.Draining) > 0 && f.rec.Draining[0].Step == DrainReplacing })
 	s = f.rec.Status(f.facts().Servers)
-	assert.Equal(t, []string{f.rec.Out[0].ID}, s.Replace)
-	assert.False(t, s.Holds)
+	assert.Equal(t, []string{f.rec.Draining[0].ID}, s.Replace)
+	assert.False(t, s.HoldsLease)
 	f.until("the end", f.over)
-	assert.Zero(t, f.machine.Status(f.now, f.rec, f.facts()).Left)
+	assert.Zero(t, f.machine.Status(f.now, f.rec, f.facts()).TimeLeft)
 }
 
 // Whatever servers, agents and operators do, each record that follows is a proper one, on top of the
 // one before it, and with no more servers out than may be, those apart that come in on their own.
 func TestWhateverHappensRecordsAreProper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sp := defaults()
+		sp := defaultSpec()
 		sp.Service, sp.Model, sp.From, sp.To = "s", "m", 1, 2
-		sp.Pace = Pace{AtOnce: rapid.IntRange(1, 3).Draw(t, "at once"), ReplaceS: 60, FillPerS: 1, WaitS: 10}
-		sp.Keep = Keep{Usable: 1, LiveS: 15}
-		sp.Judge.Own = 0
+		sp.Pace = Pace{AtOnce: rapid.IntRange(1, 3).Draw(t, "at once"), ReplaceSeconds: 60, WarmupPromptsPerSecond: 1, WaitSeconds: 10}
+		sp.Safety = Safety{UsableCapacity: 1, LiveSeconds: 15}
+		sp.Judge.MinServerRequests = 0
 		rec, err := (&Record{}).Start(&sp)
 		if err != nil {
 			t.Fatal(err)
@@ -238,14 +238,14 @@
 		var servers []Server
 		serve := func(addr string, revision int) {
 			next++
-			servers = append(servers, Server{ID: fmt.Sprint("s", next), Addr: addr, Zone: "z", Region: "r", Revision: revision, Capacity: 1, Well: true, InFlight: -1})
+			servers = append(servers, Server{ID: fmt.Sprint("s", next), Addr: addr, Zone: "z", Region: "r", Revision: revision, Capacity: 1, Healthy: true, InFlight: -1})
 		}
 		for i := range rapid.IntRange(1, 6).Draw(t, "servers") {
 			serve(fmt.Sprint(i), 1)
 		}
-		m, w := NewMachine(), NewWatch(rec)
-		m.learn = 0
-		w.Judge.sums[family{}] = &sums{old: 1e6, new: 1e6}
+		m, w := NewController(), NewReportAggregator(rec)
+		m.learningPeriod = 0
+		w.Judge.comparisons[cohort{}] = &comparison{baseline: 1e6, canary: 1e6}
 		seq := uint64(0)
 		for range rapid.IntRange(1, 150).Draw(t, "turns") {
 			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "s")) * time.Second
@@ -270,37 +270,37 @@
 					serve(s.Addr, rapid.SampledFrom([]int{1, 2, 2, 2}).Draw(t, "revision"))
 				}
 			case 4:
-				m = NewMachine()
-				m.learn = 0
+				m = NewController()
+				m.learningPeriod = 0
 			default:
 				seq++
-				if err := w.Report(&Report{Source: "a", Seq: seq, Region: "r", Number: rec.Number, Obeys: rec.Version, Held: map[string]int{}}); err != nil {
+				if err := w.Add(&Report{Source: "a", Seq: seq, Region: "r", Rollout: rec.Number, AppliedVersion: rec.Version, InFlight: map[string]int{}}); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for _, l := range rec.Out { // the platform's turn
+			for _, l := range rec.Draining { // the platform's turn
 				for i := range servers {
-					if s := &servers[i]; s.ID == l.ID && l.Step == Replacing && s.State == registry.Ready && rapid.Bool().Draw(t, "replaced") {
+					if s := &servers[i]; s.ID == l.ID && l.Step == DrainReplacing && s.State == registry.Ready && rapid.Bool().Draw(t, "replaced") {
 						s.State = registry.Deregistered
-						serve(s.Addr, rec.target())
+						serve(s.Addr, rec.targetRevision())
 					}
 				}
 			}
-			f := &Facts{Agents: w.Agents([]string{"a"}), Watch: w}
+			f := &Observation{Agents: w.Agents([]string{"a"}), Reports: w}
 			for _, s := range servers {
 				if s.State != registry.Deregistered {
 					f.Servers = append(f.Servers, s)
 				}
 			}
 			was := rec
-			n := m.Step(now, rec, f)
+			n := m.Reconcile(now, rec, f)
 			if n == nil {
 				continue
 			}
 			if n.Version != was.Version+1 || n.Number != was.Number {
 				t.Fatalf("%d of rollout %d follows on %d of %d", n.Version, n.Number, was.Version, was.Number)
 			}
-			if err := n.Check(); err != nil {
+			if err := n.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			if raw, err := n.Encode(); err != nil {
@@ -308,12 +308,12 @@
 			} else if back, err := Decode(raw); err != nil || back.Version != n.Version {
 				t.Fatal(err)
 			}
-			for _, l := range n.Out {
-				if was.leaving(l.ID) == nil && l.Step == Thin && len(n.Out)+len(n.In) > sp.Pace.AtOnce {
-					t.Fatalf("%s is taken, and %d are out", l.ID, len(n.Out)+len(n.In))
+			for _, l := range n.Draining {
+				if was.draining(l.ID) == nil && l.Step == DrainThird && len(n.Draining)+len(n.Ramping) > sp.Pace.AtOnce {
+					t.Fatalf("%s is taken, and %d are out", l.ID, len(n.Draining)+len(n.Ramping))
 				}
 				for _, s := range f.Servers {
-					if old := was.leaving(l.ID); s.ID == l.ID && s.State == registry.Ready && l.Step > Emptying && (old == nil || old.Step < Emptying) {
+					if old := was.draining(l.ID); s.ID == l.ID && s.State == registry.Ready && l.Step > DrainFinishing && (old == nil || old.Step < DrainFinishing) {
 						t.Fatalf("%s goes from %v to %s at once", l.ID, old, l.Step)
 					}
 				}
--- a/internal/fleet/rollout/sim_test.go
+++ b/internal/fleet/rollout/sim_test.go
@@ -34,7 +34,7 @@
 	calm.until("as long", func() bool { return calm.now >= f.now })
 	calm.figures(t, "without", 0)
 	f.figures(t, "with", took)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	old, fresh := f.revisions()
 	assert.Zero(t, old)
 	assert.Equal(t, site.servers, fresh)
@@ -43,8 +43,8 @@
 	assert.Equal(t, 1, f.mostOut)
 	// The fleet knows what it sent, and not what a server has dropped since.
 	assert.LessOrEqual(t, f.short, f.looked/50, "live prompts that had fewer replicas than asked for")
-	require.Len(t, f.rec.Past, 1)
-	assert.Equal(t, site.servers, f.rec.Past[0].Moved)
+	require.Len(t, f.rec.History, 1)
+	assert.Equal(t, site.servers, f.rec.History[0].Replaced)
 	assert.Less(t, took, 3*time.Hour)
 	assert.Less(t, f.recordBytes, 4096)
 }
@@ -73,8 +73,8 @@
 	bare := newFleet(t, small18(1))
 	bare.play(300)
 	bare.start(func(s *Spec) {
-		s.Pace.SpreadS, s.Pace.StageS, s.Pace.GapS, s.Keep.Floor, s.Judge.Own, s.Judge.Samples = 0, 0, 0, 0, 0, 10
-		s.Pace.FillPerS = 1e5
+		s.Pace.SpreadSeconds, s.Pace.StageSeconds, s.Pace.GapSeconds, s.Safety.MinReplicas, s.Judge.MinServerRequests, s.Judge.MinSamples = 0, 0, 0, 0, 0, 10
+		s.Pace.WarmupPromptsPerSecond = 1e5
 	})
 	took := bare.until("the end", bare.over)
 	bare.play(max(0, 40*60-int(took/time.Second)))
@@ -99,14 +99,14 @@
 			f.start()
 			took := f.until("the end", f.over)
 			f.figures(t, name, took)
-			t.Logf("turned back after %v: %s", f.turnedAt-f.started, f.rec.Why)
-			assert.Equal(t, TurnedBack, f.rec.Phase)
+			t.Logf("turned back after %v: %s", f.turnedAt-f.started, f.rec.Reason)
+			assert.Equal(t, PhaseRolledBack, f.rec.Phase)
 			old, fresh := f.revisions()
 			assert.Zero(t, fresh)
 			assert.Equal(t, 18, old)
 			assert.Zero(t, f.unserved)
-			assert.LessOrEqual(t, f.rec.Past[0].Moved, 10, "few were moved before that")
-			assert.Contains(t, f.rec.Past[0].Why, "revision 2 is worse than 1")
+			assert.LessOrEqual(t, f.rec.History[0].Replaced, 10, "few were moved before that")
+			assert.Contains(t, f.rec.History[0].Reason, "revision 2 is worse than 1")
 		})
 	}
 }
@@ -116,21 +116,21 @@
 	m.newFails = 0.2
 	f := newFleet(t, m)
 	f.play(300)
-	f.start(func(s *Spec) { s.OnWorse = Halt })
+	f.start(func(s *Spec) { s.OnWorse = OnWorseHalt })
 	f.until("the halt", func() bool { return f.rec.Paused })
-	assert.Equal(t, Forward, f.rec.Phase)
-	assert.Contains(t, f.rec.Why, "worse")
-	for _, e := range f.rec.In {
-		assert.Equal(t, Filling, e.Step)
+	assert.Equal(t, PhaseForward, f.rec.Phase)
+	assert.Contains(t, f.rec.Reason, "worse")
+	for _, e := range f.rec.Ramping {
+		assert.Equal(t, RampWarming, e.Step)
 	}
-	out := len(f.rec.Out) + len(f.rec.In)
+	out := len(f.rec.Draining) + len(f.rec.Ramping)
 	f.play(600)
-	assert.LessOrEqual(t, len(f.rec.Out)+len(f.rec.In), out, "nothing more is taken")
+	assert.LessOrEqual(t, len(f.rec.Draining)+len(f.rec.Ramping), out, "nothing more is taken")
 	rec, err := f.rec.Abort(f.rec.Number, "")
 	require.NoError(t, err)
 	f.keep(rec)
 	f.until("the end", f.over)
-	assert.Equal(t, TurnedBack, f.rec.Phase)
+	assert.Equal(t, PhaseRolledBack, f.rec.Phase)
 	_, fresh := f.revisions()
 	assert.Zero(t, fresh)
 }
@@ -154,7 +154,7 @@
 		return f.over()
 	})
 	f.figures(t, "holders", f.now-f.started)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	assert.Zero(t, f.unserved)
 	assert.Equal(t, 1, f.mostOut)
 }
@@ -164,18 +164,18 @@
 	f.play(300)
 	f.start()
 	f.until("a server that is emptied", func() bool {
-		return len(f.rec.Out) > 0 && f.rec.Out[0].Step == Thinner
+		return len(f.rec.Draining) > 0 && f.rec.Draining[0].Step == DrainTenth
 	})
-	id := f.rec.Out[0].ID
+	id := f.rec.Draining[0].ID
 	f.burst = 2
-	f.until("its return", func() bool { return f.rec.leaving(id) == nil })
+	f.until("its return", func() bool { return f.rec.draining(id) == nil })
 	assert.Equal(t, registry.Ready, f.byID[id].State)
 	f.play(60)
-	assert.Empty(t, f.rec.Out, "none is taken while there is no room")
-	assert.Contains(t, f.machine.waits[len(f.machine.waits)-1], "has room for")
+	assert.Empty(t, f.rec.Draining, "none is taken while there is no room")
+	assert.Contains(t, f.machine.waitReasons[len(f.machine.waitReasons)-1], "has room for")
 	f.burst = 1
 	f.until("the end", f.over)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	assert.Zero(t, f.unserved)
 }
 
@@ -191,12 +191,12 @@
 	}
 	f.play(60)
 	for range 200 {
-		assert.Empty(t, f.rec.Out, "none is taken while a zone is away")
+		assert.Empty(t, f.rec.Draining, "none is taken while a zone is away")
 		f.second()
 	}
 	f.until("the end", f.over)
 	f.figures(t, "zone lost", f.now-f.started)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	old, fresh := f.revisions()
 	assert.Zero(t, old)
 	assert.Equal(t, 6, fresh)
@@ -208,22 +208,22 @@
 	f.agents[0].cut = true
 	f.start()
 	f.play(180)
-	require.NotEmpty(t, f.rec.Out)
-	assert.Equal(t, Thin, f.rec.Out[0].Step, "it has not told that it obeys")
+	require.NotEmpty(t, f.rec.Draining)
+	assert.Equal(t, DrainThird, f.rec.Draining[0].Step, "it has not told that it obeys")
 	// Its lease is over, and it serves on by what it knew: here it sends nothing more to what is taken,
 	// as servers that drain close its connections.
 	f.agents[0].member = false
 	f.agents[0].rules = f.rec.Rules()
-	f.until("a server that is replaced", func() bool { return len(f.rec.In) > 0 })
+	f.until("a server that is replaced", func() bool { return len(f.rec.Ramping) > 0 })
 }
 
 func TestThePlatformsOwnDrainsAreTakenIn(t *testing.T) {
 	f := newFleet(t, small6(7))
 	f.play(300)
 	f.start()
-	f.until("a thinned server", func() bool { return len(f.rec.Out) > 0 && f.rec.Out[0].Step == Thinner })
+	f.until("a thinned server", func() bool { return len(f.rec.Draining) > 0 && f.rec.Draining[0].Step == DrainTenth })
 	// It drains the one that is on its way out, and another one.
-	x, y := f.byID[f.rec.Out[0].ID], f.servers[0]
+	x, y := f.byID[f.rec.Draining[0].ID], f.servers[0]
 	if x == y {
 		y = f.servers[1]
 	}
@@ -234,11 +234,11 @@
 		}
 	}
 	f.second()
-	l := f.rec.leaving(x.ID)
+	l := f.rec.draining(x.ID)
 	require.NotNil(t, l)
-	assert.Equal(t, Replacing, l.Step)
+	assert.Equal(t, DrainReplacing, l.Step)
 	f.until("the end", f.over)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	old, fresh := f.revisions()
 	assert.Zero(t, old)
 	assert.Equal(t, 6, fresh)
@@ -247,12 +247,12 @@
 func TestOneReplicaInAllIsSpreadFirst(t *testing.T) {
 	m := small6(8)
 	m.servers, m.zones, m.rate, m.prompts = 3, []string{"k/a"}, 5, 3
-	m.spec = func(s *Spec) { s.Keep.Peak, s.Keep.Spare, s.Keep.Floor = 0.2, 0, 2 }
+	m.spec = func(s *Spec) { s.Safety.PeakLoad, s.Safety.SpareServers, s.Safety.MinReplicas = 0.2, 0, 2 }
 	f := newFleet(t, m)
 	f.play(300)
 	f.start()
 	f.until("the end", f.over)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	assert.LessOrEqual(t, f.short, f.looked/20)
 
 	// Where the floor can't be had the rollout waits, and says for which group.
@@ -260,9 +260,9 @@
 	f = newFleet(t, m)
 	f.play(300)
 	f.start()
-	f.until("the reason", func() bool { return f.machine.worst.Group != "" && len(f.machine.waits) > 0 })
+	f.until("the reason", func() bool { return f.machine.worstShortage.Group != "" && len(f.machine.waitReasons) > 0 })
 	f.play(60)
-	assert.Contains(t, f.machine.waits[0], "replicas beside it, and needs 2")
+	assert.Contains(t, f.machine.waitReasons[0], "replicas beside it, and needs 2")
 	_, fresh := f.revisions()
 	assert.Zero(t, fresh)
 }
@@ -270,22 +270,22 @@
 func TestAServerIsGivenBackWhenItsReplicasCrash(t *testing.T) {
 	m := small6(10)
 	m.servers, m.zones, m.rate, m.prompts = 3, []string{"k/a"}, 5, 3
-	m.spec = func(s *Spec) { s.Keep.Peak, s.Keep.Spare, s.Keep.Floor = 0.1, 0, 2 }
+	m.spec = func(s *Spec) { s.Safety.PeakLoad, s.Safety.SpareServers, s.Safety.MinReplicas = 0.1, 0, 2 }
 	f := newFleet(t, m)
 	f.play(300)
 	f.start()
-	f.until("a server that is closed", func() bool { return len(f.rec.Out) > 0 && f.rec.Out[0].Step == Emptying })
-	x := f.rec.Out[0].ID
+	f.until("a server that is closed", func() bool { return len(f.rec.Draining) > 0 && f.rec.Draining[0].Step == DrainFinishing })
+	x := f.rec.Draining[0].ID
 	for _, s := range append([]*simServer(nil), f.servers...) {
 		if s.ID != x {
 			f.crash(s, 2*time.Minute)
 		}
 	}
 	f.play(2)
-	assert.Nil(t, f.rec.leaving(x), "nobody else has its groups")
+	assert.Nil(t, f.rec.draining(x), "nobody else has its groups")
 	assert.InDelta(t, 1, f.rec.Rules().Share(x, f.byID[x].Addr, 1), 0)
 	f.until("the end", f.over)
-	assert.Equal(t, Done, f.rec.Phase)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 }
 
 func TestAConfigurationThatNoLongerFitsPauses(t *testing.T) {
@@ -293,11 +293,11 @@
 	f.play(60)
 	f.start()
 	facts := f.facts()
-	facts.Fits = errors.New("service: there is none")
-	rec := f.machine.Step(f.now, f.rec, facts)
+	facts.ConfigError = errors.New("service: there is none")
+	rec := f.machine.Reconcile(f.now, f.rec, facts)
 	require.NotNil(t, rec)
 	assert.True(t, rec.Paused)
-	assert.Contains(t, rec.Why, "service: there is none")
+	assert.Contains(t, rec.Reason, "service: there is none")
 }
 
 var full = flag.Bool("full", false, "play a whole upgrade with 850 servers")
@@ -316,10 +316,10 @@
 	m := makeup{zones: []string{"n/a", "n/b", "n/c", "s/d", "s/e"}, servers: 850 / parts, agents: 36, rate: 6800 / scale / float64(parts), prompts: 1_600_000 / scale / parts, keep: 126 / scale,
 		readMs: 79, firstMs: 60, workMs: 60 * scale * 1.5, stream: 8 * time.Second, load: 90 * time.Second, seed: 1, scale: scale,
 		spec: func(s *Spec) {
-			s.Pace.AtOnce, s.Pace.GapS = 24/parts, 2
-			s.Keep.Peak = 0.8
-			s.Judge.Samples, s.Judge.Own = 20, 1 // as one request of forty is played
-			s.Keep.LiveS *= 4
+			s.Pace.AtOnce, s.Pace.GapSeconds = 24/parts, 2
+			s.Safety.PeakLoad = 0.8
+			s.Judge.MinSamples, s.Judge.MinServerRequests = 20, 1 // as one request of forty is played
+			s.Safety.LiveSeconds *= 4
 		}}
 	f := newFleet(t, m)
 	f.play(900)
@@ -331,10 +331,10 @@
 	took := f.until("the end", f.over)
 	f.figures(t, fmt.Sprint(m.servers, " servers"), took)
 	t.Logf("to each agent %.0f bytes a second", float64(f.fed)/took.Seconds())
-	t.Logf("part of the requests that read their shared prompt: %.3f before, %.3f meanwhile; groups %d KB", float64(before)/float64(requests), float64(f.reads-reads)/float64(f.requests-sent), f.watch.Groups.Size()>>10)
-	assert.Equal(t, Done, f.rec.Phase)
+	t.Logf("part of the requests that read their shared prompt: %.3f before, %.3f meanwhile; groups %d KB", float64(before)/float64(requests), float64(f.reads-reads)/float64(f.requests-sent), f.watch.Replicas.MemoryBytes()>>10)
+	assert.Equal(t, PhaseDone, f.rec.Phase)
 	assert.Zero(t, f.unserved)
 	assert.LessOrEqual(t, f.mostOut, 24/parts)
 	assert.Less(t, f.recordBytes, 32<<10)
-	assert.Less(t, f.watch.Groups.Size(), 8<<20)
+	assert.Less(t, f.watch.Replicas.MemoryBytes(), 8<<20)
 }
--- a/internal/fleet/rollout/spec.go
+++ b/internal/fleet/rollout/spec.go
@@ -30,8 +30,8 @@
 
 // What follows on a verdict that the new revision is worse.
 const (
-	TurnBack = "turn-back"
-	Halt     = "halt"
+	OnWorseRollback = "turn-back"
+	OnWorseHalt     = "halt"
 )
 
 // Spec is what the operator asks for: all servers of a service are to hold another revision of a
@@ -43,57 +43,57 @@
 	To      int                  `koanf:"to" msgpack:"t" json:"to"`
 	OnWorse string               `koanf:"on-worse" msgpack:"w" json:"on-worse"`
 	Pace    Pace                 `koanf:"pace" msgpack:"p" json:"pace"`
-	Keep    Keep                 `koanf:"keep" msgpack:"k" json:"keep"`
+	Safety  Safety               `koanf:"keep" msgpack:"k" json:"keep"`
 	Judge   JudgeSpec            `koanf:"judge" msgpack:"j" json:"judge"`
 	Routes  map[string]RouteSpec `koanf:"routes" msgpack:"r" json:"routes,omitempty"`
 }
 
 // Pace is how fast it goes.
 type Pace struct {
-	AtOnce   int     `koanf:"at-once" msgpack:"a" json:"at-once"`       // servers that are not at their full share
-	GapS     float64 `koanf:"gap-s" msgpack:"g" json:"gap-s"`           // least time between two that are taken
-	SpreadS  float64 `koanf:"spread-s" msgpack:"s" json:"spread-s"`     // least time at each share on the way out
-	StageS   float64 `koanf:"stage-s" msgpack:"t" json:"stage-s"`       // least time at each share on the way in
-	FinishS  float64 `koanf:"finish-s" msgpack:"f" json:"finish-s"`     // streams may finish before they are passed on
-	ReplaceS float64 `koanf:"replace-s" msgpack:"r" json:"replace-s"`   // a new incarnation is waited for
-	WaitS    float64 `koanf:"wait-s" msgpack:"w" json:"wait-s"`         // a server whose groups find no replicas is given back after
-	FillPerS float64 `koanf:"fill-per-s" msgpack:"l" json:"fill-per-s"` // shared prompts that a filling server is made to read
+	AtOnce                 int     `koanf:"at-once" msgpack:"a" json:"at-once"`       // servers that are not at their full share
+	GapSeconds             float64 `koanf:"gap-s" msgpack:"g" json:"gap-s"`           // least time between two that are taken
+	SpreadSeconds          float64 `koanf:"spread-s" msgpack:"s" json:"spread-s"`     // least time at each share on the way out
+	StageSeconds           float64 `koanf:"stage-s" msgpack:"t" json:"stage-s"`       // least time at each share on the way in
+	FinishSeconds          float64 `koanf:"finish-s" msgpack:"f" json:"finish-s"`     // streams may finish before they are passed on
+	ReplaceSeconds         float64 `koanf:"replace-s" msgpack:"r" json:"replace-s"`   // a new incarnation is waited for
+	WaitSeconds            float64 `koanf:"wait-s" msgpack:"w" json:"wait-s"`         // a server whose groups find no replicas is given back after
+	WarmupPromptsPerSecond float64 `koanf:"fill-per-s" msgpack:"l" json:"fill-per-s"` // shared prompts that a filling server is made to read
 }
 
-// Keep is what has to hold throughout.
-type Keep struct {
-	Floor  int     `koanf:"floor" msgpack:"f" json:"floor"`   // replicas of each group beside a server that is taken
-	LiveS  float64 `koanf:"live-s" msgpack:"l" json:"live-s"` // of the groups that come at least once in this time
-	Peak   float64 `koanf:"peak" msgpack:"p" json:"peak"`     // the afternoon's load, as a part of all servers
-	Usable float64 `koanf:"usable" msgpack:"u" json:"usable"` // the part of a server's time that may be planned with
-	Spare  int     `koanf:"spare" msgpack:"s" json:"spare"`   // further servers that may fail
+// Safety is what has to hold throughout.
+type Safety struct {
+	MinReplicas    int     `koanf:"floor" msgpack:"f" json:"floor"`   // replicas of each group beside a server that is taken
+	LiveSeconds    float64 `koanf:"live-s" msgpack:"l" json:"live-s"` // of the groups that come at least once in this time
+	PeakLoad       float64 `koanf:"peak" msgpack:"p" json:"peak"`     // the afternoon's load, as a part of all servers
+	UsableCapacity float64 `koanf:"usable" msgpack:"u" json:"usable"` // the part of a server's time that may be planned with
+	SpareServers   int     `koanf:"spare" msgpack:"s" json:"spare"`   // further servers that may fail
 }
 
 // JudgeSpec is when the new revision counts as worse than the old. Parts are differences of
 // parts of requests, by ratios of means.
 type JudgeSpec struct {
-	Samples  int     `koanf:"samples" msgpack:"n" json:"samples"`     // requests on each side before a verdict
-	Own      int     `koanf:"own" msgpack:"o" json:"own"`             // of a server before its next share
-	FailBy   float64 `koanf:"fail-by" msgpack:"f" json:"fail-by"`     // part that fails
-	RefuseBy float64 `koanf:"refuse-by" msgpack:"r" json:"refuse-by"` // part that is turned away
-	LateBy   float64 `koanf:"late-by" msgpack:"l" json:"late-by"`     // part whose first token is late
-	PauseBy  float64 `koanf:"pause-by" msgpack:"p" json:"pause-by"`   // part with a pause that is too long
-	SlowerBy float64 `koanf:"slower-by" msgpack:"s" json:"slower-by"` // ratio of times to the first token
-	LengthBy float64 `koanf:"length-by" msgpack:"e" json:"length-by"` // ratio of events of a stream, either way; 0: not looked at
+	MinSamples           int     `koanf:"samples" msgpack:"n" json:"samples"`     // requests on each side before a verdict
+	MinServerRequests    int     `koanf:"own" msgpack:"o" json:"own"`             // of a server before its next share
+	MaxFailureIncrease   float64 `koanf:"fail-by" msgpack:"f" json:"fail-by"`     // part that fails
+	MaxRejectionIncrease float64 `koanf:"refuse-by" msgpack:"r" json:"refuse-by"` // part that is turned away
+	MaxLatenessIncrease  float64 `koanf:"late-by" msgpack:"l" json:"late-by"`     // part whose first token is late
+	MaxStallIncrease     float64 `koanf:"pause-by" msgpack:"p" json:"pause-by"`   // part with a pause that is too long
+	MaxLatencyRatio      float64 `koanf:"slower-by" msgpack:"s" json:"slower-by"` // ratio of times to the first token
+	MaxLengthRatio       float64 `koanf:"length-by" msgpack:"e" json:"length-by"` // ratio of events of a stream, either way; 0: not looked at
 }
 
 // RouteSpec is what differs on one route.
 type RouteSpec struct {
-	Floor    int   `koanf:"floor" msgpack:"f" json:"floor,omitempty"`       // instead of keep.floor
-	Versions []int `koanf:"versions" msgpack:"v" json:"versions,omitempty"` // revisions that it allows; none: both
+	MinReplicas      int   `koanf:"floor" msgpack:"f" json:"floor,omitempty"`       // instead of keep.floor
+	AllowedRevisions []int `koanf:"versions" msgpack:"v" json:"versions,omitempty"` // revisions that it allows; none: both
 }
 
-// defaults are what a file need not say.
-func defaults() Spec {
-	return Spec{From: -1, To: -1, OnWorse: TurnBack,
-		Pace:  Pace{AtOnce: 1, GapS: 5, SpreadS: 10, StageS: 20, FinishS: 20, ReplaceS: 900, WaitS: 300, FillPerS: 20},
-		Keep:  Keep{Floor: 2, LiveS: 15, Peak: 0.7, Usable: 0.9, Spare: 1},
-		Judge: JudgeSpec{Samples: 300, Own: 30, FailBy: 0.01, RefuseBy: 0.03, LateBy: 0.03, PauseBy: 0.03, SlowerBy: 1.3, LengthBy: 2}}
+// defaultSpec are what a file need not say.
+func defaultSpec() Spec {
+	return Spec{From: -1, To: -1, OnWorse: OnWorseRollback,
+		Pace:   Pace{AtOnce: 1, GapSeconds: 5, SpreadSeconds: 10, StageSeconds: 20, FinishSeconds: 20, ReplaceSeconds: 900, WaitSeconds: 300, WarmupPromptsPerSecond: 20},
+		Safety: Safety{MinReplicas: 2, LiveSeconds: 15, PeakLoad: 0.7, UsableCapacity: 0.9, SpareServers: 1},
+		Judge:  JudgeSpec{MinSamples: 300, MinServerRequests: 30, MaxFailureIncrease: 0.01, MaxRejectionIncrease: 0.03, MaxLatenessIncrease: 0.03, MaxStallIncrease: 0.03, MaxLatencyRatio: 1.3, MaxLengthRatio: 2}}
 }
 
 // Parse reads an operator's file, TOML or JSON, and checks it. The error joins every reason for
@@ -110,10 +110,10 @@
 	if err := k.Load(rawbytes.Provider(raw), parser); err != nil {
 		return nil, apierror.Wrap(err, apierror.Invalid, "", "write the file as TOML or JSON")
 	}
-	s, all := defaults(), k.Raw()
-	reasons := sift(reflect.TypeOf(s), all, "")
+	s, all := defaultSpec(), k.Raw()
+	reasons := checkFields(reflect.TypeOf(s), all, "")
 	sound := koanf.New("\x00")
-	if err := sound.Load(confmap(all), nil); err != nil {
+	if err := sound.Load(mapProvider(all), nil); err != nil {
 		return nil, apierror.Wrap(err, apierror.Invalid, "", "write the file as the example is")
 	}
 	if err := sound.UnmarshalWithConf("", &s, koanf.UnmarshalConf{Tag: "koanf"}); err != nil {
@@ -123,7 +123,7 @@
 	for _, r := range reasons {
 		told[keyOf(r)] = true
 	}
-	for _, r := range s.reasons() {
+	for _, r := range s.validationErrors() {
 		if !told[keyOf(r)] {
 			reasons = append(reasons, r)
 		}
@@ -146,14 +146,14 @@
 
 func (jsonParser) Marshal(m map[string]any) ([]byte, error) { return json.Marshal(m) }
 
-// confmap gives koanf a map that is there already.
-type confmap map[string]any
+// mapProvider gives koanf a map that is there already.
+type mapProvider map[string]any
 
-func (m confmap) Read() (map[string]any, error) { return m, nil }
-func (m confmap) ReadBytes() ([]byte, error)    { return nil, errors.New("a map has no text") }
+func (m mapProvider) Read() (map[string]any, error) { return m, nil }
+func (m mapProvider) ReadBytes() ([]byte, error)    { return nil, errors.New("a map has no text") }
 
-// sift takes out of a file what a type doesn't have, or has in another form, and tells why.
-func sift(t reflect.Type, m map[string]any, outer string) (reasons []error) {
+// checkFields takes out of a file what a type doesn't have, or has in another form, and tells why.
+func checkFields(t reflect.Type, m map[string]any, outer string) (reasons []error) {
 	known := map[string]reflect.Type{}
 	var names []string
 	for i := range t.NumField() {
@@ -172,19 +172,19 @@
 		sub, table := val.(map[string]any)
 		switch {
 		case field.Kind() == reflect.Struct && table:
-			reasons = append(reasons, sift(field, sub, at)...)
+			reasons = append(reasons, checkFields(field, sub, at)...)
 		case field.Kind() == reflect.Map && table:
 			for name, v := range sub {
 				if item, ok := v.(map[string]any); ok {
-					reasons = append(reasons, sift(field.Elem(), item, at+"."+name)...)
+					reasons = append(reasons, checkFields(field.Elem(), item, at+"."+name)...)
 				} else {
-					reasons = append(reasons, mistyped(at+"."+name, "a table", v))
+					reasons = append(reasons, typeError(at+"."+name, "a table", v))
 					delete(sub, name)
 				}
 			}
 		default:
-			if want := form(field, val); want != "" {
-				reasons = append(reasons, mistyped(at, want, val))
+			if want := expectedForm(field, val); want != "" {
+				reasons = append(reasons, typeError(at, want, val))
 				delete(m, key)
 			}
 		}
@@ -192,7 +192,7 @@
 	return reasons
 }
 
-func mistyped(key, want string, val any) error {
+func typeError(key, want string, val any) error {
 	return apierror.New(apierror.Invalid, key, "give "+want, "it is %.60s", fmt.Sprint(val))
 }
 
@@ -204,8 +204,8 @@
 	return ""
 }
 
-// form is what a field wants where a value is not that; "" where it is.
-func form(t reflect.Type, val any) string {
+// expectedForm is what a field wants where a value is not that; "" where it is.
+func expectedForm(t reflect.Type, val any) string {
 	x, number := val.(float64)
 	if n, ok := val.(int64); ok {
 		x, number = float64(n), true
@@ -229,7 +229,7 @@
 			return "a list of whole numbers"
 		}
 		for _, v := range list {
-			if form(t.Elem(), v) != "" {
+			if expectedForm(t.Elem(), v) != "" {
 				return "a list of whole numbers"
 			}
 		}
@@ -239,8 +239,8 @@
 	return ""
 }
 
-// reasons are all that is wrong with what a file says.
-func (s *Spec) reasons() (out []error) {
+// validationErrors are all that is wrong with what a file says.
+func (s *Spec) validationErrors() (out []error) {
 	bad := func(when bool, key, remedy, format string, args ...any) {
 		if when {
 			out = append(out, apierror.New(apierror.Invalid, key, remedy, format, args...))
@@ -248,7 +248,7 @@
 	}
 	number := func(key string, x, least, most float64) {
 		if !(x >= least && x <= most) {
-			bad(true, key, "give "+short(least)+" to "+short(most), "it is %s", short(x))
+			bad(true, key, "give "+formatNumber(least)+" to "+formatNumber(most), "it is %s", formatNumber(x))
 		}
 	}
 	text := func(key, x, remedy string) {
@@ -259,52 +259,52 @@
 	bad(s.From < 0, "from", "give the revision that the servers hold now", "it is missing or below 0")
 	bad(s.To < 0, "to", "give the revision that they are to hold", "it is missing or below 0")
 	bad(s.From >= 0 && s.From == s.To, "to", "give another revision than from", "both are %d", s.To)
-	bad(s.OnWorse != TurnBack && s.OnWorse != Halt, "on-worse", "give "+TurnBack+" or "+Halt, "it is %.40q", s.OnWorse)
+	bad(s.OnWorse != OnWorseRollback && s.OnWorse != OnWorseHalt, "on-worse", "give "+OnWorseRollback+" or "+OnWorseHalt, "it is %.40q", s.OnWorse)
 	number("pace.at-once", float64(s.Pace.AtOnce), 1, maxAtOnce)
-	number("pace.gap-s", s.Pace.GapS, 0, 86400)
-	number("pace.spread-s", s.Pace.SpreadS, 0, 3600)
-	number("pace.stage-s", s.Pace.StageS, 0, 86400)
-	number("pace.finish-s", s.Pace.FinishS, 0, 3600)
-	number("pace.replace-s", s.Pace.ReplaceS, 1, 86400)
-	number("pace.wait-s", s.Pace.WaitS, 1, 86400)
-	number("pace.fill-per-s", s.Pace.FillPerS, 0.01, 1e5)
-	number("keep.floor", float64(s.Keep.Floor), 0, 64)
-	number("keep.live-s", s.Keep.LiveS, 0.1, 300)
-	number("keep.peak", s.Keep.Peak, 0, 1)
-	number("keep.usable", s.Keep.Usable, 0.1, 1)
-	number("keep.spare", float64(s.Keep.Spare), 0, 64)
-	number("judge.samples", float64(s.Judge.Samples), 10, 1e7)
-	number("judge.own", float64(s.Judge.Own), 0, 1e6)
+	number("pace.gap-s", s.Pace.GapSeconds, 0, 86400)
+	number("pace.spread-s", s.Pace.SpreadSeconds, 0, 3600)
+	number("pace.stage-s", s.Pace.StageSeconds, 0, 86400)
+	number("pace.finish-s", s.Pace.FinishSeconds, 0, 3600)
+	number("pace.replace-s", s.Pace.ReplaceSeconds, 1, 86400)
+	number("pace.wait-s", s.Pace.WaitSeconds, 1, 86400)
+	number("pace.fill-per-s", s.Pace.WarmupPromptsPerSecond, 0.01, 1e5)
+	number("keep.floor", float64(s.Safety.MinReplicas), 0, 64)
+	number("keep.live-s", s.Safety.LiveSeconds, 0.1, 300)
+	number("keep.peak", s.Safety.PeakLoad, 0, 1)
+	number("keep.usable", s.Safety.UsableCapacity, 0.1, 1)
+	number("keep.spare", float64(s.Safety.SpareServers), 0, 64)
+	number("judge.samples", float64(s.Judge.MinSamples), 10, 1e7)
+	number("judge.own", float64(s.Judge.MinServerRequests), 0, 1e6)
 	for _, p := range []struct {
 		key string
 		x   float64
-	}{{"fail-by", s.Judge.FailBy}, {"refuse-by", s.Judge.RefuseBy}, {"late-by", s.Judge.LateBy}, {"pause-by", s.Judge.PauseBy}} {
+	}{{"fail-by", s.Judge.MaxFailureIncrease}, {"refuse-by", s.Judge.MaxRejectionIncrease}, {"late-by", s.Judge.MaxLatenessIncrease}, {"pause-by", s.Judge.MaxStallIncrease}} {
 		number("judge."+p.key, p.x, 0, 1)
 	}
-	number("judge.slower-by", s.Judge.SlowerBy, 1, 100)
-	if s.Judge.LengthBy != 0 {
-		number("judge.length-by", s.Judge.LengthBy, 1, 100)
+	number("judge.slower-by", s.Judge.MaxLatencyRatio, 1, 100)
+	if s.Judge.MaxLengthRatio != 0 {
+		number("judge.length-by", s.Judge.MaxLengthRatio, 1, 100)
 	}
 	bad(len(s.Routes) > maxRoutes, "routes", "name those only that differ", "%d routes, at most %d", len(s.Routes), maxRoutes)
 	for name, r := range s.Routes {
 		at := "routes." + name
-		number(at+".floor", float64(r.Floor), 0, 64)
-		if len(r.Versions) == 0 {
+		number(at+".floor", float64(r.MinReplicas), 0, 64)
+		if len(r.AllowedRevisions) == 0 {
 			continue
 		}
-		for _, v := range r.Versions {
+		for _, v := range r.AllowedRevisions {
 			bad(v != s.From && v != s.To, at+".versions", "give from, to or both", "%d is neither", v)
 		}
-		bad(!slices.Contains(r.Versions, s.To), at+".versions", "allow to, or point the route at a service that keeps the old revision",
+		bad(!slices.Contains(r.AllowedRevisions, s.To), at+".versions", "allow to, or point the route at a service that keeps the old revision",
 			"the route allows no server that the rollout leaves")
 	}
 	return out
 }
 
-func short(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
 
-// Fits tells what of a spec the operator's configuration contradicts; nil where nothing does.
-func (s *Spec) Fits(doc *config.Doc) error {
+// CheckConfig tells what of a spec the operator's configuration contradicts; nil where nothing does.
+func (s *Spec) CheckConfig(doc *config.Doc) error {
 	if doc == nil {
 		return apierror.New(apierror.Invalid, "service", "put a configuration first", "there is no configuration")
 	}
@@ -325,38 +325,38 @@
 	return errors.Join(reasons...)
 }
 
-// floor is how many replicas a route's groups keep.
-func (s *Spec) floor(route string) int {
-	if r, ok := s.Routes[route]; ok && r.Floor > 0 {
-		return r.Floor
+// minReplicas is how many replicas a route's groups keep.
+func (s *Spec) minReplicas(route string) int {
+	if r, ok := s.Routes[route]; ok && r.MinReplicas > 0 {
+		return r.MinReplicas
 	}
-	return s.Keep.Floor
+	return s.Safety.MinReplicas
 }
 
-// allows is the sides whose servers a route's requests may run at.
-func (s *Spec) allows(route string) sides {
+// allowedRevisions is the sides whose servers a route's requests may run at.
+func (s *Spec) allowedRevisions(route string) revisionSet {
 	r := s.Routes[route]
-	if len(r.Versions) == 0 {
-		return oldSide | newSide
+	if len(r.AllowedRevisions) == 0 {
+		return oldRevision | newRevision
 	}
-	var out sides
-	for _, v := range r.Versions {
+	var out revisionSet
+	for _, v := range r.AllowedRevisions {
 		if v == s.From {
-			out |= oldSide
+			out |= oldRevision
 		}
 		if v == s.To {
-			out |= newSide
+			out |= newRevision
 		}
 	}
 	return out
 }
 
-// sides is a set of the two revisions of a rollout.
-type sides uint8
+// revisionSet is a set of the two revisions of a rollout.
+type revisionSet uint8
 
 const (
-	oldSide sides = 1 << iota // from
-	newSide                   // to
+	oldRevision revisionSet = 1 << iota // from
+	newRevision                         // to
 )
 
 func seconds(s float64) time.Duration {
--- a/internal/fleet/rollout/spec_test.go
+++ b/internal/fleet/rollout/spec_test.go
@@ -31,13 +31,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, "tenant-llm", s.Service)
 	assert.Equal(t, 2, s.Pace.AtOnce)
-	assert.InDelta(t, 15.5, s.Pace.StageS, 0)
-	assert.Equal(t, defaults().Pace.FillPerS, s.Pace.FillPerS)
-	assert.Equal(t, defaults().Judge, s.Judge)
-	assert.Equal(t, TurnBack, s.OnWorse)
-	assert.Equal(t, 3, s.floor("r.dossier"))
-	assert.Equal(t, 2, s.floor("another"))
-	assert.Equal(t, oldSide|newSide, s.allows("r.dossier"))
+	assert.InDelta(t, 15.5, s.Pace.StageSeconds, 0)
+	assert.Equal(t, defaultSpec().Pace.WarmupPromptsPerSecond, s.Pace.WarmupPromptsPerSecond)
+	assert.Equal(t, defaultSpec().Judge, s.Judge)
+	assert.Equal(t, OnWorseRollback, s.OnWorse)
+	assert.Equal(t, 3, s.minReplicas("r.dossier"))
+	assert.Equal(t, 2, s.minReplicas("another"))
+	assert.Equal(t, oldRevision|newRevision, s.allowedRevisions("r.dossier"))
 
 	j, err := Parse([]byte(`{"service":"tenant-llm","model":"m","from":1,"to":2,"pace":{"at-once":2,"stage-s":15.5},"routes":{"r.dossier":{"floor":3,"versions":[1,2]}}}`))
 	require.NoError(t, err)
@@ -110,15 +110,15 @@
 	require.NoError(t, err)
 	doc, err := config.Parse([]byte(`{"revision":7,"routes":[{"name":"r.dossier","hostname":"h","path-prefix":"/a/","route-kind":"streaming","timeout-ms":3000,"setpoint-ms":500,"target-service":"tenant-llm","max-attempts":2}],"services":[{"name":"tenant-llm","health-path":"/health","conn-limit":3,"inference-engine":{"slots":4,"models":[{"name":"m"}]}}]}`))
 	require.NoError(t, err)
-	require.NoError(t, s.Fits(doc))
+	require.NoError(t, s.CheckConfig(doc))
 	other := *s
 	other.Model, other.Routes = "x", map[string]RouteSpec{"gone": {}}
-	err = other.Fits(doc)
+	err = other.CheckConfig(doc)
 	assert.ErrorContains(t, err, `model: the service has no "x"; name one of m`)
 	assert.ErrorContains(t, err, "routes.gone: there is none of that name")
 	other.Service = "y"
-	assert.ErrorContains(t, other.Fits(doc), `service: there is no "y" in revision 7`)
-	assert.Error(t, s.Fits(nil))
+	assert.ErrorContains(t, other.CheckConfig(doc), `service: there is no "y" in revision 7`)
+	assert.Error(t, s.CheckConfig(nil))
 }
 
 func FuzzParse(f *testing.F) {
@@ -126,7 +126,7 @@
 	f.Add([]byte(`{"service":{},"routes":[1],"pace":{"at-once":1e99}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := Parse(raw); err == nil {
-			require.Empty(t, s.reasons())
+			require.Empty(t, s.validationErrors())
 		} else if k := apierror.KindOf(err); k != apierror.Invalid && k != apierror.TooLarge {
 			t.Errorf("kind %v of %v", k, err)
 		}
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -11,39 +11,39 @@
 // Status is what an operator is told of a rollout. What only the holder of the duty knows is empty
 // where Holds is false.
 type Status struct {
-	Number  uint64     `json:"number"`
-	Phase   Phase      `json:"phase"`
-	Paused  bool       `json:"paused"`
-	Why     string     `json:"why,omitempty"`
-	Service string     `json:"service,omitempty"`
-	Model   string     `json:"model,omitempty"`
-	From    int        `json:"from"`
-	To      int        `json:"to"`
-	Holder  string     `json:"holder,omitempty"`
-	Term    uint64     `json:"term"`
-	Version uint64     `json:"version"`
-	Old     int        `json:"old"` // servers that hold the old revision
-	New     int        `json:"new"`
-	Moved   int        `json:"moved"`
-	Out     []Leaving  `json:"out"`
-	In      []Entering `json:"in"`
-	Replace []string   `json:"replace"` // servers that the platform is to drain and replace, by id
+	Number     uint64           `json:"number"`
+	Phase      Phase            `json:"phase"`
+	Paused     bool             `json:"paused"`
+	Reason     string           `json:"why,omitempty"`
+	Service    string           `json:"service,omitempty"`
+	Model      string           `json:"model,omitempty"`
+	From       int              `json:"from"`
+	To         int              `json:"to"`
+	Holder     string           `json:"holder,omitempty"`
+	Term       uint64           `json:"term"`
+	Version    uint64           `json:"version"`
+	OldServers int              `json:"old"` // servers that hold the old revision
+	NewServers int              `json:"new"`
+	Replaced   int              `json:"moved"`
+	Draining   []DrainingServer `json:"out"`
+	Ramping    []RampingServer  `json:"in"`
+	Replace    []string         `json:"replace"` // servers that the platform is to drain and replace, by id
 
-	Holds   bool          `json:"holds"`
-	Left    time.Duration `json:"left"` // -1: not known
-	Waits   []string      `json:"waits,omitempty"`
-	Worst   *Short        `json:"worst-group,omitempty"`
-	Groups  [8]int        `json:"groups"` // hash groups by their replicas, the last for that many and more
-	Verdict Verdict       `json:"verdict"`
-	Past    []Summary     `json:"past,omitempty"`
+	HoldsLease       bool          `json:"holds"`
+	TimeLeft         time.Duration `json:"left"` // -1: not known
+	WaitReasons      []string      `json:"waits,omitempty"`
+	WorstShortage    *Shortage     `json:"worst-group,omitempty"`
+	ReplicaHistogram [8]int        `json:"groups"` // hash groups by their replicas, the last for that many and more
+	Verdict          Verdict       `json:"verdict"`
+	History          []Summary     `json:"past,omitempty"`
 }
 
 // Status is what any agent can tell of the record and its own list of servers.
 func (r *Record) Status(servers []Server) Status {
-	s := Status{Number: r.Number, Phase: r.Phase, Paused: r.Paused, Why: r.Why, Service: r.Spec.Service, Model: r.Spec.Model, From: r.Spec.From, To: r.Spec.To,
-		Holder: r.Holder, Term: r.Term, Version: r.Version, Moved: r.Moved, Out: r.Out, In: r.In, Left: -1, Past: r.Past}
-	for _, l := range r.Out {
-		if l.Step == Replacing {
+	s := Status{Number: r.Number, Phase: r.Phase, Paused: r.Paused, Reason: r.Reason, Service: r.Spec.Service, Model: r.Spec.Model, From: r.Spec.From, To: r.Spec.To,
+		Holder: r.Holder, Term: r.Term, Version: r.Version, Replaced: r.Replaced, Draining: r.Draining, Ramping: r.Ramping, TimeLeft: -1, History: r.History}
+	for _, l := range r.Draining {
+		if l.Step == DrainReplacing {
 			s.Replace = append(s.Replace, l.ID)
 		}
 	}
@@ -51,34 +51,34 @@
 		switch v := &servers[i]; {
 		case v.State > registry.Expired:
 		case v.Revision == r.Spec.To:
-			s.New++
+			s.NewServers++
 		case v.Revision == r.Spec.From:
-			s.Old++
+			s.OldServers++
 		}
 	}
 	return s
 }
 
 // Status adds what the holder knows, as of its last Step.
-func (m *Machine) Status(now time.Duration, rec *Record, f *Facts) Status {
+func (m *Controller) Status(now time.Duration, rec *Record, f *Observation) Status {
 	s := rec.Status(f.Servers)
-	s.Holds, s.Waits, s.Verdict = true, slices.Clone(m.waits), m.verdict
-	if m.worst.Group != "" {
-		worst := m.worst
-		s.Worst = &worst
+	s.HoldsLease, s.WaitReasons, s.Verdict = true, slices.Clone(m.waitReasons), m.verdict
+	if m.worstShortage.Group != "" {
+		worst := m.worstShortage
+		s.WorstShortage = &worst
 	}
-	if f.Watch != nil {
-		s.Groups = f.Watch.Groups.Counts()
+	if f.Reports != nil {
+		s.ReplicaHistogram = f.Reports.Replicas.Histogram()
 	}
-	left := s.Old
-	if rec.Phase == Back {
-		left = s.New
+	left := s.OldServers
+	if rec.Phase == PhaseRollback {
+		left = s.NewServers
 	}
-	switch moved := rec.Moved - m.moved; {
+	switch moved := rec.Replaced - m.replacedAtStart; {
 	case !rec.Active():
-		s.Left = 0
+		s.TimeLeft = 0
 	case moved > 0 && !rec.Paused && m.number == rec.Number:
-		s.Left = (now - m.began) / time.Duration(moved) * time.Duration(left+len(rec.In))
+		s.TimeLeft = (now - m.startedAt) / time.Duration(moved) * time.Duration(left+len(rec.Ramping))
 	}
 	return s
 }
@@ -88,15 +88,15 @@
 	if s.Number == 0 {
 		return "there was no rollout yet"
 	}
-	line := fmt.Sprintf("rollout %d of %s, model %s from %d to %d: %s, %d servers new, %d old", s.Number, s.Service, s.Model, s.From, s.To, s.Phase, s.New, s.Old)
+	line := fmt.Sprintf("rollout %d of %s, model %s from %d to %d: %s, %d servers new, %d old", s.Number, s.Service, s.Model, s.From, s.To, s.Phase, s.NewServers, s.OldServers)
 	if s.Paused {
 		line += ", paused"
 	}
-	if s.Why != "" {
-		line += " (" + s.Why + ")"
+	if s.Reason != "" {
+		line += " (" + s.Reason + ")"
 	}
-	if s.Left > 0 {
-		line += fmt.Sprintf(", about %v left", s.Left.Round(time.Second))
+	if s.TimeLeft > 0 {
+		line += fmt.Sprintf(", about %v left", s.TimeLeft.Round(time.Second))
 	}
 	return line
 }
--- a/internal/fleet/singleton/duty.go
+++ b/internal/fleet/singleton/duty.go
@@ -24,35 +24,35 @@
 	"github.com/go-faster/errors"
 )
 
-// maxName bounds the name of a holder, in bytes.
-const maxName = 128
+// maxHolderName bounds the name of a holder, in bytes.
+const maxHolderName = 128
 
 // Record is what is agreed on.
 type Record struct {
-	Number uint64 `msgpack:"n"` // of the holder's term: the fence of all that it does; 0: nobody held it yet
-	Holder string `msgpack:"h"` // one life of one process; "": nobody
-	Beat   uint64 `msgpack:"b"` // tells one write of a holder from another
-	Next   string `msgpack:"s"` // the successor that the holder named; the holder acts no more
+	Term      uint64 `msgpack:"n"` // of the holder's term: the fence of all that it does; 0: nobody held it yet
+	Holder    string `msgpack:"h"` // one life of one process; "": nobody
+	Renewal   uint64 `msgpack:"b"` // tells one write of a holder from another
+	Successor string `msgpack:"s"` // the successor that the holder named; the holder acts no more
 }
 
-// Check refuses a record that nobody can have written.
-func (r *Record) Check() error {
-	if len(r.Holder) > maxName || len(r.Next) > maxName || r.Number == 0 && (r.Holder != "" || r.Next != "") {
-		return errors.Errorf("duty %d of %.20q, for %.20q", r.Number, r.Holder, r.Next)
+// Validate refuses a record that nobody can have written.
+func (r *Record) Validate() error {
+	if len(r.Holder) > maxHolderName || len(r.Successor) > maxHolderName || r.Term == 0 && (r.Holder != "" || r.Successor != "") {
+		return errors.Errorf("duty %d of %.20q, for %.20q", r.Term, r.Holder, r.Successor)
 	}
 	return nil
 }
 
 // Timing is how a duty is kept. A step of Stagger keeps candidates apart.
-type Timing struct{ Renew, Lease, Wait, Stagger time.Duration }
+type Timing struct{ RenewInterval, LeaseDuration, TakeoverDelay, Stagger time.Duration }
 
-// Default bears a change of the core's view without a change of the holder.
-var Default = Timing{Renew: time.Second, Lease: 3 * time.Second, Wait: 4 * time.Second, Stagger: 300 * time.Millisecond}
+// DefaultTiming bears a change of the core's view without a change of the holder.
+var DefaultTiming = Timing{RenewInterval: time.Second, LeaseDuration: 3 * time.Second, TakeoverDelay: 4 * time.Second, Stagger: 300 * time.Millisecond}
 
-// Check refuses a timing that guarantees nothing.
-func (t Timing) Check() error {
-	if t.Renew <= 0 || t.Lease <= t.Renew || t.Wait <= t.Lease || t.Stagger < 0 {
-		return errors.Errorf("duty: 0 < renew %v < lease %v < wait %v is needed", t.Renew, t.Lease, t.Wait)
+// Validate refuses a timing that guarantees nothing.
+func (t Timing) Validate() error {
+	if t.RenewInterval <= 0 || t.LeaseDuration <= t.RenewInterval || t.TakeoverDelay <= t.LeaseDuration || t.Stagger < 0 {
+		return errors.Errorf("duty: 0 < renew %v < lease %v < wait %v is needed", t.RenewInterval, t.LeaseDuration, t.TakeoverDelay)
 	}
 	return nil
 }
@@ -60,119 +60,119 @@
 // Write is a compare-and-set that is to be made at once: Duty goes into the record, if that still
 // has the version On.
 type Write struct {
-	On   uint64
-	Duty Record
+	ExpectedVersion uint64
+	Record          Record
 }
 
-// attempt is one write of this process that may be kept.
-type attempt struct {
-	number, beat uint64
-	begun        time.Duration
+// pendingWrite is one write of this process that may be kept.
+type pendingWrite struct {
+	term, renewal uint64
+	startedAt     time.Duration
 }
 
-// maxAttempts bounds the writes whose beginning is remembered. One that is forgotten gives no lease.
-const maxAttempts = 16
+// maxPendingWrites bounds the writes whose beginning is remembered. One that is forgotten gives no lease.
+const maxPendingWrites = 16
 
 // Candidate is one process's part. It is not safe for concurrent use.
 type Candidate struct {
-	me       string
-	t        Timing
-	version  uint64
-	rec      Record
-	known    bool
-	since    time.Duration // when the newest Beat was first seen
-	beat     uint64        // the highest used
-	attempts []attempt
-	tried    time.Duration // when the last write began
-	leaving  bool
+	self           string
+	timing         Timing
+	version        uint64
+	record         Record
+	known          bool
+	unchangedSince time.Duration // when the newest Beat was first seen
+	lastRenewal    uint64        // the highest used
+	pending        []pendingWrite
+	lastWriteAt    time.Duration // when the last write began
+	resigned       bool
 }
 
 // New returns the part of one life of a process; no other life may have the name.
-func New(me string, t Timing) *Candidate { return &Candidate{me: me, t: t} }
+func New(me string, t Timing) *Candidate { return &Candidate{self: me, timing: t} }
 
-// Seen takes the newest record that is known to be kept, with its version. Older ones are passed
+// Observe takes the newest record that is known to be kept, with its version. Older ones are passed
 // over. It is called for whatever is read or heard, and after each write that was kept.
-func (c *Candidate) Seen(now time.Duration, version uint64, r Record) {
+func (c *Candidate) Observe(now time.Duration, version uint64, r Record) {
 	if c.known && version <= c.version {
 		return
 	}
-	if !c.known || r.Number != c.rec.Number || r.Beat != c.rec.Beat {
-		c.since = now
+	if !c.known || r.Term != c.record.Term || r.Renewal != c.record.Renewal {
+		c.unchangedSince = now
 	}
-	c.version, c.rec, c.known = version, r, true
+	c.version, c.record, c.known = version, r, true
 }
 
 // Record is the newest that was seen.
-func (c *Candidate) Record() Record { return c.rec }
+func (c *Candidate) Record() Record { return c.record }
 
-// Holds tells whether this process holds the duty at this moment, and by which number.
-func (c *Candidate) Holds(now time.Duration) (number uint64, ok bool) {
-	if c.rec.Holder != c.me || c.rec.Next != "" || c.leaving {
+// HoldsLease tells whether this process holds the duty at this moment, and by which number.
+func (c *Candidate) HoldsLease(now time.Duration) (number uint64, ok bool) {
+	if c.record.Holder != c.self || c.record.Successor != "" || c.resigned {
 		return 0, false
 	}
-	for _, a := range c.attempts {
-		if a.number == c.rec.Number && a.beat == c.rec.Beat {
-			return a.number, now >= a.begun && now < a.begun+c.t.Lease
+	for _, a := range c.pending {
+		if a.term == c.record.Term && a.renewal == c.record.Renewal {
+			return a.term, now >= a.startedAt && now < a.startedAt+c.timing.LeaseDuration
 		}
 	}
 	return 0, false
 }
 
-// Due is the write that this process is to make now, if any: a renewal, or a claim of a duty that
+// NextWrite is the write that this process is to make now, if any: a renewal, or a claim of a duty that
 // nobody holds any more. rank, from 0, keeps candidates apart that claim at the same time.
-func (c *Candidate) Due(now time.Duration, rank int) (Write, bool) {
-	if !c.known || c.leaving || c.tried > 0 && now-c.tried < c.t.Renew/2 {
+func (c *Candidate) NextWrite(now time.Duration, rank int) (Write, bool) {
+	if !c.known || c.resigned || c.lastWriteAt > 0 && now-c.lastWriteAt < c.timing.RenewInterval/2 {
 		return Write{}, false
 	}
-	apart := time.Duration(rank) * c.t.Stagger
+	apart := time.Duration(rank) * c.timing.Stagger
 	switch {
-	case c.rec.Holder == c.me && c.rec.Next == "":
-		if now-c.since < c.t.Renew {
+	case c.record.Holder == c.self && c.record.Successor == "":
+		if now-c.unchangedSince < c.timing.RenewInterval {
 			return Write{}, false
 		}
-		return c.Stamp(now)
-	case c.rec.Next == c.me:
-	case c.rec.Holder == "" && now-c.since >= apart:
-	case now-c.since >= c.t.Wait+apart:
+		return c.Renew(now)
+	case c.record.Successor == c.self:
+	case c.record.Holder == "" && now-c.unchangedSince >= apart:
+	case now-c.unchangedSince >= c.timing.TakeoverDelay+apart:
 	default:
 		return Write{}, false
 	}
-	return c.write(now, Record{Number: c.rec.Number + 1, Holder: c.me}), true
+	return c.newWrite(now, Record{Term: c.record.Term + 1, Holder: c.self}), true
 }
 
-// Stamp is the duty's part of a write that the holder makes for its own ends: each renews.
-func (c *Candidate) Stamp(now time.Duration) (Write, bool) {
-	if c.rec.Holder != c.me || c.rec.Next != "" || c.leaving {
+// Renew is the duty's part of a write that the holder makes for its own ends: each renews.
+func (c *Candidate) Renew(now time.Duration) (Write, bool) {
+	if c.record.Holder != c.self || c.record.Successor != "" || c.resigned {
 		return Write{}, false
 	}
-	return c.write(now, Record{Number: c.rec.Number, Holder: c.me}), true
+	return c.newWrite(now, Record{Term: c.record.Term, Holder: c.self}), true
 }
 
-// Leave ends this process's part: it acts no more from now on. Where it holds the duty, the write
+// Resign ends this process's part: it acts no more from now on. Where it holds the duty, the write
 // names its successor, or nobody with "". It may be asked again while that isn't kept.
-func (c *Candidate) Leave(now time.Duration, successor string) (Write, bool) {
-	c.leaving = true
-	if c.rec.Holder != c.me || c.rec.Next != "" {
+func (c *Candidate) Resign(now time.Duration, successor string) (Write, bool) {
+	c.resigned = true
+	if c.record.Holder != c.self || c.record.Successor != "" {
 		return Write{}, false
 	}
-	r := Record{Number: c.rec.Number, Holder: c.me, Next: successor}
-	if successor == "" || successor == c.me {
-		r.Holder, r.Next = "", ""
+	r := Record{Term: c.record.Term, Holder: c.self, Successor: successor}
+	if successor == "" || successor == c.self {
+		r.Holder, r.Successor = "", ""
 	}
-	return c.write(now, r), true
+	return c.newWrite(now, r), true
 }
 
-// write gives each attempt a beat of its own: one that was taken for lost may be kept late, and
+// newWrite gives each attempt a beat of its own: one that was taken for lost may be kept late, and
 // only its own beginning counts for it.
-func (c *Candidate) write(now time.Duration, r Record) Write {
-	c.beat = max(c.beat, c.rec.Beat) + 1
-	r.Beat = c.beat
-	c.tried = now
-	if len(c.attempts) == maxAttempts {
-		c.attempts = slices.Delete(c.attempts, 0, 1)
+func (c *Candidate) newWrite(now time.Duration, r Record) Write {
+	c.lastRenewal = max(c.lastRenewal, c.record.Renewal) + 1
+	r.Renewal = c.lastRenewal
+	c.lastWriteAt = now
+	if len(c.pending) == maxPendingWrites {
+		c.pending = slices.Delete(c.pending, 0, 1)
 	}
-	c.attempts = append(c.attempts, attempt{r.Number, r.Beat, now})
-	return Write{On: c.version, Duty: r}
+	c.pending = append(c.pending, pendingWrite{r.Term, r.Renewal, now})
+	return Write{ExpectedVersion: c.version, Record: r}
 }
 
 // Fence is the side of a receiver that acts on a holder's word: it refuses a number older than one
--- a/internal/fleet/singleton/duty_test.go
+++ b/internal/fleet/singleton/duty_test.go
@@ -12,175 +12,175 @@
 // register is what the chain keeps: one record that is changed by compare-and-set.
 type register struct {
 	version uint64
-	rec     Record
+	record  Record
 }
 
-func (r *register) put(w Write) bool {
-	if w.On != r.version {
+func (r *register) compareAndSet(w Write) bool {
+	if w.ExpectedVersion != r.version {
 		return false
 	}
-	r.version, r.rec = r.version+1, w.Duty
+	r.version, r.record = r.version+1, w.Record
 	return true
 }
 
-// keep makes a write and has its candidate know.
-func keep(t *testing.T, r *register, c *Candidate, now time.Duration, w Write) {
+// mustCommit makes a write and has its candidate know.
+func mustCommit(t *testing.T, r *register, c *Candidate, now time.Duration, w Write) {
 	t.Helper()
-	require.True(t, r.put(w))
-	require.NoError(t, r.rec.Check())
-	c.Seen(now, r.version, r.rec)
+	require.True(t, r.compareAndSet(w))
+	require.NoError(t, r.record.Validate())
+	c.Observe(now, r.version, r.record)
 }
 
 const start = time.Minute
 
-func TestOneClaimsAndRenews(t *testing.T) {
+func TestCandidateClaimsAndRenews(t *testing.T) {
 	r, now := &register{}, start
-	a, b := New("a", Default), New("b", Default)
+	a, b := New("a", DefaultTiming), New("b", DefaultTiming)
 	for _, c := range []*Candidate{a, b} {
-		_, due := c.Due(now, 0)
+		_, due := c.NextWrite(now, 0)
 		assert.False(t, due, "nothing is known yet")
-		c.Seen(now, 0, r.rec)
+		c.Observe(now, 0, r.record)
 	}
-	w, due := a.Due(now, 0)
+	w, due := a.NextWrite(now, 0)
 	require.True(t, due)
-	_, due = b.Due(now, 1)
+	_, due = b.NextWrite(now, 1)
 	assert.False(t, due, "the second one leaves the first some time")
-	keep(t, r, a, now, w)
-	n, holds := a.Holds(now)
+	mustCommit(t, r, a, now, w)
+	n, holds := a.HoldsLease(now)
 	assert.True(t, holds)
 	assert.EqualValues(t, 1, n)
-	w, due = b.Due(now+Default.Stagger, 1)
+	w, due = b.NextWrite(now+DefaultTiming.Stagger, 1)
 	require.True(t, due)
-	assert.False(t, r.put(w), "its version is gone")
+	assert.False(t, r.compareAndSet(w), "its version is gone")
 
 	for range 20 {
-		now += Default.Renew
-		b.Seen(now, r.version, r.rec)
-		_, due = b.Due(now, 0)
+		now += DefaultTiming.RenewInterval
+		b.Observe(now, r.version, r.record)
+		_, due = b.NextWrite(now, 0)
 		assert.False(t, due)
-		w, due = a.Due(now, 0)
+		w, due = a.NextWrite(now, 0)
 		require.True(t, due)
-		keep(t, r, a, now, w)
+		mustCommit(t, r, a, now, w)
 	}
-	assert.EqualValues(t, 1, r.rec.Number)
+	assert.EqualValues(t, 1, r.record.Term)
 }
 
-func TestAFrozenHolderActsNoMore(t *testing.T) {
+func TestPausedHolderLosesItsLease(t *testing.T) {
 	r, now := &register{}, start
-	a, b := New("a", Default), New("b", Default)
-	a.Seen(now, 0, r.rec)
-	w, _ := a.Due(now, 0)
-	keep(t, r, a, now+time.Second, w) // the answer took a second
-	_, holds := a.Holds(now + Default.Lease - 1)
+	a, b := New("a", DefaultTiming), New("b", DefaultTiming)
+	a.Observe(now, 0, r.record)
+	w, _ := a.NextWrite(now, 0)
+	mustCommit(t, r, a, now+time.Second, w) // the answer took a second
+	_, holds := a.HoldsLease(now + DefaultTiming.LeaseDuration - 1)
 	assert.True(t, holds)
-	_, holds = a.Holds(now + Default.Lease)
+	_, holds = a.HoldsLease(now + DefaultTiming.LeaseDuration)
 	assert.False(t, holds, "its lease runs from when the write began")
 
-	b.Seen(now+time.Second, r.version, r.rec)
-	_, due := b.Due(now+time.Second+Default.Wait-1, 0)
+	b.Observe(now+time.Second, r.version, r.record)
+	_, due := b.NextWrite(now+time.Second+DefaultTiming.TakeoverDelay-1, 0)
 	assert.False(t, due)
-	w, due = b.Due(now+time.Second+Default.Wait, 0)
+	w, due = b.NextWrite(now+time.Second+DefaultTiming.TakeoverDelay, 0)
 	require.True(t, due)
-	keep(t, r, b, now+time.Second+Default.Wait, w)
+	mustCommit(t, r, b, now+time.Second+DefaultTiming.TakeoverDelay, w)
 
 	now += time.Minute // a wakes and believes
-	_, holds = a.Holds(now)
+	_, holds = a.HoldsLease(now)
 	assert.False(t, holds)
-	w, due = a.Due(now, 0)
+	w, due = a.NextWrite(now, 0)
 	require.True(t, due, "it tries to renew")
-	assert.False(t, r.put(w))
-	a.Seen(now, r.version, r.rec)
-	_, due = a.Due(now, 0)
+	assert.False(t, r.compareAndSet(w))
+	a.Observe(now, r.version, r.record)
+	_, due = a.NextWrite(now, 0)
 	assert.False(t, due)
-	assert.EqualValues(t, 2, r.rec.Number)
+	assert.EqualValues(t, 2, r.record.Term)
 }
 
-func TestANamedSuccessorWaitsForNobody(t *testing.T) {
+func TestNamedSuccessorTakesOverAtOnce(t *testing.T) {
 	r, now := &register{}, start
-	a, b, c := New("a", Default), New("b", Default), New("c", Default)
-	a.Seen(now, 0, r.rec)
-	w, _ := a.Due(now, 0)
-	keep(t, r, a, now, w)
-	w, due := a.Leave(now, "b")
+	a, b, c := New("a", DefaultTiming), New("b", DefaultTiming), New("c", DefaultTiming)
+	a.Observe(now, 0, r.record)
+	w, _ := a.NextWrite(now, 0)
+	mustCommit(t, r, a, now, w)
+	w, due := a.Resign(now, "b")
 	require.True(t, due)
-	_, holds := a.Holds(now)
+	_, holds := a.HoldsLease(now)
 	assert.False(t, holds, "its word may be kept at any moment")
-	keep(t, r, a, now, w)
-	b.Seen(now, r.version, r.rec)
-	c.Seen(now, r.version, r.rec)
-	_, due = c.Due(now+Default.Wait-1, 0)
+	mustCommit(t, r, a, now, w)
+	b.Observe(now, r.version, r.record)
+	c.Observe(now, r.version, r.record)
+	_, due = c.NextWrite(now+DefaultTiming.TakeoverDelay-1, 0)
 	assert.False(t, due)
-	w, due = b.Due(now, 3)
+	w, due = b.NextWrite(now, 3)
 	require.True(t, due)
-	keep(t, r, b, now, w)
-	_, holds = b.Holds(now)
+	mustCommit(t, r, b, now, w)
+	_, holds = b.HoldsLease(now)
 	assert.True(t, holds)
 
 	// A successor that never comes holds nothing up for longer than a holder that is gone.
-	w, _ = b.Leave(now, "nobody there")
-	keep(t, r, b, now, w)
-	c.Seen(now, r.version, r.rec)
-	_, due = c.Due(now+Default.Wait, 0)
+	w, _ = b.Resign(now, "nobody there")
+	mustCommit(t, r, b, now, w)
+	c.Observe(now, r.version, r.record)
+	_, due = c.NextWrite(now+DefaultTiming.TakeoverDelay, 0)
 	assert.True(t, due)
 }
 
-func TestNobodyNamedIsFreeAtOnce(t *testing.T) {
+func TestResignationWithoutSuccessorFreesTheRole(t *testing.T) {
 	r, now := &register{}, start
-	a, b := New("a", Default), New("b", Default)
-	a.Seen(now, 0, r.rec)
-	w, _ := a.Due(now, 0)
-	keep(t, r, a, now, w)
-	w, _ = a.Leave(now, "")
-	keep(t, r, a, now, w)
-	b.Seen(now, r.version, r.rec)
-	_, due := b.Due(now, 0)
+	a, b := New("a", DefaultTiming), New("b", DefaultTiming)
+	a.Observe(now, 0, r.record)
+	w, _ := a.NextWrite(now, 0)
+	mustCommit(t, r, a, now, w)
+	w, _ = a.Resign(now, "")
+	mustCommit(t, r, a, now, w)
+	b.Observe(now, r.version, r.record)
+	_, due := b.NextWrite(now, 0)
 	assert.True(t, due)
-	_, due = a.Due(now+time.Hour, 0)
+	_, due = a.NextWrite(now+time.Hour, 0)
 	assert.False(t, due, "who left claims no more")
 }
 
-func TestAWriteThatWasTakenForLostGivesTheLeaseOfItsOwnBeginning(t *testing.T) {
+func TestLateCommitGrantsLeaseFromItsOwnStart(t *testing.T) {
 	r, now := &register{}, start
-	a := New("a", Default)
-	a.Seen(now, 0, r.rec)
-	w, _ := a.Due(now, 0)
-	keep(t, r, a, now, w)
-	lost, ok := a.Stamp(now + time.Second)
+	a := New("a", DefaultTiming)
+	a.Observe(now, 0, r.record)
+	w, _ := a.NextWrite(now, 0)
+	mustCommit(t, r, a, now, w)
+	lost, ok := a.Renew(now + time.Second)
 	require.True(t, ok)
-	again, ok := a.Stamp(now + 2*time.Second)
+	again, ok := a.Renew(now + 2*time.Second)
 	require.True(t, ok)
-	require.True(t, r.put(lost)) // it comes late
-	assert.False(t, r.put(again))
-	a.Seen(now+2*time.Second, r.version, r.rec)
-	_, holds := a.Holds(now + time.Second + Default.Lease - 1)
+	require.True(t, r.compareAndSet(lost)) // it comes late
+	assert.False(t, r.compareAndSet(again))
+	a.Observe(now+2*time.Second, r.version, r.record)
+	_, holds := a.HoldsLease(now + time.Second + DefaultTiming.LeaseDuration - 1)
 	assert.True(t, holds)
-	_, holds = a.Holds(now + time.Second + Default.Lease)
+	_, holds = a.HoldsLease(now + time.Second + DefaultTiming.LeaseDuration)
 	assert.False(t, holds)
 }
 
-func TestTimingsThatGuaranteeNothingAreRefused(t *testing.T) {
-	require.NoError(t, Default.Check())
-	for _, bad := range []Timing{{}, {Renew: 1, Lease: 1, Wait: 2}, {Renew: 1, Lease: 3, Wait: 3}, {Renew: 1, Lease: 2, Wait: 3, Stagger: -1}} {
-		assert.Error(t, bad.Check(), "%+v", bad)
+func TestUnsafeTimingsAreRejected(t *testing.T) {
+	require.NoError(t, DefaultTiming.Validate())
+	for _, bad := range []Timing{{}, {RenewInterval: 1, LeaseDuration: 1, TakeoverDelay: 2}, {RenewInterval: 1, LeaseDuration: 3, TakeoverDelay: 3}, {RenewInterval: 1, LeaseDuration: 2, TakeoverDelay: 3, Stagger: -1}} {
+		assert.Error(t, bad.Validate(), "%+v", bad)
 	}
 }
 
 // Whatever happens to a handful of processes, no two hold at once, numbers rise with each holder,
 // and once writes come through there is a holder within a Wait and the stagger.
-func TestWhateverHappensOneHoldsAndThereIsOne(t *testing.T) {
+func TestRandomHistoryHasExactlyOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := &register{}, start
-		all := []*Candidate{New("a", Default), New("b", Default), New("c", Default)}
+		all := []*Candidate{New("a", DefaultTiming), New("b", DefaultTiming), New("c", DefaultTiming)}
 		holder := map[uint64]string{}
 		check := func() {
 			n := 0
 			for _, c := range all {
-				if number, holds := c.Holds(now); holds {
+				if number, holds := c.HoldsLease(now); holds {
 					n++
-					if who, ok := holder[number]; ok && who != c.me {
-						t.Fatalf("%d is held by %s and %s", number, who, c.me)
+					if who, ok := holder[number]; ok && who != c.self {
+						t.Fatalf("%d is held by %s and %s", number, who, c.self)
 					}
-					holder[number] = c.me
+					holder[number] = c.self
 				}
 			}
 			if n > 1 {
@@ -194,49 +194,49 @@
 			c := all[i]
 			switch rapid.SampledFrom([]string{"turn", "turn", "turn", "lost", "late", "read", "stamp", "late comes"}).Draw(t, "what") {
 			case "turn":
-				if w, due := c.Due(now, i); due && r.put(w) {
-					c.Seen(now, r.version, r.rec)
+				if w, due := c.NextWrite(now, i); due && r.compareAndSet(w) {
+					c.Observe(now, r.version, r.record)
 				}
 			case "lost":
-				if w, due := c.Due(now, i); due {
-					r.put(w)
+				if w, due := c.NextWrite(now, i); due {
+					r.compareAndSet(w)
 				}
 			case "late":
-				if w, due := c.Due(now, i); due {
+				if w, due := c.NextWrite(now, i); due {
 					late = append(late, w)
 				}
 			case "late comes":
 				for _, w := range late {
-					r.put(w)
+					r.compareAndSet(w)
 				}
 				late = nil
 			case "stamp":
-				if w, ok := c.Stamp(now); ok {
-					r.put(w)
+				if w, ok := c.Renew(now); ok {
+					r.compareAndSet(w)
 				}
 			case "read":
-				c.Seen(now, r.version, r.rec)
+				c.Observe(now, r.version, r.record)
 			}
 			check()
 		}
-		end := now + Default.Wait + 3*Default.Stagger + Default.Renew
+		end := now + DefaultTiming.TakeoverDelay + 3*DefaultTiming.Stagger + DefaultTiming.RenewInterval
 		for ; now < end; now += 50 * time.Millisecond {
 			for i, c := range all {
-				c.Seen(now, r.version, r.rec)
-				if w, due := c.Due(now, i); due && r.put(w) {
-					c.Seen(now, r.version, r.rec)
+				c.Observe(now, r.version, r.record)
+				if w, due := c.NextWrite(now, i); due && r.compareAndSet(w) {
+					c.Observe(now, r.version, r.record)
 				}
 				check()
 			}
 		}
 		held := 0
 		for _, c := range all {
-			if _, holds := c.Holds(now); holds {
+			if _, holds := c.HoldsLease(now); holds {
 				held++
 			}
 		}
 		if held != 1 {
-			t.Fatalf("%d hold the duty once all is well: %+v", held, r.rec)
+			t.Fatalf("%d hold the duty once all is well: %+v", held, r.record)
 		}
 	})
 }
