--- a/internal/agent/opsconfig/ops_test.go
+++ b/internal/agent/opsconfig/ops_test.go
@@ -41,7 +41,7 @@
 		{"[fleet]\nname = \"k\"\nseeds = [\"127.0.0.1:1\"]", "f.toml: fleet.bind: needed"},
 		{"[fleet]\nname = \"k\"\nbind = \"127.0.0.1:1\"", "f.toml: fleet.seeds: needed"},
 		{"[vote]\nelectorate = [\"a\"]", "f.toml: vote.electorate: there are no votes without fleet.name"},
-		{oneFleet + "[vote]\nelectorate = [\"a\", \"a\"]", `f.toml: vote.electorate: "a" is no name, or named twice`},
+		{oneFleet + "[vote]\nelectorate = [\"a\", \"a\"]", `f.toml: vote.electorate: "a" is not a valid name, or is listed twice`},
 		{oneFleet + "[agent]\nname = \"b\"\n[vote]\nelectorate = [\"a\"]", `f.toml: vote.electorate: "b", this agent, is not in it`},
 		{oneFleet + "[vote]\nelectorate = [\"a\"]\n[council]\nvoters = [\"a=127.0.0.1:1\", \"b=127.0.0.1:2\"]", "f.toml: council.voters: must be three or five, are 2"},
 		{oneFleet + "[vote]\nelectorate = [\"a\"]\n[council]\nvoters = [\"a\"]", "f.toml: council.voters[0]: \"a\" is no name=address:port"},
