--- a/internal/agent/consensus/council.go
+++ b/internal/agent/consensus/council.go
@@ -133,7 +133,7 @@
 	if !ok || o.Agent != r.Agent {
 		return r, false
 	}
-	if o.Boot == r.Boot && o.Seq > r.Seq {
+	if o.Incarnation == r.Incarnation && o.Seq > r.Seq {
 		return o, true
 	}
 	return r, true
@@ -427,7 +427,7 @@
 	var t zonefailover.Table
 	err := json.Unmarshal(l.Data, &t)
 	if err == nil {
-		err = t.Check()
+		err = t.Validate()
 	}
 	if was := f.decision().Table.Number; err == nil && t.Number != was+1 {
 		err = fmt.Errorf("council: table %d does not follow on %d", t.Number, was)
@@ -449,7 +449,7 @@
 	if err := json.NewDecoder(io.LimitReader(r, 1<<20)).Decode(&d); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	if err := d.Table.Check(); err != nil && d.Index > 0 {
+	if err := d.Table.Validate(); err != nil && d.Index > 0 {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
 	f.set(d)
--- a/internal/agent/consensus/council_test.go
+++ b/internal/agent/consensus/council_test.go
@@ -50,7 +50,7 @@
 		ln.Close()
 	}
 	cfg := zonefailover.Defaults()
-	cfg.Hold, cfg.Step = 100*time.Millisecond, 50*time.Millisecond
+	cfg.EjectionTime, cfg.SlowStartStep = 100*time.Millisecond, 50*time.Millisecond
 	for _, v := range all {
 		b.cfgs = append(b.cfgs, Config{Self: v.Name, Voters: all, Bind: v.Addr, Dir: filepath.Join(t.TempDir(), v.Name), Zones: cfg, Heartbeat: 400 * time.Millisecond})
 	}
@@ -105,10 +105,10 @@
 		b.seq++
 		for _, s := range b.voters {
 			for _, site := range []string{"a", "b", "c"} {
-				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Boot: 1, Seq: b.seq,
-					Zones: []zonefailover.Sight{{Zone: "a", Weight: 1, Met: 4}, {Zone: "b", Weight: 1, Met: 4}, {Zone: "c", Weight: 1, Met: 4}}}
+				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Incarnation: 1, Seq: b.seq,
+					Zones: []zonefailover.ZoneReport{{Zone: "a", Weight: 1, Observed: 4}, {Zone: "b", Weight: 1, Observed: 4}, {Zone: "c", Weight: 1, Observed: 4}}}
 				if bad {
-					r.Zones[1].Bad = 4
+					r.Zones[1].Unhealthy = 4
 				}
 				if s != nil {
 					s.c.Mailbox().Put(Report{r})
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	for key, change := range map[string]func(*Config){"voters": func(c *Config) { c.Voters = c.Voters[:2] }, "voters: c": func(c *Config) { c.Voters = []Voter{c.Voters[0], c.Voters[2], c.Voters[2]} },
-		"dir": func(c *Config) { c.Dir = "" }, "bind": func(c *Config) { c.Bind = "" }, "heartbeat": func(c *Config) { c.Heartbeat = 0 }, "most": func(c *Config) { c.Zones.Most = 0 }} {
+		"dir": func(c *Config) { c.Dir = "" }, "bind": func(c *Config) { c.Bind = "" }, "heartbeat": func(c *Config) { c.Heartbeat = 0 }, "most": func(c *Config) { c.Zones.MaxEjectedFraction = 0 }} {
 		c := good
 		change(&c)
 		if err := c.Validate(); err == nil || !strings.HasPrefix(err.Error(), key) {
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -259,7 +259,7 @@
 		}
 	case KindReport:
 		var m zonefailover.Report
-		if err = decode(body, &m, m.Check); err == nil && s.l.council != nil {
+		if err = decode(body, &m, m.Validate); err == nil && s.l.council != nil {
 			s.l.council.Mailbox().Put(consensus.Report{Report: m})
 		}
 	case KindParts:
@@ -392,17 +392,17 @@
 type reporter struct {
 	seq   uint64
 	at    time.Duration
-	views []zonefailover.View
+	views []zonefailover.Health
 }
 
 // report tells all voters what was seen of each zone: at once where a view has changed.
 func (l *Layer) report(was *reporter, seen []outlier.Zone) {
-	r := zonefailover.Report{Version: zonefailover.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Boot: l.cfg.Peers.Incarnation}
-	var views []zonefailover.View
+	r := zonefailover.Report{Version: zonefailover.Version, Agent: l.cfg.Peers.Name, Site: l.cfg.Peers.Zone, Region: l.cfg.Peers.Region, Incarnation: l.cfg.Peers.Incarnation}
+	var views []zonefailover.Health
 	for _, z := range seen[:min(len(seen), zonefailover.MaxZones)] {
-		s := zonefailover.Sight{Zone: z.Name, Weight: z.Weight, Met: z.Observed, Bad: z.Unhealthy, Hurt: z.WithFailures, Tries: z.Attempts, Failed: z.Failures, Util: min(z.Utilization, 1), Probes: z.UtilizationSamples}
+		s := zonefailover.ZoneReport{Zone: z.Name, Weight: z.Weight, Observed: z.Observed, Unhealthy: z.Unhealthy, WithFailures: z.WithFailures, Attempts: z.Attempts, Failures: z.Failures, Utilization: min(z.Utilization, 1), UtilizationSamples: z.UtilizationSamples}
 		r.Rate += float64(z.Attempts) / l.cfg.Vote.MaxEvidenceAge.Seconds()
-		r.Zones, views = append(r.Zones, s), append(views, s.View())
+		r.Zones, views = append(r.Zones, s), append(views, s.Health())
 	}
 	now := l.now()
 	if slices.Equal(views, was.views) && now-was.at < reportEvery && was.seq > 0 {
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -309,13 +309,13 @@
 		if holds {
 			z.Share, z.Left = d.Table.Share(own, zone), now+s.parts.Left(now)
 			if s.phase == stalerouting.Light { // a site by itself has its own zone only
-				z.Pull, _ = d.Table.Part(own, zone)
+				z.Pull, _ = d.Table.TrafficShare(own, zone)
 			}
 		}
 		if zone != own && s.phase != stalerouting.Light {
 			z.Share, z.Reach, z.Left = z.Share*s.share, s.share, min(z.Left, s.until)
 		}
-		if z.Share < 1 || z.Pull > 0 || holds && len(d.Table.Parts) > 0 {
+		if z.Share < 1 || z.Pull > 0 || holds && len(d.Table.TrafficShares) > 0 {
 			out = append(out, z)
 			s.renewAt = min(s.renewAt, now+(z.Left-now)/2)
 		}
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -141,8 +141,8 @@
 	s := bareSite(t)
 	l := s.l
 	table := func(number uint64, left string, home float64) zonefailover.Table {
-		return zonefailover.Table{Version: zonefailover.Version, Number: number, Zones: []zonefailover.Zone{{Name: left, In: zonefailover.Track{Share: 1}}},
-			Parts: []zonefailover.Part{{Site: "x", Zone: "x", Share: home}, {Site: "x", Zone: "y", Share: 1 - home}, {Site: "x", Zone: "z"}}}
+		return zonefailover.Table{Version: zonefailover.Version, Number: number, Zones: []zonefailover.Zone{{Name: left, Local: zonefailover.Track{Share: 1}}},
+			TrafficShares: []zonefailover.TrafficShare{{Site: "x", Zone: "x", Share: home}, {Site: "x", Zone: "y", Share: 1 - home}, {Site: "x", Zone: "z"}}}
 	}
 	s.take(members{[]membership.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}})
 	// What a voter finds in its log is acted on once a majority vouches for it.
@@ -200,7 +200,7 @@
 	good := []outlier.Zone{{Name: "x", Weight: 2, Observed: 2, Attempts: 30, Utilization: 9, UtilizationSamples: 1}}
 	l.report(&was, good)
 	m, ok := l.council.Mailbox().Poll()
-	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Util != 1 || r.Check() != nil || sent() != 2 {
+	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Utilization != 1 || r.Validate() != nil || sent() != 2 {
 		t.Errorf("%+v", m)
 	}
 	l.report(&was, good)
--- a/internal/agent/opsconfig/ops.go
+++ b/internal/agent/opsconfig/ops.go
@@ -115,8 +115,8 @@
 		return nil, nil
 	}
 	z := zonefailover.Defaults()
-	z.After, z.Hold, z.HoldMost, z.Step, z.Most = time.Duration(c.After), time.Duration(c.Hold), time.Duration(c.HoldMost), time.Duration(c.Step), c.Most
-	z.Target = c.Target
+	z.UnhealthyFor, z.EjectionTime, z.MaxEjectionTime, z.SlowStartStep, z.MaxEjectedFraction = time.Duration(c.After), time.Duration(c.Hold), time.Duration(c.HoldMost), time.Duration(c.Step), c.Most
+	z.TargetUtilization = c.Target
 	out := &consensus.Config{Self: self, Bind: c.Bind, Dir: c.Dir, Zones: z, Heartbeat: time.Duration(c.Heartbeat)}
 	for i, text := range c.Voters {
 		v, err := consensus.ParseVoter(text)
@@ -169,8 +169,8 @@
 	return File{Log: Log{Format: "text", Level: "info"}, State: State{Every: Duration(time.Second)},
 		Fleet: Fleet{Role: "agent", Seeds: []string{}}, Vote: Vote{Electorate: []string{}, Roll: 1, Cap: v.MaxEjectedFraction, Lease: Duration(v.Lease), Longest: Duration(v.MaxLease),
 			Remember: Duration(v.EscalationWindow), Age: Duration(v.MaxEvidenceAge), Step: Duration(v.SlowStartStep), Trial: Duration(v.TrialInterval)},
-		Council: Council{Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second), After: Duration(z.After),
-			Hold: Duration(z.Hold), HoldMost: Duration(z.HoldMost), Step: Duration(z.Step), Most: z.Most, Target: z.Target},
+		Council: Council{Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second), After: Duration(z.UnhealthyFor),
+			Hold: Duration(z.EjectionTime), HoldMost: Duration(z.MaxEjectionTime), Step: Duration(z.SlowStartStep), Most: z.MaxEjectedFraction, Target: z.TargetUtilization},
 		Site: Site{Quiet: Duration(s.Quiet), Beat: Duration(s.Beat), Step: Duration(s.Step), Hold: Duration(s.Hold)}}
 }
 
--- a/internal/agent/stalerouting/parts.go
+++ b/internal/agent/stalerouting/parts.go
@@ -23,7 +23,7 @@
 	if d.Version != Version || d.Age < 0 || d.Index == 0 {
 		return fmt.Errorf("decided: version %d, index %d, age %v", d.Version, d.Index, d.Age)
 	}
-	return d.Table.Check()
+	return d.Table.Validate()
 }
 
 // Parts is the newest decision of the council that an agent knows. It is acted on while it is
--- a/internal/agent/zonefailover/bench_test.go
+++ b/internal/agent/zonefailover/bench_test.go
@@ -19,9 +19,9 @@
 			now, seq := time.Duration(0), uint64(0)
 			report := func(i int) {
 				seq++
-				r := Report{Version: Version, Agent: fmt.Sprint("n", i), Site: sites[i%len(sites)], Boot: 1, Seq: seq, Rate: 3}
+				r := Report{Version: Version, Agent: fmt.Sprint("n", i), Site: sites[i%len(sites)], Incarnation: 1, Seq: seq, Rate: 3}
 				for _, z := range sites {
-					r.Zones = append(r.Zones, Sight{Zone: z, Weight: 40, Met: 4, Tries: 30, Util: 0.5, Probes: 4})
+					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 40, Observed: 4, Attempts: 30, Utilization: 0.5, UtilizationSamples: 4})
 				}
 				if err := m.Report(now, r); err != nil {
 					b.Fatal(err)
--- a/internal/agent/zonefailover/parts_test.go
+++ b/internal/agent/zonefailover/parts_test.go
@@ -10,19 +10,19 @@
 
 // What has no room at home leaves it and nothing else does, whatever demand and room there are;
 // no zone is filled past its room while all of it fits; a region goes before what lies beyond.
-func TestSpill(t *testing.T) {
+func TestDistribute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &want{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
-			demand: map[string]float64{}, own: map[string]float64{}, foreign: map[string]float64{}}
+		w := &trafficDemand{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
+			demand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
 		demand, room, over := 0.0, 0.0, 0.0
 		for _, z := range w.zones {
-			w.own[z] = rapid.Float64Range(0, 10).Draw(t, "room of "+z)
-			w.foreign[z] = w.own[z]
+			w.localCapacity[z] = rapid.Float64Range(0, 10).Draw(t, "room of "+z)
+			w.remoteCapacity[z] = w.localCapacity[z]
 			w.demand[z] = rapid.Float64Range(0.01, 10).Draw(t, "demand of "+z)
-			demand, room, over = demand+w.demand[z], room+w.own[z], over+max(w.demand[z]-w.own[z], 0)
+			demand, room, over = demand+w.demand[z], room+w.localCapacity[z], over+max(w.demand[z]-w.localCapacity[z], 0)
 		}
 		crossing, filled := 0.0, map[string]float64{}
-		for site, parts := range w.spill() {
+		for site, parts := range w.distribute() {
 			sum := 0.0
 			for z, x := range parts {
 				if !(x >= 0) || math.IsInf(x, 0) {
@@ -45,26 +45,26 @@
 			t.Fatalf("%v crosses, %v has no room at home", crossing, over)
 		}
 		for z, x := range filled {
-			if x > w.own[z]+1e-6 {
-				t.Fatalf("%s is filled to %v of %v", z, x, w.own[z])
+			if x > w.localCapacity[z]+1e-6 {
+				t.Fatalf("%s is filled to %v of %v", z, x, w.localCapacity[z])
 			}
 		}
 	})
-	w := &want{zones: []string{"a", "b", "c"}, region: map[string]string{"a": "r", "b": "s", "c": "r"},
-		demand: map[string]float64{"a": 6, "b": 1, "c": 1}, own: map[string]float64{"a": 4, "b": 4, "c": 2}}
-	w.foreign = w.own
-	if got := w.spill()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 || math.Abs(got["b"]-1.0/6) > 1e-9 {
+	w := &trafficDemand{zones: []string{"a", "b", "c"}, region: map[string]string{"a": "r", "b": "s", "c": "r"},
+		demand: map[string]float64{"a": 6, "b": 1, "c": 1}, localCapacity: map[string]float64{"a": 4, "b": 4, "c": 2}}
+	w.remoteCapacity = w.localCapacity
+	if got := w.distribute()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 || math.Abs(got["b"]-1.0/6) > 1e-9 {
 		t.Errorf("a of a region with c: %v", got)
 	}
-	w.foreign = map[string]float64{"a": 4, "b": 0, "c": 2} // b is left by others
-	if got := w.spill()["a"]; got["b"] != 0 || math.Abs(got["a"]+got["c"]-1) > 1e-9 {
+	w.remoteCapacity = map[string]float64{"a": 4, "b": 0, "c": 2} // b is left by others
+	if got := w.distribute()["a"]; got["b"] != 0 || math.Abs(got["a"]+got["c"]-1) > 1e-9 {
 		t.Errorf("b is left: %v", got)
 	}
 }
 
 // Parts move by steps towards what is wanted, with a pause between, and stand still in calm;
 // what a site wants that is not heard any more stays as it is.
-func TestPartsMoveBySteps(t *testing.T) {
+func TestTrafficSharesMoveGradually(t *testing.T) {
 	m, err := New(Defaults(), Table{Version: Version})
 	if err != nil {
 		t.Fatal(err)
@@ -76,9 +76,9 @@
 		for end := now + d; now < end; now += 100 * time.Millisecond {
 			seq++
 			for site, rate := range rates {
-				r := Report{Version: Version, Agent: site, Site: site, Boot: 1, Seq: seq, Rate: rate}
+				r := Report{Version: Version, Agent: site, Site: site, Incarnation: 1, Seq: seq, Rate: rate}
 				for _, z := range []string{"a", "b", "c"} {
-					r.Zones = append(r.Zones, Sight{Zone: z, Weight: 10, Met: 4, Util: util, Probes: 3})
+					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 10, Observed: 4, Utilization: util, UtilizationSamples: 3})
 				}
 				if err := m.Report(now, r); err != nil {
 					t.Fatal(err)
@@ -86,8 +86,8 @@
 			}
 			was := m.Table()
 			if next, changed := m.Tick(now); changed {
-				for _, p := range next.Parts {
-					if is, known := was.Part(p.Site, p.Zone); known && !jumps && math.Abs(is-p.Share) > partStep+1e-9 {
+				for _, p := range next.TrafficShares {
+					if is, known := was.TrafficShare(p.Site, p.Zone); known && !jumps && math.Abs(is-p.Share) > maxShareChange+1e-9 {
 						t.Fatalf("%+v from %v in one step", p, is)
 					}
 				}
@@ -98,7 +98,7 @@
 	}
 	home := func(site string) float64 {
 		table := m.Table()
-		x, _ := table.Part(site, site)
+		x, _ := table.TrafficShare(site, site)
 		return x
 	}
 	run(30 * time.Second)
@@ -106,7 +106,7 @@
 		t.Errorf("%v of a's stay at home, where there is room for all", home("a"))
 	}
 	for i := range moves[1:] {
-		if moves[i+1]-moves[i] < m.cfg.Step {
+		if moves[i+1]-moves[i] < m.config.SlowStartStep {
 			t.Errorf("moves at %v", moves)
 		}
 	}
@@ -126,12 +126,12 @@
 	rates["a"], rates["b"], rates["c"] = 100, 100, 100
 	util = 0.8
 	run(200 * time.Millisecond)
-	if n := len(m.Table().Parts); n != 0 {
+	if n := len(m.Table().TrafficShares); n != 0 {
 		t.Errorf("%d parts while all are over their room", n)
 	}
 	util = 0.7
 	run(10 * time.Second)
-	if n := len(m.Table().Parts); n != 0 {
+	if n := len(m.Table().TrafficShares); n != 0 {
 		t.Errorf("%d parts again at the brim", n)
 	}
 	util = 0.5
@@ -143,28 +143,28 @@
 	run(30 * time.Second)
 	// A zone that is left gets nothing at once, whatever the step.
 	jumps = true
-	m.table.Zones[1].Out = Track{Hold: time.Hour}
-	run(m.cfg.Step + 200*time.Millisecond)
+	m.table.Zones[1].Remote = Track{EjectionTime: time.Hour}
+	run(m.config.SlowStartStep + 200*time.Millisecond)
 	if table := m.Table(); true {
-		if x, _ := table.Part("a", "b"); x != 0 {
+		if x, _ := table.TrafficShare("a", "b"); x != 0 {
 			t.Errorf("%v of a's go to b, which is left", x)
 		}
 	}
-	m.table.Zones[1].Out = Track{Share: 1}
+	m.table.Zones[1].Remote = Track{Share: 1}
 	// The own one, too, which had more than a step.
-	m.table.Zones[0].In = Track{Hold: time.Hour}
-	run(m.cfg.Step + 200*time.Millisecond)
+	m.table.Zones[0].Local = Track{EjectionTime: time.Hour}
+	run(m.config.SlowStartStep + 200*time.Millisecond)
 	if x := home("a"); x != 0 {
 		t.Errorf("%v of a's stay in their zone, which its agents have left", x)
 	}
-	m.table.Zones[0].In = Track{Share: 1}
+	m.table.Zones[0].Local = Track{Share: 1}
 	run(30 * time.Second)
 	delete(rates, "a")
 	run(time.Minute)
 	if x := home("a"); math.Abs(x-0.75) > 0.06 {
 		t.Errorf("%v once it is not heard", x)
 	}
-	if table := m.Table(); table.Check() != nil {
-		t.Error(table.Check())
+	if table := m.Table(); table.Validate() != nil {
+		t.Error(table.Validate())
 	}
 }
--- a/internal/agent/zonefailover/zones_test.go
+++ b/internal/agent/zonefailover/zones_test.go
@@ -19,9 +19,9 @@
 	now   time.Duration
 	each  time.Duration // between ticks
 	sites []string
-	hosts map[string]int               // of each zone
-	sees  func(site, zone string) View // what agents of a site see of a zone they send to
-	heard func(site string) bool       // whether a site reaches the leader
+	hosts map[string]int                 // of each zone
+	sees  func(site, zone string) Health // what agents of a site see of a zone they send to
+	heard func(site string) bool         // whether a site reaches the leader
 	seq   uint64
 	moves map[string][]time.Duration // when the share of a zone for others moved
 	big   []time.Duration            // when one moved by a half or more
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	f := &fleet{t: t, m: m, each: 100 * time.Millisecond, sites: sites, hosts: map[string]int{}, moves: map[string][]time.Duration{},
-		sees: func(_, _ string) View { return Good }, heard: func(string) bool { return true }}
+		sees: func(_, _ string) Health { return Healthy }, heard: func(string) bool { return true }}
 	for _, s := range sites {
 		f.hosts[s] = 6
 	}
@@ -50,14 +50,14 @@
 			}
 			for a := range 3 {
 				f.seq++
-				r := Report{Version: Version, Agent: fmt.Sprint(site, a), Site: site, Boot: 1, Seq: f.seq}
+				r := Report{Version: Version, Agent: fmt.Sprint(site, a), Site: site, Incarnation: 1, Seq: f.seq}
 				for _, zone := range f.sites {
-					s := Sight{Zone: zone, Weight: float64(f.hosts[zone])}
+					s := ZoneReport{Zone: zone, Weight: float64(f.hosts[zone])}
 					t := f.m.Table()
 					if v := f.sees(site, zone); v != Unknown && t.Share(site, zone) > 0 {
-						s.Met = 4
-						if v == Bad {
-							s.Bad = 4
+						s.Observed = 4
+						if v == Unhealthy {
+							s.Unhealthy = 4
 						}
 					}
 					r.Zones = append(r.Zones, s)
@@ -72,13 +72,13 @@
 			f.m.Committed(next)
 			left, all := 0.0, 0.0
 			for _, z := range next.Zones {
-				if old := was.Share("nowhere", z.Name); old != z.Out.Share {
+				if old := was.Share("nowhere", z.Name); old != z.Remote.Share {
 					f.moves[z.Name] = append(f.moves[z.Name], f.now)
-					if math.Abs(old-z.Out.Share) >= 0.5 {
+					if math.Abs(old-z.Remote.Share) >= 0.5 {
 						f.big = append(f.big, f.now)
 					}
 				}
-				left += float64(f.hosts[z.Name]) * (1 - z.Out.Share)
+				left += float64(f.hosts[z.Name]) * (1 - z.Remote.Share)
 				all += float64(f.hosts[z.Name])
 			}
 			f.most = max(f.most, left/all)
@@ -103,14 +103,14 @@
 	f := newFleet(t, Defaults(), "a", "b", "c")
 	f.run(5 * time.Second)
 	f.want("a", "b", 1)
-	f.sees = func(_, zone string) View { return map[bool]View{true: Bad, false: Good}[zone == "b"] }
+	f.sees = func(_, zone string) Health { return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"] }
 	f.run(time.Second)
 	f.want("a", "b", 0)
 	f.want("c", "b", 0)
 	f.want("b", "b", 0)
 	f.want("b", "a", 1)
 	f.run(2 * time.Second)
-	f.sees = func(_, _ string) View { return Good }
+	f.sees = func(_, _ string) Health { return Healthy }
 	f.run(1900 * time.Millisecond)
 	f.want("a", "b", 0)
 	var seen []float64
@@ -131,8 +131,8 @@
 func TestACutZone(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
 	f.run(5 * time.Second)
-	f.sees = func(site, zone string) View {
-		return map[bool]View{true: Bad, false: Good}[(site == "b") != (zone == "b")]
+	f.sees = func(site, zone string) Health {
+		return map[bool]Health{true: Unhealthy, false: Healthy}[(site == "b") != (zone == "b")]
 	}
 	f.heard = func(site string) bool { return site != "b" }
 	f.run(time.Minute)
@@ -141,7 +141,7 @@
 	if n := len(f.moves["b"]); n != 1 {
 		t.Errorf("%d moves while it was cut off: %v", n, f.moves["b"])
 	}
-	f.sees, f.heard = func(_, _ string) View { return Good }, func(string) bool { return true }
+	f.sees, f.heard = func(_, _ string) Health { return Healthy }, func(string) bool { return true }
 	f.run(6 * time.Second)
 	f.want("a", "b", 1)
 }
@@ -152,7 +152,9 @@
 	for _, n := range []int{3, 4} {
 		f := newFleet(t, Defaults(), strings.Split("abcd", "")[:n]...)
 		f.run(5 * time.Second)
-		f.sees = func(_, zone string) View { return map[bool]View{true: Bad, false: Good}[zone == "a" || zone == "b"] }
+		f.sees = func(_, zone string) Health {
+			return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "a" || zone == "b"]
+		}
 		f.run(30 * time.Second)
 		if f.most > 0.5 || f.most == 0 {
 			t.Errorf("%d zones: %v of the weight was left, want some and at most 0.5", n, f.most)
@@ -160,7 +162,9 @@
 	}
 	f := newFleet(t, Defaults(), "a", "b", "c")
 	f.run(5 * time.Second)
-	f.sees = func(site, zone string) View { return map[bool]View{true: Bad, false: Good}[site == "a" && zone != "a"] }
+	f.sees = func(site, zone string) Health {
+		return map[bool]Health{true: Unhealthy, false: Healthy}[site == "a" && zone != "a"]
+	}
 	f.run(20 * time.Second)
 	f.heard = func(string) bool { return false }
 	f.run(time.Minute)
@@ -173,11 +177,11 @@
 // at most two changes of half a share or more in any minute.
 func TestAFlappingZone(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
-	f.sees = func(_, zone string) View {
+	f.sees = func(_, zone string) Health {
 		if zone == "b" && int(f.now/(3*time.Second))%2 == 1 {
-			return Bad
+			return Unhealthy
 		}
-		return Good
+		return Healthy
 	}
 	f.run(10 * time.Minute)
 	for i, at := range f.big {
@@ -185,10 +189,10 @@
 			t.Errorf("moves at %v", f.big)
 		}
 	}
-	if z := f.m.line("b").Out; z.Leaves < 3 || z.Leaves > 12 || z.Hold != f.m.cfg.HoldMost {
+	if z := f.m.line("b").Remote; z.Ejections < 3 || z.Ejections > 12 || z.EjectionTime != f.m.config.MaxEjectionTime {
 		t.Errorf("after ten minutes: %+v", z)
 	}
-	f.sees = func(_, _ string) View { return Good }
+	f.sees = func(_, _ string) Health { return Healthy }
 	f.run(3 * time.Minute)
 	f.want("a", "b", 1)
 }
@@ -202,10 +206,10 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		f.hosts["a"] = rapid.IntRange(1, 30).Draw(rt, "hosts of a")
 		for range rapid.IntRange(1, 8).Draw(rt, "spells") {
-			views, deaf := map[string]View{}, f.sites[rng.IntN(3)]
-			f.sees = func(site, zone string) View {
+			views, deaf := map[string]Health{}, f.sites[rng.IntN(3)]
+			f.sees = func(site, zone string) Health {
 				if _, ok := views[site+zone]; !ok {
-					views[site+zone] = View(rng.IntN(3))
+					views[site+zone] = Health(rng.IntN(3))
 				}
 				return views[site+zone]
 			}
@@ -215,10 +219,10 @@
 		if f.most > 0.5+1e-9 {
 			rt.Fatalf("%v of the weight was left", f.most)
 		}
-		f.sees, f.heard = func(_, _ string) View { return Good }, func(string) bool { return true }
+		f.sees, f.heard = func(_, _ string) Health { return Healthy }, func(string) bool { return true }
 		f.run(3 * time.Minute)
 		for _, z := range f.m.Table().Zones {
-			if z.In.Share != 1 || z.Out.Share != 1 {
+			if z.Local.Share != 1 || z.Remote.Share != 1 {
 				rt.Fatalf("%+v after three minutes without fault", z)
 			}
 		}
@@ -229,7 +233,7 @@
 // proposal that is not agreed on moves nothing.
 func TestAnotherLeader(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
-	f.sees = func(_, zone string) View { return map[bool]View{true: Bad, false: Good}[zone == "b"] }
+	f.sees = func(_, zone string) Health { return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"] }
 	f.run(2 * time.Second)
 	f.want("a", "b", 0)
 	old := f.m
@@ -255,25 +259,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := Report{Version: Version, Agent: "x", Site: "a", Boot: 1, Seq: 3, Zones: []Sight{{Zone: "a", Met: 2, Bad: 1}}}
+	good := Report{Version: Version, Agent: "x", Site: "a", Incarnation: 1, Seq: 3, Zones: []ZoneReport{{Zone: "a", Observed: 2, Unhealthy: 1}}}
 	if err := m.Report(0, good); err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string]func(*Report){"version": func(r *Report) { r.Version = 9 }, "agent": func(r *Report) { r.Agent = "" },
-		"seq": func(r *Report) {}, "zones[0]": func(r *Report) { r.Zones = []Sight{{Zone: "a", Met: 1, Bad: 2}} },
-		"zones:": func(r *Report) { r.Zones = make([]Sight, MaxZones+1) }} {
+		"seq": func(r *Report) {}, "zones[0]": func(r *Report) { r.Zones = []ZoneReport{{Zone: "a", Observed: 1, Unhealthy: 2}} },
+		"zones:": func(r *Report) { r.Zones = make([]ZoneReport, MaxZones+1) }} {
 		r := good
 		change(&r)
 		if err := m.Report(0, r); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%v, want one that names %s", err, name)
 		}
 	}
-	for _, bad := range []Table{{}, {Version: Version, Zones: []Zone{{Name: "a", Out: Track{Share: 2}}}}, {Version: Version, Zones: make([]Zone, MaxZones+1)}} {
+	for _, bad := range []Table{{}, {Version: Version, Zones: []Zone{{Name: "a", Remote: Track{Share: 2}}}}, {Version: Version, Zones: make([]Zone, MaxZones+1)}} {
 		if _, err := New(Defaults(), bad); err == nil {
 			t.Errorf("%+v was taken", bad)
 		}
 	}
-	for key, change := range map[string]func(*Config){"hold": func(c *Config) { c.Hold = 0 }, "most": func(c *Config) { c.Most = 1 }, "step": func(c *Config) { c.Step = 0 }} {
+	for key, change := range map[string]func(*Config){"hold": func(c *Config) { c.EjectionTime = 0 }, "most": func(c *Config) { c.MaxEjectedFraction = 1 }, "step": func(c *Config) { c.SlowStartStep = 0 }} {
 		c := Defaults()
 		change(&c)
 		if _, err := New(c, Table{Version: Version}); err == nil || !strings.Contains(err.Error(), key) {
@@ -287,19 +291,19 @@
 // nothing.
 func TestViews(t *testing.T) {
 	for _, c := range []struct {
-		s    Sight
-		want View
+		s    ZoneReport
+		want Health
 	}{
-		{Sight{}, Unknown},
-		{Sight{Met: 1, Tries: 1}, Good},
-		{Sight{Met: 1, Bad: 1, Tries: 3, Failed: 3}, Unknown},
-		{Sight{Met: 2, Bad: 2, Tries: 2, Failed: 2}, Bad},
-		{Sight{Met: 8, Bad: 2, Hurt: 4, Tries: 30, Failed: 10}, Bad},
-		{Sight{Met: 8, Bad: 4, Hurt: 4, Tries: 7, Failed: 4}, Unknown},
-		{Sight{Met: 8, Bad: 1, Hurt: 1, Tries: 30, Failed: 9}, Unknown},
-		{Sight{Met: 8, Bad: 1, Tries: 30, Failed: 2}, Good},
+		{ZoneReport{}, Unknown},
+		{ZoneReport{Observed: 1, Attempts: 1}, Healthy},
+		{ZoneReport{Observed: 1, Unhealthy: 1, Attempts: 3, Failures: 3}, Unknown},
+		{ZoneReport{Observed: 2, Unhealthy: 2, Attempts: 2, Failures: 2}, Unhealthy},
+		{ZoneReport{Observed: 8, Unhealthy: 2, WithFailures: 4, Attempts: 30, Failures: 10}, Unhealthy},
+		{ZoneReport{Observed: 8, Unhealthy: 4, WithFailures: 4, Attempts: 7, Failures: 4}, Unknown},
+		{ZoneReport{Observed: 8, Unhealthy: 1, WithFailures: 1, Attempts: 30, Failures: 9}, Unknown},
+		{ZoneReport{Observed: 8, Unhealthy: 1, Attempts: 30, Failures: 2}, Healthy},
 	} {
-		if got := c.s.View(); got != c.want {
+		if got := c.s.Health(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
 		}
 	}
@@ -308,7 +312,7 @@
 // Agents to whom all zones look bad are not heard, even where their sites are most.
 func TestALostObserverIsNotHeard(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
-	f.sees = func(site, _ string) View { return map[bool]View{true: Good, false: Bad}[site == "b"] }
+	f.sees = func(site, _ string) Health { return map[bool]Health{true: Healthy, false: Unhealthy}[site == "b"] }
 	f.run(10 * time.Second)
 	if f.m.Table().Number != 0 {
 		t.Errorf("moved by those who see all bad: %+v", f.m.Table())
