--- a/internal/agent/zonefailover/parts.go
+++ b/internal/agent/zonefailover/trafficshare.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TrafficShare is which part of a site's traffic goes to a zone.
+// TrafficShare is the fraction of a site's traffic that goes to a zone.
 type TrafficShare struct {
 	Site  string  `json:"Site"`
 	Zone  string  `json:"Zone"`
@@ -14,30 +14,31 @@
 }
 
 const (
-	// maxTrafficShareZones is up to how many zones parts are decided: a table has to fit one message.
+	// maxTrafficShareZones is the number of zones up to which traffic shares are decided: a table has to fit
+	// one message.
 	maxTrafficShareZones = 5
-	// maxShareChange is the most that a part moves by one decision, minShareChange the difference from
-	// which it is worth one.
+	// maxShareChange bounds the change of a share in one decision, minShareChange is the least difference
+	// that causes one.
 	maxShareChange, minShareChange = 0.25, 0.05
-	// resumeUtilization is under which part of the room demand must be for parts to be decided again.
+	// resumeUtilization is the fraction of capacity that demand must be below for shares to be decided again
+	// after it exceeded capacity.
 	resumeUtilization = 0.85
 )
 
-// trafficDemand is what the machine knows of demand: how much of the weight of servers each site's
-// clients keep busy, the weight that each zone has for its own site and for others, and where
-// sites lie.
+// trafficDemand is the demand of each site, as the weight of servers that its clients keep busy, and the
+// capacity of each zone for its own site and for others.
 type trafficDemand struct {
 	zones          []string
 	region         map[string]string
 	demand         map[string]float64 // by site
-	localCapacity  map[string]float64 // by zone, filled to the target
-	remoteCapacity map[string]float64 // the same for other sites
+	localCapacity  map[string]float64 // by zone, up to the target utilization
+	remoteCapacity map[string]float64 // as localCapacity, for other sites
 }
 
-// distribute gives each site its parts: its own zone first, as far as there is room; then zones of
-// its region, then the others, in proportion to what room is left there. What fits nowhere is
-// spread by what zones have, so that none is filled before another. Crossing is least: only
-// what has no room at home leaves it.
+// distribute returns the traffic shares by site and zone: first the own zone up to its capacity, then
+// the zones of the region, then all others, in proportion to their free capacity. Demand beyond all
+// capacity is spread in proportion to capacity, so that no zone saturates before another. Cross-zone
+// traffic is minimal: only what exceeds the capacity of the own zone leaves it.
 func (demand *trafficDemand) distribute() map[string]map[string]float64 {
 	shares, free, overflow := map[string]map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, z := range demand.zones {
@@ -100,7 +101,7 @@
 	return shares
 }
 
-// capacity is the weight that a zone has for a site.
+// capacity returns the weight that a zone has for a site.
 func (w *trafficDemand) capacity(site, zone string) float64 {
 	if site == zone {
 		return w.localCapacity[zone]
@@ -108,7 +109,7 @@
 	return w.remoteCapacity[zone]
 }
 
-// trafficDemand takes together what agents report of load; nil while too little is known.
+// trafficDemand sums the load that agents report, or returns nil while too little is known.
 func (m *Machine) trafficDemand(zones []Zone, weight map[string]float64) *trafficDemand {
 	demand := &trafficDemand{region: map[string]string{}, demand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
 	totalRate, utilization, probes := 0.0, map[string]float64{}, map[string]float64{}
@@ -124,7 +125,7 @@
 	busyWeight := 0.0
 	for _, z := range zones {
 		if weight[z.Name] <= 0 {
-			continue // nothing is listed there now
+			continue // it has no listed servers now
 		}
 		demand.zones = append(demand.zones, z.Name)
 		if probes[z.Name] > 0 {
@@ -136,12 +137,13 @@
 		return nil
 	}
 	for site := range demand.demand {
-		demand.demand[site] *= busyWeight / totalRate // a request is worth as much work wherever it comes from
+		demand.demand[site] *= busyWeight / totalRate // requests of all sites are assumed to cost the same
 	}
 	return demand
 }
 
-// moveTrafficShares moves the table's parts towards what is wanted, by a step, and tells whether it did.
+// moveTrafficShares moves the table's traffic shares one step towards their targets, and reports whether it
+// did.
 func (m *Machine) moveTrafficShares(next *Table, weight map[string]float64) bool {
 	if m.config.TargetUtilization <= 0 || m.now-m.startedAt < m.config.SlowStartStep {
 		return false
@@ -150,8 +152,8 @@
 	if demand == nil {
 		return false
 	}
-	// Near only while that is safe: where all want more than there is room for, each agent finds
-	// what little room there is better than a share of yesterday's demand does.
+	// Shares are decided only while demand is below capacity: beyond that each agent finds the little
+	// free capacity better than shares of past demand would.
 	totalDemand, capacity := 0.0, 0.0
 	for _, z := range demand.zones {
 		capacity += demand.localCapacity[z]
@@ -174,7 +176,7 @@
 	most := 0.0
 	targets := demand.distribute()
 	for _, site := range demand.zones {
-		unlimitedChange := false // what is left, or back, moves as its share does
+		unlimitedChange := false // a zone that was ejected or returned: its share follows at once
 		for _, zone := range demand.zones {
 			share, _ := m.table.TrafficShare(site, zone)
 			unlimitedChange = unlimitedChange || share > minShareChange && demand.capacity(site, zone) == 0
@@ -182,7 +184,7 @@
 		for _, zone := range demand.zones {
 			share, known := m.table.TrafficShare(site, zone)
 			if !known {
-				share = weight[zone] / total // as without any decision, about
+				share = weight[zone] / total // approximately what agents use without a decision
 			}
 			if target, reported := targets[site][zone], targets[site] != nil; reported {
 				most = max(most, math.Abs(target-share))
@@ -201,7 +203,7 @@
 	return true
 }
 
-// TrafficShare is the part of a site's traffic that is to go to a zone; false where that is not decided.
+// TrafficShare returns the fraction of a site's traffic that goes to a zone, or false if none is decided.
 func (t *Table) TrafficShare(site, zone string) (float64, bool) {
 	i, ok := slices.BinarySearchFunc(t.TrafficShares, TrafficShare{Site: site, Zone: zone}, func(a, b TrafficShare) int {
 		if c := strings.Compare(a.Site, b.Site); c != 0 {
--- a/internal/agent/zonefailover/parts_test.go
+++ b/internal/agent/zonefailover/trafficshare_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// What has no room at home leaves it and nothing else does, whatever demand and room there are;
-// no zone is filled past its room while all of it fits; a region goes before what lies beyond.
+// Only demand beyond the capacity of its own zone leaves it, whatever demand and capacity are; no zone is
+// used beyond its capacity while the total demand fits; zones of the region come first.
 func TestDistribute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &trafficDemand{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
@@ -62,8 +62,8 @@
 	}
 }
 
-// Parts move by steps towards what is wanted, with a pause between, and stand still in calm;
-// what a site wants that is not heard any more stays as it is.
+// Shares move step by step towards their targets, with a pause between two steps, and do not move while
+// demand is steady. The shares of a site that no longer reports stay.
 func TestTrafficSharesMoveGradually(t *testing.T) {
 	m, err := New(Defaults(), Table{Version: Version})
 	if err != nil {
