--- a/cmd/chalkdoor/main.go
+++ b/cmd/chalkdoor/main.go
@@ -100,7 +100,7 @@
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	_, err = fmt.Fprintf(out, "%s: a sound configuration of agent %s: %d classes, %d tenants, %d servers known, %d agents in all\n", c.File,
-		cfg.Name, len(cfg.Settings.Classes), len(cfg.Settings.Tenants), len(cfg.Known.Servers), cfg.Settings.AgentCount)
+		cfg.Name, len(cfg.Settings.Classes), len(cfg.Settings.Tenants), len(cfg.InitialList.Servers), cfg.Settings.AgentCount)
 	return err
 }
 
--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -62,7 +62,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Addr().String())
-	opt := agent.Options{Reread: reload, Read: func() (*agent.Config, error) { return agent.ReloadConfig(getenv) }}
+	opt := agent.Options{ReloadSignals: reload, ReadConfig: func() (*agent.Config, error) { return agent.ReloadConfig(getenv) }}
 	if opsPath != "" {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
@@ -88,15 +88,15 @@
 			if l, err = actTogether(ctx, cfg, &file, recall); err != nil {
 				return err
 			}
-			opt.Layer = l
+			opt.Coordinator = l
 			defer func() {
 				end()
 				l.Close()
 			}()
 		}
 		if keeper != nil {
-			opt.RememberEvery = time.Duration(file.State.Every)
-			opt.Remember = func(kept *agent.Kept) { keeper.Remember(remembered(kept, l)) }
+			opt.SaveInterval = time.Duration(file.State.Every)
+			opt.Save = func(kept *agent.SavedState) { keeper.Remember(remembered(kept, l)) }
 		}
 		again := make(chan os.Signal, 1)
 		signal.Notify(again, syscall.SIGHUP)
@@ -163,7 +163,7 @@
 		for _, p := range dropped {
 			slog.Warn("state not believed", "where", p.Where, "why", p.Why)
 		}
-		opt.Recall = recalled(st)
+		opt.Restore = recalled(st)
 		site = recalledSite(st, g, time.Duration(file.Site.Hold))
 		m := st.Memory
 		slog.Info("state recalled", "generation", g.Seq, "age", g.Age.String(), "dated", g.Dated, "servers", len(m.Servers), "keys", len(m.Keys), "boot", store.Boot)
@@ -174,8 +174,8 @@
 }
 
 // remembered and recalled take what is kept to its form on the disk, and back; l may be nil.
-func remembered(kept *agent.Kept, l *coordination.Layer) *snapshot.State {
-	s := &snapshot.State{Memory: kept.Memory, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
+func remembered(kept *agent.SavedState, l *coordination.Layer) *snapshot.State {
+	s := &snapshot.State{Memory: kept.Snapshot, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
 	if l != nil {
 		k := l.Kept()
 		s.Site = &snapshot.Site{Dark: k.Dark, Entries: k.Entries}
@@ -200,8 +200,8 @@
 	return k
 }
 
-func recalled(s *snapshot.State) *agent.Kept {
-	kept := &agent.Kept{Memory: s.Memory, Discovery: s.Discovery, List: agent.List{Version: s.Version, Full: true}}
+func recalled(s *snapshot.State) *agent.SavedState {
+	kept := &agent.SavedState{Snapshot: s.Memory, Discovery: s.Discovery, List: agent.TargetList{Version: s.Version, Full: true}}
 	for id, text := range s.Targets {
 		var t agent.Target
 		if err := json.Unmarshal(text, &t); err != nil || t.ID != id {
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -76,8 +76,8 @@
 		_, err := fmt.Fprintln(out, "nothing is kept")
 		return err
 	}
-	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n", g.Seq, g.Boot, age(g), m.Demand, m.Peak,
-		m.Admitted, m.CalmLat, len(m.Keys))
+	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n", g.Seq, g.Boot, age(g), m.Demand, m.PeakCapacity,
+		m.AdmittedShare, m.BaselineLatency, len(m.Keys))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "server\tstate\tfor\tstrikes\tfailing\tanswer\twindow")
 	for _, s := range m.Servers {
@@ -85,8 +85,8 @@
 		if int(s.State) < len(policy.StateNames) {
 			state = policy.StateNames[s.State]
 		}
-		fmt.Fprintf(w, "%x\t%s\t%s\t%d\t%.2f\t%.1f ms\t%.1f\n", s.Server, state, time.Duration(s.InStateMs*1e6).Round(time.Millisecond), s.Strikes,
-			s.Failing, s.RTTMs, s.Window)
+		fmt.Fprintf(w, "%x\t%s\t%s\t%d\t%.2f\t%.1f ms\t%.1f\n", s.Server, state, time.Duration(s.InStateMs*1e6).Round(time.Millisecond), s.Ejections,
+			s.FailureRate, s.MeanLatencyMs, s.ConcurrencyLimit)
 	}
 	return w.Flush()
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -20,8 +20,8 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// one starts an agent in front of one backend with the given script.
-func one(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
+// startWithBackend starts an agent in front of one backend with the given script.
+func startWithBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t, answer)
 	return startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil), b
@@ -30,15 +30,15 @@
 func TestServed(t *testing.T) {
 	var mu sync.Mutex
 	var seen http.Header
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		seen = req.Header.Clone()
 		mu.Unlock()
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	req := newRequest(a.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
-	status, header, body := a.ask(req)
+	status, header, body := a.do(req)
 	wantStatus(t, status, 200)
 	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
 		t.Errorf("body %q, want %q", body, want)
@@ -63,7 +63,7 @@
 // The ends of an attempt: what the client is told and how often the backend saw it.
 func TestOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool { return send(c, status, header, body) }
+		return func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, status, header, body) }
 	}
 	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool {
@@ -81,17 +81,17 @@
 		{"500 may have run", "order", always(500, "", ""), 502, 1},
 		{"503 without proof may have run", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have run", "order",
-			func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, 502, 1},
+			func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 502, 1},
 		{"close after the last byte may have run", "order", raw("", false), 502, 1},
 		{"broken body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
 		{"broken chunk may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", false), 502, 1},
 		{"an answer without an end may have run", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false), 502, 1},
 		{"unreadable head may have run", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"a body too large may have run", "order", always(200, "", strings.Repeat("x", maxAnswer+1)), 502, 1},
-		{"an answer larger than requests may be", "order", always(200, "", strings.Repeat("x", 6*maxBody)), 200, 1},
+		{"a body too large may have run", "order", always(200, "", strings.Repeat("x", maxResponseBody+1)), 502, 1},
+		{"an answer larger than requests may be", "order", always(200, "", strings.Repeat("x", 6*maxRequestBody)), 200, 1},
 		{"the same in chunks", "order", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
-			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 6*maxBody, strings.Repeat("x", 6*maxBody)), true), 200, 1},
+			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 6*maxRequestBody, strings.Repeat("x", 6*maxRequestBody)), true), 200, 1},
 		{"a request that the backend can't use goes nowhere else", "send", always(400, "", ""), 400, 1},
 		{"a backend's 429 would be a refusal", "order", always(429, "", ""), 502, 1},
 		{"turned away never ran", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
@@ -99,8 +99,8 @@
 		{"an error is repeated for a keyed one, three attempts at most", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := one(t, test.answer)
-			status, header, _ := a.ask(newRequest(a.addr, test.class, "x"))
+			a, b := startWithBackend(t, test.answer)
+			status, header, _ := a.do(newRequest(a.addr, test.class, "x"))
 			wantStatus(t, status, test.status)
 			if b.count() != test.arrivals {
 				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
@@ -108,7 +108,7 @@
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.figures(); f.backstops+f.guarded > 0 {
+			if f := a.readCounters(); f.backstops+f.violations > 0 {
 				t.Errorf("a guard had to act: %+v", f)
 			}
 		})
@@ -116,13 +116,13 @@
 }
 
 func TestTurnedAwayGoesAgain(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
-			return send(c, 503, "Not-Started: 1\r\n", "")
+			return writeTestResponse(c, 503, "Not-Started: 1\r\n", "")
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
@@ -130,11 +130,11 @@
 }
 
 func TestInterimAnswerIsPassedOver(t *testing.T) {
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, _ := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
@@ -146,7 +146,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", addr)), nil)
-	status, header, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, header, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
 		t.Error("refused without Retry-After")
@@ -170,7 +170,7 @@
 			return
 		}
 		c.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
-		reset(c)
+		resetConn(c)
 		c.Close()
 	}()
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -181,10 +181,10 @@
 	addr := ln.Addr().String()
 	s, b := testSender(8), &backend{}
 	s.pool.open = 1
-	s.pool.idle[b] = []*conn{{Conn: nc, br: bufio.NewReader(nc), backend: b, addr: addr, since: time.Now()}}
-	c := testCall(make([]byte, maxBody))
+	s.pool.idle[b] = []*backendConn{{Conn: nc, reader: bufio.NewReader(nc), backend: b, addr: addr, idleSince: time.Now()}}
+	c := testClientRequest(make([]byte, maxRequestBody))
 	now := time.Now()
-	if res := s.do(context.Background(), b, addr, c, now, now.Add(patience)); res.status != policy.ConnectFailed {
+	if res := s.send(context.Background(), b, addr, c, now, now.Add(testTimeout)); res.status != policy.ConnectFailed {
 		t.Errorf("ended as %d, want %d", res.status, policy.ConnectFailed)
 	}
 	if s.pool.open != 0 {
@@ -195,22 +195,22 @@
 // A backend told to drain while the attempt was connecting gets nothing new, and an
 // attempt withdrawn meanwhile says nothing against its backend.
 func TestNothingIsBegunOnceDrainedOrWithdrawn(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newBackend(t, echo)
 	s := testSender(8)
-	c := testCall([]byte("x"))
+	c := testClientRequest([]byte("x"))
 	now := time.Now()
 	drained := &backend{}
-	drained.closed.Store(true)
-	if res := s.do(t.Context(), drained, b.addr, c, now, now.Add(patience)); res.status != policy.NotSent {
+	drained.unavailable.Store(true)
+	if res := s.send(t.Context(), drained, b.addr, c, now, now.Add(testTimeout)); res.status != policy.NotSent {
 		t.Errorf("drained: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := s.do(ctx, &backend{}, b.addr, c, now, now.Add(patience)); res.status != policy.NotSent {
+	if res := s.send(ctx, &backend{}, b.addr, c, now, now.Add(testTimeout)); res.status != policy.NotSent {
 		t.Errorf("withdrawn: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
-	if res := s.do(t.Context(), &backend{}, b.addr, c, now, now.Add(patience)); res.status != policy.OK {
+	if res := s.send(t.Context(), &backend{}, b.addr, c, now, now.Add(testTimeout)); res.status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.status, policy.OK)
 	}
 	if b.count() != 1 {
@@ -219,34 +219,34 @@
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	for range 3 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.arrivals != 3 || b.most != 1 || len(b.ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.most, len(b.ended))
+	if b.arrivals != 3 || b.maxConns != 1 || len(b.ended) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.maxConns, len(b.ended))
 	}
 }
 
 // A kept connection that the backend has closed must be noticed before it carries
 // a request: an unsafe one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		serving(c, req, n)
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		echo(c, req, n)
 		return n > 0
 	})
 	wantServed := func() {
 		t.Helper()
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	wantServed()
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the backend did not close")
 	}
 	wantServed()
@@ -259,12 +259,12 @@
 // request may have run and is never sent again behind the module's back, not even
 // with the key or without the body that make http.Transport do so.
 func TestNoSilentResend(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		return n == 0 && serving(c, req, n)
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		return n == 0 && echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ := a.do(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 200)
-	status, _, _ = a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ = a.do(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 502)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
@@ -274,11 +274,11 @@
 // A backend that says nothing: the request fails within its time, and the
 // connection is closed, as the late answer would be taken for the next one's.
 func TestSilentBackend(t *testing.T) {
-	a, b := one(t, func(net.Conn, *http.Request, int) bool { return true })
+	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	from := time.Now()
-	status, _, _ := a.ask(req)
+	status, _, _ := a.do(req)
 	if status != 502 && status != 504 {
 		t.Errorf("answered %d, want a failure", status)
 	}
@@ -287,7 +287,7 @@
 	}
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the connection stays open")
 	}
 	if b.count() != 1 {
@@ -297,21 +297,21 @@
 
 // The backstop answers before the deadline when the module does not.
 func TestBackstop(t *testing.T) {
-	l, err := newLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.cfg, func() {})
+	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.config, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// A request that the module was never told of stands for one that it forgot.
-	c := &call{class: 2, deadline: time.Now().Add(time.Second), answer: make(chan answer, 1)}
-	r := &request{id: 1, call: c}
-	l.requests[1], l.open = r, 1
-	l.late(r)
-	if a := <-c.answer; a.verdict != failed || a.status != 504 {
+	c := &clientRequest{class: 2, deadline: time.Now().Add(time.Second), response: make(chan response, 1)}
+	r := &pendingRequest{id: 1, client: c}
+	l.requests[1], l.openRequests = r, 1
+	l.onBackstop(r)
+	if a := <-c.response; a.outcome != failed || a.status != 504 {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
-	l.finish(r, answer{verdict: served})
-	if len(c.answer) != 0 || l.figures.backstops != 1 || l.open != 0 || len(l.requests) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.answer), l.figures, l.open)
+	l.respond(r, response{outcome: served})
+	if len(c.response) != 0 || l.counters.backstops != 1 || l.openRequests != 0 || len(l.requests) != 0 {
+		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.counters, l.openRequests)
 	}
 }
 
@@ -319,53 +319,53 @@
 func TestGuards(t *testing.T) {
 	up := func() *backend { return &backend{addr: "127.0.0.1:1"} }
 	drained := up()
-	drained.closed.Store(true)
+	drained.unavailable.Store(true)
 	now := time.Now()
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
 	for _, test := range []struct {
 		name  string
-		r     request
+		r     pendingRequest
 		b     *backend
 		until time.Time
 		want  bool
 	}{
-		{"allowed", request{}, up(), now.Add(time.Second), true},
-		{"drained", request{}, drained, now.Add(time.Second), false},
-		{"unknown backend", request{}, nil, now.Add(time.Second), false},
-		{"one out", request{out: 1}, up(), now.Add(time.Second), false},
-		{"answered", request{answered: true}, up(), now.Add(time.Second), false},
-		{"may have run", request{mayRun: 1}, up(), now.Add(time.Second), false},
-		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
-		{"no time", request{}, up(), now, false},
+		{"allowed", pendingRequest{}, up(), now.Add(time.Second), true},
+		{"drained", pendingRequest{}, drained, now.Add(time.Second), false},
+		{"unknown backend", pendingRequest{}, nil, now.Add(time.Second), false},
+		{"one out", pendingRequest{inFlight: 1}, up(), now.Add(time.Second), false},
+		{"answered", pendingRequest{answered: true}, up(), now.Add(time.Second), false},
+		{"may have run", pendingRequest{maybeExecuted: 1}, up(), now.Add(time.Second), false},
+		{"fourth attempt", pendingRequest{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
+		{"no time", pendingRequest{}, up(), now, false},
 	} {
-		test.r.call = &call{class: 2}
-		if _, why := l.forbidden(&test.r, test.b, now, test.until); (why == "") != test.want {
+		test.r.client = &clientRequest{class: 2}
+		if _, why := l.violation(&test.r, test.b, now, test.until); (why == "") != test.want {
 			t.Errorf("%s: %q", test.name, why)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
-	c := &call{class: 2, answer: make(chan answer, 1)}
+	c := &clientRequest{class: 2, response: make(chan response, 1)}
 	done := make(chan bool)
-	l.post(func() { l.refuse(&request{id: 1 << 30, call: c, mayRun: 1}, 1); close(done) })
+	l.post(func() { l.reject(&pendingRequest{id: 1 << 30, client: c, maybeExecuted: 1}, 1); close(done) })
 	<-done
-	if a := <-c.answer; a.verdict != failed {
+	if a := <-c.response; a.outcome != failed {
 		t.Errorf("answered %+v, want a failure", a)
 	}
 }
 
 func TestDrain(t *testing.T) {
-	old, other := newBackend(t, serving), newBackend(t, serving)
+	old, other := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, target("s-1", old.addr))
 	a := startAgent(t, d, nil)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	d.set(target("s-2", other.addr))
 	drains := target("s-1", old.addr)
 	drains.State = "draining"
-	d.told(t, drains)
+	d.setAndWait(t, drains)
 	before := old.count()
 	for range 8 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if old.count() != before || other.count() < 8 {
@@ -373,19 +373,19 @@
 	}
 	select { // its idle connection is closed
 	case <-old.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the idle connection to the draining backend stays open")
 	}
 }
 
 func TestAddressChange(t *testing.T) {
-	old, moved := newBackend(t, serving), newBackend(t, serving)
+	old, moved := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, target("s-1", old.addr))
 	a := startAgent(t, d, nil)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	d.told(t, target("s-1", moved.addr))
-	status, _, _ = a.ask(newRequest(a.addr, "order", "x"))
+	d.setAndWait(t, target("s-1", moved.addr))
+	status, _, _ = a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if old.count() != 1 || moved.count() != 1 {
 		t.Errorf("%d arrivals at the old address, %d at the new", old.count(), moved.count())
@@ -395,14 +395,14 @@
 // While discovery is down the list at hand serves on and the calls are few; when
 // it is back the agent hears of what has changed.
 func TestDiscoveryDownAndBack(t *testing.T) {
-	first, second := newBackend(t, serving), newBackend(t, serving)
+	first, second := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
 	a := startAgent(t, d, nil)
-	d.wait(t, 1)
+	d.waitForWatch(t, 1)
 	d.setDown(true)
 	before := d.callCount()
 	for d.callCount() == before { // the module asks again, after a time of its choice
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -413,8 +413,8 @@
 	gone := target("s-1", first.addr)
 	gone.State = "removed"
 	d.set(target("s-2", second.addr))
-	d.told(t, gone)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	d.setAndWait(t, gone)
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if second.count() == 0 {
 		t.Error("the new backend is not used")
@@ -431,11 +431,11 @@
 	defer busy.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	d := newDiscovery(ctx, busy.Listener.Addr().String(), (&net.Dialer{}).DialContext)
-	d.told = func(*List, bool, error) {}
+	d := newDiscoveryClient(ctx, busy.Listener.Addr().String(), (&net.Dialer{}).DialContext)
+	d.onList = func(*TargetList, bool, error) {}
 	from := time.Now()
 	d.watch(1, false)
-	most := callBurst + int64(callsPerS*time.Since(from).Seconds()) + 1
+	most := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
 	if n := calls.Load(); n < 2 || n > most {
 		t.Errorf("%d calls, want 2 to %d", n, most)
 	}
@@ -449,13 +449,13 @@
 		defer close(done)
 		drains := target("s-1", "127.0.0.1:1")
 		drains.State = "draining"
-		l.onList(&List{Version: 9, Servers: []Target{drains}}, true, nil)
-		l.onList(&List{Version: 8, Full: true, Servers: []Target{target("s-1", "127.0.0.1:1")}}, false, nil)
-		if !l.table.byID["s-1"].closed.Load() {
+		l.onDiscoveryList(&TargetList{Version: 9, Servers: []Target{drains}}, true, nil)
+		l.onDiscoveryList(&TargetList{Version: 8, Full: true, Servers: []Target{target("s-1", "127.0.0.1:1")}}, false, nil)
+		if !l.backends.byID["s-1"].unavailable.Load() {
 			t.Error("an older list took back a drain")
 		}
-		l.onList(&List{Version: 10, Full: true}, true, nil)
-		if len(l.table.byID) != 0 || len(l.table.byAddr) != 0 {
+		l.onDiscoveryList(&TargetList{Version: 10, Full: true}, true, nil)
+		if len(l.backends.byID) != 0 || len(l.backends.byAddr) != 0 {
 			t.Error("a backend that is gone is kept")
 		}
 	})
@@ -463,13 +463,13 @@
 }
 
 func TestNamesAreTheSameAtEveryAgentAndNeverCollide(t *testing.T) {
-	x, y := newTable(nil, nil), newTable(nil, nil)
-	a, b := x.backend("s-1"), y.backend("s-1")
-	if a.name != b.name {
+	x, y := newBackendTable(nil, nil), newBackendTable(nil, nil)
+	a, b := x.findOrAdd("s-1"), y.findOrAdd("s-1")
+	if a.policyAddr != b.policyAddr {
 		t.Error("two agents name one backend differently")
 	}
 	delete(y.byID, "s-1") // now its name is taken by another id
-	if c := y.backend("s-1"); c.name == b.name {
+	if c := y.findOrAdd("s-1"); c.policyAddr == b.policyAddr {
 		t.Error("two backends have one name")
 	}
 }
@@ -477,7 +477,7 @@
 // A client that goes away has its attempt withdrawn.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	a, b := one(t, func(net.Conn, *http.Request, int) bool {
+	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
 		return true
 	})
@@ -494,35 +494,35 @@
 	<-failed
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt goes on")
 	}
-	if f := a.figures(); f.gone != 1 || f.backstops != 0 {
+	if f := a.readCounters(); f.clientsGone != 1 || f.backstops != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // A log that nobody reads does not hold up the loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
-	a, _ := one(t, serving)
+	a, _ := startWithBackend(t, echo)
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.loop.lines <- func() { close(held); <-blocked }
+	a.loop.logLines <- func() { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
 	a.loop.post(func() {
-		a.loop.limit.SetLimit(rate.Inf)
-		for range 2 * cap(a.loop.lines) {
+		a.loop.logLimiter.SetLimit(rate.Inf)
+		for range 2 * cap(a.loop.logLines) {
 			a.loop.log(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
@@ -532,28 +532,28 @@
 	release := make(chan struct{})
 	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := a.loop.cfg.clientRoom()
+	most := a.loop.config.maxClientConns()
 	for range 2 * most { // clients that stay connected and idle
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 	close(release)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
 	p, one, two := testSender(2).pool, &backend{}, &backend{}
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	x, err := p.get(t.Context(), one, b.addr, end)
 	if err != nil {
 		t.Fatal(err)
@@ -563,11 +563,11 @@
 		t.Fatal(err)
 	}
 	defer y.Close()
-	if _, err := p.get(t.Context(), one, b.addr, end); err != errTooMany {
+	if _, err := p.get(t.Context(), one, b.addr, end); err != errNoDescriptor {
 		t.Errorf("a third connection of two: %v", err)
 	}
 	p.put(x)
-	z, err := p.get(t.Context(), two, newBackend(t, serving).addr, end) // the idle one gives way
+	z, err := p.get(t.Context(), two, newBackend(t, echo).addr, end) // the idle one gives way
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -578,14 +578,14 @@
 }
 
 func TestUnknownTenant(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newBackend(t, echo)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
 		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaShare: 1}}
 	})
 	for name, want := range map[string]int{"acme": 200, "nobody": 400, "": 400} {
 		req := newRequest(a.addr, "order", "x")
 		req.Header.Set("Tenant", name)
-		if status, _, _ := a.ask(req); status != want {
+		if status, _, _ := a.do(req); status != want {
 			t.Errorf("tenant %q: answered %d, want %d", name, status, want)
 		}
 	}
--- a/internal/agent/answer.go
+++ b/internal/agent/answer.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// maxBody is the largest body of a request, maxHead the largest head.
-	maxBody, maxHead = 64 << 10, http1.MaxHeadBytes
-	// maxAnswer is the largest body of an answer. Some are larger than requests may be;
+	// maxRequestBody is the largest body of a request, maxHead the largest head.
+	maxRequestBody, maxHead = 64 << 10, http1.MaxHeadBytes
+	// maxResponseBody is the largest body of an answer. Some are larger than requests may be;
 	// what they take of the memory is bounded by the budget.
-	maxAnswer = 1 << 20
+	maxResponseBody = 1 << 20
 )
 
-// reserve asks for memory for a body of n bytes.
-type reserve func(n int64) error
+// reserveFunc asks for memory for a body of n bytes.
+type reserveFunc func(n int64) error
 
-// readAnswer reads one final answer and its whole body. Only an answer whose head
+// readResponse reads one final answer and its whole body. Only an answer whose head
 // and framing leave no doubt is returned; then nothing of what follows on the
 // connection has been taken for part of it.
-func readAnswer(br *bufio.Reader, want reserve) (*http.Response, []byte, error) {
+func readResponse(br *bufio.Reader, want reserveFunc) (*http.Response, []byte, error) {
 	resp, err := http1.ReadResponseHead(br)
 	if err != nil {
 		return nil, nil, err
@@ -38,7 +38,7 @@
 	return resp, body, nil
 }
 
-func readBody(br *bufio.Reader, resp *http.Response, want reserve) ([]byte, error) {
+func readBody(br *bufio.Reader, resp *http.Response, want reserveFunc) ([]byte, error) {
 	n := resp.ContentLength
 	switch {
 	case resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
@@ -56,7 +56,7 @@
 		// It would end where the connection does, and nothing could tell a whole
 		// answer from one that was cut off.
 		return nil, http1.Malformed("an answer without length")
-	case n > maxAnswer:
+	case n > maxResponseBody:
 		return nil, http1.Malformed("body of %d bytes", n)
 	}
 	if err := want(n); err != nil {
@@ -68,11 +68,11 @@
 }
 
 // readChunks reads a body of unknown length, and asks for its memory as it grows.
-func readChunks(r io.Reader, want reserve) ([]byte, error) {
+func readChunks(r io.Reader, want reserveFunc) ([]byte, error) {
 	var body []byte
 	for {
 		if len(body) == cap(body) {
-			grown := max(2*cap(body), freeBody)
+			grown := max(2*cap(body), unreservedBody)
 			if err := want(int64(grown - cap(body))); err != nil {
 				return nil, err
 			}
@@ -87,16 +87,16 @@
 			return nil, err
 		case err != nil:
 			return nil, http1.Malformed("%v", err)
-		case len(body) > maxAnswer:
-			return nil, http1.Malformed("body over %d bytes", maxAnswer)
+		case len(body) > maxResponseBody:
+			return nil, http1.Malformed("body over %d bytes", maxResponseBody)
 		}
 	}
 }
 
-// parseReport reads a load report in the order of names. One that is not whole, or
+// parseLoadReport reads a load report in the order of names. One that is not whole, or
 // has what no load can be, is none; of several fields the first that can be read
 // counts.
-func parseReport(fields, names []string) []float32 {
+func parseLoadReport(fields, names []string) []float32 {
 	if len(names) == 0 {
 		return nil
 	}
--- a/internal/agent/answer_test.go
+++ b/internal/agent/answer_test.go
@@ -40,15 +40,15 @@
 		"another protocol is switched to": "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				if n > 0 {
-					return serving(c, req, n)
+					return echo(c, req, n)
 				}
 				io.WriteString(c, text)
 				return true // it stays open, as far as the backend goes
 			})
 			from := time.Now()
-			status, _, body := a.ask(newRequest(a.addr, "order", "x"))
+			status, _, body := a.do(newRequest(a.addr, "order", "x"))
 			wantStatus(t, status, 502)
 			if strings.Contains(body, "good") || b.count() != 1 {
 				t.Errorf("body %q, %d arrivals", body, b.count())
@@ -58,10 +58,10 @@
 			}
 			select {
 			case <-b.ended:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("the connection is kept")
 			}
-			status, _, body = a.ask(newRequest(a.addr, "order", "y"))
+			status, _, body = a.do(newRequest(a.addr, "order", "y"))
 			if status != 200 || !strings.HasSuffix(body, " y") {
 				t.Errorf("the next one: answered %d, %q", status, body)
 			}
@@ -75,7 +75,7 @@
 	for name, later := range map[string]bool{"right behind": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan struct{}, 8)
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				second := "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
 				if !later {
 					body := "first"
@@ -83,14 +83,14 @@
 					came <- struct{}{}
 					return true
 				}
-				send(c, 200, "", "first")
+				writeTestResponse(c, 200, "", "first")
 				time.Sleep(20 * time.Millisecond)
 				io.WriteString(c, second)
 				came <- struct{}{}
 				return true
 			})
 			for range 3 {
-				status, _, body := a.ask(newRequest(a.addr, "order", "x"))
+				status, _, body := a.do(newRequest(a.addr, "order", "x"))
 				if status != 200 || body != "first" {
 					t.Errorf("answered %d, %q", status, body)
 				}
@@ -108,21 +108,21 @@
 // A backend's word that the request is bad says nothing of the backend: it is used
 // for the next one as before, and so is its connection.
 func TestBadRequestDemotesNobody(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n < 20 {
-			return send(c, 400, "", "")
+			return writeTestResponse(c, 400, "", "")
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	for range 20 {
-		status, _, _ := a.ask(newRequest(a.addr, "send", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "send", "x"))
 		wantStatus(t, status, 400)
 	}
 	from := time.Now()
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	if b.count() != 21 || b.most != 1 {
-		t.Errorf("%d arrivals on %d connections, want 21 on one", b.count(), b.most)
+	if b.count() != 21 || b.maxConns != 1 {
+		t.Errorf("%d arrivals on %d connections, want 21 on one", b.count(), b.maxConns)
 	}
 	if took := time.Since(from); took > time.Second {
 		t.Errorf("held for %v", took)
@@ -131,10 +131,10 @@
 
 // A failure of the agent's own says nothing of the backend.
 func TestBlame(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newBackend(t, echo)
 	now := time.Now()
 	full := testSender(0)
-	if res := full.do(t.Context(), &backend{}, b.addr, testCall(nil), now, now.Add(patience)); res.status != policy.NotSent {
+	if res := full.send(t.Context(), &backend{}, b.addr, testClientRequest(nil), now, now.Add(testTimeout)); res.status != policy.NotSent {
 		t.Errorf("no descriptor: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -142,21 +142,21 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if res := testSender(8).do(t.Context(), &backend{}, ln.Addr().String(), testCall(nil), now, now.Add(patience)); res.status != policy.ConnectFailed {
+	if res := testSender(8).send(t.Context(), &backend{}, ln.Addr().String(), testClientRequest(nil), now, now.Add(testTimeout)); res.status != policy.ConnectFailed {
 		t.Errorf("refused: ended as %d, want %d", res.status, policy.ConnectFailed)
 	}
 }
 
 // A new backend at the address of one that has gone gets none of its connections.
 func TestAddressOfAGoneBackend(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newBackend(t, echo)
 	p, old, heir := testSender(8).pool, &backend{}, &backend{}
-	x, err := p.get(t.Context(), old, b.addr, time.Now().Add(patience))
+	x, err := p.get(t.Context(), old, b.addr, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.put(x)
-	y, err := p.get(t.Context(), heir, b.addr, time.Now().Add(patience))
+	y, err := p.get(t.Context(), heir, b.addr, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +164,8 @@
 		t.Error("the heir got the connection")
 	}
 	p.put(y)
-	old.closed.Store(true)
-	p.sweep()
+	old.unavailable.Store(true)
+	p.closeExpired()
 	if p.open != 1 || len(p.idle) != 1 || len(p.idle[heir]) != 1 {
 		t.Errorf("%d open, idle %v", p.open, p.idle)
 	}
@@ -177,21 +177,21 @@
 func TestIdleConnectionsThatBreakAreNotUsed(t *testing.T) {
 	var mu sync.Mutex
 	last, broken := map[net.Conn]time.Time{}, 0
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		at, kept := last[c]
 		if kept && time.Since(at) > 100*time.Millisecond {
 			broken++
-			return reset(c)
+			return resetConn(c)
 		}
 		last[c] = time.Now()
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	failed := 0
 	for range 30 {
 		time.Sleep(120 * time.Millisecond)
-		if status, _, _ := a.ask(newRequest(a.addr, "order", "x")); status != 200 {
+		if status, _, _ := a.do(newRequest(a.addr, "order", "x")); status != 200 {
 			failed++
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 	conns := len(last)
 	for range 5 {
-		a.ask(newRequest(a.addr, "order", "x"))
+		a.do(newRequest(a.addr, "order", "x"))
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -221,7 +221,7 @@
 		"qps=3,util=0.5,eps=1,qps=4": "[]", "qps=1e99,util=0,eps=0": "[]",
 		"%%%|qps=3,util=0.5,eps=1": "[3 0.5 1]", // two fields, the first unreadable
 	} {
-		if got := fmt.Sprint(parseReport(strings.Split(text, "|"), names)); got != want {
+		if got := fmt.Sprint(parseLoadReport(strings.Split(text, "|"), names)); got != want {
 			t.Errorf("%q read as %s, want %s", text, got, want)
 		}
 	}
@@ -234,11 +234,11 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nT: x\r\n\r\nrest"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		resp, body, err := readAnswer(bufio.NewReader(bytes.NewReader(text)), func(int64) error { return nil })
+		resp, body, err := readResponse(bufio.NewReader(bytes.NewReader(text)), func(int64) error { return nil })
 		if err != nil {
 			return
 		}
-		if len(body) > maxAnswer || resp.StatusCode < 200 {
+		if len(body) > maxResponseBody || resp.StatusCode < 200 {
 			t.Fatalf("%d bytes, status %d", len(body), resp.StatusCode)
 		}
 		br := bufio.NewReader(bytes.NewReader(text))
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -20,69 +20,69 @@
 
 // backend is one listed server. Its fields belong to the loop, but for closed.
 type backend struct {
-	id        string
-	name      policy.Addr // what the module calls it
-	addr      string      // where it listens, as told to this agent last
-	gone      bool
-	out       int         // attempts out
-	startedMs float64     // as listed
-	closed    atomic.Bool // told to drain or gone: read by attempts just before they write
+	id          string
+	policyAddr  policy.Addr // what the module calls it
+	addr        string      // where it listens, as told to this agent last
+	removed     bool
+	inFlight    int         // attempts out
+	startedMs   float64     // as listed
+	unavailable atomic.Bool // told to drain or gone: read by attempts just before they write
 }
 
-// result is how one attempt ended.
-type result struct {
-	status    policy.Status
-	latencyMs float64
-	report    []float32
-	code      int // of a whole answer
-	header    http.Header
-	body      []byte
-	held      int64 // of the budget, for the body; whoever ends with the body gives it back
+// attemptResult is how one attempt ended.
+type attemptResult struct {
+	status        policy.Status
+	latencyMs     float64
+	report        []float32
+	statusCode    int // of a whole answer
+	header        http.Header
+	body          []byte
+	reservedBytes int64 // of the budget, for the body; whoever ends with the body gives it back
 }
 
 // sender makes attempts.
 type sender struct {
-	pool        *pool
-	budget      *semaphore.Weighted
-	reportNames []string // of the load reports that answers hold
-	probeNames  []string // and of those that probes bring
+	pool            *connPool
+	memoryBudget    *semaphore.Weighted
+	responseMetrics []string // of the load reports that answers hold
+	probeMetrics    []string // and of those that probes bring
 }
 
 func newSender(c *Config, budget *semaphore.Weighted) *sender {
-	s := &sender{pool: newPool(c), budget: budget}
+	s := &sender{pool: newConnPool(c), memoryBudget: budget}
 	if how := c.Settings.LoadReport.Mode; how != "off" {
-		s.probeNames = c.Settings.LoadReport.Metrics
+		s.probeMetrics = c.Settings.LoadReport.Metrics
 		if how == "inline" {
-			s.reportNames = c.Settings.LoadReport.Metrics
+			s.responseMetrics = c.Settings.LoadReport.Metrics
 		}
 	}
 	return s
 }
 
-// do makes one attempt and returns how it ended, exactly once. It never sends
+// send makes one attempt and returns how it ended, exactly once. It never sends
 // anything twice. Cancelling ctx withdraws the attempt and closes its connection.
-func (s *sender) do(ctx context.Context, b *backend, addr string, c *call, sent, deadline time.Time) result {
-	r := s.attempt(ctx, b, addr, c, deadline)
+func (s *sender) send(ctx context.Context, b *backend, addr string, c *clientRequest, sent, deadline time.Time) attemptResult {
+	r := s.sendOnce(ctx, b, addr, c, deadline)
 	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
 	// off a connect; an answer that was already there stands, and what was never
 	// written never ran.
-	if ctx.Err() != nil && r.code == 0 && r.status != policy.NotSent {
+	if ctx.Err() != nil && r.statusCode == 0 && r.status != policy.NotSent {
 		r.status = policy.Cancelled
 	}
 	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
 	return r
 }
 
-func (s *sender) attempt(ctx context.Context, b *backend, addr string, c *call, deadline time.Time) (res result) {
+func (s *sender) sendOnce(ctx context.Context, b *backend, addr string, c *clientRequest, deadline time.Time) (res attemptResult) {
 	connectBy := time.Now().Add(s.pool.connectTimeout)
 	cn, err := s.pool.get(ctx, b, addr, earliest(deadline, connectBy))
 	if err != nil {
 		// Refused or never came up: not a byte was sent. Only what the backend had the
 		// time for, or did, is its fault.
-		if ours(err) || deadline.Before(connectBy) && !errors.Is(err, syscall.ECONNREFUSED) {
-			return result{status: policy.NotSent}
+		if isLocalFailure(err) || deadline.Before(connectBy) && !errors.Is(err, syscall.ECONNREFUSED) {
+			return attemptResult{status: policy.NotSent}
 		}
-		return result{status: policy.ConnectFailed}
+		return attemptResult{status: policy.ConnectFailed}
 	}
 	reusable := false
 	// Withdrawing makes whatever reads or writes end at once.
@@ -98,52 +98,52 @@
 	cn.SetDeadline(deadline)
 	// The connect may have taken long: the drain grace runs from the telling, so
 	// nothing is begun on a backend that was told to drain meanwhile.
-	if ctx.Err() != nil || b.closed.Load() {
+	if ctx.Err() != nil || b.unavailable.Load() {
 		reusable = true
-		return result{status: policy.NotSent}
+		return attemptResult{status: policy.NotSent}
 	}
-	head := c.head(time.Until(deadline))
+	head := c.encodeHead(time.Until(deadline))
 	whole := int64(len(head) + len(c.body))
 	out := net.Buffers{head, c.body}
 	if n, err := out.WriteTo(cn.Conn); err != nil {
 		if n < whole {
 			// The last byte never left, and the connection is closed: it cannot run.
-			return result{status: policy.ConnectFailed}
+			return attemptResult{status: policy.ConnectFailed}
 		}
-		return result{status: broken(err)}
+		return attemptResult{status: statusAfterWrite(err)}
 	}
 	held := int64(0)
-	resp, body, err := readAnswer(cn.br, func(n int64) error {
-		if n <= freeBody {
+	resp, body, err := readResponse(cn.reader, func(n int64) error {
+		if n <= unreservedBody {
 			return nil
 		}
 		within, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
-		err := s.budget.Acquire(within, n)
+		err := s.memoryBudget.Acquire(within, n)
 		if err == nil {
 			held += n
 		}
 		return err
 	})
 	if err != nil {
-		s.budget.Release(held)
-		s.pool.ages.Record(cn.slot, !errors.Is(err, http1.ErrMalformed) && broken(err) == policy.Reset)
-		return result{status: broken(err)}
+		s.memoryBudget.Release(held)
+		s.pool.ages.Record(cn.idleSlot, !errors.Is(err, http1.ErrMalformed) && statusAfterWrite(err) == policy.Reset)
+		return attemptResult{status: statusAfterWrite(err)}
 	}
-	s.pool.ages.Record(cn.slot, false)
+	s.pool.ages.Record(cn.idleSlot, false)
 	reusable = !resp.Close
-	return result{status: outcome(resp), code: resp.StatusCode, header: resp.Header, body: body, held: held,
-		report: parseReport(resp.Header["Server-Load"], s.reportNames)}
+	return attemptResult{status: responseStatus(resp), statusCode: resp.StatusCode, header: resp.Header, body: body, reservedBytes: held,
+		report: parseLoadReport(resp.Header["Server-Load"], s.responseMetrics)}
 }
 
-// ours tells whether a connection failed for want of something here.
-func ours(err error) bool {
-	return errors.Is(err, errTooMany) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+// isLocalFailure tells whether a connection failed for want of something here.
+func isLocalFailure(err error) bool {
+	return errors.Is(err, errNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
 }
 
-// broken maps what ended an attempt whose last byte was written: it may have run.
-func broken(err error) policy.Status {
+// statusAfterWrite maps what ended an attempt whose last byte was written: it may have run.
+func statusAfterWrite(err error) policy.Status {
 	var timeout net.Error
 	switch {
 	case errors.Is(err, http1.ErrMalformed):
@@ -154,10 +154,10 @@
 	return policy.Reset
 }
 
-// outcome maps a whole answer. Only the backend's own word proves that a request
+// responseStatus maps a whole answer. Only the backend's own word proves that a request
 // did not run: a bare 503 or 504 may come from half-way through. A 4xx is about the
 // request, and tells nothing of the backend.
-func outcome(resp *http.Response) policy.Status {
+func responseStatus(resp *http.Response) policy.Status {
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
 		return policy.OK
@@ -170,9 +170,9 @@
 	return policy.Error
 }
 
-// head is the request's head as it goes to a backend, told how long the agent waits.
+// encodeHead is the request's head as it goes to a backend, told how long the agent waits.
 // The target is what the client sent: http.Request would write another form of it.
-func (c *call) head(left time.Duration) []byte {
+func (c *clientRequest) encodeHead(left time.Duration) []byte {
 	h := http1.EndToEnd(c.header)
 	h.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	if c.method != http.MethodGet {
@@ -192,4 +192,4 @@
 	return b
 }
 
-func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/agent/clientconn_test.go
+++ b/internal/agent/clientconn_test.go
@@ -18,14 +18,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := testConfig(ln.Addr().String(), "127.0.0.1:1", List{})
+	cfg, err := testConfig(ln.Addr().String(), "127.0.0.1:1", TargetList{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	f := newFront(cfg)
-	if f.loop, err = newLoop(ctx, cfg, func() {}); err != nil { // which does not run
+	f := newFrontend(cfg)
+	if f.loop, err = newEventLoop(ctx, cfg, func() {}); err != nil { // which does not run
 		t.Fatal(err)
 	}
 	f.server.ConnState = func(nc net.Conn, state http.ConnState) {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -14,21 +14,21 @@
 
 // Config is what the platform tells one agent, validated.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     List
-	Settings  policy.Settings
-	Zones     []string // names of zones and of machine kinds, by the number the module knows
-	Kinds     []string
+	Name         string
+	Listen       string
+	Discovery    string
+	Seed         uint64
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	InitialList  TargetList
+	Settings     policy.Settings
+	Zones        []string // names of zones and of machine kinds, by the number the module knows
+	MachineKinds []string
 }
 
-// file is the form of $PROXY_CONFIG.
-type file struct {
+// configFile is the form of $PROXY_CONFIG.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -38,8 +38,8 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    List            `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	InitialList TargetList      `json:"known"`
+	Settings    json.RawMessage `json:"settings"`
 }
 
 // LoadConfig reads the configuration from the environment and from the file it
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
@@ -75,11 +75,11 @@
 			*fields[name] = v
 		}
 	}
-	return f.config()
+	return f.validate()
 }
 
-func (f *file) config() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known,
+func (f *configFile) validate() (*Config, error) {
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, InitialList: f.InitialList,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
 	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(f.Settings, &names); err != nil {
 		return nil, fmt.Errorf("config: settings: %w", err)
 	}
-	c.Zones, c.Kinds = names.Zones, names.Kinds
+	c.Zones, c.MachineKinds = names.Zones, names.Kinds
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -122,13 +122,13 @@
 // minSockets leaves a few connections to each side beside the reserve.
 const minSockets = 64
 
-// backendConns is the most connections to backends, clientRoom how many clients may be
+// maxBackendConns is the most connections to backends, maxClientConns how many clients may be
 // connected before idle ones give way: less than the third of the descriptors that
 // the clients hold for requests at most. The rest is for the listener, discovery, the
 // log, the runtime's own, and what is just being closed.
-func (c *Config) backendConns() int { return c.Sockets * 7 / 16 }
-func (c *Config) clientRoom() int   { return c.Sockets / 4 }
+func (c *Config) maxBackendConns() int { return c.Sockets * 7 / 16 }
+func (c *Config) maxClientConns() int  { return c.Sockets / 4 }
 
-// budget is the memory for bodies of requests and answers together, beside the small
+// memoryBudget is the memory for bodies of requests and answers together, beside the small
 // ones: what is left of the limit is for connections, the module and the runtime.
-func (c *Config) budget() int64 { return int64(c.MemoryMB) << 20 / 5 }
+func (c *Config) memoryBudget() int64 { return int64(c.MemoryMB) << 20 / 5 }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Known.Version != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
+		c.InitialList.Version != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
 		t.Errorf("read as %+v", c)
 	}
 	for _, bad := range []struct{ from, to, want string }{
--- a/internal/agent/conns.go
+++ b/internal/agent/conns.go
@@ -24,28 +24,28 @@
 // its own, and where all it may hold are connections of callers that asked once and
 // stay, it can't bring another request. Which of them idle for good only it knows.
 type clientConns struct {
-	max     int // from here on room is made
-	mu      sync.Mutex
-	conns   map[net.Conn]*clientConn
-	closing int
+	softLimit int // from here on room is made
+	mu        sync.Mutex
+	conns     map[net.Conn]*clientConn
+	closing   int
 	// Connections with no request open, by how readily they give way.
-	waiting [3]list.List
+	withoutRequest [3]list.List
 }
 
 const (
-	silent = iota // nothing whole has come yet
-	idle          // between requests
-	coming        // a head has come, its body is being read
+	phaseSilent  = iota // nothing whole has come yet
+	phaseIdle           // between requests
+	phaseReading        // a head has come, its body is being read
 )
 
-// newcomer is how long a connection may take to bring a request, and its body, before
+// newConnGrace is how long a connection may take to bring a request, and its body, before
 // it gives way to all others.
-const newcomer = 250 * time.Millisecond
+const newConnGrace = 250 * time.Millisecond
 
 // clientConn is one connection; at is its place in kind, nil while a request is open.
 type clientConn struct {
-	at      *list.Element
-	kind    int
+	element *list.Element
+	phase   int
 	since   time.Time // of that kind
 	closing bool
 }
@@ -53,11 +53,11 @@
 type connKey struct{}
 
 func newClientConns(most int) *clientConns {
-	return &clientConns{max: most, conns: map[net.Conn]*clientConn{}}
+	return &clientConns{softLimit: most, conns: map[net.Conn]*clientConn{}}
 }
 
-// context lets a handler find its connection.
-func (c *clientConns) context(ctx context.Context, nc net.Conn) context.Context {
+// withConn lets a handler find its connection.
+func (c *clientConns) withConn(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
@@ -68,85 +68,85 @@
 	switch state {
 	case http.StateNew:
 		c.conns[nc] = &clientConn{}
-		c.wait(nc, silent)
+		c.markWaitingLocked(nc, phaseSilent)
 	case http.StateActive:
-		c.wait(nc, coming)
+		c.markWaitingLocked(nc, phaseReading)
 	case http.StateIdle:
-		c.wait(nc, idle)
+		c.markWaitingLocked(nc, phaseIdle)
 	case http.StateClosed, http.StateHijacked:
-		c.busy(nc)
+		c.markBusyLocked(nc)
 		if x := c.conns[nc]; x != nil && x.closing {
 			c.closing--
 		}
 		delete(c.conns, nc)
 	}
-	for len(c.conns)-c.closing > c.max {
-		old := c.first()
+	for len(c.conns)-c.closing > c.softLimit {
+		old := c.nextToCloseLocked()
 		if old == nil {
 			break
 		}
-		c.busy(old)
+		c.markBusyLocked(old)
 		c.conns[old].closing = true
 		c.closing++
 		old.Close() // the server's read then fails, and it reports the close
 	}
 }
 
-// first is the connection to give way next, nil if there is none.
-func (c *clientConns) first() net.Conn {
+// nextToCloseLocked is the connection to give way next, nil if there is none.
+func (c *clientConns) nextToCloseLocked() net.Conn {
 	var oldest net.Conn
-	for _, kind := range []int{silent, coming} {
-		e := c.waiting[kind].Front()
+	for _, kind := range []int{phaseSilent, phaseReading} {
+		e := c.withoutRequest[kind].Front()
 		if e == nil {
 			continue
 		}
 		nc := e.Value.(net.Conn)
-		if c.waiting[kind].Len() > c.max/4 || time.Since(c.conns[nc].since) > newcomer {
+		if c.withoutRequest[kind].Len() > c.softLimit/4 || time.Since(c.conns[nc].since) > newConnGrace {
 			return nc
 		}
 		if oldest == nil || c.conns[nc].since.Before(c.conns[oldest].since) {
 			oldest = nc
 		}
 	}
-	if e := c.waiting[idle].Front(); e != nil {
+	if e := c.withoutRequest[phaseIdle].Front(); e != nil {
 		return e.Value.(net.Conn)
 	}
 	return oldest
 }
 
-// taken tells that the handler's connection has brought a whole request: it stays
+// requestReceived tells that the handler's connection has brought a whole request: it stays
 // until that is answered.
-func (c *clientConns) taken(ctx context.Context) {
+func (c *clientConns) requestReceived(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if nc, ok := ctx.Value(connKey{}).(net.Conn); ok {
-		c.busy(nc)
+		c.markBusyLocked(nc)
 	}
 }
 
-// hurry gives those that still have to bring a request until a time for it.
-func (c *clientConns) hurry(by time.Time) {
+// setReadDeadline gives those that still have to bring a request until a time for it.
+func (c *clientConns) setReadDeadline(by time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, kind := range []int{silent, coming} {
-		for e := c.waiting[kind].Front(); e != nil; e = e.Next() {
+	for _, kind := range []int{phaseSilent, phaseReading} {
+		for e := c.withoutRequest[kind].Front(); e != nil; e = e.Next() {
 			e.Value.(net.Conn).SetReadDeadline(by)
 		}
 	}
 }
 
-// wait puts a connection last among those of a kind.
-func (c *clientConns) wait(nc net.Conn, kind int) {
-	c.busy(nc)
+// markWaitingLocked puts a connection last among those of a kind.
+func (c *clientConns) markWaitingLocked(nc net.Conn, kind int) {
+	c.markBusyLocked(nc)
 	if x := c.conns[nc]; x != nil && !x.closing {
-		x.kind, x.at, x.since = kind, c.waiting[kind].PushBack(nc), time.Now()
+		x.phase, x.element, x.since = kind, c.withoutRequest[kind].PushBack(nc), time.Now()
 	}
 }
 
-// busy takes a connection off those that may give way.
-func (c *clientConns) busy(nc net.Conn) {
-	if x := c.conns[nc]; x != nil && x.at != nil {
-		c.waiting[x.kind].Remove(x.at)
-		x.at = nil
+// markBusyLocked takes a connection off those that may give way.
+func (c *clientConns) markBusyLocked(nc net.Conn) {
+	if x := c.conns[nc]; x != nil && x.element != nil {
+		c.withoutRequest[x.phase].Remove(x.element)
+		x.element = nil
 	}
 }
--- a/internal/agent/coordination/interleave_test.go
+++ b/internal/agent/coordination/interleave_test.go
@@ -41,7 +41,7 @@
 			},
 		}
 		site := []func(){
-			func() { l.handZones([]agent.ZoneStanding{{Zone: "y", Left: time.Hour}}, true) },
+			func() { l.handZones([]agent.ZoneOverride{{Zone: "y", TTL: time.Hour}}, true) },
 			func() { l.handZones(nil, false) },
 			func() {
 				l.tellNews([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
@@ -54,21 +54,21 @@
 			},
 		}
 		got := map[string]int{}
-		var last agent.Orders
+		var last agent.Directives
 		take := func() {
-			last = l.Orders()
-			for _, s := range last.Standings {
-				if s.Try {
+			last = l.Directives()
+			for _, s := range last.Overrides {
+				if s.Trial {
 					got["try "+s.ID]++
 				}
 				if s.Probe {
 					got["probe "+s.ID]++
 				}
 			}
-			for _, n := range last.Told {
+			for _, n := range last.PeerReports {
 				got["told "+n.ID]++
 			}
-			if last.Ask || bad == askTwice && got["ask"] > 0 {
+			if last.FetchList || bad == askTwice && got["ask"] > 0 {
 				got["ask"]++
 			}
 		}
@@ -109,7 +109,7 @@
 				return fmt.Errorf("%s came %d times", what, got[what])
 			}
 		}
-		if len(last.Zones) != 0 || len(last.Standings) == 0 || last.Standings[0].ID != "b" {
+		if len(last.ZoneOverrides) != 0 || len(last.Overrides) == 0 || last.Overrides[0].ID != "b" {
 			return fmt.Errorf("the loop goes on by %+v", last)
 		}
 		return nil
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -69,9 +69,9 @@
 
 	ready  chan struct{}
 	mu     sync.Mutex            // of what the loop takes next, and of what was last Kept:
-	table  []agent.Standing      // Left is the layer's time at which it ends
+	table  []agent.Override      // Left is the layer's time at which it ends
 	tries  map[outlier.Host]bool // asked for and not yet handed over: whether by a probe
-	zones  []agent.ZoneStanding  // Left as in table
+	zones  []agent.ZoneOverride  // Left as in table
 	ask    bool
 	news   map[string]agent.Target
 	last   Kept
@@ -174,8 +174,8 @@
 	return m, true
 }
 
-// Listed takes the whole list, from the agent's loop.
-func (l *Layer) Listed(list []agent.Target) {
+// ListChanged takes the whole list, from the agent's loop.
+func (l *Layer) ListChanged(list []agent.Target) {
 	hosts := make([]outlier.ListedHost, 0, len(list))
 	for _, t := range list {
 		if t.State == "up" {
@@ -187,16 +187,16 @@
 	l.siteBox.Put(m)
 }
 
-// Told takes what discovery told, from the agent's loop.
-func (l *Layer) Told(list []agent.Target, whole bool) {
+// DiscoveryReported takes what discovery told, from the agent's loop.
+func (l *Layer) DiscoveryReported(list []agent.Target, whole bool) {
 	l.siteBox.Put(told{entries(list, 0), whole})
 }
 
-// Heard takes that discovery answered a call.
-func (l *Layer) Heard() { l.siteBox.Put(heard{stalerouting.List}) }
+// DiscoveryResponded takes that discovery answered a call.
+func (l *Layer) DiscoveryResponded() { l.siteBox.Put(heard{stalerouting.List}) }
 
-// Attempted takes the end of an attempt, from the agent's loop.
-func (l *Layer) Attempted(s agent.Sight) {
+// AttemptEnded takes the end of an attempt, from the agent's loop.
+func (l *Layer) AttemptEnded(s agent.Observation) {
 	kind, ok := kindOf(s.Status)
 	if s.Probe && kind == outlier.Failure {
 		kind = outlier.NoAnswer // no connect, or a reset: nothing of a request failed
@@ -209,7 +209,7 @@
 	}
 	now := l.now()
 	l.box.Put(sight{outlier.Observation{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Outcome: kind,
-		LatencyRatio: s.Took.Seconds() / l.cfg.Aims[s.Class].Seconds(), Sent: now - s.Took, Ended: now, Probe: s.Probe, Utilization: s.Util}})
+		LatencyRatio: s.Latency.Seconds() / l.cfg.Aims[s.Class].Seconds(), Sent: now - s.Latency, Ended: now, Probe: s.Probe, Utilization: s.Utilization}})
 }
 
 // kindOf is what an attempt's end says of its host; false if nothing.
@@ -452,19 +452,19 @@
 			l.tries[s.Host] = s.Probe
 		}
 		probe, asked := l.tries[s.Host]
-		l.table = append(l.table, agent.Standing{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation), Part: s.Share,
-			Left: s.Until, Try: asked && !probe, Probe: asked && probe})
+		l.table = append(l.table, agent.Override{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation), ShareFactor: s.Share,
+			TTL: s.Until, Trial: asked && !probe, Probe: asked && probe})
 	}
 	for h, probe := range l.tries {
 		if !named[h] {
-			l.table = append(l.table, agent.Standing{ID: h.ID, StartedMs: float64(h.Incarnation), Part: 1, Try: !probe, Probe: probe})
+			l.table = append(l.table, agent.Override{ID: h.ID, StartedMs: float64(h.Incarnation), ShareFactor: 1, Trial: !probe, Probe: probe})
 		}
 	}
 	l.wake()
 }
 
 // handZones makes the zones' standings those that the loop takes next, and asks for the list.
-func (l *Layer) handZones(zones []agent.ZoneStanding, ask bool) {
+func (l *Layer) handZones(zones []agent.ZoneOverride, ask bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.zones, l.ask = zones, l.ask || ask
@@ -510,25 +510,25 @@
 // Ready receives when there are new orders.
 func (l *Layer) Ready() <-chan struct{} { return l.ready }
 
-// Orders are the newest; what is asked for, and what neighbours were told, is so once. What is
+// Directives are the newest; what is asked for, and what neighbours were told, is so once. What is
 // left of each standing is counted as of now: the process may have been paused since it was
 // handed over.
-func (l *Layer) Orders() agent.Orders {
+func (l *Layer) Directives() agent.Directives {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	o := agent.Orders{Standings: slices.Clone(l.table), Zones: slices.Clone(l.zones), Ask: l.ask}
-	for i := range o.Standings {
-		o.Standings[i].Left = max(o.Standings[i].Left-now, 0)
+	o := agent.Directives{Overrides: slices.Clone(l.table), ZoneOverrides: slices.Clone(l.zones), FetchList: l.ask}
+	for i := range o.Overrides {
+		o.Overrides[i].TTL = max(o.Overrides[i].TTL-now, 0)
 	}
-	for i := range o.Zones {
-		o.Zones[i].Left = max(o.Zones[i].Left-now, 0)
+	for i := range o.ZoneOverrides {
+		o.ZoneOverrides[i].TTL = max(o.ZoneOverrides[i].TTL-now, 0)
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.news)) {
-		o.Told = append(o.Told, l.news[id])
+		o.PeerReports = append(o.PeerReports, l.news[id])
 	}
 	for i := range l.table { // each try is asked for once, each server for once that is only to be tried
-		l.table[i].Try, l.table[i].Probe = false, false
+		l.table[i].Trial, l.table[i].Probe = false, false
 	}
 	clear(l.tries)
 	clear(l.news)
--- a/internal/agent/coordination/layer_test.go
+++ b/internal/agent/coordination/layer_test.go
@@ -29,18 +29,18 @@
 	l.hand([]ejection.Standing{{Host: a, Until: time.Hour, Trial: true}, {Host: b, Share: 1, Probe: true}})
 	l.hand([]ejection.Standing{{Host: a, Until: time.Hour}})
 	<-l.Ready()
-	got := map[string]agent.Standing{}
-	for _, s := range l.Orders().Standings {
+	got := map[string]agent.Override{}
+	for _, s := range l.Directives().Overrides {
 		got[s.ID] = s
 	}
-	if x := got["a"]; !x.Try || x.Probe || x.Part != 0 || x.Left <= 0 || x.Left > time.Hour {
+	if x := got["a"]; !x.Trial || x.Probe || x.ShareFactor != 0 || x.TTL <= 0 || x.TTL > time.Hour {
 		t.Errorf("a: %+v", x)
 	}
-	if x := got["b"]; !x.Probe || x.Try || x.Part != 1 || x.StartedMs != 3 {
+	if x := got["b"]; !x.Probe || x.Trial || x.ShareFactor != 1 || x.StartedMs != 3 {
 		t.Errorf("b: %+v", x)
 	}
 	l.hand([]ejection.Standing{{Host: a, Until: time.Hour}})
-	if s := l.Orders().Standings; len(s) != 1 || s[0].Try {
+	if s := l.Directives().Overrides; len(s) != 1 || s[0].Trial {
 		t.Errorf("handed over again: %+v", s)
 	}
 }
@@ -50,8 +50,8 @@
 	l := bare()
 	l.hand([]ejection.Standing{{Host: outlier.Host{ID: "a"}, Until: 5 * time.Second}})
 	l.start = l.start.Add(-10 * time.Second) // as long as the pause was
-	if s := l.Orders().Standings; s[0].Left != 0 {
-		t.Errorf("%v is left of what ended in the pause", s[0].Left)
+	if s := l.Directives().Overrides; s[0].TTL != 0 {
+		t.Errorf("%v is left of what ended in the pause", s[0].TTL)
 	}
 }
 
@@ -59,13 +59,13 @@
 // silence, not a failure.
 func TestSights(t *testing.T) {
 	l := bare()
-	for _, s := range []agent.Sight{{Status: policy.Cancelled}, {Status: policy.NotSent}, {Status: policy.OK, Class: 7}} {
-		l.Attempted(s)
+	for _, s := range []agent.Observation{{Status: policy.Cancelled}, {Status: policy.NotSent}, {Status: policy.OK, Class: 7}} {
+		l.AttemptEnded(s)
 	}
 	if m, ok := l.box.Poll(); ok {
 		t.Errorf("told of %+v", m)
 	}
-	l.Attempted(agent.Sight{ID: "a", Status: policy.ConnectFailed, Probe: true, Took: time.Second / 2})
+	l.AttemptEnded(agent.Observation{ID: "a", Status: policy.ConnectFailed, Probe: true, Latency: time.Second / 2})
 	m, _ := l.box.Poll()
 	if s, ok := m.(sight); !ok || s.Outcome != outlier.NoAnswer || !s.Probe || s.LatencyRatio != 0.5 || s.Ended-s.Sent != time.Second/2 {
 		t.Errorf("told of %+v", m)
@@ -79,8 +79,8 @@
 	l.box.Put(letter{newer})
 	l.box.Put(letter{older})
 	l.box.Put(letter{&ejection.VoteMessage{From: "b"}})
-	l.Listed([]agent.Target{{ID: "x", State: "up"}})
-	l.Listed([]agent.Target{{ID: "y", State: "up"}, {ID: "z", State: "draining"}})
+	l.ListChanged([]agent.Target{{ID: "x", State: "up"}})
+	l.ListChanged([]agent.Target{{ID: "y", State: "up"}, {ID: "z", State: "draining"}})
 	var got []supervisor.Message
 	for m, ok := l.box.Poll(); ok; m, ok = l.box.Poll() {
 		got = append(got, m)
@@ -105,6 +105,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Listed([]agent.Target{{ID: "x", State: "up", Weight: 1}})
+	l.ListChanged([]agent.Target{{ID: "x", State: "up", Weight: 1}})
 	l.Close()
 }
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -302,22 +302,22 @@
 	l := s.l
 	now, own := l.now(), l.cfg.Peers.Zone
 	d, holds := s.parts.Now(now)
-	var out []agent.ZoneStanding
+	var out []agent.ZoneOverride
 	s.renewAt = now + time.Hour
 	for _, zone := range s.zones {
-		z := agent.ZoneStanding{Zone: zone, Share: 1, Reach: 1, Left: now + time.Hour}
+		z := agent.ZoneOverride{Zone: zone, ShareFactor: 1, ReachableShare: 1, TTL: now + time.Hour}
 		if holds {
-			z.Share, z.Left = d.Table.Share(own, zone), now+s.parts.Left(now)
+			z.ShareFactor, z.TTL = d.Table.Share(own, zone), now+s.parts.Left(now)
 			if s.phase == stalerouting.Light { // a site by itself has its own zone only
-				z.Pull, _ = d.Table.TrafficShare(own, zone)
+				z.TrafficShare, _ = d.Table.TrafficShare(own, zone)
 			}
 		}
 		if zone != own && s.phase != stalerouting.Light {
-			z.Share, z.Reach, z.Left = z.Share*s.share, s.share, min(z.Left, s.until)
+			z.ShareFactor, z.ReachableShare, z.TTL = z.ShareFactor*s.share, s.share, min(z.TTL, s.until)
 		}
-		if z.Share < 1 || z.Pull > 0 || holds && len(d.Table.TrafficShares) > 0 {
+		if z.ShareFactor < 1 || z.TrafficShare > 0 || holds && len(d.Table.TrafficShares) > 0 {
 			out = append(out, z)
-			s.renewAt = min(s.renewAt, now+(z.Left-now)/2)
+			s.renewAt = min(s.renewAt, now+(z.TTL-now)/2)
 		}
 	}
 	l.handZones(out, ask)
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -38,24 +38,24 @@
 	l := s.l
 	s.carryOut(&stalerouting.Out{Phase: stalerouting.Dark, Until: l.now() + time.Minute, Changed: true, Ask: true})
 	<-l.Ready()
-	o := l.Orders()
-	if len(o.Zones) != 2 || o.Zones[0].Zone != "y" || o.Zones[1].Zone != "z" || o.Zones[0].Share != 0 || !o.Ask ||
-		o.Zones[0].Left <= 0 || o.Zones[0].Left > time.Minute {
+	o := l.Directives()
+	if len(o.ZoneOverrides) != 2 || o.ZoneOverrides[0].Zone != "y" || o.ZoneOverrides[1].Zone != "z" || o.ZoneOverrides[0].ShareFactor != 0 || !o.FetchList ||
+		o.ZoneOverrides[0].TTL <= 0 || o.ZoneOverrides[0].TTL > time.Minute {
 		t.Errorf("%+v", o)
 	}
 	if k := l.Kept(); !k.Dark || len(k.Entries) != 2 || k.Entries[0].State != stalerouting.Draining {
 		t.Errorf("kept %+v", k)
 	}
 	l.start = l.start.Add(-2 * time.Minute) // a pause
-	if o := l.Orders(); o.Zones[0].Left != 0 || o.Ask {
+	if o := l.Directives(); o.ZoneOverrides[0].TTL != 0 || o.FetchList {
 		t.Errorf("after a pause: %+v", o)
 	}
 	s.carryOut(&stalerouting.Out{Phase: stalerouting.Returning, Share: 0.3, Until: l.now() + time.Minute, Changed: true})
-	if o := l.Orders(); len(o.Zones) != 2 || o.Zones[1].Share != 0.3 {
+	if o := l.Directives(); len(o.ZoneOverrides) != 2 || o.ZoneOverrides[1].ShareFactor != 0.3 {
 		t.Errorf("%+v", o)
 	}
 	s.carryOut(&stalerouting.Out{Phase: stalerouting.Light, Share: 1, Changed: true})
-	if o := l.Orders(); len(o.Zones) != 0 || l.Kept().Dark {
+	if o := l.Directives(); len(o.ZoneOverrides) != 0 || l.Kept().Dark {
 		t.Errorf("%+v", o)
 	}
 }
@@ -70,20 +70,20 @@
 	}
 	s.take(set("y", stalerouting.Entry{ID: "s", State: stalerouting.Removed}))
 	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Removed}, stalerouting.Entry{}))
-	if o := l.Orders(); len(o.Told) != 0 {
-		t.Errorf("told %+v", o.Told)
+	if o := l.Directives(); len(o.PeerReports) != 0 {
+		t.Errorf("told %+v", o.PeerReports)
 	}
 	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Draining}, stalerouting.Entry{ID: "n", Incarnation: 5}))
-	if o := l.Orders(); len(o.Told) != 2 || o.Told[0].ID != "n" || o.Told[0].StartedMs != 5 || o.Told[1].State != "draining" {
-		t.Errorf("told %+v", o.Told)
+	if o := l.Directives(); len(o.PeerReports) != 2 || o.PeerReports[0].ID != "n" || o.PeerReports[0].StartedMs != 5 || o.PeerReports[1].State != "draining" {
+		t.Errorf("told %+v", o.PeerReports)
 	}
-	if o := l.Orders(); len(o.Told) != 0 {
-		t.Errorf("told again %+v", o.Told)
+	if o := l.Directives(); len(o.PeerReports) != 0 {
+		t.Errorf("told again %+v", o.PeerReports)
 	}
 	s.take(heard{stalerouting.List})
 	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Removed}))
-	if o := l.Orders(); len(o.Told) != 0 {
-		t.Errorf("told %+v while discovery can be heard", o.Told)
+	if o := l.Directives(); len(o.PeerReports) != 0 {
+		t.Errorf("told %+v while discovery can be heard", o.PeerReports)
 	}
 }
 
@@ -125,7 +125,7 @@
 	// An answer from a server of another zone is a sign of what lies outside.
 	l.cfg.Aims = []time.Duration{time.Second}
 	for _, zone := range []string{"x", "", "y"} {
-		l.Attempted(agent.Sight{ID: "s", Zone: zone, Status: policy.OK})
+		l.AttemptEnded(agent.Observation{ID: "s", Zone: zone, Status: policy.OK})
 	}
 	if m, _ := l.siteBox.Poll(); m != (heard{stalerouting.Answer}) {
 		t.Errorf("%+v", m)
@@ -147,8 +147,8 @@
 	s.take(members{[]membership.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}})
 	// What a voter finds in its log is acted on once a majority vouches for it.
 	s.take(agreed{consensus.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75)}})
-	if o := l.Orders(); len(o.Zones) != 0 {
-		t.Errorf("by what lay in the log: %+v", o.Zones)
+	if o := l.Directives(); len(o.ZoneOverrides) != 0 {
+		t.Errorf("by what lay in the log: %+v", o.ZoneOverrides)
 	}
 	s.take(agreed{consensus.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75), Vouched: true}})
 	told := map[string]bool{}
@@ -160,25 +160,25 @@
 	if len(told) != 2 || !told["b"] || !told["c"] {
 		t.Errorf("told %v of what is new", told)
 	}
-	o := l.Orders()
-	if len(o.Zones) != 3 || o.Zones[0].Pull != 0.75 || o.Zones[0].Share != 1 || o.Zones[2].Share != 0 || o.Zones[2].Reach != 1 ||
-		o.Zones[1].Left <= 9*time.Second || o.Zones[1].Left > 10*time.Second {
-		t.Errorf("%+v", o.Zones)
+	o := l.Directives()
+	if len(o.ZoneOverrides) != 3 || o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[0].ShareFactor != 1 || o.ZoneOverrides[2].ShareFactor != 0 || o.ZoneOverrides[2].ReachableShare != 1 ||
+		o.ZoneOverrides[1].TTL <= 9*time.Second || o.ZoneOverrides[1].TTL > 10*time.Second {
+		t.Errorf("%+v", o.ZoneOverrides)
 	}
 	s.take(parts{stalerouting.Decided{Version: stalerouting.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
-	if o := l.Orders(); o.Zones[0].Pull != 0.75 || o.Zones[2].Share != 0 {
-		t.Errorf("an older decision: %+v", o.Zones)
+	if o := l.Directives(); o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[2].ShareFactor != 0 {
+		t.Errorf("an older decision: %+v", o.ZoneOverrides)
 	}
 	s.phase, s.share, s.until = stalerouting.Dark, 0, l.now()+time.Second
 	s.order(false)
-	if o := l.Orders(); o.Zones[0].Pull != 0 || o.Zones[1].Share != 0 || o.Zones[1].Reach != 0 || o.Zones[1].Left > time.Second {
-		t.Errorf("in the dark: %+v", o.Zones)
+	if o := l.Directives(); o.ZoneOverrides[0].TrafficShare != 0 || o.ZoneOverrides[1].ShareFactor != 0 || o.ZoneOverrides[1].ReachableShare != 0 || o.ZoneOverrides[1].TTL > time.Second {
+		t.Errorf("in the dark: %+v", o.ZoneOverrides)
 	}
 	s.phase = stalerouting.Light
 	l.start = l.start.Add(-time.Minute)
 	s.order(false)
-	if o := l.Orders(); len(o.Zones) != 0 {
-		t.Errorf("past its bound: %+v", o.Zones)
+	if o := l.Directives(); len(o.ZoneOverrides) != 0 {
+		t.Errorf("past its bound: %+v", o.ZoneOverrides)
 	}
 }
 
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -16,8 +16,8 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// List is discovery's answer: the whole list or what changed.
-type List struct {
+// TargetList is discovery's answer: the whole list or what changed.
+type TargetList struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Target `json:"servers"`
@@ -36,71 +36,71 @@
 }
 
 const (
-	// watchWait is how long one call of a watch may stand. Longer ones would only
+	// watchTimeout is how long one call of a watch may stand. Longer ones would only
 	// find out later that discovery has gone silent.
-	watchWait = 10 * time.Second
-	// callGrace is what a call may take beyond the wait: discovery gives up calls
+	watchTimeout = 10 * time.Second
+	// callSlack is what a call may take beyond the wait: discovery gives up calls
 	// that stood in its queue for a second. A change that discovery does not bring
 	// counts as told 2 s after the wait: by then the next call is to be out.
-	callGrace = 1200 * time.Millisecond
-	// wholeTries and wholePause bound how the whole list of a new discovery is asked
+	callSlack = 1200 * time.Millisecond
+	// fullListAttempts and fullListRetryDelay bound how the whole list of a new discovery is asked
 	// for before the module's own, slower, calls: the old one is no longer heard.
-	wholeTries, wholePause = 3, 200 * time.Millisecond
-	// callsPerS and callBurst bound the calls: a discovery that answers watches at
+	fullListAttempts, fullListRetryDelay = 3, 200 * time.Millisecond
+	// callsPerSecond and callBurst bound the calls: a discovery that answers watches at
 	// once must not be asked in a tight loop. A watch outlives the gap.
-	callsPerS, callBurst = 10, 10
-	// pushFirst and pushMost bound the pause before a pushed watch that failed is opened
+	callsPerSecond, callBurst = 10, 10
+	// minWatchBackoff and maxWatchBackoff bound the pause before a pushed watch that failed is opened
 	// again. What it would have brought counts as told 2 s after its wait.
-	pushFirst, pushMost = 50 * time.Millisecond, 800 * time.Millisecond
-	// maxList bounds an answer of discovery.
-	maxList = 8 << 20
+	minWatchBackoff, maxWatchBackoff = 50 * time.Millisecond, 800 * time.Millisecond
+	// maxListBytes bounds an answer of discovery.
+	maxListBytes = 8 << 20
 )
 
-// pushPause is the pause after so many failures in a row: exponential backoff with
+// watchBackoff is the pause after so many failures in a row: exponential backoff with
 // jitter, as agents that lost one discovery must not all come back at once.
-func pushPause(failures int) time.Duration {
-	most := pushFirst << min(max(failures-1, 0), 10)
-	most = min(most, pushMost)
+func watchBackoff(failures int) time.Duration {
+	most := minWatchBackoff << min(max(failures-1, 0), 10)
+	most = min(most, maxWatchBackoff)
 	return most/2 + rand.N(most/2)
 }
 
-// discovery makes the calls that the module asks for and hands on what they
+// discoveryClient makes the calls that the module asks for and hands on what they
 // bring. When to call again after a failure is the module's to decide, but where
 // changes are pushed: a failed call ends the watch and is told as ListFailed, and the
 // module answers with a timer, doubled and jittered, so that discovery is never
 // hammered.
-type discovery struct {
-	ctx    context.Context // ends when another discovery takes its place
-	end    context.CancelFunc
-	addr   string
-	url    string
-	client *http.Client
-	limit  *rate.Limiter
-	// told is called with each answer; a nil list is a failure.
-	told func(l *List, watch bool, err error)
-	// heard, if not nil, is called at each answer, also one that says nothing new.
-	heard func()
+type discoveryClient struct {
+	ctx     context.Context // ends when another discovery takes its place
+	cancel  context.CancelFunc
+	addr    string
+	url     string
+	client  *http.Client
+	limiter *rate.Limiter
+	// onList is called with each answer; a nil list is a failure.
+	onList func(l *TargetList, watch bool, err error)
+	// onResponse, if not nil, is called at each answer, also one that says nothing new.
+	onResponse func()
 }
 
 // dialer opens connections to a discovery.
 type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func newDiscovery(ctx context.Context, addr string, dial dialer) *discovery {
+func newDiscoveryClient(ctx context.Context, addr string, dial dialer) *discoveryClient {
 	ctx, end := context.WithCancel(ctx)
-	return &discovery{
-		ctx: ctx, end: end, addr: addr,
+	return &discoveryClient{
+		ctx: ctx, cancel: end, addr: addr,
 		url: "http://" + addr + "/api/targets",
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: dial, MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4,
 			IdleConnTimeout: time.Minute, DisableCompression: true,
 		}},
-		limit: rate.NewLimiter(callsPerS, callBurst),
+		limiter: rate.NewLimiter(callsPerSecond, callBurst),
 	}
 }
 
 // close ends all calls and connections.
-func (d *discovery) close() {
-	d.end()
+func (d *discoveryClient) close() {
+	d.cancel()
 	d.client.CloseIdleConnections()
 }
 
@@ -108,28 +108,28 @@
 // left; where no list of this discovery is at hand yet it asks for the whole one
 // first. The next call goes out before the last answer is even handed on: a watch
 // lives for 200 ms without one, and a new watch loads discovery.
-func (d *discovery) watch(version uint64, whole bool) {
+func (d *discoveryClient) watch(version uint64, whole bool) {
 	if whole {
-		l, err := d.whole()
+		l, err := d.fetchFullList()
 		if d.ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			d.told(nil, true, err)
+			d.onList(nil, true, err)
 			return
 		}
 		version = l.Version
-		d.told(l, true, nil)
+		d.onList(l, true, nil)
 	}
 	type result struct {
-		list *List
+		list *TargetList
 		err  error
 	}
 	call := func(from uint64) chan result {
 		done := make(chan result, 1)
 		go func() {
-			l, err := d.get(fmt.Sprintf("?index=%d&wait=%d", from, watchWait.Milliseconds()),
-				watchWait+callGrace)
+			l, err := d.call(fmt.Sprintf("?index=%d&wait=%d", from, watchTimeout.Milliseconds()),
+				watchTimeout+callSlack)
 			done <- result{l, err}
 		}()
 		return done
@@ -141,35 +141,35 @@
 			return
 		}
 		if r.err != nil {
-			d.told(nil, true, r.err)
+			d.onList(nil, true, r.err)
 			return
 		}
 		next = call(r.list.Version)
 		// An empty answer says nothing, but the first is the answer to the call.
 		if first || r.list.Full || len(r.list.Servers) > 0 {
-			d.told(r.list, true, nil)
+			d.onList(r.list, true, nil)
 		}
 	}
 }
 
 // fetch asks for the whole list once.
-func (d *discovery) fetch() {
-	l, err := d.get("", callGrace)
+func (d *discoveryClient) fetch() {
+	l, err := d.call("", callSlack)
 	if d.ctx.Err() == nil {
-		d.told(l, false, err)
+		d.onList(l, false, err)
 	}
 }
 
-// whole asks for the whole list, and again if that fails.
-func (d *discovery) whole() (l *List, err error) {
-	for try := range wholeTries {
+// fetchFullList asks for the whole list, and again if that fails.
+func (d *discoveryClient) fetchFullList() (l *TargetList, err error) {
+	for try := range fullListAttempts {
 		if try > 0 {
 			select {
-			case <-time.After(wholePause):
+			case <-time.After(fullListRetryDelay):
 			case <-d.ctx.Done():
 			}
 		}
-		if l, err = d.get("", callGrace); err == nil && l.Full {
+		if l, err = d.call("", callSlack); err == nil && l.Full {
 			return l, nil
 		}
 		if err == nil {
@@ -179,8 +179,8 @@
 	return nil, err
 }
 
-func (d *discovery) get(query string, within time.Duration) (*List, error) {
-	if err := d.limit.Wait(d.ctx); err != nil {
+func (d *discoveryClient) call(query string, within time.Duration) (*TargetList, error) {
+	if err := d.limiter.Wait(d.ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, within)
@@ -194,32 +194,32 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("discovery: answered %d", resp.StatusCode)
 	}
-	var l List
+	var l TargetList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if d.heard != nil {
-		d.heard()
+	if d.onResponse != nil {
+		d.onResponse()
 	}
 	return &l, nil
 }
 
-// table holds the backends that discovery listed, by id and by the module's
+// backendTable holds the backends that discovery listed, by id and by the module's
 // name for them. It belongs to the loop.
-type table struct {
-	zones, kinds map[string]int
-	byID         map[string]*backend
-	byAddr       map[policy.Addr]*backend
+type backendTable struct {
+	zones, machineKinds map[string]int
+	byID                map[string]*backend
+	byAddr              map[policy.Addr]*backend
 }
 
-func newTable(zones, kinds []string) *table {
+func newBackendTable(zones, kinds []string) *backendTable {
 	index := func(names []string) map[string]int {
 		m := map[string]int{}
 		for i, n := range names {
@@ -227,35 +227,35 @@
 		}
 		return m
 	}
-	return &table{zones: index(zones), kinds: index(kinds),
+	return &backendTable{zones: index(zones), machineKinds: index(kinds),
 		byID: map[string]*backend{}, byAddr: map[policy.Addr]*backend{}}
 }
 
-// backend finds or makes the entry of an id. The module's name comes from the
+// findOrAdd finds or makes the entry of an id. The module's name comes from the
 // id, not from the address: addresses differ from one agent to the next, and the
 // agents must agree on the order of servers for a key without talking.
-func (t *table) backend(id string) *backend {
+func (t *backendTable) findOrAdd(id string) *backend {
 	if b := t.byID[id]; b != nil {
 		return b
 	}
 	b := &backend{id: id}
 	h := hashString(id)
 	for {
-		for i := range b.name {
-			b.name[i] = byte(h >> (8 * i))
+		for i := range b.policyAddr {
+			b.policyAddr[i] = byte(h >> (8 * i))
 		}
-		if t.byAddr[b.name] == nil {
+		if t.byAddr[b.policyAddr] == nil {
 			break
 		}
 		h++ // two ids of one hash: the later takes the next free name
 	}
-	t.byID[id], t.byAddr[b.name] = b, b
+	t.byID[id], t.byAddr[b.policyAddr] = b, b
 	return b
 }
 
 // apply takes a list into the table and returns the module's entries, the backends
 // whose idle connections are of no more use, and those gone.
-func (t *table) apply(l *List, full bool) (entries []policy.Endpoint, stale, gone []*backend) {
+func (t *backendTable) apply(l *TargetList, full bool) (entries []policy.Endpoint, stale, gone []*backend) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -263,11 +263,11 @@
 			continue
 		}
 		named[s.ID] = true
-		e := policy.Endpoint{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, StartedMs: s.StartedMs, Weight: s.Weight}
+		e := policy.Endpoint{Zone: len(t.zones), Kind: len(t.machineKinds), Cell: s.Cell, StartedMs: s.StartedMs, Weight: s.Weight}
 		if z, ok := t.zones[s.Zone]; ok {
 			e.Zone = z
 		}
-		if k, ok := t.kinds[s.Kind]; ok {
+		if k, ok := t.machineKinds[s.Kind]; ok {
 			e.Kind = k
 		}
 		switch s.State {
@@ -278,17 +278,17 @@
 		default: // draining, and whatever else is not said to be up
 			e.Status = policy.Draining
 		}
-		b := t.backend(s.ID)
-		e.Server = b.name
+		b := t.findOrAdd(s.ID)
+		e.Server = b.policyAddr
 		b.startedMs = s.StartedMs
 		if s.Addr != "" && b.addr != s.Addr {
 			stale = append(stale, b)
 			b.addr = s.Addr
 		}
-		if b.closed.Store(e.Status != policy.Ready); e.Status != policy.Ready {
+		if b.unavailable.Store(e.Status != policy.Ready); e.Status != policy.Ready {
 			stale = append(stale, b)
 		}
-		if b.gone = e.Status == policy.Removed; b.gone {
+		if b.removed = e.Status == policy.Removed; b.removed {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
@@ -296,8 +296,8 @@
 	if full {
 		for id, b := range t.byID {
 			if !named[id] {
-				b.closed.Store(true)
-				b.gone = true
+				b.unavailable.Store(true)
+				b.removed = true
 				stale, gone = append(stale, b), append(gone, b)
 			}
 		}
@@ -307,17 +307,17 @@
 
 // forget drops backends that are gone and have no attempt out; the module has
 // forgotten them by then.
-func (t *table) forget(b *backend) {
-	if b.gone && b.out == 0 && t.byID[b.id] == b {
+func (t *backendTable) forget(b *backend) {
+	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
 		delete(t.byID, b.id)
-		delete(t.byAddr, b.name)
+		delete(t.byAddr, b.policyAddr)
 	}
 }
 
-// usable tells whether any backend may be sent to.
-func (t *table) usable() bool {
+// hasAvailable tells whether any backend may be sent to.
+func (t *backendTable) hasAvailable() bool {
 	for _, b := range t.byID {
-		if !b.closed.Load() {
+		if !b.unavailable.Load() {
 			return true
 		}
 	}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
@@ -44,7 +44,7 @@
 	mu       sync.Mutex
 	arrivals int
 	conns    int // open now
-	most     int
+	maxConns int
 	ended    chan struct{} // a value for each connection that the agent closed
 }
 
@@ -71,7 +71,7 @@
 	defer c.Close()
 	b.mu.Lock()
 	b.conns++
-	b.most = max(b.most, b.conns)
+	b.maxConns = max(b.maxConns, b.conns)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -106,20 +106,20 @@
 	return b.arrivals
 }
 
-// send writes an answer as it is.
-func send(c net.Conn, status int, header, body string) bool {
+// writeTestResponse writes an answer as it is.
+func writeTestResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
-// serving answers every request with its own path and body.
-func serving(c net.Conn, req *http.Request, _ int) bool {
+// echo answers every request with its own path and body.
+func echo(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return send(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
+	return writeTestResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
 
-// reset ends a connection with RST.
-func reset(c net.Conn) bool {
+// resetConn ends a connection with RST.
+func resetConn(c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
@@ -128,17 +128,17 @@
 type fakeDiscovery struct {
 	*httptest.Server
 	mu      sync.Mutex
-	list    List
+	list    TargetList
 	changed map[string]uint64 // version of each entry's last change
 	down    bool
 	calls   int
 	wake    chan struct{}
-	asked   chan uint64 // the index of each watch call
+	watched chan uint64 // the index of each watch call
 }
 
 func newDiscoveryServer(t *testing.T, servers ...Target) *fakeDiscovery {
-	d := &fakeDiscovery{list: List{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
-		wake: make(chan struct{}), asked: make(chan uint64, 1000)}
+	d := &fakeDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
+		wake: make(chan struct{}), watched: make(chan uint64, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -165,12 +165,12 @@
 	}
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait"))
-	d.asked <- index
+	d.watched <- index
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		d.mu.Lock()
 		version, wake, down := d.list.Version, d.wake, d.down
-		var delta List
+		var delta TargetList
 		if version > index {
 			delta.Version = version
 			for _, s := range d.list.Servers {
@@ -191,7 +191,7 @@
 		select {
 		case <-wake:
 		case <-over:
-			json.NewEncoder(w).Encode(List{Version: version})
+			json.NewEncoder(w).Encode(TargetList{Version: version})
 			return
 		case <-req.Context().Done():
 			return
@@ -232,24 +232,24 @@
 	return d.calls
 }
 
-// told changes an entry and returns once the agent has handed the change to its
+// setAndWait changes an entry and returns once the agent has handed the change to its
 // loop: the watch calls again first and hands on then, so one more change is made
 // and the call after that is waited for.
-func (d *fakeDiscovery) told(t *testing.T, s Target) {
+func (d *fakeDiscovery) setAndWait(t *testing.T, s Target) {
 	t.Helper()
 	d.set(s)
-	d.wait(t, d.list.Version)
+	d.waitForWatch(t, d.list.Version)
 	d.set(s)
-	d.wait(t, d.list.Version)
+	d.waitForWatch(t, d.list.Version)
 }
 
-// wait waits for a watch call with an index of at least version.
-func (d *fakeDiscovery) wait(t *testing.T, version uint64) {
+// waitForWatch waits for a watch call with an index of at least version.
+func (d *fakeDiscovery) waitForWatch(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		select {
-		case index := <-d.asked:
+		case index := <-d.watched:
 			if index >= version {
 				return
 			}
@@ -267,7 +267,7 @@
 type testAgent struct {
 	t    *testing.T
 	addr string
-	loop *loop
+	loop *eventLoop
 	stop context.CancelFunc
 	done chan error
 }
@@ -275,11 +275,11 @@
 // startAgent starts an agent that knows the list of the discovery as it is now.
 func startAgent(t *testing.T, d *fakeDiscovery, change func(*Config)) *testAgent {
 	t.Helper()
-	return startAgentWith(t, d, change, func(*loop) {})
+	return startAgentWith(t, d, change, func(*eventLoop) {})
 }
 
 // startAgentWith is startAgent, which also changes the loop before it runs.
-func startAgentWith(t *testing.T, d *fakeDiscovery, change func(*Config), made func(*loop)) *testAgent {
+func startAgentWith(t *testing.T, d *fakeDiscovery, change func(*Config), made func(*eventLoop)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -294,14 +294,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	a := &testAgent{t: t, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
-	started := make(chan *loop, 1)
-	go func() { a.done <- run(ctx, cfg, ln, func(l *loop) { made(l); started <- l }) }()
+	started := make(chan *eventLoop, 1)
+	go func() { a.done <- run(ctx, cfg, ln, func(l *eventLoop) { made(l); started <- l }) }()
 	a.loop = <-started
 	t.Cleanup(func() {
 		stop()
 		select {
 		case <-a.done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -309,14 +309,14 @@
 	return a
 }
 
-func testConfig(listen, discovery string, known List) (*Config, error) {
-	f := file{Listen: listen, Discovery: discovery, Seed: "7", Known: known, Settings: json.RawMessage(testSettings)}
+func testConfig(listen, discovery string, known TargetList) (*Config, error) {
+	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", InitialList: known, Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
-	return f.config()
+	return f.validate()
 }
 
 func (a *testAgent) waitReady() {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		resp, err := testClient.Get("http://" + a.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -328,24 +328,24 @@
 	a.t.Fatal("the agent is not ready")
 }
 
-// figures reads the loop's counts, in the loop.
-func (a *testAgent) figures() figures {
-	got := make(chan figures, 1)
-	a.loop.post(func() { got <- a.loop.figures })
+// readCounters reads the loop's counts, in the loop.
+func (a *testAgent) readCounters() counters {
+	got := make(chan counters, 1)
+	a.loop.post(func() { got <- a.loop.counters })
 	return <-got
 }
 
 // testClient opens a connection for each request, and so never sends one again.
-var testClient = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // testSender makes attempts with most connections at the most.
 func testSender(most int) *sender {
-	return &sender{budget: semaphore.NewWeighted(1 << 20), reportNames: []string{"qps", "util", "eps"},
-		pool: &pool{connectTimeout: patience, keepalive: time.Minute, max: most, idle: map[*backend][]*conn{}}}
+	return &sender{memoryBudget: semaphore.NewWeighted(1 << 20), responseMetrics: []string{"qps", "util", "eps"},
+		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, maxOpen: most, idle: map[*backend][]*backendConn{}}}
 }
 
-func testCall(body []byte) *call {
-	return &call{method: "POST", target: "/api/a1", host: "x", header: http.Header{"Request-Id": {"1"}}, body: body}
+func testClientRequest(body []byte) *clientRequest {
+	return &clientRequest{method: "POST", target: "/api/a1", host: "x", header: http.Header{"Request-Id": {"1"}}, body: body}
 }
 
 // lastID makes every request's id its own.
@@ -369,8 +369,8 @@
 	return req
 }
 
-// ask sends a request and returns the answer's status, header and body.
-func (a *testAgent) ask(req *http.Request) (int, http.Header, string) {
+// do sends a request and returns the answer's status, header and body.
+func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	resp, err := testClient.Do(req)
 	if err != nil {
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	// linger is how long connections still come after SIGTERM: 0.4 s at most, and
+	// acceptAfterSignal is how long connections still come after SIGTERM: 0.4 s at most, and
 	// what stands in the accept queue by then.
-	linger = 500 * time.Millisecond
-	// headTime and readTime bound how long a head and a whole request may take to
+	acceptAfterSignal = 500 * time.Millisecond
+	// headerTimeout and readTimeout bound how long a head and a whole request may take to
 	// come: a client that sends neither is to be told within 3 s.
-	headTime, readTime = 2 * time.Second, 2500 * time.Millisecond
-	// idleTime is how long a connection is kept between requests.
-	idleTime = 10 * time.Second
-	// writeTime is what a client may take to read its answer.
-	writeTime = 2 * time.Second
+	headerTimeout, readTimeout = 2 * time.Second, 2500 * time.Millisecond
+	// idleTimeout is how long a connection is kept between requests.
+	idleTimeout = 10 * time.Second
+	// writeTimeout is what a client may take to read its answer.
+	writeTimeout = 2 * time.Second
 )
 
-// front serves the clients.
-type front struct {
-	cfg     *Config
-	loop    *loop
-	server  *http.Server
-	classes map[string]int
-	tenants map[string]int
-	ready   atomic.Bool
-	conns   *clientConns
-	held    atomic.Int64 // connections that a request keeps open
+// frontend serves the clients.
+type frontend struct {
+	config       *Config
+	loop         *eventLoop
+	server       *http.Server
+	classes      map[string]int
+	tenants      map[string]int
+	ready        atomic.Bool
+	conns        *clientConns
+	openRequests atomic.Int64 // connections that a request keeps open
 }
 
-func newFront(cfg *Config) *front {
-	f := &front{cfg: cfg, classes: map[string]int{}, tenants: map[string]int{}}
+func newFrontend(cfg *Config) *frontend {
+	f := &frontend{config: cfg, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, c := range cfg.Settings.Classes {
 		f.classes[c.Name] = i
 	}
 	for i, t := range cfg.Settings.Tenants {
 		f.tenants[t.Name] = i
 	}
-	f.conns = newClientConns(cfg.clientRoom())
+	f.conns = newClientConns(cfg.maxClientConns())
 	f.server = &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headTime,
-		ReadTimeout:       readTime,
-		WriteTimeout:      readTime + writeTime, // for what is rejected; counts from the head
-		IdleTimeout:       idleTime,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      readTimeout + writeTimeout, // for what is rejected; counts from the head
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHead,
 		ConnState:         f.conns.track,
-		ConnContext:       f.conns.context,
+		ConnContext:       f.conns.withConn,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
 		// net/http would answer OPTIONS * with 200 by itself.
 		DisableGeneralOptionsHandler: true,
@@ -65,8 +65,8 @@
 }
 
 // serve accepts clients until the server is shut down.
-func (f *front) serve(ln net.Listener) error {
-	if err := f.server.Serve(&http1.Listener{Listener: ln, InFlight: &f.held}); !errors.Is(err, http.ErrServerClosed) {
+func (f *frontend) serve(ln net.Listener) error {
+	if err := f.server.Serve(&http1.Listener{Listener: ln, InFlight: &f.openRequests}); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("front: %w", err)
 	}
 	return nil
@@ -77,9 +77,9 @@
 // accepting goes on, with every answer closing its connection, before the
 // listener closes and the held requests are waited for. Those that have brought
 // none by then are not.
-func (f *front) shutdown(held time.Duration) error {
+func (f *frontend) shutdown(held time.Duration) error {
 	f.server.SetKeepAlivesEnabled(false)
-	time.Sleep(linger)
+	time.Sleep(acceptAfterSignal)
 	ctx, cancel := context.WithTimeout(context.Background(), held)
 	defer cancel()
 	by := time.Now().Add(held / 4)
@@ -90,18 +90,18 @@
 		select {
 		case err := <-done:
 			// The server no longer counts a connection that it closed under a request.
-			for ctx.Err() == nil && f.held.Load() > 0 {
+			for ctx.Err() == nil && f.openRequests.Load() > 0 {
 				<-every.C
 			}
 			every.Stop()
 			return err
 		case <-every.C:
-			f.conns.hurry(by)
+			f.conns.setReadDeadline(by)
 		}
 	}
 }
 
-func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (f *frontend) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	now := time.Now()
 	if req.RequestURI == "/-/ready" && req.Method == http.MethodGet && req.ContentLength == 0 {
 		if f.ready.Load() {
@@ -112,17 +112,17 @@
 		}
 		return
 	}
-	c, err := f.check(req, now)
+	c, err := f.parseRequest(req, now)
 	if err != nil {
 		reject(w, err)
 		return
 	}
 	held, err := f.readBody(req, c)
-	defer f.loop.budget.Release(held)
-	if errors.Is(err, errNoMemory) {
+	defer f.loop.memoryBudget.Release(held)
+	if errors.Is(err, errBodyMemory) {
 		// Nothing was sent: coming back is harmless.
 		w.Header().Set("Connection", "close")
-		f.write(w, answer{verdict: refused, afterMs: f.cfg.Settings.Limits.MaxRetryAfterMs})
+		f.writeResponse(w, response{outcome: rejected, retryAfterMs: f.config.Settings.Limits.MaxRetryAfterMs})
 		return
 	}
 	if err != nil {
@@ -136,18 +136,18 @@
 		}
 		defer sock.EndRequest()
 	}
-	f.conns.taken(req.Context())
-	took := make(chan *request, 1)
-	f.loop.post(func() { took <- f.loop.take(c) })
+	f.conns.requestReceived(req.Context())
+	took := make(chan *pendingRequest, 1)
+	f.loop.post(func() { took <- f.loop.accept(c) })
 	select {
-	case a := <-c.answer:
+	case a := <-c.response:
 		if ok && sock.CloseRequested() {
 			w.Header().Set("Connection", "close")
 		}
-		f.write(w, a)
-		f.loop.budget.Release(a.held)
+		f.writeResponse(w, a)
+		f.loop.memoryBudget.Release(a.reservedBytes)
 	case <-req.Context().Done():
-		f.loop.post(func() { f.loop.left(<-took) })
+		f.loop.post(func() { f.loop.onClientGone(<-took) })
 	}
 }
 
@@ -155,7 +155,7 @@
 // more, and what stands behind it may be part of it.
 func reject(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	var b *bad
+	var b *requestError
 	if errors.As(err, &b) {
 		status = b.status
 	}
@@ -163,11 +163,11 @@
 	http.Error(w, err.Error(), status)
 }
 
-// write sends the final answer.
-func (f *front) write(w http.ResponseWriter, a answer) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTime))
+// writeResponse sends the final answer.
+func (f *frontend) writeResponse(w http.ResponseWriter, a response) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	switch {
-	case a.verdict == served:
+	case a.outcome == served:
 		for name, values := range http1.EndToEnd(a.header) {
 			w.Header()[name] = values
 		}
@@ -175,13 +175,13 @@
 		w.WriteHeader(http.StatusOK)
 		// A client that has gone by now is told nothing more: no one to report to.
 		_, _ = w.Write(a.body)
-	case a.verdict == refused:
-		if a.afterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.afterMs/1000, 'f', 3, 64))
+	case a.outcome == rejected:
+		if a.retryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfterMs/1000, 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case a.status >= 400 && a.status < 500:
-		reject(w, badf(a.status, "%s", http.StatusText(a.status)))
+		reject(w, requestErrorf(a.status, "%s", http.StatusText(a.status)))
 	case a.status != 0:
 		w.WriteHeader(a.status)
 	default:
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenEncodings(t *testing.T) {
-	goldentest.RoundTrip[List](t, goldentest.JSON, "list")
+	goldentest.RoundTrip[TargetList](t, goldentest.JSON, "list")
 }
--- a/internal/agent/layer_test.go
+++ b/internal/agent/layer_test.go
@@ -9,54 +9,56 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// fakeLayer notes what the loop tells it, and decides as told.
-type fakeLayer struct {
-	ready  chan struct{}
-	mu     sync.Mutex
-	listed []Target
-	told   int
-	heard  int
-	sights []Sight
-	orders Orders
+// fakeCoordinator notes what the loop tells it, and decides as told.
+type fakeCoordinator struct {
+	ready        chan struct{}
+	mu           sync.Mutex
+	listed       []Target
+	reports      int
+	responses    int
+	observations []Observation
+	directives   Directives
 }
 
-func (f *fakeLayer) Listed(list []Target) {
+func (f *fakeCoordinator) ListChanged(list []Target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listed = list
 }
 
-func (f *fakeLayer) Told(list []Target, whole bool) {
+func (f *fakeCoordinator) DiscoveryReported(list []Target, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told++
+	f.reports++
 }
 
-func (f *fakeLayer) Heard() {
+func (f *fakeCoordinator) DiscoveryResponded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard++
+	f.responses++
 }
 
-func (f *fakeLayer) Attempted(s Sight) {
+func (f *fakeCoordinator) AttemptEnded(s Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sights = append(f.sights, s)
+	f.observations = append(f.observations, s)
 }
 
-func (f *fakeLayer) Ready() <-chan struct{} { return f.ready }
+func (f *fakeCoordinator) Ready() <-chan struct{} { return f.ready }
 
-func (f *fakeLayer) Orders() Orders {
+func (f *fakeCoordinator) Directives() Directives {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.orders
+	return f.directives
 }
 
-func (f *fakeLayer) decide(a *testAgent, table ...Standing) { f.order(a, Orders{Standings: table}) }
+func (f *fakeCoordinator) override(a *testAgent, table ...Override) {
+	f.direct(a, Directives{Overrides: table})
+}
 
-func (f *fakeLayer) order(a *testAgent, o Orders) {
+func (f *fakeCoordinator) direct(a *testAgent, o Directives) {
 	f.mu.Lock()
-	f.orders = o
+	f.directives = o
 	f.mu.Unlock()
 	f.ready <- struct{}{} // unbuffered: the loop has it, and what is posted next comes after
 	done := make(chan struct{})
@@ -67,29 +69,29 @@
 // The layer is told of the list and of each attempt, with the process it went to; what it
 // decides of that process is acted on, and what it decided of another is not.
 func TestLayer(t *testing.T) {
-	one, two := newBackend(t, serving), newBackend(t, serving)
+	one, two := newBackend(t, echo), newBackend(t, echo)
 	first := target("s-1", one.addr)
 	first.StartedMs = 5
-	layer := &fakeLayer{ready: make(chan struct{})}
-	a := startAgentWith(t, newDiscoveryServer(t, first, target("s-2", two.addr)), nil, func(l *loop) { l.layer = layer })
-	layer.decide(a, Standing{ID: "s-1", StartedMs: 5, Left: time.Minute}, Standing{ID: "s-2", StartedMs: 77, Left: time.Minute}, Standing{ID: "gone"})
+	layer := &fakeCoordinator{ready: make(chan struct{})}
+	a := startAgentWith(t, newDiscoveryServer(t, first, target("s-2", two.addr)), nil, func(l *eventLoop) { l.coordinator = layer })
+	layer.override(a, Override{ID: "s-1", StartedMs: 5, TTL: time.Minute}, Override{ID: "s-2", StartedMs: 77, TTL: time.Minute}, Override{ID: "gone"})
 	for range 10 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if one.count() != 0 || two.count() != 10 {
 		t.Errorf("%d requests to the ejected process, %d to the other, want 0 and 10", one.count(), two.count())
 	}
 	layer.mu.Lock()
-	if len(layer.listed) != 2 || len(layer.sights) != 10 {
-		t.Fatalf("told of %d servers and %d attempts, want 2 and 10", len(layer.listed), len(layer.sights))
+	if len(layer.listed) != 2 || len(layer.observations) != 10 {
+		t.Fatalf("told of %d servers and %d attempts, want 2 and 10", len(layer.listed), len(layer.observations))
 	}
-	if s := layer.sights[0]; s.ID != "s-2" || s.StartedMs != 0 || s.Class != 2 || s.Status != policy.OK || s.Took <= 0 || s.Probe {
+	if s := layer.observations[0]; s.ID != "s-2" || s.StartedMs != 0 || s.Class != 2 || s.Status != policy.OK || s.Latency <= 0 || s.Probe {
 		t.Errorf("told of %+v", s)
 	}
 	layer.mu.Unlock()
-	layer.decide(a, Standing{ID: "s-1", StartedMs: 5, Left: time.Minute, Try: true})
-	status, _, _ := a.ask(newRequest(a.addr, "read", ""))
+	layer.override(a, Override{ID: "s-1", StartedMs: 5, TTL: time.Minute, Trial: true})
+	status, _, _ := a.do(newRequest(a.addr, "read", ""))
 	wantStatus(t, status, 200)
 	if one.count() != 1 {
 		t.Errorf("%d requests on trial, want 1", one.count())
@@ -99,31 +101,31 @@
 // A zone whose share is nothing gets nothing while that holds, not even a try, and its part of
 // the fleet goes with it; one that has lapsed holds no more.
 func TestAZoneWithoutAShare(t *testing.T) {
-	near, far := newBackend(t, serving), newBackend(t, serving)
+	near, far := newBackend(t, echo), newBackend(t, echo)
 	one, other := target("s-1", near.addr), target("s-2", far.addr)
 	one.Zone, other.Zone = "east", "west"
-	layer := &fakeLayer{ready: make(chan struct{})}
-	a := startAgentWith(t, newDiscoveryServer(t, one, other), nil, func(l *loop) { l.layer = layer })
-	layer.order(a, Orders{Zones: []ZoneStanding{{Zone: "west", Left: time.Minute}}, Standings: []Standing{{ID: "s-2", Part: 1, Left: time.Hour, Try: true}}})
+	layer := &fakeCoordinator{ready: make(chan struct{})}
+	a := startAgentWith(t, newDiscoveryServer(t, one, other), nil, func(l *eventLoop) { l.coordinator = layer })
+	layer.direct(a, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Minute}}, Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour, Trial: true}}})
 	for range 10 {
-		status, _, _ := a.ask(newRequest(a.addr, "read", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "read", "x"))
 		wantStatus(t, status, 200)
 	}
 	if near.count() != 10 || far.count() != 0 {
 		t.Errorf("%d requests in the zone and %d out of it, want 10 and 0", near.count(), far.count())
 	}
 	// A server's standing that holds for long does not carry its zone's past its time.
-	layer.order(a, Orders{Zones: []ZoneStanding{{Zone: "west", Left: time.Millisecond}}, Standings: []Standing{{ID: "s-2", Part: 1, Left: time.Hour}}})
-	for end := time.Now().Add(patience); far.count() == 0; {
+	layer.direct(a, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Millisecond}}, Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour}}})
+	for end := time.Now().Add(testTimeout); far.count() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("the zone's standing outlasts its time")
 		}
-		status, _, _ := a.ask(newRequest(a.addr, "read", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "read", "x"))
 		wantStatus(t, status, 200)
 	}
 	before := far.count()
-	layer.order(a, Orders{Zones: []ZoneStanding{{Zone: "west"}, {Zone: "east", Reach: 1, Left: time.Minute}}})
-	status, _, _ := a.ask(newRequest(a.addr, "read", "x"))
+	layer.direct(a, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west"}, {Zone: "east", ReachableShare: 1, TTL: time.Minute}}})
+	status, _, _ := a.do(newRequest(a.addr, "read", "x"))
 	wantStatus(t, status, 200)
 	if far.count() != before+1 {
 		t.Errorf("%d requests to the zone whose standing has lapsed, want 1", far.count()-before)
@@ -133,15 +135,15 @@
 // What neighbours were told of a server goes before this agent's list only where it comes
 // after: a drain is taken, what is older or of a server that is not listed here is not.
 func TestHearsay(t *testing.T) {
-	one, two := newBackend(t, serving), newBackend(t, serving)
+	one, two := newBackend(t, echo), newBackend(t, echo)
 	first, second := target("s-1", one.addr), target("s-2", two.addr)
 	second.StartedMs = 7
-	layer := &fakeLayer{ready: make(chan struct{})}
-	a := startAgentWith(t, newDiscoveryServer(t, first, second), nil, func(l *loop) { l.layer = layer })
-	layer.order(a, Orders{Told: []Target{{ID: "s-1", State: "draining"}, {ID: "s-2", State: "removed", StartedMs: 6}, {ID: "s-3", State: "up"}}})
-	layer.order(a, Orders{Told: []Target{{ID: "s-1", State: "up"}}}) // from before the drain
+	layer := &fakeCoordinator{ready: make(chan struct{})}
+	a := startAgentWith(t, newDiscoveryServer(t, first, second), nil, func(l *eventLoop) { l.coordinator = layer })
+	layer.direct(a, Directives{PeerReports: []Target{{ID: "s-1", State: "draining"}, {ID: "s-2", State: "removed", StartedMs: 6}, {ID: "s-3", State: "up"}}})
+	layer.direct(a, Directives{PeerReports: []Target{{ID: "s-1", State: "up"}}}) // from before the drain
 	for range 6 {
-		status, _, _ := a.ask(newRequest(a.addr, "read", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "read", "x"))
 		wantStatus(t, status, 200)
 	}
 	if one.count() != 0 || two.count() != 6 {
@@ -149,32 +151,32 @@
 	}
 	layer.mu.Lock()
 	defer layer.mu.Unlock()
-	if len(layer.listed) != 2 || layer.told == 0 && layer.heard > 0 {
-		t.Errorf("%d servers listed, told %d times, heard %d times", len(layer.listed), layer.told, layer.heard)
+	if len(layer.listed) != 2 || layer.reports == 0 && layer.responses > 0 {
+		t.Errorf("%d servers listed, told %d times, heard %d times", len(layer.listed), layer.reports, layer.responses)
 	}
 }
 
 // Pulls weigh servers so that all together weigh as much as without; where most of the traffic
 // was to go to what is not listed any more, or left, nothing is decided.
 func TestPullsOfZones(t *testing.T) {
-	l := &loop{targets: map[string]Target{"a": {Zone: "x", State: "up", Weight: 4}, "b": {Zone: "y", State: "up", Weight: 2},
+	l := &eventLoop{targets: map[string]Target{"a": {Zone: "x", State: "up", Weight: 4}, "b": {Zone: "y", State: "up", Weight: 2},
 		"c": {Zone: "z", State: "up", Weight: 2}, "d": {Zone: "z", State: "draining", Weight: 9}}}
-	list := []ZoneStanding{{Zone: "x", Share: 1, Pull: 0.8, Left: time.Minute}, {Zone: "y", Share: 1, Pull: 0.2, Left: time.Minute},
-		{Zone: "z", Share: 1, Left: time.Minute}}
-	of, decided := l.pulls(list)
-	if !decided || math.Abs(of["x"]-1.6) > 1e-9 || math.Abs(of["y"]-0.8) > 1e-9 || of["z"] != leastPull {
+	list := []ZoneOverride{{Zone: "x", ShareFactor: 1, TrafficShare: 0.8, TTL: time.Minute}, {Zone: "y", ShareFactor: 1, TrafficShare: 0.2, TTL: time.Minute},
+		{Zone: "z", ShareFactor: 1, TTL: time.Minute}}
+	of, decided := l.zoneTrafficWeights(list)
+	if !decided || math.Abs(of["x"]-1.6) > 1e-9 || math.Abs(of["y"]-0.8) > 1e-9 || of["z"] != minTrafficWeight {
 		t.Errorf("%v, %v", of, decided)
 	}
-	list[0].Share = 0 // left
-	if of, decided := l.pulls(list); decided {
+	list[0].ShareFactor = 0 // left
+	if of, decided := l.zoneTrafficWeights(list); decided {
 		t.Errorf("decided by what is left: %v", of)
 	}
-	list[0].Share = 1
+	list[0].ShareFactor = 1
 	delete(l.targets, "a")
-	if of, decided := l.pulls(list); decided || of["y"] != 1 {
+	if of, decided := l.zoneTrafficWeights(list); decided || of["y"] != 1 {
 		t.Errorf("decided by what is gone: %v", of)
 	}
-	if _, decided := l.pulls(nil); decided {
+	if _, decided := l.zoneTrafficWeights(nil); decided {
 		t.Error("decided by nobody")
 	}
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -18,149 +18,149 @@
 )
 
 const (
-	// moduleMargin is taken off the time that the module is told a request has: what
+	// policyMargin is taken off the time that the module is told a request has: what
 	// its last attempt's end takes to become an answer at the client.
-	moduleMargin = 8 * time.Millisecond
+	policyMargin = 8 * time.Millisecond
 	// backstopMargin is how long before the client's deadline the backstop answers,
 	// well after the module should have.
 	backstopMargin = 4 * time.Millisecond
-	// sweepEvery is how often connections that idle too long are closed.
-	sweepEvery = time.Second
+	// sweepInterval is how often connections that idle too long are closed.
+	sweepInterval = time.Second
 )
 
-// loop owns the module and all state of requests. One goroutine runs it; all
+// eventLoop owns the module and all state of requests. One goroutine runs it; all
 // else reaches it through post. It never blocks: what may wait runs in
 // goroutines of its own.
-type loop struct {
-	cfg      *Config
-	ctx      context.Context
-	balancer *policy.Balancer
-	table    *table
-	sender   *sender
-	budget   *semaphore.Weighted // memory for bodies
-	disc     *discovery
-	dial     dialer        // to it
-	limit    *rate.Limiter // the log is bounded work on one core
-	lines    chan func()   // log lines on their way to whoever reads the log
-
-	inbox    chan func()
-	started  time.Time // the clock's base: wall time, then monotonic
-	baseMs   float64
-	nextID   policy.RequestID
-	requests map[policy.RequestID]*request
-	ids      map[string]*request // the same by the clients' ids
-	open     int                 // requests that have no answer yet
-	pending  []policy.Event
-	actions  []policy.Action
-	version  uint64 // of the list
-	unknown  bool   // of this discovery no whole list has come yet
-	watching bool
-	fetching bool
-	unheard  int // watches in a row that failed
-	probes   int // under way
-	ready    func()
-	figures  figures
-	observer Observer
-
-	recall        *Kept // of an earlier life
-	remember      func(*Kept)
-	rememberEvery time.Duration
-	targets       map[string]Target // the list, where it is to be remembered or told
-	layer         Layer             // nil: none
-}
-
-// figures are counted for the log at the end.
-type figures struct {
-	taken, served, refused, failed, gone, backstops, guarded int
-}
-
-type verdict uint8
+type eventLoop struct {
+	config        *Config
+	ctx           context.Context
+	balancer      *policy.Balancer
+	backends      *backendTable
+	sender        *sender
+	memoryBudget  *semaphore.Weighted // memory for bodies
+	discovery     *discoveryClient
+	dialDiscovery dialer        // to it
+	logLimiter    *rate.Limiter // the log is bounded work on one core
+	logLines      chan func()   // log lines on their way to whoever reads the log
+
+	inbox              chan func()
+	clockStart         time.Time // the clock's base: wall time, then monotonic
+	clockBaseMs        float64
+	lastRequestID      policy.RequestID
+	requests           map[policy.RequestID]*pendingRequest
+	requestsByClientID map[string]*pendingRequest // the same by the clients' ids
+	openRequests       int                        // requests that have no answer yet
+	pendingEvents      []policy.Event
+	actions            []policy.Action
+	listVersion        uint64 // of the list
+	needsFullList      bool   // of this discovery no whole list has come yet
+	watching           bool
+	fetching           bool
+	watchFailures      int // watches in a row that failed
+	probesInFlight     int // under way
+	onReady            func()
+	counters           counters
+	observer           Observer
+
+	restored     *SavedState // of an earlier life
+	save         func(*SavedState)
+	saveInterval time.Duration
+	targets      map[string]Target // the list, where it is to be remembered or told
+	coordinator  Coordinator       // nil: none
+}
+
+// counters are counted for the log at the end.
+type counters struct {
+	accepted, served, rejected, failed, clientsGone, backstops, violations int
+}
+
+type outcome uint8
 
 const (
-	served verdict = iota
-	refused
+	served outcome = iota
+	rejected
 	failed
 )
 
-func (v verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
+func (v outcome) String() string { return [...]string{"served", "refused", "failed"}[v] }
 
-// answer is the one final answer to a call.
-type answer struct {
-	verdict verdict
-	afterMs float64 // refused: when the client may come back
-	status  int     // failed: 0 for the usual one
-	header  http.Header
-	body    []byte
-	held    int64 // of the budget; given back once the answer is written
+// response is the one final answer to a call.
+type response struct {
+	outcome       outcome
+	retryAfterMs  float64 // refused: when the client may come back
+	status        int     // failed: 0 for the usual one
+	header        http.Header
+	body          []byte
+	reservedBytes int64 // of the budget; given back once the answer is written
 }
 
-// request is a call in the loop, kept until it is answered and no attempt is out.
-type request struct {
-	id       policy.RequestID
-	call     *call
-	answered bool
-	attempts []*attempt
-	out      int // attempts out
-	mayRun   int // attempts that are out or may have run
-	backstop *time.Timer
+// pendingRequest is a call in the loop, kept until it is answered and no attempt is out.
+type pendingRequest struct {
+	id            policy.RequestID
+	client        *clientRequest
+	answered      bool
+	attempts      []*attempt
+	inFlight      int // attempts out
+	maybeExecuted int // attempts that are out or may have run
+	backstop      *time.Timer
 }
 
 type attempt struct {
 	backend   *backend
 	startedMs float64 // of its process when it was sent
 	cancel    context.CancelFunc
-	done      bool
+	ended     bool
 }
 
-func newLoop(ctx context.Context, cfg *Config, ready func()) (*loop, error) {
+func newEventLoop(ctx context.Context, cfg *Config, ready func()) (*eventLoop, error) {
 	balancer, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	l := &loop{cfg: cfg, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
-		budget: semaphore.NewWeighted(cfg.budget()), limit: rate.NewLimiter(5, 50), lines: make(chan func(), 64), inbox: make(chan func(), 4096),
-		started: now, baseMs: float64(now.UnixMicro()) / 1000,
-		requests: map[policy.RequestID]*request{}, ids: map[string]*request{}, ready: ready, observer: deaf{},
-		dial: (&net.Dialer{Timeout: callGrace}).DialContext}
-	l.sender = newSender(cfg, l.budget)
-	l.discover(cfg.Discovery)
+	l := &eventLoop{config: cfg, ctx: ctx, balancer: balancer, backends: newBackendTable(cfg.Zones, cfg.MachineKinds),
+		memoryBudget: semaphore.NewWeighted(cfg.memoryBudget()), logLimiter: rate.NewLimiter(5, 50), logLines: make(chan func(), 64), inbox: make(chan func(), 4096),
+		clockStart: now, clockBaseMs: float64(now.UnixMicro()) / 1000,
+		requests: map[policy.RequestID]*pendingRequest{}, requestsByClientID: map[string]*pendingRequest{}, onReady: ready, observer: noopObserver{},
+		dialDiscovery: (&net.Dialer{Timeout: callSlack}).DialContext}
+	l.sender = newSender(cfg, l.memoryBudget)
+	l.useDiscovery(cfg.Discovery)
 	return l, nil
 }
 
-// discover makes an address the one that is asked. What another still has to say is
+// useDiscovery makes an address the one that is asked. What another still has to say is
 // dropped: it comes late, and its versions are not those of this one.
-func (l *loop) discover(addr string) {
-	d := newDiscovery(l.ctx, addr, l.dial)
-	d.told = func(list *List, watch bool, err error) {
+func (l *eventLoop) useDiscovery(addr string) {
+	d := newDiscoveryClient(l.ctx, addr, l.dialDiscovery)
+	d.onList = func(list *TargetList, watch bool, err error) {
 		l.post(func() {
-			if l.disc == d {
-				l.onList(list, watch, err)
+			if l.discovery == d {
+				l.onDiscoveryList(list, watch, err)
 			}
 		})
 	}
-	d.heard = func() {
-		if l.layer != nil {
-			l.layer.Heard()
+	d.onResponse = func() {
+		if l.coordinator != nil {
+			l.coordinator.DiscoveryResponded()
 		}
 	}
-	l.disc = d
+	l.discovery = d
 }
 
-// rediscover leaves the discovery for another and asks that for its whole list. Until
+// switchDiscovery leaves the discovery for another and asks that for its whole list. Until
 // it comes the table stays as it is.
-func (l *loop) rediscover(addr string) {
-	if addr == l.disc.addr {
+func (l *eventLoop) switchDiscovery(addr string) {
+	if addr == l.discovery.addr {
 		return
 	}
-	l.disc.close()
-	l.discover(addr)
-	l.version, l.unknown, l.fetching, l.watching = 0, true, false, true
-	go l.disc.watch(0, true)
+	l.discovery.close()
+	l.useDiscovery(addr)
+	l.listVersion, l.needsFullList, l.fetching, l.watching = 0, true, false, true
+	go l.discovery.watch(0, true)
 }
 
 // post hands the loop something to do; it may wait, so the loop itself never calls it.
-func (l *loop) post(f func()) {
+func (l *eventLoop) post(f func()) {
 	select {
 	case l.inbox <- f:
 	case <-l.ctx.Done():
@@ -168,47 +168,47 @@
 }
 
 // run is the loop; it ends with the context.
-func (l *loop) run() {
+func (l *eventLoop) run() {
 	go l.writeLog()
-	l.carryOut(l.balancer.Start(l.now(), l.actions[:0]))
+	l.execute(l.balancer.Start(l.now(), l.actions[:0]))
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(l.firstList(), policy.UpdateCached, true)
-	if l.recall != nil {
-		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.recall.Memory})
-		l.recall = nil
+	l.applyList(l.initialList(), policy.UpdateCached, true)
+	if l.restored != nil {
+		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.restored.Snapshot})
+		l.restored = nil
 	}
-	if l.pushed() {
-		l.follow()
+	if l.listIsPushed() {
+		l.startWatch()
 	}
-	l.drain()
-	if l.table.usable() {
-		l.ready()
+	l.handlePending()
+	if l.backends.hasAvailable() {
+		l.onReady()
 	}
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	var keep <-chan time.Time
-	if l.remember != nil {
-		ticker := time.NewTicker(l.rememberEvery)
+	if l.save != nil {
+		ticker := time.NewTicker(l.saveInterval)
 		defer ticker.Stop()
 		keep = ticker.C
-		defer func() { l.remember(l.kept()) }()
+		defer func() { l.save(l.savedState()) }()
 	}
 	var orders <-chan struct{}
-	if l.layer != nil {
-		orders = l.layer.Ready()
+	if l.coordinator != nil {
+		orders = l.coordinator.Ready()
 	}
 	for {
 		select {
 		case f := <-l.inbox:
 			f()
-			l.drain()
+			l.handlePending()
 		case <-orders:
-			l.obey(l.layer.Orders())
-			l.drain()
+			l.applyDirectives(l.coordinator.Directives())
+			l.handlePending()
 		case <-sweep.C:
-			l.sender.pool.sweep()
+			l.sender.pool.closeExpired()
 		case <-keep:
-			l.remember(l.kept())
+			l.save(l.savedState())
 		case <-l.ctx.Done():
 			return
 		}
@@ -216,176 +216,176 @@
 }
 
 // now is the clock in ms: Unix time, as started_ms of the list, that only advances.
-func (l *loop) now() float64 {
-	return l.baseMs + float64(time.Since(l.started).Microseconds())/1000
+func (l *eventLoop) now() float64 {
+	return l.clockBaseMs + float64(time.Since(l.clockStart).Microseconds())/1000
 }
 
 // handle gives the module one event and carries out what it answers.
-func (l *loop) handle(ev *policy.Event) {
-	l.carryOut(l.balancer.Handle(l.now(), ev, l.actions[:0]))
+func (l *eventLoop) handle(ev *policy.Event) {
+	l.execute(l.balancer.Handle(l.now(), ev, l.actions[:0]))
 }
 
-// drain handles the events that carrying out actions has raised.
-func (l *loop) drain() {
-	for len(l.pending) > 0 {
-		ev := l.pending[0]
-		l.pending = l.pending[1:]
+// handlePending handles the events that carrying out actions has raised.
+func (l *eventLoop) handlePending() {
+	for len(l.pendingEvents) > 0 {
+		ev := l.pendingEvents[0]
+		l.pendingEvents = l.pendingEvents[1:]
 		l.handle(&ev)
 	}
-	l.pending = nil
+	l.pendingEvents = nil
 }
 
-func (l *loop) carryOut(actions []policy.Action) {
+func (l *eventLoop) execute(actions []policy.Action) {
 	l.actions = actions
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case policy.ActionSend:
-			l.send(a)
+			l.startAttempt(a)
 		case policy.ActionCancel:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
+				if t := r.attempts[a.Attempt]; !t.ended && t.cancel != nil {
 					t.cancel()
 				}
 			}
 		case policy.ActionReject:
 			if r := l.requests[a.Request]; r != nil {
-				l.refuse(r, a.DurationMs)
+				l.reject(r, a.DurationMs)
 			}
 		case policy.ActionFail:
 			if r := l.requests[a.Request]; r != nil {
-				l.finish(r, answer{verdict: failed})
+				l.respond(r, response{outcome: failed})
 			}
 		case policy.ActionTimer:
 			token := a.Token
-			time.AfterFunc(ms(a.DurationMs), func() {
+			time.AfterFunc(milliseconds(a.DurationMs), func() {
 				l.post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
 			})
 		case policy.ActionWatch:
-			l.follow()
+			l.startWatch()
 		case policy.ActionFetch:
 			if !l.fetching {
 				l.fetching = true
-				go l.disc.fetch()
+				go l.discovery.fetch()
 			}
 		case policy.ActionCloseIdle:
-			if b := l.table.byAddr[a.Server]; b != nil {
-				l.sender.pool.hangUp(b)
+			if b := l.backends.byAddr[a.Server]; b != nil {
+				l.sender.pool.closeIdle(b)
 			}
 		case policy.ActionLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
 		case policy.ActionProbe:
-			l.probe(a)
+			l.startProbe(a)
 		}
 	}
 }
 
 // ---- requests ----
 
-// take gives a call to the module. Beyond openCap nothing is taken on, as at the
+// accept gives a call to the module. Beyond openCap nothing is taken on, as at the
 // simulator, where such requests never reach the instance.
-func (l *loop) take(c *call) *request {
-	l.figures.taken++
-	l.nextID++
-	r := &request{id: l.nextID, call: c}
-	l.open++
-	if l.ids[c.id] != nil {
+func (l *eventLoop) accept(c *clientRequest) *pendingRequest {
+	l.counters.accepted++
+	l.lastRequestID++
+	r := &pendingRequest{id: l.lastRequestID, client: c}
+	l.openRequests++
+	if l.requestsByClientID[c.id] != nil {
 		// Somebody else's, or its own that may still run: neither is to be touched.
-		l.finish(r, answer{verdict: failed, status: http.StatusConflict})
+		l.respond(r, response{outcome: failed, status: http.StatusConflict})
 		return r
 	}
 	left := time.Until(c.deadline)
-	most := l.cfg.Settings.Limits.MaxOpenRequests
-	if left <= 0 || most > 0 && l.open > most {
-		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
+	most := l.config.Settings.Limits.MaxOpenRequests
+	if left <= 0 || most > 0 && l.openRequests > most {
+		l.reject(r, l.config.Settings.Limits.MaxRetryAfterMs)
 		return r
 	}
-	l.requests[r.id], l.ids[c.id] = r, r
+	l.requests[r.id], l.requestsByClientID[c.id] = r, r
 	r.backstop = time.AfterFunc(left-min(backstopMargin, left/16), func() {
-		l.post(func() { l.late(r) })
+		l.post(func() { l.onBackstop(r) })
 	})
-	left -= min(moduleMargin, left/8)
+	left -= min(policyMargin, left/8)
 	l.handle(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: c.tenant,
-		Key: c.key, RemainingMs: float64(left.Microseconds()) / 1000, WorkHintMs: c.hintMs,
-		HasWorkHint: c.hasHint, IsRetry: c.retry})
+		Key: c.key, RemainingMs: float64(left.Microseconds()) / 1000, WorkHintMs: c.workHintMs,
+		HasWorkHint: c.hasWorkHint, IsRetry: c.isRetry})
 	return r
 }
 
-// late is the backstop: the module should have ended the request before. That it
+// onBackstop is the backstop: the module should have ended the request before. That it
 // did not is a bug or a stall, so it is logged and counted.
-func (l *loop) late(r *request) {
+func (l *eventLoop) onBackstop(r *pendingRequest) {
 	if r.answered {
 		return
 	}
-	l.figures.backstops++
-	l.observer.Guarded(1, "ended by the backstop")
-	l.log(slog.LevelWarn, "backstop ended a request", "request", r.call.id, "attempts", len(r.attempts), "out", r.out,
-		"late_ms", float64(time.Since(r.call.deadline.Add(-backstopMargin)).Microseconds())/1000)
-	l.finish(r, answer{verdict: failed, status: http.StatusGatewayTimeout})
+	l.counters.backstops++
+	l.observer.ViolationPrevented(1, "ended by the backstop")
+	l.log(slog.LevelWarn, "backstop ended a request", "request", r.client.id, "attempts", len(r.attempts), "out", r.inFlight,
+		"late_ms", float64(time.Since(r.client.deadline.Add(-backstopMargin)).Microseconds())/1000)
+	l.respond(r, response{outcome: failed, status: http.StatusGatewayTimeout})
 	l.abandon(r)
 }
 
-// left is called when a client has gone away.
-func (l *loop) left(r *request) {
+// onClientGone is called when a client has gone away.
+func (l *eventLoop) onClientGone(r *pendingRequest) {
 	if r.answered {
 		select {
-		case a := <-r.call.answer: // nobody will
-			l.budget.Release(a.held)
+		case a := <-r.client.response: // nobody will
+			l.memoryBudget.Release(a.reservedBytes)
 		default:
 		}
 		return
 	}
-	l.figures.gone++
-	l.close(r)
+	l.counters.clientsGone++
+	l.finish(r)
 	l.abandon(r)
 }
 
 // abandon tells the module that a request is over, and withdraws its attempts.
-func (l *loop) abandon(r *request) {
+func (l *eventLoop) abandon(r *pendingRequest) {
 	for _, t := range r.attempts {
-		if !t.done && t.cancel != nil {
+		if !t.ended && t.cancel != nil {
 			t.cancel()
 		}
 	}
 	l.handle(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
 }
 
-// refuse answers that a retry is harmless, unless an attempt may have run that
+// reject answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
-func (l *loop) refuse(r *request, afterMs float64) {
-	c := &l.cfg.Settings.Classes[r.call.class]
-	if r.mayRun > 0 && (c.Idempotency == policy.NonIdempotent || c.Idempotency == policy.Deduplicated && c.DedupScope != policy.DedupEverywhere) {
-		l.guard(2, "refusal after an attempt that may have run", r)
-		l.finish(r, answer{verdict: failed})
+func (l *eventLoop) reject(r *pendingRequest, afterMs float64) {
+	c := &l.config.Settings.Classes[r.client.class]
+	if r.maybeExecuted > 0 && (c.Idempotency == policy.NonIdempotent || c.Idempotency == policy.Deduplicated && c.DedupScope != policy.DedupEverywhere) {
+		l.reportViolation(2, "refusal after an attempt that may have run", r)
+		l.respond(r, response{outcome: failed})
 		return
 	}
-	l.finish(r, answer{verdict: refused, afterMs: afterMs})
+	l.respond(r, response{outcome: rejected, retryAfterMs: afterMs})
 }
 
-// finish gives the final answer; only the first counts.
-func (l *loop) finish(r *request, a answer) {
+// respond gives the final answer; only the first counts.
+func (l *eventLoop) respond(r *pendingRequest, a response) {
 	if r.answered {
 		return
 	}
-	switch a.verdict {
+	switch a.outcome {
 	case served:
-		l.figures.served++
-	case refused:
-		l.figures.refused++
+		l.counters.served++
+	case rejected:
+		l.counters.rejected++
 	case failed:
-		l.figures.failed++
+		l.counters.failed++
 	}
-	left := time.Until(r.call.deadline)
-	l.observer.Answered(l.cfg.Settings.Classes[r.call.class].Name, a.verdict.String(), r.call.given-left, left, len(r.attempts))
-	r.call.answer <- a
-	l.close(r)
+	left := time.Until(r.client.deadline)
+	l.observer.RequestAnswered(l.config.Settings.Classes[r.client.class].Name, a.outcome.String(), r.client.timeout-left, left, len(r.attempts))
+	r.client.response <- a
+	l.finish(r)
 }
 
-// close marks a request as over and forgets it as soon as no attempt is out.
-func (l *loop) close(r *request) {
+// finish marks a request as over and forgets it as soon as no attempt is out.
+func (l *eventLoop) finish(r *pendingRequest) {
 	if !r.answered {
 		r.answered = true
-		l.open--
+		l.openRequests--
 	}
 	if r.backstop != nil {
 		r.backstop.Stop()
@@ -394,71 +394,71 @@
 }
 
 // forget drops a request that is over once no attempt is out.
-func (l *loop) forget(r *request) {
-	if r.answered && r.out == 0 && l.requests[r.id] == r {
+func (l *eventLoop) forget(r *pendingRequest) {
+	if r.answered && r.inFlight == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
-		delete(l.ids, r.call.id)
+		delete(l.requestsByClientID, r.client.id)
 	}
 }
 
 // ---- attempts ----
 
-func (l *loop) send(a *policy.Action) {
+func (l *eventLoop) startAttempt(a *policy.Action) {
 	r := l.requests[a.Request]
 	if r == nil {
 		// The request is over and forgotten: nothing can be sent, or counted.
-		l.guard(1, "attempt for a request that is over", nil)
+		l.reportViolation(1, "attempt for a request that is over", nil)
 		return
 	}
 	index := len(r.attempts)
-	b := l.table.byAddr[a.Server]
+	b := l.backends.byAddr[a.Server]
 	t := &attempt{backend: b}
 	r.attempts = append(r.attempts, t)
-	until := r.call.deadline.Add(-backstopMargin)
+	until := r.client.deadline.Add(-backstopMargin)
 	now := time.Now()
 	if a.DurationMs != 0 {
-		until = earliest(until, now.Add(ms(a.DurationMs)))
+		until = earliest(until, now.Add(milliseconds(a.DurationMs)))
 	}
-	if rule, why := l.forbidden(r, b, now, until); why != "" {
-		l.guard(rule, why, r)
-		t.done = true
-		l.pending = append(l.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
+	if rule, why := l.violation(r, b, now, until); why != "" {
+		l.reportViolation(rule, why, r)
+		t.ended = true
+		l.pendingEvents = append(l.pendingEvents, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
 			Server: a.Server, Status: policy.NotSent, Final: r.answered})
 		return
 	}
-	if age := l.now() - b.startedMs; b.startedMs > 0 && age < l.cfg.Settings.Contract.SlowStartMs {
-		l.observer.SentCold()
+	if age := l.now() - b.startedMs; b.startedMs > 0 && age < l.config.Settings.Contract.SlowStartMs {
+		l.observer.SentToWarmingUp()
 	}
 	t.startedMs = b.startedMs
-	r.out++
-	r.mayRun++
-	b.out++
+	r.inFlight++
+	r.maybeExecuted++
+	b.inFlight++
 	ctx, cancel := context.WithCancel(l.ctx)
 	t.cancel = cancel
 	addr := b.addr
 	go func() {
-		res := l.sender.do(ctx, b, addr, r.call, now, until)
+		res := l.sender.send(ctx, b, addr, r.client, now, until)
 		cancel()
-		l.post(func() { l.ended(r, index, &res) })
+		l.post(func() { l.onAttemptEnded(r, index, &res) })
 	}()
 }
 
-// forbidden guards the contract whatever the module says: it tells which rule an attempt
+// violation guards the contract whatever the module says: it tells which rule an attempt
 // would break, and how; "" allows it.
-func (l *loop) forbidden(r *request, b *backend, now, until time.Time) (rule int, why string) {
-	c := &l.cfg.Settings.Classes[r.call.class]
+func (l *eventLoop) violation(r *pendingRequest, b *backend, now, until time.Time) (rule int, why string) {
+	c := &l.config.Settings.Classes[r.client.class]
 	switch {
 	case r.answered:
 		return 1, "attempt for a request that is over"
 	case b == nil || b.addr == "":
 		return 3, "attempt to a backend that is not listed"
-	case b.closed.Load():
+	case b.unavailable.Load():
 		return 3, "attempt to a backend that drains or is gone"
-	case r.out > 0:
+	case r.inFlight > 0:
 		return 2, "second attempt while one is out"
-	case len(r.attempts) > l.cfg.Settings.Limits.MaxAttempts:
+	case len(r.attempts) > l.config.Settings.Limits.MaxAttempts:
 		return 2, "more attempts than allowed"
-	case r.mayRun > 0 && c.Idempotency == policy.NonIdempotent:
+	case r.maybeExecuted > 0 && c.Idempotency == policy.NonIdempotent:
 		return 2, "repeat of an unsafe request that may have run"
 	case !until.After(now):
 		return 1, "attempt without time"
@@ -466,136 +466,136 @@
 	return 0, ""
 }
 
-// ended takes the end of an attempt.
-func (l *loop) ended(r *request, index int, res *result) {
+// onAttemptEnded takes the end of an attempt.
+func (l *eventLoop) onAttemptEnded(r *pendingRequest, index int, res *attemptResult) {
 	t := r.attempts[index]
-	t.done = true
-	t.backend.out--
-	r.out--
-	l.observer.Attempted(res.status, ms(res.latencyMs))
-	if l.layer != nil {
-		l.layer.Attempted(Sight{ID: t.backend.id, Zone: l.targets[t.backend.id].Zone, StartedMs: t.startedMs, Class: r.call.class, Status: res.status, Took: ms(res.latencyMs)})
+	t.ended = true
+	t.backend.inFlight--
+	r.inFlight--
+	l.observer.AttemptEnded(res.status, milliseconds(res.latencyMs))
+	if l.coordinator != nil {
+		l.coordinator.AttemptEnded(Observation{ID: t.backend.id, Zone: l.targets[t.backend.id].Zone, StartedMs: t.startedMs, Class: r.client.class, Status: res.status, Latency: milliseconds(res.latencyMs)})
 	}
 	if res.status.NotExecuted() {
-		r.mayRun--
+		r.maybeExecuted--
 	}
 	switch {
 	case r.answered:
-		l.budget.Release(res.held)
+		l.memoryBudget.Release(res.reservedBytes)
 	case res.status == policy.OK:
-		l.finish(r, answer{verdict: served, header: res.header, body: res.body, held: res.held})
-	case res.status == policy.Cancelled && res.code != 0:
+		l.respond(r, response{outcome: served, header: res.header, body: res.body, reservedBytes: res.reservedBytes})
+	case res.status == policy.Cancelled && res.statusCode != 0:
 		// The backend found fault with the request: so would any other.
-		l.budget.Release(res.held)
-		l.finish(r, answer{verdict: failed, status: res.code})
+		l.memoryBudget.Release(res.reservedBytes)
+		l.respond(r, response{outcome: failed, status: res.statusCode})
 	default:
-		l.budget.Release(res.held)
+		l.memoryBudget.Release(res.reservedBytes)
 	}
-	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index, Server: t.backend.name,
+	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index, Server: t.backend.policyAddr,
 		Status: res.status, LatencyMs: res.latencyMs, Final: r.answered, LoadReport: res.report})
 	l.forget(r)
-	l.table.forget(t.backend)
+	l.backends.forget(t.backend)
 }
 
 // ---- discovery ----
 
-// pushed tells whether changes of the list come unasked. On sockets that is a watch too,
+// listIsPushed tells whether changes of the list come unasked. On sockets that is a watch too,
 // but the loop's own to keep open: a module that is pushed changes never asks for them.
-func (l *loop) pushed() bool { return l.cfg.Settings.Membership == "pushed" }
+func (l *eventLoop) listIsPushed() bool { return l.config.Settings.Membership == "pushed" }
 
-// follow opens the watch; one is enough, as it tells what another would.
-func (l *loop) follow() {
+// startWatch opens the watch; one is enough, as it tells what another would.
+func (l *eventLoop) startWatch() {
 	if !l.watching {
 		l.watching = true
-		go l.disc.watch(l.version, l.unknown)
+		go l.discovery.watch(l.listVersion, l.needsFullList)
 	}
 }
 
-// followAgain opens a pushed watch that failed once more after a pause.
-func (l *loop) followAgain() {
-	l.unheard++
-	time.AfterFunc(pushPause(l.unheard), func() { l.post(l.follow) })
+// retryWatch opens a pushed watch that failed once more after a pause.
+func (l *eventLoop) retryWatch() {
+	l.watchFailures++
+	time.AfterFunc(watchBackoff(l.watchFailures), func() { l.post(l.startWatch) })
 }
 
-// onList takes an answer of discovery. A watch and a fetch may cross: what is
+// onDiscoveryList takes an answer of discovery. A watch and a fetch may cross: what is
 // older than the list at hand is dropped, but for a whole list on the watch,
 // which is how a discovery that started again from nothing says so.
-func (l *loop) onList(list *List, watch bool, err error) {
+func (l *eventLoop) onDiscoveryList(list *TargetList, watch bool, err error) {
 	switch {
 	case !watch:
 		l.fetching = false
 	case err != nil:
 		l.watching = false
 	default:
-		l.unheard = 0
+		l.watchFailures = 0
 	}
 	if err != nil {
 		l.log(slog.LevelWarn, "discovery call failed", "err", err)
-		if watch && l.pushed() {
-			l.followAgain()
+		if watch && l.listIsPushed() {
+			l.retryWatch()
 			return
 		}
 		l.handle(&policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFailed})
 		return
 	}
-	if list.Version < l.version && !(watch && list.Full) {
+	if list.Version < l.listVersion && !(watch && list.Full) {
 		return
 	}
 	kind := policy.UpdateDelta
 	if list.Full {
 		kind = policy.UpdateFull
 	}
-	if l.layer != nil {
-		l.layer.Told(list.Servers, list.Full)
+	if l.coordinator != nil {
+		l.coordinator.DiscoveryReported(list.Servers, list.Full)
 	}
-	l.list(list, kind, list.Full)
-	if l.table.usable() {
-		l.ready()
+	l.applyList(list, kind, list.Full)
+	if l.backends.hasAvailable() {
+		l.onReady()
 	}
 }
 
-func (l *loop) list(list *List, kind policy.UpdateKind, full bool) {
-	l.version, l.unknown = list.Version, l.unknown && !full
-	l.note(list, full)
-	entries, stale, gone := l.table.apply(list, full)
+func (l *eventLoop) applyList(list *TargetList, kind policy.UpdateKind, full bool) {
+	l.listVersion, l.needsFullList = list.Version, l.needsFullList && !full
+	l.recordTargets(list, full)
+	entries, stale, gone := l.backends.apply(list, full)
 	for _, b := range stale {
-		l.sender.pool.hangUp(b)
+		l.sender.pool.closeIdle(b)
 	}
 	l.handle(&policy.Event{Kind: policy.EventDiscovery, Update: kind, Endpoints: entries})
 	for _, b := range gone {
-		l.table.forget(b)
+		l.backends.forget(b)
 	}
 }
 
 // ---- the log ----
 
-// guard notes that the loop stopped what would have broken a rule; r may be nil.
-func (l *loop) guard(rule int, what string, r *request) {
-	l.figures.guarded++
-	l.observer.Guarded(rule, what)
+// reportViolation notes that the loop stopped what would have broken a rule; r may be nil.
+func (l *eventLoop) reportViolation(rule int, what string, r *pendingRequest) {
+	l.counters.violations++
+	l.observer.ViolationPrevented(rule, what)
 	id := ""
 	if r != nil {
-		id = r.call.id
+		id = r.client.id
 	}
 	l.log(slog.LevelError, "guard: "+what, "rule", rule, "request", id)
 }
 
-func (l *loop) log(level slog.Level, text string, args ...any) {
-	if !l.limit.Allow() {
+func (l *eventLoop) log(level slog.Level, text string, args ...any) {
+	if !l.logLimiter.Allow() {
 		return
 	}
 	select {
-	case l.lines <- func() { slog.Log(l.ctx, level, text, args...) }:
+	case l.logLines <- func() { slog.Log(l.ctx, level, text, args...) }:
 	default:
 	}
 }
 
 // writeLog writes the loop's log lines. The loop does not write itself: a log that
 // nobody reads blocks its writer, and every request with it.
-func (l *loop) writeLog() {
+func (l *eventLoop) writeLog() {
 	for {
 		select {
-		case line := <-l.lines:
+		case line := <-l.logLines:
 			line()
 		case <-l.ctx.Done():
 			return
--- a/internal/agent/metrics/golden_test.go
+++ b/internal/agent/metrics/golden_test.go
@@ -15,12 +15,12 @@
 // TestGoldenNames compares names, types and labels of all metrics.
 func TestGoldenNames(t *testing.T) {
 	m := New("n1", false)
-	m.Serving(func(context.Context) (agent.Stats, error) { return agent.Stats{}, nil })
-	m.Answered("class", "served", time.Millisecond, time.Second, 1)
-	m.SentCold()
-	m.Guarded(1, "what")
+	m.Started(func(context.Context) (agent.Stats, error) { return agent.Stats{}, nil })
+	m.RequestAnswered("class", "served", time.Millisecond, time.Second, 1)
+	m.SentToWarmingUp()
+	m.ViolationPrevented(1, "what")
 	for _, status := range []policy.Status{policy.OK, policy.Error, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent} {
-		m.Attempted(status, time.Millisecond)
+		m.AttemptEnded(status, time.Millisecond)
 	}
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/agent/metrics/metrics.go
+++ b/internal/agent/metrics/metrics.go
@@ -83,28 +83,28 @@
 	return m
 }
 
-// Serving is of agent.Observer.
-func (m *Metrics) Serving(read func(context.Context) (agent.Stats, error)) { m.state.read.Store(&read) }
+// Started is of agent.Observer.
+func (m *Metrics) Started(read func(context.Context) (agent.Stats, error)) { m.state.read.Store(&read) }
 
-// Answered is of agent.Observer.
-func (m *Metrics) Answered(class, verdict string, took, left time.Duration, attempts int) {
+// RequestAnswered is of agent.Observer.
+func (m *Metrics) RequestAnswered(class, verdict string, took, left time.Duration, attempts int) {
 	m.answers.WithLabelValues(class, verdict).Inc()
 	m.latency.WithLabelValues(class, verdict).Observe(took.Seconds())
 	m.deadlineSlack.Observe(left.Seconds())
 	m.attemptsPerRequest.Observe(float64(attempts))
 }
 
-// Attempted is of agent.Observer.
-func (m *Metrics) Attempted(s policy.Status, took time.Duration) {
+// AttemptEnded is of agent.Observer.
+func (m *Metrics) AttemptEnded(s policy.Status, took time.Duration) {
 	m.attempts.WithLabelValues(outcome(s)).Inc()
 	m.attemptLatency.WithLabelValues(outcome(s)).Observe(took.Seconds())
 }
 
-// SentCold is of agent.Observer.
-func (m *Metrics) SentCold() { m.warmingUpAttempts.Inc() }
+// SentToWarmingUp is of agent.Observer.
+func (m *Metrics) SentToWarmingUp() { m.warmingUpAttempts.Inc() }
 
-// Guarded is of agent.Observer.
-func (m *Metrics) Guarded(rule int, what string) {
+// ViolationPrevented is of agent.Observer.
+func (m *Metrics) ViolationPrevented(rule int, what string) {
 	m.violationsPrevented.WithLabelValues(strconv.Itoa(rule), what).Inc()
 }
 
--- a/internal/agent/metrics/metrics_test.go
+++ b/internal/agent/metrics/metrics_test.go
@@ -36,13 +36,13 @@
 
 func TestCountsWhatTheAgentTells(t *testing.T) {
 	m := New("n1", false)
-	m.Answered("full-report", "served", 30*time.Millisecond, time.Second, 2)
-	m.Answered("full-report", "refused", time.Millisecond, 1900*time.Millisecond, 0)
-	m.Attempted(policy.Rejected, time.Millisecond)
-	m.Attempted(policy.OK, 20*time.Millisecond)
-	m.Attempted(policy.Status(7), 20*time.Millisecond)
-	m.SentCold()
-	m.Guarded(2, "second attempt while one is out")
+	m.RequestAnswered("full-report", "served", 30*time.Millisecond, time.Second, 2)
+	m.RequestAnswered("full-report", "refused", time.Millisecond, 1900*time.Millisecond, 0)
+	m.AttemptEnded(policy.Rejected, time.Millisecond)
+	m.AttemptEnded(policy.OK, 20*time.Millisecond)
+	m.AttemptEnded(policy.Status(7), 20*time.Millisecond)
+	m.SentToWarmingUp()
+	m.ViolationPrevented(2, "second attempt while one is out")
 	want(t, scrape(t, m),
 		`chalkdoor_answers_total{agent="n1",class="full-report",verdict="served"} 1`,
 		`chalkdoor_answer_seconds_bucket{agent="n1",class="full-report",verdict="served",le="0.05"} 1`,
@@ -60,8 +60,8 @@
 		t.Errorf("before the agent serves: %s", text)
 	}
 	var err error
-	m.Serving(func(context.Context) (agent.Stats, error) {
-		return agent.Stats{BalancerStats: policy.BalancerStats{States: [4]int{5, 2, 1, 3}, Admission: 0.75}, Connections: 9, Idle: 4}, err
+	m.Started(func(context.Context) (agent.Stats, error) {
+		return agent.Stats{BalancerStats: policy.BalancerStats{States: [4]int{5, 2, 1, 3}, Admission: 0.75}, Connections: 9, IdleConnections: 4}, err
 	})
 	want(t, scrape(t, m),
 		`chalkdoor_servers{agent="n1",state="connected"} 5`, `chalkdoor_servers{agent="n1",state="unhealthy"} 3`,
--- a/internal/agent/metrics/state.go
+++ b/internal/agent/metrics/state.go
@@ -29,15 +29,15 @@
 	}
 	add("servers_cold", "Listed servers that are not yet warm.", func(x *agent.Stats) float64 { return float64(x.WarmingUp) })
 	add("aperture_servers", "Servers that the agent keeps to.", func(x *agent.Stats) float64 { return float64(x.Aperture) })
-	add("requests_open", "Requests without a final answer.", func(x *agent.Stats) float64 { return float64(x.Open) })
+	add("requests_open", "Requests without a final answer.", func(x *agent.Stats) float64 { return float64(x.OpenRequests) })
 	add("requests_held", "Requests that wait for room.", func(x *agent.Stats) float64 { return float64(x.Pending) })
 	add("admission_ratio", "Part of the requests for which there is room.", func(x *agent.Stats) float64 { return x.Admission })
 	add("shed_ratio", "Part of the requests refused for being served late.", func(x *agent.Stats) float64 { return x.LoadShedding })
 	add("demand_servers", "Load were nothing refused, in warm servers of weight one.", func(x *agent.Stats) float64 { return x.Demand })
 	add("capacity_servers", "What the listed servers can do, in the same unit.", func(x *agent.Stats) float64 { return x.Capacity })
 	add("connections", "Connections to report servers.", func(x *agent.Stats) float64 { return float64(x.Connections) })
-	add("connections_idle", "Of them idle.", func(x *agent.Stats) float64 { return float64(x.Idle) })
-	add("probes_open", "Probes under way.", func(x *agent.Stats) float64 { return float64(x.Probes) })
+	add("connections_idle", "Of them idle.", func(x *agent.Stats) float64 { return float64(x.IdleConnections) })
+	add("probes_open", "Probes under way.", func(x *agent.Stats) float64 { return float64(x.ProbesInFlight) })
 	add("list_version", "Version of the list of servers.", func(x *agent.Stats) float64 { return float64(x.ListVersion) })
 	return s
 }
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -15,129 +15,129 @@
 // Observer is told what an agent does, for reports: nothing is decided by it. The loop calls
 // it, so its methods must not block.
 type Observer interface {
-	// Serving hands over, once and before all else, how to ask the agent for its state.
-	Serving(read func(context.Context) (Stats, error))
-	// Answered tells of a final answer.
-	Answered(class string, verdict string, took, left time.Duration, attempts int)
-	// Attempted tells how an attempt ended.
-	Attempted(status policy.Status, took time.Duration)
-	// SentCold tells of an attempt to a server that is not yet warm by its list.
-	SentCold()
-	// Guarded tells that one of the four rules would have been broken but for the loop: by
+	// Started hands over, once and before all else, how to ask the agent for its state.
+	Started(read func(context.Context) (Stats, error))
+	// RequestAnswered tells of a final answer.
+	RequestAnswered(class string, verdict string, took, left time.Duration, attempts int)
+	// AttemptEnded tells how an attempt ended.
+	AttemptEnded(status policy.Status, took time.Duration)
+	// SentToWarmingUp tells of an attempt to a server that is not yet warm by its list.
+	SentToWarmingUp()
+	// ViolationPrevented tells that one of the four rules would have been broken but for the loop: by
 	// its number, and by what was stopped.
-	Guarded(rule int, what string)
+	ViolationPrevented(rule int, what string)
 }
 
 // Stats is what an agent holds at a moment.
 type Stats struct {
 	policy.BalancerStats
-	Open        int // requests without an answer
-	Connections int // to backends, and of them
-	Idle        int
-	Probes      int // under way
-	ListVersion uint64
+	OpenRequests    int // requests without an answer
+	Connections     int // to backends, and of them
+	IdleConnections int
+	ProbesInFlight  int // under way
+	ListVersion     uint64
 }
 
 // Options are what an agent may be given beside its configuration; the zero value is none.
 type Options struct {
-	// Reread asks for the configuration to be read again by Read.
-	Reread <-chan os.Signal
-	Read   func() (*Config, error)
+	// ReloadSignals asks for the configuration to be read again by Read.
+	ReloadSignals <-chan os.Signal
+	ReadConfig    func() (*Config, error)
 	// Observer may be nil.
 	Observer Observer
-	// Recall is what an earlier life had learned; nil: nothing.
-	Recall *Kept
-	// Remember is handed what has been learned, from the loop, each RememberEvery and at the
+	// Restore is what an earlier life had learned; nil: nothing.
+	Restore *SavedState
+	// Save is handed what has been learned, from the loop, each SaveInterval and at the
 	// end; it must not block. It may be nil.
-	Remember      func(*Kept)
-	RememberEvery time.Duration
-	// Layer may be nil: the agent acts alone.
-	Layer Layer
+	Save         func(*SavedState)
+	SaveInterval time.Duration
+	// Coordinator may be nil: the agent acts alone.
+	Coordinator Coordinator
 }
 
-// Layer is how an agent acts together with others. Its methods must not block. What it says
+// Coordinator is how an agent acts together with others. Its methods must not block. What it says
 // enters the module as an event, and nothing else of the agent acts on it; but the list goes on
 // by what neighbours were told while discovery can't be heard here.
-type Layer interface {
-	// Listed tells of the whole list as the agent has it, at each change of it.
-	Listed([]Target)
-	// Told tells what discovery itself has told: changes, or the whole list.
-	Told(list []Target, whole bool)
-	// Heard tells that discovery has answered a call. It may be called from any goroutine.
-	Heard()
-	// Attempted tells of the end of an attempt.
-	Attempted(Sight)
+type Coordinator interface {
+	// ListChanged tells of the whole list as the agent has it, at each change of it.
+	ListChanged([]Target)
+	// DiscoveryReported tells what discovery itself has told: changes, or the whole list.
+	DiscoveryReported(list []Target, whole bool)
+	// DiscoveryResponded tells that discovery has answered a call. It may be called from any goroutine.
+	DiscoveryResponded()
+	// AttemptEnded tells of the end of an attempt.
+	AttemptEnded(Observation)
 	// Ready receives when there are new orders, and Orders are those.
 	Ready() <-chan struct{}
-	Orders() Orders
+	Directives() Directives
 }
 
-// Orders are what the layer wants of an agent now; they take the place of those before.
-type Orders struct {
-	// Standings are of servers, whole: one not named has its whole share.
-	Standings []Standing
-	// Zones are of zones, whole: one not named has its whole share.
-	Zones []ZoneStanding
-	// Ask asks discovery for the whole list, once.
-	Ask bool
-	// Told is what neighbours were told of servers: ID, State and StartedMs.
-	Told []Target
+// Directives are what the layer wants of an agent now; they take the place of those before.
+type Directives struct {
+	// Overrides are of servers, whole: one not named has its whole share.
+	Overrides []Override
+	// ZoneOverrides are of zones, whole: one not named has its whole share.
+	ZoneOverrides []ZoneOverride
+	// FetchList asks discovery for the whole list, once.
+	FetchList bool
+	// PeerReports is what neighbours were told of servers: ID, State and StartedMs.
+	PeerReports []Target
 }
 
-// ZoneStanding is what the layer decided of a zone.
-type ZoneStanding struct {
-	Zone  string
-	Share float64 // part of the shares of its servers that is used; 0: nothing is sent there
-	Reach float64 // part of it that is in reach: what is not takes its demand with it
-	// Pull is the part of this site's traffic that is to go there, where that is decided for
+// ZoneOverride is what the layer decided of a zone.
+type ZoneOverride struct {
+	Zone           string
+	ShareFactor    float64 // part of the shares of its servers that is used; 0: nothing is sent there
+	ReachableShare float64 // part of it that is in reach: what is not takes its demand with it
+	// TrafficShare is the part of this site's traffic that is to go there, where that is decided for
 	// all zones; 0 for all: it is not.
-	Pull float64
-	Left time.Duration // that it holds
+	TrafficShare float64
+	TTL          time.Duration // that it holds
 }
 
-// Sight is the end of an attempt or of a probe, with the server that it was sent to.
-type Sight struct {
-	ID        string
-	Zone      string
-	Probe     bool
-	StartedMs float64 // of the process that it was sent to, by the list
-	Class     int
-	Status    policy.Status
-	Took      time.Duration
-	Util      float64 // of a probe: how busy the server says that it is; negative: not told
+// Observation is the end of an attempt or of a probe, with the server that it was sent to.
+type Observation struct {
+	ID          string
+	Zone        string
+	Probe       bool
+	StartedMs   float64 // of the process that it was sent to, by the list
+	Class       int
+	Status      policy.Status
+	Latency     time.Duration
+	Utilization float64 // of a probe: how busy the server says that it is; negative: not told
 }
 
-// Standing is what the layer decided of one process of a server, as policy.Standing.
-type Standing struct {
-	ID        string
-	StartedMs float64
-	Part      float64
-	Left      time.Duration // that it holds
-	Try       bool
-	Probe     bool
+// Override is what the layer decided of one process of a server, as policy.Standing.
+type Override struct {
+	ID          string
+	StartedMs   float64
+	ShareFactor float64
+	TTL         time.Duration // that it holds
+	Trial       bool
+	Probe       bool
 }
 
-// Kept is what an agent hands to its next life: what it has learned, and the list as it was
+// SavedState is what an agent hands to its next life: what it has learned, and the list as it was
 // told. The list that the platform hands to a new start may be older, and name servers as up
 // of which the agent had been told that they drain.
-type Kept struct {
-	Memory    *policy.Snapshot
+type SavedState struct {
+	Snapshot  *policy.Snapshot
 	Discovery string // whose list it is: versions of another are not its
-	List      List
+	List      TargetList
 }
 
-// kept is what the loop has now.
-func (l *loop) kept() *Kept {
-	k := &Kept{Memory: l.balancer.Snapshot(l.now()), Discovery: l.disc.addr, List: List{Version: l.version, Full: true}}
+// savedState is what the loop has now.
+func (l *eventLoop) savedState() *SavedState {
+	k := &SavedState{Snapshot: l.balancer.Snapshot(l.now()), Discovery: l.discovery.addr, List: TargetList{Version: l.listVersion, Full: true}}
 	for _, t := range l.targets {
 		k.List.Servers = append(k.List.Servers, t)
 	}
 	return k
 }
 
-// note keeps what a list says of each server.
-func (l *loop) note(list *List, full bool) {
-	if l.remember == nil && l.layer == nil {
+// recordTargets keeps what a list says of each server.
+func (l *eventLoop) recordTargets(list *TargetList, full bool) {
+	if l.save == nil && l.coordinator == nil {
 		return
 	}
 	if full || l.targets == nil {
@@ -148,70 +148,70 @@
 			delete(l.targets, t.ID)
 		}
 	}
-	if l.layer != nil {
-		l.layer.Listed(slices.Collect(maps.Values(l.targets)))
+	if l.coordinator != nil {
+		l.coordinator.ListChanged(slices.Collect(maps.Values(l.targets)))
 	}
 }
 
-// obey hands the module what the layer decided, and takes over what neighbours were told.
-func (l *loop) obey(o Orders) {
-	l.hearsay(o.Told)
-	if o.Ask && !l.fetching {
+// applyDirectives hands the module what the layer decided, and takes over what neighbours were told.
+func (l *eventLoop) applyDirectives(o Directives) {
+	l.applyPeerReports(o.PeerReports)
+	if o.FetchList && !l.fetching {
 		l.fetching = true
-		go l.disc.fetch()
+		go l.discovery.fetch()
 	}
 	var out []policy.Override
 	at := map[string]int{}
-	for _, s := range o.Standings {
+	for _, s := range o.Overrides {
 		// A server that is not listed, or listed as another process by now, is left out.
-		if b := l.table.byID[s.ID]; b != nil && b.startedMs == s.StartedMs {
+		if b := l.backends.byID[s.ID]; b != nil && b.startedMs == s.StartedMs {
 			at[s.ID] = len(out)
-			out = append(out, policy.Override{Server: b.name, ShareFactor: s.Part, TrafficWeight: 1, ExpiresMs: l.until(s.Left), Trial: s.Try, Probe: s.Probe})
+			out = append(out, policy.Override{Server: b.policyAddr, ShareFactor: s.ShareFactor, TrafficWeight: 1, ExpiresMs: l.expiryMs(s.TTL), Trial: s.Trial, Probe: s.Probe})
 		}
 	}
 	// A zone's share, and its pull, are ones of each of its servers. Pulls are measured so that
 	// all servers together weigh as much as without.
 	whole, within := 0.0, 0.0
-	pulls, pulled := l.pulls(o.Zones)
+	pulls, pulled := l.zoneTrafficWeights(o.ZoneOverrides)
 	for _, id := range slices.Sorted(maps.Keys(l.targets)) {
-		t, b := l.targets[id], l.table.byID[id]
+		t, b := l.targets[id], l.backends.byID[id]
 		if b == nil || t.State != "up" {
 			continue
 		}
 		whole += t.Weight
 		within += t.Weight
-		i := slices.IndexFunc(o.Zones, func(z ZoneStanding) bool { return z.Zone == t.Zone })
-		if i < 0 || o.Zones[i].Left <= 0 {
+		i := slices.IndexFunc(o.ZoneOverrides, func(z ZoneOverride) bool { return z.Zone == t.Zone })
+		if i < 0 || o.ZoneOverrides[i].TTL <= 0 {
 			continue
 		}
-		z := o.Zones[i]
-		within -= t.Weight * (1 - z.Reach)
+		z := o.ZoneOverrides[i]
+		within -= t.Weight * (1 - z.ReachableShare)
 		j, named := at[id]
 		if !named {
 			j = len(out)
-			out = append(out, policy.Override{Server: b.name, ShareFactor: 1, ExpiresMs: l.until(z.Left)})
+			out = append(out, policy.Override{Server: b.policyAddr, ShareFactor: 1, ExpiresMs: l.expiryMs(z.TTL)})
 		}
 		s := &out[j]
-		s.ShareFactor *= z.Share
+		s.ShareFactor *= z.ShareFactor
 		s.TrafficWeight = pulls[z.Zone]
-		s.ExpiresMs = min(s.ExpiresMs, l.until(z.Left)) // neither outlasts its own time
-		s.Trial, s.Probe = s.Trial && z.Share > 0, s.Probe && z.Share > 0
+		s.ExpiresMs = min(s.ExpiresMs, l.expiryMs(z.TTL)) // neither outlasts its own time
+		s.Trial, s.Probe = s.Trial && z.ShareFactor > 0, s.Probe && z.ShareFactor > 0
 	}
 	l.handle(&policy.Event{Kind: policy.EventOverrides, Overrides: out, ReachableShare: within / max(whole, 1e-9), ZoneWeighted: pulled})
 }
 
-// leastPull is what a server weighs at the least, as a part of the mean, where its zone is to get
+// minTrafficWeight is what a server weighs at the least, as a part of the mean, where its zone is to get
 // nothing of this site's traffic: it is still there when all else fails.
-const leastPull = 0.01
+const minTrafficWeight = 0.01
 
-// leastDecided is which part of a site's traffic must have somewhere to go by the decided parts:
+// minAssignedTraffic is which part of a site's traffic must have somewhere to go by the decided parts:
 // where most of it was to go to what is not there any more, the little that went elsewhere says
 // nothing of how the rest is to be spread.
-const leastDecided = 0.5
+const minAssignedTraffic = 0.5
 
-// pulls is what a server of each zone weighs by the decided parts, as a part of the mean; 1, and
+// zoneTrafficWeights is what a server of each zone weighs by the decided parts, as a part of the mean; 1, and
 // false, where none are decided.
-func (l *loop) pulls(list []ZoneStanding) (of map[string]float64, decided bool) {
+func (l *eventLoop) zoneTrafficWeights(list []ZoneOverride) (of map[string]float64, decided bool) {
 	of = map[string]float64{}
 	weight, sum, by := map[string]float64{}, 0.0, 0.0
 	for _, t := range l.targets {
@@ -220,30 +220,32 @@
 		}
 	}
 	for _, z := range list {
-		if of[z.Zone] = 1; weight[z.Zone] > 0 && z.Left > 0 {
-			sum += weight[z.Zone] * z.Share
-			by += z.Share * z.Pull
+		if of[z.Zone] = 1; weight[z.Zone] > 0 && z.TTL > 0 {
+			sum += weight[z.Zone] * z.ShareFactor
+			by += z.ShareFactor * z.TrafficShare
 		}
 	}
-	if by < leastDecided || sum <= 0 {
+	if by < minAssignedTraffic || sum <= 0 {
 		return of, false
 	}
 	for _, z := range list {
 		if weight[z.Zone] > 0 {
-			of[z.Zone] = max(z.Pull/weight[z.Zone]*sum/by, leastPull)
+			of[z.Zone] = max(z.TrafficShare/weight[z.Zone]*sum/by, minTrafficWeight)
 		}
 	}
 	return of, true
 }
 
-// until is the module's time at which so much has passed.
-func (l *loop) until(left time.Duration) float64 { return l.now() + float64(left.Microseconds())/1000 }
+// expiryMs is the module's time at which so much has passed.
+func (l *eventLoop) expiryMs(left time.Duration) float64 {
+	return l.now() + float64(left.Microseconds())/1000
+}
 
-// hearsay takes over what neighbours were told of servers that are listed here: later
+// applyPeerReports takes over what neighbours were told of servers that are listed here: later
 // processes, drains and removals. Addresses may differ between agents, so of a server that is
 // not listed here nothing can be used.
-func (l *loop) hearsay(told []Target) {
-	changed := List{Version: l.version}
+func (l *eventLoop) applyPeerReports(told []Target) {
+	changed := TargetList{Version: l.listVersion}
 	order := []string{"up", "draining", "removed"}
 	for _, n := range told {
 		t, ok := l.targets[n.ID]
@@ -256,34 +258,34 @@
 	}
 	if len(changed.Servers) > 0 {
 		l.log(slog.LevelInfo, "list goes on by what neighbours were told", "servers", len(changed.Servers))
-		l.list(&changed, policy.UpdateDelta, false)
+		l.applyList(&changed, policy.UpdateDelta, false)
 	}
 }
 
-// firstList is the list to start with: the platform's, or the kept one where that is of the
+// initialList is the list to start with: the platform's, or the kept one where that is of the
 // same discovery and newer.
-func (l *loop) firstList() *List {
-	if k := l.recall; k != nil && k.Discovery == l.cfg.Discovery && k.List.Version > l.cfg.Known.Version && len(k.List.Servers) > 0 {
+func (l *eventLoop) initialList() *TargetList {
+	if k := l.restored; k != nil && k.Discovery == l.config.Discovery && k.List.Version > l.config.InitialList.Version && len(k.List.Servers) > 0 {
 		return &k.List
 	}
-	return &l.cfg.Known
+	return &l.config.InitialList
 }
 
-// deaf is the observer of an agent that has none.
-type deaf struct{}
+// noopObserver is the observer of an agent that has none.
+type noopObserver struct{}
 
-func (deaf) Serving(func(context.Context) (Stats, error))               {}
-func (deaf) Answered(string, string, time.Duration, time.Duration, int) {}
-func (deaf) Attempted(policy.Status, time.Duration)                     {}
-func (deaf) SentCold()                                                  {}
-func (deaf) Guarded(int, string)                                        {}
+func (noopObserver) Started(func(context.Context) (Stats, error))                      {}
+func (noopObserver) RequestAnswered(string, string, time.Duration, time.Duration, int) {}
+func (noopObserver) AttemptEnded(policy.Status, time.Duration)                         {}
+func (noopObserver) SentToWarmingUp()                                                  {}
+func (noopObserver) ViolationPrevented(int, string)                                    {}
 
 // stats asks the loop for its state, from another goroutine.
-func (l *loop) stats(ctx context.Context) (Stats, error) {
+func (l *eventLoop) stats(ctx context.Context) (Stats, error) {
 	got := make(chan Stats, 1)
 	read := func() {
-		s := Stats{BalancerStats: l.balancer.Stats(), Open: l.open, Probes: l.probes, ListVersion: l.version}
-		s.Connections, s.Idle = l.sender.pool.count()
+		s := Stats{BalancerStats: l.balancer.Stats(), OpenRequests: l.openRequests, ProbesInFlight: l.probesInFlight, ListVersion: l.listVersion}
+		s.Connections, s.IdleConnections = l.sender.pool.count()
 		got <- s
 	}
 	select {
@@ -304,7 +306,7 @@
 }
 
 // count is how many connections there are, and how many of them idle.
-func (p *pool) count() (open, idle int) {
+func (p *connPool) count() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, list := range p.idle {
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -19,7 +19,7 @@
 		{300, 100, 150 * time.Millisecond},
 		{0, 100, 0},
 	} {
-		if got := reusableFor(&policy.Limits{KeepaliveMs: c.keepalive, ConnectTimeoutMs: c.connect}); got != c.want {
+		if got := maxIdleTime(&policy.Limits{KeepaliveMs: c.keepalive, ConnectTimeoutMs: c.connect}); got != c.want {
 			t.Errorf("keepalive %v ms, connect %v ms: kept for %v, want %v", c.keepalive, c.connect, got, c.want)
 		}
 	}
--- a/internal/agent/probe_test.go
+++ b/internal/agent/probe_test.go
@@ -11,18 +11,18 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// probing lets the agent probe, and get load reports from probes alone.
-func probing(c *Config) {
+// enableProbes lets the agent probe, and get load reports from probes alone.
+func enableProbes(c *Config) {
 	c.Settings.Limits.AllowProbes = true
 	c.Settings.LoadReport.Mode = "on_probe"
 }
 
-// reporting answers probes with a report and all else with its path.
-func reporting(c net.Conn, req *http.Request, n int) bool {
+// echoWithReports answers probes with a report and all else with its path.
+func echoWithReports(c net.Conn, req *http.Request, n int) bool {
 	if req.URL.Path == "/-/load" {
-		return send(c, 200, "", "qps=3,util=0.5,eps=0")
+		return writeTestResponse(c, 200, "", "qps=3,util=0.5,eps=0")
 	}
-	return serving(c, req, n)
+	return echo(c, req, n)
 }
 
 func TestProbeOutcomes(t *testing.T) {
@@ -31,23 +31,25 @@
 		status policy.Status
 		report []float32
 	}{
-		"a report":         {reporting, policy.OK, []float32{3, 0.5, 0}},
-		"a spoilt report":  {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 200, "", "qps=x") }, policy.OK, nil},
-		"not ready":        {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "", "") }, policy.Error, nil},
-		"a closed one":     {func(net.Conn, *http.Request, int) bool { return false }, policy.Reset, nil},
-		"noise":            {func(c net.Conn, _ *http.Request, _ int) bool { c.Write([]byte("\x00\x01\n\n")); return true }, policy.Error, nil},
-		"an endless claim": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 200, "Content-Length: 9\r\n", "x") }, policy.Error, nil},
+		"a report":        {echoWithReports, policy.OK, []float32{3, 0.5, 0}},
+		"a spoilt report": {func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, 200, "", "qps=x") }, policy.OK, nil},
+		"not ready":       {func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, 503, "", "") }, policy.Error, nil},
+		"a closed one":    {func(net.Conn, *http.Request, int) bool { return false }, policy.Reset, nil},
+		"noise":           {func(c net.Conn, _ *http.Request, _ int) bool { c.Write([]byte("\x00\x01\n\n")); return true }, policy.Error, nil},
+		"an endless claim": {func(c net.Conn, _ *http.Request, _ int) bool {
+			return writeTestResponse(c, 200, "Content-Length: 9\r\n", "x")
+		}, policy.Error, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t, c.answer)
 			s := testSender(10)
-			s.probeNames = s.reportNames
+			s.probeMetrics = s.responseMetrics
 			r := s.probe(context.Background(), &backend{}, b.addr)
 			if r.status != c.status || !slices.Equal(r.report, c.report) {
 				t.Errorf("status %d, report %v, want %d, %v", r.status, r.report, c.status, c.report)
 			}
 			// What can't be read is not kept.
-			if kept := len(s.pool.idle) > 0; kept != (r.code != 0) {
+			if kept := len(s.pool.idle) > 0; kept != (r.statusCode != 0) {
 				t.Errorf("connection kept: %v", kept)
 			}
 		})
@@ -56,9 +58,9 @@
 
 // A probe goes over a kept connection; one that breaks there says nothing of the backend.
 func TestProbeOverKeptConnection(t *testing.T) {
-	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && reporting(c, req, n) })
+	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && echoWithReports(c, req, n) })
 	s, to := testSender(10), &backend{}
-	s.probeNames = s.reportNames
+	s.probeMetrics = s.responseMetrics
 	for i := range 3 {
 		if r := s.probe(context.Background(), to, b.addr); r.status != policy.OK {
 			t.Errorf("probe %d ended with %d", i, r.status)
@@ -66,8 +68,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.arrivals != 4 || b.most != 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 4 and 1", b.arrivals, b.most)
+	if b.arrivals != 4 || b.maxConns != 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 4 and 1", b.arrivals, b.maxConns)
 	}
 }
 
@@ -76,15 +78,15 @@
 	probed := make(chan string, 1)
 	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		probed <- req.URL.Path
-		return reporting(c, req, n)
+		return echoWithReports(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), probing)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), enableProbes)
 	a.loop.post(func() {
-		name := a.loop.table.byID["s-1"].name
-		a.loop.carryOut([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
-		a.loop.carryOut([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
-		if n := len(a.loop.pending); a.loop.probes != 1 || n != 1 || a.loop.pending[n-1].Status != policy.NotSent {
-			t.Errorf("%d probes under way, pending %+v", a.loop.probes, a.loop.pending)
+		name := a.loop.backends.byID["s-1"].policyAddr
+		a.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
+		a.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
+		if n := len(a.loop.pendingEvents); a.loop.probesInFlight != 1 || n != 1 || a.loop.pendingEvents[n-1].Status != policy.NotSent {
+			t.Errorf("%d probes under way, pending %+v", a.loop.probesInFlight, a.loop.pendingEvents)
 		}
 	})
 	select {
@@ -92,7 +94,7 @@
 		if path != "/-/load" {
 			t.Errorf("probed %s", path)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the backend is never probed")
 	}
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// rereadEvery and rereads bound how a file that can't be used is tried again:
+	// reloadRetryInterval and rereads bound how a file that can't be used is tried again:
 	// SIGHUP may come while it is still being written.
-	rereadEvery, rereads = 100 * time.Millisecond, 100
+	reloadRetryInterval, maxReloadAttempts = 100 * time.Millisecond, 100
 )
 
 // reload reads the configuration again at each signal and tells use the address of
@@ -31,11 +31,11 @@
 		}
 		c, err := read()
 		if err != nil {
-			if failed++; failed == 1 || failed == rereads {
+			if failed++; failed == 1 || failed == maxReloadAttempts {
 				slog.Warn("configuration not used, the old one holds", "err", err, "try", failed)
 			}
-			if failed < rereads {
-				retry.Reset(rereadEvery)
+			if failed < maxReloadAttempts {
+				retry.Reset(reloadRetryInterval)
 			}
 			continue
 		}
@@ -43,7 +43,7 @@
 		for name, same := range map[string]bool{
 			"name": c.Name == old.Name, "listen": c.Listen == old.Listen,
 			"limits":   c.Cores == old.Cores && c.MemoryMB == old.MemoryMB && c.Sockets == old.Sockets,
-			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.Kinds, old.Kinds),
+			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.MachineKinds, old.MachineKinds),
 		} {
 			if !same {
 				slog.Warn("changed in the configuration, but used only after a restart", "field", name)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -13,11 +13,11 @@
 // wantServedBy asks until a backend serves; others may be asked meanwhile.
 func wantServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
 	t.Helper()
-	for end := time.Now().Add(patience); b.count() == 0; {
+	for end := time.Now().Add(testTimeout); b.count() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("the backend is never used")
 		}
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 }
@@ -26,27 +26,27 @@
 // list of the new one, whose versions are its own: a lower one, and a list that no
 // longer has the old backend. What the old one says late is dropped.
 func TestReloadChangesDiscovery(t *testing.T) {
-	old, fresh := newBackend(t, serving), newBackend(t, serving)
+	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, target("s-1", old.addr))
 	d.list.Version = 1000
 	a := startAgent(t, d, nil)
-	d.wait(t, 1000)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	d.waitForWatch(t, 1000)
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
-	before := a.loop.disc
-	a.loop.post(func() { a.loop.rediscover(next.Listener.Addr().String()) })
-	next.wait(t, 1) // the watch goes on from the new list's version
+	before := a.loop.discovery
+	a.loop.post(func() { a.loop.switchDiscovery(next.Listener.Addr().String()) })
+	next.waitForWatch(t, 1) // the watch goes on from the new list's version
 	wantServedBy(t, a, fresh)
 	if before.ctx.Err() == nil {
 		t.Error("the old discovery is still asked")
 	}
 	asked, n := d.callCount(), old.count()
-	before.told(&List{Version: 2000, Full: true, Servers: []Target{target("s-1", old.addr)}}, true, nil)
-	next.told(t, target("s-3", fresh.addr))
+	before.onList(&TargetList{Version: 2000, Full: true, Servers: []Target{target("s-1", old.addr)}}, true, nil)
+	next.setAndWait(t, target("s-3", fresh.addr))
 	for range 10 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if d.callCount() != asked || old.count() != n {
@@ -55,7 +55,7 @@
 	done := make(chan bool)
 	a.loop.post(func() {
 		defer close(done)
-		if a.loop.table.byID["s-1"] != nil || a.loop.table.byID["s-3"] == nil {
+		if a.loop.backends.byID["s-1"] != nil || a.loop.backends.byID["s-3"] == nil {
 			t.Error("the table is not the new discovery's")
 		}
 	})
@@ -64,13 +64,13 @@
 
 // While the new discovery is down the table stays, and the agent finds it later.
 func TestReloadToADiscoveryThatIsDown(t *testing.T) {
-	old, fresh := newBackend(t, serving), newBackend(t, serving)
+	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
 	next.setDown(true)
-	a.loop.post(func() { a.loop.rediscover(next.Listener.Addr().String()) })
-	for next.callCount() < wholeTries+1 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	a.loop.post(func() { a.loop.switchDiscovery(next.Listener.Addr().String()) })
+	for next.callCount() < fullListAttempts+1 {
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -100,7 +100,7 @@
 			if d != "new" || reads.Load() != want {
 				t.Errorf("used %q after %d reads", d, reads.Load())
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the sound file is not used")
 		}
 		signals <- syscall.SIGHUP
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -20,12 +20,12 @@
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// say writes text on a new connection and returns all that comes until it is closed.
-func (a *testAgent) say(text string) string {
+// exchange writes text on a new connection and returns all that comes until it is closed.
+func (a *testAgent) exchange(text string) string {
 	a.t.Helper()
 	c := a.dial()
 	io.WriteString(c, text)
@@ -46,7 +46,7 @@
 // What can't be used gets an error and a close, and never reaches a backend: that
 // would turn it away, or close, and be taken for a bad one.
 func TestBadRequestsAreRejectedAndClosed(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	get := func(lines string) string {
 		return "GET /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: g\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n" + lines + "\r\n"
 	}
@@ -72,7 +72,7 @@
 		{"length of 60 MB, nothing sent", rawOrder("/api/a1", "1", "Content-Length: 60000000\r\n", ""), 413},
 		{"no id", strings.Replace(rawOrder("/api/a1", "1", "", ""), "Request-Id: 1\r\n", "", 1), 400},
 		{"id of two words", rawOrder("/api/a1", "1 2", "", ""), 400},
-		{"id too long", rawOrder("/api/a1", strings.Repeat("1", maxToken+1), "", ""), 400},
+		{"id too long", rawOrder("/api/a1", strings.Repeat("1", maxTokenLength+1), "", ""), 400},
 		{"two ids", rawOrder("/api/a1", "1", "Request-Id: 2\r\n", ""), 400},
 		{"two time-outs", rawOrder("/api/a1", "1", "Request-Timeout-Ms: 5\r\n", ""), 400},
 		{"time-out with a sign", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "+480", 1), 400},
@@ -94,7 +94,7 @@
 		{"target beyond ASCII", rawOrder("/api/\xc3\xa9", "1", "", ""), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := a.say(test.text + get("")) // what stands behind is never served
+			got := a.exchange(test.text + get("")) // what stands behind is never served
 			want := fmt.Sprintf(" %d ", test.status)
 			if len(got) < 8 || !strings.HasPrefix(got[8:], want) || strings.Count(got, "HTTP/1.") != 1 {
 				t.Errorf("answered %.200q, want%salone", got, want)
@@ -104,22 +104,22 @@
 	if n := b.count(); n != 0 {
 		t.Errorf("%d arrivals at the backend", n)
 	}
-	if f := a.figures(); f.taken != 0 {
-		t.Errorf("the module was asked %d times", f.taken)
+	if f := a.readCounters(); f.accepted != 0 {
+		t.Errorf("the module was asked %d times", f.accepted)
 	}
 }
 
 // Heads and bodies without end, and connections that say nothing, are closed within
 // the 3 s that a client is owed an answer in.
 func TestHalfRequestsAreClosedInTime(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	whole := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
 	took := make(chan time.Duration)
 	texts := []string{"", "POST /api", whole[:len(whole)-6], whole}
 	for _, text := range texts {
 		go func() {
 			from := time.Now()
-			a.say(text)
+			a.exchange(text)
 			took <- time.Since(from)
 		}()
 	}
@@ -137,17 +137,17 @@
 // The id of an open request is not to be used again, by whomever; afterwards it is.
 func TestOpenIDIsTaken(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
 			arrived <- struct{}{}
 			<-release
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	c := a.dial()
 	fmt.Fprint(c, rawOrder("/api/a1", "same", "Content-Length: 0\r\n", ""))
 	<-arrived
-	if got := a.say(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
+	if got := a.exchange(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
 		t.Errorf("answered %.100q, want 409", got)
 	}
 	close(release)
@@ -157,16 +157,16 @@
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
 	}
-	if f := a.figures(); f.failed != 1 || f.served != 1 {
+	if f := a.readCounters(); f.failed != 1 || f.served != 1 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // The target goes on byte for byte: another form of it is another request.
 func TestTargetIsPassedOnAsItCame(t *testing.T) {
-	a, _ := one(t, serving)
+	a, _ := startWithBackend(t, echo)
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
-		got := a.say(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
+		got := a.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
 			t.Errorf("%q: %.300q", target, got)
 		}
@@ -176,26 +176,26 @@
 // A body of the largest size passes; with no memory left it is refused at once, with
 // word when to come back, and small ones still pass.
 func TestBodiesShareABudget(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, _ int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
 		body, _ := io.ReadAll(req.Body)
-		return send(c, 200, "", fmt.Sprint(len(body)))
+		return writeTestResponse(c, 200, "", fmt.Sprint(len(body)))
 	})
-	large := strings.Repeat("x", maxBody)
-	status, _, got := a.ask(newRequest(a.addr, "order", large))
-	if status != 200 || got != fmt.Sprint(maxBody) {
+	large := strings.Repeat("x", maxRequestBody)
+	status, _, got := a.do(newRequest(a.addr, "order", large))
+	if status != 200 || got != fmt.Sprint(maxRequestBody) {
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
-	budget := a.loop.cfg.budget()
-	if err := a.loop.budget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
+	budget := a.loop.config.memoryBudget()
+	if err := a.loop.memoryBudget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
 		t.Fatal(err)
 	}
-	status, header, _ := a.ask(newRequest(a.addr, "order", large))
+	status, header, _ := a.do(newRequest(a.addr, "order", large))
 	if status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("without memory: answered %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	status, _, _ = a.ask(newRequest(a.addr, "order", "small"))
+	status, _, _ = a.do(newRequest(a.addr, "order", "small"))
 	wantStatus(t, status, 200)
-	a.loop.budget.Release(budget)
+	a.loop.memoryBudget.Release(budget)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
 	}
@@ -204,8 +204,8 @@
 // Hundreds that connect and say nothing do not lock out the clients that are served:
 // a kept connection stays usable and a new one is answered.
 func TestSilentClientsLockNobodyOut(t *testing.T) {
-	a, _ := one(t, serving)
-	b := 2 * a.loop.cfg.clientRoom()
+	a, _ := startWithBackend(t, echo)
+	b := 2 * a.loop.config.maxClientConns()
 	kept := a.dial()
 	ask := func(c net.Conn) error {
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
@@ -232,8 +232,8 @@
 // Callers that asked once and keep their connection do not use up what the application
 // may hold, a third of the descriptors: the agent closes the oldest of them in time.
 func TestIdleCallersLeaveRoom(t *testing.T) {
-	a, _ := one(t, serving)
-	most := a.loop.cfg.Sockets / 3
+	a, _ := startWithBackend(t, echo)
+	most := a.loop.config.Sockets / 3
 	var conns []net.Conn
 	for range most {
 		c := a.dial()
@@ -244,9 +244,9 @@
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
-	// The oldest are closed well before idleTime would close them all.
+	// The oldest are closed well before idleTimeout would close them all.
 	for _, c := range conns[:most/8] {
-		c.SetDeadline(time.Now().Add(idleTime / 2))
+		c.SetDeadline(time.Now().Add(idleTimeout / 2))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Fatalf("an old connection stays: %v", err)
 		}
@@ -279,12 +279,12 @@
 		return got
 	}
 	quiet := add("silent")
-	c.conns[quiet].since = time.Now().Add(-2 * newcomer)
+	c.conns[quiet].since = time.Now().Add(-2 * newConnGrace)
 	add("coming", http.StateActive)
 	add("idle", http.StateActive, http.StateIdle)
 	busy := func() {
 		x := add("busy", http.StateActive)
-		c.taken(c.context(t.Context(), x))
+		c.requestReceived(c.withConn(t.Context(), x))
 	}
 	for range most - 4 {
 		busy()
@@ -308,11 +308,11 @@
 
 // The check never passes what is not for a backend, whatever the bytes.
 func FuzzRequest(f *testing.F) {
-	cfg, err := testConfig("127.0.0.1:1", "127.0.0.1:1", List{})
+	cfg, err := testConfig("127.0.0.1:1", "127.0.0.1:1", TargetList{})
 	if err != nil {
 		f.Fatal(err)
 	}
-	front := newFront(cfg)
+	front := newFrontend(cfg)
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\n", "x"))
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"))
 	f.Add("GET / HTTP/1.0\r\n\r\n")
@@ -321,9 +321,9 @@
 		if err != nil {
 			return
 		}
-		c, err := front.check(req, time.Now())
+		c, err := front.parseRequest(req, time.Now())
 		if err != nil {
-			var b *bad
+			var b *requestError
 			if !errors.As(err, &b) || b.status < 400 || b.status == 429 || b.status == 503 {
 				t.Errorf("rejected with %v", err)
 			}
@@ -331,10 +331,10 @@
 		}
 		c.body = make([]byte, req.ContentLength)
 		// What goes on is one request, the same, and nothing behind it.
-		br := bufio.NewReader(strings.NewReader(string(c.head(time.Second)) + string(c.body)))
+		br := bufio.NewReader(strings.NewReader(string(c.encodeHead(time.Second)) + string(c.body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
-			t.Fatalf("passed on as %q: %v", c.head(time.Second), err)
+			t.Fatalf("passed on as %q: %v", c.encodeHead(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
 		if err != nil || len(body) != len(c.body) || out.RequestURI != c.target || out.Header.Get("Request-Id") != c.id || br.Buffered() > 0 {
