--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -14,24 +14,24 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// quietDiscovery answers calls over pipes, so that it can be met in simulated time. A call
+// silentDiscovery answers calls over pipes, so that it can be met in simulated time. A call
 // that it does not answer stays open, as one whose connection was cut does.
-type quietDiscovery struct {
-	mu    sync.Mutex
-	list  List
-	deaf  bool      // to calls that come from now on
-	calls int       // so far, and
-	lost  int       // up to which of them none is ever answered
-	since time.Time // of the last of them
-	wake  chan struct{}
+type silentDiscovery struct {
+	mu             sync.Mutex
+	list           TargetList
+	unresponsive   bool      // to calls that come from now on
+	calls          int       // so far, and
+	abandonedCalls int       // up to which of them none is ever answered
+	lastCallAt     time.Time // of the last of them
+	wake           chan struct{}
 }
 
-func newQuiet(servers ...Target) *quietDiscovery {
-	return &quietDiscovery{list: List{Version: 1, Full: true, Servers: servers}, wake: make(chan struct{})}
+func newSilentDiscovery(servers ...Target) *silentDiscovery {
+	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, wake: make(chan struct{})}
 }
 
 // change does something to it and wakes its watches.
-func (q *quietDiscovery) change(do func()) {
+func (q *silentDiscovery) change(do func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	do()
@@ -39,7 +39,7 @@
 	q.wake = make(chan struct{})
 }
 
-func (q *quietDiscovery) drain(id string) {
+func (q *silentDiscovery) drain(id string) {
 	q.change(func() {
 		q.list.Version++
 		for i := range q.list.Servers {
@@ -51,10 +51,10 @@
 }
 
 // opened waits for the first call and tells when it came.
-func (q *quietDiscovery) opened() time.Time {
+func (q *silentDiscovery) opened() time.Time {
 	for {
 		q.mu.Lock()
-		calls, since := q.calls, q.since
+		calls, since := q.calls, q.lastCallAt
 		q.mu.Unlock()
 		if calls > 0 {
 			return since
@@ -63,14 +63,14 @@
 	}
 }
 
-func (q *quietDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *silentDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	q.mu.Lock()
 	q.calls++
-	q.since = time.Now()
-	call, deaf := q.calls, q.deaf
+	q.lastCallAt = time.Now()
+	call, deaf := q.calls, q.unresponsive
 	q.mu.Unlock()
 	if deaf {
 		<-r.Context().Done()
@@ -78,7 +78,7 @@
 	}
 	for ended := err != nil; ; {
 		q.mu.Lock()
-		l, wake, silent := q.list, q.wake, call <= q.lost
+		l, wake, silent := q.list, q.wake, call <= q.abandonedCalls
 		q.mu.Unlock()
 		if !silent && (ended || l.Version > index) {
 			_ = json.NewEncoder(w).Encode(l)
@@ -94,26 +94,26 @@
 	}
 }
 
-// pipes is a network on which a discovery is reached by an address.
-type pipes struct {
-	ctx  context.Context // of the test
-	mu   sync.Mutex
-	ends map[string]chan net.Conn
+// pipeNetwork is a network on which a discovery is reached by an address.
+type pipeNetwork struct {
+	ctx       context.Context // of the test
+	mu        sync.Mutex
+	listeners map[string]chan net.Conn
 }
 
-func (p *pipes) serve(ctx context.Context, addr string, h http.Handler) {
+func (p *pipeNetwork) serve(ctx context.Context, addr string, h http.Handler) {
 	conns := make(chan net.Conn)
 	p.mu.Lock()
-	p.ends[addr] = conns
+	p.listeners[addr] = conns
 	p.mu.Unlock()
 	srv := &http.Server{Handler: h}
 	go func() { _ = srv.Serve(&pipeListener{ctx, conns}) }()
 	context.AfterFunc(ctx, func() { srv.Close() })
 }
 
-func (p *pipes) dial(ctx context.Context, _, addr string) (net.Conn, error) {
+func (p *pipeNetwork) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	p.mu.Lock()
-	conns := p.ends[addr]
+	conns := p.listeners[addr]
 	p.mu.Unlock()
 	near, far := net.Pipe()
 	select {
@@ -142,27 +142,27 @@
 func (l *pipeListener) Close() error   { return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// quietAgent is a loop with its discovery on pipes, in a bubble of simulated time.
-type quietAgent struct {
+// simulatedAgent is a loop with its discovery on pipes, in a bubble of simulated time.
+type simulatedAgent struct {
 	t    *testing.T
-	net  *pipes
-	loop *loop
+	net  *pipeNetwork
+	loop *eventLoop
 }
 
-func startQuiet(t *testing.T, q *quietDiscovery, known List, membership policy.MembershipMode) *quietAgent {
+func startSimulatedAgent(t *testing.T, q *silentDiscovery, known TargetList, membership policy.MembershipMode) *simulatedAgent {
 	ctx, stop := context.WithCancel(context.Background())
-	a := &quietAgent{t: t, net: &pipes{ctx: ctx, ends: map[string]chan net.Conn{}}}
+	a := &simulatedAgent{t: t, net: &pipeNetwork{ctx: ctx, listeners: map[string]chan net.Conn{}}}
 	a.net.serve(ctx, "one:1", q)
 	cfg, err := testConfig("127.0.0.1:1", "one:1", known)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Settings.Membership = membership
-	if a.loop, err = newLoop(ctx, cfg, func() {}); err != nil {
+	if a.loop, err = newEventLoop(ctx, cfg, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	a.loop.dial = a.net.dial
-	a.loop.discover("one:1")
+	a.loop.dialDiscovery = a.net.dial
+	a.loop.useDiscovery("one:1")
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -177,17 +177,17 @@
 }
 
 // sendsTo tells whether the agent would still send to a backend.
-func (a *quietAgent) sendsTo(id string) bool {
+func (a *simulatedAgent) sendsTo(id string) bool {
 	got := make(chan bool, 1)
 	a.loop.post(func() {
-		b := a.loop.table.byID[id]
-		got <- b != nil && !b.closed.Load()
+		b := a.loop.backends.byID[id]
+		got <- b != nil && !b.unavailable.Load()
 	})
 	return <-got
 }
 
-// knows fails the test unless the agent has stopped to send to a backend by a moment.
-func (a *quietAgent) knows(id string, by time.Time) {
+// mustStopSending fails the test unless the agent has stopped to send to a backend by a moment.
+func (a *simulatedAgent) mustStopSending(id string, by time.Time) {
 	a.t.Helper()
 	time.Sleep(time.Until(by))
 	synctest.Wait()
@@ -200,9 +200,9 @@
 	// what the page says of silence: news counts as told so long after a watch fell silent, or
 	// so long after the end of its wait where that is later; after SIGHUP; and the grace for
 	// new sends after that.
-	silenceTold, waitTold, hupTold = 6 * time.Second, 2 * time.Second, 4 * time.Second
-	// atOnce is what an agent may take for what it counts as told from the first moment.
-	atOnce = 250 * time.Millisecond
+	silenceDeadline, watchEndDeadline, reloadDeadline = 6 * time.Second, 2 * time.Second, 4 * time.Second
+	// immediately is what an agent may take for what it counts as told from the first moment.
+	immediately = 250 * time.Millisecond
 )
 
 // Each sentence of the standing test's page on what counts as told, in simulated time. Where
@@ -218,28 +218,28 @@
 	}
 	// An open watch that is well tells at once.
 	each("well", func(t *testing.T, membership policy.MembershipMode) {
-		q := newQuiet(two()...)
-		a := startQuiet(t, q, q.list, membership)
+		q := newSilentDiscovery(two()...)
+		a := startSimulatedAgent(t, q, q.list, membership)
 		time.Sleep(3 * time.Second)
 		q.drain("s-1")
-		a.knows("s-1", time.Now().Add(atOnce))
+		a.mustStopSending("s-1", time.Now().Add(immediately))
 	})
 	// A watch falls silent at the start, in the middle or at the end of its wait: what comes
 	// after is had from the next in time, whether it came at once or late.
-	for _, into := range []time.Duration{0, 4 * time.Second, watchWait - time.Millisecond} {
+	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
 		for _, news := range []time.Duration{0, 5 * time.Second} {
 			each("silent after "+into.String()+" news after "+news.String(), func(t *testing.T, membership policy.MembershipMode) {
-				q := newQuiet(two()...)
-				a := startQuiet(t, q, q.list, membership)
+				q := newSilentDiscovery(two()...)
+				a := startSimulatedAgent(t, q, q.list, membership)
 				opened := q.opened()
 				time.Sleep(time.Until(opened.Add(into)))
 				synctest.Wait()
-				q.change(func() { q.lost = q.calls })
+				q.change(func() { q.abandonedCalls = q.calls })
 				fell := time.Now()
 				time.Sleep(news)
 				q.drain("s-1")
-				told := later(fell.Add(silenceTold), opened.Add(watchWait+waitTold))
-				a.knows("s-1", told)
+				told := later(fell.Add(silenceDeadline), opened.Add(watchTimeout+watchEndDeadline))
+				a.mustStopSending("s-1", told)
 			})
 		}
 	}
@@ -247,45 +247,45 @@
 	// process, however old the list that it was started with.
 	t.Run("restart", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			q := newQuiet(two()...)
-			old := List{Version: 1, Full: true, Servers: two()}
+			q := newSilentDiscovery(two()...)
+			old := TargetList{Version: 1, Full: true, Servers: two()}
 			q.drain("s-1")
-			a := startQuiet(t, q, old, "pushed")
-			a.knows("s-1", time.Now().Add(atOnce))
+			a := startSimulatedAgent(t, q, old, "pushed")
+			a.mustStopSending("s-1", time.Now().Add(immediately))
 		})
 	})
 	// The same after an outage that a process was started in: it began with a silent call.
 	t.Run("restart in an outage", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			q := newQuiet(two()...)
-			old := List{Version: 1, Full: true, Servers: two()}
-			q.change(func() { q.deaf = true })
+			q := newSilentDiscovery(two()...)
+			old := TargetList{Version: 1, Full: true, Servers: two()}
+			q.change(func() { q.unresponsive = true })
 			q.drain("s-1")
-			a := startQuiet(t, q, old, "pushed")
+			a := startSimulatedAgent(t, q, old, "pushed")
 			opened := q.opened()
 			time.Sleep(3 * time.Second)
-			q.change(func() { q.deaf = false })
-			a.knows("s-1", opened.Add(watchWait+waitTold))
+			q.change(func() { q.unresponsive = false })
+			a.mustStopSending("s-1", opened.Add(watchTimeout+watchEndDeadline))
 		})
 	})
 	// After SIGHUP what the new discovery has counts 4 s later, though the watch on the old one
 	// is silent, and though the new one does not hear the first call.
 	for _, deaf := range []time.Duration{0, time.Second, 2500 * time.Millisecond} {
 		each("SIGHUP, deaf for "+deaf.String(), func(t *testing.T, membership policy.MembershipMode) {
-			q, next := newQuiet(two()...), newQuiet(two()...)
-			a := startQuiet(t, q, q.list, membership)
+			q, next := newSilentDiscovery(two()...), newSilentDiscovery(two()...)
+			a := startSimulatedAgent(t, q, q.list, membership)
 			time.Sleep(time.Second)
-			q.change(func() { q.lost = q.calls })
+			q.change(func() { q.abandonedCalls = q.calls })
 			next.drain("s-1")
-			next.change(func() { next.deaf = deaf > 0 })
+			next.change(func() { next.unresponsive = deaf > 0 })
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			a.net.serve(ctx, "two:2", next)
 			hup := time.Now()
-			a.loop.post(func() { a.loop.rediscover("two:2") })
+			a.loop.post(func() { a.loop.switchDiscovery("two:2") })
 			time.Sleep(deaf)
-			next.change(func() { next.deaf = false })
-			a.knows("s-1", hup.Add(hupTold))
+			next.change(func() { next.unresponsive = false })
+			a.mustStopSending("s-1", hup.Add(reloadDeadline))
 		})
 	}
 }
--- a/internal/agent/snapshot/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -103,7 +103,7 @@
 		}
 		t[tableKeys][fmt.Sprintf("%06d", i/keysEach)] = Record{versionKeys, raw}
 	}
-	text, err := json.Marshal(load{m.Demand, m.Peak, m.Admitted, m.CalmLat, m.FleetLat, m.Answers, m.Expect})
+	text, err := json.Marshal(load{m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs})
 	if err != nil {
 		return nil, fmt.Errorf("durable: load: %w", err)
 	}
@@ -149,7 +149,7 @@
 		if err := json.Unmarshal(r.Value, &l); err != nil || r.Version != versionLoad {
 			drop(tableLoad, "now", fmt.Sprintf("version %d, %v", r.Version, err))
 		} else {
-			m.Demand, m.Peak, m.Admitted, m.CalmLat, m.FleetLat, m.Answers, m.Expect = l.Demand, l.Peak, l.Admitted, l.CalmLat, l.FleetLat, l.Answers, l.Expect
+			m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs = l.Demand, l.Peak, l.Admitted, l.CalmLat, l.FleetLat, l.Answers, l.Expect
 		}
 	}
 	st.Memory = m
--- a/internal/agent/snapshot/memory_test.go
+++ b/internal/agent/snapshot/memory_test.go
@@ -16,10 +16,10 @@
 )
 
 func memory(servers, keys int) *policy.Snapshot {
-	m := &policy.Snapshot{Demand: 3.5, Peak: 10, Admitted: 0.9, CalmLat: 0.1, FleetLat: 0.2, Answers: 77, Expect: []float64{20, 40}}
+	m := &policy.Snapshot{Demand: 3.5, PeakCapacity: 10, AdmittedShare: 0.9, BaselineLatency: 0.1, RecentLatency: 0.2, Responses: 77, ExpectedLatencyMs: []float64{20, 40}}
 	for i := range servers {
 		m.Servers = append(m.Servers, policy.ServerSnapshot{Server: policy.Addr{10, 0, byte(i >> 8), byte(i), 1, 2}, StartedMs: float64(i),
-			State: policy.State(i % 4), InStateMs: 5, Silent: i%2 == 0, Strikes: i % 3, Failing: 0.25, Lat: 0.1, RTTMs: 12, Samples: 4, Window: 2})
+			State: policy.State(i % 4), InStateMs: 5, TimedOut: i%2 == 0, Ejections: i % 3, FailureRate: 0.25, Latency: 0.1, MeanLatencyMs: 12, LatencySamples: 4, ConcurrencyLimit: 2})
 	}
 	for i := range keys {
 		m.Keys = append(m.Keys, policy.KeyCount{Key: uint64(i) * 0x9e3779b97f4a7c15, Count: 1 / float64(i+1)})
@@ -84,7 +84,7 @@
 	k := Keep(ctx, s)
 	for i := range 500 {
 		m := memory(2, 2)
-		m.Answers = float64(i)
+		m.Responses = float64(i)
 		k.Remember(state(m))
 	}
 	cancel()
@@ -93,8 +93,8 @@
 	defer closed(t, s)
 	back, _ := Decode(g)
 	m := back.Memory
-	if m.Answers != 499 {
-		t.Errorf("saved is number %v of 500", m.Answers)
+	if m.Responses != 499 {
+		t.Errorf("saved is number %v of 500", m.Responses)
 	}
 	st := k.Stats()
 	if saved, skipped := st.Saved.Load(), st.Skipped.Load(); saved < 1 || saved+skipped != 500 || st.Bytes.Load() < 100 {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -19,31 +19,31 @@
 // Snapshot is what an agent has learned, as plain values with ages, to outlive its process. What of it is
 // believed is decided when it is restored.
 type Snapshot struct {
-	AgeMs    float64          `json:"AgeMs"` // since it was taken; an upper bound where that is not known
-	Servers  []ServerSnapshot `json:"Servers"`
-	Keys     []KeyCount       `json:"Keys"`     // the most popular first
-	Demand   float64          `json:"Demand"`   // of the fleet if nothing were rejected, and
-	Peak     float64          `json:"Peak"`     // its capacity, both in warm servers of weight one
-	Admitted float64          `json:"Admitted"` // part of the requests
-	CalmLat  float64          `json:"CalmLat"`  // mean relative latency without overload
-	FleetLat float64          `json:"FleetLat"` // and of late
-	Answers  float64          `json:"Answers"`  // served requests
-	Expect   []float64        `json:"Expect"`   // expected latencies of the classes, ms
+	AgeMs             float64          `json:"AgeMs"` // since it was taken; an upper bound
+	Servers           []ServerSnapshot `json:"Servers"`
+	Keys              []KeyCount       `json:"Keys"`     // the most popular first
+	Demand            float64          `json:"Demand"`   // of the fleet if nothing were rejected, and
+	PeakCapacity      float64          `json:"Peak"`     // its capacity, both in warm servers of weight one
+	AdmittedShare     float64          `json:"Admitted"` // part of the requests
+	BaselineLatency   float64          `json:"CalmLat"`  // mean relative latency without overload
+	RecentLatency     float64          `json:"FleetLat"` // and of late
+	Responses         float64          `json:"Answers"`  // served requests
+	ExpectedLatencyMs []float64        `json:"Expect"`   // expected latencies of the classes, ms
 }
 
 // ServerSnapshot is what was known of one server.
 type ServerSnapshot struct {
-	Server    Addr    `json:"Server"`
-	StartedMs float64 `json:"StartedMs"` // as listed: another process is another server
-	State     State   `json:"State"`
-	InStateMs float64 `json:"InStateMs"` // for how long
-	Silent    bool    `json:"Silent"`    // ejected for a time-out
-	Strikes   int     `json:"Strikes"`   // ejections of late
-	Failing   float64 `json:"Failing"`   // failure rate
-	Lat       float64 `json:"Lat"`       // mean relative latency
-	RTTMs     float64 `json:"RTTMs"`     // mean latency
-	Samples   int     `json:"Samples"`
-	Window    float64 `json:"Window"` // concurrency limit
+	Server           Addr    `json:"Server"`
+	StartedMs        float64 `json:"StartedMs"` // as listed: another process is another server
+	State            State   `json:"State"`
+	InStateMs        float64 `json:"InStateMs"` // for how long
+	TimedOut         bool    `json:"Silent"`    // ejected for a time-out
+	Ejections        int     `json:"Strikes"`   // ejections of late
+	FailureRate      float64 `json:"Failing"`
+	Latency          float64 `json:"Lat"` // mean relative latency
+	MeanLatencyMs    float64 `json:"RTTMs"`
+	LatencySamples   int     `json:"Samples"`
+	ConcurrencyLimit float64 `json:"Window"`
 }
 
 // KeyCount is how often a key was requested of late.
@@ -55,13 +55,13 @@
 // Snapshot is what the Balancer has learned so far.
 func (b *Balancer) Snapshot(now float64) *Snapshot {
 	snapshot := &Snapshot{
-		Demand:   b.admission.demand,
-		Peak:     b.capacity.peak,
-		Admitted: b.admission.admittedShare,
-		CalmLat:  b.latency.baseline,
-		FleetLat: b.latency.recent,
-		Answers:  b.latency.responses,
-		Expect:   slices.Clone(b.latency.expected),
+		Demand:            b.admission.demand,
+		PeakCapacity:      b.capacity.peak,
+		AdmittedShare:     b.admission.admittedShare,
+		BaselineLatency:   b.latency.baseline,
+		RecentLatency:     b.latency.recent,
+		Responses:         b.latency.responses,
+		ExpectedLatencyMs: slices.Clone(b.latency.expected),
 	}
 	for _, srv := range b.servers {
 		snapshot.Servers = append(snapshot.Servers, srv.snapshot(now))
@@ -78,17 +78,17 @@
 
 func (srv *server) snapshot(now float64) ServerSnapshot {
 	return ServerSnapshot{
-		Server:    srv.addr,
-		StartedMs: srv.listedStartAt,
-		State:     srv.state,
-		InStateMs: max(now-srv.since, 0),
-		Silent:    srv.timedOut,
-		Strikes:   srv.ejections,
-		Failing:   srv.failureRate,
-		Lat:       srv.latency,
-		RTTMs:     srv.meanLatencyMs,
-		Samples:   srv.latencySamples,
-		Window:    srv.concurrencyLimit,
+		Server:           srv.addr,
+		StartedMs:        srv.listedStartAt,
+		State:            srv.state,
+		InStateMs:        max(now-srv.since, 0),
+		TimedOut:         srv.timedOut,
+		Ejections:        srv.ejections,
+		FailureRate:      srv.failureRate,
+		Latency:          srv.latency,
+		MeanLatencyMs:    srv.meanLatencyMs,
+		LatencySamples:   srv.latencySamples,
+		ConcurrencyLimit: srv.concurrencyLimit,
 	}
 }
 
@@ -132,38 +132,40 @@
 func (b *Balancer) restoreLatency(snapshot *Snapshot) {
 	model := &b.latency
 	for i := range model.expected {
-		if i < len(snapshot.Expect) && finiteOrZero(snapshot.Expect[i]) > 0 {
-			model.expected[i] = min(snapshot.Expect[i],
+		if i < len(snapshot.ExpectedLatencyMs) && finiteOrZero(snapshot.ExpectedLatencyMs[i]) > 0 {
+			model.expected[i] = min(snapshot.ExpectedLatencyMs[i],
 				maxRelativeLatency*b.settings.Classes[i].LatencyTargetMs)
 		}
 	}
-	if baseline := finiteOrZero(snapshot.CalmLat); baseline > 0 && snapshot.Answers > baselineResponses {
+	baseline := finiteOrZero(snapshot.BaselineLatency)
+	if baseline > 0 && snapshot.Responses > baselineResponses {
 		model.baseline = min(baseline, overloadTargetShare)
-		model.recent = min(finiteOrZero(snapshot.FleetLat), maxRelativeLatency)
+		model.recent = min(finiteOrZero(snapshot.RecentLatency), maxRelativeLatency)
 		model.responses = baselineResponses + 1
 	}
 }
 
 // restoreLoad takes over the demand on the fleet; two probes outweigh it.
 func (b *Balancer) restoreLoad(snapshot *Snapshot) {
-	if !(finiteOrZero(snapshot.Demand) > 0) || !(snapshot.Admitted > 0) || snapshot.Admitted > 1 {
+	if !(finiteOrZero(snapshot.Demand) > 0) || !(snapshot.AdmittedShare > 0) || snapshot.AdmittedShare > 1 {
 		return
 	}
-	b.admission.demand, b.admission.admittedShare = snapshot.Demand, snapshot.Admitted
+	b.admission.demand, b.admission.admittedShare = snapshot.Demand, snapshot.AdmittedShare
 	b.admission.samples = utilizationWindow / 2
-	b.capacity.peak = max(b.capacity.peak, min(finiteOrZero(snapshot.Peak), 2*b.currentCapacity()))
+	b.capacity.peak = max(b.capacity.peak, min(finiteOrZero(snapshot.PeakCapacity), 2*b.currentCapacity()))
 }
 
 // restoreServer takes over what was known of a server's process.
 func (b *Balancer) restoreServer(srv *server, saved *ServerSnapshot) {
-	srv.failureRate = min(finiteOrZero(saved.Failing), 1)
-	srv.latency = min(finiteOrZero(saved.Lat), maxRelativeLatency)
-	srv.meanLatencyMs = finiteOrZero(saved.RTTMs)
-	srv.latencySamples = min(max(saved.Samples, 0), maxRestoredSamples)
-	srv.concurrencyLimit = max(min(finiteOrZero(saved.Window), maxRestoredConcurrency), minConcurrency)
+	srv.failureRate = min(finiteOrZero(saved.FailureRate), 1)
+	srv.latency = min(finiteOrZero(saved.Latency), maxRelativeLatency)
+	srv.meanLatencyMs = finiteOrZero(saved.MeanLatencyMs)
+	srv.latencySamples = min(max(saved.LatencySamples, 0), maxRestoredSamples)
+	limit := min(finiteOrZero(saved.ConcurrencyLimit), maxRestoredConcurrency)
+	srv.concurrencyLimit = max(limit, minConcurrency)
 	b.transition(srv, min(saved.State, UnhealthyPending))
 	if srv.state == UnhealthyPending {
-		srv.timedOut, srv.ejections = saved.Silent, min(saved.Strikes, 1)
+		srv.timedOut, srv.ejections = saved.TimedOut, min(saved.Ejections, 1)
 		// Spread over the lapse of the tier, as agents that start together must not act in step.
 		srv.since = b.now - b.rng.Float64()*b.minLatencyTarget
 	}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -54,7 +54,7 @@
 
 func TestRestoreKnownState(t *testing.T) {
 	x, m := restartFrom(t, newExperiencedAgent(t), nil)
-	if len(m.Servers) != 10 || len(m.Keys) != 20 || m.Answers == 0 {
+	if len(m.Servers) != 10 || len(m.Keys) != 20 || m.Responses == 0 {
 		t.Fatalf("remembers %d servers and %d keys", len(m.Servers), len(m.Keys))
 	}
 	for i, want := range map[int]State{0: UnhealthyPending, 1: UnhealthyPending, 2: Connected, 5: Connected} {
@@ -116,11 +116,11 @@
 	nan := 0.0
 	nan /= nan
 	x, _ := restartFrom(t, newExperiencedAgent(t), func(m *Snapshot, _ []Endpoint) {
-		m.Demand, m.Peak, m.Admitted, m.CalmLat, m.FleetLat = nan, -1, 7, 1e300, nan
-		m.Expect = []float64{nan, -5, 1e300, 4}
+		m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency = nan, -1, 7, 1e300, nan
+		m.ExpectedLatencyMs = []float64{nan, -5, 1e300, 4}
 		for i := range m.Servers {
 			s := &m.Servers[i]
-			s.State, s.Strikes, s.Failing, s.Lat, s.RTTMs, s.Samples, s.Window = 77, -9, nan, 1e300, nan, -3, nan
+			s.State, s.Ejections, s.FailureRate, s.Latency, s.MeanLatencyMs, s.LatencySamples, s.ConcurrencyLimit = 77, -9, nan, 1e300, nan, -3, nan
 		}
 		m.Keys = append(m.Keys, KeyCount{5, nan}, KeyCount{6, -3})
 	})
