--- a/internal/fleet/singleton/duty_test.go
+++ b/internal/fleet/singleton/candidate_test.go
@@ -1,6 +1,7 @@
 package singleton
 
 import (
+	"strings"
 	"testing"
 	"time"
 
@@ -9,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// register is what the chain keeps: one record that is changed by compare-and-set.
+// register is a replicated register: one record that is changed by compare-and-set.
 type register struct {
 	version uint64
 	record  Record
@@ -23,7 +24,7 @@
 	return true
 }
 
-// mustCommit makes a write and has its candidate know.
+// mustCommit commits a write and has its candidate observe that.
 func mustCommit(t *testing.T, r *register, c *Candidate, now time.Duration, w Write) {
 	t.Helper()
 	require.True(t, r.compareAndSet(w))
@@ -44,14 +45,14 @@
 	w, due := a.NextWrite(now, 0)
 	require.True(t, due)
 	_, due = b.NextWrite(now, 1)
-	assert.False(t, due, "the second one leaves the first some time")
+	assert.False(t, due, "candidates of lower rank come first")
 	mustCommit(t, r, a, now, w)
-	n, holds := a.HoldsLease(now)
+	term, holds := a.HoldsLease(now)
 	assert.True(t, holds)
-	assert.EqualValues(t, 1, n)
+	assert.EqualValues(t, 1, term)
 	w, due = b.NextWrite(now+DefaultTiming.Stagger, 1)
 	require.True(t, due)
-	assert.False(t, r.compareAndSet(w), "its version is gone")
+	assert.False(t, r.compareAndSet(w), "another write was committed")
 
 	for range 20 {
 		now += DefaultTiming.RenewInterval
@@ -70,7 +71,7 @@
 	a, b := New("a", DefaultTiming), New("b", DefaultTiming)
 	a.Observe(now, 0, r.record)
 	w, _ := a.NextWrite(now, 0)
-	mustCommit(t, r, a, now+time.Second, w) // the answer took a second
+	mustCommit(t, r, a, now+time.Second, w) // the response took a second
 	_, holds := a.HoldsLease(now + DefaultTiming.LeaseDuration - 1)
 	assert.True(t, holds)
 	_, holds = a.HoldsLease(now + DefaultTiming.LeaseDuration)
@@ -83,7 +84,7 @@
 	require.True(t, due)
 	mustCommit(t, r, b, now+time.Second+DefaultTiming.TakeoverDelay, w)
 
-	now += time.Minute // a wakes and believes
+	now += time.Minute // a continues, and believes that it holds the lease
 	_, holds = a.HoldsLease(now)
 	assert.False(t, holds)
 	w, due = a.NextWrite(now, 0)
@@ -104,7 +105,7 @@
 	w, due := a.Resign(now, "b")
 	require.True(t, due)
 	_, holds := a.HoldsLease(now)
-	assert.False(t, holds, "its word may be kept at any moment")
+	assert.False(t, holds, "its resignation may be committed at any moment")
 	mustCommit(t, r, a, now, w)
 	b.Observe(now, r.version, r.record)
 	c.Observe(now, r.version, r.record)
@@ -116,8 +117,8 @@
 	_, holds = b.HoldsLease(now)
 	assert.True(t, holds)
 
-	// A successor that never comes holds nothing up for longer than a holder that is gone.
-	w, _ = b.Resign(now, "nobody there")
+	// A successor that is gone delays a takeover no longer than a holder that is gone.
+	w, _ = b.Resign(now, "absent")
 	mustCommit(t, r, b, now, w)
 	c.Observe(now, r.version, r.record)
 	_, due = c.NextWrite(now+DefaultTiming.TakeoverDelay, 0)
@@ -136,7 +137,7 @@
 	_, due := b.NextWrite(now, 0)
 	assert.True(t, due)
 	_, due = a.NextWrite(now+time.Hour, 0)
-	assert.False(t, due, "who left claims no more")
+	assert.False(t, due, "a process that has resigned claims nothing")
 }
 
 func TestLateCommitGrantsLeaseFromItsOwnStart(t *testing.T) {
@@ -149,7 +150,7 @@
 	require.True(t, ok)
 	again, ok := a.Renew(now + 2*time.Second)
 	require.True(t, ok)
-	require.True(t, r.compareAndSet(lost)) // it comes late
+	require.True(t, r.compareAndSet(lost)) // it arrives late
 	assert.False(t, r.compareAndSet(again))
 	a.Observe(now+2*time.Second, r.version, r.record)
 	_, holds := a.HoldsLease(now + time.Second + DefaultTiming.LeaseDuration - 1)
@@ -160,57 +161,64 @@
 
 func TestUnsafeTimingsAreRejected(t *testing.T) {
 	require.NoError(t, DefaultTiming.Validate())
-	for _, bad := range []Timing{{}, {RenewInterval: 1, LeaseDuration: 1, TakeoverDelay: 2}, {RenewInterval: 1, LeaseDuration: 3, TakeoverDelay: 3}, {RenewInterval: 1, LeaseDuration: 2, TakeoverDelay: 3, Stagger: -1}} {
-		assert.Error(t, bad.Validate(), "%+v", bad)
+	for name, timing := range map[string]Timing{
+		"zero":                          {},
+		"lease not longer than renewal": {RenewInterval: 1, LeaseDuration: 1, TakeoverDelay: 2},
+		"takeover within the lease":     {RenewInterval: 1, LeaseDuration: 3, TakeoverDelay: 3},
+		"negative stagger":              {RenewInterval: 1, LeaseDuration: 2, TakeoverDelay: 3, Stagger: -1},
+	} {
+		var invalid *TimingError
+		require.ErrorAs(t, timing.Validate(), &invalid, name)
+		assert.Equal(t, timing, invalid.Timing, name)
 	}
 }
 
-// Whatever happens to a handful of processes, no two hold at once, numbers rise with each holder,
-// and once writes come through there is a holder within a Wait and the stagger.
+// In any history of three processes no two hold the lease at once, each holder has a higher term, and
+// once writes arrive there is a holder within the takeover delay and the stagger.
 func TestRandomHistoryHasExactlyOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := &register{}, start
-		all := []*Candidate{New("a", DefaultTiming), New("b", DefaultTiming), New("c", DefaultTiming)}
-		holder := map[uint64]string{}
+		candidates := []*Candidate{New("a", DefaultTiming), New("b", DefaultTiming), New("c", DefaultTiming)}
+		holderOf := map[uint64]string{}
 		check := func() {
-			n := 0
-			for _, c := range all {
-				if number, holds := c.HoldsLease(now); holds {
-					n++
-					if who, ok := holder[number]; ok && who != c.self {
-						t.Fatalf("%d is held by %s and %s", number, who, c.self)
+			holders := 0
+			for _, c := range candidates {
+				if term, holds := c.HoldsLease(now); holds {
+					holders++
+					if other, ok := holderOf[term]; ok && other != c.self {
+						t.Fatalf("term %d has the holders %s and %s", term, other, c.self)
 					}
-					holder[number] = c.self
+					holderOf[term] = c.self
 				}
 			}
-			if n > 1 {
-				t.Fatalf("%d hold the duty", n)
+			if holders > 1 {
+				t.Fatalf("%d processes hold the lease", holders)
 			}
 		}
-		var late []Write
+		var delayed []Write
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-			i := rapid.IntRange(0, len(all)-1).Draw(t, "who")
-			c := all[i]
-			switch rapid.SampledFrom([]string{"turn", "turn", "turn", "lost", "late", "read", "stamp", "late comes"}).Draw(t, "what") {
-			case "turn":
+			i := rapid.IntRange(0, len(candidates)-1).Draw(t, "process")
+			c := candidates[i]
+			switch rapid.SampledFrom([]string{"write", "write", "write", "response lost", "delay", "read", "renew", "delayed arrive"}).Draw(t, "event") {
+			case "write":
 				if w, due := c.NextWrite(now, i); due && r.compareAndSet(w) {
 					c.Observe(now, r.version, r.record)
 				}
-			case "lost":
+			case "response lost":
 				if w, due := c.NextWrite(now, i); due {
 					r.compareAndSet(w)
 				}
-			case "late":
+			case "delay":
 				if w, due := c.NextWrite(now, i); due {
-					late = append(late, w)
+					delayed = append(delayed, w)
 				}
-			case "late comes":
-				for _, w := range late {
+			case "delayed arrive":
+				for _, w := range delayed {
 					r.compareAndSet(w)
 				}
-				late = nil
-			case "stamp":
+				delayed = nil
+			case "renew":
 				if w, ok := c.Renew(now); ok {
 					r.compareAndSet(w)
 				}
@@ -221,7 +229,7 @@
 		}
 		end := now + DefaultTiming.TakeoverDelay + 3*DefaultTiming.Stagger + DefaultTiming.RenewInterval
 		for ; now < end; now += 50 * time.Millisecond {
-			for i, c := range all {
+			for i, c := range candidates {
 				c.Observe(now, r.version, r.record)
 				if w, due := c.NextWrite(now, i); due && r.compareAndSet(w) {
 					c.Observe(now, r.version, r.record)
@@ -229,18 +237,31 @@
 				check()
 			}
 		}
-		held := 0
-		for _, c := range all {
+		holders := 0
+		for _, c := range candidates {
 			if _, holds := c.HoldsLease(now); holds {
-				held++
+				holders++
 			}
 		}
-		if held != 1 {
-			t.Fatalf("%d hold the duty once all is well: %+v", held, r.record)
+		if holders != 1 {
+			t.Fatalf("%d processes hold the lease once all writes arrive: %+v", holders, r.record)
 		}
 	})
 }
 
+func TestInvalidRecordsAreRejected(t *testing.T) {
+	for name, record := range map[string]Record{
+		"holder without a term":    {Holder: "a"},
+		"successor without a term": {Successor: "a"},
+		"long holder":              {Term: 1, Holder: strings.Repeat("a", maxHolderName+1)},
+		"long successor":           {Term: 1, Successor: strings.Repeat("a", maxHolderName+1)},
+	} {
+		var invalid *RecordError
+		require.ErrorAs(t, record.Validate(), &invalid, name)
+		assert.Equal(t, record, invalid.Record, name)
+	}
+}
+
 func TestFence(t *testing.T) {
 	var f Fence
 	assert.True(t, f.Admit(0))
