--- a/cmd/edgectl/read.go
+++ b/cmd/edgectl/read.go
@@ -226,7 +226,7 @@
 		err = s.show(raw)
 	}
 	if err == nil && rep.Damaged {
-		err = apierror.New(apierror.Corrupted, c.Dir, "start the agent: it sets the file aside and takes a copy from the others", "%s", rep.Why)
+		err = apierror.New(apierror.Corrupted, c.Dir, "start the agent: it sets the file aside and takes a copy from the others", "%s", rep.Reason)
 	}
 	return err
 }
--- a/internal/fleet/chain/chain.go
+++ b/internal/fleet/chain/chain.go
@@ -45,7 +45,7 @@
 	Seq      uint64          `msgpack:"Seq"`
 	Revision int64           `msgpack:"Revision"`
 	Body     []byte          `msgpack:"Body"`            // immutable
-	Past     []AppliedUpdate `msgpack:"Past"`            // the last MaxRecentUpdates taken, oldest first; immutable
+	Recent   []AppliedUpdate `msgpack:"Past"`            // the last MaxRecentUpdates taken, oldest first; immutable
 	Older    []byte          `msgpack:"Older,omitempty"` // up to MaxOlderUpdates taken before those, encoded; immutable
 }
 
@@ -58,7 +58,7 @@
 	binary.BigEndian.PutUint64(n[8:], uint64(v.Revision))
 	h.Write(n[:])
 	h.Write(v.Body)
-	for _, p := range v.Past {
+	for _, p := range v.Recent {
 		h.Write(p.Digest[:])
 	}
 	return binary.BigEndian.Uint64(h.Sum(nil))
@@ -122,7 +122,7 @@
 
 // Result answers an order.
 type Result struct {
-	Kind     Outcome `msgpack:"Kind"`
+	Outcome  Outcome `msgpack:"Kind"`
 	Revision int64   `msgpack:"Revision"` // Taken: the one it led to; Conflict: the current one
 	Reason   string  `msgpack:"Reason"`   // Invalid: what is wrong; Unclear: what failed
 	Final    bool    `msgpack:"Final"`    // Unclear: the same order gets the same answer again, at any process
@@ -137,23 +137,23 @@
 func Apply(cur *Value, o *Update, check Transition) (next *Value, v Result, final bool) {
 	d := o.Digest()
 	if rev, ok := cur.RevisionOf(d); ok {
-		return nil, Result{Kind: OutcomeCommitted, Revision: rev}, true
+		return nil, Result{Outcome: OutcomeCommitted, Revision: rev}, true
 	}
 	if o.IfMatch != cur.Revision {
 		if cur.mayHaveTaken(o.IfMatch) {
 			return nil, Result{Reason: unknownOrder, Final: true}, true
 		}
-		return nil, Result{Kind: OutcomeConflict, Revision: cur.Revision}, true
+		return nil, Result{Outcome: OutcomeConflict, Revision: cur.Revision}, true
 	}
 	body, rev, err := check(cur.Body, o)
 	if err == nil && (len(body) > MaxBody || rev <= cur.Revision) {
 		err = errors.Errorf("revision: give one above %d, and a configuration of at most %d bytes", cur.Revision, MaxBody)
 	}
 	if err != nil {
-		return nil, Result{Kind: OutcomeInvalid, Revision: cur.Revision, Reason: err.Error()}, true
+		return nil, Result{Outcome: OutcomeInvalid, Revision: cur.Revision, Reason: err.Error()}, true
 	}
 	past, older := cur.remember(AppliedUpdate{d, rev})
-	return &Value{Seq: cur.Seq + 1, Revision: rev, Body: body, Past: past, Older: older}, Result{Kind: OutcomeCommitted, Revision: rev}, false
+	return &Value{Seq: cur.Seq + 1, Revision: rev, Body: body, Recent: past, Older: older}, Result{Outcome: OutcomeCommitted, Revision: rev}, false
 }
 
 // Replica is one member's part in the chain: what is on its disk. A change counts once it is there.
@@ -166,7 +166,7 @@
 // Complete tells whether the member holds all that was acknowledged.
 func (r *Replica) Complete() bool {
 	i := r.View.Position(r.ID)
-	return i >= 0 && (r.View.Chain[i].Since == 1 || r.Record.View >= r.View.Chain[i].Since)
+	return i >= 0 && (r.View.Chain[i].JoinedIn == 1 || r.Record.View >= r.View.Chain[i].JoinedIn)
 }
 
 // IsHead tells whether the member orders what is written.
--- a/internal/fleet/chain/past.go
+++ b/internal/fleet/chain/past.go
@@ -38,10 +38,10 @@
 // revision is than that of the order after it.
 func (v *Value) older() iter.Seq[olderOrder] {
 	return func(yield func(olderOrder) bool) {
-		if len(v.Past) == 0 {
+		if len(v.Recent) == 0 {
 			return
 		}
-		revision := v.Past[0].Revision
+		revision := v.Recent[0].Revision
 		for at := 0; at+olderDigest < len(v.Older); {
 			digest := v.Older[at : at+olderDigest]
 			step, size := binary.Uvarint(v.Older[at+olderDigest:])
@@ -59,7 +59,7 @@
 
 // RevisionOf tells the revision that an order led to, if it is one of those remembered.
 func (v *Value) RevisionOf(d Digest) (revision int64, ok bool) {
-	for _, p := range v.Past {
+	for _, p := range v.Recent {
 		if p.Digest == d {
 			return p.Revision, true
 		}
@@ -76,10 +76,10 @@
 // order leads to a higher revision than the one it builds on, so a forgotten one builds on a lower
 // revision than the oldest remembered order led to.
 func (v *Value) mayHaveTaken(ifMatch int64) bool {
-	if len(v.Past) == 0 {
+	if len(v.Recent) == 0 {
 		return v.Seq > 0
 	}
-	remembered, oldest := len(v.Past), v.Past[0].Revision
+	remembered, oldest := len(v.Recent), v.Recent[0].Revision
 	for o := range v.older() {
 		remembered++
 		oldest = o.revision
@@ -89,7 +89,7 @@
 
 // remember gives the memory of the value after v, which is the one that an order led to.
 func (v *Value) remember(taken AppliedUpdate) (past []AppliedUpdate, older []byte) {
-	past = append(append(past, v.Past...), taken)
+	past = append(append(past, v.Recent...), taken)
 	if len(past) <= MaxRecentUpdates {
 		return past, v.Older
 	}
@@ -108,16 +108,16 @@
 
 // checkMemory refuses a memory that no head can have made.
 func (v *Value) checkMemory() error {
-	if len(v.Past) > MaxRecentUpdates || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Past) == 0) {
-		return errors.Errorf("value %d remembers %d orders and %d bytes of older ones", v.Seq, len(v.Past), len(v.Older))
+	if len(v.Recent) > MaxRecentUpdates || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Recent) == 0) {
+		return errors.Errorf("value %d remembers %d orders and %d bytes of older ones", v.Seq, len(v.Recent), len(v.Older))
 	}
 	entries, end := 0, 0
 	for o := range v.older() {
 		entries++
 		end = o.end
 	}
-	if end != len(v.Older) || entries > MaxOlderUpdates || uint64(len(v.Past)+entries) > v.Seq {
-		return errors.Errorf("value %d remembers %d orders and %d older ones in %d of %d bytes", v.Seq, len(v.Past), entries, end, len(v.Older))
+	if end != len(v.Older) || entries > MaxOlderUpdates || uint64(len(v.Recent)+entries) > v.Seq {
+		return errors.Errorf("value %d remembers %d orders and %d older ones in %d of %d bytes", v.Seq, len(v.Recent), entries, end, len(v.Older))
 	}
 	return nil
 }
--- a/internal/fleet/chain/past_test.go
+++ b/internal/fleet/chain/past_test.go
@@ -22,7 +22,7 @@
 	for range n {
 		next, verdict, final := chain.Apply(value, orderOf(value.Revision, value.Revision+10), check)
 		require.False(t, final)
-		require.Equal(t, chain.OutcomeCommitted, verdict.Kind)
+		require.Equal(t, chain.OutcomeCommitted, verdict.Outcome)
 		require.NoError(t, next.Validate())
 		value = next
 	}
@@ -44,10 +44,10 @@
 			require.True(t, final)
 			require.Nil(t, next)
 			if age < chain.MaxRecentUpdates+chain.MaxOlderUpdates {
-				require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision}, verdict, "%d changes since", age)
+				require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision}, verdict, "%d changes since", age)
 				continue
 			}
-			require.Equal(t, chain.OutcomeUnknown, verdict.Kind, "%d changes since", age)
+			require.Equal(t, chain.OutcomeUnknown, verdict.Outcome, "%d changes since", age)
 			require.True(t, verdict.Final)
 			require.Contains(t, verdict.Reason, "read the configuration")
 		}
@@ -59,7 +59,7 @@
 	t.Parallel()
 	value := grow(t, &chain.Value{}, 5)
 	_, verdict, _ := chain.Apply(value, orderOf(0, 7), check)
-	require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: 50}, verdict, "no order is forgotten")
+	require.Equal(t, chain.Result{Outcome: chain.OutcomeConflict, Revision: 50}, verdict, "no order is forgotten")
 
 	value = grow(t, value, chain.MaxRecentUpdates+chain.MaxOlderUpdates)
 	oldest := value.Revision - 10*int64(chain.MaxRecentUpdates+chain.MaxOlderUpdates-1) // what the oldest remembered order led to
@@ -67,7 +67,7 @@
 		oldest - 10: chain.OutcomeUnknown, oldest - 1: chain.OutcomeUnknown, oldest: chain.OutcomeConflict, oldest + 10: chain.OutcomeConflict,
 		value.Revision - 1: chain.OutcomeConflict, value.Revision + 1: chain.OutcomeConflict} {
 		_, verdict, _ := chain.Apply(value, orderOf(ifMatch, value.Revision+99), check)
-		require.Equal(t, want, verdict.Kind, "on revision %d of %d", ifMatch, value.Revision)
+		require.Equal(t, want, verdict.Outcome, "on revision %d of %d", ifMatch, value.Revision)
 	}
 }
 
@@ -109,7 +109,7 @@
 		} {
 			_, verdict, final := chain.Apply(next, &c.order, whole)
 			require.True(t, final)
-			require.Equal(t, c.want, verdict.Kind, c.name)
+			require.Equal(t, c.want, verdict.Outcome, c.name)
 			require.EqualValues(t, 20, verdict.Revision, c.name)
 		}
 	}
@@ -143,9 +143,9 @@
 	require.NoError(t, read.Validate())
 	require.Equal(t, value.Checksum(), read.Checksum(), "copies with and without the older memory count as the same")
 	require.Empty(t, read.Older)
-	forgotten := read.Past[0].Revision - 10
+	forgotten := read.Recent[0].Revision - 10
 	_, verdict, _ := chain.Apply(&read, orderOf(forgotten-10, forgotten), check)
-	require.Equal(t, chain.OutcomeUnknown, verdict.Kind, "what is dropped is not refused")
+	require.Equal(t, chain.OutcomeUnknown, verdict.Outcome, "what is dropped is not refused")
 
 	read = *grow(t, &read, chain.MaxRecentUpdates+1)
 	revision, took := read.RevisionOf(orderOf(former.Past[0].Revision-10, former.Past[0].Revision).Digest())
@@ -162,14 +162,14 @@
 		"too many entries": func(v *chain.Value) { v.Older = bytes.Repeat(v.Older, 1+chain.MaxOlderUpdates/chain.MaxRecentUpdates) },
 		"more than taken":  func(v *chain.Value) { v.Seq = chain.MaxRecentUpdates },
 		"not rising":       func(v *chain.Value) { v.Older = append(bytes.Clone(v.Older[:8]), 0) },
-		"below zero":       func(v *chain.Value) { v.Past = v.Past[:1]; v.Past[0].Revision = 1 },
-		"without the last": func(v *chain.Value) { v.Past = nil },
+		"below zero":       func(v *chain.Value) { v.Recent = v.Recent[:1]; v.Recent[0].Revision = 1 },
+		"without the last": func(v *chain.Value) { v.Recent = nil },
 		"too many": func(v *chain.Value) {
-			v.Past = append(v.Past[:chain.MaxRecentUpdates:chain.MaxRecentUpdates], v.Past[0])
+			v.Recent = append(v.Recent[:chain.MaxRecentUpdates:chain.MaxRecentUpdates], v.Recent[0])
 		},
 	} {
 		spoiled := value
-		spoiled.Past = append([]chain.AppliedUpdate(nil), value.Past...)
+		spoiled.Recent = append([]chain.AppliedUpdate(nil), value.Recent...)
 		spoil(&spoiled)
 		require.Error(t, spoiled.Validate(), name)
 	}
--- a/internal/fleet/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -15,7 +15,7 @@
 	for i, id := range []string{"a", "b", "c"} {
 		p := view.Peer{ID: id, Addr: id + ":1", Disk: true}
 		v.Voters = append(v.Voters, p)
-		v.Chain = append(v.Chain, view.Member{Peer: p, Since: []uint64{1, 1, 4}[i]})
+		v.Chain = append(v.Chain, view.Member{Peer: p, JoinedIn: []uint64{1, 1, 4}[i]})
 	}
 	return v
 }
--- a/internal/fleet/chain/sim_test.go
+++ b/internal/fleet/chain/sim_test.go
@@ -476,11 +476,11 @@
 	o := c.order
 	next, verdict, final := chain.Apply(&b.record.Value, o, check)
 	if final {
-		if verdict.Kind == chain.OutcomeCommitted {
+		if verdict.Outcome == chain.OutcomeCommitted {
 			s.taken(c, o, 0)
 			return
 		}
-		if verdict.Kind == chain.OutcomeUnknown && s.defect != forgetPast { // the client reads, and gives this order up
+		if verdict.Outcome == chain.OutcomeUnknown && s.defect != forgetPast { // the client reads, and gives this order up
 			s.finish(c, o, b.record.Value.Revision)
 			return
 		}
@@ -492,7 +492,7 @@
 		s.ask(b, a)
 		return
 	}
-	next.Past = next.Past[max(0, len(next.Past)-s.style.memory):]
+	next.Recent = next.Recent[max(0, len(next.Recent)-s.style.memory):]
 	if !s.write(b, func() { b.record = chain.Record{View: b.view.Number, Value: *next} }) {
 		return
 	}
@@ -623,7 +623,7 @@
 		}
 	}
 	b.rounds++
-	b.proposal = view.NewProposal(v, view.ProposalNumber{Round: b.rounds, By: fmt.Sprint(b.id, "/", b.life)}, next)
+	b.proposal = view.NewProposal(v, view.ProposalNumber{Round: b.rounds, Proposer: fmt.Sprint(b.id, "/", b.life)}, next)
 	for _, to := range v.Voters {
 		s.send(b, to, prepare{b.proposal})
 	}
@@ -633,7 +633,7 @@
 func (s *sim) whole(v view.View, l view.Member) bool {
 	for _, b := range s.boxes {
 		if r := s.replica(b); b.id == l.ID && b.up {
-			return l.Since == 1 || b.view.Number == v.Number && r.Complete()
+			return l.JoinedIn == 1 || b.view.Number == v.Number && r.Complete()
 		}
 	}
 	return false
@@ -751,7 +751,7 @@
 func (s *sim) end() error {
 	in := map[chain.Digest]bool{}
 	for _, v := range s.committed {
-		for _, p := range v.Past {
+		for _, p := range v.Recent {
 			in[p.Digest] = true
 		}
 	}
@@ -836,7 +836,7 @@
 // change has a machine propose a next view, and all take part that are there.
 func (s *sim) change(b *box, next view.View) {
 	b.rounds++
-	b.proposal = view.NewProposal(b.view, view.ProposalNumber{Round: b.rounds, By: b.id}, &next)
+	b.proposal = view.NewProposal(b.view, view.ProposalNumber{Round: b.rounds, Proposer: b.id}, &next)
 	for _, to := range b.view.Voters {
 		s.send(b, to, prepare{b.proposal})
 	}
--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -49,7 +49,7 @@
 		return m.prepareFirstView(request), nil
 	}
 	return m.castVote(ctx, request.To, &prepare.Base, func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response) {
-		return vote.Prepare(instance, prepare.Ballot)
+		return vote.Prepare(instance, prepare.Number)
 	})
 }
 
@@ -66,14 +66,14 @@
 		return m.acceptFirstView(request), nil
 	}
 	return m.castVote(ctx, request.To, &accept.Base, func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response) {
-		return vote.Accept(instance, accept.Ballot, accept.View)
+		return vote.Accept(instance, accept.Number, accept.View)
 	})
 }
 
 // castVote votes on the view after base. A base that is newer than the learned view is learned first.
 func (m *Member) castVote(ctx context.Context, to string, base *view.View, cast voteTransition) (*view.Response, error) {
 	if to != m.self.ID {
-		return &view.Response{Refused: otherDiskReason(m.self.ID)}, nil
+		return &view.Response{RejectReason: otherDiskReason(m.self.ID)}, nil
 	}
 	if err := base.Validate(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		return &view.Response{Newer: &learned}, nil
 	}
 	if !m.views.isVoter(m.self.ID) {
-		return &view.Response{Refused: "no voter of this view"}, nil
+		return &view.Response{RejectReason: "no voter of this view"}, nil
 	}
 	vote, answer := cast(m.acceptor.vote, base.Number+1)
 	if !answer.OK {
--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -24,7 +24,7 @@
 	commit := func() {
 		body := append([]byte(strconv.FormatInt(revision+1, 10)), bytes.Repeat([]byte{' '}, 20<<10)...)
 		result := client.member.Submit(b.Context(), &chain.Update{IfMatch: revision, Body: body})
-		require.Equal(b, chain.OutcomeCommitted, result.Kind, result.Reason)
+		require.Equal(b, chain.OutcomeCommitted, result.Outcome, result.Reason)
 		revision++
 	}
 	client.waitUntil("the first view", client.knowsView)
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -120,7 +120,7 @@
 		return &view.Response{Newer: newest}
 	}
 	if !m.bootstrap.isAcceptor(base) || to != m.self.Addr {
-		return &view.Response{Refused: "no seed of a first start with these seeds"}
+		return &view.Response{RejectReason: "no seed of a first start with these seeds"}
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Prepare(firstView, request.Q.Ballot)
+	vote, answer := m.bootstrap.vote.Prepare(firstView, request.Q.Number)
 	m.bootstrap.vote = vote
 	return &answer
 }
@@ -144,7 +144,7 @@
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Accept(firstView, request.Q.Ballot, request.Q.View)
+	vote, answer := m.bootstrap.vote.Accept(firstView, request.Q.Number, request.Q.View)
 	m.bootstrap.vote = vote
 	return &answer
 }
@@ -229,7 +229,7 @@
 	if !due || !ok {
 		return
 	}
-	ballot := view.ProposalNumber{Round: round, By: m.self.Addr + "/" + m.incarnation}
+	ballot := view.ProposalNumber{Round: round, Proposer: m.self.Addr + "/" + m.incarnation}
 	proposal := view.NewProposal(bootstrapBase(m.bootstrap.seeds), ballot, &first)
 	switch m.runProposal(ctx, proposal) {
 	case view.Decided, view.Superseded:
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -25,7 +25,7 @@
 // is the same change.
 func (m *Member) Submit(ctx context.Context, order *chain.Update) chain.Result {
 	if len(order.Body) > chain.MaxBody {
-		return chain.Result{Kind: chain.OutcomeInvalid, Reason: "the configuration is too large"}
+		return chain.Result{Outcome: chain.OutcomeInvalid, Reason: "the configuration is too large"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
@@ -52,7 +52,7 @@
 	verdict := response.Verdict
 	return attemptResult[chain.Result]{
 		value: verdict,
-		final: verdict.Kind != chain.OutcomeUnknown || verdict.Final,
+		final: verdict.Outcome != chain.OutcomeUnknown || verdict.Final,
 		newer: response.Newer,
 	}
 }
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -291,7 +291,7 @@
 	cluster := newTestCluster(t, withDisk, diskless)
 	cluster.startAll(true)
 	last := cluster.nodes[len(cluster.nodes)-1]
-	require.Equal(t, chain.OutcomeCommitted, last.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, last.submitRevision(0, 1).Outcome)
 	for _, node := range cluster.nodes[:withDisk] {
 		node.waitUntil("in contact with a majority", node.member.HasQuorum)
 	}
@@ -340,7 +340,7 @@
 	defer cancel()
 	for {
 		result := node.member.Submit(ctx, update)
-		if result.Kind != chain.OutcomeUnknown || ctx.Err() != nil {
+		if result.Outcome != chain.OutcomeUnknown || ctx.Err() != nil {
 			return result
 		}
 	}
@@ -350,7 +350,7 @@
 func (node *testNode) submitInTime(ifMatch, revision int64) {
 	node.tb.Helper()
 	begun := time.Now()
-	require.Equal(node.tb, chain.OutcomeCommitted, node.submitRevision(ifMatch, revision).Kind)
+	require.Equal(node.tb, chain.OutcomeCommitted, node.submitRevision(ifMatch, revision).Outcome)
 	took := time.Since(begun)
 	node.tb.Logf("committed after %v", took)
 	require.Less(node.tb, took, faultUpdateLimit)
@@ -406,12 +406,12 @@
 
 // prepare asks a node, as the owner of a disk, for a promise.
 func (node *testNode) prepare(ctx context.Context, disk string, base view.View, number view.ProposalNumber) (*view.Response, error) {
-	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Q: view.PrepareRequest{Base: base, Ballot: number}})
+	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Q: view.PrepareRequest{Base: base, Number: number}})
 }
 
 // accept asks a node, as the owner of a disk, to accept a view.
 func (node *testNode) accept(ctx context.Context, disk string, base view.View, number view.ProposalNumber, next view.View) (*view.Response, error) {
-	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Q: view.AcceptRequest{Base: base, Ballot: number, View: next}})
+	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Q: view.AcceptRequest{Base: base, Number: number, View: next}})
 }
 
 // push pushes a value to a node, as the owner of a disk.
--- a/internal/fleet/controlplane/diskmonitor.go
+++ b/internal/fleet/controlplane/diskmonitor.go
@@ -40,11 +40,11 @@
 
 // begin starts the check that is due. Without a file there is nothing to sweep.
 func (d *diskMonitor) begin(health store.Health, hasFile bool, now time.Time) diskCheck {
-	if d.busy || health.Oldest > 0 {
+	if d.busy || health.OldestPending > 0 {
 		return noDiskCheck
 	}
 	switch {
-	case (health.Failing > 0 || !health.Good) && now.Sub(d.lastProbe) >= diskProbeInterval:
+	case (health.FailingFor > 0 || !health.Written) && now.Sub(d.lastProbe) >= diskProbeInterval:
 		d.busy, d.lastProbe = true, now
 		return probeDisk
 	case hasFile && now.Sub(d.lastSweep) >= diskSweepInterval:
@@ -99,8 +99,8 @@
 // have taken a write since the start.
 func (m *Member) diskUnhealthyLocked(now time.Time) bool {
 	health := m.disk.Health(now)
-	if health.Oldest > diskStallLimit || health.Failing > 0 {
+	if health.OldestPending > diskStallLimit || health.FailingFor > 0 {
 		return true
 	}
-	return !health.Good && m.views.learned.Position(m.self.ID) < 0
+	return !health.Written && m.views.learned.Position(m.self.ID) < 0
 }
--- a/internal/fleet/controlplane/diskmonitor_test.go
+++ b/internal/fleet/controlplane/diskmonitor_test.go
@@ -11,8 +11,8 @@
 
 func TestDiskMonitorBegin(t *testing.T) {
 	t.Parallel()
-	healthy := store.Health{Good: true}
-	failing := store.Health{Good: true, Failing: time.Second}
+	healthy := store.Health{Written: true}
+	failing := store.Health{Written: true, FailingFor: time.Second}
 	for _, test := range []struct {
 		name    string
 		before  diskMonitor
@@ -28,7 +28,7 @@
 		{"a disk without a write", diskMonitor{}, store.Health{}, true, probeDisk},
 		{"a failing disk that was probed", diskMonitor{lastProbe: start.Add(1 - diskProbeInterval), lastSweep: start}, failing, true, noDiskCheck},
 		{"a check is under way", diskMonitor{busy: true}, failing, true, noDiskCheck},
-		{"an operation is under way", diskMonitor{}, store.Health{Failing: time.Second, Oldest: 1}, true, noDiskCheck},
+		{"an operation is under way", diskMonitor{}, store.Health{FailingFor: time.Second, OldestPending: 1}, true, noDiskCheck},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/controlplane/faults_test.go
+++ b/internal/fleet/controlplane/faults_test.go
@@ -24,7 +24,7 @@
 			client.submitInTime(1, 2)
 			ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 			defer cancel()
-			require.Equal(t, chain.OutcomeUnknown, head.member.Submit(ctx, revisionUpdate(1, 7)).Kind)
+			require.Equal(t, chain.OutcomeUnknown, head.member.Submit(ctx, revisionUpdate(1, 7)).Outcome)
 			_, err := head.member.Read(ctx)
 			require.Error(t, err)
 			cluster.setIsolated(head, false, bothWays)
@@ -98,7 +98,7 @@
 			wiped.dir = stateDir(t)
 			cluster.startAll(false)
 			require.Equal(t, int64(2), client.read().Revision)
-			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(2, 3).Kind)
+			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(2, 3).Outcome)
 			cluster.awaitFullChain(client)
 		})
 	}
@@ -130,7 +130,7 @@
 		node.kill()
 		begun := time.Now()
 		revision := client.read().Revision
-		require.Equal(t, chain.OutcomeCommitted, client.submitRevision(revision, revision+1).Kind)
+		require.Equal(t, chain.OutcomeCommitted, client.submitRevision(revision, revision+1).Outcome)
 		require.Less(t, time.Since(begun), 400*time.Millisecond)
 		cluster.start(node, false)
 		cluster.awaitFullChain(client)
@@ -142,9 +142,9 @@
 	cluster := newTestCluster(t, 0, 5)
 	cluster.startAll(true)
 	client := cluster.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	current, _ := client.member.View()
-	require.True(t, current.Memory)
+	require.True(t, current.InMemory)
 	require.Len(t, current.Voters, 5)
 	lost := cluster.nodes[0]
 	lost.kill()
@@ -168,7 +168,7 @@
 			}
 			cluster.startAll(false)
 			require.Equal(t, int64(1), client.read().Revision)
-			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+			require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 		})
 	}
 }
@@ -184,7 +184,7 @@
 					cluster.start(node, true)
 				}
 			}
-			require.Equal(t, chain.OutcomeCommitted, cluster.nodes[5].submitRevision(0, 1).Kind)
+			require.Equal(t, chain.OutcomeCommitted, cluster.nodes[5].submitRevision(0, 1).Outcome)
 			lost := cluster.nodes[seed]
 			cluster.start(lost, false) // as a process that is started again
 			lost.waitUntil("it joins later", lost.member.IsVoter)
@@ -198,7 +198,7 @@
 	cluster.startAll(false)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*bootstrapDisklessDelay)
 	defer cancel()
-	require.Equal(t, chain.OutcomeUnknown, cluster.nodes[3].member.Submit(ctx, revisionUpdate(0, 1)).Kind)
+	require.Equal(t, chain.OutcomeUnknown, cluster.nodes[3].member.Submit(ctx, revisionUpdate(0, 1)).Outcome)
 	<-ctx.Done()
 	for _, node := range cluster.nodes {
 		require.False(t, node.knowsView())
--- a/internal/fleet/controlplane/faultydisk_test.go
+++ b/internal/fleet/controlplane/faultydisk_test.go
@@ -55,10 +55,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.failingSince.IsZero() {
-		health.Failing = max(1, now.Sub(d.failingSince))
+		health.FailingFor = max(1, now.Sub(d.failingSince))
 	}
 	if !d.stalledSince.IsZero() {
-		health.Oldest = now.Sub(d.stalledSince)
+		health.OldestPending = now.Sub(d.stalledSince)
 	}
 	return health
 }
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -130,7 +130,7 @@
 	cluster.machineLosses = 0
 	cluster.startAll(true)
 	initial, client := cluster.nodes[0], cluster.nodes[1]
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	successor := cluster.addNode()
 	initial.waitUntil("it knows the joining node", func() bool { return len(initial.member.Status().Peers) > 0 })
 	initial.awaitHandover(initial.startHandover())
@@ -160,9 +160,9 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), faultUpdateLimit)
 	defer cancel()
-	require.Equal(t, chain.OutcomeUnknown, node.member.Submit(ctx, update).Kind)
+	require.Equal(t, chain.OutcomeUnknown, node.member.Submit(ctx, update).Outcome)
 	stale := node.member.Submit(ctx, revisionUpdate(0, 9))
-	require.Equal(t, chain.OutcomeUnknown, stale.Kind, "a rejection needs a majority too")
+	require.Equal(t, chain.OutcomeUnknown, stale.Outcome, "a rejection needs a majority too")
 	_, err := node.member.Read(ctx)
 	require.Error(t, err)
 }
@@ -186,11 +186,11 @@
 	cluster.setPartitioned(voters[:2], voters[2:], false)
 	// One of the four updates at most takes effect, before the next one or in its place.
 	result := client.submitRevision(1, 20)
-	if result.Kind == chain.OutcomeConflict {
+	if result.Outcome == chain.OutcomeConflict {
 		require.Contains(t, []int64{2, 3, 4, 5}, client.read().Revision)
 		result = client.submitRevision(client.read().Revision, 20)
 	}
-	require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: 20}, result)
+	require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: 20}, result)
 	for _, node := range cluster.nodes {
 		require.Equal(t, int64(20), node.read().Revision)
 	}
@@ -232,7 +232,7 @@
 		byZone[node.zone] = append(byZone[node.zone], node)
 	}
 	cluster.startAll(true)
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	for i, zone := range []string{"a", "b", "c", "a"} {
 		awaitCompleteOrStandby(voters)
 		for _, node := range byZone[zone] {
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -150,7 +150,7 @@
 // confirmVerdict answers a change that makes no new value. A refusal is final, so the value on which
 // it rests must be the newest of all: a majority of the voters has to confirm the view.
 func (m *Member) confirmVerdict(ctx context.Context, result applied) submitResponse {
-	if result.verdict.Kind == chain.OutcomeCommitted || result.verdict.Kind == chain.OutcomeUnknown {
+	if result.verdict.Outcome == chain.OutcomeCommitted || result.verdict.Outcome == chain.OutcomeUnknown {
 		return submitResponse{Verdict: result.verdict}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
--- a/internal/fleet/controlplane/heartbeat.go
+++ b/internal/fleet/controlplane/heartbeat.go
@@ -74,7 +74,7 @@
 	if m.views.isVoter(m.self.ID) {
 		return false
 	}
-	return m.self.Disk || m.views.learned.Memory
+	return m.self.Disk || m.views.learned.InMemory
 }
 
 // heartbeatIntervalLocked is the time between two heartbeats to a voter; 0: none are sent.
--- a/internal/fleet/controlplane/linearizability_test.go
+++ b/internal/fleet/controlplane/linearizability_test.go
@@ -150,10 +150,10 @@
 	update := revisionUpdate(input.ifMatch, input.revision)
 	called := o.now()
 	result := o.resubmit(i, update, o.submit(i, update))
-	if result.Kind == chain.OutcomeCommitted || result.Kind == chain.OutcomeConflict {
+	if result.Outcome == chain.OutcomeCommitted || result.Outcome == chain.OutcomeConflict {
 		o.revision = result.Revision
 	}
-	o.record(o.index, called, input, registerOutput{result.Kind, result.Revision})
+	o.record(o.index, called, input, registerOutput{result.Outcome, result.Revision})
 }
 
 func (o *operator) submit(i int, update *chain.Update) chain.Result {
@@ -167,7 +167,7 @@
 func (o *operator) resubmit(i int, update *chain.Update, first chain.Result) chain.Result {
 	result := first
 	for attempt := 1; attempt <= maxResubmissions; attempt++ {
-		if result.Kind == chain.OutcomeUnknown {
+		if result.Outcome == chain.OutcomeUnknown {
 			result = o.submit(i+attempt, update)
 			o.repeatedUnclear.Add(1)
 			continue
@@ -176,11 +176,11 @@
 			break
 		}
 		repeated := o.submit(i+attempt, update)
-		if repeated.Kind == chain.OutcomeUnknown {
+		if repeated.Outcome == chain.OutcomeUnknown {
 			continue
 		}
-		assert.Equal(o.tb, result.Kind, repeated.Kind, "a repeated update gets another answer")
-		if result.Kind == chain.OutcomeCommitted { // a conflict names the newest revision
+		assert.Equal(o.tb, result.Outcome, repeated.Outcome, "a repeated update gets another answer")
+		if result.Outcome == chain.OutcomeCommitted { // a conflict names the newest revision
 			assert.Equal(o.tb, result.Revision, repeated.Revision)
 		}
 		o.repeatedClear.Add(1)
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -98,9 +98,9 @@
 		return nil, err
 	}
 	if report.Damaged {
-		logevent.StateFileCorrupted.Log("why", report.Why)
-	} else if report.Torn > 0 {
-		logevent.TornWriteTruncated.Log("bytes", report.Torn)
+		logevent.StateFileCorrupted.Log("why", report.Reason)
+	} else if report.TornBytes > 0 {
+		logevent.TornWriteTruncated.Log("bytes", report.TornBytes)
 	}
 	return opened, nil
 }
--- a/internal/fleet/controlplane/member_test.go
+++ b/internal/fleet/controlplane/member_test.go
@@ -40,13 +40,13 @@
 	revision := int64(0)
 	for i, node := range cluster.nodes {
 		next := int64(10 * (i + 1))
-		committed := chain.Result{Kind: chain.OutcomeCommitted, Revision: next}
+		committed := chain.Result{Outcome: chain.OutcomeCommitted, Revision: next}
 		require.Equal(t, committed, node.submitRevision(revision, next))
 		require.Equal(t, committed, cluster.nodes[0].submitRevision(revision, next), "the same again")
-		require.Equal(t, chain.OutcomeConflict, node.submitRevision(revision, next+5).Kind)
+		require.Equal(t, chain.OutcomeConflict, node.submitRevision(revision, next+5).Outcome)
 		revision = next
 	}
-	require.Equal(t, chain.OutcomeInvalid, cluster.nodes[5].submitRevision(revision, 3).Kind)
+	require.Equal(t, chain.OutcomeInvalid, cluster.nodes[5].submitRevision(revision, 3).Outcome)
 	for _, node := range cluster.nodes {
 		require.Equal(t, revision, node.read().Revision)
 	}
@@ -57,16 +57,16 @@
 	cluster := newTestCluster(t, 4, 1)
 	cluster.startAll(true)
 	client := cluster.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	current, _ := client.member.View()
 	head := cluster.nodeAt(current.Head().Addr)
 	head.kill()
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 	require.Equal(t, int64(2), client.read().Revision)
 	client.waitUntil("the head is left out", func() bool { return client.chainLength() == 3 })
 	cluster.start(head, false)
 	head.waitUntil("the chain is complete again", func() bool { return head.chainLength() == 4 })
-	require.Equal(t, chain.OutcomeCommitted, head.submitRevision(2, 3).Kind)
+	require.Equal(t, chain.OutcomeCommitted, head.submitRevision(2, 3).Outcome)
 	head.waitUntil("the value comes", func() bool { return head.hasRevision(3) })
 }
 
@@ -75,7 +75,7 @@
 	cluster := newTestCluster(t, 4, 1)
 	cluster.startAll(true)
 	client := cluster.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	node := cluster.nodes[1]
 	formerID := node.member.Status().ID
 	node.kill()
@@ -83,5 +83,5 @@
 	cluster.start(node, false)
 	require.NotEqual(t, formerID, node.member.Status().ID)
 	node.waitUntil("it votes and is in the chain", func() bool { return node.isMemberOf(4, 4) })
-	require.Equal(t, chain.OutcomeCommitted, node.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, node.submitRevision(1, 2).Outcome)
 }
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -209,6 +209,6 @@
 	if position < 0 {
 		return false
 	}
-	since := current.Chain[position].Since
+	since := current.Chain[position].JoinedIn
 	return since == 1 || received.Complete && received.View >= since && received.View <= current.Number
 }
--- a/internal/fleet/controlplane/proposer.go
+++ b/internal/fleet/controlplane/proposer.go
@@ -56,7 +56,7 @@
 func (p *proposer) begin(instance uint64) view.ProposalNumber {
 	p.active = true
 	p.rounds[instance]++
-	return view.ProposalNumber{Round: p.rounds[instance], By: p.name}
+	return view.ProposalNumber{Round: p.rounds[instance], Proposer: p.name}
 }
 
 // end ends a proposal whose outcome is known.
--- a/internal/fleet/controlplane/proposer_test.go
+++ b/internal/fleet/controlplane/proposer_test.go
@@ -49,14 +49,14 @@
 	t.Parallel()
 	state := newProposer("a/1")
 	first := state.begin(4)
-	require.Equal(t, view.ProposalNumber{Round: 1, By: "a/1"}, first)
+	require.Equal(t, view.ProposalNumber{Round: 1, Proposer: "a/1"}, first)
 	state.endUndecided(4, 3, 7, start)
 	second := state.begin(4)
-	require.Equal(t, view.ProposalNumber{Round: 8, By: "a/1"}, second, "above the round that was met")
+	require.Equal(t, view.ProposalNumber{Round: 8, Proposer: "a/1"}, second, "above the round that was met")
 	state.end()
 	state.learned(4)
 	require.Empty(t, state.rounds)
-	require.Equal(t, view.ProposalNumber{Round: 1, By: "a/1"}, state.begin(5), "each view has rounds of its own")
+	require.Equal(t, view.ProposalNumber{Round: 1, Proposer: "a/1"}, state.begin(5), "each view has rounds of its own")
 }
 
 func TestProposerIgnoresRoundsOfLearnedViews(t *testing.T) {
--- a/internal/fleet/controlplane/safety_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -95,7 +95,7 @@
 		current, _ := client.member.View()
 		return current.Position(node.id()) < 0
 	})
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 	replica := node.member.replica()
 	require.EqualValues(t, 1, replica.Record.Value.Revision, "it did not learn")
 	require.Equal(t, number, replica.View.Number, "it did not learn")
@@ -131,7 +131,7 @@
 	} {
 		answer, err := head.member.handleSubmit(contextFor(t, time.Second), update)
 		if err == nil {
-			require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind, name)
+			require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Outcome, name)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	cluster.setIsolated(head, true, true)
 	answer, err := head.member.handleSubmit(contextFor(t, time.Second), revisionUpdate(1, 2))
 	if err == nil {
-		require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Kind)
+		require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Outcome)
 	}
 }
 
@@ -173,7 +173,7 @@
 	t.Parallel()
 	_, node, cluster := partitionedMember(t, 2)
 	base, ctx := node.learnedView(), contextFor(t, waitLimit)
-	number := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	number := view.ProposalNumber{Round: 1000, Proposer: "a proposer"}
 	vote := func() view.AcceptorState {
 		node.member.mu.Lock()
 		defer node.member.mu.Unlock()
@@ -195,10 +195,10 @@
 	cluster.restart(node)
 	require.Equal(t, number, vote().Promised, "the promise outlives the process")
 	require.NotNil(t, vote().Accepted)
-	answer, err := node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 999, By: "another proposer"})
+	answer, err := node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 999, Proposer: "another proposer"})
 	require.NoError(t, err)
 	require.False(t, answer.OK)
-	answer, err = node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 1001, By: "another proposer"})
+	answer, err = node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 1001, Proposer: "another proposer"})
 	require.NoError(t, err)
 	require.True(t, answer.OK)
 	require.NotNil(t, answer.Accepted, "a promise reports what was accepted")
@@ -284,7 +284,7 @@
 	cluster.setObserveCall(nil)
 	cluster.setIsolated(head, false, false)
 	resumeRepairs(members)
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 }
 
 func TestMinorityProposesNothing(t *testing.T) {
@@ -293,7 +293,7 @@
 	cluster.machineLosses = 0 // one member is enough, so that the others would be dropped
 	cluster.startAll(true)
 	client := cluster.nodes[4]
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
 	for _, node := range cluster.nodes[:4] {
 		node.waitUntil("in contact with a majority", node.member.HasQuorum)
 	}
@@ -318,7 +318,7 @@
 	const lostDisk = "a lost disk"
 	_, node, _ := partitionedMember(t, 3)
 	base, ctx := node.learnedView(), contextFor(t, eventBound)
-	number := view.ProposalNumber{Round: 1000, By: "a proposer"}
+	number := view.ProposalNumber{Round: 1000, Proposer: "a proposer"}
 	promised, err := node.prepare(ctx, lostDisk, base, number)
 	require.NoError(t, err)
 	require.False(t, promised.OK)
@@ -352,7 +352,7 @@
 	node := cluster.nodes[0]
 	cluster.start(node, false)
 	base, ctx := bootstrapBase(cluster.seeds), contextFor(t, eventBound)
-	number := view.ProposalNumber{Round: 1, By: "a proposer"}
+	number := view.ProposalNumber{Round: 1, Proposer: "a proposer"}
 	answer, err := node.prepare(ctx, node.addr, base, number)
 	require.NoError(t, err)
 	require.False(t, answer.OK)
@@ -372,7 +372,7 @@
 	tail := members[3]
 	require.NoError(t, tail.member.confirmView(ctx, base))
 	for _, node := range members[:2] {
-		answer, err := node.accept(ctx, node.id(), base, view.ProposalNumber{Round: 1, By: "a proposer"}, next)
+		answer, err := node.accept(ctx, node.id(), base, view.ProposalNumber{Round: 1, Proposer: "a proposer"}, next)
 		require.NoError(t, err)
 		require.True(t, answer.OK)
 	}
@@ -401,7 +401,7 @@
 	member.views.learned = original.Clone()
 	member.views.learned.Number++
 	joiner := &member.views.learned.Chain[3]
-	joiner.Since = member.views.learned.Number
+	joiner.JoinedIn = member.views.learned.Number
 	received := &member.peers.byID[joiner.ID].lastHeartbeat
 	for _, test := range []struct {
 		name     string
@@ -409,9 +409,9 @@
 		complete bool
 		want     bool
 	}{
-		{"complete in its first view", joiner.Since, true, true},
-		{"not complete", joiner.Since, false, false},
-		{"complete in an older view", joiner.Since - 1, true, false},
+		{"complete in its first view", joiner.JoinedIn, true, true},
+		{"not complete", joiner.JoinedIn, false, false},
+		{"complete in an older view", joiner.JoinedIn - 1, true, false},
 	} {
 		received.View, received.Complete = test.view, test.complete
 		require.Equal(t, test.want, member.healthLocked(time.Now())[joiner.ID].Complete, test.name)
@@ -423,7 +423,7 @@
 	cluster, client := bootstrapped(t, 5, 1)
 	current, _ := client.member.View()
 	require.Len(t, current.Chain, 4)
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 	for _, node := range cluster.nodes[:5] {
 		newest := func() bool { return node.hasRevision(2) }
 		pollUntil(contextFor(t, eventBound), newest)
@@ -456,7 +456,7 @@
 	defer watch.Stop()
 	select {
 	case answer := <-queued[0].response:
-		require.NotEqual(t, chain.OutcomeCommitted, answer.Verdict.Kind, "the chain of the view may not have the update")
+		require.NotEqual(t, chain.OutcomeCommitted, answer.Verdict.Outcome, "the chain of the view may not have the update")
 	case <-watch.C:
 	}
 }
--- a/internal/fleet/controlplane/updates_test.go
+++ b/internal/fleet/controlplane/updates_test.go
@@ -37,19 +37,19 @@
 	t.Parallel()
 	cluster, client := bootstrapped(t, 4, 1)
 	newest := cluster.chainMember(0).applyUpdates(chain.MaxRecentUpdates+chain.MaxOlderUpdates) + 1
-	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(newest-1, newest).Kind)
+	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(newest-1, newest).Outcome)
 	for _, node := range cluster.nodes {
 		for _, revision := range []int64{newest, newest - chain.MaxRecentUpdates, newest - chain.MaxRecentUpdates - chain.MaxOlderUpdates + 1} {
-			require.Equal(t, chain.Result{Kind: chain.OutcomeCommitted, Revision: revision}, node.submitRevision(revision-1, revision))
+			require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision}, node.submitRevision(revision-1, revision))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		begun := time.Now()
 		result := node.member.Submit(ctx, revisionUpdate(0, 1))
 		cancel()
-		require.Equal(t, chain.OutcomeUnknown, result.Kind)
+		require.Equal(t, chain.OutcomeUnknown, result.Outcome)
 		require.Contains(t, result.Reason, "read the configuration")
 		require.Less(t, time.Since(begun), node.requestTimeout, "it is not retried until the time-out")
-		require.Equal(t, chain.Result{Kind: chain.OutcomeConflict, Revision: newest}, node.submitRevision(newest-1, newest+1))
+		require.Equal(t, chain.Result{Outcome: chain.OutcomeConflict, Revision: newest}, node.submitRevision(newest-1, newest+1))
 	}
 	require.Equal(t, newest, client.read().Revision)
 }
@@ -62,9 +62,9 @@
 		revision := int64(i + 1)
 		update := revisionUpdate(revision, revision+1)
 		update.Patch = patch
-		committed := chain.Result{Kind: chain.OutcomeCommitted, Revision: revision + 1}
-		conflict := chain.Result{Kind: chain.OutcomeConflict, Revision: revision + 1}
-		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(update).Kind)
+		committed := chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision + 1}
+		conflict := chain.Result{Outcome: chain.OutcomeConflict, Revision: revision + 1}
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(update).Outcome)
 		for _, node := range cluster.nodes {
 			otherBody, otherMethod := *update, *update
 			otherBody.Body = append([]byte("0"), update.Body...) // the same number in other bytes
@@ -99,7 +99,7 @@
 		value, _, _ = chain.Apply(value, revisionUpdate(revision, revision+1), applyNumber)
 	}
 	older := olderRecord{View: 3, Value: olderValue{
-		Seq: 2 * chain.MaxRecentUpdates, Revision: value.Revision, Body: value.Body, Past: value.Past,
+		Seq: 2 * chain.MaxRecentUpdates, Revision: value.Revision, Body: value.Body, Past: value.Recent,
 	}}
 	raw, err := encode(&older)
 	require.NoError(t, err)
--- a/internal/fleet/controlplane/viewstate_test.go
+++ b/internal/fleet/controlplane/viewstate_test.go
@@ -25,7 +25,7 @@
 func testView(number uint64, ids ...string) view.View {
 	v := view.View{Number: number, Voters: testPeers(ids...)}
 	for _, voter := range v.Voters {
-		v.Chain = append(v.Chain, view.Member{Peer: voter, Since: 1})
+		v.Chain = append(v.Chain, view.Member{Peer: voter, JoinedIn: 1})
 	}
 	return v
 }
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -51,7 +51,7 @@
 func (p *controlBackend) Submit(ctx context.Context, patch bool, ifMatch int64, body []byte) controlapi.SubmitResult {
 	v := p.daemon.core.Submit(ctx, &chain.Update{Patch: patch, IfMatch: ifMatch, Body: body})
 	kind := controlapi.OutcomeUnknown
-	switch v.Kind {
+	switch v.Outcome {
 	case chain.OutcomeCommitted:
 		kind = controlapi.OutcomeCommitted
 	case chain.OutcomeConflict:
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -74,8 +74,8 @@
 	return a != nil && len(a.by) > 0
 }
 
-// UnheldFor is how long nobody has held a lease of a source; 0 if somebody does or the source is not known.
-func (t *Table) UnheldFor(now time.Duration, source string) time.Duration {
+// UngrantedFor is how long nobody has held a lease of a source; 0 if somebody does or the source is not known.
+func (t *Table) UngrantedFor(now time.Duration, source string) time.Duration {
 	a := t.leases[source]
 	if a == nil || len(a.by) > 0 {
 		return 0
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -131,7 +131,7 @@
 		here[s.source] = true
 	}
 	for _, source := range lapsed {
-		if here[source] || !tells && h.leases.UnheldFor(now, source) <= sourceExpiry {
+		if here[source] || !tells && h.leases.UngrantedFor(now, source) <= sourceExpiry {
 			continue
 		}
 		logevent.LeaseExpired.Log("source", source)
--- a/internal/fleet/store/scan.go
+++ b/internal/fleet/store/scan.go
@@ -18,20 +18,20 @@
 
 // Report is what a state file holds.
 type Report struct {
-	Bytes   int64            `json:"Bytes"`   // of whole records
-	Records int              `json:"Records"` // older ones among them
-	Entries map[string]Entry `json:"Entries"` // by name
-	Torn    int64            `json:"Torn"`    // bytes behind the last whole record: a write that a loss of power cut
-	Damaged bool             `json:"Damaged"` // records before the last one are not whole
-	Why     string           `json:"Why"`     // what is wrong where it was torn or damaged
-	Aside   bool             `json:"Aside"`   // an earlier file was set aside as damaged
+	Bytes     int64            `json:"Bytes"`   // of whole records
+	Records   int              `json:"Records"` // older ones among them
+	Entries   map[string]Entry `json:"Entries"` // by name
+	TornBytes int64            `json:"Torn"`    // bytes behind the last whole record: a write that a loss of power cut
+	Damaged   bool             `json:"Damaged"` // records before the last one are not whole
+	Reason    string           `json:"Why"`     // what is wrong where it was torn or damaged
+	SetAside  bool             `json:"Aside"`   // an earlier file was set aside as damaged
 }
 
 // Verify reads the state file of a folder that no process uses, and changes nothing.
 func Verify(dir string) (Report, error) {
 	rep, _, err := scan(filepath.Join(dir, fileName))
 	if _, e := os.Stat(filepath.Join(dir, damagedName)); e == nil {
-		rep.Aside = true
+		rep.SetAside = true
 	}
 	return rep, err
 }
@@ -71,7 +71,7 @@
 	case err != nil:
 		return rep, nil, errors.Wrap(err, "read the state file")
 	case info.Size() > MaxFile:
-		rep.Damaged, rep.Why = true, "the file is larger than any that is written"
+		rep.Damaged, rep.Reason = true, "the file is larger than any that is written"
 		return rep, nil, nil
 	}
 	raw, err := os.ReadFile(path)
@@ -85,14 +85,14 @@
 			err = errors.Errorf("record %s has number %d after %d", r.key, r.number, last)
 		}
 		if err != nil {
-			rep.Why = err.Error()
+			rep.Reason = err.Error()
 			break
 		}
 		at, last = at+n, r.number
 		recs = append(recs, r)
 		rep.Entries[r.key] = Entry{Number: r.number, Bytes: len(r.val)}
 	}
-	rep.Bytes, rep.Records, rep.Torn = int64(at), len(recs), int64(len(raw)-at)
+	rep.Bytes, rep.Records, rep.TornBytes = int64(at), len(recs), int64(len(raw)-at)
 	for rest := raw[at:]; ; {
 		i := bytes.Index(rest, start)
 		if i < 0 {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -139,7 +139,7 @@
 			return errors.Wrap(err, "set the damaged state file aside")
 		}
 		s.size = 0
-	case rep.Torn > 0:
+	case rep.TornBytes > 0:
 		if err := truncate(path, rep.Bytes); err != nil {
 			return errors.Wrap(err, "cut the torn tail of the state file")
 		}
@@ -221,25 +221,25 @@
 
 // Health is what a store's disk does.
 type Health struct {
-	Oldest  time.Duration `json:"Oldest"`  // age of the oldest operation that is not done
-	Failing time.Duration `json:"Failing"` // since when each operation has failed; 0: the last was good
-	Good    bool          `json:"Good"`    // an operation was good since Open
-	Err     error         `json:"Err"`     // of the last operation, or of the last rewriting of the file
+	OldestPending time.Duration `json:"Oldest"`  // age of the oldest operation that is not done
+	FailingFor    time.Duration `json:"Failing"` // since when each operation has failed; 0: the last was good
+	Written       bool          `json:"Good"`    // an operation was good since Open
+	Err           error         `json:"Err"`     // of the last operation, or of the last rewriting of the file
 }
 
 // Health never waits for the disk.
 func (s *Store) Health(now time.Time) Health {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := Health{Good: s.good, Err: s.last}
+	h := Health{Written: s.good, Err: s.last}
 	if h.Err == nil {
 		h.Err = s.warn
 	}
 	if len(s.waiting) > 0 {
-		h.Oldest = max(0, now.Sub(s.waiting[0]))
+		h.OldestPending = max(0, now.Sub(s.waiting[0]))
 	}
 	if !s.failing.IsZero() {
-		h.Failing = max(1, now.Sub(s.failing))
+		h.FailingFor = max(1, now.Sub(s.failing))
 	}
 	return h
 }
@@ -426,7 +426,7 @@
 	for _, r := range recs {
 		got[r.key] = string(r.val)
 	}
-	whole := !rep.Damaged && rep.Torn == 0 && len(got) == len(s.live)
+	whole := !rep.Damaged && rep.TornBytes == 0 && len(got) == len(s.live)
 	for k, v := range s.live {
 		whole = whole && got[k] == v
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -57,7 +57,7 @@
 	require.Equal(t, "value\r\n9", get(s, "a"))
 	require.Equal(t, "", get(s, "b"))
 	require.Equal(t, 11, rep.Records)
-	require.Zero(t, rep.Torn)
+	require.Zero(t, rep.TornBytes)
 	s.Close()
 	rep, err := Verify(dir)
 	require.NoError(t, err)
@@ -118,7 +118,7 @@
 			require.NoError(t, s.Put("value", []byte("third")))
 			s.Close()
 			s, rep = open(t, dir)
-			require.Zero(t, rep.Torn)
+			require.Zero(t, rep.TornBytes)
 			require.Equal(t, "third", get(s, "value"))
 			require.Equal(t, "x1", get(s, "id"))
 			s.Close()
@@ -142,7 +142,7 @@
 		require.Equal(t, bad, kept)
 		rep, err = Verify(dir)
 		require.NoError(t, err)
-		require.True(t, rep.Aside)
+		require.True(t, rep.SetAside)
 		require.False(t, rep.Damaged)
 	}
 	t.Run("missing", func(t *testing.T) {
@@ -250,14 +250,14 @@
 			require.Error(t, s.Put("value", bytes.Repeat([]byte("v"), 50)))
 			require.Error(t, s.Probe())
 		})
-		require.Positive(t, s.Health(time.Now()).Failing)
+		require.Positive(t, s.Health(time.Now()).FailingFor)
 		require.Error(t, s.Health(time.Now()).Err)
 		require.NoError(t, s.Put("more", []byte("m1")))
-		require.Zero(t, s.Health(time.Now()).Failing)
+		require.Zero(t, s.Health(time.Now()).FailingFor)
 		s.Close()
 		s, rep := open(t, dir)
 		require.False(t, rep.Damaged)
-		require.Zero(t, rep.Torn)
+		require.Zero(t, rep.TornBytes)
 		require.Equal(t, "v1", get(s, "value"))
 		require.Equal(t, "m1", get(s, "more"))
 	}
@@ -276,7 +276,7 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, newName, "in the way"), nil, 0o600))
 	require.NoError(t, s.Put("value", big))
 	settled(t, "the rewriting fails", func() bool { return s.Health(time.Now()).Err != nil })
-	require.Zero(t, s.Health(time.Now()).Failing, "the record itself is safe")
+	require.Zero(t, s.Health(time.Now()).FailingFor, "the record itself is safe")
 	require.NoError(t, s.Put("value", []byte("small")))
 	require.NoError(t, os.RemoveAll(filepath.Join(dir, newName)))
 	require.NoError(t, s.Put("value", []byte("last")))
@@ -291,10 +291,10 @@
 
 func TestHealthTellsOfStalls(t *testing.T) {
 	s, _ := open(t, t.TempDir())
-	require.False(t, s.Health(time.Now()).Good)
+	require.False(t, s.Health(time.Now()).Written)
 	require.NoError(t, s.Probe())
-	require.True(t, s.Health(time.Now()).Good)
-	require.Zero(t, s.Health(time.Now()).Oldest)
+	require.True(t, s.Health(time.Now()).Written)
+	require.Zero(t, s.Health(time.Now()).OldestPending)
 	release, stalled := make(chan struct{}), make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Add(1)
@@ -309,8 +309,8 @@
 	}
 	require.Eventually(t, func() bool { return len(s.operations) == maxQueue }, 10*time.Second, time.Millisecond)
 	require.ErrorIs(t, s.Probe(), ErrBusy)
-	require.GreaterOrEqual(t, s.Health(time.Now().Add(time.Second)).Oldest, time.Second)
+	require.GreaterOrEqual(t, s.Health(time.Now().Add(time.Second)).OldestPending, time.Second)
 	close(release)
 	wg.Wait()
-	require.Zero(t, s.Health(time.Now()).Oldest)
+	require.Zero(t, s.Health(time.Now()).OldestPending)
 }
--- a/internal/fleet/view/first_test.go
+++ b/internal/fleet/view/first_test.go
@@ -87,7 +87,7 @@
 func (f *founding) Hash() uint64 {
 	k := key{gone: f.gone, rounds: f.rounds, kills: f.kills, retries: f.retries, decided: named(f.decided)}
 	for i, v := range f.votes {
-		k.votes[i].promised, k.votes[i].at, k.votes[i].accepted = v.Promised, v.At, named(v.Accepted)
+		k.votes[i].promised, k.votes[i].at, k.votes[i].accepted = v.Promised, v.AcceptedNumber, named(v.Accepted)
 	}
 	for i, p := range f.props {
 		if q := &k.props[i]; p != nil {
@@ -96,7 +96,7 @@
 		}
 		for j, c := range f.calls[i] {
 			q := &k.calls[i][j]
-			q.asked, q.done, q.ok, q.at, q.accepted = c.asked, c.done, c.a.OK, c.a.At, named(c.a.Accepted)
+			q.asked, q.done, q.ok, q.at, q.accepted = c.asked, c.done, c.a.OK, c.a.AcceptedNumber, named(c.a.Accepted)
 		}
 	}
 	return maphash.Comparable(hashSeed, k)
@@ -146,7 +146,7 @@
 	f.rounds[by]++
 	p := Peer{ID: fmt.Sprint("first", by), Addr: "a"}
 	own := View{Number: 1, Voters: []Peer{p}, Chain: []Member{{p, 1}}}
-	f.props[by] = NewProposal(seeds, ProposalNumber{Round: f.rounds[by], By: fmt.Sprint("seed", by)}, &own)
+	f.props[by] = NewProposal(seeds, ProposalNumber{Round: f.rounds[by], Proposer: fmt.Sprint("seed", by)}, &own)
 	f.calls[by] = [3]call{}
 }
 
--- a/internal/fleet/view/majority_test.go
+++ b/internal/fleet/view/majority_test.go
@@ -21,7 +21,7 @@
 	base, ok := InitialView(peers("a b c d"), Tolerance{Machines: 1})
 	require.True(t, ok)
 	next := base.RemoveMember("d")
-	ballot := ProposalNumber{Round: 1, By: "a"}
+	ballot := ProposalNumber{Round: 1, Proposer: "a"}
 	p := NewProposal(base, ballot, &next)
 	for i, voter := range base.Voters[:3] {
 		want := []ProposalState{Preparing, Preparing, Accepting}[i]
--- a/internal/fleet/view/paxos.go
+++ b/internal/fleet/view/paxos.go
@@ -4,46 +4,46 @@
 // met, so it does not grow with restarts; By names one life of one proposer, so that no two
 // proposals share a ballot.
 type ProposalNumber struct {
-	Round uint32 `msgpack:"Round"`
-	By    string `msgpack:"By"`
+	Round    uint32 `msgpack:"Round"`
+	Proposer string `msgpack:"By"`
 }
 
 // Less orders ballots.
 func (b ProposalNumber) Less(o ProposalNumber) bool {
-	return b.Round < o.Round || b.Round == o.Round && b.By < o.By
+	return b.Round < o.Round || b.Round == o.Round && b.Proposer < o.Proposer
 }
 
 // AcceptorState is what an acceptor has to keep on disk, for the instance it votes on: the view after the
 // one that it knows. That of an older instance is void.
 type AcceptorState struct {
-	Instance uint64         `msgpack:"Instance"` // number of the view voted on
-	Promised ProposalNumber `msgpack:"Promised"`
-	At       ProposalNumber `msgpack:"At"`       // of what was accepted
-	Accepted *View          `msgpack:"Accepted"` // nil: nothing
+	Instance       uint64         `msgpack:"Instance"` // number of the view voted on
+	Promised       ProposalNumber `msgpack:"Promised"`
+	AcceptedNumber ProposalNumber `msgpack:"At"`       // of what was accepted
+	Accepted       *View          `msgpack:"Accepted"` // nil: nothing
 }
 
 // PrepareRequest asks for a promise. Base is the view whose voters decide; a voter that does not know it
 // yet learns it from here. With Base.Number 0 the voters are the seeds, by address.
 type PrepareRequest struct {
 	Base   View           `msgpack:"Base"`
-	Ballot ProposalNumber `msgpack:"Ballot"`
+	Number ProposalNumber `msgpack:"Ballot"`
 }
 
 // AcceptRequest asks to accept a view.
 type AcceptRequest struct {
 	Base   View           `msgpack:"Base"`
-	Ballot ProposalNumber `msgpack:"Ballot"`
+	Number ProposalNumber `msgpack:"Ballot"`
 	View   View           `msgpack:"View"`
 }
 
 // Response is an acceptor's to both.
 type Response struct {
-	OK       bool           `msgpack:"OK"`
-	Promised ProposalNumber `msgpack:"Promised"` // what stands against it, or the ballot itself
-	At       ProposalNumber `msgpack:"At"`       // Prepare: of what was accepted before
-	Accepted *View          `msgpack:"Accepted"` // Prepare: what was accepted before
-	Newer    *View          `msgpack:"Newer"`    // the acceptor knows a newer view than Base: nothing else counts
-	Refused  string         `msgpack:"Refused"`  // the acceptor has no vote here, and why
+	OK             bool           `msgpack:"OK"`
+	Promised       ProposalNumber `msgpack:"Promised"` // what stands against it, or the ballot itself
+	AcceptedNumber ProposalNumber `msgpack:"At"`       // Prepare: of what was accepted before
+	Accepted       *View          `msgpack:"Accepted"` // Prepare: what was accepted before
+	Newer          *View          `msgpack:"Newer"`    // the acceptor knows a newer view than Base: nothing else counts
+	RejectReason   string         `msgpack:"Refused"`  // the acceptor has no vote here, and why
 }
 
 // Prepare is the vote after a question for a promise, and the answer that may go out once the vote
@@ -56,7 +56,7 @@
 		return v, Response{Promised: v.Promised}
 	}
 	v.Promised = b
-	return v, Response{OK: true, Promised: b, At: v.At, Accepted: v.Accepted}
+	return v, Response{OK: true, Promised: b, AcceptedNumber: v.AcceptedNumber, Accepted: v.Accepted}
 }
 
 // Accept is the vote after a proposal, and the answer that may go out once the vote is on disk.
@@ -67,7 +67,7 @@
 	if b.Less(v.Promised) {
 		return v, Response{Promised: v.Promised}
 	}
-	v.Promised, v.At, v.Accepted = b, b, &next
+	v.Promised, v.AcceptedNumber, v.Accepted = b, b, &next
 	return v, Response{OK: true, Promised: b}
 }
 
@@ -108,12 +108,12 @@
 
 // PrepareRequest is the question of the first phase.
 func (p *Proposal) PrepareRequest() PrepareRequest {
-	return PrepareRequest{Base: p.Base, Ballot: p.Number}
+	return PrepareRequest{Base: p.Base, Number: p.Number}
 }
 
 // AcceptRequest is the question of the second phase.
 func (p *Proposal) AcceptRequest() AcceptRequest {
-	return AcceptRequest{Base: p.Base, Ballot: p.Number, View: p.View}
+	return AcceptRequest{Base: p.Base, Number: p.Number, View: p.View}
 }
 
 // HandlePromise takes a voter's answer to Prepare.
@@ -122,8 +122,8 @@
 		return p.state
 	}
 	p.promises[voter] = true
-	if a.Accepted != nil && (p.acceptedView == nil || p.acceptedNumber.Less(a.At)) {
-		p.acceptedNumber, p.acceptedView = a.At, a.Accepted
+	if a.Accepted != nil && (p.acceptedView == nil || p.acceptedNumber.Less(a.AcceptedNumber)) {
+		p.acceptedNumber, p.acceptedView = a.AcceptedNumber, a.Accepted
 	}
 	if len(p.promises) < p.Base.Quorum() {
 		return p.state
--- a/internal/fleet/view/placement.go
+++ b/internal/fleet/view/placement.go
@@ -6,8 +6,8 @@
 // first and then those whose loss is counted; without any disk the state is kept in memory.
 func InitialView(found []Peer, t Tolerance) (View, bool) {
 	pool := filter(found, func(p Peer) bool { return p.Disk })
-	v := View{Number: 1, Memory: len(pool) == 0}
-	if v.Memory {
+	v := View{Number: 1, InMemory: len(pool) == 0}
+	if v.InMemory {
 		pool = slices.Clone(found)
 	}
 	if counted := filter(pool, func(p Peer) bool { return p.Counted }); len(counted) > 0 {
@@ -21,7 +21,7 @@
 	slices.SortFunc(v.Voters, comparePeers)
 	slices.SortFunc(members, comparePeers)
 	for _, p := range members {
-		v.Chain = append(v.Chain, Member{Peer: p, Since: 1})
+		v.Chain = append(v.Chain, Member{Peer: p, JoinedIn: 1})
 	}
 	return v, true
 }
--- a/internal/fleet/view/plan.go
+++ b/internal/fleet/view/plan.go
@@ -293,7 +293,7 @@
 func (pl *planner) eligible(p Peer) bool {
 	_, voter := pl.view.Voter(p.ID)
 	counted := slices.ContainsFunc(pl.view.Voters, func(q Peer) bool { return q.Counted })
-	return !voter && (p.Disk || pl.view.Memory) && (p.Counted || !counted)
+	return !voter && (p.Disk || pl.view.InMemory) && (p.Counted || !counted)
 }
 
 // newcomers lists the peers without a vote that are ready for one, by id. A machine whose old disk
--- a/internal/fleet/view/plan_test.go
+++ b/internal/fleet/view/plan_test.go
@@ -77,7 +77,7 @@
 	require.NoError(t, step.View.Validate())
 	for id, h := range s.health {
 		i := step.View.Position(id)
-		h.Complete = i >= 0 && h.Complete && step.View.Chain[i].Since <= s.v.Number
+		h.Complete = i >= 0 && h.Complete && step.View.Chain[i].JoinedIn <= s.v.Number
 		s.health[id] = h
 	}
 	s.v = *step.View
@@ -270,7 +270,7 @@
 	s.comes(loose)
 	s.comes(uncounted)
 	s.nothing(t)
-	s.v.Memory = true
+	s.v.InMemory = true
 	s.next(t, "a b c")
 	require.Len(t, s.v.Voters, 4)
 }
@@ -296,13 +296,13 @@
 	require.True(t, ok)
 	require.NoError(t, v.Validate())
 	require.Equal(t, peers("a b c"), v.Voters)
-	require.False(t, v.Memory)
+	require.False(t, v.InMemory)
 	require.Equal(t, 2, v.Quorum())
 	require.Equal(t, "a", v.Head().ID)
 	require.Equal(t, "c", v.Tail().ID)
 
 	v, _ = InitialView([]Peer{loose}, machineLosses(1))
-	require.True(t, v.Memory)
+	require.True(t, v.InMemory)
 
 	uncounted := machine("b")
 	uncounted.Counted = false
@@ -327,7 +327,7 @@
 		"twice a voter":      func(v *View) { v.Voters[0] = v.Voters[1] },
 		"twice in the chain": func(v *View) { v.Chain[0] = v.Chain[1] },
 		"no voter in chain":  func(v *View) { v.Chain[0].ID = "x" },
-		"from the future":    func(v *View) { v.Chain[0].Since = 2 },
+		"from the future":    func(v *View) { v.Chain[0].JoinedIn = 2 },
 		"no address":         func(v *View) { v.Voters[0].Addr = "" },
 		"long id":            func(v *View) { v.Voters[2].ID = strings.Repeat("x", 200) },
 	} {
@@ -341,7 +341,7 @@
 func TestProposal(t *testing.T) {
 	base, _ := InitialView(peers("a b c"), machineLosses(1))
 	own, others := base.RemoveMember("a"), base.RemoveMember("c")
-	b := ProposalNumber{Round: 2, By: "a/1"}
+	b := ProposalNumber{Round: 2, Proposer: "a/1"}
 	t.Run("own view", func(t *testing.T) {
 		p := NewProposal(base, b, &own)
 		require.Equal(t, Preparing, p.HandlePromise("a", Response{OK: true}))
@@ -354,8 +354,8 @@
 	})
 	t.Run("another's goes first", func(t *testing.T) {
 		p := NewProposal(base, b, &own)
-		p.HandlePromise("a", Response{OK: true, At: ProposalNumber{Round: 1, By: "c"}, Accepted: &others})
-		require.Equal(t, Accepting, p.HandlePromise("b", Response{OK: true, At: ProposalNumber{Round: 1, By: "b"}, Accepted: &own}))
+		p.HandlePromise("a", Response{OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "c"}, Accepted: &others})
+		require.Equal(t, Accepting, p.HandlePromise("b", Response{OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "b"}, Accepted: &own}))
 		require.True(t, others.Equal(p.View))
 	})
 	t.Run("contended", func(t *testing.T) {
@@ -377,7 +377,7 @@
 }
 
 func TestVote(t *testing.T) {
-	low, high := ProposalNumber{Round: 1, By: "a"}, ProposalNumber{Round: 1, By: "b"}
+	low, high := ProposalNumber{Round: 1, Proposer: "a"}, ProposalNumber{Round: 1, Proposer: "b"}
 	view2 := View{Number: 2}
 	v, a := AcceptorState{}.Prepare(2, low)
 	require.True(t, a.OK)
@@ -394,7 +394,7 @@
 	require.True(t, a.OK, "the same again")
 	_, a = v.Prepare(2, ProposalNumber{Round: 2})
 	require.Equal(t, &view2, a.Accepted)
-	require.Equal(t, high, a.At)
+	require.Equal(t, high, a.AcceptedNumber)
 	_, a = v.Prepare(3, low)
 	require.True(t, a.OK, "the next view is another decision")
 	require.Nil(t, a.Accepted)
--- a/internal/fleet/view/sim_test.go
+++ b/internal/fleet/view/sim_test.go
@@ -170,7 +170,7 @@
 
 func (m *simMachine) complete(v View) bool {
 	i := v.Position(m.peer.ID)
-	return i >= 0 && (v.Chain[i].Since == 1 || m.heldIn >= v.Chain[i].Since)
+	return i >= 0 && (v.Chain[i].JoinedIn == 1 || m.heldIn >= v.Chain[i].JoinedIn)
 }
 
 func (m *simMachine) pending() bool {
@@ -246,7 +246,7 @@
 		}
 		h.Complete = false
 		if i := m.view.Position(id); i >= 0 {
-			since := m.view.Chain[i].Since
+			since := m.view.Chain[i].JoinedIn
 			h.Complete = since == 1 || p.said.Complete && p.view >= since && p.view <= m.view.Number
 			if s.defect == lastWordVoid {
 				h.Complete = since == 1 || p.said.Complete && p.view == m.view.Number
@@ -439,7 +439,7 @@
 		s.checkStep(m, step)
 	}
 	m.round++
-	ballot := ProposalNumber{Round: m.round, By: m.peer.ID + "/" + strconv.Itoa(m.life)}
+	ballot := ProposalNumber{Round: m.round, Proposer: m.peer.ID + "/" + strconv.Itoa(m.life)}
 	m.proposal = &simProposal{Proposal: NewProposal(m.view, ballot, step.View), step: step}
 }
 
@@ -543,7 +543,7 @@
 		return Response{Newer: &newer}
 	}
 	if !to.isVoter() {
-		return Response{Refused: "no voter"}
+		return Response{RejectReason: "no voter"}
 	}
 	var a Response
 	if p.accepting {
--- a/internal/fleet/view/tolerance_test.go
+++ b/internal/fleet/view/tolerance_test.go
@@ -197,7 +197,7 @@
 	s := zoned(t, "r/a/1 r/b/2 r/c/3 s/d/4 s/e/5 q/f/6", Tolerance{Machines: 1, Regions: 1})
 	s.v.Chain = s.v.Chain[:0]
 	for _, p := range located("r/a/1 s/d/4") {
-		s.v.Chain = append(s.v.Chain, Member{Peer: p, Since: 1})
+		s.v.Chain = append(s.v.Chain, Member{Peer: p, JoinedIn: 1})
 	}
 	s.fill().next(t, "1 4 6")
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -50,15 +50,15 @@
 // Member is one member of the chain.
 type Member struct {
 	Peer
-	Since uint64 `msgpack:"Since" json:"Since"` // number of the view in which it joined
+	JoinedIn uint64 `msgpack:"Since" json:"Since"` // number of the view in which it joined
 }
 
 // View is immutable once decided.
 type View struct {
-	Number uint64   `msgpack:"Number" json:"Number"` // from 1; 0 is no view
-	Voters []Peer   `msgpack:"Voters" json:"Voters"` // at most MaxVoters, by ID
-	Chain  []Member `msgpack:"Chain" json:"Chain"`   // head first
-	Memory bool     `msgpack:"Memory" json:"Memory"` // no machine had a disk: the state lives as long as a majority does
+	Number   uint64   `msgpack:"Number" json:"Number"` // from 1; 0 is no view
+	Voters   []Peer   `msgpack:"Voters" json:"Voters"` // at most MaxVoters, by ID
+	Chain    []Member `msgpack:"Chain" json:"Chain"`   // head first
+	InMemory bool     `msgpack:"Memory" json:"Memory"` // no machine had a disk: the state lives as long as a majority does
 }
 
 // Clone shares nothing with v.
@@ -69,7 +69,7 @@
 
 // Equal tells whether two views say the same.
 func (v View) Equal(o View) bool {
-	return v.Number == o.Number && v.Memory == o.Memory && slices.Equal(v.Voters, o.Voters) && slices.Equal(v.Chain, o.Chain)
+	return v.Number == o.Number && v.InMemory == o.InMemory && slices.Equal(v.Voters, o.Voters) && slices.Equal(v.Chain, o.Chain)
 }
 
 // Validate refuses a view that can't have been decided.
@@ -92,7 +92,7 @@
 	}
 	seen := map[string]bool{}
 	for _, l := range v.Chain {
-		if p, ok := v.Voter(l.ID); !ok || p != l.Peer || seen[l.ID] || l.Since == 0 || l.Since > v.Number {
+		if p, ok := v.Voter(l.ID); !ok || p != l.Peer || seen[l.ID] || l.JoinedIn == 0 || l.JoinedIn > v.Number {
 			return errors.Errorf("view %d: %s is no proper member of the chain", v.Number, l.ID)
 		}
 		seen[l.ID] = true
@@ -160,7 +160,7 @@
 func (v View) AppendMember(id string) View {
 	n := v.next()
 	if p, ok := v.Voter(id); ok && v.Position(id) < 0 {
-		n.Chain = append(n.Chain, Member{Peer: p, Since: n.Number})
+		n.Chain = append(n.Chain, Member{Peer: p, JoinedIn: n.Number})
 	}
 	return n
 }
--- a/internal/testbed/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -193,12 +193,12 @@
 func (d *disk) Health(now time.Time) store.Health {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h := store.Health{Good: d.good, Err: d.last}
+	h := store.Health{Written: d.good, Err: d.last}
 	if len(d.waiting) > 0 {
-		h.Oldest = max(0, now.Sub(d.waiting[0]))
+		h.OldestPending = max(0, now.Sub(d.waiting[0]))
 	}
 	if !d.failing.IsZero() {
-		h.Failing = max(1, now.Sub(d.failing))
+		h.FailingFor = max(1, now.Sub(d.failing))
 	}
 	return h
 }
--- a/internal/testbed/controlsim/disk_test.go
+++ b/internal/testbed/controlsim/disk_test.go
@@ -46,7 +46,7 @@
 	onDisk(t, func(m *media, h *host, d *disk) {
 		m.setFull(true)
 		require.ErrorIs(t, d.Put("a", []byte("1")), syscall.ENOSPC)
-		require.Positive(t, d.Health(time.Now()).Failing)
+		require.Positive(t, d.Health(time.Now()).FailingFor)
 		_, ok := m.read("a")
 		require.False(t, ok)
 		m.setFull(false)
@@ -54,10 +54,10 @@
 		var writer sync.WaitGroup
 		writer.Go(func() { require.NoError(t, d.Put("a", []byte("1"))) })
 		pause(context.Background(), 3*time.Second)
-		require.Equal(t, 3*time.Second, d.Health(time.Now()).Oldest)
+		require.Equal(t, 3*time.Second, d.Health(time.Now()).OldestPending)
 		m.setStalled(false)
 		writer.Wait()
-		require.Zero(t, d.Health(time.Now()).Failing)
+		require.Zero(t, d.Health(time.Now()).FailingFor)
 		m.setSlow(slowTimes)
 		begun := time.Now()
 		require.NoError(t, d.Probe())
--- a/internal/testbed/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -61,8 +61,8 @@
 			continue
 		}
 		v := o.submit(ctx, p, &chain.Update{IfMatch: in.ifMatch, Body: body}, tries < loseAtMost)
-		out = answer{kind: v.Kind, revision: v.Revision}
-		o.run.log("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Kind, v.Revision, v.Reason)
+		out = answer{kind: v.Outcome, revision: v.Revision}
+		o.run.log("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Outcome, v.Revision, v.Reason)
 	}
 	switch out.kind {
 	case chain.OutcomeCommitted:
--- a/internal/testbed/hollownode/fleet.go
+++ b/internal/testbed/hollownode/fleet.go
@@ -303,8 +303,8 @@
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case err != nil || a.Verdict.Kind == chain.OutcomeUnknown: // the same again, to another agent
-		case a.Verdict.Kind == chain.OutcomeCommitted:
+		case err != nil || a.Verdict.Outcome == chain.OutcomeUnknown: // the same again, to another agent
+		case a.Verdict.Outcome == chain.OutcomeCommitted:
 			c.Acked = a.At
 			f.mu.Lock()
 			f.seq, f.revision = c.Seq, a.Verdict.Revision
@@ -312,7 +312,7 @@
 			f.mu.Unlock()
 			return nil
 		default:
-			return errors.Errorf("order on %d: %s %s", f.revision, a.Verdict.Kind, a.Verdict.Reason)
+			return errors.Errorf("order on %d: %s %s", f.revision, a.Verdict.Outcome, a.Verdict.Reason)
 		}
 	}
 }
