--- a/internal/fleet/chain/bench_test.go
+++ b/internal/fleet/chain/bench_test.go
@@ -4,58 +4,63 @@
 	"fmt"
 	"testing"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
+	"github.com/vmihailenco/msgpack/v5"
 )
 
-// One change of a route at the head, by the size of the configuration, up to what goes to the disk.
+// BenchmarkApply evaluates a change of one route at the head, by the size of the configuration, up to
+// the value that is persisted.
 func BenchmarkApply(b *testing.B) {
-	check := func(cur []byte, o *Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) }
+	transition := func(current []byte, update *Update) ([]byte, int64, error) {
+		return config.Apply(current, update.Patch, update.Body)
+	}
 	for _, tenants := range []int{0, 650, 6500} {
 		size := sampling.Size{Routes: 60, Services: 6, Tenants: tenants}
-		cur, _, final := Apply(&Value{}, &Update{Body: sampling.Config(1, size)}, check)
+		current, _, final := Apply(&Value{}, &Update{Body: sampling.Config(1, size)}, transition)
 		if final {
-			b.Fatal("refused")
+			b.Fatal("rejected")
 		}
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.ReportAllocs()
-			b.ReportMetric(float64(len(cur.Body)), "B/configuration")
-			o := &Update{Patch: true, IfMatch: 1, Body: sampling.Change(2, size)}
+			b.ReportMetric(float64(len(current.Body)), "B/configuration")
+			update := &Update{Patch: true, IfMatch: 1, Body: sampling.Change(2, size)}
 			for b.Loop() {
-				if next, _, _ := Apply(cur, o, check); next == nil {
-					b.Fatal("refused")
+				if next, _, _ := Apply(current, update, transition); next == nil {
+					b.Fatal("rejected")
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("sum/tenants=%d", tenants), func(b *testing.B) {
 			for b.Loop() {
-				cur.Checksum()
+				current.Checksum()
 			}
 		})
 	}
 }
 
-// remembering is a value of a configuration of about 20 KB whose memory is full.
-func remembering(b *testing.B) *Value {
+// valueWithFullHistory is a value of a configuration of about 20 KB with as many recorded updates as
+// there can be.
+func valueWithFullHistory(b *testing.B) *Value {
+	b.Helper()
 	value := &Value{}
 	body := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: 20})
-	check := func(_ []byte, o *Update) ([]byte, int64, error) { return body, o.IfMatch + 1, nil }
+	transition := func(_ []byte, update *Update) ([]byte, int64, error) { return body, update.IfMatch + 1, nil }
 	for range MaxRecentUpdates + MaxOlderUpdates {
-		next, _, final := Apply(value, &Update{IfMatch: value.Revision}, check)
+		next, _, final := Apply(value, &Update{IfMatch: value.Revision}, transition)
 		if final {
-			b.Fatal("refused")
+			b.Fatal("rejected")
 		}
 		value = next
 	}
 	return value
 }
 
-// What a push carries and costs to encode, and what the memory adds to a change.
+// BenchmarkMemory measures the size of a push, the time to encode it, and what the recorded history
+// adds to an update.
 func BenchmarkMemory(b *testing.B) {
-	value := remembering(b)
-	check := func(cur []byte, o *Update) ([]byte, int64, error) { return cur, o.IfMatch + 1, nil }
+	value := valueWithFullHistory(b)
+	transition := func(current []byte, update *Update) ([]byte, int64, error) { return current, update.IfMatch + 1, nil }
 	b.Run("encode", func(b *testing.B) {
 		raw, err := msgpack.Marshal(&Push{Value: *value})
 		if err != nil {
@@ -72,8 +77,8 @@
 	b.Run("change", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if next, _, _ := Apply(value, &Update{IfMatch: value.Revision, Body: []byte("new")}, check); next == nil {
-				b.Fatal("refused")
+			if next, _, _ := Apply(value, &Update{IfMatch: value.Revision, Body: []byte("new")}, transition); next == nil {
+				b.Fatal("rejected")
 			}
 		}
 	})
--- /dev/null
+++ b/internal/fleet/chain/simulation_test.go
@@ -0,0 +1,238 @@
+package chain_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
+	"github.com/go-faster/errors"
+	"github.com/stretchr/testify/require"
+)
+
+// defect leaves out one rule of the protocol, to test that the checks of the simulation detect it.
+type defect int
+
+const (
+	noDefect                defect = iota
+	acceptOlderViews               // replicas accept pushes of views that are superseded
+	loseVotes                      // votes are not persisted
+	acknowledgeEarly               // the head acknowledges what it has persisted itself
+	readWithoutQuorum              // the tail answers without a quorum
+	dropToIncompleteMembers        // a chain may be reduced to members that are not complete
+	answerFromStaleTail            // a new tail answers before the head's value has arrived
+	rejectWithoutQuorum            // a head rejects updates without a quorum
+	rejectForgottenUpdates         // a head rejects updates that are older than its history
+	keepIDAfterDiskLoss            // a machine that lost its disk votes on as before
+	acceptOlderValues              // replicas accept older values of their view
+	loseViews                      // views are not persisted
+	confirmBySeqOnly               // a head that is one again takes another's value for its own
+	dropBelowRequiredLength        // the chain is reduced below the tolerated losses and one more
+)
+
+const (
+	toleratedLosses = 1
+	// maxRecoverySteps is how many steps a recovery may take.
+	maxRecoverySteps = 60_000
+)
+
+// simulation executes machines of the control plane in an arbitrary order of their messages, which may
+// be lost, delayed and duplicated, with power losses at each write, disk losses within the tolerated
+// ones, and random changes of the view among those that are allowed.
+type simulation struct {
+	random     *rand.Rand
+	defect     defect
+	profile    profile
+	machines   []*machine
+	inFlight   []message
+	lastID     int
+	wiped      []*machine         // machines that lost their disk
+	isDelayed  func(message) bool // in scenarios
+	recovering bool               // the end of a run: no more faults
+
+	decided   map[uint64]view.View
+	committed map[uint64]chain.Value
+	newestSeq uint64 // highest Seq that was acknowledged or read
+	outcomes  map[chain.Digest]*updateOutcome
+	clients   []*client
+	reads     int
+	err       error // the first violation
+}
+
+// profile is how frequent the events of a run are: what is rare in one run is common in another.
+type profile struct {
+	reordering        reordering
+	lossOneIn         int // one in so many messages is lost, and as many are duplicated
+	powerLossOneIn    int // one in so many writes is interrupted by a power loss
+	viewChangePercent int // of the steps
+	partitionOneIn    int // one in so many partition steps disconnects or suspends a machine
+	historyLength     int // number of recent updates that a value records
+}
+
+// reordering is the order in which messages arrive.
+type reordering int
+
+const (
+	olderFirst reordering = iota
+	anyOrder
+	newerFirst
+)
+
+func newSimulation(seed uint64, d defect, machines int) *simulation {
+	s := &simulation{
+		random:    rand.New(rand.NewPCG(seed, 7)),
+		defect:    d,
+		decided:   map[uint64]view.View{},
+		committed: map[uint64]chain.Value{},
+		outcomes:  map[chain.Digest]*updateOutcome{},
+	}
+	pick := func(options ...int) int { return options[s.random.IntN(len(options))] }
+	s.profile = profile{
+		reordering:        reordering(pick(int(olderFirst), int(anyOrder), int(newerFirst))),
+		lossOneIn:         pick(5, 12, 60),
+		powerLossOneIn:    pick(30, 60, 400),
+		viewChangePercent: pick(1, 3, 6),
+		partitionOneIn:    pick(4, 16),
+		historyLength:     pick(1, 3, chain.MaxRecentUpdates),
+	}
+	var peers []view.Peer
+	for i := range machines {
+		m := &machine{addr: fmt.Sprint("m", i), up: true}
+		s.assignNewDisk(m)
+		s.machines = append(s.machines, m)
+		if i < max(3, machines-1) {
+			peers = append(peers, peerOf(m))
+		}
+	}
+	initial, _ := view.InitialView(peers, view.Tolerance{Machines: toleratedLosses})
+	s.decided[1] = initial
+	for _, m := range s.machines[:len(peers)] {
+		if s.random.IntN(4) > 0 { // the others learn it
+			m.view = initial
+		}
+	}
+	s.machines[0].view = initial
+	for range 3 {
+		s.clients = append(s.clients, &client{})
+	}
+	return s
+}
+
+// fail records the first violation.
+func (s *simulation) fail(format string, args ...any) {
+	if s.err == nil {
+		s.err = errors.Errorf(format, args...)
+	}
+}
+
+// step executes one random event.
+func (s *simulation) step() {
+	m := s.machines[s.random.IntN(len(s.machines))]
+	running := m.up && !m.suspended
+	switch event := s.random.IntN(100); {
+	case event < 68:
+		s.deliverAny()
+	case event < 78:
+		s.submitAny(m, running)
+	case event < 83:
+		if running {
+			s.resendPush(m)
+		}
+	case event < 84:
+		if running {
+			s.transferValue(m)
+		}
+	case event < 84+s.profile.viewChangePercent:
+		if running {
+			s.propose(m)
+		}
+	case event < 92:
+		if running {
+			s.read(m)
+		}
+	case event < 95:
+		if to := s.machines[s.random.IntN(len(s.machines))]; running && m.view.Number > 0 {
+			s.send(m, peerOf(to), viewMessage{m.view})
+		}
+	case event < 97:
+		m.up = true
+	case s.recovering:
+	case event < 98:
+		s.changeConnection(m)
+	case event < 99:
+		if s.random.IntN(2) == 0 {
+			s.powerOff(m)
+		}
+	default:
+		s.injectDisaster(m)
+	}
+}
+
+var errNoProgress = errors.New("the newest value is not readable though all machines are back")
+
+// simulate executes a run of random events, then lets all machines recover, and returns the first
+// violation.
+func simulate(seed uint64, d defect, machines, steps int) (*simulation, error) {
+	s := newSimulation(seed, d, machines)
+	for range steps {
+		if s.step(); s.err != nil {
+			return s, s.err
+		}
+	}
+	s.recovering = true
+	for _, m := range s.machines {
+		m.up, m.inboundCut, m.outboundCut, m.suspended = true, false, false, false
+	}
+	before := s.reads
+	for i := 0; s.reads < before+3; i++ {
+		if s.step(); s.err != nil {
+			return s, s.err
+		}
+		if i > maxRecoverySteps {
+			return s, errNoProgress
+		}
+	}
+	return s, s.checkHistory()
+}
+
+func TestNoUpdateIsLostOrAppliedTwice(t *testing.T) {
+	seeds, updates, views := 1500, 0, 0
+	if testing.Short() {
+		seeds = 300
+	}
+	for seed := range seeds {
+		s, err := simulate(uint64(seed), noDefect, 4+seed%3, 2500)
+		require.NoError(t, err, "seed %d", seed)
+		updates += len(s.committed)
+		views += len(s.decided)
+	}
+	require.Greater(t, updates, 4*seeds, "updates are committed")
+	require.Greater(t, views, 5*seeds, "views are decided")
+}
+
+func TestSimulationFindsDefects(t *testing.T) {
+	for d, name := range map[defect]string{
+		acknowledgeEarly:        "acknowledged before the tail",
+		dropToIncompleteMembers: "the chain is reduced to incomplete members",
+		answerFromStaleTail:     "a new tail answers at once",
+		rejectForgottenUpdates:  "forgotten updates are rejected",
+		keepIDAfterDiskLoss:     "a machine without its disk keeps its vote",
+		acceptOlderValues:       "older values of a view are accepted",
+		loseViews:               "views are not persisted",
+		dropBelowRequiredLength: "the chain is too short",
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range 20_000 {
+				_, err := simulate(uint64(seed), d, 4+seed%3, 2500)
+				// Where a value is lost with the last disk that had it, its chain makes no progress.
+				if err != nil && (err != errNoProgress || d == dropBelowRequiredLength) {
+					t.Logf("seed %d: %v", seed, err)
+					return
+				}
+			}
+			t.Fatal("the defect was not found")
+		})
+	}
+}
--- /dev/null
+++ b/internal/fleet/chain/value.go
@@ -0,0 +1,44 @@
+package chain
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+
+	"github.com/go-faster/errors"
+)
+
+// MaxBody is the largest body of a value or an update, in bytes.
+const MaxBody = 6 << 20
+
+// Value is the content of the register. It is immutable: a change makes a new value that shares the
+// unchanged parts.
+type Value struct {
+	Seq      uint64          `msgpack:"Seq"`             // number of committed updates; 0 is the empty register
+	Revision int64           `msgpack:"Revision"`        // the configuration's own revision, rising with each update
+	Body     []byte          `msgpack:"Body"`            // the configuration
+	Recent   []AppliedUpdate `msgpack:"Past"`            // the last MaxRecentUpdates, oldest first
+	Older    []byte          `msgpack:"Older,omitempty"` // up to MaxOlderUpdates before those, encoded
+}
+
+// Checksum distinguishes values of the same Seq, so that replicas can be compared. It does not cover
+// Older: a version of the software that doesn't know that field drops it, and its replica is as good.
+func (v *Value) Checksum() uint64 {
+	hash := sha256.New()
+	var numbers [16]byte
+	binary.BigEndian.PutUint64(numbers[:], v.Seq)
+	binary.BigEndian.PutUint64(numbers[8:], uint64(v.Revision))
+	hash.Write(numbers[:])
+	hash.Write(v.Body)
+	for _, applied := range v.Recent {
+		hash.Write(applied.Digest[:])
+	}
+	return binary.BigEndian.Uint64(hash.Sum(nil))
+}
+
+// Validate returns an error for a value that no head can have made.
+func (v *Value) Validate() error {
+	if len(v.Body) > MaxBody || v.Revision < 0 {
+		return errors.Errorf("value %d has a body of %d bytes and revision %d", v.Seq, len(v.Body), v.Revision)
+	}
+	return v.validateHistory()
+}
--- a/internal/fleet/controlplane/handover.go
+++ b/internal/fleet/controlplane/handover.go
@@ -116,7 +116,7 @@
 		return changed, handoverDone
 	}
 	if m.proposer.ready(now) && m.hasQuorumLocked(now) {
-		step, due := view.Plan(learned, m.self.ID, health, m.options.repairPolicy())
+		step, due := view.Plan(learned, health, m.options.repairPolicy())
 		if due && (inChain || step.View == nil || step.RemovedVoter == m.self.ID) {
 			m.proposeLocked(step)
 			return changed, handoverWaiting
--- a/internal/fleet/controlplane/repair.go
+++ b/internal/fleet/controlplane/repair.go
@@ -19,7 +19,7 @@
 	health := m.healthLocked(now)
 	m.sendSnapshotLocked(now, health)
 	learned := m.views.learned
-	step, due := view.Plan(learned, m.self.ID, health, m.options.repairPolicy())
+	step, due := view.Plan(learned, health, m.options.repairPolicy())
 	if !due {
 		m.proposer.nothingWanted()
 		return
--- a/internal/fleet/lease/bench_test.go
+++ b/internal/fleet/lease/bench_test.go
@@ -8,23 +8,26 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// granted is a table of so many agents, each with one lease at a core machine of seven.
-func granted(agents int) *Table {
-	t := New(2500 * time.Millisecond)
+// coreMachines is the number of control plane machines that grant leases.
+const coreMachines = 7
+
+// tableOf is a table of agents with one lease each.
+func tableOf(agents int) *Table {
+	table := New(leaseDuration)
 	for i := range agents {
-		t.Grant(time.Second, fmt.Sprintf("edge-%d/0123456789ab", i), fmt.Sprintf("core-%d/0123456789ab", i%7))
+		table.Grant(time.Second, fmt.Sprintf("edge-%d/0123456789ab", i), fmt.Sprintf("core-%d/0123456789ab", i%coreMachines))
 	}
-	return t
+	return table
 }
 
-func BenchmarkLapsed(b *testing.B) {
+func BenchmarkExpired(b *testing.B) {
 	for _, agents := range []int{30, 100, 367} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			t := granted(agents)
+			table := tableOf(agents)
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(t.Expired(time.Second)) > 0 {
-					b.Fatal("lapsed")
+				if len(table.Expired(time.Second)) > 0 {
+					b.Fatal("a lease is expired")
 				}
 			}
 		})
@@ -35,7 +38,7 @@
 	const agents = 3000
 	var bytes int64
 	for b.Loop() {
-		bytes = heapsize.Of(func() any { return granted(agents) })
+		bytes = heapsize.Of(func() any { return tableOf(agents) })
 	}
 	b.ReportMetric(float64(bytes)/agents, "B/agent")
 }
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,10 +1,11 @@
-// Package lease decides who is a member: an agent holds a lease at the core and is a member while
-// it renews it. It is pure; times are on the steady clock.
+// Package lease decides which agents are members of the fleet: an agent holds a lease with the control
+// plane, and is a member as long as it renews the lease. The package is pure, and its times are readings
+// of a monotonic clock.
 //
-// Each machine of the core that has a session with an agent grants it a lease and tells so by the
-// feed; the session's messages renew it. An agent whose lease nobody holds any more for as long as
-// a lease lasts is ended, by a machine of the core that is in contact with a majority of it: a
-// core machine that is cut off ends nobody.
+// Each control plane machine that has a session with an agent grants it a lease, and publishes that to
+// the other agents; the messages of the session renew it. Once no machine has granted an agent a lease
+// for the duration of one, the lease is expired, and a control plane machine that is in contact with a
+// majority removes the agent. A control plane machine that is partitioned away removes nobody.
 package lease
 
 import (
@@ -12,91 +13,96 @@
 	"time"
 )
 
-// wake is the pause between two ticks after which the process was frozen: leases that ran out
-// meanwhile get their whole time again.
-const wake = time.Second
-
-// maxLeases bounds the sources of which leases are known.
-const maxLeases = 8192
+const (
+	// suspensionThreshold is the time between two calls of Expired from which on the process is
+	// considered to have been suspended. Leases that expired meanwhile get their full duration again.
+	suspensionThreshold = time.Second
+	// maxLeases is the number of agents whose leases are tracked.
+	maxLeases = 8192
+)
 
-// Table is what one agent knows of leases. It is not safe for concurrent use.
+// Table is the leases that one agent knows of. It is not safe for concurrent use.
 type Table struct {
-	lasts  time.Duration
-	leases map[string]*agent
-	ticked time.Duration
+	duration    time.Duration
+	leases      map[string]*lease // by agent
+	lastChecked time.Duration     // time of the last call of Expired
 }
 
-type agent struct {
-	by   map[string]bool // the core machines that hold a lease of it, by source
-	free time.Duration   // since when nobody does
+// lease is the state of one agent's leases.
+type lease struct {
+	grantors  map[string]bool // the control plane machines that grant one
+	ungranted time.Duration   // since when there are none
 }
 
-// New returns an empty table. A lease lasts for that long after its last renewal.
-func New(lasts time.Duration) *Table {
-	return &Table{lasts: lasts, leases: map[string]*agent{}}
+// New returns an empty table. A lease expires when it has not been granted for the duration.
+func New(duration time.Duration) *Table {
+	return &Table{duration: duration, leases: map[string]*lease{}}
 }
 
-// Observe takes that a source is there; without a lease it is ended after a lease's time.
-func (t *Table) Observe(now time.Duration, source string) {
-	if t.leases[source] == nil && len(t.leases) < maxLeases {
-		t.leases[source] = &agent{by: map[string]bool{}, free: now}
+// Observe records that an agent exists. If it is granted no lease, it expires after the duration of
+// one. The agent is ignored if there are too many.
+func (t *Table) Observe(now time.Duration, agent string) {
+	if t.leases[agent] == nil && len(t.leases) < maxLeases {
+		t.leases[agent] = &lease{grantors: map[string]bool{}, ungranted: now}
 	}
 }
 
-// Grant takes that a core machine holds a lease of a source.
-func (t *Table) Grant(now time.Duration, source, by string) {
-	t.Observe(now, source)
-	if a := t.leases[source]; a != nil {
-		a.by[by] = true
+// Grant records that a control plane machine grants an agent a lease.
+func (t *Table) Grant(now time.Duration, agent, grantor string) {
+	t.Observe(now, agent)
+	if l := t.leases[agent]; l != nil {
+		l.grantors[grantor] = true
 	}
 }
 
-// Revoke takes that it holds it no more.
-func (t *Table) Revoke(now time.Duration, source, by string) {
-	if a := t.leases[source]; a != nil && a.by[by] {
-		if delete(a.by, by); len(a.by) == 0 {
-			a.free = now
+// Revoke records that a control plane machine no longer grants an agent a lease.
+func (t *Table) Revoke(now time.Duration, agent, grantor string) {
+	if l := t.leases[agent]; l != nil && l.grantors[grantor] {
+		if delete(l.grantors, grantor); len(l.grantors) == 0 {
+			l.ungranted = now
 		}
 	}
 }
 
-// Remove forgets a source, and the leases that it held of others.
-func (t *Table) Remove(now time.Duration, source string) {
-	delete(t.leases, source)
+// Remove forgets an agent, and revokes the leases that it granted to others.
+func (t *Table) Remove(now time.Duration, agent string) {
+	delete(t.leases, agent)
 	for other := range t.leases {
-		t.Revoke(now, other, source)
+		t.Revoke(now, other, agent)
 	}
 }
 
-// Granted tells whether anyone holds a lease of a source.
-func (t *Table) Granted(source string) bool {
-	a := t.leases[source]
-	return a != nil && len(a.by) > 0
+// Granted reports whether any machine grants an agent a lease.
+func (t *Table) Granted(agent string) bool {
+	l := t.leases[agent]
+	return l != nil && len(l.grantors) > 0
 }
 
-// UngrantedFor is how long nobody has held a lease of a source; 0 if somebody does or the source is not known.
-func (t *Table) UngrantedFor(now time.Duration, source string) time.Duration {
-	a := t.leases[source]
-	if a == nil || len(a.by) > 0 {
+// UngrantedFor returns for how long no machine has granted an agent a lease. It is 0 if one does, or if
+// the agent is not known.
+func (t *Table) UngrantedFor(now time.Duration, agent string) time.Duration {
+	l := t.leases[agent]
+	if l == nil || len(l.grantors) > 0 {
 		return 0
 	}
-	return now - a.free
+	return now - l.ungranted
 }
 
-// Expired are the sources that nobody has held a lease of for as long as one lasts.
+// Expired returns the agents whose leases are expired, sorted. It has to be called at intervals well
+// below suspensionThreshold.
 func (t *Table) Expired(now time.Duration) []string {
-	frozen := t.ticked > 0 && now-t.ticked > wake
-	t.ticked = now
-	var out []string
-	for source, a := range t.leases {
+	suspended := t.lastChecked > 0 && now-t.lastChecked > suspensionThreshold
+	t.lastChecked = now
+	var expired []string
+	for agent, l := range t.leases {
 		switch {
-		case len(a.by) > 0:
-		case frozen:
-			a.free = now
-		case now-a.free > t.lasts:
-			out = append(out, source)
+		case len(l.grantors) > 0:
+		case suspended:
+			l.ungranted = now
+		case now-l.ungranted > t.duration:
+			expired = append(expired, agent)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(expired)
+	return expired
 }
--- a/internal/fleet/store/bench_test.go
+++ b/internal/fleet/store/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A record of so many bytes on the machine's own disk, synced, the file's rewriting included.
+// BenchmarkPut writes and syncs records of one size on the machine's own disk, including compactions.
 func BenchmarkPut(b *testing.B) {
 	for _, size := range []int{1 << 10, 30 << 10, 100 << 10, 900 << 10} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
@@ -15,14 +15,14 @@
 				b.Fatal(err)
 			}
 			defer s.Close()
-			val, largest := make([]byte, size), int64(0)
+			value, largest := make([]byte, size), int64(0)
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := s.Put("value", val); err != nil {
+				if err := s.Put("value", value); err != nil {
 					b.Fatal(err)
 				}
-				if st, err := os.Stat(s.path(fileName)); err == nil {
-					largest = max(largest, st.Size())
+				if info, err := os.Stat(s.path(fileName)); err == nil {
+					largest = max(largest, info.Size())
 				}
 			}
 			b.ReportMetric(float64(largest), "B/file")
--- a/internal/fleet/store/scan.go
+++ b/internal/fleet/store/scan.go
@@ -10,131 +10,164 @@
 	"github.com/go-faster/errors"
 )
 
-// Entry is the newest record of a name.
+// Entry describes the newest record of a name.
 type Entry struct {
-	Number uint64 `json:"Number"` // its place among all records that were written
+	Number uint64 `json:"Number"` // its sequence number among all records that were written
 	Bytes  int    `json:"Bytes"`
 }
 
-// Report is what a state file holds.
+// Report describes the content of a state file.
 type Report struct {
-	Bytes     int64            `json:"Bytes"`   // of whole records
-	Records   int              `json:"Records"` // older ones among them
+	Bytes     int64            `json:"Bytes"`   // size of the complete records
+	Records   int              `json:"Records"` // number of complete records, including those that were replaced
 	Entries   map[string]Entry `json:"Entries"` // by name
-	TornBytes int64            `json:"Torn"`    // bytes behind the last whole record: a write that a loss of power cut
-	Damaged   bool             `json:"Damaged"` // records before the last one are not whole
-	Reason    string           `json:"Why"`     // what is wrong where it was torn or damaged
+	TornBytes int64            `json:"Torn"`    // behind the last complete record, by a write that a power loss interrupted
+	Damaged   bool             `json:"Damaged"` // a record before the last one is damaged
+	Reason    string           `json:"Why"`     // what is wrong where it is torn or damaged
 	SetAside  bool             `json:"Aside"`   // an earlier file was set aside as damaged
 }
 
-// Verify reads the state file of a folder that no process uses, and changes nothing.
+// Verify reads the state file of a directory that no process uses, and changes nothing.
 func Verify(dir string) (Report, error) {
-	rep, _, err := scan(filepath.Join(dir, fileName))
-	if _, e := os.Stat(filepath.Join(dir, damagedName)); e == nil {
-		rep.SetAside = true
+	report, _, err := scan(filepath.Join(dir, fileName))
+	if _, statErr := os.Stat(filepath.Join(dir, damagedFileName)); statErr == nil {
+		report.SetAside = true
 	}
-	return rep, err
+	return report, err
 }
 
-// Read is the newest record of a name in a folder that no process uses.
-func Read(dir, key string) (val []byte, ok bool, err error) {
-	_, recs, err := scan(filepath.Join(dir, fileName))
-	for _, r := range recs {
+// Read returns the newest record of a name in a directory that no process uses.
+func Read(dir, key string) (value []byte, found bool, err error) {
+	_, records, err := scan(filepath.Join(dir, fileName))
+	for _, r := range records {
 		if r.key == key {
-			val, ok = r.val, true
+			value, found = r.value, true
 		}
 	}
-	return val, ok, err
+	return value, found, err
 }
 
-type record struct {
-	key    string
-	number uint64
-	val    []byte
-}
+// framePrefix starts each frame of buntdb that the store writes.
+var framePrefix = []byte("*3\r\n$3\r\nset\r\n")
+
+const (
+	lineEnd = "\r\n"
+	// maxLengthLine is the longest line with the length of a part that is accepted, in bytes.
+	maxLengthLine = 24
+)
 
-// start begins each of buntdb's frames that the store writes.
-var start = []byte("*3\r\n$3\r\nset\r\n")
+// errTorn is the error of a frame that is incomplete or malformed.
+var errTorn = errors.New("a record is torn")
 
-func frameSize(key string, val int) int64 {
-	return int64(len(start) + len(strconv.Itoa(len(key))) + len(key) + len(strconv.Itoa(val)) + val + 10)
+// frameSize is the size of the frame of a record, in bytes.
+func frameSize(key string, text int) int64 {
+	return int64(len(framePrefix) + lengthPrefixed(len(key)) + lengthPrefixed(text))
 }
 
-// scan reads a file record by record. Only the last write may be torn: what follows the whole
-// records then holds no record that was written after that one.
-func scan(path string) (rep Report, recs []record, err error) {
-	rep.Entries = map[string]Entry{}
+// lengthPrefixed is the size of "$N DATA" with N bytes of data, each part followed by a line end.
+func lengthPrefixed(size int) int {
+	return len("$") + len(strconv.Itoa(size)) + len(lineEnd) + size + len(lineEnd)
+}
+
+// scan reads a state file and the records in it, oldest first. A missing file has no records.
+func scan(path string) (report Report, records []record, err error) {
+	report.Entries = map[string]Entry{}
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return rep, nil, nil
+		return report, nil, nil
 	case err != nil:
-		return rep, nil, errors.Wrap(err, "read the state file")
+		return report, nil, errors.Wrap(err, "read the state file")
 	case info.Size() > MaxFile:
-		rep.Damaged, rep.Reason = true, "the file is larger than any that is written"
-		return rep, nil, nil
+		report.Damaged, report.Reason = true, "the file is larger than any that is written"
+		return report, nil, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return rep, nil, errors.Wrap(err, "read the state file")
+		return report, nil, errors.Wrap(err, "read the state file")
+	}
+	records, offset, err := parseRecords(raw)
+	if err != nil {
+		report.Reason = err.Error()
 	}
-	at, last := 0, uint64(0)
-	for at < len(raw) {
-		r, n, err := frame(raw[at:])
-		if err == nil && last > 0 && r.number != last+1 {
-			err = errors.Errorf("record %s has number %d after %d", r.key, r.number, last)
+	lastNumber := uint64(0)
+	for _, r := range records {
+		report.Entries[r.key] = Entry{Number: r.number, Bytes: len(r.value)}
+		lastNumber = r.number
+	}
+	report.Bytes, report.Records, report.TornBytes = int64(offset), len(records), int64(len(raw)-offset)
+	report.Damaged = hasOtherRecords(raw[offset:], lastNumber+1)
+	return report, records, nil
+}
+
+// parseRecords parses records of consecutive numbers from the start of a file. It returns the offset
+// behind the last one, and why it stopped if that is before the end.
+func parseRecords(raw []byte) (records []record, offset int, err error) {
+	for offset < len(raw) {
+		r, size, err := parseFrame(raw[offset:])
+		if err == nil && len(records) > 0 {
+			if last := records[len(records)-1].number; r.number != last+1 {
+				err = errors.Errorf("record %s has number %d after %d", r.key, r.number, last)
+			}
 		}
 		if err != nil {
-			rep.Reason = err.Error()
-			break
+			return records, offset, err
 		}
-		at, last = at+n, r.number
-		recs = append(recs, r)
-		rep.Entries[r.key] = Entry{Number: r.number, Bytes: len(r.val)}
+		offset += size
+		records = append(records, r)
 	}
-	rep.Bytes, rep.Records, rep.TornBytes = int64(at), len(recs), int64(len(raw)-at)
-	for rest := raw[at:]; ; {
-		i := bytes.Index(rest, start)
-		if i < 0 {
-			break
+	return records, offset, nil
+}
+
+// hasOtherRecords reports whether there are complete records in the bytes behind those that were
+// parsed, other than the next one. Only the last write may be torn, so they are no torn tail then.
+func hasOtherRecords(rest []byte, next uint64) bool {
+	for {
+		start := bytes.Index(rest, framePrefix)
+		if start < 0 {
+			return false
 		}
-		if r, _, err := frame(rest[i:]); err == nil && r.number != last+1 {
-			rep.Damaged = true
+		if r, _, err := parseFrame(rest[start:]); err == nil && r.number != next {
+			return true
 		}
-		rest = rest[i+1:]
+		rest = rest[start+1:]
 	}
-	return rep, recs, nil
 }
 
-// frame reads one of buntdb's frames: "*3 $3 set $N KEY $N VALUE", each part ended by CR LF.
-func frame(b []byte) (r record, n int, err error) {
-	if !bytes.HasPrefix(b, start) {
+// parseFrame parses one frame of buntdb, "*3 $3 set $N KEY $N RECORD" with a line end behind each
+// part, and returns its record and size.
+func parseFrame(raw []byte) (r record, size int, err error) {
+	if !bytes.HasPrefix(raw, framePrefix) {
 		return r, 0, errors.New("no record begins here")
 	}
-	n = len(start)
-	key, err := bulk(b, &n, 64)
+	size = len(framePrefix)
+	key, keySize, err := parseLengthPrefixed(raw[size:], maxKey)
 	if err != nil {
 		return r, 0, err
 	}
-	text, err := bulk(b, &n, MaxRecord+headerSize)
+	size += keySize
+	text, textSize, err := parseLengthPrefixed(raw[size:], MaxRecord+headerSize)
 	if err != nil {
 		return r, 0, err
 	}
-	r.key = string(key)
-	r.number, r.val, err = decode(r.key, text)
-	return r, n, err
+	r, err = decode(string(key), text)
+	return r, size + textSize, err
 }
 
-func bulk(b []byte, at *int, most int) ([]byte, error) {
-	rest := b[*at:]
-	i := bytes.Index(rest[:min(len(rest), 24)], []byte("\r\n"))
-	if i < 2 || rest[0] != '$' {
-		return nil, errors.New("a record is torn")
+// parseLengthPrefixed parses "$N DATA", and returns the data and the size of all of it.
+func parseLengthPrefixed(raw []byte, maxData int) (data []byte, size int, err error) {
+	lineLength := bytes.Index(raw[:min(len(raw), maxLengthLine)], []byte(lineEnd))
+	if lineLength < len("$N") || raw[0] != '$' {
+		return nil, 0, errTorn
+	}
+	length, err := strconv.Atoi(string(raw[1:lineLength]))
+	if err != nil || length < 0 || length > maxData {
+		return nil, 0, errTorn
 	}
-	n, err := strconv.Atoi(string(rest[1:i]))
-	if err != nil || n < 0 || n > most || len(rest) < i+2+n+2 || rest[i+2+n] != '\r' || rest[i+3+n] != '\n' {
-		return nil, errors.New("a record is torn")
+	start := lineLength + len(lineEnd)
+	end := start + length
+	if !bytes.HasPrefix(raw[min(end, len(raw)):], []byte(lineEnd)) {
+		return nil, 0, errTorn
 	}
-	*at += i + 2 + n + 2
-	return rest[i+2 : i+2+n], nil
+	return raw[start:end], end + len(lineEnd), nil
 }
--- a/internal/fleet/view/norace_test.go
+++ b/internal/fleet/view/norace_test.go
@@ -2,4 +2,4 @@
 
 package view
 
-const raced = false
+const raceEnabled = false
--- a/internal/fleet/view/placement.go
+++ b/internal/fleet/view/placement.go
@@ -2,71 +2,75 @@
 
 import "slices"
 
-// InitialView is view 1 of the peers that were found, at most MaxVoters of them. Peers with a disk go
-// first and then those whose loss is counted; without any disk the state is kept in memory.
-func InitialView(found []Peer, t Tolerance) (View, bool) {
-	pool := filter(found, func(p Peer) bool { return p.Disk })
-	v := View{Number: 1, InMemory: len(pool) == 0}
-	if v.InMemory {
-		pool = slices.Clone(found)
+// InitialView returns view 1 of the discovered peers, with at most MaxVoters voters. Peers with a
+// disk are preferred, and among those the ones whose loss counts. If no peer has a disk the state is
+// kept in memory. It reports false if there are no peers.
+func InitialView(discovered []Peer, tolerance Tolerance) (initial View, ok bool) {
+	pool := filterPeers(discovered, func(peer Peer) bool { return peer.Disk })
+	initial = View{Number: 1, InMemory: len(pool) == 0}
+	if initial.InMemory {
+		pool = slices.Clone(discovered)
 	}
-	if counted := filter(pool, func(p Peer) bool { return p.Counted }); len(counted) > 0 {
+	if counted := filterPeers(pool, func(peer Peer) bool { return peer.Counted }); len(counted) > 0 {
 		pool = counted
 	}
 	if len(pool) == 0 {
 		return View{}, false
 	}
-	v.Voters = extend(nil, pool, t, true)
-	members := pick(nil, v.Voters, MaxChainLength(t), t.Regions > 0)
-	slices.SortFunc(v.Voters, comparePeers)
+	initial.Voters = selectVoters(nil, pool, tolerance, true)
+	members := selectSpread(nil, initial.Voters, MaxChainLength(tolerance), tolerance.Regions > 0)
+	slices.SortFunc(initial.Voters, comparePeers)
 	slices.SortFunc(members, comparePeers)
-	for _, p := range members {
-		v.Chain = append(v.Chain, Member{Peer: p, JoinedIn: 1})
+	for _, peer := range members {
+		initial.Chain = append(initial.Chain, Member{Peer: peer, JoinedIn: 1})
 	}
-	return v, true
+	return initial, true
 }
 
-// extend picks further voters from a pool such that all together bear the tolerated losses as well
-// as they can, and among equal sets the largest or the smallest. Those that are voters already stay.
-func extend(voters, pool []Peer, t Tolerance, largest bool) []Peer {
+// selectVoters selects additional voters from a pool, so that all voters together have the smallest
+// shortfall. Among sets with the same shortfall it selects the largest or the smallest one. The
+// present voters stay.
+func selectVoters(voters, pool []Peer, tolerance Tolerance, largest bool) []Peer {
 	var best []Peer
-	least := t.shortfall(voters, len(voters))
-	for _, regionsFirst := range []bool{t.Regions > 0, false} {
-		order := pick(voters, pool, MaxVoters-len(voters), regionsFirst)
+	least := tolerance.shortfall(voters, len(voters))
+	for _, regionsFirst := range []bool{tolerance.Regions > 0, false} {
+		order := selectSpread(voters, pool, MaxVoters-len(voters), regionsFirst)
 		for n := 1; n <= len(order); n++ {
 			all := append(slices.Clone(voters), order[:n]...)
-			short := t.shortfall(all, len(all))
-			if short.Less(least) || largest && short == least && n > len(best) {
-				best, least = order[:n], short
+			shortfall := tolerance.shortfall(all, len(all))
+			if shortfall.Less(least) || largest && shortfall == least && n > len(best) {
+				best, least = order[:n], shortfall
 			}
 		}
 	}
 	return best
 }
 
-// pick takes up to n peers of a pool, each time one of the domain that has least of those taken.
-func pick(taken, pool []Peer, n int, regionsFirst bool) (out []Peer) {
-	taken, pool = slices.Clone(taken), slices.Clone(pool)
+// selectSpread selects up to n peers of a pool, each time one of the failure domain with the fewest
+// peers that are in use already. Ties are broken by ID.
+func selectSpread(used, pool []Peer, n int, regionsFirst bool) (selected []Peer) {
+	used, pool = slices.Clone(used), slices.Clone(pool)
 	slices.SortFunc(pool, comparePeers)
-	for len(out) < n && len(pool) > 0 {
-		i := leastLoaded(taken, pool, regionsFirst)
-		out, taken = append(out, pool[i]), append(taken, pool[i])
+	for len(selected) < n && len(pool) > 0 {
+		i := leastLoaded(used, pool, regionsFirst)
+		selected, used = append(selected, pool[i]), append(used, pool[i])
 		pool = slices.Delete(pool, i, i+1)
 	}
-	return out
+	return selected
 }
 
-// leastLoaded is the index of the first peer of a pool whose domain has fewest of those taken.
-func leastLoaded(taken, pool []Peer, regionsFirst bool) (best int) {
-	zones, regions := perDomain(taken, zoneOf), perDomain(taken, regionOf)
-	load := func(p Peer) (region, zone int) {
+// leastLoaded returns the index of the first peer of a pool whose failure domain has the fewest used
+// peers: its zone or, with regionsFirst, its region and then its zone.
+func leastLoaded(used, pool []Peer, regionsFirst bool) (best int) {
+	zones, regions := countByDomain(used, zoneOf), countByDomain(used, regionOf)
+	load := func(peer Peer) (region, zone int) {
 		if regionsFirst {
-			region = regions[regionOf(p)]
+			region = regions[regionOf(peer)]
 		}
-		return region, zones[zoneOf(p)]
+		return region, zones[zoneOf(peer)]
 	}
-	for i, p := range pool {
-		region, zone := load(p)
+	for i, peer := range pool {
+		region, zone := load(peer)
 		bestRegion, bestZone := load(pool[best])
 		if region < bestRegion || region == bestRegion && zone < bestZone {
 			best = i
@@ -75,11 +79,10 @@
 	return best
 }
 
-// filter is the peers that fit.
-func filter(peers []Peer, fits func(Peer) bool) (out []Peer) {
-	for _, p := range peers {
-		if fits(p) {
-			out = append(out, p)
+func filterPeers(peers []Peer, matches func(Peer) bool) (out []Peer) {
+	for _, peer := range peers {
+		if matches(peer) {
+			out = append(out, peer)
 		}
 	}
 	return out
--- /dev/null
+++ b/internal/fleet/view/placement_test.go
@@ -0,0 +1,70 @@
+package view
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestInitialView(t *testing.T) {
+	_, ok := InitialView(nil, tolerateMachines(1))
+	require.False(t, ok)
+
+	diskless := testPeer("z")
+	diskless.Disk = false
+	v, ok := InitialView(append(testPeers("c a b"), diskless), tolerateMachines(1))
+	require.True(t, ok)
+	require.NoError(t, v.Validate())
+	require.Equal(t, testPeers("a b c"), v.Voters)
+	require.False(t, v.InMemory)
+	require.Equal(t, 2, v.Quorum())
+	require.Equal(t, "a", v.Head().ID)
+	require.Equal(t, "c", v.Tail().ID)
+
+	v, _ = InitialView([]Peer{diskless}, tolerateMachines(1))
+	require.True(t, v.InMemory)
+
+	uncounted := testPeer("b")
+	uncounted.Counted = false
+	v, _ = InitialView([]Peer{testPeer("a"), uncounted}, tolerateMachines(1))
+	require.Equal(t, testPeers("a"), v.Voters)
+
+	// Of many peers, each zone has its share.
+	v, _ = InitialView(testPeers("a1 a2 a3 a4 a5 a6 a7 a8 b1 b2 b3 b4 b5 c1 c2 c3"), tolerateMachines(2))
+	require.Equal(t, testPeers("a1 a2 a3 b1 b2 b3 c1 c2 c3"), v.Voters)
+	s := &scenario{view: v}
+	require.Equal(t, "a1 a2 b1 b2 c1", s.chainIDs(), "also of the chain, which is as long as the tolerated losses need")
+}
+
+// Peers are not selected where a zone or a region would have a majority with them.
+func TestInitialViewToleratesZonesAndRegions(t *testing.T) {
+	for _, c := range []struct {
+		peers     string
+		tolerance Tolerance
+		voters    string
+		chain     string
+	}{
+		{"r/a/1 r/a/2 r/a/3 r/b/4 r/c/5", Tolerance{Machines: 1}, "1 2 3 4 5", "1 2 4 5"},
+		{"r/a/1 r/a/2 r/a/3 r/b/4 r/c/5", Tolerance{Machines: 1, Zones: 1}, "1 4 5", "1 4 5"},
+		{"r/a/1 r/a/2 r/b/3 r/b/4 r/c/5 r/c/6", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5 6", "1 2 3 5"},
+		{"r/a/1 r/b/2 r/c/3 r/d/4 s/e/5 q/f/6", Tolerance{Machines: 1, Regions: 1}, "1 2 3 4 5 6", ""},
+		{"r/a/1 r/a/2 r/a/3 r/a/4 r/a/5", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5", "1 2 3 4"}, // impossible in one zone
+		{"r/a/1 r/a/2", Tolerance{Machines: 2}, "1 2", "1 2"},
+	} {
+		v, ok := InitialView(testPeersAt(c.peers), c.tolerance)
+		require.True(t, ok)
+		require.NoError(t, v.Validate())
+		if c.chain == "" { // regions r r r r s q: at most as many of r as leave a majority
+			require.True(t, v.Shortfall(c.tolerance).None(), "%+v", v.Voters)
+			continue
+		}
+		require.Equal(t, c.voters, joinIDs(v.Voters), "%+v", c)
+		s := scenario{view: v}
+		require.Equal(t, c.chain, s.chainIDs(), "%+v", c)
+		var members []Peer
+		for _, member := range v.Chain {
+			members = append(members, member.Peer)
+		}
+		require.True(t, SpreadOf(members).Covers(v.RequiredSpread(c.tolerance)))
+	}
+}
--- /dev/null
+++ b/internal/fleet/view/plan_voters_test.go
@@ -0,0 +1,179 @@
+package view
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestLostDiskIsReplaced(t *testing.T) {
+	s := newScenario(t, "a b c d")
+	s.loseContact("b", 200*time.Millisecond)
+	newDisk := Peer{ID: "x", Addr: "b:1", Disk: true, Counted: true}
+	s.addPeer(newDisk)
+	s.update("x", func(h *Health) { h.StableFor = 100 * time.Millisecond })
+	s.requireStep(t, "a c d")
+	s.requireNoStep(t)
+	s.update("x", func(h *Health) { h.StableFor = 300 * time.Millisecond })
+	s.requireStep(t, "a c d")
+	_, found := s.view.Voter("b")
+	require.False(t, found)
+	require.Len(t, s.view.Voters, 4)
+	s.requireStep(t, "a c d x")
+}
+
+func TestAbsentVoterIsReplaced(t *testing.T) {
+	s := newScenario(t, "a b c d").loseContact("b", time.Second)
+	s.requireStep(t, "a c d")
+	s.requireNoStep(t) // no peer can replace it, and it is never just removed
+	s.addPeer(testPeer("e"))
+	s.requireNoStep(t) // it is not absent for long enough, and no voter is added meanwhile
+	s.loseContact("b", 2*time.Second)
+	s.requireStep(t, "a c d")
+	require.Len(t, s.view.Voters, 4)
+	s.requireStep(t, "a c d e")
+	s.setComplete("e")
+	s.regainContact("b", time.Second)
+	s.requireStep(t, "a c d e")
+	require.Len(t, s.view.Voters, 5, "the former one is one more")
+	s.requireNoStep(t)
+}
+
+func TestVotersAreBounded(t *testing.T) {
+	s := newScenario(t, "a b c d e f g h i")
+	s.addPeer(testPeer("j"))
+	s.requireNoStep(t)
+	s.loseContact("c", 3*time.Second)
+	s.requireStep(t, "a b d e f g h i")
+	s.requireStep(t, "a b d e f g h i")
+	_, found := s.view.Voter("j")
+	require.True(t, found)
+	require.Len(t, s.view.Voters, 9)
+}
+
+func TestEligibleVoters(t *testing.T) {
+	s := newScenario(t, "a b c")
+	diskless, uncounted := testPeer("d"), testPeer("e")
+	diskless.Disk, uncounted.Counted = false, false
+	s.addPeer(diskless)
+	s.addPeer(uncounted)
+	s.requireNoStep(t)
+	s.view.InMemory = true
+	s.requireStep(t, "a b c")
+	require.Len(t, s.view.Voters, 4)
+}
+
+// A machine with a new disk does not become a voter while its former disk is a member of the chain.
+func TestMachineHasOneVoter(t *testing.T) {
+	t.Parallel()
+	s := newScenario(t, "a b").addPeerAt("x", "a")
+	s.loseContact("a", 200*time.Millisecond)
+	_, found := s.plannedView(t).Voter("x")
+	require.False(t, found)
+}
+
+// A voter that is a member of the chain is not replaced while it can't be removed from the chain.
+func TestChainMemberKeepsItsVote(t *testing.T) {
+	t.Parallel()
+	s := newScenario(t, "a b")
+	s.addPeer(testPeer("x"))
+	s.loseContact("b", 2*testPolicy.ReplaceAfter)
+	_, found := s.plannedView(t).Voter("b")
+	require.True(t, found)
+}
+
+// A candidate does not raise the quorum while a voter is absent.
+func TestNoVoterIsAddedWhileOneIsAbsent(t *testing.T) {
+	t.Parallel()
+	s := newScenario(t, "a b")
+	s.addPeer(testPeer("x"))
+	s.loseContact("b", testPolicy.FailAfter)
+	require.Len(t, s.plannedView(t).Voters, 2)
+}
+
+// In a planned replacement the candidate is present first, and then takes the place of the leaving voter.
+func TestLeavingVoterIsReplaced(t *testing.T) {
+	s := newScenario(t, "a b c").shutDown("a")
+	s.requireStep(t, "b c")
+	require.True(t, s.mayLeave("a"), "two voters tolerate no more than three")
+	s.addPeer(testPeer("d"))
+	require.False(t, s.mayLeave("a"))
+	require.Equal(t, "a", s.requireStep(t, "b c").RemovedVoter)
+	require.Equal(t, "b c d", joinIDs(s.view.Voters))
+	s.requireStep(t, "b c d")
+
+	// It was added before: four voters without one of them don't tolerate a loss, three do.
+	s = newScenario(t, "a b c")
+	s.addPeer(testPeer("d"))
+	s.requireStep(t, "a b c")
+	s.requireStep(t, "a b c d")
+	s.completeMembers().shutDown("a").requireStep(t, "b c d")
+	require.Equal(t, "a", s.requireStep(t, "b c d").RemovedVoter)
+	require.Equal(t, "b c d", joinIDs(s.view.Voters))
+
+	// And it failed meanwhile: the two that remain are a majority of three, not of four.
+	s = newScenario(t, "a b c")
+	s.addPeer(testPeer("d"))
+	s.requireStep(t, "a b c")
+	s.loseContact("d", testPolicy.FailAfter).shutDown("a")
+	s.requireStep(t, "b c")
+	require.Equal(t, "a", s.requireStep(t, "b c").RemovedVoter)
+	require.Equal(t, 2, s.view.Quorum())
+
+	five := newScenario(t, "a b c d e").shutDown("a")
+	five.requireStep(t, "b c d e")
+	five.requireNoStep(t) // they tolerate a loss as they are
+}
+
+// The only machine of a control plane is replaced: its replacement is a voter and complete before it
+// may leave.
+func TestOnlyMemberIsReplaced(t *testing.T) {
+	s := newZonedScenario(t, "r/a/a", Tolerance{}).shutDown("a")
+	s.requireNoStep(t)
+	require.True(t, s.mayLeave("a"), "there is no other peer")
+	s.addPeer(testPeer("b"))
+	require.False(t, s.mayLeave("a"))
+	s.requireStep(t, "a")
+	s.requireStep(t, "a b")
+	require.False(t, s.mayLeave("a"))
+	s.requireNoStep(t)
+	s.completeMembers().requireStep(t, "b")
+	require.False(t, s.mayLeave("a"))
+	s.requireStep(t, "b")
+	require.Equal(t, "b", joinIDs(s.view.Voters))
+}
+
+func TestReplacementDoesNotConcentrateVotersInAZone(t *testing.T) {
+	s := newZonedScenario(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 1, Zones: 1})
+	s.loseContact("c1", testPolicy.ReplaceAfter).requireStep(t, "a1 b1")
+	s.addPeer(testPeersAt("r/a/a2")[0])
+	s.requireNoStep(t)
+	s.addPeer(testPeersAt("r/c/c2")[0])
+	s.requireStep(t, "a1 b1")
+	require.Equal(t, "a1 b1 c2", joinIDs(s.view.Voters))
+}
+
+// Where the voters tolerate the loss of a zone, candidates stay on standby until a voter leaves. More
+// voters would only concentrate votes in a zone.
+func TestCandidatesStandByWhereZonesAreTolerated(t *testing.T) {
+	s := newZonedScenario(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 1, Zones: 1})
+	s.addPeer(testPeersAt("r/a/a2")[0])
+	s.addPeer(testPeersAt("r/b/b2")[0])
+	s.requireNoStep(t)
+	s.shutDown("b1").requireStep(t, "a1 c1")
+	s.requireStep(t, "a1 c1")
+	require.Equal(t, "a1 b2 c1", joinIDs(s.view.Voters))
+}
+
+// A voter is added if all candidates together tolerate more, even if the first of them alone does not.
+func TestVoterAdditionConsidersAllCandidates(t *testing.T) {
+	s := newZonedScenario(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 2, Zones: 1})
+	s.addPeer(testPeersAt("r/a/a2")[0])
+	s.requireNoStep(t)
+	s.addPeer(testPeersAt("r/b/b2")[0])
+	s.requireStep(t, "a1 b1 c1")
+	s.requireStep(t, "a1 b1 c1")
+	require.Len(t, s.view.Voters, 5)
+	require.True(t, s.view.Shortfall(*s.tolerance).None())
+}
--- a/internal/fleet/view/race_test.go
+++ b/internal/fleet/view/race_test.go
@@ -2,5 +2,5 @@
 
 package view
 
-// raced tells that the race detector slows the tests down several times.
-const raced = true
+// raceEnabled reports whether the race detector is on, which makes the tests several times slower.
+const raceEnabled = true
--- /dev/null
+++ b/internal/fleet/view/view_test.go
@@ -0,0 +1,90 @@
+package view
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+func TestValidate(t *testing.T) {
+	valid, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
+	for name, change := range map[string]func(v *View){
+		"no number":               func(v *View) { v.Number = 0 },
+		"no voters":               func(v *View) { v.Voters = nil },
+		"too many voters":         func(v *View) { v.Voters = testPeers("a b c d e f g h i j") },
+		"no chain":                func(v *View) { v.Chain = nil },
+		"unsorted voters":         func(v *View) { v.Voters[0], v.Voters[1] = v.Voters[1], v.Voters[0] },
+		"duplicate voter":         func(v *View) { v.Voters[0] = v.Voters[1] },
+		"duplicate member":        func(v *View) { v.Chain[0] = v.Chain[1] },
+		"member that is no voter": func(v *View) { v.Chain[0].ID = "x" },
+		"joined in a later view":  func(v *View) { v.Chain[0].JoinedIn = 2 },
+		"no address":              func(v *View) { v.Voters[0].Addr = "" },
+		"long ID":                 func(v *View) { v.Voters[2].ID = strings.Repeat("x", 200) },
+	} {
+		v := valid.Clone()
+		require.NoError(t, v.Validate())
+		change(&v)
+		require.Error(t, v.Validate(), name)
+	}
+}
+
+// peerWithoutRegion, memberWithoutRegion and viewWithoutRegions are records of versions without regions.
+type (
+	peerWithoutRegion struct {
+		ID      string `msgpack:"i"`
+		Addr    string `msgpack:"a"`
+		Zone    string `msgpack:"z"`
+		Disk    bool   `msgpack:"d,omitempty"`
+		Counted bool   `msgpack:"c,omitempty"`
+	}
+	memberWithoutRegion struct {
+		peerWithoutRegion
+		Since uint64
+	}
+	viewWithoutRegions struct {
+		Number uint64
+		Voters []peerWithoutRegion
+		Chain  []memberWithoutRegion
+		Memory bool
+	}
+)
+
+// A record of a version without regions is readable, and is the same view.
+func TestFormatWithoutRegions(t *testing.T) {
+	current, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
+	former := viewWithoutRegions{Number: 1}
+	for _, voter := range current.Voters {
+		peer := peerWithoutRegion{voter.ID, voter.Addr, voter.Zone, voter.Disk, voter.Counted}
+		former.Voters = append(former.Voters, peer)
+		former.Chain = append(former.Chain, memberWithoutRegion{peer, 1})
+	}
+	raw, err := msgpack.Marshal(&current)
+	require.NoError(t, err)
+	formerRaw, err := msgpack.Marshal(&former)
+	require.NoError(t, err)
+	var read View
+	require.Equal(t, formerRaw, raw, "without regions the record is the same")
+	require.NoError(t, msgpack.Unmarshal(formerRaw, &read))
+	require.NoError(t, read.Validate())
+	require.True(t, current.Equal(read))
+
+	// A former version reads a record with regions.
+	regional, _ := InitialView(testPeersAt("r/a/1 r/b/2 s/c/3"), tolerateMachines(1))
+	require.False(t, current.Equal(regional))
+	raw, err = msgpack.Marshal(&regional)
+	require.NoError(t, err)
+	require.NoError(t, msgpack.Unmarshal(raw, &former))
+	require.Equal(t, "c", former.Chain[2].Zone)
+	require.NoError(t, msgpack.Unmarshal(raw, &read))
+	require.True(t, regional.Equal(read))
+}
+
+// Two quorums of the same voters overlap; half of an even number is no quorum.
+func TestQuorum(t *testing.T) {
+	t.Parallel()
+	for voters, want := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 7: 4, 8: 5, 9: 5} {
+		require.Equal(t, want, View{Voters: make([]Peer, voters)}.Quorum(), "%d voters", voters)
+	}
+}
