--- a/internal/fleet/balancer/picker_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -520,7 +520,7 @@
 func TestColdServersGetLess(t *testing.T) {
 	p := newTestPicker(1, 0)
 	all := testInstances(4)
-	all[0].Cold = 10 * time.Second
+	all[0].WarmUp = 10 * time.Second
 	p.UpdateInstances(0, instanceList(all...))
 	count := func(now time.Duration) (n int) {
 		for i := range uint64(200) {
@@ -608,7 +608,7 @@
 				seq += uint64(rapid.IntRange(0, 1).Draw(t, "news"))
 				for _, in := range testInstances(n) {
 					if rapid.IntRange(0, 5).Draw(t, "in") > 0 {
-						in.Seq, in.Cold = seq, time.Duration(rapid.IntRange(0, 2).Draw(t, "cold"))*time.Second
+						in.Seq, in.WarmUp = seq, time.Duration(rapid.IntRange(0, 2).Draw(t, "cold"))*time.Second
 						all = append(all, in)
 						listed[in.ID] = seq
 					}
--- a/internal/fleet/balancer/server.go
+++ b/internal/fleet/balancer/server.go
@@ -69,7 +69,7 @@
 		inference:      inference.NewServer(svc.capacityOf(instance, maxPrefixes), svc.latency),
 		listed:         true,
 		listedAt:       now,
-		slowStartUntil: now + instance.Cold,
+		slowStartUntil: now + instance.WarmUp,
 		lastResponseAt: -1,
 	}
 }
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -83,7 +83,7 @@
 	}
 	d.relay = relay.New(relay.Options{
 		SaveServers: save, SavedServers: saved,
-		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, Control: s.Listen.Control},
+		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, ControlAddr: s.Listen.Control},
 		HeartbeatInterval: time.Duration(s.HeartbeatPeriodMs) * time.Millisecond, Core: coreAdapter{d.core}, SeedAddrs: d.seedAddrs, OnChange: d.gateway.Update,
 		OnNotice: d.gateway.ObserveNotice, LinkMbps: s.Limits.LinkMbps,
 	})
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -16,7 +16,7 @@
 
 func (p *controlBackend) Heartbeat(ctx context.Context, b *controlapi.Heartbeat) (controlapi.HeartbeatResponse, error) {
 	in := &registry.Instance{ID: b.ID, Service: b.Service, Addr: b.Address, Zone: b.Zone, Revision: string(b.Revision), Slots: b.Slots,
-		Seq: b.Sequence, Cold: time.Duration(b.WarmupMs * float64(time.Millisecond))}
+		Seq: b.Sequence, WarmUp: time.Duration(b.WarmupMs * float64(time.Millisecond))}
 	if b.State == controlapi.StateDraining {
 		in.State = registry.Draining
 	}
@@ -38,7 +38,7 @@
 	if len(others) == 0 {
 		return ""
 	}
-	return others[rand.IntN(len(others))].Control
+	return others[rand.IntN(len(others))].ControlAddr
 }
 
 func (p *controlBackend) Deregister(ctx context.Context, id string, _ uint64) error {
@@ -80,7 +80,7 @@
 		return p.daemon.gateway.Counters.Values(), nil
 	default:
 		s := p.daemon.settings.Load()
-		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.HasDisk(), "fresh": r.Fresh, "able": p.daemon.gateway.Servable(),
-			"ending": p.daemon.draining.Load(), "config-seq": r.Seq, "revision": r.Revision, "members": len(r.Members), "servers": len(r.Servers)}, nil
+		return map[string]any{"node": s.Name, "zone": s.Zone, "disk": s.HasDisk(), "fresh": r.Synced, "able": p.daemon.gateway.Servable(),
+			"ending": p.daemon.draining.Load(), "config-seq": r.ConfigSeq, "revision": r.Revision, "members": len(r.Members), "servers": len(r.Servers)}, nil
 	}
 }
--- a/internal/fleet/deltasync/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -17,11 +17,11 @@
 		name := fmt.Sprintf("edge-%d/0123456789ab", i)
 		d := Delta{Source: name}
 		for j := range (items + sources - 1 - i) / sources {
-			d.Upto++
-			d.Items = append(d.Items, Item{Key: fmt.Sprintf("i/i-%04d%04d", i, j), Ver: d.Upto, Data: make([]byte, itemBytes)})
+			d.To++
+			d.Items = append(d.Items, Item{Key: fmt.Sprintf("i/i-%04d%04d", i, j), Version: d.To, Data: make([]byte, itemBytes)})
 		}
-		if d.Upto == 0 {
-			d.Upto = 1
+		if d.To == 0 {
+			d.To = 1
 		}
 		s.Apply([]Delta{d})
 	}
@@ -66,7 +66,7 @@
 			ver, data := s.Version(name), make([]byte, itemBytes)
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(s.Apply([]Delta{{Source: name, From: ver, Upto: ver + 1, Items: []Item{{Key: "i/i-00000000", Ver: ver + 1, Data: data}}}})) != 1 {
+				if len(s.Apply([]Delta{{Source: name, From: ver, To: ver + 1, Items: []Item{{Key: "i/i-00000000", Version: ver + 1, Data: data}}}})) != 1 {
 					b.Fatal("wrong")
 				}
 				ver++
--- a/internal/fleet/deltasync/delta_test.go
+++ b/internal/fleet/deltasync/delta_test.go
@@ -8,9 +8,9 @@
 
 // deltaUpTo is the delta of source "b" up to a version, one item per version.
 func deltaUpTo(upto uint64) Delta {
-	d := Delta{Source: "b", Upto: upto}
+	d := Delta{Source: "b", To: upto}
 	for ver := uint64(1); ver <= upto; ver++ {
-		d.Items = append(d.Items, Item{Key: string(rune('a' + ver)), Ver: ver, Data: []byte{byte(ver)}})
+		d.Items = append(d.Items, Item{Key: string(rune('a' + ver)), Version: ver, Data: []byte{byte(ver)}})
 	}
 	return d
 }
@@ -22,7 +22,7 @@
 	assert.Len(t, s.Apply([]Delta{deltaUpTo(2)}), 2)
 	changes := s.Apply([]Delta{deltaUpTo(3)})
 	if assert.Len(t, changes, 1) {
-		assert.EqualValues(t, 3, changes[0].Item.Ver)
+		assert.EqualValues(t, 3, changes[0].Item.Version)
 	}
 	assert.Empty(t, s.Apply([]Delta{deltaUpTo(2)}), "an older one")
 	assert.EqualValues(t, 3, s.Version("b"))
--- a/internal/fleet/deltasync/item.go
+++ b/internal/fleet/deltasync/item.go
@@ -25,9 +25,9 @@
 
 // Item is a value that a source publishes under a key. Data is opaque here; nil data is a tombstone.
 type Item struct {
-	Key  string `msgpack:"k"`
-	Ver  uint64 `msgpack:"v"` // the version of the source that set it
-	Data []byte `msgpack:"d"`
+	Key     string `msgpack:"k"`
+	Version uint64 `msgpack:"v"` // the version of the source that set it
+	Data    []byte `msgpack:"d"`
 }
 
 // size is the number of bytes that count towards maxBytes.
@@ -42,7 +42,7 @@
 type Delta struct {
 	Source string `msgpack:"s"`
 	From   uint64 `msgpack:"f"`
-	Upto   uint64 `msgpack:"u"`
+	To     uint64 `msgpack:"u"`
 	Items  []Item `msgpack:"i"`
 }
 
@@ -51,12 +51,12 @@
 	version := d.From
 	for i := range d.Items {
 		item := &d.Items[i]
-		if item.Ver <= version || item.Key == "" || len(item.Key) > maxNameBytes {
+		if item.Version <= version || item.Key == "" || len(item.Key) > maxNameBytes {
 			return false
 		}
-		version = item.Ver
+		version = item.Version
 	}
-	return version > d.From && version == d.Upto && d.Source != "" && len(d.Source) <= maxNameBytes
+	return version > d.From && version == d.To && d.Source != "" && len(d.Source) <= maxNameBytes
 }
 
 // Change is an item that is new to a store.
--- a/internal/fleet/deltasync/source.go
+++ b/internal/fleet/deltasync/source.go
@@ -34,7 +34,7 @@
 	}
 	s.bytes += item.size()
 	s.items[item.Key] = s.byVersion.PushBack(&item)
-	s.version = max(s.version, item.Ver)
+	s.version = max(s.version, item.Version)
 	return item
 }
 
@@ -43,7 +43,7 @@
 func (s *sourceState) itemsSince(version uint64) (items []Item) {
 	for element := s.byVersion.Back(); element != nil; element = element.Prev() {
 		item := element.Value.(*Item)
-		if item.Ver <= version {
+		if item.Version <= version {
 			break
 		}
 		items = append(items, *item)
--- a/internal/fleet/deltasync/store.go
+++ b/internal/fleet/deltasync/store.go
@@ -36,7 +36,7 @@
 // retained and must not be changed.
 func (s *Store) Put(key string, data []byte) uint64 {
 	own := s.sources[s.ownSource]
-	own.put(Item{Key: key, Ver: own.version + 1, Data: data})
+	own.put(Item{Key: key, Version: own.version + 1, Data: data})
 	return own.version
 }
 
@@ -105,7 +105,7 @@
 	var deltas []Delta
 	for name, source := range s.sources {
 		if present := vector[name]; present < source.version {
-			deltas = append(deltas, Delta{Source: name, From: present, Upto: source.version, Items: source.itemsSince(present)})
+			deltas = append(deltas, Delta{Source: name, From: present, To: source.version, Items: source.itemsSince(present)})
 		}
 	}
 	slices.SortFunc(deltas, func(a, b Delta) int { return cmp.Compare(a.Source, b.Source) })
@@ -129,7 +129,7 @@
 			}
 			source = newSourceState()
 		}
-		if d.From > source.version || d.Upto <= source.version || !s.hasCapacity(source, d.Items) {
+		if d.From > source.version || d.To <= source.version || !s.hasCapacity(source, d.Items) {
 			continue
 		}
 		s.sources[d.Source] = source
@@ -143,7 +143,7 @@
 	s.remoteBytes -= source.bytes
 	present := source.version
 	for _, item := range d.Items {
-		if item.Ver > present {
+		if item.Version > present {
 			changes = append(changes, Change{d.Source, source.put(item)})
 		}
 	}
--- a/internal/fleet/deltasync/store_test.go
+++ b/internal/fleet/deltasync/store_test.go
@@ -64,7 +64,7 @@
 	w.history[s.OwnSource()] = make([]map[string]string, len(held)+1)
 	for v := range w.history[s.OwnSource()] {
 		at := map[string]string{}
-		for e := s.sources[s.OwnSource()].byVersion.Front(); e != nil && int(e.Value.(*Item).Ver) <= v; e = e.Next() {
+		for e := s.sources[s.OwnSource()].byVersion.Front(); e != nil && int(e.Value.(*Item).Version) <= v; e = e.Next() {
 			at[e.Value.(*Item).Key] = string(e.Value.(*Item).Data)
 		}
 		w.history[s.OwnSource()][v] = at
@@ -134,7 +134,7 @@
 				s := w.stores[which.Draw(t, "at")]
 				before := s.Vector()
 				for _, c := range s.Apply(rapid.SampledFrom(w.inFlight).Draw(t, "message")) {
-					require.Greater(t, c.Item.Ver, before[c.Source], "an old change is returned as new")
+					require.Greater(t, c.Item.Version, before[c.Source], "an old change is returned as new")
 				}
 			},
 			"drop": func(t *rapid.T) {
@@ -174,7 +174,7 @@
 func itemsAfter(from uint64, n int, key func(int) string) []Item {
 	out := make([]Item, n)
 	for i := range out {
-		out[i] = Item{Key: key(i), Ver: from + uint64(i) + 1, Data: []byte("x")}
+		out[i] = Item{Key: key(i), Version: from + uint64(i) + 1, Data: []byte("x")}
 	}
 	return out
 }
@@ -182,43 +182,43 @@
 func numberedKey(i int) string { return fmt.Sprint("k", i) }
 
 func deltaWith(source string, from uint64, items []Item) Delta {
-	return Delta{Source: source, From: from, Upto: from + uint64(len(items)), Items: items}
+	return Delta{Source: source, From: from, To: from + uint64(len(items)), Items: items}
 }
 
 // Deltas that a faulty peer sends change nothing.
 func TestInvalidDeltasAreIgnored(t *testing.T) {
 	x := []byte("x")
 	for name, d := range map[string]Delta{
-		"own source":           {Source: "me", Upto: 9, Items: []Item{{"a", 9, x}}},
-		"no source":            {Upto: 3, Items: []Item{{"a", 3, x}}},
-		"ended source":         {Source: "gone", Upto: 3, Items: []Item{{"a", 3, x}}},
-		"after a gap":          {Source: "it", From: 4, Upto: 5, Items: []Item{{"a", 5, x}}},
-		"nothing new":          {Source: "it", From: 0, Upto: 2, Items: []Item{{"a", 2, x}}},
-		"backwards":            {Source: "it", From: 2, Upto: 1, Items: []Item{{"a", 1, x}}},
-		"falling versions":     {Source: "it", From: 2, Upto: 4, Items: []Item{{"a", 4, x}, {"b", 3, x}}},
-		"a version twice":      {Source: "it", From: 2, Upto: 3, Items: []Item{{"a", 3, x}, {"b", 3, x}}},
-		"an item past the end": {Source: "it", From: 2, Upto: 3, Items: []Item{{"a", 4, x}}},
-		"an item too old":      {Source: "it", From: 1, Upto: 3, Items: []Item{{"a", 1, x}, {"b", 3, x}}},
-		"end without item":     {Source: "it", From: 2, Upto: 9, Items: []Item{{"a", 3, x}}},
-		"no items":             {Source: "it", From: 2, Upto: 9},
-		"source without items": {Source: "new", Upto: 1},
-		"no key":               {Source: "it", From: 2, Upto: 3, Items: []Item{{"", 3, x}}},
-		"huge key":             {Source: "it", From: 2, Upto: 3, Items: []Item{{strings.Repeat("k", 4096), 3, x}}},
-		"huge source":          {Source: strings.Repeat("s", 4096), Upto: 1, Items: []Item{{"a", 1, x}}},
+		"own source":           {Source: "me", To: 9, Items: []Item{{"a", 9, x}}},
+		"no source":            {To: 3, Items: []Item{{"a", 3, x}}},
+		"ended source":         {Source: "gone", To: 3, Items: []Item{{"a", 3, x}}},
+		"after a gap":          {Source: "it", From: 4, To: 5, Items: []Item{{"a", 5, x}}},
+		"nothing new":          {Source: "it", From: 0, To: 2, Items: []Item{{"a", 2, x}}},
+		"backwards":            {Source: "it", From: 2, To: 1, Items: []Item{{"a", 1, x}}},
+		"falling versions":     {Source: "it", From: 2, To: 4, Items: []Item{{"a", 4, x}, {"b", 3, x}}},
+		"a version twice":      {Source: "it", From: 2, To: 3, Items: []Item{{"a", 3, x}, {"b", 3, x}}},
+		"an item past the end": {Source: "it", From: 2, To: 3, Items: []Item{{"a", 4, x}}},
+		"an item too old":      {Source: "it", From: 1, To: 3, Items: []Item{{"a", 1, x}, {"b", 3, x}}},
+		"end without item":     {Source: "it", From: 2, To: 9, Items: []Item{{"a", 3, x}}},
+		"no items":             {Source: "it", From: 2, To: 9},
+		"source without items": {Source: "new", To: 1},
+		"no key":               {Source: "it", From: 2, To: 3, Items: []Item{{"", 3, x}}},
+		"huge key":             {Source: "it", From: 2, To: 3, Items: []Item{{strings.Repeat("k", 4096), 3, x}}},
+		"huge source":          {Source: strings.Repeat("s", 4096), To: 1, Items: []Item{{"a", 1, x}}},
 		"too many items":       deltaWith("new", 0, itemsAfter(0, maxItems+1, numberedKey)),
 		"too many in all":      deltaWith("it", 2, itemsAfter(2, maxItems, numberedKey)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewStore("me")
 			s.Put("mine", x)
-			require.Len(t, s.Apply([]Delta{{Source: "it", Upto: 2, Items: []Item{{"a", 1, x}, {"b", 2, x}}}}), 2)
+			require.Len(t, s.Apply([]Delta{{Source: "it", To: 2, Items: []Item{{"a", 1, x}, {"b", 2, x}}}}), 2)
 			s.EndSource("gone")
 			before, vector := s.DeltasSince(nil), s.Vector()
 			assert.Empty(t, s.Apply([]Delta{d}))
 			assert.Equal(t, vector, s.Vector())
 			assert.Equal(t, before, s.DeltasSince(nil))
 			// It does not prevent a valid one.
-			assert.Len(t, s.Apply([]Delta{{Source: "it", From: 2, Upto: 3, Items: []Item{{"c", 3, x}}}}), 1)
+			assert.Len(t, s.Apply([]Delta{{Source: "it", From: 2, To: 3, Items: []Item{{"c", 3, x}}}}), 1)
 		})
 	}
 }
@@ -255,15 +255,15 @@
 	s := NewStore("me")
 	big := make([]byte, maxBytes/4)
 	for i := range 8 {
-		s.Apply([]Delta{{Source: fmt.Sprint("s", i), Upto: 1, Items: []Item{{"a", 1, big}}}})
+		s.Apply([]Delta{{Source: fmt.Sprint("s", i), To: 1, Items: []Item{{"a", 1, big}}}})
 	}
 	assert.Len(t, s.Sources(), 1+3, "the fourth would exceed the bound by its key")
 	s.EndSource("s0")
-	assert.Len(t, s.Apply([]Delta{{Source: "s9", Upto: 1, Items: []Item{{"a", 1, big}}}}), 1)
+	assert.Len(t, s.Apply([]Delta{{Source: "s9", To: 1, Items: []Item{{"a", 1, big}}}}), 1)
 	// An item that replaces another is counted once.
-	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 1, Upto: 2, Items: []Item{{"a", 2, big}}}}), 1)
-	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 2, Upto: 3, Items: []Item{{"a", 3, nil}}}}), 1)
-	assert.Len(t, s.Apply([]Delta{{Source: "s8", Upto: 1, Items: []Item{{"a", 1, big}}}}), 1)
+	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 1, To: 2, Items: []Item{{"a", 2, big}}}}), 1)
+	assert.Len(t, s.Apply([]Delta{{Source: "s9", From: 2, To: 3, Items: []Item{{"a", 3, nil}}}}), 1)
+	assert.Len(t, s.Apply([]Delta{{Source: "s8", To: 1, Items: []Item{{"a", 1, big}}}}), 1)
 }
 
 func TestStartIncarnation(t *testing.T) {
@@ -278,7 +278,7 @@
 	assert.Equal(t, "two", s.OwnSource())
 	assert.True(t, s.Ended("one"))
 	assert.Equal(t, Vector{"two": 2, "it": 3}, s.Vector())
-	assert.Equal(t, []Delta{{Source: "two", Upto: 2, Items: []Item{{"b", 1, []byte("2")}, {"a", 2, []byte("3")}}}}, s.DeltasSince(Vector{"it": 3}))
+	assert.Equal(t, []Delta{{Source: "two", To: 2, Items: []Item{{"b", 1, []byte("2")}, {"a", 2, []byte("3")}}}}, s.DeltasSince(Vector{"it": 3}))
 	assert.Empty(t, s.Apply([]Delta{deltaWith("one", 0, itemsAfter(0, 9, numberedKey))}), "the old incarnation is not revived")
 	assert.Equal(t, uint64(3), s.Put("c", []byte("5")))
 }
@@ -312,7 +312,7 @@
 	d := s.DeltasSince(nil)
 	s.Put("a", []byte("3"))
 	s.Put("b", nil)
-	assert.Equal(t, []Delta{{Source: "me", Upto: 2, Items: []Item{{"a", 1, []byte("1")}, {"b", 2, []byte("2")}}}}, d)
+	assert.Equal(t, []Delta{{Source: "me", To: 2, Items: []Item{{"a", 1, []byte("1")}, {"b", 2, []byte("2")}}}}, d)
 }
 
 // The own source cannot be ended but by StartIncarnation.
--- a/internal/fleet/registry/instance.go
+++ b/internal/fleet/registry/instance.go
@@ -55,7 +55,7 @@
 	Slots    int           `msgpack:"n" json:"slots"` // requests that it serves at once
 	State    State         `msgpack:"t" json:"state"`
 	Seq      uint64        `msgpack:"q" json:"seq"`                      // the server's own count of calls; 0: it gives none
-	Cold     time.Duration `msgpack:"c,omitempty" json:"cold,omitempty"` // remaining warm-up time when this arrived
+	WarmUp   time.Duration `msgpack:"c,omitempty" json:"cold,omitempty"` // remaining warm-up time when this arrived
 	Models   []Model       `msgpack:"m,omitempty" json:"models,omitempty"`
 }
 
@@ -90,6 +90,6 @@
 	return instance.ID != "" && longest <= maxTextBytes &&
 		instance.State <= Deregistered &&
 		instance.Slots >= 0 && instance.Slots <= maxSlots &&
-		instance.Cold >= 0 && instance.Cold <= maxWarmUp &&
+		instance.WarmUp >= 0 && instance.WarmUp <= maxWarmUp &&
 		len(instance.Models) <= maxModels
 }
--- a/internal/fleet/registry/table.go
+++ b/internal/fleet/registry/table.go
@@ -87,9 +87,9 @@
 // View is what is known of one instance, as operators see it.
 type View struct {
 	*Instance
-	Owner string        `json:"owner"`      // the source whose report holds
-	Here  bool          `json:"beats-here"` // its heartbeats come here
-	Age   time.Duration `json:"age"`        // since its last heartbeat, if they do
+	Owner          string        `json:"owner"`      // the source whose report holds
+	Local          bool          `json:"beats-here"` // its heartbeats come here
+	SinceHeartbeat time.Duration `json:"age"`        // since its last heartbeat, if they do
 }
 
 // Views returns all that is known, by ID.
@@ -101,7 +101,7 @@
 		}
 		view := View{Instance: e.current, Owner: e.owner}
 		if local := t.local[id]; local != nil {
-			view.Here, view.Age = true, now-local.lastHeartbeat
+			view.Local, view.SinceHeartbeat = true, now-local.lastHeartbeat
 		}
 		views = append(views, view)
 	}
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -738,8 +738,8 @@
 		"unknown state":   func(in *Instance) { in.State = Deregistered + 1 },
 		"negative slots":  func(in *Instance) { in.Slots = -1 },
 		"absurd slots":    func(in *Instance) { in.Slots = math.MaxInt },
-		"negative cold":   func(in *Instance) { in.Cold = -1 },
-		"endless cold":    func(in *Instance) { in.Cold = math.MaxInt64 },
+		"negative cold":   func(in *Instance) { in.WarmUp = -1 },
+		"endless cold":    func(in *Instance) { in.WarmUp = math.MaxInt64 },
 		"too many models": func(in *Instance) { in.Models = make([]Model, 1<<16) },
 		"huge model":      func(in *Instance) { in.Models = []Model{{Name: strings.Repeat("x", 1<<20)}} },
 	} {
@@ -778,7 +778,7 @@
 	assert.Len(t, two.ByService["other"], 1)
 	views := a.Views(f.now + heartbeatInterval)
 	require.Len(t, views, 3)
-	assert.Equal(t, View{Instance: views[1].Instance, Owner: "a", Here: true, Age: heartbeatInterval}, views[1])
+	assert.Equal(t, View{Instance: views[1].Instance, Owner: "a", Local: true, SinceHeartbeat: heartbeatInterval}, views[1])
 	assert.Equal(t, "s1", views[1].ID)
 }
 
@@ -789,7 +789,7 @@
 	in := ready("s", 0)
 	f.run(time.Minute, f.heartbeats(a, &in))
 	assert.Equal(t, uint64(1), a.store.OwnVersion())
-	in.Cold = time.Second // passes by itself
+	in.WarmUp = time.Second // passes by itself
 	f.run(heartbeatInterval, f.heartbeats(a, &in))
 	assert.Equal(t, uint64(1), a.store.OwnVersion())
 	in.Models = []Model{{"m", 2}}
--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -20,7 +20,7 @@
 
 func benchMember(i int) *Member {
 	return &Member{Name: fmt.Sprintf("edge-%d", i), Addr: fmt.Sprintf("10.0.%d.%d:7300", i/250, i%250), Zone: "zone-a", Region: "region-a",
-		Control: fmt.Sprintf("10.0.%d.%d:8262", i/250, i%250)}
+		ControlAddr: fmt.Sprintf("10.0.%d.%d:8262", i/250, i%250)}
 }
 
 // fullSync is the feed that a hub sends to a newcomer.
@@ -29,8 +29,8 @@
 	for i := range agents + hubs {
 		d := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
 		add := func(key string, data []byte) {
-			d.Upto++
-			d.Items = append(d.Items, deltasync.Item{Key: key, Ver: d.Upto, Data: data})
+			d.To++
+			d.Items = append(d.Items, deltasync.Item{Key: key, Version: d.To, Data: data})
 		}
 		add(memberKey, encode(benchMember(i)))
 		if i < hubs {
@@ -46,20 +46,22 @@
 		out = append(out, d)
 	}
 	raw := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: tenants})
-	return append(out, deltasync.Delta{Source: configSource, Upto: 1, Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, raw})}}})
+	return append(out, deltasync.Delta{Source: configSource, To: 1, Items: []deltasync.Item{{Key: configKey, Version: 1, Data: encode(&configItem{1, raw})}}})
 }
 
 // The messages of a session: what they weigh, and what it takes to write and to read one.
 func BenchmarkMessage(b *testing.B) {
-	one := func(d ...deltasync.Delta) *message { return &message{Linked: true, Full: true, Got: 1000, Deltas: d} }
+	one := func(d ...deltasync.Delta) *message {
+		return &message{HasQuorum: true, Complete: true, ReceivedVersion: 1000, Deltas: d}
+	}
 	server := encode(benchInstance(1))
 	for _, m := range []struct {
 		name string
 		*message
 	}{
 		{"heartbeat", one()},
-		{"server", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "i/i-00000001", Ver: 8, Data: server}}})},
-		{"lease", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, Upto: 8, Items: []deltasync.Item{{Key: "l/edge-300/0123456789ab", Ver: 8, Data: []byte{1}}}})},
+		{"server", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, To: 8, Items: []deltasync.Item{{Key: "i/i-00000001", Version: 8, Data: server}}})},
+		{"lease", one(deltasync.Delta{Source: "edge-1/0123456789ab", From: 7, To: 8, Items: []deltasync.Item{{Key: "l/edge-300/0123456789ab", Version: 8, Data: []byte{1}}}})},
 		{"configuration/tenants=0", one(fullSync(0, 0, 0, 0)...)},
 		{"configuration/tenants=650", one(fullSync(0, 0, 0, 650)...)},
 		{"configuration/tenants=6500", one(fullSync(0, 0, 0, 6500)...)},
@@ -89,7 +91,7 @@
 func vectorOf(deltas []deltasync.Delta) deltasync.Vector {
 	v := deltasync.Vector{}
 	for _, d := range deltas {
-		v[d.Source] = d.Upto
+		v[d.Source] = d.To
 	}
 	return v
 }
@@ -156,7 +158,7 @@
 			for b.Loop() {
 				in.Seq++
 				ver++
-				h.applyDeltasLocked([]deltasync.Delta{{Source: source, From: ver - 1, Upto: ver, Items: []deltasync.Item{{Key: serverPrefix + in.ID, Ver: ver, Data: encode(&in)}}}})
+				h.applyDeltasLocked([]deltasync.Delta{{Source: source, From: ver - 1, To: ver, Items: []deltasync.Item{{Key: serverPrefix + in.ID, Version: ver, Data: encode(&in)}}}})
 			}
 		})
 	}
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -10,15 +10,15 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// Config is the newest committed configuration.
-type Config struct {
+// configItem is the newest committed configuration.
+type configItem struct {
 	Seq uint64 `msgpack:"s"`
 	Raw []byte `msgpack:"r"`
 }
 
 func (h *Node) applyConfigItemLocked(it deltasync.Item) {
-	var cfg Config
-	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.configSeq || cfg.Seq != it.Ver {
+	var cfg configItem
+	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.configSeq || cfg.Seq != it.Version {
 		return
 	}
 	doc, err := config.Parse(cfg.Raw)
@@ -37,8 +37,8 @@
 	if seq <= h.items.Version(configSource) {
 		return
 	}
-	h.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: h.items.Version(configSource), Upto: seq,
-		Items: []deltasync.Item{{Key: configKey, Ver: seq, Data: encode(&Config{seq, raw})}}}})
+	h.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: h.items.Version(configSource), To: seq,
+		Items: []deltasync.Item{{Key: configKey, Version: seq, Data: encode(&configItem{seq, raw})}}}})
 }
 
 // MarkConfigCurrent takes that all configurations up to now have been committed here.
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -54,9 +54,9 @@
 	defer hangUp()
 	core := h.options.Core.IsMember()
 	h.mu.Lock()
-	mine := &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, Core: core, Vector: h.items.Vector()}
+	mine := &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, IsCore: core, Vector: h.items.Vector()}
 	h.mu.Unlock()
-	if st.Send(&message{Hello: mine, Core: core, Linked: h.options.Core.HasQuorum()}) != nil {
+	if st.Send(&message{Hello: mine, IsCore: core, HasQuorum: h.options.Core.HasQuorum()}) != nil {
 		return
 	}
 	m, err := st.Recv()
--- a/internal/fleet/relay/fanout_bench_test.go
+++ b/internal/fleet/relay/fanout_bench_test.go
@@ -15,8 +15,8 @@
 // whole way to the readers takes, over loopback, the reading of all of them included.
 func BenchmarkFanOut(b *testing.B) {
 	const sessions, size = 100, 1 << 20
-	m := &message{Linked: true, Full: true, Deltas: []deltasync.Delta{{Source: configSource, Upto: 1,
-		Items: []deltasync.Item{{Key: configKey, Ver: 1, Data: encode(&Config{1, paddedDocument(1, size)})}}}}}
+	m := &message{HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{{Source: configSource, To: 1,
+		Items: []deltasync.Item{{Key: configKey, Version: 1, Data: encode(&configItem{1, paddedDocument(1, size)})}}}}}
 	b.Run("encode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/fleet/relay/golden_test.go
+++ b/internal/fleet/relay/golden_test.go
@@ -9,7 +9,7 @@
 func TestGoldenMessages(t *testing.T) {
 	goldentest.RoundTrip[message](t, goldentest.Msgpack, "feed.session")
 	goldentest.RoundTrip[Member](t, goldentest.Msgpack, "item-member")
-	goldentest.RoundTrip[Config](t, goldentest.Msgpack, "item-config")
+	goldentest.RoundTrip[configItem](t, goldentest.Msgpack, "item-config")
 }
 
 func TestGoldenSavedServers(t *testing.T) {
--- a/internal/fleet/relay/hub.go
+++ b/internal/fleet/relay/hub.go
@@ -166,7 +166,7 @@
 // publishItemLocked changes an item of the own source, which reaches all. The lock is held, as in all that follow.
 func (h *Node) publishItemLocked(key string, data []byte) uint64 {
 	ver := h.items.Put(key, data)
-	h.changeLog.Append(deltasync.Change{Source: h.items.OwnSource(), Item: deltasync.Item{Key: key, Ver: ver, Data: data}})
+	h.changeLog.Append(deltasync.Change{Source: h.items.OwnSource(), Item: deltasync.Item{Key: key, Version: ver, Data: data}})
 	h.notifyWaitersLocked()
 	return ver
 }
@@ -275,8 +275,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	if core != h.options.Self.Core {
-		h.options.Self.Core = core
+	if core != h.options.Self.IsCore {
+		h.options.Self.IsCore = core
 		h.publishMemberLocked()
 	}
 	tell, untell := h.servers.Tick(now)
--- a/internal/fleet/relay/hub_test.go
+++ b/internal/fleet/relay/hub_test.go
@@ -46,11 +46,11 @@
 	r := l.edgeAgents[2].node.Report()
 	assert.Len(t, r.Members, 7)
 	for _, m := range r.Members {
-		assert.True(t, m.Held, m.Name)
+		assert.True(t, m.LeaseGranted, m.Name)
 		assert.Equal(t, m.Name == "agent-2", m.Self)
-		assert.Equal(t, m.Name < "b", !m.Core)
+		assert.Equal(t, m.Name < "b", !m.IsCore)
 	}
-	assert.Equal(t, uint64(5), r.Seq)
+	assert.Equal(t, uint64(5), r.ConfigSeq)
 	assert.Equal(t, int64(14), r.Revision)
 	assert.Len(t, r.Servers, 7)
 	assert.Len(t, r.Sessions, 1)
--- a/internal/fleet/relay/lab_test.go
+++ b/internal/fleet/relay/lab_test.go
@@ -222,7 +222,7 @@
 		}
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		a.Addr, a.Control = ln.Addr().String(), "control of "+a.Name
+		a.Addr, a.ControlAddr = ln.Addr().String(), "control of "+a.Name
 		l.addrs = append(l.addrs, a.Addr)
 		if i < hubs {
 			peers = append(peers, Peer{a.Addr, a.Zone})
@@ -410,7 +410,7 @@
 // sessionPeers are the peers that it has sessions with.
 func (a *testAgent) sessionPeers() (peers []string) {
 	for _, s := range a.node.Report().Sessions {
-		peers = append(peers, s.Peer)
+		peers = append(peers, s.PeerAddr)
 	}
 	return peers
 }
--- a/internal/fleet/relay/life_test.go
+++ b/internal/fleet/relay/life_test.go
@@ -64,7 +64,7 @@
 }
 
 func (s *manualNode) heartbeatFrom(x *session) func() {
-	return func() { s.deliver(x, &message{Core: x.peerIsCore, Linked: x.peerIsCore}) }
+	return func() { s.deliver(x, &message{IsCore: x.peerIsCore, HasQuorum: x.peerIsCore}) }
 }
 
 // syncFrom takes all that another has.
@@ -110,19 +110,19 @@
 func initialDelta(source string, kv ...any) deltasync.Delta {
 	d := deltasync.Delta{Source: source}
 	for i := 0; i < len(kv); i += 2 {
-		d.Upto++
+		d.To++
 		data, ok := kv[i+1].([]byte)
 		if !ok {
 			data = encode(kv[i+1])
 		}
-		d.Items = append(d.Items, deltasync.Item{Key: kv[i].(string), Ver: d.Upto, Data: data})
+		d.Items = append(d.Items, deltasync.Item{Key: kv[i].(string), Version: d.To, Data: data})
 	}
 	return d
 }
 
 // leaseDelta is a later delta of a source, which grants a lease or, without data, releases it.
 func leaseDelta(source string, from uint64, agent string, data []byte) deltasync.Delta {
-	return deltasync.Delta{Source: source, From: from, Upto: from + 1, Items: []deltasync.Item{{Key: leasePrefix + agent, Ver: from + 1, Data: data}}}
+	return deltasync.Delta{Source: source, From: from, To: from + 1, Items: []deltasync.Item{{Key: leasePrefix + agent, Version: from + 1, Data: data}}}
 }
 
 var presentData = []byte{1}
@@ -131,25 +131,25 @@
 func TestNewIncarnationIsAcknowledgedAnew(t *testing.T) {
 	s := newManualNode("a", false)
 	x := s.connect("h", "h/1", true)
-	s.deliver(x, &message{Core: true, Linked: true, Replicated: s.items.OwnVersion()})
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
 	for i := range 20 {
 		require.True(t, s.Heartbeat(t.Context(), server(fmt.Sprint("s", i), 1)))
 	}
-	s.deliver(x, &message{Core: true, Linked: true, Replicated: s.items.OwnVersion()})
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
 	require.True(t, s.Heartbeat(t.Context(), server("s0", 2)))
 	old := s.source()
 	s.mu.Lock()
 	s.endSourceLocked(old)
 	s.mu.Unlock()
 	require.NotEqual(t, old, s.source())
-	s.deliver(x, &message{Core: true, Linked: true, Got: s.items.OwnVersion() + 5, Replicated: s.items.OwnVersion() + 5}) // was on its way
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5}) // was on its way
 	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer of the new life has it")
 	y := s.connect("h", "h/1", true)
-	s.deliver(y, &message{Core: true, Linked: true, Got: s.items.OwnVersion() + 5, Replicated: s.items.OwnVersion() + 5})
+	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5})
 	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody has what was not told yet")
-	s.deliver(y, &message{Core: true, Linked: true, Got: s.items.OwnVersion()})
+	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion()})
 	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one hub has it")
-	s.deliver(y, &message{Core: true, Linked: true, Replicated: s.items.OwnVersion()})
+	s.deliver(y, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
 	assert.True(t, s.Heartbeat(t.Context(), drainingServer("s0", 6)))
 }
 
@@ -158,13 +158,13 @@
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	a, o := h.connect("addr of a", "a/1", false), h.connect("addr of o", "o/1", true)
 	require.True(t, h.Heartbeat(t.Context(), server("s", 1)))
-	h.deliver(a, &message{Got: h.items.OwnVersion() + 1})
+	h.deliver(a, &message{ReceivedVersion: h.items.OwnVersion() + 1})
 	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)))
-	h.deliver(a, &message{Got: h.items.OwnVersion()})
+	h.deliver(a, &message{ReceivedVersion: h.items.OwnVersion()})
 	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)))
-	h.deliver(o, &message{Core: true, Got: h.items.OwnVersion(), Held: deltasync.Vector{h.source(): h.items.OwnVersion() - 1}})
+	h.deliver(o, &message{IsCore: true, ReceivedVersion: h.items.OwnVersion(), Acknowledged: deltasync.Vector{h.source(): h.items.OwnVersion() - 1}})
 	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 4)))
-	h.deliver(o, &message{Core: true, Held: deltasync.Vector{h.source(): h.items.OwnVersion()}})
+	h.deliver(o, &message{IsCore: true, Acknowledged: deltasync.Vector{h.source(): h.items.OwnVersion()}})
 	assert.True(t, h.Heartbeat(t.Context(), drainingServer("s", 5)))
 }
 
@@ -191,7 +191,7 @@
 	s.endSourceLocked(s.items.OwnSource())
 	s.mu.Unlock()
 	x := s.connect("h", "h/1", true)
-	s.deliver(x, &message{Core: true, Replicated: s.items.OwnVersion()})
+	s.deliver(x, &message{IsCore: true, QuorumVersion: s.items.OwnVersion()})
 	assert.True(t, <-done)
 }
 
@@ -351,7 +351,7 @@
 	s.runFor(time.Minute, nil)
 	require.Len(t, s.members, 3, "it hears nobody: that proves nothing")
 	x := s.connect("addr of h", "h/1", true) // a core of one: nobody holds its lease
-	s.deliver(x, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), presentData)}})
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), presentData)}})
 	s.runFor(2*leaseDuration-time.Second, s.heartbeatFrom(x))
 	require.Len(t, s.members, 4)
 	s.runFor(2*time.Second, s.heartbeatFrom(x))
@@ -369,15 +369,15 @@
 	agent, away := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(away)
 	relay := agent.connect("addr of h", "h/1", true)
-	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
-	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
 	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, away.source(), "the core may not have ended it")
-	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), presentData)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, away.source(), "the lease was renewed")
-	agent.deliver(relay, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, away.source(), nil)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, away.source(), nil)}})
 	agent.runFor(sourceExpiry+2*tickInterval, agent.heartbeatFrom(relay))
 	assert.NotContains(t, agent.members, away.source(), "nobody has held its lease for long")
 }
@@ -387,14 +387,14 @@
 	agent, away := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(away)
 	frozen := agent.connect("addr of h", "h/1", true)
-	agent.deliver(frozen, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
-	agent.deliver(frozen, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
 	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
 	agent.runFor(sessionTimeout+3*tickInterval, nil)
 	require.Contains(t, agent.members, away.source(), "the frozen relay cannot tell")
 	next := agent.connect("addr of o", "o/1", true)
-	agent.deliver(next, &message{Core: true, Linked: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(next))
 	assert.Contains(t, agent.members, away.source())
 }
@@ -407,14 +407,14 @@
 		after                time.Duration
 		want                 bool
 	}{
-		"whole core, none knows":      {true, true, true, &message{Core: true, Linked: true}, tickInterval, true},
-		"whole core, one knows":       {true, true, true, &message{Core: true, Full: true}, tickInterval, false}, // it is not linked
-		"whole core, one knows, late": {true, true, true, &message{Core: true, Full: true}, selfStartDelay + 2*tickInterval, true},
+		"whole core, none knows":      {true, true, true, &message{IsCore: true, HasQuorum: true}, tickInterval, true},
+		"whole core, one knows":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // it is not linked
+		"whole core, one knows, late": {true, true, true, &message{IsCore: true, Complete: true}, selfStartDelay + 2*tickInterval, true},
 		"one is missing":              {true, true, true, nil, selfStartDelay - tickInterval, false},
 		"one is missing, late":        {true, true, true, nil, selfStartDelay + 2*tickInterval, true},
-		"not asked for the newest":    {true, true, false, &message{Core: true, Linked: true}, time.Minute, false},
-		"no majority":                 {true, false, true, &message{Core: true}, time.Minute, false},
-		"no machine of the core":      {false, false, true, &message{Core: true, Linked: true}, time.Minute, false},
+		"not asked for the newest":    {true, true, false, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
+		"no majority":                 {true, false, true, &message{IsCore: true}, time.Minute, false},
+		"no machine of the core":      {false, false, true, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newManualNode("h", c.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
@@ -444,12 +444,12 @@
 		m            message
 		want         bool
 	}{
-		"an agent":                     {false, false, message{Core: true, Linked: true, Full: true}, true},
-		"by a hub that is not linked":  {false, false, message{Core: true, Full: true}, false},
-		"by a hub that is not full":    {false, false, message{Core: true, Linked: true}, false},
-		"by one that is no hub":        {false, false, message{Linked: true, Full: true}, false},
-		"a machine of the core":        {true, true, message{Core: true, Linked: true, Full: true}, true},
-		"a machine that is not linked": {true, false, message{Core: true, Linked: true, Full: true}, false},
+		"an agent":                     {false, false, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"by a hub that is not linked":  {false, false, message{IsCore: true, Complete: true}, false},
+		"by a hub that is not full":    {false, false, message{IsCore: true, HasQuorum: true}, false},
+		"by one that is no hub":        {false, false, message{HasQuorum: true, Complete: true}, false},
+		"a machine of the core":        {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"a machine that is not linked": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
 	} {
 		s := newManualNode("a", c.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
 		s.core.linked.Store(c.linked)
@@ -516,7 +516,7 @@
 func TestInvalidItemsAreIgnored(t *testing.T) {
 	long := strings.Repeat("x", 1<<16)
 	bad := server("s", 1)
-	bad.Cold = -time.Hour
+	bad.WarmUp = -time.Hour
 	big := server("s", 1)
 	big.Service = long
 	odd := server("s", 1)
@@ -538,20 +538,20 @@
 		"nil":                         initialDelta("x/1", serverPrefix+"s", []byte{0xc0}),
 		"an unknown key":              initialDelta("x/1", "of-later", presentData),
 		"config that is none":         initialDelta(configSource, configKey, []byte("\xc1")),
-		"config of another number":    initialDelta(configSource, configKey, &Config{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
-		"config under another key":    initialDelta(configSource, "d", &Config{Seq: 1, Raw: documentOf(1 << 30)}),
+		"config of another number":    initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
+		"config under another key":    initialDelta(configSource, "d", &configItem{Seq: 1, Raw: documentOf(1 << 30)}),
 		"a member of the config":      initialDelta(configSource, memberKey, &Member{Name: "x"}),
 		"an end by the config":        initialDelta(configSource, endPrefix+"v/1", presentData),
 		"a server of the config":      initialDelta(configSource, serverPrefix+"s", server("s", 1)),
-		"config that can't be parsed": initialDelta(configSource, configKey, &Config{Seq: 1, Raw: []byte("{")}),
+		"config that can't be parsed": initialDelta(configSource, configKey, &configItem{Seq: 1, Raw: []byte("{")}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newManualNode("a", true)
 			s.tick()
 			x := s.connect("addr of v", "v/1", true)
-			s.deliver(x, &message{Core: true, Deltas: []deltasync.Delta{initialDelta("v/1", memberKey, &Member{Name: "v"}, serverPrefix+"t", server("t", 1))}})
+			s.deliver(x, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("v/1", memberKey, &Member{Name: "v"}, serverPrefix+"t", server("t", 1))}})
 			source, own := s.source(), len(s.itemsOf(s.source()))
-			s.deliver(x, &message{Core: true, Deltas: []deltasync.Delta{d}})
+			s.deliver(x, &message{IsCore: true, Deltas: []deltasync.Delta{d}})
 			s.runFor(leaseDuration+2*tickInterval, s.heartbeatFrom(x))
 			assert.Equal(t, source, s.source())
 			for m := range s.members {
@@ -588,11 +588,11 @@
 				return rapid.SliceOfN(rapid.Byte(), 0, 30).Draw(t, "bytes")
 			case 1:
 				return encode(&registry.Instance{ID: "s", Service: "x", Seq: rapid.Uint64().Draw(t, "seq"), State: registry.State(rapid.Byte().Draw(t, "state")),
-					Slots: rapid.Int().Draw(t, "slots"), Cold: time.Duration(rapid.Int64().Draw(t, "cold"))})
+					Slots: rapid.Int().Draw(t, "slots"), WarmUp: time.Duration(rapid.Int64().Draw(t, "cold"))})
 			case 2:
-				return encode(&Config{Seq: rapid.Uint64Range(0, 1<<20).Draw(t, "seq"), Raw: documentOf(rapid.IntRange(1, 9).Draw(t, "revision"))})
+				return encode(&configItem{Seq: rapid.Uint64Range(0, 1<<20).Draw(t, "seq"), Raw: documentOf(rapid.IntRange(1, 9).Draw(t, "revision"))})
 			case 3:
-				return encode(&Member{Name: "m", Core: rapid.Bool().Draw(t, "core")})
+				return encode(&Member{Name: "m", IsCore: rapid.Bool().Draw(t, "core")})
 			case 4:
 				return nil
 			}
@@ -600,26 +600,26 @@
 		}
 		seq, list := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
-			m := &message{Core: rapid.Bool().Draw(t, "o"), Linked: rapid.Bool().Draw(t, "l"), Full: rapid.Bool().Draw(t, "f"), Got: rapid.Uint64().Draw(t, "got"),
+			m := &message{IsCore: rapid.Bool().Draw(t, "o"), HasQuorum: rapid.Bool().Draw(t, "l"), Complete: rapid.Bool().Draw(t, "f"), ReceivedVersion: rapid.Uint64().Draw(t, "got"),
 				Redirect: make([]Peer, rapid.IntRange(0, 40).Draw(t, "redirect"))}
 			if rapid.Bool().Draw(t, "hello") {
 				m.Hello = &hello{Source: name(t)}
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "deltas") {
 				d := deltasync.Delta{Source: name(t), From: rapid.Uint64Range(0, 4).Draw(t, "from")}
-				d.Upto = d.From
+				d.To = d.From
 				for range rapid.IntRange(0, 4).Draw(t, "items") {
-					d.Upto += rapid.Uint64Range(0, 2).Draw(t, "step")
+					d.To += rapid.Uint64Range(0, 2).Draw(t, "step")
 					key := rapid.SampledFrom([]string{"", memberKey, configKey, serverPrefix + "s", leasePrefix + name(t), endPrefix + name(t)}).Draw(t, "key")
-					d.Items = append(d.Items, deltasync.Item{Key: key, Ver: d.Upto, Data: data(t)})
+					d.Items = append(d.Items, deltasync.Item{Key: key, Version: d.To, Data: data(t)})
 				}
 				if rapid.IntRange(0, 9).Draw(t, "upto") == 0 {
-					d.Upto = rapid.Uint64().Draw(t, "wrong")
+					d.To = rapid.Uint64().Draw(t, "wrong")
 				}
 				m.Deltas = append(m.Deltas, d)
 			}
 			for range rapid.IntRange(0, 2).Draw(t, "notices") {
-				m.Notices = append(m.Notices, notice{Instance: "s", AgeMs: rapid.Int().Draw(t, "age"), Hops: rapid.Int().Draw(t, "hops"), Prompt: rapid.Int().Draw(t, "prompt")})
+				m.Notices = append(m.Notices, notice{Instance: "s", AgeMs: rapid.Int().Draw(t, "age"), Hops: rapid.Int().Draw(t, "hops"), PromptTokens: rapid.Int().Draw(t, "prompt")})
 			}
 			s.deliver(x, m)
 			s.tick()
--- a/internal/fleet/relay/members.go
+++ b/internal/fleet/relay/members.go
@@ -13,13 +13,13 @@
 
 // Member is what an agent tells of itself.
 type Member struct {
-	Name    string `msgpack:"n" json:"name"`
-	Addr    string `msgpack:"a" json:"addr"` // for calls of other agents
-	Zone    string `msgpack:"z" json:"zone"`
-	Region  string `msgpack:"r" json:"region"`
-	Core    bool   `msgpack:"c" json:"core"`
-	Ending  bool   `msgpack:"e" json:"ending"`
-	Control string `msgpack:"o" json:"control"`
+	Name        string `msgpack:"n" json:"name"`
+	Addr        string `msgpack:"a" json:"addr"` // for calls of other agents
+	Zone        string `msgpack:"z" json:"zone"`
+	Region      string `msgpack:"r" json:"region"`
+	IsCore      bool   `msgpack:"c" json:"core"`
+	Draining    bool   `msgpack:"e" json:"ending"`
+	ControlAddr string `msgpack:"o" json:"control"`
 }
 
 // isAgentSource tells whether a source is an agent's.
@@ -37,7 +37,7 @@
 func (h *Node) AnnounceDraining() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.options.Self.Ending = true
+	h.options.Self.Draining = true
 	h.publishMemberLocked()
 }
 
@@ -57,7 +57,7 @@
 	defer h.mu.Unlock()
 	var out []Member
 	for source, m := range h.members {
-		if source != h.items.OwnSource() && !m.Ending && (!core || m.Core) {
+		if source != h.items.OwnSource() && !m.Draining && (!core || m.IsCore) {
 			out = append(out, m)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // publishEndLocked announces that a source has ended; only machines of the core do.
 func (h *Node) publishEndLocked(source string) {
-	if _, told := h.publishedEnds[source]; told || !h.options.Self.Core {
+	if _, told := h.publishedEnds[source]; told || !h.options.Self.IsCore {
 		return
 	}
 	h.publishedEnds[source] = h.now()
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -34,13 +34,13 @@
 // notice is a request that an agent sent to a server.
 type notice struct {
 	//lint:ignore U1000 msgpack reads this field by reflection
-	_msgpack struct{} `msgpack:",as_array"`
-	Instance string
-	Chain    []balancer.Segment
-	Prompt   int
-	Uncached int
-	AgeMs    int // when it was passed on
-	Hops     int // from its agent to a hub, from that to other hubs, from those to their agents
+	_msgpack       struct{} `msgpack:",as_array"`
+	Instance       string
+	Prefixes       []balancer.Segment
+	PromptTokens   int
+	UncachedTokens int
+	AgeMs          int // when it was passed on
+	Hops           int // from its agent to a hub, from that to other hubs, from those to their agents
 
 	sentAt time.Duration // when it was sent, by the own clock
 }
@@ -54,7 +54,7 @@
 	if work < minPriorityPrefill && h.noticeLimiter.Tokens() < float64(h.noticeLimiter.Burst())/2 || !h.noticeLimiter.AllowN(time.Now(), noticeSize) {
 		return
 	}
-	out := notice{Instance: n.Instance, Chain: n.Prefixes, Prompt: n.PromptTokens, Uncached: n.UncachedTokens, sentAt: h.now()}
+	out := notice{Instance: n.Instance, Prefixes: n.Prefixes, PromptTokens: n.PromptTokens, UncachedTokens: n.UncachedTokens, sentAt: h.now()}
 	for s := range h.sessions {
 		s.enqueueNotice(out)
 	}
@@ -78,13 +78,13 @@
 	now, core := h.now(), h.options.Core.IsMember()
 	for _, n := range notices {
 		age := time.Duration(n.AgeMs) * time.Millisecond
-		if age < 0 || age > maxNoticeAge || n.Prompt < 0 || n.Uncached < 0 || n.Hops < 0 || n.Hops >= maxHops ||
-			len(n.Instance) > maxNameBytes || len(n.Chain) > maxNoticePrefixes {
+		if age < 0 || age > maxNoticeAge || n.PromptTokens < 0 || n.UncachedTokens < 0 || n.Hops < 0 || n.Hops >= maxHops ||
+			len(n.Instance) > maxNameBytes || len(n.Prefixes) > maxNoticePrefixes {
 			continue
 		}
 		n.sentAt = now - age
 		if h.options.OnNotice != nil {
-			h.options.OnNotice(age, &balancer.PrefillNotice{Instance: n.Instance, Prefixes: n.Chain, PromptTokens: n.Prompt, UncachedTokens: n.Uncached})
+			h.options.OnNotice(age, &balancer.PrefillNotice{Instance: n.Instance, Prefixes: n.Prefixes, PromptTokens: n.PromptTokens, UncachedTokens: n.UncachedTokens})
 		}
 		if n.Hops++; !core || n.Hops >= maxHops {
 			continue
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -85,30 +85,30 @@
 	}
 	st := h.openSession()
 	vector := deltasync.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
-	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", Core: true, Vector: vector}, Linked: true, Full: true}))
+	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", IsCore: true, Vector: vector}, HasQuorum: true, Complete: true}))
 	_, err := st.Recv()
 	require.NoError(t, err)
 	one := []byte{1}
 	items := func(from uint64, keys ...string) (out []deltasync.Item) {
 		for i, k := range keys {
-			out = append(out, deltasync.Item{Key: k, Ver: from + uint64(i) + 1, Data: one})
+			out = append(out, deltasync.Item{Key: k, Version: from + uint64(i) + 1, Data: one})
 		}
 		return out
 	}
 	for _, m := range []*message{
-		{Core: true, Linked: true, Full: true, Got: 1 << 60},
+		{IsCore: true, HasQuorum: true, Complete: true, ReceivedVersion: 1 << 60},
 		{Redirect: make([]Peer, 10000)},
 		{Hello: &hello{Source: before["agent-0"]}},
-		{Deltas: []deltasync.Delta{{Source: before["hub-0"], Upto: 100, Items: items(99, memberKey)}}},
-		{Deltas: []deltasync.Delta{{Source: configSource, From: 0, Upto: 1 << 50}}},
-		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, Upto: 12, Items: items(11, configKey)}}},
-		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, Upto: 1 << 50}}},
-		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 1 << 40, Upto: 1 << 50, Items: items(1<<50-1, memberKey)}}},
-		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 2, Items: items(0, "", serverPrefix)}}},
-		{Deltas: []deltasync.Delta{{Source: "", From: 0, Upto: 1, Items: items(0, memberKey)}}},
-		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, Upto: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
-		{Deltas: []deltasync.Delta{{Source: "x/1", From: 0, Upto: 4, Items: items(0, endPrefix, endPrefix+configSource, leasePrefix, leasePrefix+configSource)}}},
-		{Notices: []notice{{AgeMs: -1}, {Hops: -1}, {Hops: 1 << 60}, {Prompt: -1}, {Instance: strings.Repeat("x", 1<<16)}, {AgeMs: 1 << 62}}},
+		{Deltas: []deltasync.Delta{{Source: before["hub-0"], To: 100, Items: items(99, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: configSource, From: 0, To: 1 << 50}}},
+		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, To: 12, Items: items(11, configKey)}}},
+		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, To: 1 << 50}}},
+		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 1 << 40, To: 1 << 50, Items: items(1<<50-1, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, To: 2, Items: items(0, "", serverPrefix)}}},
+		{Deltas: []deltasync.Delta{{Source: "", From: 0, To: 1, Items: items(0, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, To: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
+		{Deltas: []deltasync.Delta{{Source: "x/1", From: 0, To: 4, Items: items(0, endPrefix, endPrefix+configSource, leasePrefix, leasePrefix+configSource)}}},
+		{Notices: []notice{{AgeMs: -1}, {Hops: -1}, {Hops: 1 << 60}, {PromptTokens: -1}, {Instance: strings.Repeat("x", 1<<16)}, {AgeMs: 1 << 62}}},
 	} {
 		require.NoError(t, st.Send(m))
 	}
--- a/internal/fleet/relay/replication.go
+++ b/internal/fleet/relay/replication.go
@@ -18,13 +18,13 @@
 func (h *Node) recordReplicationLocked(s *session, m *message, hubs []Peer) {
 	for i := range m.Deltas {
 		d := &m.Deltas[i]
-		if h.items.Version(d.Source) < d.Upto {
+		if h.items.Version(d.Source) < d.To {
 			continue // it was passed over
 		}
 		s.pendingAcks[d.Source] = true
-		h.recordAcknowledgedLocked(s, d.Source, d.Upto, hubs)
+		h.recordAcknowledgedLocked(s, d.Source, d.To, hubs)
 	}
-	for source, version := range m.Held {
+	for source, version := range m.Acknowledged {
 		h.recordAcknowledgedLocked(s, source, version, hubs)
 	}
 }
--- a/internal/fleet/relay/replication_test.go
+++ b/internal/fleet/relay/replication_test.go
@@ -121,13 +121,13 @@
 			h.mu.Unlock()
 			agent := h.connect("addr of x", "x/1", false)
 			stranger := h.connect("addr of y", "y/1", true) // a machine of an earlier core
-			h.deliver(stranger, &message{Core: true, Held: deltasync.Vector{"x/1": 9}})
+			h.deliver(stranger, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
 			for i, version := range c.held {
 				peer := h.connect(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
 				peer.sent["x/1"] = 9 // sent, which proves nothing
-				h.deliver(peer, &message{Core: true, Held: deltasync.Vector{"x/1": version}})
+				h.deliver(peer, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": version}})
 			}
-			h.deliver(agent, &message{Held: deltasync.Vector{"x/1": 9}})
+			h.deliver(agent, &message{Acknowledged: deltasync.Vector{"x/1": 9}})
 			assert.Equal(t, c.want, h.quorumVersionLocked("x/1", peers))
 		})
 	}
@@ -138,11 +138,11 @@
 	s := newManualNode("a", false)
 	x := s.connect("addr of b", "b/1", false)
 	require.True(t, s.Heartbeat(t.Context(), server("s", 1)))
-	s.deliver(x, &message{Linked: true, Got: s.items.OwnVersion() + 1, Replicated: s.items.OwnVersion() + 1})
+	s.deliver(x, &message{HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 1, QuorumVersion: s.items.OwnVersion() + 1})
 	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)), "no hub")
-	s.deliver(x, &message{Core: true, Linked: true, Got: s.items.OwnVersion()})
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion()})
 	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)), "one hub that has it is not enough")
-	s.deliver(x, &message{Core: true, Replicated: s.items.OwnVersion()})
+	s.deliver(x, &message{IsCore: true, QuorumVersion: s.items.OwnVersion()})
 	assert.True(t, s.Heartbeat(t.Context(), drainingServer("s", 4)))
 }
 
@@ -156,12 +156,12 @@
 		defer h.mu.Unlock()
 		return h.takeAcknowledgementsLocked(o)
 	}
-	h.deliver(o, &message{Core: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData, "l", presentData)}})
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData, "l", presentData)}})
 	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken())
 	assert.Empty(t, taken())
-	h.deliver(o, &message{Core: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData)}})
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData)}})
 	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken(), "it had it")
-	h.deliver(o, &message{Core: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, Upto: 6, Items: []deltasync.Item{{Key: "k", Ver: 6, Data: presentData}}}}})
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, To: 6, Items: []deltasync.Item{{Key: "k", Version: 6, Data: presentData}}}}})
 	assert.Empty(t, taken(), "there is a gap before it")
 	assert.NotContains(t, o.acknowledged, "y/1")
 	a := h.connect("addr of a", "a/1", false)
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -10,28 +10,28 @@
 
 // Report is what this process knows, for operators.
 type Report struct {
-	Source   string          `json:"source"`
-	Fresh    bool            `json:"fresh"`
-	Seq      uint64          `json:"config-seq"`
-	Revision int64           `json:"revision"`
-	Members  []MemberReport  `json:"members"`
-	Servers  []registry.View `json:"servers"`
-	Sessions []SessionReport `json:"sessions"`
+	Source    string          `json:"source"`
+	Synced    bool            `json:"fresh"`
+	ConfigSeq uint64          `json:"config-seq"`
+	Revision  int64           `json:"revision"`
+	Members   []MemberReport  `json:"members"`
+	Servers   []registry.View `json:"servers"`
+	Sessions  []SessionReport `json:"sessions"`
 }
 
 // MemberReport is one member; Held: someone holds a lease of it.
 type MemberReport struct {
 	Member
-	Source string `json:"source"`
-	Held   bool   `json:"held"`
-	Self   bool   `json:"self"`
+	Source       string `json:"source"`
+	LeaseGranted bool   `json:"held"`
+	Self         bool   `json:"self"`
 }
 
 // SessionReport is one session; Age is since it said something.
 type SessionReport struct {
-	Peer   string        `json:"peer"`
-	Linked bool          `json:"linked"`
-	Age    time.Duration `json:"age"`
+	PeerAddr         string        `json:"peer"`
+	HasQuorum        bool          `json:"linked"`
+	SinceLastMessage time.Duration `json:"age"`
 }
 
 // Report tells what this process knows.
@@ -39,7 +39,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	r := Report{Source: h.items.OwnSource(), Fresh: h.synced, Seq: h.configSeq, Servers: h.servers.Views(now)}
+	r := Report{Source: h.items.OwnSource(), Synced: h.synced, ConfigSeq: h.configSeq, Servers: h.servers.Views(now)}
 	if h.config != nil {
 		r.Revision = h.config.Revision
 	}
@@ -50,6 +50,6 @@
 	for s := range h.sessions {
 		r.Sessions = append(r.Sessions, SessionReport{s.peerAddr, s.peerHasQuorum, now - s.lastMessage})
 	}
-	slices.SortFunc(r.Sessions, func(a, b SessionReport) int { return cmp.Compare(a.Peer, b.Peer) })
+	slices.SortFunc(r.Sessions, func(a, b SessionReport) int { return cmp.Compare(a.PeerAddr, b.PeerAddr) })
 	return r
 }
--- a/internal/fleet/relay/return_test.go
+++ b/internal/fleet/relay/return_test.go
@@ -14,7 +14,7 @@
 func newPartitionedNode(t *testing.T) *manualNode {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
 	o := h.connect("addr of o", "o/1", true)
-	h.deliver(o, &message{Core: true, Linked: true, Full: true})
+	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
 	h.ApplyConfig(5, documentOf(5))
 	h.tick()
 	require.True(t, h.isCompleteLocked())
@@ -33,14 +33,14 @@
 	h.runFor(2*tickInterval, nil)
 	require.False(t, h.isCompleteLocked(), "it has just come back")
 	o := h.connect("addr of o", "o/2", true)
-	h.deliver(o, &message{Core: true, Linked: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
+	h.deliver(o, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
 	// What the other has takes long to come.
 	received := uint64(0)
 	o.bytesReceived = func() uint64 { return received }
 	h.runFor(5*selfStartDelay, func() { received++ })
 	require.False(t, h.isCompleteLocked(), "it is being told")
-	newer := deltasync.Delta{Source: configSource, Upto: 9, Items: []deltasync.Item{{Key: configKey, Ver: 9, Data: encode(&Config{9, documentOf(9)})}}}
-	h.deliver(o, &message{Core: true, Linked: true, Full: true, Deltas: []deltasync.Delta{newer}})
+	newer := deltasync.Delta{Source: configSource, To: 9, Items: []deltasync.Item{{Key: configKey, Version: 9, Data: encode(&configItem{9, documentOf(9)})}}}
+	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newer}})
 	assert.True(t, h.isCompleteLocked())
 	assert.Equal(t, uint64(9), h.snapshot.ConfigSeq)
 	h.ApplyConfig(7, documentOf(7)) // by its own disk, late
@@ -65,7 +65,7 @@
 	h.runFor(5*selfStartDelay, func() { received++ })
 	require.False(t, h.isCompleteLocked())
 	require.False(t, h.snapshot.Synced)
-	h.deliver(o, &message{Core: true, Linked: true, Full: true})
+	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
 	assert.True(t, h.isCompleteLocked())
 }
 
@@ -75,9 +75,9 @@
 	agent, hub := newManualNode("a", false), newManualNode("h", true, Peer{Addr: "addr of h"})
 	agent.ApplyConfig(9, documentOf(9))
 	hub.ApplyConfig(5, documentOf(5))
-	older := deltasync.Delta{Source: configSource, Upto: 5, Items: []deltasync.Item{{Key: configKey, Ver: 5, Data: encode(&Config{5, documentOf(5)})}}}
+	older := deltasync.Delta{Source: configSource, To: 5, Items: []deltasync.Item{{Key: configKey, Version: 5, Data: encode(&configItem{5, documentOf(5)})}}}
 	x := agent.connect("addr of h", "h/1", true)
-	agent.deliver(x, &message{Core: true, Linked: true, Full: true, Deltas: []deltasync.Delta{older}})
+	agent.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{older}})
 	assert.Equal(t, uint64(9), agent.snapshot.ConfigSeq)
 	assert.Equal(t, int64(9), agent.snapshot.Config.Revision)
 	agent.mu.Lock()
--- a/internal/fleet/relay/selection_test.go
+++ b/internal/fleet/relay/selection_test.go
@@ -45,17 +45,17 @@
 func TestAgentLeavesRelayWithoutQuorumInTime(t *testing.T) {
 	s := newManualNode("a", false, Peer{"h0", "near"}, Peer{"h1", "near"}, Peer{"h2", "near"})
 	x, ended := s.connectOutbound("h0")
-	s.deliver(x, &message{Core: true, Linked: true, Full: true})
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{Core: true, Linked: true, Full: true}) })
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true})
+	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	require.Empty(t, wanted)
-	after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{Core: true, Full: true}) })
+	after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, Complete: true}) })
 	require.NotEmpty(t, wanted)
 	assert.NotContains(t, wanted, "h0")
 	assert.GreaterOrEqual(t, after, quorumLossTolerance)
 	assert.LessOrEqual(t, after, quorumLossTolerance+redialInterval)
 	require.False(t, *ended, "it is kept until there is a better one")
 	y, _ := s.connectOutbound("h1")
-	s.deliver(y, &message{Core: true, Linked: true, Full: true})
+	s.deliver(y, &message{IsCore: true, HasQuorum: true, Complete: true})
 	s.dialTargets(0)
 	assert.True(t, *ended)
 }
@@ -65,7 +65,7 @@
 func TestAgentReturnsToRelayOfItsZone(t *testing.T) {
 	s := newManualNode("a", false, Peer{"far-0", "far"}, Peer{"near-0", "near"}, Peer{"far-1", "far"}, Peer{"near-1", "near"})
 	far, farEnded := s.connectOutbound("far-0")
-	linked := func() { s.deliver(far, &message{Core: true, Linked: true, Full: true}) }
+	linked := func() { s.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
 	linked()
 	for range 5 { // the hubs of its zone are away
 		after, wanted := s.pollDialTargets(time.Minute, linked)
@@ -75,12 +75,12 @@
 	}
 	// One is there, and is not linked.
 	cold, coldEnded := s.connectOutbound("near-0")
-	s.pollFor(helloTimeout+redialInterval, func() { linked(); s.deliver(cold, &message{Core: true}) })
+	s.pollFor(helloTimeout+redialInterval, func() { linked(); s.deliver(cold, &message{IsCore: true}) })
 	require.True(t, *coldEnded)
 	delete(s.sessions, cold)
 	// One is linked, and does not come to an end with what it has to say.
 	slow, slowEnded := s.connectOutbound("near-0")
-	still := func() { linked(); s.deliver(slow, &message{Core: true, Linked: true}) }
+	still := func() { linked(); s.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
 	s.pollFor(probationPeriod-2*redialInterval, still)
 	require.False(t, *slowEnded)
 	s.pollFor(3*redialInterval, still)
@@ -89,16 +89,16 @@
 	require.False(t, *farEnded)
 	// One is well.
 	near, nearEnded := s.connectOutbound("near-1")
-	s.deliver(near, &message{Core: true, Linked: true, Hello: &hello{}})
+	s.deliver(near, &message{IsCore: true, HasQuorum: true, Hello: &hello{}})
 	s.dialTargets(0)
 	require.False(t, *farEnded, "the new one has not told all")
 	require.False(t, *nearEnded)
-	s.deliver(near, &message{Core: true, Linked: true, Full: true})
+	s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true})
 	s.dialTargets(0)
 	require.True(t, *farEnded)
 	require.False(t, *nearEnded)
 	delete(s.sessions, far)
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(near, &message{Core: true, Linked: true, Full: true}) })
+	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	assert.Empty(t, wanted, "it is where it belongs")
 }
 
@@ -106,7 +106,7 @@
 func TestAgentWithoutRelayInItsZoneStays(t *testing.T) {
 	s := newManualNode("a", false, Peer{"h0", "far"}, Peer{"h1", "farther"})
 	x, ended := s.connectOutbound("h0")
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{Core: true, Linked: true, Full: true}) })
+	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	assert.Empty(t, wanted)
 	assert.False(t, *ended)
 }
@@ -118,7 +118,7 @@
 	for i := range agents {
 		s := newManualNode(fmt.Sprint("a", i), false, Peer{"far", "far"}, Peer{"near", "near"})
 		x, _ := s.connectOutbound("far")
-		after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{Core: true, Linked: true, Full: true}) })
+		after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 		require.Equal(t, []string{"near"}, wanted)
 		returns[after/slot]++
 	}
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -31,24 +31,24 @@
 type hello struct {
 	Source string           `msgpack:"s"`
 	Addr   string           `msgpack:"a"`
-	Core   bool             `msgpack:"c"`
+	IsCore bool             `msgpack:"c"`
 	Vector deltasync.Vector `msgpack:"v"`
 }
 
 // message is what both sides of a session send.
 type message struct {
-	Hello    *hello            `msgpack:"h,omitempty"`
-	Redirect []Peer            `msgpack:"r,omitempty"` // the answerer is no hub: these are
-	Deltas   []deltasync.Delta `msgpack:"d,omitempty"`
-	Got      uint64            `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
-	Core     bool              `msgpack:"o,omitempty"` // the sender is a machine of the core
-	Linked   bool              `msgpack:"l,omitempty"`
-	Full     bool              `msgpack:"f,omitempty"` // the sender has had all that a hub knows
-	Notices  []notice          `msgpack:"n,omitempty"`
-	// Held acknowledges deltas between machines of the core: the versions that the sender holds.
-	Held deltasync.Vector `msgpack:"v,omitempty"`
-	// Replicated is the version of the receiver's own source that a majority of the core holds.
-	Replicated uint64 `msgpack:"p,omitempty"`
+	Hello           *hello            `msgpack:"h,omitempty"`
+	Redirect        []Peer            `msgpack:"r,omitempty"` // the answerer is no hub: these are
+	Deltas          []deltasync.Delta `msgpack:"d,omitempty"`
+	ReceivedVersion uint64            `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
+	IsCore          bool              `msgpack:"o,omitempty"` // the sender is a machine of the core
+	HasQuorum       bool              `msgpack:"l,omitempty"`
+	Complete        bool              `msgpack:"f,omitempty"` // the sender has had all that a hub knows
+	Notices         []notice          `msgpack:"n,omitempty"`
+	// Acknowledged acknowledges deltas between machines of the core: the versions that the sender holds.
+	Acknowledged deltasync.Vector `msgpack:"v,omitempty"`
+	// QuorumVersion is the version of the receiver's own source that a majority of the core holds.
+	QuorumVersion uint64 `msgpack:"p,omitempty"`
 }
 
 type stream = rpc.Stream[message, message]
@@ -136,7 +136,7 @@
 	if h.items.Ended(theirs.Source) {
 		h.publishEndLocked(theirs.Source) // it was away when that was told
 	}
-	s := &session{peerAddr: peer, source: theirs.Source, peerIsCore: theirs.Core, outbound: first != nil, sent: maps.Clone(theirs.Vector),
+	s := &session{peerAddr: peer, source: theirs.Source, peerIsCore: theirs.IsCore, outbound: first != nil, sent: maps.Clone(theirs.Vector),
 		lastMessage: h.now(), lastQuorum: h.now(), started: h.now(), bytesReceived: st.Received, cancel: cancel, noticeTimer: time.NewTimer(time.Hour),
 		acknowledged: deltasync.Vector{}, pendingAcks: map[string]bool{}, quorumAdvanced: make(chan struct{}, 1)}
 	defer s.noticeTimer.Stop()
@@ -187,32 +187,32 @@
 	}
 	now := h.now()
 	s.lastMessage = now
-	if m.Linked {
+	if m.HasQuorum {
 		s.lastQuorum = now
 	}
-	s.peerIsCore, s.peerHasQuorum = m.Core, m.Linked
+	s.peerIsCore, s.peerHasQuorum = m.IsCore, m.HasQuorum
 	if m.Hello == nil { // a hello comes before the deltas, and can't tell
-		s.peerComplete, s.completenessKnown = m.Full, true
+		s.peerComplete, s.completenessKnown = m.Complete, true
 	}
 	h.applyDeltasLocked(m.Deltas)
 	for i := range m.Deltas {
-		if d := &m.Deltas[i]; h.items.Version(d.Source) >= d.Upto {
-			s.sent[d.Source] = max(s.sent[d.Source], d.Upto)
+		if d := &m.Deltas[i]; h.items.Version(d.Source) >= d.To {
+			s.sent[d.Source] = max(s.sent[d.Source], d.To)
 		}
 	}
 	if core && s.peerIsCore {
 		h.recordReplicationLocked(s, m, hubs)
 	}
 	h.receiveNoticesLocked(s, m.Notices)
-	if m.Got > s.ownReceived && m.Got <= h.items.OwnVersion() {
-		s.ownReceived = m.Got
+	if m.ReceivedVersion > s.ownReceived && m.ReceivedVersion <= h.items.OwnVersion() {
+		s.ownReceived = m.ReceivedVersion
 		h.notifyWaitersLocked()
 	}
-	if m.Replicated > s.ownQuorumVersion && m.Replicated <= h.items.OwnVersion() {
-		s.ownQuorumVersion = m.Replicated
+	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= h.items.OwnVersion() {
+		s.ownQuorumVersion = m.QuorumVersion
 		h.notifyWaitersLocked()
 	}
-	if !s.peerIsCore || !m.Linked || !m.Full || core && !linked {
+	if !s.peerIsCore || !m.HasQuorum || !m.Complete || core && !linked {
 		return
 	}
 	h.stale = false // a message says Full only after all that its sender has: see send
@@ -234,9 +234,9 @@
 
 // sendHello answers a hello. It goes ahead of the deltas, which may take long.
 func (h *Node) sendHello(st *stream) error {
-	m := &message{Core: h.options.Core.IsMember(), Linked: h.options.Core.HasQuorum()}
+	m := &message{IsCore: h.options.Core.IsMember(), HasQuorum: h.options.Core.HasQuorum()}
 	h.mu.Lock()
-	m.Hello = &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, Core: true, Vector: h.items.Vector()}
+	m.Hello = &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, IsCore: true, Vector: h.items.Vector()}
 	h.mu.Unlock()
 	return st.Send(m)
 }
@@ -253,19 +253,19 @@
 	defer beat.Stop()
 	due, got, full, core, link, replicated := true, uint64(0), false, false, false, uint64(0)
 	for {
-		m := &message{Core: h.options.Core.IsMember(), Linked: h.options.Core.HasQuorum()}
+		m := &message{IsCore: h.options.Core.IsMember(), HasQuorum: h.options.Core.HasQuorum()}
 		hubs := h.options.Core.Members()
 		h.mu.Lock()
 		changed := h.changed
 		m.Deltas = h.items.DeltasSince(s.sent)
 		for _, d := range m.Deltas {
-			s.sent[d.Source] = d.Upto
+			s.sent[d.Source] = d.To
 		}
 		var shared []byte // goes ahead, so it says of Full what was said last
-		shared, m.Deltas = h.extractConfigLocked(&message{Core: m.Core, Linked: m.Linked, Full: full}, m.Deltas)
-		m.Got, m.Full, m.Held = h.items.LastVersion(s.source), h.isCompleteLocked(), h.takeAcknowledgementsLocked(s)
-		if m.Core && !s.peerIsCore {
-			m.Replicated = h.quorumVersionLocked(s.source, hubs)
+		shared, m.Deltas = h.extractConfigLocked(&message{IsCore: m.IsCore, HasQuorum: m.HasQuorum, Complete: full}, m.Deltas)
+		m.ReceivedVersion, m.Complete, m.Acknowledged = h.items.LastVersion(s.source), h.isCompleteLocked(), h.takeAcknowledgementsLocked(s)
+		if m.IsCore && !s.peerIsCore {
+			m.QuorumVersion = h.quorumVersionLocked(s.source, hubs)
 		}
 		h.mu.Unlock()
 		if len(shared) > 0 {
@@ -273,12 +273,12 @@
 				return err
 			}
 		}
-		if due || len(m.Deltas) > 0 || len(m.Held) > 0 || m.Got != got || m.Replicated != replicated || m.Full != full ||
-			m.Core != core || m.Linked != link {
+		if due || len(m.Deltas) > 0 || len(m.Acknowledged) > 0 || m.ReceivedVersion != got || m.QuorumVersion != replicated || m.Complete != full ||
+			m.IsCore != core || m.HasQuorum != link {
 			if err := st.Send(m); err != nil {
 				return err
 			}
-			due, got, full, core, link, replicated = false, m.Got, m.Full, m.Core, m.Linked, m.Replicated
+			due, got, full, core, link, replicated = false, m.ReceivedVersion, m.Complete, m.IsCore, m.HasQuorum, m.QuorumVersion
 		}
 	wait:
 		for {
@@ -294,7 +294,7 @@
 				break wait
 			case <-s.noticeTimer.C:
 				h.mu.Lock()
-				m := &message{Core: core, Linked: link, Full: full, Got: got, Replicated: replicated, Notices: h.dequeueNoticesLocked(s)}
+				m := &message{IsCore: core, HasQuorum: link, Complete: full, ReceivedVersion: got, QuorumVersion: replicated, Notices: h.dequeueNoticesLocked(s)}
 				h.mu.Unlock()
 				if err := st.Send(m); err != nil {
 					return err
--- a/internal/fleet/relay/shared.go
+++ b/internal/fleet/relay/shared.go
@@ -30,10 +30,10 @@
 		return nil, deltas
 	}
 	config := deltas[i]
-	next := configCache{from: config.From, to: config.Upto, core: flags.Core, linked: flags.Linked, full: flags.Full,
+	next := configCache{from: config.From, to: config.To, core: flags.IsCore, linked: flags.HasQuorum, full: flags.Complete,
 		encoded: h.configCache.encoded, lastUsed: h.now()}
 	if !h.configCache.matches(&next) {
-		next.encoded = encode(&message{Core: flags.Core, Linked: flags.Linked, Full: flags.Full, Deltas: []deltasync.Delta{config}})
+		next.encoded = encode(&message{IsCore: flags.IsCore, HasQuorum: flags.HasQuorum, Complete: flags.Complete, Deltas: []deltasync.Delta{config}})
 	}
 	h.configCache = next
 	return next.encoded, slices.Delete(deltas, i, i+1)
--- a/internal/fleet/relay/slowlink_test.go
+++ b/internal/fleet/relay/slowlink_test.go
@@ -117,10 +117,10 @@
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	h.MarkConfigCurrent()
 	x := h.connect("addr of o", "o/1", true)
-	h.deliver(x, &message{Hello: &hello{Source: "o/1", Addr: "addr of o"}, Core: true, Linked: true})
+	h.deliver(x, &message{Hello: &hello{Source: "o/1", Addr: "addr of o"}, IsCore: true, HasQuorum: true})
 	h.runFor(2*tickInterval, nil)
 	require.False(t, h.snapshot.Synced, "the other may know more")
-	h.deliver(x, &message{Core: true, Linked: true, Full: true})
+	h.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true})
 	h.tick()
 	assert.True(t, h.snapshot.Synced)
 }
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -178,7 +178,7 @@
 		ln.Close()
 		return errors.Wrapf(err, "%s", n.Name)
 	}
-	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, Control: n.Addr}, HeartbeatInterval: p.Beat,
+	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, ControlAddr: n.Addr}, HeartbeatInterval: p.Beat,
 		Core: coreView{l.core}, SeedAddrs: seeds, OnChange: l.take}
 	if n.Dir != "" {
 		o.SaveServers = func(b []byte) error { return l.core.SaveRecord(savedServers, b) }
