--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -23,7 +23,7 @@
 		ControlAddr: fmt.Sprintf("10.0.%d.%d:8262", i/250, i%250)}
 }
 
-// fullSync is the feed that a hub sends to a newcomer.
+// fullSync is what a relay sends to an agent that has nothing.
 func fullSync(agents, hubs, servers, tenants int) []deltasync.Delta {
 	var out []deltasync.Delta
 	for i := range agents + hubs {
@@ -49,7 +49,7 @@
 	return append(out, deltasync.Delta{Source: configSource, To: 1, Items: []deltasync.Item{{Key: configKey, Version: 1, Data: encode(&configItem{1, raw})}}})
 }
 
-// The messages of a session: what they weigh, and what it takes to write and to read one.
+// BenchmarkMessage measures the size of the messages of a session, their encoding and their decoding.
 func BenchmarkMessage(b *testing.B) {
 	one := func(d ...deltasync.Delta) *message {
 		return &message{HasQuorum: true, Complete: true, ReceivedVersion: 1000, Deltas: d}
@@ -96,7 +96,7 @@
 	return v
 }
 
-// edgeCore is the core of a process that is no machine of it.
+// edgeCore is the Core of a process that is no member.
 type edgeCore struct{}
 
 func (edgeCore) IsMember() bool  { return false }
@@ -110,14 +110,14 @@
 	deltas := fullSync(agents, hubs, servers, tenants)
 	raw := encode(&message{Deltas: deltas})
 	m := new(message)
-	if err := msgpack.Unmarshal(raw, m); err != nil { // as it comes: nothing is shared
+	if err := msgpack.Unmarshal(raw, m); err != nil { // as it arrives: no memory is shared
 		panic(err)
 	}
 	h.applyDeltasLocked(m.Deltas)
 	return h
 }
 
-// What an agent's part of the feed holds, by agents, servers and tenants.
+// BenchmarkHeap measures the memory of a node, by agents, servers and tenants.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []struct{ agents, hubs, servers, tenants int }{
 		{0, 0, 0, 0}, {360, 7, 0, 0}, {360, 7, 850, 0}, {360, 7, 850, 650}, {360, 7, 850, 6500},
@@ -132,7 +132,7 @@
 	}
 }
 
-// The look at silence and leases, five times a second.
+// BenchmarkTick measures the check for expiry, which runs five times per second.
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{30, 100, 360} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// One server's change as another agent takes it, up to the new list.
+// BenchmarkApply measures one server's change at another agent, up to the new list.
 func BenchmarkApply(b *testing.B) {
 	for _, servers := range []int{112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// A server's beat that says nothing new.
+// BenchmarkHeartbeat measures a server's heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	h := newBenchNode(360, 7, 850, 0)
 	ctx := b.Context()
--- /dev/null
+++ b/internal/fleet/relay/changes.go
@@ -0,0 +1,113 @@
+package relay
+
+import (
+	"strings"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+)
+
+// The keys of the items of an agent's source: its member entry, and by prefix the servers that send
+// it heartbeats (by ID), the leases that it grants and the ends that it announces (by source).
+const (
+	memberKey    = "m"
+	serverPrefix = "i/"
+	leasePrefix  = "l/"
+	endPrefix    = "e/"
+)
+
+// present is the data of an item of which only the key matters.
+var present = []byte{1}
+
+// isAgentSource reports whether a source is an agent's.
+func isAgentSource(source string) bool { return source != "" && source != configSource }
+
+// publishItemLocked changes an item of the own source and replicates it; nil data removes it.
+func (n *Node) publishItemLocked(key string, data []byte) {
+	version := n.items.Put(key, data)
+	n.changeLog.Append(deltasync.Change{Source: n.items.OwnSource(), Item: deltasync.Item{Key: key, Version: version, Data: data}})
+	n.notifyWaitersLocked()
+}
+
+// applyDeltasLocked takes what a peer sent.
+func (n *Node) applyDeltasLocked(deltas []deltasync.Delta) {
+	if len(deltas) == 0 {
+		return
+	}
+	for _, change := range n.items.Apply(deltas) {
+		n.changeLog.Append(change)
+	}
+	n.publishSnapshotLocked()
+	n.notifyWaitersLocked()
+}
+
+// applyChangeLocked updates the state by one change of any source. Items that are invalid or of an
+// unknown kind are ignored: a faulty source must not affect others.
+func (n *Node) applyChangeLocked(_ uint64, change deltasync.Change) {
+	now, source, key, data := n.now(), change.Source, change.Item.Key, change.Item.Data
+	if source == configSource {
+		if key == configKey {
+			n.applyConfigItemLocked(change.Item)
+		}
+		return
+	}
+	n.leases.Observe(now, source)
+	if key == memberKey {
+		n.applyMemberLocked(source, data)
+	} else if id, ok := strings.CutPrefix(key, serverPrefix); ok {
+		n.applyServerLocked(now, source, id, data)
+	} else if holder, ok := strings.CutPrefix(key, leasePrefix); ok {
+		n.applyLeaseLocked(now, source, holder, data != nil)
+	} else if ended, ok := strings.CutPrefix(key, endPrefix); ok && data != nil {
+		n.applyEndLocked(source, ended)
+	}
+}
+
+// applyServerLocked records what another source reports of a server. The own reports the table has
+// already.
+func (n *Node) applyServerLocked(now time.Duration, source, id string, data []byte) {
+	if source == n.items.OwnSource() {
+		return
+	}
+	if data == nil {
+		n.servers.Withdraw(now, source, id)
+		return
+	}
+	instance := new(registry.Instance)
+	if err := msgpack.Unmarshal(data, instance); err != nil || instance.ID != id || !instance.Valid() {
+		return
+	}
+	if !n.servers.Report(now, source, instance) {
+		n.logTableFullLocked(id)
+	}
+}
+
+// applyLeaseLocked records that a source grants a lease to an agent, or releases it.
+func (n *Node) applyLeaseLocked(now time.Duration, source, holder string, granted bool) {
+	switch {
+	case !isAgentSource(holder):
+	case n.items.Ended(holder):
+		if granted && source != n.items.OwnSource() {
+			n.publishEndLocked(holder) // the source that granted it does not know of the end
+		}
+	case granted:
+		n.leases.Grant(now, holder, source)
+	default:
+		n.leases.Revoke(now, holder, source)
+	}
+}
+
+// applyEndLocked ends a source that another one, or it itself, announced as ended.
+func (n *Node) applyEndLocked(announcer, ended string) {
+	departing := announcer == n.items.OwnSource() && announcer == ended // see Depart
+	if !isAgentSource(ended) || departing {
+		return
+	}
+	n.endSourceLocked(ended)
+	if ended == announcer {
+		n.publishEndLocked(ended) // its own announcement ends with it
+	}
+}
--- a/internal/fleet/relay/clock_test.go
+++ b/internal/fleet/relay/clock_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// advanceClock has a hub's clock go ahead.
-func (h *Node) advanceClock(d time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.startTime = h.startTime.Add(-d)
+// advanceClock advances a node's clock.
+func (n *Node) advanceClock(d time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.startTime = n.startTime.Add(-d)
 }
--- a/internal/fleet/relay/hub_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What any agent learns reaches all: members, servers, ends and configurations.
+// Whatever one agent publishes reaches all: members, servers, ends and configurations.
 func TestChangesReachAllAgents(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 4)
@@ -27,7 +27,7 @@
 	}
 	require.True(t, l.edgeAgents[0].heartbeat(drainingServer("s3", 1000)))
 	require.True(t, l.coreMembers[0].heartbeat(drainingServer("s0", 1000)))
-	require.True(t, l.edgeAgents[1].node.Deregister(timeoutContext(t, testTimeout), "s1"), "it need not be known by whom a server leaves")
+	require.True(t, l.edgeAgents[1].node.Deregister(timeoutContext(t, testTimeout), "s1"), "a server may deregister at any agent")
 	for _, id := range []string{"s3", "s0", "s1"} {
 		l.eventually("an end is known", not(listsServer(id)))
 	}
@@ -56,7 +56,7 @@
 	assert.Len(t, r.Sessions, 1)
 }
 
-// An agent whose hub stops goes on with another.
+// An agent whose relay stops fails over to another.
 func TestAgentFailsOverWhenItsRelayStops(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 3)
@@ -64,54 +64,54 @@
 	gone := l.relayOf(a)
 	gone.stop()
 	a.startHeartbeats("s")
-	l.eventually("its news reach all", listsServer("s"))
+	l.eventually("its changes reach all agents", listsServer("s"))
 	require.True(t, a.heartbeat(drainingServer("s", 1000)))
-	l.eventually("its news reach all", not(listsServer("s")))
-	l.eventually("it has one hub", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != gone && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
-	l.eventually("the hub's lease lapses", hasMembers(5))
+	l.eventually("its changes reach all agents", not(listsServer("s")))
+	l.eventually("it has one relay", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != gone && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
+	l.eventually("the relay's lease expires", hasMembers(5))
 	gone.start()
 	gone.node.MarkConfigCurrent()
 	l.awaitSynced(6)
 }
 
-// An agent whose hub falls silent goes on with another, and neither waits for the old one.
+// An agent whose relay times out fails over to another, and neither waits for the old one.
 func TestAgentFailsOverWhenPartitionedFromItsRelay(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 1)
 	a := l.edgeAgents[0]
 	old := l.relayOf(a)
 	old.setPartitioned(true, a)
-	l.eventually("it has another hub", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old }, a)
+	l.eventually("it has another relay", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old }, a)
 	old.setPartitioned(false, a)
 	a.startHeartbeats("s")
-	l.eventually("its news reach all", listsServer("s"))
+	l.eventually("its changes reach all agents", listsServer("s"))
 	l.awaitSynced(4)
 }
 
-// An agent leaves a hub that is cut off from the core, and keeps one session.
+// An agent leaves a relay that has lost its quorum, and retains one session.
 func TestAgentLeavesRelayWithoutQuorum(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 2)
 	a := l.edgeAgents[0]
 	old := l.relayOf(a)
 	old.linked.Store(false)
-	l.eventually("it has another hub only", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
+	l.eventually("it has another relay only", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
 	old.linked.Store(true)
-	// With no linked hub at all any will do; later one is enough.
+	// While no relay has a quorum it tries all of them; later one is enough.
 	for _, h := range l.coreMembers {
 		h.linked.Store(false)
 	}
-	l.eventually("it looks everywhere", func(a *testAgent) bool { return len(a.sessionPeers()) == 3 }, l.edgeAgents...)
+	l.eventually("it tries all relays", func(a *testAgent) bool { return len(a.sessionPeers()) == 3 }, l.edgeAgents...)
 	l.coreMembers[0].node.ApplyConfig(1, documentOf(1))
-	l.eventually("what the core can't agree on any more still travels", hasConfig(1))
+	l.eventually("replication continues without a quorum", hasConfig(1))
 	for _, h := range l.coreMembers {
 		h.linked.Store(true)
 	}
-	l.eventually("it has one hub", func(a *testAgent) bool { return len(a.sessionPeers()) == 1 }, l.edgeAgents...)
+	l.eventually("it has one relay", func(a *testAgent) bool { return len(a.sessionPeers()) == 1 }, l.edgeAgents...)
 	l.awaitSynced(5)
 }
 
-// A hub that is no machine of the core any more tells its agents by its messages; they leave.
+// A relay that is no longer a member of the core says so in its messages, and its agents leave.
 func TestAgentLeavesFormerCoreMember(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 2)
@@ -128,14 +128,14 @@
 	}
 	old.core.Store(false)
 	old.linked.Store(false)
-	l.eventually("it has another hub only", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
+	l.eventually("it has another relay only", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old && len(a.sessionPeers()) == 1 }, l.edgeAgents...)
 	l.awaitSynced(5)
-	// The leases that it held it holds no more: who ends now is ended.
+	// It grants no leases any more: an agent that stops now expires.
 	l.edgeAgents[1].stop()
-	l.eventually("its lease lapses", hasMembers(4))
+	l.eventually("its lease expires", hasMembers(4))
 }
 
-// A drain is acknowledged only when another hub has it, so that it reaches all whoever dies next.
+// A drain is acknowledged only once a majority of the relays has it, so that no crash loses it.
 func TestDrainIsAcknowledgedOnceReplicated(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 2, 1)
@@ -146,16 +146,16 @@
 	l.eventually("listed", listsServer("r"))
 	a.setPartitioned(true, l.coreMembers...)
 	short := timeoutContext(t, 300*time.Millisecond)
-	require.False(t, a.node.Heartbeat(short, drainingServer("s", 1000)), "nobody else has it")
-	require.False(t, a.node.Heartbeat(short, drainingServer("s", 1001)), "nor when it is said again")
+	require.False(t, a.node.Heartbeat(short, drainingServer("s", 1000)), "no relay has it")
+	require.False(t, a.node.Heartbeat(short, drainingServer("s", 1001)), "nor has any after a repetition")
 	require.False(t, a.node.Deregister(short, "s"))
-	require.False(t, listsServer("s")(a), "it is in force here at once")
+	require.False(t, listsServer("s")(a), "it takes effect here at once")
 	require.True(t, listsServer("s")(l.coreMembers[0]))
 	l.coreMembers[0].setPartitioned(true, l.coreMembers[1])
-	require.False(t, l.coreMembers[0].node.Heartbeat(timeoutContext(t, 300*time.Millisecond), drainingServer("r", 1000)), "a hub itself is not another")
+	require.False(t, l.coreMembers[0].node.Heartbeat(timeoutContext(t, 300*time.Millisecond), drainingServer("r", 1000)), "one of two relays is no majority")
 	l.coreMembers[0].setPartitioned(false, l.coreMembers[1])
 	require.True(t, l.coreMembers[0].heartbeat(drainingServer("r", 1001)))
-	require.True(t, listsServer("r")(l.coreMembers[1]) == false, "the other hub has it when it is acknowledged")
+	require.True(t, listsServer("r")(l.coreMembers[1]) == false, "the other relay has it once it is acknowledged")
 	a.setPartitioned(false, l.coreMembers...)
 	require.True(t, a.heartbeat(drainingServer("s", 1002)))
 	assert.True(t, !listsServer("s")(l.coreMembers[0]) && !listsServer("s")(l.coreMembers[1]), "both are the majority")
@@ -163,7 +163,7 @@
 	l.eventually("gone", not(listsServer("r")))
 }
 
-// A core of one machine has no other hub.
+// A core of one member needs no other relay.
 func TestACoreOfOne(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 1, 1)
@@ -174,12 +174,12 @@
 	l.eventually("gone", not(listsServer("r")))
 }
 
-// An agent that is cut off is ended when its lease has lapsed. It serves on meanwhile, and comes
-// back as a new life; its servers stay listed.
+// An agent that is partitioned away is ended once its lease has expired. It continues to serve, and
+// returns as a new incarnation; its servers stay listed.
 func TestExpiredAgentReturnsAsNewIncarnation(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 3, 2)
-	l.heartbeatInterval = 2 * time.Second // servers are kept for four
+	l.heartbeatInterval = 2 * time.Second // orphaned servers are retained for four
 	l.start().awaitSynced(5)
 	a := l.edgeAgents[0]
 	a.startHeartbeats("s")
@@ -187,15 +187,15 @@
 	old := a.node.Report().Source
 	a.setPartitioned(true, l.all()...)
 	others := append([]*testAgent{l.edgeAgents[1]}, l.coreMembers...)
-	l.eventually("it is ended", hasMembers(4), others...)
-	require.Equal(t, old, a.node.Report().Source, "it knows nothing of that")
+	l.eventually("it has been ended", hasMembers(4), others...)
+	require.Equal(t, old, a.node.Report().Source, "it does not know")
 	require.True(t, hasMembers(5)(a))
 	for _, b := range l.all() {
 		require.True(t, listsServer("s")(b), b.Name)
 	}
 	a.setPartitioned(false, l.all()...)
 	l.awaitSynced(5)
-	l.eventually("its servers are told by the new life", func(b *testAgent) bool {
+	l.eventually("the new incarnation publishes its servers", func(b *testAgent) bool {
 		now := a.node.Report().Source
 		return now != old && b.hasItem(now, serverPrefix+"s") && listsServer("s")(b)
 	})
@@ -203,7 +203,7 @@
 	l.eventually("gone", not(listsServer("s")))
 }
 
-// A hub that is cut off ends nobody, neither meanwhile nor when it is joined again.
+// A relay that is partitioned away expires nobody, neither meanwhile nor when the partition heals.
 func TestPartitionedRelayExpiresNobody(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 3)
@@ -214,32 +214,32 @@
 	}
 	cut.linked.Store(false)
 	cut.setPartitioned(true, rest...)
-	l.eventually("the others end it", hasMembers(5), rest...)
+	l.eventually("the others expire it", hasMembers(5), rest...)
 	require.True(t, hasMembers(6)(cut))
-	// More than a lease's time later.
+	// More than a lease duration later.
 	old := l.edgeAgents[0]
 	old.stop()
-	l.eventually("the others end an agent", hasMembers(4), append(l.coreMembers[1:3:3], l.edgeAgents[1:]...)...)
-	require.True(t, hasMembers(6)(cut), "it ends nobody")
+	l.eventually("the others expire an agent", hasMembers(4), append(l.coreMembers[1:3:3], l.edgeAgents[1:]...)...)
+	require.True(t, hasMembers(6)(cut), "it expires nobody")
 	cut.linked.Store(true)
 	cut.setPartitioned(false, rest...)
 	l.awaitSynced(5)
 	for _, a := range rest {
 		if a != old {
-			assert.Equal(t, sources[a.Name], a.node.Report().Source, "%s was ended", a.Name)
+			assert.Equal(t, sources[a.Name], a.node.Report().Source, "%s was expired", a.Name)
 		}
 	}
 }
 
-// A one-way cut ends the sessions both ways, so that what is told is known to be heard.
+// A one-way partition ends sessions in both directions, so that no side relies on messages that are lost.
 func TestOneWayPartition(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 1)
 	a := l.edgeAgents[0]
 	old := l.relayOf(a)
 	a.setCut(old.Addr, a.Addr, true)
-	l.eventually("it has another hub", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old }, a)
-	l.eventually("its old hub gives it up", func(h *testAgent) bool {
+	l.eventually("it has another relay", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != old }, a)
+	l.eventually("its old relay closes the session", func(h *testAgent) bool {
 		for _, s := range h.sessionPeers() {
 			if s == a.Addr {
 				return false
@@ -251,8 +251,8 @@
 	l.awaitSynced(4)
 }
 
-// Bye reaches all, not the one hub only, and long before the lease lapses; the one who said it does
-// not come back.
+// A departure reaches all agents, not one relay only, long before the lease expires; the one that
+// departed does not come back.
 func TestDepart(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 3, 3)
@@ -262,7 +262,7 @@
 		who.startHeartbeats("s of " + who.Name)
 		l.eventually("listed", listsServer("s of "+who.Name))
 		who.node.AnnounceDraining()
-		l.eventually("its end is known", func(a *testAgent) bool {
+		l.eventually("it is known to be draining", func(a *testAgent) bool {
 			for _, m := range a.node.OtherMembers(false) {
 				if m.Name == who.Name {
 					return false
@@ -282,18 +282,18 @@
 				rest = append(rest, a)
 			}
 		}
-		l.eventually("all drop it", hasMembers(n-1), rest...)
+		l.eventually("all others drop it", hasMembers(n-1), rest...)
 		assert.Less(t, time.Since(begin), leaseDuration)
 		for _, a := range rest {
 			assert.True(t, listsServer("s of "+who.Name)(a), "its servers have time to call another agent")
 		}
 		who.node.tick()
 		who.stop()
-		l.eventually("nobody new", hasMembers(n-1), rest...)
+		l.eventually("it does not come back", hasMembers(n-1), rest...)
 	}
 }
 
-// A bye that nobody hears ends with its time.
+// A departure that nobody receives ends with its context.
 func TestDepartWhilePartitioned(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 2, 1)
@@ -305,8 +305,8 @@
 	assert.Error(t, ctx.Err())
 }
 
-// The configuration in force never goes back: not by an older commit, not by what peers have, not
-// by one that can't be read.
+// The configuration in force never regresses: not by an older commit, not by what peers have, not by
+// an invalid one.
 func TestConfigurationNeverRegresses(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 2)
@@ -320,7 +320,7 @@
 	for _, a := range l.all() {
 		assert.Equal(t, int64(7), a.snapshot.Load().Config.Revision)
 	}
-	// One that was cut off with an older one takes the newer, and gives its own to nobody.
+	// An agent that was partitioned away with an older one takes the newer, and spreads its own to nobody.
 	a := l.edgeAgents[0]
 	a.setPartitioned(true, l.coreMembers...)
 	l.coreMembers[0].node.ApplyConfig(9, documentOf(9))
@@ -328,16 +328,16 @@
 	require.True(t, hasConfig(7)(a))
 	a.setPartitioned(false, l.coreMembers...)
 	l.eventually("in force", hasConfig(9))
-	// So does one that starts anew.
+	// So does one that restarts.
 	l.coreMembers[0].stop()
 	l.coreMembers[0].start()
-	l.coreMembers[0].node.ApplyConfig(5, documentOf(5)) // its disk is behind
+	l.coreMembers[0].node.ApplyConfig(5, documentOf(5)) // its disk has an older one
 	l.coreMembers[0].node.MarkConfigCurrent()
 	l.awaitSynced(5)
 	l.eventually("in force", hasConfig(9))
 }
 
-// The whole core starts: nobody knows all, and nobody waits for it.
+// The whole core starts: no member is complete, and none waits for one that is.
 func TestWholeCoreStarts(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 3, 2)
@@ -347,12 +347,12 @@
 	for _, h := range l.coreMembers {
 		l.eventually("has its sessions", func(a *testAgent) bool { return len(a.sessionPeers()) >= 2 }, h)
 		h.node.tick()
-		require.False(t, h.snapshot.Load().Synced, "the newest configuration has not been asked for")
+		require.False(t, h.snapshot.Load().Synced, "the core has not been read for the newest configuration")
 	}
 	l.coreMembers[1].node.ApplyConfig(4, documentOf(4))
 	l.coreMembers[1].node.MarkConfigCurrent()
 	l.eventually("starts", func(a *testAgent) bool { return a.snapshot.Load().Synced && a.snapshot.Load().ConfigSeq == 4 })
-	// An agent is not fresh before a hub has told it all.
+	// An agent is not synced before a relay has sent it everything.
 	for _, a := range l.edgeAgents {
 		a.stop()
 		a.setPartitioned(true, l.coreMembers...)
@@ -364,10 +364,10 @@
 		require.False(t, a.snapshot.Load().Synced)
 		a.setPartitioned(false, l.coreMembers...)
 	}
-	l.eventually("fresh with all", func(a *testAgent) bool { return a.snapshot.Load().Synced && a.snapshot.Load().ConfigSeq == 5 })
+	l.eventually("synced", func(a *testAgent) bool { return a.snapshot.Load().Synced && a.snapshot.Load().ConfigSeq == 5 })
 }
 
-// A machine of the core that is missing holds the others up for a moment only.
+// A core member that is missing delays the others only briefly.
 func TestMissingCoreMemberDelaysStartBriefly(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 3, 1)
@@ -381,14 +381,14 @@
 	l.coreMembers[0].node.MarkConfigCurrent()
 	l.coreMembers[1].node.MarkConfigCurrent()
 	l.eventually("starts", func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Synced })
-	assert.GreaterOrEqual(t, time.Since(begin), selfStartDelay, "sessions have their time to come up")
+	assert.GreaterOrEqual(t, time.Since(begin), selfStartDelay, "sessions are given time to be established")
 	assert.GreaterOrEqual(t, time.Since(running), selfStartDelay-tickInterval, "counted from the last start, too")
 	l.coreMembers[2].start()
-	l.awaitSynced(4) // also without Newest: others know all
+	l.awaitSynced(4) // also without MarkConfigCurrent: others are complete
 }
 
-// A core machine that starts again where others know all waits for them, also past the time of the
-// whole core's start, as its core has no majority for it yet.
+// A core member that restarts where others are complete waits for them, also beyond selfStartDelay, as
+// it has no quorum yet.
 func TestRestartedRelaySyncsFirst(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 1)
@@ -399,15 +399,15 @@
 	h.linked.Store(false)
 	h.start()
 	h.node.MarkConfigCurrent()
-	l.eventually("hears", listsServer("s"), h)
-	require.False(t, h.snapshot.Load().Synced, "it is not linked")
+	l.eventually("receives the server", listsServer("s"), h)
+	require.False(t, h.snapshot.Load().Synced, "it has no quorum")
 	h.linked.Store(true)
-	l.eventually("is fresh", func(a *testAgent) bool { return a.snapshot.Load().Synced }, h)
+	l.eventually("is synced", func(a *testAgent) bool { return a.snapshot.Load().Synced }, h)
 	require.True(t, listsServer("s")(h))
 	l.awaitSynced(4)
 }
 
-// Without a majority nothing is told to be known, and nobody is ended.
+// Without a quorum nobody is synced, and nobody is ended.
 func TestNothingStartsWithoutQuorum(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 2, 1)
@@ -426,8 +426,8 @@
 	require.True(t, hasMembers(3)(l.coreMembers[0]), "nobody is ended")
 }
 
-// What a machine with a disk kept is listed from the start on, and for no longer than its servers
-// take to call again.
+// Servers that were saved to disk are listed from the start on, and no longer than their next
+// heartbeats take.
 func TestServersAreRestoredFromDisk(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 1, 1)
@@ -457,5 +457,5 @@
 	l.awaitSynced(2)
 	h.startHeartbeats("stays")
 	l.eventually("expired", not(listsServer("dies")))
-	l.eventually("kept", listsServer("stays"))
+	l.eventually("still listed", listsServer("stays"))
 }
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -10,41 +10,63 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// configItem is the newest committed configuration.
+// The configuration is a source of its own, which all members of the core write alike: its versions
+// are the sequence numbers of the core's chain.
+const configSource, configKey = "config", "c"
+
+// configItem is a committed configuration as it is replicated.
 type configItem struct {
-	Seq uint64 `msgpack:"s"`
-	Raw []byte `msgpack:"r"`
+	Seq uint64 `msgpack:"s"` // its position in the core's chain
+	Raw []byte `msgpack:"r"` // the JSON document as it was submitted
 }
 
-func (h *Node) applyConfigItemLocked(it deltasync.Item) {
-	var cfg configItem
-	if err := msgpack.Unmarshal(it.Data, &cfg); err != nil || cfg.Seq <= h.configSeq || cfg.Seq != it.Version {
-		return
-	}
-	doc, err := config.Parse(cfg.Raw)
-	if err != nil {
-		logevent.ConfigUnreadable.Error(err, "seq", cfg.Seq)
-		return
+// configState is the configuration in force.
+type configState struct {
+	seq      uint64
+	document *config.Document // nil before the first
+}
+
+// revision is the operators' revision of the configuration, 0 before the first.
+func (c *configState) revision() int64 {
+	if c.document == nil {
+		return 0
 	}
-	h.configSeq, h.config = cfg.Seq, doc
-	logevent.ConfigApplied.Log("seq", cfg.Seq, "revision", doc.Revision)
+	return c.document.Revision
 }
 
-// ApplyConfig takes a configuration that the core has committed. Older ones are passed over.
-func (h *Node) ApplyConfig(seq uint64, raw []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if seq <= h.items.Version(configSource) {
+// ApplyConfig puts a configuration into force that the core has committed, and replicates it. Older
+// ones than the one in force are ignored.
+func (n *Node) ApplyConfig(seq uint64, raw []byte) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	current := n.items.Version(configSource)
+	if seq <= current {
 		return
 	}
-	h.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: h.items.Version(configSource), To: seq,
-		Items: []deltasync.Item{{Key: configKey, Version: seq, Data: encode(&configItem{seq, raw})}}}})
+	item := deltasync.Item{Key: configKey, Version: seq, Data: encode(&configItem{seq, raw})}
+	n.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: current, To: seq, Items: []deltasync.Item{item}}})
 }
 
-// MarkConfigCurrent takes that all configurations up to now have been committed here.
-func (h *Node) MarkConfigCurrent() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.configCurrent = true
-	logevent.NewestConfigConfirmed.Log("after", h.now()-time.Second)
+// MarkConfigCurrent records that every configuration that the core had committed at the time of
+// some read since the start has been applied.
+func (n *Node) MarkConfigCurrent() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.readiness.configCurrent = true
+	logevent.NewestConfigConfirmed.Log("after", n.now()-time.Second)
+}
+
+// applyConfigItemLocked puts a replicated configuration into force, unless it is older or invalid.
+func (n *Node) applyConfigItemLocked(item deltasync.Item) {
+	var committed configItem
+	if err := msgpack.Unmarshal(item.Data, &committed); err != nil || committed.Seq <= n.config.seq || committed.Seq != item.Version {
+		return
+	}
+	document, err := config.Parse(committed.Raw)
+	if err != nil {
+		logevent.ConfigUnreadable.Error(err, "seq", committed.Seq)
+		return
+	}
+	n.config = configState{committed.Seq, document}
+	logevent.ConfigApplied.Log("seq", committed.Seq, "revision", document.Revision)
 }
--- a/internal/fleet/relay/shared_test.go
+++ b/internal/fleet/relay/configcache_test.go
@@ -11,20 +11,20 @@
 )
 
 // Sessions that lack the same configuration are sent the same bytes, encoded once; what else they lack
-// comes beside it.
+// is sent beside it.
 func TestLongConfigurationIsEncodedOnce(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"})
 	h.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	take := func(flags message) (shared []byte, rest []deltasync.Delta) {
+	take := func(flags configFlags) (shared []byte, rest []deltasync.Delta) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.extractConfigLocked(&flags, h.items.DeltasSince(nil))
+		return h.configCache.extract(h.now(), flags, h.items.DeltasSince(nil))
 	}
-	first, rest := take(message{IsCore: true, HasQuorum: true, Complete: true})
+	first, rest := take(configFlags{isCore: true, hasQuorum: true, complete: true})
 	require.NotEmpty(t, first)
-	require.Len(t, rest, 1, "the hub's own source")
+	require.Len(t, rest, 1, "the relay's own source")
 	assert.Equal(t, h.source(), rest[0].Source)
-	second, _ := take(message{IsCore: true, HasQuorum: true, Complete: true})
+	second, _ := take(configFlags{isCore: true, hasQuorum: true, complete: true})
 	assert.Same(t, &first[0], &second[0])
 	m := new(message)
 	require.NoError(t, msgpack.Unmarshal(first, m))
@@ -33,28 +33,28 @@
 	assert.True(t, m.IsCore && m.HasQuorum && m.Complete)
 	assert.Zero(t, m.ReceivedVersion)
 
-	// What the sender says of itself is part of it.
-	other, _ := take(message{IsCore: true, HasQuorum: true})
+	// The status of the sender is part of it.
+	other, _ := take(configFlags{isCore: true, hasQuorum: true})
 	assert.NotSame(t, &first[0], &other[0])
 	require.NoError(t, msgpack.Unmarshal(other, m))
 	// So is the configuration.
 	h.ApplyConfig(2, paddedDocument(2, longConfigBytes))
-	newer, _ := take(message{IsCore: true, HasQuorum: true})
+	newer, _ := take(configFlags{isCore: true, hasQuorum: true})
 	newest := new(message)
 	require.NoError(t, msgpack.Unmarshal(newer, newest))
 	assert.Equal(t, uint64(2), newest.Deltas[0].To)
-	// It is not kept for long.
+	// It is not retained for long.
 	h.runFor(2*configCacheTTL, nil)
 	assert.Empty(t, h.configCache.encoded)
 }
 
-// A short configuration goes with the other deltas.
+// A short configuration is sent with the other deltas.
 func TestShortConfigurationIsNotShared(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"})
 	h.ApplyConfig(1, documentOf(1))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shared, rest := h.extractConfigLocked(&message{IsCore: true}, h.items.DeltasSince(nil))
+	shared, rest := h.configCache.extract(h.now(), configFlags{isCore: true}, h.items.DeltasSince(nil))
 	assert.Empty(t, shared)
 	assert.Len(t, rest, 2)
 }
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -9,32 +9,57 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// dialLoop keeps the sessions that this agent begins: a machine of the core with all others whose
-// address is above its own, any other agent with one hub.
-func (h *Node) dialLoop(ctx context.Context) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	running := map[string]bool{} // by address
-	var mu sync.Mutex
-	turn := 0
+const (
+	// redialInterval is the pause between two looks for peers to dial.
+	redialInterval = 150 * time.Millisecond
+	// maxRedirects bounds the addresses that are taken from one redirect.
+	maxRedirects = 16
+)
+
+// dialing is the set of addresses that sessions are being dialed to, or are running with.
+type dialing struct {
+	mu    sync.Mutex
+	addrs map[string]bool // guarded by mu
+}
+
+// begin adds an address and reports whether it was not there yet.
+func (d *dialing) begin(addr string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.addrs[addr] {
+		return false
+	}
+	d.addrs[addr] = true
+	return true
+}
+
+// end removes an address.
+func (d *dialing) end(addr string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.addrs, addr)
+}
+
+// dialLoop maintains the sessions that this node begins, until ctx ends: see dialTargets.
+func (n *Node) dialLoop(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	active := &dialing{addrs: map[string]bool{}}
+	attempt := 0
 	for ctx.Err() == nil {
-		want := h.dialTargets(turn)
-		mu.Lock()
-		for _, addr := range want {
-			if running[addr] {
+		targets := n.dialTargets(attempt)
+		for _, addr := range targets {
+			if !active.begin(addr) {
 				continue
 			}
-			running[addr] = true
-			wg.Go(func() {
-				h.dialSession(ctx, addr)
-				mu.Lock()
-				delete(running, addr)
-				mu.Unlock()
+			running.Go(func() {
+				defer active.end(addr)
+				n.dialSession(ctx, addr)
 			})
 		}
-		mu.Unlock()
-		if turn++; len(want) == 0 {
-			turn = 0
+		attempt++
+		if len(targets) == 0 {
+			attempt = 0
 		}
 		select {
 		case <-ctx.Done():
@@ -43,39 +68,46 @@
 	}
 }
 
-func (h *Node) dialSession(ctx context.Context, addr string) {
+// dialSession begins a session with the agent at an address, and runs it until it or ctx ends. Another
+// attempt follows if it fails, so errors before the session begins are not reported.
+func (n *Node) dialSession(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	late := time.AfterFunc(helloTimeout, cancel)
-	st, hangUp, err := rpc.OpenStreamWithDialer[message, message](ctx, h.options.Dialer, addr, "feed.session")
+	timeout := time.AfterFunc(helloTimeout, cancel)
+	st, hangUp, err := rpc.OpenStreamWithDialer[message, message](ctx, n.options.Dialer, addr, sessionCall)
 	if err != nil {
 		return
 	}
 	defer hangUp()
-	core := h.options.Core.IsMember()
-	h.mu.Lock()
-	mine := &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, IsCore: core, Vector: h.items.Vector()}
-	h.mu.Unlock()
-	if st.Send(&message{Hello: mine, IsCore: core, HasQuorum: h.options.Core.HasQuorum()}) != nil {
+	isMember := n.options.Core.IsMember()
+	n.mu.Lock()
+	own := &hello{Source: n.items.OwnSource(), Addr: n.options.Self.Addr, IsCore: isMember, Vector: n.items.Vector()}
+	n.mu.Unlock()
+	if st.Send(&message{Hello: own, IsCore: isMember, HasQuorum: n.options.Core.HasQuorum()}) != nil {
 		return
 	}
-	m, err := st.Recv()
-	if err != nil || !late.Stop() {
+	first, err := st.Recv()
+	if err != nil || !timeout.Stop() {
 		return
 	}
-	if m.Hello == nil {
-		h.mu.Lock()
-		h.redirectAddrs = nil
-		for _, p := range m.Redirect[:min(len(m.Redirect), 16)] {
-			h.redirectAddrs = append(h.redirectAddrs, p.Addr)
-		}
-		h.mu.Unlock()
+	if first.Hello == nil {
+		n.recordRedirect(first.Redirect)
 		return
 	}
-	if m.Hello.validate() != nil {
+	if first.Hello.validate() != nil {
 		return
 	}
 	logevent.SessionStarted.Log("peer", addr)
-	err = h.runSession(ctx, st, m.Hello, addr, mine, m)
+	err = n.runSession(ctx, st, first.Hello, addr, own, first)
 	logevent.SessionEnded.Log("peer", addr, "err", err)
 }
+
+// recordRedirect records the relays that an agent named which is none itself.
+func (n *Node) recordRedirect(peers []Peer) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.upstream.redirectAddrs = nil
+	for _, peer := range peers[:min(len(peers), maxRedirects)] {
+		n.upstream.redirectAddrs = append(n.upstream.redirectAddrs, peer.Addr)
+	}
+}
--- a/internal/fleet/relay/fanout_bench_test.go
+++ b/internal/fleet/relay/fanout_bench_test.go
@@ -11,8 +11,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// The cost of one configuration of 1 MB to 100 sessions: what its encoding takes, and what the
-// whole way to the readers takes, over loopback, the reading of all of them included.
+// BenchmarkFanOut measures sending one configuration of 1 MB to 100 sessions: its encoding, and all the
+// way to the readers over loopback, their reading included.
 func BenchmarkFanOut(b *testing.B) {
 	const sessions, size = 100, 1 << 20
 	m := &message{HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{{Source: configSource, To: 1,
@@ -43,7 +43,7 @@
 	})
 }
 
-// newBroadcast returns what sends a message to so many readers at once and waits until all have it.
+// newBroadcast returns a function that sends a message to all readers at once and waits until all have it.
 func newBroadcast(b *testing.B, readers int) func(func(*stream) error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/fleet/relay/fulltable_test.go
+++ b/internal/fleet/relay/fulltable_test.go
@@ -10,8 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// A hub whose table is full answers no call of a server that it can't keep as taken, and takes those
-// of the servers that it knows.
+// A relay whose table is full acknowledges no call of an unknown server, and does those of the servers
+// that it knows.
 func TestFullTableRejectsUnknownServers(t *testing.T) {
 	const more = 10_000 // than any table takes
 	h := newManualNode("h", true, Peer{Addr: "addr of h"})
--- /dev/null
+++ b/internal/fleet/relay/incarnation.go
@@ -0,0 +1,94 @@
+package relay
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"time"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+)
+
+const (
+	// endRetention is how long a node announces that a source has ended.
+	endRetention = 60 * time.Second
+	// incarnationBytes is the number of random bytes that tell incarnations of one agent apart.
+	incarnationBytes = 6
+)
+
+// endAnnouncements are the sources that this node announces as ended, with the time since when.
+type endAnnouncements map[string]time.Duration
+
+// takeOld removes and returns the sources that have been announced for long enough.
+func (e endAnnouncements) takeOld(now time.Duration) (sources []string) {
+	for source, since := range e {
+		if now-since > endRetention {
+			delete(e, source)
+			sources = append(sources, source)
+		}
+	}
+	return sources
+}
+
+// newSourceName returns the name of the source of a new incarnation of this agent.
+func (n *Node) newSourceName() string {
+	var random [incarnationBytes]byte
+	_, _ = rand.Read(random[:]) // never fails
+	return n.options.Self.Name + "/" + hex.EncodeToString(random[:])
+}
+
+// startIncarnationLocked continues under a new source, with the servers, leases and member entry of
+// the old one. It is due when the others have ended the old one, or when that has collected too many
+// tombstones. Sessions end, as they were begun under the old name and count its versions.
+func (n *Node) startIncarnationLocked() {
+	now, old := n.now(), n.items.OwnSource()
+	logevent.OwnLeaseExpired.Log("old", old)
+	n.items.StartIncarnation(n.newSourceName())
+	current := n.items.OwnSource()
+	n.leases.Remove(now, old)
+	delete(n.members, old)
+	n.servers.RenameOwnSource(now, current)
+	for source := range n.leases.granted {
+		n.leases.Grant(now, source, current)
+	}
+	for s := range n.sessions {
+		s.cancel()
+		delete(n.sessions, s)
+	}
+	n.publishMemberLocked()
+}
+
+// endSourceLocked ends a source here. If it is the own one, the others took this agent for dead, and
+// it continues as a new incarnation unless it is departing.
+func (n *Node) endSourceLocked(source string) {
+	if source == n.items.OwnSource() {
+		if !n.departing {
+			n.startIncarnationLocked()
+		}
+		return
+	}
+	if n.items.Ended(source) {
+		return
+	}
+	now := n.now()
+	n.items.EndSource(source)
+	n.leases.Remove(now, source)
+	delete(n.members, source)
+	n.servers.SourceEnded(now, source)
+	n.sessions.forgetSource(source)
+}
+
+// publishEndLocked announces that a source has ended. Only members of the core do so.
+func (n *Node) publishEndLocked(source string) {
+	if _, announced := n.ends[source]; announced || !n.options.Self.IsCore {
+		return
+	}
+	n.ends[source] = n.now()
+	n.publishItemLocked(endPrefix+source, present)
+}
+
+// withdrawOldEndsLocked stops announcing ends that everybody knows by now.
+func (n *Node) withdrawOldEndsLocked(now time.Duration) {
+	for _, source := range n.ends.takeOld(now) {
+		n.publishItemLocked(endPrefix+source, nil)
+	}
+}
--- /dev/null
+++ b/internal/fleet/relay/member.go
@@ -0,0 +1,80 @@
+package relay
+
+import (
+	"cmp"
+	"context"
+	"slices"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// maxMemberBytes bounds an encoded Member.
+const maxMemberBytes = 8 << 10
+
+// Member is what an agent publishes of itself.
+type Member struct {
+	Name        string `msgpack:"n" json:"name"`
+	Addr        string `msgpack:"a" json:"addr"` // for calls of other agents
+	Zone        string `msgpack:"z" json:"zone"`
+	Region      string `msgpack:"r" json:"region"`
+	IsCore      bool   `msgpack:"c" json:"core"`    // it is a member of the core
+	Draining    bool   `msgpack:"e" json:"ending"`  // it is draining
+	ControlAddr string `msgpack:"o" json:"control"` // for calls of servers and operators
+}
+
+// publishMemberLocked publishes the own member entry.
+func (n *Node) publishMemberLocked() { n.publishItemLocked(memberKey, encode(&n.options.Self)) }
+
+// applyMemberLocked records the member entry of a source.
+func (n *Node) applyMemberLocked(source string, data []byte) {
+	var member Member
+	if len(data) <= maxMemberBytes && msgpack.Unmarshal(data, &member) == nil {
+		n.members[source] = member
+	}
+}
+
+// OtherMembers returns the other members that are not draining, by name; with coreOnly just the
+// members of the core.
+func (n *Node) OtherMembers(coreOnly bool) []Member {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var others []Member
+	for source, member := range n.members {
+		if source != n.items.OwnSource() && !member.Draining && (!coreOnly || member.IsCore) {
+			others = append(others, member)
+		}
+	}
+	slices.SortFunc(others, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return others
+}
+
+// knownCoreMembers returns the members of the core by the core's view, or else by their own entries.
+func (n *Node) knownCoreMembers() []Peer {
+	peers := n.options.Core.Members()
+	if len(peers) > 0 {
+		return peers
+	}
+	for _, member := range n.OtherMembers(true) {
+		peers = append(peers, Peer{member.Addr, member.Zone})
+	}
+	return peers
+}
+
+// AnnounceDraining publishes that this agent is about to end, so that servers are directed to others.
+func (n *Node) AnnounceDraining() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.options.Self.Draining = true
+	n.publishMemberLocked()
+}
+
+// Depart announces the end of this agent, and returns once another member of the core has received
+// that, or when ctx ends. The agent does not come back as a new incarnation.
+func (n *Node) Depart(ctx context.Context) {
+	n.mu.Lock()
+	n.departing = true
+	n.publishItemLocked(endPrefix+n.items.OwnSource(), present)
+	published := n.publishedLocked()
+	n.mu.Unlock()
+	n.awaitReceived(ctx, published)
+}
--- /dev/null
+++ b/internal/fleet/relay/node.go
@@ -0,0 +1,214 @@
+package relay
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"golang.org/x/time/rate"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+	"chalkdoor.example/chalkdoor/internal/fleet/eventlog"
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+)
+
+const (
+	// tickInterval is the period at which sessions, leases and servers are checked for expiry.
+	tickInterval = 200 * time.Millisecond
+	// changeLogSize is the number of changes retained for operators.
+	changeLogSize = 256
+	// maxLoggedBytes bounds the data that is retained of each of those changes.
+	maxLoggedBytes = 4 << 10
+	// sessionCall is the name of the streaming call that carries a session.
+	sessionCall = "feed.session"
+)
+
+// Core is what a node needs to know of the core. Its methods are called without the node's lock,
+// by several goroutines.
+type Core interface {
+	// IsMember reports whether this process is a member of the core.
+	IsMember() bool
+	// HasQuorum reports whether this process is a member and in contact with a majority.
+	HasQuorum() bool
+	// Members returns the members of the core as far as they are known.
+	Members() []Peer
+}
+
+// Peer is a member of the core.
+type Peer struct {
+	Addr string `msgpack:"Addr"`
+	Zone string `msgpack:"Zone"`
+}
+
+// Options configure a Node.
+type Options struct {
+	// Self describes this agent to the others.
+	Self Member
+	// HeartbeatInterval is the period at which servers send heartbeats.
+	HeartbeatInterval time.Duration
+	Core              Core
+	// SeedAddrs returns the addresses to start from while no member of the core is known.
+	SeedAddrs func() []string
+	// OnChange receives every new snapshot, in order. It is called with the node's lock held, so it
+	// must be short and must not call the node.
+	OnChange func(*Snapshot)
+	// SaveServers writes the server list to disk, and SavedServers is what an earlier incarnation
+	// wrote. Both are nil on a machine without a disk.
+	SaveServers  func([]byte) error
+	SavedServers []byte
+	// OnNotice receives the notices of other agents with their age. It is called with the node's lock
+	// held and may be nil.
+	OnNotice func(age time.Duration, notice *balancer.PrefillNotice)
+	// LinkMbps is the capacity of the machine's network link in megabits per second.
+	LinkMbps float64
+	// Dialer opens the connections of sessions; nil means TCP.
+	Dialer rpc.Dialer
+}
+
+// Node is one process's end of the replication. Its exported methods are safe for concurrent use;
+// methods whose names end in Locked need mu to be held.
+type Node struct {
+	options   Options
+	startTime time.Time
+
+	mu            sync.Mutex // guards all that follows, and the sessions
+	items         *deltasync.Store
+	servers       *registry.Table
+	changeLog     *eventlog.Journal[deltasync.Change]
+	config        configState
+	members       map[string]Member // by source
+	leases        leaseManager
+	ends          endAnnouncements
+	departing     bool // this node has announced its own end
+	readiness     readiness
+	sessions      sessionSet
+	upstream      upstreamSelector
+	configCache   configCache
+	noticeLimiter *rate.Limiter // in bytes that notices cost each receiver
+	tableFullLog  rate.Sometimes
+	published     Snapshot
+	changed       chan struct{} // closed and replaced at each change
+}
+
+// New returns a node that has a new incarnation and the servers that an earlier one saved.
+func New(options Options) *Node {
+	if options.Dialer == nil {
+		options.Dialer = rpc.TCPDialer{}
+	}
+	n := &Node{
+		options:       options,
+		startTime:     time.Now(),
+		changeLog:     eventlog.New[deltasync.Change](changeLogSize),
+		members:       map[string]Member{},
+		leases:        newLeaseManager(),
+		ends:          endAnnouncements{},
+		sessions:      sessionSet{},
+		noticeLimiter: rate.NewLimiter(0, noticeBurst*noticeSize),
+		tableFullLog:  rate.Sometimes{Interval: tableFullLogInterval},
+		changed:       make(chan struct{}),
+	}
+	n.items = deltasync.NewStore(n.newSourceName())
+	n.servers = registry.NewTable(n.items.OwnSource(), options.HeartbeatInterval)
+	n.changeLog.Subscribe(n.applyChangeLocked)
+	n.changeLog.SetCompaction(withoutLargeData)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.publishMemberLocked()
+	n.restoreServersLocked()
+	return n
+}
+
+// withoutLargeData drops the data of a change that is too large to be retained for operators.
+func withoutLargeData(change deltasync.Change) deltasync.Change {
+	if len(change.Item.Data) > maxLoggedBytes {
+		change.Item.Data = nil
+	}
+	return change
+}
+
+// RegisterHandlers adds the calls that a node serves to a mux.
+func (n *Node) RegisterHandlers(mux *rpc.Mux) { rpc.HandleStream(mux, sessionCall, n.serveSession) }
+
+// Run maintains the sessions, the leases and the saved server list until ctx ends. It returns nil.
+func (n *Node) Run(ctx context.Context) error {
+	var running sync.WaitGroup
+	defer running.Wait()
+	running.Go(func() { n.dialLoop(ctx) })
+	if n.options.SaveServers != nil {
+		running.Go(func() { n.saveServers(ctx) })
+	}
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+			n.tick()
+		}
+	}
+}
+
+// tick expires what has timed out, and publishes what follows from that.
+func (n *Node) tick() {
+	isMember, hasQuorum, members := n.options.Core.IsMember(), n.options.Core.HasQuorum(), n.options.Core.Members()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.now()
+	if isMember != n.options.Self.IsCore {
+		n.options.Self.IsCore = isMember
+		n.publishMemberLocked()
+	}
+	n.expireServersLocked(now)
+	n.sessions.closeTimedOut(now)
+	n.configCache.expire(now)
+	n.leases.observeAttachment(now, n.sessions.hasResponsiveRelay(now))
+	n.readiness.observeCore(now, isMember, hasQuorum)
+	n.selfStartLocked(now, members)
+	n.updateGrantedLeasesLocked(isMember)
+	n.expireLeasesLocked(now, isMember)
+	n.withdrawOldEndsLocked(now)
+	if n.items.NeedsCompaction() {
+		n.startIncarnationLocked()
+	}
+	n.publishSnapshotLocked()
+}
+
+// selfStartLocked declares this node complete where no other could complete it: the whole core has
+// just started, or all of it has lost its quorum.
+func (n *Node) selfStartLocked(now time.Duration, members []Peer) {
+	r := &n.readiness
+	if !r.maySelfStart() {
+		return
+	}
+	delayOver := now-r.quorumSince > selfStartDelay && !n.sessions.awaitingInitialSync()
+	if !delayOver && !n.sessions.wholeCoreIncomplete(n.options.Self.Addr, members) {
+		return
+	}
+	if first := r.markComplete(); first {
+		logevent.SyncedAfterFullRestart.Log("config", n.config.seq, "linked", now-r.quorumSince)
+	}
+	n.notifyWaitersLocked()
+}
+
+// now is the time on the node's monotonic clock, above zero.
+func (n *Node) now() time.Duration { return time.Since(n.startTime) + time.Second }
+
+// notifyWaitersLocked wakes all who wait on changed.
+func (n *Node) notifyWaitersLocked() {
+	close(n.changed)
+	n.changed = make(chan struct{})
+}
+
+// encode returns the msgpack form of one of this package's messages or items.
+func encode(v any) []byte {
+	encoded, err := msgpack.Marshal(v)
+	if err != nil {
+		panic("relay: encode: " + err.Error()) // only plain structs of this package come here
+	}
+	return encoded
+}
--- a/internal/fleet/relay/life_test.go
+++ b/internal/fleet/relay/node_test.go
@@ -15,7 +15,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// manualNode is a hub that does not run: a test has it tick, and its clock go.
+// manualNode is a node that does not run: a test ticks it, and advances its clock.
 type manualNode struct {
 	*Node
 	core     *fakeCore
@@ -29,7 +29,7 @@
 	return s
 }
 
-// runFor ticks for that long; each is called between.
+// runFor ticks for a duration and calls each before every tick.
 func (s *manualNode) runFor(d time.Duration, each func()) {
 	for end := s.now() + d; s.now() < end; {
 		s.advanceClock(tickInterval)
@@ -40,17 +40,17 @@
 	}
 }
 
-// connect gives a hub a session with a peer, which says nothing by itself.
+// connect adds a session with a peer, which sends nothing by itself.
 func (s *manualNode) connect(peer, source string, core bool) *session {
-	x := &session{peerAddr: peer, source: source, peerIsCore: core, sent: deltasync.Vector{}, lastMessage: s.now(), lastQuorum: s.now(), started: s.now() - time.Minute, cancel: func() {},
-		bytesReceived: func() uint64 { return 0 }, acknowledged: deltasync.Vector{}, pendingAcks: map[string]bool{}, quorumAdvanced: make(chan struct{}, 1), noticeTimer: time.NewTimer(time.Hour)}
+	x := newSession(s.now(), &hello{Source: source, IsCore: core}, peer, func() uint64 { return 0 }, func() {})
+	x.started = s.now() - time.Minute
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sessions[x] = true
 	return x
 }
 
-// deliver has the peer of a session say something; it is heard from then on.
+// deliver has the node handle a message of a session, after a round trip through the encoding.
 func (s *manualNode) deliver(x *session, m *message) {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return func() { s.deliver(x, &message{IsCore: x.peerIsCore, HasQuorum: x.peerIsCore}) }
 }
 
-// syncFrom takes all that another has.
+// syncFrom applies everything that another node has.
 func (s *manualNode) syncFrom(from *manualNode) {
 	from.mu.Lock()
 	s.mu.Lock()
@@ -81,7 +81,7 @@
 
 func (s *manualNode) source() string { return s.items.OwnSource() }
 
-// publishedEndSources are the sources that it tells the end of.
+// publishedEndSources returns the sources that it announces as ended.
 func (s *manualNode) publishedEndSources() (out []string) {
 	for key, data := range s.itemsOf(s.source()) {
 		if strings.HasPrefix(key, endPrefix) && data != nil {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// itemsOf is all that a source tells.
+// itemsOf returns the data of all items of a source.
 func (s *manualNode) itemsOf(source string) map[string][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	return out
 }
 
-// initialDelta is the first of a source, of keys and data in turn.
+// initialDelta is the first delta of a source, of alternating keys and data.
 func initialDelta(source string, kv ...any) deltasync.Delta {
 	d := deltasync.Delta{Source: source}
 	for i := 0; i < len(kv); i += 2 {
@@ -125,9 +125,7 @@
 	return deltasync.Delta{Source: source, From: from, To: from + 1, Items: []deltasync.Item{{Key: leasePrefix + agent, Version: from + 1, Data: data}}}
 }
 
-var presentData = []byte{1}
-
-// A life that goes on under a new name is told nothing by what peers had of the old one.
+// What peers have of an earlier incarnation acknowledges nothing of the new one.
 func TestNewIncarnationIsAcknowledgedAnew(t *testing.T) {
 	s := newManualNode("a", false)
 	x := s.connect("h", "h/1", true)
@@ -142,18 +140,18 @@
 	s.endSourceLocked(old)
 	s.mu.Unlock()
 	require.NotEqual(t, old, s.source())
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5}) // was on its way
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer of the new life has it")
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5}) // was in flight
+	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer has it of the new incarnation")
 	y := s.connect("h", "h/1", true)
 	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody has what was not told yet")
+	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody can have what was not published yet")
 	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion()})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one hub has it")
+	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one relay has it")
 	s.deliver(y, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
 	assert.True(t, s.Heartbeat(t.Context(), drainingServer("s0", 6)))
 }
 
-// What an agent has is not yet on its way to all: a hub waits for another hub.
+// Only core members count for the quorum: a relay does not wait for its agents, but for other relays.
 func TestAgentReplicaDoesNotCountForQuorum(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	a, o := h.connect("addr of a", "a/1", false), h.connect("addr of o", "o/1", true)
@@ -168,15 +166,15 @@
 	assert.True(t, h.Heartbeat(t.Context(), drainingServer("s", 5)))
 }
 
-// A drain that waits while its agent goes on as a new life is acknowledged by what peers have of
-// that one.
+// A drain that is pending while its agent starts a new incarnation is acknowledged by what peers have
+// of that one.
 func TestDrainWaitsAcrossIncarnations(t *testing.T) {
 	s := newManualNode("a", false)
 	for i := range 20 {
 		s.Heartbeat(t.Context(), server("s", uint64(2*i+1)))
 		s.Heartbeat(t.Context(), server(fmt.Sprint("r", i), 1))
 		s.mu.Lock()
-		s.publishItemLocked("gone", presentData) // versions that the new life has not
+		s.publishItemLocked("gone", present) // versions that the new incarnation does not have
 		s.publishItemLocked("gone", nil)
 		s.mu.Unlock()
 	}
@@ -195,7 +193,7 @@
 	assert.True(t, <-done)
 }
 
-// A session that an earlier life began is not one of the next: its hub would grant no lease.
+// A session that an earlier incarnation began is rejected: the relay would grant no lease for it.
 func TestSessionOfEarlierIncarnationIsRejected(t *testing.T) {
 	s := newManualNode("a", false)
 	mine := &hello{Source: s.source(), Addr: "a"}
@@ -207,7 +205,7 @@
 	assert.Empty(t, s.sessions)
 }
 
-// A hub that goes on as a new life holds the leases of its agents on, so that it ends none of them.
+// A relay that starts a new incarnation retains the leases that it grants, so that it expires no agent.
 func TestNewIncarnationRetainsGrantedLeases(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"})
 	a := newManualNode("a", false)
@@ -219,11 +217,11 @@
 	h.startIncarnationLocked()
 	h.mu.Unlock()
 	require.Empty(t, h.sessions)
-	x = h.connect("addr of a", a.source(), false) // it comes again at once
+	x = h.connect("addr of a", a.source(), false) // it reconnects at once
 	h.runFor(10*time.Second, h.heartbeatFrom(x))
 	assert.Empty(t, h.publishedEndSources())
-	assert.Equal(t, presentData, h.itemsOf(h.source())[leasePrefix+a.source()])
-	// One that does not come again lapses.
+	assert.Equal(t, present, h.itemsOf(h.source())[leasePrefix+a.source()])
+	// The lease of one that does not reconnect expires.
 	h.mu.Lock()
 	h.startIncarnationLocked()
 	h.mu.Unlock()
@@ -233,13 +231,13 @@
 	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()])
 }
 
-// A source that carries too many removed items goes on under a new name by itself.
+// A source with too many tombstones is continued by a new incarnation without being asked.
 func TestCompactionStartsNewIncarnation(t *testing.T) {
 	s := newManualNode("a", false)
 	old := s.source()
 	s.mu.Lock()
 	for i := range 3000 {
-		s.publishItemLocked(fmt.Sprint("x", i), presentData)
+		s.publishItemLocked(fmt.Sprint("x", i), present)
 		s.publishItemLocked(fmt.Sprint("x", i), nil)
 	}
 	s.mu.Unlock()
@@ -250,7 +248,7 @@
 	assert.NotContains(t, s.members, old)
 }
 
-// Who was away when its end was told hears of it when it comes back, however late.
+// An agent that was unreachable when its end was announced learns of it on its return, however late.
 func TestEndIsPublishedAgainToReturningAgent(t *testing.T) {
 	h, other, a := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("o", true), newManualNode("a", false)
 	h.tick()
@@ -261,12 +259,12 @@
 	h.endSourceLocked(a.source())
 	h.mu.Unlock()
 	h.runFor(time.Second, nil)
-	require.Empty(t, h.publishedEndSources(), "the one that ended it has told so, and told so no more since")
+	require.Empty(t, h.publishedEndSources(), "another announced it, and has withdrawn that since")
 	x := h.connect("addr of a", a.source(), false)
 	h.runFor(tickInterval, h.heartbeatFrom(x))
-	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()], "a dropped source gets no lease")
+	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()], "an ended source gets no lease")
 
-	// By the lease that another hub grants, which knows nothing of it.
+	// It learns by the lease that another relay grants, which knows nothing of the end.
 	y := other.connect("addr of a", a.source(), false)
 	other.runFor(tickInterval, other.heartbeatFrom(y))
 	require.True(t, other.leases.Granted(a.source()))
@@ -279,13 +277,13 @@
 	assert.NotEqual(t, old, a.source())
 	z := h.connect("addr of o", other.source(), true)
 	h.runFor(endRetention+time.Second, h.heartbeatFrom(z))
-	assert.Empty(t, h.publishedEndSources(), "not for ever")
+	assert.Empty(t, h.publishedEndSources(), "an announcement is withdrawn")
 	h.syncFrom(other)
-	assert.Empty(t, h.publishedEndSources(), "and not by old news")
+	assert.Empty(t, h.publishedEndSources(), "and older items do not bring it back")
 }
 
-// A machine of the core that was not linked may not have heard of leases that others hold: it ends
-// nobody before it had the time to.
+// A core member that had no quorum may not know of the leases that others grant: it expires nobody
+// before it had the time to learn of them.
 func TestRelayWaitsALeaseBeforeExpiringOthers(t *testing.T) {
 	h, other, a := newManualNode("h", true), newManualNode("o", true), newManualNode("a", false)
 	h.syncFrom(a)
@@ -297,18 +295,18 @@
 	require.Empty(t, h.publishedEndSources())
 	h.core.linked.Store(true)
 	h.runFor(leaseDuration-tickInterval, nil)
-	require.Empty(t, h.publishedEndSources(), "it has just come back")
+	require.Empty(t, h.publishedEndSources(), "it has just regained its quorum")
 	other.syncFrom(a)
 	y := other.connect("addr of a", a.source(), false)
 	other.runFor(tickInterval, other.heartbeatFrom(y))
 	h.syncFrom(other)
 	z := h.connect("addr of o", other.source(), true)
 	h.runFor(time.Minute, h.heartbeatFrom(z))
-	assert.Empty(t, h.publishedEndSources(), "another holds the lease")
+	assert.Empty(t, h.publishedEndSources(), "another grants the lease")
 	assert.Len(t, h.members, 3)
 }
 
-// A dead hub's lease lapses, and with it those that it held.
+// The lease of a dead relay expires, and with it those that it granted.
 func TestLeaseOfDeadRelayExpires(t *testing.T) {
 	h, dead, a := newManualNode("h", true, Peer{}, Peer{}), newManualNode("d", true, Peer{}, Peer{}), newManualNode("a", false)
 	h.syncFrom(a)
@@ -324,11 +322,11 @@
 	h.runFor(leaseDuration+2*tickInterval, nil)
 	assert.Equal(t, []string{dead.source()}, h.publishedEndSources())
 	h.runFor(leaseDuration+2*tickInterval, nil)
-	assert.ElementsMatch(t, []string{dead.source(), a.source()}, h.publishedEndSources(), "nobody holds the agent's either")
+	assert.ElementsMatch(t, []string{dead.source(), a.source()}, h.publishedEndSources(), "nobody grants the agent's either")
 	assert.Len(t, h.members, 1)
 }
 
-// A machine that is of the core no more holds no leases.
+// A former member of the core grants no leases.
 func TestFormerCoreMemberGrantsNoLeases(t *testing.T) {
 	h, a := newManualNode("h", true), newManualNode("a", false)
 	h.syncFrom(a)
@@ -342,22 +340,22 @@
 	assert.Empty(t, h.publishedEndSources())
 }
 
-// An agent that could not hear of an end drops a source that nobody holds, once a linked hub has
-// told it all for long enough, and not what it hears itself.
+// An agent that missed an announcement drops a source without a lease, once it has long enough had a
+// session with a relay that has a quorum; sources that it has sessions with it does not drop.
 func TestAgentDropsSourcesWithoutLeases(t *testing.T) {
 	s, gone, held := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
 	s.syncFrom(gone)
 	s.syncFrom(held)
 	s.runFor(time.Minute, nil)
-	require.Len(t, s.members, 3, "it hears nobody: that proves nothing")
-	x := s.connect("addr of h", "h/1", true) // a core of one: nobody holds its lease
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), presentData)}})
+	require.Len(t, s.members, 3, "without a relay a missing lease proves nothing")
+	x := s.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
+	s.deliver(x, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), present)}})
 	s.runFor(2*leaseDuration-time.Second, s.heartbeatFrom(x))
 	require.Len(t, s.members, 4)
 	s.runFor(2*time.Second, s.heartbeatFrom(x))
 	assert.Len(t, s.members, 3)
 	assert.NotContains(t, s.members, gone.source())
-	assert.Empty(t, s.publishedEndSources(), "for itself alone")
+	assert.Empty(t, s.publishedEndSources(), "for itself only")
 	s.runFor(time.Minute, s.heartbeatFrom(x))
 	assert.Len(t, s.members, 3)
 	assert.Equal(t, 3, s.snapshot.Agents)
@@ -369,12 +367,12 @@
 	agent, away := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(away)
 	relay := agent.connect("addr of h", "h/1", true)
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
 	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, away.source(), "the core may not have ended it")
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), presentData)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, away.source(), "the lease was renewed")
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, away.source(), nil)}})
@@ -387,19 +385,19 @@
 	agent, away := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(away)
 	frozen := agent.connect("addr of h", "h/1", true)
-	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
 	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
 	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
 	agent.runFor(sessionTimeout+3*tickInterval, nil)
 	require.Contains(t, agent.members, away.source(), "the frozen relay cannot tell")
 	next := agent.connect("addr of o", "o/1", true)
-	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), presentData)}})
+	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(next))
 	assert.Contains(t, agent.members, away.source())
 }
 
-// Only machines of the core with a majority say that they know all by themselves.
+// Only core members with a quorum declare themselves complete.
 func TestSelfStart(t *testing.T) {
 	for name, c := range map[string]struct {
 		core, linked, newest bool
@@ -407,14 +405,14 @@
 		after                time.Duration
 		want                 bool
 	}{
-		"whole core, none knows":      {true, true, true, &message{IsCore: true, HasQuorum: true}, tickInterval, true},
-		"whole core, one knows":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // it is not linked
-		"whole core, one knows, late": {true, true, true, &message{IsCore: true, Complete: true}, selfStartDelay + 2*tickInterval, true},
-		"one is missing":              {true, true, true, nil, selfStartDelay - tickInterval, false},
-		"one is missing, late":        {true, true, true, nil, selfStartDelay + 2*tickInterval, true},
-		"not asked for the newest":    {true, true, false, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
-		"no majority":                 {true, false, true, &message{IsCore: true}, time.Minute, false},
-		"no machine of the core":      {false, false, true, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
+		"whole core, none complete":      {true, true, true, &message{IsCore: true, HasQuorum: true}, tickInterval, true},
+		"whole core, one complete":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // it has no quorum
+		"whole core, one complete, late": {true, true, true, &message{IsCore: true, Complete: true}, selfStartDelay + 2*tickInterval, true},
+		"one is missing":                 {true, true, true, nil, selfStartDelay - tickInterval, false},
+		"one is missing, late":           {true, true, true, nil, selfStartDelay + 2*tickInterval, true},
+		"configuration not current":      {true, true, false, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
+		"no quorum":                      {true, false, true, &message{IsCore: true}, time.Minute, false},
+		"not a core member":              {false, false, true, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newManualNode("h", c.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
@@ -436,20 +434,20 @@
 	}
 }
 
-// A peer that says Full makes an agent fresh only if it is a linked machine of the core, and a
-// machine of the core only if that is linked itself.
+// A complete peer makes an agent synced only if the peer is a core member with a quorum, and a core
+// member only if that has a quorum itself.
 func TestSynced(t *testing.T) {
 	for name, c := range map[string]struct {
 		core, linked bool
 		m            message
 		want         bool
 	}{
-		"an agent":                     {false, false, message{IsCore: true, HasQuorum: true, Complete: true}, true},
-		"by a hub that is not linked":  {false, false, message{IsCore: true, Complete: true}, false},
-		"by a hub that is not full":    {false, false, message{IsCore: true, HasQuorum: true}, false},
-		"by one that is no hub":        {false, false, message{HasQuorum: true, Complete: true}, false},
-		"a machine of the core":        {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
-		"a machine that is not linked": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
+		"an agent":                       {false, false, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"by a relay without a quorum":    {false, false, message{IsCore: true, Complete: true}, false},
+		"by an incomplete relay":         {false, false, message{IsCore: true, HasQuorum: true}, false},
+		"by a peer that is no relay":     {false, false, message{HasQuorum: true, Complete: true}, false},
+		"a core member":                  {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"a core member without a quorum": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
 	} {
 		s := newManualNode("a", c.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
 		s.core.linked.Store(c.linked)
@@ -460,7 +458,7 @@
 	}
 }
 
-// Agents try their hubs in turn, those of their zone first, and the seeds between.
+// Agents try the relays in turn, those of their zone first, and seeds in between.
 func TestDialTargets(t *testing.T) {
 	peers := []Peer{{"h0", "far"}, {"h1", "near"}, {"h2", "far"}, {"h3", "far"}}
 	s := newManualNode("a", false, peers...)
@@ -480,9 +478,9 @@
 	for i := range 3 {
 		assert.Positive(t, count[fmt.Sprint("seed-", i)], "%v", got)
 	}
-	// Without any known hub the seeds, and those that others named.
+	// Without any known relay they try the seeds, and the addresses of redirects.
 	s = newManualNode("a", false)
-	s.redirectAddrs = []string{"named", "addr of a"}
+	s.upstream.redirectAddrs = []string{"named", "addr of a"}
 	count = map[string]int{}
 	for turn := range 20 {
 		for _, a := range s.dialTargets(turn) {
@@ -491,7 +489,7 @@
 	}
 	assert.Len(t, count, 4, "%v", count)
 	assert.Zero(t, count["addr of a"], "not itself")
-	// With one that is linked none, and the others are ended.
+	// With a relay that has a quorum they try none, and close the other sessions.
 	s = newManualNode("a", false, peers...)
 	over := map[string]bool{}
 	for _, p := range []string{"h0", "h3", "h2"} {
@@ -502,7 +500,7 @@
 	assert.Empty(t, s.dialTargets(0))
 	assert.Len(t, over, 2)
 	assert.True(t, over["h2"])
-	// Machines of the core begin sessions with those above them, and end what is none any more.
+	// Core members dial those with a higher address, and close sessions with former members.
 	s = newManualNode("c", true, Peer{Addr: "addr of a"}, Peer{Addr: "addr of c"}, Peer{Addr: "addr of d"}, Peer{Addr: "addr of e"})
 	x := s.connect("addr of d", "d/1", true)
 	x.outbound = true
@@ -512,7 +510,7 @@
 	assert.True(t, over["z"])
 }
 
-// What a source at fault tells changes nothing but its own.
+// Invalid items of a source change nothing but its own state.
 func TestInvalidItemsAreIgnored(t *testing.T) {
 	long := strings.Repeat("x", 1<<16)
 	bad := server("s", 1)
@@ -522,28 +520,28 @@
 	odd := server("s", 1)
 	odd.State = 77
 	for name, d := range map[string]deltasync.Delta{
-		"end of nobody":               initialDelta("x/1", endPrefix, presentData),
-		"end of the configuration":    initialDelta("x/1", endPrefix+configSource, presentData),
-		"lease of nobody":             initialDelta("x/1", leasePrefix, presentData),
-		"lease of the configuration":  initialDelta("x/1", leasePrefix+configSource, presentData),
-		"a member that is none":       initialDelta("x/1", memberKey, []byte("\xc1")),
-		"a huge member":               initialDelta("x/1", memberKey, &Member{Name: long}),
-		"a member as a list":          initialDelta("x/1", memberKey, []int{1, 2}),
-		"no server":                   initialDelta("x/1", serverPrefix+"s", []byte("\xc1\xff")),
-		"a server by another's name":  initialDelta("x/1", serverPrefix+"r", server("s", 1)),
-		"a server without name":       initialDelta("x/1", serverPrefix, server("", 1)),
-		"a negative time":             initialDelta("x/1", serverPrefix+"s", bad),
-		"a huge text":                 initialDelta("x/1", serverPrefix+"s", big),
-		"a state that nobody knows":   initialDelta("x/1", serverPrefix+"s", odd),
-		"nil":                         initialDelta("x/1", serverPrefix+"s", []byte{0xc0}),
-		"an unknown key":              initialDelta("x/1", "of-later", presentData),
-		"config that is none":         initialDelta(configSource, configKey, []byte("\xc1")),
-		"config of another number":    initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
-		"config under another key":    initialDelta(configSource, "d", &configItem{Seq: 1, Raw: documentOf(1 << 30)}),
-		"a member of the config":      initialDelta(configSource, memberKey, &Member{Name: "x"}),
-		"an end by the config":        initialDelta(configSource, endPrefix+"v/1", presentData),
-		"a server of the config":      initialDelta(configSource, serverPrefix+"s", server("s", 1)),
-		"config that can't be parsed": initialDelta(configSource, configKey, &configItem{Seq: 1, Raw: []byte("{")}),
+		"end of nobody":                initialDelta("x/1", endPrefix, present),
+		"end of the configuration":     initialDelta("x/1", endPrefix+configSource, present),
+		"lease of nobody":              initialDelta("x/1", leasePrefix, present),
+		"lease of the configuration":   initialDelta("x/1", leasePrefix+configSource, present),
+		"a member that is no member":   initialDelta("x/1", memberKey, []byte("\xc1")),
+		"a huge member":                initialDelta("x/1", memberKey, &Member{Name: long}),
+		"a member as a list":           initialDelta("x/1", memberKey, []int{1, 2}),
+		"no server":                    initialDelta("x/1", serverPrefix+"s", []byte("\xc1\xff")),
+		"a server under another's ID":  initialDelta("x/1", serverPrefix+"r", server("s", 1)),
+		"a server without ID":          initialDelta("x/1", serverPrefix, server("", 1)),
+		"a negative time":              initialDelta("x/1", serverPrefix+"s", bad),
+		"a huge text":                  initialDelta("x/1", serverPrefix+"s", big),
+		"an unknown state":             initialDelta("x/1", serverPrefix+"s", odd),
+		"nil":                          initialDelta("x/1", serverPrefix+"s", []byte{0xc0}),
+		"an unknown key":               initialDelta("x/1", "of-later", present),
+		"config that is no config":     initialDelta(configSource, configKey, []byte("\xc1")),
+		"config of another number":     initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
+		"config under another key":     initialDelta(configSource, "d", &configItem{Seq: 1, Raw: documentOf(1 << 30)}),
+		"a member of the config":       initialDelta(configSource, memberKey, &Member{Name: "x"}),
+		"an end by the config":         initialDelta(configSource, endPrefix+"v/1", present),
+		"a server of the config":       initialDelta(configSource, serverPrefix+"s", server("s", 1)),
+		"config that cannot be parsed": initialDelta(configSource, configKey, &configItem{Seq: 1, Raw: []byte("{")}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newManualNode("a", true)
@@ -559,9 +557,9 @@
 			}
 			assert.Len(t, s.members, 2)
 			assert.Len(t, s.snapshot.Servers.ByID, 1)
-			assert.LessOrEqual(t, len(s.itemsOf(source)), own+3, "no more than the lease of the peer and the end of the one at fault")
-			assert.Zero(t, s.configSeq)
-			// The next configuration comes all the same.
+			assert.LessOrEqual(t, len(s.itemsOf(source)), own+3, "no more than the lease of the peer and the end of the faulty one")
+			assert.Zero(t, s.config.seq)
+			// The next configuration is still applied.
 			s.ApplyConfig(9, documentOf(5))
 			assert.Equal(t, uint64(9), s.snapshot.ConfigSeq)
 			assert.Equal(t, int64(5), s.snapshot.Config.Revision)
@@ -569,7 +567,7 @@
 	}
 }
 
-// Whatever peers send, an agent stays one, knows itself, and takes the next sound news.
+// Whatever peers send, an agent remains a member, never regresses, and applies the next valid change.
 func TestAnyMessages(t *testing.T) {
 	names := rapid.SampledFrom([]string{"", configSource, "self", "x/1", "y/1", "z/1"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -596,7 +594,7 @@
 			case 4:
 				return nil
 			}
-			return presentData
+			return present
 		}
 		seq, list := uint64(0), uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "messages") {
@@ -624,7 +622,7 @@
 			s.deliver(x, m)
 			s.tick()
 			require.Contains(t, s.members, s.source())
-			require.GreaterOrEqual(t, s.snapshot.ConfigSeq, seq, "the configuration went back")
+			require.GreaterOrEqual(t, s.snapshot.ConfigSeq, seq, "the configuration regressed")
 			require.GreaterOrEqual(t, s.snapshot.Servers.Version, list)
 			seq, list = s.snapshot.ConfigSeq, s.snapshot.Servers.Version
 			require.LessOrEqual(t, len(x.sent), 8)
@@ -639,7 +637,7 @@
 	})
 }
 
-// What restores servers may be anything.
+// The saved server list may be any bytes.
 func TestRestoreOfArbitraryBytes(t *testing.T) {
 	sound := server("s", 1)
 	wrong := server("r", 1)
@@ -651,18 +649,18 @@
 		"nothing":        {nil, 0},
 		"noise":          {[]byte("\xff\x00\x12noise"), 0},
 		"another format": {encode(&savedServers{Format: savedServersFormat + 1, Servers: []*registry.Instance{sound}}), 0},
-		"holes":          {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{nil, sound, nil, {}}}), 1},
+		"nil entries":    {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{nil, sound, nil, {}}}), 1},
 		"twice":          {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound, sound}}), 1},
 		"out of bounds":  {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound, wrong}}), 1},
 		"not ready":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{drainingServer("d", 1)}}), 0},
-		"cut":            {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound}})[:20], 0},
+		"truncated":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound}})[:20], 0},
 	} {
 		h := New(Options{Self: Member{Name: "a"}, HeartbeatInterval: time.Second, Core: newCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: c.saved})
 		assert.Len(t, h.servers.List().ByID, c.want, name)
 	}
 }
 
-// A call that is out of bounds is refused, as the others would not take it.
+// Calls with invalid instances are rejected, as other agents would ignore them.
 func TestInvalidCallsAreRejected(t *testing.T) {
 	s := newManualNode("a", true, Peer{Addr: "addr of a"})
 	in := server("s", 1)
@@ -675,7 +673,7 @@
 	assert.True(t, s.Heartbeat(t.Context(), server("s", 1)))
 }
 
-// What is kept for operators holds on to no large configuration.
+// The changes that are retained for operators reference no large configuration.
 func TestChangeLogOmitsLargeData(t *testing.T) {
 	s := newManualNode("a", false)
 	raw := fmt.Appendf(nil, `{"revision":1,"routes":[],"services":[],"note":%q}`, strings.Repeat("x", 1<<20))
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -8,30 +8,42 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 )
 
-// Notices tell other agents of requests that were sent, as loads that servers tell are old when
-// they come. They are news that nobody misses who does not get it: they are not kept, not
-// repeated, and dropped where there is no room. An agent gives them to its hubs; a hub passes
-// those of its agents on to all its sessions, and those of other hubs to its agents.
+// Notices tell other agents of requests that were just sent to a server, as the loads that servers
+// report are old when they arrive. A notice that is lost harms nobody, so notices are not stored,
+// not repeated, and dropped where there is no capacity. An agent sends them to its relays; a relay
+// forwards those of its agents to all its sessions, and those of other relays to its agents.
 
 const (
-	// noticeBatchDelay is how long notices are gathered for one message.
+	// noticeBatchDelay is how long notices are collected for one message.
 	noticeBatchDelay = 10 * time.Millisecond
-	// maxNoticeAge is from when on a notice tells nothing any more.
+	// maxNoticeAge is the age from which on a notice is of no use.
 	maxNoticeAge = 500 * time.Millisecond
-	// maxPendingNotices bounds those that wait for a session, noticeSize is about what one takes.
-	maxPendingNotices, noticeSize = 512, 48
-	// maxNoticePrefixes bounds the parts of a prompt that a notice names.
+	// maxPendingNotices bounds the notices that wait for a session, and those of one message.
+	maxPendingNotices = 512
+	// noticeSize is about the bytes that a notice takes.
+	noticeSize = 48
+	// noticeBurst is how many notices an agent may send at once.
+	noticeBurst = 100
+	// maxNoticePrefixes bounds the prefixes of a prompt that a notice names.
 	maxNoticePrefixes = 64
-	// maxHops bounds how far a notice goes, whoever takes whom for a hub.
+	// maxHops bounds how far a notice is forwarded, whoever takes whom for a relay.
 	maxHops = 3
-	// noticeLinkFraction is the part of an agent's link that all notices may take, maxNoticeRate and, of a
-	// large fleet, maxNoticeRateLargeFleet the most of it in bytes a second.
-	noticeLinkFraction, maxNoticeRate, maxNoticeRateLargeFleet, largeFleetAgents = 0.01, 16e3, 3e3, 150
-	// minPriorityPrefill is how long a request must keep its server reading to be told of first.
+	// noticeLinkFraction is the fraction of an agent's link that all notices together may take.
+	noticeLinkFraction = 0.01
+	// maxNoticeRate bounds what all notices together may take, in bytes per second.
+	maxNoticeRate = 16e3
+	// maxNoticeRateLargeFleet is that bound in a fleet of more than largeFleetAgents.
+	maxNoticeRateLargeFleet = 3e3
+	largeFleetAgents        = 150
+	// minPriorityPrefill is from which estimated prefill time on a notice may use the second half of
+	// the burst.
 	minPriorityPrefill = 30 * time.Millisecond
+
+	bytesPerMegabit = 1e6 / 8
 )
 
-// notice is a request that an agent sent to a server.
+// notice says that an agent sent a request to a server. It is encoded as an array: its fields are
+// told apart by their order.
 type notice struct {
 	//lint:ignore U1000 msgpack reads this field by reflection
 	_msgpack       struct{} `msgpack:",as_array"`
@@ -39,81 +51,101 @@
 	Prefixes       []balancer.Segment
 	PromptTokens   int
 	UncachedTokens int
-	AgeMs          int // when it was passed on
-	Hops           int // from its agent to a hub, from that to other hubs, from those to their agents
+	AgeMs          int // milliseconds since the request was sent, when this was forwarded
+	Hops           int // from its agent to a relay, from that to other relays, from those to their agents
+
+	sentAt time.Duration // when the request was sent, by the own clock
+}
 
-	sentAt time.Duration // when it was sent, by the own clock
+// valid reports whether a received notice is within its bounds and still of use.
+func (n *notice) valid() bool {
+	age := n.age()
+	return age >= 0 && age <= maxNoticeAge && n.PromptTokens >= 0 && n.UncachedTokens >= 0 && n.Hops >= 0 && n.Hops < maxHops &&
+		len(n.Instance) <= maxNameBytes && len(n.Prefixes) <= maxNoticePrefixes
 }
 
-// BroadcastNotice tells the other agents of a request that was just sent and keeps its server reading for
-// about work. What there is no room for is dropped, the shorter ones first.
-func (h *Node) BroadcastNotice(n balancer.PrefillNotice, work time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.noticeLimiter.SetLimit(rate.Limit(h.noticeBytesPerSecondLocked()))
-	if work < minPriorityPrefill && h.noticeLimiter.Tokens() < float64(h.noticeLimiter.Burst())/2 || !h.noticeLimiter.AllowN(time.Now(), noticeSize) {
+// age is how long ago the request was sent when the notice was forwarded.
+func (n *notice) age() time.Duration { return time.Duration(n.AgeMs) * time.Millisecond }
+
+// BroadcastNotice tells the other agents of a request that was just sent, and that keeps its server in
+// prefill for an estimated time. A notice for which there is no capacity is dropped, those with a
+// short prefill first.
+func (n *Node) BroadcastNotice(sent balancer.PrefillNotice, prefill time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	limiter := n.noticeLimiter
+	limiter.SetLimit(rate.Limit(noticeBytesPerSecond(len(n.members), n.options.LinkMbps)))
+	if prefill < minPriorityPrefill && limiter.Tokens() < float64(limiter.Burst())/2 {
+		return
+	}
+	if !limiter.AllowN(time.Now(), noticeSize) {
 		return
 	}
-	out := notice{Instance: n.Instance, Prefixes: n.Prefixes, PromptTokens: n.PromptTokens, UncachedTokens: n.UncachedTokens, sentAt: h.now()}
-	for s := range h.sessions {
+	out := notice{Instance: sent.Instance, Prefixes: sent.Prefixes, PromptTokens: sent.PromptTokens, UncachedTokens: sent.UncachedTokens, sentAt: n.now()}
+	for s := range n.sessions {
 		s.enqueueNotice(out)
 	}
 }
 
-// noticeBytesPerSecondLocked is the bytes a second that this agent may have all others take.
-func (h *Node) noticeBytesPerSecondLocked() float64 {
-	agents := max(len(h.members), 1)
-	all := min(noticeLinkFraction*h.options.LinkMbps*1e6/8, maxNoticeRate)
+// noticeBytesPerSecond is what the notices of one agent may cost each receiver, in a fleet of so many
+// agents whose links have a capacity in megabits per second.
+func noticeBytesPerSecond(agents int, linkMbps float64) float64 {
+	agents = max(agents, 1)
+	total := min(noticeLinkFraction*linkMbps*bytesPerMegabit, maxNoticeRate)
 	if agents > largeFleetAgents {
-		all = min(all, maxNoticeRateLargeFleet)
+		total = min(total, maxNoticeRateLargeFleet)
 	}
-	return all / float64(agents)
+	return total / float64(agents)
 }
 
-// receiveNoticesLocked takes notices of a peer and passes them on.
-func (h *Node) receiveNoticesLocked(s *session, notices []notice) {
+// receiveNoticesLocked passes the notices of a peer to the data plane, and forwards them.
+func (n *Node) receiveNoticesLocked(from *session, notices []notice) {
 	if len(notices) > maxPendingNotices {
 		notices = notices[:maxPendingNotices]
 	}
-	now, core := h.now(), h.options.Core.IsMember()
-	for _, n := range notices {
-		age := time.Duration(n.AgeMs) * time.Millisecond
-		if age < 0 || age > maxNoticeAge || n.PromptTokens < 0 || n.UncachedTokens < 0 || n.Hops < 0 || n.Hops >= maxHops ||
-			len(n.Instance) > maxNameBytes || len(n.Prefixes) > maxNoticePrefixes {
+	now, isMember := n.now(), n.options.Core.IsMember()
+	for _, received := range notices {
+		if !received.valid() {
 			continue
 		}
-		n.sentAt = now - age
-		if h.options.OnNotice != nil {
-			h.options.OnNotice(age, &balancer.PrefillNotice{Instance: n.Instance, Prefixes: n.Prefixes, PromptTokens: n.PromptTokens, UncachedTokens: n.UncachedTokens})
+		received.sentAt = now - received.age()
+		if n.options.OnNotice != nil {
+			n.options.OnNotice(received.age(), &balancer.PrefillNotice{Instance: received.Instance, Prefixes: received.Prefixes,
+				PromptTokens: received.PromptTokens, UncachedTokens: received.UncachedTokens})
 		}
-		if n.Hops++; !core || n.Hops >= maxHops {
-			continue
+		received.Hops++
+		if isMember && received.Hops < maxHops {
+			n.sessions.forwardNotice(from, received)
 		}
-		for other := range h.sessions {
-			if other != s && !(s.peerIsCore && other.peerIsCore) {
-				other.enqueueNotice(n)
-			}
+	}
+}
+
+// forwardNotice sends a notice on: one of a relay to the agents, one of an agent to all.
+func (set sessionSet) forwardNotice(from *session, forwarded notice) {
+	for s := range set {
+		if s != from && !(from.peerIsCore && s.peerIsCore) {
+			s.enqueueNotice(forwarded)
 		}
 	}
 }
 
-// enqueueNotice has a notice sent soon. The hub's lock is held.
-func (s *session) enqueueNotice(n notice) {
+// enqueueNotice has a notice sent soon, or drops it if too many are pending.
+func (s *session) enqueueNotice(pending notice) {
 	if len(s.pendingNotices) >= maxPendingNotices {
 		return
 	}
-	if s.pendingNotices = append(s.pendingNotices, n); len(s.pendingNotices) == 1 {
+	s.pendingNotices = append(s.pendingNotices, pending)
+	if len(s.pendingNotices) == 1 {
 		s.noticeTimer.Reset(noticeBatchDelay)
 	}
 }
 
-// dequeueNoticesLocked are the notices to send now. The hub's lock is held.
-func (h *Node) dequeueNoticesLocked(s *session) []notice {
-	out := s.pendingNotices
+// dequeueNotices returns the pending notices with their present age.
+func (s *session) dequeueNotices(now time.Duration) []notice {
+	notices := s.pendingNotices
 	s.pendingNotices = nil
-	now := h.now()
-	for i := range out {
-		out[i].AgeMs = int((now - out[i].sentAt).Milliseconds())
+	for i := range notices {
+		notices[i].AgeMs = int((now - notices[i].sentAt).Milliseconds())
 	}
-	return out
+	return notices
 }
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -16,7 +16,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// openSession opens a session with a hub as an agent at fault may.
+// openSession opens a session with an agent as a faulty peer may.
 func (a *testAgent) openSession() *rpc.Stream[message, message] {
 	st, hangUp, err := rpc.OpenStream[message, message](timeoutContext(a.t, testTimeout), *a.backendAddr.Load(), "feed.session")
 	require.NoError(a.t, err)
@@ -24,13 +24,13 @@
 	return st
 }
 
-// isRefused tells whether the other side ends a session without a message.
+// isRefused reports whether the other side ends a session without a message.
 func isRefused(st *rpc.Stream[message, message]) bool {
 	_, err := st.Recv()
 	return err != nil
 }
 
-// A session begins with a sound hello, or there is none.
+// A session must begin with a valid hello.
 func TestInvalidHelloIsRejected(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 1, 1)
@@ -41,14 +41,14 @@
 	}
 	long := strings.Repeat("x", maxNameBytes+1)
 	for name, m := range map[string]*message{
-		"no hello":             {},
-		"no source":            {Hello: &hello{Addr: "x:1"}},
-		"no address":           {Hello: &hello{Source: "x/1"}},
-		"a huge source":        {Hello: &hello{Source: long, Addr: "x:1"}},
-		"a huge address":       {Hello: &hello{Source: "x/1", Addr: long}},
-		"the configuration":    {Hello: &hello{Source: configSource, Addr: "x:1"}},
-		"the hub's own source": {Hello: &hello{Source: h.node.Report().Source, Addr: "x:1"}},
-		"a huge vector":        {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: huge}},
+		"no hello":               {},
+		"no source":              {Hello: &hello{Addr: "x:1"}},
+		"no address":             {Hello: &hello{Source: "x/1"}},
+		"a huge source":          {Hello: &hello{Source: long, Addr: "x:1"}},
+		"a huge address":         {Hello: &hello{Source: "x/1", Addr: long}},
+		"the configuration":      {Hello: &hello{Source: configSource, Addr: "x:1"}},
+		"the relay's own source": {Hello: &hello{Source: h.node.Report().Source, Addr: "x:1"}},
+		"a huge vector":          {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: huge}},
 	} {
 		st := h.openSession()
 		require.NoError(t, st.Send(m), name)
@@ -57,7 +57,7 @@
 			assert.NotContains(t, h.sessionPeers(), m.Hello.Addr, name)
 		}
 	}
-	// One that says nothing is given up, and so is one that says something else.
+	// A peer that sends nothing is given up, and so is one that sends something else.
 	begin := time.Now()
 	assert.True(t, isRefused(h.openSession()))
 	assert.Less(t, time.Since(begin), testTimeout/2)
@@ -68,11 +68,11 @@
 	_, err = wrong.Recv()
 	require.Error(t, err)
 	h.node.ApplyConfig(1, documentOf(1))
-	l.eventually("all go on", hasConfig(1))
+	l.eventually("all continue", hasConfig(1))
 	l.awaitSynced(2)
 }
 
-// A peer at fault gets a session, and its words change nothing for others.
+// A faulty peer may have a session, and its messages change nothing for others.
 func TestFaultyPeerChangesNothing(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 1, 1)
@@ -113,19 +113,19 @@
 		require.NoError(t, st.Send(m))
 	}
 	h.node.ApplyConfig(6, documentOf(6))
-	l.eventually("all go on", hasConfig(6))
+	l.eventually("all continue", hasConfig(6))
 	h.startHeartbeats("s")
-	l.eventually("all go on", listsServer("s"))
+	l.eventually("all continue", listsServer("s"))
 	for _, a := range l.all() {
 		r := a.node.Report()
 		assert.Equal(t, before[a.Name], r.Source)
 		assert.Equal(t, int64(6), r.Revision)
 	}
 	st.Close()
-	l.eventually("it is forgotten", hasMembers(2))
+	l.eventually("it is dropped", hasMembers(2))
 }
 
-// A hub answers so many sessions and no more.
+// A relay serves a bounded number of sessions.
 func TestSessionsAreBounded(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 1, 1)
@@ -133,8 +133,7 @@
 	h.node.mu.Lock()
 	var filling []*session
 	for len(h.node.sessions) < maxSessions {
-		x := &session{source: "x/1", sent: deltasync.Vector{}, lastMessage: h.node.now() + time.Hour, cancel: func() {}, bytesReceived: func() uint64 { return 0 },
-			noticeTimer: time.NewTimer(time.Hour)}
+		x := newSession(h.node.now()+time.Hour, &hello{Source: "x/1"}, "", func() uint64 { return 0 }, func() {})
 		h.node.sessions[x] = true
 		filling = append(filling, x)
 	}
@@ -149,7 +148,7 @@
 	st = h.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	_, err := st.Recv()
-	assert.NoError(t, err, "there is room again")
+	assert.NoError(t, err, "there is capacity again")
 	h.node.mu.Lock()
 	for _, x := range filling {
 		delete(h.node.sessions, x)
@@ -157,7 +156,7 @@
 	h.node.mu.Unlock()
 }
 
-// An agent that is asked for a session names the hubs, and who named none is not believed.
+// An agent that is no relay answers a hello by a redirect, and its callers follow it.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 2, 2)
@@ -167,7 +166,7 @@
 	require.NoError(t, err)
 	assert.Nil(t, m.Hello)
 	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
-	// One that knows a seed only, which is no hub, finds its hubs by that.
+	// An agent that knows only a seed, which is no relay, finds the relays by it.
 	a := l.edgeAgents[1]
 	a.stop()
 	seed := l.edgeAgents[0]
@@ -175,9 +174,9 @@
 	a.fakeCore.hubs.Store(&none)
 	a.seeds = func() []string { return []string{seed.Addr} }
 	a.start()
-	l.eventually("fresh", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
-	l.eventually("one session with a hub", func(a *testAgent) bool { return l.relayOf(a) != nil && len(a.sessionPeers()) == 1 }, a)
-	// Without a view an agent names the machines of the core that it has heard of.
+	l.eventually("synced", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
+	l.eventually("one session with a relay", func(a *testAgent) bool { return l.relayOf(a) != nil && len(a.sessionPeers()) == 1 }, a)
+	// Without a view an agent names the core members by their member entries.
 	seed.fakeCore.hubs.Store(&none)
 	st = seed.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
@@ -186,7 +185,7 @@
 	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
 }
 
-// A peer that does not read holds up nobody else, and its session ends.
+// A peer that does not read delays nobody else, and its session ends.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 2, 1)
@@ -201,16 +200,16 @@
 		}
 		return false
 	}, h)
-	// More than the kernel holds.
+	// More than the kernel buffers.
 	for seq := range uint64(3) {
 		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
 		h.node.ApplyConfig(seq+1, raw)
 	}
 	begin := time.Now()
-	l.eventually("all others go on", hasConfig(3))
+	l.eventually("all others continue", hasConfig(3))
 	require.True(t, h.heartbeat(server("s", 1)))
-	l.eventually("all others go on", listsServer("s"))
-	l.eventually("it is given up", func(h *testAgent) bool {
+	l.eventually("all others continue", listsServer("s"))
+	l.eventually("its session is closed", func(h *testAgent) bool {
 		for _, p := range h.sessionPeers() {
 			if p == "deaf:1" {
 				return false
@@ -221,7 +220,7 @@
 	t.Log("after", time.Since(begin))
 }
 
-// A hub that accepts and says nothing, or talks nonsense, costs its agent a moment only.
+// A relay that accepts and sends nothing, or noise, delays its agent only briefly.
 func TestUnresponsiveRelay(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 1, 1)
@@ -251,9 +250,9 @@
 	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), l.coreMembers[0].Members()[0]}
 	a.fakeCore.hubs.Store(&hubs)
 	a.start()
-	l.eventually("fresh", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
+	l.eventually("synced", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.True(t, a.node.Heartbeat(ctx, drainingServer("s", 1)))
-	a.stop() // before those that it dials
+	a.stop() // before the listeners that it dials
 }
--- a/internal/fleet/relay/replication_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -11,11 +11,11 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// shortTimeout is how long a call may wait that is not to be acknowledged.
+// shortTimeout bounds calls that must not be acknowledged.
 const shortTimeout = 400 * time.Millisecond
 
-// An agent and its hub are cut off together, which neither knows yet: a drain or a leave that they
-// alone hold is not acknowledged, and is once they are joined again.
+// An agent and its relay are partitioned away together, which neither knows yet: a drain or a
+// deregistration that only they have is not acknowledged, and is once the partition heals.
 func TestPartitionedDrainIsNotAcknowledged(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 2)
@@ -34,7 +34,7 @@
 	assert.False(t, a.node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("s", 2)))
 	assert.False(t, a.node.Deregister(timeoutContext(t, shortTimeout), "s"))
 	assert.False(t, hub.node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("r", 2)))
-	assert.False(t, listsServer("s")(hub), "what is known is in force all the same")
+	assert.False(t, listsServer("s")(hub), "it takes effect locally all the same")
 	for _, other := range l.all() {
 		if other != a && other != hub {
 			assert.True(t, listsServer("s")(other), other.Name)
@@ -47,7 +47,7 @@
 	l.eventually("gone", not(listsServer("r")))
 }
 
-// Two of five hubs are cut off together: what both hold is not acknowledged.
+// Two of five relays are partitioned away together: what only they have is not acknowledged.
 func TestMinorityAcknowledgesNoDrain(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 5, 1)
@@ -59,7 +59,7 @@
 		h.setPartitioned(true, l.edgeAgents...)
 	}
 	assert.False(t, minority[0].node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("s", 2)))
-	assert.False(t, listsServer("s")(minority[1]), "it has the news")
+	assert.False(t, listsServer("s")(minority[1]), "it has received the drain")
 	assert.False(t, minority[1].node.Deregister(timeoutContext(t, shortTimeout), "s"))
 	require.True(t, rest[0].heartbeat(drainingServer("s", 3)), "the majority acknowledges")
 	for _, h := range minority {
@@ -70,7 +70,7 @@
 	l.eventually("gone", not(listsServer("s")))
 }
 
-// When a drain is acknowledged a majority of the core's machines hold it.
+// Once a drain is acknowledged, a majority of the core has it.
 func TestAcknowledgedDrainIsOnAMajority(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 5, 2)
@@ -89,12 +89,12 @@
 	}
 }
 
-// The replicated version is the newest that a majority holds, by its own words; without a known core
-// there is none.
+// The quorum version is the newest that a majority has acknowledged; without a known core there is
+// none.
 func TestQuorumVersion(t *testing.T) {
 	for _, c := range []struct {
-		hubs int      // of the core, this process the first
-		held []uint64 // by the others, as they said
+		hubs int      // of core members, this process the first
+		held []uint64 // acknowledged by the others
 		want uint64
 	}{
 		{0, nil, 0},
@@ -108,7 +108,7 @@
 		{4, []uint64{9, 4, 0}, 4},
 		{5, []uint64{9, 0, 0, 0}, 0},
 		{5, []uint64{9, 8, 7, 0}, 8},
-		{3, []uint64{1 << 60, 0}, 9}, // what is not known here proves nothing
+		{3, []uint64{1 << 60, 0}, 9}, // a version that is unknown here proves nothing
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			var peers []Peer
@@ -117,10 +117,10 @@
 			}
 			h := newManualNode("0", true, peers...)
 			h.mu.Lock()
-			h.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", presentData, "2", presentData, "3", presentData, "4", presentData, "5", presentData, "6", presentData, "7", presentData, "8", presentData, "9", presentData)})
+			h.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", present, "2", present, "3", present, "4", present, "5", present, "6", present, "7", present, "8", present, "9", present)})
 			h.mu.Unlock()
 			agent := h.connect("addr of x", "x/1", false)
-			stranger := h.connect("addr of y", "y/1", true) // a machine of an earlier core
+			stranger := h.connect("addr of y", "y/1", true) // a former core member
 			h.deliver(stranger, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
 			for i, version := range c.held {
 				peer := h.connect(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
@@ -133,21 +133,21 @@
 	}
 }
 
-// A process takes the word of a machine of the core, and that of no other.
+// Quorum versions are accepted from core members only.
 func TestOnlyCoreMembersReportQuorumVersions(t *testing.T) {
 	s := newManualNode("a", false)
 	x := s.connect("addr of b", "b/1", false)
 	require.True(t, s.Heartbeat(t.Context(), server("s", 1)))
 	s.deliver(x, &message{HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 1, QuorumVersion: s.items.OwnVersion() + 1})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)), "no hub")
+	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)), "no relay")
 	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion()})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)), "one hub that has it is not enough")
+	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)), "one relay that has it is not enough")
 	s.deliver(x, &message{IsCore: true, QuorumVersion: s.items.OwnVersion()})
 	assert.True(t, s.Heartbeat(t.Context(), drainingServer("s", 4)))
 }
 
-// A machine of the core acknowledges what it holds of what another sent, once, and what it had
-// already too; it acknowledges nothing that it passed over.
+// A core member acknowledges once what it has of what another sent, also what it had already; it
+// acknowledges nothing that it ignored.
 func TestAcknowledgements(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	o := h.connect("addr of o", "o/1", true)
@@ -156,15 +156,15 @@
 		defer h.mu.Unlock()
 		return h.takeAcknowledgementsLocked(o)
 	}
-	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData, "l", presentData)}})
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", present, "l", present)}})
 	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken())
 	assert.Empty(t, taken())
-	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData)}})
-	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken(), "it had it")
-	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, To: 6, Items: []deltasync.Item{{Key: "k", Version: 6, Data: presentData}}}}})
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", present)}})
+	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken(), "it had it already")
+	h.deliver(o, &message{IsCore: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, To: 6, Items: []deltasync.Item{{Key: "k", Version: 6, Data: present}}}}})
 	assert.Empty(t, taken(), "there is a gap before it")
 	assert.NotContains(t, o.acknowledged, "y/1")
 	a := h.connect("addr of a", "a/1", false)
-	h.deliver(a, &message{Deltas: []deltasync.Delta{initialDelta("a/1", "k", presentData)}})
-	assert.Empty(t, a.pendingAcks, "agents need none")
+	h.deliver(a, &message{Deltas: []deltasync.Delta{initialDelta("a/1", "k", present)}})
+	assert.Empty(t, a.pendingAcks, "agents need no acknowledgement")
 }
--- a/internal/fleet/relay/return_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -10,52 +10,52 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// newPartitionedNode is a hub that had all and was cut off from the core for twenty seconds.
+// newPartitionedNode returns a relay that was complete and has been without a quorum for twenty seconds.
 func newPartitionedNode(t *testing.T) *manualNode {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
 	o := h.connect("addr of o", "o/1", true)
 	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
 	h.ApplyConfig(5, documentOf(5))
 	h.tick()
-	require.True(t, h.isCompleteLocked())
+	require.True(t, h.readiness.complete())
 	h.core.linked.Store(false)
 	delete(h.sessions, o)
 	h.runFor(20*time.Second, nil)
-	require.False(t, h.isCompleteLocked(), "others may know more")
-	require.True(t, h.snapshot.Synced, "it serves on with what it has")
+	require.False(t, h.readiness.complete(), "others may have more")
+	require.True(t, h.snapshot.Synced, "it continues to serve with what it has")
 	h.core.linked.Store(true)
 	return h
 }
 
-// A hub that was cut off does not say that it has all before one that does has told it all.
+// A relay that lost its quorum is not complete again before a complete one has sent it everything.
 func TestReturningRelaySyncsFirst(t *testing.T) {
 	h := newPartitionedNode(t)
 	h.runFor(2*tickInterval, nil)
-	require.False(t, h.isCompleteLocked(), "it has just come back")
+	require.False(t, h.readiness.complete(), "it has just regained its quorum")
 	o := h.connect("addr of o", "o/2", true)
 	h.deliver(o, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
-	// What the other has takes long to come.
+	// What the other has takes long to arrive.
 	received := uint64(0)
 	o.bytesReceived = func() uint64 { return received }
 	h.runFor(5*selfStartDelay, func() { received++ })
-	require.False(t, h.isCompleteLocked(), "it is being told")
+	require.False(t, h.readiness.complete(), "the initial sync is running")
 	newer := deltasync.Delta{Source: configSource, To: 9, Items: []deltasync.Item{{Key: configKey, Version: 9, Data: encode(&configItem{9, documentOf(9)})}}}
 	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newer}})
-	assert.True(t, h.isCompleteLocked())
+	assert.True(t, h.readiness.complete())
 	assert.Equal(t, uint64(9), h.snapshot.ConfigSeq)
-	h.ApplyConfig(7, documentOf(7)) // by its own disk, late
+	h.ApplyConfig(7, documentOf(7)) // from its own disk, late
 	assert.Equal(t, uint64(9), h.snapshot.ConfigSeq)
 }
 
-// Nobody who knows more shows up: a hub that was cut off goes by what it has, as at a start.
+// Where no complete relay can be reached, a relay that lost its quorum declares itself complete, as at a start.
 func TestReturningRelayWithoutPeers(t *testing.T) {
 	h := newPartitionedNode(t)
 	h.MarkConfigCurrent()
 	h.runFor(selfStartDelay+2*tickInterval, nil)
-	assert.True(t, h.isCompleteLocked())
+	assert.True(t, h.readiness.complete())
 }
 
-// The same holds for one that starts anew with a list from disk, while it is being told.
+// The same holds for one that restarts with a list from disk, during its initial sync.
 func TestRestartedRelayIsIncompleteDuringSync(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	h.MarkConfigCurrent()
@@ -63,13 +63,13 @@
 	received := uint64(0)
 	o.bytesReceived = func() uint64 { return received }
 	h.runFor(5*selfStartDelay, func() { received++ })
-	require.False(t, h.isCompleteLocked())
+	require.False(t, h.readiness.complete())
 	require.False(t, h.snapshot.Synced)
 	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
-	assert.True(t, h.isCompleteLocked())
+	assert.True(t, h.readiness.complete())
 }
 
-// An agent that has a newer configuration than its restarted hub gives it to the hub, and takes
+// An agent that has a newer configuration than its restarted relay sends it to the relay, and takes
 // nothing older from it.
 func TestAgentKeepsNewerConfigurationThanItsRelay(t *testing.T) {
 	agent, hub := newManualNode("a", false), newManualNode("h", true, Peer{Addr: "addr of h"})
@@ -85,7 +85,7 @@
 	agent.mu.Unlock()
 	hub.mu.Lock()
 	for _, d := range hub.items.DeltasSince(vector) {
-		assert.NotEqual(t, configSource, d.Source, "a hub sends no older configuration")
+		assert.NotEqual(t, configSource, d.Source, "a relay sends no older configuration")
 	}
 	hub.mu.Unlock()
 	hub.syncFrom(agent)
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -8,48 +8,51 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Report is what this process knows, for operators.
+// Report is what this process knows, as operators see it.
 type Report struct {
-	Source    string          `json:"source"`
-	Synced    bool            `json:"fresh"`
+	Source    string          `json:"source"` // of this process's incarnation
+	Synced    bool            `json:"fresh"`  // see Snapshot
 	ConfigSeq uint64          `json:"config-seq"`
 	Revision  int64           `json:"revision"`
-	Members   []MemberReport  `json:"members"`
-	Servers   []registry.View `json:"servers"`
-	Sessions  []SessionReport `json:"sessions"`
+	Members   []MemberReport  `json:"members"`  // by name
+	Servers   []registry.View `json:"servers"`  // by ID
+	Sessions  []SessionReport `json:"sessions"` // by address
 }
 
-// MemberReport is one member; Held: someone holds a lease of it.
+// MemberReport is one member.
 type MemberReport struct {
 	Member
 	Source       string `json:"source"`
-	LeaseGranted bool   `json:"held"`
+	LeaseGranted bool   `json:"held"` // by some core member
 	Self         bool   `json:"self"`
 }
 
-// SessionReport is one session; Age is since it said something.
+// SessionReport is one session.
 type SessionReport struct {
 	PeerAddr         string        `json:"peer"`
-	HasQuorum        bool          `json:"linked"`
+	HasQuorum        bool          `json:"linked"` // the peer
 	SinceLastMessage time.Duration `json:"age"`
 }
 
-// Report tells what this process knows.
-func (h *Node) Report() Report {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := h.now()
-	r := Report{Source: h.items.OwnSource(), Synced: h.synced, ConfigSeq: h.configSeq, Servers: h.servers.Views(now)}
-	if h.config != nil {
-		r.Revision = h.config.Revision
+// Report returns what this process knows.
+func (n *Node) Report() Report {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now, own := n.now(), n.items.OwnSource()
+	report := Report{
+		Source:    own,
+		Synced:    n.readiness.synced,
+		ConfigSeq: n.config.seq,
+		Revision:  n.config.revision(),
+		Servers:   n.servers.Views(now),
 	}
-	for source, m := range h.members {
-		r.Members = append(r.Members, MemberReport{m, source, h.leases.Granted(source), source == h.items.OwnSource()})
+	for source, member := range n.members {
+		report.Members = append(report.Members, MemberReport{member, source, n.leases.Granted(source), source == own})
 	}
-	slices.SortFunc(r.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
-	for s := range h.sessions {
-		r.Sessions = append(r.Sessions, SessionReport{s.peerAddr, s.peerHasQuorum, now - s.lastMessage})
+	slices.SortFunc(report.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
+	for s := range n.sessions {
+		report.Sessions = append(report.Sessions, SessionReport{s.peerAddr, s.peerHasQuorum, now - s.lastMessage})
 	}
-	slices.SortFunc(r.Sessions, func(a, b SessionReport) int { return cmp.Compare(a.PeerAddr, b.PeerAddr) })
-	return r
+	slices.SortFunc(report.Sessions, func(a, b SessionReport) int { return cmp.Compare(a.PeerAddr, b.PeerAddr) })
+	return report
 }
--- /dev/null
+++ b/internal/fleet/relay/savedservers.go
@@ -0,0 +1,79 @@
+package relay
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+)
+
+const (
+	// saveInterval is the least time between two writes of the server list.
+	saveInterval = time.Second
+	// savedServersFormat identifies the encoding of savedServers.
+	savedServersFormat = 1
+)
+
+// savedServers is the server list as it is stored on disk.
+type savedServers struct {
+	Format  int                  `msgpack:"f"`
+	Servers []*registry.Instance `msgpack:"s"` // by ID
+}
+
+// restoreServersLocked lists the servers that an earlier incarnation saved until their next
+// heartbeats are due, so that requests need not wait for those after a loss of the whole fleet. A
+// request names the instance that it is meant for, so no other server at the address serves it.
+func (n *Node) restoreServersLocked() {
+	var list savedServers
+	if len(n.options.SavedServers) == 0 || msgpack.Unmarshal(n.options.SavedServers, &list) != nil || list.Format != savedServersFormat {
+		return
+	}
+	for _, instance := range list.Servers {
+		if instance == nil || !instance.Valid() || instance.State != registry.Ready {
+			continue
+		}
+		if n.servers.Restore(n.now(), instance) {
+			n.publishItemLocked(serverPrefix+instance.ID, encode(instance))
+		}
+	}
+	logevent.ServersRestored.Log("servers", len(list.Servers))
+}
+
+// saveServers writes the server list to disk as it changes, until ctx ends. A list that is empty, or
+// that was never complete, does not replace the saved one.
+func (n *Node) saveServers(ctx context.Context) {
+	ticker := time.NewTicker(saveInterval)
+	defer ticker.Stop()
+	savedVersion := uint64(0)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		n.mu.Lock()
+		list, synced := n.servers.List(), n.readiness.synced
+		n.mu.Unlock()
+		if !synced || list.Version == savedVersion || len(list.ByID) == 0 {
+			continue
+		}
+		if err := n.options.SaveServers(encodeServers(list)); err == nil { // else at the next tick
+			savedVersion = list.Version
+		}
+	}
+}
+
+// encodeServers returns the stored form of a server list.
+func encodeServers(list *registry.List) []byte {
+	stored := savedServers{Format: savedServersFormat}
+	for _, instance := range list.ByID {
+		stored.Servers = append(stored.Servers, instance)
+	}
+	slices.SortFunc(stored.Servers, func(a, b *registry.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return encode(&stored)
+}
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -3,303 +3,188 @@
 import (
 	"context"
 	"maps"
-	"sync"
 	"time"
 
-	"github.com/go-faster/errors"
-
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
-	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
-	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
 const (
-	// helloTimeout is how long the first message of a session may take.
-	helloTimeout = time.Second
-	// redialInterval is the pause between two tries to get a session.
-	redialInterval = 150 * time.Millisecond
-	// maxVectorEntries bounds the vector of a hello, maxNameBytes its names.
-	maxVectorEntries, maxNameBytes = 8192, 512
+	// heartbeatInterval is the longest pause between two messages on a session.
+	heartbeatInterval = 300 * time.Millisecond
+	// sessionTimeout ends a session on which no byte has come for so long.
+	sessionTimeout = time.Second
 	// messageTimeout is how long one message may take, however steadily its bytes come: the longest
-	// that rpc takes, 16 MB, needs 26 s at 640 KB/s.
+	// that rpc accepts, 16 MB, needs 26 s at 640 KB/s.
 	messageTimeout = 30 * time.Second
-	// quorumLossTolerance is how long a hub may be cut off from the core before its agents try others.
-	quorumLossTolerance = 400 * time.Millisecond
+	// maxSessions bounds the sessions of a process.
+	maxSessions = 1024
+	// timerUnset is the duration of a timer that nothing has set yet.
+	timerUnset = time.Hour
 )
 
-// hello begins a session.
-type hello struct {
-	Source string           `msgpack:"s"`
-	Addr   string           `msgpack:"a"`
-	IsCore bool             `msgpack:"c"`
-	Vector deltasync.Vector `msgpack:"v"`
-}
+// session is a session with one peer. Its fields are guarded by the node's lock, but for the
+// channel and the timer.
+type session struct {
+	peerAddr string
+	source   string // of the peer's incarnation
+	outbound bool   // this node dialed
+	started  time.Duration
+	cancel   context.CancelFunc
 
-// message is what both sides of a session send.
-type message struct {
-	Hello           *hello            `msgpack:"h,omitempty"`
-	Redirect        []Peer            `msgpack:"r,omitempty"` // the answerer is no hub: these are
-	Deltas          []deltasync.Delta `msgpack:"d,omitempty"`
-	ReceivedVersion uint64            `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
-	IsCore          bool              `msgpack:"o,omitempty"` // the sender is a machine of the core
-	HasQuorum       bool              `msgpack:"l,omitempty"`
-	Complete        bool              `msgpack:"f,omitempty"` // the sender has had all that a hub knows
-	Notices         []notice          `msgpack:"n,omitempty"`
-	// Acknowledged acknowledges deltas between machines of the core: the versions that the sender holds.
-	Acknowledged deltasync.Vector `msgpack:"v,omitempty"`
-	// QuorumVersion is the version of the receiver's own source that a majority of the core holds.
-	QuorumVersion uint64 `msgpack:"p,omitempty"`
-}
+	// What the peer last said of itself.
+	peerIsCore        bool
+	peerHasQuorum     bool
+	peerComplete      bool          // see readiness
+	completenessKnown bool          // it has said whether it is complete
+	lastQuorum        time.Duration // when it last said that it has a quorum, or the session began
 
-type stream = rpc.Stream[message, message]
+	// What shows that the peer is alive.
+	lastMessage   time.Duration // when the last complete message came
+	bytesReceived func() uint64
+	observedBytes uint64        // bytesReceived at the last check
+	lastProgress  time.Duration // when a check found that it had risen
+
+	// How far the replication is.
+	sent             deltasync.Vector // what the peer has, or was sent
+	acknowledged     deltasync.Vector // what the peer itself has said to have
+	pendingAcks      map[string]bool  // sources of which it sent deltas that are not acknowledged yet
+	ownReceived      uint64           // version of the own source that the peer has
+	ownQuorumVersion uint64           // version of the own source that a majority has, as the peer says
+	quorumAdvanced   chan struct{}    // wakes the sender when that of the peer's source has risen
 
-// session is a session with one peer. Its fields belong to the hub's lock.
-type session struct {
-	peerAddr    string
-	source      string
-	peerIsCore  bool
-	outbound    bool
-	sent        deltasync.Vector // what the peer has
-	ownReceived uint64           // of the own source
-	// acknowledged is what the peer has itself said to have: unlike has, not what was only sent to it.
-	acknowledged deltasync.Vector
-	// pendingAcks are the sources of which it sent deltas that are not acknowledged yet.
-	pendingAcks map[string]bool
-	// ownQuorumVersion is the version of the own source that a majority of the core holds, as it tells.
-	ownQuorumVersion uint64
-	// quorumAdvanced wakes the sender when that of the peer's source has risen.
-	quorumAdvanced    chan struct{}
-	peerHasQuorum     bool
-	peerComplete      bool          // the peer has had all that a hub knows
-	completenessKnown bool          // it has told whether it has had all
-	lastMessage       time.Duration // when the last whole message came
-	lastQuorum        time.Duration // unlinked since
-	started           time.Duration
-	// bytesReceived counts the bytes that the peer has sent; bytes is what it was at the last tick,
-	// progress when it had risen.
-	bytesReceived  func() uint64
-	observedBytes  uint64
-	lastProgress   time.Duration
-	cancel         context.CancelFunc
 	pendingNotices []notice
-	noticeTimer    *time.Timer // when the pending notices are to be sent
+	noticeTimer    *time.Timer // fires when the pending notices are to be sent
 }
 
-// serveSession serves a session that a peer began.
-func (h *Node) serveSession(st *stream) error {
-	late := time.AfterFunc(helloTimeout, func() { _ = st.Close() })
-	first, err := st.Recv()
-	late.Stop()
-	if err != nil {
-		return errors.Wrap(err, "wait for hello")
-	}
-	if err := first.Hello.validate(); err != nil {
-		return err
+// newSession returns a session with the peer that sent a hello. The caller stops its noticeTimer.
+func newSession(now time.Duration, peer *hello, peerAddr string, bytesReceived func() uint64, cancel context.CancelFunc) *session {
+	s := &session{
+		peerAddr:       peerAddr,
+		source:         peer.Source,
+		started:        now,
+		cancel:         cancel,
+		peerIsCore:     peer.IsCore,
+		lastQuorum:     now,
+		lastMessage:    now,
+		bytesReceived:  bytesReceived,
+		sent:           maps.Clone(peer.Vector),
+		acknowledged:   deltasync.Vector{},
+		pendingAcks:    map[string]bool{},
+		quorumAdvanced: make(chan struct{}, 1),
+		noticeTimer:    time.NewTimer(timerUnset),
 	}
-	if !h.options.Core.IsMember() {
-		return st.Send(&message{Redirect: h.knownCoreMembers()})
+	if s.sent == nil {
+		s.sent = deltasync.Vector{}
 	}
-	return h.runSession(st.Context(), st, first.Hello, first.Hello.Addr, nil, nil)
+	return s
 }
 
-// validate tells what is wrong with a hello.
-func (m *hello) validate() error {
-	switch {
-	case m == nil || !isAgentSource(m.Source) || m.Addr == "":
-		return errors.New("a session begins with hello, by name and address")
-	case max(len(m.Source), len(m.Addr)) > maxNameBytes || len(m.Vector) > maxVectorEntries:
-		return errors.New("hello is out of bounds")
+// timedOut reports whether a peer is to be given up: no byte has come for too long, or one message
+// takes too long.
+func (s *session) timedOut(now time.Duration) bool {
+	if received := s.bytesReceived(); received != s.observedBytes {
+		s.observedBytes, s.lastProgress = received, now
 	}
-	return nil
+	return now-max(s.lastMessage, s.lastProgress) > sessionTimeout || now-s.lastMessage > messageTimeout
 }
 
-// runSession runs until the stream or ctx ends. theirs is the peer's hello; where this agent began the
-// session, mine is its own and first what came with theirs.
-func (h *Node) runSession(ctx context.Context, st *stream, theirs *hello, peer string, mine *hello, first *message) error {
-	ctx, cancel := context.WithCancel(ctx)
-	hubs := h.options.Core.Members()
-	h.mu.Lock()
-	var refusal error
-	switch {
-	case theirs.Source == h.items.OwnSource():
-		refusal = errors.New("a session with itself")
-	case mine != nil && mine.Source != h.items.OwnSource():
-		refusal = errors.New("the session was begun by an earlier life")
-	case len(h.sessions) >= maxSessions:
-		refusal = errors.New("too many sessions at this hub: use another")
-	}
-	if refusal != nil {
-		h.mu.Unlock()
-		cancel()
-		return refusal
-	}
-	if h.items.Ended(theirs.Source) {
-		h.publishEndLocked(theirs.Source) // it was away when that was told
-	}
-	s := &session{peerAddr: peer, source: theirs.Source, peerIsCore: theirs.IsCore, outbound: first != nil, sent: maps.Clone(theirs.Vector),
-		lastMessage: h.now(), lastQuorum: h.now(), started: h.now(), bytesReceived: st.Received, cancel: cancel, noticeTimer: time.NewTimer(time.Hour),
-		acknowledged: deltasync.Vector{}, pendingAcks: map[string]bool{}, quorumAdvanced: make(chan struct{}, 1)}
-	defer s.noticeTimer.Stop()
-	if s.sent == nil {
-		s.sent = deltasync.Vector{}
-	}
-	for source, version := range theirs.Vector {
-		h.recordAcknowledgedLocked(s, source, version, hubs)
-	}
-	h.sessions[s] = true
-	h.mu.Unlock()
-	var wg sync.WaitGroup
-	defer func() {
-		cancel()
-		wg.Wait()
-		h.mu.Lock()
-		delete(h.sessions, s)
-		h.notifyWaitersLocked()
-		h.mu.Unlock()
-	}()
-	wg.Go(func() {
-		<-ctx.Done()
-		_ = st.Close()
-	})
-	wg.Go(func() {
-		defer cancel()
-		if err := h.sendLoop(ctx, st, s); err != nil && ctx.Err() == nil {
-			logevent.SessionSendFailed.Log("peer", peer, "err", err)
-		}
-	})
-	for m := first; ; {
-		if m != nil {
-			h.handleMessage(s, m)
-		}
-		var err error
-		if m, err = st.Recv(); err != nil {
-			return err
+// sessionSet is all sessions of a node.
+type sessionSet map[*session]bool
+
+// closeTimedOut closes the sessions with peers that have timed out.
+func (set sessionSet) closeTimedOut(now time.Duration) {
+	for s := range set {
+		if s.timedOut(now) {
+			s.cancel()
 		}
 	}
 }
 
-func (h *Node) handleMessage(s *session, m *message) {
-	core, linked, hubs := h.options.Core.IsMember(), h.options.Core.HasQuorum(), h.options.Core.Members()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.sessions[s] {
-		return // it was of another life
-	}
-	now := h.now()
-	s.lastMessage = now
-	if m.HasQuorum {
-		s.lastQuorum = now
-	}
-	s.peerIsCore, s.peerHasQuorum = m.IsCore, m.HasQuorum
-	if m.Hello == nil { // a hello comes before the deltas, and can't tell
-		s.peerComplete, s.completenessKnown = m.Complete, true
-	}
-	h.applyDeltasLocked(m.Deltas)
-	for i := range m.Deltas {
-		if d := &m.Deltas[i]; h.items.Version(d.Source) >= d.To {
-			s.sent[d.Source] = max(s.sent[d.Source], d.To)
+// hasResponsiveRelay reports whether a relay with a quorum has been sending messages until now.
+func (set sessionSet) hasResponsiveRelay(now time.Duration) bool {
+	for s := range set {
+		if s.peerIsCore && s.peerHasQuorum && now-s.lastMessage <= sessionTimeout {
+			return true
 		}
 	}
-	if core && s.peerIsCore {
-		h.recordReplicationLocked(s, m, hubs)
-	}
-	h.receiveNoticesLocked(s, m.Notices)
-	if m.ReceivedVersion > s.ownReceived && m.ReceivedVersion <= h.items.OwnVersion() {
-		s.ownReceived = m.ReceivedVersion
-		h.notifyWaitersLocked()
+	return false
+}
+
+// awaitingInitialSync reports whether some relay is still sending its first deltas.
+func (set sessionSet) awaitingInitialSync() bool {
+	for s := range set {
+		if s.peerIsCore && !s.completenessKnown {
+			return true
+		}
 	}
-	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= h.items.OwnVersion() {
-		s.ownQuorumVersion = m.QuorumVersion
-		h.notifyWaitersLocked()
+	return false
+}
+
+// wholeCoreIncomplete reports whether there are sessions with all other members of the core, and none
+// of them is complete: then nobody is.
+func (set sessionSet) wholeCoreIncomplete(selfAddr string, members []Peer) bool {
+	complete := map[string]bool{} // by address, of those that have said
+	for s := range set {
+		if s.completenessKnown {
+			complete[s.peerAddr] = complete[s.peerAddr] || s.peerComplete
+		}
 	}
-	if !s.peerIsCore || !m.HasQuorum || !m.Complete || core && !linked {
-		return
+	for _, member := range members {
+		if isComplete, known := complete[member.Addr]; member.Addr != selfAddr && (!known || isComplete) {
+			return false
+		}
 	}
-	h.stale = false // a message says Full only after all that its sender has: see send
-	if !h.synced {
-		h.synced = true
-		logevent.Synced.Log("peer", s.peerAddr, "config", h.configSeq)
-		h.publishSnapshotLocked()
+	return true
+}
+
+// sources returns the sources of all peers.
+func (set sessionSet) sources() map[string]bool {
+	sources := make(map[string]bool, len(set)+1)
+	for s := range set {
+		sources[s.source] = true
 	}
+	return sources
 }
 
-// timedOut tells whether a peer is to be given up: it has sent nothing for too long, or has taken
-// too long over one message. The hub's lock is held.
-func (s *session) timedOut(now time.Duration) bool {
-	if received := s.bytesReceived(); received != s.observedBytes {
-		s.observedBytes, s.lastProgress = received, now
+// addrs returns the addresses of all peers.
+func (set sessionSet) addrs() map[string]bool {
+	addrs := make(map[string]bool, len(set))
+	for s := range set {
+		addrs[s.peerAddr] = true
 	}
-	return now-max(s.lastMessage, s.lastProgress) > sessionTimeout || now-s.lastMessage > messageTimeout
+	return addrs
 }
 
-// sendHello answers a hello. It goes ahead of the deltas, which may take long.
-func (h *Node) sendHello(st *stream) error {
-	m := &message{IsCore: h.options.Core.IsMember(), HasQuorum: h.options.Core.HasQuorum()}
-	h.mu.Lock()
-	m.Hello = &hello{Source: h.items.OwnSource(), Addr: h.options.Self.Addr, IsCore: true, Vector: h.items.Vector()}
-	h.mu.Unlock()
-	return st.Send(m)
+// forgetSource drops what is recorded of a source that has ended.
+func (set sessionSet) forgetSource(source string) {
+	for s := range set {
+		delete(s.sent, source)
+		delete(s.acknowledged, source)
+		delete(s.pendingAcks, source)
+	}
 }
 
-// sendLoop sends what the peer lacks as it comes, and says something now and then. The first message
-// has all there is; on the answering side the hello goes before it.
-func (h *Node) sendLoop(ctx context.Context, st *stream, s *session) error {
-	if !s.outbound {
-		if err := h.sendHello(st); err != nil {
-			return err
+// acknowledgedBy returns the newest version of a source that the core member at an address has
+// acknowledged, 0 if none.
+func (set sessionSet) acknowledgedBy(addr, source string) uint64 {
+	version := uint64(0)
+	for s := range set {
+		if s.peerIsCore && s.peerAddr == addr {
+			version = max(version, s.acknowledged[source])
 		}
 	}
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
-	due, got, full, core, link, replicated := true, uint64(0), false, false, false, uint64(0)
-	for {
-		m := &message{IsCore: h.options.Core.IsMember(), HasQuorum: h.options.Core.HasQuorum()}
-		hubs := h.options.Core.Members()
-		h.mu.Lock()
-		changed := h.changed
-		m.Deltas = h.items.DeltasSince(s.sent)
-		for _, d := range m.Deltas {
-			s.sent[d.Source] = d.To
-		}
-		var shared []byte // goes ahead, so it says of Full what was said last
-		shared, m.Deltas = h.extractConfigLocked(&message{IsCore: m.IsCore, HasQuorum: m.HasQuorum, Complete: full}, m.Deltas)
-		m.ReceivedVersion, m.Complete, m.Acknowledged = h.items.LastVersion(s.source), h.isCompleteLocked(), h.takeAcknowledgementsLocked(s)
-		if m.IsCore && !s.peerIsCore {
-			m.QuorumVersion = h.quorumVersionLocked(s.source, hubs)
-		}
-		h.mu.Unlock()
-		if len(shared) > 0 {
-			if err := st.SendEncoded(shared); err != nil {
-				return err
-			}
-		}
-		if due || len(m.Deltas) > 0 || len(m.Acknowledged) > 0 || m.ReceivedVersion != got || m.QuorumVersion != replicated || m.Complete != full ||
-			m.IsCore != core || m.HasQuorum != link {
-			if err := st.Send(m); err != nil {
-				return err
-			}
-			due, got, full, core, link, replicated = false, m.ReceivedVersion, m.Complete, m.IsCore, m.HasQuorum, m.QuorumVersion
+	return version
+}
+
+// notifyQuorumAdvanced wakes the senders to the agent whose source a majority has a newer version of.
+func (set sessionSet) notifyQuorumAdvanced(source string) {
+	for s := range set {
+		if s.peerIsCore || s.source != source {
+			continue
 		}
-	wait:
-		for {
-			select {
-			case <-ctx.Done():
-				return nil
-			case <-changed:
-				break wait
-			case <-s.quorumAdvanced:
-				break wait
-			case <-beat.C:
-				due = true
-				break wait
-			case <-s.noticeTimer.C:
-				h.mu.Lock()
-				m := &message{IsCore: core, HasQuorum: link, Complete: full, ReceivedVersion: got, QuorumVersion: replicated, Notices: h.dequeueNoticesLocked(s)}
-				h.mu.Unlock()
-				if err := st.Send(m); err != nil {
-					return err
-				}
-			}
+		select {
+		case s.quorumAdvanced <- struct{}{}:
+		default: // it has been woken already
 		}
 	}
 }
--- a/internal/fleet/relay/slowlink_test.go
+++ b/internal/fleet/relay/slowlink_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// slowLinkBytesPerSecond is the bytes a second of a slow link, longConfigBytes the bytes of a configuration that
+	// slowLinkBytesPerSecond is the rate of a slow link, longConfigBytes the size of a configuration that
 	// takes over two seconds on it.
 	slowLinkBytesPerSecond = 640 << 10
 	longConfigBytes        = 1600 << 10
 )
 
-// paddedDocument is a configuration of a revision with so many bytes.
+// paddedDocument returns a configuration with a revision and a size in bytes.
 func paddedDocument(revision, size int) []byte {
 	doc := documentOf(revision)
 	return append(doc, bytes.Repeat([]byte(" "), size-len(doc))...)
@@ -30,8 +30,8 @@
 	}
 }
 
-// A message that takes longer than a silent peer is given arrives on the session that it was begun
-// on, and the other direction goes on meanwhile.
+// A message that takes longer than sessionTimeout arrives on the session that it was begun on, and the
+// other direction continues meanwhile.
 func TestLongMessageOverSlowLink(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 1)
@@ -45,20 +45,19 @@
 	a.node.mu.Unlock()
 	require.Len(t, before, 1)
 	l.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	l.eventually("in force at all hubs", hasConfig(1), l.coreMembers...)
+	l.eventually("in force at all relays", hasConfig(1), l.coreMembers...)
 	a.startHeartbeats("s")
-	l.eventually("news of the agent reach all hubs", listsServer("s"), l.coreMembers...)
+	l.eventually("changes of the agent reach all relays", listsServer("s"), l.coreMembers...)
 	require.False(t, hasConfig(1)(a), "the configuration is still on its way")
 	l.eventually("in force", hasConfig(1), a)
 	a.node.mu.Lock()
 	defer a.node.mu.Unlock()
 	for s := range a.node.sessions {
-		assert.True(t, before[s], "the session was not begun again")
+		assert.True(t, before[s], "the session was not restarted")
 	}
 }
 
-// A process that knows nothing is given everything over a slow link: the hello comes in its time,
-// the rest when it does.
+// A new process receives everything over a slow link: the hello within helloTimeout, the rest later.
 func TestInitialSyncOverSlowLink(t *testing.T) {
 	t.Parallel()
 	l := newTestCluster(t, 3, 1)
@@ -69,24 +68,23 @@
 		h.node.MarkConfigCurrent()
 	}
 	l.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	l.eventually("fresh", func(h *testAgent) bool { return h.snapshot.Load().Synced && hasConfig(1)(h) }, l.coreMembers[:2]...)
+	l.eventually("synced", func(h *testAgent) bool { return h.snapshot.Load().Synced && hasConfig(1)(h) }, l.coreMembers[:2]...)
 	for _, late := range []*testAgent{l.edgeAgents[0], l.coreMembers[2]} {
 		late.start()
-		l.eventually("has all", func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Synced && s.ConfigSeq == 1 }, late)
+		l.eventually("is synced", func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Synced && s.ConfigSeq == 1 }, late)
 	}
 	l.awaitSynced(4)
 }
 
-// A session lasts while bytes come, and no longer than one message may take: a peer that trickles
-// for ever is given up.
+// A session lasts while bytes come, but one message may not take longer than messageTimeout.
 func TestProgressExtendsSessionUpToMessageTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		perTick uint64 // bytes that come between two ticks
 		ends    time.Duration
 	}{
-		"a silent peer":           {0, sessionTimeout},
-		"a peer that trickles":    {1, messageTimeout},
-		"a message of many parts": {100 << 10, messageTimeout},
+		"a silent peer":        {0, sessionTimeout},
+		"a peer that trickles": {1, messageTimeout},
+		"a long message":       {100 << 10, messageTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newManualNode("a", false, Peer{Addr: "addr of h"})
@@ -100,26 +98,26 @@
 				}
 			}
 			s.runFor(c.ends-tickInterval, func() { received += c.perTick })
-			require.Zero(t, ended, "it has its time")
+			require.Zero(t, ended, "it is given its time")
 			s.runFor(3*tickInterval, func() { received += c.perTick })
 			assert.Greater(t, ended, c.ends)
 		})
 	}
-	// A whole message begins the time anew.
+	// A complete message restarts the time-out.
 	s := newManualNode("a", false, Peer{Addr: "addr of h"})
 	x := s.connect("addr of h", "h/1", true)
-	x.cancel = func() { assert.Fail(t, "given up") }
+	x.cancel = func() { assert.Fail(t, "closed") }
 	s.runFor(2*messageTimeout, s.heartbeatFrom(x))
 }
 
-// A hello tells nothing of whether its sender has had all: the deltas come after it.
+// A hello does not say whether its sender is complete: the deltas come after it.
 func TestHelloDoesNotReportCompleteness(t *testing.T) {
 	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	h.MarkConfigCurrent()
 	x := h.connect("addr of o", "o/1", true)
 	h.deliver(x, &message{Hello: &hello{Source: "o/1", Addr: "addr of o"}, IsCore: true, HasQuorum: true})
 	h.runFor(2*tickInterval, nil)
-	require.False(t, h.snapshot.Synced, "the other may know more")
+	require.False(t, h.snapshot.Synced, "the other may have more")
 	h.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true})
 	h.tick()
 	assert.True(t, h.snapshot.Synced)
--- a/internal/fleet/relay/lab_test.go
+++ b/internal/fleet/relay/testcluster_test.go
@@ -24,7 +24,7 @@
 // testTimeout bounds every wait.
 const testTimeout = 30 * time.Second
 
-// fakeCore is the core as a test wants it.
+// fakeCore is a Core whose answers a test sets.
 type fakeCore struct {
 	core, linked atomic.Bool
 	hubs         atomic.Pointer[[]Peer]
@@ -42,8 +42,8 @@
 func (c *fakeCore) HasQuorum() bool { return c.linked.Load() }
 func (c *fakeCore) Members() []Peer { return *c.hubs.Load() }
 
-// testNetwork is what lies between the agents of a lab: each is reached through a gate that knows who
-// calls, by the address in the hello. A cut link holds all bytes up, without a word to either end.
+// testNetwork connects the agents of a cluster. Each is reached through a proxy, which knows the caller
+// by the address in its hello. A link that is cut blocks all bytes and closes no connection.
 type testNetwork struct {
 	ctx     context.Context
 	wg      sync.WaitGroup
@@ -54,14 +54,14 @@
 	changed chan struct{}
 }
 
-// setRate bounds what a link carries to so many bytes a second.
+// setRate bounds what a link carries, in bytes per second.
 func (w *testNetwork) setRate(from, to string, bytesPerSecond int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBufferBytes)
 }
 
-// throttle waits until a link has carried so many bytes.
+// throttle waits until a link has carried so many bytes. It returns false if the network is closed first.
 func (w *testNetwork) throttle(from, to string, bytes int) bool {
 	w.mu.Lock()
 	limiter := w.rates[[2]string{from, to}]
@@ -80,7 +80,7 @@
 	w.changed = make(chan struct{})
 }
 
-// awaitOpen waits until a link carries.
+// awaitOpen waits until a link is not cut. It returns false if the network is closed first.
 func (w *testNetwork) awaitOpen(from, to string) bool {
 	for {
 		w.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// serveProxy carries connections to an agent, until the lab ends.
+// serveProxy proxies connections to an agent until the cluster is closed.
 func (w *testNetwork) serveProxy(ln net.Listener, a *testAgent) {
 	w.wg.Go(func() {
 		<-w.ctx.Done()
@@ -167,27 +167,27 @@
 	})
 	wg.Go(func() {
 		copying(in, out, func(p []byte) bool {
-			<-known // the answering side says nothing before the hello
+			<-known // the answering side sends nothing before the hello
 			return w.awaitOpen(a.Addr, caller) && w.throttle(a.Addr, caller, len(p))
 		})
 	})
 	wg.Wait()
 }
 
-// testAgent is one process of a lab, over all its lives.
+// testAgent is one process of a cluster, over all its incarnations.
 type testAgent struct {
 	*testCluster
 	Member
 	*fakeCore
-	backendAddr atomic.Pointer[string] // where it listens behind its gate, once it has started
+	backendAddr atomic.Pointer[string] // where it listens behind its proxy, once it has started
 	node        *Node
 	snapshot    atomic.Pointer[Snapshot]
-	savedList   atomic.Pointer[[]byte] // the list of servers, if it has one
+	savedList   atomic.Pointer[[]byte] // the saved server list, if there is one
 	seeds       func() []string
-	stop        func() // ends it without a word
+	stop        func() // kills it: nothing is announced
 }
 
-// testCluster is a core of hubs and agents beside it, over loopback.
+// testCluster is a core of relays and agents beside it, over loopback.
 type testCluster struct {
 	*testNetwork
 	t                       *testing.T
@@ -196,7 +196,7 @@
 	coreMembers, edgeAgents []*testAgent
 }
 
-// newTestCluster makes so many of both, and starts none. Their core is linked.
+// newTestCluster returns a cluster in which nothing has started. Its core has a quorum.
 func newTestCluster(t *testing.T, hubs, agents int) *testCluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
@@ -240,7 +240,7 @@
 	return append(l.coreMembers[:len(l.coreMembers):len(l.coreMembers)], l.edgeAgents...)
 }
 
-// start starts all, and has the core tell that there is no newer configuration.
+// start starts all agents, and marks the core's configuration as current.
 func (l *testCluster) start() *testCluster {
 	for _, a := range l.all() {
 		a.start()
@@ -251,23 +251,23 @@
 	return l
 }
 
-// newSyncedCluster is a lab in which all know all.
+// newSyncedCluster returns a cluster in which all agents run and are synced.
 func newSyncedCluster(t *testing.T, hubs, agents int) *testCluster {
 	l := newTestCluster(t, hubs, agents).start()
 	l.awaitSynced(hubs + agents)
 	return l
 }
 
-// awaitSynced waits until all that run are fresh and know so many members.
+// awaitSynced waits until all running agents are synced and know so many members.
 func (l *testCluster) awaitSynced(members int) {
 	l.t.Helper()
-	l.eventually("all know all", func(a *testAgent) bool {
+	l.eventually("all are synced", func(a *testAgent) bool {
 		s := a.snapshot.Load()
 		return s != nil && s.Synced && s.Agents == members
 	})
 }
 
-// eventually waits until it is so at all that run, or at those named.
+// eventually waits until a condition holds for all running agents, or for the given ones.
 func (l *testCluster) eventually(what string, is func(*testAgent) bool, at ...*testAgent) {
 	l.t.Helper()
 	if len(at) == 0 {
@@ -289,7 +289,7 @@
 	}
 }
 
-// start begins a life.
+// start starts an incarnation.
 func (a *testAgent) start() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
@@ -300,9 +300,9 @@
 	var last *Snapshot
 	o.OnChange = func(s *Snapshot) { // it is called in order
 		if last != nil {
-			assert.GreaterOrEqual(a.t, s.ConfigSeq, last.ConfigSeq, "%s: the configuration went back", a.Name)
-			assert.True(a.t, s.Synced || !last.Synced, "%s: was fresh", a.Name)
-			assert.GreaterOrEqual(a.t, s.Servers.Version, last.Servers.Version, "%s: the list went back", a.Name)
+			assert.GreaterOrEqual(a.t, s.ConfigSeq, last.ConfigSeq, "%s: the configuration regressed", a.Name)
+			assert.True(a.t, s.Synced || !last.Synced, "%s: was synced", a.Name)
+			assert.GreaterOrEqual(a.t, s.Servers.Version, last.Servers.Version, "%s: the list regressed", a.Name)
 		}
 		assert.Positive(a.t, s.Agents)
 		last = s
@@ -328,7 +328,7 @@
 	})
 }
 
-// setPartitioned cuts an agent from others, or joins them again.
+// setPartitioned cuts the links between an agent and others, or restores them.
 func (a *testAgent) setPartitioned(cut bool, from ...*testAgent) {
 	for _, b := range from {
 		if a != b {
@@ -348,7 +348,7 @@
 	return in
 }
 
-// timeoutContext is a context that ends after d, or with the test.
+// timeoutContext returns a context that ends after d, or with the test.
 func timeoutContext(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
@@ -359,7 +359,7 @@
 	return a.node.Heartbeat(timeoutContext(a.t, testTimeout), in)
 }
 
-// startHeartbeats has a server call the agent until stop is called.
+// startHeartbeats has a server send heartbeats to the agent until stop is called.
 func (a *testAgent) startHeartbeats(id string) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -402,12 +402,12 @@
 	}
 }
 
-// documentOf is a configuration of a revision.
+// documentOf returns a configuration with a revision.
 func documentOf(revision int) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, revision)
 }
 
-// sessionPeers are the peers that it has sessions with.
+// sessionPeers returns the addresses of the peers that it has sessions with.
 func (a *testAgent) sessionPeers() (peers []string) {
 	for _, s := range a.node.Report().Sessions {
 		peers = append(peers, s.PeerAddr)
@@ -415,14 +415,14 @@
 	return peers
 }
 
-// hasItem tells whether a source has an item here.
+// hasItem reports whether a source has an item here.
 func (a *testAgent) hasItem(source, key string) bool {
 	a.node.mu.Lock()
 	defer a.node.mu.Unlock()
 	return a.node.items.Item(source, key) != nil
 }
 
-// relayOf is the hub that an agent has a session with.
+// relayOf returns the relay that an agent has a session with, or nil.
 func (l *testCluster) relayOf(a *testAgent) *testAgent {
 	for _, peer := range a.sessionPeers() {
 		for _, h := range l.coreMembers {
--- a/internal/fleet/relay/selection_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectOutbound gives an agent a session that it began with a hub.
+// connectOutbound adds a session that the agent began with a relay.
 func (s *manualNode) connectOutbound(peer string) (x *session, ended *bool) {
 	x = s.connect(peer, peer+"/1", true)
 	x.outbound, x.started = true, s.now()
@@ -18,8 +18,8 @@
 	return x, ended
 }
 
-// pollDialTargets has the agent look for hubs at its pace until it wants one, for at most so long; before each
-// look its peers talk.
+// pollDialTargets has the agent look for relays at its interval until it has one to dial, at most for a
+// duration. Before each look it calls talk.
 func (s *manualNode) pollDialTargets(d time.Duration, talk func()) (after time.Duration, wanted []string) {
 	begin := s.now()
 	for turn := 0; s.now()-begin < d; turn++ {
@@ -34,14 +34,14 @@
 	return 0, nil
 }
 
-// pollFor has the agent look for hubs at its pace for that long.
+// pollFor has the agent look for relays at its interval for a duration.
 func (s *manualNode) pollFor(d time.Duration, talk func()) {
 	for end := s.now() + d; s.now() < end; {
 		s.pollDialTargets(min(redialInterval, end-s.now()), talk)
 	}
 }
 
-// An agent tries another hub 400 ms after its own was last linked, and not before.
+// An agent tries another relay 400 ms after its own last had a quorum, and not before.
 func TestAgentLeavesRelayWithoutQuorumInTime(t *testing.T) {
 	s := newManualNode("a", false, Peer{"h0", "near"}, Peer{"h1", "near"}, Peer{"h2", "near"})
 	x, ended := s.connectOutbound("h0")
@@ -53,32 +53,32 @@
 	assert.NotContains(t, wanted, "h0")
 	assert.GreaterOrEqual(t, after, quorumLossTolerance)
 	assert.LessOrEqual(t, after, quorumLossTolerance+redialInterval)
-	require.False(t, *ended, "it is kept until there is a better one")
+	require.False(t, *ended, "the session is retained until there is a better one")
 	y, _ := s.connectOutbound("h1")
 	s.deliver(y, &message{IsCore: true, HasQuorum: true, Complete: true})
 	s.dialTargets(0)
 	assert.True(t, *ended)
 }
 
-// An agent whose hub is of another zone tries those of its own again and again, and changes over only
-// when one has given it everything.
+// An agent whose relay is in another zone tries those of its own repeatedly, and changes over only once
+// one of them is complete.
 func TestAgentReturnsToRelayOfItsZone(t *testing.T) {
 	s := newManualNode("a", false, Peer{"far-0", "far"}, Peer{"near-0", "near"}, Peer{"far-1", "far"}, Peer{"near-1", "near"})
 	far, farEnded := s.connectOutbound("far-0")
 	linked := func() { s.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
 	linked()
-	for range 5 { // the hubs of its zone are away
+	for range 5 { // the relays of its zone are unreachable
 		after, wanted := s.pollDialTargets(time.Minute, linked)
 		assert.ElementsMatch(t, []string{"near-0", "near-1"}, wanted)
 		assert.GreaterOrEqual(t, after, homeZoneRetryInterval-redialInterval)
 		assert.LessOrEqual(t, after, homeZoneRetryInterval+homeZoneRetryJitter+2*redialInterval)
 	}
-	// One is there, and is not linked.
+	// One is reachable, and has no quorum.
 	cold, coldEnded := s.connectOutbound("near-0")
 	s.pollFor(helloTimeout+redialInterval, func() { linked(); s.deliver(cold, &message{IsCore: true}) })
 	require.True(t, *coldEnded)
 	delete(s.sessions, cold)
-	// One is linked, and does not come to an end with what it has to say.
+	// One has a quorum, and does not become complete.
 	slow, slowEnded := s.connectOutbound("near-0")
 	still := func() { linked(); s.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
 	s.pollFor(probationPeriod-2*redialInterval, still)
@@ -87,11 +87,11 @@
 	require.True(t, *slowEnded)
 	delete(s.sessions, slow)
 	require.False(t, *farEnded)
-	// One is well.
+	// One is complete.
 	near, nearEnded := s.connectOutbound("near-1")
 	s.deliver(near, &message{IsCore: true, HasQuorum: true, Hello: &hello{}})
 	s.dialTargets(0)
-	require.False(t, *farEnded, "the new one has not told all")
+	require.False(t, *farEnded, "the new one is not complete")
 	require.False(t, *nearEnded)
 	s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true})
 	s.dialTargets(0)
@@ -99,10 +99,10 @@
 	require.False(t, *nearEnded)
 	delete(s.sessions, far)
 	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true}) })
-	assert.Empty(t, wanted, "it is where it belongs")
+	assert.Empty(t, wanted, "it has a relay of its zone")
 }
 
-// Agents without a hub in their zone stay where they are.
+// Agents without a relay in their zone stay with the one that they have.
 func TestAgentWithoutRelayInItsZoneStays(t *testing.T) {
 	s := newManualNode("a", false, Peer{"h0", "far"}, Peer{"h1", "farther"})
 	x, ended := s.connectOutbound("h0")
@@ -111,7 +111,7 @@
 	assert.False(t, *ended)
 }
 
-// Of 300 agents that lost the hub of their zone at once, a few return at a time.
+// Of 300 agents that lost the relay of their zone at once, a few return at a time.
 func TestAgentsReturnSpreadOverTime(t *testing.T) {
 	const agents, slot = 300, 500 * time.Millisecond
 	returns := map[time.Duration]int{}
@@ -127,22 +127,22 @@
 	}
 }
 
-// An agent returns to its zone's hub between real hubs, and misses nothing.
+// An agent returns to the relay of its zone in a running cluster, and misses nothing.
 func TestAgentReturnsOnceItsRelayIsBack(t *testing.T) {
 	t.Parallel()
 	l := newSyncedCluster(t, 3, 1)
 	a, own := l.edgeAgents[0], l.coreMembers[0]
 	require.Equal(t, own.Zone, a.Zone)
 	returned := func(a *testAgent) bool { return l.relayOf(a) == own && len(a.sessionPeers()) == 1 }
-	l.eventually("has its zone's hub", returned, a)
+	l.eventually("has the relay of its zone", returned, a)
 	own.stop()
-	l.eventually("has another hub", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != own }, a)
+	l.eventually("has another relay", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != own }, a)
 	l.coreMembers[1].node.ApplyConfig(1, documentOf(1))
 	l.eventually("in force", hasConfig(1))
 	own.start()
 	own.node.MarkConfigCurrent()
 	a.startHeartbeats("s")
-	l.eventually("is back", returned, a)
+	l.eventually("has returned", returned, a)
 	l.coreMembers[2].node.ApplyConfig(2, documentOf(2))
 	l.eventually("in force", hasConfig(2))
 	l.eventually("listed", listsServer("s"))
