--- a/internal/fleet/chain/bench_test.go
+++ b/internal/fleet/chain/bench_test.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"testing"
 
+	"github.com/vmihailenco/msgpack/v5"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 // BenchmarkApply evaluates a change of one route at the head, by the size of the configuration, up to
--- a/internal/fleet/chain/history_test.go
+++ b/internal/fleet/chain/history_test.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 // valueWithoutOlder is a value as versions of the software encode it that don't know Value.Older.
--- a/internal/fleet/chain/replica.go
+++ b/internal/fleet/chain/replica.go
@@ -1,8 +1,9 @@
 package chain
 
 import (
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // Record is what a replica persists.
--- a/internal/fleet/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -3,9 +3,10 @@
 import (
 	"testing"
 
+	"github.com/stretchr/testify/require"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/stretchr/testify/require"
 )
 
 // testView is view 5 with a chain of a, b and c, of which c joined in view 4.
--- a/internal/fleet/chain/scenario_test.go
+++ b/internal/fleet/chain/scenario_test.go
@@ -4,9 +4,10 @@
 	"strconv"
 	"testing"
 
+	"github.com/stretchr/testify/require"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/stretchr/testify/require"
 )
 
 // newScenario returns a simulation of four machines, all in view 1, in which nothing is random.
--- a/internal/fleet/chain/simulation_clients_test.go
+++ b/internal/fleet/chain/simulation_clients_test.go
@@ -3,9 +3,10 @@
 import (
 	"strconv"
 
+	"github.com/go-faster/errors"
+
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
-	"github.com/go-faster/errors"
 )
 
 // client submits one update after the other, each until its outcome is known.
--- a/internal/fleet/chain/simulation_test.go
+++ b/internal/fleet/chain/simulation_test.go
@@ -5,10 +5,11 @@
 	"math/rand/v2"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 	"github.com/go-faster/errors"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 // defect leaves out one rule of the protocol, to test that the checks of the simulation detect it.
--- a/internal/fleet/chain/update_test.go
+++ b/internal/fleet/chain/update_test.go
@@ -5,8 +5,9 @@
 	"strconv"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
 // revisionStep is how much higher the revision of each update of applyUpdates is.
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -7,8 +7,9 @@
 	"testing"
 	"time"
 
-	"chalkdoor.example/chalkdoor/internal/leaktest"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
--- a/internal/fleet/view/initial_view_test.go
+++ b/internal/fleet/view/initial_view_test.go
@@ -6,8 +6,9 @@
 	"maps"
 	"testing"
 
-	"chalkdoor.example/chalkdoor/internal/interleave"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
 const (
