--- a/internal/fleet/config/jsonwalk.go
+++ b/internal/fleet/config/jsonwalk.go
@@ -10,40 +10,58 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// The functions below walk JSON that was found valid as a whole, and hand out spans of it: items
-// are kept as they came and hardly anything is allocated for the fields that nobody reads.
+// The functions below walk JSON that is valid as a whole, and pass on slices of it: items keep their
+// bytes, and next to nothing is allocated for fields that nobody reads.
+
+// maxErrorText bounds what an error message quotes, in bytes.
+const maxErrorText = 80
 
 func invalidError(key, remedy, format string, args ...any) error {
 	return apierror.New(apierror.Invalid, key, remedy, format, args...)
 }
 
-// validateObject refuses what is not exactly one JSON object.
+func typeError(key []byte, want string) error {
+	return invalidError(truncate(key), "give it as the protocol shows", "it has to be %s", want)
+}
+
+// truncate bounds text for an error message.
+func truncate[T string | []byte](text T) string {
+	if len(text) > maxErrorText {
+		return string(text[:maxErrorText]) + "..."
+	}
+	return string(text)
+}
+
+// validateObject rejects everything but exactly one JSON object.
 func validateObject(raw []byte) error {
-	const remedy = "send one whole JSON object"
+	const remedy = "send one complete JSON object"
 	switch {
 	case !utf8.Valid(raw):
 		return invalidError("", remedy, "the body is no UTF-8")
 	case json.Valid(raw):
-		if b := bytes.TrimLeft(raw, " \t\r\n"); b[0] != '{' {
+		if raw[skipSpace(raw, 0)] != '{' {
 			return invalidError("", remedy, "the body is no JSON object")
 		}
 		return nil
 	}
-	var v json.RawMessage // says what is wrong, which Valid doesn't
-	return apierror.Wrap(json.Unmarshal(raw, &v), apierror.Invalid, "", remedy)
+	var discarded json.RawMessage // Unmarshal returns what is wrong, which Valid does not
+	return apierror.Wrap(json.Unmarshal(raw, &discarded), apierror.Invalid, "", remedy)
 }
 
-func skipSpace(b []byte, i int) int {
-	for i < len(b) && (b[i] == ' ' || b[i] == '\n' || b[i] == '\t' || b[i] == '\r') {
+func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
+
+// skipSpace returns the position of the first byte from i on that is no white space.
+func skipSpace(raw []byte, i int) int {
+	for i < len(raw) && isSpace(raw[i]) {
 		i++
 	}
 	return i
 }
 
 // skipString returns the end of the string that begins at i.
-func skipString(b []byte, i int) int {
-	for i++; b[i] != '"'; i++ {
-		if b[i] == '\\' {
+func skipString(raw []byte, i int) int {
+	for i++; raw[i] != '"'; i++ {
+		if raw[i] == '\\' {
 			i++
 		}
 	}
@@ -51,186 +69,186 @@
 }
 
 // skipValue returns the end of the value that begins at i.
-func skipValue(b []byte, i int) int {
-	switch b[i] {
+func skipValue(raw []byte, i int) int {
+	switch raw[i] {
 	case '"':
-		return skipString(b, i)
+		return skipString(raw, i)
 	case '{', '[':
-		for depth := 0; ; i++ {
-			switch b[i] {
-			case '"':
-				i = skipString(b, i) - 1
-			case '{', '[':
-				depth++
-			case '}', ']':
-				if depth--; depth == 0 {
-					return i + 1
-				}
-			}
-		}
+		return skipNested(raw, i)
 	}
-	for i < len(b) {
-		switch b[i] {
-		case ',', '}', ']', ' ', '\n', '\t', '\r':
-			return i
-		}
+	for i < len(raw) && raw[i] != ',' && raw[i] != '}' && raw[i] != ']' && !isSpace(raw[i]) {
 		i++
 	}
 	return i
 }
 
-// forEachMember calls fn with each key (unquoted) and value of an object, and refuses a key that comes
-// twice: which of its values holds, nobody could say.
-func forEachMember(obj []byte, fn func(key, val []byte) error) error {
-	var (
-		few  [24][]byte
-		n    int
-		many map[string]bool
-	)
-	for i := skipSpace(obj, 0) + 1; ; i++ {
-		if i = skipSpace(obj, i); obj[i] == '}' {
+// skipNested returns the end of the object or array that begins at i.
+func skipNested(raw []byte, i int) int {
+	for depth := 0; ; i++ {
+		switch raw[i] {
+		case '"':
+			i = skipString(raw, i) - 1
+		case '{', '[':
+			depth++
+		case '}', ']':
+			if depth--; depth == 0 {
+				return i + 1
+			}
+		}
+	}
+}
+
+// forEachMember calls fn with each key, without its quotes, and value of an object. It rejects a key
+// that comes twice: no reader could tell which of its values counts.
+func forEachMember(object []byte, fn func(key, value []byte) error) error {
+	var seen keySet
+	for i := skipSpace(object, 0) + 1; ; i++ {
+		if i = skipSpace(object, i); object[i] == '}' {
 			return nil
 		}
-		end := skipString(obj, i)
-		key := obj[i+1 : end-1]
+		keyEnd := skipString(object, i)
+		key := object[i+1 : keyEnd-1]
 		if bytes.IndexByte(key, '\\') >= 0 {
-			key = []byte(unquote(obj[i:end]))
-		}
-		twice := many[string(key)]
-		for _, k := range few[:min(n, len(few))] {
-			twice = twice || bytes.Equal(k, key)
+			key = []byte(unquote(object[i:keyEnd]))
 		}
-		if twice {
+		if !seen.add(key) {
 			return invalidError(truncate(key), "give it once", "the key comes twice")
 		}
-		if n < len(few) {
-			few[n] = key
-		} else {
-			if many == nil {
-				many = map[string]bool{}
-			}
-			many[string(key)] = true
-		}
-		n++
-		i = skipSpace(obj, end)
-		i = skipSpace(obj, i+1) // the colon
-		end = skipValue(obj, i)
-		if err := fn(key, obj[i:end]); err != nil {
+		colon := skipSpace(object, keyEnd)
+		i = skipSpace(object, colon+1)
+		valueEnd := skipValue(object, i)
+		if err := fn(key, object[i:valueEnd]); err != nil {
 			return err
 		}
-		if i = skipSpace(obj, end); obj[i] == '}' {
+		if i = skipSpace(object, valueEnd); object[i] == '}' {
 			return nil
 		}
 	}
 }
 
+// keySet is the keys of one object. The first of them need no allocation.
+type keySet struct {
+	first [24][]byte
+	count int
+	more  map[string]bool
+}
+
+// add returns false if the set has the key already.
+func (s *keySet) add(key []byte) bool {
+	for _, other := range s.first[:min(s.count, len(s.first))] {
+		if bytes.Equal(other, key) {
+			return false
+		}
+	}
+	if s.more[string(key)] {
+		return false
+	}
+	if s.count < len(s.first) {
+		s.first[s.count] = key
+	} else {
+		if s.more == nil {
+			s.more = map[string]bool{}
+		}
+		s.more[string(key)] = true
+	}
+	s.count++
+	return true
+}
+
 // forEachElement calls fn with each value of an array.
-func forEachElement(list []byte, fn func(i int, val []byte) error) error {
-	i := skipSpace(list, 0) + 1
-	for n := 0; ; n++ {
-		if i = skipSpace(list, i); list[i] == ']' {
+func forEachElement(array []byte, fn func(i int, value []byte) error) error {
+	at := skipSpace(array, 0) + 1
+	for i := 0; ; i++ {
+		if at = skipSpace(array, at); array[at] == ']' {
 			return nil
 		}
-		end := skipValue(list, i)
-		if err := fn(n, list[i:end]); err != nil {
+		end := skipValue(array, at)
+		if err := fn(i, array[at:end]); err != nil {
 			return err
 		}
-		if i = skipSpace(list, end); list[i] == ']' {
+		if at = skipSpace(array, end); array[at] == ']' {
 			return nil
 		}
-		i++
+		at++
 	}
 }
 
-// unquote unquotes a string.
-func unquote(val []byte) string {
-	if bytes.IndexByte(val, '\\') < 0 {
-		return string(val[1 : len(val)-1])
+// unquote returns the text of a JSON string.
+func unquote(value []byte) string {
+	if bytes.IndexByte(value, '\\') < 0 {
+		return string(value[1 : len(value)-1])
 	}
-	var s string
-	_ = json.Unmarshal(val, &s) // val is valid
-	return s
+	var text string
+	_ = json.Unmarshal(value, &text) // the value is valid
+	return text
 }
 
-func isNull(val []byte) bool   { return val[0] == 'n' }
-func isObject(val []byte) bool { return val[0] == '{' }
-func isArray(val []byte) bool  { return val[0] == '[' }
-func isString(val []byte) bool { return val[0] == '"' }
+// appendQuoted appends a key as a JSON string.
+func appendQuoted(to, key []byte) []byte {
+	quoted, _ := json.Marshal(string(key)) // a string can always be encoded
+	return append(to, quoted...)
+}
 
-// The readers of fields: null is as good as not there, another type is refused.
+func isNull(value []byte) bool   { return value[0] == 'n' }
+func isObject(value []byte) bool { return value[0] == '{' }
+func isArray(value []byte) bool  { return value[0] == '[' }
+func isString(value []byte) bool { return value[0] == '"' }
 
-func decodeString(to *string, key, val []byte) error {
-	if isNull(val) {
+// The decoders of fields treat null as an absent field and reject other types than their own.
+
+func decodeString(to *string, key, value []byte) error {
+	if isNull(value) {
 		return nil
 	}
-	if !isString(val) {
+	if !isString(value) {
 		return typeError(key, "a string")
 	}
-	*to = unquote(val)
+	*to = unquote(value)
 	return nil
 }
 
-func decodeBool(to *bool, key, val []byte) error {
-	switch val[0] {
+func decodeBool(to *bool, key, value []byte) error {
+	switch value[0] {
 	case 'n', 't', 'f':
-		*to = val[0] == 't'
+		*to = value[0] == 't'
 		return nil
 	}
 	return typeError(key, "true or false")
 }
 
-func decodeFloat(to *float64, key, val []byte) error {
-	if isNull(val) {
+func decodeFloat(to *float64, key, value []byte) error {
+	if isNull(value) {
 		return nil
 	}
-	if val[0] != '-' && (val[0] < '0' || val[0] > '9') {
+	if value[0] != '-' && (value[0] < '0' || value[0] > '9') {
 		return typeError(key, "a number")
 	}
-	f, err := strconv.ParseFloat(string(val), 64)
+	number, err := strconv.ParseFloat(string(value), 64)
 	if err != nil {
 		return invalidError(truncate(key), "give a smaller number", "the number is out of range")
 	}
-	*to = f
+	*to = number
 	return nil
 }
 
-// decodeInt takes fractions too, rounded away from 0: half a millisecond is not none.
-func decodeInt[T int | int64](to *T, key, val []byte) error {
-	if n, err := strconv.ParseInt(string(val), 10, 64); err == nil {
-		*to = T(n)
+// decodeInt also accepts fractions, which it rounds away from 0: half a millisecond is not none.
+func decodeInt[T int | int64](to *T, key, value []byte) error {
+	if number, err := strconv.ParseInt(string(value), 10, 64); err == nil {
+		*to = T(number)
 		return nil
 	}
-	var f float64
-	if err := decodeFloat(&f, key, val); err != nil || isNull(val) {
+	var number float64
+	if err := decodeFloat(&number, key, value); err != nil || isNull(value) {
 		return err
 	}
-	if f < 0 {
-		f = math.Floor(f)
+	if number < 0 {
+		number = math.Floor(number)
 	} else {
-		f = math.Ceil(f)
+		number = math.Ceil(number)
 	}
-	if math.Abs(f) >= 1<<63 {
+	if math.Abs(number) >= 1<<63 {
 		return invalidError(truncate(key), "give a smaller number", "the number is out of range")
 	}
-	*to = T(f)
+	*to = T(number)
 	return nil
 }
-
-func typeError(key []byte, want string) error {
-	return invalidError(truncate(key), "give it as the protocol shows", "it has to be %s", want)
-}
-
-// truncate keeps messages short, whatever was sent.
-func truncate[T string | []byte](s T) string {
-	const most = 80
-	if len(s) > most {
-		return string(s[:most]) + "..."
-	}
-	return string(s)
-}
-
-// appendQuoted appends a key as JSON.
-func appendQuoted(b, key []byte) []byte {
-	q, _ := json.Marshal(string(key)) // a string can always be marshalled
-	return append(b, q...)
-}
--- a/internal/fleet/config/patch.go
+++ b/internal/fleet/config/patch.go
@@ -7,28 +7,26 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// Apply carries out an order on the current configuration (empty: there is none yet): a whole
-// configuration, or with patch a change of named items. It returns the configuration that
-// follows and its revision. Whether the order was made on top of the current version is for the
-// caller to check.
-func Apply(current []byte, patch bool, body []byte) ([]byte, int64, error) {
-	var cur *Document
+// Apply applies a request to the current configuration, which is empty where there is none yet. The
+// body is a complete configuration or, with patch, a change of named items. Apply returns the
+// resulting configuration and its revision. The caller has to check that the request was made for the
+// current revision.
+func Apply(current []byte, patch bool, body []byte) (next []byte, revision int64, err error) {
+	var document *Document
 	if len(current) > 0 {
-		d, err := Parse(current)
-		if err != nil {
+		if document, err = Parse(current); err != nil {
 			return nil, 0, err
 		}
-		cur = d
 	}
-	next, err := cur.Apply(patch, body)
+	result, err := document.Apply(patch, body)
 	if err != nil {
 		return nil, 0, err
 	}
-	return next.raw, next.Revision, nil
+	return result.raw, result.Revision, nil
 }
 
-// Apply is the function Next for a configuration that is parsed already; d is nil if there is
-// none. The result keeps body.
+// Apply is the function Apply for a configuration that is already parsed; d is nil if there is none.
+// The result keeps body.
 func (d *Document) Apply(patch bool, body []byte) (*Document, error) {
 	var revision int64
 	if d != nil {
@@ -36,17 +34,17 @@
 	}
 	if len(body) > MaxBody {
 		return nil, apierror.New(apierror.TooLarge, "", "send less at once",
-			"the body has %d bytes, at most %d are taken", len(body), MaxBody)
+			"the body has %d bytes, at most %d are accepted", len(body), MaxBody)
 	}
 	if patch {
 		if d == nil {
-			return nil, invalidError("", "put a whole configuration first", "there is no configuration to change")
+			return nil, invalidError("", "put a complete configuration first", "there is no configuration to change")
 		}
-		changed, err := d.applyPatch(body)
+		patched, err := d.applyPatch(body)
 		if err != nil {
 			return nil, err
 		}
-		body = changed
+		body = patched
 	}
 	next, err := Parse(body)
 	if err != nil {
@@ -58,210 +56,179 @@
 	return next, nil
 }
 
-// member is one key of an object, both as they came.
-type member struct{ key, value []byte }
-
-func splitObject(obj []byte) (all []member, err error) {
-	err = forEachMember(obj, func(key, val []byte) error {
-		all = append(all, member{key, val})
-		return nil
-	})
-	return all, err
-}
-
-func findMember(all []member, key []byte) *member {
-	for i := range all {
-		if bytes.Equal(all[i].key, key) {
-			return &all[i]
-		}
-	}
-	return nil
-}
+// The members of a patch that change lists of named items. All others replace or merge a member of
+// the document.
+const (
+	upsertKey = "upsert"
+	removeKey = "remove"
+)
 
-// applyPatch returns the text of the configuration with the change made; everything that the change
-// doesn't name stays byte for byte and in its order.
+// applyPatch returns the text of the configuration with a patch applied. What the patch does not name
+// keeps its bytes and its order. An item that is both removed and upserted is there in its new form.
 func (d *Document) applyPatch(body []byte) ([]byte, error) {
 	if err := validateObject(body); err != nil {
 		return nil, err
 	}
-	change, err := splitObject(body)
+	patch, err := splitObject(body)
 	if err != nil {
 		return nil, err
 	}
-	out, err := splitObject(d.raw)
+	document, err := splitObject(d.raw)
 	if err != nil {
 		return nil, err
 	}
-	set := func(key, val []byte) {
-		if m := findMember(out, key); m != nil {
-			m.value = val
-		} else {
-			out = append(out, member{key, val})
-		}
-	}
-	if findMember(change, []byte("revision")) == nil {
+	if patch.find([]byte("revision")) == nil {
 		return nil, invalidError("revision", "give one above the current one", "it is missing")
 	}
-	for _, c := range change {
-		switch string(c.key) {
-		case "upsert", "remove": // below
-		case "routes", "services":
-			return nil, invalidError(string(c.key), "name the items under upsert and remove", "a change of items can't send the whole list")
-		default: // a field of the whole configuration, such as limits
-			old := findMember(out, c.key)
-			if old != nil && isObject(old.value) && isObject(c.value) {
-				if c.value, err = mergeObjects(old.value, c.value); err != nil {
-					return nil, apierror.PrefixKey(err, truncate(c.key))
-				}
-			}
-			set(c.key, c.value)
-		}
+	if err := document.setFields(patch); err != nil {
+		return nil, err
+	}
+	if err := document.changeLists(patch, removeKey, removeItems); err != nil {
+		return nil, err
+	}
+	if err := document.changeLists(patch, upsertKey, upsertItems); err != nil {
+		return nil, err
 	}
-	// What is removed and sent again is there after all, in its new form.
-	for _, step := range []struct {
-		key   string
-		apply func(old, val []byte) ([]byte, error)
-	}{{"remove", removeItems}, {"upsert", upsertItems}} {
-		c := findMember(change, []byte(step.key))
-		if c == nil || isNull(c.value) {
+	return document.join(), nil
+}
+
+// setFields applies the members of a patch that stand for members of the document, such as limits.
+func (o *object) setFields(patch object) error {
+	for _, field := range patch {
+		value := field.value
+		switch string(field.key) {
+		case upsertKey, removeKey:
 			continue
+		case "routes", "services":
+			return invalidError(string(field.key), "name the items under upsert and remove", "a patch can't replace the complete list")
 		}
-		if !isObject(c.value) {
-			return nil, typeError([]byte(step.key), "an object of lists")
-		}
-		err := forEachMember(c.value, func(key, val []byte) error {
-			var old []byte
-			if m := findMember(out, key); m != nil {
-				old = m.value
-			}
-			now, err := step.apply(old, val)
+		if old := o.find(field.key); old != nil && isObject(old.value) && isObject(value) {
+			merged, err := mergeObjects(old.value, value)
 			if err != nil {
-				return apierror.PrefixKey(err, truncate(key))
-			}
-			if now != nil {
-				set(key, now)
+				return apierror.PrefixKey(err, truncate(field.key))
 			}
-			return nil
-		})
-		if err != nil {
-			return nil, apierror.PrefixKey(err, step.key)
+			value = merged
 		}
+		o.set(field.key, value)
 	}
-	return joinObject(out), nil
+	return nil
 }
 
-// mergeObjects returns the object old with the members of change put in.
-func mergeObjects(old, change []byte) ([]byte, error) {
-	out, err := splitObject(old)
-	if err != nil {
-		return nil, err
+// changeLists applies upsert or remove. change returns the new form of a member, whose current form is
+// nil where there is none, or nil to leave it as it is.
+func (o *object) changeLists(patch object, key string, change func(current, items []byte) ([]byte, error)) error {
+	lists := patch.find([]byte(key))
+	if lists == nil || isNull(lists.value) {
+		return nil
+	}
+	if !isObject(lists.value) {
+		return typeError([]byte(key), "an object of lists")
 	}
-	err = forEachMember(change, func(key, val []byte) error {
-		if m := findMember(out, key); m != nil {
-			m.value = val
-		} else {
-			out = append(out, member{key, val})
+	err := forEachMember(lists.value, func(list, items []byte) error {
+		var current []byte
+		if m := o.find(list); m != nil {
+			current = m.value
+		}
+		changed, err := change(current, items)
+		if err != nil {
+			return apierror.PrefixKey(err, truncate(list))
+		}
+		if changed != nil {
+			o.set(list, changed)
 		}
 		return nil
 	})
-	return joinObject(out), err
+	return apierror.PrefixKey(err, key)
 }
 
-// removeItems returns the list old without the items that names lists, nil to leave it as it is. A
-// name that isn't there is no error: what the operator wants is the case.
-func removeItems(old, names []byte) ([]byte, error) {
+// removeItems returns a list without the items of some names, or nil to leave it as it is. A name that
+// is not in the list is no error: the operator has what was asked for.
+func removeItems(list, names []byte) ([]byte, error) {
 	if !isArray(names) {
 		return nil, typeError(nil, "a list of names")
 	}
-	gone := map[string]bool{}
-	err := forEachElement(names, func(i int, val []byte) error {
-		if !isString(val) {
+	remove := map[string]bool{}
+	err := forEachElement(names, func(i int, name []byte) error {
+		if !isString(name) {
 			return typeError([]byte(strconv.Itoa(i)), "a name")
 		}
-		gone[unquote(val)] = true
+		remove[unquote(name)] = true
 		return nil
 	})
-	if err != nil || old == nil || isNull(old) {
+	if err != nil || list == nil || isNull(list) {
 		return nil, err
 	}
-	if !isArray(old) {
+	if !isArray(list) {
 		return nil, invalidError("", "send it anew instead", "there is no list of named items")
 	}
-	var kept [][]byte
-	err = forEachElement(old, func(_ int, item []byte) error {
+	var remaining [][]byte
+	err = forEachElement(list, func(_ int, item []byte) error {
 		name, err := nameOf(item)
-		if name == "" || !gone[name] {
-			kept = append(kept, item)
+		if name == "" || !remove[name] {
+			remaining = append(remaining, item)
 		}
 		return err
 	})
-	return joinList(kept), err
+	return joinList(remaining), err
 }
 
-// upsertItems returns the list old with the items of val put in, by name where it is there, else at
-// the end. An object takes the place of an object member by member.
-func upsertItems(old, val []byte) ([]byte, error) {
-	if isObject(val) && old != nil && isObject(old) {
-		return mergeObjects(old, val)
-	}
-	if isObject(val) && old == nil {
-		return val, nil
-	}
-	if !isArray(val) || old != nil && !isArray(old) && !isNull(old) {
+// upsertItems returns a list with items put in: in the place of the item of the same name, or at the
+// end. Where both are objects their members are merged.
+func upsertItems(list, items []byte) ([]byte, error) {
+	switch {
+	case isObject(items) && list == nil:
+		return items, nil
+	case isObject(items) && isObject(list):
+		return mergeObjects(list, items)
+	case !isArray(items) || list != nil && !isArray(list) && !isNull(list):
 		return nil, typeError(nil, "a list of items")
 	}
-	var all [][]byte
-	at := map[string]int{}
-	add := func(item []byte) error {
-		name, err := nameOf(item)
-		if name != "" {
-			at[name] = len(all)
-		}
-		all = append(all, item)
-		return err
-	}
-	if old != nil && isArray(old) {
-		if err := forEachElement(old, func(_ int, item []byte) error { return add(item) }); err != nil {
+	u := upsert{index: map[string]int{}, sent: map[string]bool{}}
+	if list != nil && isArray(list) {
+		if err := forEachElement(list, u.addCurrent); err != nil {
 			return nil, err
 		}
 	}
-	sent := map[string]bool{}
-	err := forEachElement(val, func(i int, item []byte) error {
-		name, err := nameOf(item)
-		switch j, there := at[name]; {
-		case err != nil:
-			return apierror.PrefixKey(err, strconv.Itoa(i))
-		case name == "":
-			return invalidError(strconv.Itoa(i)+".name", "give each item its name", "it is missing")
-		case sent[name]:
-			return invalidError(truncate(name)+".name", "send each item once", "the item comes twice")
-		case there:
-			all[j] = item
-		default:
-			all = append(all, item)
-		}
-		sent[name] = true
-		return nil
-	})
-	return joinList(all), err
+	err := forEachElement(items, u.put)
+	return joinList(u.items), err
 }
 
-func joinObject(all []member) []byte {
-	n := 2
-	for _, m := range all {
-		n += len(m.key) + len(m.value) + 4
-	}
-	b := append(make([]byte, 0, n), '{')
-	for i, m := range all {
-		if i > 0 {
-			b = append(b, ',')
-		}
-		b = append(append(appendQuoted(b, m.key), ':'), m.value...)
+// upsert is a list into which items are put by name.
+type upsert struct {
+	items [][]byte
+	index map[string]int  // of the items that have a name
+	sent  map[string]bool // the names that were put in
+}
+
+func (u *upsert) addCurrent(_ int, item []byte) error {
+	name, err := nameOf(item)
+	if name != "" {
+		u.index[name] = len(u.items)
 	}
-	return append(b, '}')
+	u.items = append(u.items, item)
+	return err
+}
+
+// put puts in item i of those that were sent.
+func (u *upsert) put(i int, item []byte) error {
+	name, err := nameOf(item)
+	switch j, exists := u.index[name]; {
+	case err != nil:
+		return apierror.PrefixKey(err, strconv.Itoa(i))
+	case name == "":
+		return invalidError(strconv.Itoa(i)+".name", "give each item its name", "it is missing")
+	case u.sent[name]:
+		return invalidError(truncate(name)+".name", "send each item once", "the item comes twice")
+	case exists:
+		u.items[j] = item
+	default:
+		u.items = append(u.items, item)
+	}
+	u.sent[name] = true
+	return nil
 }
 
-func joinList(all [][]byte) []byte {
-	b := append([]byte{'['}, bytes.Join(all, []byte{','})...)
-	return append(b, ']')
+func joinList(items [][]byte) []byte {
+	list := append([]byte{'['}, bytes.Join(items, []byte{','})...)
+	return append(list, ']')
 }
--- a/internal/fleet/config/types.go
+++ b/internal/fleet/config/types.go
@@ -1,13 +1,19 @@
-// Package config owns the operator's configuration: its types, its changes and every reason for
-// which one is refused. It is pure.
+// Package config holds the operator's configuration: its types, the parsing and validation of a
+// document, the changes that an operator may send, and the match of a request to a route.
+//
+// It is pure: it reads no file and no clock. A Document is immutable once it is parsed and may be
+// used by many goroutines. Every error is an *apierror.Error of kind Invalid, or TooLarge past a
+// bound, that names the key which is wrong and the remedy. Keys, defaults and rules are those of the
+// operators' pages on the configuration.
 package config
 
 import "encoding/json"
 
-// Kind tells how the requests of a route may be repeated.
+// Kind is the kind of a route: whether its requests may be repeated. Kinds that are not known here
+// are kept and treated as Unsafe.
 type Kind string
 
-// The kinds of routes.
+// The kinds of routes, as documents have them.
 const (
 	Safe      Kind = "safe"
 	Unsafe    Kind = "unsafe"
@@ -17,54 +23,54 @@
 // Route is one route of a configuration. Times are in ms.
 type Route struct {
 	Name               string
-	Host               string
-	Prefix             string
+	Host               string // in lower case, without a port
+	Prefix             string // of paths; begins and ends with a slash
 	Kind               Kind
-	TimeoutMs          int64
-	LatencyTargetMs    int64
+	TimeoutMs          int64   // above 0
+	LatencyTargetMs    int64   // setpoint-ms: to the first token; 0: none
 	Priority           int     // admission-priority: 0 is the most urgent
-	Splits             []Split // at least one; the weights sum to more than 0
+	Splits             []Split // at least one; the weights are above 0
 	MaxAttempts        int     // at least 1
 	Affinity           bool
 	Resumable          bool
-	InterTokenTargetMs int64
+	InterTokenTargetMs int64 // gap_aim_ms: between two tokens; 0: none
 }
 
-// Split is a part of a route's traffic.
+// Idempotent returns whether a request of the route may run more than once.
+func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Streaming && r.Resumable }
+
+// Split is the share of a route's traffic that goes to a service, in proportion to its weight.
 type Split struct {
 	Service string
 	Weight  float64
 }
 
-// Idempotent tells whether a request of the route may run more than once.
-func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Streaming && r.Resumable }
-
 // Service is one service of a configuration.
 type Service struct {
 	Name       string
 	HealthPath string
-	ConnLimit  int
+	ConnLimit  int     // connections to each of its servers
 	Engine     *Engine // nil where it is no model service
 }
 
-// Engine is what a configuration tells of a service's model servers.
+// Engine describes a service's model servers. A field that is 0 is not known.
 type Engine struct {
-	Slots          int
-	CacheTokens    int
+	Slots          int // requests that a server runs at once
+	CacheTokens    int // capacity of its KV cache
 	KVTokenBytes   int
 	LinkMbps       float64
-	TokensPerEvent int // tokens to an event
+	TokensPerEvent int // stride
 	Models         []string
 }
 
-// Limits bound what a client may send. Sizes are in bytes, times in ms.
+// Limits bound what a client may send. Sizes are in bytes, times in ms; 0 is no limit of its own.
 type Limits struct {
 	HeaderBytes, BodyBytes, HeaderMs, IdleMs int64
 }
 
-// Document is one whole configuration, immutable.
+// Document is one complete configuration. It is immutable.
 type Document struct {
-	Revision int64
+	Revision int64 // above 0, rises with each change
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
@@ -72,3 +78,9 @@
 	raw    json.RawMessage     // as it is read back
 	byHost map[string][]*Route // longest prefix first
 }
+
+// Raw returns the configuration as it was sent, unknown fields included. It may not be modified.
+func (d *Document) Raw() json.RawMessage { return d.raw }
+
+// Service returns a service by its name, nil if there is none.
+func (d *Document) Service(name string) *Service { return d.Services[name] }
