--- a/internal/fleet/gateway/bench_test.go
+++ b/internal/fleet/gateway/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The benchmarks pass requests through a door from one client to one server, whose own part is
-// kept as small as it gets: they read lines until one that ends a message, and write fixed bytes.
+// BenchmarkRequest sends requests through a gateway from one client to one server. Both do as little as
+// possible: they read lines up to the end of a message, and write fixed bytes.
 func BenchmarkRequest(b *testing.B) {
 	first := "HTTP/1.1 200 OK\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" + headerServerSeal + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" + headerServerLoad + ": 3,0,64\r\nKeep-Alive: timeout=20\r\n"
 	for _, c := range []struct {
@@ -75,8 +75,7 @@
 	}
 }
 
-// BenchmarkFraming reads the head of a request and its body from a connection in memory, as it is
-// and with its framing watched.
+// BenchmarkFraming reads requests from a connection in memory, with and without a framingConn.
 func BenchmarkFraming(b *testing.B) {
 	request := []byte(benchmarkRequest("/once/x"))
 	for _, c := range []struct {
@@ -105,7 +104,7 @@
 	}
 }
 
-// repeatedConn brings one request again and again.
+// repeatedConn is a connection on which one request arrives again and again.
 type repeatedConn struct {
 	net.Conn
 	data   []byte
@@ -133,7 +132,7 @@
 	return append(out, "0\r\n\r\n")
 }
 
-// readThrough reads lines up to the one that is the end.
+// readThrough reads lines up to and including the given one.
 func readThrough(reader *bufio.Reader, end string) error {
 	for {
 		line, err := reader.ReadSlice('\n')
--- a/internal/fleet/gateway/disconnect_test.go
+++ b/internal/fleet/gateway/disconnect_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Nothing is sent for a client that has left before its body was whole.
+// TestClientDisconnectDuringBody checks that a request with an incomplete body is not sent.
 func TestClientDisconnectDuringBody(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	requests := []string{
@@ -29,9 +29,10 @@
 	require.Zero(t, harness.servers[0].connCount.Load())
 }
 
-// A client that leaves while its server does not read has the server's connection closed at once.
+// TestClientDisconnectDuringUpload has a client leave while the server does not read: the connection to the
+// server is closed at once.
 func TestClientDisconnectDuringUpload(t *testing.T) {
-	const long = 12 << 20 // more than the buffers of a connection hold, whose receiver has a small one
+	const long = 12 << 20 // more than the buffers of a connection with a small receive buffer
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -51,7 +52,7 @@
 	require.NoError(t, err)
 	harness.track(netConn)
 	client.Close()
-	// The connection takes no more bytes, so that only the client's end can end the send.
+	// The connection takes no more bytes: only the client's disconnect can end the upload.
 	require.Eventually(t, func() bool { return harness.gateway.Counters.ClientDisconnects.Load() == 1 }, finalResponseMargin, time.Millisecond)
 	require.NoError(t, netConn.SetReadDeadline(time.Now().Add(testTimeout)))
 	n, err := io.Copy(io.Discard, netConn)
@@ -59,7 +60,8 @@
 	require.Less(t, n, int64(long))
 }
 
-// Whatever a request waits for, its client's leaving ends it at once and not at its deadline.
+// TestClientDisconnectIsPrompt checks that a client's disconnect ends its request at once, not at its
+// deadline, whatever the request waits for.
 func TestClientDisconnectIsPrompt(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/resume/x", "/stream/begun", "/resume/begun", "/once/begun"} {
 		t.Run(path, func(t *testing.T) {
@@ -67,7 +69,7 @@
 			harness := newHarness(t, 2, func(call *upstreamCall, _ int) bool {
 				switch {
 				case strings.Contains(call.requestLine, "/once/begun"):
-					writePartialResponse(call)
+					call.writePartialResponse()
 				case strings.Contains(call.requestLine, "/begun"):
 					call.startStream("s")
 					call.writeEvents(1, 1)
@@ -99,5 +101,92 @@
 	require.Eventually(t, func() bool { return harness.gateway.ServerViews()[0].InFlight == 1 }, testTimeout, time.Millisecond)
 	client.Close()
 	require.Eventually(t, func() bool { return harness.gateway.Counters.ClientDisconnects.Load() == 1 }, testTimeout, time.Millisecond)
-	require.Less(t, time.Since(start), connectTimeout, "the connect was waited for")
+	require.Less(t, time.Since(start), connectTimeout, "the connect was not cancelled")
+}
+
+func TestClientDisconnect(t *testing.T) {
+	t.Run("while the server works", func(t *testing.T) {
+		for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/resume/x"} {
+			harness := newHarness(t, 2, func(call *upstreamCall, n int) bool { call.requireClosed(t); return false })
+			client := harness.dial()
+			client.write(postRequest(path, "", "q"))
+			call := harness.nextCall()
+			client.Close()
+			call.requireClosed(t)
+			harness.requireNoCall()
+		}
+	})
+	t.Run("while it streams", func(t *testing.T) {
+		harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
+			call.startStream("s")
+			call.writeEvents(1, 1)
+			call.requireClosed(t)
+			return false
+		})
+		for _, path := range []string{"/stream/x", "/resume/x"} {
+			client := harness.dial()
+			client.write(postRequest(path, "", "q"))
+			client.readHead()
+			call := harness.nextCall()
+			client.Close()
+			call.requireClosed(t)
+		}
+		harness.requireNoCall()
+	})
+	t.Run("before it is sent", func(t *testing.T) {
+		harness := newHarness(t, 0, nil)
+		full := listenWithFullBacklog(t)
+		harness.addServer(&testServer{listener: full}, "s")
+		harness.update(harness.document(""))
+		client := harness.dial()
+		client.write(postRequest("/once/x", "", "q"))
+		inFlight := func() int { return harness.gateway.ServerViews()[0].InFlight }
+		require.Eventually(t, func() bool { return inFlight() == 1 }, testTimeout, time.Millisecond)
+		client.Close()
+		require.Eventually(t, func() bool { return inFlight() == 0 }, testTimeout, time.Millisecond)
+		require.EqualValues(t, 1, harness.gateway.Counters.ClientDisconnects.Load())
+	})
+}
+
+// listenWithFullBacklog returns a listener whose queue of connections is full, so that connects wait.
+func listenWithFullBacklog(t *testing.T) net.Listener {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	raw, err := listener.(*net.TCPListener).SyscallConn()
+	require.NoError(t, err)
+	require.NoError(t, raw.Control(func(fd uintptr) { require.NoError(t, unix.Listen(int(fd), 0)) }))
+	for { // until a connect waits
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 100*time.Millisecond)
+		if err != nil {
+			require.True(t, isTimeout(err))
+			return listener
+		}
+		t.Cleanup(func() { conn.Close() })
+	}
+}
+
+// TestHalfClosedClient closes the sending side of a client: nothing that it still reads may look like a complete
+// response.
+func TestHalfClosedClient(t *testing.T) {
+	for _, path := range []string{"/once/x", "/stream/x"} {
+		harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
+			if strings.Contains(call.requestLine, "/stream/") {
+				call.startStream("s")
+				call.writeEvents(1, 1)
+			}
+			call.requireClosed(t)
+			return false
+		})
+		client := harness.dial()
+		client.write(postRequest(path, "", "q"))
+		harness.nextCall()
+		if path == "/stream/x" {
+			require.Equal(t, 200, client.readHead().StatusCode)
+		}
+		require.NoError(t, client.Conn.(*net.TCPConn).CloseWrite())
+		rest, _ := io.ReadAll(client.reader)
+		require.NotContains(t, string(rest), "HTTP/1.1 2", path)
+		require.NotContains(t, string(rest), "\r\n0\r\n\r\n", path)
+	}
 }
--- a/internal/fleet/gateway/framing_conn_test.go
+++ b/internal/fleet/gateway/framing_conn_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -11,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Requests whose framing RFC 9112 lets a server read in one way and others read in another: they
-// should get an error and their connection be closed, so that what stands behind is never run.
+// TestAmbiguousFraming sends requests whose end RFC 9112 allows servers to find at different bytes. They get an
+// error and their connection is closed, so that what follows is never executed.
 func TestAmbiguousFraming(t *testing.T) {
 	hidden := "POST /once/hidden HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": hidden\r\nContent-Length: 0\r\n\r\n"
 	chunked := "0\r\n\r\n" + hidden
@@ -24,33 +23,24 @@
 		"a space before a name": requestHead("POST", "/once/x", "X-A: 1\r\n Content-Length: 5\r\n") + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+			harness := newHarness(t, 1, alwaysSucceed)
 			client := harness.dial()
 			_, _ = client.Write([]byte(request))
-			for {
-				resp, err := http.ReadResponse(client.reader, nil)
-				if err != nil {
-					require.False(t, isTimeout(err), "the connection is still open")
-					break
-				}
-				require.GreaterOrEqual(t, resp.StatusCode, 400)
-				require.True(t, resp.Close, "%d keeps the connection", resp.StatusCode)
-				_, _ = io.Copy(io.Discard, resp.Body)
-			}
+			client.readRejections()
 			harness.requireNoCall()
 		})
 	}
 }
 
-// A doubtful request gets 400, and what stands behind it is not read.
+// TestAmbiguousRequestGets400 also checks that what follows an ambiguous request is not read.
 func TestAmbiguousRequestGets400(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	for name, c := range ambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			rejected := harness.gateway.Counters.Rejected.Load()
 			client := harness.dial()
 			defer client.Close()
-			// On a route, as the bodies of other requests are not read.
+			// On a route, as net/http does not read the bodies of other requests.
 			routed := strings.TrimSuffix(requestHead("POST", "/once/x", ""), "\r\n")
 			request := strings.Replace(c.request, postHead, routed, 1)
 			client.write(request + postRequest("/once/hidden", "", ""))
@@ -64,8 +54,7 @@
 	}
 }
 
-// A request that is doubtful does not end those ahead of it on its connection: they are answered
-// first.
+// TestAmbiguousRequestBehindAnother checks that the requests ahead of an ambiguous one are answered first.
 func TestAmbiguousRequestBehindAnother(t *testing.T) {
 	release := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -75,8 +64,8 @@
 		}
 		return call.respondSuccess()
 	})
-	doubtful := requestHead("POST", "/once/x", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")
-	for _, second := range []string{doubtful, doubtful[1:10] + " ", "\x00", requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "x\r\n"} {
+	ambiguous := requestHead("POST", "/once/x", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")
+	for _, second := range []string{ambiguous, ambiguous[1:10] + " ", "\x00", requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "x\r\n"} {
 		client := harness.dial()
 		client.write(postRequest("/once/first", "", "q") + second + postRequest("/once/hidden", "", ""))
 		require.Contains(t, harness.nextCall().requestLine, "/once/first")
@@ -92,11 +81,10 @@
 		client.requireClosed()
 		harness.requireNoCall()
 	}
-	require.Zero(t, harness.gateway.Counters.ClientDisconnects.Load(), "a request was taken for one whose client has left")
+	require.Zero(t, harness.gateway.Counters.ClientDisconnects.Load(), "a request was cancelled as if its client had left")
 }
 
-// Requests of every kind of framing, one behind the other and byte by byte, are served on one
-// connection.
+// TestFramingByteByByte sends pipelined requests with every kind of framing byte by byte.
 func TestFramingByteByByte(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		if strings.HasPrefix(call.requestLine, "HEAD") {
@@ -130,9 +118,9 @@
 	harness.requireNoCall()
 }
 
-// The head of a request with Expect is answered before its body is scanned.
+// TestAmbiguousBodyAfterContinue sends a body with ambiguous framing after 100 Continue.
 func TestAmbiguousBodyAfterContinue(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	client.write(requestHead("POST", "/once/x", "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"))
 	line, err := client.reader.ReadString('\n')
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -15,17 +15,17 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// connReading is a connection on which a server sends the given bytes and closes.
+// connReading returns a connection on which a server sends the given bytes and closes.
 func connReading(r io.Reader) *conn { return newConn(readConn{r: r}, "i-0") }
 
 type readConn struct {
-	net.Conn // nil: nothing but reads is played
+	net.Conn // nil: only Read is called
 	r        io.Reader
 }
 
 func (c readConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// readOneResponse reads one answer off a connection, and what stands behind it.
+// readOneResponse reads one response, and what follows it.
 func readOneResponse(r io.Reader, method string) (resp *http.Response, body, rest []byte, err error) {
 	conn := connReading(r)
 	if resp, err = http1.ReadResponseHead(conn.reader); err != nil {
@@ -38,9 +38,9 @@
 	return resp, body, rest, err
 }
 
-// FuzzResponse reads any bytes as an answer: the same comes of them however they are cut into reads;
-// nothing but what stands behind the answer is left; and a beginning of an answer that tells its
-// length is never a whole one.
+// FuzzResponse reads arbitrary bytes as a response. The result does not depend on how they are divided into
+// reads, nothing but what follows the response remains, and a truncated response is never complete unless
+// it is close-delimited.
 func FuzzResponse(f *testing.F) {
 	for _, a := range scriptedResponses {
 		f.Add([]byte(a.text+"HTTP/1.1 "), false)
@@ -78,7 +78,7 @@
 				continue
 			}
 			_, _, _, err := readOneResponse(bytes.NewReader(answer[:len(answer)-cut]), method)
-			require.Error(t, err, "a beginning of an answer looks whole")
+			require.Error(t, err, "a truncated response looks complete")
 		}
 		if len(resp.TransferEncoding) == 0 && !hasNoBody(resp, method) {
 			require.EqualValues(t, resp.ContentLength, len(body))
@@ -87,7 +87,8 @@
 	})
 }
 
-// FuzzResetResponse reads any bytes as an answer whose connection is reset: one without length is never whole.
+// FuzzResetResponse reads arbitrary bytes as a response whose connection is reset: a close-delimited one is
+// never complete.
 func FuzzResetResponse(f *testing.F) {
 	for _, a := range scriptedResponses {
 		f.Add([]byte(a.text))
--- a/internal/fleet/gateway/handler_test.go
+++ b/internal/fleet/gateway/handler_test.go
@@ -17,8 +17,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// A message that may be read in two ways, or not at all, gets an error and its connection is closed:
-// what stands behind it may be part of it. No server sees a request that no client sent.
+// TestRequestSmuggling sends messages that can be read in two ways, or not at all, and a request behind them that
+// may be part of them. They get an error, their connection is closed, and no server receives the request.
 func TestRequestSmuggling(t *testing.T) {
 	hidden := "POST /once/hidden HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": hidden\r\nContent-Length: 0\r\n\r\n"
 	chunked := "0\r\n\r\n" + hidden
@@ -67,27 +67,19 @@
 		"many fields":            requestHead("POST", "/once/x", strings.Repeat("X-A: 1\r\n", 20000)) + hidden,
 	} {
 		t.Run(name, func(t *testing.T) {
-			harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+			harness := newHarness(t, 1, alwaysSucceed)
 			client := harness.dial()
-			_, _ = client.Write([]byte(request)) // the door may have had enough before the end
-			for {
-				resp, err := http.ReadResponse(client.reader, nil)
-				if err != nil {
-					require.False(t, isTimeout(err), "the connection is still open")
-					break
-				}
-				require.GreaterOrEqual(t, resp.StatusCode, 400)
-				require.True(t, resp.Close, "%d keeps the connection", resp.StatusCode)
-				_, _ = io.Copy(io.Discard, resp.Body)
-			}
+			_, _ = client.Write([]byte(request)) // the gateway may close the connection before the end
+			client.readRejections()
 			harness.requireNoCall()
 		})
 	}
 }
 
-// Lengths that are the same twice may be read in one way only.
+// TestRepeatedContentLength sends a length twice, which can be read in one way only: to serve it and to reject it
+// are both valid.
 func TestRepeatedContentLength(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	resp, _ := harness.roundTrip(requestHead("POST", "/once/x", "Content-Length: 1\r\nContent-Length: 1\r\n") + "q")
 	if resp.StatusCode == 200 {
 		require.Equal(t, []string{"1"}, harness.nextCall().header["Content-Length"])
@@ -121,7 +113,7 @@
 }
 
 func TestNoRoute(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	for _, request := range []string{
 		postRequest("/none/x", "", strings.Repeat("x", 20000)), postRequest("/", "", "x"), postRequest("/once", "", "x"),
@@ -141,7 +133,7 @@
 }
 
 func TestAbsoluteFormTarget(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	for target, path := range map[string]string{"http://h.example/once/a%2Fb?x=1": "/once/a%2Fb?x=1", "HTTP://h.example:80//once/": ""} {
 		resp, _ := harness.roundTrip(postRequest(target, "", "q"))
 		if path == "" {
@@ -156,7 +148,7 @@
 }
 
 func TestExpectContinue(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	for range 2 {
 		client.write(requestHead("POST", "/once/x", "Expect: 100-continue\r\nContent-Length: 5\r\n"))
@@ -169,14 +161,14 @@
 		require.Equal(t, "served hello", body)
 		require.NotContains(t, harness.nextCall().header, "Expect")
 	}
-	// Without a route nobody waits for the body.
+	// Without a route the body is not waited for.
 	client.write(requestHead("POST", "/none/x", "Expect: 100-continue\r\nContent-Length: 5\r\n"))
 	resp, _ := client.readResponse()
 	require.Equal(t, 404, resp.StatusCode)
 }
 
 func TestConnectionClose(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	client.write(postRequest("/once/x", "Connection: close\r\n", "q"))
 	resp, _ := client.readResponse()
@@ -186,7 +178,7 @@
 }
 
 func TestStartup(t *testing.T) {
-	harness := newUnconfiguredHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newUnconfiguredHarness(t, 1, alwaysSucceed)
 	start := time.Now()
 	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 	requireRefused(t, resp)
@@ -197,7 +189,7 @@
 		return recorder.Code
 	}
 	require.Equal(t, 503, ready())
-	// What is known is not all yet.
+	// The snapshot is not up to date yet, and then it has no servers.
 	document := harness.document("")
 	harness.gateway.Update(&relay.Snapshot{Config: document, Servers: harness.serverList(), Agents: 1})
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
@@ -208,7 +200,7 @@
 	requireRefused(t, resp)
 	require.Equal(t, 503, ready())
 	harness.requireNoCall()
-	// One that waits is served as soon as all is known.
+	// A request that waits is served as soon as the snapshot is complete.
 	client := harness.dial()
 	client.write(postRequest("/once/x", "", "q"))
 	harness.update(document)
@@ -217,7 +209,7 @@
 	require.Equal(t, 200, ready())
 }
 
-// The entry's question waits for nothing.
+// TestReadinessTakesNoLock answers a readiness probe while all locks are held.
 func TestReadinessTakesNoLock(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	harness.gateway.mu.Lock()
@@ -229,6 +221,46 @@
 	require.Equal(t, 200, recorder.Code)
 }
 
+// shutdownClients are clients whose requests are at different stages when the gateway shuts down.
+type shutdownClients struct {
+	idle      *testClient // has had a response
+	fresh     *testClient // has sent nothing yet
+	streaming *testClient
+	stream    *http.Response // to streaming, after two events
+	waiting   *testClient    // for the response to a request that was sent to a server
+	uploading *testClient    // has sent a part of its request
+	remainder string         // of that request
+}
+
+// startShutdownClients connects the clients, and waits until their requests have reached a server.
+func startShutdownClients(harness *testHarness) *shutdownClients {
+	clients := &shutdownClients{idle: harness.dial(), fresh: harness.dial()}
+	clients.idle.write(postRequest("/once/x", "", "q"))
+	_, _ = clients.idle.readResponse()
+	clients.streaming = harness.dial()
+	clients.streaming.write(postRequest("/stream/x", "", "q"))
+	clients.stream = clients.streaming.readHead()
+	clients.waiting = harness.dial()
+	clients.waiting.write(postRequest("/once/slow", "", "q"))
+	clients.uploading = harness.dial()
+	request := postRequest("/once/half", "", strings.Repeat("x", 20000))
+	clients.uploading.write(request[:10000])
+	clients.remainder = request[10000:]
+	for range 3 {
+		harness.nextCall()
+	}
+	return clients
+}
+
+// requireLastResponse checks that a client gets a success, after which its connection is closed.
+func requireLastResponse(t *testing.T, client *testClient) (body string) {
+	t.Helper()
+	resp, body := client.readResponse()
+	require.Equal(t, 200, resp.StatusCode)
+	require.True(t, resp.Close)
+	return body
+}
+
 func TestShutdown(t *testing.T) {
 	release := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -245,20 +277,7 @@
 	})
 	finish := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(finish)
-	idle, fresh := harness.dial(), harness.dial()
-	idle.write(postRequest("/once/x", "", "q"))
-	_, _ = idle.readResponse()
-	stream := harness.dial()
-	stream.write(postRequest("/stream/x", "", "q"))
-	streamed := stream.readHead()
-	slow := harness.dial()
-	slow.write(postRequest("/once/slow", "", "q"))
-	half := harness.dial()
-	request := postRequest("/once/half", "", strings.Repeat("x", 20000))
-	half.write(request[:10000])
-	for range 3 {
-		harness.nextCall()
-	}
+	clients := startShutdownClients(harness)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	done := make(chan bool)
@@ -266,49 +285,48 @@
 		harness.gateway.Shutdown(ctx, 300*time.Millisecond)
 		close(done)
 	}()
-	idle.requireClosed()
+	clients.idle.requireClosed()
 	recorder := httptest.NewRecorder()
 	harness.gateway.ServeReadiness(recorder, nil)
 	require.Equal(t, 503, recorder.Code)
-	// In the linger what comes is served, and its connection closed.
-	fresh.write(postRequest("/once/fresh", "", "q"))
-	resp, _ := fresh.readResponse()
-	require.Equal(t, 200, resp.StatusCode)
-	require.True(t, resp.Close)
-	fresh.requireClosed()
+
+	// During the linger time requests are served, also on new connections.
+	clients.fresh.write(postRequest("/once/fresh", "", "q"))
+	requireLastResponse(t, clients.fresh)
+	clients.fresh.requireClosed()
 	late := harness.dial()
 	late.write(postRequest("/once/late", "", "q"))
-	resp, _ = late.readResponse()
-	require.Equal(t, 200, resp.StatusCode)
-	require.True(t, resp.Close)
-	half.write(request[10000:])
-	resp, _ = half.readResponse()
-	require.Equal(t, 200, resp.StatusCode)
-	require.True(t, resp.Close)
-	require.Eventually(t, func() bool { // the linger is over
-		conn, err := net.Dial("tcp", harness.addr)
-		if err == nil {
-			conn.Close()
-		}
-		return err != nil
-	}, testTimeout, 10*time.Millisecond)
+	requireLastResponse(t, late)
+	clients.uploading.write(clients.remainder)
+	requireLastResponse(t, clients.uploading)
+
+	harness.requireListenerClosed()
 	select {
 	case <-done:
-		require.FailNow(t, "ended under requests")
+		require.FailNow(t, "shutdown ended with requests in flight")
 	default:
 	}
 	finish()
-	resp, body := slow.readResponse()
-	require.Equal(t, 200, resp.StatusCode)
-	require.Equal(t, "served q", body)
-	require.True(t, resp.Close)
-	b, err := io.ReadAll(streamed.Body)
+	require.Equal(t, "served q", requireLastResponse(t, clients.waiting))
+	streamed, err := io.ReadAll(clients.stream.Body)
 	require.NoError(t, err)
-	require.Equal(t, eventTexts(1, 4), string(b))
+	require.Equal(t, eventTexts(1, 4), string(streamed))
 	<-done
 }
 
-// What is left at the end of the grace is broken off, at the client and at the server.
+// requireListenerClosed waits until the gateway accepts no more connections.
+func (h *testHarness) requireListenerClosed() {
+	h.t.Helper()
+	require.Eventually(h.t, func() bool {
+		conn, err := net.Dial("tcp", h.addr)
+		if err == nil {
+			conn.Close()
+		}
+		return err != nil
+	}, testTimeout, 10*time.Millisecond)
+}
+
+// TestShutdownCancelsRequests ends the context of a shutdown: requests break off at the client and at the server.
 func TestShutdownCancelsRequests(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		call.startStream("s")
@@ -323,19 +341,19 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	harness.gateway.Shutdown(ctx, 0)
-	require.EqualValues(t, 0, harness.gateway.inFlight.Load(), "a request is still held")
-	b, err := io.ReadAll(resp.Body)
-	require.Error(t, err, "it must not look whole")
+	require.EqualValues(t, 0, harness.gateway.inFlight.Load(), "a request is still in flight")
+	body, err := io.ReadAll(resp.Body)
+	require.Error(t, err, "it must not look complete")
 	require.False(t, isTimeout(err), "the connection is still open")
-	require.Equal(t, eventTexts(1, 2), string(b))
+	require.Equal(t, eventTexts(1, 2), string(body))
 	call.requireClosed(t)
 }
 
-// A request that comes as its connection is closed for idling gets an answer, or none at all and has
-// not run.
+// TestRequestOnClosingConnection sends a request while its idle connection is closed: it gets a response, or none
+// at all and was not executed.
 func TestRequestOnClosingConnection(t *testing.T) {
 	for range 20 {
-		harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+		harness := newHarness(t, 1, alwaysSucceed)
 		client := harness.dial()
 		client.write(postRequest("/once/x", "", "q"))
 		_, _ = client.readResponse()
@@ -360,12 +378,12 @@
 }
 
 func TestIdleClientsDoNotBlockOthers(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() }, func(nodeSettings *settings.Settings) { nodeSettings.Limits.FDs = 400 })
+	harness := newHarness(t, 1, alwaysSucceed, func(nodeSettings *settings.Settings) { nodeSettings.Limits.FDs = 400 })
 	var conns []*testClient
 	for range 300 {
 		conns = append(conns, harness.dial())
 	}
-	// Whoever comes is served, though others hold connections that they don't use.
+	// Clients are served although others keep connections that they don't use.
 	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
 	for _, client := range conns {
--- a/internal/fleet/gateway/pool_test.go
+++ b/internal/fleet/gateway/pool_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"context"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
 func TestParseKeepAlive(t *testing.T) {
@@ -23,7 +26,7 @@
 }
 
 func TestPool(t *testing.T) {
-	harness := newHarness(t, 3, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 3, alwaysSucceed)
 	ctx := context.Background()
 	pool := newPool(2)
 	get := func(server *testServer) (*conn, bool, error) {
@@ -64,3 +67,49 @@
 	require.Zero(t, pool.open)
 	require.Empty(t, pool.idle)
 }
+
+// requireNoUsableConn waits until the gateway has no idle connection to a server that may carry a request.
+func (h *testHarness) requireNoUsableConn(server *testServer) {
+	h.t.Helper()
+	pool := h.gateway.pool
+	require.Eventually(h.t, func() bool {
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		for _, conn := range pool.idle[server.instance.ID] {
+			return !http1.IsIdle(conn.Conn, conn.reader)
+		}
+		return pool.open == 0 // it was not usable when it was put back
+	}, testTimeout, time.Millisecond)
+}
+
+func TestIdleConnectionClosedByServer(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool { return call.respondSuccess() && n > 0 })
+	_, _ = harness.roundTrip(postRequest("/once/x", "", "1"))
+	firstCall := harness.nextCall()
+	harness.requireNoUsableConn(firstCall.server)
+	resp, body := harness.roundTrip(postRequest("/once/x", "", "2"))
+	require.Equal(t, 200, resp.StatusCode)
+	require.Equal(t, "served 2", body)
+	require.EqualValues(t, 2, harness.servers[0].connCount.Load())
+}
+
+func TestConnectionReuse(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
+		if strings.Contains(call.requestLine, "/last") {
+			return call.respond(200, sealField+"Connection: close\r\n", "")
+		}
+		return call.respondSuccess()
+	})
+	client := harness.dial()
+	roundTrip := func(path string) {
+		client.write(postRequest(path, "", "1"))
+		_, _ = client.readResponse()
+	}
+	for range 5 {
+		roundTrip("/once/x")
+	}
+	require.EqualValues(t, 1, harness.servers[0].connCount.Load())
+	roundTrip("/once/last")
+	roundTrip("/once/x")
+	require.EqualValues(t, 2, harness.servers[0].connCount.Load())
+}
--- a/internal/fleet/gateway/request_test.go
+++ b/internal/fleet/gateway/request_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestTargetIsUnchanged(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	for _, path := range []string{
 		"/once/", "/once/a%2Fb%2f%20", "/once//a///b/", "/once/./../x", "/once/?", "/once/?a=b&a=%zz&&", "/once/x?y?z#",
@@ -27,7 +27,7 @@
 }
 
 func TestMethods(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	for _, method := range []string{"GET", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "REPORT"} {
 		client.write(requestHead(method, "/once/x", "Content-Length: 3\r\n") + "abc")
@@ -60,7 +60,7 @@
 }
 
 func TestHopByHopHeaders(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	resp, _ := harness.roundTrip("POST /once/x HTTP/1.1\r\nHost: H.example:80\r\nContent-Length: 1\r\n" +
 		"Connection: keep-alive, X-Named, chalkdoor-attempt-id, content-length\r\nX-Named: 1\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\n" +
 		"Upgrade: h2c\r\nProxy-Connection: keep-alive\r\nTrailer: X-T\r\n" +
@@ -88,7 +88,7 @@
 	require.Equal(t, "q", call.body)
 }
 
-// What the client says of its request reaches the server as it came, at each send.
+// TestEndToEndFields checks that fields reach the servers unchanged, at each attempt.
 func TestEndToEndFields(t *testing.T) {
 	fields := map[string][]string{
 		headerModel: {"Model/v1.5:large"}, headerTokenCount: {"0001460, 80"}, headerPromptPrefix: {"5C1E07A2:800,91bd3f06:0410,,x"}, headerAttemptID: {"Id-0x9C\xe9"},
@@ -136,7 +136,7 @@
 	require.LessOrEqual(t, first, 4000)
 	require.Greater(t, first, 1000)
 	require.LessOrEqual(t, second, first-50)
-	// What can't be is none: the route's timeout holds.
+	// An invalid deadline is ignored: the route's time-out applies.
 	for _, field := range []string{"", headerDeadline + ": 1e300\r\n", headerDeadline + ": inf\r\n", headerDeadline + ": nan\r\n", headerDeadline + ": -5\r\n", headerDeadline + ": soon\r\n",
 		headerDeadline + ": 99999999999999999999\r\n"} {
 		resp, _ := harness.roundTrip(postRequest("/once/x", field, "q"))
@@ -148,7 +148,7 @@
 }
 
 func TestBodies(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	for _, n := range []int{0, 1, unreservedBodyBytes - 1, unreservedBodyBytes, unreservedBodyBytes + 1, 65536} {
 		body := strings.Repeat("\x00\r\n\xff", n/4+1)[:n]
@@ -173,7 +173,7 @@
 }
 
 func TestBodiesOverTheLimit(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	client := harness.dial()
 	client.write(requestHead("POST", "/once/x", "Content-Length: 65537\r\n"))
 	resp, _ := client.readResponse()
@@ -191,7 +191,7 @@
 }
 
 func TestTruncatedBodies(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	for _, request := range []string{
 		requestHead("POST", "/once/x", "Content-Length: 10\r\n") + "short",
 		requestHead("POST", "/once/x", "Content-Length: 60000\r\n") + strings.Repeat("x", 30000),
@@ -209,23 +209,23 @@
 }
 
 func TestBodyMemoryLimit(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
-	require.True(t, harness.gateway.bodyMemory.TryAcquire(256<<20/4))
+	harness := newHarness(t, 1, alwaysSucceed)
+	require.True(t, harness.gateway.bodyMemory.TryAcquire(testBodyMemory))
 	resp, _ := harness.roundTrip(postRequest("/once/x", "", strings.Repeat("x", 60000)))
 	requireRefused(t, resp)
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", "small"))
 	require.Equal(t, 200, resp.StatusCode)
-	harness.gateway.bodyMemory.Release(256 << 20 / 4)
+	harness.gateway.bodyMemory.Release(testBodyMemory)
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", strings.Repeat("x", 60000)))
 	require.Equal(t, 200, resp.StatusCode)
 }
 
 func TestRouteChangeDuringBody(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	other := harness.startServer("t")
 	harness.update(harness.document(`,{"name":"moved","hostname":"h.example","path-prefix":"/once/moved/","route-kind":"unsafe","timeout-ms":10000,"target-service":"t"}`))
 	client := harness.dial()
-	// To another service, and to none.
+	// The route moves to another service, and then it is removed.
 	harness.update(harness.document(""))
 	client.startUpload("/once/moved/x")
 	harness.update(harness.document(`,{"name":"moved","hostname":"h.example","path-prefix":"/once/moved/","route-kind":"unsafe","timeout-ms":10000,"target-service":"t"}`))
@@ -243,28 +243,8 @@
 	harness.requireNoCall()
 }
 
-// startUpload sends a request's head and most of its body. The door has found its route when it returns:
-// it asks for the body after that.
-func (c *testClient) startUpload(path string) {
-	c.write(requestHead("POST", path, "Expect: 100-continue\r\nContent-Length: 40000\r\n"))
-	require.Equal(c.t, http.StatusContinue, c.readHead().StatusCode)
-	c.write(strings.Repeat("x", 30000))
-}
-
-// requireMemoryReleased checks that the memory of bodies is given back.
-func (h *testHarness) requireMemoryReleased() {
-	require.Eventually(h.t, func() bool { return h.gateway.bodyMemory.TryAcquire(256 << 20 / 4) }, testTimeout, time.Millisecond)
-	releaseAll(h)
-}
-
-// releaseAll gives back what a try took; false.
-func releaseAll(harness *testHarness) bool {
-	harness.gateway.bodyMemory.Release(256 << 20 / 4)
-	return false
-}
-
 func TestWeightedSplit(t *testing.T) {
-	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool { return call.respondSuccess() })
+	harness := newHarness(t, 1, alwaysSucceed)
 	harness.startServer("t")
 	harness.update(harness.document(`,{"name":"split","hostname":"h.example","path-prefix":"/split/","route-kind":"unsafe","timeout-ms":10000,
 		"weighted-split":[{"target-service":"s","weight":1},{"target-service":"t","weight":3}]}`))
--- a/internal/fleet/gateway/stream_test.go
+++ b/internal/fleet/gateway/stream_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"strings"
 	"sync"
 	"testing"
@@ -16,18 +15,6 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// readEvent reads one event of a stream.
-func readEvent(t testing.TB, resp *http.Response) string {
-	var got []byte
-	one := make([]byte, 1)
-	for !strings.HasSuffix(string(got), "\n\n") {
-		_, err := io.ReadFull(resp.Body, one)
-		require.NoError(t, err)
-		got = append(got, one[0])
-	}
-	return string(got)
-}
-
 func TestEventsAreRelayedImmediately(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resume/x"} {
 		more := make(chan bool)
@@ -55,7 +42,7 @@
 	}
 }
 
-// Chunks and writes need not end where events do.
+// TestEventsSplitAcrossChunks has chunks and writes end anywhere in events.
 func TestEventsSplitAcrossChunks(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		all := eventTexts(1, 30)
@@ -89,37 +76,39 @@
 	require.Empty(t, body)
 }
 
-// streamFaults are the ways in which a server breaks a stream off after its second event, which the
-// client has read by then: a reset drops what has not been read.
-var streamFaults = map[string]func(a *upstreamCall) bool{
-	"reset":             func(a *upstreamCall) bool { return a.resetOnClose() },
-	"closed":            func(a *upstreamCall) bool { return false },
-	"within an event":   func(a *upstreamCall) bool { a.writeChunk("id: 3\ndata: pie"); return false },
-	"within a chunk":    func(a *upstreamCall) bool { a.write("ff\r\nid: 3\ndata: pie"); return a.resetOnClose() },
-	"after an event":    func(a *upstreamCall) bool { a.write("%x\r\n%s", len(eventText(3)), eventText(3)); return false },
-	"after a size":      func(a *upstreamCall) bool { a.write("20\r\n"); return false },
-	"a bad chunk":       func(a *upstreamCall) bool { return a.write("zz\r\n") },
-	"a bad chunk's end": func(a *upstreamCall) bool { return a.write("%x\r\n%sXX", len(eventText(3)), eventText(3)) },
-	"ends in an event":  func(a *upstreamCall) bool { return a.writeChunk("id: 3\ndata: pie") && a.endStream() },
-	"a piece twice":     func(a *upstreamCall) bool { return a.writeChunk(eventText(2)) && a.endStream() },
-	"a piece missing":   func(a *upstreamCall) bool { return a.writeChunk(eventText(5)) && a.endStream() },
-	"an event too long": func(a *upstreamCall) bool { return a.writeChunk("id: 3\ndata: " + strings.Repeat("x", maxEventBytes)) },
+// streamFaults are the ways in which a server breaks off a stream after its second event. The client has
+// read that by then, as a reset drops what has not been read.
+var streamFaults = map[string]func(call *upstreamCall) bool{
+	"reset":             func(call *upstreamCall) bool { return call.resetOnClose() },
+	"closed":            func(call *upstreamCall) bool { return false },
+	"within an event":   func(call *upstreamCall) bool { call.writeChunk("id: 3\ndata: pie"); return false },
+	"within a chunk":    func(call *upstreamCall) bool { call.write("ff\r\nid: 3\ndata: pie"); return call.resetOnClose() },
+	"after an event":    func(call *upstreamCall) bool { call.write("%x\r\n%s", len(eventText(3)), eventText(3)); return false },
+	"after a size":      func(call *upstreamCall) bool { call.write("20\r\n"); return false },
+	"a bad chunk":       func(call *upstreamCall) bool { return call.write("zz\r\n") },
+	"a bad chunk's end": func(call *upstreamCall) bool { return call.write("%x\r\n%sXX", len(eventText(3)), eventText(3)) },
+	"ends in an event":  func(call *upstreamCall) bool { return call.writeChunk("id: 3\ndata: pie") && call.endStream() },
+	"a piece twice":     func(call *upstreamCall) bool { return call.writeChunk(eventText(2)) && call.endStream() },
+	"a piece missing":   func(call *upstreamCall) bool { return call.writeChunk(eventText(5)) && call.endStream() },
+	"an event too long": func(call *upstreamCall) bool {
+		return call.writeChunk("id: 3\ndata: " + strings.Repeat("x", maxEventBytes))
+	},
 }
 
-// lastCompleteEvent is the last event that gets through.
+// lastCompleteEvent returns the ID of the last event that a fault lets through.
 func lastCompleteEvent(name string) int {
 	if name == "after an event" || name == "a bad chunk's end" {
-		return 3 // whole by itself
+		return 3 // the event is complete, its chunk is not
 	}
 	return 2
 }
 
-// The routes of streams: on quick ones a server that is silent is left early.
+// quickRoutes are routes of streams on which a stalled server is replaced early.
 const quickRoutes = `,{"name":"quick","hostname":"h.example","path-prefix":"/quick/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":100,"target-service":"s","max-attempts":3,"resumable":true,"gap_aim_ms":100},
  {"name":"quick-once","hostname":"h.example","path-prefix":"/quick-once/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":100,"target-service":"s","max-attempts":3,"gap_aim_ms":100}`
 
-// A stream that a server breaks off breaks off for the client, too, where it may not be resumed,
-// or the budget has no room for that.
+// TestBrokenStreamIsTruncated breaks off streams that may not be resumed, by their route or by the retry
+// budget: they break off for the client, too.
 func TestBrokenStreamIsTruncated(t *testing.T) {
 	for name, breakOff := range streamFaults {
 		for _, path := range []string{"/stream/x", "/quick-once/x", "/resume/x", "/quick/x"} {
@@ -144,10 +133,10 @@
 				require.Equal(t, eventText(2), readEvent(t, resp))
 				close(read)
 				rest, err := io.ReadAll(resp.Body)
-				require.Error(t, err, "it must not look whole")
+				require.Error(t, err, "it must not look complete")
 				require.False(t, isTimeout(err), "the connection is still open")
 				require.Equal(t, eventTexts(3, lastCompleteEvent(name)), string(rest))
-				require.EqualValues(t, 1, harness.callCount.Load(), "it must not run twice")
+				require.EqualValues(t, 1, harness.callCount.Load(), "it must not be executed twice")
 			})
 		}
 	}
@@ -165,9 +154,7 @@
 						<-read
 						return breakOff(call)
 					}
-					var last int
-					fmt.Sscan(call.header.Get(headerLastEventID), &last)
-					return call.startStream("second") && call.writeEvents(last+1, 6) && call.endStream()
+					return call.startStream("second") && call.writeEvents(call.resumeID()+1, 6) && call.endStream()
 				})
 				harness.update(harness.document(quickRoutes))
 				client := harness.dial()
@@ -193,7 +180,7 @@
 	}
 }
 
-// A server that breaks off before the first event has given no answer.
+// TestStreamBrokenBeforeFirstEvent breaks off streams of which the client has received nothing.
 func TestStreamBrokenBeforeFirstEvent(t *testing.T) {
 	for name, breakOff := range map[string]func(call *upstreamCall) bool{
 		"closed":         func(call *upstreamCall) bool { return false },
@@ -246,11 +233,11 @@
 	require.EqualValues(t, 3, harness.callCount.Load())
 }
 
-// Where the server that is to go on does not, the answer breaks off or goes on at a third; nothing
-// of a failure gets into the stream.
+// TestResumeFails has the server that is to continue a stream fail: the stream breaks off, or continues at
+// a third server. Nothing of the failure gets into the stream.
 func TestResumeFails(t *testing.T) {
 	for name, second := range map[string]func(call *upstreamCall) bool{
-		"full":      func(call *upstreamCall) bool { return call.respond(503, headerNotRun+": 1\r\n", "full") },
+		"full":      func(call *upstreamCall) bool { return call.respondNotRun() },
 		"failed":    func(call *upstreamCall) bool { return call.respond(500, "", "failed") },
 		"not found": func(call *upstreamCall) bool { return call.respond(404, "", "nothing") },
 		"no seal":   func(call *upstreamCall) bool { return call.respond(200, "", eventTexts(3, 4)) },
@@ -287,8 +274,8 @@
 	}
 }
 
-// Whatever servers do to a stream, what the client gets is a beginning of it in whole events, and
-// looks complete only where it is.
+// TestStreamsUnderRandomFaults checks that clients receive the beginning of a stream in complete events,
+// which looks complete only if it is, whatever servers do to the stream.
 func TestStreamsUnderRandomFaults(t *testing.T) {
 	const last = 12
 	for seed := range uint64(200) {
@@ -307,7 +294,7 @@
 			trouble := rng.IntN(11)
 			said += fmt.Sprintf("%d to %d, trouble %d; ", from, upTo, trouble)
 			if trouble == 0 {
-				return call.respond(503, headerNotRun+": 1\r\n", "full")
+				return call.respondNotRun()
 			}
 			call.startStream(fmt.Sprint("from ", from))
 			all := eventTexts(from, upTo)
@@ -317,7 +304,7 @@
 				all = all[n:]
 			}
 			if upTo == 0 && trouble > 5 && trouble < 8 {
-				trouble = 2 // the first event may have any id
+				trouble = 2 // any ID is valid for the first event
 			}
 			switch trouble {
 			case 1:
@@ -358,7 +345,7 @@
 			require.NoError(t, err, description)
 			require.Empty(t, resp.Header.Get(headerServerSeal), description)
 			if resp.StatusCode == 503 {
-				require.Equal(t, strings.Count(description, "trouble"), strings.Count(description, "trouble 0"), description) // none has run
+				require.Equal(t, strings.Count(description, "trouble"), strings.Count(description, "trouble 0"), description) // none was executed
 			}
 			continue
 		case err == nil:
@@ -376,7 +363,7 @@
 	}
 }
 
-// A client may itself take up a stream that was cut.
+// TestClientResumesStream has a client ask for the continuation of a stream.
 func TestClientResumesStream(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		if n == 0 {
@@ -390,7 +377,7 @@
 	require.Equal(t, []string{"6"}, harness.nextCall().header[headerLastEventID])
 }
 
-// A server that is silent over a stream is left for another, where there may be one.
+// TestStalledServerIsReplaced has a server stall before the first event and after it.
 func TestStalledServerIsReplaced(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
@@ -402,9 +389,7 @@
 				call.requireClosed(t)
 				return false
 			}
-			var last int
-			fmt.Sscan(call.header.Get(headerLastEventID), &last)
-			return call.startStream("s") && call.writeEvents(last+1, 4) && call.endStream()
+			return call.startStream("s") && call.writeEvents(call.resumeID()+1, 4) && call.endStream()
 		})
 		harness.update(harness.document(quickRoutes))
 		begin := time.Now()
@@ -414,22 +399,20 @@
 	}
 }
 
-// Silence is no reason to break an answer off where no other server may go on with it.
+// TestStalledServerWithoutBudget waits for a server that stalls if no other may continue the stream.
 func TestStalledServerWithoutBudget(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		call.startStream("s")
 		call.writeEvents(1, 2)
 		return call.pause(1200*time.Millisecond) && call.writeEvents(3, 4) && call.endStream()
-	}, func(nodeSettings *settings.Settings) {
-		nodeSettings.Bounds.RetryRatio, nodeSettings.Bounds.RetrySlack = 0, 0
-	})
+	}, withoutRetryBudget)
 	harness.update(harness.document(quickRoutes))
 	_, body := harness.roundTrip(postRequest("/quick/x", "", "q"))
 	require.Equal(t, eventTexts(1, 4), body)
 	require.EqualValues(t, 1, harness.callCount.Load())
 }
 
-// A client that does not read holds up its own stream, and nothing else.
+// TestSlowClient has a client that does not read its stream: other requests are not delayed.
 func TestSlowClient(t *testing.T) {
 	blocked := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
@@ -452,7 +435,7 @@
 	require.NoError(t, client.Conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	client.write(postRequest("/stream/x", "", "q"))
 	call := harness.nextCall()
-	<-blocked // the server is held up in turn: nothing is hoarded between
+	<-blocked // back-pressure: the gateway buffers no more
 	for range 10 {
 		resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 		require.Equal(t, 200, resp.StatusCode)
--- a/internal/fleet/gateway/timeout_test.go
+++ b/internal/fleet/gateway/timeout_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -15,15 +14,16 @@
 )
 
 const (
-	// shortTimeout is the time-out of the routes below /short/, overtime how long after it their
-	// final answers may come.
+	// shortTimeout is the time-out of shortRoutes, finalResponseMargin how long after it their final
+	// responses may arrive.
 	shortTimeout, finalResponseMargin = 400 * time.Millisecond, 500 * time.Millisecond
 	shortRoutes                       = `,
  {"name":"short","hostname":"h.example","path-prefix":"/short/","route-kind":"safe","timeout-ms":400,"setpoint-ms":100,"target-service":"s","max-attempts":2},
  {"name":"short-stream","hostname":"h.example","path-prefix":"/short-stream/","route-kind":"streaming","timeout-ms":400,"setpoint-ms":100,"target-service":"s","max-attempts":2,"resumable":true,"gap_aim_ms":100}`
 )
 
-// An agent that knows no configuration refuses everything and promises nothing about routes.
+// TestNoConfiguration checks that every request is refused before there is a configuration, also those that
+// no route would match.
 func TestNoConfiguration(t *testing.T) {
 	harness := newUnconfiguredHarness(t, 1, nil)
 	for _, request := range []string{
@@ -40,14 +40,14 @@
 	harness.requireNoCall()
 }
 
-// readFinalResponse waits for the end of an answer and checks that it comes at the route's time-out.
+// readFinalResponse waits for the end of a response and checks that it comes at the route's time-out.
 func (c *testClient) readFinalResponse(start time.Time) (status int, err error) {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		status = resp.StatusCode
 		_, err = io.ReadAll(resp.Body)
 	}
-	require.False(c.t, isTimeout(err), "no final answer")
+	require.False(c.t, isTimeout(err), "no final response")
 	require.Less(c.t, time.Since(start), shortTimeout+finalResponseMargin)
 	return status, err
 }
@@ -67,7 +67,7 @@
 		"a silent server":      {postRequest("/short/x", "", "q"), silent, http.StatusGatewayTimeout},
 		"a longer deadline":    {postRequest("/short/x", headerDeadline+": 9000\r\n", "q"), silent, http.StatusGatewayTimeout},
 		"a silent stream":      {postRequest("/short-stream/x", "", "q"), silent, http.StatusGatewayTimeout},
-		"the middle of a body": {postRequest("/short/x", "", "q"), func(call *upstreamCall, n int) bool { return writePartialResponse(call) && silent(call, n) }, http.StatusGatewayTimeout},
+		"the middle of a body": {postRequest("/short/x", "", "q"), func(call *upstreamCall, n int) bool { return call.writePartialResponse() && silent(call, n) }, http.StatusGatewayTimeout},
 		"a server that resets": {postRequest("/short/x", "", "q"), func(call *upstreamCall, _ int) bool { call.pause(300 * time.Millisecond); return call.resetOnClose() }, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,11 +82,6 @@
 	}
 }
 
-// writePartialResponse sends a part of an answer.
-func writePartialResponse(call *upstreamCall) bool {
-	return call.write("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: 10\r\n\r\nbody", headerAttemptID, call.attemptID(), sealField)
-}
-
 func TestRouteTimeoutDuringConnect(t *testing.T) {
 	harness := newHarness(t, 0, nil)
 	harness.addServer(&testServer{listener: listenWithFullBacklog(t)}, "s")
@@ -98,7 +93,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 }
 
-// A stream that is past its route's time-out ends as an incomplete answer.
+// TestRouteTimeoutDuringStream checks that a stream breaks off at its route's time-out.
 func TestRouteTimeoutDuringStream(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, _ int) bool {
 		call.startStream("s")
@@ -111,11 +106,12 @@
 	client.write(postRequest("/short-stream/x", "", "q"))
 	status, err := client.readFinalResponse(start)
 	require.Equal(t, http.StatusOK, status)
-	require.Error(t, err, "it must not look whole")
+	require.Error(t, err, "it must not look complete")
 	require.GreaterOrEqual(t, time.Since(start), shortTimeout)
 }
 
-// A client that does not read holds its server no longer than the route's time-out.
+// TestRouteTimeoutWithSlowClient checks that a client that does not read occupies its server no longer than
+// the route's time-out.
 func TestRouteTimeoutWithSlowClient(t *testing.T) {
 	ended := make(chan time.Time, 4)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -134,26 +130,18 @@
 	case end := <-ended:
 		require.Less(t, end.Sub(start), shortTimeout+finalResponseMargin)
 	case <-time.After(testTimeout):
-		require.FailNow(t, "the server is still held")
+		require.FailNow(t, "the server is still occupied")
 	}
 }
 
-// timeout is the time that a server was given.
-func (c *upstreamCall) timeout(t testing.TB) time.Duration {
-	require.Len(t, c.header[headerDeadline], 1)
-	ms, err := strconv.Atoi(c.header.Get(headerDeadline))
-	require.NoError(t, err)
-	return time.Duration(ms) * time.Millisecond
-}
-
-// A server is never given more time than is left: of the client's own and of the route's, from the
-// moment at which the head came, at each send.
+// TestDeadlineSentToServer checks that no server is given more time than is left of the client's deadline and
+// of the route's time-out, since the head was received, at each attempt.
 func TestDeadlineSentToServer(t *testing.T) {
 	const pause = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		fields  string
 		most    time.Duration
-		changes bool // the routes, while the body comes
+		changes bool // the configuration, while the body arrives
 	}{
 		"no deadline":        {"", shortTimeout, false},
 		"a longer deadline":  {headerDeadline + ": 9000\r\n", shortTimeout, false},
@@ -190,7 +178,7 @@
 	}
 }
 
-// deadlineRecorder is an answer of which only the write deadlines matter.
+// deadlineRecorder records the write deadlines that are set.
 type deadlineRecorder struct {
 	http.ResponseWriter
 	set []time.Time
@@ -214,3 +202,40 @@
 		require.Equal(t, []time.Time{by}, late.set)
 	})
 }
+
+func TestDeadlines(t *testing.T) {
+	silent := func(call *upstreamCall, n int) bool {
+		if strings.Contains(call.requestLine, "/begun") {
+			call.startStream("s")
+			call.writeEvents(1, 1)
+		}
+		if strings.Contains(call.requestLine, "/part") {
+			call.writePartialResponse()
+		}
+		call.requireClosed(t)
+		return false
+	}
+	for _, path := range []string{"/once/x", "/stream/x", "/once/part", "/safe/x"} {
+		harness := newHarness(t, 1, silent)
+		resp, _ := harness.roundTrip(postRequest(path, headerDeadline+": 200\r\n", "q"))
+		require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode, path)
+		harness.nextCall().requireClosed(t)
+	}
+	for _, path := range []string{"/stream/begun", "/resume/begun"} {
+		harness := newHarness(t, 1, silent)
+		client := harness.dial()
+		client.write(postRequest(path, headerDeadline+": 200\r\n", "q"))
+		resp, body, err := client.tryReadResponse()
+		require.Equal(t, 200, resp.StatusCode)
+		require.Equal(t, eventText(1), body)
+		require.Error(t, err, "it must not look complete")
+		harness.nextCall().requireClosed(t)
+	}
+}
+
+func TestRouteTimeoutBelowDeadline(t *testing.T) {
+	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool { call.requireClosed(t); return false })
+	harness.update(harness.document(`,{"name":"short","hostname":"h.example","path-prefix":"/short/","route-kind":"unsafe","timeout-ms":150,"setpoint-ms":100,"target-service":"s"}`))
+	resp, _ := harness.roundTrip(postRequest("/short/x", headerDeadline+": 10000\r\n", "q"))
+	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
+}
--- a/internal/fleet/gateway/upload_test.go
+++ b/internal/fleet/gateway/upload_test.go
@@ -16,10 +16,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// longBodyBytes is more than the buffers of a connection hold whose reader takes nothing.
+// longBodyBytes is more than the buffers of a connection hold.
 const longBodyBytes = 8 << 20
 
-// longBodyDocument is the routes of the tests with room for long bodies.
+// longBodyDocument returns a configuration like document that allows long bodies.
 func (h *testHarness) longBodyDocument(more string) *config.Document {
 	h.revision++
 	text := strings.Replace(testConfig, `"body-bytes":65536`, fmt.Sprintf(`"body-bytes":%d`, longBodyBytes), 1)
@@ -28,40 +28,40 @@
 	return document
 }
 
-// pendingUpload is a request whose body has not been read yet, as a server sees it.
+// pendingUpload is a request as a model server received it, before it has read the body.
 type pendingUpload struct {
 	net.Conn
 	reader   *bufio.Reader
 	server   *testServer
 	header   http.Header
 	length   int
-	sequence int // request, of all servers
+	sequence int // number of the request at any server, from 0
 }
 
+// write writes bytes as they are. Tests check what the gateway makes of them, so errors are ignored.
 func (u *pendingUpload) write(format string, args ...any) {
-	_, _ = fmt.Fprintf(u.Conn, format, args...) // what the door makes of it is checked
+	_, _ = fmt.Fprintf(u.Conn, format, args...)
 }
 
-// respond writes a whole answer to the request.
+// respond writes a complete response to the request.
 func (u *pendingUpload) respond(status int, fields, body string) {
 	u.write("HTTP/1.1 %d X\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s", status, headerAttemptID, u.header.Get(headerAttemptID), len(body), fields, body)
 }
 
-// read takes so much of the body.
+// read reads a part of the body.
 func (u *pendingUpload) read(n int) (string, error) {
 	body := make([]byte, n)
 	got, err := io.ReadFull(u.reader, body)
 	return string(body[:got]), err
 }
 
-// reset ends the connection with RST.
+// reset ends the connection with a reset.
 func (u *pendingUpload) reset() {
 	_ = u.Conn.(*net.TCPConn).SetLinger(0)
 	u.Close()
 }
 
-// newUploadHarness starts servers that are handed each request once its head has been read, and whose
-// connections take little unread.
+// newUploadHarness starts a gateway with servers that handle each request once its head has been read.
 func newUploadHarness(t *testing.T, servers int, handle func(upload *pendingUpload)) *testHarness {
 	harness := newUnconfiguredHarness(t, 0, nil)
 	for range servers {
@@ -100,16 +100,8 @@
 	return harness
 }
 
-// requestCount is how many requests reached any server.
-func (h *testHarness) requestCount() (n int64) {
-	for _, server := range h.servers {
-		n += server.requestCount.Load()
-	}
-	return n
-}
-
-// A server that has the head and a part of the body may have run the request, whether or not the
-// rest could be written.
+// TestTruncatedUploadMayHaveExecuted has a server break off after the head and a part of the body: it may
+// have executed the request.
 func TestTruncatedUploadMayHaveExecuted(t *testing.T) {
 	for name, end := range map[string]func(upload *pendingUpload){
 		"reset":  func(upload *pendingUpload) { upload.reset() },
@@ -142,7 +134,8 @@
 	}
 }
 
-// The word of a server that has not run a request counts also where it did not read its body.
+// TestUploadRejectedByServerIsRetried has a server state that it has not executed a request before it has
+// read the body.
 func TestUploadRejectedByServerIsRetried(t *testing.T) {
 	for name, first := range map[string]func(upload *pendingUpload){
 		"full":             func(upload *pendingUpload) { upload.respond(503, headerNotRun+": 1\r\n", "full") },
@@ -154,7 +147,7 @@
 					_, _ = upload.read(part)
 					if upload.sequence == 0 {
 						first(upload)
-						_, _ = io.Copy(io.Discard, upload.reader) // until the door closes the connection
+						_, _ = io.Copy(io.Discard, upload.reader) // until the gateway closes the connection
 						return
 					}
 					_, _ = upload.read(upload.length - part)
@@ -168,8 +161,8 @@
 	}
 }
 
-// A server may answer before it has read the body, and read on later: what it reads there is a part
-// of that body and nothing else, and neither the answer nor another request waits for that.
+// TestResponseBeforeUploadEnds has a server respond before it has read the body, and read on later: it reads
+// nothing but the body, and neither the response nor another request waits for that.
 func TestResponseBeforeUploadEnds(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), longBodyBytes/16)
 	for _, size := range []int{100 << 10, 1 << 20, longBodyBytes} {
@@ -196,16 +189,16 @@
 				})
 				start := time.Now()
 				resp, answer := harness.roundTrip(postRequest(path, "", string(body[:size])))
-				require.Less(t, time.Since(start), tcpUserTimeout, "the answer is held up by the body")
+				require.Less(t, time.Since(start), tcpUserTimeout, "the response waited for the upload")
 				require.Equal(t, 200, resp.StatusCode)
 				require.Equal(t, eventTexts(1, 2), answer)
-				if size >= 1<<20 { // more than a server's side takes unread
+				if size >= 1<<20 { // more than the server's host buffers
 					_, answer = harness.roundTrip(postRequest("/once/x", "", "q"))
 					require.Equal(t, "small", answer)
 				}
 				close(answered)
 				got := <-rest
-				require.True(t, strings.HasPrefix(string(body[:size]), got), "other bytes than the body's")
+				require.True(t, strings.HasPrefix(string(body[:size]), got), "bytes that are not of the body")
 				_, answer = harness.roundTrip(postRequest("/once/x", "", "q"))
 				require.Equal(t, "small", answer)
 			})
@@ -213,12 +206,11 @@
 	}
 }
 
-// A server that is still to take a body is not silent: a request that another server could be sent
-// stays with it.
+// TestSlowUploadIsNoStall checks that a server that still reads the body is not replaced.
 func TestSlowUploadIsNoStall(t *testing.T) {
 	harness := newUploadHarness(t, 2, func(upload *pendingUpload) {
 		select {
-		case <-time.After(minStallTimeout + 400*time.Millisecond): // over the patience of the route
+		case <-time.After(minStallTimeout + 400*time.Millisecond): // longer than a stall
 		case <-t.Context().Done():
 		}
 		_, _ = upload.read(upload.length)
@@ -231,7 +223,7 @@
 	require.EqualValues(t, 1, harness.requestCount())
 }
 
-// A long body is delivered once the server's side has it all, and not while it waits to be taken.
+// TestDelivered checks that a long body is delivered once the server's host has received it, not before.
 func TestDelivered(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -255,15 +247,15 @@
 	}
 }
 
-// A long body that was cut was not delivered, whatever is still to be sent.
+// TestTruncatedUploadIsNotDelivered checks uploads whose connection breaks in the head and in the body.
 func TestTruncatedUploadIsNotDelivered(t *testing.T) {
 	conn := newConn(&fakeConn{exchange: &exchange{requestBytesRead: 10, writeFails: true}}, "i-0")
-	require.NoError(t, conn.send([]byte("head"), make([]byte, 10)), "the head has left")
+	require.NoError(t, conn.send([]byte("head"), make([]byte, 10)), "the head was written")
 	require.False(t, conn.delivered())
 	conn = newConn(&fakeConn{exchange: &exchange{requestBytesRead: 4 + inlineBodyBytes, writeFails: true}}, "i-0")
 	require.NoError(t, conn.send([]byte("head"), make([]byte, longBodyBytes)))
 	conn.upload.wait()
 	require.False(t, conn.delivered())
 	conn = newConn(&fakeConn{exchange: &exchange{requestBytesRead: 3, writeFails: true}}, "i-0")
-	require.Error(t, conn.send([]byte("head"), nil), "the head has not left")
+	require.Error(t, conn.send([]byte("head"), nil), "the head was not written")
 }
--- a/internal/fleet/gateway/upstreambody_test.go
+++ b/internal/fleet/gateway/upstreambody_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An answer without length ends with its connection: it is whole if that was closed, and only then.
+// TestCloseDelimitedResponse checks that a response that ends with its connection is complete if the server
+// closed the connection, and only then.
 func TestCloseDelimitedResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		path, status, body string
@@ -44,12 +45,12 @@
 			}
 			require.Equal(t, "seal-1", resp.Header.Get(headerServerSeal))
 			require.Equal(t, c.body, body)
-			require.Zero(t, harness.gateway.pool.open, "the connection is kept")
+			require.Zero(t, harness.gateway.pool.open, "the connection is still open")
 		})
 	}
 }
 
-// A stream without length of which events have been passed on does not look whole after a reset.
+// TestResetCloseDelimitedStream checks that a stream does not look complete after a reset.
 func TestResetCloseDelimitedStream(t *testing.T) {
 	read := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -68,11 +69,11 @@
 	close(read)
 	_, err := resp.Body.Read(make([]byte, 1))
 	require.Error(t, err)
-	require.NotEqual(t, "EOF", err.Error(), "it must not look whole")
+	require.NotEqual(t, "EOF", err.Error(), "it must not look complete")
 }
 
-// A server that closes before it was sent the whole body may have been cut in its answer: what
-// ends with that connection is not taken for whole.
+// TestCloseDelimitedResponseDuringUpload has a server close before it was sent the complete body: the close
+// may have truncated its response.
 func TestCloseDelimitedResponseDuringUpload(t *testing.T) {
 	harness := newUploadHarness(t, 1, func(upload *pendingUpload) {
 		upload.write("HTTP/1.1 200 X\r\n%s: %s\r\n%s\r\nbody", headerAttemptID, upload.header.Get(headerAttemptID), sealField)
--- a/internal/fleet/gateway/version_test.go
+++ b/internal/fleet/gateway/version_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startVersionedStream begins a stream of a server whose weights have a version.
+// startVersionedStream writes the head of a stream that a version of the weights makes.
 func (c *upstreamCall) startVersionedStream(version string) bool {
 	return c.write("HTTP/1.1 200 OK\r\n%s: %s\r\n%s%s: %s\r\nTransfer-Encoding: chunked\r\n\r\n",
 		headerAttemptID, c.attemptID(), sealField, headerVersions, version)
 }
 
-// versionChange is an event at which the version changes.
+// versionChange returns an event at which the version of the weights changes.
 func versionChange(version string, i int) string { return "versions: " + version + "\n" + eventText(i) }
 
-// resumeStream plays a stream whose first server breaks off after two events, the second of which has
-// the given text, and returns what the client got after them and what the other servers were sent.
+// resumeStream runs a stream whose first server breaks off after two events; second is the text of the
+// latter. It returns what the client received after them, and the requests of all servers.
 func resumeStream(t *testing.T, fields, second string, others func(call *upstreamCall, n int) bool) (rest string, sent []*upstreamCall, err error) {
 	read := make(chan bool)
 	harness := newHarness(t, 3, func(call *upstreamCall, n int) bool {
@@ -41,24 +41,24 @@
 	require.Equal(t, second, readEvent(t, resp))
 	close(read)
 	body, err := io.ReadAll(resp.Body)
-	require.Equal(t, []string{"3"}, resp.Header[headerVersions], "the head is the first server's")
+	require.Equal(t, []string{"3"}, resp.Header[headerVersions], "the header is that of the first server")
 	for range harness.callCount.Load() {
 		sent = append(sent, harness.nextCall())
 	}
 	return string(body), sent, err
 }
 
-// A stream goes on only with the weights it has had last.
+// TestStreamResumesWithSameVersion checks that a stream continues only with the version of its last event.
 func TestStreamResumesWithSameVersion(t *testing.T) {
-	goesOn := func(version, first string) func(call *upstreamCall, n int) bool {
+	continueWith := func(version, first string) func(call *upstreamCall, n int) bool {
 		return func(call *upstreamCall, _ int) bool {
 			return call.startVersionedStream(version) && call.writeChunk(first) && call.writeEvents(4, 5) && call.endStream()
 		}
 	}
 	for name, c := range map[string]struct {
-		second, version, first string // the last event of the first server, head and first event of the next
+		second, version, first string // last event of the first server; version and first event of the next
 		expected               string
-		joined                 bool
+		resumed                bool
 	}{
 		"the same":             {eventText(2), "3", eventText(3), "3", true},
 		"another":              {eventText(2), "4", eventText(3), "3", false},
@@ -69,13 +69,13 @@
 		"the one before":       {versionChange("4", 2), "3", eventText(3), "4", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rest, sent, err := resumeStream(t, "", c.second, goesOn(c.version, c.first))
-			if c.joined {
+			rest, sent, err := resumeStream(t, "", c.second, continueWith(c.version, c.first))
+			if c.resumed {
 				require.NoError(t, err)
 				require.Equal(t, c.first+eventTexts(4, 5), rest)
 				require.Len(t, sent, 2)
 			} else {
-				require.Error(t, err, "it must not look whole")
+				require.Error(t, err, "it must not look complete")
 				require.Empty(t, rest)
 				require.Len(t, sent, 3, "another server may have the version")
 			}
@@ -88,7 +88,7 @@
 	}
 	t.Run("at the third", func(t *testing.T) {
 		rest, _, err := resumeStream(t, "", eventText(2), func(call *upstreamCall, n int) bool {
-			return goesOn([]string{"", "4", "3"}[n], eventText(3))(call, n)
+			return continueWith([]string{"", "4", "3"}[n], eventText(3))(call, n)
 		})
 		require.NoError(t, err)
 		require.Equal(t, eventTexts(3, 5), rest)
@@ -98,14 +98,14 @@
 			if n == 1 {
 				return call.respond(421, "", "")
 			}
-			return goesOn("3", eventText(3))(call, n)
+			return continueWith("3", eventText(3))(call, n)
 		})
 		require.NoError(t, err)
 		require.Equal(t, eventTexts(3, 5), rest)
 	})
 }
 
-// A run may change its own weights; the event that says so is passed on as it came.
+// TestVersionChangesWithinResponse checks that the events of one server may differ in their versions.
 func TestVersionChangesWithinResponse(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		return call.startVersionedStream("3") && call.writeChunk(eventText(1)+versionChange("4", 2)+eventText(3)) && call.endStream()
@@ -116,8 +116,8 @@
 	}
 }
 
-// What a client expects is passed on, also where its stream goes on; it does not take a server
-// that has other weights off the list.
+// TestClientExpectsVersion checks that the version which a client names reaches each server, and that a server
+// with other weights is not unlisted.
 func TestClientExpectsVersion(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		if n < 2 {
@@ -130,7 +130,7 @@
 	for range 2 {
 		require.Equal(t, []string{"7"}, harness.nextCall().header[headerExpectVersion])
 	}
-	require.Len(t, harness.gateway.ServerViews(), 2, "a server was taken off the list")
+	require.Len(t, harness.gateway.ServerViews(), 2, "a server was unlisted")
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
 	require.Empty(t, harness.nextCall().header[headerExpectVersion])
@@ -138,7 +138,7 @@
 	_, sent, err := resumeStream(t, headerExpectVersion+": 3\r\n", versionChange("4", 2), func(call *upstreamCall, _ int) bool {
 		return call.startVersionedStream("3") && call.writeEvents(3, 5) && call.endStream()
 	})
-	require.Error(t, err, "joined to pieces of another version")
+	require.Error(t, err, "events of two versions were joined")
 	for _, call := range sent {
 		require.Equal(t, []string{"3"}, call.header[headerExpectVersion], fmt.Sprint(call.rawHead))
 	}
