--- a/internal/agent/coordination/golden_test.go
+++ b/internal/agent/coordination/golden_test.go
@@ -15,10 +15,10 @@
 
 func TestGoldenMessages(t *testing.T) {
 	goldentest.RoundTrip[ejection.VoteMessage](t, messageCodec, "ballot")
-	goldentest.RoundTrip[stalerouting.Word](t, messageCodec, "uplink")
+	goldentest.RoundTrip[stalerouting.Heartbeat](t, messageCodec, "uplink")
 	goldentest.RoundTrip[ping](t, messageCodec, "ping")
 	goldentest.RoundTrip[zonefailover.Report](t, messageCodec, "zone-report")
-	goldentest.RoundTrip[stalerouting.Decided](t, messageCodec, "zone-decision")
+	goldentest.RoundTrip[stalerouting.Decision](t, messageCodec, "zone-decision")
 	goldentest.RoundTrip[state](t, messageCodec, "state-exchange")
 }
 
--- a/internal/agent/coordination/layer.go
+++ b/internal/agent/coordination/layer.go
@@ -91,7 +91,7 @@
 	if err := cfg.Vote.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
-	cfg.Site.Self, cfg.Site.Site, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Electorate.Members, cfg.Peers.Incarnation
+	cfg.Site.Self, cfg.Site.Members, cfg.Site.Seed = cfg.Peers.Name, cfg.Vote.Electorate.Members, cfg.Peers.Incarnation
 	if err := cfg.Site.Validate(); err != nil {
 		return nil, fmt.Errorf("layer: %w", err)
 	}
@@ -182,7 +182,7 @@
 			hosts = append(hosts, outlier.ListedHost{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
 		}
 	}
-	m := listed{hosts, entries(list, stalerouting.Undated)}
+	m := listed{hosts, entries(list, stalerouting.UnknownAge)}
 	l.box.Put(m)
 	l.siteBox.Put(m)
 }
@@ -193,7 +193,7 @@
 }
 
 // DiscoveryResponded takes that discovery answered a call.
-func (l *Layer) DiscoveryResponded() { l.siteBox.Put(heard{stalerouting.List}) }
+func (l *Layer) DiscoveryResponded() { l.siteBox.Put(heard{stalerouting.DiscoveryAnswered}) }
 
 // AttemptEnded takes the end of an attempt, from the agent's loop.
 func (l *Layer) AttemptEnded(s agent.Observation) {
@@ -205,7 +205,7 @@
 		return
 	}
 	if kind == outlier.Success && !s.Probe && s.Zone != "" && s.Zone != l.cfg.Peers.Zone {
-		l.siteBox.Put(heard{stalerouting.Answer})
+		l.siteBox.Put(heard{stalerouting.RequestServed})
 	}
 	now := l.now()
 	l.box.Put(sight{outlier.Observation{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Outcome: kind,
@@ -248,8 +248,8 @@
 			s.l.box.Put(letter{&m})
 		}
 	case KindWord:
-		var m stalerouting.Word
-		if err = decode(body, &m, m.Check); err == nil {
+		var m stalerouting.Heartbeat
+		if err = decode(body, &m, m.Validate); err == nil {
 			s.l.siteBox.Put(word{m})
 		}
 	case KindPing:
@@ -263,8 +263,8 @@
 			s.l.council.Mailbox().Put(consensus.Report{Report: m})
 		}
 	case KindParts:
-		var m stalerouting.Decided
-		if err = decode(body, &m, m.Check); err == nil {
+		var m stalerouting.Decision
+		if err = decode(body, &m, m.Validate); err == nil {
 			s.l.siteBox.Put(parts{m})
 		}
 	default:
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -46,11 +46,11 @@
 		list  []stalerouting.Entry
 		whole bool
 	}
-	heard  struct{ by stalerouting.Sense }
-	word   struct{ stalerouting.Word }
+	heard  struct{ by stalerouting.Signal }
+	word   struct{ stalerouting.Heartbeat }
 	shared struct{ state }
-	agreed struct{ consensus.Decision }   // by the council, of which this agent is
-	parts  struct{ stalerouting.Decided } // the same, from a peer
+	agreed struct{ consensus.Decision }    // by the council, of which this agent is
+	parts  struct{ stalerouting.Decision } // the same, from a peer
 	ping   struct {
 		From string
 		Pong bool // it answers one
@@ -95,7 +95,7 @@
 	if !ok || o.From != m.From {
 		return m, false
 	}
-	if o.Boot == m.Boot && o.Seq > m.Seq {
+	if o.Incarnation == m.Incarnation && o.Seq > m.Seq {
 		return o, true
 	}
 	return m, true
@@ -121,16 +121,16 @@
 // list has not changed by its death.
 func (l *Layer) site(ctx context.Context) error {
 	cfg := l.cfg.Site
-	cfg.Dark = cfg.Dark || l.Kept().Dark
+	cfg.WasIsolated = cfg.WasIsolated || l.Kept().Dark
 	up, err := stalerouting.NewUplink(cfg, l.cfg.Peers.Incarnation)
 	if err != nil {
 		return err
 	}
-	set := stalerouting.NewSet()
+	set := stalerouting.NewServerSet()
 	if _, err := set.Merge(l.now(), l.Kept().Entries); err != nil {
 		return err
 	}
-	s := &siteTask{l: l, up: up, set: set, parts: stalerouting.NewParts(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Incarnation, 5))}
+	s := &siteTask{l: l, up: up, set: set, parts: stalerouting.NewDecisionCache(l.cfg.Bound), rng: rand.New(rand.NewPCG(l.cfg.Peers.Incarnation, 5))}
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for {
@@ -151,12 +151,12 @@
 type siteTask struct {
 	l       *Layer
 	up      *stalerouting.Uplink
-	set     *stalerouting.Set
+	set     *stalerouting.ServerSet
 	zones   []string // of the list
 	phase   stalerouting.Phase
 	share   float64 // of what lies outside
 	until   time.Duration
-	parts   *stalerouting.Parts
+	parts   *stalerouting.DecisionCache
 	fleet   []string // agents that are there, but this one
 	rng     *rand.Rand
 	renewAt time.Duration // when the loop's orders are to be renewed
@@ -178,11 +178,11 @@
 			slog.Warn("site: list not kept", "err", err)
 		}
 	case told:
-		s.set.Told(now, m.list, m.whole)
+		s.set.ApplyDiscovery(now, m.list, m.whole)
 	case heard:
-		s.up.Heard(now, m.by)
+		s.up.Observe(now, m.by)
 	case word:
-		if err := s.up.Receive(now, m.Word); err != nil {
+		if err := s.up.Receive(now, m.Heartbeat); err != nil {
 			slog.Debug("site: word not believed", "err", err)
 		}
 	case members:
@@ -196,18 +196,18 @@
 				outside = append(outside, p.Name)
 			}
 		}
-		s.up.Members(now, outside)
+		s.up.SetRemoteAgents(now, outside)
 	case agreed:
-		d := stalerouting.Decided{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
+		d := stalerouting.Decision{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
 		if !m.Vouched {
-			d.Age = stalerouting.Undated // it may have lain in the log for long
+			d.Age = stalerouting.UnknownAge // it may have lain in the log for long
 		}
 		s.decided(d, true)
 	case parts:
-		s.decided(m.Decided, false)
+		s.decided(m.Decision, false)
 	case ping:
 		if m.Pong {
-			s.up.Heard(now, stalerouting.Pong)
+			s.up.Observe(now, stalerouting.PingAnswered)
 		} else {
 			l.send(m.From, KindPing, ping{From: l.cfg.Peers.Name, Pong: true})
 		}
@@ -218,7 +218,7 @@
 		news, err := s.set.Merge(now, m.Entries)
 		if err != nil {
 			slog.Warn("site: set not believed", "from", m.From, "err", err)
-		} else if s.up.Deaf() && len(news) > 0 {
+		} else if s.up.DiscoveryUnreachable() && len(news) > 0 {
 			l.tellNews(news)
 		}
 	}
@@ -227,34 +227,34 @@
 // keep hands what the task has to its next life, to neighbours and to the disk.
 func (s *siteTask) keep() {
 	now := s.l.now()
-	s.l.keep(Kept{Dark: s.phase == stalerouting.Dark, Entries: s.set.Entries(now)}, now)
+	s.l.keep(Kept{Dark: s.phase == stalerouting.Isolated, Entries: s.set.Entries(now)}, now)
 }
 
 // carryOut does what the core asks.
-func (s *siteTask) carryOut(out *stalerouting.Out) {
+func (s *siteTask) carryOut(out *stalerouting.Actions) {
 	l := s.l
-	for _, to := range out.To {
-		l.send(to, KindWord, out.Word)
+	for _, to := range out.Recipients {
+		l.send(to, KindWord, out.Heartbeat)
 	}
 	for _, to := range out.Pings {
 		l.send(to, KindPing, ping{From: l.cfg.Peers.Name})
 	}
-	if out.Sync != "" {
-		l.peers.Mailbox().Put(membership.Sync{With: out.Sync})
+	if out.SyncWith != "" {
+		l.peers.Mailbox().Put(membership.Sync{With: out.SyncWith})
 	}
 	if out.Phase != s.phase {
 		s.phase = out.Phase
-		slog.Info("site: "+out.Phase.String(), "zone", l.cfg.Peers.Zone, "agreed", out.Agreed, "members", len(l.cfg.Site.Site))
-		l.trace.write(Line{Kind: out.Phase.String(), Attempts: out.Agreed, LeftMs: max(out.Until-l.now(), 0).Milliseconds()}, l.now(), l.now())
+		slog.Info("site: "+out.Phase.String(), "zone", l.cfg.Peers.Zone, "agreed", out.IsolatedMembers, "members", len(l.cfg.Site.Members))
+		l.trace.write(Line{Kind: out.Phase.String(), Attempts: out.IsolatedMembers, LeftMs: max(out.Until-l.now(), 0).Milliseconds()}, l.now(), l.now())
 		s.keep()
 	}
 	s.share, s.until = out.Share, out.Until
-	beat := len(out.To)+len(out.Pings) > 0
-	if d, holds := s.parts.Now(l.now()); beat && holds {
+	beat := len(out.Recipients)+len(out.Pings) > 0
+	if d, holds := s.parts.Current(l.now()); beat && holds {
 		s.spread(d, 1)
 	}
-	if out.Changed || out.Ask || l.now() >= s.renewAt {
-		s.order(out.Ask)
+	if out.Changed || out.QueryDiscovery || l.now() >= s.renewAt {
+		s.order(out.QueryDiscovery)
 	}
 }
 
@@ -262,14 +262,14 @@
 const rumour = 8
 
 // decided takes a decision of the council, and tells others of one that is new or holds again.
-func (s *siteTask) decided(d stalerouting.Decided, own bool) {
+func (s *siteTask) decided(d stalerouting.Decision, own bool) {
 	now := s.l.now()
-	_, held := s.parts.Now(now)
-	news, err := s.parts.Take(now, d, own)
+	_, held := s.parts.Current(now)
+	news, err := s.parts.Offer(now, d, own)
 	if err != nil {
 		slog.Debug("site: decision not believed", "err", err)
 	}
-	d, holds := s.parts.Now(now)
+	d, holds := s.parts.Current(now)
 	if !holds || held && !news {
 		return
 	}
@@ -290,7 +290,7 @@
 }
 
 // spread tells some peers, drawn anew, of a decision as it is now.
-func (s *siteTask) spread(d stalerouting.Decided, to int) {
+func (s *siteTask) spread(d stalerouting.Decision, to int) {
 	for _, i := range s.rng.Perm(len(s.fleet))[:min(to, len(s.fleet))] {
 		s.l.send(s.fleet[i], KindParts, d)
 	}
@@ -301,18 +301,18 @@
 func (s *siteTask) order(ask bool) {
 	l := s.l
 	now, own := l.now(), l.cfg.Peers.Zone
-	d, holds := s.parts.Now(now)
+	d, holds := s.parts.Current(now)
 	var out []agent.ZoneOverride
 	s.renewAt = now + time.Hour
 	for _, zone := range s.zones {
 		z := agent.ZoneOverride{Zone: zone, ShareFactor: 1, ReachableShare: 1, TTL: now + time.Hour}
 		if holds {
-			z.ShareFactor, z.TTL = d.Table.Share(own, zone), now+s.parts.Left(now)
-			if s.phase == stalerouting.Light { // a site by itself has its own zone only
+			z.ShareFactor, z.TTL = d.Table.Share(own, zone), now+s.parts.ValidFor(now)
+			if s.phase == stalerouting.Connected { // a site by itself has its own zone only
 				z.TrafficShare, _ = d.Table.TrafficShare(own, zone)
 			}
 		}
-		if zone != own && s.phase != stalerouting.Light {
+		if zone != own && s.phase != stalerouting.Connected {
 			z.ShareFactor, z.ReachableShare, z.TTL = z.ShareFactor*s.share, s.share, min(z.TTL, s.until)
 		}
 		if z.ShareFactor < 1 || z.TrafficShare > 0 || holds && len(d.Table.TrafficShares) > 0 {
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -20,14 +20,14 @@
 	l.cfg.Peers = membership.Config{Name: "a", Zone: "x", Incarnation: 7}
 	l.peers = membership.New(l.cfg.Peers, sink{l})
 	cfg := stalerouting.Defaults()
-	cfg.Self, cfg.Site = "a", []string{"a", "b"}
+	cfg.Self, cfg.Members = "a", []string{"a", "b"}
 	up, err := stalerouting.NewUplink(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &siteTask{l: l, up: up, set: stalerouting.NewSet(), parts: stalerouting.NewParts(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
+	s := &siteTask{l: l, up: up, set: stalerouting.NewServerSet(), parts: stalerouting.NewDecisionCache(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
 	s.take(listed{hosts: []outlier.ListedHost{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
-		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, stalerouting.Undated)})
+		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, stalerouting.UnknownAge)})
 	return s
 }
 
@@ -36,7 +36,7 @@
 func TestOrdersOfADarkSite(t *testing.T) {
 	s := bareSite(t)
 	l := s.l
-	s.carryOut(&stalerouting.Out{Phase: stalerouting.Dark, Until: l.now() + time.Minute, Changed: true, Ask: true})
+	s.carryOut(&stalerouting.Actions{Phase: stalerouting.Isolated, Until: l.now() + time.Minute, Changed: true, QueryDiscovery: true})
 	<-l.Ready()
 	o := l.Directives()
 	if len(o.ZoneOverrides) != 2 || o.ZoneOverrides[0].Zone != "y" || o.ZoneOverrides[1].Zone != "z" || o.ZoneOverrides[0].ShareFactor != 0 || !o.FetchList ||
@@ -50,11 +50,11 @@
 	if o := l.Directives(); o.ZoneOverrides[0].TTL != 0 || o.FetchList {
 		t.Errorf("after a pause: %+v", o)
 	}
-	s.carryOut(&stalerouting.Out{Phase: stalerouting.Returning, Share: 0.3, Until: l.now() + time.Minute, Changed: true})
+	s.carryOut(&stalerouting.Actions{Phase: stalerouting.Recovering, Share: 0.3, Until: l.now() + time.Minute, Changed: true})
 	if o := l.Directives(); len(o.ZoneOverrides) != 2 || o.ZoneOverrides[1].ShareFactor != 0.3 {
 		t.Errorf("%+v", o)
 	}
-	s.carryOut(&stalerouting.Out{Phase: stalerouting.Light, Share: 1, Changed: true})
+	s.carryOut(&stalerouting.Actions{Phase: stalerouting.Connected, Share: 1, Changed: true})
 	if o := l.Directives(); len(o.ZoneOverrides) != 0 || l.Kept().Dark {
 		t.Errorf("%+v", o)
 	}
@@ -80,7 +80,7 @@
 	if o := l.Directives(); len(o.PeerReports) != 0 {
 		t.Errorf("told again %+v", o.PeerReports)
 	}
-	s.take(heard{stalerouting.List})
+	s.take(heard{stalerouting.DiscoveryAnswered})
 	s.take(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Removed}))
 	if o := l.Directives(); len(o.PeerReports) != 0 {
 		t.Errorf("told %+v while discovery can be heard", o.PeerReports)
@@ -127,7 +127,7 @@
 	for _, zone := range []string{"x", "", "y"} {
 		l.AttemptEnded(agent.Observation{ID: "s", Zone: zone, Status: policy.OK})
 	}
-	if m, _ := l.siteBox.Poll(); m != (heard{stalerouting.Answer}) {
+	if m, _ := l.siteBox.Poll(); m != (heard{stalerouting.RequestServed}) {
 		t.Errorf("%+v", m)
 	}
 	if m, ok := l.siteBox.Poll(); ok {
@@ -165,16 +165,16 @@
 		o.ZoneOverrides[1].TTL <= 9*time.Second || o.ZoneOverrides[1].TTL > 10*time.Second {
 		t.Errorf("%+v", o.ZoneOverrides)
 	}
-	s.take(parts{stalerouting.Decided{Version: stalerouting.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
+	s.take(parts{stalerouting.Decision{Version: stalerouting.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
 	if o := l.Directives(); o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[2].ShareFactor != 0 {
 		t.Errorf("an older decision: %+v", o.ZoneOverrides)
 	}
-	s.phase, s.share, s.until = stalerouting.Dark, 0, l.now()+time.Second
+	s.phase, s.share, s.until = stalerouting.Isolated, 0, l.now()+time.Second
 	s.order(false)
 	if o := l.Directives(); o.ZoneOverrides[0].TrafficShare != 0 || o.ZoneOverrides[1].ShareFactor != 0 || o.ZoneOverrides[1].ReachableShare != 0 || o.ZoneOverrides[1].TTL > time.Second {
 		t.Errorf("in the dark: %+v", o.ZoneOverrides)
 	}
-	s.phase = stalerouting.Light
+	s.phase = stalerouting.Connected
 	l.start = l.start.Add(-time.Minute)
 	s.order(false)
 	if o := l.Directives(); len(o.ZoneOverrides) != 0 {
--- a/internal/agent/opsconfig/ops.go
+++ b/internal/agent/opsconfig/ops.go
@@ -141,7 +141,7 @@
 
 // Decisions is the same as its package has it, but for who the members are.
 func (s *Site) Decisions() stalerouting.Config {
-	return stalerouting.Config{Quiet: time.Duration(s.Quiet), Beat: time.Duration(s.Beat), Step: time.Duration(s.Step), Hold: time.Duration(s.Hold)}
+	return stalerouting.Config{IsolationTimeout: time.Duration(s.Quiet), HeartbeatInterval: time.Duration(s.Beat), SlowStartStep: time.Duration(s.Step), MaxIsolation: time.Duration(s.Hold)}
 }
 
 // Duration is written as "1.5s" in a file.
@@ -171,7 +171,7 @@
 			Remember: Duration(v.EscalationWindow), Age: Duration(v.MaxEvidenceAge), Step: Duration(v.SlowStartStep), Trial: Duration(v.TrialInterval)},
 		Council: Council{Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second), After: Duration(z.UnhealthyFor),
 			Hold: Duration(z.EjectionTime), HoldMost: Duration(z.MaxEjectionTime), Step: Duration(z.SlowStartStep), Most: z.MaxEjectedFraction, Target: z.TargetUtilization},
-		Site: Site{Quiet: Duration(s.Quiet), Beat: Duration(s.Beat), Step: Duration(s.Step), Hold: Duration(s.Hold)}}
+		Site: Site{Quiet: Duration(s.IsolationTimeout), Beat: Duration(s.HeartbeatInterval), Step: Duration(s.SlowStartStep), Hold: Duration(s.MaxIsolation)}}
 }
 
 // Ballot is the vote of one agent as its package has it.
@@ -318,7 +318,7 @@
 		wrong = append(wrong, &Error{Key: "council.voters", Text: "there is no council without vote.electorate"})
 	}
 	site := f.Site.Decisions()
-	site.Site = []string{site.Self}
+	site.Members = []string{site.Self}
 	if err := site.Validate(); err != nil {
 		key, text, _ := strings.Cut(err.Error(), ": ")
 		wrong = append(wrong, &Error{Key: "site." + key, Text: text})
--- a/internal/agent/snapshot/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -159,7 +159,7 @@
 			drop(tableSite, "now", fmt.Sprintf("version %d, %d entries, %v", r.Version, len(s.Entries), err))
 		} else {
 			for i := range s.Entries {
-				s.Entries[i].Age = min(s.Entries[i].Age, stalerouting.Undated) + min(g.Age, stalerouting.Undated)
+				s.Entries[i].Age = min(s.Entries[i].Age, stalerouting.UnknownAge) + min(g.Age, stalerouting.UnknownAge)
 			}
 			st.Site = &s
 		}
--- a/internal/agent/snapshot/memory_test.go
+++ b/internal/agent/snapshot/memory_test.go
@@ -153,11 +153,11 @@
 		t.Fatal(err)
 	}
 	back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, Dated: true})
-	want := []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: 62 * time.Second}, {ID: "u", Age: stalerouting.Undated + 2*time.Second}}
+	want := []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: 62 * time.Second}, {ID: "u", Age: stalerouting.UnknownAge + 2*time.Second}}
 	if len(problems) > 0 || back.Site == nil || !back.Site.Dark || !slices.Equal(back.Site.Entries, want) {
 		t.Errorf("%+v, %v", back.Site, problems)
 	}
-	if back, _ := Decode(&Generation{Tables: tt, Age: longest}); back.Site.Entries[0].Age != stalerouting.Undated+time.Minute {
+	if back, _ := Decode(&Generation{Tables: tt, Age: longest}); back.Site.Entries[0].Age != stalerouting.UnknownAge+time.Minute {
 		t.Errorf("undated: %+v", back.Site)
 	}
 	delete(tt, tableSite)
--- a/internal/agent/stalerouting/bench_test.go
+++ b/internal/agent/stalerouting/bench_test.go
@@ -24,12 +24,12 @@
 				rng := rand.New(rand.NewPCG(1, 1))
 				for i := range n {
 					cfg := Defaults()
-					cfg.Self, cfg.Site, cfg.Seed = names[i], names, uint64(i)
+					cfg.Self, cfg.Members, cfg.Seed = names[i], names, uint64(i)
 					u, err := NewUplink(cfg, 1)
 					if err != nil {
 						b.Fatal(err)
 					}
-					u.Members(0, []string{"x", "y"})
+					u.SetRemoteAgents(0, []string{"x", "y"})
 					members[i] = u
 				}
 				sent, second, worst, all := 0, 0, 0, time.Duration(0)
@@ -47,15 +47,15 @@
 					dark := 0
 					for _, i := range rng.Perm(n) {
 						out := members[i].Tick(now, 1)
-						if up && (len(out.Pings) > 0 || out.Ask) {
-							members[i].Heard(now, Pong)
+						if up && (len(out.Pings) > 0 || out.QueryDiscovery) {
+							members[i].Observe(now, PingAnswered)
 						}
-						for _, to := range out.To {
+						for _, to := range out.Recipients {
 							sent++
 							second++
-							_ = members[index[to]].Receive(now, out.Word)
+							_ = members[index[to]].Receive(now, out.Heartbeat)
 						}
-						if out.Phase == Dark {
+						if out.Phase == Isolated {
 							dark++
 						}
 					}
--- a/internal/agent/stalerouting/interleave_test.go
+++ b/internal/agent/stalerouting/interleave_test.go
@@ -39,9 +39,9 @@
 	hears  [3]bool            // its uplink is there
 	quiet  [3][]time.Duration // when it found at a tick that it hears nothing
 	at     int                // in the beat
-	mail   [3][3]*Word
+	mail   [3][3]*Heartbeat
 	sent   [3][3]time.Duration
-	old    [3]Word // the last that came from each
+	old    [3]Heartbeat // the last that came from each
 	phase  [3]Phase
 	until  [3]time.Duration
 	wrong  error
@@ -57,12 +57,12 @@
 func newDark3(bad defect, may run3) *dark3 {
 	s := &dark3{bad: bad, beats: may.beats, losses: may.losses, heals: may.heals, pauses: may.pauses, now: time.Minute}
 	for i := range s.up {
-		cfg := Config{Self: fmt.Sprint(i), Site: []string{"0", "1", "2"}, Beat: beat, Quiet: 3 * beat, Step: beat, Hold: time.Minute}
+		cfg := Config{Self: fmt.Sprint(i), Members: []string{"0", "1", "2"}, HeartbeatInterval: beat, IsolationTimeout: 3 * beat, SlowStartStep: beat, MaxIsolation: time.Minute}
 		u, err := NewUplink(cfg, 1)
 		if err != nil {
 			panic(err) // of this test's own making
 		}
-		u.Heard(s.now, List)
+		u.Observe(s.now, DiscoveryAnswered)
 		s.up[i], s.hears[i] = u, true
 	}
 	return s
@@ -71,39 +71,39 @@
 func (s *dark3) tick(i int) {
 	u := s.up[i]
 	if s.hears[i] {
-		u.Heard(s.now, Pong)
+		u.Observe(s.now, PingAnswered)
 	}
 	if s.bad == deafToSelf && !s.hears[(i+1)%3] {
-		u.heard -= u.cfg.Quiet // it goes by another's ears
+		u.lastSignal -= u.config.IsolationTimeout // it goes by another's ears
 	}
 	if s.bad == wordsForever {
-		for from, w := range u.words {
-			w.at = s.now
-			u.words[from] = w
+		for from, w := range u.heartbeats {
+			w.sentAt = s.now
+			u.heartbeats[from] = w
 		}
 	}
 	if s.bad == halfIsEnough {
-		u.cfg.Site = u.cfg.Site[:1]
+		u.config.Members = u.config.Members[:1]
 	}
 	out := u.Tick(s.now, 0)
-	u.cfg.Site = u.cfg.Site[:3]
-	if u.quiet() {
+	u.config.Members = u.config.Members[:3]
+	if u.isolated() {
 		s.quiet[i] = append(s.quiet[i], s.now)
 	}
-	if out.Phase == Dark && s.phase[i] != Dark {
+	if out.Phase == Isolated && s.phase[i] != Isolated {
 		s.wrong = s.entered(i)
 	}
 	s.phase[i], s.until[i] = out.Phase, out.Until
 	if s.bad == endlessShare {
 		s.until[i] += time.Minute
 	}
-	if out.Phase != Light && s.until[i] > s.now+quietBeats*beat && s.wrong == nil {
+	if out.Phase != Connected && s.until[i] > s.now+heartbeatsValid*beat && s.wrong == nil {
 		s.wrong = fmt.Errorf("%d holds a share for %v", i, s.until[i]-s.now)
 	}
-	for _, to := range out.To {
+	for _, to := range out.Recipients {
 		j := int(to[0] - '0')
-		if w := s.mail[i][j]; j == 0 && (w == nil || w.Dark != out.Word.Dark) { // what says the same again may as well be lost
-			s.mail[i][j], s.sent[i][j] = &out.Word, s.now
+		if w := s.mail[i][j]; j == 0 && (w == nil || w.Isolated != out.Heartbeat.Isolated) { // what says the same again may as well be lost
+			s.mail[i][j], s.sent[i][j] = &out.Heartbeat, s.now
 		}
 	}
 }
@@ -113,7 +113,7 @@
 func (s *dark3) entered(i int) error {
 	n := 0
 	for k := range 3 {
-		if slices.ContainsFunc(s.quiet[k], func(at time.Duration) bool { return s.now-at <= quietBeats*beat }) {
+		if slices.ContainsFunc(s.quiet[k], func(at time.Duration) bool { return s.now-at <= heartbeatsValid*beat }) {
 			n++
 		}
 	}
@@ -177,20 +177,20 @@
 	return []func(){func() { s.at++; do() }, func() { s.at++ }}
 }
 
-func (s *dark3) deliver(i, j int, w Word) {
+func (s *dark3) deliver(i, j int, w Heartbeat) {
 	s.mail[i][j] = nil
 	u := s.up[j]
 	_ = u.Receive(s.now, w) // what is stale is dropped
 	if old := s.old[i]; s.bad == olderWord && old.Seq > 0 {
-		r := u.words[w.From]
+		r := u.heartbeats[w.From]
 		r.Seq = 0
-		u.words[w.From] = r
+		u.heartbeats[w.From] = r
 		_ = u.Receive(s.now, old)
 	}
 	s.old[i] = w
-	if r, ok := u.words[w.From]; ok {
-		r.at = s.sent[i][j] // the stated bound of links is longer than this run: as known exactly
-		u.words[w.From] = r
+	if r, ok := u.heartbeats[w.From]; ok {
+		r.sentAt = s.sent[i][j] // the stated bound of links is longer than this run: as known exactly
+		u.heartbeats[w.From] = r
 	}
 }
 
@@ -220,7 +220,7 @@
 	c := *s
 	for i, u := range s.up {
 		x := *u
-		x.words, x.rng = maps.Clone(u.words), rand.New(rand.NewPCG(1, 1)) // draws matter for whom a word goes to: here to all
+		x.heartbeats, x.rng = maps.Clone(u.heartbeats), rand.New(rand.NewPCG(1, 1)) // draws matter for whom a word goes to: here to all
 		c.up[i], c.quiet[i] = &x, slices.Clone(s.quiet[i])
 	}
 	return &c
@@ -233,17 +233,17 @@
 	age := func(at, most time.Duration) int { return int(min(s.now-at, most) / beat) }
 	fmt.Fprint(f, s.beats, s.at, s.hears, s.phase, s.losses, s.heals, s.pauses)
 	for i, u := range s.up {
-		fmt.Fprint(f, age(u.heard, 4*beat), age(u.since, 7*beat), u.ever, age(u.tickAt, 9*beat), u.said, age(u.at, 3*beat), "/")
-		for j, m := range u.cfg.Site {
-			if w, ok := u.words[m]; ok && age(w.at, 9*beat) <= quietBeats {
-				fmt.Fprint(f, m, w.Dark, age(w.at, 9*beat))
+		fmt.Fprint(f, age(u.lastSignal, 4*beat), age(u.signalsSince, 7*beat), u.anySignal, age(u.lastTick, 9*beat), u.announcedIsolated, age(u.phaseBegan, 3*beat), "/")
+		for j, m := range u.config.Members {
+			if w, ok := u.heartbeats[m]; ok && age(w.sentAt, 9*beat) <= heartbeatsValid {
+				fmt.Fprint(f, m, w.Isolated, age(w.sentAt, 9*beat))
 			}
 			if w := s.mail[i][j]; w != nil {
-				fmt.Fprint(f, "m", j, w.Dark, age(s.sent[i][j], 9*beat))
+				fmt.Fprint(f, "m", j, w.Isolated, age(s.sent[i][j], 9*beat))
 			}
 		}
 		if n := len(s.quiet[i]); n > 0 { // the last tells
-			fmt.Fprint(f, "q", s.old[i].Dark, age(s.quiet[i][n-1], 9*beat))
+			fmt.Fprint(f, "q", s.old[i].Isolated, age(s.quiet[i][n-1], 9*beat))
 		}
 	}
 	return f.Sum64()
@@ -251,7 +251,7 @@
 
 // Through all orders of ticks, words, losses of words, pauses and uplinks that go and come
 // back nobody goes dark without a majority that hears nothing; each defect is found.
-func TestAllOrdersOfADarkSite(t *testing.T) {
+func TestInterleavingsOfAnIsolatedSite(t *testing.T) {
 	for _, c := range []run3{{5, 3, 0, 0}, {5, 2, 1, 0}, {4, 2, 0, 1}} {
 		r := interleave.Search(newDark3(none, c), 1_000_000)
 		t.Logf("%+v: %v", c, r)
@@ -277,9 +277,9 @@
 // start again with nothing.
 type sets3 struct {
 	bad      defect
-	set      [3]*Set
+	set      [3]*ServerSet
 	told     int // of tellings
-	floor    [3]known
+	floor    [3]record
 	restarts int
 	wrong    error
 }
@@ -289,7 +289,7 @@
 func newSets3(bad defect) *sets3 {
 	s := &sets3{bad: bad, restarts: 1}
 	for i := range s.set {
-		s.set[i] = NewSet()
+		s.set[i] = NewServerSet()
 	}
 	return s
 }
@@ -297,7 +297,7 @@
 func (s *sets3) steps() (steps []func()) {
 	if s.told < len(tellings) {
 		steps = append(steps, func() {
-			s.set[0].Told(0, tellings[s.told:s.told+1], false)
+			s.set[0].ApplyDiscovery(0, tellings[s.told:s.told+1], false)
 			s.told++
 			s.check()
 		})
@@ -312,7 +312,7 @@
 	if s.restarts > 0 {
 		steps = append(steps, func() {
 			s.restarts--
-			s.set[2], s.floor[2] = NewSet(), known{}
+			s.set[2], s.floor[2] = NewServerSet(), record{}
 			if s.bad == lostTelling {
 				s.floor[2] = s.floor[1] // it is taken to know what it does not
 			}
@@ -338,16 +338,16 @@
 func (s *sets3) check() {
 	for i, set := range s.set {
 		k := set.servers["s"]
-		if s.floor[i].after(k) {
+		if s.floor[i].newerThan(k) {
 			s.wrong = fmt.Errorf("%d moved back to %+v from %+v", i, k, s.floor[i])
 		}
 		s.floor[i] = k
-		last := known{}
+		last := record{}
 		if s.told > 0 {
 			e := tellings[s.told-1]
-			last = known{e.Incarnation, e.State, 0}
+			last = record{e.Incarnation, e.State, 0}
 		}
-		if k.after(last) {
+		if k.newerThan(last) {
 			s.wrong = fmt.Errorf("%d knows %+v, which nobody was told", i, k)
 		}
 	}
@@ -363,7 +363,7 @@
 func (s *sets3) Clone() *sets3 {
 	c := *s
 	for i, x := range s.set {
-		c.set[i] = &Set{maps.Clone(x.servers), x.digest}
+		c.set[i] = &ServerSet{maps.Clone(x.servers), x.digest}
 	}
 	return &c
 }
@@ -377,7 +377,7 @@
 	return f.Sum64()
 }
 
-func TestAllOrdersOfThreeSets(t *testing.T) {
+func TestInterleavingsOfThreeServerSets(t *testing.T) {
 	r := interleave.Search(newSets3(none), 100_000)
 	t.Log(r)
 	if r.Err != nil || !r.Exhausted {
--- a/internal/agent/stalerouting/set.go
+++ b/internal/agent/stalerouting/serverset.go
@@ -63,10 +63,10 @@
 	MaxEntries = 4096
 	// maxName bounds the names of servers and agents, in bytes.
 	maxName = 128
-	// removedFor is how long a removal is remembered: longer than a site is to live by its set.
-	removedFor = 15 * time.Minute
-	// Undated is the age of what nobody can date, as of a list that came with the start.
-	Undated = 24 * time.Hour
+	// tombstoneTTL is how long a removal is remembered: longer than a site is to live by its set.
+	tombstoneTTL = 15 * time.Minute
+	// UnknownAge is the age of what nobody can date, as of a list that came with the start.
+	UnknownAge = 24 * time.Hour
 )
 
 // Entry is one process of a server as discovery told of it.
@@ -77,8 +77,8 @@
 	Age         time.Duration `json:"Age"` // since somebody of the site was told so
 }
 
-// check tells what is wrong with an entry of another process, by field.
-func (e *Entry) check() error {
+// validate tells what is wrong with an entry of another process, by field.
+func (e *Entry) validate() error {
 	switch {
 	case e.ID == "" || len(e.ID) > maxName:
 		return fmt.Errorf("id: a name of %d bytes", len(e.ID))
@@ -90,82 +90,82 @@
 	return nil
 }
 
-// known is an entry as it is kept.
-type known struct {
+// record is an entry as it is kept.
+type record struct {
 	incarnation int64
 	state       State
-	at          time.Duration // when it was told; may lie before the clock's start
+	learnedAt   time.Duration // when it was told; may lie before the clock's start
 }
 
-// after tells whether a telling of the same server comes after another.
-func (k known) after(o known) bool {
-	return cmp.Or(cmp.Compare(k.incarnation, o.incarnation), cmp.Compare(k.state, o.state)) > 0
+// newerThan tells whether a telling of the same server comes after another.
+func (r record) newerThan(other record) bool {
+	return cmp.Or(cmp.Compare(r.incarnation, other.incarnation), cmp.Compare(r.state, other.state)) > 0
 }
 
-// Set is what a site was told of servers, as one member knows it. It is not safe for
+// ServerSet is what a site was told of servers, as one member knows it. It is not safe for
 // concurrent use.
-type Set struct {
-	servers map[string]known
+type ServerSet struct {
+	servers map[string]record
 	digest  uint64
 }
 
-// NewSet returns an empty one.
-func NewSet() *Set { return &Set{servers: map[string]known{}} }
+// NewServerSet returns an empty one.
+func NewServerSet() *ServerSet { return &ServerSet{servers: map[string]record{}} }
 
-// Told takes what the agent's own discovery tells now: changes, or the whole list. What a
+// ApplyDiscovery takes what the agent's own discovery tells now: changes, or the whole list. What a
 // whole one does not name any more is removed.
-func (s *Set) Told(now time.Duration, list []Entry, whole bool) {
-	named := make(map[string]bool, len(list))
+func (s *ServerSet) ApplyDiscovery(now time.Duration, list []Entry, complete bool) {
+	listed := make(map[string]bool, len(list))
 	for _, e := range list[:min(len(list), MaxEntries)] {
-		named[e.ID] = true
-		k := known{e.Incarnation, e.State, now}
-		if was, ok := s.servers[e.ID]; ok && was.incarnation == k.incarnation && was.state == k.state {
+		listed[e.ID] = true
+		k := record{e.Incarnation, e.State, now}
+		if known, ok := s.servers[e.ID]; ok && known.incarnation == k.incarnation && known.state == k.state {
 			continue // as old as it was
 		}
 		s.servers[e.ID] = k
 	}
 	for id, k := range s.servers {
-		if whole && !named[id] && k.state != Removed {
-			s.servers[id] = known{k.incarnation, Removed, now}
+		if complete && !listed[id] && k.state != Removed {
+			s.servers[id] = record{k.incarnation, Removed, now}
 		}
 	}
-	s.tidy(now)
+	s.expireTombstones(now)
 }
 
 // Merge takes what a neighbour knows and returns what is new by it. A telling of which the
 // same is known keeps the lesser age. A record that makes no sense fails the whole, and
 // nothing is taken.
-func (s *Set) Merge(now time.Duration, other []Entry) (news []Entry, err error) {
+func (s *ServerSet) Merge(now time.Duration, other []Entry) (changed []Entry, err error) {
 	if len(other) > MaxEntries {
 		return nil, fmt.Errorf("decisions: set: %d entries, at most %d are taken", len(other), MaxEntries)
 	}
 	for i := range other {
-		if err := other[i].check(); err != nil {
+		if err := other[i].validate(); err != nil {
 			return nil, fmt.Errorf("decisions: set[%d].%w", i, err)
 		}
 	}
 	for _, e := range other {
-		k := known{e.Incarnation, e.State, now - e.Age}
-		was, ok := s.servers[e.ID]
+		k := record{e.Incarnation, e.State, now - e.Age}
+		known, ok := s.servers[e.ID]
 		switch {
 		case !ok && len(s.servers) >= MaxEntries:
 			continue
-		case !ok || k.after(was):
-			news = append(news, e)
-		case was.after(k) || was.at >= k.at:
+		case !ok || k.newerThan(known):
+			changed = append(changed, e)
+		case known.newerThan(k) || known.learnedAt >= k.learnedAt:
 			continue
 		}
 		s.servers[e.ID] = k
 	}
-	s.tidy(now)
-	return news, nil
+	s.expireTombstones(now)
+	return changed, nil
 }
 
 // Entries are all that is known, by id.
-func (s *Set) Entries(now time.Duration) []Entry {
+func (s *ServerSet) Entries(now time.Duration) []Entry {
 	out := make([]Entry, 0, len(s.servers))
 	for id, k := range s.servers {
-		out = append(out, Entry{id, k.incarnation, k.state, max(now-k.at, 0)})
+		out = append(out, Entry{id, k.incarnation, k.state, max(now-k.learnedAt, 0)})
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 	return out
@@ -173,15 +173,15 @@
 
 // Digest is the same for two sets that tell the same of all servers that are not removed,
 // whatever the ages.
-func (s *Set) Digest() uint64 { return s.digest }
+func (s *ServerSet) Digest() uint64 { return s.digest }
 
-// tidy forgets old removals and takes the digest anew.
-func (s *Set) tidy(now time.Duration) {
+// expireTombstones forgets old removals and takes the digest anew.
+func (s *ServerSet) expireTombstones(now time.Duration) {
 	s.digest = 0
 	var raw [9]byte
 	for id, k := range s.servers {
 		if k.state == Removed {
-			if now-k.at > removedFor {
+			if now-k.learnedAt > tombstoneTTL {
 				delete(s.servers, id)
 			}
 			continue
--- a/internal/agent/stalerouting/set_test.go
+++ b/internal/agent/stalerouting/serverset_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawn is what a neighbour may know.
-func drawn(t *rapid.T, name string) []Entry {
+// drawEntries is what a neighbour may know.
+func drawEntries(t *rapid.T, name string) []Entry {
 	return rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Entry {
 		return Entry{ID: fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "id")), Incarnation: rapid.Int64Range(0, 3).Draw(t, "incarnation"),
 			State: State(rapid.IntRange(0, 2).Draw(t, "state")), Age: time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second}
@@ -20,12 +20,12 @@
 
 // Whatever the order in which tellings come, and however often, all hold the same, and nothing
 // moves back.
-func TestMergeHasNoOrder(t *testing.T) {
+func TestMergeIsCommutative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = time.Minute
-		all := [][]Entry{drawn(t, "a"), drawn(t, "b"), drawn(t, "c")}
-		play := func(order []int) *Set {
-			s := NewSet()
+		all := [][]Entry{drawEntries(t, "a"), drawEntries(t, "b"), drawEntries(t, "c")}
+		play := func(order []int) *ServerSet {
+			s := NewServerSet()
 			for _, i := range order {
 				before := s.Entries(now)
 				if _, err := s.Merge(now, all[i]); err != nil {
@@ -33,7 +33,7 @@
 				}
 				for _, e := range before {
 					after := s.servers[e.ID]
-					if (known{e.Incarnation, e.State, 0}).after(after) {
+					if (record{e.Incarnation, e.State, 0}).newerThan(after) {
 						t.Fatalf("%+v moved back to %+v", e, after)
 					}
 				}
@@ -53,12 +53,12 @@
 // The agent's own discovery goes before all else; what it leaves out is removed, and stays so
 // for those who were not told.
 func TestDiscoveryIsTheAuthority(t *testing.T) {
-	s := NewSet()
-	s.Told(0, []Entry{{ID: "a"}, {ID: "b", Incarnation: 5}}, true)
+	s := NewServerSet()
+	s.ApplyDiscovery(0, []Entry{{ID: "a"}, {ID: "b", Incarnation: 5}}, true)
 	if _, err := s.Merge(time.Second, []Entry{{ID: "a", State: Draining}}); err != nil {
 		t.Fatal(err)
 	}
-	s.Told(2*time.Second, []Entry{{ID: "a"}}, true)
+	s.ApplyDiscovery(2*time.Second, []Entry{{ID: "a"}}, true)
 	want := []Entry{{ID: "a", Age: time.Second}, {"b", 5, Removed, time.Second}}
 	if got := s.Entries(3 * time.Second); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
@@ -69,22 +69,22 @@
 	if news, _ := s.Merge(3*time.Second, []Entry{{"b", 6, Up, 0}}); len(news) != 1 {
 		t.Error("its next process is not known")
 	}
-	s.Told(3*time.Second, []Entry{{ID: "a", State: Draining}}, false)
+	s.ApplyDiscovery(3*time.Second, []Entry{{ID: "a", State: Draining}}, false)
 	if got := s.Entries(3 * time.Second); got[0].State != Draining || got[1].State != Up {
 		t.Errorf("a change of one took another with it: %v", got)
 	}
-	s.Told(removedFor+time.Hour, []Entry{{ID: "a"}}, true)
-	if got := s.Entries(removedFor + time.Hour); len(got) != 2 { // b's next process is removed just now
+	s.ApplyDiscovery(tombstoneTTL+time.Hour, []Entry{{ID: "a"}}, true)
+	if got := s.Entries(tombstoneTTL + time.Hour); len(got) != 2 { // b's next process is removed just now
 		t.Errorf("%v", got)
 	}
-	s.Told(2*removedFor+2*time.Hour, []Entry{{ID: "a"}}, true)
-	if got := s.Entries(2 * removedFor); len(got) != 1 {
+	s.ApplyDiscovery(2*tombstoneTTL+2*time.Hour, []Entry{{ID: "a"}}, true)
+	if got := s.Entries(2 * tombstoneTTL); len(got) != 1 {
 		t.Errorf("a removal is remembered for ever: %v", got)
 	}
 }
 
-func TestWhatMakesNoSenseIsNotTaken(t *testing.T) {
-	s := NewSet()
+func TestInvalidEntriesAreRejected(t *testing.T) {
+	s := NewServerSet()
 	good := Entry{ID: "a"}
 	for key, bad := range map[string]Entry{"id": {}, "state": {ID: "b", State: 9}, "age": {ID: "b", Age: -1}} {
 		if _, err := s.Merge(0, []Entry{good, bad}); err == nil || !strings.Contains(err.Error(), "set[1]."+key) {
