--- a/internal/agent/stalerouting/serverset.go
+++ b/internal/agent/stalerouting/serverset.go
@@ -1,38 +1,3 @@
-// Package stalerouting is what the agents of a site route by and did not find out alone, and how
-// they keep it while their uplink is lost: what discovery last told any of them of each server
-// (Set), and whether the site is cut off from all that lies outside (Uplink). Both are pure:
-// times are given, as time since some start on the monotonic clock.
-//
-// # What is guaranteed
-//
-// A Set only moves forward: of two tellings of one server the one of the later process wins,
-// and of one process removed wins over draining over up. So the order in which neighbours
-// exchange what they know, repeats and losses do not matter, and all that exchange hold the
-// same in the end. What the agent's own discovery tells goes before all of that, whatever it
-// says: it is the authority whenever it can be heard.
-//
-// A site counts as cut off at a member only while a strict majority of its roll says so in
-// words no older than four beats, and this member has itself heard nothing from outside for
-// Quiet; it stays so until a majority, or this member for twice Quiet, hears something, and no
-// longer than Hold after the last majority. One agent that is cut off alone never makes a
-// site, and a share that rests on it lapses by itself.
-//
-// # What the page of rules asks of an agent that cannot know
-//
-// A change of the list counts as told once discovery has sent it to the agent's own view of
-// it, or, where a watch fell silent, 6 s later whether or not it arrived (2 s after its wait
-// for a call that may wait). While discovery is down nothing is told and nothing counts: an
-// agent of a dark site may go on sending to servers that were up when it last heard, and must
-// not send to those of which it, or its earlier life, was told that they drain. What a
-// neighbour was told does not count as told here; it is taken all the same, as a server that
-// drains turns away what is new. When discovery is back what it tells counts at once, so it is
-// asked at once, with jitter.
-//
-// # What is not guaranteed
-//
-// That a server which discovery took back from draining to up during the loss, at one member
-// only, is used by the others before they hear discovery themselves: they take the word that
-// asks for less.
 package stalerouting
 
 import (
@@ -45,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what discovery says of a server, in the order in which one process goes through it.
+// State is the state of a server by discovery, in the order in which one process passes through it.
 type State uint8
 
 // The states.
@@ -55,29 +20,29 @@
 	Removed
 )
 
-// String is the state as discovery has it.
+// String returns discovery's name of the state.
 func (s State) String() string { return [...]string{"up", "draining", "removed"}[s] }
 
 const (
-	// MaxEntries bounds a set, and what is taken of a neighbour's.
+	// MaxEntries bounds a set, and the entries that are merged from a peer.
 	MaxEntries = 4096
 	// maxName bounds the names of servers and agents, in bytes.
 	maxName = 128
-	// tombstoneTTL is how long a removal is remembered: longer than a site is to live by its set.
+	// tombstoneTTL is how long a removal is remembered, longer than a site may route by its set.
 	tombstoneTTL = 15 * time.Minute
-	// UnknownAge is the age of what nobody can date, as of a list that came with the start.
+	// UnknownAge is the age of entries without a known one, as those of the list in the configuration.
 	UnknownAge = 24 * time.Hour
 )
 
-// Entry is one process of a server as discovery told of it.
+// Entry is one process of a server as discovery reported it. Its JSON keys are part of stored state.
 type Entry struct {
 	ID          string        `json:"ID"`
-	Incarnation int64         `json:"Incarnation"` // when it started by the list, in Unix ms: a label, never compared to a clock
+	Incarnation int64         `json:"Incarnation"` // its start time by discovery, in Unix ms: a label, never compared with a clock
 	State       State         `json:"State"`
-	Age         time.Duration `json:"Age"` // since somebody of the site was told so
+	Age         time.Duration `json:"Age"` // time since discovery reported it to some agent of the site
 }
 
-// validate tells what is wrong with an entry of another process, by field.
+// validate returns an error that names the first invalid field of an entry of another process.
 func (e *Entry) validate() error {
 	switch {
 	case e.ID == "" || len(e.ID) > maxName:
@@ -90,37 +55,37 @@
 	return nil
 }
 
-// record is an entry as it is kept.
+// record is a stored entry.
 type record struct {
 	incarnation int64
 	state       State
-	learnedAt   time.Duration // when it was told; may lie before the clock's start
+	learnedAt   time.Duration // when it was reported; may be before the clock's start
 }
 
-// newerThan tells whether a telling of the same server comes after another.
+// newerThan reports whether a record of the same server supersedes another.
 func (r record) newerThan(other record) bool {
 	return cmp.Or(cmp.Compare(r.incarnation, other.incarnation), cmp.Compare(r.state, other.state)) > 0
 }
 
-// ServerSet is what a site was told of servers, as one member knows it. It is not safe for
-// concurrent use.
+// ServerSet is what discovery reported to a site about its servers, as one member knows it. It is not safe
+// for concurrent use.
 type ServerSet struct {
 	servers map[string]record
 	digest  uint64
 }
 
-// NewServerSet returns an empty one.
+// NewServerSet returns an empty set.
 func NewServerSet() *ServerSet { return &ServerSet{servers: map[string]record{}} }
 
-// ApplyDiscovery takes what the agent's own discovery tells now: changes, or the whole list. What a
-// whole one does not name any more is removed.
+// ApplyDiscovery applies what the agent's own discovery reports: changes, or the complete list. A server
+// that a complete list does not name is removed.
 func (s *ServerSet) ApplyDiscovery(now time.Duration, list []Entry, complete bool) {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list[:min(len(list), MaxEntries)] {
 		listed[e.ID] = true
 		k := record{e.Incarnation, e.State, now}
 		if known, ok := s.servers[e.ID]; ok && known.incarnation == k.incarnation && known.state == k.state {
-			continue // as old as it was
+			continue // keeps its age
 		}
 		s.servers[e.ID] = k
 	}
@@ -132,16 +97,15 @@
 	s.expireTombstones(now)
 }
 
-// Merge takes what a neighbour knows and returns what is new by it. A telling of which the
-// same is known keeps the lesser age. A record that makes no sense fails the whole, and
-// nothing is taken.
+// Merge applies the entries of a peer and returns those that changed the set. Of two equal entries the
+// lesser age is kept. If any entry is invalid, nothing is applied.
 func (s *ServerSet) Merge(now time.Duration, other []Entry) (changed []Entry, err error) {
 	if len(other) > MaxEntries {
-		return nil, fmt.Errorf("decisions: set: %d entries, at most %d are taken", len(other), MaxEntries)
+		return nil, fmt.Errorf("stalerouting: set: %d entries, at most %d are allowed", len(other), MaxEntries)
 	}
 	for i := range other {
 		if err := other[i].validate(); err != nil {
-			return nil, fmt.Errorf("decisions: set[%d].%w", i, err)
+			return nil, fmt.Errorf("stalerouting: set[%d].%w", i, err)
 		}
 	}
 	for _, e := range other {
@@ -161,7 +125,7 @@
 	return changed, nil
 }
 
-// Entries are all that is known, by id.
+// Entries returns all entries, ordered by ID.
 func (s *ServerSet) Entries(now time.Duration) []Entry {
 	out := make([]Entry, 0, len(s.servers))
 	for id, k := range s.servers {
@@ -171,11 +135,11 @@
 	return out
 }
 
-// Digest is the same for two sets that tell the same of all servers that are not removed,
-// whatever the ages.
+// Digest returns a hash that is equal for two sets with the same servers in the same states, removed
+// ones and ages left out.
 func (s *ServerSet) Digest() uint64 { return s.digest }
 
-// expireTombstones forgets old removals and takes the digest anew.
+// expireTombstones drops removals older than tombstoneTTL and recomputes the digest.
 func (s *ServerSet) expireTombstones(now time.Duration) {
 	s.digest = 0
 	var raw [9]byte
@@ -189,8 +153,8 @@
 		binary.BigEndian.PutUint64(raw[:], uint64(k.incarnation))
 		raw[8] = byte(k.state)
 		h := xxhash.New()
-		_, _ = h.WriteString(id) // a hash takes all
+		_, _ = h.WriteString(id) // a hash never fails
 		_, _ = h.Write(raw[:])
-		s.digest += h.Sum64() // a sum has no order
+		s.digest += h.Sum64() // a sum does not depend on the order
 	}
 }
--- a/internal/agent/stalerouting/uplink.go
+++ b/internal/agent/stalerouting/uplink.go
@@ -7,177 +7,96 @@
 	"time"
 )
 
-// Signal is by what something outside the site was heard.
+// Signal is evidence that something outside the site can be reached.
 type Signal uint8
 
-// The senses.
+// The signals.
 const (
 	DiscoveryAnswered Signal = iota // discovery answered a call
-	PingAnswered                    // an agent of another site answered a ping: both ways are open
+	PingAnswered                    // an agent of another site answered a ping, so both directions work
 	RequestServed                   // a server of another zone served a request
 )
 
-// Config is what a member is told of its site and of what counts as silence.
-type Config struct {
-	Self    string
-	Members []string // the roll: all members, this one included
-	// IsolationTimeout is for how long nothing from outside must have been heard.
-	IsolationTimeout time.Duration
-	// HeartbeatInterval is the time between two words to each member, and between two pings.
-	HeartbeatInterval time.Duration
-	// SlowStartStep is how long what lies outside gets each part of its share when the uplink is back.
-	SlowStartStep time.Duration
-	// MaxIsolation is how long a site stays dark after the last majority for it, where nobody hears
-	// anything from outside: the others may have died.
-	MaxIsolation time.Duration
-	// WasIsolated is that an earlier life, not long ago, knew the uplink to be lost: all that is
-	// known until something is heard.
-	WasIsolated bool
-	// Seed is of what is drawn.
-	Seed uint64
-}
-
-// Defaults are the times where nothing else is said.
-func Defaults() Config {
-	return Config{IsolationTimeout: 2 * time.Second, HeartbeatInterval: 500 * time.Millisecond, SlowStartStep: time.Second, MaxIsolation: 10 * time.Minute}
-}
-
-// Validate tells what makes no sense, by key.
-func (c *Config) Validate() error {
-	switch {
-	case c.HeartbeatInterval < 50*time.Millisecond || c.HeartbeatInterval > 10*time.Second:
-		return fmt.Errorf("beat: must be 50ms to 10s, is %v", c.HeartbeatInterval)
-	case c.IsolationTimeout < 3*c.HeartbeatInterval || c.IsolationTimeout > 10*time.Minute:
-		return fmt.Errorf("quiet: must be three beats (%v) to 10m, is %v", 3*c.HeartbeatInterval, c.IsolationTimeout)
-	case c.SlowStartStep <= 0 || c.SlowStartStep > 10*time.Minute:
-		return fmt.Errorf("step: must be above 0 and at most 10m, is %v", c.SlowStartStep)
-	case c.MaxIsolation < c.IsolationTimeout || c.MaxIsolation > time.Hour:
-		return fmt.Errorf("hold: must be quiet (%v) to 1h, is %v", c.IsolationTimeout, c.MaxIsolation)
-	case !slices.Contains(c.Members, c.Self):
-		return fmt.Errorf("site: %q, this agent, is not in it", c.Self)
-	}
-	return nil
-}
-
-// pingsPerHeartbeat is how many agents of other sites are asked at each beat, few how many members get a
-// word while there is nothing to say; maxLinkDelay is what a word may have taken on its way, added
-// to its age; heartbeatsValid is how many beats a word holds.
-const (
-	pingsPerHeartbeat, idleHeartbeatFanout = 2, 2
-	maxLinkDelay                           = 250 * time.Millisecond
-	heartbeatsValid                        = 4
-)
-
-// Version is that of words and of sets that travel. Another is turned away.
-const Version = 1
-
-// Heartbeat is what a member tells the others of its site, whole: the newest makes all before it
-// stale, so any may be lost, repeated or come late.
-type Heartbeat struct {
-	Version     int
-	From        string
-	Incarnation uint64 // names the life of the sender's process
-	Seq         uint64 // one more with each word of that life
-	Isolated    bool   // the sender hears nothing from outside
-	Digest      uint64 // of its Set
-}
-
-// Validate tells what is wrong with a word of another process, by field.
-func (w *Heartbeat) Validate() error {
-	switch {
-	case w.Version != Version:
-		return fmt.Errorf("word: version: %d, %d is spoken", w.Version, Version)
-	case w.From == "" || len(w.From) > maxName:
-		return fmt.Errorf("word: from: a name of %d bytes", len(w.From))
-	}
-	return nil
-}
-
-// Phase is how a site stands to what lies outside.
+// Phase is the state of a site's connection to the outside.
 type Phase uint8
 
 // The phases.
 const (
 	Connected  Phase = iota
-	Isolated         // the uplink is lost: nothing is sent out of the site
-	Recovering       // it is back, and what lies outside gets its share by steps
+	Isolated         // the uplink is lost: no request leaves the site
+	Recovering       // the uplink is back, and traffic to the outside resumes step by step
 )
 
-// String names the phase as logs and traces have it.
+// String returns the name used in logs and traces.
 func (p Phase) String() string { return [...]string{"light", "dark", "returning"}[p] }
 
-// slowStartShares of its share that what lies outside gets, one after the other, when the uplink is back.
+// slowStartShares are the fractions of its share that the outside gets, step by step, when the uplink is back.
 var slowStartShares = [...]float64{0.1, 0.3, 1}
 
-// Actions is what the core asks of its caller.
+// Actions is what the uplink asks of its caller.
 type Actions struct {
-	// Heartbeat is for each member named in To.
+	// Heartbeat is to be sent to each member of Recipients.
 	Heartbeat  Heartbeat
 	Recipients []string
-	// Pings are agents of other sites to be asked for a pong.
+	// Pings are the agents of other sites to ping.
 	Pings []string
-	// QueryDiscovery asks discovery for the whole list.
+	// QueryDiscovery requests the complete list from discovery.
 	QueryDiscovery bool
-	// SyncWith names a member whose set differs while discovery can't be heard.
+	// SyncWith names a member to exchange sets with: its set differs, and discovery can't be reached.
 	SyncWith string
-	// Phase and Share hold until Until; Changed tells of another than at the last tick. A share
-	// of 0 is that nothing is sent out of the site.
+	// Phase and Share are valid until Until; Changed tells that they differ from the last tick. With a
+	// share of 0 no request leaves the site.
 	Phase   Phase
 	Share   float64
 	Until   time.Duration
 	Changed bool
-	// IsolatedMembers is how many members say that they hear nothing from outside.
+	// IsolatedMembers is the number of members without a signal from outside.
 	IsolatedMembers int
 }
 
-// Uplink is one member's part in finding out that the uplink is lost: a state machine without
-// I/O, not safe for concurrent use.
+// Uplink is one member's state machine for detecting that the uplink of its site is lost. It does no I/O
+// and is not safe for concurrent use.
 type Uplink struct {
 	config             Config
 	rng                *rand.Rand
 	incarnation        uint64
 	now                time.Duration
 	started            bool
-	lastSignal         time.Duration // when anything outside was last heard
-	anySignal          bool          // in this life
-	discoveryAnswered  bool          // discovery has been heard in this life
-	signalsSince       time.Duration // when something was first heard again, without a gap of Quiet
-	remoteAgents       []string      // agents of other sites that are there
+	lastSignal         time.Duration // time of the last signal from outside
+	anySignal          bool          // there was a signal in this run
+	discoveryAnswered  bool          // discovery has answered in this run, or since recovery
+	signalsSince       time.Duration // start of the current signals without a gap of IsolationTimeout
+	remoteAgents       []string      // live agents of other sites
 	heartbeats         map[string]receivedHeartbeat
 	seq                uint64
 	lastTick           time.Duration
 	lastHeartbeat      time.Duration
-	announcedIsolated  bool // of the last word: that nothing is heard
+	announcedIsolated  bool // value of Isolated in the last heartbeat
 	lastDiscoveryQuery time.Duration
 	phase              Phase
-	phaseBegan         time.Duration // when the phase began
-	lastMajority       time.Duration // when a majority last heard nothing
+	phaseBegan         time.Duration // start of the phase
+	lastMajority       time.Duration // when a majority was last without a signal
 	share              float64
 }
 
-type receivedHeartbeat struct {
-	Heartbeat
-	sentAt time.Duration // when it was said, at the latest by the stated bound of links
-}
-
-// NewUplink returns a member that has heard nothing yet. Boot names this life.
+// NewUplink returns an uplink without signals. The incarnation identifies this run of the process.
 func NewUplink(config Config, incarnation uint64) (*Uplink, error) {
 	if err := config.Validate(); err != nil {
-		return nil, fmt.Errorf("decisions: %w", err)
+		return nil, fmt.Errorf("stalerouting: %w", err)
 	}
 	return &Uplink{config: config, incarnation: incarnation, rng: rand.New(rand.NewPCG(config.Seed, incarnation)), heartbeats: map[string]receivedHeartbeat{}, share: 1}, nil
 }
 
-// advanceClock sets the clock.
+// advanceClock sets the time of this call.
 func (u *Uplink) advanceClock(now time.Duration) {
 	if !u.started {
-		// The first beat is at once, the first call to discovery a part of Quiet later.
+		// The first heartbeat is due at once, the first query of discovery a fraction of IsolationTimeout later.
 		u.started, u.lastSignal, u.lastTick, u.lastHeartbeat, u.lastDiscoveryQuery = true, now, now, now-u.config.HeartbeatInterval, now
 	}
 	u.now = max(u.now, now)
 }
 
-// Observe takes that something outside was heard.
+// Observe records a signal from outside.
 func (u *Uplink) Observe(now time.Duration, signal Signal) {
 	u.advanceClock(now)
 	if !u.anySignal || u.now-u.lastSignal > u.config.IsolationTimeout {
@@ -186,15 +105,15 @@
 	u.lastSignal, u.anySignal, u.discoveryAnswered = u.now, true, u.discoveryAnswered || signal == DiscoveryAnswered
 }
 
-// SetRemoteAgents says which agents of other sites are there, by name.
+// SetRemoteAgents replaces the live agents of other sites.
 func (u *Uplink) SetRemoteAgents(now time.Duration, agents []string) {
 	u.advanceClock(now)
 	u.remoteAgents = slices.Clone(agents)
 	slices.Sort(u.remoteAgents)
 }
 
-// Receive takes a word of a member. One that is stale or of no member is dropped with the
-// reason as its error.
+// Receive records a heartbeat of another member. A stale or invalid one, or one of no member, changes
+// nothing and returns an error.
 func (u *Uplink) Receive(now time.Duration, heartbeat Heartbeat) error {
 	u.advanceClock(now)
 	if err := heartbeat.Validate(); err != nil {
@@ -203,31 +122,31 @@
 	last, ok := u.heartbeats[heartbeat.From]
 	switch {
 	case heartbeat.From == u.config.Self || !slices.Contains(u.config.Members, heartbeat.From):
-		return fmt.Errorf("word: from: %s is no other member", heartbeat.From)
+		return fmt.Errorf("heartbeat: from: %s is not another member", heartbeat.From)
 	case ok && last.Incarnation == heartbeat.Incarnation && last.Seq >= heartbeat.Seq:
-		return fmt.Errorf("word: seq: an older one of %s", heartbeat.From)
+		return fmt.Errorf("heartbeat: seq: older than the last one of %s", heartbeat.From)
 	}
 	u.heartbeats[heartbeat.From] = receivedHeartbeat{heartbeat, u.now - maxLinkDelay}
 	return nil
 }
 
-// isolated tells whether this member hears nothing from outside: for Quiet, or, at the start of a
-// life whose earlier one knew the uplink to be lost, as long as it has heard nothing.
+// isolated reports whether this member has no signal from outside: for IsolationTimeout or, if its earlier
+// run was isolated, since its start.
 func (u *Uplink) isolated() bool {
 	return u.now-u.lastSignal >= u.config.IsolationTimeout || u.config.WasIsolated && !u.anySignal
 }
 
-// connected tells whether it does hear something, in this life.
+// connected reports whether this member has a current signal from this run.
 func (u *Uplink) connected() bool {
 	return u.anySignal && u.now-u.lastSignal < u.config.IsolationTimeout
 }
 
-// valid tells whether a word still holds.
+// valid reports whether a heartbeat still counts.
 func (u *Uplink) valid(w receivedHeartbeat) bool {
 	return u.now-w.sentAt <= heartbeatsValid*u.config.HeartbeatInterval
 }
 
-// isolatedMembers counts the members that hear nothing.
+// isolatedMembers returns the number of members without a signal.
 func (u *Uplink) isolatedMembers() (n int) {
 	if u.isolated() {
 		n++
@@ -240,7 +159,7 @@
 	return n
 }
 
-// majorityConnected tells whether a majority hears something from outside.
+// majorityConnected reports whether a majority has a signal from outside.
 func (u *Uplink) majorityConnected() bool {
 	n := 0
 	if u.connected() {
@@ -254,8 +173,8 @@
 	return 2*n > len(u.config.Members)
 }
 
-// updatePhase decides the phase. A majority is needed to go dark; to stay so it is enough that no
-// majority speaks against it, as the members that agreed may have died since.
+// updatePhase decides the phase. Entering Isolated takes a majority. To stay it is enough that no majority
+// has a signal, as the members that agreed may have failed since.
 func (u *Uplink) updatePhase(isolated int) {
 	majority := 2*isolated > len(u.config.Members)
 	if majority {
@@ -267,15 +186,15 @@
 		enter(Isolated)
 	case u.phase == Isolated && (u.majorityConnected() || u.now-u.lastMajority > u.config.MaxIsolation || u.connected() && u.now-u.signalsSince >= 2*u.config.IsolationTimeout):
 		enter(Recovering)
-		// Discovery is asked at once, with jitter: all of the site come back at this moment.
+		// Discovery is queried at once, with jitter: all members recover at this moment.
 		u.discoveryAnswered, u.lastDiscoveryQuery = false, u.now-u.discoveryQueryInterval()+time.Duration(u.rng.Int64N(int64(u.config.HeartbeatInterval)))
 	case u.phase == Recovering && u.now-u.phaseBegan >= time.Duration(len(slowStartShares)-1)*u.config.SlowStartStep:
 		enter(Connected)
 	}
 }
 
-// discoveryQueryInterval is the time between two calls to discovery: seldom while the site is dark, as a
-// pong tells of the uplink's return.
+// discoveryQueryInterval is the time between two queries of discovery. It is longer while the site is
+// isolated, as an answered ping shows the recovery.
 func (u *Uplink) discoveryQueryInterval() time.Duration {
 	if u.phase == Isolated {
 		return 2 * u.config.IsolationTimeout
@@ -283,11 +202,11 @@
 	return u.config.IsolationTimeout / 2
 }
 
-// Tick decides anew and returns what is to be done; digest is that of the member's Set. It is
-// to be called a few times in each beat.
+// Tick reevaluates the phase and returns what is to be done; digest is that of the member's ServerSet.
+// It is to be called a few times in each heartbeat interval.
 func (u *Uplink) Tick(now time.Duration, digest uint64) *Actions {
 	u.advanceClock(now)
-	// Who did not listen has heard no silence: what a pause of the process was long is not counted.
+	// A pause of the process is no silence of the others: its duration does not count.
 	if gap := u.now - u.lastTick; gap > u.config.HeartbeatInterval {
 		u.lastSignal = min(u.lastSignal+gap, u.now)
 	}
@@ -305,8 +224,7 @@
 	}
 	actions.Phase, actions.Share, actions.Until = u.phase, u.share, u.now+heartbeatsValid*u.config.HeartbeatInterval
 	actions.Changed = u.phase != phase || u.share != share
-	// Silence is made sure of before it is believed: a list that does not change says nothing
-	// by itself.
+	// Discovery is queried before its silence counts: an unchanged list brings no messages by itself.
 	queryNeeded := u.now-u.lastSignal >= u.config.IsolationTimeout/2 || u.phase == Isolated || u.phase == Recovering && !u.discoveryAnswered
 	if queryNeeded && u.now-u.lastDiscoveryQuery >= u.discoveryQueryInterval() {
 		actions.QueryDiscovery, u.lastDiscoveryQuery = true, u.now
@@ -318,8 +236,8 @@
 	return actions
 }
 
-// sendHeartbeat says this member's word, to all while it hears nothing or has just heard something
-// again and to a few otherwise, and asks whether anybody outside is there.
+// sendHeartbeat sends this member's state, to all members while it is isolated or has just recovered and to
+// a few otherwise, and pings agents of other sites.
 func (u *Uplink) sendHeartbeat(actions *Actions, digest uint64, isolated bool) {
 	fanout := idleHeartbeatFanout
 	if isolated || isolated != u.announcedIsolated {
@@ -339,7 +257,7 @@
 	if !u.DiscoveryUnreachable() {
 		return
 	}
-	// One neighbour at a time, drawn of those whose set differs.
+	// One random member at a time, of those whose set differs.
 	var differ []string
 	for _, member := range u.config.Members {
 		if w, ok := u.heartbeats[member]; ok && w.Digest != digest && u.valid(w) {
@@ -351,6 +269,6 @@
 	}
 }
 
-// DiscoveryUnreachable tells whether discovery can't be asked now, so that what neighbours were told is all
-// there is: the site is dark, or this life has not heard discovery yet.
+// DiscoveryUnreachable reports whether discovery can't be reached now, so that members depend on each
+// other's sets: the site is isolated, or discovery has not answered this run yet.
 func (u *Uplink) DiscoveryUnreachable() bool { return u.phase == Isolated || !u.discoveryAnswered }
