--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -139,7 +139,7 @@
 	f.nextID++
 	s := &simServer{Server: Server{ID: fmt.Sprintf("s%04d-%d", i, f.nextID), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: zone, Region: region,
 		Revision: revision, Capacity: 10, Healthy: true}, cache: map[uint64]uint64{}}
-	s.hash = hashID(s.Addr)
+	s.hash = inference.HashString(s.Addr)
 	f.servers = append(f.servers, s)
 	f.byID[s.ID] = s
 	return s
--- a/internal/fleet/rollout/parts_test.go
+++ b/internal/fleet/rollout/parts_test.go
@@ -295,9 +295,9 @@
 func TestWhatIsWorseIsFound(t *testing.T) {
 	sp := defaultSpec().Judge
 	for name, change := range map[string]func(s *Sample, isNew bool, rng *rand.Rand){
-		"fail":            func(s *Sample, isNew bool, rng *rand.Rand) { s.Failed = s.Failed || isNew && rng.Float64() < 0.06 },
-		"are turned away": func(s *Sample, isNew bool, rng *rand.Rand) { s.Rejected = s.Rejected || isNew && rng.Float64() < 0.12 },
-		"pause too long": func(s *Sample, isNew bool, rng *rand.Rand) {
+		"fail":         func(s *Sample, isNew bool, rng *rand.Rand) { s.Failed = s.Failed || isNew && rng.Float64() < 0.06 },
+		"are rejected": func(s *Sample, isNew bool, rng *rand.Rand) { s.Rejected = s.Rejected || isNew && rng.Float64() < 0.12 },
+		"stall": func(s *Sample, isNew bool, rng *rand.Rand) {
 			s.LongestGap += map[bool]time.Duration{true: 150 * time.Millisecond}[isNew]
 		},
 		"late": func(s *Sample, isNew bool, _ *rand.Rand) {
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -8,13 +8,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Status is what an operator is told of a rollout. What only the holder of the duty knows is empty
-// where Holds is false.
+// Status is what an operator is told of a rollout. The fields from TimeLeft to Verdict are known to
+// the lease holder only.
 type Status struct {
 	Number     uint64           `json:"number"`
 	Phase      Phase            `json:"phase"`
 	Paused     bool             `json:"paused"`
-	Reason     string           `json:"why,omitempty"`
+	Reason     string           `json:"why,omitempty"` // of a pause or a rollback
 	Service    string           `json:"service,omitempty"`
 	Model      string           `json:"model,omitempty"`
 	From       int              `json:"from"`
@@ -27,68 +27,86 @@
 	Replaced   int              `json:"moved"`
 	Draining   []DrainingServer `json:"out"`
 	Ramping    []RampingServer  `json:"in"`
-	Replace    []string         `json:"replace"` // servers that the platform is to drain and replace, by id
+	Replace    []string         `json:"replace"` // servers that the platform is to drain and replace, by ID
 
-	HoldsLease       bool          `json:"holds"`
-	TimeLeft         time.Duration `json:"left"` // -1: not known
-	WaitReasons      []string      `json:"waits,omitempty"`
-	WorstShortage    *Shortage     `json:"worst-group,omitempty"`
-	ReplicaHistogram [8]int        `json:"groups"` // hash groups by their replicas, the last for that many and more
-	Verdict          Verdict       `json:"verdict"`
-	History          []Summary     `json:"past,omitempty"`
+	HoldsLease       bool             `json:"holds"` // the status is of the lease holder
+	TimeLeft         time.Duration    `json:"left"`  // negative: unknown
+	WaitReasons      []string         `json:"waits,omitempty"`
+	WorstShortage    *Shortage        `json:"worst-group,omitempty"`
+	ReplicaHistogram ReplicaHistogram `json:"groups"`
+	Verdict          Verdict          `json:"verdict"`
+	History          []Summary        `json:"past,omitempty"`
 }
 
 // Status is what any agent can tell of the record and its own list of servers.
 func (r *Record) Status(servers []Server) Status {
-	s := Status{Number: r.Number, Phase: r.Phase, Paused: r.Paused, Reason: r.Reason, Service: r.Spec.Service, Model: r.Spec.Model, From: r.Spec.From, To: r.Spec.To,
-		Holder: r.Holder, Term: r.Term, Version: r.Version, Replaced: r.Replaced, Draining: r.Draining, Ramping: r.Ramping, TimeLeft: -1, History: r.History}
-	for _, l := range r.Draining {
-		if l.Step == DrainReplacing {
-			s.Replace = append(s.Replace, l.ID)
+	s := Status{
+		Number:   r.Number,
+		Phase:    r.Phase,
+		Paused:   r.Paused,
+		Reason:   r.Reason,
+		Service:  r.Spec.Service,
+		Model:    r.Spec.Model,
+		From:     r.Spec.From,
+		To:       r.Spec.To,
+		Holder:   r.Holder,
+		Term:     r.Term,
+		Version:  r.Version,
+		Replaced: r.Replaced,
+		Draining: r.Draining,
+		Ramping:  r.Ramping,
+		TimeLeft: -1,
+		History:  r.History,
+	}
+	for _, d := range r.Draining {
+		if d.Step == DrainReplacing {
+			s.Replace = append(s.Replace, d.ID)
 		}
 	}
 	for i := range servers {
-		switch v := &servers[i]; {
-		case v.State > registry.Expired:
-		case v.Revision == r.Spec.To:
+		switch server := &servers[i]; {
+		case server.State > registry.Expired:
+		case server.Revision == r.Spec.To:
 			s.NewServers++
-		case v.Revision == r.Spec.From:
+		case server.Revision == r.Spec.From:
 			s.OldServers++
 		}
 	}
 	return s
 }
 
-// Status adds what the holder knows, as of its last Step.
-func (m *Controller) Status(now time.Duration, rec *Record, f *Observation) Status {
-	s := rec.Status(f.Servers)
-	s.HoldsLease, s.WaitReasons, s.Verdict = true, slices.Clone(m.waitReasons), m.verdict
-	if m.worstShortage.Group != "" {
-		worst := m.worstShortage
+// Status adds what the lease holder knows, as of its last Reconcile.
+func (c *Controller) Status(now time.Duration, record *Record, observation *Observation) Status {
+	s := record.Status(observation.Servers)
+	s.HoldsLease, s.WaitReasons, s.Verdict = true, slices.Clone(c.waitReasons), c.verdict
+	if c.worstShortage.Group != "" {
+		worst := c.worstShortage
 		s.WorstShortage = &worst
 	}
-	if f.Reports != nil {
-		s.ReplicaHistogram = f.Reports.Replicas.Histogram()
+	if observation.Reports != nil {
+		s.ReplicaHistogram = observation.Reports.Replicas.Histogram()
 	}
-	left := s.OldServers
-	if rec.Phase == PhaseRollback {
-		left = s.NewServers
+	remaining := s.OldServers
+	if record.Phase == PhaseRollback {
+		remaining = s.NewServers
 	}
-	switch moved := rec.Replaced - m.replacedAtStart; {
-	case !rec.Active():
+	switch replaced := record.Replaced - c.replacedAtStart; {
+	case !record.Active():
 		s.TimeLeft = 0
-	case moved > 0 && !rec.Paused && m.number == rec.Number:
-		s.TimeLeft = (now - m.startedAt) / time.Duration(moved) * time.Duration(left+len(rec.Ramping))
+	case replaced > 0 && !record.Paused && c.number == record.Number:
+		perServer := (now - c.startedAt) / time.Duration(replaced)
+		s.TimeLeft = perServer * time.Duration(remaining+len(record.Ramping))
 	}
 	return s
 }
 
-// String is a line for people.
+// String is a line for operators.
 func (s *Status) String() string {
 	if s.Number == 0 {
 		return "there was no rollout yet"
 	}
-	line := fmt.Sprintf("rollout %d of %s, model %s from %d to %d: %s, %d servers new, %d old", s.Number, s.Service, s.Model, s.From, s.To, s.Phase, s.NewServers, s.OldServers)
+	line := fmt.Sprintf("rollout %d of %s, model %s from %d to %d: %s, %d servers new, %d old",
+		s.Number, s.Service, s.Model, s.From, s.To, s.Phase, s.NewServers, s.OldServers)
 	if s.Paused {
 		line += ", paused"
 	}
