--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -44,7 +44,7 @@
 
 // handlePrepare answers once the promise is on disk.
 func (m *Member) handlePrepare(ctx context.Context, request *prepareRequest) (*view.Response, error) {
-	prepare := &request.Q
+	prepare := &request.Prepare
 	if prepare.Base.Number == 0 {
 		return m.prepareFirstView(request), nil
 	}
@@ -55,7 +55,7 @@
 
 // handleAccept answers once the acceptance is on disk.
 func (m *Member) handleAccept(ctx context.Context, request *acceptRequest) (*view.Response, error) {
-	accept := &request.Q
+	accept := &request.Accept
 	if accept.View.Number != accept.Base.Number+1 {
 		return nil, errors.Errorf("view %d proposed after %d", accept.View.Number, accept.Base.Number)
 	}
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -129,10 +129,10 @@
 func (m *Member) prepareFirstView(request *prepareRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
+	if refusal := m.bootstrapRefusalLocked(request.To, &request.Prepare.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Prepare(firstView, request.Q.Number)
+	vote, answer := m.bootstrap.vote.Prepare(firstView, request.Prepare.Number)
 	m.bootstrap.vote = vote
 	return &answer
 }
@@ -141,10 +141,10 @@
 func (m *Member) acceptFirstView(request *acceptRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refusal := m.bootstrapRefusalLocked(request.To, &request.Q.Base); refusal != nil {
+	if refusal := m.bootstrapRefusalLocked(request.To, &request.Accept.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Accept(firstView, request.Q.Number, request.Q.View)
+	vote, answer := m.bootstrap.vote.Accept(firstView, request.Accept.Number, request.Accept.View)
 	m.bootstrap.vote = vote
 	return &answer
 }
--- a/internal/fleet/controlplane/catchup.go
+++ b/internal/fleet/controlplane/catchup.go
@@ -12,13 +12,13 @@
 // catchUp does what a peer's heartbeat calls for: it learns a newer view or sends one, and fetches a
 // newer committed value.
 func (m *Member) catchUp(ctx context.Context, received *heartbeat) {
-	m.learnViewOrLog(ctx, received.News)
+	m.learnViewOrLog(ctx, received.NewerView)
 	m.mu.Lock()
 	learned, record := m.views.learned, m.register.record
 	fetch := m.register.lags(received)
 	diverges := m.register.diverges(received)
 	// The peer's value is this member's own: it came along the chain of the view that both are in.
-	stored := fetch && record.View == learned.Number && received.View == learned.Number && record.Value.Seq == received.Seq
+	stored := fetch && record.View == learned.Number && received.View == learned.Number && record.Value.Seq == received.CommittedSeq
 	if stored {
 		m.mu.Unlock()
 		m.advanceCommitted(record.Value)
@@ -54,19 +54,19 @@
 func (m *Member) repairDivergence(ctx context.Context, received *heartbeat) {
 	now := time.Now()
 	m.mu.Lock()
-	same, other := m.peers.countChecksums(&m.views.learned, received.Seq, m.register.checksum, received.Sum, now)
+	same, other := m.peers.countChecksums(&m.views.learned, received.CommittedSeq, m.register.checksum, received.CommittedChecksum, now)
 	same++ // this process
-	outvoted := m.register.committed.Seq == received.Seq && other > same
+	outvoted := m.register.committed.Seq == received.CommittedSeq && other > same
 	m.mu.Unlock()
-	logevent.ReplicasDiverged.Log("seq", received.Seq, "peer", received.Peer.Addr, "hold-this", same, "hold-that", other, "mended", outvoted)
+	logevent.ReplicasDiverged.Log("seq", received.CommittedSeq, "peer", received.Peer.Addr, "hold-this", same, "hold-that", other, "mended", outvoted)
 	if !outvoted {
 		return
 	}
 	response, err := call[empty, valueResponse](ctx, m, received.Peer.Addr, callValue, &empty{})
-	if err != nil || response.Value.Seq != received.Seq || response.Value.Checksum() != received.Sum {
+	if err != nil || response.Value.Seq != received.CommittedSeq || response.Value.Checksum() != received.CommittedChecksum {
 		return
 	}
-	m.replaceValue(ctx, response.Value, received.Sum)
+	m.replaceValue(ctx, response.Value, received.CommittedChecksum)
 }
 
 // replaceValue puts a value in the place of the one with the same sequence number, on disk and in
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -23,8 +23,8 @@
 // Submit has a change carried out by the head of the chain. It returns after RequestTimeout at the
 // latest. With an Unclear verdict the change may be taken or not: submitted again, at any process, it
 // is the same change.
-func (m *Member) Submit(ctx context.Context, order *chain.Update) chain.Result {
-	if len(order.Body) > chain.MaxBody {
+func (m *Member) Submit(ctx context.Context, update *chain.Update) chain.Result {
+	if len(update.Body) > chain.MaxBody {
 		return chain.Result{Outcome: chain.OutcomeInvalid, Reason: "the configuration is too large"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
@@ -32,27 +32,27 @@
 	request := routedRequest[chain.Result]{
 		role: func(v view.View) view.Peer { return v.Head().Peer },
 		send: func(ctx context.Context, head view.Peer) attemptResult[chain.Result] {
-			return m.submitTo(ctx, head, order)
+			return m.submitTo(ctx, head, update)
 		},
 	}
 	return route(ctx, m, request, chain.Result{Reason: ErrNoCore.Error()})
 }
 
-func (m *Member) submitTo(ctx context.Context, head view.Peer, order *chain.Update) attemptResult[chain.Result] {
+func (m *Member) submitTo(ctx context.Context, head view.Peer, update *chain.Update) attemptResult[chain.Result] {
 	var response *submitResponse
 	var err error
 	if head.ID == m.self.ID {
-		response, err = m.handleSubmit(ctx, order)
+		response, err = m.handleSubmit(ctx, update)
 	} else {
-		response, err = call[chain.Update, submitResponse](ctx, m, head.Addr, callSubmit, order)
+		response, err = call[chain.Update, submitResponse](ctx, m, head.Addr, callSubmit, update)
 	}
 	if err != nil {
 		return attemptResult[chain.Result]{value: chain.Result{Reason: err.Error()}}
 	}
-	verdict := response.Verdict
+	result := response.Result
 	return attemptResult[chain.Result]{
-		value: verdict,
-		final: verdict.Outcome != chain.OutcomeUnknown || verdict.Final,
+		value: result,
+		final: result.Outcome != chain.OutcomeUnknown || result.Final,
 		newer: response.Newer,
 	}
 }
@@ -66,9 +66,9 @@
 		role: func(v view.View) view.Peer { return v.Tail().Peer },
 		send: m.readFrom,
 	}
-	response := route(ctx, m, request, readResponse{Why: ErrNoCore.Error()})
+	response := route(ctx, m, request, readResponse{Reason: ErrNoCore.Error()})
 	if !response.OK {
-		return chain.Value{}, &UnavailableError{Reason: response.Why}
+		return chain.Value{}, &UnavailableError{Reason: response.Reason}
 	}
 	if m.IsVoter() {
 		m.advanceCommitted(response.Value) // the copy here may be older
@@ -85,7 +85,7 @@
 		response, err = call[empty, readResponse](ctx, m, tail.Addr, callRead, &empty{})
 	}
 	if err != nil {
-		return attemptResult[readResponse]{value: readResponse{Why: err.Error()}}
+		return attemptResult[readResponse]{value: readResponse{Reason: err.Error()}}
 	}
 	return attemptResult[readResponse]{value: *response, final: response.OK, newer: response.Newer}
 }
@@ -96,19 +96,19 @@
 	replica, newest := m.replicaLocked(), m.views.newest
 	m.mu.Unlock()
 	if newest.Number == 0 {
-		return &readResponse{Why: "no view is known"}, nil
+		return &readResponse{Reason: "no view is known"}, nil
 	}
 	if replica.View.Number != newest.Number || replica.View.Tail().ID != m.self.ID {
-		return &readResponse{Newer: &newest, Why: "not the tail"}, nil
+		return &readResponse{Newer: &newest, Reason: "not the tail"}, nil
 	}
 	value, ok := replica.CommittedValue()
 	if !ok {
-		return &readResponse{Why: "the head's value has not come through yet"}, nil
+		return &readResponse{Reason: "the head's value has not come through yet"}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := m.confirmView(ctx, replica.View); err != nil {
-		return &readResponse{Why: err.Error()}, nil
+		return &readResponse{Reason: err.Error()}, nil
 	}
 	return &readResponse{Value: value, OK: true}, nil
 }
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -194,7 +194,7 @@
 		HasDisk:        node.dir != "",
 		FirstStart:     firstStart,
 		Seeds:          func() []string { return cluster.seeds },
-		Losses:         cluster.machineLosses,
+		MachineLosses:  cluster.machineLosses,
 		ZoneLosses:     cluster.zoneLosses,
 		Counted:        true,
 		Pool:           pool,
@@ -388,7 +388,7 @@
 	return len(current.Chain)
 }
 
-func (node *testNode) chainPosition() int { return node.member.Status().Place }
+func (node *testNode) chainPosition() int { return node.member.Status().Position }
 
 // isMemberOf reports whether a node votes, in a view with a number of voters and chain members.
 func (node *testNode) isMemberOf(voters, members int) bool {
@@ -406,17 +406,17 @@
 
 // prepare asks a node, as the owner of a disk, for a promise.
 func (node *testNode) prepare(ctx context.Context, disk string, base view.View, number view.ProposalNumber) (*view.Response, error) {
-	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Q: view.PrepareRequest{Base: base, Number: number}})
+	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Prepare: view.PrepareRequest{Base: base, Number: number}})
 }
 
 // accept asks a node, as the owner of a disk, to accept a view.
 func (node *testNode) accept(ctx context.Context, disk string, base view.View, number view.ProposalNumber, next view.View) (*view.Response, error) {
-	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Q: view.AcceptRequest{Base: base, Number: number, View: next}})
+	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Accept: view.AcceptRequest{Base: base, Number: number, View: next}})
 }
 
 // push pushes a value to a node, as the owner of a disk.
 func (node *testNode) push(ctx context.Context, disk string, current view.View, value *chain.Value) (*pushResponse, error) {
-	return node.member.handlePush(ctx, &pushRequest{To: disk, Q: chain.Push{View: current, Value: *value}})
+	return node.member.handlePush(ctx, &pushRequest{To: disk, Push: chain.Push{View: current, Value: *value}})
 }
 
 // valueAfter is the value that an update of the node's stored value leads to.
--- a/internal/fleet/controlplane/discovery.go
+++ b/internal/fleet/controlplane/discovery.go
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	response, err := call[viewRequest, viewResponse](ctx, m, address, callView, &viewRequest{Have: newest.Number})
+	response, err := call[viewRequest, viewResponse](ctx, m, address, callView, &viewRequest{Known: newest.Number})
 	if err != nil {
 		return
 	}
--- a/internal/fleet/controlplane/handover.go
+++ b/internal/fleet/controlplane/handover.go
@@ -36,14 +36,14 @@
 func (m *Member) Handover(ctx context.Context) {
 	m.mu.Lock()
 	joining := m.joiningLocked()
-	m.shuttingDown = true
+	m.leaving = true
 	learned := m.views.learned
 	m.mu.Unlock()
 	_, voter := learned.Voter(m.self.ID)
 	if !voter && !joining {
 		return
 	}
-	m.announceShutdown(ctx, learned)
+	m.announceLeaving(ctx, learned)
 	if joining && !m.awaitAdmission(ctx) {
 		return
 	}
@@ -62,10 +62,10 @@
 	}
 }
 
-// announceShutdown tells the voters that this member is shutting down, before it is left out, so that
+// announceLeaving tells the voters that this member is shutting down, before it is left out, so that
 // none adds it again. One that misses it adds and drops it again.
-func (m *Member) announceShutdown(ctx context.Context, current view.View) {
-	ctx, cancel := context.WithTimeout(ctx, shutdownNoticeTimeout)
+func (m *Member) announceLeaving(ctx context.Context, current view.View) {
+	ctx, cancel := context.WithTimeout(ctx, leavingNoticeTimeout)
 	defer cancel()
 	var sent sync.WaitGroup
 	for _, voter := range current.Voters {
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -49,7 +49,7 @@
 	cluster.tb.Helper()
 	added := cluster.addNode()
 	added.waitUntil("it votes and is in the chain", func() bool {
-		return added.isMemberOf(voters, members) && added.member.Status().Whole
+		return added.isMemberOf(voters, members) && added.member.Status().Complete
 	})
 	return added
 }
@@ -82,7 +82,7 @@
 		client.submitInTime(int64(i+1), int64(i+2))
 		cluster.start(remaining, false)
 		cluster.awaitFullChain(client)
-		remaining.waitUntil("it is complete", func() bool { return remaining.member.Status().Whole })
+		remaining.waitUntil("it is complete", func() bool { return remaining.member.Status().Complete })
 	}
 	current, _ := client.member.View()
 	require.Len(t, current.Voters, 3)
@@ -118,7 +118,7 @@
 	cluster.start(returning, false)
 	leaving.awaitHandover(finished)
 	require.Negative(t, leaving.chainPosition())
-	require.True(t, returning.member.Status().Whole)
+	require.True(t, returning.member.Status().Complete)
 	leaving.kill()
 	client.submitInTime(3, 4)
 }
@@ -135,7 +135,7 @@
 	initial.waitUntil("it knows the joining node", func() bool { return len(initial.member.Status().Peers) > 0 })
 	initial.awaitHandover(initial.startHandover())
 	require.False(t, initial.member.Status().Voter)
-	require.True(t, successor.member.Status().Whole)
+	require.True(t, successor.member.Status().Complete)
 	client.waitUntil("it knows the successor", func() bool {
 		current, _ := client.member.View()
 		return current.Head().Addr == successor.addr
@@ -204,7 +204,7 @@
 		node.waitUntil("in contact with a majority", node.member.HasQuorum)
 		node.waitUntil("it is complete if it is in the chain", func() bool {
 			status := node.member.Status()
-			return len(status.View.Chain) >= 4 && (status.Place < 0 || status.Whole)
+			return len(status.View.Chain) >= 4 && (status.Position < 0 || status.Complete)
 		})
 	}
 }
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -12,7 +12,7 @@
 // submission is a change that waits at the head.
 type submission struct {
 	callerContext context.Context
-	order         *chain.Update
+	update        *chain.Update
 	response      chan submitResponse // has capacity for the one response
 }
 
@@ -21,13 +21,13 @@
 
 // unclear is the response to a change that may be taken or not.
 func unclear(reason string) submitResponse {
-	return submitResponse{Verdict: chain.Result{Reason: reason}}
+	return submitResponse{Result: chain.Result{Reason: reason}}
 }
 
 const notHeadReason = "not the head"
 
 // handleSubmit answers when it is known what became of the change, or when its caller is gone.
-func (m *Member) handleSubmit(ctx context.Context, order *chain.Update) (*submitResponse, error) {
+func (m *Member) handleSubmit(ctx context.Context, update *chain.Update) (*submitResponse, error) {
 	m.mu.Lock()
 	newest := m.views.newest
 	isHead := newest.Number > 0 && !m.views.behind() && m.views.learned.Head().ID == m.self.ID
@@ -39,7 +39,7 @@
 		}
 		return &response, nil
 	}
-	queued := &submission{callerContext: ctx, order: order, response: make(chan submitResponse, 1)}
+	queued := &submission{callerContext: ctx, update: update, response: make(chan submitResponse, 1)}
 	select {
 	case m.submissions <- queued:
 	default:
@@ -119,16 +119,16 @@
 	}
 }
 
-// applied is what became of a change at the head's copy.
-type applied struct {
-	view    view.View    // in which it was applied; Number 0: this member is not the head
-	next    *chain.Value // is on disk here; nil: the change is refused, or was taken before
-	verdict chain.Result
+// appliedUpdate is what became of a change at the head's copy.
+type appliedUpdate struct {
+	view   view.View    // in which it was applied; Number 0: this member is not the head
+	next   *chain.Value // is on disk here; nil: the change is refused, or was taken before
+	result chain.Result
 }
 
 // execute applies a change and has its value committed.
 func (m *Member) execute(ctx context.Context, queued *submission) submitResponse {
-	result, err := m.applyActivated(ctx, queued.order)
+	result, err := m.applyActivated(ctx, queued.update)
 	switch {
 	case err != nil:
 		m.wakeTicker()
@@ -136,35 +136,35 @@
 	case result.view.Number == 0:
 		return m.notHead()
 	case result.next == nil:
-		return m.confirmVerdict(queued.callerContext, result)
+		return m.confirmResult(queued.callerContext, result)
 	}
 	// This member may have been left out and be the head again, with a value that others made.
 	if value, ok := m.activateView(ctx); ok {
-		if _, taken := value.RevisionOf(queued.order.Digest()); taken {
-			return submitResponse{Verdict: result.verdict}
+		if _, taken := value.RevisionOf(queued.update.Digest()); taken {
+			return submitResponse{Result: result.result}
 		}
 	}
 	return m.notHead()
 }
 
-// confirmVerdict answers a change that makes no new value. A refusal is final, so the value on which
+// confirmResult answers a change that makes no new value. A refusal is final, so the value on which
 // it rests must be the newest of all: a majority of the voters has to confirm the view.
-func (m *Member) confirmVerdict(ctx context.Context, result applied) submitResponse {
-	if result.verdict.Outcome == chain.OutcomeCommitted || result.verdict.Outcome == chain.OutcomeUnknown {
-		return submitResponse{Verdict: result.verdict}
+func (m *Member) confirmResult(ctx context.Context, result appliedUpdate) submitResponse {
+	if result.result.Outcome == chain.OutcomeCommitted || result.result.Outcome == chain.OutcomeUnknown {
+		return submitResponse{Result: result.result}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
 	if err := m.confirmView(ctx, result.view); err != nil {
 		return unclear(err.Error())
 	}
-	return submitResponse{Verdict: result.verdict}
+	return submitResponse{Result: result.result}
 }
 
 // applyActivated is apply, after the head's value has been pushed through the chain of its view.
-func (m *Member) applyActivated(ctx context.Context, order *chain.Update) (applied, error) {
+func (m *Member) applyActivated(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	for {
-		result, err := m.apply(ctx, order)
+		result, err := m.apply(ctx, update)
 		if !errors.Is(err, errViewNotActivated) {
 			return result, err
 		}
@@ -176,9 +176,9 @@
 }
 
 // apply applies a change to the head's value, and stores the next value if there is one.
-func (m *Member) apply(ctx context.Context, order *chain.Update) (applied, error) {
+func (m *Member) apply(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	if err := m.acquireWrite(ctx); err != nil {
-		return applied{}, err
+		return appliedUpdate{}, err
 	}
 	defer m.releaseWrite()
 	m.mu.Lock()
@@ -187,14 +187,14 @@
 	m.mu.Unlock()
 	switch {
 	case !replica.IsHead():
-		return applied{}, nil
+		return appliedUpdate{}, nil
 	case !activated:
-		return applied{}, errViewNotActivated
+		return appliedUpdate{}, errViewNotActivated
 	}
-	next, verdict, final := chain.Apply(&replica.Record.Value, order, m.options.Validate)
+	next, verdict, final := chain.Apply(&replica.Record.Value, update, m.options.Validate)
 	if final {
-		return applied{view: replica.View, verdict: verdict}, nil
+		return appliedUpdate{view: replica.View, result: verdict}, nil
 	}
 	err := m.persistRecord(chain.Record{View: replica.View.Number, Value: *next})
-	return applied{view: replica.View, next: next, verdict: verdict}, err
+	return appliedUpdate{view: replica.View, next: next, result: verdict}, err
 }
--- a/internal/fleet/controlplane/heartbeat.go
+++ b/internal/fleet/controlplane/heartbeat.go
@@ -68,7 +68,7 @@
 
 // joiningLocked reports whether this process asks to become a voter.
 func (m *Member) joiningLocked() bool {
-	if m.views.learned.Number == 0 || m.shuttingDown || !m.diskMonitor.idPersisted {
+	if m.views.learned.Number == 0 || m.leaving || !m.diskMonitor.idPersisted {
 		return false
 	}
 	if m.views.isVoter(m.self.ID) {
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	m.recordHeartbeat(answer, sentAt)
-	m.observeView(answer.News)
+	m.observeView(answer.NewerView)
 	return answer, nil
 }
 
@@ -157,11 +157,11 @@
 	answer := m.heartbeatLocked(request.Peer.ID, now)
 	if request.View < m.views.learned.Number {
 		learned := m.views.learned
-		answer.News = &learned
+		answer.NewerView = &learned
 	}
 	if m.register.lags(request) || m.register.diverges(request) {
 		received := *request
-		received.News = nil
+		received.NewerView = nil
 		m.spawnLocked(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 			defer cancel()
@@ -174,15 +174,15 @@
 // contactTime is when the sender was last in contact with the receiver, by its own account; zero:
 // never, or too long ago.
 func (h *heartbeat) contactTime(now time.Time) time.Time {
-	if h.AgeMs < 0 || h.AgeMs >= maxContactAge.Milliseconds() {
+	if h.ContactAgeMs < 0 || h.ContactAgeMs >= maxContactAge.Milliseconds() {
 		return time.Time{}
 	}
-	return now.Add(-time.Duration(h.AgeMs) * time.Millisecond)
+	return now.Add(-time.Duration(h.ContactAgeMs) * time.Millisecond)
 }
 
 // recordHeartbeat takes a heartbeat of a peer that was in contact at a time; zero: not known.
 func (m *Member) recordHeartbeat(received *heartbeat, contactAt time.Time) {
-	if received.Peer.ID == "" || received.Peer.Addr == "" || len(received.Hears) > maxPeers {
+	if received.Peer.ID == "" || received.Peer.Addr == "" || len(received.ConnectedTo) > maxPeers {
 		return
 	}
 	now := time.Now()
@@ -193,7 +193,7 @@
 		return
 	}
 	peer.lastHeartbeat = *received
-	peer.lastHeartbeat.News = nil
+	peer.lastHeartbeat.NewerView = nil
 	if !contactAt.IsZero() && contactAt.After(peer.lastContact) {
 		peer.contacted(contactAt, m.pauses.resumedAt, now)
 	}
@@ -204,21 +204,21 @@
 	learned := &m.views.learned
 	replica := m.replicaLocked()
 	message := &heartbeat{
-		Peer:     m.self,
-		View:     learned.Number,
-		Accepted: m.acceptor.undecided(learned.Number),
-		Stuck:    m.acceptor.abandoned(learned.Number, now),
-		Seq:      m.register.committed.Seq,
-		Sum:      m.register.checksum,
-		Hears:    m.peers.reachable(learned, now),
-		Sick:     m.diskUnhealthyLocked(now),
-		Ending:   m.shuttingDown,
-		Complete: replica.Complete(),
-		AgeMs:    -1,
-		UpMs:     now.Sub(m.pauses.resumedAt).Milliseconds(),
+		Peer:              m.self,
+		View:              learned.Number,
+		Accepted:          m.acceptor.undecided(learned.Number),
+		Abandoned:         m.acceptor.abandoned(learned.Number, now),
+		CommittedSeq:      m.register.committed.Seq,
+		CommittedChecksum: m.register.checksum,
+		ConnectedTo:       m.peers.reachable(learned, now),
+		DiskUnhealthy:     m.diskUnhealthyLocked(now),
+		Leaving:           m.leaving,
+		Complete:          replica.Complete(),
+		ContactAgeMs:      -1,
+		UptimeMs:          now.Sub(m.pauses.resumedAt).Milliseconds(),
 	}
 	if peer := m.peers.byID[to]; peer != nil && !peer.lastContact.IsZero() {
-		message.AgeMs = now.Sub(peer.lastContact).Milliseconds()
+		message.ContactAgeMs = now.Sub(peer.lastContact).Milliseconds()
 	}
 	return message
 }
--- a/internal/fleet/controlplane/learn.go
+++ b/internal/fleet/controlplane/learn.go
@@ -26,7 +26,7 @@
 func (m *Member) handleView(_ context.Context, request *viewRequest) (*viewResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return &viewResponse{View: m.views.newerThan(request.Have)}, nil
+	return &viewResponse{View: m.views.newerThan(request.Known)}, nil
 }
 
 // handleLearn answers once the view, or a newer one, is on disk.
@@ -139,10 +139,10 @@
 // survive.
 func (m *Member) logShortfallLocked() {
 	shortfall := m.views.learned.Shortfall(m.options.tolerance())
-	if !m.views.isVoter(m.self.ID) || shortfall == m.reported {
+	if !m.views.isVoter(m.self.ID) || shortfall == m.loggedShortfall {
 		return
 	}
-	m.reported = shortfall
+	m.loggedShortfall = shortfall
 	if !shortfall.None() {
 		logevent.ToleranceShortfall.Log("view", m.views.learned.Number,
 			"voters", len(m.views.learned.Voters), "losses", shortfall.String())
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -35,22 +35,22 @@
 	loops sync.WaitGroup // of Run
 	calls sync.WaitGroup // started by spawn
 
-	mu           sync.Mutex // guards all below
-	changed      broadcast  // of the views and of the committed value
-	views        viewState
-	acceptor     acceptor
-	register     register
-	peers        peerTable
-	pauses       pauseDetector
-	proposer     proposer
-	bootstrap    bootstrapState
-	diskMonitor  diskMonitor
-	discovery    viewDiscovery
-	shuttingDown bool           // Handover was called
-	reported     view.Shortfall // the last shortfall that was logged
-	sending      bool           // a joining member is being sent the value
-	stopped      bool           // Run is ending: no further calls
-	runContext   context.Context
+	mu              sync.Mutex // guards all below
+	changed         broadcast  // of the views and of the committed value
+	views           viewState
+	acceptor        acceptor
+	register        register
+	peers           peerTable
+	pauses          pauseDetector
+	proposer        proposer
+	bootstrap       bootstrapState
+	diskMonitor     diskMonitor
+	discovery       viewDiscovery
+	leaving         bool           // Handover was called
+	loggedShortfall view.Shortfall // the last shortfall that was logged
+	sendingSnapshot bool           // a joining member is being sent the value
+	stopped         bool           // Run is ending: no further calls
+	runContext      context.Context
 }
 
 // Open reads the state from the disk. A disk that is empty, or whose file is damaged, makes the
--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -35,25 +35,25 @@
 		View uint64 `msgpack:"v"`
 		// Accepted is the number of a view that was accepted and whose decision is not known; 0: none.
 		Accepted uint64 `msgpack:"a,omitempty"`
-		// Stuck tells that it has been so for so long that its proposer must have failed.
-		Stuck bool `msgpack:"k,omitempty"`
-		// Seq is the sequence number of the newest value known as committed, Sum its checksum.
-		Seq uint64 `msgpack:"s"`
-		Sum uint64 `msgpack:"m"`
-		// Hears are the voters that the sender is in contact with and can push to.
-		Hears []string `msgpack:"h,omitempty"`
-		// Sick tells that the sender's disk is unhealthy.
-		Sick bool `msgpack:"x,omitempty"`
-		// Ending tells that the sender is shutting down.
-		Ending bool `msgpack:"e,omitempty"`
+		// Abandoned tells that it has been so for so long that its proposer must have failed.
+		Abandoned bool `msgpack:"k,omitempty"`
+		// CommittedSeq is the sequence number of the newest value known as committed, Sum its checksum.
+		CommittedSeq      uint64 `msgpack:"s"`
+		CommittedChecksum uint64 `msgpack:"m"`
+		// ConnectedTo are the voters that the sender is in contact with and can push to.
+		ConnectedTo []string `msgpack:"h,omitempty"`
+		// DiskUnhealthy tells that the sender's disk is unhealthy.
+		DiskUnhealthy bool `msgpack:"x,omitempty"`
+		// Leaving tells that the sender is shutting down.
+		Leaving bool `msgpack:"e,omitempty"`
 		// Complete tells that the sender holds all that was acknowledged.
 		Complete bool `msgpack:"c,omitempty"`
-		// AgeMs is the time since the sender was last in contact with the receiver, in ms; -1: never.
-		AgeMs int64 `msgpack:"t"`
-		// UpMs is the time since the sender started or resumed, in ms.
-		UpMs int64 `msgpack:"u"`
-		// News is the learned view, in an answer to a process that has an older one.
-		News *view.View `msgpack:"n,omitempty"`
+		// ContactAgeMs is the time since the sender was last in contact with the receiver, in ms; -1: never.
+		ContactAgeMs int64 `msgpack:"t"`
+		// UptimeMs is the time since the sender started or resumed, in ms.
+		UptimeMs int64 `msgpack:"u"`
+		// NewerView is the learned view, in an answer to a process that has an older one.
+		NewerView *view.View `msgpack:"n,omitempty"`
 	}
 
 	// announceRequest announces a process to a seed.
@@ -62,40 +62,40 @@
 	}
 
 	prepareRequest struct {
-		To string              `msgpack:"To"` // the ID of the disk that is meant: its machine may have another one by now
-		Q  view.PrepareRequest `msgpack:"Q"`
+		To      string              `msgpack:"To"` // the ID of the disk that is meant: its machine may have another one by now
+		Prepare view.PrepareRequest `msgpack:"Q"`
 	}
 	acceptRequest struct {
-		To string             `msgpack:"To"`
-		Q  view.AcceptRequest `msgpack:"Q"`
+		To     string             `msgpack:"To"`
+		Accept view.AcceptRequest `msgpack:"Q"`
 	}
 
 	// viewRequest asks for a newer view than that of a number.
 	viewRequest struct {
-		Have uint64 `msgpack:"Have"`
+		Known uint64 `msgpack:"Have"`
 	}
 	viewResponse struct {
 		View *view.View `msgpack:"View"`
 	}
 
 	pushRequest struct {
-		To string     `msgpack:"To"`
-		Q  chain.Push `msgpack:"Q"`
+		To   string     `msgpack:"To"`
+		Push chain.Push `msgpack:"Q"`
 	}
 	pushResponse struct {
-		OK    bool       `msgpack:"OK"`    // the value is on disk here and on all further members up to the tail
-		Newer *view.View `msgpack:"Newer"` // the view of the push is superseded by this one
-		Why   string     `msgpack:"Why"`   // the reason for refusing the push
+		OK           bool       `msgpack:"OK"`    // the value is on disk here and on all further members up to the tail
+		Newer        *view.View `msgpack:"Newer"` // the view of the push is superseded by this one
+		RejectReason string     `msgpack:"Why"`   // the reason for refusing the push
 	}
 	submitResponse struct {
-		Verdict chain.Result `msgpack:"Verdict"`
-		Newer   *view.View   `msgpack:"Newer"` // the receiver is not the head: the head of this view is to be asked
+		Result chain.Result `msgpack:"Verdict"`
+		Newer  *view.View   `msgpack:"Newer"` // the receiver is not the head: the head of this view is to be asked
 	}
 	readResponse struct {
-		Value chain.Value `msgpack:"Value"`
-		OK    bool        `msgpack:"OK"`
-		Newer *view.View  `msgpack:"Newer"` // the receiver is not the tail: that of this view is to be asked
-		Why   string      `msgpack:"Why"`   // the reason for giving no value
+		Value  chain.Value `msgpack:"Value"`
+		OK     bool        `msgpack:"OK"`
+		Newer  *view.View  `msgpack:"Newer"` // the receiver is not the tail: that of this view is to be asked
+		Reason string      `msgpack:"Why"`   // the reason for giving no value
 	}
 	valueResponse struct {
 		Value chain.Value `msgpack:"Value"`
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -31,11 +31,11 @@
 	Seeds func() []string
 	// KnownAddresses are further addresses of voters; may be nil.
 	KnownAddresses func() []string
-	// Losses, ZoneLosses and RegionLosses are how many machines, or whole zones or regions, may be
+	// MachineLosses, ZoneLosses and RegionLosses are how many machines, or whole zones or regions, may be
 	// lost at once without loss of the state.
-	Losses       int
-	ZoneLosses   int
-	RegionLosses int
+	MachineLosses int
+	ZoneLosses    int
+	RegionLosses  int
 	// Counted tells that the loss of this machine is one of those to be tolerated.
 	Counted bool
 	// Pool has the connections to other processes.
@@ -84,7 +84,7 @@
 
 // tolerance is the losses that the state has to survive.
 func (o *Options) tolerance() view.Tolerance {
-	return view.Tolerance{Machines: o.Losses, Zones: o.ZoneLosses, Regions: o.RegionLosses}
+	return view.Tolerance{Machines: o.MachineLosses, Zones: o.ZoneLosses, Regions: o.RegionLosses}
 }
 
 // repairPolicy is the policy by which repairs of a view are planned.
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -166,10 +166,10 @@
 func (t *peerTable) countChecksums(current *view.View, seq, first, second uint64, now time.Time) (withFirst, withSecond int) {
 	for _, voter := range current.Voters {
 		peer := t.byID[voter.ID]
-		if peer == nil || !peer.inContact(now) || peer.lastHeartbeat.Seq != seq {
+		if peer == nil || !peer.inContact(now) || peer.lastHeartbeat.CommittedSeq != seq {
 			continue
 		}
-		switch peer.lastHeartbeat.Sum {
+		switch peer.lastHeartbeat.CommittedChecksum {
 		case first:
 			withFirst++
 		case second:
@@ -185,11 +185,11 @@
 	health := view.Health{
 		Peer:          received.Peer,
 		SinceContact:  p.silence(resumedAt, now),
-		DiskUnhealthy: received.Sick,
-		Leaving:       received.Ending,
-		ConnectedTo:   received.Hears,
-		Uptime:        time.Duration(received.UpMs) * time.Millisecond,
-		Undecided:     received.Stuck && received.Accepted == current.Number+1,
+		DiskUnhealthy: received.DiskUnhealthy,
+		Leaving:       received.Leaving,
+		ConnectedTo:   received.ConnectedTo,
+		Uptime:        time.Duration(received.UptimeMs) * time.Millisecond,
+		Undecided:     received.Abandoned && received.Accepted == current.Number+1,
 		Complete:      holdsAll(current, received),
 	}
 	if p.processEnded(now) {
--- a/internal/fleet/controlplane/peers_test.go
+++ b/internal/fleet/controlplane/peers_test.go
@@ -144,7 +144,7 @@
 	current := testView(2, "a", "b", "c", "d", "e")
 	table := tableOf("a", &current)
 	for id, received := range map[string]heartbeat{
-		"b": {Seq: 7, Sum: 1}, "c": {Seq: 7, Sum: 2}, "d": {Seq: 6, Sum: 2}, "e": {Seq: 7, Sum: 2},
+		"b": {CommittedSeq: 7, CommittedChecksum: 1}, "c": {CommittedSeq: 7, CommittedChecksum: 2}, "d": {CommittedSeq: 6, CommittedChecksum: 2}, "e": {CommittedSeq: 7, CommittedChecksum: 2},
 	} {
 		table.byID[id].lastHeartbeat = received
 		if id != "e" {
@@ -162,7 +162,7 @@
 	contact := start.Add(time.Second)
 	now := contact.Add(stabilizationDelay)
 	peer := peerState{knownSince: start, lastHeartbeat: heartbeat{
-		Peer: current.Voters[1], View: 4, Accepted: 5, Stuck: true, Sick: true, Ending: true, Hears: []string{"a"}, UpMs: 1500,
+		Peer: current.Voters[1], View: 4, Accepted: 5, Abandoned: true, DiskUnhealthy: true, Leaving: true, ConnectedTo: []string{"a"}, UptimeMs: 1500,
 	}}
 	peer.contacted(contact, start, contact)
 	want := view.Health{
@@ -206,7 +206,7 @@
 		{"before", 250, start.Add(-250 * time.Millisecond)},
 		{"too long ago", maxContactAge.Milliseconds(), time.Time{}},
 	} {
-		received := heartbeat{AgeMs: test.ageMs}
+		received := heartbeat{ContactAgeMs: test.ageMs}
 		require.Equal(t, test.want, received.contactTime(start), test.name)
 	}
 }
--- a/internal/fleet/controlplane/persistence.go
+++ b/internal/fleet/controlplane/persistence.go
@@ -25,11 +25,11 @@
 
 // State is the state of a member as it is on disk.
 type State struct {
-	ID     string
-	View   view.View          // the learned view; Number 0: none
-	Vote   view.AcceptorState // on the view after it, if that is its instance
-	Record chain.Record       // View 0: no value was received
-	Sum    uint64             // the checksum of the record's value, as heartbeats have it
+	ID       string
+	View     view.View          // the learned view; Number 0: none
+	Acceptor view.AcceptorState // on the view after it, if that is its instance
+	Record   chain.Record       // View 0: no value was received
+	Checksum uint64             // the checksum of the record's value, as heartbeats have it
 }
 
 // Inspect reads the state in a folder that no process uses, and changes nothing.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return state, err
 	}
-	state.Sum = state.Record.Value.Checksum()
+	state.Checksum = state.Record.Value.Checksum()
 	return state, nil
 }
 
@@ -67,7 +67,7 @@
 	var state State
 	id, _ := get(keyID)
 	state.ID = string(id)
-	for key, to := range map[string]any{keyView: &state.View, keyVote: &state.Vote, keyValue: &state.Record} {
+	for key, to := range map[string]any{keyView: &state.View, keyVote: &state.Acceptor, keyValue: &state.Record} {
 		raw, ok := get(key)
 		if !ok {
 			continue
@@ -103,7 +103,7 @@
 		Counted: m.options.Counted,
 	}
 	m.views = newViewState(state.View)
-	m.acceptor.vote = state.Vote
+	m.acceptor.vote = state.Acceptor
 	m.register.record = state.Record
 	return nil
 }
--- a/internal/fleet/controlplane/proposer.go
+++ b/internal/fleet/controlplane/proposer.go
@@ -113,7 +113,7 @@
 func (m *Member) runProposal(ctx context.Context, proposal *view.Proposal) view.ProposalState {
 	prepare := proposal.PrepareRequest()
 	outcome := m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Response, error) {
-		request := &prepareRequest{To: voter.ID, Q: prepare}
+		request := &prepareRequest{To: voter.ID, Prepare: prepare}
 		if m.isSelf(voter) {
 			return m.handlePrepare(ctx, request)
 		}
@@ -124,7 +124,7 @@
 	}
 	accept := proposal.AcceptRequest()
 	return m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Response, error) {
-		request := &acceptRequest{To: voter.ID, Q: accept}
+		request := &acceptRequest{To: voter.ID, Accept: accept}
 		if m.isSelf(voter) {
 			return m.handleAccept(ctx, request)
 		}
--- a/internal/fleet/controlplane/register.go
+++ b/internal/fleet/controlplane/register.go
@@ -31,12 +31,12 @@
 
 // lags reports whether a peer has a newer committed value, and no call for one is under way.
 func (r *register) lags(received *heartbeat) bool {
-	return received.Seq > r.committed.Seq && !r.fetching
+	return received.CommittedSeq > r.committed.Seq && !r.fetching
 }
 
 // diverges reports whether a peer has another value under the sequence number of the committed one.
 func (r *register) diverges(received *heartbeat) bool {
-	return received.Seq != 0 && received.Seq == r.committed.Seq && received.Sum != r.checksum
+	return received.CommittedSeq != 0 && received.CommittedSeq == r.committed.Seq && received.CommittedChecksum != r.checksum
 }
 
 // Committed is the newest value that is known here as committed, and whether there is one.
--- a/internal/fleet/controlplane/register_test.go
+++ b/internal/fleet/controlplane/register_test.go
@@ -29,11 +29,11 @@
 		lags     bool
 		diverges bool
 	}{
-		{name: "the same value", received: heartbeat{Seq: 2, Sum: 20}},
-		{name: "a newer value", received: heartbeat{Seq: 3, Sum: 30}, lags: true},
-		{name: "a newer value that is being fetched", received: heartbeat{Seq: 3, Sum: 30}, fetching: true},
-		{name: "an older value", received: heartbeat{Seq: 1, Sum: 10}},
-		{name: "another value under the same number", received: heartbeat{Seq: 2, Sum: 21}, diverges: true},
+		{name: "the same value", received: heartbeat{CommittedSeq: 2, CommittedChecksum: 20}},
+		{name: "a newer value", received: heartbeat{CommittedSeq: 3, CommittedChecksum: 30}, lags: true},
+		{name: "a newer value that is being fetched", received: heartbeat{CommittedSeq: 3, CommittedChecksum: 30}, fetching: true},
+		{name: "an older value", received: heartbeat{CommittedSeq: 1, CommittedChecksum: 10}},
+		{name: "another value under the same number", received: heartbeat{CommittedSeq: 2, CommittedChecksum: 21}, diverges: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -43,5 +43,5 @@
 		})
 	}
 	var none register
-	require.False(t, none.diverges(&heartbeat{Sum: 1}), "neither has a value")
+	require.False(t, none.diverges(&heartbeat{CommittedChecksum: 1}), "neither has a value")
 }
--- a/internal/fleet/controlplane/repair.go
+++ b/internal/fleet/controlplane/repair.go
@@ -42,7 +42,7 @@
 		Peer:          m.self,
 		StableFor:     max(1, uptime),
 		DiskUnhealthy: m.diskUnhealthyLocked(now),
-		Leaving:       m.shuttingDown,
+		Leaving:       m.leaving,
 		ConnectedTo:   m.peers.reachable(learned, now),
 		Uptime:        uptime,
 		Complete:      replica.Complete(),
@@ -85,7 +85,7 @@
 // have failed, and be dropped only once the joining one is complete.
 func (m *Member) sendSnapshotLocked(now time.Time, health map[string]view.Health) {
 	replica := m.replicaLocked()
-	if m.sending || !replica.Complete() || now.Sub(m.views.learnedAt) < snapshotDelay {
+	if m.sendingSnapshot || !replica.Complete() || now.Sub(m.views.learnedAt) < snapshotDelay {
 		return
 	}
 	members := replica.View.Chain
@@ -96,7 +96,7 @@
 	}
 	for _, member := range members {
 		if h := health[member.ID]; !h.Complete && isAvailable(h) && m.inViewLocked(member.ID, replica.View.Number) {
-			m.sending = true
+			m.sendingSnapshot = true
 			m.spawnLocked(func(ctx context.Context) { m.sendSnapshot(ctx, member, replica) })
 			return
 		}
@@ -120,8 +120,8 @@
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	push := chain.Push{View: replica.View, Value: replica.Record.Value, Direct: true}
-	_, _ = call[pushRequest, pushResponse](ctx, m, to.Addr, callPush, &pushRequest{To: to.ID, Q: push})
+	_, _ = call[pushRequest, pushResponse](ctx, m, to.Addr, callPush, &pushRequest{To: to.ID, Push: push})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sending = false
+	m.sendingSnapshot = false
 }
--- a/internal/fleet/controlplane/replication.go
+++ b/internal/fleet/controlplane/replication.go
@@ -12,9 +12,9 @@
 
 // handlePush stores a value, pushes it on along the chain and answers once the tail has stored it.
 func (m *Member) handlePush(ctx context.Context, request *pushRequest) (*pushResponse, error) {
-	push := &request.Q
+	push := &request.Push
 	if request.To != m.self.ID {
-		return &pushResponse{Why: otherDiskReason(m.self.ID)}, nil
+		return &pushResponse{RejectReason: otherDiskReason(m.self.ID)}, nil
 	}
 	if err := push.View.Validate(); err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 		return &pushResponse{OK: true}, nil
 	}
 	if err := m.replicate(ctx, push.View, push.Value); err != nil {
-		return &pushResponse{Why: err.Error()}, nil
+		return &pushResponse{RejectReason: err.Error()}, nil
 	}
 	return &pushResponse{OK: true}, nil
 }
@@ -51,7 +51,7 @@
 	replica := m.replica()
 	record, changed, err := replica.Receive(push)
 	if err != nil {
-		return &pushResponse{Why: err.Error()}, nil
+		return &pushResponse{RejectReason: err.Error()}, nil
 	}
 	if !changed {
 		return nil, nil
@@ -80,7 +80,7 @@
 	defer cancel()
 	begun := time.Now()
 	response, err := call[pushRequest, pushResponse](ctx, m, successor.Addr, callPush,
-		&pushRequest{To: successor.ID, Q: chain.Push{View: current, Value: value}})
+		&pushRequest{To: successor.ID, Push: chain.Push{View: current, Value: value}})
 	if err != nil {
 		if !errors.Is(ctx.Err(), context.Canceled) { // else the view ended, not the successor
 			m.recordPush(successor.ID, begun, false)
@@ -93,7 +93,7 @@
 		return errors.Errorf("view %d is over", current.Number)
 	}
 	if !response.OK {
-		return errors.New(response.Why)
+		return errors.New(response.RejectReason)
 	}
 	return nil
 }
--- a/internal/fleet/controlplane/safety_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -131,7 +131,7 @@
 	} {
 		answer, err := head.member.handleSubmit(contextFor(t, time.Second), update)
 		if err == nil {
-			require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Outcome, name)
+			require.Equal(t, chain.OutcomeUnknown, answer.Result.Outcome, name)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	cluster.setIsolated(head, true, true)
 	answer, err := head.member.handleSubmit(contextFor(t, time.Second), revisionUpdate(1, 2))
 	if err == nil {
-		require.Equal(t, chain.OutcomeUnknown, answer.Verdict.Outcome)
+		require.Equal(t, chain.OutcomeUnknown, answer.Result.Outcome)
 	}
 }
 
@@ -441,7 +441,7 @@
 	require.NoError(t, member.acquireWrite(ctx))
 	var queued [2]*submission
 	for i := range queued {
-		queued[i] = &submission{callerContext: ctx, order: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}
+		queued[i] = &submission{callerContext: ctx, update: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}
 		member.submissions <- queued[i] // has capacity
 	}
 	members[0].waitUntil("the head executes the first and waits for the write token", func() bool {
@@ -456,7 +456,7 @@
 	defer watch.Stop()
 	select {
 	case answer := <-queued[0].response:
-		require.NotEqual(t, chain.OutcomeCommitted, answer.Verdict.Outcome, "the chain of the view may not have the update")
+		require.NotEqual(t, chain.OutcomeCommitted, answer.Result.Outcome, "the chain of the view may not have the update")
 	case <-watch.C:
 	}
 }
@@ -485,7 +485,7 @@
 	t.Parallel()
 	_, node, _ := partitionedMember(t, 1)
 	require.False(t, node.member.HasQuorum())
-	require.False(t, node.member.Status().Linked)
+	require.False(t, node.member.Status().HasQuorum)
 }
 
 // A view that a member has only observed is learned by its own ticks.
--- a/internal/fleet/controlplane/timing.go
+++ b/internal/fleet/controlplane/timing.go
@@ -42,8 +42,8 @@
 	pushTimeoutStep = 60 * time.Millisecond
 	// phaseTimeout bounds each phase of a proposal.
 	phaseTimeout = 500 * time.Millisecond
-	// shutdownNoticeTimeout bounds the announcement that this member is shutting down.
-	shutdownNoticeTimeout = 3 * heartbeatInterval / 2
+	// leavingNoticeTimeout bounds the announcement that this member is shutting down.
+	leavingNoticeTimeout = 3 * heartbeatInterval / 2
 )
 
 // Repair of the chain.
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -67,7 +67,7 @@
 	d.gateway = gateway.New(s, f.Sum64())
 	d.core, err = controlplane.Open(controlplane.Options{
 		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.HasDisk(), FirstStart: s.FirstStart,
-		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, Losses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.CountedLoss, Pool: d.peerPool,
+		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, MachineLosses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.CountedLoss, Pool: d.peerPool,
 		Validate: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) {},
--- a/internal/fleet/daemon/tolerance_test.go
+++ b/internal/fleet/daemon/tolerance_test.go
@@ -23,6 +23,6 @@
 	require.Eventually(t, func() bool { return p.daemon.core.Status().View.Number > 0 }, testTimeout, 20*time.Millisecond)
 	status := p.daemon.core.Status()
 	require.Equal(t, "r", status.View.Voters[0].Region)
-	require.Equal(t, view.Shortfall{Machines: 1, Zones: 2, Regions: 3}, status.Short, "one machine bears none")
+	require.Equal(t, view.Shortfall{Machines: 1, Zones: 2, Regions: 3}, status.Shortfall, "one machine bears none")
 	p.terminateAndWait()
 }
--- a/internal/testbed/controlsim/run.go
+++ b/internal/testbed/controlsim/run.go
@@ -171,9 +171,9 @@
 		switch _, voter := v.Voter(status.ID); {
 		case acked > 0 && (s == nil || s.Config == nil || s.Config.Revision < acked):
 			return fmt.Sprintf("%s lacks revision %d", m.name, acked)
-		case status.Place >= 0 && status.Whole:
+		case status.Position >= 0 && status.Complete:
 			whole++
-		case voter && !status.Linked:
+		case voter && !status.HasQuorum:
 			return m.name + " is not in touch with the core"
 		}
 	}
--- a/internal/testbed/hollownode/host.go
+++ b/internal/testbed/hollownode/host.go
@@ -310,7 +310,7 @@
 		}
 		if l := n.alive(); l != nil {
 			s, f := l.core.Status(), l.hub.Report()
-			r.Runs, r.Place, r.Chain, r.View, r.Sessions = true, s.Place, len(s.View.Chain), s.View.Number, len(f.Sessions)
+			r.Runs, r.Place, r.Chain, r.View, r.Sessions = true, s.Position, len(s.View.Chain), s.View.Number, len(f.Sessions)
 			l.mu.Lock()
 			if l.last.Servers != nil {
 				r.Servers = len(l.last.Servers.ByID)
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -171,7 +171,7 @@
 			}
 			return out
 		},
-		Losses: p.Losses, Counted: n.Dir != "", Pool: pool,
+		MachineLosses: p.Losses, Counted: n.Dir != "", Pool: pool,
 		Validate: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
 		OnCommit: func(v chain.Value) { l.hub.ApplyConfig(v.Seq, v.Body) }})
 	if err != nil {
