--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -14,7 +14,7 @@
 // configuration of 20 KB and as many remembered updates as a value has.
 func BenchmarkCommit(b *testing.B) {
 	cluster := newTestCluster(b, 4, 1)
-	cluster.validate = func(_ []byte, update *chain.Update) ([]byte, int64, error) {
+	cluster.transition = func(_ []byte, update *chain.Update) ([]byte, int64, error) {
 		revision, err := strconv.ParseInt(string(bytes.TrimSpace(update.Body)), 10, 64)
 		return update.Body, revision, err
 	}
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -225,7 +225,7 @@
 	peers := m.bootstrap.peers()
 	round, due := m.bootstrap.beginRound(rank, now)
 	m.mu.Unlock()
-	first, ok := view.InitialView(peers, m.options.tolerance())
+	first, ok := view.InitialView(peers, m.options.Tolerance)
 	if !due || !ok {
 		return
 	}
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -51,12 +51,11 @@
 
 // testCluster is the nodes of a test, with the faults between them.
 type testCluster struct {
-	tb            testing.TB
-	seeds         []string
-	nodes         []*testNode
-	machineLosses int // to be tolerated
-	zoneLosses    int // to be tolerated
-	validate      chain.Transition
+	tb         testing.TB
+	seeds      []string
+	nodes      []*testNode
+	tolerance  view.Tolerance
+	transition chain.Transition
 
 	mu                sync.Mutex
 	partitions        map[link]bool // what is sent in this direction is lost
@@ -84,8 +83,8 @@
 	t.Helper()
 	cluster := &testCluster{
 		tb:                t,
-		machineLosses:     1,
-		validate:          applyNumber,
+		tolerance:         view.Tolerance{Machines: 1},
+		transition:        applyNumber,
 		partitions:        map[link]bool{},
 		partitionsChanged: make(chan struct{}),
 	}
@@ -194,11 +193,10 @@
 		HasDisk:        node.dir != "",
 		FirstStart:     firstStart,
 		Seeds:          func() []string { return cluster.seeds },
-		MachineLosses:  cluster.machineLosses,
-		ZoneLosses:     cluster.zoneLosses,
+		Tolerance:      cluster.tolerance,
 		Counted:        true,
 		Pool:           pool,
-		Validate:       cluster.validate,
+		Transition:     cluster.transition,
 		RequestTimeout: node.requestTimeout,
 		OnCommit:       func(chain.Value) { notify() },
 		OnView:         func(view.View) { notify() },
@@ -278,7 +276,7 @@
 // awaitFullChain waits until a node knows a chain of all voters that it may have.
 func (cluster *testCluster) awaitFullChain(node *testNode) {
 	cluster.tb.Helper()
-	maxLength := view.MaxChainLength(view.Tolerance{Machines: cluster.machineLosses})
+	maxLength := view.MaxChainLength(view.Tolerance{Machines: cluster.tolerance.Machines})
 	node.waitUntil("the chain is complete again", func() bool {
 		current, _ := node.member.View()
 		return len(current.Chain) == min(len(current.Voters), maxLength)
--- a/internal/fleet/controlplane/diskmonitor.go
+++ b/internal/fleet/controlplane/diskmonitor.go
@@ -8,13 +8,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-// diskMonitor decides when the disk is probed and swept. At most one of both is under way.
+// diskMonitor decides when the disk is probed and scrubbed. At most one of both is under way.
 type diskMonitor struct {
 	// idPersisted tells that the member's ID is on disk. Until then it does not ask to become a voter.
 	idPersisted bool
 	busy        bool
 	lastProbe   time.Time
-	lastSweep   time.Time
+	lastScrub   time.Time
 }
 
 // diskCheck is a check of the disk that is due.
@@ -23,7 +23,7 @@
 const (
 	noDiskCheck diskCheck = iota
 	probeDisk             // an unhealthy disk, or one that was not written to since the start
-	sweepDisk             // a healthy one
+	scrubDisk             // a healthy one
 )
 
 // String is the check's name.
@@ -31,14 +31,14 @@
 	switch c {
 	case probeDisk:
 		return "probe"
-	case sweepDisk:
-		return "sweep"
+	case scrubDisk:
+		return "scrub"
 	default:
 		return "none"
 	}
 }
 
-// begin starts the check that is due. Without a file there is nothing to sweep.
+// begin starts the check that is due. Without a file there is nothing to scrub.
 func (d *diskMonitor) begin(health store.Health, hasFile bool, now time.Time) diskCheck {
 	if d.busy || health.OldestPending > 0 {
 		return noDiskCheck
@@ -47,9 +47,9 @@
 	case (health.FailingFor > 0 || !health.Written) && now.Sub(d.lastProbe) >= diskProbeInterval:
 		d.busy, d.lastProbe = true, now
 		return probeDisk
-	case hasFile && now.Sub(d.lastSweep) >= diskSweepInterval:
-		d.busy, d.lastSweep = true, now
-		return sweepDisk
+	case hasFile && now.Sub(d.lastScrub) >= diskScrubInterval:
+		d.busy, d.lastScrub = true, now
+		return scrubDisk
 	}
 	return noDiskCheck
 }
@@ -59,8 +59,8 @@
 	switch m.diskMonitor.begin(m.disk.Health(now), m.options.StateDir != "", now) {
 	case probeDisk:
 		m.spawnLocked(m.probe)
-	case sweepDisk:
-		m.spawnLocked(m.sweep)
+	case scrubDisk:
+		m.spawnLocked(m.scrub)
 	}
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// sweep compares the file with memory.
-func (m *Member) sweep(context.Context) {
+// scrub compares the file with memory.
+func (m *Member) scrub(context.Context) {
 	intact, err := m.disk.Scrub()
 	m.mu.Lock()
 	m.diskMonitor.busy = false
--- a/internal/fleet/controlplane/diskmonitor_test.go
+++ b/internal/fleet/controlplane/diskmonitor_test.go
@@ -20,13 +20,13 @@
 		hasFile bool
 		want    diskCheck
 	}{
-		{"a healthy disk", diskMonitor{}, healthy, true, sweepDisk},
+		{"a healthy disk", diskMonitor{}, healthy, true, scrubDisk},
 		{"a healthy disk without a file", diskMonitor{}, healthy, false, noDiskCheck},
-		{"a healthy disk that was swept", diskMonitor{lastSweep: start.Add(1 - diskSweepInterval)}, healthy, true, noDiskCheck},
-		{"a healthy disk whose sweep is due", diskMonitor{lastSweep: start.Add(-diskSweepInterval)}, healthy, true, sweepDisk},
-		{"a failing disk", diskMonitor{lastSweep: start}, failing, true, probeDisk},
+		{"a healthy disk that was scrubbed", diskMonitor{lastScrub: start.Add(1 - diskScrubInterval)}, healthy, true, noDiskCheck},
+		{"a healthy disk whose scrub is due", diskMonitor{lastScrub: start.Add(-diskScrubInterval)}, healthy, true, scrubDisk},
+		{"a failing disk", diskMonitor{lastScrub: start}, failing, true, probeDisk},
 		{"a disk without a write", diskMonitor{}, store.Health{}, true, probeDisk},
-		{"a failing disk that was probed", diskMonitor{lastProbe: start.Add(1 - diskProbeInterval), lastSweep: start}, failing, true, noDiskCheck},
+		{"a failing disk that was probed", diskMonitor{lastProbe: start.Add(1 - diskProbeInterval), lastScrub: start}, failing, true, noDiskCheck},
 		{"a check is under way", diskMonitor{busy: true}, failing, true, noDiskCheck},
 		{"an operation is under way", diskMonitor{}, store.Health{FailingFor: time.Second, OldestPending: 1}, true, noDiskCheck},
 	} {
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -127,7 +127,7 @@
 func TestSoleMemberHandsOver(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 1, 1)
-	cluster.machineLosses = 0
+	cluster.tolerance.Machines = 0
 	cluster.startAll(true)
 	initial, client := cluster.nodes[0], cluster.nodes[1]
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
@@ -224,7 +224,7 @@
 func TestSuccessiveZoneLosses(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 6, 1)
-	cluster.zoneLosses = 1
+	cluster.tolerance.Zones = 1
 	voters, client := cluster.nodes[:6], cluster.nodes[6]
 	byZone := map[string][]*testNode{}
 	for i, node := range voters {
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -191,7 +191,7 @@
 	case !activated:
 		return appliedUpdate{}, errViewNotActivated
 	}
-	next, verdict, final := chain.Apply(&replica.Record.Value, update, m.options.Validate)
+	next, verdict, final := chain.Apply(&replica.Record.Value, update, m.options.Transition)
 	if final {
 		return appliedUpdate{view: replica.View, result: verdict}, nil
 	}
--- a/internal/fleet/controlplane/learn.go
+++ b/internal/fleet/controlplane/learn.go
@@ -138,7 +138,7 @@
 // logShortfallLocked logs once which of the losses to be tolerated the voters of the view can't
 // survive.
 func (m *Member) logShortfallLocked() {
-	shortfall := m.views.learned.Shortfall(m.options.tolerance())
+	shortfall := m.views.learned.Shortfall(m.options.Tolerance)
 	if !m.views.isVoter(m.self.ID) || shortfall == m.loggedShortfall {
 		return
 	}
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -56,7 +56,7 @@
 // Open reads the state from the disk. A disk that is empty, or whose file is damaged, makes the
 // process a new member with a new ID. The state is closed by Run.
 func Open(options Options) (*Member, error) {
-	if err := options.validate(); err != nil {
+	if err := options.checkAndSetDefaults(); err != nil {
 		return nil, err
 	}
 	disk, err := openDisk(&options)
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -11,7 +11,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// Options configure a Member. Addr, Seeds, Pool and Validate are required.
+// Options configure a Member. Addr, Seeds, Pool and Transition are required.
 type Options struct {
 	// Addr is the HOST:PORT at which other processes call this one.
 	Addr   string
@@ -31,17 +31,14 @@
 	Seeds func() []string
 	// KnownAddresses are further addresses of voters; may be nil.
 	KnownAddresses func() []string
-	// MachineLosses, ZoneLosses and RegionLosses are how many machines, or whole zones or regions, may be
-	// lost at once without loss of the state.
-	MachineLosses int
-	ZoneLosses    int
-	RegionLosses  int
+	// Tolerance is the losses that the state has to survive.
+	Tolerance view.Tolerance
 	// Counted tells that the loss of this machine is one of those to be tolerated.
 	Counted bool
 	// Pool has the connections to other processes.
 	Pool *rpc.Pool
-	// Validate makes the next configuration from the current one and a requested change.
-	Validate chain.Transition
+	// Transition makes the next configuration from the current one and a requested change.
+	Transition chain.Transition
 	// OnCommit is called with the newest committed values, with rising Seq; may be nil. Values in
 	// between may be skipped.
 	OnCommit func(chain.Value)
@@ -68,10 +65,10 @@
 	Close()
 }
 
-// validate reports missing options, and completes the optional ones.
-func (o *Options) validate() error {
-	if o.Addr == "" || o.Pool == nil || o.Validate == nil || o.Seeds == nil {
-		return errors.New("core: Addr, Pool, Validate and Seeds are needed")
+// checkAndSetDefaults reports missing options, and completes the optional ones.
+func (o *Options) checkAndSetDefaults() error {
+	if o.Addr == "" || o.Pool == nil || o.Transition == nil || o.Seeds == nil {
+		return errors.New("core: Addr, Pool, Transition and Seeds are needed")
 	}
 	if o.RequestTimeout <= 0 {
 		o.RequestTimeout = defaultRequestTimeout
@@ -82,15 +79,10 @@
 	return nil
 }
 
-// tolerance is the losses that the state has to survive.
-func (o *Options) tolerance() view.Tolerance {
-	return view.Tolerance{Machines: o.MachineLosses, Zones: o.ZoneLosses, Regions: o.RegionLosses}
-}
-
 // repairPolicy is the policy by which repairs of a view are planned.
 func (o *Options) repairPolicy() view.Policy {
 	return view.Policy{
-		Tolerance:    o.tolerance(),
+		Tolerance:    o.Tolerance,
 		FailAfter:    peerTimeout,
 		StableAfter:  stabilizationDelay,
 		ReplaceAfter: voterReplacementDelay,
--- a/internal/fleet/controlplane/safety_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -290,7 +290,7 @@
 func TestMinorityProposesNothing(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 4, 1)
-	cluster.machineLosses = 0 // one member is enough, so that the others would be dropped
+	cluster.tolerance.Machines = 0 // one member is enough, so that the others would be dropped
 	cluster.startAll(true)
 	client := cluster.nodes[4]
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
@@ -356,7 +356,7 @@
 	answer, err := node.prepare(ctx, node.addr, base, number)
 	require.NoError(t, err)
 	require.False(t, answer.OK)
-	first, ok := view.InitialView([]view.Peer{node.member.self}, view.Tolerance{Machines: cluster.machineLosses})
+	first, ok := view.InitialView([]view.Peer{node.member.self}, cluster.tolerance)
 	require.True(t, ok)
 	answer, err = node.accept(ctx, node.addr, base, number, first)
 	require.NoError(t, err)
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -57,7 +57,7 @@
 		Complete:     replica.Complete(),
 		RecordSeq:    m.register.record.Value.Seq,
 		CommittedSeq: m.register.committed.Seq,
-		Shortfall:    learned.Shortfall(m.options.tolerance()),
+		Shortfall:    learned.Shortfall(m.options.Tolerance),
 		Undecided:    m.acceptor.undecided(learned.Number) != 0,
 		Leaving:      m.leaving,
 		Disk:         disk,
--- a/internal/fleet/controlplane/timing.go
+++ b/internal/fleet/controlplane/timing.go
@@ -72,8 +72,8 @@
 	diskStallLimit = 400 * time.Millisecond
 	// diskProbeInterval is the time between two probes of an unhealthy disk.
 	diskProbeInterval = 250 * time.Millisecond
-	// diskSweepInterval is the time between two comparisons of the file with memory.
-	diskSweepInterval = 20 * time.Second
+	// diskScrubInterval is the time between two comparisons of the file with memory.
+	diskScrubInterval = 20 * time.Second
 	// persistFailureLogInterval bounds how often a view that can't be written is logged.
 	persistFailureLogInterval = time.Second
 )
--- a/internal/fleet/controlplane/updates_test.go
+++ b/internal/fleet/controlplane/updates_test.go
@@ -110,7 +110,7 @@
 	disk.Close()
 
 	member, err := Open(Options{
-		Addr: "127.0.0.1:1", StateDir: dir, HasDisk: true, Pool: rpc.NewPool(), Validate: applyNumber,
+		Addr: "127.0.0.1:1", StateDir: dir, HasDisk: true, Pool: rpc.NewPool(), Transition: applyNumber,
 		Seeds: func() []string { return nil },
 	})
 	require.NoError(t, err)
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -67,10 +67,10 @@
 	d.gateway = gateway.New(s, f.Sum64())
 	d.core, err = controlplane.Open(controlplane.Options{
 		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.HasDisk(), FirstStart: s.FirstStart,
-		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, MachineLosses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions, Counted: s.CountedLoss, Pool: d.peerPool,
-		Validate: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
-		OnCommit: func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
-		OnView:   func(v view.View) {},
+		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, Tolerance: view.Tolerance{Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions}, Counted: s.CountedLoss, Pool: d.peerPool,
+		Transition: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
+		OnCommit:   func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
+		OnView:     func(v view.View) {},
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "open the control state")
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -119,7 +119,7 @@
 func (p *process) open(over rpc.Dialer, first bool) (err error) {
 	m := p.machine
 	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.seedAddrs, KnownAddresses: p.knownAddrs,
-		MachineLosses: m.run.setup.losses, Counted: m.media != nil, Pool: p.pool, Validate: checkOrder,
+		Tolerance: view.Tolerance{Machines: m.run.setup.losses}, Counted: m.media != nil, Pool: p.pool, Transition: checkOrder,
 		OnCommit: func(v chain.Value) { p.hub.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.run.referee.learned(p, v) }}
 	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, HeartbeatInterval: beatEvery,
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -16,6 +16,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
+	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
@@ -171,9 +172,9 @@
 			}
 			return out
 		},
-		MachineLosses: p.Losses, Counted: n.Dir != "", Pool: pool,
-		Validate: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
-		OnCommit: func(v chain.Value) { l.hub.ApplyConfig(v.Seq, v.Body) }})
+		Tolerance: view.Tolerance{Machines: p.Losses}, Counted: n.Dir != "", Pool: pool,
+		Transition: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
+		OnCommit:   func(v chain.Value) { l.hub.ApplyConfig(v.Seq, v.Body) }})
 	if err != nil {
 		ln.Close()
 		return errors.Wrapf(err, "%s", n.Name)
