--- a/internal/fleet/chain/scenario_test.go
+++ b/internal/fleet/chain/scenario_test.go
@@ -113,8 +113,8 @@
 	s.submitUpdate(2, a, 20, 30)
 }
 
-// headAgain: a machine that becomes the head again has the value of another head.
-func headAgain(s *simulation, a, b, c, d *machine) {
+// reinstatedHead: a machine that becomes the head again has the value of another head.
+func reinstatedHead(s *simulation, a, b, c, d *machine) {
 	s.isDelayed = isPush
 	s.submitUpdate(0, a, 0, 10)
 	s.inFlight, s.isDelayed = nil, nil // only a has it
@@ -138,7 +138,7 @@
 		{"a majority loses power between two proposals", loseVotes, powerLossBetweenProposals},
 		{"a tail that resumes is read", readWithoutQuorum, resumedTail},
 		{"a head that resumes rejects an update", rejectWithoutQuorum, resumedHead},
-		{"a head that is one again has another's value", confirmBySeqOnly, headAgain},
+		{"a head that is one again has another's value", confirmBySeqOnly, reinstatedHead},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			for _, d := range []defect{noDefect, scenario.defect} {
--- a/internal/fleet/chain/simulation_network_test.go
+++ b/internal/fleet/chain/simulation_network_test.go
@@ -85,7 +85,7 @@
 	}
 	switch body := msg.body.(type) {
 	case prepareMessage, acceptMessage:
-		s.handleBallot(m, msg)
+		s.handleProposal(m, msg)
 	case promiseMessage:
 		if msg.incarnation == m.incarnation && m.proposal == body.proposal {
 			s.handlePromise(m, body)
--- a/internal/fleet/chain/simulation_views_test.go
+++ b/internal/fleet/chain/simulation_views_test.go
@@ -18,8 +18,8 @@
 	return s.persist(m, func() { m.view = v })
 }
 
-// handleBallot has an acceptor handle a prepareMessage or an acceptMessage.
-func (s *simulation) handleBallot(m *machine, msg message) {
+// handleProposal has an acceptor handle a prepareMessage or an acceptMessage.
+func (s *simulation) handleProposal(m *machine, msg message) {
 	prepare, isPrepare := msg.body.(prepareMessage)
 	proposal := prepare.proposal
 	if !isPrepare {
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -78,6 +78,17 @@
 	assert.False(t, table.Granted("unknown"))
 }
 
+func TestUngrantedFor(t *testing.T) {
+	table := newPolledTable()
+	assert.Zero(t, table.UngrantedFor(table.now, "unknown"))
+	table.Grant(table.now, "agent-a", "core-1")
+	table.advance(time.Second)
+	assert.Zero(t, table.UngrantedFor(table.now, "agent-a"))
+	table.Revoke(table.now, "agent-a", "core-1")
+	table.advance(time.Second)
+	assert.Equal(t, time.Second, table.UngrantedFor(table.now, "agent-a"))
+}
+
 // The leases of a removed grantor are revoked, but not those that others grant.
 func TestRemovedGrantorRevokesItsLeases(t *testing.T) {
 	table := newPolledTable()
--- a/internal/fleet/view/initial_view_test.go
+++ b/internal/fleet/view/initial_view_test.go
@@ -24,15 +24,15 @@
 // initial views of their own. A request may arrive at a seed at any moment or never, and so may its
 // response; a seed may be killed at any moment.
 type bootstrap struct {
-	acceptors   [bootstrapSeeds]AcceptorState
-	stopped     [bootstrapSeeds]bool
-	requests    [proposerCount][bootstrapSeeds]request
-	proposals   [proposerCount]*Proposal
-	rounds      [proposerCount]uint32
-	killsLeft   int
-	retriesLeft int
-	votesAgain  bool // the defect: a restarted seed votes without its promises
-	decided     *View
+	acceptors        [bootstrapSeeds]AcceptorState
+	stopped          [bootstrapSeeds]bool
+	requests         [proposerCount][bootstrapSeeds]request
+	proposals        [proposerCount]*Proposal
+	rounds           [proposerCount]uint32
+	remainingKills   int
+	remainingRetries int
+	forgetsPromises  bool // the defect: a restarted seed votes without its promises
+	decided          *View
 }
 
 // request is one request of the phase that a proposal is in.
@@ -89,16 +89,16 @@
 		acceptedNumber          ProposalNumber
 		accepted                string
 	}
-	stopped                [bootstrapSeeds]bool
-	rounds                 [proposerCount]uint32
-	killsLeft, retriesLeft int
-	decided                string
+	stopped                          [bootstrapSeeds]bool
+	rounds                           [proposerCount]uint32
+	remainingKills, remainingRetries int
+	decided                          string
 }
 
 var hashSeed = maphash.MakeSeed()
 
 func (b *bootstrap) Hash() uint64 {
-	key := stateKey{stopped: b.stopped, rounds: b.rounds, killsLeft: b.killsLeft, retriesLeft: b.retriesLeft, decided: firstVoterID(b.decided)}
+	key := stateKey{stopped: b.stopped, rounds: b.rounds, remainingKills: b.remainingKills, remainingRetries: b.remainingRetries, decided: firstVoterID(b.decided)}
 	for i, acceptor := range b.acceptors {
 		k := &key.acceptors[i]
 		k.promised, k.acceptedNumber, k.accepted = acceptor.Promised, acceptor.AcceptedNumber, firstVoterID(acceptor.Accepted)
@@ -132,7 +132,7 @@
 		}
 	}
 	for seed := range bootstrapSeeds {
-		if b.killsLeft > 0 && !b.stopped[seed] {
+		if b.remainingKills > 0 && !b.stopped[seed] {
 			steps = append(steps, firstKill+seed)
 		}
 	}
@@ -148,7 +148,7 @@
 
 func (b *bootstrap) mayPropose(proposer int) bool {
 	round, p := b.rounds[proposer], b.proposals[proposer]
-	return !b.stopped[proposer] && (round == 0 || b.retriesLeft > 0 && round < lastRound) && (p == nil || p.state != Decided)
+	return !b.stopped[proposer] && (round == 0 || b.remainingRetries > 0 && round < lastRound) && (p == nil || p.state != Decided)
 }
 
 func (b *bootstrap) Steps() int { return len(b.possibleSteps()) }
@@ -168,7 +168,7 @@
 
 func (b *bootstrap) propose(proposer int) {
 	if b.rounds[proposer] > 0 {
-		b.retriesLeft--
+		b.remainingRetries--
 	}
 	b.rounds[proposer]++
 	voter := Peer{ID: fmt.Sprint("first", proposer), Addr: "a"}
@@ -179,9 +179,9 @@
 }
 
 func (b *bootstrap) kill(seed int) {
-	b.killsLeft--
+	b.remainingKills--
 	b.acceptors[seed] = AcceptorState{}
-	b.stopped[seed] = !b.votesAgain
+	b.stopped[seed] = !b.forgetsPromises
 	if seed < proposerCount {
 		b.proposals[seed], b.requests[seed], b.rounds[seed] = nil, [bootstrapSeeds]request{}, lastRound
 	}
@@ -220,9 +220,9 @@
 }
 
 func TestOneInitialView(t *testing.T) {
-	starts := []*bootstrap{{killsLeft: 1}, {killsLeft: 2}}
+	starts := []*bootstrap{{remainingKills: 1}, {remainingKills: 2}}
 	if !raceEnabled {
-		starts = append(starts, &bootstrap{retriesLeft: 1})
+		starts = append(starts, &bootstrap{remainingRetries: 1})
 	}
 	for _, start := range starts {
 		result := interleave.Search(start, maxStates)
@@ -233,7 +233,7 @@
 }
 
 func TestForgottenPromisesAreDetected(t *testing.T) {
-	start := &bootstrap{killsLeft: 1, votesAgain: true}
+	start := &bootstrap{remainingKills: 1, forgetsPromises: true}
 	result := interleave.Search(start, maxStates)
 	t.Log(result)
 	require.Error(t, result.Err)
--- a/internal/fleet/view/tolerance.go
+++ b/internal/fleet/view/tolerance.go
@@ -113,18 +113,18 @@
 	for zone := range zones {
 		zonesOfRegion[failureDomain{region: zone.region}]++
 	}
-	zonesLeft := min(
+	remainingZones := min(
 		all.Zones-tolerance.Zones,
 		all.Zones-domainsEmptied(zones, machines),
 		all.Zones-sumOfLargest(zonesOfRegion, tolerance.Regions))
-	regionsLeft := min(
+	remainingRegions := min(
 		all.Regions-tolerance.Regions,
 		all.Regions-domainsEmptied(regions, machines),
 		all.Regions-domainsEmptied(zonesOfRegion, tolerance.Zones))
 	return Spread{
 		Machines: max(1, min(tolerance.Machines+1, all.Machines-machines)),
-		Zones:    max(1, min(tolerance.Zones+1, zonesLeft)),
-		Regions:  max(1, min(tolerance.Regions+1, regionsLeft)),
+		Zones:    max(1, min(tolerance.Zones+1, remainingZones)),
+		Regions:  max(1, min(tolerance.Regions+1, remainingRegions)),
 	}
 }
 
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -121,7 +121,7 @@
 		Old: "	if u.Patch {\n		header[0] = 1\n	}\n", New: "",
 		Packages: in(chainPackage), Run: "^TestDigestIdentifiesUpdate$"},
 	{ID: "chain-revision-not-in-digest", Point: Races, File: "internal/fleet/chain/update.go",
-		Old: "	binary.BigEndian.PutUint64(header[1:], uint64(u.IfMatch))\n", New: "",
+		Old: "	binary.BigEndian.PutUint64(header[1:], uint64(u.IfMatch))\n", New: "	binary.BigEndian.PutUint64(header[1:], 0)\n",
 		Packages: in(chainPackage), Run: "^TestDigestIdentifiesUpdate$"},
 	{ID: "chain-any-revision-built-on", Point: Races, File: "internal/fleet/chain/update.go",
 		Old: "	if update.IfMatch != current.Revision {", New: "	if update.IfMatch > current.Revision {",
