--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -104,17 +104,17 @@
 func (edgeCore) Members() []Peer { return nil }
 
 func newBenchNode(agents, hubs, servers, tenants int) *Node {
-	h := New(Options{Self: *benchMember(9999), HeartbeatInterval: 1200 * time.Millisecond, Core: edgeCore{}, OnChange: func(*Snapshot) {}})
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	node := New(Options{Self: *benchMember(9999), HeartbeatInterval: 1200 * time.Millisecond, Core: edgeCore{}, OnChange: func(*Snapshot) {}})
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	deltas := fullSync(agents, hubs, servers, tenants)
 	raw := encode(&message{Deltas: deltas})
 	m := new(message)
 	if err := msgpack.Unmarshal(raw, m); err != nil { // as it arrives: no memory is shared
 		panic(err)
 	}
-	h.applyDeltasLocked(m.Deltas)
-	return h
+	node.applyDeltasLocked(m.Deltas)
+	return node
 }
 
 // BenchmarkHeap measures the memory of a node, by agents, servers and tenants.
@@ -136,10 +136,10 @@
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{30, 100, 360} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			h := newBenchNode(agents, 7, 850, 0)
+			relay := newBenchNode(agents, 7, 850, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				h.tick()
+				relay.tick()
 			}
 		})
 	}
@@ -149,16 +149,16 @@
 func BenchmarkApply(b *testing.B) {
 	for _, servers := range []int{112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			h := newBenchNode(360, 7, servers, 0)
+			node := newBenchNode(360, 7, servers, 0)
 			const source = "edge-7/0123456789ab"
-			h.mu.Lock()
-			defer h.mu.Unlock()
-			ver, in := h.items.Version(source), *benchInstance(0)
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			ver, in := node.items.Version(source), *benchInstance(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				in.Seq++
 				ver++
-				h.applyDeltasLocked([]deltasync.Delta{{Source: source, From: ver - 1, To: ver, Items: []deltasync.Item{{Key: serverPrefix + in.ID, Version: ver, Data: encode(&in)}}}})
+				node.applyDeltasLocked([]deltasync.Delta{{Source: source, From: ver - 1, To: ver, Items: []deltasync.Item{{Key: serverPrefix + in.ID, Version: ver, Data: encode(&in)}}}})
 			}
 		})
 	}
@@ -166,13 +166,13 @@
 
 // BenchmarkHeartbeat measures a server's heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
-	h := newBenchNode(360, 7, 850, 0)
+	node := newBenchNode(360, 7, 850, 0)
 	ctx := b.Context()
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
 		in := benchInstance(90000)
 		in.Seq = n
-		if !h.Heartbeat(ctx, in) {
+		if !node.Heartbeat(ctx, in) {
 			b.Fatal("refused")
 		}
 	}
--- a/internal/fleet/relay/configcache_test.go
+++ b/internal/fleet/relay/configcache_test.go
@@ -13,17 +13,17 @@
 // Sessions that lack the same configuration are sent the same bytes, encoded once; what else they lack
 // is sent beside it.
 func TestLongConfigurationIsEncodedOnce(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"})
-	h.ApplyConfig(1, paddedDocument(1, longConfigBytes))
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
+	relay.ApplyConfig(1, paddedDocument(1, longConfigBytes))
 	take := func(flags configFlags) (shared []byte, rest []deltasync.Delta) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.configCache.extract(h.now(), flags, h.items.DeltasSince(nil))
+		relay.mu.Lock()
+		defer relay.mu.Unlock()
+		return relay.configCache.extract(relay.now(), flags, relay.items.DeltasSince(nil))
 	}
 	first, rest := take(configFlags{isCore: true, hasQuorum: true, complete: true})
 	require.NotEmpty(t, first)
 	require.Len(t, rest, 1, "the relay's own source")
-	assert.Equal(t, h.source(), rest[0].Source)
+	assert.Equal(t, relay.source(), rest[0].Source)
 	second, _ := take(configFlags{isCore: true, hasQuorum: true, complete: true})
 	assert.Same(t, &first[0], &second[0])
 	m := new(message)
@@ -38,23 +38,23 @@
 	assert.NotSame(t, &first[0], &other[0])
 	require.NoError(t, msgpack.Unmarshal(other, m))
 	// So is the configuration.
-	h.ApplyConfig(2, paddedDocument(2, longConfigBytes))
+	relay.ApplyConfig(2, paddedDocument(2, longConfigBytes))
 	newer, _ := take(configFlags{isCore: true, hasQuorum: true})
 	newest := new(message)
 	require.NoError(t, msgpack.Unmarshal(newer, newest))
 	assert.Equal(t, uint64(2), newest.Deltas[0].To)
 	// It is not retained for long.
-	h.runFor(2*configCacheTTL, nil)
-	assert.Empty(t, h.configCache.encoded)
+	relay.runFor(2*configCacheTTL, nil)
+	assert.Empty(t, relay.configCache.encoded)
 }
 
 // A short configuration is sent with the other deltas.
 func TestShortConfigurationIsNotShared(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"})
-	h.ApplyConfig(1, documentOf(1))
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	shared, rest := h.configCache.extract(h.now(), configFlags{isCore: true}, h.items.DeltasSince(nil))
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
+	relay.ApplyConfig(1, documentOf(1))
+	relay.mu.Lock()
+	defer relay.mu.Unlock()
+	shared, rest := relay.configCache.extract(relay.now(), configFlags{isCore: true}, relay.items.DeltasSince(nil))
 	assert.Empty(t, shared)
 	assert.Len(t, rest, 2)
 }
--- a/internal/fleet/relay/node_test.go
+++ b/internal/fleet/relay/node_test.go
@@ -41,17 +41,17 @@
 }
 
 // connect adds a session with a peer, which sends nothing by itself.
-func (s *manualNode) connect(peer, source string, core bool) *session {
-	x := newSession(s.now(), &hello{Source: source, IsCore: core}, peer, func() uint64 { return 0 }, func() {})
-	x.started = s.now() - time.Minute
+func (s *manualNode) connect(peerAddr, source string, core bool) *session {
+	peer := newSession(s.now(), &hello{Source: source, IsCore: core}, peerAddr, func() uint64 { return 0 }, func() {})
+	peer.started = s.now() - time.Minute
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sessions[x] = true
-	return x
+	s.sessions[peer] = true
+	return peer
 }
 
 // deliver has the node handle a message of a session, after a round trip through the encoding.
-func (s *manualNode) deliver(x *session, m *message) {
+func (s *manualNode) deliver(peer *session, m *message) {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -60,11 +60,11 @@
 	if err := msgpack.Unmarshal(raw, copied); err != nil {
 		panic(err)
 	}
-	s.handleMessage(x, copied)
+	s.handleMessage(peer, copied)
 }
 
-func (s *manualNode) heartbeatFrom(x *session) func() {
-	return func() { s.deliver(x, &message{IsCore: x.peerIsCore, HasQuorum: x.peerIsCore}) }
+func (s *manualNode) heartbeatFrom(peer *session) func() {
+	return func() { s.deliver(peer, &message{IsCore: peer.peerIsCore, HasQuorum: peer.peerIsCore}) }
 }
 
 // syncFrom applies everything that another node has.
@@ -127,238 +127,238 @@
 
 // What peers have of an earlier incarnation acknowledges nothing of the new one.
 func TestNewIncarnationIsAcknowledgedAnew(t *testing.T) {
-	s := newManualNode("a", false)
-	x := s.connect("h", "h/1", true)
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
+	agent := newManualNode("a", false)
+	peer := agent.connect("h", "h/1", true)
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, QuorumVersion: agent.items.OwnVersion()})
 	for i := range 20 {
-		require.True(t, s.Heartbeat(t.Context(), server(fmt.Sprint("s", i), 1)))
+		require.True(t, agent.Heartbeat(t.Context(), server(fmt.Sprint("s", i), 1)))
 	}
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
-	require.True(t, s.Heartbeat(t.Context(), server("s0", 2)))
-	old := s.source()
-	s.mu.Lock()
-	s.endSourceLocked(old)
-	s.mu.Unlock()
-	require.NotEqual(t, old, s.source())
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5}) // was in flight
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer has it of the new incarnation")
-	y := s.connect("h", "h/1", true)
-	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion() + 5, QuorumVersion: s.items.OwnVersion() + 5})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody can have what was not published yet")
-	s.deliver(y, &message{IsCore: true, HasQuorum: true, ReceivedVersion: s.items.OwnVersion()})
-	assert.False(t, s.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one relay has it")
-	s.deliver(y, &message{IsCore: true, HasQuorum: true, QuorumVersion: s.items.OwnVersion()})
-	assert.True(t, s.Heartbeat(t.Context(), drainingServer("s0", 6)))
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, QuorumVersion: agent.items.OwnVersion()})
+	require.True(t, agent.Heartbeat(t.Context(), server("s0", 2)))
+	old := agent.source()
+	agent.mu.Lock()
+	agent.endSourceLocked(old)
+	agent.mu.Unlock()
+	require.NotEqual(t, old, agent.source())
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion() + 5, QuorumVersion: agent.items.OwnVersion() + 5}) // was in flight
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer has it of the new incarnation")
+	otherPeer := agent.connect("h", "h/1", true)
+	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion() + 5, QuorumVersion: agent.items.OwnVersion() + 5})
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody can have what was not published yet")
+	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion()})
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one relay has it")
+	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, QuorumVersion: agent.items.OwnVersion()})
+	assert.True(t, agent.Heartbeat(t.Context(), drainingServer("s0", 6)))
 }
 
 // Only core members count for the quorum: a relay does not wait for its agents, but for other relays.
 func TestAgentReplicaDoesNotCountForQuorum(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
-	a, o := h.connect("addr of a", "a/1", false), h.connect("addr of o", "o/1", true)
-	require.True(t, h.Heartbeat(t.Context(), server("s", 1)))
-	h.deliver(a, &message{ReceivedVersion: h.items.OwnVersion() + 1})
-	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)))
-	h.deliver(a, &message{ReceivedVersion: h.items.OwnVersion()})
-	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)))
-	h.deliver(o, &message{IsCore: true, ReceivedVersion: h.items.OwnVersion(), Acknowledged: deltasync.Vector{h.source(): h.items.OwnVersion() - 1}})
-	require.False(t, h.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 4)))
-	h.deliver(o, &message{IsCore: true, Acknowledged: deltasync.Vector{h.source(): h.items.OwnVersion()}})
-	assert.True(t, h.Heartbeat(t.Context(), drainingServer("s", 5)))
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+	agent, other := relay.connect("addr of a", "a/1", false), relay.connect("addr of o", "o/1", true)
+	require.True(t, relay.Heartbeat(t.Context(), server("s", 1)))
+	relay.deliver(agent, &message{ReceivedVersion: relay.items.OwnVersion() + 1})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)))
+	relay.deliver(agent, &message{ReceivedVersion: relay.items.OwnVersion()})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)))
+	relay.deliver(other, &message{IsCore: true, ReceivedVersion: relay.items.OwnVersion(), Acknowledged: deltasync.Vector{relay.source(): relay.items.OwnVersion() - 1}})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 4)))
+	relay.deliver(other, &message{IsCore: true, Acknowledged: deltasync.Vector{relay.source(): relay.items.OwnVersion()}})
+	assert.True(t, relay.Heartbeat(t.Context(), drainingServer("s", 5)))
 }
 
 // A drain that is pending while its agent starts a new incarnation is acknowledged by what peers have
 // of that one.
 func TestDrainWaitsAcrossIncarnations(t *testing.T) {
-	s := newManualNode("a", false)
+	agent := newManualNode("a", false)
 	for i := range 20 {
-		s.Heartbeat(t.Context(), server("s", uint64(2*i+1)))
-		s.Heartbeat(t.Context(), server(fmt.Sprint("r", i), 1))
-		s.mu.Lock()
-		s.publishItemLocked("gone", present) // versions that the new incarnation does not have
-		s.publishItemLocked("gone", nil)
-		s.mu.Unlock()
+		agent.Heartbeat(t.Context(), server("s", uint64(2*i+1)))
+		agent.Heartbeat(t.Context(), server(fmt.Sprint("r", i), 1))
+		agent.mu.Lock()
+		agent.publishItemLocked("gone", present) // versions that the new incarnation does not have
+		agent.publishItemLocked("gone", nil)
+		agent.mu.Unlock()
 	}
 	done := make(chan bool)
-	go func() { done <- s.Heartbeat(timeoutContext(t, testTimeout), drainingServer("s", 1000)) }()
+	go func() { done <- agent.Heartbeat(timeoutContext(t, testTimeout), drainingServer("s", 1000)) }()
 	require.Eventually(t, func() bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return s.servers.List().ByID["s"] == nil
+		agent.mu.Lock()
+		defer agent.mu.Unlock()
+		return agent.servers.List().ByID["s"] == nil
 	}, testTimeout, time.Millisecond)
-	s.mu.Lock()
-	s.endSourceLocked(s.items.OwnSource())
-	s.mu.Unlock()
-	x := s.connect("h", "h/1", true)
-	s.deliver(x, &message{IsCore: true, QuorumVersion: s.items.OwnVersion()})
+	agent.mu.Lock()
+	agent.endSourceLocked(agent.items.OwnSource())
+	agent.mu.Unlock()
+	peer := agent.connect("h", "h/1", true)
+	agent.deliver(peer, &message{IsCore: true, QuorumVersion: agent.items.OwnVersion()})
 	assert.True(t, <-done)
 }
 
 // A session that an earlier incarnation began is rejected: the relay would grant no lease for it.
 func TestSessionOfEarlierIncarnationIsRejected(t *testing.T) {
-	s := newManualNode("a", false)
-	mine := &hello{Source: s.source(), Addr: "a"}
-	s.mu.Lock()
-	s.startIncarnationLocked()
-	s.mu.Unlock()
-	require.Error(t, s.runSession(t.Context(), nil, &hello{Source: "h/1", Addr: "h"}, "h", mine, &message{}))
-	require.Error(t, s.runSession(t.Context(), nil, &hello{Source: s.source(), Addr: "h"}, "h", nil, nil), "nor one with itself")
-	assert.Empty(t, s.sessions)
+	agent := newManualNode("a", false)
+	mine := &hello{Source: agent.source(), Addr: "a"}
+	agent.mu.Lock()
+	agent.startIncarnationLocked()
+	agent.mu.Unlock()
+	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: "h/1", Addr: "h"}, "h", mine, &message{}))
+	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: agent.source(), Addr: "h"}, "h", nil, nil), "nor one with itself")
+	assert.Empty(t, agent.sessions)
 }
 
 // A relay that starts a new incarnation retains the leases that it grants, so that it expires no agent.
 func TestNewIncarnationRetainsGrantedLeases(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"})
-	a := newManualNode("a", false)
-	h.syncFrom(a)
-	x := h.connect("addr of a", a.source(), false)
-	h.runFor(5*time.Second, h.heartbeatFrom(x))
-	require.True(t, h.leases.Granted(a.source()))
-	h.mu.Lock()
-	h.startIncarnationLocked()
-	h.mu.Unlock()
-	require.Empty(t, h.sessions)
-	x = h.connect("addr of a", a.source(), false) // it reconnects at once
-	h.runFor(10*time.Second, h.heartbeatFrom(x))
-	assert.Empty(t, h.publishedEndSources())
-	assert.Equal(t, present, h.itemsOf(h.source())[leasePrefix+a.source()])
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
+	agent := newManualNode("a", false)
+	relay.syncFrom(agent)
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(5*time.Second, relay.heartbeatFrom(peer))
+	require.True(t, relay.leases.Granted(agent.source()))
+	relay.mu.Lock()
+	relay.startIncarnationLocked()
+	relay.mu.Unlock()
+	require.Empty(t, relay.sessions)
+	peer = relay.connect("addr of a", agent.source(), false) // it reconnects at once
+	relay.runFor(10*time.Second, relay.heartbeatFrom(peer))
+	assert.Empty(t, relay.publishedEndSources())
+	assert.Equal(t, present, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
 	// The lease of one that does not reconnect expires.
-	h.mu.Lock()
-	h.startIncarnationLocked()
-	h.mu.Unlock()
-	h.runFor(leaseDuration+2*tickInterval, nil)
-	assert.Equal(t, []string{a.source()}, h.publishedEndSources())
-	assert.NotContains(t, h.members, a.source())
-	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()])
+	relay.mu.Lock()
+	relay.startIncarnationLocked()
+	relay.mu.Unlock()
+	relay.runFor(leaseDuration+2*tickInterval, nil)
+	assert.Equal(t, []string{agent.source()}, relay.publishedEndSources())
+	assert.NotContains(t, relay.members, agent.source())
+	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
 }
 
 // A source with too many tombstones is continued by a new incarnation without being asked.
 func TestCompactionStartsNewIncarnation(t *testing.T) {
-	s := newManualNode("a", false)
-	old := s.source()
-	s.mu.Lock()
+	agent := newManualNode("a", false)
+	old := agent.source()
+	agent.mu.Lock()
 	for i := range 3000 {
-		s.publishItemLocked(fmt.Sprint("x", i), present)
-		s.publishItemLocked(fmt.Sprint("x", i), nil)
+		agent.publishItemLocked(fmt.Sprint("x", i), present)
+		agent.publishItemLocked(fmt.Sprint("x", i), nil)
 	}
-	s.mu.Unlock()
-	s.tick()
-	assert.NotEqual(t, old, s.source())
-	assert.Less(t, s.items.OwnVersion(), uint64(10))
-	assert.Contains(t, s.members, s.source())
-	assert.NotContains(t, s.members, old)
+	agent.mu.Unlock()
+	agent.tick()
+	assert.NotEqual(t, old, agent.source())
+	assert.Less(t, agent.items.OwnVersion(), uint64(10))
+	assert.Contains(t, agent.members, agent.source())
+	assert.NotContains(t, agent.members, old)
 }
 
 // An agent that was unreachable when its end was announced learns of it on its return, however late.
 func TestEndIsPublishedAgainToReturningAgent(t *testing.T) {
-	h, other, a := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("o", true), newManualNode("a", false)
-	h.tick()
+	relay, other, agent := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("o", true), newManualNode("a", false)
+	relay.tick()
 	other.tick()
-	h.syncFrom(a)
-	other.syncFrom(a)
-	h.mu.Lock()
-	h.endSourceLocked(a.source())
-	h.mu.Unlock()
-	h.runFor(time.Second, nil)
-	require.Empty(t, h.publishedEndSources(), "another announced it, and has withdrawn that since")
-	x := h.connect("addr of a", a.source(), false)
-	h.runFor(tickInterval, h.heartbeatFrom(x))
-	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()], "an ended source gets no lease")
+	relay.syncFrom(agent)
+	other.syncFrom(agent)
+	relay.mu.Lock()
+	relay.endSourceLocked(agent.source())
+	relay.mu.Unlock()
+	relay.runFor(time.Second, nil)
+	require.Empty(t, relay.publishedEndSources(), "another announced it, and has withdrawn that since")
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(tickInterval, relay.heartbeatFrom(peer))
+	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()], "an ended source gets no lease")
 
 	// It learns by the lease that another relay grants, which knows nothing of the end.
-	y := other.connect("addr of a", a.source(), false)
-	other.runFor(tickInterval, other.heartbeatFrom(y))
-	require.True(t, other.leases.Granted(a.source()))
-	h.syncFrom(other)
-	require.Equal(t, []string{a.source()}, h.publishedEndSources())
-	other.syncFrom(h)
-	assert.NotContains(t, other.members, a.source())
-	old := a.source()
-	a.syncFrom(h)
-	assert.NotEqual(t, old, a.source())
-	z := h.connect("addr of o", other.source(), true)
-	h.runFor(endRetention+time.Second, h.heartbeatFrom(z))
-	assert.Empty(t, h.publishedEndSources(), "an announcement is withdrawn")
-	h.syncFrom(other)
-	assert.Empty(t, h.publishedEndSources(), "and older items do not bring it back")
+	otherPeer := other.connect("addr of a", agent.source(), false)
+	other.runFor(tickInterval, other.heartbeatFrom(otherPeer))
+	require.True(t, other.leases.Granted(agent.source()))
+	relay.syncFrom(other)
+	require.Equal(t, []string{agent.source()}, relay.publishedEndSources())
+	other.syncFrom(relay)
+	assert.NotContains(t, other.members, agent.source())
+	old := agent.source()
+	agent.syncFrom(relay)
+	assert.NotEqual(t, old, agent.source())
+	thirdPeer := relay.connect("addr of o", other.source(), true)
+	relay.runFor(endRetention+time.Second, relay.heartbeatFrom(thirdPeer))
+	assert.Empty(t, relay.publishedEndSources(), "an announcement is withdrawn")
+	relay.syncFrom(other)
+	assert.Empty(t, relay.publishedEndSources(), "and older items do not bring it back")
 }
 
 // A core member that had no quorum may not know of the leases that others grant: it expires nobody
 // before it had the time to learn of them.
 func TestRelayWaitsALeaseBeforeExpiringOthers(t *testing.T) {
-	h, other, a := newManualNode("h", true), newManualNode("o", true), newManualNode("a", false)
-	h.syncFrom(a)
-	x := h.connect("addr of a", a.source(), false)
-	h.runFor(time.Second, h.heartbeatFrom(x))
-	h.core.linked.Store(false)
-	delete(h.sessions, x)
-	h.runFor(time.Minute, nil)
-	require.Empty(t, h.publishedEndSources())
-	h.core.linked.Store(true)
-	h.runFor(leaseDuration-tickInterval, nil)
-	require.Empty(t, h.publishedEndSources(), "it has just regained its quorum")
-	other.syncFrom(a)
-	y := other.connect("addr of a", a.source(), false)
-	other.runFor(tickInterval, other.heartbeatFrom(y))
-	h.syncFrom(other)
-	z := h.connect("addr of o", other.source(), true)
-	h.runFor(time.Minute, h.heartbeatFrom(z))
-	assert.Empty(t, h.publishedEndSources(), "another grants the lease")
-	assert.Len(t, h.members, 3)
+	relay, other, agent := newManualNode("h", true), newManualNode("o", true), newManualNode("a", false)
+	relay.syncFrom(agent)
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(time.Second, relay.heartbeatFrom(peer))
+	relay.core.linked.Store(false)
+	delete(relay.sessions, peer)
+	relay.runFor(time.Minute, nil)
+	require.Empty(t, relay.publishedEndSources())
+	relay.core.linked.Store(true)
+	relay.runFor(leaseDuration-tickInterval, nil)
+	require.Empty(t, relay.publishedEndSources(), "it has just regained its quorum")
+	other.syncFrom(agent)
+	otherPeer := other.connect("addr of a", agent.source(), false)
+	other.runFor(tickInterval, other.heartbeatFrom(otherPeer))
+	relay.syncFrom(other)
+	thirdPeer := relay.connect("addr of o", other.source(), true)
+	relay.runFor(time.Minute, relay.heartbeatFrom(thirdPeer))
+	assert.Empty(t, relay.publishedEndSources(), "another grants the lease")
+	assert.Len(t, relay.members, 3)
 }
 
 // The lease of a dead relay expires, and with it those that it granted.
 func TestLeaseOfDeadRelayExpires(t *testing.T) {
-	h, dead, a := newManualNode("h", true, Peer{}, Peer{}), newManualNode("d", true, Peer{}, Peer{}), newManualNode("a", false)
-	h.syncFrom(a)
-	dead.syncFrom(a)
-	x, y := h.connect("addr of d", dead.source(), true), dead.connect("addr of h", h.source(), true)
-	z := dead.connect("addr of a", a.source(), false)
-	dead.runFor(time.Second, func() { dead.heartbeatFrom(y)(); dead.heartbeatFrom(z)() })
-	h.syncFrom(dead)
-	h.runFor(leaseDuration+time.Second, h.heartbeatFrom(x))
-	require.Empty(t, h.publishedEndSources())
-	require.True(t, h.leases.Granted(a.source()), "by the other")
-	delete(h.sessions, x)
-	h.runFor(leaseDuration+2*tickInterval, nil)
-	assert.Equal(t, []string{dead.source()}, h.publishedEndSources())
-	h.runFor(leaseDuration+2*tickInterval, nil)
-	assert.ElementsMatch(t, []string{dead.source(), a.source()}, h.publishedEndSources(), "nobody grants the agent's either")
-	assert.Len(t, h.members, 1)
+	relay, dead, agent := newManualNode("h", true, Peer{}, Peer{}), newManualNode("d", true, Peer{}, Peer{}), newManualNode("a", false)
+	relay.syncFrom(agent)
+	dead.syncFrom(agent)
+	peer, otherPeer := relay.connect("addr of d", dead.source(), true), dead.connect("addr of h", relay.source(), true)
+	thirdPeer := dead.connect("addr of a", agent.source(), false)
+	dead.runFor(time.Second, func() { dead.heartbeatFrom(otherPeer)(); dead.heartbeatFrom(thirdPeer)() })
+	relay.syncFrom(dead)
+	relay.runFor(leaseDuration+time.Second, relay.heartbeatFrom(peer))
+	require.Empty(t, relay.publishedEndSources())
+	require.True(t, relay.leases.Granted(agent.source()), "by the other")
+	delete(relay.sessions, peer)
+	relay.runFor(leaseDuration+2*tickInterval, nil)
+	assert.Equal(t, []string{dead.source()}, relay.publishedEndSources())
+	relay.runFor(leaseDuration+2*tickInterval, nil)
+	assert.ElementsMatch(t, []string{dead.source(), agent.source()}, relay.publishedEndSources(), "nobody grants the agent's either")
+	assert.Len(t, relay.members, 1)
 }
 
 // A former member of the core grants no leases.
 func TestFormerCoreMemberGrantsNoLeases(t *testing.T) {
-	h, a := newManualNode("h", true), newManualNode("a", false)
-	h.syncFrom(a)
-	x := h.connect("addr of a", a.source(), false)
-	h.runFor(time.Second, h.heartbeatFrom(x))
-	require.NotNil(t, h.itemsOf(h.source())[leasePrefix+a.source()])
-	h.core.core.Store(false)
-	h.runFor(tickInterval, h.heartbeatFrom(x))
-	assert.Nil(t, h.itemsOf(h.source())[leasePrefix+a.source()])
-	h.runFor(time.Minute, h.heartbeatFrom(x))
-	assert.Empty(t, h.publishedEndSources())
+	relay, agent := newManualNode("h", true), newManualNode("a", false)
+	relay.syncFrom(agent)
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(time.Second, relay.heartbeatFrom(peer))
+	require.NotNil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
+	relay.core.core.Store(false)
+	relay.runFor(tickInterval, relay.heartbeatFrom(peer))
+	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
+	relay.runFor(time.Minute, relay.heartbeatFrom(peer))
+	assert.Empty(t, relay.publishedEndSources())
 }
 
 // An agent that missed an announcement drops a source without a lease, once it has long enough had a
 // session with a relay that has a quorum; sources that it has sessions with it does not drop.
 func TestAgentDropsSourcesWithoutLeases(t *testing.T) {
-	s, gone, held := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
-	s.syncFrom(gone)
-	s.syncFrom(held)
-	s.runFor(time.Minute, nil)
-	require.Len(t, s.members, 3, "without a relay a missing lease proves nothing")
-	x := s.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), present)}})
-	s.runFor(2*leaseDuration-time.Second, s.heartbeatFrom(x))
-	require.Len(t, s.members, 4)
-	s.runFor(2*time.Second, s.heartbeatFrom(x))
-	assert.Len(t, s.members, 3)
-	assert.NotContains(t, s.members, gone.source())
-	assert.Empty(t, s.publishedEndSources(), "for itself only")
-	s.runFor(time.Minute, s.heartbeatFrom(x))
-	assert.Len(t, s.members, 3)
-	assert.Equal(t, 3, s.snapshot.Agents)
+	agent, gone, held := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
+	agent.syncFrom(gone)
+	agent.syncFrom(held)
+	agent.runFor(time.Minute, nil)
+	require.Len(t, agent.members, 3, "without a relay a missing lease proves nothing")
+	peer := agent.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), present)}})
+	agent.runFor(2*leaseDuration-time.Second, agent.heartbeatFrom(peer))
+	require.Len(t, agent.members, 4)
+	agent.runFor(2*time.Second, agent.heartbeatFrom(peer))
+	assert.Len(t, agent.members, 3)
+	assert.NotContains(t, agent.members, gone.source())
+	assert.Empty(t, agent.publishedEndSources(), "for itself only")
+	agent.runFor(time.Minute, agent.heartbeatFrom(peer))
+	assert.Len(t, agent.members, 3)
+	assert.Equal(t, 3, agent.snapshot.Agents)
 }
 
 // An agent drops no source whose lease the core may still renew: a relay that was cut off comes back just
@@ -399,7 +399,7 @@
 
 // Only core members with a quorum declare themselves complete.
 func TestSelfStart(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		core, linked, newest bool
 		peer                 *message
 		after                time.Duration
@@ -415,21 +415,21 @@
 		"not a core member":              {false, false, true, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newManualNode("h", c.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
-			h.core.linked.Store(c.linked)
-			if c.newest {
-				h.MarkConfigCurrent()
+			relay := newManualNode("h", testCase.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+			relay.core.linked.Store(testCase.linked)
+			if testCase.newest {
+				relay.MarkConfigCurrent()
 			}
-			var x *session
-			if c.peer != nil {
-				x = h.connect("addr of o", "o/1", true)
+			var peer *session
+			if testCase.peer != nil {
+				peer = relay.connect("addr of o", "o/1", true)
 			}
-			h.runFor(c.after, func() {
-				if x != nil {
-					h.deliver(x, c.peer)
+			relay.runFor(testCase.after, func() {
+				if peer != nil {
+					relay.deliver(peer, testCase.peer)
 				}
 			})
-			assert.Equal(t, c.want, h.snapshot.Synced)
+			assert.Equal(t, testCase.want, relay.snapshot.Synced)
 		})
 	}
 }
@@ -437,7 +437,7 @@
 // A complete peer makes an agent synced only if the peer is a core member with a quorum, and a core
 // member only if that has a quorum itself.
 func TestSynced(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		core, linked bool
 		m            message
 		want         bool
@@ -449,28 +449,28 @@
 		"a core member":                  {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
 		"a core member without a quorum": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
 	} {
-		s := newManualNode("a", c.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
-		s.core.linked.Store(c.linked)
-		x := s.connect("addr of h", "h/1", true)
-		s.deliver(x, &c.m)
-		s.tick()
-		assert.Equal(t, c.want, s.snapshot.Synced, name)
+		agent := newManualNode("a", testCase.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
+		agent.core.linked.Store(testCase.linked)
+		peer := agent.connect("addr of h", "h/1", true)
+		agent.deliver(peer, &testCase.m)
+		agent.tick()
+		assert.Equal(t, testCase.want, agent.snapshot.Synced, name)
 	}
 }
 
 // Agents try the relays in turn, those of their zone first, and seeds in between.
 func TestDialTargets(t *testing.T) {
 	peers := []Peer{{"h0", "far"}, {"h1", "near"}, {"h2", "far"}, {"h3", "far"}}
-	s := newManualNode("a", false, peers...)
+	node := newManualNode("a", false, peers...)
 	var got []string
 	for turn := range 16 {
-		got = append(got, s.dialTargets(turn)...)
+		got = append(got, node.dialTargets(turn)...)
 	}
 	require.Len(t, got, 16)
 	assert.Equal(t, "h1", got[0], "of its zone")
 	count := map[string]int{}
-	for _, a := range got {
-		count[a]++
+	for _, addr := range got {
+		count[addr]++
 	}
 	for _, p := range peers {
 		assert.Equal(t, 3, count[p.Addr], "%v", got)
@@ -479,34 +479,34 @@
 		assert.Positive(t, count[fmt.Sprint("seed-", i)], "%v", got)
 	}
 	// Without any known relay they try the seeds, and the addresses of redirects.
-	s = newManualNode("a", false)
-	s.upstream.redirectAddrs = []string{"named", "addr of a"}
+	node = newManualNode("a", false)
+	node.upstream.redirectAddrs = []string{"named", "addr of a"}
 	count = map[string]int{}
 	for turn := range 20 {
-		for _, a := range s.dialTargets(turn) {
-			count[a]++
+		for _, addr := range node.dialTargets(turn) {
+			count[addr]++
 		}
 	}
 	assert.Len(t, count, 4, "%v", count)
 	assert.Zero(t, count["addr of a"], "not itself")
 	// With a relay that has a quorum they try none, and close the other sessions.
-	s = newManualNode("a", false, peers...)
+	node = newManualNode("a", false, peers...)
 	over := map[string]bool{}
 	for _, p := range []string{"h0", "h3", "h2"} {
-		x := s.connect(p, p+"/1", true)
-		x.outbound, x.peerHasQuorum = true, p != "h2"
-		x.cancel = func() { over[p] = true }
+		peer := node.connect(p, p+"/1", true)
+		peer.outbound, peer.peerHasQuorum = true, p != "h2"
+		peer.cancel = func() { over[p] = true }
 	}
-	assert.Empty(t, s.dialTargets(0))
+	assert.Empty(t, node.dialTargets(0))
 	assert.Len(t, over, 2)
 	assert.True(t, over["h2"])
 	// Core members dial those with a higher address, and close sessions with former members.
-	s = newManualNode("c", true, Peer{Addr: "addr of a"}, Peer{Addr: "addr of c"}, Peer{Addr: "addr of d"}, Peer{Addr: "addr of e"})
-	x := s.connect("addr of d", "d/1", true)
-	x.outbound = true
-	y := s.connect("addr of z", "z/1", true)
-	y.outbound, y.cancel = true, func() { over["z"] = true }
-	assert.Equal(t, []string{"addr of e"}, s.dialTargets(0))
+	node = newManualNode("c", true, Peer{Addr: "addr of a"}, Peer{Addr: "addr of c"}, Peer{Addr: "addr of d"}, Peer{Addr: "addr of e"})
+	peer := node.connect("addr of d", "d/1", true)
+	peer.outbound = true
+	otherPeer := node.connect("addr of z", "z/1", true)
+	otherPeer.outbound, otherPeer.cancel = true, func() { over["z"] = true }
+	assert.Equal(t, []string{"addr of e"}, node.dialTargets(0))
 	assert.True(t, over["z"])
 }
 
@@ -544,25 +544,25 @@
 		"config that cannot be parsed": initialDelta(configSource, configKey, &configItem{Seq: 1, Raw: []byte("{")}),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newManualNode("a", true)
-			s.tick()
-			x := s.connect("addr of v", "v/1", true)
-			s.deliver(x, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("v/1", memberKey, &Member{Name: "v"}, serverPrefix+"t", server("t", 1))}})
-			source, own := s.source(), len(s.itemsOf(s.source()))
-			s.deliver(x, &message{IsCore: true, Deltas: []deltasync.Delta{d}})
-			s.runFor(leaseDuration+2*tickInterval, s.heartbeatFrom(x))
-			assert.Equal(t, source, s.source())
-			for m := range s.members {
+			agent := newManualNode("a", true)
+			agent.tick()
+			peer := agent.connect("addr of v", "v/1", true)
+			agent.deliver(peer, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("v/1", memberKey, &Member{Name: "v"}, serverPrefix+"t", server("t", 1))}})
+			source, own := agent.source(), len(agent.itemsOf(agent.source()))
+			agent.deliver(peer, &message{IsCore: true, Deltas: []deltasync.Delta{d}})
+			agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(peer))
+			assert.Equal(t, source, agent.source())
+			for m := range agent.members {
 				assert.Contains(t, []string{source, "v/1"}, m)
 			}
-			assert.Len(t, s.members, 2)
-			assert.Len(t, s.snapshot.Servers.ByID, 1)
-			assert.LessOrEqual(t, len(s.itemsOf(source)), own+3, "no more than the lease of the peer and the end of the faulty one")
-			assert.Zero(t, s.config.seq)
+			assert.Len(t, agent.members, 2)
+			assert.Len(t, agent.snapshot.Servers.ByID, 1)
+			assert.LessOrEqual(t, len(agent.itemsOf(source)), own+3, "no more than the lease of the peer and the end of the faulty one")
+			assert.Zero(t, agent.config.seq)
 			// The next configuration is still applied.
-			s.ApplyConfig(9, documentOf(5))
-			assert.Equal(t, uint64(9), s.snapshot.ConfigSeq)
-			assert.Equal(t, int64(5), s.snapshot.Config.Revision)
+			agent.ApplyConfig(9, documentOf(5))
+			assert.Equal(t, uint64(9), agent.snapshot.ConfigSeq)
+			assert.Equal(t, int64(5), agent.snapshot.Config.Revision)
 		})
 	}
 }
@@ -571,14 +571,14 @@
 func TestAnyMessages(t *testing.T) {
 	names := rapid.SampledFrom([]string{"", configSource, "self", "x/1", "y/1", "z/1"})
 	rapid.Check(t, func(t *rapid.T) {
-		s := newManualNode("a", rapid.Bool().Draw(t, "core"))
-		s.tick()
-		x := s.connect("addr of v", "v/1", true)
+		node := newManualNode("a", rapid.Bool().Draw(t, "core"))
+		node.tick()
+		peer := node.connect("addr of v", "v/1", true)
 		name := func(t *rapid.T) string {
 			if n := names.Draw(t, "name"); n != "self" {
 				return n
 			}
-			return s.source()
+			return node.source()
 		}
 		data := func(t *rapid.T) []byte {
 			switch rapid.IntRange(0, 5).Draw(t, "data") {
@@ -619,21 +619,21 @@
 			for range rapid.IntRange(0, 2).Draw(t, "notices") {
 				m.Notices = append(m.Notices, notice{Instance: "s", AgeMs: rapid.Int().Draw(t, "age"), Hops: rapid.Int().Draw(t, "hops"), PromptTokens: rapid.Int().Draw(t, "prompt")})
 			}
-			s.deliver(x, m)
-			s.tick()
-			require.Contains(t, s.members, s.source())
-			require.GreaterOrEqual(t, s.snapshot.ConfigSeq, seq, "the configuration regressed")
-			require.GreaterOrEqual(t, s.snapshot.Servers.Version, list)
-			seq, list = s.snapshot.ConfigSeq, s.snapshot.Servers.Version
-			require.LessOrEqual(t, len(x.sent), 8)
-			require.LessOrEqual(t, s.snapshot.Agents, 6)
-			require.NotContains(t, s.members, configSource)
+			node.deliver(peer, m)
+			node.tick()
+			require.Contains(t, node.members, node.source())
+			require.GreaterOrEqual(t, node.snapshot.ConfigSeq, seq, "the configuration regressed")
+			require.GreaterOrEqual(t, node.snapshot.Servers.Version, list)
+			seq, list = node.snapshot.ConfigSeq, node.snapshot.Servers.Version
+			require.LessOrEqual(t, len(peer.sent), 8)
+			require.LessOrEqual(t, node.snapshot.Agents, 6)
+			require.NotContains(t, node.members, configSource)
 		}
-		s.ApplyConfig(1<<40, documentOf(7))
-		require.Equal(t, int64(7), s.snapshot.Config.Revision)
-		y := s.connect("addr of w", "w/1", false)
-		s.deliver(y, &message{Deltas: []deltasync.Delta{initialDelta("w/1", memberKey, &Member{Name: "w"}, serverPrefix+"new", server("new", 1))}})
-		require.Contains(t, s.snapshot.Servers.ByID, "new")
+		node.ApplyConfig(1<<40, documentOf(7))
+		require.Equal(t, int64(7), node.snapshot.Config.Revision)
+		otherPeer := node.connect("addr of w", "w/1", false)
+		node.deliver(otherPeer, &message{Deltas: []deltasync.Delta{initialDelta("w/1", memberKey, &Member{Name: "w"}, serverPrefix+"new", server("new", 1))}})
+		require.Contains(t, node.snapshot.Servers.ByID, "new")
 	})
 }
 
@@ -642,7 +642,7 @@
 	sound := server("s", 1)
 	wrong := server("r", 1)
 	wrong.Slots = -5
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		saved []byte
 		want  int
 	}{
@@ -655,34 +655,34 @@
 		"not ready":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{drainingServer("d", 1)}}), 0},
 		"truncated":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound}})[:20], 0},
 	} {
-		h := New(Options{Self: Member{Name: "a"}, HeartbeatInterval: time.Second, Core: newCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: c.saved})
-		assert.Len(t, h.servers.List().ByID, c.want, name)
+		relay := New(Options{Self: Member{Name: "a"}, HeartbeatInterval: time.Second, Core: newCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: testCase.saved})
+		assert.Len(t, relay.servers.List().ByID, testCase.want, name)
 	}
 }
 
 // Calls with invalid instances are rejected, as other agents would ignore them.
 func TestInvalidCallsAreRejected(t *testing.T) {
-	s := newManualNode("a", true, Peer{Addr: "addr of a"})
+	agent := newManualNode("a", true, Peer{Addr: "addr of a"})
 	in := server("s", 1)
 	in.Slots = -1
-	assert.False(t, s.Heartbeat(t.Context(), in))
-	assert.False(t, s.Heartbeat(t.Context(), server("", 1)))
-	assert.False(t, s.Deregister(t.Context(), ""))
-	assert.False(t, s.Deregister(t.Context(), strings.Repeat("x", 1<<16)))
-	assert.True(t, s.Deregister(t.Context(), "unknown"))
-	assert.True(t, s.Heartbeat(t.Context(), server("s", 1)))
+	assert.False(t, agent.Heartbeat(t.Context(), in))
+	assert.False(t, agent.Heartbeat(t.Context(), server("", 1)))
+	assert.False(t, agent.Deregister(t.Context(), ""))
+	assert.False(t, agent.Deregister(t.Context(), strings.Repeat("x", 1<<16)))
+	assert.True(t, agent.Deregister(t.Context(), "unknown"))
+	assert.True(t, agent.Heartbeat(t.Context(), server("s", 1)))
 }
 
 // The changes that are retained for operators reference no large configuration.
 func TestChangeLogOmitsLargeData(t *testing.T) {
-	s := newManualNode("a", false)
+	agent := newManualNode("a", false)
 	raw := fmt.Appendf(nil, `{"revision":1,"routes":[],"services":[],"note":%q}`, strings.Repeat("x", 1<<20))
 	for seq := range uint64(3) {
-		s.ApplyConfig(seq+1, raw)
+		agent.ApplyConfig(seq+1, raw)
 	}
-	kept, _ := s.changeLog.Since(0)
-	for _, c := range kept {
-		assert.LessOrEqual(t, len(c.Item.Data), maxLoggedBytes)
+	kept, _ := agent.changeLog.Since(0)
+	for _, testCase := range kept {
+		assert.LessOrEqual(t, len(testCase.Item.Data), maxLoggedBytes)
 	}
-	assert.Equal(t, uint64(3), s.snapshot.ConfigSeq)
+	assert.Equal(t, uint64(3), agent.snapshot.ConfigSeq)
 }
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -33,8 +33,8 @@
 // A session must begin with a valid hello.
 func TestInvalidHelloIsRejected(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 1, 1)
-	h := l.coreMembers[0]
+	cluster := newSyncedCluster(t, 1, 1)
+	relay := cluster.coreMembers[0]
 	huge := deltasync.Vector{}
 	for i := range maxVectorEntries + 1 {
 		huge[string(rune('a'+i%26))+strings.Repeat("x", i/26)] = 1
@@ -47,43 +47,43 @@
 		"a huge source":          {Hello: &hello{Source: long, Addr: "x:1"}},
 		"a huge address":         {Hello: &hello{Source: "x/1", Addr: long}},
 		"the configuration":      {Hello: &hello{Source: configSource, Addr: "x:1"}},
-		"the relay's own source": {Hello: &hello{Source: h.node.Report().Source, Addr: "x:1"}},
+		"the relay's own source": {Hello: &hello{Source: relay.node.Report().Source, Addr: "x:1"}},
 		"a huge vector":          {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: huge}},
 	} {
-		st := h.openSession()
+		st := relay.openSession()
 		require.NoError(t, st.Send(m), name)
 		assert.True(t, isRefused(st), name)
 		if m.Hello != nil {
-			assert.NotContains(t, h.sessionPeers(), m.Hello.Addr, name)
+			assert.NotContains(t, relay.sessionPeers(), m.Hello.Addr, name)
 		}
 	}
 	// A peer that sends nothing is given up, and so is one that sends something else.
 	begin := time.Now()
-	assert.True(t, isRefused(h.openSession()))
+	assert.True(t, isRefused(relay.openSession()))
 	assert.Less(t, time.Since(begin), testTimeout/2)
-	wrong, hangUp, err := rpc.OpenStream[[]string, message](timeoutContext(t, testTimeout), *h.backendAddr.Load(), "feed.session")
+	wrong, hangUp, err := rpc.OpenStream[[]string, message](timeoutContext(t, testTimeout), *relay.backendAddr.Load(), "feed.session")
 	require.NoError(t, err)
 	defer hangUp()
 	require.NoError(t, wrong.Send(&[]string{"what"}))
 	_, err = wrong.Recv()
 	require.Error(t, err)
-	h.node.ApplyConfig(1, documentOf(1))
-	l.eventually("all continue", hasConfig(1))
-	l.awaitSynced(2)
+	relay.node.ApplyConfig(1, documentOf(1))
+	cluster.eventually("all continue", hasConfig(1))
+	cluster.awaitSynced(2)
 }
 
 // A faulty peer may have a session, and its messages change nothing for others.
 func TestFaultyPeerChangesNothing(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 1, 1)
-	h := l.coreMembers[0]
-	h.node.ApplyConfig(5, documentOf(5))
-	l.eventually("in force", hasConfig(5))
+	cluster := newSyncedCluster(t, 1, 1)
+	relay := cluster.coreMembers[0]
+	relay.node.ApplyConfig(5, documentOf(5))
+	cluster.eventually("in force", hasConfig(5))
 	before := map[string]string{}
-	for _, a := range l.all() {
-		before[a.Name] = a.node.Report().Source
+	for _, agent := range cluster.all() {
+		before[agent.Name] = agent.node.Report().Source
 	}
-	st := h.openSession()
+	st := relay.openSession()
 	vector := deltasync.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", IsCore: true, Vector: vector}, HasQuorum: true, Complete: true}))
 	_, err := st.Recv()
@@ -112,120 +112,120 @@
 	} {
 		require.NoError(t, st.Send(m))
 	}
-	h.node.ApplyConfig(6, documentOf(6))
-	l.eventually("all continue", hasConfig(6))
-	h.startHeartbeats("s")
-	l.eventually("all continue", listsServer("s"))
-	for _, a := range l.all() {
-		r := a.node.Report()
-		assert.Equal(t, before[a.Name], r.Source)
-		assert.Equal(t, int64(6), r.Revision)
+	relay.node.ApplyConfig(6, documentOf(6))
+	cluster.eventually("all continue", hasConfig(6))
+	relay.startHeartbeats("s")
+	cluster.eventually("all continue", listsServer("s"))
+	for _, agent := range cluster.all() {
+		report := agent.node.Report()
+		assert.Equal(t, before[agent.Name], report.Source)
+		assert.Equal(t, int64(6), report.Revision)
 	}
 	st.Close()
-	l.eventually("it is dropped", hasMembers(2))
+	cluster.eventually("it is dropped", hasMembers(2))
 }
 
 // A relay serves a bounded number of sessions.
 func TestSessionsAreBounded(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 1, 1)
-	h := l.coreMembers[0]
-	h.node.mu.Lock()
+	cluster := newSyncedCluster(t, 1, 1)
+	relay := cluster.coreMembers[0]
+	relay.node.mu.Lock()
 	var filling []*session
-	for len(h.node.sessions) < maxSessions {
-		x := newSession(h.node.now()+time.Hour, &hello{Source: "x/1"}, "", func() uint64 { return 0 }, func() {})
-		h.node.sessions[x] = true
-		filling = append(filling, x)
+	for len(relay.node.sessions) < maxSessions {
+		peer := newSession(relay.node.now()+time.Hour, &hello{Source: "x/1"}, "", func() uint64 { return 0 }, func() {})
+		relay.node.sessions[peer] = true
+		filling = append(filling, peer)
 	}
-	h.node.mu.Unlock()
-	st := h.openSession()
+	relay.node.mu.Unlock()
+	st := relay.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	require.True(t, isRefused(st))
-	h.node.mu.Lock()
-	assert.Len(t, h.node.sessions, maxSessions)
-	delete(h.node.sessions, filling[0])
-	h.node.mu.Unlock()
-	st = h.openSession()
+	relay.node.mu.Lock()
+	assert.Len(t, relay.node.sessions, maxSessions)
+	delete(relay.node.sessions, filling[0])
+	relay.node.mu.Unlock()
+	st = relay.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	_, err := st.Recv()
 	assert.NoError(t, err, "there is capacity again")
-	h.node.mu.Lock()
-	for _, x := range filling {
-		delete(h.node.sessions, x)
+	relay.node.mu.Lock()
+	for _, peer := range filling {
+		delete(relay.node.sessions, peer)
 	}
-	h.node.mu.Unlock()
+	relay.node.mu.Unlock()
 }
 
 // An agent that is no relay answers a hello by a redirect, and its callers follow it.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 2, 2)
-	st := l.edgeAgents[0].openSession()
+	cluster := newSyncedCluster(t, 2, 2)
+	st := cluster.edgeAgents[0].openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	m, err := st.Recv()
 	require.NoError(t, err)
 	assert.Nil(t, m.Hello)
-	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
+	assert.ElementsMatch(t, cluster.coreMembers[0].Members(), m.Redirect)
 	// An agent that knows only a seed, which is no relay, finds the relays by it.
-	a := l.edgeAgents[1]
-	a.stop()
-	seed := l.edgeAgents[0]
+	agent := cluster.edgeAgents[1]
+	agent.stop()
+	seed := cluster.edgeAgents[0]
 	none := []Peer{}
-	a.fakeCore.hubs.Store(&none)
-	a.seeds = func() []string { return []string{seed.Addr} }
-	a.start()
-	l.eventually("synced", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
-	l.eventually("one session with a relay", func(a *testAgent) bool { return l.relayOf(a) != nil && len(a.sessionPeers()) == 1 }, a)
+	agent.fakeCore.hubs.Store(&none)
+	agent.seeds = func() []string { return []string{seed.Addr} }
+	agent.start()
+	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
+	cluster.eventually("one session with a relay", func(agent *testAgent) bool { return cluster.relayOf(agent) != nil && len(agent.sessionPeers()) == 1 }, agent)
 	// Without a view an agent names the core members by their member entries.
 	seed.fakeCore.hubs.Store(&none)
 	st = seed.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	m, err = st.Recv()
 	require.NoError(t, err)
-	assert.ElementsMatch(t, l.coreMembers[0].Members(), m.Redirect)
+	assert.ElementsMatch(t, cluster.coreMembers[0].Members(), m.Redirect)
 }
 
 // A peer that does not read delays nobody else, and its session ends.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 2, 1)
-	h := l.coreMembers[0]
-	st := h.openSession()
+	cluster := newSyncedCluster(t, 2, 1)
+	relay := cluster.coreMembers[0]
+	st := relay.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "deaf/1", Addr: "deaf:1"}}))
-	l.eventually("has a session", func(h *testAgent) bool {
-		for _, p := range h.sessionPeers() {
-			if p == "deaf:1" {
+	cluster.eventually("has a session", func(relay *testAgent) bool {
+		for _, addr := range relay.sessionPeers() {
+			if addr == "deaf:1" {
 				return true
 			}
 		}
 		return false
-	}, h)
+	}, relay)
 	// More than the kernel buffers.
 	for seq := range uint64(3) {
 		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
-		h.node.ApplyConfig(seq+1, raw)
+		relay.node.ApplyConfig(seq+1, raw)
 	}
 	begin := time.Now()
-	l.eventually("all others continue", hasConfig(3))
-	require.True(t, h.heartbeat(server("s", 1)))
-	l.eventually("all others continue", listsServer("s"))
-	l.eventually("its session is closed", func(h *testAgent) bool {
-		for _, p := range h.sessionPeers() {
-			if p == "deaf:1" {
+	cluster.eventually("all others continue", hasConfig(3))
+	require.True(t, relay.heartbeat(server("s", 1)))
+	cluster.eventually("all others continue", listsServer("s"))
+	cluster.eventually("its session is closed", func(relay *testAgent) bool {
+		for _, addr := range relay.sessionPeers() {
+			if addr == "deaf:1" {
 				return false
 			}
 		}
 		return true
-	}, h)
+	}, relay)
 	t.Log("after", time.Since(begin))
 }
 
 // A relay that accepts and sends nothing, or noise, delays its agent only briefly.
 func TestUnresponsiveRelay(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 1, 1)
-	a := l.edgeAgents[0]
-	a.stop()
+	cluster := newSyncedCluster(t, 1, 1)
+	agent := cluster.edgeAgents[0]
+	agent.stop()
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
 	serve := func(say string) Peer {
@@ -245,14 +245,14 @@
 			}
 		})
 		t.Cleanup(func() { ln.Close() })
-		return Peer{ln.Addr().String(), a.Zone}
+		return Peer{ln.Addr().String(), agent.Zone}
 	}
-	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), l.coreMembers[0].Members()[0]}
-	a.fakeCore.hubs.Store(&hubs)
-	a.start()
-	l.eventually("synced", func(a *testAgent) bool { return a.snapshot.Load() != nil && a.snapshot.Load().Synced }, a)
+	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), cluster.coreMembers[0].Members()[0]}
+	agent.fakeCore.hubs.Store(&hubs)
+	agent.start()
+	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	assert.True(t, a.node.Heartbeat(ctx, drainingServer("s", 1)))
-	a.stop() // before the listeners that it dials
+	assert.True(t, agent.node.Heartbeat(ctx, drainingServer("s", 1)))
+	agent.stop() // before the listeners that it dials
 }
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -12,61 +12,61 @@
 
 // newPartitionedNode returns a relay that was complete and has been without a quorum for twenty seconds.
 func newPartitionedNode(t *testing.T) *manualNode {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
-	o := h.connect("addr of o", "o/1", true)
-	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
-	h.ApplyConfig(5, documentOf(5))
-	h.tick()
-	require.True(t, h.readiness.complete())
-	h.core.linked.Store(false)
-	delete(h.sessions, o)
-	h.runFor(20*time.Second, nil)
-	require.False(t, h.readiness.complete(), "others may have more")
-	require.True(t, h.snapshot.Synced, "it continues to serve with what it has")
-	h.core.linked.Store(true)
-	return h
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
+	other := relay.connect("addr of o", "o/1", true)
+	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true})
+	relay.ApplyConfig(5, documentOf(5))
+	relay.tick()
+	require.True(t, relay.readiness.complete())
+	relay.core.linked.Store(false)
+	delete(relay.sessions, other)
+	relay.runFor(20*time.Second, nil)
+	require.False(t, relay.readiness.complete(), "others may have more")
+	require.True(t, relay.snapshot.Synced, "it continues to serve with what it has")
+	relay.core.linked.Store(true)
+	return relay
 }
 
 // A relay that lost its quorum is not complete again before a complete one has sent it everything.
 func TestReturningRelaySyncsFirst(t *testing.T) {
-	h := newPartitionedNode(t)
-	h.runFor(2*tickInterval, nil)
-	require.False(t, h.readiness.complete(), "it has just regained its quorum")
-	o := h.connect("addr of o", "o/2", true)
-	h.deliver(o, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
+	relay := newPartitionedNode(t)
+	relay.runFor(2*tickInterval, nil)
+	require.False(t, relay.readiness.complete(), "it has just regained its quorum")
+	other := relay.connect("addr of o", "o/2", true)
+	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
 	// What the other has takes long to arrive.
 	received := uint64(0)
-	o.bytesReceived = func() uint64 { return received }
-	h.runFor(5*selfStartDelay, func() { received++ })
-	require.False(t, h.readiness.complete(), "the initial sync is running")
+	other.bytesReceived = func() uint64 { return received }
+	relay.runFor(5*selfStartDelay, func() { received++ })
+	require.False(t, relay.readiness.complete(), "the initial sync is running")
 	newer := deltasync.Delta{Source: configSource, To: 9, Items: []deltasync.Item{{Key: configKey, Version: 9, Data: encode(&configItem{9, documentOf(9)})}}}
-	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newer}})
-	assert.True(t, h.readiness.complete())
-	assert.Equal(t, uint64(9), h.snapshot.ConfigSeq)
-	h.ApplyConfig(7, documentOf(7)) // from its own disk, late
-	assert.Equal(t, uint64(9), h.snapshot.ConfigSeq)
+	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newer}})
+	assert.True(t, relay.readiness.complete())
+	assert.Equal(t, uint64(9), relay.snapshot.ConfigSeq)
+	relay.ApplyConfig(7, documentOf(7)) // from its own disk, late
+	assert.Equal(t, uint64(9), relay.snapshot.ConfigSeq)
 }
 
 // Where no complete relay can be reached, a relay that lost its quorum declares itself complete, as at a start.
 func TestReturningRelayWithoutPeers(t *testing.T) {
-	h := newPartitionedNode(t)
-	h.MarkConfigCurrent()
-	h.runFor(selfStartDelay+2*tickInterval, nil)
-	assert.True(t, h.readiness.complete())
+	relay := newPartitionedNode(t)
+	relay.MarkConfigCurrent()
+	relay.runFor(selfStartDelay+2*tickInterval, nil)
+	assert.True(t, relay.readiness.complete())
 }
 
 // The same holds for one that restarts with a list from disk, during its initial sync.
 func TestRestartedRelayIsIncompleteDuringSync(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
-	h.MarkConfigCurrent()
-	o := h.connect("addr of o", "o/1", true)
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+	relay.MarkConfigCurrent()
+	other := relay.connect("addr of o", "o/1", true)
 	received := uint64(0)
-	o.bytesReceived = func() uint64 { return received }
-	h.runFor(5*selfStartDelay, func() { received++ })
-	require.False(t, h.readiness.complete())
-	require.False(t, h.snapshot.Synced)
-	h.deliver(o, &message{IsCore: true, HasQuorum: true, Complete: true})
-	assert.True(t, h.readiness.complete())
+	other.bytesReceived = func() uint64 { return received }
+	relay.runFor(5*selfStartDelay, func() { received++ })
+	require.False(t, relay.readiness.complete())
+	require.False(t, relay.snapshot.Synced)
+	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true})
+	assert.True(t, relay.readiness.complete())
 }
 
 // An agent that has a newer configuration than its restarted relay sends it to the relay, and takes
@@ -76,8 +76,8 @@
 	agent.ApplyConfig(9, documentOf(9))
 	hub.ApplyConfig(5, documentOf(5))
 	older := deltasync.Delta{Source: configSource, To: 5, Items: []deltasync.Item{{Key: configKey, Version: 5, Data: encode(&configItem{5, documentOf(5)})}}}
-	x := agent.connect("addr of h", "h/1", true)
-	agent.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{older}})
+	peer := agent.connect("addr of h", "h/1", true)
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{older}})
 	assert.Equal(t, uint64(9), agent.snapshot.ConfigSeq)
 	assert.Equal(t, int64(9), agent.snapshot.Config.Revision)
 	agent.mu.Lock()
--- a/internal/fleet/relay/slowlink_test.go
+++ b/internal/fleet/relay/slowlink_test.go
@@ -34,25 +34,25 @@
 // other direction continues meanwhile.
 func TestLongMessageOverSlowLink(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 3, 1)
-	a := l.edgeAgents[0]
-	a.slowLinksTo(l.coreMembers...)
-	a.node.mu.Lock()
+	cluster := newSyncedCluster(t, 3, 1)
+	agent := cluster.edgeAgents[0]
+	agent.slowLinksTo(cluster.coreMembers...)
+	agent.node.mu.Lock()
 	before := map[*session]bool{}
-	for s := range a.node.sessions {
+	for s := range agent.node.sessions {
 		before[s] = true
 	}
-	a.node.mu.Unlock()
+	agent.node.mu.Unlock()
 	require.Len(t, before, 1)
-	l.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	l.eventually("in force at all relays", hasConfig(1), l.coreMembers...)
-	a.startHeartbeats("s")
-	l.eventually("changes of the agent reach all relays", listsServer("s"), l.coreMembers...)
-	require.False(t, hasConfig(1)(a), "the configuration is still on its way")
-	l.eventually("in force", hasConfig(1), a)
-	a.node.mu.Lock()
-	defer a.node.mu.Unlock()
-	for s := range a.node.sessions {
+	cluster.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
+	cluster.eventually("in force at all relays", hasConfig(1), cluster.coreMembers...)
+	agent.startHeartbeats("s")
+	cluster.eventually("changes of the agent reach all relays", listsServer("s"), cluster.coreMembers...)
+	require.False(t, hasConfig(1)(agent), "the configuration is still on its way")
+	cluster.eventually("in force", hasConfig(1), agent)
+	agent.node.mu.Lock()
+	defer agent.node.mu.Unlock()
+	for s := range agent.node.sessions {
 		assert.True(t, before[s], "the session was not restarted")
 	}
 }
@@ -60,25 +60,28 @@
 // A new process receives everything over a slow link: the hello within helloTimeout, the rest later.
 func TestInitialSyncOverSlowLink(t *testing.T) {
 	t.Parallel()
-	l := newTestCluster(t, 3, 1)
-	l.coreMembers[2].slowLinksTo(l.coreMembers...)
-	l.edgeAgents[0].slowLinksTo(l.coreMembers...)
-	for _, h := range l.coreMembers[:2] {
-		h.start()
-		h.node.MarkConfigCurrent()
+	cluster := newTestCluster(t, 3, 1)
+	cluster.coreMembers[2].slowLinksTo(cluster.coreMembers...)
+	cluster.edgeAgents[0].slowLinksTo(cluster.coreMembers...)
+	for _, relay := range cluster.coreMembers[:2] {
+		relay.start()
+		relay.node.MarkConfigCurrent()
 	}
-	l.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	l.eventually("synced", func(h *testAgent) bool { return h.snapshot.Load().Synced && hasConfig(1)(h) }, l.coreMembers[:2]...)
-	for _, late := range []*testAgent{l.edgeAgents[0], l.coreMembers[2]} {
+	cluster.coreMembers[0].node.ApplyConfig(1, paddedDocument(1, longConfigBytes))
+	cluster.eventually("synced", func(relay *testAgent) bool { return relay.snapshot.Load().Synced && hasConfig(1)(relay) }, cluster.coreMembers[:2]...)
+	for _, late := range []*testAgent{cluster.edgeAgents[0], cluster.coreMembers[2]} {
 		late.start()
-		l.eventually("is synced", func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Synced && s.ConfigSeq == 1 }, late)
+		cluster.eventually("is synced", func(agent *testAgent) bool {
+			s := agent.snapshot.Load()
+			return s != nil && s.Synced && s.ConfigSeq == 1
+		}, late)
 	}
-	l.awaitSynced(4)
+	cluster.awaitSynced(4)
 }
 
 // A session lasts while bytes come, but one message may not take longer than messageTimeout.
 func TestProgressExtendsSessionUpToMessageTimeout(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		perTick uint64 // bytes that come between two ticks
 		ends    time.Duration
 	}{
@@ -87,38 +90,38 @@
 		"a long message":       {100 << 10, messageTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newManualNode("a", false, Peer{Addr: "addr of h"})
-			x := s.connect("addr of h", "h/1", true)
+			agent := newManualNode("a", false, Peer{Addr: "addr of h"})
+			peer := agent.connect("addr of h", "h/1", true)
 			var received uint64
-			x.bytesReceived = func() uint64 { return received }
-			begin, ended := s.now(), time.Duration(0)
-			x.cancel = func() {
+			peer.bytesReceived = func() uint64 { return received }
+			begin, ended := agent.now(), time.Duration(0)
+			peer.cancel = func() {
 				if ended == 0 {
-					ended = s.now() - begin
+					ended = agent.now() - begin
 				}
 			}
-			s.runFor(c.ends-tickInterval, func() { received += c.perTick })
+			agent.runFor(testCase.ends-tickInterval, func() { received += testCase.perTick })
 			require.Zero(t, ended, "it is given its time")
-			s.runFor(3*tickInterval, func() { received += c.perTick })
-			assert.Greater(t, ended, c.ends)
+			agent.runFor(3*tickInterval, func() { received += testCase.perTick })
+			assert.Greater(t, ended, testCase.ends)
 		})
 	}
 	// A complete message restarts the time-out.
-	s := newManualNode("a", false, Peer{Addr: "addr of h"})
-	x := s.connect("addr of h", "h/1", true)
-	x.cancel = func() { assert.Fail(t, "closed") }
-	s.runFor(2*messageTimeout, s.heartbeatFrom(x))
+	agent := newManualNode("a", false, Peer{Addr: "addr of h"})
+	peer := agent.connect("addr of h", "h/1", true)
+	peer.cancel = func() { assert.Fail(t, "closed") }
+	agent.runFor(2*messageTimeout, agent.heartbeatFrom(peer))
 }
 
 // A hello does not say whether its sender is complete: the deltas come after it.
 func TestHelloDoesNotReportCompleteness(t *testing.T) {
-	h := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
-	h.MarkConfigCurrent()
-	x := h.connect("addr of o", "o/1", true)
-	h.deliver(x, &message{Hello: &hello{Source: "o/1", Addr: "addr of o"}, IsCore: true, HasQuorum: true})
-	h.runFor(2*tickInterval, nil)
-	require.False(t, h.snapshot.Synced, "the other may have more")
-	h.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true})
-	h.tick()
-	assert.True(t, h.snapshot.Synced)
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+	relay.MarkConfigCurrent()
+	peer := relay.connect("addr of o", "o/1", true)
+	relay.deliver(peer, &message{Hello: &hello{Source: "o/1", Addr: "addr of o"}, IsCore: true, HasQuorum: true})
+	relay.runFor(2*tickInterval, nil)
+	require.False(t, relay.snapshot.Synced, "the other may have more")
+	relay.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true})
+	relay.tick()
+	assert.True(t, relay.snapshot.Synced)
 }
--- a/internal/fleet/relay/testcluster_test.go
+++ b/internal/fleet/relay/testcluster_test.go
@@ -31,11 +31,11 @@
 }
 
 func newCore(core, linked bool, hubs ...Peer) *fakeCore {
-	c := &fakeCore{}
-	c.core.Store(core)
-	c.linked.Store(linked)
-	c.hubs.Store(&hubs)
-	return c
+	testCase := &fakeCore{}
+	testCase.core.Store(core)
+	testCase.linked.Store(linked)
+	testCase.hubs.Store(&hubs)
+	return testCase
 }
 
 func (c *fakeCore) IsMember() bool  { return c.core.Load() }
@@ -98,24 +98,24 @@
 }
 
 // serveProxy proxies connections to an agent until the cluster is closed.
-func (w *testNetwork) serveProxy(ln net.Listener, a *testAgent) {
+func (w *testNetwork) serveProxy(listener net.Listener, agent *testAgent) {
 	w.wg.Go(func() {
 		<-w.ctx.Done()
-		ln.Close()
+		listener.Close()
 	})
 	w.wg.Go(func() {
 		for {
-			in, err := ln.Accept()
+			in, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			w.wg.Go(func() { w.proxyConn(in, a) })
+			w.wg.Go(func() { w.proxyConn(in, agent) })
 		}
 	})
 }
 
-func (w *testNetwork) proxyConn(in net.Conn, a *testAgent) {
-	behind := a.backendAddr.Load()
+func (w *testNetwork) proxyConn(in net.Conn, agent *testAgent) {
+	behind := agent.backendAddr.Load()
 	if behind == nil { // it has not started
 		in.Close()
 		return
@@ -149,29 +149,29 @@
 	var first []byte
 	caller, known, knows := "", make(chan struct{}), func() {}
 	knows = sync.OnceFunc(func() { close(known) })
-	var wg sync.WaitGroup
-	wg.Go(func() {
+	var copies sync.WaitGroup
+	copies.Go(func() {
 		defer knows()
 		copying(out, in, func(p []byte) bool {
 			if caller == "" {
 				first = append(first, p...)
 				for _, from := range w.addrs {
-					if from != a.Addr && bytes.Contains(first, []byte(from)) {
+					if from != agent.Addr && bytes.Contains(first, []byte(from)) {
 						caller = from
 						knows()
 					}
 				}
 			}
-			return w.awaitOpen(caller, a.Addr) && w.throttle(caller, a.Addr, len(p))
+			return w.awaitOpen(caller, agent.Addr) && w.throttle(caller, agent.Addr, len(p))
 		})
 	})
-	wg.Go(func() {
+	copies.Go(func() {
 		copying(in, out, func(p []byte) bool {
 			<-known // the answering side sends nothing before the hello
-			return w.awaitOpen(a.Addr, caller) && w.throttle(a.Addr, caller, len(p))
+			return w.awaitOpen(agent.Addr, caller) && w.throttle(agent.Addr, caller, len(p))
 		})
 	})
-	wg.Wait()
+	copies.Wait()
 }
 
 // testAgent is one process of a cluster, over all its incarnations.
@@ -199,41 +199,41 @@
 // newTestCluster returns a cluster in which nothing has started. Its core has a quorum.
 func newTestCluster(t *testing.T, hubs, agents int) *testCluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
+	cluster := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
 	t.Cleanup(func() {
-		for _, a := range l.all() {
-			a.stop()
+		for _, agent := range cluster.all() {
+			agent.stop()
 		}
 		cancel()
-		l.wg.Wait()
+		cluster.wg.Wait()
 	})
 	var peers []Peer
 	for i := range hubs + agents {
-		a := &testAgent{testCluster: l, stop: func() {}, Member: Member{Zone: "far", Region: "region"}}
+		agent := &testAgent{testCluster: cluster, stop: func() {}, Member: Member{Zone: "far", Region: "region"}}
 		if i%3 == 0 {
-			a.Zone = "near"
+			agent.Zone = "near"
 		}
 		if i < hubs {
-			a.Name = fmt.Sprint("hub-", i)
-			l.coreMembers = append(l.coreMembers, a)
+			agent.Name = fmt.Sprint("hub-", i)
+			cluster.coreMembers = append(cluster.coreMembers, agent)
 		} else {
-			a.Name = fmt.Sprint("agent-", i-hubs)
-			l.edgeAgents = append(l.edgeAgents, a)
+			agent.Name = fmt.Sprint("agent-", i-hubs)
+			cluster.edgeAgents = append(cluster.edgeAgents, agent)
 		}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		a.Addr, a.ControlAddr = ln.Addr().String(), "control of "+a.Name
-		l.addrs = append(l.addrs, a.Addr)
+		agent.Addr, agent.ControlAddr = listener.Addr().String(), "control of "+agent.Name
+		cluster.addrs = append(cluster.addrs, agent.Addr)
 		if i < hubs {
-			peers = append(peers, Peer{a.Addr, a.Zone})
+			peers = append(peers, Peer{agent.Addr, agent.Zone})
 		}
-		defer l.serveProxy(ln, a) // once all addresses are known
+		defer cluster.serveProxy(listener, agent) // once all addresses are known
 	}
-	for i, a := range l.all() {
-		a.fakeCore = newCore(i < hubs, i < hubs, peers...)
-		a.seeds = func() []string { return []string{peers[0].Addr} }
+	for i, agent := range cluster.all() {
+		agent.fakeCore = newCore(i < hubs, i < hubs, peers...)
+		agent.seeds = func() []string { return []string{peers[0].Addr} }
 	}
-	return l
+	return cluster
 }
 
 func (l *testCluster) all() []*testAgent {
@@ -242,27 +242,27 @@
 
 // start starts all agents, and marks the core's configuration as current.
 func (l *testCluster) start() *testCluster {
-	for _, a := range l.all() {
-		a.start()
+	for _, agent := range l.all() {
+		agent.start()
 	}
-	for _, h := range l.coreMembers {
-		h.node.MarkConfigCurrent()
+	for _, relay := range l.coreMembers {
+		relay.node.MarkConfigCurrent()
 	}
 	return l
 }
 
 // newSyncedCluster returns a cluster in which all agents run and are synced.
 func newSyncedCluster(t *testing.T, hubs, agents int) *testCluster {
-	l := newTestCluster(t, hubs, agents).start()
-	l.awaitSynced(hubs + agents)
-	return l
+	cluster := newTestCluster(t, hubs, agents).start()
+	cluster.awaitSynced(hubs + agents)
+	return cluster
 }
 
 // awaitSynced waits until all running agents are synced and know so many members.
 func (l *testCluster) awaitSynced(members int) {
 	l.t.Helper()
-	l.eventually("all are synced", func(a *testAgent) bool {
-		s := a.snapshot.Load()
+	l.eventually("all are synced", func(agent *testAgent) bool {
+		s := agent.snapshot.Load()
 		return s != nil && s.Synced && s.Agents == members
 	})
 }
@@ -271,17 +271,17 @@
 func (l *testCluster) eventually(what string, is func(*testAgent) bool, at ...*testAgent) {
 	l.t.Helper()
 	if len(at) == 0 {
-		for _, a := range l.all() {
-			if a.node != nil {
-				at = append(at, a)
+		for _, agent := range l.all() {
+			if agent.node != nil {
+				at = append(at, agent)
 			}
 		}
 	}
-	for _, a := range at {
-		if !assert.Eventually(l.t, func() bool { return is(a) }, testTimeout, 10*time.Millisecond, "%s: %s", what, a.Name) {
-			for _, a := range l.all() {
-				if a.node != nil {
-					l.t.Logf("%s: %+v", a.Name, a.node.Report())
+	for _, agent := range at {
+		if !assert.Eventually(l.t, func() bool { return is(agent) }, testTimeout, 10*time.Millisecond, "%s: %s", what, agent.Name) {
+			for _, agent := range l.all() {
+				if agent.node != nil {
+					l.t.Logf("%s: %+v", agent.Name, agent.node.Report())
 				}
 			}
 			l.t.FailNow()
@@ -291,14 +291,14 @@
 
 // start starts an incarnation.
 func (a *testAgent) start() {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
-	behind := ln.Addr().String()
+	behind := listener.Addr().String()
 	a.backendAddr.Store(&behind)
 	ctx, cancel := context.WithCancel(a.ctx)
-	o := Options{Self: a.Member, HeartbeatInterval: a.heartbeatInterval, Core: a.fakeCore, SeedAddrs: a.seeds}
+	options := Options{Self: a.Member, HeartbeatInterval: a.heartbeatInterval, Core: a.fakeCore, SeedAddrs: a.seeds}
 	var last *Snapshot
-	o.OnChange = func(s *Snapshot) { // it is called in order
+	options.OnChange = func(s *Snapshot) { // it is called in order
 		if last != nil {
 			assert.GreaterOrEqual(a.t, s.ConfigSeq, last.ConfigSeq, "%s: the configuration regressed", a.Name)
 			assert.True(a.t, s.Synced || !last.Synced, "%s: was synced", a.Name)
@@ -309,17 +309,17 @@
 		a.snapshot.Store(s)
 	}
 	if a.withDisks {
-		o.SaveServers = func(b []byte) error { a.savedList.Store(&b); return nil }
+		options.SaveServers = func(b []byte) error { a.savedList.Store(&b); return nil }
 		if b := a.savedList.Load(); b != nil {
-			o.SavedServers = *b
+			options.SavedServers = *b
 		}
 	}
 	a.snapshot.Store(nil)
-	a.node = New(o)
+	a.node = New(options)
 	table := rpc.NewMux()
 	a.node.RegisterHandlers(table)
 	var wg sync.WaitGroup
-	wg.Go(func() { assert.NoError(a.t, rpc.Serve(ctx, ln, table)) })
+	wg.Go(func() { assert.NoError(a.t, rpc.Serve(ctx, listener, table)) })
 	wg.Go(func() { assert.NoError(a.t, a.node.Run(ctx)) })
 	a.stop = sync.OnceFunc(func() {
 		cancel()
@@ -364,7 +364,7 @@
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	tick := time.NewTicker(a.heartbeatInterval)
-	seq, hub := uint64(1), a.node
+	seq, node := uint64(1), a.node
 	assert.True(a.t, a.heartbeat(server(id, seq)))
 	wg.Go(func() {
 		defer tick.Stop()
@@ -374,7 +374,7 @@
 				return
 			case <-tick.C:
 				seq++
-				hub.Heartbeat(a.ctx, server(id, seq))
+				node.Heartbeat(a.ctx, server(id, seq))
 			}
 		}
 	})
@@ -384,20 +384,20 @@
 }
 
 func listsServer(id string) func(*testAgent) bool {
-	return func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Servers.ByID[id] != nil }
+	return func(agent *testAgent) bool { s := agent.snapshot.Load(); return s != nil && s.Servers.ByID[id] != nil }
 }
 
 func not(is func(*testAgent) bool) func(*testAgent) bool {
-	return func(a *testAgent) bool { return !is(a) }
+	return func(agent *testAgent) bool { return !is(agent) }
 }
 
 func hasMembers(n int) func(*testAgent) bool {
-	return func(a *testAgent) bool { s := a.snapshot.Load(); return s != nil && s.Agents == n }
+	return func(agent *testAgent) bool { s := agent.snapshot.Load(); return s != nil && s.Agents == n }
 }
 
 func hasConfig(seq uint64) func(*testAgent) bool {
-	return func(a *testAgent) bool {
-		s := a.snapshot.Load()
+	return func(agent *testAgent) bool {
+		s := agent.snapshot.Load()
 		return s != nil && s.ConfigSeq == seq && s.Config != nil
 	}
 }
@@ -423,11 +423,11 @@
 }
 
 // relayOf returns the relay that an agent has a session with, or nil.
-func (l *testCluster) relayOf(a *testAgent) *testAgent {
-	for _, peer := range a.sessionPeers() {
-		for _, h := range l.coreMembers {
-			if h.Addr == peer {
-				return h
+func (l *testCluster) relayOf(agent *testAgent) *testAgent {
+	for _, peer := range agent.sessionPeers() {
+		for _, relay := range l.coreMembers {
+			if relay.Addr == peer {
+				return relay
 			}
 		}
 	}
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -10,12 +10,12 @@
 )
 
 // connectOutbound adds a session that the agent began with a relay.
-func (s *manualNode) connectOutbound(peer string) (x *session, ended *bool) {
-	x = s.connect(peer, peer+"/1", true)
-	x.outbound, x.started = true, s.now()
+func (s *manualNode) connectOutbound(peerAddr string) (peer *session, ended *bool) {
+	peer = s.connect(peerAddr, peerAddr+"/1", true)
+	peer.outbound, peer.started = true, s.now()
 	ended = new(bool)
-	x.cancel = func() { *ended = true }
-	return x, ended
+	peer.cancel = func() { *ended = true }
+	return peer, ended
 }
 
 // pollDialTargets has the agent look for relays at its interval until it has one to dial, at most for a
@@ -43,70 +43,70 @@
 
 // An agent tries another relay 400 ms after its own last had a quorum, and not before.
 func TestAgentLeavesRelayWithoutQuorumInTime(t *testing.T) {
-	s := newManualNode("a", false, Peer{"h0", "near"}, Peer{"h1", "near"}, Peer{"h2", "near"})
-	x, ended := s.connectOutbound("h0")
-	s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true})
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
+	agent := newManualNode("a", false, Peer{"h0", "near"}, Peer{"h1", "near"}, Peer{"h2", "near"})
+	peer, ended := agent.connectOutbound("h0")
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true})
+	_, wanted := agent.pollDialTargets(time.Minute, func() { agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	require.Empty(t, wanted)
-	after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, Complete: true}) })
+	after, wanted := agent.pollDialTargets(time.Minute, func() { agent.deliver(peer, &message{IsCore: true, Complete: true}) })
 	require.NotEmpty(t, wanted)
 	assert.NotContains(t, wanted, "h0")
 	assert.GreaterOrEqual(t, after, quorumLossTolerance)
 	assert.LessOrEqual(t, after, quorumLossTolerance+redialInterval)
 	require.False(t, *ended, "the session is retained until there is a better one")
-	y, _ := s.connectOutbound("h1")
-	s.deliver(y, &message{IsCore: true, HasQuorum: true, Complete: true})
-	s.dialTargets(0)
+	otherPeer, _ := agent.connectOutbound("h1")
+	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, Complete: true})
+	agent.dialTargets(0)
 	assert.True(t, *ended)
 }
 
 // An agent whose relay is in another zone tries those of its own repeatedly, and changes over only once
 // one of them is complete.
 func TestAgentReturnsToRelayOfItsZone(t *testing.T) {
-	s := newManualNode("a", false, Peer{"far-0", "far"}, Peer{"near-0", "near"}, Peer{"far-1", "far"}, Peer{"near-1", "near"})
-	far, farEnded := s.connectOutbound("far-0")
-	linked := func() { s.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
+	agent := newManualNode("a", false, Peer{"far-0", "far"}, Peer{"near-0", "near"}, Peer{"far-1", "far"}, Peer{"near-1", "near"})
+	far, farEnded := agent.connectOutbound("far-0")
+	linked := func() { agent.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
 	linked()
 	for range 5 { // the relays of its zone are unreachable
-		after, wanted := s.pollDialTargets(time.Minute, linked)
+		after, wanted := agent.pollDialTargets(time.Minute, linked)
 		assert.ElementsMatch(t, []string{"near-0", "near-1"}, wanted)
 		assert.GreaterOrEqual(t, after, homeZoneRetryInterval-redialInterval)
 		assert.LessOrEqual(t, after, homeZoneRetryInterval+homeZoneRetryJitter+2*redialInterval)
 	}
 	// One is reachable, and has no quorum.
-	cold, coldEnded := s.connectOutbound("near-0")
-	s.pollFor(helloTimeout+redialInterval, func() { linked(); s.deliver(cold, &message{IsCore: true}) })
+	cold, coldEnded := agent.connectOutbound("near-0")
+	agent.pollFor(helloTimeout+redialInterval, func() { linked(); agent.deliver(cold, &message{IsCore: true}) })
 	require.True(t, *coldEnded)
-	delete(s.sessions, cold)
+	delete(agent.sessions, cold)
 	// One has a quorum, and does not become complete.
-	slow, slowEnded := s.connectOutbound("near-0")
-	still := func() { linked(); s.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
-	s.pollFor(probationPeriod-2*redialInterval, still)
+	slow, slowEnded := agent.connectOutbound("near-0")
+	still := func() { linked(); agent.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
+	agent.pollFor(probationPeriod-2*redialInterval, still)
 	require.False(t, *slowEnded)
-	s.pollFor(3*redialInterval, still)
+	agent.pollFor(3*redialInterval, still)
 	require.True(t, *slowEnded)
-	delete(s.sessions, slow)
+	delete(agent.sessions, slow)
 	require.False(t, *farEnded)
 	// One is complete.
-	near, nearEnded := s.connectOutbound("near-1")
-	s.deliver(near, &message{IsCore: true, HasQuorum: true, Hello: &hello{}})
-	s.dialTargets(0)
+	near, nearEnded := agent.connectOutbound("near-1")
+	agent.deliver(near, &message{IsCore: true, HasQuorum: true, Hello: &hello{}})
+	agent.dialTargets(0)
 	require.False(t, *farEnded, "the new one is not complete")
 	require.False(t, *nearEnded)
-	s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true})
-	s.dialTargets(0)
+	agent.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true})
+	agent.dialTargets(0)
 	require.True(t, *farEnded)
 	require.False(t, *nearEnded)
-	delete(s.sessions, far)
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true}) })
+	delete(agent.sessions, far)
+	_, wanted := agent.pollDialTargets(time.Minute, func() { agent.deliver(near, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	assert.Empty(t, wanted, "it has a relay of its zone")
 }
 
 // Agents without a relay in their zone stay with the one that they have.
 func TestAgentWithoutRelayInItsZoneStays(t *testing.T) {
-	s := newManualNode("a", false, Peer{"h0", "far"}, Peer{"h1", "farther"})
-	x, ended := s.connectOutbound("h0")
-	_, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
+	agent := newManualNode("a", false, Peer{"h0", "far"}, Peer{"h1", "farther"})
+	peer, ended := agent.connectOutbound("h0")
+	_, wanted := agent.pollDialTargets(time.Minute, func() { agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 	assert.Empty(t, wanted)
 	assert.False(t, *ended)
 }
@@ -116,9 +116,9 @@
 	const agents, slot = 300, 500 * time.Millisecond
 	returns := map[time.Duration]int{}
 	for i := range agents {
-		s := newManualNode(fmt.Sprint("a", i), false, Peer{"far", "far"}, Peer{"near", "near"})
-		x, _ := s.connectOutbound("far")
-		after, wanted := s.pollDialTargets(time.Minute, func() { s.deliver(x, &message{IsCore: true, HasQuorum: true, Complete: true}) })
+		agent := newManualNode(fmt.Sprint("a", i), false, Peer{"far", "far"}, Peer{"near", "near"})
+		peer, _ := agent.connectOutbound("far")
+		after, wanted := agent.pollDialTargets(time.Minute, func() { agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true}) })
 		require.Equal(t, []string{"near"}, wanted)
 		returns[after/slot]++
 	}
@@ -130,22 +130,22 @@
 // An agent returns to the relay of its zone in a running cluster, and misses nothing.
 func TestAgentReturnsOnceItsRelayIsBack(t *testing.T) {
 	t.Parallel()
-	l := newSyncedCluster(t, 3, 1)
-	a, own := l.edgeAgents[0], l.coreMembers[0]
-	require.Equal(t, own.Zone, a.Zone)
-	returned := func(a *testAgent) bool { return l.relayOf(a) == own && len(a.sessionPeers()) == 1 }
-	l.eventually("has the relay of its zone", returned, a)
+	cluster := newSyncedCluster(t, 3, 1)
+	agent, own := cluster.edgeAgents[0], cluster.coreMembers[0]
+	require.Equal(t, own.Zone, agent.Zone)
+	returned := func(agent *testAgent) bool { return cluster.relayOf(agent) == own && len(agent.sessionPeers()) == 1 }
+	cluster.eventually("has the relay of its zone", returned, agent)
 	own.stop()
-	l.eventually("has another relay", func(a *testAgent) bool { h := l.relayOf(a); return h != nil && h != own }, a)
-	l.coreMembers[1].node.ApplyConfig(1, documentOf(1))
-	l.eventually("in force", hasConfig(1))
+	cluster.eventually("has another relay", func(agent *testAgent) bool { relay := cluster.relayOf(agent); return relay != nil && relay != own }, agent)
+	cluster.coreMembers[1].node.ApplyConfig(1, documentOf(1))
+	cluster.eventually("in force", hasConfig(1))
 	own.start()
 	own.node.MarkConfigCurrent()
-	a.startHeartbeats("s")
-	l.eventually("has returned", returned, a)
-	l.coreMembers[2].node.ApplyConfig(2, documentOf(2))
-	l.eventually("in force", hasConfig(2))
-	l.eventually("listed", listsServer("s"))
-	require.True(t, a.heartbeat(drainingServer("s", 1000)))
-	l.awaitSynced(4)
+	agent.startHeartbeats("s")
+	cluster.eventually("has returned", returned, agent)
+	cluster.coreMembers[2].node.ApplyConfig(2, documentOf(2))
+	cluster.eventually("in force", hasConfig(2))
+	cluster.eventually("listed", listsServer("s"))
+	require.True(t, agent.heartbeat(drainingServer("s", 1000)))
+	cluster.awaitSynced(4)
 }
