--- a/internal/fleet/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(m *testing.M) { leaktest.Main(m) }
+func TestMain(machine *testing.M) { leaktest.Main(machine) }
 
 // testTimeout bounds every wait of the tests; it is reached only where something is broken.
 const testTimeout = 20 * time.Second
@@ -37,18 +37,18 @@
 }
 
 func newTestMachine(t *testing.T) *testMachine {
-	m := &testMachine{t: t, settingsPath: filepath.Join(t.TempDir(), "local.toml"), stateDir: t.TempDir(),
+	machine := &testMachine{t: t, settingsPath: filepath.Join(t.TempDir(), "local.toml"), stateDir: t.TempDir(),
 		ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250), 1+rand.IntN(250))}
-	for _, port := range []*int{&m.frontPort, &m.readinessPort, &m.controlPort, &m.peerPort} {
-		ln, err := net.Listen("tcp", m.ip+":0")
+	for _, port := range []*int{&machine.frontPort, &machine.readinessPort, &machine.controlPort, &machine.peerPort} {
+		listener, err := net.Listen("tcp", machine.ip+":0")
 		require.NoError(t, err)
-		*port = ln.Addr().(*net.TCPAddr).Port
-		require.NoError(t, ln.Close())
+		*port = listener.Addr().(*net.TCPAddr).Port
+		require.NoError(t, listener.Close())
 	}
-	m.seeds = fmt.Sprintf(`["%s:%d"]`, m.ip, m.controlPort)
-	m.client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	m.writeSettings(true)
-	return m
+	machine.seeds = fmt.Sprintf(`["%s:%d"]`, machine.ip, machine.controlPort)
+	machine.client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	machine.writeSettings(true)
+	return machine
 }
 
 // newTestMachines are machines of one fleet: their ports are alike, and each is a seed.
@@ -57,14 +57,14 @@
 	machines := []*testMachine{first}
 	seeds := []string{fmt.Sprintf("%q", net.JoinHostPort(first.ip, strconv.Itoa(first.controlPort)))}
 	for len(machines) < count {
-		m := newTestMachine(t)
-		m.frontPort, m.readinessPort, m.controlPort, m.peerPort = first.frontPort, first.readinessPort, first.controlPort, first.peerPort
-		machines = append(machines, m)
-		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(m.ip, strconv.Itoa(m.controlPort))))
+		machine := newTestMachine(t)
+		machine.frontPort, machine.readinessPort, machine.controlPort, machine.peerPort = first.frontPort, first.readinessPort, first.controlPort, first.peerPort
+		machines = append(machines, machine)
+		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(machine.ip, strconv.Itoa(machine.controlPort))))
 	}
-	for _, m := range machines {
-		m.seeds = "[" + strings.Join(seeds, ", ") + "]"
-		m.writeSettings(true)
+	for _, machine := range machines {
+		machine.seeds = "[" + strings.Join(seeds, ", ") + "]"
+		machine.writeSettings(true)
 	}
 	return machines
 }
@@ -121,10 +121,10 @@
 	d, err := New(m.settingsPath)
 	require.NoError(m.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &testProcess{testMachine: m, daemon: d, reload: make(chan struct{}), terminate: cancel, exited: make(chan error, 1)}
-	go func() { p.exited <- d.Run(ctx, p.reload) }()
-	m.t.Cleanup(func() { p.terminate(); p.exited <- <-p.exited })
-	return p
+	process := &testProcess{testMachine: m, daemon: d, reload: make(chan struct{}), terminate: cancel, exited: make(chan error, 1)}
+	go func() { process.exited <- d.Run(ctx, process.reload) }()
+	m.t.Cleanup(func() { process.terminate(); process.exited <- <-process.exited })
+	return process
 }
 
 // terminateAndWait waits for the process to end.
@@ -185,15 +185,15 @@
 }
 
 func (m *testMachine) startModelServer(id string) *testModelServer {
-	s := &testModelServer{nextEvent: make(chan int)}
-	ln, err := net.Listen("tcp", m.ip+":0")
+	server := &testModelServer{nextEvent: make(chan int)}
+	listener, err := net.Listen("tcp", m.ip+":0")
 	require.NoError(m.t, err)
-	srv := &http.Server{Handler: s}
-	go srv.Serve(ln)
+	srv := &http.Server{Handler: server}
+	go srv.Serve(listener)
 	m.t.Cleanup(func() { srv.Close() })
 	m.callControl(200, "PUT", "/chalkdoor/instances/"+id, fmt.Sprintf(
-		`{"target-service":"s","address":%q,"zone":"z","revision":"v1","slots":8,"state":"ready","cold-ms":0,"call-seq":1}`, ln.Addr()), "Content-Type", "application/json")
-	return s
+		`{"target-service":"s","address":%q,"zone":"z","revision":"v1","slots":8,"state":"ready","cold-ms":0,"call-seq":1}`, listener.Addr()), "Content-Type", "application/json")
+	return server
 }
 
 func (s *testModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -212,24 +212,24 @@
 
 // request sends a request to the front on a connection of its own, which the caller closes.
 func (m *testMachine) request(path, id string) (*http.Response, func()) {
-	c, err := net.Dial("tcp", net.JoinHostPort(m.ip, strconv.Itoa(m.frontPort)))
+	conn, err := net.Dial("tcp", net.JoinHostPort(m.ip, strconv.Itoa(m.frontPort)))
 	require.NoError(m.t, err)
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nChalkdoor-Attempt-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h.example\r\nChalkdoor-Attempt-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
 	require.NoError(m.t, err)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(m.t, err)
-	return resp, func() { c.Close() }
+	return resp, func() { conn.Close() }
 }
 
 func TestSingleProcess(t *testing.T) {
-	m := newTestMachine(t)
-	p := m.start()
-	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
-	require.False(t, m.isReady(), "ready without servers")
-	s := m.startModelServer("i-1")
-	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
-	resp, done := m.request("/a/x", "1")
+	machine := newTestMachine(t)
+	process := machine.start()
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	require.False(t, machine.isReady(), "ready without servers")
+	server := machine.startModelServer("i-1")
+	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
+	resp, done := machine.request("/a/x", "1")
 	require.Equal(t, 200, resp.StatusCode)
 	require.Equal(t, "seal", resp.Header.Get("Chalkdoor-Server-Seal"))
 	b, _ := io.ReadAll(resp.Body)
@@ -238,57 +238,57 @@
 
 	// Another configuration is in force soon, and read back as it was sent.
 	next := strings.Replace(configJSON(7), `"/a/"`, `"/c/"`, 1)
-	m.callControl(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
-	m.callControl(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
-	m.callControl(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
-	require.JSONEq(t, next, m.callControl(200, "GET", "/chalkdoor/config", ""))
+	machine.callControl(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
+	machine.callControl(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
+	machine.callControl(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
+	require.JSONEq(t, next, machine.callControl(200, "GET", "/chalkdoor/config", ""))
 	require.Eventually(t, func() bool { // the acknowledgement may come before it is in force here
-		resp, done := m.request("/c/x", "c")
+		resp, done := machine.request("/c/x", "c")
 		defer done()
 		return resp.StatusCode == 200
 	}, testTimeout, 10*time.Millisecond)
-	resp, done = m.request("/a/x", "a")
+	resp, done = machine.request("/a/x", "a")
 	require.Equal(t, 404, resp.StatusCode)
 	done()
 
 	// The end: what is held is finished, what still comes is served, the entry is told.
-	stream, done := m.request("/b/x", "2")
+	stream, done := machine.request("/b/x", "2")
 	defer done()
-	p.terminate()
-	require.Eventually(t, func() bool { return !m.isReady() }, testTimeout, 5*time.Millisecond)
-	resp, done = m.request("/c/y", "3")
+	process.terminate()
+	require.Eventually(t, func() bool { return !machine.isReady() }, testTimeout, 5*time.Millisecond)
+	resp, done = machine.request("/c/y", "3")
 	require.Equal(t, 200, resp.StatusCode)
 	require.True(t, resp.Close)
 	done()
-	s.nextEvent <- 2
-	s.nextEvent <- 0
+	server.nextEvent <- 2
+	server.nextEvent <- 0
 	b, err := io.ReadAll(stream.Body)
 	require.NoError(t, err)
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", string(b))
-	p.terminateAndWait()
+	process.terminateAndWait()
 
 	// Another life has what was acknowledged, and the servers until their next beats.
-	m.writeSettings(false)
-	p = m.start()
-	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
-	require.JSONEq(t, next, m.callControl(200, "GET", "/chalkdoor/config", ""))
-	resp, done = m.request("/c/x", "4")
+	machine.writeSettings(false)
+	process = machine.start()
+	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
+	require.JSONEq(t, next, machine.callControl(200, "GET", "/chalkdoor/config", ""))
+	resp, done = machine.request("/c/x", "4")
 	require.Equal(t, 200, resp.StatusCode)
 	done()
-	p.terminateAndWait()
+	process.terminateAndWait()
 }
 
 // A process that ends says so to the entry before it does anything else.
 func TestDrainingProcessIsNotReady(t *testing.T) {
-	m := newTestMachine(t)
-	p := m.start()
-	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
-	m.startModelServer("i-1")
-	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
-	p.daemon.draining.Store(true)
-	require.True(t, p.daemon.gateway.Servable(), "requests that still come are served")
-	require.False(t, m.isReady())
-	p.terminateAndWait()
+	machine := newTestMachine(t)
+	process := machine.start()
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	machine.startModelServer("i-1")
+	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
+	process.daemon.draining.Store(true)
+	require.True(t, process.daemon.gateway.Servable(), "requests that still come are served")
+	require.False(t, machine.isReady())
+	process.terminateAndWait()
 }
 
 // Machines that leave together are taken out by the entry in time, though streams hold each of them.
@@ -299,15 +299,15 @@
 	)
 	machines := newTestMachines(t, 3)
 	var processes []*testProcess
-	for _, m := range machines {
-		processes = append(processes, m.start())
+	for _, machine := range machines {
+		processes = append(processes, machine.start())
 	}
 	machines[0].callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
 	server := machines[0].startModelServer("i-1")
 	var streams []*http.Response
-	for _, m := range machines {
-		require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
-		stream, done := m.request("/b/x", m.ip)
+	for _, machine := range machines {
+		require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
+		stream, done := machine.request("/b/x", machine.ip)
 		defer done()
 		require.Equal(t, 200, stream.StatusCode)
 		streams = append(streams, stream)
@@ -316,13 +316,13 @@
 		return slices.ContainsFunc(machines, (*testMachine).isReady)
 	}
 	begun := time.Now()
-	for _, p := range processes {
-		p.terminate()
+	for _, process := range processes {
+		process.terminate()
 	}
 	require.Eventually(t, func() bool { return !anyReady() }, answered, 5*time.Millisecond)
 	require.Never(t, anyReady, counted-time.Since(begun), 50*time.Millisecond)
-	for _, p := range processes {
-		require.Empty(t, p.exited, "ended under its stream")
+	for _, process := range processes {
+		require.Empty(t, process.exited, "ended under its stream")
 	}
 	close(server.nextEvent)
 	for _, stream := range streams {
@@ -330,76 +330,76 @@
 		require.NoError(t, err)
 		require.Equal(t, "id: 1\ndata: x\n\n", string(body))
 	}
-	for _, p := range processes {
-		p.terminateAndWait()
+	for _, process := range processes {
+		process.terminateAndWait()
 	}
 }
 
 // Streams that are longer than the grace are broken off, and the process ends within it.
 func TestShutdownWithinGracePeriod(t *testing.T) {
-	m := newTestMachine(t)
-	p := m.start()
-	m.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
-	s := m.startModelServer("i-1")
-	require.Eventually(t, m.isReady, testTimeout, 20*time.Millisecond)
-	stream, done := m.request("/b/x", "1")
+	machine := newTestMachine(t)
+	process := machine.start()
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	server := machine.startModelServer("i-1")
+	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
+	stream, done := machine.request("/b/x", "1")
 	defer done()
 	begun := time.Now()
-	p.terminateAndWait()
+	process.terminateAndWait()
 	require.Less(t, time.Since(begun), 8*time.Second)
 	b, err := io.ReadAll(stream.Body)
 	require.Error(t, err, "it must not look whole")
 	require.Equal(t, "id: 1\ndata: x\n\n", string(b))
-	close(s.nextEvent)
+	close(server.nextEvent)
 }
 
 func TestSettingsReload(t *testing.T) {
-	m := newTestMachine(t)
-	p := m.start()
-	told := func() { // returns once the signal before has been dealt with
+	machine := newTestMachine(t)
+	process := machine.start()
+	reloadAndWait := func() { // returns once the signal before has been dealt with
 		for range 2 {
 			select {
-			case p.reload <- struct{}{}:
+			case process.reload <- struct{}{}:
 			case <-time.After(testTimeout):
 				require.FailNow(t, "the signal is not heard")
 			}
 		}
 	}
-	own := p.daemon.seedAddrs()
+	own := process.daemon.seedAddrs()
 	require.Len(t, own, 1)
-	require.NoError(t, os.WriteFile(m.settingsPath, []byte("node-name = "), 0o600))
-	told()
-	require.Equal(t, own, p.daemon.seedAddrs())
-	require.NoError(t, os.Remove(m.settingsPath))
-	told()
-	require.Equal(t, own, p.daemon.seedAddrs())
-	m.seeds = `["127.0.0.1:1", "127.0.0.2:1"]`
-	m.writeSettings(false)
-	told()
-	require.Equal(t, []string{fmt.Sprintf("127.0.0.1:%d", m.peerPort), fmt.Sprintf("127.0.0.2:%d", m.peerPort)}, p.daemon.seedAddrs())
+	require.NoError(t, os.WriteFile(machine.settingsPath, []byte("node-name = "), 0o600))
+	reloadAndWait()
+	require.Equal(t, own, process.daemon.seedAddrs())
+	require.NoError(t, os.Remove(machine.settingsPath))
+	reloadAndWait()
+	require.Equal(t, own, process.daemon.seedAddrs())
+	machine.seeds = `["127.0.0.1:1", "127.0.0.2:1"]`
+	machine.writeSettings(false)
+	reloadAndWait()
+	require.Equal(t, []string{fmt.Sprintf("127.0.0.1:%d", machine.peerPort), fmt.Sprintf("127.0.0.2:%d", machine.peerPort)}, process.daemon.seedAddrs())
 	// Also without a signal.
-	m.seeds = `["127.0.0.3:1"]`
-	m.writeSettings(false)
-	require.Eventually(t, func() bool { return len(p.daemon.seedAddrs()) == 1 }, testTimeout, 20*time.Millisecond)
-	p.terminateAndWait()
+	machine.seeds = `["127.0.0.3:1"]`
+	machine.writeSettings(false)
+	require.Eventually(t, func() bool { return len(process.daemon.seedAddrs()) == 1 }, testTimeout, 20*time.Millisecond)
+	process.terminateAndWait()
 }
 
 // A process that can't listen ends with an error that names the address, and leaves nothing behind.
 func TestAddressInUse(t *testing.T) {
 	for _, what := range []string{"front", "readiness", "control", "peer"} {
-		m := newTestMachine(t)
-		port := map[string]int{"front": m.frontPort, "readiness": m.readinessPort, "control": m.controlPort, "peer": m.peerPort}[what]
-		addr := net.JoinHostPort(m.ip, strconv.Itoa(port))
-		ln, err := net.Listen("tcp", addr)
+		machine := newTestMachine(t)
+		port := map[string]int{"front": machine.frontPort, "readiness": machine.readinessPort, "control": machine.controlPort, "peer": machine.peerPort}[what]
+		addr := net.JoinHostPort(machine.ip, strconv.Itoa(port))
+		listener, err := net.Listen("tcp", addr)
 		require.NoError(t, err)
-		p := m.start()
+		process := machine.start()
 		select {
-		case err := <-p.exited:
+		case err := <-process.exited:
 			require.ErrorContains(t, err, addr)
-			p.exited <- nil
+			process.exited <- nil
 		case <-time.After(testTimeout):
 			require.FailNow(t, "the process goes on", what)
 		}
-		require.NoError(t, ln.Close())
+		require.NoError(t, listener.Close())
 	}
 }
--- a/internal/fleet/deltasync/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -12,20 +12,20 @@
 
 // filledStore returns a store with so many sources, which have items/sources items each.
 func filledStore(sources, items int) *Store {
-	s := NewStore("self/0")
+	store := NewStore("self/0")
 	for i := range sources {
 		name := fmt.Sprintf("edge-%d/0123456789ab", i)
-		d := Delta{Source: name}
+		delta := Delta{Source: name}
 		for j := range (items + sources - 1 - i) / sources {
-			d.To++
-			d.Items = append(d.Items, Item{Key: fmt.Sprintf("i/i-%04d%04d", i, j), Version: d.To, Data: make([]byte, itemBytes)})
+			delta.To++
+			delta.Items = append(delta.Items, Item{Key: fmt.Sprintf("i/i-%04d%04d", i, j), Version: delta.To, Data: make([]byte, itemBytes)})
 		}
-		if d.To == 0 {
-			d.To = 1
+		if delta.To == 0 {
+			delta.To = 1
 		}
-		s.Apply([]Delta{d})
+		store.Apply([]Delta{delta})
 	}
-	return s
+	return store
 }
 
 // BenchmarkDeltasSince measures what a session costs its relay at each change, also where the peer lacks nothing.
@@ -33,14 +33,14 @@
 	for _, sources := range []int{30, 100, 367} {
 		for _, lacks := range []int{0, 1} {
 			b.Run(fmt.Sprintf("sources=%d/lacks=%d", sources, lacks), func(b *testing.B) {
-				s := filledStore(sources, 850)
-				v := s.Vector()
+				store := filledStore(sources, 850)
+				vector := store.Vector()
 				for i := range lacks {
-					v[s.Sources()[i]]--
+					vector[store.Sources()[i]]--
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					if len(s.DeltasSince(v)) != lacks {
+					if len(store.DeltasSince(vector)) != lacks {
 						b.Fatal("wrong")
 					}
 				}
@@ -61,15 +61,15 @@
 func BenchmarkApply(b *testing.B) {
 	for _, sources := range []int{30, 367} {
 		b.Run(fmt.Sprintf("sources=%d", sources), func(b *testing.B) {
-			s := filledStore(sources, 850)
-			name := s.Sources()[0]
-			ver, data := s.Version(name), make([]byte, itemBytes)
+			store := filledStore(sources, 850)
+			name := store.Sources()[0]
+			version, data := store.Version(name), make([]byte, itemBytes)
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(s.Apply([]Delta{{Source: name, From: ver, To: ver + 1, Items: []Item{{Key: "i/i-00000000", Version: ver + 1, Data: data}}}})) != 1 {
+				if len(store.Apply([]Delta{{Source: name, From: version, To: version + 1, Items: []Item{{Key: "i/i-00000000", Version: version + 1, Data: data}}}})) != 1 {
 					b.Fatal("wrong")
 				}
-				ver++
+				version++
 			}
 		})
 	}
--- a/internal/fleet/deltasync/delta_test.go
+++ b/internal/fleet/deltasync/delta_test.go
@@ -18,24 +18,24 @@
 // Of a delta that begins before the present version, only the newer items are applied.
 func TestOverlappingDeltaYieldsOnlyNewItems(t *testing.T) {
 	t.Parallel()
-	s := NewStore("a")
-	assert.Len(t, s.Apply([]Delta{deltaUpTo(2)}), 2)
-	changes := s.Apply([]Delta{deltaUpTo(3)})
+	store := NewStore("a")
+	assert.Len(t, store.Apply([]Delta{deltaUpTo(2)}), 2)
+	changes := store.Apply([]Delta{deltaUpTo(3)})
 	if assert.Len(t, changes, 1) {
 		assert.EqualValues(t, 3, changes[0].Item.Version)
 	}
-	assert.Empty(t, s.Apply([]Delta{deltaUpTo(2)}), "an older one")
-	assert.EqualValues(t, 3, s.Version("b"))
+	assert.Empty(t, store.Apply([]Delta{deltaUpTo(2)}), "an older one")
+	assert.EqualValues(t, 3, store.Version("b"))
 }
 
 // A source that has ended is not revived.
 func TestEndedSourceIsNotRevived(t *testing.T) {
 	t.Parallel()
-	s := NewStore("a")
-	s.Apply([]Delta{deltaUpTo(2)})
-	s.EndSource("b")
-	assert.Empty(t, s.Apply([]Delta{deltaUpTo(3)}))
-	assert.Zero(t, s.Version("b"))
-	assert.EqualValues(t, 2, s.LastVersion("b"))
-	assert.Equal(t, []string{"a"}, s.Sources())
+	store := NewStore("a")
+	store.Apply([]Delta{deltaUpTo(2)})
+	store.EndSource("b")
+	assert.Empty(t, store.Apply([]Delta{deltaUpTo(3)}))
+	assert.Zero(t, store.Version("b"))
+	assert.EqualValues(t, 2, store.LastVersion("b"))
+	assert.Equal(t, []string{"a"}, store.Sources())
 }
--- a/internal/fleet/registry/bench_test.go
+++ b/internal/fleet/registry/bench_test.go
@@ -34,10 +34,10 @@
 	ins := []*Instance{benchInstance(0), benchInstance(0)}
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
-		in := ins[n%2] // the table retains the latest one
-		in.Seq = n
-		if told, err := t.Heartbeat(time.Second, in); told != nil || err != nil {
-			b.Fatal("told", told, err)
+		instance := ins[n%2] // the table retains the latest one
+		instance.Seq = n
+		if update, err := t.Heartbeat(time.Second, instance); update != nil || err != nil {
+			b.Fatal("told", update, err)
 		}
 	}
 }
@@ -59,12 +59,12 @@
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			t := filledTable(servers, 3)
-			in := *benchInstance(servers - 1)
+			instance := *benchInstance(servers - 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				next := in
+				next := instance
 				next.Seq++
-				in = next
+				instance = next
 				t.Report(time.Second, fmt.Sprintf("edge-%d", (servers-1)%360), &next)
 				if len(t.List().ByID) != servers {
 					b.Fatal("not listed")
