--- a/internal/fleet/rpc/preencoded.go
+++ b/internal/fleet/rpc/preencoded.go
@@ -1,30 +1,29 @@
 package rpc
 
-import (
-	"storj.io/drpc"
-)
+import "storj.io/drpc"
 
-// Encode returns a message as Send encodes it, to be sent to several peers by SendEncoded.
-func Encode(m any) ([]byte, error) { return msgpackEncoding{}.Marshal(m) }
+// Encode encodes a message once, for SendEncoded on several streams.
+func Encode(message any) ([]byte, error) { return msgpackEncoding{}.Marshal(message) }
 
-// SendEncoded sends what Encode returned. The bytes are shared and not to be changed after; a long
-// message is written to the connection without another copy.
+// SendEncoded sends a message of Encode. The bytes are shared and may not be modified afterwards; a
+// long message is written to the connection without another copy.
 func (s *Stream[Out, In]) SendEncoded(message []byte) error {
 	return s.stream.MsgSend(message, preEncoded{})
 }
 
-// preEncoded is drpc's Encoding of messages that are encoded already.
+// preEncoded is the drpc.Encoding of messages that are already encoded.
 type preEncoded struct{ msgpackEncoding }
 
 // Marshal returns the message itself.
-func (preEncoded) Marshal(msg drpc.Message) ([]byte, error) { return msg.([]byte), nil }
+func (preEncoded) Marshal(message drpc.Message) ([]byte, error) { return message.([]byte), nil }
 
-// MarshalAppend returns a long message itself: a stream reads it, and holds on to no buffer of
-// maxRetainedBuffer or more. A short one is copied into the stream's buffer, which it writes to again.
-func (preEncoded) MarshalAppend(buffer []byte, msg drpc.Message) ([]byte, error) {
-	message := msg.([]byte)
-	if len(message) >= maxRetainedBuffer {
-		return message, nil
+// MarshalAppend returns a long message itself: a stream only reads it, and retains no buffer of
+// maxRetainedBuffer or more. A short one is copied into the stream's own buffer, which the stream
+// writes to again.
+func (preEncoded) MarshalAppend(buffer []byte, message drpc.Message) ([]byte, error) {
+	encoded := message.([]byte)
+	if len(encoded) >= maxRetainedBuffer {
+		return encoded, nil
 	}
-	return append(buffer, message...), nil
+	return append(buffer, encoded...), nil
 }
--- a/internal/fleet/rpc/receivedbytes.go
+++ b/internal/fleet/rpc/receivedbytes.go
@@ -7,14 +7,14 @@
 	"storj.io/drpc/drpcctx"
 )
 
-// countingConn counts the bytes that a connection has brought, so that the arrival of a part of a
-// long message is seen before the message is whole.
+// countingConn counts the bytes that a connection has received, so that progress is visible before a
+// long message is complete.
 type countingConn struct {
 	net.Conn
 	received atomic.Uint64
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -23,20 +23,20 @@
 	return n, err
 }
 
-// countingListener accepts connections that count what they bring.
+// countingListener accepts countingConns.
 type countingListener struct{ net.Listener }
 
-// Accept waits for the next connection.
+// Accept implements net.Listener.
 func (l countingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{Conn: c}, nil
+	return &countingConn{Conn: conn}, nil
 }
 
-// Received is how many bytes the stream's connection has brought so far, those of a message that is
-// not yet whole included. It may be called by any goroutine.
+// Received returns how many bytes the stream's connection has received so far, including those of a
+// message that is not complete yet. It may be called by any goroutine.
 func (s *Stream[Out, In]) Received() uint64 {
 	transport, _ := drpcctx.Transport(s.stream.Context())
 	conn, ok := transport.(*countingConn)
