--- a/internal/fleet/controlapi/client.go
+++ b/internal/fleet/controlapi/client.go
@@ -20,167 +20,204 @@
 )
 
 const (
-	maxRedirects          = 2
-	maxRejections         = 3       // tries that end with a 4xx that is not clear by itself
-	minLinkBytesPerSecond = 1 << 20 // bytes a second that a link carries at least
+	maxRedirects = 2
+	// maxRejections is after how many answers with a 4xx that is not final in itself a call fails.
+	maxRejections = 3
+	// minLinkBytesPerSecond is the slowest link for which a large body or answer is given time.
+	minLinkBytesPerSecond = 1 << 20
 	maxResponseBytes      = config.MaxDocument + 1<<20
-	initialBackoff        = 50 * time.Millisecond
-	maxBackoff            = 2 * time.Second
+	connectTimeout        = time.Second
+	responseTimeout       = time.Second
+	// readExtraTime is granted for the answer to a read, which may be large.
+	readExtraTime  = time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
-// Client calls agents as the protocol has operators do: it goes to the next agent after a failure,
-// a 5xx, a 408, a 429 or a second of silence, with a growing pause, and sends the same again until
-// the answer is clear or the context ends.
+const configPath = "/chalkdoor/config"
+
+// Client calls agents as the operators' pages have operators do: after a failure, a 5xx, a 408, a 429
+// or a time-out it goes to the next agent with exponential backoff, and sends the same call until the
+// answer is final or the context ends.
 type Client struct {
 	addresses []string
 	http      *http.Client
-	// ResponseTimeout is how long an agent may be silent, with a second more for each MiB that is sent.
+	// ResponseTimeout bounds one attempt, with a further second for each MiB that is sent.
 	ResponseTimeout time.Duration
-	// InitialBackoff is the first pause; it doubles up to 2 s.
+	// InitialBackoff is the pause after the first attempt; it doubles up to 2 s.
 	InitialBackoff time.Duration
 }
 
-// NewClient returns a client of the agents with the given control addresses, IP:PORT, at least one.
-func NewClient(agents []string) *Client {
-	return &Client{addresses: agents, ResponseTimeout: time.Second, InitialBackoff: initialBackoff, http: &http.Client{
-		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, DisableKeepAlives: true},
-		CheckRedirect: func(r *http.Request, via []*http.Request) error {
-			if r.Response.StatusCode != http.StatusTemporaryRedirect {
-				return http.ErrUseLastResponse
-			}
-			if len(via) > maxRedirects {
-				return errors.Errorf("more than %d redirects", maxRedirects)
-			}
-			return nil
+// NewClient returns a client of the agents at some control addresses, IP:PORT, at least one.
+func NewClient(addresses []string) *Client {
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	return &Client{
+		addresses:       addresses,
+		ResponseTimeout: responseTimeout,
+		InitialBackoff:  initialBackoff,
+		http: &http.Client{
+			Transport:     &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true},
+			CheckRedirect: checkRedirect,
 		},
-	}}
+	}
+}
+
+// checkRedirect follows temporary redirects only: they keep the method and the body.
+func checkRedirect(request *http.Request, via []*http.Request) error {
+	if request.Response.StatusCode != http.StatusTemporaryRedirect {
+		return http.ErrUseLastResponse
+	}
+	if len(via) > maxRedirects {
+		return errors.Errorf("more than %d redirects", maxRedirects)
+	}
+	return nil
 }
 
-// Config reads the newest configuration and its revision. Where there is none the error is a fault
-// of kind NotFound.
+// Config reads the newest configuration and its revision. If there is none the error has the kind
+// apierror.NotFound.
 func (c *Client) Config(ctx context.Context) (raw []byte, revision int64, err error) {
-	if raw, err = c.callWithRetries(ctx, http.MethodGet, "/chalkdoor/config", "", nil); err != nil {
+	raw, err = c.callWithRetries(ctx, call{method: http.MethodGet, path: configPath})
+	if err != nil {
 		return nil, 0, err
 	}
-	var head struct {
-		Revision int64 `json:"revision"`
-	}
-	if err := json.Unmarshal(raw, &head); err != nil {
+	var document revisionResponse
+	if err := json.Unmarshal(raw, &document); err != nil {
 		return nil, 0, apierror.Wrap(err, apierror.Unavailable, "revision", "ask another agent")
 	}
-	return raw, head.Revision, nil
+	return raw, document.Revision, nil
 }
 
-// Submit sends a configuration, or (patch) a change of items, on top of version ifMatch, and
-// returns the revision that was acknowledged. An error is a fault: Invalid, OutcomeTooLarge, Conflict, or
-// Unclear when time ran out
-// after an agent may have read it (the same has to be sent again to learn whether it was taken), or
-// Unavailable when none did.
+// Submit sends a configuration or, with patch, a change of items, made for revision ifMatch, and
+// returns the committed revision. The error has the kind Invalid, TooLarge or Conflict; OutcomeUnknown
+// if the time was over after an agent may have read it, so that only the same call sent again tells
+// whether it is committed; or Unavailable if no agent can have read it.
 func (c *Client) Submit(ctx context.Context, patch bool, ifMatch int64, body []byte) (revision int64, err error) {
 	method := http.MethodPut
 	if patch {
 		method = http.MethodPatch
 	}
-	answer, err := c.callWithRetries(ctx, method, "/chalkdoor/config", strconv.FormatInt(ifMatch, 10), body)
+	raw, err := c.callWithRetries(ctx, call{method: method, path: configPath, ifMatch: strconv.FormatInt(ifMatch, 10), body: body})
 	if err != nil {
 		return 0, err
 	}
-	var taken struct {
-		Revision int64 `json:"revision"`
-	}
-	_ = json.Unmarshal(answer, &taken) // a 200 is the acknowledgement, whatever its body
-	return taken.Revision, nil
+	var response revisionResponse
+	_ = json.Unmarshal(raw, &response) // the status is the acknowledgement, whatever the body
+	return response.Revision, nil
 }
 
 // Inspect reads one of Resources from the first agent that answers.
-func (c *Client) Inspect(ctx context.Context, what string) ([]byte, error) {
-	return c.callWithRetries(ctx, http.MethodGet, "/chalkdoor/ops/"+url.PathEscape(what), "", nil)
+func (c *Client) Inspect(ctx context.Context, resource string) ([]byte, error) {
+	return c.callWithRetries(ctx, call{method: http.MethodGet, path: "/chalkdoor/ops/" + url.PathEscape(resource)})
 }
 
-func (c *Client) callWithRetries(ctx context.Context, method, path, ifMatch string, body []byte) ([]byte, error) {
-	pause, refused := c.InitialBackoff, 0
-	var last error
-	var sent atomic.Bool // also by a try whose answer never came
+// call is a request that any agent may answer.
+type call struct {
+	method, path string
+	ifMatch      string // "": without the header
+	body         []byte
+}
+
+func (c *Client) callWithRetries(ctx context.Context, call call) ([]byte, error) {
+	backoff, rejections := c.InitialBackoff, 0
+	var lastErr error
+	var sent atomic.Bool // also by an attempt that was not answered
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }})
 	for i := 0; ; i++ {
-		status, answer, err := c.attempt(ctx, method, "http://"+c.addresses[i%len(c.addresses)]+path, ifMatch, body)
+		status, answer, err := c.attempt(ctx, c.addresses[i%len(c.addresses)], call)
 		switch {
 		case err != nil:
-			if last == nil || ctx.Err() == nil {
-				last = err
+			if lastErr == nil || ctx.Err() == nil { // the end of the context says less than what came before
+				lastErr = err
 			}
 		case status >= 200 && status < 300:
 			return answer, nil
 		default:
-			clear, err := responseError(status, answer)
-			if last = err; clear {
-				return nil, err
+			var final bool
+			if final, lastErr = responseError(status, answer); final {
+				return nil, lastErr
 			}
-			if status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-				if refused++; refused == maxRejections {
-					return nil, err
+			if isRejection(status) {
+				if rejections++; rejections == maxRejections {
+					return nil, lastErr
 				}
 			}
 		}
-		wait := time.NewTimer(pause)
-		select {
-		case <-ctx.Done():
-			wait.Stop()
-			if sent.Load() && method != http.MethodGet {
-				return nil, apierror.Wrap(last, apierror.OutcomeUnknown, "", "send the same again: it may have been taken")
-			}
-			return nil, apierror.Wrap(last, apierror.Unavailable, "", "name agents that run, or give more time")
-		case <-wait.C:
+		if !sleep(ctx, backoff) {
+			return nil, timeoutError(lastErr, sent.Load() && call.method != http.MethodGet)
 		}
-		pause = min(2*pause, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (c *Client) attempt(ctx context.Context, method, to, ifMatch string, body []byte) (int, []byte, error) {
-	silence := c.ResponseTimeout + time.Duration(len(body))*time.Second/minLinkBytesPerSecond
-	if method == http.MethodGet {
-		silence += time.Second // answers may be large too
+// isRejection returns whether a status is the caller's fault: another attempt is unlikely to help.
+func isRejection(status int) bool {
+	return status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
+}
+
+// timeoutError is the error of a call whose time is over; mayHaveRun: an agent may have carried it out.
+func timeoutError(cause error, mayHaveRun bool) error {
+	if mayHaveRun {
+		return apierror.Wrap(cause, apierror.OutcomeUnknown, "", "send the same again: it may have been taken")
 	}
-	ctx, cancel := context.WithTimeout(ctx, silence)
+	return apierror.Wrap(cause, apierror.Unavailable, "", "name agents that run, or give more time")
+}
+
+// sleep returns false if the context ends before.
+func sleep(ctx context.Context, pause time.Duration) bool {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// attempt sends a call to one agent.
+func (c *Client) attempt(ctx context.Context, address string, call call) (status int, answer []byte, err error) {
+	timeout := c.ResponseTimeout + time.Duration(len(call.body))*time.Second/minLinkBytesPerSecond
+	if call.method == http.MethodGet {
+		timeout += readExtraTime
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, to, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
 	if err != nil {
 		return 0, nil, err
 	}
-	if ifMatch != "" {
-		r.Header.Set("If-Match", ifMatch)
-		r.Header.Set("Content-Type", "application/json")
+	if call.ifMatch != "" {
+		request.Header.Set("If-Match", call.ifMatch)
+		request.Header.Set("Content-Type", "application/json")
 	}
-	a, err := c.http.Do(r)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer a.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes+1))
+	defer response.Body.Close()
+	answer, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err == nil && len(answer) > maxResponseBytes {
 		err = errors.Errorf("the answer has more than %d bytes", maxResponseBytes)
 	}
-	return a.StatusCode, answer, err
+	return response.StatusCode, answer, err
 }
 
-// responseError makes an error of an answer that is no success, and tells whether it ends the call.
-func responseError(status int, answer []byte) (clear bool, err error) {
-	var said struct {
-		Error string `json:"error"`
-	}
-	if json.Unmarshal(answer, &said) != nil || said.Error == "" {
-		said.Error = http.StatusText(status)
+// responseError returns the error of an answer that is no success, and whether it is final.
+func responseError(status int, answer []byte) (final bool, err error) {
+	var response errorResponse
+	if json.Unmarshal(answer, &response) != nil || response.Error == "" {
+		response.Error = http.StatusText(status)
 	}
 	kind, remedy := apierror.Unavailable, ""
 	switch status {
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		kind, clear = apierror.Invalid, true
+		kind, final = apierror.Invalid, true
 	case http.StatusConflict, http.StatusPreconditionFailed:
-		kind, clear, remedy = apierror.Conflict, true, "read the configuration anew, then decide"
+		kind, final, remedy = apierror.Conflict, true, "read the configuration anew, then decide"
 	case http.StatusRequestEntityTooLarge:
-		kind, clear = apierror.TooLarge, true
+		kind, final = apierror.TooLarge, true
 	case http.StatusNotFound:
 		kind = apierror.NotFound
 	}
-	return clear, apierror.New(kind, "", remedy, "%s (%d)", said.Error, status)
+	return final, apierror.New(kind, "", remedy, "%s (%d)", response.Error, status)
 }
