--- a/internal/fleet/apierror/apierror.go
+++ b/internal/fleet/apierror/apierror.go
@@ -1,4 +1,4 @@
-// Package apierror gives errors a kind that programs act on and a message that people act on: the
+// Package apierror gives errors a kind that programs act on, and a message that operators act on: the
 // key that is wrong, what is wrong with it, and the remedy.
 package apierror
 
@@ -8,23 +8,25 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind is what a caller decides by.
+// Kind classifies an error by what its caller can do.
 type Kind uint8
 
-// The kinds. Internal is also the kind of errors that carry none.
+// The kinds. Internal is also the kind of errors that have none.
 const (
 	Internal       Kind = iota
-	Invalid             // what was sent is wrong and stays wrong: change it
-	Conflict            // it was right for a state that has passed: read anew, then decide
-	NotFound            // there is no such thing
-	TooLarge            // it passes a bound
-	Unavailable         // it was not done: ask again, or elsewhere
-	OutcomeUnknown      // it may have been done: send the same again
-	Corrupted           // what the disk holds is not what was written
+	Invalid             // the input is wrong, and stays wrong until it is changed
+	Conflict            // the input was right for a state that has changed: read again, then decide
+	NotFound            // the thing does not exist
+	TooLarge            // the input exceeds a bound
+	Unavailable         // the call was not carried out: retry, or call another agent
+	OutcomeUnknown      // the call may have been carried out: retry without any change
+	Corrupted           // the disk holds something else than what was written
 )
 
+// kindNames are part of the output of edgectl.
 var kindNames = [...]string{"internal", "invalid", "conflict", "not found", "too large", "unavailable", "unclear", "damaged"}
 
+// String returns the kind's name as edgectl prints it.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -32,20 +34,20 @@
 	return "unknown"
 }
 
-// Error is one fault. Its message is "KEY: what is wrong; remedy".
+// Error is an error with a kind. Its message is "KEY: what is wrong; remedy".
 type Error struct {
 	Kind   Kind
 	Key    string // of the setting, field, file or call; may be empty
 	Remedy string // may be empty
-	Cause  error  // what is wrong
+	Cause  error  // what is wrong; never nil
 }
 
-// New makes a fault; format and args say what is wrong.
+// New returns an *Error whose cause is formatted as by fmt.Errorf.
 func New(kind Kind, key, remedy, format string, args ...any) error {
 	return &Error{Kind: kind, Key: key, Remedy: remedy, Cause: fmt.Errorf(format, args...)}
 }
 
-// Wrap makes a fault of err, nil of nil.
+// Wrap returns an *Error with the cause err, nil if err is nil.
 func Wrap(err error, kind Kind, key, remedy string) error {
 	if err == nil {
 		return nil
@@ -53,39 +55,42 @@
 	return &Error{Kind: kind, Key: key, Remedy: remedy, Cause: err}
 }
 
-// PrefixKey says that the key of err, where it has one, lies inside another.
+// PrefixKey returns err with the key of its *Error inside an outer key, as in "routes.r.timeout-ms".
+// err itself is not modified. An error without an *Error is returned as it is.
 func PrefixKey(err error, outer string) error {
-	var f *Error
-	if !errors.As(err, &f) {
+	var inner *Error
+	if !errors.As(err, &inner) {
 		return err
 	}
-	g := *f
-	if g.Key != "" {
-		outer += "."
+	prefixed := *inner
+	if prefixed.Key == "" {
+		prefixed.Key = outer
+	} else {
+		prefixed.Key = outer + "." + prefixed.Key
 	}
-	g.Key = outer + g.Key
-	return &g
+	return &prefixed
 }
 
+// Error implements error.
 func (e *Error) Error() string {
-	s := e.Cause.Error()
+	text := e.Cause.Error()
 	if e.Key != "" {
-		s = e.Key + ": " + s
+		text = e.Key + ": " + text
 	}
 	if e.Remedy != "" {
-		s += "; " + e.Remedy
+		text += "; " + e.Remedy
 	}
-	return s
+	return text
 }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// KindOf returns the kind of the outermost fault in err, Internal where there is none.
+// KindOf returns the kind of the outermost *Error in err, Internal if there is none.
 func KindOf(err error) Kind {
-	var f *Error
-	if errors.As(err, &f) {
-		return f.Kind
+	var e *Error
+	if errors.As(err, &e) {
+		return e.Kind
 	}
 	return Internal
 }
--- a/internal/fleet/apierror/apierror_test.go
+++ b/internal/fleet/apierror/apierror_test.go
@@ -8,23 +8,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestMessagesNameKeyAndRemedy(t *testing.T) {
+func TestErrorMessages(t *testing.T) {
 	err := New(Invalid, "timeout-ms", "give more than 0", "it is %d", 0)
 	assert.EqualError(t, err, "timeout-ms: it is 0; give more than 0")
 	assert.EqualError(t, PrefixKey(err, "routes.r"), "routes.r.timeout-ms: it is 0; give more than 0")
-	assert.EqualError(t, err, "timeout-ms: it is 0; give more than 0", "the inner one stays")
+	assert.EqualError(t, err, "timeout-ms: it is 0; give more than 0", "the inner error is not modified")
 	assert.EqualError(t, PrefixKey(Wrap(io.EOF, Unavailable, "", ""), "config"), "config: EOF")
 	assert.Equal(t, io.EOF, PrefixKey(io.EOF, "config"))
 	assert.NoError(t, Wrap(nil, Invalid, "k", "r"))
 	assert.NoError(t, PrefixKey(nil, "k"))
 }
 
-func TestKindsGoThroughWrapping(t *testing.T) {
-	for k := Internal; k <= Corrupted; k++ {
-		err := errors.Wrap(Wrap(io.EOF, k, "k", "r"), "outer")
-		assert.Equal(t, k, KindOf(err))
+func TestKindOfWrappedErrors(t *testing.T) {
+	for kind := Internal; kind <= Corrupted; kind++ {
+		err := errors.Wrap(Wrap(io.EOF, kind, "k", "r"), "outer")
+		assert.Equal(t, kind, KindOf(err))
 		assert.ErrorIs(t, err, io.EOF)
-		assert.NotEqual(t, "unknown", k.String())
+		assert.NotEqual(t, "unknown", kind.String())
 	}
 	assert.Equal(t, Internal, KindOf(io.EOF))
 	assert.Equal(t, Internal, KindOf(nil))
--- a/internal/fleet/eventlog/journal_test.go
+++ b/internal/fleet/eventlog/journal_test.go
@@ -7,48 +7,48 @@
 	"pgregory.net/rapid"
 )
 
-func TestViewsTakeEventsInOrder(t *testing.T) {
-	j := New[string](2)
+func TestSubscribersGetEventsInOrder(t *testing.T) {
+	journal := New[string](2)
 	var early, late []uint64
 	text := ""
-	j.Subscribe(func(n uint64, e string) { early, text = append(early, n), text+e })
-	assert.Equal(t, uint64(0), j.Append("a"))
-	j.Subscribe(func(n uint64, _ string) { late = append(late, n) })
-	assert.Equal(t, uint64(1), j.Append("b"))
-	assert.Equal(t, uint64(2), j.Append("c"))
+	journal.Subscribe(func(number uint64, event string) { early, text = append(early, number), text+event })
+	assert.Equal(t, uint64(0), journal.Append("a"))
+	journal.Subscribe(func(number uint64, _ string) { late = append(late, number) })
+	assert.Equal(t, uint64(1), journal.Append("b"))
+	assert.Equal(t, uint64(2), journal.Append("c"))
 	assert.Equal(t, []uint64{0, 1, 2}, early)
-	assert.Equal(t, []uint64{1, 2}, late, "only what came after it")
+	assert.Equal(t, []uint64{1, 2}, late, "only what was appended after the subscription")
 	assert.Equal(t, "abc", text)
 }
 
-// Since gives what is kept of the events from a number on, whatever number is asked for.
+// Since returns what is retained of the events from a number on, for any number.
 func TestSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keep, n := rapid.IntRange(-1, 9).Draw(t, "keep"), rapid.IntRange(0, 30).Draw(t, "events")
-		j := New[int](keep)
-		for i := range n {
-			j.Append(i)
+		capacity, count := rapid.IntRange(-1, 9).Draw(t, "capacity"), rapid.IntRange(0, 30).Draw(t, "events")
+		journal := New[int](capacity)
+		for i := range count {
+			journal.Append(i)
 		}
 		from := rapid.Uint64Range(0, 40).Draw(t, "from")
-		got, first := j.Since(from)
-		low := max(n-max(keep, 1), 0, int(from))
-		assert.Equal(t, uint64(low), first)
-		assert.Len(t, got, max(n-low, 0))
-		for i, e := range got {
-			assert.Equal(t, low+i, e)
+		events, first := journal.Since(from)
+		oldest := max(count-max(capacity, 1), 0, int(from))
+		assert.Equal(t, uint64(oldest), first)
+		assert.Len(t, events, max(count-oldest, 0))
+		for i, event := range events {
+			assert.Equal(t, oldest+i, event)
 		}
 	})
 }
 
-// What is kept of a large event may be less than what views take.
-func TestSlim(t *testing.T) {
-	j := New[string](4)
-	whole := ""
-	j.Subscribe(func(_ uint64, e string) { whole += e })
-	j.SetCompaction(func(e string) string { return e[:1] })
-	j.Append("large")
-	j.Append("too")
-	got, _ := j.Since(0)
-	assert.Equal(t, []string{"l", "t"}, got)
-	assert.Equal(t, "largetoo", whole)
+// The retained form of an event may be smaller than the form that subscribers get.
+func TestSetCompaction(t *testing.T) {
+	journal := New[string](4)
+	complete := ""
+	journal.Subscribe(func(_ uint64, event string) { complete += event })
+	journal.SetCompaction(func(event string) string { return event[:1] })
+	journal.Append("large")
+	journal.Append("too")
+	events, _ := journal.Since(0)
+	assert.Equal(t, []string{"l", "t"}, events)
+	assert.Equal(t, "largetoo", complete)
 }
--- a/internal/fleet/gateway/handler.go
+++ b/internal/fleet/gateway/handler.go
@@ -126,7 +126,7 @@
 // refuse answers a request that was not executed with 503 and Retry-After.
 func (g *Gateway) refuse(w http.ResponseWriter, retryAfter time.Duration, reason string) {
 	g.Counters.Refused.Add(1)
-	logevent.RequestRejected.Log("reason", reason, "retryAfter", retryAfter)
+	logevent.RequestRejected.Log("why", reason, "after", retryAfter)
 	seconds := max(retryAfter, minRetryAfter).Seconds()
 	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/fleet/gateway/lifecycle.go
+++ b/internal/fleet/gateway/lifecycle.go
@@ -71,7 +71,7 @@
 	case <-ctx.Done():
 	}
 	if err := g.server.Shutdown(ctx); err != nil {
-		logevent.RequestsAborted.Log("inFlight", g.inFlight.Load())
+		logevent.RequestsAborted.Log("held", g.inFlight.Load())
 		g.cancelRequests()
 		g.server.Close()
 	}
--- a/internal/fleet/logevent/catalogue.go
+++ b/internal/fleet/logevent/catalogue.go
@@ -1,7 +1,6 @@
 package logevent
 
-// The events. 1xx: the process; 2xx: the feed, members and servers; 3xx: clients' requests; 4xx: the
-// core, its view, chain and disk.
+// The events of the process.
 const (
 	Started           ID = 100
 	UnknownContract   ID = 101
@@ -12,7 +11,10 @@
 	SettingsInvalid   ID = 121
 	StartFailed       ID = 198
 	ComponentFailed   ID = 199
+)
 
+// The events of the relay, of membership and of servers.
+const (
 	ConfigApplied          ID = 200
 	ConfigUnreadable       ID = 201
 	Synced                 ID = 202
@@ -26,11 +28,17 @@
 	SessionStarted         ID = 230
 	SessionSendFailed      ID = 231
 	SessionEnded           ID = 232
+)
 
+// The events of clients' requests.
+const (
 	RequestsAborted  ID = 310
 	RequestRejected  ID = 320
 	AmbiguousFraming ID = 330
+)
 
+// The events of the core, its view and its disk.
+const (
 	StateFileCorrupted ID = 400
 	TornWriteTruncated ID = 401
 	StateFileRewritten ID = 402
@@ -45,45 +53,48 @@
 	PeerCallFailed     ID = 430
 )
 
+// noAction is the action on events that are part of normal operation.
+const noAction = "none"
+
 var catalogue = []Event{
-	{Started, "started", "the process listens on all its addresses", "nobody", levelAlways},
-	{UnknownContract, "contract is not known here; it is not assumed", "`active-contracts` names what this version does not know", "operator: check that this version suits the deployment", levelAlways},
-	{UnknownDiscovery, "discovery or entry of an unknown kind", "`discovery-source` or `entry-kind` is new; the process goes on as with `self_register` and `vip`", "operator: check that this version suits the deployment", levelAlways},
-	{ShutdownStarted, "ending", "SIGTERM came: not ready from now on, streams run on within the grace", "nobody", levelAlways},
-	{ShutdownCompleted, "ended", "everything held was finished or broken off", "nobody", levelAlways},
-	{SettingsReloaded, "settings read again", "the settings file changed or SIGHUP came; the seeds were taken over, all else needs a new start", "nobody", levelAlways},
-	{SettingsInvalid, "settings file can't be used; the old settings stay in force", "the file was changed and is wrong; the error names the key", "platform: mend the file, `edged check FILE` tells", levelAlways},
-	{StartFailed, "not started, or ended by an error", "the error tells why", "platform: mend what the error names", levelAlways},
-	{ComponentFailed, "ending: a part of the process failed", "a listener or the control state failed for good", "on-call: read the error; the platform starts the process again", levelAlways},
+	{Started, "process started", "the process listens on all of its addresses", noAction, levelAlways},
+	{UnknownContract, "unknown contract ignored", "`active-contracts` names a contract that this version does not know; the process runs as if it were not active", "operator: check that this version suits the deployment", levelAlways},
+	{UnknownDiscovery, "unknown kind of discovery or entry", "`discovery-source` or `entry-kind` is unknown to this version; the process uses `self_register` and `vip`", "operator: check that this version suits the deployment", levelAlways},
+	{ShutdownStarted, "graceful shutdown started", "SIGTERM arrived; the process is not ready any more, and streams in flight continue for up to `grace-s`", noAction, levelAlways},
+	{ShutdownCompleted, "graceful shutdown completed", "all requests in flight were completed or aborted", noAction, levelAlways},
+	{SettingsReloaded, "settings reloaded", "the settings file changed or SIGHUP arrived; the seeds are in force, all other settings need a restart", noAction, levelAlways},
+	{SettingsInvalid, "settings file is invalid; the previous settings stay in force", "the settings file was changed and can't be used; the error names the key", "platform: correct the file; `edged check FILE` validates it", levelAlways},
+	{StartFailed, "process failed to start, or ended with an error", "the error names the cause", "platform: correct what the error names", levelAlways},
+	{ComponentFailed, "component failed; shutting down", "a listener or the control plane failed permanently", "on-call: read the error; the platform restarts the process", levelAlways},
 
-	{ConfigApplied, "configuration in force", "requests go by this revision here from now on", "nobody", levelControl},
-	{ConfigUnreadable, "committed configuration can't be read; the old one stays in force", "a member of the core of another version took what this one can't read", "on-call: run one version everywhere", levelAlways},
-	{Synced, "all that a hub knows is here", "the process may serve", "nobody", levelAlways},
-	{SyncedAfterFullRestart, "started with the whole core", "no machine of the core knew more than its disk: everything was down", "nobody; after a planned start only", levelAlways},
-	{ServersRestored, "servers restored from disk until their next beats", "after a loss of everything requests need not wait for beats", "nobody", levelAlways},
-	{NewestConfigConfirmed, "the core told its newest configuration", "no older one is gone by in this life", "nobody", levelControl},
-	{OwnLeaseExpired, "own lease had lapsed: going on as a new life", "the core took this agent for gone: it was frozen or cut off", "on-call, if it is not in a cut: look at the machine's processor and links", levelAlways},
-	{LeaseExpired, "lease lapsed: member ended", "an agent had no session with the core for a lease's time", "on-call: look at that machine", levelAlways},
-	{ServerTimedOut, "server fell silent", "a server missed its beats and is off the list until it beats again", "on-call, if it stays away: look at the server", levelControl},
-	{ServerTableFull, "list of servers is full", "a server that is not known here was refused, or is not listed; told once in ten seconds", "on-call: look for servers that come again and again under new ids", levelAlways},
-	{SessionStarted, "session with a hub", "", "nobody", levelControl},
-	{SessionSendFailed, "session broken while sending", "the peer or the link went", "nobody", levelRequests},
-	{SessionEnded, "session over", "the peer ended, fell silent or was cut off; another hub is tried at once", "nobody", levelControl},
+	{ConfigApplied, "configuration in force", "requests are routed by this revision from now on", noAction, levelControl},
+	{ConfigUnreadable, "committed configuration can't be parsed; the previous one stays in force", "a machine of the core that runs another version accepted a configuration that this version can't parse", "on-call: run the same version on all machines", levelAlways},
+	{Synced, "initial synchronization completed", "the process has all that its relay knows, and may become ready", noAction, levelAlways},
+	{SyncedAfterFullRestart, "initial synchronization completed after a restart of the complete core", "no machine of the core knew more than its own disk: all of them were down", "on-call, unless the restart was planned: find out why all machines of the core were down", levelAlways},
+	{ServersRestored, "servers restored from disk until their next heartbeats", "after a restart of everything requests are routed before the servers' next heartbeats", noAction, levelAlways},
+	{NewestConfigConfirmed, "newest configuration confirmed by the core", "this incarnation of the process routes by no older configuration", noAction, levelControl},
+	{OwnLeaseExpired, "own lease expired; continuing as a new incarnation", "the core ended this agent's lease while it was frozen or partitioned", "on-call, unless there is a network partition: check the machine's processor and links", levelAlways},
+	{LeaseExpired, "lease expired; member removed", "an agent had no session with the core for the duration of a lease", "on-call: check that machine", levelAlways},
+	{ServerTimedOut, "server timed out", "a server's heartbeats are overdue; it gets no requests until its next heartbeat", "on-call, if it does not return: check the server", levelControl},
+	{ServerTableFull, "server table is full", "a server that is not in the table was rejected, or is not listed; logged once in ten seconds", "on-call: look for servers that register again and again with new ids", levelAlways},
+	{SessionStarted, "session with a relay started", "this agent has connected to a machine of the core", noAction, levelControl},
+	{SessionSendFailed, "session failed while sending", "the peer or the link failed", noAction, levelRequests},
+	{SessionEnded, "session with a relay ended", "the peer shut down, timed out or was partitioned; the agent connects to another relay at once", noAction, levelControl},
 
-	{RequestsAborted, "requests broken off at the end of the grace", "streams were longer than `grace-s`", "platform, if it comes often: a longer grace", levelAlways},
-	{RequestRejected, "refused", "a request was told when to come back; `why` tells for want of what", "operator, if it comes often: more servers", levelRequests},
-	{AmbiguousFraming, "request of doubtful framing", "a client sent what HTTP implementations split in different ways; it got 400, and nothing behind it was read", "the client's owner: mend what `err` names", levelRequests},
+	{RequestsAborted, "requests aborted at the end of the grace period", "streams took longer than `grace-s`; `held` counts them", "platform, if it happens often: extend the grace period", levelAlways},
+	{RequestRejected, "request rejected", "a request got 503 with `Retry-After`; `why` names the missing capacity", "operator, if it happens often: add servers", levelRequests},
+	{AmbiguousFraming, "request with ambiguous framing rejected", "a client sent a request that HTTP implementations delimit in different ways; it got 400 and its connection was closed", "owner of the client: correct what `err` names", levelRequests},
 
-	{StateFileCorrupted, "state file was damaged and is set aside; the machine rejoins as a new one", "what is in the file is not what was written", "on-call: replace the disk if it comes again; keep the `.damaged` file for a look with `edgectl state verify`", levelAlways},
-	{TornWriteTruncated, "torn write cut off the state file", "power was lost during a write; nothing acknowledged was in it", "nobody", levelAlways},
-	{StateFileRewritten, "state file was not what was written and is written anew", "the sweep found records that differ from memory", "on-call: replace the disk if it comes again", levelAlways},
-	{DiskUnavailable, "machine joins once its disk takes a write", "the disk is full or fails; the process serves clients without it", "on-call: free or replace the disk", levelAlways},
-	{DiskWriteFailed, "record could not be kept on disk", "the disk is full, slow or fails; the member is left out of the chain meanwhile", "on-call: look at the disk", levelAlways},
-	{ViewDecided, "view decided", "the core left a member out, took one in, or swapped a voter; `why` tells", "on-call, if a member stays out: look at that machine", levelAlways},
-	{ViewLearned, "view learned", "", "nobody", levelControl},
-	{ViewUndecided, "view was not decided", "another proposer was first, or too few voters answered; it is tried again", "nobody", levelControl},
-	{ViewPersistFailed, "view could not be kept on disk", "the member acts by it once it is there", "on-call: look at the disk", levelAlways},
-	{ToleranceShortfall, "core can't bear all losses that the settings name", "`losses` tells how many fewer than `fault-tolerance` names: the voters' machines, zones or regions are too few for more", "operator: add machines of the core in other zones or regions", levelAlways},
-	{ReplicasDiverged, "two members hold different values under one number", "this must not happen: a defect, or a damaged disk", "on-call: stop changes, `edgectl view` on all of the core, report it", levelAlways},
-	{PeerCallFailed, "call between members of the core failed", "", "nobody", levelControl},
+	{StateFileCorrupted, "state file is corrupted and was set aside; the machine rejoins as a new member", "records in the state file don't match their checksums", "on-call: replace the disk if it happens again; keep the `.damaged` file and examine it with `edgectl state verify`", levelAlways},
+	{TornWriteTruncated, "torn write truncated from the state file", "power was lost during a write; the write was not acknowledged", noAction, levelAlways},
+	{StateFileRewritten, "state file did not match memory and was rewritten", "the scrubber found records on disk that differ from memory", "on-call: replace the disk if it happens again", levelAlways},
+	{DiskUnavailable, "machine joins the core once its disk accepts a write", "the disk is full or fails; the process serves clients without it", "on-call: free or replace the disk", levelAlways},
+	{DiskWriteFailed, "record could not be written to disk", "the disk is full, slow or fails; the member is removed from the chain until it recovers", "on-call: check the disk", levelAlways},
+	{ViewDecided, "view decided", "the core removed, added or replaced a member; `why` names the reason", "on-call, if a member does not return: check that machine", levelAlways},
+	{ViewLearned, "view learned", "this machine acts by a view that the core has decided", noAction, levelControl},
+	{ViewUndecided, "view not decided", "another proposer was first, or too few voters answered; the proposal is retried", noAction, levelControl},
+	{ViewPersistFailed, "view could not be written to disk", "the member acts by the view once it is on disk", "on-call: check the disk", levelAlways},
+	{ToleranceShortfall, "core can't tolerate all losses of the settings", "`losses` tells by how many losses the core falls short of `fault-tolerance`: the voters' machines, zones or regions are too few", "operator: add machines of the core in other zones or regions", levelAlways},
+	{ReplicasDiverged, "two replicas hold different values with the same sequence number", "this is a defect or a corrupted disk; it must not happen", "on-call: stop configuration changes, save `edgectl view` of all machines of the core, and report it", levelAlways},
+	{PeerCallFailed, "call between members of the core failed", "the peer is down, partitioned or runs another version", noAction, levelControl},
 }
--- a/internal/fleet/logevent/logevent_test.go
+++ b/internal/fleet/logevent/logevent_test.go
@@ -1,51 +1,143 @@
 package logevent
 
 import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/goldentest"
 )
 
-func TestPageIsOfTheTable(t *testing.T) {
+func TestPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/EVENTS.md")
 	require.NoError(t, err)
-	require.Equal(t, Page(), string(page), "write it anew: go run ./cmd/edged events > docs/EVENTS.md")
+	require.Equal(t, Page(), string(page), "generate it: go run ./cmd/edged events > docs/EVENTS.md")
 }
 
-func TestNumbersRise(t *testing.T) {
+func TestCatalogueIsSortedAndComplete(t *testing.T) {
 	require.True(t, slices.IsSortedFunc(catalogue, func(a, b Event) int { return int(a.ID - b.ID) }))
-	for _, e := range catalogue {
-		require.NotEmpty(t, e.Message, "E%d", e.ID)
-		require.NotEmpty(t, e.Action, "E%d", e.ID)
+	for _, event := range Catalogue() {
+		require.NotEmpty(t, event.Message, "E%d", event.ID)
+		require.NotEmpty(t, event.Meaning, "E%d", event.ID)
+		require.NotEmpty(t, event.Action, "E%d", event.ID)
 	}
 }
 
-// What the programs of the system log is in the catalogue: none of their packages logs by klog itself.
-func TestAllIsLoggedByNumber(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Dir}}{{end}}", "chalkdoor.example/chalkdoor/cmd/edged").Output()
+// sourceFiles returns the files, but for tests, of the packages that edged links from this module.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	output, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Dir}}{{end}}", "chalkdoor.example/chalkdoor/cmd/edged").Output()
 	require.NoError(t, err)
 	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
-	direct := regexp.MustCompile(`klog\.(V|Info|Warning|Error|Fatal)`)
-	for dir := range strings.FieldsSeq(string(out)) {
+	var all []string
+	for dir := range strings.FieldsSeq(string(output)) {
 		if !strings.HasPrefix(dir, root) || strings.HasSuffix(dir, "internal/fleet/logevent") {
 			continue
 		}
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		require.NoError(t, err)
-		for _, f := range files {
-			if strings.HasSuffix(f, "_test.go") {
-				continue
+		files = slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
+		all = append(all, files...)
+	}
+	require.NotEmpty(t, all)
+	return all
+}
+
+// No package of the daemon logs with klog itself.
+func TestEveryLogLineHasANumber(t *testing.T) {
+	direct := regexp.MustCompile(`klog\.(V|Info|Warning|Error|Fatal)`)
+	for _, file := range sourceFiles(t) {
+		source, err := os.ReadFile(file)
+		require.NoError(t, err)
+		require.Empty(t, direct.FindAllString(string(source), -1), "%s logs without a number", file)
+	}
+}
+
+// TestGoldenAttributeKeys compares the attribute keys of all events with their golden file: alerts are
+// built on them.
+func TestGoldenAttributeKeys(t *testing.T) {
+	numbers := eventNumbers(t)
+	var lines []string
+	for _, file := range sourceFiles(t) {
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
+		require.NoError(t, err)
+		ast.Inspect(parsed, func(node ast.Node) bool {
+			if line := loggedAttributes(node, numbers); line != "" {
+				lines = append(lines, line)
 			}
-			src, err := os.ReadFile(f)
-			require.NoError(t, err)
-			require.Empty(t, direct.FindAllString(string(src), -1), "%s logs without a number", f)
+			return true
+		})
+	}
+	slices.Sort(lines)
+	goldentest.File(t, "attributes.txt", []byte(strings.Join(slices.Compact(lines), "\n")+"\n"))
+}
+
+// eventNumbers returns the numbers of events by the names of their constants.
+func eventNumbers(t *testing.T) map[string]string {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
+	require.NoError(t, err)
+	numbers := map[string]string{}
+	ast.Inspect(parsed, func(node ast.Node) bool {
+		if spec, ok := node.(*ast.ValueSpec); ok && len(spec.Values) == 1 {
+			if number, ok := spec.Values[0].(*ast.BasicLit); ok && number.Kind == token.INT {
+				numbers[spec.Names[0].Name] = number.Value
+			}
+		}
+		return true
+	})
+	require.Len(t, numbers, len(catalogue))
+	return numbers
+}
+
+// loggedAttributes returns the event and the keys of a call such as logevent.ViewDecided.Log("view", n),
+// "" for any other node.
+func loggedAttributes(node ast.Node, numbers map[string]string) string {
+	call, ok := node.(*ast.CallExpr)
+	if !ok {
+		return ""
+	}
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || method.Sel.Name != "Log" && method.Sel.Name != "Error" {
+		return ""
+	}
+	event, ok := method.X.(*ast.SelectorExpr)
+	if !ok || numbers[event.Sel.Name] == "" {
+		return ""
+	}
+	keys, err := attributeKeys(call.Args, method.Sel.Name == "Error")
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprintf("E%s %s", numbers[event.Sel.Name], strings.Join(keys, " "))
+}
+
+func attributeKeys(arguments []ast.Expr, afterError bool) (keys []string, err error) {
+	if afterError {
+		arguments = arguments[1:]
+	}
+	for i := 0; i < len(arguments); i += 2 {
+		literal, ok := arguments[i].(*ast.BasicLit)
+		if !ok {
+			return nil, fmt.Errorf("attribute %d is no literal", i)
+		}
+		key, err := strconv.Unquote(literal.Value)
+		if err != nil {
+			return nil, err
 		}
+		keys = append(keys, key)
 	}
+	return keys, nil
 }
