--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -74,7 +74,7 @@
 			opt.Observer = m
 		}
 		var keeper *snapshot.Keeper
-		var recall coordination.Kept
+		var recall coordination.Snapshot
 		if file.State.Dir != "" {
 			if keeper, recall = openState(ctx, &file, &opt); keeper != nil {
 				defer func() {
@@ -83,7 +83,7 @@
 				}()
 			}
 		}
-		var l *coordination.Layer
+		var l *coordination.Coordinator
 		if file.Fleet.Name != "" && len(file.Vote.Electorate) > 0 {
 			if l, err = actTogether(ctx, cfg, &file, recall); err != nil {
 				return err
@@ -106,7 +106,7 @@
 }
 
 // actTogether starts the layer by which this agent acts with others.
-func actTogether(ctx context.Context, cfg *agent.Config, file *opsconfig.File, recall coordination.Kept) (*coordination.Layer, error) {
+func actTogether(ctx context.Context, cfg *agent.Config, file *opsconfig.File, recall coordination.Snapshot) (*coordination.Coordinator, error) {
 	if !slices.Contains(file.Vote.Electorate, cfg.Name) {
 		return nil, fmt.Errorf("operations file: vote.electorate: %q, this agent, is not in it", cfg.Name)
 	}
@@ -114,18 +114,18 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 		zone = cfg.Zones[z]
 	}
-	c := coordination.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Recall: recall, Trace: file.Fleet.Trace, Peers: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
+	c := coordination.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Restored: recall, TraceFile: file.Fleet.Trace, Membership: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
 		Region: file.Fleet.Region, Role: file.Fleet.Role, Incarnation: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
 	if file.State.Dir != "" {
-		c.VotesDir = filepath.Join(file.State.Dir, "votes")
+		c.PromiseDir = filepath.Join(file.State.Dir, "votes")
 	}
 	var err error
-	if c.Council, err = file.Council.Config(cfg.Name); err != nil {
+	if c.Consensus, err = file.Council.Config(cfg.Name); err != nil {
 		return nil, fmt.Errorf("operations file: council.%w", err)
 	}
-	c.Bound = time.Duration(file.Council.Bound)
+	c.MaxDecisionAge = time.Duration(file.Council.Bound)
 	for _, class := range cfg.Settings.Classes {
-		c.Aims = append(c.Aims, time.Duration(class.LatencyTargetMs*float64(time.Millisecond)))
+		c.LatencyTargets = append(c.LatencyTargets, time.Duration(class.LatencyTargetMs*float64(time.Millisecond)))
 	}
 	return coordination.Start(ctx, c)
 }
@@ -149,7 +149,7 @@
 // openState opens the folder of what the agent learns, and gives it and its layer what an
 // earlier life had learned. A folder that can't be used is reported, and the agent serves
 // without: nil.
-func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Keeper, site coordination.Kept) {
+func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Keeper, site coordination.Snapshot) {
 	store, g, problems, err := snapshot.Open(file.State.Dir, snapshot.Now)
 	for _, p := range problems {
 		slog.Warn("state not believed", "where", p.Where, "why", p.Why)
@@ -174,11 +174,11 @@
 }
 
 // remembered and recalled take what is kept to its form on the disk, and back; l may be nil.
-func remembered(kept *agent.SavedState, l *coordination.Layer) *snapshot.State {
+func remembered(kept *agent.SavedState, l *coordination.Coordinator) *snapshot.State {
 	s := &snapshot.State{Memory: kept.Snapshot, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
 	if l != nil {
-		k := l.Kept()
-		s.Site = &snapshot.Site{Dark: k.Dark, Entries: k.Entries}
+		k := l.Snapshot()
+		s.Site = &snapshot.Site{Dark: k.Isolated, Entries: k.Entries}
 	}
 	for _, t := range kept.List.Servers {
 		text, err := json.Marshal(t)
@@ -193,9 +193,9 @@
 
 // recalledSite is what an earlier life knew of its site; that the uplink was lost is believed
 // for as long as a site holds to it.
-func recalledSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (k coordination.Kept) {
+func recalledSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (k coordination.Snapshot) {
 	if s.Site != nil {
-		k = coordination.Kept{Dark: s.Site.Dark && g.Dated && g.Age <= hold, Entries: s.Site.Entries}
+		k = coordination.Snapshot{Isolated: s.Site.Dark && g.Dated && g.Age <= hold, Entries: s.Site.Entries}
 	}
 	return k
 }
--- a/cmd/chalkdoor/serve_test.go
+++ b/cmd/chalkdoor/serve_test.go
@@ -18,11 +18,11 @@
 		{snapshot.Generation{Age: 3 * time.Minute, Dated: true}, false},
 		{snapshot.Generation{Age: time.Minute}, false},
 	} {
-		if k := recalledSite(st, &c.g, 2*time.Minute); k.Dark != c.dark || len(k.Entries) != 1 {
+		if k := recalledSite(st, &c.g, 2*time.Minute); k.Isolated != c.dark || len(k.Entries) != 1 {
 			t.Errorf("%+v: %+v", c.g, k)
 		}
 	}
-	if k := recalledSite(&snapshot.State{}, &snapshot.Generation{Dated: true}, time.Hour); k.Dark || k.Entries != nil {
+	if k := recalledSite(&snapshot.State{}, &snapshot.Generation{Dated: true}, time.Hour); k.Isolated || k.Entries != nil {
 		t.Errorf("of an agent that acted alone: %+v", k)
 	}
 }
--- a/internal/agent/consensus/sealed.go
+++ b/internal/agent/consensus/checksummedstore.go
@@ -13,21 +13,21 @@
 // errDamaged is a record of the log that is not what was written.
 var errDamaged = errors.New("damaged")
 
-// store is what raft keeps on disk.
-type store interface {
+// raftStore is what raft keeps on disk.
+type raftStore interface {
 	raft.LogStore
 	raft.StableStore
 }
 
-// sealed puts a checksum with each record of a store, and believes none without: a page that
+// checksummedStore puts a checksum with each record of a store, and believes none without: a page that
 // was half written is not always noticed by the library, and a vote that is read wrongly may be
 // given twice. An entry's is in its Extensions, which nothing else here uses; a value's stands
 // behind it.
-type sealed struct{ store }
+type checksummedStore struct{ raftStore }
 
-const sumSize = 8
+const checksumSize = 8
 
-func entrySum(l *raft.Log) []byte {
+func entryChecksum(l *raft.Log) []byte {
 	h := xxhash.New()
 	var raw [8]byte
 	for _, v := range []uint64{l.Index, l.Term, uint64(l.Type), uint64(len(l.Data))} {
@@ -38,7 +38,7 @@
 	return h.Sum(nil)
 }
 
-func valueSum(key, value []byte) []byte {
+func valueChecksum(key, value []byte) []byte {
 	h := xxhash.New()
 	_, _ = h.Write(key)
 	_, _ = h.Write([]byte{0})
@@ -47,25 +47,25 @@
 }
 
 // StoreLog implements raft.LogStore.
-func (s sealed) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s checksummedStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs implements raft.LogStore. It leaves the entries as they are.
-func (s sealed) StoreLogs(list []*raft.Log) error {
+func (s checksummedStore) StoreLogs(list []*raft.Log) error {
 	out := make([]*raft.Log, len(list))
 	for i, l := range list {
 		c := *l
-		c.Extensions = entrySum(l)
+		c.Extensions = entryChecksum(l)
 		out[i] = &c
 	}
-	return s.store.StoreLogs(out)
+	return s.raftStore.StoreLogs(out)
 }
 
 // GetLog implements raft.LogStore.
-func (s sealed) GetLog(index uint64, l *raft.Log) error {
-	if err := s.store.GetLog(index, l); err != nil {
+func (s checksummedStore) GetLog(index uint64, l *raft.Log) error {
+	if err := s.raftStore.GetLog(index, l); err != nil {
 		return err
 	}
-	if l.Index != index || string(l.Extensions) != string(entrySum(l)) {
+	if l.Index != index || string(l.Extensions) != string(entryChecksum(l)) {
 		return fmt.Errorf("council: entry %d: %w", index, errDamaged)
 	}
 	l.Extensions = nil
@@ -73,30 +73,30 @@
 }
 
 // Set implements raft.StableStore.
-func (s sealed) Set(key, value []byte) error {
-	return s.store.Set(key, append(append([]byte(nil), value...), valueSum(key, value)...))
+func (s checksummedStore) Set(key, value []byte) error {
+	return s.raftStore.Set(key, append(append([]byte(nil), value...), valueChecksum(key, value)...))
 }
 
 // Get implements raft.StableStore. What was never set is the library's own error.
-func (s sealed) Get(key []byte) ([]byte, error) {
-	raw, err := s.store.Get(key)
+func (s checksummedStore) Get(key []byte) ([]byte, error) {
+	raw, err := s.raftStore.Get(key)
 	if err != nil {
 		return nil, err
 	}
-	n := len(raw) - sumSize
-	if n < 0 || string(raw[n:]) != string(valueSum(key, raw[:n])) {
+	n := len(raw) - checksumSize
+	if n < 0 || string(raw[n:]) != string(valueChecksum(key, raw[:n])) {
 		return nil, fmt.Errorf("council: value %q: %w", key, errDamaged)
 	}
 	return raw[:n], nil
 }
 
 // SetUint64 implements raft.StableStore.
-func (s sealed) SetUint64(key []byte, v uint64) error {
+func (s checksummedStore) SetUint64(key []byte, v uint64) error {
 	return s.Set(key, binary.BigEndian.AppendUint64(nil, v))
 }
 
 // GetUint64 implements raft.StableStore.
-func (s sealed) GetUint64(key []byte) (uint64, error) {
+func (s checksummedStore) GetUint64(key []byte) (uint64, error) {
 	raw, err := s.Get(key)
 	if err != nil {
 		return 0, err
@@ -110,8 +110,8 @@
 // stableKeys are the values that raft keeps beside its log.
 var stableKeys = []string{"CurrentTerm", "LastVoteTerm", "LastVoteCand"}
 
-// check reads all that the store holds; an error is a voter that must not vote by it.
-func (s sealed) check() error {
+// verify reads all that the store holds; an error is a voter that must not vote by it.
+func (s checksummedStore) verify() error {
 	first, err := s.FirstIndex()
 	if err != nil {
 		return fmt.Errorf("council: log: %w", err)
--- a/internal/agent/consensus/sealed_test.go
+++ b/internal/agent/consensus/checksummedstore_test.go
@@ -24,8 +24,8 @@
 		return nil, nil, err
 	}
 	defer disk.Close()
-	s := sealed{disk}
-	if err := s.check(); err != nil {
+	s := checksummedStore{disk}
+	if err := s.verify(); err != nil {
 		return nil, nil, err
 	}
 	last, err := s.LastIndex()
@@ -51,15 +51,15 @@
 
 // Whatever happens to parts of a log's file, torn, blank or cut short: a voter reads what it
 // wrote, or refuses; it never reads anything else, and never dies of it.
-func TestATornLogIsNotBelieved(t *testing.T) {
+func TestDamagedLogIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, logFile)
 	disk, err := openLog(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := sealed{disk}
-	if err := s.check(); err != nil {
+	s := checksummedStore{disk}
+	if err := s.verify(); err != nil {
 		t.Errorf("an empty log: %v", err)
 	}
 	for i := range uint64(40) {
--- a/internal/agent/consensus/council.go
+++ b/internal/agent/consensus/participant.go
@@ -41,17 +41,17 @@
 )
 
 const (
-	// tickEvery is how often the machine decides anew, vouchEvery how often a leader makes sure
+	// tickInterval is how often the machine decides anew, verifyInterval how often a leader makes sure
 	// that it still is one.
-	tickEvery, vouchEvery = 100 * time.Millisecond, time.Second
-	// applyWithin bounds a proposal.
-	applyWithin = 2 * time.Second
-	// boxSize bounds the reports that wait; one of each agent is enough.
-	boxSize = 4096
-	// keepLogs is how many entries a snapshot leaves, snapshotAt how many make one.
-	keepLogs, snapshotAt = 64, 256
-	// logFile and markFile are in the folder: the log, and who wrote it.
-	logFile, markFile = "council.db", "voter"
+	tickInterval, verifyInterval = 100 * time.Millisecond, time.Second
+	// applyTimeout bounds a proposal.
+	applyTimeout = 2 * time.Second
+	// mailboxSize bounds the reports that wait; one of each agent is enough.
+	mailboxSize = 4096
+	// trailingLogs is how many entries a snapshot leaves, snapshotThreshold how many make one.
+	trailingLogs, snapshotThreshold = 64, 256
+	// logFile and voterFile are in the folder: the log, and who wrote it.
+	logFile, voterFile = "council.db", "voter"
 )
 
 // Voter is one of the council.
@@ -94,7 +94,7 @@
 	if err := c.Zones.Validate(); err != nil {
 		return err
 	}
-	if !c.Votes() {
+	if !c.IsVoter() {
 		return nil
 	}
 	if c.Dir == "" {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Votes tells whether this agent is of the council.
-func (c *Config) Votes() bool {
+// IsVoter tells whether this agent is of the council.
+func (c *Config) IsVoter() bool {
 	return slices.ContainsFunc(c.Voters, func(v Voter) bool { return v.Name == c.Self })
 }
 
@@ -116,9 +116,9 @@
 	Term  uint64             `json:"Term"`
 	Index uint64             `json:"Index"`
 	Table zonefailover.Table `json:"Table"`
-	// Vouched is that a majority has just borne it out. What a voter finds in its log, at its
+	// Confirmed is that a majority has just borne it out. What a voter finds in its log, at its
 	// start or after a pause, may be as old as the log.
-	Vouched bool `json:"Vouched"`
+	Confirmed bool `json:"Vouched"`
 }
 
 // Report is what an agent sees, for the machine. The newest of an agent is enough.
@@ -139,76 +139,76 @@
 	return r, true
 }
 
-// Council is a voter's task. Its mailbox takes Report.
-type Council struct {
-	cfg     Config
-	box     *supervisor.Mailbox
-	decided func(Decision)
+// Participant is a voter's task. Its mailbox takes Report.
+type Participant struct {
+	config     Config
+	mailbox    *supervisor.Mailbox
+	onDecision func(Decision)
 }
 
 // New returns the task; Run is its life. decided is told of each decision, from the task's
 // goroutine.
-func New(cfg Config, decided func(Decision)) *Council {
-	return &Council{cfg: cfg, box: supervisor.NewMailbox(boxSize), decided: decided}
+func New(cfg Config, onDecision func(Decision)) *Participant {
+	return &Participant{config: cfg, mailbox: supervisor.NewMailbox(mailboxSize), onDecision: onDecision}
 }
 
 // Mailbox takes Report.
-func (c *Council) Mailbox() *supervisor.Mailbox { return c.box }
+func (c *Participant) Mailbox() *supervisor.Mailbox { return c.mailbox }
 
 // Run votes until ctx is done.
-func (c *Council) Run(ctx context.Context) (err error) {
-	if err := c.mark(); err != nil {
+func (c *Participant) Run(ctx context.Context) (err error) {
+	if err := c.claimDir(); err != nil {
 		return err
 	}
-	path := filepath.Join(c.cfg.Dir, logFile)
+	path := filepath.Join(c.config.Dir, logFile)
 	if _, err := os.Stat(path); err == nil {
 		if err := snapshot.Readable(path); err != nil {
-			return fmt.Errorf("council: log: %s must come back under another name: %w", c.cfg.Self, err)
+			return fmt.Errorf("council: log: %s must come back under another name: %w", c.config.Self, err)
 		}
 	}
-	disk, err := openLog(path)
+	boltStore, err := openLog(path)
 	if err != nil {
 		return fmt.Errorf("council: log: %w", err)
 	}
-	defer func() { err = errors.Join(err, disk.Close()) }()
-	log := sealed{disk}
-	if err := log.check(); err != nil {
-		return fmt.Errorf("council: log: %s must come back under another name: %w", c.cfg.Self, err)
+	defer func() { err = errors.Join(err, boltStore.Close()) }()
+	checksummed := checksummedStore{boltStore}
+	if err := checksummed.verify(); err != nil {
+		return fmt.Errorf("council: log: %s must come back under another name: %w", c.config.Self, err)
 	}
-	logger := hclog.New(&hclog.LoggerOptions{Name: "council", Level: hclog.Warn, Output: lines{}, DisableTime: true})
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.cfg.Dir, 2, logger)
+	logger := hclog.New(&hclog.LoggerOptions{Name: "council", Level: hclog.Warn, Output: logWriter{}, DisableTime: true})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.config.Dir, 2, logger)
 	if err != nil {
 		return fmt.Errorf("council: snapshots: %w", err)
 	}
-	layer, err := listen(c.cfg.Bind)
+	streams, err := listen(c.config.Bind)
 	if err != nil {
 		return fmt.Errorf("council: bind: %w", err)
 	}
-	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: 2, Timeout: 2 * c.cfg.Heartbeat, Logger: logger})
-	defer func() { err = errors.Join(err, trans.Close()) }()
-	f := &fsm{changed: make(chan struct{}, 1)}
-	conf := raft.DefaultConfig()
-	conf.LocalID, conf.Logger = raft.ServerID(c.cfg.Self), logger
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.cfg.Heartbeat, c.cfg.Heartbeat, c.cfg.Heartbeat/2
-	conf.CommitTimeout = min(conf.CommitTimeout, c.cfg.Heartbeat/10)
-	conf.TrailingLogs, conf.SnapshotThreshold = keepLogs, snapshotAt
-	if has, err := raft.HasExistingState(log, log, snaps); err != nil {
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: streams, MaxPool: 2, Timeout: 2 * c.config.Heartbeat, Logger: logger})
+	defer func() { err = errors.Join(err, transport.Close()) }()
+	machine := &fsm{changed: make(chan struct{}, 1)}
+	raftConfig := raft.DefaultConfig()
+	raftConfig.LocalID, raftConfig.Logger = raft.ServerID(c.config.Self), logger
+	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout = c.config.Heartbeat, c.config.Heartbeat, c.config.Heartbeat/2
+	raftConfig.CommitTimeout = min(raftConfig.CommitTimeout, c.config.Heartbeat/10)
+	raftConfig.TrailingLogs, raftConfig.SnapshotThreshold = trailingLogs, snapshotThreshold
+	if has, err := raft.HasExistingState(checksummed, checksummed, snapshots); err != nil {
 		return fmt.Errorf("council: log: %w", err)
 	} else if !has {
-		var all raft.Configuration
-		for _, v := range c.cfg.Voters {
-			all.Servers = append(all.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(v.Name), Address: raft.ServerAddress(v.Addr)})
+		var servers raft.Configuration
+		for _, v := range c.config.Voters {
+			servers.Servers = append(servers.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(v.Name), Address: raft.ServerAddress(v.Addr)})
 		}
-		if err := raft.BootstrapCluster(conf, log, log, snaps, trans, all); err != nil {
+		if err := raft.BootstrapCluster(raftConfig, checksummed, checksummed, snapshots, transport, servers); err != nil {
 			return fmt.Errorf("council: first start: %w", err)
 		}
 	}
-	r, err := raft.NewRaft(conf, f, log, log, snaps, trans)
+	node, err := raft.NewRaft(raftConfig, machine, checksummed, checksummed, snapshots, transport)
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	defer func() { err = errors.Join(err, r.Shutdown().Error()) }()
-	return c.serve(ctx, r, f)
+	defer func() { err = errors.Join(err, node.Shutdown().Error()) }()
+	return c.runLoop(ctx, node, machine)
 }
 
 // openLog opens the library's store; a file that makes it panic is an error.
@@ -220,81 +220,81 @@
 	return disk, err
 }
 
-// serve decides, where this voter leads, and hands on what is decided.
-func (c *Council) serve(ctx context.Context, r *raft.Raft, f *fsm) error {
-	machine, err := zonefailover.New(c.cfg.Zones, zonefailover.Table{Version: zonefailover.Version})
+// runLoop decides, where this voter leads, and hands on what is decided.
+func (c *Participant) runLoop(ctx context.Context, node *raft.Raft, log *fsm) error {
+	machine, err := zonefailover.New(c.config.Zones, zonefailover.Table{Version: zonefailover.Version})
 	if err != nil {
 		return err
 	}
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	// One proposal and one question at a time, each waited for on a goroutine of its own.
 	var waiting sync.WaitGroup
 	defer waiting.Wait()
-	proposed, vouched := make(chan error, 1), make(chan error, 1)
-	proposing, asking := false, false
-	askedAt := -vouchEvery
-	led := false
+	applied, verified := make(chan error, 1), make(chan error, 1)
+	proposing, verifying := false, false
+	verifiedAt := -verifyInterval
+	wasLeader := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.box.Ready():
-			for msg, ok := c.box.Poll(); ok; msg, ok = c.box.Poll() {
+		case <-c.mailbox.Ready():
+			for msg, ok := c.mailbox.Poll(); ok; msg, ok = c.mailbox.Poll() {
 				if err := machine.Report(now(), msg.(Report).Report); err != nil {
 					slog.Debug("council: report not believed", "err", err)
 				}
 			}
-		case <-f.changed:
-			d := f.decision()
+		case <-log.changed:
+			d := log.decision()
 			machine.Committed(d.Table)
 			slog.Info("council: decided", "term", d.Term, "index", d.Index, "number", d.Table.Number, "zones", fmt.Sprintf("%+v", d.Table.Zones))
-			c.decided(d)
-		case err := <-proposed:
+			c.onDecision(d)
+		case err := <-applied:
 			proposing = false
 			if err != nil {
 				slog.Warn("council: not agreed on", "err", err)
 				continue
 			}
-			d := f.decision()
-			d.Vouched = true // a majority has just written it
+			d := log.decision()
+			d.Confirmed = true // a majority has just written it
 			machine.Committed(d.Table)
-			c.decided(d)
-		case err := <-vouched:
-			asking = false
+			c.onDecision(d)
+		case err := <-verified:
+			verifying = false
 			if err == nil {
-				d := f.decision()
-				d.Vouched = true
-				c.decided(d)
+				d := log.decision()
+				d.Confirmed = true
+				c.onDecision(d)
 			}
 		case <-tick.C:
 			// All voters follow, so that whoever leads next knows what was seen.
 			next, changed := machine.Tick(now())
-			leads := r.State() == raft.Leader
-			if leads != led {
-				led = leads
-				slog.Info("council: leads", "leads", leads, "term", r.CurrentTerm())
+			isLeader := node.State() == raft.Leader
+			if isLeader != wasLeader {
+				wasLeader = isLeader
+				slog.Info("council: leads", "leads", isLeader, "term", node.CurrentTerm())
 			}
-			if leads && changed && !proposing {
+			if isLeader && changed && !proposing {
 				text, err := json.Marshal(next)
 				if err != nil {
 					return fmt.Errorf("council: table: %w", err)
 				}
 				proposing = true
-				await(&waiting, proposed, func() error { return r.Apply(text, applyWithin).Error() })
+				awaitResult(&waiting, applied, func() error { return node.Apply(text, applyTimeout).Error() })
 			}
-			if leads && !asking && now()-askedAt >= vouchEvery {
-				asking, askedAt = true, now()
-				await(&waiting, vouched, func() error { return r.VerifyLeader().Error() })
+			if isLeader && !verifying && now()-verifiedAt >= verifyInterval {
+				verifying, verifiedAt = true, now()
+				awaitResult(&waiting, verified, func() error { return node.VerifyLeader().Error() })
 			}
 		}
 	}
 }
 
-// await hands on the end of something that blocks.
-func await(all *sync.WaitGroup, to chan<- error, do func() error) {
+// awaitResult hands on the end of something that blocks.
+func awaitResult(all *sync.WaitGroup, to chan<- error, do func() error) {
 	all.Add(1)
 	go func() {
 		defer all.Done()
@@ -302,60 +302,60 @@
 	}()
 }
 
-// mark makes sure that the folder is this voter's, and that a log which was there is there
+// claimDir makes sure that the folder is this voter's, and that a log which was there is there
 // still: a voter without its log has forgotten whom it voted for.
-func (c *Council) mark() error {
-	if err := os.MkdirAll(c.cfg.Dir, 0o700); err != nil {
+func (c *Participant) claimDir() error {
+	if err := os.MkdirAll(c.config.Dir, 0o700); err != nil {
 		return fmt.Errorf("council: dir: %w", err)
 	}
-	path := filepath.Join(c.cfg.Dir, markFile)
+	path := filepath.Join(c.config.Dir, voterFile)
 	was, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		if err := os.WriteFile(path, []byte(c.cfg.Self), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(c.config.Self), 0o600); err != nil {
 			return fmt.Errorf("council: dir: %w", err)
 		}
 		return nil
 	case err != nil:
 		return fmt.Errorf("council: dir: %w", err)
-	case string(was) != c.cfg.Self:
-		return fmt.Errorf("council: dir: it is the folder of %q, this is %q", was, c.cfg.Self)
+	case string(was) != c.config.Self:
+		return fmt.Errorf("council: dir: it is the folder of %q, this is %q", was, c.config.Self)
 	}
-	if info, err := os.Stat(filepath.Join(c.cfg.Dir, logFile)); err != nil || info.Size() == 0 {
-		return fmt.Errorf("council: dir: %s has voted, and its log is gone (%w): it must come back under another name", c.cfg.Self, err)
+	if info, err := os.Stat(filepath.Join(c.config.Dir, logFile)); err != nil || info.Size() == 0 {
+		return fmt.Errorf("council: dir: %s has voted, and its log is gone (%w): it must come back under another name", c.config.Self, err)
 	}
 	return nil
 }
 
-// stream is the log's connections, each from the address that it listens at. The library
+// streamLayer is the log's connections, each from the address that it listens at. The library
 // leaves some open at its end: Close ends all.
-type stream struct {
+type streamLayer struct {
 	net.Listener
-	from   *net.TCPAddr
-	mu     sync.Mutex
-	open   map[net.Conn]bool
-	closed bool
+	localAddr *net.TCPAddr
+	mu        sync.Mutex
+	open      map[net.Conn]bool
+	closed    bool
 }
 
-func listen(bind string) (*stream, error) {
+func listen(bind string) (*streamLayer, error) {
 	ln, err := net.Listen("tcp", bind)
 	if err != nil {
 		return nil, err
 	}
-	return &stream{Listener: ln, from: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}, open: map[net.Conn]bool{}}, nil
+	return &streamLayer{Listener: ln, localAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}, open: map[net.Conn]bool{}}, nil
 }
 
 // Accept implements net.Listener.
-func (s *stream) Accept() (net.Conn, error) { return s.hold(s.Listener.Accept()) }
+func (s *streamLayer) Accept() (net.Conn, error) { return s.track(s.Listener.Accept()) }
 
 // Dial implements raft.StreamLayer.
-func (s *stream) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, LocalAddr: s.from}
-	return s.hold(d.Dial("tcp", string(to)))
+func (s *streamLayer) Dial(to raft.ServerAddress, within time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: within, LocalAddr: s.localAddr}
+	return s.track(d.Dial("tcp", string(to)))
 }
 
 // Close implements net.Listener.
-func (s *stream) Close() error {
+func (s *streamLayer) Close() error {
 	err := s.Listener.Close()
 	s.mu.Lock()
 	s.closed = true
@@ -367,7 +367,7 @@
 	return err
 }
 
-func (s *stream) hold(c net.Conn, err error) (net.Conn, error) {
+func (s *streamLayer) track(c net.Conn, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -377,22 +377,22 @@
 		c.Close()
 		return nil, net.ErrClosed
 	}
-	h := &held{Conn: c, of: s}
+	h := &trackedConn{Conn: c, layer: s}
 	s.open[h] = true
 	return h, nil
 }
 
-// held is one of a stream's connections.
-type held struct {
+// trackedConn is one of a stream's connections.
+type trackedConn struct {
 	net.Conn
-	of *stream
+	layer *streamLayer
 }
 
 // Close implements net.Conn.
-func (h *held) Close() error {
-	h.of.mu.Lock()
-	delete(h.of.open, h)
-	h.of.mu.Unlock()
+func (h *trackedConn) Close() error {
+	h.layer.mu.Lock()
+	delete(h.layer.open, h)
+	h.layer.mu.Unlock()
 	return h.Conn.Close()
 }
 
@@ -400,20 +400,20 @@
 type fsm struct {
 	changed chan struct{}
 	mu      sync.Mutex
-	now     Decision
+	current Decision
 }
 
 func (f *fsm) decision() Decision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := f.now
+	d := f.current
 	d.Table.Zones = slices.Clone(d.Table.Zones)
 	return d
 }
 
 func (f *fsm) set(d Decision) {
 	f.mu.Lock()
-	f.now = d
+	f.current = d
 	f.mu.Unlock()
 	select {
 	case f.changed <- struct{}{}:
@@ -456,10 +456,10 @@
 	return nil
 }
 
-type fsmSnapshot struct{ d Decision }
+type fsmSnapshot struct{ decision Decision }
 
 func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
-	if err := json.NewEncoder(to).Encode(s.d); err != nil {
+	if err := json.NewEncoder(to).Encode(s.decision); err != nil {
 		return errors.Join(err, to.Cancel())
 	}
 	return to.Close()
@@ -467,10 +467,10 @@
 
 func (fsmSnapshot) Release() {}
 
-// lines hands the library's log on.
-type lines struct{}
+// logWriter hands the library's log on.
+type logWriter struct{}
 
-func (lines) Write(p []byte) (int, error) {
+func (logWriter) Write(p []byte) (int, error) {
 	slog.Info("council: library", "line", strings.TrimSpace(string(p)))
 	return len(p), nil
 }
--- a/internal/agent/consensus/council_test.go
+++ b/internal/agent/consensus/participant_test.go
@@ -20,8 +20,8 @@
 // patience bounds waits; none needs more than a part of it.
 const patience = time.Minute
 
-// bench is a council in this process, on real sockets and files.
-type bench struct {
+// cluster is a council in this process, on real sockets and files.
+type cluster struct {
 	t      *testing.T
 	cfgs   []Config
 	voters []*seat
@@ -30,7 +30,7 @@
 
 // seat is a voter that runs, or not.
 type seat struct {
-	c    *Council
+	c    *Participant
 	stop func()
 	err  chan error
 	mu   sync.Mutex
@@ -38,8 +38,8 @@
 	vows int
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t}
+func newCluster(t *testing.T) *cluster {
+	b := &cluster{t: t}
 	var all []Voter
 	for i := range 3 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return b
 }
 
-func (b *bench) start(i int) {
+func (b *cluster) start(i int) {
 	if err := b.cfgs[i].Validate(); err != nil {
 		b.t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.last = d
-		if d.Vouched {
+		if d.Confirmed {
 			s.vows++
 		}
 	})
@@ -85,7 +85,7 @@
 	b.voters[i] = s
 }
 
-func (b *bench) stop(i int) {
+func (b *cluster) stop(i int) {
 	if s := b.voters[i]; s != nil {
 		s.stop()
 		if err := <-s.err; err != nil {
@@ -96,7 +96,7 @@
 }
 
 // until reports what agents see, again and again, until something holds.
-func (b *bench) until(what string, bad bool, done func() bool) {
+func (b *cluster) until(what string, bad bool, done func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(patience); !done(); {
 		if time.Now().After(end) {
@@ -120,7 +120,7 @@
 }
 
 // share tells whether all that run have a share for a zone.
-func (b *bench) share(zone string, want float64) func() bool {
+func (b *cluster) share(zone string, want float64) func() bool {
 	return func() bool {
 		for _, s := range b.voters {
 			if s == nil {
@@ -138,7 +138,7 @@
 }
 
 // leader is the voter that vouches; -1 if none has since the last call.
-func (b *bench) leader() int {
+func (b *cluster) leader() int {
 	for i, s := range b.voters {
 		if s == nil {
 			continue
@@ -156,8 +156,8 @@
 
 // Three voters agree that a zone is left; the next leader goes on when theirs is gone, and
 // brings it back; without a majority nothing changes; one that comes back has all of it.
-func TestThreeVoters(t *testing.T) {
-	b := newBench(t)
+func TestThreeVotersAgree(t *testing.T) {
+	b := newCluster(t)
 	b.until("left", true, b.share("b", 0))
 	lead := -1
 	b.until("led", true, func() bool { lead = b.leader(); return lead >= 0 })
@@ -187,8 +187,8 @@
 
 // A voter whose log is gone has forgotten whom it voted for, and one in another's folder is
 // another: both refuse, and say why.
-func TestAVoterThatForgot(t *testing.T) {
-	b := newBench(t)
+func TestVoterWithoutItsLogDoesNotVote(t *testing.T) {
+	b := newCluster(t)
 	b.until("led", false, func() bool { return b.leader() >= 0 })
 	b.stop(0)
 	if err := os.Remove(filepath.Join(b.cfgs[0].Dir, logFile)); err != nil {
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestCouncilsThatMakeNoSense(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	good := Config{Self: "a", Voters: []Voter{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}, Bind: "127.0.0.1:1",
 		Dir: "x", Zones: zonefailover.Defaults(), Heartbeat: time.Second}
 	if err := good.Validate(); err != nil {
--- a/internal/agent/coordination/golden_test.go
+++ b/internal/agent/coordination/golden_test.go
@@ -19,9 +19,9 @@
 	goldentest.RoundTrip[ping](t, messageCodec, "ping")
 	goldentest.RoundTrip[zonefailover.Report](t, messageCodec, "zone-report")
 	goldentest.RoundTrip[stalerouting.Decision](t, messageCodec, "zone-decision")
-	goldentest.RoundTrip[state](t, messageCodec, "state-exchange")
+	goldentest.RoundTrip[siteState](t, messageCodec, "state-exchange")
 }
 
 func TestGoldenTrace(t *testing.T) {
-	goldentest.Output[Line](t, goldentest.JSON, "trace")
+	goldentest.Output[TraceLine](t, goldentest.JSON, "trace")
 }
--- a/internal/agent/coordination/interleave_test.go
+++ b/internal/agent/coordination/interleave_test.go
@@ -32,19 +32,19 @@
 		l := bare()
 		host := func(id string) outlier.Host { return outlier.Host{ID: id} }
 		vote := []func(){
-			func() { l.hand([]ejection.Standing{{Host: host("a"), Until: time.Hour, Trial: true}}) },
+			func() { l.setOverrides([]ejection.Standing{{Host: host("a"), Until: time.Hour, Trial: true}}) },
 			func() {
 				if bad == forgetTries {
-					clear(l.tries)
+					clear(l.pendingAttempts)
 				}
-				l.hand([]ejection.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
+				l.setOverrides([]ejection.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
 			},
 		}
 		site := []func(){
-			func() { l.handZones([]agent.ZoneOverride{{Zone: "y", TTL: time.Hour}}, true) },
-			func() { l.handZones(nil, false) },
+			func() { l.setZoneOverrides([]agent.ZoneOverride{{Zone: "y", TTL: time.Hour}}, true) },
+			func() { l.setZoneOverrides(nil, false) },
 			func() {
-				l.tellNews([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
+				l.addPeerReports([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
 				if bad == noWake {
 					select {
 					case <-l.ready:
--- a/internal/agent/coordination/cover_test.go
+++ b/internal/agent/coordination/promisestore_test.go
@@ -14,9 +14,9 @@
 func TestCover(t *testing.T) {
 	const whole = 10 * time.Minute
 	dir := t.TempDir()
-	open := func() (*cover, time.Duration) {
+	open := func() (*promiseStore, time.Duration) {
 		t.Helper()
-		c, left, err := openCover(dir, whole)
+		c, left, err := openPromiseStore(dir, whole)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,8 +26,8 @@
 	if left != whole {
 		t.Errorf("%v left at the first start", left)
 	}
-	c.extend(0, 2*whole)
-	c.extend(0, whole) // while the other is under way: asked for again
+	c.persist(0, 2*whole)
+	c.persist(0, whole) // while the other is under way: asked for again
 	if r := <-c.saved; r.until != 2*whole || r.err != nil {
 		t.Errorf("%+v", r)
 	}
@@ -36,7 +36,7 @@
 	if left <= 2*whole-time.Minute || left > 2*whole {
 		t.Errorf("%v left, want nearly %v", left, 2*whole)
 	}
-	if _, _, err := openCover(dir, whole); err == nil {
+	if _, _, err := openPromiseStore(dir, whole); err == nil {
 		t.Error("one folder was opened twice")
 	}
 	if err := c.save(0); err != nil {
@@ -64,7 +64,7 @@
 	if left != whole {
 		t.Errorf("%v left by a damaged file", left)
 	}
-	if err := c.save(2 * mostCover); err != nil {
+	if err := c.save(2 * maxPromiseSpan); err != nil {
 		t.Fatal(err)
 	}
 	c.close()
--- a/internal/testbed/experiment/layer.go
+++ b/internal/testbed/experiment/layer.go
@@ -240,7 +240,7 @@
 // got or lost their whole share by them (the most over all agents), how old they were when
 // they came, at the most, and when all agents of a site had heard of one by which a zone is left,
 // since the first fault.
-func zonesFigures(lines []coordination.Line, w *world, fig map[string]float64) {
+func zonesFigures(lines []coordination.TraceLine, w *world, fig map[string]float64) {
 	began := w.log.Began().UnixMilli()
 	short, moves := map[string]int{}, map[string]float64{}
 	decided, reached := map[uint64]bool{}, map[string]map[string]bool{}
@@ -248,13 +248,13 @@
 		if l.Kind != "zones" {
 			continue
 		}
-		decided[l.Roll] = true
-		if l.Bad != short[l.Agent] {
+		decided[l.Electorate] = true
+		if l.Failures != short[l.Agent] {
 			moves[l.Agent]++
 			fig["zone_moves"] = max(fig["zone_moves"], moves[l.Agent])
 		}
-		short[l.Agent] = l.Bad
-		fig["zones_age_ms"] = max(fig["zones_age_ms"], float64(l.LeftMs))
+		short[l.Agent] = l.Failures
+		fig["zones_age_ms"] = max(fig["zones_age_ms"], float64(l.RemainingMs))
 		if l.Attempts == 0 {
 			continue
 		}
@@ -305,7 +305,7 @@
 }
 
 // traces reads what all agents wrote of their votes, in the order of time.
-func (w *world) traces() (lines []coordination.Line, err error) {
+func (w *world) traces() (lines []coordination.TraceLine, err error) {
 	for _, a := range w.agents {
 		f, err := os.Open(w.tracePath(a))
 		if err != nil {
@@ -313,7 +313,7 @@
 		}
 		scan := bufio.NewScanner(f)
 		for scan.Scan() {
-			var l coordination.Line
+			var l coordination.TraceLine
 			if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
 				f.Close()
 				return nil, fmt.Errorf("experiment: trace of %s: %w", a.name, err)
@@ -325,7 +325,7 @@
 			return nil, fmt.Errorf("experiment: trace of %s: %w", a.name, err)
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b coordination.Line) int { return cmp.Compare(a.AtMs, b.AtMs) })
+	slices.SortStableFunc(lines, func(a, b coordination.TraceLine) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	return lines, nil
 }
 
@@ -350,8 +350,8 @@
 	var steps []referee.VoteStep
 	for _, l := range lines {
 		at := time.Duration(l.AtMs)*time.Millisecond - time.Duration(w.log.Began().UnixMilli())*time.Millisecond
-		steps = append(steps, referee.VoteStep{At: at, Agent: l.Agent, Boot: l.Boot, Kind: l.Kind, Host: l.Host, Incarnation: l.Incarnation,
-			Roll: l.Roll, Bad: l.Bad, Granters: l.Granters, Left: time.Duration(l.LeftMs) * time.Millisecond})
+		steps = append(steps, referee.VoteStep{At: at, Agent: l.Agent, Boot: l.AgentIncarnation, Kind: l.Kind, Host: l.Host, Incarnation: l.Incarnation,
+			Roll: l.Electorate, Bad: l.Failures, Granters: l.Granters, Left: time.Duration(l.RemainingMs) * time.Millisecond})
 	}
 	r.Violations = append(r.Violations, referee.CheckVotes(steps, e)...)
 	broken, site := referee.CheckSites(steps, e.Zone, w.losses)
--- a/internal/testbed/faultyvoter/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -63,7 +63,7 @@
 // HandleMessage is of peers.Sink.
 func (l *Liar) HandleMessage(kind membership.Kind, body []byte) {
 	var m ejection.VoteMessage
-	if kind != coordination.KindLetter || membership.Decode(body, &m) != nil || m.Validate() != nil {
+	if kind != coordination.KindVote || membership.Decode(body, &m) != nil || m.Validate() != nil {
 		return
 	}
 	l.mu.Lock()
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		l.peers.Mailbox().Put(membership.Send{To: name, Kind: coordination.KindLetter, Body: body})
+		l.peers.Mailbox().Put(membership.Send{To: name, Kind: coordination.KindVote, Body: body})
 	}
 	return nil
 }
