--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -20,9 +20,9 @@
 	return "the core gave no answer in time, send it again: " + e.Reason
 }
 
-// Submit has a change carried out by the head of the chain. It returns after RequestTimeout at the
-// latest. With an Unclear verdict the change may be taken or not: submitted again, at any process, it
-// is the same change.
+// Submit has an update carried out by the head of the chain. It returns after RequestTimeout at the
+// latest. With OutcomeUnknown the update may be committed or not: submitted again, at any process, it
+// is the same update.
 func (m *Member) Submit(ctx context.Context, update *chain.Update) chain.Result {
 	if len(update.Body) > chain.MaxBody {
 		return chain.Result{Outcome: chain.OutcomeInvalid, Reason: "the configuration is too large"}
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// submission is a change that waits at the head.
+// submission is an update that waits at the head.
 type submission struct {
 	callerContext context.Context
 	update        *chain.Update
@@ -19,21 +19,21 @@
 // errViewNotActivated reports that the head's value has not been pushed through the chain of its view.
 var errViewNotActivated = errors.New("the head's value has not come through the chain yet")
 
-// unclear is the response to a change that may be taken or not.
-func unclear(reason string) submitResponse {
+// outcomeUnknown is the response to an update that may be committed or not.
+func outcomeUnknown(reason string) submitResponse {
 	return submitResponse{Result: chain.Result{Reason: reason}}
 }
 
 const notHeadReason = "not the head"
 
-// handleSubmit answers when it is known what became of the change, or when its caller is gone.
+// handleSubmit answers when the outcome of the update is known, or when its caller is gone.
 func (m *Member) handleSubmit(ctx context.Context, update *chain.Update) (*submitResponse, error) {
 	m.mu.Lock()
 	newest := m.views.newest
 	isHead := newest.Number > 0 && !m.views.behind() && m.views.learned.Head().ID == m.self.ID
 	m.mu.Unlock()
 	if !isHead {
-		response := unclear(notHeadReason)
+		response := outcomeUnknown(notHeadReason)
 		if newest.Number > 0 {
 			response.Newer = &newest
 		}
@@ -43,7 +43,7 @@
 	select {
 	case m.submissions <- queued:
 	default:
-		response := unclear("too many orders wait at the head: send it again")
+		response := outcomeUnknown("too many orders wait at the head: send it again")
 		return &response, nil
 	}
 	select {
@@ -54,7 +54,7 @@
 	}
 }
 
-// submissionLoop carries out changes, one at a time, while this member is the head. In each view it
+// submissionLoop carries out updates, one at a time, while this member is the head. In each view it
 // first pushes its value through the whole chain.
 func (m *Member) submissionLoop(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -88,7 +88,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	newest := m.views.newest
-	response := unclear(notHeadReason)
+	response := outcomeUnknown(notHeadReason)
 	response.Newer = &newest
 	return response
 }
@@ -119,63 +119,63 @@
 	}
 }
 
-// appliedUpdate is what became of a change at the head's copy.
+// appliedUpdate is the result of an update at the head's replica.
 type appliedUpdate struct {
 	view   view.View    // in which it was applied; Number 0: this member is not the head
-	next   *chain.Value // is on disk here; nil: the change is refused, or was taken before
+	next   *chain.Value // is on disk here; nil: the update is rejected, or was committed before
 	result chain.Result
 }
 
-// execute applies a change and has its value committed.
+// execute applies an update and has its value committed.
 func (m *Member) execute(ctx context.Context, queued *submission) submitResponse {
-	result, err := m.applyActivated(ctx, queued.update)
+	applied, err := m.applyActivated(ctx, queued.update)
 	switch {
 	case err != nil:
 		m.wakeTicker()
-		return unclear(err.Error())
-	case result.view.Number == 0:
+		return outcomeUnknown(err.Error())
+	case applied.view.Number == 0:
 		return m.notHead()
-	case result.next == nil:
-		return m.confirmResult(queued.callerContext, result)
+	case applied.next == nil:
+		return m.confirmResult(queued.callerContext, applied)
 	}
 	// This member may have been left out and be the head again, with a value that others made.
 	if value, ok := m.activateView(ctx); ok {
-		if _, taken := value.RevisionOf(queued.update.Digest()); taken {
-			return submitResponse{Result: result.result}
+		if _, committed := value.RevisionOf(queued.update.Digest()); committed {
+			return submitResponse{Result: applied.result}
 		}
 	}
 	return m.notHead()
 }
 
-// confirmResult answers a change that makes no new value. A refusal is final, so the value on which
+// confirmResult answers an update that makes no new value. A rejection is final, so the value on which
 // it rests must be the newest of all: a majority of the voters has to confirm the view.
-func (m *Member) confirmResult(ctx context.Context, result appliedUpdate) submitResponse {
-	if result.result.Outcome == chain.OutcomeCommitted || result.result.Outcome == chain.OutcomeUnknown {
-		return submitResponse{Result: result.result}
+func (m *Member) confirmResult(ctx context.Context, applied appliedUpdate) submitResponse {
+	if applied.result.Outcome == chain.OutcomeCommitted || applied.result.Outcome == chain.OutcomeUnknown {
+		return submitResponse{Result: applied.result}
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
-	if err := m.confirmView(ctx, result.view); err != nil {
-		return unclear(err.Error())
+	if err := m.confirmView(ctx, applied.view); err != nil {
+		return outcomeUnknown(err.Error())
 	}
-	return submitResponse{Result: result.result}
+	return submitResponse{Result: applied.result}
 }
 
 // applyActivated is apply, after the head's value has been pushed through the chain of its view.
 func (m *Member) applyActivated(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	for {
-		result, err := m.apply(ctx, update)
+		applied, err := m.apply(ctx, update)
 		if !errors.Is(err, errViewNotActivated) {
-			return result, err
+			return applied, err
 		}
 		// The view changed meanwhile, and this member is its head.
 		if _, ok := m.activateView(ctx); !ok {
-			return result, err
+			return applied, err
 		}
 	}
 }
 
-// apply applies a change to the head's value, and stores the next value if there is one.
+// apply applies an update to the head's value, and stores the next value if there is one.
 func (m *Member) apply(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	if err := m.acquireWrite(ctx); err != nil {
 		return appliedUpdate{}, err
@@ -191,10 +191,10 @@
 	case !activated:
 		return appliedUpdate{}, errViewNotActivated
 	}
-	next, verdict, final := chain.Apply(&replica.Record.Value, update, m.options.Transition)
+	next, result, final := chain.Apply(&replica.Record.Value, update, m.options.Transition)
 	if final {
-		return appliedUpdate{view: replica.View, result: verdict}, nil
+		return appliedUpdate{view: replica.View, result: result}, nil
 	}
 	err := m.persistRecord(chain.Record{View: replica.View.Number, Value: *next})
-	return appliedUpdate{view: replica.View, next: next, result: verdict}, err
+	return appliedUpdate{view: replica.View, next: next, result: result}, err
 }
--- a/internal/fleet/controlplane/messages.go
+++ b/internal/fleet/controlplane/messages.go
@@ -22,85 +22,107 @@
 	callAnnounce  = "core.announce"
 )
 
-// The messages between members. They are encoded by the names of their fields, or by the tags where
-// there are some; both are part of the protocol.
-type (
-	empty struct{}
-
-	// heartbeat is exchanged between the voters, and between them and processes that ask to become
-	// one, as request and as answer.
-	heartbeat struct {
-		Peer view.Peer `msgpack:"p"`
-		// View is the number of the learned view.
-		View uint64 `msgpack:"v"`
-		// Accepted is the number of a view that was accepted and whose decision is not known; 0: none.
-		Accepted uint64 `msgpack:"a,omitempty"`
-		// Abandoned tells that it has been so for so long that its proposer must have failed.
-		Abandoned bool `msgpack:"k,omitempty"`
-		// CommittedSeq is the sequence number of the newest value known as committed, Sum its checksum.
-		CommittedSeq      uint64 `msgpack:"s"`
-		CommittedChecksum uint64 `msgpack:"m"`
-		// ConnectedTo are the voters that the sender is in contact with and can push to.
-		ConnectedTo []string `msgpack:"h,omitempty"`
-		// DiskUnhealthy tells that the sender's disk is unhealthy.
-		DiskUnhealthy bool `msgpack:"x,omitempty"`
-		// Leaving tells that the sender is shutting down.
-		Leaving bool `msgpack:"e,omitempty"`
-		// Complete tells that the sender holds all that was acknowledged.
-		Complete bool `msgpack:"c,omitempty"`
-		// ContactAgeMs is the time since the sender was last in contact with the receiver, in ms; -1: never.
-		ContactAgeMs int64 `msgpack:"t"`
-		// UptimeMs is the time since the sender started or resumed, in ms.
-		UptimeMs int64 `msgpack:"u"`
-		// NewerView is the learned view, in an answer to a process that has an older one.
-		NewerView *view.View `msgpack:"n,omitempty"`
-	}
+// The messages between members are encoded by msgpack. The keys in the tags are part of the protocol;
+// they are older than the names of the fields.
 
-	// announceRequest announces a process to a seed.
-	announceRequest struct {
-		Peer view.Peer `msgpack:"Peer"`
-	}
+// empty is a request without parameters, or an acknowledgement.
+type empty struct{}
 
-	prepareRequest struct {
-		To      string              `msgpack:"To"` // the ID of the disk that is meant: its machine may have another one by now
-		Prepare view.PrepareRequest `msgpack:"Q"`
-	}
-	acceptRequest struct {
-		To     string             `msgpack:"To"`
-		Accept view.AcceptRequest `msgpack:"Q"`
-	}
+// heartbeat is exchanged between the voters, and between them and processes that ask to become one, as
+// request and as answer.
+type heartbeat struct {
+	Peer view.Peer `msgpack:"p"` // the sender
+	// View is the number of the learned view.
+	View uint64 `msgpack:"v"`
+	// Accepted is the number of a view that was accepted and whose decision is not known; 0: none.
+	Accepted uint64 `msgpack:"a,omitempty"`
+	// Abandoned tells that it has been undecided for so long that its proposer must have failed.
+	Abandoned bool `msgpack:"k,omitempty"`
+	// CommittedSeq is the sequence number of the newest value known as committed, 0: none, and
+	// CommittedChecksum its checksum.
+	CommittedSeq      uint64 `msgpack:"s"`
+	CommittedChecksum uint64 `msgpack:"m"`
+	// ConnectedTo are the IDs of the voters that the sender is in contact with and can push to.
+	ConnectedTo []string `msgpack:"h,omitempty"`
+	// DiskUnhealthy tells that the sender's disk fails or stalls.
+	DiskUnhealthy bool `msgpack:"x,omitempty"`
+	// Leaving tells that the sender is shutting down.
+	Leaving bool `msgpack:"e,omitempty"`
+	// Complete tells that the sender holds all that was acknowledged.
+	Complete bool `msgpack:"c,omitempty"`
+	// ContactAgeMs is the time since the sender was last in contact with the receiver, in ms; -1: never.
+	ContactAgeMs int64 `msgpack:"t"`
+	// UptimeMs is the time since the sender started or resumed, in ms.
+	UptimeMs int64 `msgpack:"u"`
+	// NewerView is the learned view, in an answer to a process that has an older one.
+	NewerView *view.View `msgpack:"n,omitempty"`
+}
 
-	// viewRequest asks for a newer view than that of a number.
-	viewRequest struct {
-		Known uint64 `msgpack:"Have"`
-	}
-	viewResponse struct {
-		View *view.View `msgpack:"View"`
-	}
+// announceRequest announces a process to a seed.
+type announceRequest struct {
+	Peer view.Peer `msgpack:"Peer"`
+}
 
-	pushRequest struct {
-		To   string     `msgpack:"To"`
-		Push chain.Push `msgpack:"Q"`
-	}
-	pushResponse struct {
-		OK           bool       `msgpack:"OK"`    // the value is on disk here and on all further members up to the tail
-		Newer        *view.View `msgpack:"Newer"` // the view of the push is superseded by this one
-		RejectReason string     `msgpack:"Why"`   // the reason for refusing the push
-	}
-	submitResponse struct {
-		Result chain.Result `msgpack:"Verdict"`
-		Newer  *view.View   `msgpack:"Newer"` // the receiver is not the head: the head of this view is to be asked
-	}
-	readResponse struct {
-		Value  chain.Value `msgpack:"Value"`
-		OK     bool        `msgpack:"OK"`
-		Newer  *view.View  `msgpack:"Newer"` // the receiver is not the tail: that of this view is to be asked
-		Reason string      `msgpack:"Why"`   // the reason for giving no value
-	}
-	valueResponse struct {
-		Value chain.Value `msgpack:"Value"`
-	}
-)
+// prepareRequest asks an acceptor for a promise.
+type prepareRequest struct {
+	// To is the ID of the disk that is meant: its machine may have another one by now. For the first
+	// view it is the address of the seed.
+	To      string              `msgpack:"To"`
+	Prepare view.PrepareRequest `msgpack:"Q"`
+}
+
+// acceptRequest asks an acceptor to accept a view.
+type acceptRequest struct {
+	To     string             `msgpack:"To"` // as in prepareRequest
+	Accept view.AcceptRequest `msgpack:"Q"`
+}
+
+// viewRequest asks for a newer view than that of a number.
+type viewRequest struct {
+	Known uint64 `msgpack:"Have"`
+}
+
+// viewResponse has a view if the receiver knows a newer one.
+type viewResponse struct {
+	View *view.View `msgpack:"View"`
+}
+
+// pushRequest replicates a value to the next member of the chain.
+type pushRequest struct {
+	To   string     `msgpack:"To"` // the ID of the disk that is meant
+	Push chain.Push `msgpack:"Q"`
+}
+
+// pushResponse acknowledges or rejects a push.
+type pushResponse struct {
+	// OK tells that the value is on disk at the receiver and at all members after it; after a direct
+	// push, at the receiver.
+	OK bool `msgpack:"OK"`
+	// Newer is the view that has superseded that of the push.
+	Newer        *view.View `msgpack:"Newer"`
+	RejectReason string     `msgpack:"Why"`
+}
+
+// submitResponse answers an update.
+type submitResponse struct {
+	Result chain.Result `msgpack:"Verdict"`
+	// Newer, if not nil, tells that the receiver is not the head: that of this view is to be asked.
+	Newer *view.View `msgpack:"Newer"`
+}
+
+// readResponse answers a read.
+type readResponse struct {
+	Value chain.Value `msgpack:"Value"` // if OK
+	OK    bool        `msgpack:"OK"`
+	// Newer, if not nil, tells that the receiver is not the tail: that of this view is to be asked.
+	Newer  *view.View `msgpack:"Newer"`
+	Reason string     `msgpack:"Why"` // if not OK
+}
+
+// valueResponse has the newest value that the receiver knows as committed; Seq 0: none.
+type valueResponse struct {
+	Value chain.Value `msgpack:"Value"`
+}
 
 // RegisterHandlers adds the calls between members to the process's table.
 func (m *Member) RegisterHandlers(table *rpc.Mux) {
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -37,7 +37,7 @@
 	Counted bool
 	// Pool has the connections to other processes.
 	Pool *rpc.Pool
-	// Transition makes the next configuration from the current one and a requested change.
+	// Transition makes the next configuration from the current one and an update.
 	Transition chain.Transition
 	// OnCommit is called with the newest committed values, with rising Seq; may be nil. Values in
 	// between may be skipped.
