--- a/internal/fleet/view/proposal_test.go
+++ b/internal/fleet/view/proposal_test.go
@@ -62,3 +62,18 @@
 		require.Equal(t, want, p.HandleAcceptance(voter.ID, Response{OK: true, Promised: number}), fmt.Sprint(i+1, " acceptances"))
 	}
 }
+
+func TestProposalStateNames(t *testing.T) {
+	t.Parallel()
+	for state, want := range map[ProposalState]string{
+		Preparing:         "preparing",
+		Accepting:         "accepting",
+		Decided:           "decided",
+		Contended:         "contended",
+		Superseded:        "superseded",
+		Idle:              "idle",
+		ProposalState(99): "99",
+	} {
+		require.Equal(t, want, state.String())
+	}
+}
