--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -85,7 +85,7 @@
 		SaveServers: save, SavedServers: saved,
 		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, ControlAddr: s.Listen.Control},
 		HeartbeatInterval: time.Duration(s.HeartbeatPeriodMs) * time.Millisecond, Core: coreAdapter{d.core}, SeedAddrs: d.seedAddrs, OnChange: d.gateway.Update,
-		OnNotice: d.gateway.ObserveNotice, LinkMbps: s.Limits.LinkMbps,
+		OnNotice: d.gateway.ObserveRemotePrefill, LinkMbps: s.Limits.LinkMbps,
 	})
 	d.gateway.OnSent = d.relay.BroadcastNotice
 	d.controlServer = controlapi.NewServer(&controlBackend{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
--- a/internal/fleet/daemon/plane.go
+++ b/internal/fleet/daemon/plane.go
@@ -73,7 +73,7 @@
 	case "members":
 		return map[string]any{"source": r.Source, "members": r.Members, "sessions": r.Sessions}, nil
 	case "servers":
-		return map[string]any{"servers": r.Servers, "health": p.daemon.gateway.ServerViews()}, nil
+		return map[string]any{"servers": r.Servers, "health": p.daemon.gateway.ServerStatuses()}, nil
 	case "view":
 		return p.daemon.core.Status(), nil
 	case "figures":
--- a/internal/fleet/gateway/disconnect_test.go
+++ b/internal/fleet/gateway/disconnect_test.go
@@ -98,7 +98,7 @@
 	harness.update(harness.document(""))
 	client, start := harness.dial(), time.Now()
 	client.write(postRequest("/once/x", "", "q"))
-	require.Eventually(t, func() bool { return harness.gateway.ServerViews()[0].InFlight == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return harness.gateway.ServerStatuses()[0].InFlight == 1 }, testTimeout, time.Millisecond)
 	client.Close()
 	require.Eventually(t, func() bool { return harness.gateway.Counters.ClientDisconnects.Load() == 1 }, testTimeout, time.Millisecond)
 	require.Less(t, time.Since(start), connectTimeout, "the connect was not cancelled")
@@ -140,7 +140,7 @@
 		harness.update(harness.document(""))
 		client := harness.dial()
 		client.write(postRequest("/once/x", "", "q"))
-		inFlight := func() int { return harness.gateway.ServerViews()[0].InFlight }
+		inFlight := func() int { return harness.gateway.ServerStatuses()[0].InFlight }
 		require.Eventually(t, func() bool { return inFlight() == 1 }, testTimeout, time.Millisecond)
 		client.Close()
 		require.Eventually(t, func() bool { return inFlight() == 0 }, testTimeout, time.Millisecond)
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -129,15 +129,15 @@
 		}
 		cut = min(max(cut, 0), len(text))
 		twice := start
-		firstPart, firstValid := twice.accept([]byte(text[:cut]))
+		firstAccepted, firstValid := twice.accept([]byte(text[:cut]))
 		if !firstValid {
-			require.Equal(t, all, firstPart)
+			require.Equal(t, all, firstAccepted)
 			require.False(t, valid)
 			return
 		}
-		secondPart, secondValid := twice.accept([]byte(text[firstPart.bytes:]))
-		require.Equal(t, all.bytes, firstPart.bytes+secondPart.bytes)
-		require.Equal(t, all.events, firstPart.events+secondPart.events)
+		secondAccepted, secondValid := twice.accept([]byte(text[firstAccepted.bytes:]))
+		require.Equal(t, all.bytes, firstAccepted.bytes+secondAccepted.bytes)
+		require.Equal(t, all.events, firstAccepted.events+secondAccepted.events)
 		require.Equal(t, valid, secondValid)
 		require.Equal(t, once, twice)
 	})
--- a/internal/fleet/gateway/gateway.go
+++ b/internal/fleet/gateway/gateway.go
@@ -40,7 +40,6 @@
 
 // Gateway serves the requests of clients. All its methods are safe for concurrent use.
 type Gateway struct {
-	settings   *settings.Settings
 	startedAt  time.Time
 	pool       *pool
 	bodyMemory *semaphore.Weighted // bytes of request bodies
@@ -75,7 +74,6 @@
 	bounds := &nodeSettings.Bounds
 	retryWindow := time.Duration(bounds.RetryWindowS * float64(time.Second))
 	g := &Gateway{
-		settings:        nodeSettings,
 		startedAt:       time.Now(),
 		pool:            newPool(max(nodeSettings.Limits.FDs/2, minUpstreamConns)),
 		bodyMemory:      semaphore.NewWeighted(nodeSettings.Limits.MemoryMB << 20 / bodyMemoryFraction),
@@ -99,7 +97,8 @@
 	return g
 }
 
-// now is the monotonic time since the start. It is above zero, which the balancer takes for "never".
+// now is the clock of the balancer and of the retry budget: the monotonic time since the start, plus a
+// second, so that it is above the zero time of what has never happened.
 func (g *Gateway) now() time.Duration { return time.Since(g.startedAt) + time.Second }
 
 // Update replaces the configuration and the list of servers. Requests that arrive from now on are
@@ -148,15 +147,15 @@
 	return g.snapshot.Load()
 }
 
-// ServerViews returns what this agent knows of each server, for operators.
-func (g *Gateway) ServerViews() []balancer.ServerStatus {
+// ServerStatuses returns the state of each server as this agent has observed it, for operators.
+func (g *Gateway) ServerStatuses() []balancer.ServerStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.picker.Snapshot(g.now())
 }
 
-// ObserveNotice takes the notice of another agent about a request that it sent the given time ago.
-func (g *Gateway) ObserveNotice(age time.Duration, notice *balancer.PrefillNotice) {
+// ObserveRemotePrefill takes the notice of another agent about a request that it sent the given time ago.
+func (g *Gateway) ObserveRemotePrefill(age time.Duration, notice *balancer.PrefillNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.picker.ObserveRemotePrefill(g.now(), age, notice)
--- a/internal/fleet/gateway/outcome.go
+++ b/internal/fleet/gateway/outcome.go
@@ -21,8 +21,8 @@
 	outcomeNotExecuted
 	// outcomeUnknown: the server may have executed the request.
 	outcomeUnknown
-	// outcomeClientGone: the client has left.
-	outcomeClientGone
+	// outcomeClientDisconnected: the client has closed its connection.
+	outcomeClientDisconnected
 )
 
 // String returns the outcome as it stands in messages.
@@ -36,18 +36,18 @@
 		return "not executed"
 	case outcomeUnknown:
 		return "unknown"
-	case outcomeClientGone:
-		return "client gone"
+	case outcomeClientDisconnected:
+		return "client disconnected"
 	}
 	return "invalid outcome"
 }
 
-// cancelledOutcome returns the outcome of an attempt whose context has ended: outcomeClientGone if the
+// cancelledOutcome returns the outcome of an attempt whose context has ended: outcomeClientDisconnected if the
 // client has left, otherwise, after the deadline, the given one.
 func (g *Gateway) cancelledOutcome(ctx context.Context, afterDeadline outcome) outcome {
 	if ctx.Err() == context.Canceled {
 		g.Counters.ClientDisconnects.Add(1)
-		return outcomeClientGone
+		return outcomeClientDisconnected
 	}
 	return afterDeadline
 }
--- a/internal/fleet/gateway/relay.go
+++ b/internal/fleet/gateway/relay.go
@@ -84,7 +84,7 @@
 	}
 	if err != nil {
 		t.gateway.Counters.Truncated.Add(1)
-		return relayFailed(outcomeClientGone, reportedOutcomeOf(err))
+		return relayFailed(outcomeClientDisconnected, reportedOutcomeOf(err))
 	}
 	t.gateway.Counters.Served.Add(1)
 	return resultServed
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -151,11 +151,11 @@
 	if field == "" {
 		return nil
 	}
-	var parts []balancer.Segment
-	for part := range strings.SplitSeq(field, ",") {
-		idText, tokensText, ok := strings.Cut(strings.TrimSpace(part), ":")
+	var segments []balancer.Segment
+	for entry := range strings.SplitSeq(field, ",") {
+		idText, tokensText, ok := strings.Cut(strings.TrimSpace(entry), ":")
 		tokens, err := strconv.Atoi(tokensText)
-		if !ok || err != nil || tokens < 0 || len(parts) == maxPromptSegments {
+		if !ok || err != nil || tokens < 0 || len(segments) == maxPromptSegments {
 			break
 		}
 		id, err := strconv.ParseUint(idText, 16, 64)
@@ -164,7 +164,7 @@
 			hash.Write([]byte(idText))
 			id = hash.Sum64()
 		}
-		parts = append(parts, balancer.Segment{ID: id, Tokens: tokens})
+		segments = append(segments, balancer.Segment{ID: id, Tokens: tokens})
 	}
-	return parts
+	return segments
 }
--- a/internal/fleet/gateway/retry.go
+++ b/internal/fleet/gateway/retry.go
@@ -57,7 +57,7 @@
 		switch result {
 		case outcomeAnswered:
 			return
-		case outcomeClientGone:
+		case outcomeClientDisconnected:
 			panic(http.ErrAbortHandler) // what the client has of a response must not look complete
 		}
 		history.add(result)
--- a/internal/fleet/gateway/retry_test.go
+++ b/internal/fleet/gateway/retry_test.go
@@ -92,7 +92,7 @@
 		require.Equal(t, 200, resp.StatusCode)
 	}
 	require.EqualValues(t, 1, wrong.requestCount.Load())
-	require.Len(t, harness.gateway.ServerViews(), 1)
+	require.Len(t, harness.gateway.ServerStatuses(), 1)
 }
 
 func TestWrongInstanceOnLastAttempt(t *testing.T) {
--- a/internal/fleet/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -40,7 +40,7 @@
 		if accepted.bytes > 0 {
 			if err := t.relayEvents(upstream, pending[:accepted.bytes], accepted.events); err != nil {
 				t.gateway.Counters.ClientDisconnects.Add(1)
-				return relayFailed(outcomeClientGone, balancer.Cancelled)
+				return relayFailed(outcomeClientDisconnected, balancer.Cancelled)
 			}
 			pending = append(pending[:0], pending[accepted.bytes:]...)
 		}
@@ -74,7 +74,7 @@
 	}
 	if !t.response.headerSent { // an empty stream
 		if err := t.response.writeEvents(upstream, nil); err != nil {
-			return relayFailed(outcomeClientGone, balancer.Cancelled)
+			return relayFailed(outcomeClientDisconnected, balancer.Cancelled)
 		}
 	}
 	t.gateway.Counters.Served.Add(1)
--- a/internal/fleet/gateway/stream_test.go
+++ b/internal/fleet/gateway/stream_test.go
@@ -101,6 +101,6 @@
 		require.Equal(t, 200, resp.StatusCode)
 	}
 	harness.update(harness.document(""))
-	require.NotEmpty(t, harness.gateway.ServerViews())
+	require.NotEmpty(t, harness.gateway.ServerStatuses())
 	client.Close()
 }
--- a/internal/fleet/gateway/version_test.go
+++ b/internal/fleet/gateway/version_test.go
@@ -130,7 +130,7 @@
 	for range 2 {
 		require.Equal(t, []string{"7"}, harness.nextCall().header[headerExpectVersion])
 	}
-	require.Len(t, harness.gateway.ServerViews(), 2, "a server was unlisted")
+	require.Len(t, harness.gateway.ServerStatuses(), 2, "a server was unlisted")
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
 	require.Empty(t, harness.nextCall().header[headerExpectVersion])
