--- a/internal/fleet/balancer/bench_test.go
+++ b/internal/fleet/balancer/bench_test.go
@@ -46,7 +46,7 @@
 }
 
 // A list in which one server is new, and one has gone.
-func BenchmarkSetList(b *testing.B) {
+func BenchmarkUpdateInstances(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			p := benchPicker(servers)
@@ -83,7 +83,7 @@
 }
 
 // The look at what is to be validated, while nothing is.
-func BenchmarkChecks(b *testing.B) {
+func BenchmarkDueHealthChecks(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			p := benchPicker(servers)
--- a/internal/fleet/balancer/fleet_test.go
+++ b/internal/fleet/balancer/fleet_test.go
@@ -16,18 +16,18 @@
 	return site
 }
 
-func TestFleetOnACalmDay(t *testing.T) {
-	for name, site := range map[string]simSite{"18 servers": site18(3), "12 servers": site12(3), "112 servers": site112(3)} {
+func TestFleetUnderNormalLoad(t *testing.T) {
+	for name, config := range map[string]simSite{"18 servers": site18(3), "12 servers": site12(3), "112 servers": site112(3)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			site.duration = 15 * time.Second
-			if site.servers > 64 {
-				site.duration = 4 * time.Second
+			config.duration = 15 * time.Second
+			if config.servers > 64 {
+				config.duration = 4 * time.Second
 			}
-			alone, r := simulate(site), simulate(withPrefillNotices(site))
-			t.Logf("alone %s", alone)
+			withoutNotices, r := simulate(config), simulate(withPrefillNotices(config))
+			t.Logf("alone %s", withoutNotices)
 			t.Logf("told  %s", r)
-			for _, r := range []*simResult{alone, r} {
+			for _, r := range []*simResult{withoutNotices, r} {
 				assert.Zero(t, r.rejected[0]+r.rejected[1], "nothing is short")
 				assert.Greater(t, r.onTimeRatio(0), 0.84)
 				assert.Greater(t, r.onTimeRatio(1), 0.86)
@@ -51,7 +51,7 @@
 	assert.Greater(t, r.cacheHitRatio(), 0.85)
 }
 
-func TestFleetWithSilentServers(t *testing.T) {
+func TestFleetWithUnresponsiveServers(t *testing.T) {
 	site := withPrefillNotices(site18(5))
 	site.unresponsive, site.duration = map[int]bool{2: true, 7: true}, 15*time.Second
 	r := simulate(site)
@@ -75,7 +75,7 @@
 	assert.Greater(t, r.onTimeRatio(1), 0.93)
 }
 
-func TestFleetWithServersThatReadSideBySide(t *testing.T) {
+func TestFleetWithInterleavedPrefill(t *testing.T) {
 	site := withPrefillNotices(site12(7))
 	site.interleavedPrefill, site.duration = true, 15*time.Second
 	r := simulate(site)
@@ -90,10 +90,10 @@
 	site.loadFactor, site.duration = 2.6, 15*time.Second
 	r := simulate(site)
 	t.Log(r)
-	refused := func(k int) float64 { return float64(r.rejected[k]) / float64(r.offered[k]) }
-	assert.Greater(t, refused(0), 0.05, "who cannot be served in time is told so")
-	assert.Less(t, refused(0), 0.65, "and no kind is starved")
-	assert.Less(t, refused(1), refused(0), "the less urgent ones first")
+	rejected := func(k int) float64 { return float64(r.rejected[k]) / float64(r.offered[k]) }
+	assert.Greater(t, rejected(0), 0.05, "who cannot be served in time is told so")
+	assert.Less(t, rejected(0), 0.65, "and no kind is starved")
+	assert.Less(t, rejected(1), rejected(0), "the less urgent ones first")
 	assert.Greater(t, float64(r.served[1])/float64(r.offered[1]), 0.85)
 	assert.Greater(t, r.onTimeRatio(1), 0.3)
 }
--- a/internal/fleet/balancer/picker_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -73,7 +73,7 @@
 	a.End(now+ms, Succeeded)
 }
 
-func TestTiersByOwnAttempts(t *testing.T) {
+func TestHealthFollowsAttemptOutcomes(t *testing.T) {
 	for _, x := range []struct {
 		end  Outcome
 		want policy.State
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestTimeoutThatBlamesNobody(t *testing.T) {
+func TestTimeoutWithoutFaultOfTheServer(t *testing.T) {
 	for name, during := range map[string]func(p *Picker, a *Attempt) time.Duration{
 		"it was short": func(*Picker, *Attempt) time.Duration { return 100 * ms },
 		"the server answered others": func(p *Picker, a *Attempt) time.Duration {
@@ -117,7 +117,7 @@
 	assert.Equal(t, policy.Unknown, p.stateOf(a.server.instance.ID), "the client's deadline is no fault of the server")
 }
 
-func TestUnhealthyIsPassedOverAndComesBack(t *testing.T) {
+func TestUnhealthyServerIsSkippedUntilChecked(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	bad := a.server
@@ -138,7 +138,7 @@
 	assert.Equal(t, policy.Connected, bad.State())
 }
 
-func TestSilentServerIsNotTriedBeforeItsCheck(t *testing.T) {
+func TestTimedOutServerWaitsForItsCheck(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.End(time.Second, Timeout)
@@ -151,7 +151,7 @@
 	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next hold is longer")
 }
 
-func TestWhatMustNotRunTwiceChecksNoServer(t *testing.T) {
+func TestNonIdempotentRequestTriesNoUncheckedServer(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	for range 10 { // no stray failure
@@ -166,7 +166,7 @@
 	assert.Equal(t, 0, p.serverRank(time.Minute, a.server, &pickContext{Request: r}))
 }
 
-func TestOwnAttemptsOutrankHealthAnswers(t *testing.T) {
+func TestAttemptsTakePrecedenceOverChecks(t *testing.T) {
 	p := newTestPicker(1, 2)
 	a, b := mustForward(t, p, 0, newTestRequest(1, 2)), mustForward(t, p, 0, newTestRequest(1, 3))
 	for b.server != a.server {
@@ -181,7 +181,7 @@
 	assert.Equal(t, policy.Connected, a.server.State())
 }
 
-func TestServedBeforeTheFailureSaysNothing(t *testing.T) {
+func TestSuccessSentBeforeAFailureIsIgnored(t *testing.T) {
 	p := newTestPicker(1, 1)
 	a, b := mustForward(t, p, 0, newTestRequest(1, 2)), mustForward(t, p, 0, newTestRequest(1, 3))
 	a.End(10*ms, Reset)
@@ -189,7 +189,7 @@
 	assert.Equal(t, policy.Unhealthy, a.server.State())
 }
 
-func TestEmptyTierPassesDown(t *testing.T) {
+func TestUnhealthyServersServeIfThereAreNoOthers(t *testing.T) {
 	p := newTestPicker(1, 2)
 	for _, s := range p.servers {
 		p.markUnhealthy(0, s, false)
@@ -198,7 +198,7 @@
 	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests never wait for validation")
 }
 
-func TestRefusedConnectAndListChangesRefresh(t *testing.T) {
+func TestRefusedConnectAndListChangeAllowChecks(t *testing.T) {
 	p := newTestPicker(1, 4)
 	all := testInstances(5)
 	bad := p.servers["i-0003"]
@@ -219,7 +219,7 @@
 	assert.False(t, a.server.TimedOut(), "one that says no is there")
 }
 
-func TestChecksAreCapped(t *testing.T) {
+func TestChecksAreRateLimited(t *testing.T) {
 	p := newTestPicker(1, 20)
 	for _, s := range p.servers {
 		p.markUnhealthy(0, s, true)
@@ -241,7 +241,7 @@
 	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "what is never ended is given up")
 }
 
-func TestSilenceIsValidated(t *testing.T) {
+func TestUnresponsiveServerIsChecked(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	p.DueHealthChecks(500 * ms)
@@ -255,7 +255,7 @@
 	assert.Equal(t, policy.Connected, a.server.State())
 }
 
-func TestFullServersAreLeftAloneForAMoment(t *testing.T) {
+func TestFullServersAreSkippedForAMoment(t *testing.T) {
 	p := newTestPicker(1, 2)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.End(ms, Rejected)
@@ -269,7 +269,7 @@
 	mustForward(t, p, 400*ms, newTestRequest(1, 5))
 }
 
-func TestWrongInstanceIsGoneUntilNamedAnew(t *testing.T) {
+func TestMisdirectedInstanceIsRemovedUntilListedAnew(t *testing.T) {
 	p := newTestPicker(1, 2)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	in := *a.server.instance
@@ -289,16 +289,16 @@
 	assert.Empty(t, p.servers)
 }
 
-func TestListChanges(t *testing.T) {
+func TestInstanceListChanges(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
-	var rest []*registry.Instance
+	var remaining []*registry.Instance
 	for _, in := range testInstances(3) {
 		if in.ID != a.server.instance.ID {
-			rest = append(rest, in)
+			remaining = append(remaining, in)
 		}
 	}
-	p.UpdateInstances(ms, instanceList(rest...))
+	p.UpdateInstances(ms, instanceList(remaining...))
 	for i := range uint64(20) {
 		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server, "one that is not listed any more gets nothing")
 	}
@@ -335,7 +335,7 @@
 	assert.Equal(t, "every server was tried", d.Reason)
 }
 
-func TestModelsAreHeldByTheirServers(t *testing.T) {
+func TestRequestsGoToServersOfTheirModel(t *testing.T) {
 	all := testInstances(4)
 	for i, in := range all {
 		in.Models = []registry.Model{{Name: []string{"m", "n"}[i%2], Revision: 1}}
@@ -377,7 +377,7 @@
 	}
 }
 
-func TestAChangeOfTheListMovesFewKeys(t *testing.T) {
+func TestListChangeMovesFewKeys(t *testing.T) {
 	moved := 0
 	const keys = 200
 	for key := range uint64(keys) {
@@ -391,7 +391,7 @@
 	assert.Less(t, moved, keys/5)
 }
 
-func TestCapBoundsAServersShare(t *testing.T) {
+func TestBoundedLoad(t *testing.T) {
 	p := newTestPicker(1, 10)
 	most := map[string]int{}
 	for i := range uint64(100) {
@@ -402,7 +402,7 @@
 	assert.GreaterOrEqual(t, len(most), 3)
 }
 
-func TestHotKeysSpread(t *testing.T) {
+func TestHotKeyHasALargerSubset(t *testing.T) {
 	p := newTestPicker(1, 10)
 	now := time.Duration(0)
 	for i := range uint64(400) { // one key in two requests
@@ -419,7 +419,7 @@
 	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now+10*time.Minute, hot, 10), "it is forgotten")
 }
 
-func TestKeysAreBounded(t *testing.T) {
+func TestTrackedKeysAreBounded(t *testing.T) {
 	var k keyLoads
 	for i := range uint64(5 * maxKeys) {
 		k.add(time.Duration(i)*ms, i, 10)
@@ -429,7 +429,7 @@
 	assert.Equal(t, time.Duration(-1), k.lastSeen(0))
 }
 
-func TestShortSharedPartsAreNoKey(t *testing.T) {
+func TestShortSharedSegmentsHaveNoAffinity(t *testing.T) {
 	p := newTestPicker(1, 12)
 	used := map[*server]bool{}
 	for i := range uint64(30) {
@@ -442,7 +442,7 @@
 	assert.Greater(t, len(used), 5)
 }
 
-func TestNothingIsRefusedWhereHalfIsFreeAndNothingWaits(t *testing.T) {
+func TestNothingIsRejectedWithFreeCapacity(t *testing.T) {
 	p := newTestPicker(1, 4)
 	r := newTestRequest(1, 2)
 	r.TimeLeft, r.LatencyTarget = ms, ms
@@ -460,7 +460,7 @@
 	}
 }
 
-func TestNoChanceIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutAChanceIsRejected(t *testing.T) {
 	p := newTestPicker(1, 4)
 	reportOverload(p)
 	r := newTestRequest(1, 2)
@@ -474,11 +474,11 @@
 	assert.LessOrEqual(t, d.RetryAfter, 51*ms, "clients wait up to a third of their time")
 }
 
-func TestLessUrgentIsRefusedFirstAndNeverAll(t *testing.T) {
+func TestLessUrgentRequestsAreShedFirst(t *testing.T) {
 	share := func(route *config.Route, late float64, expected bool) float64 {
 		p := newTestPicker(1, 4)
 		reportOverload(p)
-		refused := 0
+		rejected := 0
 		for i := range uint64(1000) {
 			v := p.services["llm"]
 			v.lateness[0] = lateness{decayingMean{late, 0}, decayingMean{late, 0}}
@@ -490,12 +490,12 @@
 			r.Route, r.TimeLeft = route, time.Minute
 			d := p.Pick(0, r)
 			if d.Action == Reject {
-				refused++
+				rejected++
 				continue
 			}
 			d.Attempt.End(0, Cancelled)
 		}
-		return float64(refused) / 1000
+		return float64(rejected) / 1000
 	}
 	assert.Zero(t, share(draftRoute, 0.1, true), "nothing is short")
 	assert.InDelta(t, 0.3, share(draftRoute, 0.3, true), 0.06)
@@ -505,7 +505,7 @@
 	assert.InDelta(t, 0.5, share(urgentRoute, 1, true), 0.06, "those that come late anyway")
 }
 
-func TestPriority(t *testing.T) {
+func TestServerPriority(t *testing.T) {
 	last := -1
 	for u := range priorityClasses {
 		got := serverPriority(u)
@@ -517,7 +517,7 @@
 	assert.Equal(t, 5, serverPriority(1), "what servers take where nothing is said")
 }
 
-func TestColdServersGetLess(t *testing.T) {
+func TestSlowStartServersGetLess(t *testing.T) {
 	p := newTestPicker(1, 0)
 	all := testInstances(4)
 	all[0].WarmUp = 10 * time.Second
@@ -532,28 +532,28 @@
 		}
 		return n
 	}
-	cold := count(0)
-	assert.Less(t, cold, 15)
-	assert.Greater(t, count(11*time.Second), 2*cold+10)
+	duringSlowStart := count(0)
+	assert.Less(t, duringSlowStart, 15)
+	assert.Greater(t, count(11*time.Second), 2*duringSlowStart+10)
 }
 
-func TestNoticesTellOfLongPrompts(t *testing.T) {
-	p, q := newTestPicker(1, 3), newTestPicker(2, 3)
+func TestPrefillNoticesDivertRequests(t *testing.T) {
+	sender, receiver := newTestPicker(1, 3), newTestPicker(2, 3)
 	long := newTestRequest(1, 2)
 	long.Segments[1].Tokens, long.PromptTokens = 30_000, 32_000
-	a := mustForward(t, p, 0, long)
-	n, work := a.PrefillNotice()
-	assert.Equal(t, 32_000, n.UncachedTokens)
+	a := mustForward(t, sender, 0, long)
+	notice, work := a.PrefillNotice()
+	assert.Equal(t, 32_000, notice.UncachedTokens)
 	assert.Greater(t, work, 300*ms)
-	before := mustForward(t, q, 0, newTestRequest(1, 3))
+	before := mustForward(t, receiver, 0, newTestRequest(1, 3))
 	before.End(0, Cancelled)
 	require.Equal(t, a.server.instance.ID, before.server.instance.ID, "they share a key")
-	q.ObserveRemotePrefill(5*ms, 5*ms, &n)
-	assert.NotEqual(t, a.server.instance.ID, mustForward(t, q, 5*ms, newTestRequest(1, 4)).server.instance.ID, "who has to be quick goes elsewhere")
-	assert.Equal(t, 2000, q.servers[n.Instance].inference.CachedTokens(n.Prefixes), "its parts are kept there now")
-	q.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: "unknown"})
-	q.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: n.Instance, Prefixes: make([]Segment, maxNoticePrefixes+1), PromptTokens: 1})
-	assert.Equal(t, 1, q.servers[n.Instance].inference.QueuedPrefills(6*ms))
+	receiver.ObserveRemotePrefill(5*ms, 5*ms, &notice)
+	assert.NotEqual(t, a.server.instance.ID, mustForward(t, receiver, 5*ms, newTestRequest(1, 4)).server.instance.ID, "who has to be quick goes elsewhere")
+	assert.Equal(t, 2000, receiver.servers[notice.Instance].inference.CachedTokens(notice.Prefixes), "its parts are kept there now")
+	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: "unknown"})
+	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: notice.Instance, Prefixes: make([]Segment, maxNoticePrefixes+1), PromptTokens: 1})
+	assert.Equal(t, 1, receiver.servers[notice.Instance].inference.QueuedPrefills(6*ms))
 }
 
 func TestSnapshot(t *testing.T) {
@@ -583,25 +583,25 @@
 	}
 }
 
-// TestAnyHistory plays any order of events: counts hold, nothing goes to a server that is not
+// TestArbitraryHistory plays any order of events: counts hold, nothing goes to a server that is not
 // listed or was tried, and while no server is loaded nothing is refused.
-func TestAnyHistory(t *testing.T) {
+func TestArbitraryHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Options{Zone: "z1", Seed: rapid.Uint64().Draw(t, "seed"), PrefixIndexBytes: 20_000})
 		now, seq := time.Duration(0), uint64(1)
 		listed := map[string]uint64{} // by id, the call-seq
-		var out []*Attempt
+		var attempts []*Attempt
 		var checks []*registry.Instance
-		pass := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms }
+		advance := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms }
 		attempt := func(t *rapid.T) *Attempt {
-			if len(out) == 0 {
+			if len(attempts) == 0 {
 				t.Skip("none")
 			}
-			return out[rapid.IntRange(0, len(out)-1).Draw(t, "attempt")]
+			return attempts[rapid.IntRange(0, len(attempts)-1).Draw(t, "attempt")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
-				pass(t)
+				advance(t)
 				var all []*registry.Instance
 				clear(listed)
 				n := rapid.SampledFrom([]int{0, 1, 3, 10, 90}).Draw(t, "n")
@@ -622,8 +622,8 @@
 			},
 			"conf": func(*rapid.T) { p.UpdateConfig(now, testConfig()) },
 			"place": func(t *rapid.T) {
-				pass(t)
-				r := newTestRequest(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(out)))
+				advance(t)
+				r := newTestRequest(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(attempts)))
 				r.TimeLeft = time.Duration(rapid.IntRange(-10, 5000).Draw(t, "left")) * ms
 				r.Elapsed = time.Duration(rapid.IntRange(0, 1000).Draw(t, "elapsed")) * ms
 				r.Route = rapid.SampledFrom([]*config.Route{urgentRoute, draftRoute, nil}).Draw(t, "route")
@@ -642,16 +642,16 @@
 				}
 				require.Contains(t, listed, d.Instance.ID)
 				require.NotContains(t, r.Tried, d.Instance.ID)
-				out = append(out, d.Attempt)
+				attempts = append(attempts, d.Attempt)
 			},
 			"sent": func(t *rapid.T) { attempt(t).Sent(now) },
 			"head": func(t *rapid.T) {
-				pass(t)
+				advance(t)
 				attempt(t).Headers(now, 200, &Load{Running: rapid.IntRange(0, 9).Draw(t, "run"), Waiting: rapid.IntRange(0, 9).Draw(t, "wait"), Slots: 8})
 			},
-			"event": func(t *rapid.T) { pass(t); attempt(t).Events(now, 1) },
+			"event": func(t *rapid.T) { advance(t); attempt(t).Events(now, 1) },
 			"end": func(t *rapid.T) {
-				pass(t)
+				advance(t)
 				a := attempt(t)
 				end := Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "end"))
 				if !a.ended && end == Misdirected && listed[a.server.instance.ID] <= a.instanceSeq {
@@ -660,7 +660,7 @@
 				a.End(now, end)
 			},
 			"checks": func(t *rapid.T) {
-				pass(t)
+				advance(t)
 				checks = append(checks, p.DueHealthChecks(now)...)
 				require.Greater(t, p.HealthCheckInterval(), time.Duration(0))
 			},
@@ -683,7 +683,7 @@
 						checking++
 					}
 				}
-				for _, a := range out {
+				for _, a := range attempts {
 					if !a.ended {
 						inflight++
 					}
@@ -702,7 +702,7 @@
 	})
 }
 
-func BenchmarkPlace(b *testing.B) {
+func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			p := newTestPicker(1, n)
--- a/internal/fleet/balancer/sim_test.go
+++ b/internal/fleet/balancer/sim_test.go
@@ -196,32 +196,32 @@
 		}
 		s.waiting = s.waiting[1:]
 		s.reservedTokens += j.prompt + j.outputTokens
-		for _, p := range j.prefixes {
-			if _, ok := s.cachedAt[p.ID]; !ok {
+		for _, prefix := range j.prefixes {
+			if _, ok := s.cachedAt[prefix.ID]; !ok {
 				break
 			}
-			j.cached += p.Tokens
+			j.cached += prefix.Tokens
 		}
 		j.cached = min(j.cached, j.prompt-1)
 		j.remaining = j.prompt - j.cached
 		shared := 0
-		for _, p := range j.prefixes[:len(j.prefixes)-1] {
-			shared += p.Tokens
-			if _, ok := s.cachedAt[p.ID]; !ok {
-				if s.sim.computedPrefixes[p.ID] {
-					s.sim.result.recomputedTokens += float64(p.Tokens)
+		for _, prefix := range j.prefixes[:len(j.prefixes)-1] {
+			shared += prefix.Tokens
+			if _, ok := s.cachedAt[prefix.ID]; !ok {
+				if s.sim.computedPrefixes[prefix.ID] {
+					s.sim.result.recomputedTokens += float64(prefix.Tokens)
 				}
 			}
-			s.sim.computedPrefixes[p.ID] = true
+			s.sim.computedPrefixes[prefix.ID] = true
 		}
 		s.sim.result.sharedTokens += float64(shared)
 		s.sim.result.promptTokens += float64(j.prompt)
-		for _, p := range j.prefixes {
-			if _, ok := s.cachedAt[p.ID]; !ok {
-				s.cachedTokens += p.Tokens
-				s.prefixTokens[p.ID] = p.Tokens
+		for _, prefix := range j.prefixes {
+			if _, ok := s.cachedAt[prefix.ID]; !ok {
+				s.cachedTokens += prefix.Tokens
+				s.prefixTokens[prefix.ID] = prefix.Tokens
 			}
-			s.cachedAt[p.ID] = s.sim.now
+			s.cachedAt[prefix.ID] = s.sim.now
 		}
 		for s.cachedTokens+s.reservedTokens > s.sim.site.cacheTokens && len(s.cachedAt) > 0 {
 			var oldest uint64
@@ -246,10 +246,10 @@
 	}
 	s.stepping = true
 	site := s.sim.site
-	budget, ms := 2048, 0.0
+	budget, durationMs := 2048, 0.0
 	running := 0
 	var finished []*simJob
-	part := budget
+	chunkTokens := budget
 	if site.interleavedPrefill {
 		reading := 0
 		for _, j := range s.batch {
@@ -257,17 +257,17 @@
 				reading++
 			}
 		}
-		part = budget / max(reading, 1)
+		chunkTokens = budget / max(reading, 1)
 	}
 	for _, j := range s.batch {
 		if j.started {
 			running++
 			continue
 		}
-		if n := min(budget, j.remaining, part); n > 0 {
+		if n := min(budget, j.remaining, chunkTokens); n > 0 {
 			budget -= n
 			at := j.prompt - j.remaining
-			ms += float64(n)*site.prefillMs/1e3 + float64(n)*(float64(at)+float64(n)/2)/1e6*site.attentionMs
+			durationMs += float64(n)*site.prefillMs/1e3 + float64(n)*(float64(at)+float64(n)/2)/1e6*site.attentionMs
 			s.sim.result.prefillMs[s.index] += float64(n) * site.prefillMs / 1e3
 			j.remaining -= n
 			if j.remaining == 0 {
@@ -275,9 +275,9 @@
 			}
 		}
 	}
-	ms += site.stepMs + site.streamMs*float64(running)
-	ms *= s.slowdown
-	s.sim.after(duration(ms), func() {
+	durationMs += site.stepMs + site.streamMs*float64(running)
+	durationMs *= s.slowdown
+	s.sim.after(duration(durationMs), func() {
 		for _, j := range finished {
 			j.started = true
 			j.emitted = 1
@@ -301,16 +301,16 @@
 }
 
 func simulate(site simSite) *simResult {
-	m := &sim{site: &site, rng: rand.New(rand.NewPCG(site.seed, 77)), computedPrefixes: map[uint64]bool{}}
+	s := &sim{site: &site, rng: rand.New(rand.NewPCG(site.seed, 77)), computedPrefixes: map[uint64]bool{}}
 	list := &registry.List{Version: 1, ByService: map[string][]*registry.Instance{}, ByID: map[string]*registry.Instance{}}
-	m.result.prefillMs = make([]float64, site.servers)
+	s.result.prefillMs = make([]float64, site.servers)
 	for i := range site.servers {
 		slow := 1.0
 		if x := site.slowdown[i]; x > 0 {
 			slow = x
 		}
 		zone := fmt.Sprintf("z%d", i%site.zones)
-		m.servers = append(m.servers, &simServer{sim: m, index: i, zone: zone, cachedAt: map[uint64]time.Duration{},
+		s.servers = append(s.servers, &simServer{sim: s, index: i, zone: zone, cachedAt: map[uint64]time.Duration{},
 			prefixTokens: map[uint64]int{}, slowdown: slow})
 		in := &registry.Instance{ID: fmt.Sprintf("i-%04d-%d", i, site.seed), Service: "llm", Zone: zone, Slots: site.slots, Seq: 1}
 		list.ByService["llm"] = append(list.ByService["llm"], in)
@@ -326,32 +326,32 @@
 		p := New(Options{Zone: fmt.Sprintf("z%d", i%site.zones), Seed: site.seed*1000 + uint64(i)})
 		p.UpdateConfig(0, doc)
 		p.UpdateInstances(0, list)
-		m.agents = append(m.agents, p)
+		s.agents = append(s.agents, p)
 		var poll func()
 		poll = func() {
-			for _, in := range p.DueHealthChecks(m.now) {
+			for _, in := range p.DueHealthChecks(s.now) {
 				ok := !site.unresponsive[index[in.ID]]
 				wait := time.Millisecond
 				if !ok {
 					wait = 300 * time.Millisecond
 				}
-				m.after(wait, func() { p.HealthCheckDone(m.now, in.ID, ok, nil) })
+				s.after(wait, func() { p.HealthCheckDone(s.now, in.ID, ok, nil) })
 			}
-			m.after(p.HealthCheckInterval(), poll)
+			s.after(p.HealthCheckInterval(), poll)
 		}
-		m.after(0, poll)
+		s.after(0, poll)
 	}
 	for k := range site.traffic {
-		m.traffic(k, list, index)
+		s.traffic(k, list, index)
 	}
-	for len(m.queue) > 0 {
-		e := heap.Pop(&m.queue).(simEvent)
-		if m.now = e.at; m.now > site.duration+20*time.Second {
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(simEvent)
+		if s.now = e.at; s.now > site.duration+20*time.Second {
 			break
 		}
 		e.run()
 	}
-	return &m.result
+	return &s.result
 }
 
 func (m *sim) traffic(k int, list *registry.List, index map[string]int) {
@@ -374,25 +374,25 @@
 	}
 	count := uint64(0)
 	request := func() {
-		thing, _ := slices.BinarySearch(weights, m.rng.Float64()*sum)
+		variant, _ := slices.BinarySearch(weights, m.rng.Float64()*sum)
 		if k == 0 && m.rng.Float64() < site.hotShare {
-			thing = 0
+			variant = 0
 		}
 		count++
-		var parts []Segment
+		var segments []Segment
 		prompt := 0
 		for i := range kind.sharedSegments {
-			n := thing % kind.sharedSegments[i].variants
-			parts = append(parts, Segment{ID: uint64(k+1)<<40 | uint64(i+1)<<32 | uint64(n), Tokens: sizes[i][n]})
+			n := variant % kind.sharedSegments[i].variants
+			segments = append(segments, Segment{ID: uint64(k+1)<<40 | uint64(i+1)<<32 | uint64(n), Tokens: sizes[i][n]})
 			prompt += sizes[i][n]
 		}
-		own := min(max(int(kind.ownTokens*math.Exp(kind.ownSpread*m.rng.NormFloat64()-kind.ownSpread*kind.ownSpread/2)), 8), kind.maxOwnTokens)
-		parts = append(parts, Segment{ID: uint64(k+1)<<60 | count, Tokens: own})
-		prompt += own
-		out := max(int(kind.events*math.Exp(kind.eventsSpread*m.rng.NormFloat64()-kind.eventsSpread*kind.eventsSpread/2)), 1) * site.tokensPerEvent
+		ownTokens := min(max(int(kind.ownTokens*math.Exp(kind.ownSpread*m.rng.NormFloat64()-kind.ownSpread*kind.ownSpread/2)), 8), kind.maxOwnTokens)
+		segments = append(segments, Segment{ID: uint64(k+1)<<60 | count, Tokens: ownTokens})
+		prompt += ownTokens
+		outputTokens := max(int(kind.events*math.Exp(kind.eventsSpread*m.rng.NormFloat64()-kind.eventsSpread*kind.eventsSpread/2)), 1) * site.tokensPerEvent
 		m.result.offered[k]++
 		p := m.agents[m.rng.IntN(len(m.agents))]
-		m.attempt(k, route, p, parts, prompt, out, m.now, nil, index)
+		m.attempt(k, route, p, segments, prompt, outputTokens, m.now, nil, index)
 	}
 	var next func()
 	next = func() {
@@ -412,21 +412,21 @@
 	m.after(0, next)
 }
 
-func (m *sim) attempt(k int, route *config.Route, p *Picker, parts []Segment, prompt, out int, sent time.Duration, tried []string, index map[string]int) {
+func (m *sim) attempt(k int, route *config.Route, p *Picker, segments []Segment, prompt, outputTokens int, readAt time.Duration, tried []string, index map[string]int) {
 	kind := &m.site.traffic[k]
-	at := time.Now()
-	d := p.Pick(m.now, &Request{Route: route, Service: "llm", Model: "m", Segments: parts, PromptTokens: prompt, MaxOutputTokens: out,
-		TimeLeft: kind.deadline - (m.now - sent), LatencyTarget: kind.latencyTarget, Elapsed: m.now - sent, Tried: tried})
-	m.result.pickTime += time.Since(at)
+	startedAt := time.Now()
+	d := p.Pick(m.now, &Request{Route: route, Service: "llm", Model: "m", Segments: segments, PromptTokens: prompt, MaxOutputTokens: outputTokens,
+		TimeLeft: kind.deadline - (m.now - readAt), LatencyTarget: kind.latencyTarget, Elapsed: m.now - readAt, Tried: tried})
+	m.result.pickTime += time.Since(startedAt)
 	if d.Action == Reject {
 		m.result.rejected[k]++
 		return
 	}
 	s := m.servers[index[d.Instance.ID]]
 	m.result.sent++
-	net := 200 * time.Microsecond
+	networkDelay := 200 * time.Microsecond
 	if s.zone != p.options.Zone {
-		net = 500 * time.Microsecond
+		networkDelay = 500 * time.Microsecond
 		m.result.crossZone++
 	}
 	a := d.Attempt
@@ -442,24 +442,24 @@
 			}
 		})
 	}
-	again := func() {
+	retry := func() {
 		if len(tried)+1 < kind.maxAttempts {
-			m.attempt(k, route, p, parts, prompt, out, sent, append(slices.Clone(tried), d.Instance.ID), index)
+			m.attempt(k, route, p, segments, prompt, outputTokens, readAt, append(slices.Clone(tried), d.Instance.ID), index)
 		} else {
 			m.result.failed[k]++
 		}
 	}
 	if m.site.unresponsive[s.index] {
 		m.result.sentToUnresponsive++
-		m.after(time.Second, func() { a.End(m.now, Timeout); again() })
+		m.after(time.Second, func() { a.End(m.now, Timeout); retry() })
 		return
 	}
-	job := &simJob{prefixes: inference.AppendPrefixes(nil, "m", parts), prompt: prompt, outputTokens: out, priority: d.Priority}
+	job := &simJob{prefixes: inference.AppendPrefixes(nil, "m", segments), prompt: prompt, outputTokens: outputTokens, priority: d.Priority}
 	job.first = func(load Load) {
-		m.after(net, func() {
+		m.after(networkDelay, func() {
 			a.Headers(m.now, 200, &load)
 			a.Events(m.now, 1)
-			first := m.now - sent + 6*time.Millisecond
+			first := m.now - readAt + 6*time.Millisecond
 			m.result.firstTokenMs[k] = append(m.result.firstTokenMs[k], millis(first))
 			late := first > kind.latencyTarget
 			if late {
@@ -468,7 +468,7 @@
 		})
 	}
 	job.done = func(load Load, events int) {
-		m.after(net, func() {
+		m.after(networkDelay, func() {
 			m.result.served[k]++
 			if events > 1 {
 				a.Events(m.now, events-1)
@@ -477,21 +477,21 @@
 		})
 	}
 	job.reject = func() {
-		m.after(net, func() {
+		m.after(networkDelay, func() {
 			a.End(m.now, Rejected)
-			again()
+			retry()
 		})
 	}
-	m.after(net, func() { s.arrive(job) })
+	m.after(networkDelay, func() { s.arrive(job) })
 }
 
 // mixedTraffic are long drafts and short urgent answers.
-func mixedTraffic(long, short, events, few float64, keys [2]int, aims [2]time.Duration) []simTraffic {
+func mixedTraffic(longRate, shortRate, longEvents, shortEvents float64, keys [2]int, targets [2]time.Duration) []simTraffic {
 	return []simTraffic{
-		{name: "long", rate: long, latencyTarget: aims[0], deadline: 15 * time.Second, priority: 1, maxAttempts: 1, zipf: 0.3,
-			sharedSegments: []simSegment{{512, 1, 0.4}, {4870, keys[0], 0.7}}, ownTokens: 6610, ownSpread: 1.4, maxOwnTokens: 54600, events: events, eventsSpread: 0.44},
-		{name: "short", rate: short, latencyTarget: aims[1], deadline: 3 * time.Second, priority: 0, maxAttempts: 2, zipf: 0.3,
-			sharedSegments: []simSegment{{341, 40, 0.4}, {227, keys[1], 0.7}}, ownTokens: 1800, ownSpread: 1.3, maxOwnTokens: 6870, events: few, eventsSpread: 1.4},
+		{name: "long", rate: longRate, latencyTarget: targets[0], deadline: 15 * time.Second, priority: 1, maxAttempts: 1, zipf: 0.3,
+			sharedSegments: []simSegment{{512, 1, 0.4}, {4870, keys[0], 0.7}}, ownTokens: 6610, ownSpread: 1.4, maxOwnTokens: 54600, events: longEvents, eventsSpread: 0.44},
+		{name: "short", rate: shortRate, latencyTarget: targets[1], deadline: 3 * time.Second, priority: 0, maxAttempts: 2, zipf: 0.3,
+			sharedSegments: []simSegment{{341, 40, 0.4}, {227, keys[1], 0.7}}, ownTokens: 1800, ownSpread: 1.3, maxOwnTokens: 6870, events: shortEvents, eventsSpread: 1.4},
 	}
 }
 
--- a/internal/fleet/inference/bench_test.go
+++ b/internal/fleet/inference/bench_test.go
@@ -8,13 +8,13 @@
 )
 
 // serversWithCachedPrefixes is so many servers of which parts prompt parts each are remembered.
-func serversWithCachedPrefixes(servers, parts int) []*Server {
+func serversWithCachedPrefixes(servers, prefixes int) []*Server {
 	speeds := NewLatencyModel()
 	all := make([]*Server, servers)
 	for i := range all {
-		s := NewServer(Capacity{Slots: 64, CacheTokens: 600_000, MaxPrefixes: max(parts, 1)}, speeds)
-		for j := range parts {
-			r := s.Begin(0, []Segment{{Mix64(uint64(i*parts + j)), 200}}, 200, 10)
+		s := NewServer(Capacity{Slots: 64, CacheTokens: 600_000, MaxPrefixes: max(prefixes, 1)}, speeds)
+		for j := range prefixes {
+			r := s.Begin(0, []Segment{{Mix64(uint64(i*prefixes + j)), 200}}, 200, 10)
 			r.Events(ms, 1)
 			r.End(ms, true)
 		}
@@ -28,13 +28,13 @@
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
 	bare := heapsize.Of(func() any { return serversWithCachedPrefixes(servers, 0) })
-	for _, parts := range []int{16, 102, 1000} {
-		b.Run(fmt.Sprintf("parts=%d", parts), func(b *testing.B) {
+	for _, prefixes := range []int{16, 102, 1000} {
+		b.Run(fmt.Sprintf("parts=%d", prefixes), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heapsize.Of(func() any { return serversWithCachedPrefixes(servers, parts) })
+				bytes = heapsize.Of(func() any { return serversWithCachedPrefixes(servers, prefixes) })
 			}
-			b.ReportMetric(float64(bytes-bare)/servers/float64(parts), "B/part")
+			b.ReportMetric(float64(bytes-bare)/servers/float64(prefixes), "B/part")
 			b.ReportMetric(float64(bare)/servers, "B/server")
 		})
 	}
--- a/internal/fleet/inference/server_test.go
+++ b/internal/fleet/inference/server_test.go
@@ -62,9 +62,9 @@
 	s.Begin(0, prefixes(Segment{1, 3000}), 3000, 10)
 	behind, _ := s.EstimateFirstToken(0, nil, 1000, 10)
 	assert.InDelta(t, 3*priorPrefillMs, millis(behind-empty), 2, "a prompt waits for those before it")
-	kept, uncached := s.EstimateFirstToken(0, prefixes(Segment{1, 3000}, Segment{2, 1000}), 4000, 10)
+	cached, uncached := s.EstimateFirstToken(0, prefixes(Segment{1, 3000}, Segment{2, 1000}), 4000, 10)
 	assert.Equal(t, 1000, uncached)
-	assert.InDelta(t, millis(behind), millis(kept), 2, "what is kept takes no time but its pairs")
+	assert.InDelta(t, millis(behind), millis(cached), 2, "what is kept takes no time but its pairs")
 	later, _ := s.EstimateFirstToken(30*ms, nil, 1000, 10)
 	assert.InDelta(t, 30, millis(behind-later), 1, "which are read meanwhile")
 	large, _ := s.EstimateFirstToken(30*ms, nil, 20_000, 10)
@@ -83,15 +83,15 @@
 	s := NewServer(testCapacity, NewLatencyModel())
 	base, _ := s.EstimateFirstToken(0, nil, 100, 10)
 	s.ObserveLoad(0, Load{Running: 3, Waiting: 2, Slots: 16})
-	told, _ := s.EstimateFirstToken(0, nil, 100, 10)
+	reported, _ := s.EstimateFirstToken(0, nil, 100, 10)
 	aged, _ := s.EstimateFirstToken(time.Second, nil, 100, 10)
-	assert.Greater(t, told, base+50*ms)
+	assert.Greater(t, reported, base+50*ms)
 	assert.Less(t, aged, base+30*ms)
 	assert.Equal(t, 16, s.Slots(), "the server's own word outranks the configuration")
 	assert.Equal(t, 3, s.Running(0))
 	s.ObserveLoad(0, Load{Running: 16, Waiting: 40, Slots: 16})
 	full, _ := s.EstimateFirstToken(0, nil, 100, 10)
-	assert.Greater(t, full, told+time.Second, "all places are taken, and many wait")
+	assert.Greater(t, full, reported+time.Second, "all places are taken, and many wait")
 	before := s.load
 	s.ObserveLoad(0, Load{Running: -1})
 	assert.Equal(t, before, s.load)
@@ -101,13 +101,13 @@
 	s := NewServer(testCapacity, NewLatencyModel())
 	base, _ := s.EstimateFirstToken(0, nil, 100, 10)
 	s.BeginRemote(100*ms, 40*ms, prefixes(Segment{7, 2000}), 8000, 6000)
-	held, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
-	assert.InDelta(t, 6*priorPrefillMs-40, millis(held-base), 10, "less what it was read since it was sent")
+	delayed, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
+	assert.InDelta(t, 6*priorPrefillMs-40, millis(delayed-base), 10, "less what it was read since it was sent")
 	assert.Equal(t, 2000, s.CachedTokens(prefixes(Segment{7, 2000})), "its parts are kept there now")
 	s.BeginRemote(100*ms, -time.Hour, nil, -5, 1<<40)
 	s.BeginRemote(100*ms, time.Hour, nil, 100, -1)
-	odd, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
-	assert.InDelta(t, millis(held), millis(odd), 1, "nonsense holds up nobody")
+	afterInvalid, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
+	assert.InDelta(t, millis(delayed), millis(afterInvalid), 1, "nonsense holds up nobody")
 }
 
 // TestLatencyModelIsLearned has a server of other speeds than the prior, which reads in turn.
@@ -116,11 +116,11 @@
 	s := NewServer(Capacity{Slots: 64, CacheTokens: 1 << 30, TokensPerEvent: 5, MaxPrefixes: 1000}, speeds)
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Duration(0)
-	const fixed, read, pairs, token, slot = 6.0, 5.0, 0.6, 9.0, 0.2
+	const fixed, prefill, pairs, token, slot = 6.0, 5.0, 0.6, 9.0, 0.2
 	for i := range 800 {
 		n := int(1500 * math.Exp(rng.NormFloat64()))
 		r := s.Begin(now, prefixes(Segment{uint64(i), n}), n, 100)
-		now += duration(fixed + read*float64(n)/1e3 + pairs*float64(n)*float64(n)/2e6)
+		now += duration(fixed + prefill*float64(n)/1e3 + pairs*float64(n)*float64(n)/2e6)
 		r.Events(now, 1)
 		others := rng.IntN(20)
 		r.decodeBatch = others
@@ -129,7 +129,7 @@
 		r.End(now, true)
 	}
 	for _, n := range []int{100, 2000, 20_000} {
-		want := fixed + read*float64(n)/1e3 + pairs*float64(n)*float64(n)/2e6
+		want := fixed + prefill*float64(n)/1e3 + pairs*float64(n)*float64(n)/2e6
 		got, _ := s.EstimateFirstToken(now, nil, n, 10)
 		assert.InDelta(t, want, millis(got), 2+0.1*want, "%d tokens", n)
 	}
@@ -281,25 +281,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewServer(testCapacity, NewLatencyModel())
 		now := time.Duration(0)
-		var runs []*Sequence
-		pass := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * ms }
+		var sequences []*Sequence
+		advance := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * ms }
 		pick := func(t *rapid.T) *Sequence {
-			if len(runs) == 0 {
+			if len(sequences) == 0 {
 				t.Skip("none")
 			}
-			return rapid.SampledFrom(runs).Draw(t, "run")
+			return rapid.SampledFrom(sequences).Draw(t, "run")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				n := rapid.IntRange(0, 12_000).Draw(t, "tokens")
-				x := prefixes(Segment{uint64(rapid.IntRange(0, 9).Draw(t, "part")), n / 2}, Segment{uint64(len(runs)) + 100, n - n/2})
-				runs = append(runs, s.Begin(now, x, n, rapid.IntRange(0, 500).Draw(t, "out")))
+				x := prefixes(Segment{uint64(rapid.IntRange(0, 9).Draw(t, "part")), n / 2}, Segment{uint64(len(sequences)) + 100, n - n/2})
+				sequences = append(sequences, s.Begin(now, x, n, rapid.IntRange(0, 500).Draw(t, "out")))
 			},
-			"sent":   func(t *rapid.T) { pass(t); pick(t).Sent(now) },
-			"events": func(t *rapid.T) { pass(t); pick(t).Events(now, rapid.IntRange(-1, 30).Draw(t, "n")) },
-			"end":    func(t *rapid.T) { pass(t); pick(t).End(now, rapid.Bool().Draw(t, "ran")) },
+			"sent":   func(t *rapid.T) { advance(t); pick(t).Sent(now) },
+			"events": func(t *rapid.T) { advance(t); pick(t).Events(now, rapid.IntRange(-1, 30).Draw(t, "n")) },
+			"end":    func(t *rapid.T) { advance(t); pick(t).End(now, rapid.Bool().Draw(t, "ran")) },
 			"heard": func(t *rapid.T) {
-				pass(t)
+				advance(t)
 				s.ObserveLoad(now, Load{rapid.IntRange(-1, 20).Draw(t, "run"), rapid.IntRange(-1, 50).Draw(t, "wait"), rapid.IntRange(-1, 20).Draw(t, "slots")})
 			},
 			"foreign": func(t *rapid.T) {
@@ -312,7 +312,7 @@
 				require.Equal(t, 1000, uncached)
 			},
 		})
-		for _, r := range runs {
+		for _, r := range sequences {
 			r.End(now, true)
 		}
 		require.Zero(t, s.reservedTokens)
--- a/internal/fleet/rollout/bench_test.go
+++ b/internal/fleet/rollout/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // What the holder spends a second at the full size: 850 servers of which 24 move, 360 agents.
-func BenchmarkStep(b *testing.B) {
+func BenchmarkReconcile(b *testing.B) {
 	sp := defaultSpec()
 	sp.Service, sp.Model, sp.From, sp.To, sp.Pace.AtOnce = "s", "m", 1, 2, 24
 	rec, err := (&Record{}).Start(&sp)
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -14,118 +14,118 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// makeup is what a fleet is made of. Rates are sampled ones: one of scale requests is played, of one of
+// fleetConfig is what a fleet is made of. Rates are sampled ones: one of scale requests is played, of one of
 // scale prompts, and servers keep and read as many fewer.
-type makeup struct {
-	zones    []string // "region/zone"
-	servers  int
-	agents   int
-	rate     float64 // requests a second, as played
-	prompts  int     // shared prompts, as played
-	keep     int     // of them that a server keeps
-	readMs   float64 // to read one
-	firstMs  float64 // a first token without that
-	workMs   float64 // a request takes of its server, as played
-	stream   time.Duration
-	load     time.Duration // a new incarnation takes to come up
-	seed     uint64
-	scale    float64 // one of so many requests and prompts is played; 0: all
-	newSlow  float64 // times slower the new revision is
-	newFails float64 // part of its requests that fail
-	spec     func(*Spec)
+type fleetConfig struct {
+	zones          []string // "region/zone"
+	servers        int
+	agents         int
+	rate           float64 // requests a second, as played
+	prompts        int     // shared prompts, as played
+	cachedPrompts  int     // of them that a server keeps
+	prefillMs      float64 // to read one
+	firstTokenMs   float64 // a first token without that
+	requestMs      float64 // a request takes of its server, as played
+	streamTime     time.Duration
+	startupTime    time.Duration // a new incarnation takes to come up
+	seed           uint64
+	sampling       float64 // one of so many requests and prompts is played; 0: all
+	newSlowdown    float64 // times slower the new revision is
+	newFailureRate float64 // part of its requests that fail
+	spec           func(*Spec)
 }
 
 // fleet is the machine, the rules, the trackers and meters of agents and the folds of a holder, with
 // servers, a platform and traffic in simulated time, a second at a time.
 type fleet struct {
-	t       *testing.T
-	m       makeup
-	rng     *rand.Rand
-	zipf    *rand.Zipf
-	now     time.Duration
-	rec     *Record
-	rules   *RoutingRules
-	machine *Controller
-	watch   *ReportAggregator
-	holding bool
-	servers []*simServer
-	byID    map[string]*simServer
-	agents  []*simAgent
-	ends    map[time.Duration][]running
-	burst   float64
-	started time.Duration
-	nextID  int
-	dead    map[string]bool // zones
+	t          *testing.T
+	config     fleetConfig
+	rng        *rand.Rand
+	zipf       *rand.Zipf
+	now        time.Duration
+	record     *Record
+	rules      *RoutingRules
+	controller *Controller
+	reports    *ReportAggregator
+	hasHolder  bool
+	servers    []*simServer
+	byID       map[string]*simServer
+	agents     []*simAgent
+	endsAt     map[time.Duration][]runningRequest
+	loadFactor float64
+	started    time.Duration
+	nextID     int
+	dead       map[string]bool // zones
 
 	// What came of it.
-	requests, late, failed, reads, newReads, unserved int
-	writes, recordBytes, mostOut, flips, fed          int
-	rest                                              string
-	leastServing                                      float64
-	sides                                             map[uint64]bool // of sessions: true is new
-	short, looked                                     int             // live prompts with too few replicas when a server was closed, of so many
-	asked                                             map[uint64][]sent
-	mostReads, readsAt                                int // in ten seconds
-	closed                                            map[string]bool
-	turnedAt                                          time.Duration
+	requests, late, failed, prefills, newPrefills, unserved           int
+	writes, recordBytes, maxTransitions, revisionChanges, syncedBytes int
+	lastStablePart                                                    string
+	minServingShare                                                   float64
+	sessionRevisions                                                  map[uint64]bool // of sessions: true is new
+	shortPrompts, checkedPrompts                                      int             // live prompts with too few replicas when a server was closed, of so many
+	requestsByPrompt                                                  map[uint64][]sentRequest
+	maxPrefills, prefillsAtWindow                                     int // in ten seconds
+	checkedServers                                                    map[string]bool
+	rolledBackAt                                                      time.Duration
 }
 
-type sent struct {
-	at time.Duration
-	to *simServer
+type sentRequest struct {
+	at     time.Duration
+	server *simServer
 }
 
 type simServer struct {
 	Server
-	cache   map[uint64]uint64 // prompt to its last use
-	uses    uint64
-	work    float64 // ms in this second
-	running int
-	hash    uint64
-	upAt    time.Duration
-	goneAt  time.Duration
+	cache     map[uint64]uint64 // prompt to its last use
+	useCount  uint64
+	workMs    float64 // ms in this second
+	running   int
+	hash      uint64
+	readyAt   time.Duration
+	removedAt time.Duration
 }
 
 type simAgent struct {
-	id       string
-	region   string
-	rules    *RoutingRules
-	tracker  *SendTracker
-	meter    *SampleRecorder
-	sessions *SessionAffinity
-	filler   *WarmupLimiter
-	held     map[string]int
-	seq      uint64
-	cut      bool
-	member   bool
-}
-
-type running struct {
-	a      *simAgent
-	s      *simServer
+	id          string
+	region      string
+	rules       *RoutingRules
+	tracker     *SendTracker
+	meter       *SampleRecorder
+	sessions    *SessionAffinity
+	filler      *WarmupLimiter
+	inFlight    map[string]int
+	seq         uint64
+	partitioned bool
+	member      bool
+}
+
+type runningRequest struct {
+	agent  *simAgent
+	server *simServer
 	sample Sample
 	isNew  bool
 }
 
-func newFleet(t *testing.T, m makeup) *fleet {
-	f := &fleet{t: t, m: m, rng: rand.New(rand.NewPCG(m.seed, 7)), now: time.Hour, burst: 1, byID: map[string]*simServer{},
-		ends: map[time.Duration][]running{}, dead: map[string]bool{}, leastServing: 1, holding: true,
-		asked: map[uint64][]sent{}, closed: map[string]bool{},
-		sides: map[uint64]bool{}}
-	f.zipf = rand.NewZipf(f.rng, 1.1, 20, uint64(m.prompts-1))
-	for i := range m.servers {
-		f.serve(i, 1)
-	}
-	for i := range m.agents {
-		region, _, _ := cut(m.zones[i%len(m.zones)])
+func newFleet(t *testing.T, config fleetConfig) *fleet {
+	f := &fleet{t: t, config: config, rng: rand.New(rand.NewPCG(config.seed, 7)), now: time.Hour, loadFactor: 1, byID: map[string]*simServer{},
+		endsAt: map[time.Duration][]runningRequest{}, dead: map[string]bool{}, minServingShare: 1, hasHolder: true,
+		requestsByPrompt: map[uint64][]sentRequest{}, checkedServers: map[string]bool{},
+		sessionRevisions: map[uint64]bool{}}
+	f.zipf = rand.NewZipf(f.rng, 1.1, 20, uint64(config.prompts-1))
+	for i := range config.servers {
+		f.addServer(i, 1)
+	}
+	for i := range config.agents {
+		region, _, _ := splitZone(config.zones[i%len(config.zones)])
 		f.agents = append(f.agents, &simAgent{id: fmt.Sprintf("a%d", i), region: region, tracker: NewSendTracker(), meter: NewSampleRecorder(),
-			sessions: &SessionAffinity{}, filler: NewWarmupLimiter(), held: map[string]int{}, member: true, rules: (&Record{}).Rules()})
+			sessions: &SessionAffinity{}, filler: NewWarmupLimiter(), inFlight: map[string]int{}, member: true, rules: (&Record{}).Rules()})
 	}
-	f.rec = &Record{}
+	f.record = &Record{}
 	return f
 }
 
-func cut(zone string) (region, name string, ok bool) {
+func splitZone(zone string) (region, name string, ok bool) {
 	for i := range zone {
 		if zone[i] == '/' {
 			return zone[:i], zone, true
@@ -134,8 +134,8 @@
 	return zone, zone, false
 }
 
-func (f *fleet) serve(i, revision int) *simServer {
-	region, zone, _ := cut(f.m.zones[i%len(f.m.zones)])
+func (f *fleet) addServer(i, revision int) *simServer {
+	region, zone, _ := splitZone(f.config.zones[i%len(f.config.zones)])
 	f.nextID++
 	s := &simServer{Server: Server{ID: fmt.Sprintf("s%04d-%d", i, f.nextID), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: zone, Region: region,
 		Revision: revision, Capacity: 10, Healthy: true}, cache: map[uint64]uint64{}}
@@ -148,48 +148,48 @@
 func (f *fleet) start(change ...func(*Spec)) {
 	spec := defaultSpec()
 	spec.Service, spec.Model, spec.From, spec.To = "s", "m", 1, 2
-	if f.m.spec != nil {
-		f.m.spec(&spec)
+	if f.config.spec != nil {
+		f.config.spec(&spec)
 	}
 	for _, c := range change {
 		c(&spec)
 	}
 	require.Empty(f.t, spec.validationErrors())
-	rec, err := f.rec.Start(&spec)
+	rec, err := f.record.Start(&spec)
 	require.NoError(f.t, err)
-	f.keep(rec)
-	f.takeOver()
-	f.started, f.mostReads, f.readsAt = f.now, 0, f.reads
+	f.commit(rec)
+	f.replaceHolder()
+	f.started, f.maxPrefills, f.prefillsAtWindow = f.now, 0, f.prefills
 }
 
-// takeOver is another holder, which knows the record and nothing else.
-func (f *fleet) takeOver() {
-	f.machine, f.watch = NewController(), NewReportAggregator(f.rec)
+// replaceHolder is another holder, which knows the record and nothing else.
+func (f *fleet) replaceHolder() {
+	f.controller, f.reports = NewController(), NewReportAggregator(f.record)
 }
 
-func (f *fleet) keep(rec *Record) {
-	require.Equal(f.t, f.rec.Version+1, rec.Version)
+func (f *fleet) commit(rec *Record) {
+	require.Equal(f.t, f.record.Version+1, rec.Version)
 	require.NoError(f.t, rec.Validate())
 	raw, err := rec.Encode()
 	require.NoError(f.t, err)
 	back, err := Decode(raw)
 	require.NoError(f.t, err)
-	f.rec = back
+	f.record = back
 	f.writes++
 	moving, rest, err := rec.Split()
 	require.NoError(f.t, err)
-	f.fed += len(moving)
-	if string(rest) != f.rest {
-		f.rest = string(rest)
-		f.fed += len(rest)
+	f.syncedBytes += len(moving)
+	if string(rest) != f.lastStablePart {
+		f.lastStablePart = string(rest)
+		f.syncedBytes += len(rest)
 	}
 	f.recordBytes = max(f.recordBytes, len(raw))
 }
 
-func (f *fleet) facts() *Observation {
-	facts := &Observation{Reports: f.watch}
+func (f *fleet) observation() *Observation {
+	facts := &Observation{Reports: f.reports}
 	for _, s := range f.servers {
-		if s.State != registry.Deregistered && s.upAt <= f.now {
+		if s.State != registry.Deregistered && s.readyAt <= f.now {
 			x := s.Server
 			x.InFlight = s.running
 			facts.Servers = append(facts.Servers, x)
@@ -201,88 +201,88 @@
 			members = append(members, a.id)
 		}
 	}
-	facts.Agents = f.watch.Agents(members)
+	facts.Agents = f.reports.Agents(members)
 	return facts
 }
 
-// compiled is the newest record's rules, which all agents share here.
-func (f *fleet) compiled() *RoutingRules {
-	if f.rules == nil || f.rules.Version != f.rec.Version {
-		f.rules = f.rec.Rules()
+// currentRules is the newest record's rules, which all agents share here.
+func (f *fleet) currentRules() *RoutingRules {
+	if f.rules == nil || f.rules.Version != f.record.Version {
+		f.rules = f.record.Rules()
 	}
 	return f.rules
 }
 
-// second plays one second.
-func (f *fleet) second() {
+// playSecond plays one second.
+func (f *fleet) playSecond() {
 	f.now += time.Second
-	if f.rec.Active() {
+	if f.record.Active() {
 		for _, a := range f.agents {
-			if a.cut {
+			if a.partitioned {
 				continue
 			}
-			if a.rules.Version != f.rec.Version {
-				a.rules = f.compiled()
+			if a.rules.Version != f.record.Version {
+				a.rules = f.currentRules()
 			}
 			a.seq++
-			r := &Report{Source: a.id, Seq: a.seq, Region: a.region, Rollout: f.rec.Number, AppliedVersion: a.rules.Version, InFlight: map[string]int{}, Sends: a.tracker.Take(), Samples: a.meter.Take()}
-			for id, n := range a.held {
+			r := &Report{Source: a.id, Seq: a.seq, Region: a.region, Rollout: f.record.Number, AppliedVersion: a.rules.Version, InFlight: map[string]int{}, Sends: a.tracker.Take(), Samples: a.meter.Take()}
+			for id, n := range a.inFlight {
 				if n > 0 && a.rules.IsDraining(id) {
 					r.InFlight[id] = n
 				}
 			}
-			require.NoError(f.t, f.watch.Add(r))
+			require.NoError(f.t, f.reports.Add(r))
 		}
-		f.watch.Tick(f.now)
-		if f.holding {
+		f.reports.Tick(f.now)
+		if f.hasHolder {
 			for range 3 {
-				next := f.machine.Reconcile(f.now, f.rec, f.facts())
+				next := f.controller.Reconcile(f.now, f.record, f.observation())
 				if next == nil {
 					break
 				}
-				f.keep(next)
+				f.commit(next)
 			}
 		}
-		f.mostOut = max(f.mostOut, len(f.rec.Draining)+len(f.rec.Ramping))
+		f.maxTransitions = max(f.maxTransitions, len(f.record.Draining)+len(f.record.Ramping))
 	} else {
 		for _, a := range f.agents {
-			if !a.cut {
-				a.rules = f.compiled()
+			if !a.partitioned {
+				a.rules = f.currentRules()
 			}
 		}
 	}
-	f.platform()
-	f.traffic()
-	f.stock()
+	f.runPlatform()
+	f.runTraffic()
+	f.checkInvariants()
 	if f.now%(10*time.Second) == 0 {
-		f.mostReads, f.readsAt = max(f.mostReads, f.reads-f.readsAt), f.reads
+		f.maxPrefills, f.prefillsAtWindow = max(f.maxPrefills, f.prefills-f.prefillsAtWindow), f.prefills
 	}
 }
 
-// platform replaces what is handed over, and takes down what drains.
-func (f *fleet) platform() {
-	for _, l := range f.rec.Draining {
+// runPlatform replaces what is handed over, and takes down what drains.
+func (f *fleet) runPlatform() {
+	for _, l := range f.record.Draining {
 		if s := f.byID[l.ID]; s != nil && l.Step == DrainReplacing && s.State == registry.Ready {
 			for _, a := range f.agents {
-				require.Zero(f.t, a.held[s.ID], "%s is replaced while %s holds requests there", s.ID, a.id)
+				require.Zero(f.t, a.inFlight[s.ID], "%s is replaced while %s holds requests there", s.ID, a.id)
 			}
 			s.State = registry.Draining
-			s.goneAt = f.now + 2*time.Second
+			s.removedAt = f.now + 2*time.Second
 		}
 	}
 	for _, s := range f.servers {
-		if s.State == registry.Draining && s.goneAt <= f.now {
+		if s.State == registry.Draining && s.removedAt <= f.now {
 			s.State = registry.Deregistered
 			var i int
 			_, err := fmt.Sscanf(s.ID, "s%d-", &i)
 			require.NoError(f.t, err)
-			n := f.serve(i, f.rec.targetRevision())
-			n.upAt = f.now + f.m.load
+			n := f.addServer(i, f.record.targetRevision())
+			n.readyAt = f.now + f.config.startupTime
 			n.State = registry.Ready
 		}
 	}
 	f.servers = slices.DeleteFunc(f.servers, func(s *simServer) bool {
-		if s.State == registry.Deregistered && f.now-s.goneAt > 90*time.Second {
+		if s.State == registry.Deregistered && f.now-s.removedAt > 90*time.Second {
 			delete(f.byID, s.ID)
 			return true
 		}
@@ -292,11 +292,11 @@
 
 // crash takes a server away that says nothing; the platform brings the revision back that it had.
 func (f *fleet) crash(s *simServer, back time.Duration) {
-	s.State, s.goneAt = registry.Deregistered, f.now
-	for _, rs := range f.ends {
+	s.State, s.removedAt = registry.Deregistered, f.now
+	for _, rs := range f.endsAt {
 		for _, r := range rs {
-			if r.s == s {
-				r.a.held[s.ID] = 0
+			if r.server == s {
+				r.agent.inFlight[s.ID] = 0
 			}
 		}
 	}
@@ -304,13 +304,13 @@
 		var i int
 		_, err := fmt.Sscanf(s.ID, "s%d-", &i)
 		require.NoError(f.t, err)
-		n := f.serve(i, s.Revision)
-		n.upAt = f.now + back
+		n := f.addServer(i, s.Revision)
+		n.readyAt = f.now + back
 	}
 }
 
-// drop takes out the oldest of a few, so that runs repeat.
-func (s *simServer) drop() {
+// evict takes out the oldest of a few, so that runs repeat.
+func (s *simServer) evict() {
 	keys := make([]uint64, 0, len(s.cache))
 	for k := range s.cache {
 		keys = append(keys, k)
@@ -321,46 +321,48 @@
 	}
 }
 
-func (s *simServer) up(now time.Duration) bool { return s.State == registry.Ready && s.upAt <= now }
+func (s *simServer) isReady(now time.Duration) bool {
+	return s.State == registry.Ready && s.readyAt <= now
+}
 
-// traffic plays a second's requests.
-func (f *fleet) traffic() {
-	for _, r := range f.ends[f.now] {
-		if r.s.State == registry.Deregistered {
+// runTraffic plays a second's requests.
+func (f *fleet) runTraffic() {
+	for _, r := range f.endsAt[f.now] {
+		if r.server.State == registry.Deregistered {
 			continue
 		}
-		if r.a.held[r.s.ID]--; r.a.held[r.s.ID] <= 0 {
-			delete(r.a.held, r.s.ID)
+		if r.agent.inFlight[r.server.ID]--; r.agent.inFlight[r.server.ID] <= 0 {
+			delete(r.agent.inFlight, r.server.ID)
 		}
-		r.s.running--
-		r.a.meter.Record(&r.sample, r.isNew, r.a.rules.IsRamping(r.s.ID))
+		r.server.running--
+		r.agent.meter.Record(&r.sample, r.isNew, r.agent.rules.IsRamping(r.server.ID))
 	}
-	delete(f.ends, f.now)
+	delete(f.endsAt, f.now)
 	// Windows of a ring, as the picker forms them.
 	ring := map[string][]*simServer{}
 	for _, s := range f.servers {
-		if s.up(f.now) {
+		if s.isReady(f.now) {
 			ring[s.Region] = append(ring[s.Region], s)
 		}
 	}
 	for _, list := range ring {
 		slices.SortFunc(list, func(a, b *simServer) int { return cmp.Compare(a.hash, b.hash) })
 	}
-	n := f.m.rate * f.burst
+	n := f.config.rate * f.loadFactor
 	count := int(n)
 	if f.rng.Float64() < n-float64(count) {
 		count++
 	}
 	for range count {
-		f.request(ring)
+		f.playRequest(ring)
 	}
 	for _, s := range f.servers {
-		s.Utilization = 0.8*s.Utilization + 0.2*min(s.work/1000, 2)
-		s.work = 0
+		s.Utilization = 0.8*s.Utilization + 0.2*min(s.workMs/1000, 2)
+		s.workMs = 0
 	}
 }
 
-func (f *fleet) request(rings map[string][]*simServer) {
+func (f *fleet) playRequest(rings map[string][]*simServer) {
 	f.requests++
 	key := inference.Mix64(f.zipf.Uint64() + 1)
 	// Sessions live for ten minutes.
@@ -375,67 +377,67 @@
 		f.unserved++
 		return
 	}
-	if f.m.scale == 0 {
-		all := append(f.asked[key], sent{f.now, s})
-		f.asked[key] = all[max(0, len(all)-64):]
+	if f.config.sampling == 0 {
+		all := append(f.requestsByPrompt[key], sentRequest{f.now, s})
+		f.requestsByPrompt[key] = all[max(0, len(all)-64):]
 	}
 	isNew := s.Revision == 2
-	if was, ok := f.sides[session]; ok && was != isNew {
-		f.flips++
+	if was, ok := f.sessionRevisions[session]; ok && was != isNew {
+		f.revisionChanges++
 	}
-	if len(f.sides) < 1<<22 {
-		f.sides[session] = isNew
+	if len(f.sessionRevisions) < 1<<22 {
+		f.sessionRevisions[session] = isNew
 	}
 	a.sessions.Record(f.now, session, isNew)
 	group := Group{Route: "r", Key: key}
 	a.tracker.Record(f.now, s.ID, group)
-	slow, fails := 1.0, 0.0
+	slowdown, failureRate := 1.0, 0.0
 	if isNew {
-		slow, fails = max(f.m.newSlow, 1), f.m.newFails
-	}
-	cold := false
-	first := f.m.firstMs * slow * (0.8 + 0.4*f.rng.Float64())
-	work := f.m.workMs * slow
-	s.uses++
-	if _, kept := s.cache[key]; !kept {
-		cold = true
-		first += f.m.readMs * slow
-		work += f.m.readMs * slow * f.m.workMs / f.m.firstMs
-		f.reads++
+		slowdown, failureRate = max(f.config.newSlowdown, 1), f.config.newFailureRate
+	}
+	cacheMiss := false
+	firstTokenMs := f.config.firstTokenMs * slowdown * (0.8 + 0.4*f.rng.Float64())
+	workMs := f.config.requestMs * slowdown
+	s.useCount++
+	if _, cached := s.cache[key]; !cached {
+		cacheMiss = true
+		firstTokenMs += f.config.prefillMs * slowdown
+		workMs += f.config.prefillMs * slowdown * f.config.requestMs / f.config.firstTokenMs
+		f.prefills++
 		if isNew {
-			f.newReads++
+			f.newPrefills++
 		}
-		if len(s.cache) >= f.m.keep {
-			s.drop()
+		if len(s.cache) >= f.config.cachedPrompts {
+			s.evict()
 		}
 	}
-	s.cache[key] = s.uses
-	s.work += work
+	s.cache[key] = s.useCount
+	s.workMs += workMs
 	// A queue as long as the server is busy.
 	busy := min(s.Utilization, 0.98)
-	first += f.m.firstMs * busy * busy / (1 - busy) / 4
-	end := f.now + time.Second*time.Duration(1+f.rng.IntN(max(int(f.m.stream/time.Second), 1)))
-	sample := Sample{Group: group, PromptTokens: 5000, Server: s.ID, FirstToken: time.Duration(first * float64(time.Millisecond)), FirstTokenTarget: 800 * time.Millisecond, Events: 50, CacheMiss: cold, Failed: f.rng.Float64() < fails}
-	if first > 800 {
+	firstTokenMs += f.config.firstTokenMs * busy * busy / (1 - busy) / 4
+	end := f.now + time.Second*time.Duration(1+f.rng.IntN(max(int(f.config.streamTime/time.Second), 1)))
+	sample := Sample{Group: group, PromptTokens: 5000, Server: s.ID, FirstToken: time.Duration(firstTokenMs * float64(time.Millisecond)), FirstTokenTarget: 800 * time.Millisecond, Events: 50, CacheMiss: cacheMiss, Failed: f.rng.Float64() < failureRate}
+	if firstTokenMs > 800 {
 		f.late++
 	}
 	if sample.Failed {
 		f.failed++
 	}
 	s.running++
-	a.held[s.ID]++
-	f.ends[end] = append(f.ends[end], running{a, s, sample, isNew})
+	a.inFlight[s.ID]++
+	f.endsAt[end] = append(f.endsAt[end], runningRequest{a, s, sample, isNew})
 }
 
-// best is the servers that come first for a key, by hash.
-type best struct {
+// candidateList is the servers that come first for a key, by hash.
+type candidateList struct {
 	order    [4]*simServer
 	score    [4]uint64
 	n        int
 	capacity float64
 }
 
-func (b *best) add(s *simServer, x uint64) {
+func (b *candidateList) add(s *simServer, x uint64) {
 	for j := range b.order {
 		if j >= b.n || x > b.score[j] {
 			copy(b.order[j+1:], b.order[j:3])
@@ -459,7 +461,7 @@
 	if n > window {
 		at, n = int(key%uint64(n)), window
 	}
-	var sides [2]best
+	var sides [2]candidateList
 	for i := range n {
 		s := ring[(at+i)%len(ring)]
 		side := &sides[s.Revision-1]
@@ -479,7 +481,7 @@
 		}
 		x := inference.Mix64(key ^ s.hash)
 		if a.rules.IsWarming(s.ID) {
-			if _, kept := s.cache[key]; !kept && (side.n == 0 || x > side.score[0]) && !a.filler.Allow(f.now, a.rules, s.ID, len(f.agents)) {
+			if _, cached := s.cache[key]; !cached && (side.n == 0 || x > side.score[0]) && !a.filler.Allow(f.now, a.rules, s.ID, len(f.agents)) {
 				continue
 			}
 		}
@@ -489,18 +491,18 @@
 	if a.rules.Active && a.sessions.PrefersNew(session, NewCapacityShare(sides[0].capacity, sides[1].capacity)) {
 		first, other = other, first
 	}
-	for _, b := range []*best{first, other} { // the other side only rather than a queue
-		if s := f.among(a, b); s != nil && s.Utilization < 0.85 {
+	for _, b := range []*candidateList{first, other} { // the other side only rather than a queue
+		if s := f.pickAmong(a, b); s != nil && s.Utilization < 0.85 {
 			return s
 		}
 	}
-	if s := f.among(a, first); s != nil {
+	if s := f.pickAmong(a, first); s != nil {
 		return s
 	}
-	return f.among(a, other)
+	return f.pickAmong(a, other)
 }
 
-func (f *fleet) among(a *simAgent, b *best) *simServer {
+func (f *fleet) pickAmong(a *simAgent, b *candidateList) *simServer {
 	if b.n == 0 {
 		return nil
 	}
@@ -518,105 +520,105 @@
 	return b.order[0]
 }
 
-// stock looks at what has to hold.
-func (f *fleet) stock() {
-	whole, serving, rules := 0.0, 0.0, f.compiled()
+// checkInvariants looks at what has to hold.
+func (f *fleet) checkInvariants() {
+	total, serving, rules := 0.0, 0.0, f.currentRules()
 	for _, s := range f.servers {
 		if s.State == registry.Deregistered {
 			continue
 		}
-		whole += s.Capacity
-		if s.up(f.now) {
+		total += s.Capacity
+		if s.isReady(f.now) {
 			serving += s.Capacity * rules.Share(s.ID, s.Addr, s.Revision)
 		}
 	}
-	if !f.rec.Active() {
+	if !f.record.Active() {
 		return
 	}
-	f.leastServing = min(f.leastServing, serving/whole)
-	if f.rec.Phase == PhaseRollback && f.turnedAt == 0 {
-		f.turnedAt = f.now
+	f.minServingShare = min(f.minServingShare, serving/total)
+	if f.record.Phase == PhaseRollback && f.rolledBackAt == 0 {
+		f.rolledBackAt = f.now
 	}
-	for _, l := range f.rec.Draining {
-		if l.Step >= DrainClosed && l.Step < DrainReplacing && f.rec.Phase == PhaseForward && !f.closed[l.ID] {
-			f.closed[l.ID] = true
-			f.truth(f.byID[l.ID])
+	for _, l := range f.record.Draining {
+		if l.Step >= DrainClosed && l.Step < DrainReplacing && f.record.Phase == PhaseForward && !f.checkedServers[l.ID] {
+			f.checkedServers[l.ID] = true
+			f.checkReplicas(f.byID[l.ID])
 		}
 	}
 }
 
-// truth looks at the prompts that were asked for often, and of late at a server that is closed: how
+// checkReplicas looks at the prompts that were asked for often, and of late at a server that is closed: how
 // many of them two others keep, in fact.
-func (f *fleet) truth(x *simServer) {
-	for key, all := range f.asked {
+func (f *fleet) checkReplicas(x *simServer) {
+	for key, all := range f.requestsByPrompt {
 		n, lately := 0, false
 		for _, s := range all {
 			if f.now-s.at <= replicaWindow {
 				n++
 			}
-			lately = lately || s.to == x && f.now-s.at < epochDuration
+			lately = lately || s.server == x && f.now-s.at < epochDuration
 		}
-		if float64(n) < 1.5*replicaWindow.Seconds()/f.rec.Spec.Safety.LiveSeconds || !lately {
+		if float64(n) < 1.5*replicaWindow.Seconds()/f.record.Spec.Safety.LiveSeconds || !lately {
 			continue
 		}
 		have := 0
 		for _, s := range f.servers {
-			if _, kept := s.cache[key]; kept && s != x && s.up(f.now) && s.Region == x.Region {
+			if _, cached := s.cache[key]; cached && s != x && s.isReady(f.now) && s.Region == x.Region {
 				have++
 			}
 		}
-		f.looked++
+		f.checkedPrompts++
 		if have < 2 {
-			f.short++
+			f.shortPrompts++
 		}
 	}
 }
 
 func (f *fleet) play(seconds int) {
 	for range seconds {
-		f.second()
+		f.playSecond()
 	}
 }
 
-// until plays until something holds, for a day at most.
-func (f *fleet) until(what string, ok func() bool) time.Duration {
+// playUntil plays until something holds, for a day at most.
+func (f *fleet) playUntil(what string, ok func() bool) time.Duration {
 	from := f.now
 	for !ok() {
 		if f.now-from > 6*time.Hour {
-			require.FailNow(f.t, "waited in vain for "+what, "%s %+v out %v in %v waits %q", f.rec.Phase, f.rec.Reason, f.rec.Draining, f.rec.Ramping, f.machine.waitReasons)
+			require.FailNow(f.t, "waited in vain for "+what, "%s %+v out %v in %v waits %q", f.record.Phase, f.record.Reason, f.record.Draining, f.record.Ramping, f.controller.waitReasons)
 		}
-		f.second()
+		f.playSecond()
 	}
 	return f.now - from
 }
 
-func (f *fleet) over() bool { return !f.rec.Active() }
+func (f *fleet) ended() bool { return !f.record.Active() }
 
-// revisions counts the servers of each revision.
-func (f *fleet) revisions() (old, fresh int) {
+// countRevisions counts the servers of each revision.
+func (f *fleet) countRevisions() (old, updated int) {
 	for _, s := range f.servers {
 		if s.State != registry.Deregistered {
 			if s.Revision == 2 {
-				fresh++
+				updated++
 			} else {
 				old++
 			}
 		}
 	}
-	return old, fresh
+	return old, updated
 }
 
-// small18 is a site like the small ones: 18 servers in 4 zones at half of what they can do.
-func small18(seed uint64) makeup {
-	return makeup{zones: []string{"k/a", "k/b", "k/c", "k/d"}, servers: 18, agents: 9, rate: 75, prompts: 400, keep: 120, readMs: 79, firstMs: 60,
-		workMs: 120, stream: 4 * time.Second, load: 30 * time.Second, seed: seed,
+// site18 is a site like the small ones: 18 servers in 4 zones at half of what they can do.
+func site18(seed uint64) fleetConfig {
+	return fleetConfig{zones: []string{"k/a", "k/b", "k/c", "k/d"}, servers: 18, agents: 9, rate: 75, prompts: 400, cachedPrompts: 120, prefillMs: 79, firstTokenMs: 60,
+		requestMs: 120, streamTime: 4 * time.Second, startupTime: 30 * time.Second, seed: seed,
 		spec: func(s *Spec) { s.Safety.PeakLoad = 0.6 }}
 }
 
-// small6 is a third of it.
-func small6(seed uint64) makeup {
-	m := small18(seed)
-	m.zones, m.servers, m.agents, m.rate, m.prompts = m.zones[:3], 6, 3, 25, 130
-	m.spec = func(s *Spec) { s.Safety.PeakLoad, s.Judge.MinSamples = 0.5, 100 }
-	return m
+// site6 is a third of it.
+func site6(seed uint64) fleetConfig {
+	config := site18(seed)
+	config.zones, config.servers, config.agents, config.rate, config.prompts = config.zones[:3], 6, 3, 25, 130
+	config.spec = func(s *Spec) { s.Safety.PeakLoad, s.Judge.MinSamples = 0.5, 100 }
+	return config
 }
--- a/internal/fleet/rollout/norace_test.go
+++ b/internal/fleet/rollout/norace_test.go
@@ -2,5 +2,5 @@
 
 package rollout
 
-// slow tells that each step costs ten times as much.
-const slow = false
+// raceEnabled tells that each step costs ten times as much.
+const raceEnabled = false
--- a/internal/fleet/rollout/parts_test.go
+++ b/internal/fleet/rollout/parts_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestSharesByStep(t *testing.T) {
-	r := started(t)
+	r := startedRecord(t)
 	assert.InDelta(t, 1, r.Rules().Share("any", "", 2), 0, "no stock was taken: nothing changes")
 	r.Initialized = true
 	r.Draining = []DrainingServer{{ID: "a", Addr: "x", Step: DrainThird}, {ID: "b", Step: DrainTenth}, {ID: "c", Step: DrainClosed}, {ID: "d", Step: DrainMigrating}, {ID: "e", Addr: "y", Step: DrainReplacing}}
@@ -52,7 +52,7 @@
 	assert.InDelta(t, 1, b.Rules().Share("late", "y", 2), 0)
 }
 
-func TestSharesOfSessionsAreNestedAndEven(t *testing.T) {
+func TestSessionSharesAreNestedAndEven(t *testing.T) {
 	const n = 20000
 	for _, share := range []float64{tenthShare, thirdShare} {
 		got := 0
@@ -78,7 +78,7 @@
 	}
 	strayed := 0
 	for i := range uint64(5000) {
-		was := part2(i) < 0.5
+		was := sessionThreshold(i) < 0.5
 		if s.PrefersNew(i, 0.9) != was {
 			strayed++
 		}
@@ -99,7 +99,7 @@
 	s.Record(now+4*sessionWindow, 1<<51, true)
 	changed := 0
 	for i := range uint64(5000) {
-		if s.PrefersNew(i, 1) != (part2(i) < 0.5) {
+		if s.PrefersNew(i, 1) != (sessionThreshold(i) < 0.5) {
 			changed++
 		}
 	}
@@ -110,8 +110,8 @@
 	assert.LessOrEqual(t, s.count, sessionFilterCapacity)
 }
 
-// part2 is where a session stands that nobody remembers.
-func part2(session uint64) float64 {
+// sessionThreshold is where a session stands that nobody remembers.
+func sessionThreshold(session uint64) float64 {
 	lo, hi := 0.0, 1.0
 	var s SessionAffinity
 	for range 50 {
@@ -124,8 +124,8 @@
 	return hi
 }
 
-func TestFillingGoesAtItsPace(t *testing.T) {
-	r := started(t)
+func TestWarmupIsRateLimited(t *testing.T) {
+	r := startedRecord(t)
 	r.Initialized = true
 	r.Ramping = []RampingServer{{ID: "a"}, {ID: "b"}}
 	u := r.Rules()
@@ -144,8 +144,8 @@
 	assert.LessOrEqual(t, len(f.limits), maxInTransition)
 }
 
-func TestGroupsKnowWhoHoldsThem(t *testing.T) {
-	s := spec(t)
+func TestReplicaMapFindsShortages(t *testing.T) {
+	s := testSpec(t)
 	now := time.Hour
 	g := NewReplicaMap()
 	g.Tick(now)
@@ -189,8 +189,8 @@
 	assert.Empty(t, g.hot)
 }
 
-func TestGroupsAreBounded(t *testing.T) {
-	s := spec(t)
+func TestReplicaMapIsBounded(t *testing.T) {
+	s := testSpec(t)
 	g, tr := NewReplicaMap(), NewSendTracker()
 	for i := range 4 * maxReportPairs {
 		for range 3 {
@@ -215,7 +215,7 @@
 }
 
 // An agent of the full size sends 19 requests a second: what it reports of them is small.
-func TestAReportIsSmall(t *testing.T) {
+func TestReportIsSmall(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	zipf := rand.NewZipf(rng, 1.1, 20, 1_600_000)
 	tr, m := NewSendTracker(), NewSampleRecorder()
@@ -237,16 +237,16 @@
 	assert.Less(t, bytes/reports, 5000)
 }
 
-// judged plays requests of both sides, a part of them at new servers, and looks at the verdict as
+// judgeTraffic plays requests of both sides, a part of them at new servers, and looks at the verdict as
 // often as it changes.
-func judged(seed uint64, seconds int, perSecond float64, newPart float64, change func(s *Sample, isNew bool, rng *rand.Rand), look func(*Judge)) *Judge {
+func judgeTraffic(seed uint64, seconds int, perSecond float64, newShare float64, change func(s *Sample, isNew bool, rng *rand.Rand), inspect func(*Judge)) *Judge {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	j, m := NewJudge(), NewSampleRecorder()
 	for sec := range seconds {
 		// Load and mix change in time, and new servers get another mix.
 		load := 1 + 0.8*math.Sin(float64(sec)/200)
 		for range int(perSecond) {
-			isNew := rng.Float64() < newPart
+			isNew := rng.Float64() < newShare
 			prompt := 500
 			if rng.Float64() < 0.3+0.3*math.Sin(float64(sec)/100) || isNew && rng.Float64() < 0.3 {
 				prompt = 6000
@@ -262,8 +262,8 @@
 		}
 		j.Add(m.Take().Strata)
 		j.Tick(time.Duration(sec+1) * time.Second)
-		if look != nil && sec%int(slotDuration/time.Second) == 0 {
-			look(j)
+		if inspect != nil && sec%int(slotDuration/time.Second) == 0 {
+			inspect(j)
 		}
 	}
 	return j
@@ -271,20 +271,20 @@
 
 // Two revisions that are alike are never told apart, however often one looks and whatever load and
 // mix do.
-func TestAlikeRevisionsAreFine(t *testing.T) {
+func TestEqualRevisionsPass(t *testing.T) {
 	sp := defaultSpec().Judge
 	seeds := uint64(60)
-	if slow {
+	if raceEnabled {
 		seeds = 2
 	}
 	for seed := range seeds {
-		for _, part := range []float64{0.01, 0.5, 0.95} {
-			j := judged(seed, 600, 40, part, nil, func(j *Judge) {
+		for _, share := range []float64{0.01, 0.5, 0.95} {
+			j := judgeTraffic(seed, 600, 40, share, nil, func(j *Judge) {
 				v := j.Verdict(&sp)
-				assert.NotEqual(t, RulingFail, v.Ruling, "seed %d, part %v: %+v", seed, part, v)
+				assert.NotEqual(t, RulingFail, v.Ruling, "seed %d, part %v: %+v", seed, share, v)
 			})
 			v := j.Verdict(&sp)
-			if part == 0.5 {
+			if share == 0.5 {
 				assert.Equal(t, RulingPass, v.Ruling)
 				assert.InDelta(t, 1, v.LatencyRatio, 0.03)
 			}
@@ -292,7 +292,7 @@
 	}
 }
 
-func TestWhatIsWorseIsFound(t *testing.T) {
+func TestWorseRevisionFails(t *testing.T) {
 	sp := defaultSpec().Judge
 	for name, change := range map[string]func(s *Sample, isNew bool, rng *rand.Rand){
 		"fail":         func(s *Sample, isNew bool, rng *rand.Rand) { s.Failed = s.Failed || isNew && rng.Float64() < 0.06 },
@@ -312,7 +312,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := judged(1, 900, 40, 0.3, change, nil).Verdict(&sp)
+			v := judgeTraffic(1, 900, 40, 0.3, change, nil).Verdict(&sp)
 			assert.Equal(t, RulingFail, v.Ruling, "%+v", v)
 			if name != "groups of class 3" && name != "route b" {
 				assert.Contains(t, v.Reason, name)
@@ -320,7 +320,7 @@
 		})
 	}
 	// What is borne is no reason.
-	v := judged(1, 900, 40, 0.3, func(s *Sample, isNew bool, _ *rand.Rand) {
+	v := judgeTraffic(1, 900, 40, 0.3, func(s *Sample, isNew bool, _ *rand.Rand) {
 		if isNew {
 			s.FirstToken = s.FirstToken * 115 / 100
 		}
@@ -329,13 +329,13 @@
 	assert.InDelta(t, 1.15, v.LatencyRatio, 0.03)
 }
 
-func TestWhatOneAgentReportsWronglyDecidesNothing(t *testing.T) {
+func TestImplausibleReportsAreIgnored(t *testing.T) {
 	j := NewJudge()
 	for _, bad := range []Counts{{Attempts: -1}, {Attempts: 1, Failed: 5}, {Attempts: 10, LogFirstToken: math.Inf(1)}, {Attempts: 10, Answered: 10, CacheHits: 3, Late: 4}, {Attempts: 10, LogFirstTokenSquared: math.NaN()}} {
 		j.Add([]StratumCounts{{Stratum{Route: "r", New: true}, bad}, {Stratum{Route: "r"}, Counts{Attempts: 100}}})
 		assert.NotContains(t, j.counts, Stratum{Route: "r", New: true}, "%+v", bad)
 	}
-	w := NewReportAggregator(started(t))
+	w := NewReportAggregator(startedRecord(t))
 	assert.Error(t, w.Add(&Report{}))
 	require.NoError(t, w.Add(&Report{Source: "a", Seq: 2, Rollout: 1, AppliedVersion: 5}))
 	require.NoError(t, w.Add(&Report{Source: "a", Seq: 1, Rollout: 1, AppliedVersion: 3}), "a late one is passed over")
--- a/internal/fleet/rollout/record_test.go
+++ b/internal/fleet/rollout/record_test.go
@@ -15,27 +15,27 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-func spec(t *testing.T) *Spec {
+func testSpec(t *testing.T) *Spec {
 	s, err := Parse([]byte(specText))
 	require.NoError(t, err)
 	return s
 }
 
-func started(t *testing.T) *Record {
-	r, err := (&Record{}).Start(spec(t))
+func startedRecord(t *testing.T) *Record {
+	r, err := (&Record{}).Start(testSpec(t))
 	require.NoError(t, err)
 	return r
 }
 
-func TestOrdersOfTheOperator(t *testing.T) {
-	r := started(t)
+func TestOperations(t *testing.T) {
+	r := startedRecord(t)
 	assert.EqualValues(t, 1, r.Number)
 	assert.EqualValues(t, 1, r.Version)
 
-	again, err := r.Start(spec(t))
+	again, err := r.Start(testSpec(t))
 	require.NoError(t, err)
 	assert.Same(t, r, again, "the same order changes nothing")
-	other := *spec(t)
+	other := *testSpec(t)
 	other.To = 3
 	_, err = r.Start(&other)
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
@@ -54,21 +54,21 @@
 	require.NoError(t, err)
 	assert.False(t, p.Paused)
 
-	b, err := p.Abort(1, "")
+	rollback, err := p.Abort(1, "")
 	require.NoError(t, err)
-	assert.Equal(t, PhaseRollback, b.Phase)
-	assert.EqualValues(t, 4, b.Version)
-	twice, err = b.Abort(1, "another operator")
+	assert.Equal(t, PhaseRollback, rollback.Phase)
+	assert.EqualValues(t, 4, rollback.Version)
+	twice, err = rollback.Abort(1, "another operator")
 	require.NoError(t, err)
-	assert.Same(t, b, twice)
-	_, err = b.Start(spec(t))
+	assert.Same(t, rollback, twice)
+	_, err = rollback.Start(testSpec(t))
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 
-	e := b.nextVersion()
+	e := rollback.nextVersion()
 	e.finish(PhaseRolledBack)
 	_, err = e.Abort(1, "")
 	assert.Equal(t, apierror.NotFound, apierror.KindOf(err))
-	n, err := e.Start(spec(t))
+	n, err := e.Start(testSpec(t))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, n.Number)
 	assert.Len(t, n.History, 1)
@@ -76,29 +76,29 @@
 }
 
 // Two operators at once: each order is made on the record that was read, one write is kept.
-func TestTwoOperatorsAtOnce(t *testing.T) {
-	kept := &Record{}
+func TestConcurrentOperators(t *testing.T) {
+	stored := &Record{}
 	put := func(next *Record) bool {
-		if next.Version != kept.Version+1 {
+		if next.Version != stored.Version+1 {
 			return false
 		}
-		kept = next
+		stored = next
 		return true
 	}
-	one, two := *spec(t), *spec(t)
+	one, two := *testSpec(t), *testSpec(t)
 	two.To = 7
-	a, err := kept.Start(&one)
+	a, err := stored.Start(&one)
 	require.NoError(t, err)
-	b, err := kept.Start(&two)
+	b, err := stored.Start(&two)
 	require.NoError(t, err)
 	require.True(t, put(a))
 	require.False(t, put(b))
-	_, err = kept.Start(&two)
+	_, err = stored.Start(&two)
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 }
 
-func TestANewHolderFencesTheOldOne(t *testing.T) {
-	r := started(t)
+func TestClaimFencesTheFormerHolder(t *testing.T) {
+	r := startedRecord(t)
 	a, err := r.Claim(1, "a")
 	require.NoError(t, err)
 	same, err := a.Claim(1, "a")
@@ -112,8 +112,8 @@
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 }
 
-func TestPartsOfARecordAreOfOne(t *testing.T) {
-	r := started(t)
+func TestJoinRejectsPartsOfTwoRecords(t *testing.T) {
+	r := startedRecord(t)
 	r.Draining = []DrainingServer{{ID: "a", Addr: "x:1", Zone: "z", Step: DrainMigrating, Since: 1}}
 	r.addFullShare("b")
 	moving, rest, err := r.Split()
@@ -138,10 +138,10 @@
 	assert.Error(t, err)
 }
 
-func TestPastIsBounded(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	r := &Record{}
 	for range 3 * maxHistory {
-		n, err := r.Start(spec(t))
+		n, err := r.Start(testSpec(t))
 		require.NoError(t, err)
 		r = n.nextVersion()
 		r.finish(PhaseDone)
@@ -151,8 +151,8 @@
 	assert.EqualValues(t, 3*maxHistory, r.History[maxHistory-1].Number)
 }
 
-func TestARecordComesBackAsItWas(t *testing.T) {
-	r := started(t)
+func TestRecordRoundTrip(t *testing.T) {
+	r := startedRecord(t)
 	r, err := r.Claim(3, "a")
 	require.NoError(t, err)
 	r.Initialized, r.InitialCapacity = true, map[string]float64{"r": 4}
@@ -201,11 +201,11 @@
 func TestStatus(t *testing.T) {
 	none := (&Record{}).Status(nil)
 	assert.Equal(t, "there was no rollout yet", none.String())
-	f := newFleet(t, small6(1))
+	f := newFleet(t, site6(1))
 	f.play(300)
 	f.start()
-	f.until("a few", func() bool { return f.rec.Replaced >= 2 })
-	s := f.machine.Status(f.now, f.rec, f.facts())
+	f.playUntil("a few", func() bool { return f.record.Replaced >= 2 })
+	s := f.controller.Status(f.now, f.record, f.observation())
 	assert.Equal(t, 6, s.OldServers+s.NewServers)
 	assert.Positive(t, s.TimeLeft)
 	assert.Less(t, s.TimeLeft, 3*time.Hour)
@@ -213,17 +213,17 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `"phase":"forward"`)
 	assert.Contains(t, s.String(), "rollout 1 of s, model m from 1 to 2: forward")
-	f.until("a server for the platform", func() bool { return len(f.rec.Draining) > 0 && f.rec.Draining[0].Step == DrainReplacing })
-	s = f.rec.Status(f.facts().Servers)
-	assert.Equal(t, []string{f.rec.Draining[0].ID}, s.Replace)
+	f.playUntil("a server for the platform", func() bool { return len(f.record.Draining) > 0 && f.record.Draining[0].Step == DrainReplacing })
+	s = f.record.Status(f.observation().Servers)
+	assert.Equal(t, []string{f.record.Draining[0].ID}, s.Replace)
 	assert.False(t, s.HoldsLease)
-	f.until("the end", f.over)
-	assert.Zero(t, f.machine.Status(f.now, f.rec, f.facts()).TimeLeft)
+	f.playUntil("the end", f.ended)
+	assert.Zero(t, f.controller.Status(f.now, f.record, f.observation()).TimeLeft)
 }
 
 // Whatever servers, agents and operators do, each record that follows is a proper one, on top of the
 // one before it, and with no more servers out than may be, those apart that come in on their own.
-func TestWhateverHappensRecordsAreProper(t *testing.T) {
+func TestArbitraryHistoryKeepsRecordsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sp := defaultSpec()
 		sp.Service, sp.Model, sp.From, sp.To = "s", "m", 1, 2
--- a/internal/fleet/rollout/spec_test.go
+++ b/internal/fleet/rollout/spec_test.go
@@ -26,7 +26,7 @@
 versions = [1, 2]
 `
 
-func TestASpecIsReadWithDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	s, err := Parse([]byte(specText))
 	require.NoError(t, err)
 	assert.Equal(t, "tenant-llm", s.Service)
@@ -44,7 +44,7 @@
 	assert.Equal(t, s, j, "JSON says the same")
 }
 
-func TestEveryReasonOfASpecIsToldByKeyAndRemedy(t *testing.T) {
+func TestParseReportsEveryErrorWithKeyAndRemedy(t *testing.T) {
 	_, err := Parse([]byte(`
 service = 7
 modell = "m"
@@ -105,7 +105,7 @@
 	assert.ErrorContains(t, err, "routes.r.dossier.versions: the route allows no server that the rollout leaves")
 }
 
-func TestASpecHasToFitTheConfiguration(t *testing.T) {
+func TestCheckConfig(t *testing.T) {
 	s, err := Parse([]byte(specText))
 	require.NoError(t, err)
 	doc, err := config.Parse([]byte(`{"revision":7,"routes":[{"name":"r.dossier","hostname":"h","path-prefix":"/a/","route-kind":"streaming","timeout-ms":3000,"setpoint-ms":500,"target-service":"tenant-llm","max-attempts":2}],"services":[{"name":"tenant-llm","health-path":"/health","conn-limit":3,"inference-engine":{"slots":4,"models":[{"name":"m"}]}}]}`))
