--- a/internal/agent/consensus/checksummedstore.go
+++ b/internal/agent/consensus/checksummedstore.go
@@ -10,19 +10,19 @@
 	"github.com/hashicorp/raft"
 )
 
-// errDamaged is a record of the log that is not what was written.
+// errDamaged reports a record that differs from what was written.
 var errDamaged = errors.New("damaged")
 
-// raftStore is what raft keeps on disk.
+// raftStore is the storage that raft needs.
 type raftStore interface {
 	raft.LogStore
 	raft.StableStore
 }
 
-// checksummedStore puts a checksum with each record of a store, and believes none without: a page that
-// was half written is not always noticed by the library, and a vote that is read wrongly may be
-// given twice. An entry's is in its Extensions, which nothing else here uses; a value's stands
-// behind it.
+// checksummedStore adds a checksum to each record of a store and rejects records without a valid one: the
+// library does not always detect a torn page, and a vote that is read wrongly may be given twice. The
+// checksum of a log entry is in its Extensions, which are not used otherwise; that of a value follows
+// the value.
 type checksummedStore struct{ raftStore }
 
 const checksumSize = 8
@@ -32,7 +32,7 @@
 	var raw [8]byte
 	for _, v := range []uint64{l.Index, l.Term, uint64(l.Type), uint64(len(l.Data))} {
 		binary.BigEndian.PutUint64(raw[:], v)
-		_, _ = h.Write(raw[:]) // a hash takes all
+		_, _ = h.Write(raw[:]) // a hash never fails
 	}
 	_, _ = h.Write(l.Data)
 	return h.Sum(nil)
@@ -66,7 +66,7 @@
 		return err
 	}
 	if l.Index != index || string(l.Extensions) != string(entryChecksum(l)) {
-		return fmt.Errorf("council: entry %d: %w", index, errDamaged)
+		return fmt.Errorf("consensus: entry %d: %w", index, errDamaged)
 	}
 	l.Extensions = nil
 	return nil
@@ -85,7 +85,7 @@
 	}
 	n := len(raw) - checksumSize
 	if n < 0 || string(raw[n:]) != string(valueChecksum(key, raw[:n])) {
-		return nil, fmt.Errorf("council: value %q: %w", key, errDamaged)
+		return nil, fmt.Errorf("consensus: value %q: %w", key, errDamaged)
 	}
 	return raw[:n], nil
 }
@@ -102,26 +102,26 @@
 		return 0, err
 	}
 	if len(raw) != 8 {
-		return 0, fmt.Errorf("council: value %q: %w", key, errDamaged)
+		return 0, fmt.Errorf("consensus: value %q: %w", key, errDamaged)
 	}
 	return binary.BigEndian.Uint64(raw), nil
 }
 
-// stableKeys are the values that raft keeps beside its log.
+// stableKeys are the values that raft stores besides its log.
 var stableKeys = []string{"CurrentTerm", "LastVoteTerm", "LastVoteCand"}
 
-// verify reads all that the store holds; an error is a voter that must not vote by it.
+// verify reads all records of the store. After an error the voter must not vote.
 func (s checksummedStore) verify() error {
 	first, err := s.FirstIndex()
 	if err != nil {
-		return fmt.Errorf("council: log: %w", err)
+		return fmt.Errorf("consensus: log: %w", err)
 	}
 	last, err := s.LastIndex()
 	if err != nil {
-		return fmt.Errorf("council: log: %w", err)
+		return fmt.Errorf("consensus: log: %w", err)
 	}
 	if last < first || last-first > math.MaxInt32 {
-		return fmt.Errorf("council: log: entries %d to %d: %w", first, last, errDamaged)
+		return fmt.Errorf("consensus: log: entries %d to %d: %w", first, last, errDamaged)
 	}
 	for i := first; i > 0 && i <= last; i++ {
 		if err := s.GetLog(i, new(raft.Log)); err != nil {
--- a/internal/agent/consensus/participant_test.go
+++ b/internal/agent/consensus/participant_test.go
@@ -194,13 +194,13 @@
 	if err := os.Remove(filepath.Join(b.cfgs[0].Dir, logFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(b.cfgs[0], nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "its log is gone") {
+	if err := New(b.cfgs[0], nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "its log is missing") {
 		t.Errorf("%v", err)
 	}
 	b.stop(1)
 	other := b.cfgs[1]
 	other.Self = "v2"
-	if err := New(other, nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), `the folder of "v1"`) {
+	if err := New(other, nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), `it belongs to voter "v1"`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/agent/coordination/promisestore.go
+++ b/internal/agent/coordination/promisestore.go
@@ -11,19 +11,19 @@
 	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
-// The table of a voter's cover, and the version of its form: a span in nanoseconds since the
+// The stored record: table, key and format version. Its value is a duration in nanoseconds from when the
 // generation was saved.
 const (
 	promiseTable, promiseKey, promiseVersion = "cover", "until", 1
-	// maxPromiseSpan bounds a span that is believed: twice the longest promise that any settings allow.
+	// maxPromiseSpan bounds a stored duration: twice the longest promise that any configuration allows.
 	maxPromiseSpan = time.Hour
 )
 
-// promiseStore keeps on disk until when a voter's promises may stand. One write is under way at a
-// time, on a goroutine of its own: a slow disk holds up promises and nothing else.
+// promiseStore stores until when a voter's promises may stand. One write is in flight at a time, on a
+// goroutine of its own: a slow disk delays promises and nothing else.
 type promiseStore struct {
 	store   *snapshot.Store
-	saved   chan writeResult // of the write under way
+	saved   chan writeResult // result of the write in flight
 	writes  sync.WaitGroup
 	writing bool
 }
@@ -33,15 +33,16 @@
 	err   error
 }
 
-// openPromiseStore opens a voter's folder and tells for how long promises of earlier lives may stand,
-// also where those had longer leases than this one's settings; whole where that is not known. Until what it says is on disk again nothing may be promised.
+// openPromiseStore opens a voter's directory and returns how long promises of earlier runs may still
+// stand, even if those had longer leases than the current configuration; longest if that is not known.
+// Before it returns that duration is stored again.
 func openPromiseStore(dir string, longest time.Duration) (promises *promiseStore, remaining time.Duration, err error) {
 	store, generation, problems, err := snapshot.Open(dir, snapshot.Now)
 	for _, p := range problems {
-		slog.Warn("vote: cover not believed", "where", p.Where, "why", p.Why)
+		slog.Warn("vote: stored promises rejected", "where", p.Where, "why", p.Why)
 	}
 	if err != nil {
-		return nil, 0, fmt.Errorf("vote: cover: %w", err)
+		return nil, 0, fmt.Errorf("vote: promise store: %w", err)
 	}
 	remaining = longest
 	if generation != nil && generation.Dated && generation.Whole && len(problems) == 0 {
@@ -52,11 +53,11 @@
 		}
 	}
 	promises = &promiseStore{store: store, saved: make(chan writeResult, 1)}
-	// What this life is silent for is known to the next one, too.
+	// The next run must know for how long this one abstains.
 	if err := promises.save(remaining); err != nil {
-		return nil, 0, errors.Join(fmt.Errorf("vote: cover: %w", err), store.Close())
+		return nil, 0, errors.Join(fmt.Errorf("vote: promise store: %w", err), store.Close())
 	}
-	slog.Info("vote: cover", "dir", dir, "left", remaining.String())
+	slog.Info("vote: promises of earlier runs", "dir", dir, "left", remaining.String())
 	return promises, remaining, nil
 }
 
@@ -65,8 +66,8 @@
 	return c.store.Save(snapshot.Tables{promiseTable: {promiseKey: {Version: promiseVersion, Value: raw}}})
 }
 
-// persist begins to write that promises may stand until a time; what is asked for during
-// another write is asked for again.
+// persist starts to store that promises may stand until a time. It does nothing while another write is in
+// flight: the voter asks again.
 func (c *promiseStore) persist(now, until time.Duration) {
 	if c.writing {
 		return
@@ -75,14 +76,14 @@
 	c.writes.Add(1)
 	go func() {
 		defer c.writes.Done()
-		c.saved <- writeResult{until, c.save(until - now)} // there is room: one is under way at a time
+		c.saved <- writeResult{until, c.save(until - now)} // never blocks: one write is in flight at a time
 	}()
 }
 
-// close waits for the write under way.
+// close waits for the write in flight and closes the store.
 func (c *promiseStore) close() {
 	c.writes.Wait()
 	if err := c.store.Close(); err != nil {
-		slog.Warn("vote: cover not closed", "err", err)
+		slog.Warn("vote: promise store not closed", "err", err)
 	}
 }
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -9,22 +9,21 @@
 	"time"
 
 	"chalkdoor.example/chalkdoor/internal/agent"
-	"chalkdoor.example/chalkdoor/internal/agent/consensus"
 	"chalkdoor.example/chalkdoor/internal/agent/membership"
 	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
 	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
 )
 
-// siteMailboxSize bounds what waits for the site's task; most of it merges.
+// siteMailboxSize bounds the mailbox of the site's task; most messages merge.
 const siteMailboxSize = 512
 
-// maxPeerReports bounds what neighbours were told and the loop has not taken yet, by servers.
+// maxPeerReports bounds the servers whose reports from peers the event loop has not taken yet.
 const maxPeerReports = stalerouting.MaxEntries
 
-// The states of a list's entries, as discovery names them.
+// states maps the names of discovery to states.
 var states = map[string]stalerouting.State{"up": stalerouting.Up, "draining": stalerouting.Draining, "removed": stalerouting.Removed}
 
-// entries is a list as a set has it; what is not known to be up counts as draining, as for the
+// entries converts a list. A server in a state that is not known counts as draining, as it does for the
 // agent itself.
 func entries(list []agent.Target, age time.Duration) (out []stalerouting.Entry) {
 	for _, t := range list {
@@ -39,111 +38,33 @@
 	return out
 }
 
-// ---- what the site's task is told ----
-
-type (
-	discoveryReport struct {
-		list     []stalerouting.Entry
-		complete bool
-	}
-	signalReceived struct{ signal stalerouting.Signal }
-	heartbeat      struct{ stalerouting.Heartbeat }
-	receivedState  struct{ siteState }
-	localDecision  struct{ consensus.Decision }    // by the council, of which this agent is
-	peerDecision   struct{ stalerouting.Decision } // the same, from a peer
-	ping           struct {
-		From string
-		Pong bool // it answers one
-	}
-)
-
-// siteState is what two peers exchange over a stream.
-type siteState struct {
-	Version int
-	From    string
-	Zone    string
-	Entries []stalerouting.Entry
-}
-
-// A change of the list must not be lost: where there is no room what is queued goes.
-func (discoveryReport) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
-
-// Another ping, or another sign of life, comes soon.
-func (signalReceived) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
-func (ping) Overflow() supervisor.OverflowPolicy           { return supervisor.DropNewest }
-
-// The newest word of a member, and the newest set of a neighbour, are enough.
-func (heartbeat) Overflow() supervisor.OverflowPolicy     { return supervisor.DropOldest }
-func (receivedState) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
-
-// The newest decision is enough; each comes again.
-func (localDecision) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
-func (peerDecision) Overflow() supervisor.OverflowPolicy  { return supervisor.DropNewest }
-
-func (m signalReceived) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
-	o, ok := q.(signalReceived)
-	return m, ok && o == m
-}
-
-func (m ping) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
-	o, ok := q.(ping)
-	return m, ok && o == m
-}
-
-func (m heartbeat) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
-	o, ok := q.(heartbeat)
-	if !ok || o.From != m.From {
-		return m, false
-	}
-	if o.Incarnation == m.Incarnation && o.Seq > m.Seq {
-		return o, true
-	}
-	return m, true
-}
-
-func (m receivedState) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
-	o, ok := q.(receivedState)
-	return m, ok && o.From == m.From
-}
-
-// validate tells what is wrong with a ping of another process.
-func (m *ping) validate() error {
-	if m.From == "" || len(m.From) > 128 {
-		return fmt.Errorf("ping: from: a name of %d bytes", len(m.From))
-	}
-	return nil
-}
-
-// ---- the task ----
-
-// runSite is the task that owns what the site was told and its part in finding out that the
-// uplink is lost. Another life of it begins with what the one before had, as the agent's own
-// list has not changed by its death.
-func (l *Coordinator) runSite(ctx context.Context) error {
-	config := l.config.Site
-	config.WasIsolated = config.WasIsolated || l.Snapshot().Isolated
-	uplink, err := stalerouting.NewUplink(config, l.config.Membership.Incarnation)
+// runSite is the task that owns the server set and the uplink detection. A restart of the task continues
+// with the last snapshot, as the agent's own list has not changed by its failure.
+func (c *Coordinator) runSite(ctx context.Context) error {
+	config := c.config.Site
+	config.WasIsolated = config.WasIsolated || c.Snapshot().Isolated
+	uplink, err := stalerouting.NewUplink(config, c.config.Membership.Incarnation)
 	if err != nil {
 		return err
 	}
 	servers := stalerouting.NewServerSet()
-	if _, err := servers.Merge(l.now(), l.Snapshot().Entries); err != nil {
+	if _, err := servers.Merge(c.now(), c.Snapshot().Entries); err != nil {
 		return err
 	}
-	s := &siteTask{coordinator: l, uplink: uplink, servers: servers, decisions: stalerouting.NewDecisionCache(l.config.MaxDecisionAge), rng: rand.New(rand.NewPCG(l.config.Membership.Incarnation, 5))}
+	s := &siteTask{coordinator: c, uplink: uplink, servers: servers, decisions: stalerouting.NewDecisionCache(c.config.MaxDecisionAge), rng: rand.New(rand.NewPCG(c.config.Membership.Incarnation, 5))}
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.siteMailbox.Ready():
-			for msg, ok := l.siteMailbox.Poll(); ok; msg, ok = l.siteMailbox.Poll() {
+		case <-c.siteMailbox.Ready():
+			for msg, ok := c.siteMailbox.Poll(); ok; msg, ok = c.siteMailbox.Poll() {
 				s.handleMessage(msg)
 			}
 			s.publishSnapshot()
 		case <-tick.C:
-			s.applyActions(uplink.Tick(l.now(), servers.Digest()))
+			s.applyActions(uplink.Tick(c.now(), servers.Digest()))
 		}
 	}
 }
@@ -152,14 +73,14 @@
 	coordinator *Coordinator
 	uplink      *stalerouting.Uplink
 	servers     *stalerouting.ServerSet
-	zones       []string // of the list
+	zones       []string // zones of the listed servers
 	phase       stalerouting.Phase
-	share       float64 // of what lies outside
+	share       float64 // of zones outside the site
 	shareUntil  time.Duration
 	decisions   *stalerouting.DecisionCache
-	otherAgents []string // agents that are there, but this one
+	otherAgents []string // live agents except this one
 	rng         *rand.Rand
-	renewAt     time.Duration // when the loop's orders are to be renewed
+	renewAt     time.Duration // when the zone overrides have to be renewed
 }
 
 func (s *siteTask) handleMessage(msg supervisor.Message) {
@@ -173,9 +94,9 @@
 			}
 		}
 		slices.Sort(s.zones)
-		// The list that came with the start is told by nobody whose word can be dated.
+		// The age of the list in the configuration is not known.
 		if _, err := s.servers.Merge(now, m.entries); err != nil {
-			slog.Warn("site: list not kept", "err", err)
+			slog.Warn("site: list rejected", "err", err)
 		}
 	case discoveryReport:
 		s.servers.ApplyDiscovery(now, m.list, m.complete)
@@ -183,7 +104,7 @@
 		s.uplink.Observe(now, m.signal)
 	case heartbeat:
 		if err := s.uplink.Receive(now, m.Heartbeat); err != nil {
-			slog.Debug("site: word not believed", "err", err)
+			slog.Debug("site: heartbeat rejected", "err", err)
 		}
 	case membersChanged:
 		var remote []string
@@ -200,7 +121,7 @@
 	case localDecision:
 		d := stalerouting.Decision{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
 		if !m.Confirmed {
-			d.Age = stalerouting.UnknownAge // it may have lain in the log for long
+			d.Age = stalerouting.UnknownAge // it may be as old as the log
 		}
 		s.handleDecision(d, true)
 	case peerDecision:
@@ -213,24 +134,24 @@
 		}
 	case receivedState:
 		if m.Zone != l.config.Membership.Zone {
-			return // another site's
+			return // of another site
 		}
 		changed, err := s.servers.Merge(now, m.Entries)
 		if err != nil {
-			slog.Warn("site: set not believed", "from", m.From, "err", err)
+			slog.Warn("site: server set rejected", "from", m.From, "err", err)
 		} else if s.uplink.DiscoveryUnreachable() && len(changed) > 0 {
 			l.addPeerReports(changed)
 		}
 	}
 }
 
-// publishSnapshot hands what the task has to its next life, to neighbours and to the disk.
+// publishSnapshot makes the task's state available to its restart, to peers and to the disk.
 func (s *siteTask) publishSnapshot() {
 	now := s.coordinator.now()
 	s.coordinator.setSnapshot(Snapshot{Isolated: s.phase == stalerouting.Isolated, Entries: s.servers.Entries(now)}, now)
 }
 
-// applyActions does what the core asks.
+// applyActions carries out what the uplink asks.
 func (s *siteTask) applyActions(out *stalerouting.Actions) {
 	l := s.coordinator
 	for _, to := range out.Recipients {
@@ -258,16 +179,16 @@
 	}
 }
 
-// decisionFanout is how many peers are told at once of a decision that is new.
+// decisionFanout is the number of peers to which a new decision is sent at once.
 const decisionFanout = 8
 
-// handleDecision takes a decision of the council, and tells others of one that is new or holds again.
+// handleDecision offers a decision to the cache and passes it on if it is new, or valid again.
 func (s *siteTask) handleDecision(d stalerouting.Decision, local bool) {
 	now := s.coordinator.now()
 	_, wasValid := s.decisions.Current(now)
 	changed, err := s.decisions.Offer(now, d, local)
 	if err != nil {
-		slog.Debug("site: decision not believed", "err", err)
+		slog.Debug("site: decision rejected", "err", err)
 	}
 	d, valid := s.decisions.Current(now)
 	if !valid || wasValid && !changed {
@@ -289,15 +210,15 @@
 	s.updateZoneOverrides(false)
 }
 
-// sendDecision tells some peers, drawn anew, of a decision as it is now.
+// sendDecision sends a decision with its current age to a number of random peers.
 func (s *siteTask) sendDecision(d stalerouting.Decision, to int) {
 	for _, i := range s.rng.Perm(len(s.otherAgents))[:min(to, len(s.otherAgents))] {
 		s.coordinator.send(s.otherAgents[i], KindDecision, d)
 	}
 }
 
-// updateZoneOverrides tells the loop how zones stand: by the council's word while it holds, and by the
-// uplink for those outside.
+// updateZoneOverrides sets the zone overrides by the group's decision while it is valid, and by the uplink for
+// zones outside the site.
 func (s *siteTask) updateZoneOverrides(fetchList bool) {
 	l := s.coordinator
 	now, ownZone := l.now(), l.config.Membership.Zone
@@ -308,7 +229,7 @@
 		override := agent.ZoneOverride{Zone: zone, ShareFactor: 1, ReachableShare: 1, TTL: now + time.Hour}
 		if valid {
 			override.ShareFactor, override.TTL = decision.Table.Share(ownZone, zone), now+s.decisions.ValidFor(now)
-			if s.phase == stalerouting.Connected { // a site by itself has its own zone only
+			if s.phase == stalerouting.Connected { // an isolated site has its own zone only
 				override.TrafficShare, _ = decision.Table.TrafficShare(ownZone, zone)
 			}
 		}
