--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -339,8 +339,8 @@
 		{"no time", pendingRequest{}, up(), now, false},
 	} {
 		test.r.client = &clientRequest{class: 2}
-		if _, why := l.violation(&test.r, test.b, now, test.until); (why == "") != test.want {
-			t.Errorf("%s: %q", test.name, why)
+		if violation := l.checkAttempt(&test.r, test.b, now, test.until); (violation == nil) != test.want {
+			t.Errorf("%s: %+v", test.name, violation)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"net"
@@ -12,27 +13,36 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Config is what the platform tells one agent, validated.
+const (
+	// minSockets leaves a few connections to each side beside the reserve.
+	minSockets = 64
+	// minMemoryMB is the least memory that an agent can run with.
+	minMemoryMB = 16
+	// memoryBudgetShare is the part of the memory, as a divisor, that bodies may take.
+	memoryBudgetShare = 5
+)
+
+// Config is what the platform configures for one agent, validated.
 type Config struct {
 	Name         string
-	Listen       string
-	Discovery    string
+	Listen       string // host:port for clients
+	Discovery    string // host:port
 	Seed         uint64
 	Cores        float64
-	MemoryMB     int
-	Sockets      int
+	MemoryMB     int // in MiB
+	Sockets      int // descriptors
 	InitialList  TargetList
 	Settings     policy.Settings
-	Zones        []string // names of zones and of machine kinds, by the number the module knows
-	MachineKinds []string
+	Zones        []string // names, by the policy's numbers
+	MachineKinds []string // names, by the policy's numbers
 }
 
-// configFile is the form of $PROXY_CONFIG.
+// configFile is the format of the file that PROXY_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"`
+	Seed      string `json:"seed"` // hexadecimal
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
@@ -42,93 +52,99 @@
 	Settings    json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the configuration from the environment and from the file it
-// names. Where both tell a thing the environment wins: it is what the platform
-// set for this very start.
+// LoadConfig reads the configuration from the environment and from the file that PROXY_CONFIG names. The
+// environment takes precedence: it is what the platform set for this very start. Errors name the key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
-	return load(getenv, "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY")
+	return loadConfig(getenv, "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY")
 }
 
-// ReloadConfig reads the file again. By then its discovery is newer than that of the
-// environment, which is as old as the process.
+// ReloadConfig reads the configuration again. Its discovery is newer than that of the environment, which is as
+// old as the process.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
-	return load(getenv, "PROXY_NAME", "PROXY_LISTEN")
+	return loadConfig(getenv, "PROXY_NAME", "PROXY_LISTEN")
 }
 
-// load reads the file; the variables that are named win over it.
-func load(getenv func(string) string, win ...string) (*Config, error) {
+// loadConfig reads the file; the given variables take precedence over it.
+func loadConfig(getenv func(string) string, variables ...string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("config: PROXY_CONFIG is not set")
+		return nil, errors.New("config: PROXY_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var f configFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
-	fields := map[string]*string{"PROXY_NAME": &f.Name, "PROXY_LISTEN": &f.Listen, "PROXY_DISCOVERY": &f.Discovery}
-	for _, name := range win {
-		if v := getenv(name); v != "" {
-			*fields[name] = v
+	fields := map[string]*string{"PROXY_NAME": &file.Name, "PROXY_LISTEN": &file.Listen, "PROXY_DISCOVERY": &file.Discovery}
+	for _, name := range variables {
+		if value := getenv(name); value != "" {
+			*fields[name] = value
 		}
 	}
-	return f.validate()
+	return file.validate()
 }
 
+// validate returns the configuration of a file, or an error that names the first key that makes no sense.
 func (f *configFile) validate() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, InitialList: f.InitialList,
+	config := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, InitialList: f.InitialList,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return nil, fmt.Errorf("config: %s: %q is no host:port", a.key, a.value)
-		}
-	}
-	switch {
-	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
-		return nil, fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
-	case c.MemoryMB < 16:
-		return nil, fmt.Errorf("config: limits.memory_mb: must be 16 at least, is %d", c.MemoryMB)
-	case c.Sockets < minSockets:
-		return nil, fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	if err := config.validatePlatform(); err != nil {
+		return nil, err
 	}
 	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if config.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
 	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("config: settings: none given")
+		return nil, errors.New("config: settings: none given")
 	}
-	if c.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
+	if config.Settings, err = simprotocol.ParseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	// The module knows zones and kinds by number only; discovery names them.
+	// The policy knows zones and machine kinds by number; discovery names them.
 	var names struct {
-		Zones []string `json:"failureDomains"`
-		Kinds []string `json:"shapes"`
+		Zones        []string `json:"failureDomains"`
+		MachineKinds []string `json:"shapes"`
 	}
 	if err := json.Unmarshal(f.Settings, &names); err != nil {
 		return nil, fmt.Errorf("config: settings: %w", err)
 	}
-	c.Zones, c.MachineKinds = names.Zones, names.Kinds
-	if _, err := policy.New(c.Settings, c.Seed); err != nil {
+	config.Zones, config.MachineKinds = names.Zones, names.MachineKinds
+	if _, err := policy.New(config.Settings, config.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	return c, nil
+	return config, nil
 }
 
-// minSockets leaves a few connections to each side beside the reserve.
-const minSockets = 64
+// validatePlatform checks the addresses and limits.
+func (c *Config) validatePlatform() error {
+	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
+			return fmt.Errorf("config: %s: %q is no host:port", address.key, address.value)
+		}
+	}
+	switch {
+	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
+		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
+	case c.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	}
+	return nil
+}
 
-// maxBackendConns is the most connections to backends, maxClientConns how many clients may be
-// connected before idle ones give way: less than the third of the descriptors that
-// the clients hold for requests at most. The rest is for the listener, discovery, the
-// log, the runtime's own, and what is just being closed.
+// maxBackendConns bounds the connections to backends.
 func (c *Config) maxBackendConns() int { return c.Sockets * 7 / 16 }
-func (c *Config) maxClientConns() int  { return c.Sockets / 4 }
 
-// memoryBudget is the memory for bodies of requests and answers together, beside the small
-// ones: what is left of the limit is for connections, the module and the runtime.
-func (c *Config) memoryBudget() int64 { return int64(c.MemoryMB) << 20 / 5 }
+// maxClientConns is the number of clients' connections from which idle ones are closed: less than the third of
+// the descriptors that the clients have at most. The rest is for the listener, discovery, the log, the runtime,
+// and connections that are being closed.
+func (c *Config) maxClientConns() int { return c.Sockets / 4 }
+
+// memoryBudget is the memory in bytes for bodies of requests and responses, beside the small ones. The rest of
+// the limit is for connections, the policy and the runtime.
+func (c *Config) memoryBudget() int64 { return int64(c.MemoryMB) << 20 / memoryBudgetShare }
--- /dev/null
+++ b/internal/agent/eventloop.go
@@ -0,0 +1,226 @@
+package agent
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+	"golang.org/x/time/rate"
+
+	"chalkdoor.example/chalkdoor/policy"
+)
+
+const (
+	// sweepInterval is how often connections that have been idle for too long are closed.
+	sweepInterval = time.Second
+	// inboxSize is how much may be posted to the loop before post waits.
+	inboxSize = 4096
+	// logLineRate and logLineBurst bound the log lines a second, logLineBuffer those that wait for whoever
+	// reads the log: the log is bounded work on one core.
+	logLineRate, logLineBurst, logLineBuffer = 5, 50, 64
+)
+
+// eventLoop owns the policy and all state of requests. One goroutine runs it; all others reach it through
+// post. It never blocks: what may wait runs in goroutines of its own.
+type eventLoop struct {
+	config       *Config
+	ctx          context.Context
+	inbox        chan func()
+	clockStart   time.Time // wall time and monotonic time of clockBaseMs
+	clockBaseMs  float64   // Unix time
+	observer     Observer
+	onReady      func() // called once and again when there are backends
+	sender       *sender
+	memoryBudget *semaphore.Weighted // for bodies, in bytes
+	counters     counters
+
+	balancer      *policy.Balancer
+	actions       []policy.Action // scratch space of handle
+	pendingEvents []policy.Event  // that carrying out actions has raised
+
+	requests           map[policy.RequestID]*pendingRequest
+	requestsByClientID map[string]*pendingRequest
+	lastRequestID      policy.RequestID
+	openRequests       int // without an answer
+	probesInFlight     int
+
+	backends      *backendTable
+	discovery     *discoveryClient
+	dialDiscovery dialer
+	listVersion   uint64
+	needsFullList bool // no full list of this discovery has arrived yet
+	watching      bool
+	fetching      bool
+	watchFailures int // in a row
+
+	restored     *SavedState       // of an earlier process, until the loop runs; nil: none
+	save         func(*SavedState) // nil: nothing is saved
+	saveInterval time.Duration
+	targets      map[string]Target // the list by ID, where it is saved or a coordinator follows it
+	coordinator  Coordinator       // nil: the agent acts alone
+
+	logLimiter *rate.Limiter
+	logLines   chan func()
+}
+
+// newEventLoop returns a loop that does not run yet. onReady is called, by the loop, when there are backends
+// to send to.
+func newEventLoop(ctx context.Context, config *Config, onReady func()) (*eventLoop, error) {
+	balancer, err := policy.New(config.Settings, config.Seed)
+	if err != nil {
+		return nil, err
+	}
+	now := time.Now()
+	l := &eventLoop{
+		config:             config,
+		ctx:                ctx,
+		inbox:              make(chan func(), inboxSize),
+		clockStart:         now,
+		clockBaseMs:        float64(now.UnixMicro()) / 1000,
+		observer:           noopObserver{},
+		onReady:            onReady,
+		memoryBudget:       semaphore.NewWeighted(config.memoryBudget()),
+		balancer:           balancer,
+		requests:           map[policy.RequestID]*pendingRequest{},
+		requestsByClientID: map[string]*pendingRequest{},
+		backends:           newBackendTable(config.Zones, config.MachineKinds),
+		dialDiscovery:      (&net.Dialer{Timeout: callSlack}).DialContext,
+		logLimiter:         rate.NewLimiter(logLineRate, logLineBurst),
+		logLines:           make(chan func(), logLineBuffer),
+	}
+	l.sender = newSender(config, l.memoryBudget)
+	l.useDiscovery(config.Discovery)
+	return l, nil
+}
+
+// post has the loop run a function. It may wait, so the loop itself never calls it; once the loop has ended
+// the function is dropped.
+func (l *eventLoop) post(f func()) {
+	select {
+	case l.inbox <- f:
+	case <-l.ctx.Done():
+	}
+}
+
+// run is the loop; it ends with the context.
+func (l *eventLoop) run() {
+	go l.writeLog()
+	l.start()
+	sweep := time.NewTicker(sweepInterval)
+	defer sweep.Stop()
+	var saveTicks <-chan time.Time
+	if l.save != nil {
+		ticker := time.NewTicker(l.saveInterval)
+		defer ticker.Stop()
+		saveTicks = ticker.C
+		defer func() { l.save(l.savedState()) }()
+	}
+	var directives <-chan struct{}
+	if l.coordinator != nil {
+		directives = l.coordinator.Ready()
+	}
+	for {
+		select {
+		case f := <-l.inbox:
+			f()
+			l.handlePending()
+		case <-directives:
+			l.applyDirectives(l.coordinator.Directives())
+			l.handlePending()
+		case <-sweep.C:
+			l.sender.pool.closeExpired()
+		case <-saveTicks:
+			l.save(l.savedState())
+		case <-l.ctx.Done():
+			return
+		}
+	}
+}
+
+// start gives the policy the list that was last known, however old, and what an earlier process learned.
+func (l *eventLoop) start() {
+	l.execute(l.balancer.Start(l.now(), l.actions[:0]))
+	l.applyList(l.initialList(), policy.UpdateCached, true)
+	if l.restored != nil {
+		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.restored.Snapshot})
+		l.restored = nil
+	}
+	if l.listIsPushed() {
+		l.startWatch()
+	}
+	l.handlePending()
+	if l.backends.hasAvailable() {
+		l.onReady()
+	}
+}
+
+// now is the policy's clock in milliseconds: Unix time, as in the list's started_ms, that only advances.
+func (l *eventLoop) now() float64 {
+	return l.clockBaseMs + inMilliseconds(time.Since(l.clockStart))
+}
+
+// handle gives the policy one event and carries out its actions.
+func (l *eventLoop) handle(event *policy.Event) {
+	l.execute(l.balancer.Handle(l.now(), event, l.actions[:0]))
+}
+
+// handlePending handles the events that carrying out actions has raised.
+func (l *eventLoop) handlePending() {
+	for len(l.pendingEvents) > 0 {
+		event := l.pendingEvents[0]
+		l.pendingEvents = l.pendingEvents[1:]
+		l.handle(&event)
+	}
+	l.pendingEvents = nil
+}
+
+// execute carries out actions in their order.
+func (l *eventLoop) execute(actions []policy.Action) {
+	l.actions = actions
+	for i := range actions {
+		action := &actions[i]
+		switch action.Kind {
+		case policy.ActionSend:
+			l.startAttempt(action)
+		case policy.ActionCancel:
+			l.cancelAttempt(action)
+		case policy.ActionReject:
+			if request := l.requests[action.Request]; request != nil {
+				l.reject(request, action.DurationMs)
+			}
+		case policy.ActionFail:
+			if request := l.requests[action.Request]; request != nil {
+				l.respond(request, response{outcome: failed})
+			}
+		case policy.ActionTimer:
+			l.startTimer(action.Token, milliseconds(action.DurationMs))
+		case policy.ActionWatch:
+			l.startWatch()
+		case policy.ActionFetch:
+			l.fetchList()
+		case policy.ActionCloseIdle:
+			if backend := l.backends.byAddr[action.Server]; backend != nil {
+				l.sender.pool.closeIdle(backend)
+			}
+		case policy.ActionLog:
+			l.log(slog.LevelInfo, "policy", "text", action.Text)
+		case policy.ActionProbe:
+			l.startProbe(action)
+		}
+	}
+}
+
+// startTimer has the policy handle a timer event after a time.
+func (l *eventLoop) startTimer(token uint32, after time.Duration) {
+	time.AfterFunc(after, func() {
+		l.post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
+	})
+}
+
+// milliseconds converts the policy's durations.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// inMilliseconds converts a duration for the policy, at the resolution of a microsecond.
+func inMilliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,47 +9,57 @@
 )
 
 const (
-	// reloadRetryInterval and rereads bound how a file that can't be used is tried again:
-	// SIGHUP may come while it is still being written.
+	// reloadRetryInterval and maxReloadAttempts bound how an unusable file is read again: SIGHUP may arrive
+	// while it is still being written.
 	reloadRetryInterval, maxReloadAttempts = 100 * time.Millisecond, 100
 )
 
-// reload reads the configuration again at each signal and tells use the address of
-// discovery that it names. The old configuration holds until a new one is sound. All
-// else that differs needs a restart, and is only logged.
+// reload reads the configuration again at each signal and calls use with the address of discovery that it names.
+// The old configuration stays in force until a new one is valid. All other differences need a restart, and are
+// only logged.
 func reload(ctx context.Context, signals <-chan os.Signal, read func() (*Config, error), old *Config, use func(discovery string)) {
 	retry := time.NewTimer(0)
 	<-retry.C
-	failed := 0
+	failures := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			failed = 0
+			failures = 0
 		case <-retry.C:
 		}
-		c, err := read()
+		config, err := read()
 		if err != nil {
-			if failed++; failed == 1 || failed == maxReloadAttempts {
-				slog.Warn("configuration not used, the old one holds", "err", err, "try", failed)
+			if failures++; failures == 1 || failures == maxReloadAttempts {
+				slog.Warn("configuration not used, the old one stays in force", "err", err, "attempt", failures)
 			}
-			if failed < maxReloadAttempts {
+			if failures < maxReloadAttempts {
 				retry.Reset(reloadRetryInterval)
 			}
 			continue
 		}
 		retry.Stop()
-		for name, same := range map[string]bool{
-			"name": c.Name == old.Name, "listen": c.Listen == old.Listen,
-			"limits":   c.Cores == old.Cores && c.MemoryMB == old.MemoryMB && c.Sockets == old.Sockets,
-			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.MachineKinds, old.MachineKinds),
-		} {
-			if !same {
-				slog.Warn("changed in the configuration, but used only after a restart", "field", name)
-			}
+		logRestartNeeded(old, config)
+		slog.Info("configuration read again", "discovery", config.Discovery)
+		use(config.Discovery)
+	}
+}
+
+// logRestartNeeded logs the fields that differ and take effect after a restart alone.
+func logRestartNeeded(old, config *Config) {
+	for _, field := range []struct {
+		name string
+		same bool
+	}{
+		{"name", config.Name == old.Name},
+		{"listen", config.Listen == old.Listen},
+		{"limits", config.Cores == old.Cores && config.MemoryMB == old.MemoryMB && config.Sockets == old.Sockets},
+		{"settings", reflect.DeepEqual(config.Settings, old.Settings) &&
+			reflect.DeepEqual(config.Zones, old.Zones) && reflect.DeepEqual(config.MachineKinds, old.MachineKinds)},
+	} {
+		if !field.same {
+			slog.Warn("changed in the configuration, but used only after a restart", "field", field.name)
 		}
-		slog.Info("configuration read again", "discovery", c.Discovery)
-		use(c.Discovery)
 	}
 }
--- /dev/null
+++ b/internal/agent/requests.go
@@ -0,0 +1,183 @@
+package agent
+
+import (
+	"log/slog"
+	"net/http"
+	"time"
+
+	"chalkdoor.example/chalkdoor/policy"
+)
+
+const (
+	// policyMargin is taken off the time that the policy gives a request: what it takes from the end of its
+	// last attempt to a response at the client.
+	policyMargin = 8 * time.Millisecond
+	// backstopMargin is how long before the client's deadline the backstop answers, well after the policy
+	// should have.
+	backstopMargin = 4 * time.Millisecond
+	// Of a request with little time each margin takes no more than a part of it.
+	policyMarginShare, backstopMarginShare = 8, 16
+)
+
+// outcome is what became of a client's request.
+type outcome uint8
+
+const (
+	served outcome = iota
+	rejected
+	failed
+)
+
+// String is the outcome's name in metrics.
+func (o outcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
+
+// response is the one final response to a client's request.
+type response struct {
+	outcome       outcome
+	retryAfterMs  float64     // rejected: when the client may retry
+	status        int         // failed: of HTTP; 0 for 502
+	header        http.Header // served
+	body          []byte      // served
+	reservedBytes int64       // of the memory budget; released once the response is written
+}
+
+// pendingRequest is a client's request in the loop, until it is answered and no attempt is in flight.
+type pendingRequest struct {
+	id            policy.RequestID
+	client        *clientRequest
+	answered      bool
+	attempts      []*attempt
+	inFlight      int // attempts
+	maybeExecuted int // attempts that are in flight or may have been executed
+	backstop      *time.Timer
+}
+
+// accept hands a client's request to the policy. Requests beyond the limit of open ones are rejected here.
+func (l *eventLoop) accept(client *clientRequest) *pendingRequest {
+	l.counters.accepted++
+	l.lastRequestID++
+	request := &pendingRequest{id: l.lastRequestID, client: client}
+	l.openRequests++
+	if l.requestsByClientID[client.id] != nil {
+		// Another client's, or the same one's that may still be executed: neither is touched.
+		l.respond(request, response{outcome: failed, status: http.StatusConflict})
+		return request
+	}
+	remaining := time.Until(client.deadline)
+	limits := &l.config.Settings.Limits
+	if remaining <= 0 || limits.MaxOpenRequests > 0 && l.openRequests > limits.MaxOpenRequests {
+		l.reject(request, limits.MaxRetryAfterMs)
+		return request
+	}
+	l.requests[request.id], l.requestsByClientID[client.id] = request, request
+	request.backstop = time.AfterFunc(remaining-min(backstopMargin, remaining/backstopMarginShare), func() {
+		l.post(func() { l.onBackstop(request) })
+	})
+	remaining -= min(policyMargin, remaining/policyMarginShare)
+	l.handle(&policy.Event{
+		Kind:        policy.EventRequest,
+		Request:     request.id,
+		Class:       client.class,
+		Tenant:      client.tenant,
+		Key:         client.key,
+		RemainingMs: inMilliseconds(remaining),
+		WorkHintMs:  client.workHintMs,
+		HasWorkHint: client.hasWorkHint,
+		IsRetry:     client.isRetry,
+	})
+	return request
+}
+
+// onBackstop answers a request that the policy should have ended before. That it did not is a defect or a
+// stall, so it is logged and counted.
+func (l *eventLoop) onBackstop(request *pendingRequest) {
+	if request.answered {
+		return
+	}
+	l.counters.backstops++
+	l.observer.ViolationPrevented(violationBackstop.rule, violationBackstop.what)
+	l.log(slog.LevelWarn, "backstop ended a request", "request", request.client.id,
+		"attempts", len(request.attempts), "in_flight", request.inFlight,
+		"late_ms", inMilliseconds(time.Since(request.client.deadline.Add(-backstopMargin))))
+	l.respond(request, response{outcome: failed, status: http.StatusGatewayTimeout})
+	l.abandon(request)
+}
+
+// onClientGone ends a request whose client has closed its connection.
+func (l *eventLoop) onClientGone(request *pendingRequest) {
+	if request.answered {
+		select {
+		case unread := <-request.client.response:
+			l.memoryBudget.Release(unread.reservedBytes)
+		default:
+		}
+		return
+	}
+	l.counters.clientsGone++
+	l.finish(request)
+	l.abandon(request)
+}
+
+// abandon cancels the attempts of a request that ended without the policy, and tells the policy so.
+func (l *eventLoop) abandon(request *pendingRequest) {
+	for _, attempt := range request.attempts {
+		if !attempt.ended && attempt.cancel != nil {
+			attempt.cancel()
+		}
+	}
+	l.handle(&policy.Event{Kind: policy.EventClientGone, Request: request.id})
+}
+
+// reject answers that a retry is harmless. Where an attempt may have been executed that makes it harmful the
+// request has failed.
+func (l *eventLoop) reject(request *pendingRequest, retryAfterMs float64) {
+	class := &l.config.Settings.Classes[request.client.class]
+	deduplicated := class.Idempotency == policy.Deduplicated && class.DedupScope == policy.DedupEverywhere
+	if request.maybeExecuted > 0 && class.Idempotency != policy.Idempotent && !deduplicated {
+		l.reportViolation(violationHarmfulRejection, request)
+		l.respond(request, response{outcome: failed})
+		return
+	}
+	l.respond(request, response{outcome: rejected, retryAfterMs: retryAfterMs})
+}
+
+// respond gives the final response; only the first counts.
+func (l *eventLoop) respond(request *pendingRequest, final response) {
+	if request.answered {
+		return
+	}
+	switch final.outcome {
+	case served:
+		l.counters.served++
+	case rejected:
+		l.counters.rejected++
+	case failed:
+		l.counters.failed++
+	}
+	client := request.client
+	remaining := time.Until(client.deadline)
+	l.observer.RequestAnswered(l.config.Settings.Classes[client.class].Name, final.outcome.String(),
+		client.timeout-remaining, remaining, len(request.attempts))
+	client.response <- final
+	l.finish(request)
+}
+
+// finish marks a request as answered.
+func (l *eventLoop) finish(request *pendingRequest) {
+	if !request.answered {
+		request.answered = true
+		l.openRequests--
+	}
+	if request.backstop != nil {
+		request.backstop.Stop()
+	}
+	l.forget(request)
+}
+
+// forget drops an answered request once no attempt is in flight.
+func (l *eventLoop) forget(request *pendingRequest) {
+	if request.answered && request.inFlight == 0 && l.requests[request.id] == request {
+		delete(l.requests, request.id)
+		delete(l.requestsByClientID, request.client.id)
+	}
+}
--- /dev/null
+++ b/internal/agent/run.go
@@ -0,0 +1,76 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+)
+
+const (
+	// minDrainTime is how long pending requests are drained at least, drainMargin what they get beyond their
+	// longest time-out.
+	minDrainTime, drainMargin = 100 * time.Millisecond, 50 * time.Millisecond
+)
+
+// Run serves until stop is done and then shuts down gracefully. It returns nil if every pending request was
+// answered, and any other reason to end. At each of the options' ReloadSignals it takes over what can change
+// without a restart from the configuration that ReadConfig returns.
+func Run(stop context.Context, config *Config, ln net.Listener, options Options) error {
+	return run(stop, config, ln, func(l *eventLoop) {
+		if options.Observer != nil {
+			l.observer = options.Observer
+			l.observer.Started(l.stats)
+		}
+		l.restored, l.save, l.saveInterval = options.Restore, options.Save, options.SaveInterval
+		l.coordinator = options.Coordinator
+		if options.ReloadSignals != nil {
+			go reload(stop, options.ReloadSignals, options.ReadConfig, config, func(discovery string) {
+				l.post(func() { l.switchDiscovery(discovery) })
+			})
+		}
+	})
+}
+
+// run is Run, with a function that configures the loop before it starts.
+func run(stop context.Context, config *Config, ln net.Listener, configure func(*eventLoop)) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel() // only after the frontend: pending requests need the loop
+	front := newFrontend(config)
+	loop, err := newEventLoop(ctx, config, func() { front.ready.Store(true) })
+	if err != nil {
+		return fmt.Errorf("agent: %w", err)
+	}
+	front.loop = loop
+	configure(loop)
+	loopEnded := make(chan struct{})
+	go func() {
+		defer close(loopEnded)
+		loop.run()
+	}()
+	failed := make(chan error, 1)
+	go func() { failed <- front.serve(ln) }()
+	select {
+	case err := <-failed:
+		return err
+	case <-stop.Done():
+	}
+	if err := front.shutdown(drainTime(config)); err != nil {
+		slog.Warn("shutdown", "err", err) // connections that never sent a request
+	}
+	cancel()
+	<-loopEnded
+	slog.Info("stopped", "counters", fmt.Sprintf("%+v", loop.counters))
+	return nil
+}
+
+// drainTime is how long pending requests are drained. SIGKILL comes no sooner than the longest deadline and 0.7 s
+// after SIGTERM: the last request has its entire time, and the end is well before that.
+func drainTime(config *Config) time.Duration {
+	longest := minDrainTime
+	for i := range config.Settings.Classes {
+		longest = max(longest, milliseconds(config.Settings.Classes[i].ClientTimeoutMs)+drainMargin)
+	}
+	return longest
+}
