--- /dev/null
+++ b/internal/fleet/daemon/control_test.go
@@ -0,0 +1,40 @@
+package daemon
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/chain"
+	"chalkdoor.example/chalkdoor/internal/fleet/controlapi"
+	"chalkdoor.example/chalkdoor/internal/fleet/registry"
+)
+
+// The resources have the keys that operators' programs read, in alphabetical order.
+func TestReportsAsJSON(t *testing.T) {
+	t.Parallel()
+	for want, report := range map[string]any{
+		`{"members":null,"sessions":null,"source":"s/1"}`: membersReport{Source: "s/1"},
+		`{"health":null,"servers":[]}`:                    serversReport{Servers: []registry.View{}},
+		`{"able":true,"config-seq":1,"disk":true,"ending":true,"fresh":true,"members":2,"node":"n","revision":3,"servers":4,"zone":"z"}`: statusReport{
+			Servable: true, ConfigSeq: 1, HasDisk: true, Draining: true, Synced: true, Members: 2, Node: "n", Revision: 3, Servers: 4, Zone: "z"},
+	} {
+		encoded, err := json.Marshal(report)
+		require.NoError(t, err)
+		assert.Equal(t, want, string(encoded))
+	}
+}
+
+func TestOutcomeOf(t *testing.T) {
+	t.Parallel()
+	for outcome, want := range map[chain.Outcome]controlapi.Outcome{
+		chain.OutcomeCommitted: controlapi.OutcomeCommitted,
+		chain.OutcomeConflict:  controlapi.OutcomeConflict,
+		chain.OutcomeInvalid:   controlapi.OutcomeInvalid,
+		77:                     controlapi.OutcomeUnknown,
+	} {
+		assert.Equal(t, want, outcomeOf(outcome))
+	}
+}
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -1,12 +1,14 @@
-// Package daemon is one process of the router fleet: it puts together the door that clients come
-// to, the control address of servers and operators, the feed between agents and, on machines with
-// a disk, a member of the core.
+// Package daemon assembles one process of the router fleet: the gateway that clients connect to, the
+// control address of servers and operators, the relay that replicates between agents and, on machines
+// with a disk, a member of the core.
 package daemon
 
 import (
 	"context"
 	"hash/fnv"
+	"net"
 	"runtime/debug"
+	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -25,13 +27,26 @@
 )
 
 const (
-	// savedServersName is the name of the list of servers on disk.
+	// savedServersName is the name of the record with the saved server list.
 	savedServersName = "servers"
-	// settingsPollInterval is how often the settings file is looked at: it may change without a signal.
-	settingsPollInterval = 2 * time.Second
+	// submitTimeout and readTimeout bound operators' calls: within a second they have an answer.
+	submitTimeout = 950 * time.Millisecond
+	readTimeout   = 900 * time.Millisecond
+
+	// supportedDiscovery and supportedEntry are the values of the settings that this process works with.
+	supportedDiscovery, supportedEntry = "self_register", "vip"
+
+	bytesPerMB = 1 << 20
+	// memoryLimitTenths is the part of the machine's memory limit that the heap may take. Peaks above
+	// it are paid for, and a process over the machine's limit is killed.
+	memoryLimitTenths = 6
 )
 
-// Daemon is one process.
+// knownContracts are the values of active-contracts that this version knows.
+var knownContracts = map[string]bool{"base": true, "drain": true, "config": true, "cost": true, "retry": true, "recover": true,
+	"engine": true, "stream": true}
+
+// Daemon is one process. Run may be called once.
 type Daemon struct {
 	settingsPath  string
 	settings      atomic.Pointer[settings.Settings]
@@ -40,145 +55,175 @@
 	relay         *relay.Node
 	gateway       *gateway.Gateway
 	controlServer *controlapi.Server
-	draining      atomic.Bool
+	draining      atomic.Bool // set once the process has begun to shut down
 }
 
-// New puts a process together by its settings file.
+// New assembles a process by the settings file at a path. It opens the state of the core, if the
+// machine has a disk, and no sockets.
 func New(path string) (*Daemon, error) {
-	s, err := settings.Load(path)
+	current, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, c := range s.ActiveContracts {
-		if !knownContracts[c] {
-			logevent.UnknownContract.Log("contract", c)
+	logUnsupported(current)
+	debug.SetMemoryLimit(current.Limits.MemoryMB * bytesPerMB * memoryLimitTenths / 10)
+	d := &Daemon{settingsPath: path, peerPool: rpc.NewPool()}
+	d.settings.Store(current)
+	d.gateway = gateway.New(current, seedOf(current.Name))
+	if d.core, err = d.openCore(current); err != nil {
+		return nil, errors.Wrap(err, "open the control state")
+	}
+	d.relay = d.newRelay(current)
+	d.gateway.OnSent = d.relay.BroadcastNotice
+	d.controlServer = controlapi.NewServer(&controlBackend{d}, controlapi.Options{SubmitTimeout: submitTimeout, ReadTimeout: readTimeout})
+	return d, nil
+}
+
+// logUnsupported logs the settings that this version does not know.
+func logUnsupported(current *settings.Settings) {
+	for _, contract := range current.ActiveContracts {
+		if !knownContracts[contract] {
+			logevent.UnknownContract.Log("contract", contract)
 		}
 	}
-	if s.DiscoverySource != "self_register" || s.EntryKind != "vip" {
-		logevent.UnknownDiscovery.Log("discovery", s.DiscoverySource, "entry", s.EntryKind)
+	if current.DiscoverySource != supportedDiscovery || current.EntryKind != supportedEntry {
+		logevent.UnknownDiscovery.Log("discovery", current.DiscoverySource, "entry", current.EntryKind)
 	}
-	// Peaks of memory are paid for, and over the limit the process is killed.
-	debug.SetMemoryLimit(s.Limits.MemoryMB << 20 * 6 / 10)
-	d := &Daemon{settingsPath: path, peerPool: rpc.NewPool()}
-	d.settings.Store(s)
-	addr := peerAddr(s)
-	f := fnv.New64a()
-	f.Write([]byte(s.Name))
-	d.gateway = gateway.New(s, f.Sum64())
-	d.core, err = controlplane.Open(controlplane.Options{
-		Addr: addr, Zone: s.Zone, Region: s.Region, StateDir: s.StateDir, HasDisk: s.HasDisk(), FirstStart: s.FirstStart,
-		Seeds: d.seedAddrs, KnownAddresses: d.knownCoreAddrs, Tolerance: view.Tolerance{Machines: s.Tolerance.Machines, Zones: s.Tolerance.Zones, Regions: s.Tolerance.Regions}, Counted: s.CountedLoss, Pool: d.peerPool,
-		Transition: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
-		OnCommit:   func(v chain.Value) { d.relay.ApplyConfig(v.Seq, v.Body) },
-		OnView:     func(v view.View) {},
+}
+
+// seedOf returns the seed of the gateway's random choices: each node has its own.
+func seedOf(node string) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(node))
+	return hash.Sum64()
+}
+
+// openCore opens this process's member of the core, which is a client of the core on machines without
+// a disk.
+func (d *Daemon) openCore(current *settings.Settings) (*controlplane.Member, error) {
+	return controlplane.Open(controlplane.Options{
+		Addr:           peerAddr(current),
+		Zone:           current.Zone,
+		Region:         current.Region,
+		StateDir:       current.StateDir,
+		HasDisk:        current.HasDisk(),
+		FirstStart:     current.FirstStart,
+		Seeds:          d.seedAddrs,
+		KnownAddresses: d.knownCoreAddrs,
+		Tolerance: view.Tolerance{
+			Machines: current.Tolerance.Machines,
+			Zones:    current.Tolerance.Zones,
+			Regions:  current.Tolerance.Regions,
+		},
+		Counted:    current.CountedLoss,
+		Pool:       d.peerPool,
+		Transition: applyUpdate,
+		OnCommit:   func(committed chain.Value) { d.relay.ApplyConfig(committed.Seq, committed.Body) },
 	})
-	if err != nil {
-		return nil, errors.Wrap(err, "open the control state")
+}
+
+// applyUpdate returns the configuration and its revision after an operator's update.
+func applyUpdate(current []byte, update *chain.Update) (next []byte, revision int64, err error) {
+	return config.Apply(current, update.Patch, update.Body)
+}
+
+// newRelay returns the node that replicates to other agents. The core must be open.
+func (d *Daemon) newRelay(current *settings.Settings) *relay.Node {
+	options := relay.Options{
+		Self: relay.Member{
+			Name:        current.Name,
+			Addr:        peerAddr(current),
+			Zone:        current.Zone,
+			Region:      current.Region,
+			ControlAddr: current.Listen.Control,
+		},
+		HeartbeatInterval: time.Duration(current.HeartbeatPeriodMs) * time.Millisecond,
+		Core:              coreAdapter{d.core},
+		SeedAddrs:         d.seedAddrs,
+		OnChange:          d.gateway.Update,
+		OnNotice:          d.gateway.ObserveRemotePrefill,
+		LinkMbps:          current.Limits.LinkMbps,
 	}
-	var save func([]byte) error
-	var saved []byte
-	if s.HasDisk() {
-		save = func(b []byte) error { return d.core.SaveRecord(savedServersName, b) }
-		saved, _ = d.core.LoadRecord(savedServersName)
+	if current.HasDisk() {
+		options.SaveServers = func(list []byte) error { return d.core.SaveRecord(savedServersName, list) }
+		options.SavedServers, _ = d.core.LoadRecord(savedServersName)
 	}
-	d.relay = relay.New(relay.Options{
-		SaveServers: save, SavedServers: saved,
-		Self:              relay.Member{Name: s.Name, Addr: addr, Zone: s.Zone, Region: s.Region, ControlAddr: s.Listen.Control},
-		HeartbeatInterval: time.Duration(s.HeartbeatPeriodMs) * time.Millisecond, Core: coreAdapter{d.core}, SeedAddrs: d.seedAddrs, OnChange: d.gateway.Update,
-		OnNotice: d.gateway.ObserveRemotePrefill, LinkMbps: s.Limits.LinkMbps,
-	})
-	d.gateway.OnSent = d.relay.BroadcastNotice
-	d.controlServer = controlapi.NewServer(&controlBackend{d}, controlapi.Options{SubmitTimeout: 950 * time.Millisecond, ReadTimeout: 900 * time.Millisecond})
-	return d, nil
+	return relay.New(options)
 }
 
-var knownContracts = map[string]bool{"base": true, "drain": true, "config": true, "cost": true, "retry": true, "recover": true,
-	"engine": true, "stream": true}
+// peerAddr is the address at which other agents call this one.
+func peerAddr(current *settings.Settings) string {
+	return net.JoinHostPort(current.IP, strconv.Itoa(current.PeerPort()))
+}
 
-// seedAddrs are the agents' addresses on the machines of the seeds, by the settings as they are now.
+// seedAddrs returns the agents' addresses on the seed machines, by the settings as they are now.
 func (d *Daemon) seedAddrs() []string {
-	s := d.settings.Load()
-	out := make([]string, len(s.Seeds))
-	for i, seed := range s.Seeds {
-		out[i] = s.PeerAddress(seed)
+	current := d.settings.Load()
+	addrs := make([]string, len(current.Seeds))
+	for i, seed := range current.Seeds {
+		addrs[i] = current.PeerAddress(seed)
 	}
-	return out
+	return addrs
 }
 
-// knownCoreAddrs are the agents' addresses of the members that are of the core, as the feed tells.
+// knownCoreAddrs returns the agents' addresses of the members of the core, as the relay knows them.
 func (d *Daemon) knownCoreAddrs() []string {
-	if d.relay == nil {
+	if d.relay == nil { // the core is opened before the relay
 		return nil
 	}
-	var out []string
-	for _, m := range d.relay.OtherMembers(true) {
-		out = append(out, m.Addr)
+	var addrs []string
+	for _, member := range d.relay.OtherMembers(true) {
+		addrs = append(addrs, member.Addr)
 	}
-	return out
+	return addrs
 }
 
-// coreAdapter is what the feed asks of the core's member.
+// coreAdapter is the core as the relay sees it.
 type coreAdapter struct{ member *controlplane.Member }
 
-func (c coreAdapter) IsMember() bool  { return c.member.IsVoter() }
+// IsMember implements relay.Core.
+func (c coreAdapter) IsMember() bool { return c.member.IsVoter() }
+
+// HasQuorum implements relay.Core.
 func (c coreAdapter) HasQuorum() bool { return c.member.HasQuorum() }
+
+// Members implements relay.Core.
 func (c coreAdapter) Members() []relay.Peer {
-	v, ok := c.member.View()
+	current, ok := c.member.View()
 	if !ok {
 		return nil
 	}
-	out := make([]relay.Peer, len(v.Voters))
-	for i, p := range v.Voters {
-		out[i] = relay.Peer{Addr: p.Addr, Zone: p.Zone}
+	peers := make([]relay.Peer, len(current.Voters))
+	for i, voter := range current.Voters {
+		peers[i] = relay.Peer{Addr: voter.Addr, Zone: voter.Zone}
 	}
-	return out
+	return peers
 }
 
-// loadNewestConfig asks the core once for the newest configuration, so that no older one is gone by.
+const (
+	// configReadTimeout bounds one attempt to read the newest configuration, and
+	// configReadRetryInterval is the pause before the next.
+	configReadTimeout       = time.Second
+	configReadRetryInterval = 200 * time.Millisecond
+)
+
+// loadNewestConfig reads the newest configuration from the core, with retries until ctx ends. Until it
+// has been read, the relay does not rely on the configuration that it has.
 func (d *Daemon) loadNewestConfig(ctx context.Context) {
 	for ctx.Err() == nil {
-		once, cancel := context.WithTimeout(ctx, time.Second)
-		v, err := d.core.Read(once)
+		attempt, cancel := context.WithTimeout(ctx, configReadTimeout)
+		newest, err := d.core.Read(attempt)
 		cancel()
 		if err == nil {
-			if v.Seq > 0 {
-				d.relay.ApplyConfig(v.Seq, v.Body)
+			if newest.Seq > 0 {
+				d.relay.ApplyConfig(newest.Seq, newest.Body)
 			}
 			d.relay.MarkConfigCurrent()
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
-		}
-	}
-}
-
-// watchSettings reads the settings file again when told, and when it has changed. Only the seeds are taken
-// over: all else is bound to the machine and needs a new start. A file that can't be used leaves
-// the old one in force.
-func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
-	tick := time.NewTicker(settingsPollInterval)
-	defer tick.Stop()
-	for {
-		told := false
-		select {
-		case <-ctx.Done():
-			return
-		case <-reload:
-			told = true
-		case <-tick.C:
-		}
-		s, err := settings.Load(d.settingsPath)
-		if err != nil {
-			logevent.SettingsInvalid.Error(err)
-			continue
-		}
-		if old := d.settings.Load(); s.Digest != old.Digest || told {
-			next := *old
-			next.Seeds, next.Digest = s.Seeds, s.Digest
-			d.settings.Store(&next)
-			logevent.SettingsReloaded.Log("seeds", s.Seeds)
+		case <-time.After(configReadRetryInterval):
 		}
 	}
 }
--- a/internal/fleet/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(machine *testing.M) { leaktest.Main(machine) }
 
-// testTimeout bounds every wait of the tests; it is reached only where something is broken.
+// testTimeout bounds every wait of the tests; it is reached only if a test fails.
 const testTimeout = 20 * time.Second
 
 // testMachine is one machine on a loopback address of its own.
@@ -51,7 +51,7 @@
 	return machine
 }
 
-// newTestMachines are machines of one fleet: their ports are alike, and each is a seed.
+// newTestMachines returns machines of one fleet: they have the same ports, and each is a seed.
 func newTestMachines(t *testing.T, count int) []*testMachine {
 	first := newTestMachine(t)
 	machines := []*testMachine{first}
@@ -108,7 +108,7 @@
 	require.NoError(m.t, os.WriteFile(m.settingsPath, []byte(text), 0o600))
 }
 
-// testProcess is one life of a machine's process.
+// testProcess is one run of a machine's process.
 type testProcess struct {
 	*testMachine
 	daemon    *Daemon
@@ -127,7 +127,7 @@
 	return process
 }
 
-// terminateAndWait waits for the process to end.
+// terminateAndWait signals the process to shut down and waits until it has.
 func (p *testProcess) terminateAndWait() {
 	p.terminate()
 	select {
@@ -139,7 +139,7 @@
 	}
 }
 
-// callControl makes a call until it is answered with a status.
+// callControl repeats a call until the response has a status, and returns the body.
 func (m *testMachine) callControl(want int, method, path, body string, fields ...string) string {
 	var got string
 	require.Eventually(m.t, func() bool {
@@ -178,8 +178,8 @@
 	"services":[{"name":"s","health-path":"/health","later":[1,2]}],"limits":{"body-bytes":4194304}}`, revision)
 }
 
-// testModelServer answers requests; of streams it sends the first event and then what it is told. It
-// beats once.
+// testModelServer answers requests. Of a stream it sends the first event, and then those that a test
+// sends to nextEvent. It sends one heartbeat.
 type testModelServer struct {
 	nextEvent chan int // the number of the next event; 0 ends the stream
 }
@@ -236,13 +236,13 @@
 	require.Equal(t, "served /a/x", string(b))
 	done()
 
-	// Another configuration is in force soon, and read back as it was sent.
+	// Another configuration takes effect soon, and is read back as it was sent.
 	next := strings.Replace(configJSON(7), `"/a/"`, `"/c/"`, 1)
 	machine.callControl(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
 	machine.callControl(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
 	machine.callControl(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
 	require.JSONEq(t, next, machine.callControl(200, "GET", "/chalkdoor/config", ""))
-	require.Eventually(t, func() bool { // the acknowledgement may come before it is in force here
+	require.Eventually(t, func() bool { // the acknowledgement may come before it takes effect here
 		resp, done := machine.request("/c/x", "c")
 		defer done()
 		return resp.StatusCode == 200
@@ -251,7 +251,7 @@
 	require.Equal(t, 404, resp.StatusCode)
 	done()
 
-	// The end: what is held is finished, what still comes is served, the entry is told.
+	// The shutdown: requests in flight are completed, new ones are served, the entry sees it as not ready.
 	stream, done := machine.request("/b/x", "2")
 	defer done()
 	process.terminate()
@@ -267,7 +267,7 @@
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", string(b))
 	process.terminateAndWait()
 
-	// Another life has what was acknowledged, and the servers until their next beats.
+	// After a restart it has what was acknowledged, and the servers until their next heartbeats are due.
 	machine.writeSettings(false)
 	process = machine.start()
 	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
@@ -278,7 +278,7 @@
 	process.terminateAndWait()
 }
 
-// A process that ends says so to the entry before it does anything else.
+// A process that shuts down fails readiness checks before it does anything else.
 func TestDrainingProcessIsNotReady(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
@@ -291,10 +291,10 @@
 	process.terminateAndWait()
 }
 
-// Machines that leave together are taken out by the entry in time, though streams hold each of them.
+// Machines that shut down together are taken out by the entry in time, though each still has a stream.
 func TestSeveralMachinesShutDownAtOnce(t *testing.T) {
 	const (
-		answered = time.Second     // the entry asks each second, and counts two misses
+		answered = time.Second     // the entry checks each second, and counts two failures
 		counted  = 4 * time.Second // by then none may count as ready any more
 	)
 	machines := newTestMachines(t, 3)
@@ -322,7 +322,7 @@
 	require.Eventually(t, func() bool { return !anyReady() }, answered, 5*time.Millisecond)
 	require.Never(t, anyReady, counted-time.Since(begun), 50*time.Millisecond)
 	for _, process := range processes {
-		require.Empty(t, process.exited, "ended under its stream")
+		require.Empty(t, process.exited, "ended before its stream")
 	}
 	close(server.nextEvent)
 	for _, stream := range streams {
@@ -335,7 +335,7 @@
 	}
 }
 
-// Streams that are longer than the grace are broken off, and the process ends within it.
+// Streams that take longer than the grace period are broken off, and the process ends within it.
 func TestShutdownWithinGracePeriod(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
@@ -348,7 +348,7 @@
 	process.terminateAndWait()
 	require.Less(t, time.Since(begun), 8*time.Second)
 	b, err := io.ReadAll(stream.Body)
-	require.Error(t, err, "it must not look whole")
+	require.Error(t, err, "it must not look complete")
 	require.Equal(t, "id: 1\ndata: x\n\n", string(b))
 	close(server.nextEvent)
 }
@@ -356,12 +356,12 @@
 func TestSettingsReload(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
-	reloadAndWait := func() { // returns once the signal before has been dealt with
+	reloadAndWait := func() { // returns once the signal before has been handled
 		for range 2 {
 			select {
 			case process.reload <- struct{}{}:
 			case <-time.After(testTimeout):
-				require.FailNow(t, "the signal is not heard")
+				require.FailNow(t, "the signal is not handled")
 			}
 		}
 	}
@@ -384,7 +384,7 @@
 	process.terminateAndWait()
 }
 
-// A process that can't listen ends with an error that names the address, and leaves nothing behind.
+// A process that cannot listen ends with an error that names the address, and leaves nothing behind.
 func TestAddressInUse(t *testing.T) {
 	for _, what := range []string{"front", "readiness", "control", "peer"} {
 		machine := newTestMachine(t)
@@ -398,7 +398,7 @@
 			require.ErrorContains(t, err, addr)
 			process.exited <- nil
 		case <-time.After(testTimeout):
-			require.FailNow(t, "the process goes on", what)
+			require.FailNow(t, "the process continues", what)
 		}
 		require.NoError(t, listener.Close())
 	}
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"net"
-	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -16,173 +13,105 @@
 )
 
 const (
-	// acceptLinger is for how long connections still come after SIGTERM: the entry asks every second and
-	// takes two misses for an end.
+	// acceptLinger is for how long new connections still arrive after SIGTERM: the entry checks
+	// readiness every second, and takes a process out after two failed checks.
 	acceptLinger = 2600 * time.Millisecond
-	// departureReserve is what of the grace is kept for telling the others and closing the disk.
+	// departureReserve is the part of the grace period that is reserved for announcing the departure
+	// and for closing the state on disk.
 	departureReserve = 700 * time.Millisecond
-	// readinessHeaderTimeout bounds the head of a question for readiness, readinessIdleTimeout the pause after one.
-	readinessHeaderTimeout, readinessIdleTimeout = 5 * time.Second, 30 * time.Second
-	// maxComponents is how many parts of a process may fail without one waiting for another.
+	// maxComponents bounds the components that can fail: none of them blocks on reporting its error.
 	maxComponents = 8
 )
 
-// components are the parts of a process that run until its work ends. The first error of one ends all.
+// components are the parts of a process that run beside each other. The first error of one ends all.
 type components struct {
-	wg   sync.WaitGroup
-	errs chan error
+	running sync.WaitGroup
+	errs    chan error
 }
 
-// start starts a part; its error, if it has one, is reported under the part's name.
-func (t *components) start(part string, fn func() error) {
-	t.wg.Go(func() {
-		if err := fn(); err != nil {
-			t.errs <- errors.Wrap(err, part)
+// start starts a component; its error, if it has one, is wrapped with its name.
+func (c *components) start(name string, run func() error) {
+	c.running.Go(func() {
+		if err := run(); err != nil {
+			c.errs <- errors.Wrap(err, name)
 		}
 	})
 }
 
-// listeners are the open sockets of a process. The optional ones are nil where the role doesn't
-// serve them.
-type listeners struct {
-	peers     net.Listener
-	readiness net.Listener
-	control   net.Listener
-	front     net.Listener
-}
-
-// Run serves until ctx ends, then ends within the grace. reload has the settings file read again.
+// Run serves until ctx ends, then shuts down within the grace period and returns nil. It returns the
+// error of the first component that fails. Each value from reload has the settings file read again.
 func (d *Daemon) Run(ctx context.Context, reload <-chan struct{}) error {
-	s := d.settings.Load()
-	// What works on while the process ends stops by this one.
+	current := d.settings.Load()
+	// The components run on while the process shuts down.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	open, err := openListeners(ctx, s)
+	opened, err := openListeners(ctx, current)
 	if err != nil {
 		stop()
 		_ = d.core.Run(work) // closes the state
 		return err
 	}
-	parts := &components{errs: make(chan error, maxComponents)}
-	d.startComponents(work, open, parts, reload)
-	logevent.Started.Log("node", s.Name, "zone", s.Zone, "disk", s.HasDisk(), "first", s.FirstStart)
+	started := &components{errs: make(chan error, maxComponents)}
+	d.startComponents(work, opened, started, reload)
+	logevent.Started.Log("node", current.Name, "zone", current.Zone, "disk", current.HasDisk(), "first", current.FirstStart)
 	select {
-	case err = <-parts.errs:
+	case err = <-started.errs:
 		logevent.ComponentFailed.Error(err)
 		d.abort(ctx)
 	case <-ctx.Done():
-		d.shutdown(s)
+		d.shutdown(current)
 	}
 	stop()
 	d.peerPool.Close()
-	parts.wg.Wait()
+	started.running.Wait()
 	return err
 }
 
-// openListeners opens all sockets before anything works, so that nothing is left behind where one can't be
-// opened.
-func openListeners(ctx context.Context, s *settings.Settings) (*listeners, error) {
-	l := new(listeners)
-	for _, want := range []struct {
-		addr string
-		to   *net.Listener
-	}{
-		{s.Listen.Readiness, &l.readiness},
-		{peerAddr(s), &l.peers},
-		{s.Listen.Control, &l.control},
-		{s.Listen.Front, &l.front},
-	} {
-		if want.addr == "" {
-			continue
-		}
-		ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", want.addr)
-		if err != nil {
-			l.close()
-			return nil, errors.Wrapf(err, "listen on %s", want.addr)
-		}
-		*want.to = ln
+// startComponents starts all components of the process; they run until ctx ends.
+func (d *Daemon) startComponents(ctx context.Context, opened *listeners, started *components, reload <-chan struct{}) {
+	if opened.readiness != nil {
+		started.start("readiness", func() error { return d.serveReadiness(ctx, opened.readiness) })
 	}
-	return l, nil
-}
-
-func (l *listeners) close() {
-	for _, ln := range []net.Listener{l.readiness, l.peers, l.control, l.front} {
-		if ln != nil {
-			_ = ln.Close() // nothing was accepted from it
-		}
+	handlers := rpc.NewMux()
+	d.core.RegisterHandlers(handlers)
+	d.relay.RegisterHandlers(handlers)
+	started.start("peers", func() error { return rpc.Serve(ctx, opened.peers, handlers) })
+	started.start("core", func() error { return d.core.Run(ctx) })
+	started.start("relay", func() error { return d.relay.Run(ctx) })
+	started.start("gateway", func() error { return d.gateway.Run(ctx) })
+	started.start("newest configuration", func() error { d.loadNewestConfig(ctx); return nil })
+	started.start("settings", func() error { d.watchSettings(ctx, reload); return nil })
+	if opened.control != nil {
+		started.start("control", func() error { return d.controlServer.Serve(ctx, opened.control) })
 	}
-}
-
-// peerAddr is the address at which other agents call this one.
-func peerAddr(s *settings.Settings) string {
-	return net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort()))
-}
-
-// startComponents has all parts of the process work until ctx ends.
-func (d *Daemon) startComponents(ctx context.Context, open *listeners, parts *components, reload <-chan struct{}) {
-	if open.readiness != nil {
-		parts.start("readiness", func() error { return d.serveReadiness(ctx, open.readiness) })
-	}
-	calls := rpc.NewMux()
-	d.core.RegisterHandlers(calls)
-	d.relay.RegisterHandlers(calls)
-	parts.start("peers", func() error { return rpc.Serve(ctx, open.peers, calls) })
-	parts.start("core", func() error { return d.core.Run(ctx) })
-	parts.start("hub", func() error { return d.relay.Run(ctx) })
-	parts.start("door", func() error { return d.gateway.Run(ctx) })
-	parts.start("newest", func() error { d.loadNewestConfig(ctx); return nil })
-	parts.start("settings", func() error { d.watchSettings(ctx, reload); return nil })
-	if open.control != nil {
-		parts.start("control", func() error { return d.controlServer.Serve(ctx, open.control) })
-	}
-	if open.front != nil {
-		parts.start("front", func() error { return d.gateway.Serve(open.front) })
-	}
-}
-
-// serveReadiness answers the entry's questions until ctx ends.
-func (d *Daemon) serveReadiness(ctx context.Context, ln net.Listener) error {
-	srv := &http.Server{Handler: http.HandlerFunc(d.handleReadiness), ReadHeaderTimeout: readinessHeaderTimeout, IdleTimeout: readinessIdleTimeout}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
-	defer stop()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		return err
-	}
-	return nil
-}
-
-// handleReadiness answers the entry's question. A process that ends is not ready from that moment on, whatever
-// its log, the feed or the door still waits for.
-func (d *Daemon) handleReadiness(w http.ResponseWriter, r *http.Request) {
-	if d.draining.Load() {
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
+	if opened.front != nil {
+		started.start("front", func() error { return d.gateway.Serve(opened.front) })
 	}
-	d.gateway.ServeReadiness(w, r)
 }
 
-// abort breaks off all that is held: a part of the process has failed.
+// abort breaks off all requests: a component has failed.
 func (d *Daemon) abort(ctx context.Context) {
-	none, cancel := context.WithCancel(ctx)
+	canceled, cancel := context.WithCancel(ctx)
 	cancel()
-	d.gateway.Shutdown(none, 0)
+	d.gateway.Shutdown(canceled, 0)
 }
 
-// shutdown serves to its end what is held, and tells the others.
-func (d *Daemon) shutdown(s *settings.Settings) {
+// shutdown drains this process: it completes the requests in flight within the grace period, hands
+// over its place in the core, and announces its departure.
+func (d *Daemon) shutdown(current *settings.Settings) {
 	d.draining.Store(true)
-	logevent.ShutdownStarted.Log("node", s.Name)
-	by := time.Now().Add(s.Grace() - departureReserve)
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	logevent.ShutdownStarted.Log("node", current.Name)
+	deadline := time.Now().Add(current.Grace() - departureReserve)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	d.relay.AnnounceDraining()
 	d.controlServer.Drain()
-	var wg sync.WaitGroup
-	wg.Go(func() { d.core.Handover(ctx) })
+	var handover sync.WaitGroup
+	handover.Go(func() { d.core.Handover(ctx) })
 	d.gateway.Shutdown(ctx, acceptLinger)
-	wg.Wait()
-	bye, done := context.WithTimeout(context.Background(), departureReserve/2)
-	defer done()
-	d.relay.Depart(bye)
-	logevent.ShutdownCompleted.Log("node", s.Name)
+	handover.Wait()
+	departure, cancelDeparture := context.WithTimeout(context.Background(), departureReserve/2)
+	defer cancelDeparture()
+	d.relay.Depart(departure)
+	logevent.ShutdownCompleted.Log("node", current.Name)
 }
--- a/internal/fleet/daemon/tolerance_test.go
+++ b/internal/fleet/daemon/tolerance_test.go
@@ -11,7 +11,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// All three kinds of losses, and the region, reach the core from the settings.
+// The three kinds of tolerated losses, and the region, reach the core from the settings.
 func TestFaultToleranceReachesTheCore(t *testing.T) {
 	t.Parallel()
 	machine := newTestMachine(t)
