--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -11,7 +11,7 @@
 
 // acceptor is this member's vote on the view after the learned one, as it is on disk.
 type acceptor struct {
-	vote view.AcceptorState
+	state view.AcceptorState
 	// acceptedAt is when a view was first accepted in this run of the process; zero if the vote was
 	// read at the start.
 	acceptedAt time.Time
@@ -19,16 +19,16 @@
 
 // record takes a vote that is on disk.
 func (a *acceptor) record(vote view.AcceptorState, now time.Time) {
-	if vote.Accepted != nil && (a.vote.Instance != vote.Instance || a.vote.Accepted == nil) {
+	if vote.Accepted != nil && (a.state.Instance != vote.Instance || a.state.Accepted == nil) {
 		a.acceptedAt = now
 	}
-	a.vote = vote
+	a.state = vote
 }
 
 // undecided is the number of a view that was accepted and whose decision is not known; 0: none.
 func (a *acceptor) undecided(learned uint64) uint64 {
-	if a.vote.Accepted != nil && a.vote.Instance == learned+1 {
-		return a.vote.Instance
+	if a.state.Accepted != nil && a.state.Instance == learned+1 {
+		return a.state.Instance
 	}
 	return 0
 }
@@ -94,7 +94,7 @@
 	if !m.views.isVoter(m.self.ID) {
 		return &view.Response{RejectReason: "no voter of this view"}, nil
 	}
-	vote, answer := cast(m.acceptor.vote, base.Number+1)
+	vote, answer := cast(m.acceptor.state, base.Number+1)
 	if !answer.OK {
 		return &answer, nil
 	}
--- a/internal/fleet/controlplane/acceptor_test.go
+++ b/internal/fleet/controlplane/acceptor_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			state := acceptor{vote: test.vote}
+			state := acceptor{state: test.vote}
 			require.Equal(t, test.want, state.undecided(test.learned))
 		})
 	}
@@ -54,6 +54,6 @@
 func TestAcceptanceOfAnEarlierRunIsAbandoned(t *testing.T) {
 	t.Parallel()
 	accepted := testView(4, "a")
-	state := acceptor{vote: view.AcceptorState{Instance: 4, Accepted: &accepted}}
+	state := acceptor{state: view.AcceptorState{Instance: 4, Accepted: &accepted}}
 	require.True(t, state.abandoned(3, start))
 }
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -25,7 +25,7 @@
 	lastJoin  time.Time
 	withDisk  map[string]view.Peer // the announced machines with a disk, by ID
 	diskless  []view.Peer          // and those without
-	vote      view.AcceptorState
+	acceptor  view.AcceptorState
 	announced map[string]bool // seeds that have acknowledged this process's announcement
 	round     uint32          // of this process's last proposal, or a higher one that it met
 	// backoffUntil is the earliest time of the next proposal.
@@ -132,8 +132,8 @@
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Prepare.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Prepare(firstView, request.Prepare.Number)
-	m.bootstrap.vote = vote
+	vote, answer := m.bootstrap.acceptor.Prepare(firstView, request.Prepare.Number)
+	m.bootstrap.acceptor = vote
 	return &answer
 }
 
@@ -144,8 +144,8 @@
 	if refusal := m.bootstrapRefusalLocked(request.To, &request.Accept.Base); refusal != nil {
 		return refusal
 	}
-	vote, answer := m.bootstrap.vote.Accept(firstView, request.Accept.Number, request.Accept.View)
-	m.bootstrap.vote = vote
+	vote, answer := m.bootstrap.acceptor.Accept(firstView, request.Accept.Number, request.Accept.View)
+	m.bootstrap.acceptor = vote
 	return &answer
 }
 
@@ -229,8 +229,8 @@
 	if !due || !ok {
 		return
 	}
-	ballot := view.ProposalNumber{Round: round, Proposer: m.self.Addr + "/" + m.incarnation}
-	proposal := view.NewProposal(bootstrapBase(m.bootstrap.seeds), ballot, &first)
+	number := view.ProposalNumber{Round: round, Proposer: m.self.Addr + "/" + m.incarnation}
+	proposal := view.NewProposal(bootstrapBase(m.bootstrap.seeds), number, &first)
 	switch m.runProposal(ctx, proposal) {
 	case view.Decided, view.Superseded:
 		m.learnViewOrLog(ctx, &proposal.View)
--- a/internal/fleet/controlplane/bootstrap_test.go
+++ b/internal/fleet/controlplane/bootstrap_test.go
@@ -37,7 +37,7 @@
 	require.ElementsMatch(t, []view.Peer{withDisk, diskless}, state.peers())
 }
 
-func TestBootstrapWithoutSeedsTakesNoPart(t *testing.T) {
+func TestBootstrapWithoutSeedsIsIdle(t *testing.T) {
 	t.Parallel()
 	var state bootstrapState
 	state.join(testPeers("a")[0], start)
--- a/internal/fleet/controlplane/faults_test.go
+++ b/internal/fleet/controlplane/faults_test.go
@@ -116,7 +116,7 @@
 	lost.waitUntil("the lost member joins as one more", func() bool { return lost.isMemberOf(5, 4) })
 }
 
-func TestHandoverLeavesTheChain(t *testing.T) {
+func TestHandoverRemovesMemberFromChain(t *testing.T) {
 	t.Parallel()
 	cluster, client := bootstrapped(t, 4, 1)
 	for range 3 {
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -143,7 +143,11 @@
 		return
 	}
 	ctx := m.runContext
-	m.calls.Go(func() { call(ctx) })
+	m.calls.Add(1)
+	go func() { // WaitGroup.Go would allocate once more for each call
+		defer m.calls.Done()
+		call(ctx)
+	}()
 }
 
 // acquireWrite waits for the right to make a durable step; releaseWrite returns it.
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -24,9 +24,9 @@
 	refusingSince time.Time
 }
 
-// silence is for how long the peer has not been in contact, counted from when this process resumed at
+// sinceContact is for how long the peer has not been in contact, counted from when this process resumed at
 // the earliest.
-func (p *peerState) silence(resumedAt, now time.Time) time.Duration {
+func (p *peerState) sinceContact(resumedAt, now time.Time) time.Duration {
 	last := p.lastContact
 	if last.Before(p.knownSince) {
 		last = p.knownSince
@@ -115,7 +115,7 @@
 // evict removes peers that are no voters and timed out.
 func (t *peerTable) evict(current *view.View, resumedAt, now time.Time) {
 	for id, peer := range t.byID {
-		if _, voter := current.Voter(id); !voter && peer.silence(resumedAt, now) > peerTimeout {
+		if _, voter := current.Voter(id); !voter && peer.sinceContact(resumedAt, now) > peerTimeout {
 			delete(t.byID, id)
 		}
 	}
@@ -184,7 +184,7 @@
 	received := &p.lastHeartbeat
 	health := view.Health{
 		Peer:          received.Peer,
-		SinceContact:  p.silence(resumedAt, now),
+		SinceContact:  p.sinceContact(resumedAt, now),
 		DiskUnhealthy: received.DiskUnhealthy,
 		Leaving:       received.Leaving,
 		ConnectedTo:   received.ConnectedTo,
--- a/internal/fleet/controlplane/peers_test.go
+++ b/internal/fleet/controlplane/peers_test.go
@@ -17,7 +17,7 @@
 	return table
 }
 
-func TestPeerSilence(t *testing.T) {
+func TestPeerSinceContact(t *testing.T) {
 	t.Parallel()
 	now := start.Add(10 * time.Second)
 	for _, test := range []struct {
@@ -34,7 +34,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			peer := peerState{knownSince: start, lastContact: test.lastContact}
-			require.Equal(t, test.want, peer.silence(test.resumedAt, now))
+			require.Equal(t, test.want, peer.sinceContact(test.resumedAt, now))
 		})
 	}
 }
--- a/internal/fleet/controlplane/persistence.go
+++ b/internal/fleet/controlplane/persistence.go
@@ -103,7 +103,7 @@
 		Counted: m.options.Counted,
 	}
 	m.views = newViewState(state.View)
-	m.acceptor.vote = state.Acceptor
+	m.acceptor.state = state.Acceptor
 	m.register.record = state.Record
 	return nil
 }
--- a/internal/fleet/controlplane/proposer.go
+++ b/internal/fleet/controlplane/proposer.go
@@ -75,9 +75,9 @@
 // proposeLocked starts a proposal for the view after the learned one.
 func (m *Member) proposeLocked(step view.Step) {
 	base := m.views.learned
-	ballot := m.proposer.begin(base.Number + 1)
+	number := m.proposer.begin(base.Number + 1)
 	m.spawnLocked(func(ctx context.Context) {
-		proposal := view.NewProposal(base, ballot, step.View)
+		proposal := view.NewProposal(base, number, step.View)
 		outcome := m.runProposal(ctx, proposal)
 		m.concludeProposal(ctx, proposal, outcome, step.Reason)
 		m.wakeTicker()
--- a/internal/fleet/controlplane/safety_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -177,7 +177,7 @@
 	vote := func() view.AcceptorState {
 		node.member.mu.Lock()
 		defer node.member.mu.Unlock()
-		return node.member.acceptor.vote
+		return node.member.acceptor.state
 	}
 	requireDiskWriteFirst(t, node, func() error {
 		answer, err := node.prepare(ctx, node.id(), base, number)
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -72,7 +72,7 @@
 		received := &peer.lastHeartbeat
 		peers = append(peers, PeerStatus{
 			Peer:          received.Peer,
-			SinceContact:  peer.silence(resumedAt, now),
+			SinceContact:  peer.sinceContact(resumedAt, now),
 			LearnedView:   received.View,
 			CommittedSeq:  received.CommittedSeq,
 			DiskUnhealthy: received.DiskUnhealthy,
--- a/internal/fleet/controlplane/viewstate.go
+++ b/internal/fleet/controlplane/viewstate.go
@@ -6,8 +6,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// viewState is what a process knows of the views. Number never decreases, neither that of learned nor
-// that of newest.
+// viewState is what a process knows of the views. The numbers of learned and newest never decrease.
 type viewState struct {
 	// learned is on disk: the view by which the process acts.
 	learned view.View
