--- /dev/null
+++ b/cmd/edgectl/cli.go
@@ -0,0 +1,36 @@
+package main
+
+import "time"
+
+const description = `Change and read the configuration of a router fleet, and inspect its agents.
+
+Agents are named by their control addresses; without --agent the settings file of the machine (CHALKDOOR_NODE_FILE) names them. After a failure a call goes to the next agent, until an answer is final or the time is over. A change without a final answer may have been committed: run the same command again with the same --if-match, and it is committed once.
+
+Exit statuses: 0 done; 1 wrong usage, or a file can't be read; 2 rejected as invalid; 3 another revision is current; 4 no final answer in time; 5 the state on disk is corrupted; 6 not found.`
+
+// cli is the command line.
+type cli struct {
+	Agent   []string      `name:"agent" help:"Control address of an agent; give several to have the others tried, too." placeholder:"IP:PORT" env:"CHALKDOOR_AGENTS"`
+	JSON    bool          `name:"json" help:"Print JSON."`
+	Timeout time.Duration `name:"timeout" help:"The most time for a call with all its attempts." default:"15s"`
+
+	Config  configCommands `name:"config" cmd:"" help:"The configuration."`
+	Members inspectCommand `name:"members" cmd:"" help:"Print the agents that hold a lease."`
+	Servers inspectCommand `name:"servers" cmd:"" help:"Print the servers that are listed."`
+	View    inspectCommand `name:"view" cmd:"" help:"Print the agreed view and its chain."`
+	Status  inspectCommand `name:"status" cmd:"" help:"Print the status of an agent."`
+	Figures inspectCommand `name:"figures" cmd:"" help:"Print the counters of an agent."`
+	State   stateCommands  `name:"state" cmd:"" help:"State on disk."`
+	Version versionCommand `name:"version" cmd:"" help:"Print the version."`
+}
+
+type configCommands struct {
+	Put   putCommand   `name:"put" cmd:"" help:"Submit a complete configuration."`
+	Patch patchCommand `name:"patch" cmd:"" help:"Submit a change of named items."`
+	Get   getCommand   `name:"get" cmd:"" help:"Print the newest configuration, as it was submitted."`
+	Check checkCommand `name:"check" cmd:"" help:"Validate a file without submitting it, and report by key what is wrong."`
+}
+
+type stateCommands struct {
+	Verify verifyCommand `name:"verify" cmd:"" help:"Verify the state that an agent has on disk; the agent may not run meanwhile."`
+}
--- a/cmd/edgectl/config.go
+++ b/cmd/edgectl/config.go
@@ -14,75 +14,57 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// readDocument reads an operator's file as JSON. JSON stays byte for byte.
-func (s *session) readDocument(name string) ([]byte, error) {
-	from := s.stdin
-	if name != "-" {
-		f, err := os.Open(name)
-		if err != nil {
-			return nil, apierror.Wrap(err, apierror.Internal, "", "name a file that can be read")
-		}
-		defer f.Close()
-		from = f
-	}
-	raw, err := io.ReadAll(io.LimitReader(from, config.MaxDocument+1))
-	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Internal, name, "name a file that can be read")
-	}
-	if !strings.HasSuffix(name, ".toml") {
-		return raw, nil
-	}
-	k := koanf.New("\x00") // names may hold dots
-	if err := k.Load(rawbytes.Provider(raw), toml.Parser()); err != nil {
-		return nil, apierror.Wrap(err, apierror.Invalid, name, "write it as TOML")
-	}
-	if raw, err = json.Marshal(k.Raw()); err != nil {
-		return nil, apierror.Wrap(err, apierror.Invalid, name, "use what JSON has too")
-	}
-	return raw, nil
-}
-
 type putCommand struct {
 	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `name:"if-match" help:"The version that it builds on, 0 for the first; without it the current one is read." placeholder:"N"`
+	IfMatch *int64 `name:"if-match" help:"The revision that it was made for, 0 for the first; without it the current one is read." placeholder:"N"`
 }
 
-// Run sends a whole configuration.
+// Run submits a complete configuration.
 func (c *putCommand) Run(s *session) error { return s.submit(false, c.File, c.IfMatch) }
 
 type patchCommand struct {
 	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `name:"if-match" help:"The version that it builds on; without it the current one is read." placeholder:"N"`
+	IfMatch *int64 `name:"if-match" help:"The revision that it was made for; without it the current one is read." placeholder:"N"`
 }
 
-// Run sends a change of items.
+// Run submits a change of named items.
 func (c *patchCommand) Run(s *session) error { return s.submit(true, c.File, c.IfMatch) }
 
+// submitOutput is the form of a committed submission with --json.
+type submitOutput struct {
+	On       int64 `json:"on"`
+	Revision int64 `json:"revision"`
+}
+
 func (s *session) submit(patch bool, file string, ifMatch *int64) error {
 	body, err := s.readDocument(file)
 	if err != nil {
 		return err
 	}
-	agents, err := s.client()
+	client, err := s.client()
 	if err != nil {
 		return err
 	}
 	var base int64
 	if ifMatch != nil {
 		base = *ifMatch
-	} else if _, base, err = agents.Config(s.ctx); err != nil && (patch || apierror.KindOf(err) != apierror.NotFound) {
-		return err
+	} else {
+		_, base, err = client.Config(s.ctx)
+		first := !patch && apierror.KindOf(err) == apierror.NotFound
+		if err != nil && !first {
+			return err
+		}
 	}
-	rev, err := agents.Submit(s.ctx, patch, base, body)
+	revision, err := client.Submit(s.ctx, patch, base, body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(map[string]int64{"revision": rev, "on": base}, "revision %d is taken, on top of %d", rev, base)
+	return s.printResult(submitOutput{On: base, Revision: revision}, "revision %d is taken, on top of %d", revision, base)
 }
 
 type getCommand struct{}
 
-// Run prints the configuration.
+// Run prints the newest configuration.
 func (getCommand) Run(s *session) error {
 	raw, err := s.currentConfig()
 	if err != nil {
@@ -93,44 +75,87 @@
 }
 
 func (s *session) currentConfig() ([]byte, error) {
-	agents, err := s.client()
+	client, err := s.client()
 	if err != nil {
 		return nil, err
 	}
-	raw, _, err := agents.Config(s.ctx)
+	raw, _, err := client.Config(s.ctx)
 	return raw, err
 }
 
 type checkCommand struct {
 	File  string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
 	Patch bool   `name:"patch" help:"The file is a change of named items."`
-	On    string `name:"on" help:"File with the configuration that it builds on; a change is checked on the agents' current one without it." placeholder:"FILE"`
+	On    string `name:"on" help:"File with the configuration that it changes; without it a change is validated on the agents' current one." placeholder:"FILE"`
+}
+
+// checkOutput is the form of a valid configuration with --json.
+type checkOutput struct {
+	Revision int64 `json:"revision"`
+	Routes   int   `json:"routes"`
+	Services int   `json:"services"`
 }
 
-// Run says that a file is sound, or what is wrong with it first.
+// Run reports that a file is valid, or the first thing that is wrong.
 func (c *checkCommand) Run(s *session) error {
 	body, err := s.readDocument(c.File)
 	if err != nil {
 		return err
 	}
-	var base []byte
-	switch {
-	case c.On != "":
-		base, err = s.readDocument(c.On)
-	case c.Patch:
-		base, err = s.currentConfig()
-	}
+	current, err := c.currentConfig(s)
 	if err != nil {
 		return err
 	}
-	next, rev, err := config.Apply(base, c.Patch, body)
+	next, revision, err := config.Apply(current, c.Patch, body)
 	if err != nil {
 		return apierror.PrefixKey(err, c.File)
 	}
-	d, err := config.Parse(next)
+	document, err := config.Parse(next)
 	if err != nil {
 		return err
 	}
-	return s.printResult(map[string]any{"revision": rev, "routes": len(d.Routes), "services": len(d.Services)},
-		"%s is sound: revision %d, routes: %d, services: %d", c.File, rev, len(d.Routes), len(d.Services))
+	output := checkOutput{Revision: revision, Routes: len(document.Routes), Services: len(document.Services)}
+	return s.printResult(output, "%s is sound: revision %d, routes: %d, services: %d", c.File, output.Revision, output.Routes, output.Services)
+}
+
+// currentConfig returns the configuration that the file changes, nil if it is a complete one.
+func (c *checkCommand) currentConfig(s *session) ([]byte, error) {
+	switch {
+	case c.On != "":
+		return s.readDocument(c.On)
+	case c.Patch:
+		return s.currentConfig()
+	}
+	return nil, nil
+}
+
+// readDocument reads an operator's file, or standard input for "-", as JSON. JSON keeps its bytes.
+func (s *session) readDocument(name string) ([]byte, error) {
+	raw, err := s.readInput(name)
+	if err != nil || !strings.HasSuffix(name, ".toml") {
+		return raw, err
+	}
+	k := koanf.New("\x00") // a delimiter that no key has: names may have dots
+	if err := k.Load(rawbytes.Provider(raw), toml.Parser()); err != nil {
+		return nil, apierror.Wrap(err, apierror.Invalid, name, "write it as TOML")
+	}
+	if raw, err = json.Marshal(k.Raw()); err != nil {
+		return nil, apierror.Wrap(err, apierror.Invalid, name, "use what JSON has too")
+	}
+	return raw, nil
+}
+
+// readInput reads one byte more than a configuration may have, at most.
+func (s *session) readInput(name string) ([]byte, error) {
+	input := s.stdin
+	if name != "-" {
+		file, err := os.Open(name)
+		if err != nil {
+			return nil, apierror.Wrap(err, apierror.Internal, "", "name a file that can be read")
+		}
+		defer file.Close()
+		input = file
+	}
+	raw, err := io.ReadAll(io.LimitReader(input, config.MaxDocument+1))
+	return raw, apierror.Wrap(err, apierror.Internal, name, "name a file that can be read")
 }
--- a/cmd/edged/main.go
+++ b/cmd/edged/main.go
@@ -1,5 +1,5 @@
-// Command edged is one process of the router fleet. It runs on every machine; those with a disk
-// are of the core.
+// Command edged is one process of the router fleet. It runs on every machine; on machines with a disk
+// it is also a member of the core.
 package main
 
 import (
@@ -9,6 +9,7 @@
 	"os"
 	"os/signal"
 	"runtime/debug"
+	"strconv"
 	"syscall"
 
 	"github.com/alecthomas/kong"
@@ -19,32 +20,27 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
+// exitFailed is the exit status of a command that failed.
+const exitFailed = 1
+
+// cli is the command line.
 type cli struct {
 	Verbosity int `short:"v" name:"verbosity" default:"0" help:"Log more: 1 events of control, 2 of single requests."`
 
 	Run     runCommand     `name:"run" cmd:"" default:"1" help:"Serve, by the settings file that $CHALKDOOR_NODE_FILE names."`
-	Check   checkCommand   `name:"check" cmd:"" help:"Tell what is wrong with a settings file."`
+	Check   checkCommand   `name:"check" cmd:"" help:"Validate a settings file."`
 	Events  eventsCommand  `name:"events" cmd:"" help:"Print the catalogue of logged events."`
 	Version versionCommand `name:"version" cmd:"" help:"Print the version."`
 }
 
 type runCommand struct{}
 
+// Run serves until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func (runCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE)
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	reload := make(chan struct{}, 1)
-	go func() { // for as long as the process
-		for range hup {
-			select {
-			case reload <- struct{}{}:
-			default:
-			}
-		}
-	}()
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
+	reload := reloadRequests()     // from here on SIGHUP does not end the process
 	d, err := daemon.New(settings.Path())
 	if err != nil {
 		return err
@@ -52,21 +48,40 @@
 	return d.Run(ctx, reload)
 }
 
+// reloadRequests returns a channel that receives after each SIGHUP; signals that arrive before the
+// last one was received are merged.
+func reloadRequests() <-chan struct{} {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	requests := make(chan struct{}, 1)
+	go func() { // for the lifetime of the process
+		for range signals {
+			select {
+			case requests <- struct{}{}:
+			default:
+			}
+		}
+	}()
+	return requests
+}
+
 type checkCommand struct {
 	File string `name:"file" arg:"" help:"The settings file."`
 }
 
+// Run reports that a settings file is valid, or what is wrong.
 func (c checkCommand) Run() error {
-	s, err := settings.Load(c.File)
+	loaded, err := settings.Load(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: node %s in zone %s, serves %v\n", c.File, s.Name, s.Zone, s.ServedRoles)
+	fmt.Printf("%s: node %s in zone %s, serves %v\n", c.File, loaded.Name, loaded.Zone, loaded.ServedRoles)
 	return nil
 }
 
 type eventsCommand struct{}
 
+// Run prints docs/EVENTS.md.
 func (eventsCommand) Run() error {
 	fmt.Print(logevent.Page())
 	return nil
@@ -74,33 +89,39 @@
 
 type versionCommand struct{}
 
+// Run prints the version of the build.
 func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		fmt.Println("edged")
 		return nil
 	}
-	rev := "unknown"
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			rev = s.Value
+	revision := "unknown"
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			revision = setting.Value
 		}
 	}
-	fmt.Println("edged", rev, info.GoVersion)
+	fmt.Println("edged", revision, info.GoVersion)
 	return nil
 }
 
+// configureLogging directs the log to standard error, at a verbosity.
+func configureLogging(verbosity int) {
+	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
+	klog.InitFlags(flags)
+	_ = flags.Set("logtostderr", "true")
+	_ = flags.Set("v", strconv.Itoa(verbosity))
+}
+
 func main() {
-	var c cli
-	k := kong.Parse(&c, kong.Name("edged"), kong.Description("One process of the router fleet."), kong.UsageOnError())
-	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
-	klog.InitFlags(fs)
-	_ = fs.Set("logtostderr", "true")
-	_ = fs.Set("v", fmt.Sprint(c.Verbosity))
+	var grammar cli
+	command := kong.Parse(&grammar, kong.Name("edged"), kong.Description("One process of the router fleet."), kong.UsageOnError())
+	configureLogging(grammar.Verbosity)
 	defer klog.Flush()
-	if err := k.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		logevent.StartFailed.Error(err)
 		klog.Flush()
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
