--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -73,13 +73,13 @@
 			}
 			opt.Observer = m
 		}
-		var keeper *snapshot.Keeper
+		var keeper *snapshot.Writer
 		var recall coordination.Snapshot
 		if file.State.Dir != "" {
 			if keeper, recall = openState(ctx, &file, &opt); keeper != nil {
 				defer func() {
 					end()
-					<-keeper.Ended()
+					<-keeper.Closed()
 				}()
 			}
 		}
@@ -96,7 +96,7 @@
 		}
 		if keeper != nil {
 			opt.SaveInterval = time.Duration(file.State.Every)
-			opt.Save = func(kept *agent.SavedState) { keeper.Remember(remembered(kept, l)) }
+			opt.Save = func(kept *agent.SavedState) { keeper.Save(remembered(kept, l)) }
 		}
 		again := make(chan os.Signal, 1)
 		signal.Notify(again, syscall.SIGHUP)
@@ -114,7 +114,7 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 		zone = cfg.Zones[z]
 	}
-	c := coordination.Config{Vote: file.Vote.Ballot(cfg.Name), Site: file.Site.Decisions(), Restored: recall, TraceFile: file.Fleet.Trace, Membership: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
+	c := coordination.Config{Vote: file.Vote.EjectionConfig(cfg.Name), Site: file.Site.UplinkConfig(), Restored: recall, TraceFile: file.Fleet.Trace, Membership: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
 		Region: file.Fleet.Region, Role: file.Fleet.Role, Incarnation: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
 	if file.State.Dir != "" {
 		c.PromiseDir = filepath.Join(file.State.Dir, "votes")
@@ -149,10 +149,10 @@
 // openState opens the folder of what the agent learns, and gives it and its layer what an
 // earlier life had learned. A folder that can't be used is reported, and the agent serves
 // without: nil.
-func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Keeper, site coordination.Snapshot) {
+func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Writer, site coordination.Snapshot) {
 	store, g, problems, err := snapshot.Open(file.State.Dir, snapshot.Now)
 	for _, p := range problems {
-		slog.Warn("state not believed", "where", p.Where, "why", p.Why)
+		slog.Warn("state not believed", "where", p.Where, "why", p.Reason)
 	}
 	if err != nil {
 		slog.Error("state not used, nothing is kept", "dir", file.State.Dir, "err", err)
@@ -161,24 +161,24 @@
 	if g != nil {
 		st, dropped := snapshot.Decode(g)
 		for _, p := range dropped {
-			slog.Warn("state not believed", "where", p.Where, "why", p.Why)
+			slog.Warn("state not believed", "where", p.Where, "why", p.Reason)
 		}
 		opt.Restore = recalled(st)
 		site = recalledSite(st, g, time.Duration(file.Site.Hold))
-		m := st.Memory
-		slog.Info("state recalled", "generation", g.Seq, "age", g.Age.String(), "dated", g.Dated, "servers", len(m.Servers), "keys", len(m.Keys), "boot", store.Boot)
+		m := st.Policy
+		slog.Info("state recalled", "generation", g.Seq, "age", g.Age.String(), "dated", g.AgeKnown, "servers", len(m.Servers), "keys", len(m.Keys), "boot", store.Runs)
 	} else {
-		slog.Info("no state to recall", "dir", file.State.Dir, "boot", store.Boot)
+		slog.Info("no state to recall", "dir", file.State.Dir, "boot", store.Runs)
 	}
-	return snapshot.Keep(ctx, store), site
+	return snapshot.NewWriter(ctx, store), site
 }
 
 // remembered and recalled take what is kept to its form on the disk, and back; l may be nil.
 func remembered(kept *agent.SavedState, l *coordination.Coordinator) *snapshot.State {
-	s := &snapshot.State{Memory: kept.Snapshot, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
+	s := &snapshot.State{Policy: kept.Snapshot, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
 	if l != nil {
 		k := l.Snapshot()
-		s.Site = &snapshot.Site{Dark: k.Isolated, Entries: k.Entries}
+		s.Site = &snapshot.Site{Isolated: k.Isolated, Entries: k.Entries}
 	}
 	for _, t := range kept.List.Servers {
 		text, err := json.Marshal(t)
@@ -195,13 +195,13 @@
 // for as long as a site holds to it.
 func recalledSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (k coordination.Snapshot) {
 	if s.Site != nil {
-		k = coordination.Snapshot{Isolated: s.Site.Dark && g.Dated && g.Age <= hold, Entries: s.Site.Entries}
+		k = coordination.Snapshot{Isolated: s.Site.Isolated && g.AgeKnown && g.Age <= hold, Entries: s.Site.Entries}
 	}
 	return k
 }
 
 func recalled(s *snapshot.State) *agent.SavedState {
-	kept := &agent.SavedState{Snapshot: s.Memory, Discovery: s.Discovery, List: agent.TargetList{Version: s.Version, Full: true}}
+	kept := &agent.SavedState{Snapshot: s.Policy, Discovery: s.Discovery, List: agent.TargetList{Version: s.Version, Full: true}}
 	for id, text := range s.Targets {
 		var t agent.Target
 		if err := json.Unmarshal(text, &t); err != nil || t.ID != id {
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -32,11 +32,11 @@
 		return nil, nil, problems, err
 	}
 	st, dropped := snapshot.Decode(g)
-	return g, st.Memory, append(problems, dropped...), nil
+	return g, st.Policy, append(problems, dropped...), nil
 }
 
 func age(g *snapshot.Generation) string {
-	if !g.Dated {
+	if !g.AgeKnown {
 		return "of an age that cannot be told"
 	}
 	return g.Age.Round(time.Millisecond).String() + " old"
@@ -56,7 +56,7 @@
 	if g == nil {
 		fmt.Fprintln(out, "no generation")
 	} else {
-		fmt.Fprintf(out, "generation %d of life %d, %s: %d servers, %d keys\n", g.Seq, g.Boot, age(g), len(m.Servers), len(m.Keys))
+		fmt.Fprintf(out, "generation %d of life %d, %s: %d servers, %d keys\n", g.Seq, g.Runs, age(g), len(m.Servers), len(m.Keys))
 	}
 	if len(problems) > 0 {
 		return errUnsound
@@ -76,7 +76,7 @@
 		_, err := fmt.Fprintln(out, "nothing is kept")
 		return err
 	}
-	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n", g.Seq, g.Boot, age(g), m.Demand, m.PeakCapacity,
+	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n", g.Seq, g.Runs, age(g), m.Demand, m.PeakCapacity,
 		m.AdmittedShare, m.BaselineLatency, len(m.Keys))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "server\tstate\tfor\tstrikes\tfailing\tanswer\twindow")
@@ -104,7 +104,7 @@
 	}
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
-	return enc.Encode(map[string]any{"generation": g.Seq, "life": g.Boot, "dated": g.Dated, "memory": m})
+	return enc.Encode(map[string]any{"generation": g.Seq, "life": g.Runs, "dated": g.AgeKnown, "memory": m})
 }
 
 type stateRepair struct{ stateDir }
--- a/internal/agent/consensus/checksummedstore_test.go
+++ b/internal/agent/consensus/checksummedstore_test.go
@@ -16,7 +16,7 @@
 
 // readLog opens a log as a voter does and reads all of it.
 func readLog(path string) (entries [][]byte, values [][]byte, err error) {
-	if err := snapshot.Readable(path); err != nil {
+	if err := snapshot.VerifyFile(path); err != nil {
 		return nil, nil, err
 	}
 	disk, err := openLog(path)
--- a/internal/agent/consensus/participant.go
+++ b/internal/agent/consensus/participant.go
@@ -101,7 +101,7 @@
 	}
 	path := filepath.Join(p.config.Dir, logFile)
 	if _, err := os.Stat(path); err == nil {
-		if err := snapshot.Readable(path); err != nil {
+		if err := snapshot.VerifyFile(path); err != nil {
 			return fmt.Errorf("consensus: log: %s must return under another name: %w", p.config.Self, err)
 		}
 	}
@@ -152,7 +152,7 @@
 
 // openLog opens the library's store. It turns the panics of the library on a damaged file into errors.
 func openLog(path string) (disk *raftboltdb.BoltStore, err error) {
-	err = snapshot.Guarded(func() error {
+	err = snapshot.RecoverFaults(func() error {
 		disk, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}})
 		return err
 	})
--- a/internal/agent/coordination/promisestore.go
+++ b/internal/agent/coordination/promisestore.go
@@ -39,13 +39,13 @@
 func openPromiseStore(dir string, longest time.Duration) (promises *promiseStore, remaining time.Duration, err error) {
 	store, generation, problems, err := snapshot.Open(dir, snapshot.Now)
 	for _, p := range problems {
-		slog.Warn("vote: stored promises rejected", "where", p.Where, "why", p.Why)
+		slog.Warn("vote: stored promises rejected", "where", p.Where, "why", p.Reason)
 	}
 	if err != nil {
 		return nil, 0, fmt.Errorf("vote: promise store: %w", err)
 	}
 	remaining = longest
-	if generation != nil && generation.Dated && generation.Whole && len(problems) == 0 {
+	if generation != nil && generation.AgeKnown && generation.Complete && len(problems) == 0 {
 		if r, ok := generation.Tables[promiseTable][promiseKey]; ok && r.Version == promiseVersion && len(r.Value) == 8 {
 			if span := time.Duration(binary.BigEndian.Uint64(r.Value)); span >= 0 && span <= maxPromiseSpan {
 				remaining = max(span-generation.Age, 0)
--- a/internal/agent/opsconfig/ops.go
+++ b/internal/agent/opsconfig/opsconfig.go
@@ -139,8 +139,8 @@
 	Hold  Duration `toml:"hold" restart:"yes" doc:"How long the site stays by itself after the last majority for it, where nothing from outside is heard."`
 }
 
-// Decisions is the same as its package has it, but for who the members are.
-func (s *Site) Decisions() stalerouting.Config {
+// UplinkConfig is the same as its package has it, but for who the members are.
+func (s *Site) UplinkConfig() stalerouting.Config {
 	return stalerouting.Config{IsolationTimeout: time.Duration(s.Quiet), HeartbeatInterval: time.Duration(s.Beat), SlowStartStep: time.Duration(s.Step), MaxIsolation: time.Duration(s.Hold)}
 }
 
@@ -174,8 +174,8 @@
 		Site: Site{Quiet: Duration(s.IsolationTimeout), Beat: Duration(s.HeartbeatInterval), Step: Duration(s.SlowStartStep), Hold: Duration(s.MaxIsolation)}}
 }
 
-// Ballot is the vote of one agent as its package has it.
-func (v *Vote) Ballot(self string) ejection.Config {
+// EjectionConfig is the vote of one agent as its package has it.
+func (v *Vote) EjectionConfig(self string) ejection.Config {
 	return ejection.Config{Self: self, Electorate: ejection.Electorate{Number: v.Roll, Members: v.Electorate}, MaxEjectedFraction: v.Cap, Lease: time.Duration(v.Lease),
 		MaxLease: time.Duration(v.Longest), EscalationWindow: time.Duration(v.Remember), MaxEvidenceAge: time.Duration(v.Age), SlowStartStep: time.Duration(v.Step),
 		TrialInterval: time.Duration(v.Trial), EarlierPromisesFor: -1}
@@ -200,9 +200,9 @@
 	return at + ": " + e.Text
 }
 
-// wrongKind takes apart what the library says of a value of the wrong kind: its error for
+// typeErrorPattern takes apart what the library says of a value of the wrong kind: its error for
 // that has no fields.
-var wrongKind = regexp.MustCompile(`^toml: (?:line (\d+) )?\(last key "(.*?)"\): (.*)$`)
+var typeErrorPattern = regexp.MustCompile(`^toml: (?:line (\d+) )?\(last key "(.*?)"\): (.*)$`)
 
 // Load reads and checks a file. The error joins an Error for each thing that is wrong.
 func Load(path string) (File, error) {
@@ -231,7 +231,7 @@
 			return File{}, &Error{File: name, Line: bad.Position.Line, Key: bad.LastKey, Text: bad.Message}
 		}
 		e := &Error{File: name, Text: err.Error()}
-		if m := wrongKind.FindStringSubmatch(err.Error()); m != nil {
+		if m := typeErrorPattern.FindStringSubmatch(err.Error()); m != nil {
 			e.Line, _ = strconv.Atoi(m[1]) // digits, by the expression
 			e.Key, e.Text = m[2], m[3]
 		}
@@ -304,7 +304,7 @@
 		if !slices.Contains(f.Vote.Electorate, self) {
 			wrong = append(wrong, &Error{Key: "vote.electorate", Text: fmt.Sprintf("%q, this agent, is not in it", self)})
 		}
-		b := f.Vote.Ballot(self)
+		b := f.Vote.EjectionConfig(self)
 		if err := b.Validate(); err != nil {
 			key, text, _ := strings.Cut(err.Error(), ": ")
 			wrong = append(wrong, &Error{Key: "vote." + key, Text: text})
@@ -317,7 +317,7 @@
 	if len(f.Council.Voters) > 0 && len(f.Vote.Electorate) == 0 {
 		wrong = append(wrong, &Error{Key: "council.voters", Text: "there is no council without vote.electorate"})
 	}
-	site := f.Site.Decisions()
+	site := f.Site.UplinkConfig()
 	site.Members = []string{site.Self}
 	if err := site.Validate(); err != nil {
 		key, text, _ := strings.Cut(err.Error(), ": ")
--- a/internal/agent/opsconfig/ops_test.go
+++ b/internal/agent/opsconfig/opsconfig_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAllThatIsWrongIsToldAtOnce(t *testing.T) {
+func TestAllErrorsAreReportedTogether(t *testing.T) {
 	_, err := Parse("f", "[log]\nformat = \"xml\"\nlevel = \"loud\"\n[metrics]\nadress = \"127.0.0.1:1\"")
 	if err == nil || strings.Count(err.Error(), "\n") != 2 {
 		t.Errorf("%v, want three lines", err)
--- a/internal/agent/simprotocol/wire.go
+++ b/internal/agent/simprotocol/simprotocol.go
@@ -23,32 +23,32 @@
 
 // Event codes.
 const (
-	codeDropped  = 16
-	codeAsk      = 17
-	codeVerdict  = 18
-	codePool     = 19
-	codeFlowing  = 20
-	codeKilled   = 21
-	codeTargets  = 22
-	codePeerData = 23
-	codeHealth   = 24
-	codeBoot     = 25
-	codeFired    = 26
+	codeClientGone    = 16
+	codeRequest       = 17
+	codeAttemptEnded  = 18
+	codeServerList    = 19
+	codeStreamStarted = 20
+	codeKilled        = 21
+	codeDiscovery     = 22
+	codePeerMessage   = 23
+	codeProbeEnded    = 24
+	codeBoot          = 25
+	codeTimer         = 26
 )
 
 // Action codes.
 const (
-	codeHangUp      = 80
-	codeNotNow      = 81
-	codeTouch       = 82
-	codeFollow      = 83
-	codeCallOut     = 84
-	codeReadList    = 85
-	codeCrash       = 87
-	codeNotifyMe    = 88
-	codeRetract     = 89
-	codeFinishError = 90
-	codeTrace       = 91
+	codeCloseIdle = 80
+	codeReject    = 81
+	codeProbe     = 82
+	codeWatch     = 83
+	codeSend      = 84
+	codeFetch     = 85
+	codeCrash     = 87
+	codeSetTimer  = 88
+	codeCancel    = 89
+	codeFail      = 90
+	codeLog       = 91
 )
 
 // Kind tells what a record of a batch is about.
@@ -73,19 +73,19 @@
 // Decoder reads batches from a stream. It keeps the numbered lists, which
 // belong to the process and are shared, read-only, by all instances.
 type Decoder struct {
-	r     io.Reader
-	buf   []byte
-	pools [16][]policy.Endpoint
+	reader      io.Reader
+	buffer      []byte
+	serverLists [16][]policy.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
 // Next reads one batch and calls fn for each record in order, after the clock
 // is known. It returns io.EOF at a clean end of input.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	var head [8]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+	if _, err := io.ReadFull(d.reader, head[:]); err != nil {
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return io.EOF
 		}
@@ -98,15 +98,15 @@
 	if uint64(count)*EventSize > uint64(size)-8 {
 		return fmt.Errorf("batch header: number of records: %d do not fit into %d bytes", count, size)
 	}
-	if err := d.fill(int(size)); err != nil {
+	if err := d.readBatch(int(size)); err != nil {
 		return err
 	}
-	now := getF64(d.buf)
+	now := getF64(d.buffer)
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return fmt.Errorf("batch header: clock: not a number")
 	}
-	records := d.buf[8 : 8+int(count)*EventSize]
-	tail := d.buf[8+len(records):]
+	records := d.buffer[8 : 8+int(count)*EventSize]
+	tail := d.buffer[8+len(records):]
 	var rec Record
 	for i := 0; i < int(count); i++ {
 		raw := records[i*EventSize : (i+1)*EventSize]
@@ -124,19 +124,19 @@
 	return nil
 }
 
-// fill reads size bytes in steps, so that a false length allocates no more
+// readBatch reads size bytes in steps, so that a false length allocates no more
 // than about twice what really arrives.
-func (d *Decoder) fill(size int) error {
+func (d *Decoder) readBatch(size int) error {
 	const step = 1 << 20
-	d.buf = d.buf[:0]
-	for len(d.buf) < size {
-		n := min(step, size-len(d.buf))
-		at := len(d.buf)
-		if cap(d.buf) < at+n {
-			d.buf = append(d.buf, make([]byte, n)...)
+	d.buffer = d.buffer[:0]
+	for len(d.buffer) < size {
+		n := min(step, size-len(d.buffer))
+		at := len(d.buffer)
+		if cap(d.buffer) < at+n {
+			d.buffer = append(d.buffer, make([]byte, n)...)
 		}
-		d.buf = d.buf[:at+n]
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
+		d.buffer = d.buffer[:at+n]
+		if _, err := io.ReadFull(d.reader, d.buffer[at:]); err != nil {
 			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", at, size, err)
 		}
 	}
@@ -164,47 +164,47 @@
 		return err
 	case codeKilled:
 		rec.Kind = Killed
-	case codePool:
+	case codeServerList:
 		rec.Kind = 0
-		return d.pool(raw, tail)
-	case codeTargets:
+		return d.decodeServerList(raw, tail)
+	case codeDiscovery:
 		ev.Kind, ev.Update = policy.EventDiscovery, policy.UpdateKind(raw[5])
 		if raw[5] > uint8(policy.UpdateFailed) {
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
 		if ev.Update != policy.UpdateFailed {
 			table := be.Uint32(raw[10:])
-			if int64(table) >= int64(len(d.pools)) {
+			if int64(table) >= int64(len(d.serverLists)) {
 				return fmt.Errorf("targets: table: %d is out of range", table)
 			}
-			ev.Endpoints = d.pools[table]
+			ev.Endpoints = d.serverLists[table]
 		}
-	case codeAsk:
+	case codeRequest:
 		ev.Kind, ev.Request = policy.EventRequest, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Class, ev.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
 		ev.Key, ev.RemainingMs, ev.WorkHintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
 		ev.HasWorkHint, ev.IsRetry = raw[39]&1 != 0, raw[39]&2 != 0
-	case codeVerdict:
+	case codeAttemptEnded:
 		ev.Kind, ev.Request = policy.EventAttemptEnded, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), policy.Addr(raw[11:17])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
-		ev.LoadReport, err = report("verdict: report", raw[28:])
+		ev.LoadReport, err = decodeLoadReport("verdict: report", raw[28:])
 		if err == nil && (ev.Status != policy.OK && (ev.Status < policy.Error || ev.Status > policy.NotSent)) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
-	case codeFlowing:
+	case codeStreamStarted:
 		ev.Kind, ev.Request = policy.EventStreamStarted, policy.RequestID(be.Uint32(raw[5:]))
 		ev.Server, ev.LatencyMs, ev.Attempt = policy.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
-	case codeDropped:
+	case codeClientGone:
 		ev.Kind, ev.Request = policy.EventClientGone, policy.RequestID(be.Uint32(raw[5:]))
-	case codeHealth:
+	case codeProbeEnded:
 		ev.Kind, ev.Server = policy.EventProbeEnded, policy.Addr(raw[5:11])
 		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[11:])), getF64(raw[13:])
-		ev.LoadReport, err = report("health: report", raw[21:])
-	case codeFired:
+		ev.LoadReport, err = decodeLoadReport("health: report", raw[21:])
+	case codeTimer:
 		ev.Kind, ev.Token = policy.EventTimer, be.Uint32(raw[5:])
-	case codePeerData:
+	case codePeerMessage:
 		ev.Kind = policy.EventPeerMessage
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
@@ -213,10 +213,10 @@
 	return err
 }
 
-func (d *Decoder) pool(raw, tail []byte) error {
+func (d *Decoder) decodeServerList(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
-	if int64(table) >= int64(len(d.pools)) {
+	if int64(table) >= int64(len(d.serverLists)) {
 		return fmt.Errorf("pool: table: %d is out of range", table)
 	}
 	lines, err := span("pool: hosts", raw[5:], tail, entrySize)
@@ -238,11 +238,11 @@
 			Kind:      int(lines[23]),
 		})
 	}
-	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
+	d.serverLists[table] = entries // a fresh slice: events of the old list keep theirs
 	return nil
 }
 
-func report(field string, raw []byte) ([]float32, error) {
+func decodeLoadReport(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
 	}
@@ -304,34 +304,34 @@
 	be := binary.BigEndian
 	switch a.Kind {
 	case policy.ActionSend:
-		raw := e.record(codeCallOut, instance)
+		raw := e.record(codeSend, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
 		putF64(raw[15:], a.DurationMs)
 	case policy.ActionCancel:
-		raw := e.record(codeRetract, instance)
+		raw := e.record(codeCancel, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
 	case policy.ActionReject:
-		raw := e.record(codeNotNow, instance)
+		raw := e.record(codeReject, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.DurationMs)
 	case policy.ActionFail:
-		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
+		be.PutUint32(e.record(codeFail, instance)[5:], uint32(a.Request))
 	case policy.ActionProbe:
-		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
+		copy(e.record(codeProbe, instance)[5:11], a.Server[:])
 	case policy.ActionTimer:
-		raw := e.record(codeNotifyMe, instance)
+		raw := e.record(codeSetTimer, instance)
 		putF64(raw[5:], a.DurationMs)
 		be.PutUint32(raw[13:], a.Token)
 	case policy.ActionWatch:
-		e.record(codeFollow, instance)[5] = 1
+		e.record(codeWatch, instance)[5] = 1
 	case policy.ActionFetch:
-		e.record(codeReadList, instance)
+		e.record(codeFetch, instance)
 	case policy.ActionCloseIdle:
-		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
+		copy(e.record(codeCloseIdle, instance)[5:11], a.Server[:])
 	case policy.ActionLog:
-		e.text(codeTrace, instance, a.Text)
+		e.text(codeLog, instance, a.Text)
 	}
 }
 
--- a/internal/agent/simprotocol/wire_test.go
+++ b/internal/agent/simprotocol/simprotocol_test.go
@@ -204,8 +204,8 @@
 				break
 			}
 		}
-		if cap(d.buf) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buf))
+		if cap(d.buffer) > 2*len(data)+4<<20 {
+			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buffer))
 		}
 	})
 }
--- a/internal/agent/snapshot/clock.go
+++ b/internal/agent/snapshot/clock.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// syscallReadOnly is a file system that takes no writes.
-var syscallReadOnly = syscall.EROFS
+// errReadOnlyFileSystem is a file system that takes no writes.
+var errReadOnlyFileSystem = syscall.EROFS
 
 // Clock is a time that outlives a process but not the machine's boot. The wall clock is not
 // used at all: it may jump while nobody looks.
@@ -26,7 +26,7 @@
 // be told: after another boot, or where either does not know its own.
 func (c Clock) Since(then Clock) (time.Duration, bool) {
 	if c.Boot != then.Boot || c.Boot == [16]byte{} || then.Uptime > c.Uptime {
-		return longest, false
+		return unknownAge, false
 	}
 	return c.Uptime - then.Uptime, true
 }
--- a/internal/agent/snapshot/golden_test.go
+++ b/internal/agent/snapshot/golden_test.go
@@ -12,8 +12,8 @@
 
 func TestGoldenRecords(t *testing.T) {
 	goldentest.RoundTrip[policy.ServerSnapshot](t, goldentest.JSON, "server")
-	goldentest.RoundTrip[load](t, goldentest.JSON, "load")
-	goldentest.RoundTrip[head](t, goldentest.JSON, "list-head")
+	goldentest.RoundTrip[loadRecord](t, goldentest.JSON, "load")
+	goldentest.RoundTrip[listHeader](t, goldentest.JSON, "list-head")
 	goldentest.RoundTrip[Site](t, goldentest.JSON, "site")
 }
 
--- a/internal/agent/snapshot/memory.go
+++ b/internal/agent/snapshot/state.go
@@ -26,7 +26,7 @@
 // State is all that an agent keeps: what it has learned, and the list as it was told, each
 // entry in discovery's own form.
 type State struct {
-	Memory    *policy.Snapshot
+	Policy    *policy.Snapshot
 	Discovery string
 	Version   uint64
 	Targets   map[string]json.RawMessage // by id
@@ -35,48 +35,48 @@
 
 // Site is what an agent knows of its site by its neighbours, ages as of the save.
 type Site struct {
-	Dark    bool                 `json:"Dark"` // the uplink was lost
-	Entries []stalerouting.Entry `json:"Entries"`
+	Isolated bool                 `json:"Dark"` // the uplink was lost
+	Entries  []stalerouting.Entry `json:"Entries"`
 }
 
-// head is what a list's version counts for. No id of a server is empty.
-type head struct {
+// listHeader is what a list's version counts for. No id of a server is empty.
+type listHeader struct {
 	Discovery string `json:"Discovery"`
 	Version   uint64 `json:"Version"`
 	Targets   int    `json:"Targets"`
 }
 
 const (
-	// keysEach is how many keys a record holds: a damaged one costs no more.
-	keysEach = 256
+	// keysPerRecord is how many keys a record holds: a damaged one costs no more.
+	keysPerRecord = 256
 	// maxServers bounds the servers that are kept.
 	maxServers = 10_000
 )
 
-// listHead is the key of a list's head; those of its entries begin otherwise.
-const listHead = "."
+// listHeaderKey is the key of a list's head; those of its entries begin otherwise.
+const listHeaderKey = "."
 
-// load is what is known of all servers together.
-type load struct {
-	Demand   float64   `json:"Demand"`
-	Peak     float64   `json:"Peak"`
-	Admitted float64   `json:"Admitted"`
-	CalmLat  float64   `json:"CalmLat"`
-	FleetLat float64   `json:"FleetLat"`
-	Answers  float64   `json:"Answers"`
-	Expect   []float64 `json:"Expect"`
+// loadRecord is what is known of all servers together.
+type loadRecord struct {
+	Demand            float64   `json:"Demand"`
+	PeakCapacity      float64   `json:"Peak"`
+	AdmittedShare     float64   `json:"Admitted"`
+	BaselineLatency   float64   `json:"CalmLat"`
+	RecentLatency     float64   `json:"FleetLat"`
+	Responses         float64   `json:"Answers"`
+	ExpectedLatencyMs []float64 `json:"Expect"`
 }
 
 // Encode is a state as tables.
 func Encode(s *State) (Tables, error) {
-	m := s.Memory
+	m := s.Policy
 	t := Tables{tableServers: {}, tableKeys: {}, tableLoad: {}, tableList: {}}
 	if n := len(s.Targets); n > 0 && n <= maxServers {
-		text, err := json.Marshal(head{s.Discovery, s.Version, n})
+		text, err := json.Marshal(listHeader{s.Discovery, s.Version, n})
 		if err != nil {
 			return nil, fmt.Errorf("durable: list: %w", err)
 		}
-		t[tableList][listHead] = Record{versionList, text}
+		t[tableList][listHeaderKey] = Record{versionList, text}
 		for id, target := range s.Targets {
 			t[tableList]["="+id] = Record{versionList, target}
 		}
@@ -95,15 +95,15 @@
 		}
 		t[tableServers][fmt.Sprintf("%x", m.Servers[i].Server)] = Record{versionServers, text}
 	}
-	for i := 0; i < len(m.Keys); i += keysEach {
+	for i := 0; i < len(m.Keys); i += keysPerRecord {
 		var raw []byte
-		for _, k := range m.Keys[i:min(i+keysEach, len(m.Keys))] {
+		for _, k := range m.Keys[i:min(i+keysPerRecord, len(m.Keys))] {
 			raw = binary.BigEndian.AppendUint64(raw, k.Key)
 			raw = binary.BigEndian.AppendUint64(raw, math.Float64bits(k.Count))
 		}
-		t[tableKeys][fmt.Sprintf("%06d", i/keysEach)] = Record{versionKeys, raw}
+		t[tableKeys][fmt.Sprintf("%06d", i/keysPerRecord)] = Record{versionKeys, raw}
 	}
-	text, err := json.Marshal(load{m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs})
+	text, err := json.Marshal(loadRecord{m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs})
 	if err != nil {
 		return nil, fmt.Errorf("durable: load: %w", err)
 	}
@@ -120,7 +120,7 @@
 	drop := func(table, key string, why any) {
 		problems = append(problems, Problem{fmt.Sprintf("%s %q", table, key), fmt.Sprint(why)})
 	}
-	for _, key := range sorted(g.Tables[tableServers]) {
+	for _, key := range sortedKeys(g.Tables[tableServers]) {
 		r := g.Tables[tableServers][key]
 		var s policy.ServerSnapshot
 		if r.Version != versionServers {
@@ -134,9 +134,9 @@
 			m.Servers = append(m.Servers, s)
 		}
 	}
-	for _, key := range sorted(g.Tables[tableKeys]) {
+	for _, key := range sortedKeys(g.Tables[tableKeys]) {
 		r := g.Tables[tableKeys][key]
-		if r.Version != versionKeys || len(r.Value)%16 != 0 || len(r.Value) > 16*keysEach {
+		if r.Version != versionKeys || len(r.Value)%16 != 0 || len(r.Value) > 16*keysPerRecord {
 			drop(tableKeys, key, fmt.Sprintf("version %d, %d bytes", r.Version, len(r.Value)))
 			continue
 		}
@@ -145,14 +145,14 @@
 		}
 	}
 	if r, ok := g.Tables[tableLoad]["now"]; ok {
-		var l load
+		var l loadRecord
 		if err := json.Unmarshal(r.Value, &l); err != nil || r.Version != versionLoad {
 			drop(tableLoad, "now", fmt.Sprintf("version %d, %v", r.Version, err))
 		} else {
-			m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs = l.Demand, l.Peak, l.Admitted, l.CalmLat, l.FleetLat, l.Answers, l.Expect
+			m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs = l.Demand, l.PeakCapacity, l.AdmittedShare, l.BaselineLatency, l.RecentLatency, l.Responses, l.ExpectedLatencyMs
 		}
 	}
-	st.Memory = m
+	st.Policy = m
 	if r, ok := g.Tables[tableSite]["now"]; ok {
 		var s Site
 		if err := json.Unmarshal(r.Value, &s); err != nil || r.Version != versionSite || len(s.Entries) > stalerouting.MaxEntries {
@@ -164,16 +164,16 @@
 			st.Site = &s
 		}
 	}
-	r, ok := g.Tables[tableList][listHead]
+	r, ok := g.Tables[tableList][listHeaderKey]
 	if !ok {
 		if len(g.Tables[tableList]) > 0 {
-			drop(tableList, listHead, "missing")
+			drop(tableList, listHeaderKey, "missing")
 		}
 		return st, problems
 	}
-	var h head
+	var h listHeader
 	if err := json.Unmarshal(r.Value, &h); err != nil || r.Version != versionList || h.Targets != len(g.Tables[tableList])-1 {
-		drop(tableList, listHead, fmt.Sprintf("version %d, %d of %d entries, %v", r.Version, len(g.Tables[tableList])-1, h.Targets, err))
+		drop(tableList, listHeaderKey, fmt.Sprintf("version %d, %d of %d entries, %v", r.Version, len(g.Tables[tableList])-1, h.Targets, err))
 		return st, problems
 	}
 	st.Discovery, st.Version, st.Targets = h.Discovery, h.Version, map[string]json.RawMessage{}
--- a/internal/agent/snapshot/memory_test.go
+++ b/internal/agent/snapshot/state_test.go
@@ -15,7 +15,7 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-func memory(servers, keys int) *policy.Snapshot {
+func newPolicySnapshot(servers, keys int) *policy.Snapshot {
 	m := &policy.Snapshot{Demand: 3.5, PeakCapacity: 10, AdmittedShare: 0.9, BaselineLatency: 0.1, RecentLatency: 0.2, Responses: 77, ExpectedLatencyMs: []float64{20, 40}}
 	for i := range servers {
 		m.Servers = append(m.Servers, policy.ServerSnapshot{Server: policy.Addr{10, 0, byte(i >> 8), byte(i), 1, 2}, StartedMs: float64(i),
@@ -27,20 +27,20 @@
 	return m
 }
 
-func state(m *policy.Snapshot) *State {
-	return &State{Memory: m, Discovery: "127.0.0.1:9", Version: 7,
+func newState(m *policy.Snapshot) *State {
+	return &State{Policy: m, Discovery: "127.0.0.1:9", Version: 7,
 		Targets: map[string]json.RawMessage{"s-1": json.RawMessage(`{"id":"s-1"}`), "s-2": json.RawMessage(`{"id":"s-2","state":"draining"}`)}}
 }
 
-func TestMemoryComesBackWithItsAge(t *testing.T) {
+func TestStateIsRestoredWithItsAge(t *testing.T) {
 	for _, c := range []struct{ servers, keys int }{{0, 0}, {3, 1}, {200, 1000}} {
-		m := memory(c.servers, c.keys)
-		tt, err := Encode(state(m))
+		m := newPolicySnapshot(c.servers, c.keys)
+		tt, err := Encode(newState(m))
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, Dated: true})
-		got := back.Memory
+		back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, AgeKnown: true})
+		got := back.Policy
 		if got.AgeMs != 2000 || len(problems) > 0 {
 			t.Fatalf("%v ms old, %v", got.AgeMs, problems)
 		}
@@ -49,7 +49,7 @@
 				t.Fatalf("in its state for %v ms and its age", got.Servers[i].InStateMs)
 			}
 		}
-		if want := state(m); back.Discovery != want.Discovery || back.Version != 7 || !reflect.DeepEqual(back.Targets, want.Targets) {
+		if want := newState(m); back.Discovery != want.Discovery || back.Version != 7 || !reflect.DeepEqual(back.Targets, want.Targets) {
 			t.Errorf("the list: %+v", back)
 		}
 		if got.AgeMs = 0; !reflect.DeepEqual(got, m) {
@@ -58,41 +58,41 @@
 	}
 }
 
-func TestRecordsThatCannotBeReadAreNamed(t *testing.T) {
-	tt, err := Encode(state(memory(3, 600)))
+func TestInvalidRecordsAreReported(t *testing.T) {
+	tt, err := Encode(newState(newPolicySnapshot(3, 600)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	keys := sorted(tt[tableServers])
+	keys := sortedKeys(tt[tableServers])
 	tt[tableServers][keys[0]] = Record{versionServers + 1, tt[tableServers][keys[0]].Value}
 	tt[tableServers][keys[1]] = tt[tableServers][keys[2]]
 	tt[tableKeys]["000001"] = Record{versionKeys, []byte("short")}
 	tt[tableLoad]["now"] = Record{versionLoad, []byte("{")}
 	delete(tt[tableList], "=s-1")
 	st, problems := Decode(&Generation{Tables: tt})
-	m := st.Memory
-	if len(problems) != 5 || st.Targets != nil || len(m.Servers) != 1 || len(m.Keys) != 600-keysEach || m.Demand != 0 {
+	m := st.Policy
+	if len(problems) != 5 || st.Targets != nil || len(m.Servers) != 1 || len(m.Keys) != 600-keysPerRecord || m.Demand != 0 {
 		t.Errorf("%v, %d servers, %d keys, demand %v", problems, len(m.Servers), len(m.Keys), m.Demand)
 	}
 }
 
 // The keeper saves the newest of what it is handed, the last at its end, and blocks nobody.
-func TestKeeperSavesTheLast(t *testing.T) {
+func TestWriterSavesTheNewestState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, _, _ := mustOpen(t, dir, at(0))
+	s, _, _ := openStore(t, dir, clockAt(0))
 	ctx, cancel := context.WithCancel(context.Background())
-	k := Keep(ctx, s)
+	k := NewWriter(ctx, s)
 	for i := range 500 {
-		m := memory(2, 2)
+		m := newPolicySnapshot(2, 2)
 		m.Responses = float64(i)
-		k.Remember(state(m))
+		k.Save(newState(m))
 	}
 	cancel()
-	<-k.Ended()
-	s, g, _ := mustOpen(t, dir, at(0))
-	defer closed(t, s)
+	<-k.Closed()
+	s, g, _ := openStore(t, dir, clockAt(0))
+	defer closeStore(t, s)
 	back, _ := Decode(g)
-	m := back.Memory
+	m := back.Policy
 	if m.Responses != 499 {
 		t.Errorf("saved is number %v of 500", m.Responses)
 	}
@@ -108,7 +108,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	m := state(memory(200, 10_000))
+	m := newState(newPolicySnapshot(200, 10_000))
 	for b.Loop() {
 		t, err := Encode(m)
 		if err == nil {
@@ -126,7 +126,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	t, err := Encode(state(memory(200, 10_000)))
+	t, err := Encode(newState(newPolicySnapshot(200, 10_000)))
 	if err == nil {
 		err = s.Save(t)
 	}
@@ -145,19 +145,19 @@
 
 // What an agent knows of its site comes back older by the generation's age; a file from before
 // there was such a table, and one whose record makes no sense, bring none, and the rest stays.
-func TestTheSiteComesBack(t *testing.T) {
-	st := state(memory(1, 1))
-	st.Site = &Site{Dark: true, Entries: []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: time.Minute}, {ID: "u", Age: math.MaxInt64}}}
+func TestSiteIsRestored(t *testing.T) {
+	st := newState(newPolicySnapshot(1, 1))
+	st.Site = &Site{Isolated: true, Entries: []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: time.Minute}, {ID: "u", Age: math.MaxInt64}}}
 	tt, err := Encode(st)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, Dated: true})
+	back, problems := Decode(&Generation{Tables: tt, Age: 2 * time.Second, AgeKnown: true})
 	want := []stalerouting.Entry{{ID: "s", Incarnation: 4, State: stalerouting.Draining, Age: 62 * time.Second}, {ID: "u", Age: stalerouting.UnknownAge + 2*time.Second}}
-	if len(problems) > 0 || back.Site == nil || !back.Site.Dark || !slices.Equal(back.Site.Entries, want) {
+	if len(problems) > 0 || back.Site == nil || !back.Site.Isolated || !slices.Equal(back.Site.Entries, want) {
 		t.Errorf("%+v, %v", back.Site, problems)
 	}
-	if back, _ := Decode(&Generation{Tables: tt, Age: longest}); back.Site.Entries[0].Age != stalerouting.UnknownAge+time.Minute {
+	if back, _ := Decode(&Generation{Tables: tt, Age: unknownAge}); back.Site.Entries[0].Age != stalerouting.UnknownAge+time.Minute {
 		t.Errorf("undated: %+v", back.Site)
 	}
 	delete(tt, tableSite)
--- a/internal/agent/snapshot/store.go
+++ b/internal/agent/snapshot/store.go
@@ -36,12 +36,12 @@
 	MaxFile, maxRecord = 64 << 20, 1 << 20
 	// maxRecords bounds the records of a generation.
 	maxRecords = 100_000
-	// keepAside is how many files that were set aside are kept.
-	keepAside = 3
-	// lockWait is how long another holder of the folder is waited for.
-	lockWait = 500 * time.Millisecond
-	// format is the version of generations and records.
-	format = 1
+	// maxSetAside is how many files that were set aside are kept.
+	maxSetAside = 3
+	// lockTimeout is how long another holder of the folder is waited for.
+	lockTimeout = 500 * time.Millisecond
+	// formatVersion is the version of generations and records.
+	formatVersion = 1
 )
 
 // The two generations, and the record that ends one.
@@ -64,26 +64,26 @@
 
 // Problem is something that was not believed.
 type Problem struct {
-	Where string // generation, table and key, as far as it goes
-	Why   string
+	Where  string // generation, table and key, as far as it goes
+	Reason string
 }
 
-func (p Problem) String() string { return p.Where + ": " + p.Why }
+func (p Problem) String() string { return p.Where + ": " + p.Reason }
 
 // Generation is what was saved at one moment.
 type Generation struct {
-	Seq    uint64
-	Boot   uint64 // lives of the agent up to it
-	Age    time.Duration
-	Dated  bool // whether the age is known; if not it is the largest there is
-	Whole  bool // nothing of it was dropped
-	Tables Tables
+	Seq      uint64
+	Runs     uint64 // lives of the agent up to it
+	Age      time.Duration
+	AgeKnown bool // whether the age is known; if not it is the largest there is
+	Complete bool // nothing of it was dropped
+	Tables   Tables
 }
 
 // footer ends a generation.
 type footer struct {
-	seq, boot, count, sum uint64
-	clock                 Clock
+	seq, runs, count, checksum uint64
+	clock                      Clock
 }
 
 const footerSize = 2 + 4*8 + 8 + 16
@@ -94,8 +94,8 @@
 	db  *bbolt.DB
 	now func() Clock
 	seq uint64
-	// Boot counts the lives of the agent, this one included.
-	Boot uint64
+	// Runs counts the lives of the agent, this one included.
+	Runs uint64
 }
 
 // Open opens a folder, makes it if it is missing, and loads the newest generation that can be
@@ -132,7 +132,7 @@
 		return nil, nil, problems, err
 	}
 	if g != nil {
-		fresh.seq, fresh.Boot = s.seq, s.Boot
+		fresh.seq, fresh.Runs = s.seq, s.Runs
 		if err := fresh.restore(g); err != nil {
 			return nil, nil, problems, errors.Join(err, fresh.Close())
 		}
@@ -149,9 +149,9 @@
 	return g, problems, s.Close()
 }
 
-// Guarded does what reads or writes the file's pages. A damaged file makes the library panic,
+// RecoverFaults does what reads or writes the file's pages. A damaged file makes the library panic,
 // and one that is shorter than its pages say is a fault of memory: both are an error here.
-func Guarded(do func() error) (err error) {
+func RecoverFaults(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -177,15 +177,15 @@
 	// The free list is kept in the file: without it the library walks all pages at the start,
 	// on a goroutine of its own, where a damaged page ends the process.
 	var db *bbolt.DB
-	err = Guarded(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
+	err = RecoverFaults(func() (err error) {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
 		return err
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, nil, "", fmt.Errorf("durable: %s: %w", path, ErrLocked)
 	}
 	if err != nil {
-		if errors.Is(err, fs.ErrPermission) || errors.Is(err, syscallReadOnly) {
+		if errors.Is(err, fs.ErrPermission) || errors.Is(err, errReadOnlyFileSystem) {
 			return nil, nil, "", fmt.Errorf("durable: %w", err)
 		}
 		return nil, nil, "damaged", fmt.Errorf("durable: %s: %w", path, err)
@@ -199,15 +199,15 @@
 	var all []*Generation
 	newer := false
 	for _, name := range generations { // each by itself: one may be damaged, and not the other
-		bad := Guarded(func() error {
+		bad := RecoverFaults(func() error {
 			return db.View(func(tx *bbolt.Tx) error {
 				b := tx.Bucket(name)
 				if b == nil {
 					return nil
 				}
-				x, found, bad := read(string(name), b, now())
+				x, found, bad := readGeneration(string(name), b, now())
 				*problems = append(*problems, bad...)
-				newer = newer || slices.ContainsFunc(bad, func(p Problem) bool { return p.Why == whyNewer })
+				newer = newer || slices.ContainsFunc(bad, func(p Problem) bool { return p.Reason == reasonOtherVersion })
 				if found {
 					all = append(all, x)
 				}
@@ -219,23 +219,23 @@
 		}
 	}
 	if newer && len(all) == 0 {
-		return nil, nil, "newer-version", fmt.Errorf("durable: %s: %s", path, whyNewer)
+		return nil, nil, "newer-version", fmt.Errorf("durable: %s: %s", path, reasonOtherVersion)
 	}
 	for _, x := range all {
-		s.seq, s.Boot = max(s.seq, x.Seq), max(s.Boot, x.Boot)
-		if g == nil || better(x, g) {
+		s.seq, s.Runs = max(s.seq, x.Seq), max(s.Runs, x.Runs)
+		if g == nil || preferred(x, g) {
 			g = x
 		}
 	}
-	s.Boot++
+	s.Runs++
 	return s, g, "", nil
 }
 
-// better tells whether a generation is to be believed before another: a whole one before one
+// preferred tells whether a generation is to be believed before another: a whole one before one
 // of which records were dropped, then the newer.
-func better(x, y *Generation) bool {
-	if x.Whole != y.Whole {
-		return x.Whole
+func preferred(x, y *Generation) bool {
+	if x.Complete != y.Complete {
+		return x.Complete
 	}
 	return x.Seq > y.Seq
 }
@@ -249,22 +249,22 @@
 }
 
 // Save writes a generation over the older of the two, and returns when the disk has it.
-func (s *Store) Save(t Tables) error { return s.save(t, s.Boot, s.now()) }
+func (s *Store) Save(t Tables) error { return s.save(t, s.Runs, s.now()) }
 
 // restore saves a generation again, as old as it is.
 func (s *Store) restore(g *Generation) error {
 	then := Clock{}
-	if g.Dated {
+	if g.AgeKnown {
 		then = s.now()
 		then.Uptime -= g.Age
 	}
-	return s.save(g.Tables, g.Boot, then)
+	return s.save(g.Tables, g.Runs, then)
 }
 
 func (s *Store) save(t Tables, boot uint64, at Clock) error {
-	f := footer{seq: s.seq + 1, boot: boot, clock: at}
+	f := footer{seq: s.seq + 1, runs: boot, clock: at}
 	name := generations[f.seq%2]
-	err := Guarded(func() error {
+	err := RecoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
 			if err := tx.DeleteBucket(name); err != nil && !errors.Is(err, bolterrors.ErrBucketNotFound) {
 				return err
@@ -275,16 +275,16 @@
 			}
 			b.FillPercent = 0.9 // written once, in order
 			sum := xxhash.New()
-			for _, table := range sorted(t) {
+			for _, table := range sortedKeys(t) {
 				sub, err := b.CreateBucket([]byte(table))
 				if err != nil {
 					return err
 				}
-				for _, key := range sorted(t[table]) {
+				for _, key := range sortedKeys(t[table]) {
 					if f.count++; f.count > maxRecords {
 						return fmt.Errorf("over %d records", maxRecords)
 					}
-					raw := seal(f.seq, table, key, t[table][key])
+					raw := encodeRecord(f.seq, table, key, t[table][key])
 					if len(raw) > maxRecord {
 						return fmt.Errorf("%s %q: over %d bytes", table, key, maxRecord)
 					}
@@ -294,7 +294,7 @@
 					}
 				}
 			}
-			f.sum = sum.Sum64()
+			f.checksum = sum.Sum64()
 			return b.Put(footerKey, f.bytes())
 		})
 	})
@@ -305,10 +305,10 @@
 	return nil
 }
 
-// seal is a record as it is kept: format, version of its table, value, and a checksum over
+// encodeRecord is a record as it is kept: format, version of its table, value, and a checksum over
 // these, its place and its generation, so that what belongs elsewhere is not believed.
-func seal(seq uint64, table, key string, r Record) []byte {
-	raw := binary.BigEndian.AppendUint16(nil, format)
+func encodeRecord(seq uint64, table, key string, r Record) []byte {
+	raw := binary.BigEndian.AppendUint16(nil, formatVersion)
 	raw = binary.BigEndian.AppendUint16(raw, r.Version)
 	raw = append(raw, r.Value...)
 	return binary.BigEndian.AppendUint64(raw, checksum(seq, table, key, raw))
@@ -321,8 +321,8 @@
 	return h.Sum64()
 }
 
-// unseal is the record again, or why it is not believed.
-func unseal(seq uint64, table, key string, raw []byte) (Record, string) {
+// decodeRecord is the record again, or why it is not believed.
+func decodeRecord(seq uint64, table, key string, raw []byte) (Record, string) {
 	switch n := len(raw) - 8; {
 	case n < 4:
 		return Record{}, "too short"
@@ -330,18 +330,18 @@
 		return Record{}, "too long"
 	case binary.BigEndian.Uint64(raw[n:]) != checksum(seq, table, key, raw[:n]):
 		return Record{}, "checksum"
-	case binary.BigEndian.Uint16(raw) != format:
-		return Record{}, whyNewer
+	case binary.BigEndian.Uint16(raw) != formatVersion:
+		return Record{}, reasonOtherVersion
 	default:
 		return Record{Version: binary.BigEndian.Uint16(raw[2:]), Value: slices.Clone(raw[4:n])}, ""
 	}
 }
 
-const whyNewer = "of another version of the program"
+const reasonOtherVersion = "of another version of the program"
 
 func (f *footer) bytes() []byte {
-	raw := binary.BigEndian.AppendUint16(nil, format)
-	for _, v := range []uint64{f.seq, f.boot, f.count, f.sum, uint64(f.clock.Uptime)} {
+	raw := binary.BigEndian.AppendUint16(nil, formatVersion)
+	for _, v := range []uint64{f.seq, f.runs, f.count, f.checksum, uint64(f.clock.Uptime)} {
 		raw = binary.BigEndian.AppendUint64(raw, v)
 	}
 	raw = append(raw, f.clock.Boot[:]...)
@@ -354,11 +354,11 @@
 		return f, "no end"
 	case len(raw) != footerSize+8 || binary.BigEndian.Uint64(raw[footerSize:]) != checksum(0, "", "", raw[:footerSize]):
 		return f, "its end is damaged"
-	case binary.BigEndian.Uint16(raw) != format:
-		return f, whyNewer
+	case binary.BigEndian.Uint16(raw) != formatVersion:
+		return f, reasonOtherVersion
 	}
 	at := raw[2:]
-	for _, v := range []*uint64{&f.seq, &f.boot, &f.count, &f.sum} {
+	for _, v := range []*uint64{&f.seq, &f.runs, &f.count, &f.checksum} {
 		*v, at = binary.BigEndian.Uint64(at), at[8:]
 	}
 	f.clock.Uptime, at = time.Duration(binary.BigEndian.Uint64(at)), at[8:]
@@ -366,15 +366,15 @@
 	return f, ""
 }
 
-// read takes a generation, and names what of it is not believed. One without a sound end is
+// readGeneration takes a generation, and names what of it is not believed. One without a sound end is
 // not a generation: it cannot tell what belongs to it.
-func read(name string, b *bbolt.Bucket, now Clock) (g *Generation, found bool, bad []Problem) {
+func readGeneration(name string, b *bbolt.Bucket, now Clock) (g *Generation, found bool, bad []Problem) {
 	f, why := parseFooter(b.Get(footerKey))
 	if why != "" {
 		return nil, false, []Problem{{"generation " + name, why}}
 	}
-	g = &Generation{Seq: f.seq, Boot: f.boot, Tables: Tables{}}
-	g.Age, g.Dated = now.Since(f.clock)
+	g = &Generation{Seq: f.seq, Runs: f.runs, Tables: Tables{}}
+	g.Age, g.AgeKnown = now.Since(f.clock)
 	sum, count := xxhash.New(), uint64(0)
 	err := b.ForEachBucket(func(k []byte) error {
 		table, sub := string(k), b.Bucket(k)
@@ -383,7 +383,7 @@
 				return fmt.Errorf("over %d records", maxRecords)
 			}
 			_, _ = sum.Write(raw)
-			r, why := unseal(f.seq, table, string(k), raw)
+			r, why := decodeRecord(f.seq, table, string(k), raw)
 			if why != "" {
 				bad = append(bad, Problem{fmt.Sprintf("generation %s, %s %q", name, table, k), why})
 				return nil
@@ -398,11 +398,11 @@
 	if err != nil {
 		return nil, false, append(bad, Problem{"generation " + name, err.Error()})
 	}
-	g.Whole = count == f.count && sum.Sum64() == f.sum
-	if !g.Whole {
+	g.Complete = count == f.count && sum.Sum64() == f.checksum
+	if !g.Complete {
 		bad = append(bad, Problem{"generation " + name, fmt.Sprintf("%d of %d records are sound", count-uint64(len(bad)), f.count)})
 	}
-	return g, g.Whole || len(g.Tables) > 0, bad
+	return g, g.Complete || len(g.Tables) > 0, bad
 }
 
 // setAside moves a file away under a name with the reason, and forgets the oldest such.
@@ -416,11 +416,11 @@
 			return "", fmt.Errorf("durable: %w", err)
 		}
 		old, err := filepath.Glob(path + ".*-*")
-		if err != nil || len(old) <= keepAside {
+		if err != nil || len(old) <= maxSetAside {
 			return to, nil
 		}
-		slices.SortStableFunc(old, func(a, b string) int { return modified(a).Compare(modified(b)) })
-		for _, o := range old[:len(old)-keepAside] {
+		slices.SortStableFunc(old, func(a, b string) int { return modificationTime(a).Compare(modificationTime(b)) })
+		for _, o := range old[:len(old)-maxSetAside] {
 			if o != to {
 				_ = os.Remove(o) // it stays if it can't be removed
 			}
@@ -429,14 +429,14 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modificationTime(path string) time.Time {
 	if info, err := os.Stat(path); err == nil {
 		return info.ModTime()
 	}
 	return time.Time{}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -445,15 +445,15 @@
 	return keys
 }
 
-// longest is the age of what cannot be dated.
-const longest = time.Duration(math.MaxInt64)
+// unknownAge is the age of what cannot be dated.
+const unknownAge = time.Duration(math.MaxInt64)
 
-// Readable reads all of a bbolt file that another package keeps, so that what can't be read is
+// VerifyFile reads all of a bbolt file that another package keeps, so that what can't be read is
 // an error here: later, on a goroutine of a library's own, it would end the process. It holds
 // the file's lock meanwhile.
-func Readable(path string) error {
-	err := Guarded(func() error {
-		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: lockWait, FreelistType: bbolt.FreelistMapType})
+func VerifyFile(path string) error {
+	err := RecoverFaults(func() error {
+		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 		if err != nil {
 			return err
 		}
--- a/internal/agent/snapshot/store_test.go
+++ b/internal/agent/snapshot/store_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// at is a clock of one boot.
-func at(up time.Duration) func() Clock {
+// clockAt is a clock of one boot.
+func clockAt(up time.Duration) func() Clock {
 	return func() Clock { return Clock{Boot: [16]byte{1}, Uptime: up} }
 }
 
@@ -27,7 +27,7 @@
 	return t
 }
 
-func mustOpen(t *testing.T, dir string, now func() Clock) (*Store, *Generation, []Problem) {
+func openStore(t *testing.T, dir string, now func() Clock) (*Store, *Generation, []Problem) {
 	t.Helper()
 	s, g, problems, err := Open(dir, now)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func closed(t *testing.T, s *Store) {
+func closeStore(t *testing.T, s *Store) {
 	t.Helper()
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -54,49 +54,49 @@
 func saved(t *testing.T, saves, n int) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
-	s, g, problems := mustOpen(t, dir, at(time.Minute))
-	if g != nil || len(problems) > 0 || s.Boot != 1 {
-		t.Fatalf("a new folder: %+v, %v, life %d", g, problems, s.Boot)
+	s, g, problems := openStore(t, dir, clockAt(time.Minute))
+	if g != nil || len(problems) > 0 || s.Runs != 1 {
+		t.Fatalf("a new folder: %+v, %v, life %d", g, problems, s.Runs)
 	}
 	for i := range saves {
 		save(t, s, tables(i+1, n))
 	}
-	closed(t, s)
+	closeStore(t, s)
 	return dir
 }
 
-func TestTheLastSaveComesBack(t *testing.T) {
+func TestLastGenerationIsRestored(t *testing.T) {
 	dir := saved(t, 3, 20)
-	s, g, problems := mustOpen(t, dir, at(90*time.Second))
-	defer closed(t, s)
+	s, g, problems := openStore(t, dir, clockAt(90*time.Second))
+	defer closeStore(t, s)
 	if g == nil || !reflect.DeepEqual(g.Tables, tables(3, 20)) || len(problems) > 0 {
 		t.Fatalf("%+v, %v", g, problems)
 	}
-	if g.Seq != 3 || g.Age != 30*time.Second || !g.Dated || !g.Whole || s.Boot != 2 {
-		t.Errorf("%d, %v old, dated %v, whole %v, life %d", g.Seq, g.Age, g.Dated, g.Whole, s.Boot)
+	if g.Seq != 3 || g.Age != 30*time.Second || !g.AgeKnown || !g.Complete || s.Runs != 2 {
+		t.Errorf("%d, %v old, dated %v, whole %v, life %d", g.Seq, g.Age, g.AgeKnown, g.Complete, s.Runs)
 	}
 }
 
 // After another boot, or without a clock, an age is the worst there is and not guessed young.
-func TestAgesThatCannotBeTold(t *testing.T) {
+func TestUnknownAges(t *testing.T) {
 	dir := saved(t, 1, 1)
 	for name, c := range map[string]Clock{"another boot": {[16]byte{2}, time.Hour}, "no boot": {}, "back in time": {[16]byte{1}, time.Second}} {
-		s, g, _ := mustOpen(t, dir, func() Clock { return c })
-		if g == nil || g.Dated || g.Age != longest {
+		s, g, _ := openStore(t, dir, func() Clock { return c })
+		if g == nil || g.AgeKnown || g.Age != unknownAge {
 			t.Errorf("%s: %+v", name, g)
 		}
-		closed(t, s)
+		closeStore(t, s)
 	}
 }
 
-func TestAFolderIsOneAgents(t *testing.T) {
+func TestDirectoryIsLocked(t *testing.T) {
 	dir := saved(t, 1, 1)
-	s, _, _ := mustOpen(t, dir, at(0))
-	defer closed(t, s)
-	if _, _, _, err := Open(dir, at(0)); !errors.Is(err, ErrLocked) {
+	s, _, _ := openStore(t, dir, clockAt(0))
+	defer closeStore(t, s)
+	if _, _, _, err := Open(dir, clockAt(0)); !errors.Is(err, ErrLocked) {
 		t.Errorf("%v, want that it is in use", err)
 	}
-	if _, _, err := Inspect(dir, at(0)); !errors.Is(err, ErrLocked) {
+	if _, _, err := Inspect(dir, clockAt(0)); !errors.Is(err, ErrLocked) {
 		t.Errorf("inspect: %v, want that it is in use", err)
 	}
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestADamagedRecordIsDropped(t *testing.T) {
+func TestDamagedRecordIsDropped(t *testing.T) {
 	dir := saved(t, 2, 20)
 	edit(t, dir, func(raw []byte) []byte { // one value of each generation
 		for gen := 1; gen <= 2; gen++ {
@@ -122,34 +122,34 @@
 		}
 		return raw
 	})
-	s, g, problems := mustOpen(t, dir, at(0))
-	if g == nil || g.Seq != 2 || g.Whole || len(g.Tables["x"]) != 19 || len(g.Tables["y"]) != 1 || len(problems) != 5 {
+	s, g, problems := openStore(t, dir, clockAt(0))
+	if g == nil || g.Seq != 2 || g.Complete || len(g.Tables["x"]) != 19 || len(g.Tables["y"]) != 1 || len(problems) != 5 {
 		t.Errorf("%+v, %v", g, problems)
 	}
-	closed(t, s)
-	if g, problems, err := Inspect(dir, at(0)); err != nil || !g.Whole || len(problems) > 0 || len(g.Tables["x"]) != 19 {
+	closeStore(t, s)
+	if g, problems, err := Inspect(dir, clockAt(0)); err != nil || !g.Complete || len(problems) > 0 || len(g.Tables["x"]) != 19 {
 		t.Errorf("in its new file: %+v, %v, %v", g, problems, err)
 	}
 }
 
-func TestADamagedGenerationFallsBackToTheOneBefore(t *testing.T) {
+func TestDamagedGenerationFallsBackToThePreviousOne(t *testing.T) {
 	dir := saved(t, 3, 20)
 	edit(t, dir, func(raw []byte) []byte {
 		raw[bytes.LastIndex(raw, bytes.Repeat([]byte{3}, 40))+3] ^= 1
 		return raw
 	})
-	s, g, problems := mustOpen(t, dir, at(0))
+	s, g, problems := openStore(t, dir, clockAt(0))
 	if g == nil || g.Seq != 2 || !reflect.DeepEqual(g.Tables, tables(2, 20)) || len(problems) == 0 {
 		t.Errorf("%+v, %v", g, problems)
 	}
 	save(t, s, tables(4, 20)) // over the damaged one
-	closed(t, s)
-	if g, problems, err := Inspect(dir, at(0)); err != nil || g.Seq != 5 || len(problems) > 0 {
+	closeStore(t, s)
+	if g, problems, err := Inspect(dir, clockAt(0)); err != nil || g.Seq != 5 || len(problems) > 0 {
 		t.Errorf("after the next save: %+v, %v, %v", g, problems, err)
 	}
 }
 
-func TestAFileThatCannotBeUsedIsSetAside(t *testing.T) {
+func TestUnusableFileIsSetAside(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoil func([]byte) []byte
 		aside string
@@ -162,14 +162,14 @@
 			dir := saved(t, 2, 20)
 			for range 5 {
 				edit(t, dir, c.spoil)
-				s, g, problems := mustOpen(t, dir, at(0))
-				if g != nil || len(problems) < 2 || !strings.Contains(problems[len(problems)-1].Why, c.aside) {
+				s, g, problems := openStore(t, dir, clockAt(0))
+				if g != nil || len(problems) < 2 || !strings.Contains(problems[len(problems)-1].Reason, c.aside) {
 					t.Fatalf("%+v, %v", g, problems)
 				}
 				save(t, s, tables(1, 1))
-				closed(t, s)
+				closeStore(t, s)
 			}
-			if left, _ := filepath.Glob(filepath.Join(dir, File+"."+c.aside+"-*")); len(left) == 0 || len(left) > keepAside {
+			if left, _ := filepath.Glob(filepath.Join(dir, File+"."+c.aside+"-*")); len(left) == 0 || len(left) > maxSetAside {
 				t.Errorf("%d files set aside are kept", len(left))
 			}
 		})
@@ -177,7 +177,7 @@
 }
 
 // A file that ends before its pages do is a fault of memory where it is read.
-func TestFilesCutAtEachPage(t *testing.T) {
+func TestFilesTruncatedAtEachPage(t *testing.T) {
 	dir := saved(t, 3, 150)
 	whole, err := os.ReadFile(filepath.Join(dir, File))
 	if err != nil {
@@ -185,29 +185,29 @@
 	}
 	for n := 0; n < len(whole); n += 4096 {
 		edit(t, dir, func([]byte) []byte { return bytes.Clone(whole[:n]) })
-		s, g, _ := mustOpen(t, dir, at(0))
-		belongs(t, n, g)
+		s, g, _ := openStore(t, dir, clockAt(0))
+		requireGeneration(t, n, g)
 		save(t, s, tables(9, 3))
-		closed(t, s)
+		closeStore(t, s)
 	}
 }
 
-func TestFoldersThatCannotBeUsed(t *testing.T) {
+func TestUnusableDirectories(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := Open(file, at(0)); err == nil {
+	if _, _, _, err := Open(file, clockAt(0)); err == nil {
 		t.Error("a file was taken for a folder")
 	}
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, File), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := Open(dir, at(0)); err == nil {
+	if _, _, _, err := Open(dir, clockAt(0)); err == nil {
 		t.Error("a folder was taken for a file")
 	}
-	if _, _, err := Inspect(t.TempDir(), at(0)); err == nil {
+	if _, _, err := Inspect(t.TempDir(), clockAt(0)); err == nil {
 		t.Error("an empty folder was inspected")
 	}
 }
@@ -215,7 +215,7 @@
 // Power loss between two saves: of the pages that the second changed, any part may be on the
 // disk, each whole or torn, whatever the order that the program wrote them in. Each such file
 // gives what was saved before, or after, or less of one of them, or nothing; never a mix.
-func TestNoImageOfALostPowerIsBelievedWrongly(t *testing.T) {
+func TestImagesAfterPowerLoss(t *testing.T) {
 	const page = 4096
 	dir := saved(t, 2, 150) // several leaf pages
 	path := filepath.Join(dir, File)
@@ -223,9 +223,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, _, _ := mustOpen(t, dir, at(0))
+	s, _, _ := openStore(t, dir, clockAt(0))
 	save(t, s, tables(3, 150))
-	closed(t, s)
+	closeStore(t, s)
 	after, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -264,13 +264,13 @@
 		if err := os.WriteFile(filepath.Join(to, File), image, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, g, _, err := Open(to, at(0))
+		s, g, _, err := Open(to, clockAt(0))
 		if err != nil {
 			t.Fatalf("image %d: does not start: %v", n, err)
 		}
-		counts[belongs(t, n, g)]++
+		counts[requireGeneration(t, n, g)]++
 		save(t, s, tables(9, 3)) // and it goes on
-		closed(t, s)
+		closeStore(t, s)
 	}
 	if counts["2"] == 0 || counts["3"] == 0 {
 		t.Errorf("images gave %v, want both generations among them", counts)
@@ -278,8 +278,8 @@
 	t.Logf("%d pages changed; images gave %v", len(changed), counts)
 }
 
-// belongs names the generation that all records are of.
-func belongs(t *testing.T, n int, g *Generation) string {
+// requireGeneration names the generation that all records are of.
+func requireGeneration(t *testing.T, n int, g *Generation) string {
 	t.Helper()
 	if g == nil {
 		return "nothing"
@@ -292,10 +292,10 @@
 			}
 		}
 	}
-	if g.Whole != reflect.DeepEqual(g.Tables, whole) {
-		t.Fatalf("image %d: generation %d counts as whole: %v", n, g.Seq, g.Whole)
+	if g.Complete != reflect.DeepEqual(g.Tables, whole) {
+		t.Fatalf("image %d: generation %d counts as whole: %v", n, g.Seq, g.Complete)
 	}
-	if !g.Whole {
+	if !g.Complete {
 		return "part"
 	}
 	return fmt.Sprint(g.Seq)
@@ -303,9 +303,9 @@
 
 func FuzzUnseal(f *testing.F) {
 	f.Add([]byte{}, "k")
-	f.Add(seal(7, "t", "k", Record{1, []byte("v")}), "k")
+	f.Add(encodeRecord(7, "t", "k", Record{1, []byte("v")}), "k")
 	f.Fuzz(func(t *testing.T, raw []byte, key string) {
-		if r, why := unseal(7, "t", key, raw); why == "" && !bytes.Equal(seal(7, "t", key, r), raw) {
+		if r, why := decodeRecord(7, "t", key, raw); why == "" && !bytes.Equal(encodeRecord(7, "t", key, r), raw) {
 			t.Errorf("%x was taken, and would not be written", raw)
 		}
 		if _, why := parseFooter(raw); why == "" && len(raw) != footerSize+8 {
--- a/internal/agent/snapshot/writer.go
+++ b/internal/agent/snapshot/writer.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Keeper saves the newest state it was handed, at most one at a time, on a goroutine of its
+// Writer saves the newest state it was handed, at most one at a time, on a goroutine of its
 // own: no request waits for the disk, however slow it is.
-type Keeper struct {
-	store *Store
-	next  chan *State // the newest only
-	ended chan struct{}
-	stats Stats
+type Writer struct {
+	store   *Store
+	pending chan *State // the newest only
+	closed  chan struct{}
+	stats   Stats
 }
 
 // Stats are counted over a keeper's life. They are safe to read at any time.
 type Stats struct {
 	Saved, Failed, Bytes, Skipped atomic.Int64
-	Slowest                       atomic.Int64 // a save, in microseconds
+	SlowestMicros                 atomic.Int64 // a save, in microseconds
 }
 
-// Keep starts saving to a store, which it closes when ctx is done and the last save is out.
-func Keep(ctx context.Context, s *Store) *Keeper {
-	k := &Keeper{store: s, next: make(chan *State, 1), ended: make(chan struct{})}
+// NewWriter starts saving to a store, which it closes when ctx is done and the last save is out.
+func NewWriter(ctx context.Context, s *Store) *Writer {
+	k := &Writer{store: s, pending: make(chan *State, 1), closed: make(chan struct{})}
 	go k.run(ctx)
 	return k
 }
 
-// Remember hands over what is to be saved; it never blocks. What was not yet begun to be saved
+// Save hands over what is to be saved; it never blocks. What was not yet begun to be saved
 // is replaced.
-func (k *Keeper) Remember(m *State) {
+func (k *Writer) Save(m *State) {
 	for {
 		select {
-		case k.next <- m:
+		case k.pending <- m:
 			return
 		default:
 		}
 		select {
-		case <-k.next:
+		case <-k.pending:
 			k.stats.Skipped.Add(1)
 		default:
 		}
@@ -47,13 +47,13 @@
 }
 
 // Stats counts what was done.
-func (k *Keeper) Stats() *Stats { return &k.stats }
+func (k *Writer) Stats() *Stats { return &k.stats }
 
-// Ended is closed when the store has been closed.
-func (k *Keeper) Ended() <-chan struct{} { return k.ended }
+// Closed is closed when the store has been closed.
+func (k *Writer) Closed() <-chan struct{} { return k.closed }
 
-func (k *Keeper) run(ctx context.Context) {
-	defer close(k.ended)
+func (k *Writer) run(ctx context.Context) {
+	defer close(k.closed)
 	defer func() {
 		if err := k.store.Close(); err != nil {
 			slog.Warn("state not closed", "err", err)
@@ -61,11 +61,11 @@
 	}()
 	for {
 		select {
-		case m := <-k.next:
+		case m := <-k.pending:
 			k.save(m)
 		case <-ctx.Done():
 			select {
-			case m := <-k.next: // what was handed over last
+			case m := <-k.pending: // what was handed over last
 				k.save(m)
 			default:
 			}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (k *Keeper) save(m *State) {
+func (k *Writer) save(m *State) {
 	from := time.Now()
 	t, err := Encode(m)
 	if err == nil {
@@ -95,8 +95,8 @@
 	}
 	took := time.Since(from).Microseconds()
 	for {
-		old := k.stats.Slowest.Load()
-		if took <= old || k.stats.Slowest.CompareAndSwap(old, took) {
+		old := k.stats.SlowestMicros.Load()
+		if took <= old || k.stats.SlowestMicros.CompareAndSwap(old, took) {
 			return
 		}
 	}
