--- a/cmd/controlsim/hunt.go
+++ b/cmd/controlsim/hunt.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// progressEvery is the pause between two lines of progress.
-	progressEvery = 10 * time.Second
-	// printAtMost bounds the violations that are printed of one play: the log has all.
-	printAtMost = 3
-	// maxLine bounds a worker's line: the log of a run and some more.
-	maxLine = 64 << 20
+	// progressInterval is the pause between two lines of progress.
+	progressInterval = 10 * time.Second
+	// maxPrinted bounds the violations that are printed of one play: the log has all.
+	maxPrinted = 3
+	// maxLineBytes bounds a worker's line: the log of a run and some more.
+	maxLineBytes = 64 << 20
 )
 
 type huntCmd struct {
@@ -38,20 +38,20 @@
 
 // tally sums up the runs of a point.
 type tally struct {
-	runs, broken, orders, reads, drains, calls int
-	took, virtual                              time.Duration
+	runs, broken, updates, reads, drains, calls int
+	elapsed, virtualTime                        time.Duration
 }
 
 // hunt is a hunt under way.
 type hunt struct {
 	out     io.Writer
 	mu      sync.Mutex
-	tallies [controlsim.Points + 1]tally
+	tallies [controlsim.ScenarioCount + 1]tally
 	failed  bool
 }
 
 func (c *huntCmd) Run() error {
-	if _, err := points(c.Point); err != nil {
+	if _, err := parseScenarios(c.Point); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -61,25 +61,25 @@
 	var workers, reporter sync.WaitGroup
 	for i := range jobs {
 		workers.Go(func() {
-			if err := h.worker(ctx, c, i, jobs); err != nil {
+			if err := h.runWorker(ctx, c, i, jobs); err != nil {
 				h.fail(err)
 			}
 		})
 	}
 	reporting, ended := context.WithCancel(ctx)
-	reporter.Go(func() { h.progress(reporting) })
+	reporter.Go(func() { h.reportProgress(reporting) })
 	workers.Wait()
 	ended()
 	reporter.Wait()
-	h.sum()
+	h.printSummary()
 	if h.failed {
 		return errors.New("a promise was broken, or a worker failed")
 	}
 	return nil
 }
 
-// worker plays a share of the seeds in a process of its own.
-func (h *hunt) worker(ctx context.Context, c *huntCmd, index, jobs int) error {
+// runWorker plays a share of the seeds in a process of its own.
+func (h *hunt) runWorker(ctx context.Context, c *huntCmd, index, jobs int) error {
 	self, err := os.Executable()
 	if err != nil {
 		return errors.Wrap(err, "find the program")
@@ -96,11 +96,11 @@
 		return errors.Wrap(err, "start a worker")
 	}
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		var p controlsim.Played
-		if json.Unmarshal(lines.Bytes(), &p) == nil && p.Point > 0 && p.Point <= controlsim.Points {
-			h.take(&p)
+		var p controlsim.Report
+		if json.Unmarshal(lines.Bytes(), &p) == nil && p.Point > 0 && p.Point <= controlsim.ScenarioCount {
+			h.add(&p)
 		} else if text := lines.Text(); text != "PASS" {
 			fmt.Fprintln(os.Stderr, text)
 		}
@@ -114,31 +114,31 @@
 	return nil
 }
 
-// take adds a run, and prints what it broke.
-func (h *hunt) take(p *controlsim.Played) {
+// add adds a run, and prints what it broke.
+func (h *hunt) add(p *controlsim.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := &h.tallies[p.Point]
 	t.runs++
-	t.orders += p.Result.Orders
+	t.updates += p.Result.Updates
 	t.reads += p.Result.Reads
 	t.drains += p.Result.Drains
 	t.calls += p.Result.Calls
-	t.took += p.Took
-	t.virtual += p.Result.Virtual
+	t.elapsed += p.Elapsed
+	t.virtualTime += p.Result.VirtualTime
 	if len(p.Result.Violations) == 0 {
 		return
 	}
 	t.broken++
 	h.failed = true
-	for _, v := range p.Result.Violations[:min(printAtMost, len(p.Result.Violations))] {
+	for _, v := range p.Result.Violations[:min(maxPrinted, len(p.Result.Violations))] {
 		fmt.Fprintf(h.out, "point %d %v\n", p.Point, v)
 	}
-	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", p.Point, p.Seed, len(p.Fewest), p.Faults)
-	for _, f := range p.Fewest {
+	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", p.Point, p.Seed, len(p.MinimalFaults), p.FaultCount)
+	for _, f := range p.MinimalFaults {
 		fmt.Fprintf(h.out, "  %v\n", f)
 	}
-	for _, v := range p.Shorter.Violations[:min(printAtMost, len(p.Shorter.Violations))] {
+	for _, v := range p.MinimalResult.Violations[:min(maxPrinted, len(p.MinimalResult.Violations))] {
 		fmt.Fprintf(h.out, "  breaks: %v\n", v)
 	}
 }
@@ -150,9 +150,9 @@
 	fmt.Fprintln(h.out, err)
 }
 
-// progress tells now and then how far the hunt is.
-func (h *hunt) progress(ctx context.Context) {
-	tick := time.NewTicker(progressEvery)
+// reportProgress tells now and then how far the hunt is.
+func (h *hunt) reportProgress(ctx context.Context) {
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	begun := time.Now()
 	for {
@@ -171,13 +171,13 @@
 	}
 }
 
-// sum prints the summary by point.
-func (h *hunt) sum() {
+// printSummary prints the summary by point.
+func (h *hunt) printSummary() {
 	fmt.Fprintln(h.out, "point  runs  broken  orders  reads  drains  calls  virtual  played")
 	for point, t := range h.tallies {
 		if t.runs > 0 {
-			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.broken, t.orders, t.reads, t.drains, t.calls,
-				t.virtual.Round(time.Second), t.took.Round(time.Second))
+			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.broken, t.updates, t.reads, t.drains, t.calls,
+				t.virtualTime.Round(time.Second), t.elapsed.Round(time.Second))
 		}
 	}
 }
--- a/cmd/controlsim/main.go
+++ b/cmd/controlsim/main.go
@@ -26,12 +26,12 @@
 }
 
 func (c *replayCmd) Validate() error {
-	_, err := points(strconv.Itoa(c.Point))
+	_, err := parseScenarios(strconv.Itoa(c.Point))
 	return err
 }
 
 func (c *replayCmd) Run() error {
-	return inTest(func(t *testing.T) {
+	return runInTest(func(t *testing.T) {
 		broken, err := controlsim.Replay(t, c.Point, c.Seed, os.Stdout)
 		if err != nil || broken {
 			t.Errorf("a promise was broken, or the log could not be written: %v", err)
@@ -48,39 +48,39 @@
 }
 
 func (c *workCmd) Run() error {
-	list, err := points(c.Point)
+	list, err := parseScenarios(c.Point)
 	if err != nil {
 		return err
 	}
-	w := controlsim.Work{Points: list, First: c.First, Step: max(1, c.Step), End: c.End}
+	w := controlsim.Worker{Points: list, First: c.First, Step: max(1, c.Step), End: c.End}
 	if c.Minutes > 0 {
-		w.Until = time.Now().Add(c.Minutes)
+		w.Deadline = time.Now().Add(c.Minutes)
 	}
-	return inTest(func(t *testing.T) {
-		if err := w.Play(t, os.Stdout); err != nil {
+	return runInTest(func(t *testing.T) {
+		if err := w.Run(t, os.Stdout); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// points are the points that a flag names.
-func points(text string) ([]int, error) {
+// parseScenarios are the points that a flag names.
+func parseScenarios(text string) ([]int, error) {
 	if text == "all" {
 		var all []int
-		for p := range controlsim.Points {
+		for p := range controlsim.ScenarioCount {
 			all = append(all, p+1)
 		}
 		return all, nil
 	}
 	p, err := strconv.Atoi(text)
-	if err != nil || p < 1 || p > controlsim.Points {
-		return nil, errors.Errorf("point %q: give 1 to %d, or all", text, controlsim.Points)
+	if err != nil || p < 1 || p > controlsim.ScenarioCount {
+		return nil, errors.Errorf("point %q: give 1 to %d, or all", text, controlsim.ScenarioCount)
 	}
 	return []int{p}, nil
 }
 
-// inTest runs a function as a test, which virtual time asks for, and ends the process by its result.
-func inTest(fn func(*testing.T)) error {
+// runInTest runs a function as a test, which virtual time asks for, and ends the process by its result.
+func runInTest(fn func(*testing.T)) error {
 	os.Args = os.Args[:1] // the arguments are not the test's
 	any := func(string, string) (bool, error) { return true, nil }
 	testing.Main(any, []testing.InternalTest{{Name: "controlsim", F: fn}}, nil, nil)
--- a/internal/testbed/controlsim/callers.go
+++ b/internal/testbed/controlsim/callers.go
@@ -12,10 +12,10 @@
 
 const (
 	echoCall = "controlsim.echo"
-	// echoEvery is the pause between two calls of one caller, echoWait bounds a call, echoSize its body.
-	echoEvery, echoWait, echoSize = 40 * time.Millisecond, 300 * time.Millisecond, 32 << 10
-	// echoLag bounds how long the called process takes.
-	echoLag = 40 * time.Millisecond
+	// echoInterval is the pause between two calls of one caller, echoTimeout bounds a call, maxEchoBytes its body.
+	echoInterval, echoTimeout, maxEchoBytes = 40 * time.Millisecond, 300 * time.Millisecond, 32 << 10
+	// maxEchoDelay bounds how long the called process takes.
+	maxEchoDelay = 40 * time.Millisecond
 )
 
 // echo is a question and, by the same token, its answer.
@@ -24,44 +24,44 @@
 	Body  string `msgpack:"b"`
 }
 
-// declareEcho has a process answer with what it was asked, after a little time.
-func declareEcho(t *rpc.Mux, random *rand.Rand) {
+// registerEchoHandler has a process answer with what it was asked, after a little time.
+func registerEchoHandler(t *rpc.Mux, random *rand.Rand) {
 	lags := make(chan time.Duration, 1)
 	lags <- 0
 	rpc.HandleUnary(t, echoCall, func(ctx context.Context, q *echo) (*echo, error) {
 		<-lags
-		lag := time.Duration(random.Int64N(int64(echoLag)))
+		lag := time.Duration(random.Int64N(int64(maxEchoDelay)))
 		lags <- lag
-		pause(ctx, lag)
+		sleep(ctx, lag)
 		return q, ctx.Err()
 	})
 }
 
-// caller calls other processes over the pool of its own process and looks at whose answer comes.
-type caller struct {
-	run    *run
+// echoClient calls other processes over the pool of its own process and looks at whose answer comes.
+type echoClient struct {
+	sim    *simulation
 	index  int
 	random *rand.Rand
 }
 
-// work goes on until ctx ends.
-func (c *caller) work(ctx context.Context) {
+// run goes on until ctx ends.
+func (c *echoClient) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		from, to := c.run.pick(c.random, nil), c.run.pick(c.random, nil)
+		from, to := c.sim.pickProcess(c.random, nil), c.sim.pickProcess(c.random, nil)
 		if from != nil && to != nil && from != to {
-			c.ask(ctx, from, to, fmt.Sprintf("%d.%d", c.index, n))
+			c.call(ctx, from, to, fmt.Sprintf("%d.%d", c.index, n))
 		}
-		pause(ctx, echoEvery)
+		sleep(ctx, echoInterval)
 	}
 }
 
-func (c *caller) ask(ctx context.Context, from, to *process, token string) {
-	ctx, cancel := context.WithTimeout(ctx, echoWait/10+time.Duration(c.random.Int64N(int64(echoWait))))
+func (c *echoClient) call(ctx context.Context, from, to *process, token string) {
+	ctx, cancel := context.WithTimeout(ctx, echoTimeout/10+time.Duration(c.random.Int64N(int64(echoTimeout))))
 	defer cancel()
-	q := &echo{Token: token, Body: strings.Repeat(token[len(token)-1:], c.random.IntN(echoSize))}
+	q := &echo{Token: token, Body: strings.Repeat(token[len(token)-1:], c.random.IntN(maxEchoBytes))}
 	a, err := rpc.Call[echo, echo](ctx, from.pool, to.machine.host.addr, echoCall, q)
 	if err == nil && *a != *q {
-		c.run.referee.violate(from.machine.name, "call %s of %s got the answer of call %s", token, to.machine.name, a.Token)
+		c.sim.checker.reportViolation(from.machine.name, "call %s of %s got the answer of call %s", token, to.machine.name, a.Token)
 	}
-	c.run.referee.called(err == nil)
+	c.sim.checker.callCompleted(err == nil)
 }
--- a/internal/testbed/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// syncTime is what a write and its sync take on a healthy disk.
-	syncTime = 2 * time.Millisecond
-	// maxWaiting bounds the operations that wait for a disk, as the store does.
-	maxWaiting = 64
-	probeKey   = "probe"
+	// meanSyncTime is what a write and its sync take on a healthy disk.
+	meanSyncTime = 2 * time.Millisecond
+	// maxPendingWrites bounds the operations that wait for a disk, as the store does.
+	maxPendingWrites = 64
+	probeKey         = "probe"
 )
 
 // media is what a machine's disk holds. It outlives the processes of the machine.
 type media struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	records map[string][]byte // synced
-	slow    int               // times as slow as a healthy disk
-	full    bool
-	stalled chan struct{} // closed when the stall ends; nil: none
+	mu       sync.Mutex
+	random   *rand.Rand
+	records  map[string][]byte // synced
+	slowdown int               // times as slow as a healthy disk
+	full     bool
+	stalled  chan struct{} // closed when the stall ends; nil: none
 }
 
 func newMedia(random *rand.Rand) *media {
-	return &media{random: random, records: map[string][]byte{}, slow: 1}
+	return &media{random: random, records: map[string][]byte{}, slowdown: 1}
 }
 
 // wipe loses all that was kept, as an exchanged disk.
@@ -39,10 +39,10 @@
 	d.records = map[string][]byte{}
 }
 
-func (d *media) setSlow(times int) {
+func (d *media) setSlowdown(times int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = times
+	d.slowdown = times
 }
 
 func (d *media) setFull(full bool) {
@@ -73,28 +73,28 @@
 
 // disk is the store of one process on a media: core.Disk.
 type disk struct {
-	media *media
-	host  *host
-	turn  chan struct{} // holds a token while no operation is under way
-	ctx   context.Context
-	end   context.CancelFunc // with the process
-
-	mu      sync.Mutex
-	live    map[string][]byte
-	waiting []time.Time
-	failing time.Time
-	good    bool
-	last    error
+	media     *media
+	host      *host
+	writeSlot chan struct{} // holds a token while no operation is under way
+	ctx       context.Context
+	stop      context.CancelFunc // with the process
+
+	mu           sync.Mutex
+	records      map[string][]byte
+	pending      []time.Time
+	failingSince time.Time
+	written      bool
+	lastErr      error
 }
 
 func openDisk(m *media, h *host) *disk {
-	d := &disk{media: m, host: h, turn: make(chan struct{}, 1), live: map[string][]byte{}}
-	d.ctx, d.end = context.WithCancel(context.Background())
-	d.turn <- struct{}{}
+	d := &disk{media: m, host: h, writeSlot: make(chan struct{}, 1), records: map[string][]byte{}}
+	d.ctx, d.stop = context.WithCancel(context.Background())
+	d.writeSlot <- struct{}{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for k, v := range m.records {
-		d.live[k] = v
+		d.records[k] = v
 	}
 	return d
 }
@@ -103,29 +103,29 @@
 func (d *disk) Get(key string) ([]byte, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	val, ok := d.live[key]
+	val, ok := d.records[key]
 	return val, ok
 }
 
 // Put returns nil once the record is synced.
 func (d *disk) Put(key string, val []byte) error {
 	d.mu.Lock()
-	if len(d.waiting) >= maxWaiting {
+	if len(d.pending) >= maxPendingWrites {
 		d.mu.Unlock()
 		return store.ErrBusy
 	}
-	d.waiting = append(d.waiting, time.Now())
+	d.pending = append(d.pending, time.Now())
 	d.mu.Unlock()
 	err := d.write(key, append([]byte(nil), val...))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.waiting = d.waiting[1:]
-	switch d.last = err; {
+	d.pending = d.pending[1:]
+	switch d.lastErr = err; {
 	case err == nil:
-		d.good, d.failing = true, time.Time{}
-		d.live[key] = append([]byte(nil), val...)
-	case d.failing.IsZero():
-		d.failing = time.Now()
+		d.written, d.failingSince = true, time.Time{}
+		d.records[key] = append([]byte(nil), val...)
+	case d.failingSince.IsZero():
+		d.failingSince = time.Now()
 	}
 	return err
 }
@@ -134,13 +134,13 @@
 // loses power, is on the media or isn't.
 func (d *disk) write(key string, val []byte) error {
 	select {
-	case <-d.turn:
-		defer func() { d.turn <- struct{}{} }()
+	case <-d.writeSlot:
+		defer func() { d.writeSlot <- struct{}{} }()
 	case <-d.ctx.Done():
 		return store.ErrClosed
 	}
-	err := d.work()
-	if err == nil && d.host.awake(d.ctx) != nil {
+	err := d.simulateLatency()
+	if err == nil && d.host.waitResumed(d.ctx) != nil {
 		err = store.ErrClosed
 	}
 	m := d.media
@@ -158,13 +158,13 @@
 	return err
 }
 
-// work takes the time of a write and its sync.
-func (d *disk) work() error {
+// simulateLatency takes the time of a write and its sync.
+func (d *disk) simulateLatency() error {
 	m := d.media
 	m.mu.Lock()
 	stalled := m.stalled
-	wait := syncTime/2 + time.Duration(m.random.Int64N(int64(syncTime)))
-	wait *= time.Duration(m.slow)
+	wait := meanSyncTime/2 + time.Duration(m.random.Int64N(int64(meanSyncTime)))
+	wait *= time.Duration(m.slowdown)
 	m.mu.Unlock()
 	if stalled != nil {
 		select {
@@ -193,15 +193,15 @@
 func (d *disk) Health(now time.Time) store.Health {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h := store.Health{Written: d.good, Err: d.last}
-	if len(d.waiting) > 0 {
-		h.OldestPending = max(0, now.Sub(d.waiting[0]))
+	h := store.Health{Written: d.written, Err: d.lastErr}
+	if len(d.pending) > 0 {
+		h.OldestPending = max(0, now.Sub(d.pending[0]))
 	}
-	if !d.failing.IsZero() {
-		h.FailingFor = max(1, now.Sub(d.failing))
+	if !d.failingSince.IsZero() {
+		h.FailingFor = max(1, now.Sub(d.failingSince))
 	}
 	return h
 }
 
 // Close ends the operations that wait.
-func (d *disk) Close() { d.end() }
+func (d *disk) Close() { d.stop() }
--- a/internal/testbed/controlsim/disk_test.go
+++ b/internal/testbed/controlsim/disk_test.go
@@ -14,20 +14,20 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-func onDisk(t *testing.T, test func(m *media, h *host, d *disk)) {
+func withDisk(t *testing.T, test func(m *media, h *host, d *disk)) {
 	synctest.Test(t, func(t *testing.T) {
 		m, h := newMedia(rand.New(rand.NewPCG(1, 2))), newNetwork().addHost(hostA)
 		test(m, h, openDisk(m, h))
 	})
 }
 
-func TestSyncedRecordsOutliveAProcess(t *testing.T) {
-	onDisk(t, func(m *media, h *host, d *disk) {
+func TestSyncedRecordsSurviveProcess(t *testing.T) {
+	withDisk(t, func(m *media, h *host, d *disk) {
 		require.NoError(t, d.Put("a", []byte("1")))
 		var writer sync.WaitGroup
 		writer.Go(func() { require.ErrorIs(t, d.Put("b", []byte("2")), store.ErrClosed) })
 		synctest.Wait()
-		d.end()
+		d.stop()
 		writer.Wait()
 		require.ErrorIs(t, d.Put("c", []byte("3")), store.ErrClosed)
 		next := openDisk(m, h)
@@ -42,8 +42,8 @@
 	})
 }
 
-func TestDiskInTrouble(t *testing.T) {
-	onDisk(t, func(m *media, h *host, d *disk) {
+func TestDiskFaults(t *testing.T) {
+	withDisk(t, func(m *media, h *host, d *disk) {
 		m.setFull(true)
 		require.ErrorIs(t, d.Put("a", []byte("1")), syscall.ENOSPC)
 		require.Positive(t, d.Health(time.Now()).FailingFor)
@@ -53,14 +53,14 @@
 		m.setStalled(true)
 		var writer sync.WaitGroup
 		writer.Go(func() { require.NoError(t, d.Put("a", []byte("1"))) })
-		pause(context.Background(), 3*time.Second)
+		sleep(context.Background(), 3*time.Second)
 		require.Equal(t, 3*time.Second, d.Health(time.Now()).OldestPending)
 		m.setStalled(false)
 		writer.Wait()
 		require.Zero(t, d.Health(time.Now()).FailingFor)
-		m.setSlow(slowTimes)
+		m.setSlowdown(diskSlowdown)
 		begun := time.Now()
 		require.NoError(t, d.Probe())
-		require.GreaterOrEqual(t, time.Since(begun), slowTimes*syncTime/2)
+		require.GreaterOrEqual(t, time.Since(begun), diskSlowdown*meanSyncTime/2)
 	})
 }
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -16,61 +16,61 @@
 )
 
 const (
-	port         = ":7400"
-	beatEvery    = time.Second
-	savedServers = "servers"
-	// newestWait bounds one read of the newest configuration at a start, newestPause is between two.
-	newestWait, newestPause = time.Second, 200 * time.Millisecond
-	// endGrace bounds a process's end after SIGTERM, byeWait its last words.
-	endGrace, byeWait = 4 * time.Second, 500 * time.Millisecond
+	port              = ":7400"
+	heartbeatInterval = time.Second
+	savedServersKey   = "servers"
+	// configReadTimeout bounds one read of the newest configuration at a start, configRetryPause is between two.
+	configReadTimeout, configRetryPause = time.Second, 200 * time.Millisecond
+	// handoverTimeout bounds a process's end after SIGTERM, departTimeout its last words.
+	handoverTimeout, departTimeout = 4 * time.Second, 500 * time.Millisecond
 )
 
 // machine is one machine of the fleet: a host on the network, a disk if it is of the core, and the
 // process that runs on it.
 type machine struct {
-	run   *run
-	index int
-	name  string
-	zone  string
-	host  *host
-	media *media // nil: an agent without a disk
-	lives int
+	sim          *simulation
+	index        int
+	name         string
+	zone         string
+	host         *host
+	media        *media // nil: an agent without a disk
+	incarnations int
 
 	// Of the run's lock: when the machine came, when it was replaced (zero: it was not), and the machines
 	// that its settings file names.
-	added, replaced time.Time
-	seeds           []*machine
+	addedAt, replacedAt time.Time
+	seeds               []*machine
 
 	mu      sync.Mutex
 	process *process
 }
 
-func newMachine(r *run, index int, withDisk bool) *machine {
+func newMachine(r *simulation, index int, withDisk bool) *machine {
 	kind := "agent"
 	if withDisk {
 		kind = "core"
 	}
-	m := &machine{run: r, index: index, added: time.Now(), name: fmt.Sprintf("%s-%d", kind, index), zone: fmt.Sprintf("z%d", index%3)}
+	m := &machine{sim: r, index: index, addedAt: time.Now(), name: fmt.Sprintf("%s-%d", kind, index), zone: fmt.Sprintf("z%d", index%3)}
 	m.host = r.network.addHost(fmt.Sprintf("10.0.0.%d%s", index+1, port))
 	if withDisk {
-		m.media = newMedia(r.random("disk", index))
+		m.media = newMedia(r.newRandom("disk", index))
 	}
 	return m
 }
 
 // process is one life of a machine's daemon: core and hub as the daemon joins them.
 type process struct {
-	machine *machine
-	life    int
-	core    *controlplane.Member
-	hub     *relay.Node
-	pool    *rpc.Pool
-	begun   time.Time
-	disk    *disk
-	cancel  context.CancelFunc
-	done    chan struct{}
-	dead    atomic.Bool // what it says and does counts no more
-	last    atomic.Pointer[relay.Snapshot]
+	machine     *machine
+	incarnation int
+	core        *controlplane.Member
+	relay       *relay.Node
+	pool        *rpc.Pool
+	startedAt   time.Time
+	disk        *disk
+	cancel      context.CancelFunc
+	done        chan struct{}
+	ended       atomic.Bool // what it says and does counts no more
+	snapshot    atomic.Pointer[relay.Snapshot]
 }
 
 // running is the process, nil if there is none.
@@ -82,33 +82,33 @@
 
 // start begins a life. The machine has power then.
 func (m *machine) start(ctx context.Context, first bool) {
-	m.run.network.powerOn(m.host)
-	m.lives++
-	p := &process{machine: m, life: m.lives, begun: time.Now(), done: make(chan struct{})}
+	m.sim.network.powerOn(m.host)
+	m.incarnations++
+	p := &process{machine: m, incarnation: m.incarnations, startedAt: time.Now(), done: make(chan struct{})}
 	ctx, p.cancel = context.WithCancel(ctx)
-	over := dialer{host: m.host, end: ctx.Done()}
+	over := dialer{host: m.host, done: ctx.Done()}
 	p.pool = rpc.NewPoolWithDialer(over)
 	if err := p.open(over, first); err != nil {
-		m.run.referee.violate(m.name, "the process does not start: %v", err)
+		m.sim.checker.reportViolation(m.name, "the process does not start: %v", err)
 		p.cancel()
 		return
 	}
 	table := rpc.NewMux()
 	p.core.RegisterHandlers(table)
-	p.hub.RegisterHandlers(table)
-	declareEcho(table, m.run.random("echo", m.index))
+	p.relay.RegisterHandlers(table)
+	registerEchoHandler(table, m.sim.newRandom("echo", m.index))
 	listener := m.host.listen()
 	m.mu.Lock()
 	m.process = p
 	m.mu.Unlock()
-	m.run.log("%s starts life %d", m.name, p.life)
+	m.sim.logEvent("%s starts life %d", m.name, p.incarnation)
 	go func() { // ends with ctx; stop waits for it
 		defer close(p.done)
 		var parts sync.WaitGroup
 		parts.Go(func() { _ = rpc.Serve(ctx, listener, table) })
 		parts.Go(func() { _ = p.core.Run(ctx) })
-		parts.Go(func() { _ = p.hub.Run(ctx) })
-		parts.Go(func() { p.readNewest(ctx) })
+		parts.Go(func() { _ = p.relay.Run(ctx) })
+		parts.Go(func() { p.readNewestConfig(ctx) })
 		<-ctx.Done()
 		p.pool.Close()
 		parts.Wait()
@@ -119,11 +119,11 @@
 func (p *process) open(over rpc.Dialer, first bool) (err error) {
 	m := p.machine
 	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.seedAddrs, KnownAddresses: p.knownAddrs,
-		Tolerance: view.Tolerance{Machines: m.run.setup.losses}, Counted: m.media != nil, Pool: p.pool, Transition: checkOrder,
-		OnCommit: func(v chain.Value) { p.hub.ApplyConfig(v.Seq, v.Body) },
-		OnView:   func(v view.View) { m.run.referee.learned(p, v) }}
-	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, HeartbeatInterval: beatEvery,
-		SeedAddrs: m.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.run.referee.inForce(p, s) }}
+		Tolerance: view.Tolerance{Machines: m.sim.scenario.toleratedLosses}, Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
+		OnCommit: func(v chain.Value) { p.relay.ApplyConfig(v.Seq, v.Body) },
+		OnView:   func(v view.View) { m.sim.checker.viewLearned(p, v) }}
+	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, HeartbeatInterval: heartbeatInterval,
+		SeedAddrs: m.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.sim.checker.configApplied(p, s) }}
 	if m.media != nil {
 		p.disk = openDisk(m.media, m.host)
 		o.HasDisk, o.StateDir, o.Disk = true, m.name, p.disk
@@ -132,51 +132,51 @@
 		return err
 	}
 	if m.media != nil {
-		h.SaveServers = func(b []byte) error { return p.core.SaveRecord(savedServers, b) }
-		h.SavedServers, _ = p.core.LoadRecord(savedServers)
+		h.SaveServers = func(b []byte) error { return p.core.SaveRecord(savedServersKey, b) }
+		h.SavedServers, _ = p.core.LoadRecord(savedServersKey)
 	}
-	h.Core = coreView{p.core}
-	p.hub = relay.New(h)
+	h.Core = coreMembership{p.core}
+	p.relay = relay.New(h)
 	return nil
 }
 
-func checkOrder(current []byte, o *chain.Update) ([]byte, int64, error) {
+func applyUpdate(current []byte, o *chain.Update) ([]byte, int64, error) {
 	return config.Apply(current, o.Patch, o.Body)
 }
 
 func (p *process) knownAddrs() (out []string) {
-	if p.hub == nil {
+	if p.relay == nil {
 		return nil
 	}
-	for _, m := range p.hub.OtherMembers(true) {
+	for _, m := range p.relay.OtherMembers(true) {
 		out = append(out, m.Addr)
 	}
 	return out
 }
 
-// readNewest asks the core once for the newest configuration, as the daemon does.
-func (p *process) readNewest(ctx context.Context) {
+// readNewestConfig asks the core once for the newest configuration, as the daemon does.
+func (p *process) readNewestConfig(ctx context.Context) {
 	for ctx.Err() == nil {
-		once, cancel := context.WithTimeout(ctx, newestWait)
+		once, cancel := context.WithTimeout(ctx, configReadTimeout)
 		v, err := p.core.Read(once)
 		cancel()
 		if err == nil {
 			if v.Seq > 0 {
-				p.hub.ApplyConfig(v.Seq, v.Body)
+				p.relay.ApplyConfig(v.Seq, v.Body)
 			}
-			p.hub.MarkConfigCurrent()
+			p.relay.MarkConfigCurrent()
 			return
 		}
-		pause(ctx, newestPause)
+		sleep(ctx, configRetryPause)
 	}
 }
 
-// coreView is what the hub asks of the core's member, as in the daemon.
-type coreView struct{ member *controlplane.Member }
+// coreMembership is what the hub asks of the core's member, as in the daemon.
+type coreMembership struct{ member *controlplane.Member }
 
-func (c coreView) IsMember() bool  { return c.member.IsVoter() }
-func (c coreView) HasQuorum() bool { return c.member.HasQuorum() }
-func (c coreView) Members() (out []relay.Peer) {
+func (c coreMembership) IsMember() bool  { return c.member.IsVoter() }
+func (c coreMembership) HasQuorum() bool { return c.member.HasQuorum() }
+func (c coreMembership) Members() (out []relay.Peer) {
 	v, _ := c.member.View()
 	for _, p := range v.Voters {
 		out = append(out, relay.Peer{Addr: p.Addr, Zone: p.Zone})
@@ -191,20 +191,20 @@
 	m.process = nil
 	m.mu.Unlock()
 	if powerLoss {
-		m.run.network.powerOff(m.host)
+		m.sim.network.powerOff(m.host)
 	} else {
-		m.run.network.endProcess(m.host)
+		m.sim.network.closeProcess(m.host)
 	}
 	if p == nil {
 		return
 	}
-	p.dead.Store(true)
+	p.ended.Store(true)
 	if p.disk != nil {
-		p.disk.end()
+		p.disk.stop()
 	}
 	p.cancel()
-	m.run.addEnded(p.done)
-	m.run.log("%s ends life %d (power loss: %v)", m.name, p.life, powerLoss)
+	m.sim.noteStopped(p.done)
+	m.sim.logEvent("%s ends life %d (power loss: %v)", m.name, p.incarnation, powerLoss)
 }
 
 // terminate ends the process as the daemon does after SIGTERM.
@@ -213,21 +213,21 @@
 	if p == nil {
 		return
 	}
-	m.run.log("%s is told to end", m.name)
-	p.hub.AnnounceDraining()
-	grace, cancel := context.WithTimeout(ctx, endGrace)
+	m.sim.logEvent("%s is told to end", m.name)
+	p.relay.AnnounceDraining()
+	grace, cancel := context.WithTimeout(ctx, handoverTimeout)
 	p.core.Handover(grace)
 	cancel()
-	bye, cancel := context.WithTimeout(ctx, byeWait)
-	p.hub.Depart(bye)
+	bye, cancel := context.WithTimeout(ctx, departTimeout)
+	p.relay.Depart(bye)
 	cancel()
 	if m.running() == p {
 		m.kill(false)
 	}
 }
 
-// pause waits for a time or ctx.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a time or ctx.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/testbed/controlsim/network.go
+++ b/internal/testbed/controlsim/network.go
@@ -16,17 +16,17 @@
 const (
 	// linkDelay is how long a segment takes within a region, one way.
 	linkDelay = 500 * time.Microsecond
-	// window bounds the bytes of one direction that are under way or not read yet.
-	window = 256 << 10
-	// segmentSize is how much one segment carries.
-	segmentSize = 64 << 10
-	// userTimeout is how long sent bytes may stay unacknowledged, keepAlive how long an idle connection
+	// windowBytes bounds the bytes of one direction that are under way or not read yet.
+	windowBytes = 256 << 10
+	// segmentBytes is how much one segment carries.
+	segmentBytes = 64 << 10
+	// ackTimeout is how long sent bytes may stay unacknowledged, keepaliveTimeout how long an idle connection
 	// lives across a cut.
-	userTimeout, keepAlive = 1500 * time.Millisecond, 2 * time.Second
+	ackTimeout, keepaliveTimeout = 1500 * time.Millisecond, 2 * time.Second
 	// connectTimeout bounds a connect.
 	connectTimeout = 300 * time.Millisecond
-	// scanEvery is how often connections look for what has timed out.
-	scanEvery = 100 * time.Millisecond
+	// scanInterval is how often connections look for what has timed out.
+	scanInterval = 100 * time.Millisecond
 	// backlog bounds the connections that wait to be accepted.
 	backlog = 128
 )
@@ -37,22 +37,22 @@
 const (
 	linkOpen    linkState = iota
 	linkSilent            // segments are held up until the link opens again
-	linkRefuses           // a firewall answers each with a reset
+	linkRejects           // a firewall answers each with a reset
 )
 
-// route is one direction between two hosts.
-type route struct{ from, to string }
+// direction is one direction between two hosts.
+type direction struct{ from, to string }
 
 // network is the wire between hosts. It models what TCP shows to programs: order, windows, closed
 // ports, resets, and the time-outs that internal/fleet/rpc asks of the kernel.
 type network struct {
-	mu        sync.Mutex
-	hosts     map[string]*host
-	links     map[route]linkState
-	blocked   map[route]time.Time // since when a link isn't open
-	bandwidth int                 // bytes a second of each direction of a connection; 0: no bound
-	conns     map[*conn]bool
-	watches   map[*callWatch]bool
+	mu           sync.Mutex
+	hosts        map[string]*host
+	links        map[direction]linkState
+	blockedSince map[direction]time.Time // since when a link isn't open
+	bandwidth    int                     // bytes a second of each direction of a connection; 0: no bound
+	conns        map[*conn]bool
+	callWatches  map[*callWatch]bool
 }
 
 // callWatch waits for a call that arrives at a host.
@@ -62,85 +62,85 @@
 	arrived chan struct{}
 }
 
-// watch gives a channel that is closed once a call of a name has arrived at a host.
-func (n *network) watch(h *host, call string) (arrived <-chan struct{}, forget func()) {
+// watchCall gives a channel that is closed once a call of a name has arrived at a host.
+func (n *network) watchCall(h *host, call string) (arrived <-chan struct{}, forget func()) {
 	w := &callWatch{host: h, name: []byte(call), arrived: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.watches[w] = true
+	n.callWatches[w] = true
 	return w.arrived, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.watches, w)
+		delete(n.callWatches, w)
 	}
 }
 
-func (n *network) arrivedLocked(at *host, data []byte) {
-	for w := range n.watches {
+func (n *network) notifyWatchesLocked(at *host, data []byte) {
+	for w := range n.callWatches {
 		if w.host == at && bytes.Contains(data, w.name) {
 			close(w.arrived)
-			delete(n.watches, w)
+			delete(n.callWatches, w)
 		}
 	}
 }
 
 // host is the kernel's side of a machine: it outlives the processes of the machine.
 type host struct {
-	net     *network
-	addr    string
-	powered bool
-	frozen  bool
-	thawed  chan struct{} // closed when frozen ends
-	ports   *listener     // of the process that runs; nil: the port is closed
+	network  *network
+	addr     string
+	powered  bool
+	paused   bool
+	resumed  chan struct{} // closed when frozen ends
+	listener *listener     // of the process that runs; nil: the port is closed
 }
 
 func newNetwork() *network {
-	return &network{hosts: map[string]*host{}, links: map[route]linkState{}, blocked: map[route]time.Time{}, conns: map[*conn]bool{},
-		watches: map[*callWatch]bool{}}
+	return &network{hosts: map[string]*host{}, links: map[direction]linkState{}, blockedSince: map[direction]time.Time{}, conns: map[*conn]bool{},
+		callWatches: map[*callWatch]bool{}}
 }
 
 func (n *network) addHost(addr string) *host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := &host{net: n, addr: addr, powered: true}
+	h := &host{network: n, addr: addr, powered: true}
 	n.hosts[addr] = h
 	return h
 }
 
-// run looks for time-outs until ctx ends.
-func (n *network) run(ctx context.Context) {
-	tick := time.NewTicker(scanEvery)
+// expireConns looks for time-outs until ctx ends.
+func (n *network) expireConns(ctx context.Context) {
+	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			n.scan(time.Now())
+			n.expireAt(time.Now())
 		}
 	}
 }
 
-// scan breaks connections whose bytes stay unacknowledged or whose keepalive probes stay unanswered.
-func (n *network) scan(now time.Time) {
+// expireAt breaks connections whose bytes stay unacknowledged or whose keepalive probes stay unanswered.
+func (n *network) expireAt(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if !c.unacked.IsZero() && now.Sub(c.unacked) >= userTimeout || n.cutFor(c, now) >= keepAlive {
+		if !c.unackedSince.IsZero() && now.Sub(c.unackedSince) >= ackTimeout || n.unreachableFor(c, now) >= keepaliveTimeout {
 			c.breakLocked(syscall.ETIMEDOUT)
 		}
 	}
 }
 
-// cutFor is how long probes of a connection and their answers have not come through.
-func (n *network) cutFor(c *conn, now time.Time) (longest time.Duration) {
-	for _, r := range []route{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
-		if since, is := n.blocked[r]; is {
+// unreachableFor is how long probes of a connection and their answers have not come through.
+func (n *network) unreachableFor(c *conn, now time.Time) (longest time.Duration) {
+	for _, r := range []direction{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
+		if since, is := n.blockedSince[r]; is {
 			longest = max(longest, now.Sub(since))
 		}
 	}
 	if !c.remote.powered {
-		longest = max(longest, now.Sub(c.heard))
+		longest = max(longest, now.Sub(c.lastReceived))
 	}
 	return longest
 }
@@ -149,14 +149,14 @@
 func (n *network) setLink(from, to string, state linkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := route{from, to}
+	r := direction{from, to}
 	if state == linkOpen {
 		delete(n.links, r)
-		delete(n.blocked, r)
+		delete(n.blockedSince, r)
 	} else {
 		n.links[r] = state
-		if _, is := n.blocked[r]; !is {
-			n.blocked[r] = time.Now()
+		if _, is := n.blockedSince[r]; !is {
+			n.blockedSince[r] = time.Now()
 		}
 	}
 	for c := range n.conns {
@@ -184,13 +184,13 @@
 func (n *network) powerOff(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.powered, h.ports = false, nil
+	h.powered, h.listener = false, nil
 	for c := range n.conns {
 		if c.local == h {
 			c.breakLocked(syscall.ECONNRESET)
 		}
 	}
-	h.thawLocked()
+	h.resumeLocked()
 }
 
 // powerOn has a host answer again: connections of its earlier life are reset by their next segment.
@@ -205,12 +205,12 @@
 	}
 }
 
-// endProcess closes a host's port and all connections of its process.
-func (n *network) endProcess(h *host) {
+// closeProcess closes a host's port and all connections of its process.
+func (n *network) closeProcess(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.ports = nil
-	h.thawLocked()
+	h.listener = nil
+	h.resumeLocked()
 	for c := range n.conns {
 		if c.local == h {
 			c.closeLocked()
@@ -218,34 +218,34 @@
 	}
 }
 
-// freeze holds up all that the process of a host does with the network.
-func (n *network) freeze(h *host) {
+// pause holds up all that the process of a host does with the network.
+func (n *network) pause(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !h.frozen {
-		h.frozen, h.thawed = true, make(chan struct{})
+	if !h.paused {
+		h.paused, h.resumed = true, make(chan struct{})
 	}
 }
 
-func (n *network) thaw(h *host) {
+func (n *network) resume(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.thawLocked()
+	h.resumeLocked()
 }
 
-func (h *host) thawLocked() {
-	if h.frozen {
-		h.frozen = false
-		close(h.thawed)
+func (h *host) resumeLocked() {
+	if h.paused {
+		h.paused = false
+		close(h.resumed)
 	}
 }
 
-// awake waits until the host's process is not frozen.
-func (h *host) awake(ctx context.Context) error {
+// waitResumed waits until the host's process is not frozen.
+func (h *host) waitResumed(ctx context.Context) error {
 	for {
-		h.net.mu.Lock()
-		frozen, thawed := h.frozen, h.thawed
-		h.net.mu.Unlock()
+		h.network.mu.Lock()
+		frozen, thawed := h.paused, h.resumed
+		h.network.mu.Unlock()
 		if !frozen {
 			return nil
 		}
@@ -259,17 +259,17 @@
 
 // listen opens the port of a host for one process.
 func (h *host) listen() *listener {
-	h.net.mu.Lock()
-	defer h.net.mu.Unlock()
-	l := &listener{host: h, waiting: make(chan *conn, backlog), closed: make(chan struct{})}
-	h.ports = l
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	l := &listener{host: h, pending: make(chan *conn, backlog), closed: make(chan struct{})}
+	h.listener = l
 	return l
 }
 
 // listener is the port of one process.
 type listener struct {
 	host    *host
-	waiting chan *conn
+	pending chan *conn
 	once    sync.Once
 	closed  chan struct{}
 }
@@ -277,8 +277,8 @@
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		select {
-		case c := <-l.waiting:
-			if l.host.awake(context.Background()) == nil {
+		case c := <-l.pending:
+			if l.host.waitResumed(context.Background()) == nil {
 				return c, nil
 			}
 		case <-l.closed:
@@ -289,10 +289,10 @@
 
 func (l *listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
-	l.host.net.mu.Lock()
-	defer l.host.net.mu.Unlock()
-	if l.host.ports == l {
-		l.host.ports = nil
+	l.host.network.mu.Lock()
+	defer l.host.network.mu.Unlock()
+	if l.host.listener == l {
+		l.host.listener = nil
 	}
 	return nil
 }
@@ -308,25 +308,25 @@
 // dialer dials for one process.
 type dialer struct {
 	host *host
-	end  <-chan struct{} // of the process
+	done <-chan struct{} // of the process
 }
 
 // Dial connects to the port of another host. A silent path costs connectTimeout.
 func (d dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	if err := d.pause(ctx, linkDelay); err != nil {
+	if err := d.sleep(ctx, linkDelay); err != nil {
 		return nil, dialError(addr, err)
 	}
-	if err := d.host.awake(ctx); err != nil {
+	if err := d.host.waitResumed(ctx); err != nil {
 		return nil, dialError(addr, syscall.ETIMEDOUT)
 	}
-	c, err := d.host.net.connect(d.host, addr)
-	if errors.Is(err, errNoAnswer) {
+	c, err := d.host.network.connect(d.host, addr)
+	if errors.Is(err, errNoResponse) {
 		<-ctx.Done()
 		return nil, dialError(addr, syscall.ETIMEDOUT)
 	}
-	if perr := d.pause(ctx, linkDelay); err == nil && perr != nil {
+	if perr := d.sleep(ctx, linkDelay); err == nil && perr != nil {
 		_ = c.Close()
 		return nil, dialError(addr, perr)
 	}
@@ -336,13 +336,13 @@
 	return c, nil
 }
 
-func (d dialer) pause(ctx context.Context, wait time.Duration) error {
+func (d dialer) sleep(ctx context.Context, wait time.Duration) error {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return nil
-	case <-d.end:
+	case <-d.done:
 		return syscall.ECANCELED
 	case <-ctx.Done():
 		return ctx.Err()
@@ -353,32 +353,32 @@
 	return &net.OpError{Op: "dial", Net: "sim", Addr: address(addr), Err: err}
 }
 
-// errNoAnswer tells that a connect is lost on the way.
-var errNoAnswer = errors.New("no answer")
+// errNoResponse tells that a connect is lost on the way.
+var errNoResponse = errors.New("no answer")
 
 func (n *network) connect(from *host, addr string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.hosts[addr]
-	there, back := n.links[route{from.addr, addr}], n.links[route{addr, from.addr}]
+	there, back := n.links[direction{from.addr, addr}], n.links[direction{addr, from.addr}]
 	switch {
 	case !from.powered:
 		return nil, syscall.ENETUNREACH
-	case there == linkRefuses:
+	case there == linkRejects:
 		return nil, syscall.ECONNREFUSED
 	case there == linkSilent || back != linkOpen || to == nil || !to.powered:
-		return nil, errNoAnswer
-	case to.ports == nil:
+		return nil, errNoResponse
+	case to.listener == nil:
 		return nil, syscall.ECONNREFUSED
 	}
 	now := time.Now()
-	a, b := &conn{net: n, local: from, remote: to, heard: now}, &conn{net: n, local: to, remote: from, heard: now}
+	a, b := &conn{network: n, local: from, remote: to, lastReceived: now}, &conn{network: n, local: to, remote: from, lastReceived: now}
 	a.cond, b.cond = sync.NewCond(&n.mu), sync.NewCond(&n.mu)
 	a.peer, b.peer = b, a
 	select {
-	case to.ports.waiting <- b:
+	case to.listener.pending <- b:
 	default:
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	n.conns[a], n.conns[b] = true, true
 	return a, nil
@@ -393,73 +393,73 @@
 
 // conn is one end of a connection. Its fields belong to the network's lock.
 type conn struct {
-	net           *network
+	network       *network
 	local, remote *host
 	peer          *conn
 	cond          *sync.Cond
 
-	sent    []segment // on their way to the peer
-	flying  int       // bytes of them
-	free    time.Time // when the link has sent all of them
-	unacked time.Time // since when sent bytes are not acknowledged; zero: all are
-	heard   time.Time // when something last came in
+	inFlight      []segment // on their way to the peer
+	inFlightBytes int       // bytes of them
+	linkFreeAt    time.Time // when the link has sent all of them
+	unackedSince  time.Time // since when sent bytes are not acknowledged; zero: all are
+	lastReceived  time.Time // when something last came in
 
-	arrived []byte // not read yet
-	ended   bool   // the peer's end of the stream has arrived
-	err     error  // broken, or closed here
-	closed  bool   // by its own process
+	received    []byte // not read yet
+	receivedFIN bool   // the peer's end of the stream has arrived
+	err         error  // broken, or closed here
+	closed      bool   // by its own process
 }
 
 // Read waits for bytes.
 func (c *conn) Read(b []byte) (int, error) {
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	for {
 		switch {
 		case c.err != nil:
 			return 0, c.err
-		case c.local.frozen:
-		case len(c.arrived) > 0:
-			n := copy(b, c.arrived)
-			if c.arrived = c.arrived[n:]; len(c.arrived) == 0 {
-				c.arrived = nil
+		case c.local.paused:
+		case len(c.received) > 0:
+			n := copy(b, c.received)
+			if c.received = c.received[n:]; len(c.received) == 0 {
+				c.received = nil
 			}
 			c.peer.cond.Broadcast()
 			return n, nil
-		case c.ended:
+		case c.receivedFIN:
 			return 0, io.EOF
 		}
-		c.wait()
+		c.waitLocked()
 	}
 }
 
-// wait waits for a change of the connection, or for the end of a freeze.
-func (c *conn) wait() {
-	if !c.local.frozen {
+// waitLocked waits for a change of the connection, or for the end of a freeze.
+func (c *conn) waitLocked() {
+	if !c.local.paused {
 		c.cond.Wait()
 		return
 	}
-	thawed := c.local.thawed
-	c.net.mu.Unlock()
+	thawed := c.local.resumed
+	c.network.mu.Unlock()
 	<-thawed
-	c.net.mu.Lock()
+	c.network.mu.Lock()
 }
 
 // Write waits while the window is full.
 func (c *conn) Write(b []byte) (int, error) {
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	done := 0
 	for done < len(b) {
-		room := window - c.flying - len(c.peer.arrived)
+		room := windowBytes - c.inFlightBytes - len(c.peer.received)
 		switch {
 		case c.err != nil:
 			return done, c.err
-		case c.local.frozen || room <= 0:
-			c.wait()
+		case c.local.paused || room <= 0:
+			c.waitLocked()
 			continue
 		}
-		n := min(room, segmentSize, len(b)-done)
+		n := min(room, segmentBytes, len(b)-done)
 		c.sendLocked(segment{data: append([]byte(nil), b[done:done+n]...)})
 		done += n
 	}
@@ -470,22 +470,22 @@
 func (c *conn) sendLocked(s segment) {
 	now := time.Now()
 	begin := now
-	if c.free.After(begin) {
-		begin = c.free
+	if c.linkFreeAt.After(begin) {
+		begin = c.linkFreeAt
 	}
-	if c.net.bandwidth > 0 {
-		begin = begin.Add(time.Duration(len(s.data)) * time.Second / time.Duration(c.net.bandwidth))
+	if c.network.bandwidth > 0 {
+		begin = begin.Add(time.Duration(len(s.data)) * time.Second / time.Duration(c.network.bandwidth))
 	}
-	c.free = begin
+	c.linkFreeAt = begin
 	s.due = begin.Add(linkDelay)
-	if c.unacked.IsZero() {
-		c.unacked = now
+	if c.unackedSince.IsZero() {
+		c.unackedSince = now
 	}
-	c.sent = append(c.sent, s)
-	c.flying += len(s.data)
+	c.inFlight = append(c.inFlight, s)
+	c.inFlightBytes += len(s.data)
 	time.AfterFunc(s.due.Sub(now), func() {
-		c.net.mu.Lock()
-		defer c.net.mu.Unlock()
+		c.network.mu.Lock()
+		defer c.network.mu.Unlock()
 		c.deliverLocked()
 	})
 }
@@ -493,11 +493,11 @@
 // deliverLocked brings to the peer what is due, if the link is open.
 func (c *conn) deliverLocked() {
 	now := time.Now()
-	for len(c.sent) > 0 && !c.sent[0].due.After(now) {
-		switch c.net.links[route{c.local.addr, c.remote.addr}] {
+	for len(c.inFlight) > 0 && !c.inFlight[0].due.After(now) {
+		switch c.network.links[direction{c.local.addr, c.remote.addr}] {
 		case linkSilent:
 			return
-		case linkRefuses:
+		case linkRejects:
 			c.breakLocked(syscall.ECONNRESET)
 			return
 		}
@@ -508,15 +508,15 @@
 			c.breakLocked(syscall.ECONNRESET)
 			return
 		}
-		s := c.sent[0]
-		c.sent = c.sent[1:]
-		c.flying -= len(s.data)
-		c.peer.arrived = append(c.peer.arrived, s.data...)
-		c.peer.ended = c.peer.ended || s.fin
-		c.peer.heard = now
-		c.net.arrivedLocked(c.remote, s.data)
-		if c.net.links[route{c.remote.addr, c.local.addr}] == linkOpen {
-			c.unacked = now // of what is left
+		s := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
+		c.inFlightBytes -= len(s.data)
+		c.peer.received = append(c.peer.received, s.data...)
+		c.peer.receivedFIN = c.peer.receivedFIN || s.fin
+		c.peer.lastReceived = now
+		c.network.notifyWatchesLocked(c.remote, s.data)
+		if c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
+			c.unackedSince = now // of what is left
 		}
 		c.peer.cond.Broadcast()
 	}
@@ -525,10 +525,10 @@
 
 // acknowledgeLocked notes that all that was sent has arrived and its acknowledgement, too.
 func (c *conn) acknowledgeLocked() {
-	if len(c.sent) == 0 && c.net.links[route{c.remote.addr, c.local.addr}] == linkOpen {
-		c.unacked = time.Time{}
+	if len(c.inFlight) == 0 && c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
+		c.unackedSince = time.Time{}
 		if c.closed {
-			delete(c.net.conns, c)
+			delete(c.network.conns, c)
 		}
 	}
 }
@@ -539,8 +539,8 @@
 	if c.err == nil {
 		c.err = &net.OpError{Op: "read", Net: "sim", Addr: address(c.remote.addr), Err: err}
 	}
-	c.sent, c.flying, c.arrived = nil, 0, nil
-	delete(c.net.conns, c)
+	c.inFlight, c.inFlightBytes, c.received = nil, 0, nil
+	delete(c.network.conns, c)
 	c.cond.Broadcast()
 }
 
@@ -551,11 +551,11 @@
 		c.closed = true
 		return
 	}
-	unread := len(c.arrived) > 0
-	c.closed, c.arrived, c.err = true, nil, net.ErrClosed
+	unread := len(c.received) > 0
+	c.closed, c.received, c.err = true, nil, net.ErrClosed
 	if unread {
 		c.breakLocked(net.ErrClosed)
-		if c.net.links[route{c.local.addr, c.remote.addr}] == linkOpen && c.peer.err == nil {
+		if c.network.links[direction{c.local.addr, c.remote.addr}] == linkOpen && c.peer.err == nil {
 			c.peer.breakLocked(syscall.ECONNRESET)
 		}
 		return
@@ -566,17 +566,17 @@
 
 // Close never waits, but that a frozen process can't close anything: its end follows the thaw.
 func (c *conn) Close() error {
-	c.net.mu.Lock()
-	defer c.net.mu.Unlock()
-	if !c.local.frozen {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	if !c.local.paused {
 		c.closeLocked()
 		return nil
 	}
-	thawed := c.local.thawed
+	thawed := c.local.resumed
 	go func() { // ends with the freeze, at the run's end at the latest
 		<-thawed
-		c.net.mu.Lock()
-		defer c.net.mu.Unlock()
+		c.network.mu.Lock()
+		defer c.network.mu.Unlock()
 		c.closeLocked()
 	}()
 	return nil
--- a/internal/testbed/controlsim/network_test.go
+++ b/internal/testbed/controlsim/network_test.go
@@ -16,8 +16,8 @@
 
 const hostA, hostB = "10.0.0.1:1", "10.0.0.2:1"
 
-// wire is two hosts and a connection between them in a bubble.
-type wire struct {
+// connectionTest is two hosts and a connection between them in a bubble.
+type connectionTest struct {
 	t      *testing.T
 	net    *network
 	a, b   *host
@@ -26,14 +26,14 @@
 	in     net.Conn // of b
 }
 
-func onWire(t *testing.T, test func(w *wire)) {
+func withConnection(t *testing.T, test func(w *connectionTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(func() { n.run(ctx) })
-		w := &wire{t: t, net: n, a: n.addHost(hostA), b: n.addHost(hostB)}
-		w.dialer = dialer{host: w.a, end: ctx.Done()}
+		running.Go(func() { n.expireConns(ctx) })
+		w := &connectionTest{t: t, net: n, a: n.addHost(hostA), b: n.addHost(hostB)}
+		w.dialer = dialer{host: w.a, done: ctx.Done()}
 		listener := w.b.listen()
 		var err error
 		w.out, err = w.dialer.Dial(ctx, hostB)
@@ -46,23 +46,23 @@
 	})
 }
 
-func (w *wire) send(text string) {
+func (w *connectionTest) send(text string) {
 	_, err := w.out.Write([]byte(text))
 	require.NoError(w.t, err)
 }
 
-func (w *wire) receive(n int) string {
+func (w *connectionTest) receive(n int) string {
 	b := make([]byte, n)
 	_, err := io.ReadFull(w.in, b)
 	require.NoError(w.t, err)
 	return string(b)
 }
 
-func TestSilentCutHoldsBytesUp(t *testing.T) {
-	onWire(t, func(w *wire) {
+func TestSilentPartitionDelaysBytes(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
 		w.net.setLink(hostA, hostB, linkSilent)
 		w.send("late")
-		pause(context.Background(), time.Second)
+		sleep(context.Background(), time.Second)
 		w.net.setLink(hostA, hostB, linkOpen)
 		begun := time.Now()
 		require.Equal(t, "late", w.receive(4))
@@ -70,16 +70,16 @@
 	})
 }
 
-func TestUnacknowledgedBytesBreakAConnection(t *testing.T) {
-	for name, way := range map[string]route{"lost": {hostA, hostB}, "not acknowledged": {hostB, hostA}} {
+func TestUnacknowledgedBytesBreakConnection(t *testing.T) {
+	for name, way := range map[string]direction{"lost": {hostA, hostB}, "not acknowledged": {hostB, hostA}} {
 		t.Run(name, func(t *testing.T) {
-			onWire(t, func(w *wire) {
+			withConnection(t, func(w *connectionTest) {
 				w.net.setLink(way.from, way.to, linkSilent)
 				w.send("lost")
 				begun := time.Now()
 				_, err := w.out.Read(make([]byte, 1))
 				require.ErrorIs(t, err, syscall.ETIMEDOUT)
-				require.InDelta(t, userTimeout, time.Since(begun), float64(2*scanEvery))
+				require.InDelta(t, ackTimeout, time.Since(begun), float64(2*scanInterval))
 				w.net.setLink(way.from, way.to, linkOpen)
 				_, err = w.in.Write([]byte("answer"))
 				require.NoError(t, err)
@@ -90,41 +90,41 @@
 	}
 }
 
-func TestIdleConnectionNoticesACut(t *testing.T) {
-	onWire(t, func(w *wire) {
+func TestKeepaliveDetectsPartition(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
 		w.net.setLink(hostB, hostA, linkSilent)
 		_, err := w.in.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ETIMEDOUT)
 	})
 }
 
-func TestWindowHoldsTheWriterUp(t *testing.T) {
-	onWire(t, func(w *wire) {
-		sent := bytes.Repeat([]byte("x"), 3*window)
+func TestFullWindowBlocksWriter(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
+		sent := bytes.Repeat([]byte("x"), 3*windowBytes)
 		var writer sync.WaitGroup
 		writer.Go(func() { w.send(string(sent)) })
-		pause(context.Background(), time.Second)
+		sleep(context.Background(), time.Second)
 		w.net.mu.Lock()
-		held := len(w.in.(*conn).arrived)
+		held := len(w.in.(*conn).received)
 		w.net.mu.Unlock()
-		require.Equal(t, window, held)
+		require.Equal(t, windowBytes, held)
 		require.Equal(t, string(sent), w.receive(len(sent)))
 		writer.Wait()
 	})
 }
 
-func TestEndsOfConnections(t *testing.T) {
-	onWire(t, func(w *wire) {
+func TestConnectionClose(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
 		w.send("last")
 		require.NoError(t, w.out.Close())
 		require.Equal(t, "last", w.receive(4))
 		_, err := w.in.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	})
-	onWire(t, func(w *wire) {
+	withConnection(t, func(w *connectionTest) {
 		w.send("unread")
-		pause(context.Background(), time.Second)
-		w.net.endProcess(w.b)
+		sleep(context.Background(), time.Second)
+		w.net.closeProcess(w.b)
 		_, err := w.out.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 		_, err = w.dialer.Dial(context.Background(), hostB)
@@ -138,9 +138,9 @@
 	})
 }
 
-func TestLoudCutRefusesAndResets(t *testing.T) {
-	onWire(t, func(w *wire) {
-		w.net.setLink(hostA, hostB, linkRefuses)
+func TestRejectingPartitionRefusesAndResets(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
+		w.net.setLink(hostA, hostB, linkRejects)
 		_, err := w.dialer.Dial(context.Background(), hostB)
 		require.ErrorIs(t, err, syscall.ECONNREFUSED)
 		w.send("refused")
@@ -149,15 +149,15 @@
 	})
 }
 
-func TestFrozenProcessReadsNothing(t *testing.T) {
-	onWire(t, func(w *wire) {
-		w.net.freeze(w.b)
+func TestPausedProcessReadsNothing(t *testing.T) {
+	withConnection(t, func(w *connectionTest) {
+		w.net.pause(w.b)
 		w.send("held")
 		var reader sync.WaitGroup
 		begun := time.Now()
 		reader.Go(func() { w.receive(4) })
-		pause(context.Background(), 5*time.Second)
-		w.net.thaw(w.b)
+		sleep(context.Background(), 5*time.Second)
+		w.net.resume(w.b)
 		reader.Wait()
 		require.Equal(t, 5*time.Second, time.Since(begun), "its kernel has acknowledged them meanwhile")
 	})
--- a/internal/testbed/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -12,84 +12,84 @@
 )
 
 const (
-	// callerDelay is how long a call of an operator or a server takes to a machine, one way.
-	callerDelay = 3 * time.Millisecond
-	// attemptWait bounds one call of an operator, as a client's time-out.
-	attemptWait = 950 * time.Millisecond
-	// orderPatience is how long an operator repeats an order without an answer.
-	orderPatience = 5 * time.Second
-	repeatPause   = 50 * time.Millisecond
-	// loseAtMost bounds how many answers to one order are lost.
-	loseAtMost = 2
+	// clientDelay is how long a call of an operator or a server takes to a machine, one way.
+	clientDelay = 3 * time.Millisecond
+	// attemptTimeout bounds one call of an operator, as a client's time-out.
+	attemptTimeout = 950 * time.Millisecond
+	// updateTimeout is how long an operator repeats an order without an answer.
+	updateTimeout = 5 * time.Second
+	retryPause    = 50 * time.Millisecond
+	// maxLostResponses bounds how many answers to one order are lost.
+	maxLostResponses = 2
 )
 
 // operator sends orders and reads, one at a time, to machines in turn.
 type operator struct {
-	run    *run
-	index  int
-	random *rand.Rand
-	knows  int64 // revision
-	made   int
+	sim         *simulation
+	index       int
+	random      *rand.Rand
+	revision    int64 // revision
+	updateCount int
 }
 
-// work goes on until ctx ends.
-func (o *operator) work(ctx context.Context) {
+// run goes on until ctx ends.
+func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if o.random.Float64() < o.run.setup.readShare {
+		if o.random.Float64() < o.sim.scenario.readShare {
 			o.read(ctx)
 		} else {
-			o.order(ctx)
+			o.update(ctx)
 		}
-		wait := o.run.setup.orderEvery
-		pause(ctx, wait/2+time.Duration(o.random.Int64N(int64(wait))))
+		wait := o.sim.scenario.updateInterval
+		sleep(ctx, wait/2+time.Duration(o.random.Int64N(int64(wait))))
 	}
 }
 
-// order sends one order, and again elsewhere while it has no answer.
-func (o *operator) order(ctx context.Context) {
-	o.made++
-	in := orderInput{ifMatch: o.knows, revision: o.knows + 1, id: fmt.Sprintf("%d.%d", o.index, o.made)}
-	body := configBody(in, o.run.setup.bodySize)
-	called := o.run.now()
-	out := answer{}
+// update sends one order, and again elsewhere while it has no answer.
+func (o *operator) update(ctx context.Context) {
+	o.updateCount++
+	in := updateInput{ifMatch: o.revision, revision: o.revision + 1, id: fmt.Sprintf("%d.%d", o.index, o.updateCount)}
+	body := encodeConfig(in, o.sim.scenario.bodySize)
+	called := o.sim.elapsed()
+	out := response{}
 	var p *process
-	for tries := 0; out.kind == chain.OutcomeUnknown && (tries == 0 || o.run.now()-called < orderPatience && ctx.Err() == nil); tries++ {
+	for tries := 0; out.outcome == chain.OutcomeUnknown && (tries == 0 || o.sim.elapsed()-called < updateTimeout && ctx.Err() == nil); tries++ {
 		if tries > 0 {
-			pause(ctx, repeatPause)
+			sleep(ctx, retryPause)
 		}
-		if p = o.run.pick(o.random, p); p == nil {
+		if p = o.sim.pickProcess(o.random, p); p == nil {
 			continue
 		}
-		v := o.submit(ctx, p, &chain.Update{IfMatch: in.ifMatch, Body: body}, tries < loseAtMost)
-		out = answer{kind: v.Outcome, revision: v.Revision}
-		o.run.log("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Outcome, v.Revision, v.Reason)
+		v := o.submit(ctx, p, &chain.Update{IfMatch: in.ifMatch, Body: body}, tries < maxLostResponses)
+		out = response{outcome: v.Outcome, revision: v.Revision}
+		o.sim.logEvent("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Outcome, v.Revision, v.Reason)
 	}
-	switch out.kind {
+	switch out.outcome {
 	case chain.OutcomeCommitted:
 		if out.revision != in.revision {
-			o.run.referee.violate("operators", "order %s led to revision %d, not %d", in.id, out.revision, in.revision)
+			o.sim.checker.reportViolation("operators", "order %s led to revision %d, not %d", in.id, out.revision, in.revision)
 		}
-		o.knows = out.revision
+		o.revision = out.revision
 	case chain.OutcomeConflict:
-		o.knows = out.revision
+		o.revision = out.revision
 	case chain.OutcomeInvalid:
-		o.run.referee.violate("operators", "order %s is invalid", in.id)
+		o.sim.checker.reportViolation("operators", "order %s is invalid", in.id)
 		return
 	}
-	o.run.referee.record(o.index, in, out, called)
-	o.run.referee.answered(in, out, called)
+	o.sim.checker.recordOperation(o.index, in, out, called)
+	o.sim.checker.updateCompleted(in, out, called)
 }
 
 // submit makes one call; the answer may be lost on the way.
 func (o *operator) submit(ctx context.Context, p *process, order *chain.Update, maybeLost bool) (v chain.Result) {
-	answered := exchange(ctx, p, attemptWait, func(ctx context.Context) bool {
+	answered := externalCall(ctx, p, attemptTimeout, func(ctx context.Context) bool {
 		v = p.core.Submit(ctx, order)
 		return true
 	})
 	switch {
 	case !answered:
 		return chain.Result{Reason: "no answer"}
-	case maybeLost && o.random.Float64() < o.run.setup.lostAnswers:
+	case maybeLost && o.random.Float64() < o.sim.scenario.lostResponseShare:
 		return chain.Result{Reason: "the answer is lost"}
 	}
 	return v
@@ -97,13 +97,13 @@
 
 // read reads the configuration once; no answer promises nothing.
 func (o *operator) read(ctx context.Context) {
-	p := o.run.pick(o.random, nil)
+	p := o.sim.pickProcess(o.random, nil)
 	if p == nil {
 		return
 	}
-	called := o.run.now()
+	called := o.sim.elapsed()
 	var v chain.Value
-	answered := exchange(ctx, p, attemptWait, func(ctx context.Context) (ok bool) {
+	answered := externalCall(ctx, p, attemptTimeout, func(ctx context.Context) (ok bool) {
 		var err error
 		v, err = p.core.Read(ctx)
 		return err == nil
@@ -111,9 +111,9 @@
 	if !answered {
 		return
 	}
-	o.run.log("operator %d: reads revision %d at %s", o.index, v.Revision, p.machine.name)
-	o.knows = v.Revision
-	o.run.referee.record(o.index, readInput{}, answer{chain.OutcomeCommitted, v.Revision, operationOf(v.Body)}, called)
+	o.sim.logEvent("operator %d: reads revision %d at %s", o.index, v.Revision, p.machine.name)
+	o.revision = v.Revision
+	o.sim.checker.recordOperation(o.index, readInput{}, response{chain.OutcomeCommitted, v.Revision, operationID(v.Body)}, called)
 }
 
 // configuration is the little of a configuration that runs need.
@@ -125,7 +125,7 @@
 	Padding   string   `json:"padding,omitempty"`
 }
 
-func configBody(in orderInput, size int) []byte {
+func encodeConfig(in updateInput, size int) []byte {
 	c := configuration{Revision: in.revision, Services: []string{}, Routes: []string{}, Operation: in.id, Padding: strings.Repeat("x", size)}
 	raw, err := json.Marshal(&c)
 	if err != nil {
@@ -134,8 +134,8 @@
 	return raw
 }
 
-// operationOf tells which order made a configuration.
-func operationOf(raw []byte) string {
+// operationID tells which order made a configuration.
+func operationID(raw []byte) string {
 	var c configuration
 	if json.Unmarshal(raw, &c) != nil {
 		return ""
--- a/internal/testbed/controlsim/quiet.go
+++ b/internal/testbed/controlsim/quiet.go
@@ -8,8 +8,8 @@
 	"k8s.io/klog/v2"
 )
 
-// quiet drops the log of the code that is played: runs have a log of their own.
-func quiet() {
+// discardServerLogs drops the log of the code that is played: runs have a log of their own.
+func discardServerLogs() {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL"} {
--- a/internal/testbed/controlsim/regression_test.go
+++ b/internal/testbed/controlsim/regression_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireNoViolation plays one seed of a point.
-func requireNoViolation(t *testing.T, point int, seed uint64) {
+// requireSeedPasses plays one seed of a point.
+func requireSeedPasses(t *testing.T, point int, seed uint64) {
 	t.Helper()
-	result := play(t, newSetup(point, seed))
+	result := simulate(t, newScenario(point, seed))
 	for _, v := range result.Violations {
 		t.Log(v)
 	}
@@ -18,10 +18,10 @@
 
 // After replacements in a row, the machine that came last has the configurations in time, though all machines
 // that the fleet started with as seeds are gone.
-func TestConfigurationAfterReplacementsInARow(t *testing.T) { requireNoViolation(t, 3, 50107) }
+func TestConfigurationAfterConsecutiveReplacements(t *testing.T) { requireSeedPasses(t, 3, 50107) }
 
 // After a one-way cut of a relay and a loss of power, an agent knows of drains in time.
-func TestDrainAfterAOneWayCutAndALossOfPower(t *testing.T) { requireNoViolation(t, 1, 50113) }
+func TestDrainAfterOneWayPartitionAndPowerLoss(t *testing.T) { requireSeedPasses(t, 1, 50113) }
 
 // After a freeze of the head and one of another member, an agent knows of drains in time.
-func TestDrainAfterFreezesOfTwoMembers(t *testing.T) { requireNoViolation(t, 2, 81096) }
+func TestDrainAfterPausesOfTwoMembers(t *testing.T) { requireSeedPasses(t, 2, 81096) }
--- a/internal/testbed/controlsim/seeds.go
+++ b/internal/testbed/controlsim/seeds.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// listDelay is how far the operator's list of control machines lags behind.
-	listDelay = 3 * time.Second
+	// machineListDelay is how far the operator's list of control machines lags behind.
+	machineListDelay = 3 * time.Second
 	// seedCount is how many machines a settings file names.
 	seedCount = 3
 )
@@ -17,9 +17,9 @@
 // and again once the list has none of the machines that it names: a process that knows nothing else could
 // reach nobody by it.
 func (m *machine) seedAddrs() (addrs []string) {
-	m.run.mu.Lock()
-	defer m.run.mu.Unlock()
-	list := m.run.controlListLocked(time.Now().Add(-listDelay))
+	m.sim.mu.Lock()
+	defer m.sim.mu.Unlock()
+	list := m.sim.machineListLocked(time.Now().Add(-machineListDelay))
 	isListed := func(seed *machine) bool { return slices.Contains(list, seed) }
 	if !slices.ContainsFunc(m.seeds, isListed) && len(list) > 0 {
 		m.seeds = list[:min(len(list), seedCount)]
@@ -30,14 +30,14 @@
 	return addrs
 }
 
-// controlListLocked is the operator's list at a time: the machines with a disk that were there and had not
+// machineListLocked is the operator's list at a time: the machines with a disk that were there and had not
 // been replaced. Before the start it has those that the fleet starts with. The run's lock is held.
-func (r *run) controlListLocked(at time.Time) (list []*machine) {
-	if at.Before(r.begun) {
-		at = r.begun
+func (r *simulation) machineListLocked(at time.Time) (list []*machine) {
+	if at.Before(r.startedAt) {
+		at = r.startedAt
 	}
 	for _, m := range r.machines {
-		if m.media != nil && !m.added.After(at) && (m.replaced.IsZero() || m.replaced.After(at)) {
+		if m.media != nil && !m.addedAt.After(at) && (m.replacedAt.IsZero() || m.replacedAt.After(at)) {
 			list = append(list, m)
 		}
 	}
@@ -45,8 +45,8 @@
 }
 
 // noteReplaced takes a machine off the operator's list: it is gone for good.
-func (r *run) noteReplaced(m *machine) {
+func (r *simulation) noteReplaced(m *machine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m.replaced = time.Now()
+	m.replacedAt = time.Now()
 }
--- a/internal/testbed/controlsim/seeds_test.go
+++ b/internal/testbed/controlsim/seeds_test.go
@@ -10,9 +10,9 @@
 
 // The settings file of a new machine names machines that the operator's list had when it was written, and
 // is written again only once the list has none of them.
-func TestSettingsNameMachinesOfTheList(t *testing.T) {
+func TestSeedAddressesComeFromMachineList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &run{network: newNetwork(), begun: time.Now()}
+		r := &simulation{network: newNetwork(), startedAt: time.Now()}
 		var founders []*machine
 		for range 4 {
 			founders = append(founders, r.addMachine(true))
@@ -25,22 +25,22 @@
 			return out
 		}
 		require.Equal(t, addrs(founders[:3]...), agent.seedAddrs())
-		pause(t.Context(), time.Minute)
+		sleep(t.Context(), time.Minute)
 		replace := func(m *machine) *machine {
 			r.noteReplaced(m)
 			return r.addMachine(true)
 		}
 		first := replace(founders[0])
 		require.Equal(t, addrs(founders[:3]...), first.seedAddrs(), "the list still has the one that is gone")
-		pause(t.Context(), 2*listDelay)
+		sleep(t.Context(), 2*machineListDelay)
 		second := replace(founders[1])
-		pause(t.Context(), 2*listDelay)
+		sleep(t.Context(), 2*machineListDelay)
 		require.Equal(t, addrs(founders[:3]...), first.seedAddrs(), "one of the three is left")
 		require.Equal(t, addrs(founders[2], founders[3], first), second.seedAddrs())
 		third := replace(founders[2])
-		pause(t.Context(), listDelay-time.Millisecond)
+		sleep(t.Context(), machineListDelay-time.Millisecond)
 		require.Equal(t, addrs(founders[:3]...), agent.seedAddrs(), "the list lags behind")
-		pause(t.Context(), 2*time.Millisecond)
+		sleep(t.Context(), 2*time.Millisecond)
 		require.Equal(t, addrs(founders[3], first, second), agent.seedAddrs(), "none of the three was left")
 		require.Equal(t, addrs(founders[2], founders[3], first), second.seedAddrs(), "two of its three are left")
 		require.Equal(t, addrs(founders[3], first, second), third.seedAddrs())
