--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter runs many independent balancers on the simulator's wire:
-// batches on standard input, one reply a batch on standard output.
+// Command adapter runs many independent balancers on the simulator's protocol: batches of events on standard
+// input, a batch of actions in reply to each on standard output. It ends with status 0 when the input ends, and
+// with status 1 after an input that can't be read or a reply that can't be written.
 package main
 
 import (
@@ -12,6 +13,9 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
+// bufferSize is the size in bytes of the buffers of standard input and output.
+const bufferSize = 64 << 10
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -19,61 +23,69 @@
 	}
 }
 
-// run serves batches until the input ends. Instances share nothing but the
-// process; each is reached through its number only.
+// run serves batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := simprotocol.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
-	instances := map[uint32]*policy.Balancer{}
-	var enc simprotocol.Encoder
-	var actions []policy.Action
-	handle := func(now float64, rec *simprotocol.Record) error {
-		switch rec.Kind {
-		case simprotocol.Boot:
-			b, err := boot(rec)
-			if err != nil {
-				enc.Crash(rec.Instance, err.Error())
-				delete(instances, rec.Instance)
-				return nil
-			}
-			instances[rec.Instance] = b
-			actions = b.Start(now, actions[:0])
-		case simprotocol.Killed:
-			delete(instances, rec.Instance)
+	decoder := simprotocol.NewDecoder(bufio.NewReaderSize(in, bufferSize))
+	writer := bufio.NewWriterSize(out, bufferSize)
+	adapter := adapter{instances: map[uint32]*policy.Balancer{}}
+	for {
+		adapter.reply.Reset()
+		err := decoder.Next(adapter.handle)
+		if err == io.EOF { // not wrapped: the end of a truncated batch is wrapped
 			return nil
-		default:
-			b := instances[rec.Instance]
-			if b == nil {
-				return nil // dead or never started: nothing more is owed
-			}
-			actions = b.Handle(now, &rec.Event, actions[:0])
 		}
-		for i := range actions {
-			enc.Add(rec.Instance, &actions[i])
-		}
-		return nil
-	}
-	for {
-		enc.Reset()
-		if err := dec.Next(handle); err != nil {
-			if err == io.EOF {
-				return nil
-			}
+		if err != nil {
 			return err
 		}
-		if _, err := enc.WriteTo(w); err != nil {
+		if _, err := adapter.reply.WriteTo(writer); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
-func boot(rec *simprotocol.Record) (*policy.Balancer, error) {
-	settings, err := simprotocol.ParseSettings(rec.Settings)
+// adapter holds the instances of the policy by their numbers. They share nothing but the process.
+type adapter struct {
+	instances map[uint32]*policy.Balancer
+	reply     simprotocol.Encoder // to the current batch
+	actions   []policy.Action     // scratch space of handle
+}
+
+// handle takes one record of a batch into the reply.
+func (a *adapter) handle(now float64, record *simprotocol.Record) error {
+	switch record.Kind {
+	case simprotocol.Boot:
+		balancer, err := boot(record)
+		if err != nil {
+			a.reply.Crash(record.Instance, err.Error())
+			delete(a.instances, record.Instance)
+			return nil
+		}
+		a.instances[record.Instance] = balancer
+		a.actions = balancer.Start(now, a.actions[:0])
+	case simprotocol.Killed:
+		delete(a.instances, record.Instance)
+		return nil
+	default:
+		balancer := a.instances[record.Instance]
+		if balancer == nil {
+			return nil // killed, or never started: its events are void
+		}
+		a.actions = balancer.Handle(now, &record.Event, a.actions[:0])
+	}
+	for i := range a.actions {
+		a.reply.Add(record.Instance, &a.actions[i])
+	}
+	return nil
+}
+
+// boot starts the instance of a boot record.
+func boot(record *simprotocol.Record) (*policy.Balancer, error) {
+	settings, err := simprotocol.ParseSettings(record.Settings)
 	if err != nil {
 		return nil, err
 	}
-	return policy.New(settings, rec.Seed)
+	return policy.New(settings, record.Seed)
 }
