--- a/internal/agent/clientrequest_test.go
+++ b/internal/agent/clientrequest_test.go
@@ -10,9 +10,25 @@
 	"strings"
 	"testing"
 	"time"
+
+	"chalkdoor.example/chalkdoor/policy"
 )
 
-// dial connects to the agent as a client that writes what it likes.
+func TestUnknownTenant(t *testing.T) {
+	fake := newBackend(t, echo)
+	agent := startAgent(t, newDiscoveryServer(t, target("s-1", fake.addr)), func(c *Config) {
+		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaShare: 1}}
+	})
+	for name, want := range map[string]int{"acme": 200, "nobody": 400, "": 400} {
+		req := newRequest(agent.addr, "order", "x")
+		req.Header.Set("Tenant", name)
+		if status, _, _ := agent.do(req); status != want {
+			t.Errorf("tenant %q: answered %d, want %d", name, status, want)
+		}
+	}
+}
+
+// dial connects to the agent as a client that writes raw bytes.
 func (a *testAgent) dial() net.Conn {
 	a.t.Helper()
 	c, err := net.Dial("tcp", a.addr)
@@ -24,7 +40,7 @@
 	return c
 }
 
-// exchange writes text on a new connection and returns all that comes until it is closed.
+// exchange writes text on a new connection and returns what is received until it is closed.
 func (a *testAgent) exchange(text string) string {
 	a.t.Helper()
 	c := a.dial()
@@ -37,16 +53,16 @@
 	return string(got)
 }
 
-// rawOrder is an unsafe request; lines go into its head.
+// rawOrder is a non-idempotent request with further header lines.
 func rawOrder(target, id, lines, body string) string {
 	return "POST " + target + " HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\n" + lines + "\r\n" + body
 }
 
-// What can't be used gets an error and a close, and never reaches a backend: that
-// would turn it away, or close, and be taken for a bad one.
-func TestBadRequestsAreRejectedAndClosed(t *testing.T) {
-	a, b := startWithBackend(t, echo)
+// An invalid request gets an error and a close, and never reaches a backend: that would reject it, or
+// close, and be taken for a faulty one.
+func TestInvalidRequestsAreAnsweredAndClosed(t *testing.T) {
+	agent, fake := startWithBackend(t, echo)
 	get := func(lines string) string {
 		return "GET /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: g\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n" + lines + "\r\n"
 	}
@@ -94,219 +110,114 @@
 		{"target beyond ASCII", rawOrder("/api/\xc3\xa9", "1", "", ""), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := a.exchange(test.text + get("")) // what stands behind is never served
+			got := agent.exchange(test.text + get("")) // what follows is never served
 			want := fmt.Sprintf(" %d ", test.status)
 			if len(got) < 8 || !strings.HasPrefix(got[8:], want) || strings.Count(got, "HTTP/1.") != 1 {
 				t.Errorf("answered %.200q, want%salone", got, want)
 			}
 		})
 	}
-	if n := b.count(); n != 0 {
+	if n := fake.count(); n != 0 {
 		t.Errorf("%d arrivals at the backend", n)
 	}
-	if f := a.readCounters(); f.accepted != 0 {
-		t.Errorf("the module was asked %d times", f.accepted)
+	if f := agent.readCounters(); f.accepted != 0 {
+		t.Errorf("the policy got %d requests", f.accepted)
 	}
 }
 
-// Heads and bodies without end, and connections that say nothing, are closed within
-// the 3 s that a client is owed an answer in.
-func TestHalfRequestsAreClosedInTime(t *testing.T) {
-	a, b := startWithBackend(t, echo)
-	whole := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
+// Endless heads and bodies, and silent connections, are closed within the 3 s in which a client has to
+// get an answer.
+func TestPartialRequestsAreClosedInTime(t *testing.T) {
+	agent, fake := startWithBackend(t, echo)
+	complete := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
 	took := make(chan time.Duration)
-	texts := []string{"", "POST /api", whole[:len(whole)-6], whole}
+	texts := []string{"", "POST /api", complete[:len(complete)-6], complete}
 	for _, text := range texts {
 		go func() {
 			from := time.Now()
-			a.exchange(text)
+			agent.exchange(text)
 			took <- time.Since(from)
 		}()
 	}
 	for range texts {
-		// The bound is tight on purpose: the time is what the test is about.
+		// The bound is tight on purpose: the time is the subject of the test.
 		if d := <-took; d > 3*time.Second {
 			t.Errorf("closed only after %v", d)
 		}
 	}
-	if n := b.count(); n != 0 {
+	if n := fake.count(); n != 0 {
 		t.Errorf("%d arrivals at the backend", n)
 	}
 }
 
-// The id of an open request is not to be used again, by whomever; afterwards it is.
-func TestOpenIDIsTaken(t *testing.T) {
+// The ID of an open request can't be used by another request; later it can.
+func TestOpenRequestIDConflicts(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
 			arrived <- struct{}{}
 			<-release
 		}
 		return echo(c, req, n)
 	})
-	c := a.dial()
+	c := agent.dial()
 	fmt.Fprint(c, rawOrder("/api/a1", "same", "Content-Length: 0\r\n", ""))
 	<-arrived
-	if got := a.exchange(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
+	if got := agent.exchange(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
 		t.Errorf("answered %.100q, want 409", got)
 	}
 	close(release)
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("the first one: %v, %v", resp, err)
 	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
+	if fake.count() != 1 {
+		t.Errorf("%d arrivals, want 1", fake.count())
 	}
-	if f := a.readCounters(); f.failed != 1 || f.served != 1 {
+	if f := agent.readCounters(); f.failed != 1 || f.served != 1 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
-// The target goes on byte for byte: another form of it is another request.
-func TestTargetIsPassedOnAsItCame(t *testing.T) {
-	a, _ := startWithBackend(t, echo)
+// The target is forwarded byte for byte: another form of it is another request.
+func TestTargetIsForwardedUnchanged(t *testing.T) {
+	agent, _ := startWithBackend(t, echo)
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
-		got := a.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
+		got := agent.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
 			t.Errorf("%q: %.300q", target, got)
 		}
 	}
 }
 
-// A body of the largest size passes; with no memory left it is refused at once, with
-// word when to come back, and small ones still pass.
-func TestBodiesShareABudget(t *testing.T) {
-	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
+// A body of the largest size passes; without memory it is rejected at once, with Retry-After, and
+// small ones still pass.
+func TestBodiesShareAMemoryBudget(t *testing.T) {
+	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
 		body, _ := io.ReadAll(req.Body)
 		return writeTestResponse(c, 200, "", fmt.Sprint(len(body)))
 	})
 	large := strings.Repeat("x", maxRequestBody)
-	status, _, got := a.do(newRequest(a.addr, "order", large))
+	status, _, got := agent.do(newRequest(agent.addr, "order", large))
 	if status != 200 || got != fmt.Sprint(maxRequestBody) {
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
-	budget := a.loop.config.memoryBudget()
-	if err := a.loop.memoryBudget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
+	budget := agent.loop.config.memoryBudget()
+	if err := agent.loop.memoryBudget.Acquire(t.Context(), budget); err != nil { // the entire budget: nothing has leaked
 		t.Fatal(err)
 	}
-	status, header, _ := a.do(newRequest(a.addr, "order", large))
+	status, header, _ := agent.do(newRequest(agent.addr, "order", large))
 	if status != 503 || header.Get("Retry-After") == "" {
 		t.Errorf("without memory: answered %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	status, _, _ = a.do(newRequest(a.addr, "order", "small"))
+	status, _, _ = agent.do(newRequest(agent.addr, "order", "small"))
 	wantStatus(t, status, 200)
-	a.loop.memoryBudget.Release(budget)
-	if b.count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.count())
-	}
-}
-
-// Hundreds that connect and say nothing do not lock out the clients that are served:
-// a kept connection stays usable and a new one is answered.
-func TestSilentClientsLockNobodyOut(t *testing.T) {
-	a, _ := startWithBackend(t, echo)
-	b := 2 * a.loop.config.maxClientConns()
-	kept := a.dial()
-	ask := func(c net.Conn) error {
-		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err == nil && resp.StatusCode != 200 {
-			err = fmt.Errorf("answered %d", resp.StatusCode)
-		}
-		return err
-	}
-	if err := ask(kept); err != nil {
-		t.Fatal(err)
-	}
-	for range 2 * b {
-		a.dial()
-	}
-	if err := ask(a.dial()); err != nil {
-		t.Errorf("a new connection: %v", err)
-	}
-	if err := ask(kept); err != nil {
-		t.Errorf("the kept connection: %v", err)
-	}
-}
-
-// Callers that asked once and keep their connection do not use up what the application
-// may hold, a third of the descriptors: the agent closes the oldest of them in time.
-func TestIdleCallersLeaveRoom(t *testing.T) {
-	a, _ := startWithBackend(t, echo)
-	most := a.loop.config.Sockets / 3
-	var conns []net.Conn
-	for range most {
-		c := a.dial()
-		conns = append(conns, c)
-		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
-		br := bufio.NewReader(c)
-		if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
-		}
-	}
-	// The oldest are closed well before idleTimeout would close them all.
-	for _, c := range conns[:most/8] {
-		c.SetDeadline(time.Now().Add(idleTimeout / 2))
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Fatalf("an old connection stays: %v", err)
-		}
-	}
-}
-
-// Connections that were silent for long give way first, then idle ones, then those that
-// have just come or whose request still comes, never one with a request open; none is
-// chosen twice while its close is under way.
-func TestWhoGivesWay(t *testing.T) {
-	const most = 16
-	c := newClientConns(most)
-	names := map[net.Conn]string{}
-	add := func(name string, states ...http.ConnState) net.Conn {
-		x, y := net.Pipe()
-		t.Cleanup(func() { y.Close() })
-		names[x] = name
-		for _, s := range append([]http.ConnState{http.StateNew}, states...) {
-			c.track(x, s)
-		}
-		return x
-	}
-	closed := func() (got []string) {
-		for x, name := range names {
-			if x.SetDeadline(time.Now().Add(time.Hour)) != nil {
-				got = append(got, name)
-				delete(names, x)
-			}
-		}
-		return got
-	}
-	quiet := add("silent")
-	c.conns[quiet].since = time.Now().Add(-2 * newConnGrace)
-	add("coming", http.StateActive)
-	add("idle", http.StateActive, http.StateIdle)
-	busy := func() {
-		x := add("busy", http.StateActive)
-		c.requestReceived(c.withConn(t.Context(), x))
-	}
-	for range most - 4 {
-		busy()
-	}
-	add("new")
-	if got := closed(); len(got) != 0 {
-		t.Fatalf("closed %v below the limit", got)
-	}
-	for _, want := range []string{"silent", "idle", "coming", "new"} {
-		busy()
-		if got := closed(); len(got) != 1 || got[0] != want {
-			t.Errorf("closed %v, want %s", got, want)
-		}
-	}
-	// With a request open everywhere else, it is the newcomer that has none.
-	add("last")
-	if got := closed(); len(got) != 1 || got[0] != "last" {
-		t.Errorf("closed %v, want the last", got)
+	agent.loop.memoryBudget.Release(budget)
+	if fake.count() != 2 {
+		t.Errorf("%d arrivals, want 2", fake.count())
 	}
 }
 
-// The check never passes what is not for a backend, whatever the bytes.
+// The check never accepts what is not for a backend, whatever the bytes.
 func FuzzRequest(f *testing.F) {
 	cfg, err := testConfig("127.0.0.1:1", "127.0.0.1:1", TargetList{})
 	if err != nil {
@@ -330,7 +241,7 @@
 			return
 		}
 		c.body = make([]byte, req.ContentLength)
-		// What goes on is one request, the same, and nothing behind it.
+		// One request is forwarded, the same, with nothing behind it.
 		br := bufio.NewReader(strings.NewReader(string(c.encodeHead(time.Second)) + string(c.body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -1,53 +1,37 @@
 package agent
 
 import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
 	"testing"
 	"time"
 )
 
-func pushUpdates(c *Config) { c.Settings.Membership = "pushed" }
-
-// Where changes are pushed the module never asks for them: the agent watches by itself,
-// and sends nothing more to a backend that it is told drains.
-func TestPushedChangesAreWatched(t *testing.T) {
-	old, fresh := newBackend(t, echo), newBackend(t, echo)
-	d := newDiscoveryServer(t, target("s-1", old.addr))
-	a := startAgent(t, d, pushUpdates)
-	d.waitForWatch(t, 1)
-	d.set(target("s-2", fresh.addr))
-	drains := target("s-1", old.addr)
-	drains.State = "draining"
-	d.setAndWait(t, drains)
-	before := old.count()
-	for range 10 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-		wantStatus(t, status, 200)
-	}
-	if old.count() != before || fresh.count() != 10 {
-		t.Errorf("%d requests to the draining backend, %d to the new one", old.count()-before, fresh.count())
+// A discovery that answers every watch at once is not called in a tight loop.
+func TestDiscoveryCallsAreLimited(t *testing.T) {
+	var calls atomic.Int64
+	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		calls.Add(1)
+		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
+	}))
+	defer busy.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
+	defer cancel()
+	d := newDiscoveryClient(ctx, busy.Listener.Addr().String(), (&net.Dialer{}).DialContext)
+	d.onList = func(*TargetList, bool, error) {}
+	from := time.Now()
+	d.watch(1, false)
+	most := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
+	if n := calls.Load(); n < 2 || n > most {
+		t.Errorf("%d calls, want 2 to %d", n, most)
 	}
 }
 
-// A pushed watch that breaks is opened again, after a reload too.
-func TestPushedWatchComesBack(t *testing.T) {
-	b, fresh := newBackend(t, echo), newBackend(t, echo)
-	d := newDiscoveryServer(t, target("s-1", b.addr))
-	a := startAgent(t, d, pushUpdates)
-	d.waitForWatch(t, 1)
-	d.setDown(true)
-	d.waitCalls(t, 3)
-	d.setDown(false)
-	d.setAndWait(t, target("s-2", fresh.addr))
-
-	next := newDiscoveryServer(t, target("s-2", fresh.addr))
-	next.setDown(true)
-	a.loop.post(func() { a.loop.switchDiscovery(next.Listener.Addr().String()) })
-	next.waitCalls(t, fullListAttempts+1)
-	next.setDown(false)
-	next.waitForWatch(t, 1)
-}
-
-// waitCalls waits until discovery was asked so often, answered or not.
+// waitCalls waits for a number of calls, answered or not.
 func (d *fakeDiscovery) waitCalls(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); d.callCount() < n; time.Sleep(time.Millisecond) {
@@ -57,8 +41,8 @@
 	}
 }
 
-// The pauses grow to a bound and differ from one agent to the next.
-func TestPushPause(t *testing.T) {
+// The pauses grow to a bound and differ between agents.
+func TestWatchBackoff(t *testing.T) {
 	for _, c := range []struct {
 		failures    int
 		least, most time.Duration
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -19,7 +19,14 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+// startWithBackend starts an agent in front of one backend with the given script.
+func startWithBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
+	t.Helper()
+	fake := newBackend(t, answer)
+	return startAgent(t, newDiscoveryServer(t, target("s-1", fake.addr)), nil), fake
+}
+
+// testTimeout bounds every wait of the tests; none of them needs more than a fraction of it.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
@@ -33,7 +40,7 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// fakeBackend reads requests off real sockets and lets a script answer them.
+// fakeBackend reads requests from real sockets and lets a script answer them.
 type fakeBackend struct {
 	t    *testing.T
 	ln   net.Listener
@@ -43,9 +50,9 @@
 
 	mu       sync.Mutex
 	arrivals int
-	conns    int // open now
+	conns    int // that are open
 	maxConns int
-	ended    chan struct{} // a value for each connection that the agent closed
+	ended    chan struct{} // one value for each connection that the agent closed
 }
 
 func newBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) *fakeBackend {
@@ -106,7 +113,7 @@
 	return b.arrivals
 }
 
-// writeTestResponse writes an answer as it is.
+// writeTestResponse writes a response with raw header lines.
 func writeTestResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
@@ -124,21 +131,21 @@
 	return false
 }
 
-// fakeDiscovery holds a list and answers fetches and watches.
+// fakeDiscovery has a list and answers fetches and watches.
 type fakeDiscovery struct {
 	*httptest.Server
-	mu      sync.Mutex
-	list    TargetList
-	changed map[string]uint64 // version of each entry's last change
-	down    bool
-	calls   int
-	wake    chan struct{}
-	watched chan uint64 // the index of each watch call
+	mu          sync.Mutex
+	list        TargetList
+	changed     map[string]uint64 // version of each entry's last change
+	down        bool
+	calls       int
+	wakeWatches chan struct{}
+	watched     chan uint64 // the index of each watch call
 }
 
 func newDiscoveryServer(t *testing.T, servers ...Target) *fakeDiscovery {
 	d := &fakeDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
-		wake: make(chan struct{}), watched: make(chan uint64, 1000)}
+		wakeWatches: make(chan struct{}), watched: make(chan uint64, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -169,7 +176,7 @@
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		d.mu.Lock()
-		version, wake, down := d.list.Version, d.wake, d.down
+		version, wake, down := d.list.Version, d.wakeWatches, d.down
 		var delta TargetList
 		if version > index {
 			delta.Version = version
@@ -214,16 +221,16 @@
 	if !found {
 		d.list.Servers = append(d.list.Servers, s)
 	}
-	close(d.wake)
-	d.wake = make(chan struct{})
+	close(d.wakeWatches)
+	d.wakeWatches = make(chan struct{})
 }
 
 func (d *fakeDiscovery) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	close(d.wake)
-	d.wake = make(chan struct{})
+	close(d.wakeWatches)
+	d.wakeWatches = make(chan struct{})
 }
 
 func (d *fakeDiscovery) callCount() int {
@@ -232,9 +239,9 @@
 	return d.calls
 }
 
-// setAndWait changes an entry and returns once the agent has handed the change to its
-// loop: the watch calls again first and hands on then, so one more change is made
-// and the call after that is waited for.
+// setAndWait changes an entry and returns once the agent has handed the change to its loop: the next
+// watch call is sent before the change is reported, so one more change is made and the call after that
+// is waited for.
 func (d *fakeDiscovery) setAndWait(t *testing.T, s Target) {
 	t.Helper()
 	d.set(s)
@@ -263,7 +270,7 @@
 	return Target{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
 }
 
-// testAgent is an agent on a port of the kernel's choice.
+// testAgent is an agent on a port that the kernel chose.
 type testAgent struct {
 	t    *testing.T
 	addr string
@@ -272,13 +279,13 @@
 	done chan error
 }
 
-// startAgent starts an agent that knows the list of the discovery as it is now.
+// startAgent starts an agent with the current list of the discovery.
 func startAgent(t *testing.T, d *fakeDiscovery, change func(*Config)) *testAgent {
 	t.Helper()
 	return startAgentWith(t, d, change, func(*eventLoop) {})
 }
 
-// startAgentWith is startAgent, which also changes the loop before it runs.
+// startAgentWith is startAgent, which also configures the loop before it runs.
 func startAgentWith(t *testing.T, d *fakeDiscovery, change func(*Config), made func(*eventLoop)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -328,17 +335,17 @@
 	a.t.Fatal("the agent is not ready")
 }
 
-// readCounters reads the loop's counts, in the loop.
+// readCounters reads the loop's counters in the loop.
 func (a *testAgent) readCounters() counters {
 	got := make(chan counters, 1)
 	a.loop.post(func() { got <- a.loop.counters })
 	return <-got
 }
 
-// testClient opens a connection for each request, and so never sends one again.
+// testClient opens a connection for each request, and so never resends one.
 var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// testSender makes attempts with most connections at the most.
+// testSender makes attempts over a bounded number of connections.
 func testSender(most int) *sender {
 	return &sender{memoryBudget: semaphore.NewWeighted(1 << 20), responseMetrics: []string{"qps", "util", "eps"},
 		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, maxOpen: most, idle: map[*backend][]*backendConn{}}}
@@ -348,7 +355,7 @@
 	return &clientRequest{method: "POST", target: "/api/a1", host: "x", header: http.Header{"Request-Id": {"1"}}, body: body}
 }
 
-// lastID makes every request's id its own.
+// lastID makes the ID of every request unique.
 var lastID atomic.Int64
 
 func newRequest(addr, class, body string) *http.Request {
@@ -369,7 +376,7 @@
 	return req
 }
 
-// do sends a request and returns the answer's status, header and body.
+// do sends a request and returns the response's status, header and body.
 func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	resp, err := testClient.Do(req)
--- a/internal/agent/clientconn_test.go
+++ b/internal/agent/frontend_test.go
@@ -11,9 +11,9 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// roll+mass: an agent that was told to end closed an idle connection just as the head of
-// the next request on it had been read. The request was sent on, its client sent it again.
-func TestRequestOnAClosedConnectionIsNotSentOn(t *testing.T) {
+// Scenario roll+mass: an agent that was stopped closed an idle connection just when the head of the
+// next request on it had been read. The request was forwarded, and its client sent it again.
+func TestRequestOnAClosedConnectionIsNotForwarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -25,11 +25,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	f := newFrontend(cfg)
-	if f.loop, err = newEventLoop(ctx, cfg, func() {}); err != nil { // which does not run
+	if f.loop, err = newEventLoop(ctx, cfg, func() {}); err != nil { // it does not run
 		t.Fatal(err)
 	}
 	f.server.ConnState = func(nc net.Conn, state http.ConnState) {
-		if state == http.StateActive { // the head is read, its handler comes next
+		if state == http.StateActive { // the head is read, its handler is next
 			nc.Close()
 		}
 		f.conns.track(nc, state)
@@ -44,7 +44,7 @@
 	if err := newRequest(ln.Addr().String(), "order", "x").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := io.ReadAll(c); len(got) > 0 { // how it ends is of no matter
+	if got, _ := io.ReadAll(c); len(got) > 0 { // however it ends
 		t.Errorf("answered %q on a closed connection", got)
 	}
 	if err := f.server.Shutdown(ctx); err != nil {
@@ -54,7 +54,7 @@
 		t.Error(err)
 	}
 	if n := len(f.loop.inbox); n > 0 {
-		t.Errorf("%d requests of a closed connection were sent on", n)
+		t.Errorf("%d requests of a closed connection were forwarded", n)
 	}
 }
 
--- a/internal/agent/probes_test.go
+++ b/internal/agent/probes_test.go
@@ -17,7 +17,7 @@
 	c.Settings.LoadReport.Mode = "on_probe"
 }
 
-// echoWithReports answers probes with a report and all else with its path.
+// echoWithReports answers probes with a report and other requests with their path.
 func echoWithReports(c net.Conn, req *http.Request, n int) bool {
 	if req.URL.Path == "/-/load" {
 		return writeTestResponse(c, 200, "", "qps=3,util=0.5,eps=0")
@@ -41,52 +41,52 @@
 		}, policy.Error, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, c.answer)
+			fake := newBackend(t, c.answer)
 			s := testSender(10)
 			s.probeMetrics = s.responseMetrics
-			r := s.probe(context.Background(), &backend{}, b.addr)
+			r := s.probe(context.Background(), &backend{}, fake.addr)
 			if r.status != c.status || !slices.Equal(r.report, c.report) {
 				t.Errorf("status %d, report %v, want %d, %v", r.status, r.report, c.status, c.report)
 			}
-			// What can't be read is not kept.
-			if kept := len(s.pool.idle) > 0; kept != (r.statusCode != 0) {
-				t.Errorf("connection kept: %v", kept)
+			// A connection with a malformed response is not reused.
+			if idleConn := len(s.pool.idle) > 0; idleConn != (r.statusCode != 0) {
+				t.Errorf("connection retained: %v", idleConn)
 			}
 		})
 	}
 }
 
-// A probe goes over a kept connection; one that breaks there says nothing of the backend.
-func TestProbeOverKeptConnection(t *testing.T) {
-	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && echoWithReports(c, req, n) })
+// A probe uses an idle connection; one that breaks there tells nothing of the backend.
+func TestProbeOverIdleConnection(t *testing.T) {
+	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && echoWithReports(c, req, n) })
 	s, to := testSender(10), &backend{}
 	s.probeMetrics = s.responseMetrics
 	for i := range 3 {
-		if r := s.probe(context.Background(), to, b.addr); r.status != policy.OK {
+		if r := s.probe(context.Background(), to, fake.addr); r.status != policy.OK {
 			t.Errorf("probe %d ended with %d", i, r.status)
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.arrivals != 4 || b.maxConns != 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 4 and 1", b.arrivals, b.maxConns)
+	fake.mu.Lock()
+	defer fake.mu.Unlock()
+	if fake.arrivals != 4 || fake.maxConns != 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 4 and 1", fake.arrivals, fake.maxConns)
 	}
 }
 
-// What the module asks to probe is probed, and one that can't be is told at once.
+// What the policy asks to probe is probed, and a probe that can't be made ends at once.
 func TestProbeAction(t *testing.T) {
 	probed := make(chan string, 1)
-	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		probed <- req.URL.Path
 		return echoWithReports(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), enableProbes)
-	a.loop.post(func() {
-		name := a.loop.backends.byID["s-1"].policyAddr
-		a.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
-		a.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
-		if n := len(a.loop.pendingEvents); a.loop.probesInFlight != 1 || n != 1 || a.loop.pendingEvents[n-1].Status != policy.NotSent {
-			t.Errorf("%d probes under way, pending %+v", a.loop.probesInFlight, a.loop.pendingEvents)
+	agent := startAgent(t, newDiscoveryServer(t, target("s-1", fake.addr)), enableProbes)
+	agent.loop.post(func() {
+		name := agent.loop.backends.byID["s-1"].policyAddr
+		agent.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
+		agent.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
+		if n := len(agent.loop.pendingEvents); agent.loop.probesInFlight != 1 || n != 1 || agent.loop.pendingEvents[n-1].Status != policy.NotSent {
+			t.Errorf("%d probes under way, pending %+v", agent.loop.probesInFlight, agent.loop.pendingEvents)
 		}
 	})
 	select {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// wantServedBy asks until a backend serves; others may be asked meanwhile.
-func wantServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
+// requestUntilServedBy makes requests until a backend serves one; others may serve meanwhile.
+func requestUntilServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); b.count() == 0; {
 		if time.Now().After(end) {
@@ -22,64 +22,64 @@
 	}
 }
 
-// On a new address the agent leaves the old discovery at once and takes the whole
-// list of the new one, whose versions are its own: a lower one, and a list that no
-// longer has the old backend. What the old one says late is dropped.
+// With a new address the agent closes the old discovery at once and takes the full list of the new
+// one, which has versions of its own: a lower one, and a list without the old backend. Late answers of
+// the old one are dropped.
 func TestReloadChangesDiscovery(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
-	d := newDiscoveryServer(t, target("s-1", old.addr))
-	d.list.Version = 1000
-	a := startAgent(t, d, nil)
-	d.waitForWatch(t, 1000)
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
+	discovery := newDiscoveryServer(t, target("s-1", old.addr))
+	discovery.list.Version = 1000
+	agent := startAgent(t, discovery, nil)
+	discovery.waitForWatch(t, 1000)
+	status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
-	before := a.loop.discovery
-	a.loop.post(func() { a.loop.switchDiscovery(next.Listener.Addr().String()) })
-	next.waitForWatch(t, 1) // the watch goes on from the new list's version
-	wantServedBy(t, a, fresh)
+	before := agent.loop.discovery
+	agent.loop.post(func() { agent.loop.switchDiscovery(next.Listener.Addr().String()) })
+	next.waitForWatch(t, 1) // the watch continues from the new list's version
+	requestUntilServedBy(t, agent, fresh)
 	if before.ctx.Err() == nil {
-		t.Error("the old discovery is still asked")
+		t.Error("the old discovery is still called")
 	}
-	asked, n := d.callCount(), old.count()
+	asked, n := discovery.callCount(), old.count()
 	before.onList(&TargetList{Version: 2000, Full: true, Servers: []Target{target("s-1", old.addr)}}, true, nil)
 	next.setAndWait(t, target("s-3", fresh.addr))
 	for range 10 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
-	if d.callCount() != asked || old.count() != n {
-		t.Errorf("%d calls to the old discovery, %d requests to its backend, after it was left", d.callCount()-asked, old.count()-n)
+	if discovery.callCount() != asked || old.count() != n {
+		t.Errorf("%d calls to the old discovery, %d requests to its backend, after the switch", discovery.callCount()-asked, old.count()-n)
 	}
 	done := make(chan bool)
-	a.loop.post(func() {
+	agent.loop.post(func() {
 		defer close(done)
-		if a.loop.backends.byID["s-1"] != nil || a.loop.backends.byID["s-3"] == nil {
-			t.Error("the table is not the new discovery's")
+		if agent.loop.backends.byID["s-1"] != nil || agent.loop.backends.byID["s-3"] == nil {
+			t.Error("the backends are not the new discovery's")
 		}
 	})
 	<-done
 }
 
-// While the new discovery is down the table stays, and the agent finds it later.
+// While the new discovery is down the backends stay, and the agent reaches it later.
 func TestReloadToADiscoveryThatIsDown(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
+	agent := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
 	next.setDown(true)
-	a.loop.post(func() { a.loop.switchDiscovery(next.Listener.Addr().String()) })
+	agent.loop.post(func() { agent.loop.switchDiscovery(next.Listener.Addr().String()) })
 	for next.callCount() < fullListAttempts+1 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
 	next.setDown(false)
-	wantServedBy(t, a, fresh)
+	requestUntilServedBy(t, agent, fresh)
 }
 
-// A file that can't be used changes nothing and is read again; signals may repeat.
-func TestReloadKeepsTheOldConfigurationUntilANewOneIsSound(t *testing.T) {
+// An invalid file changes nothing and is read again; signals may repeat.
+func TestReloadRetriesUntilTheFileIsValid(t *testing.T) {
 	signals, used := make(chan os.Signal, 1), make(chan string, 10)
 	var reads atomic.Int64
 	ctx, cancel := context.WithCancel(t.Context())
@@ -101,7 +101,7 @@
 				t.Errorf("used %q after %d reads", d, reads.Load())
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("the sound file is not used")
+			t.Fatal("the valid file is not used")
 		}
 		signals <- syscall.SIGHUP
 	}
--- a/internal/agent/snapshot/writer.go
+++ b/internal/agent/snapshot/writer.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// Writer saves states on a goroutine of its own, so that no request waits for the disk. Only the newest
-// pending state is saved. Its methods are safe for concurrent use.
+// Writer saves the newest state it was handed, at most one at a time, on a goroutine of its
+// own: no request waits for the disk, however slow it is.
 type Writer struct {
 	store   *Store
-	pending chan *State // holds the newest state only
+	pending chan *State // the newest only
 	closed  chan struct{}
 	stats   Stats
 }
 
-// Stats are the counters of a Writer. They are safe for concurrent use.
+// Stats are counted over a keeper's life. They are safe to read at any time.
 type Stats struct {
 	Saved, Failed, Bytes, Skipped atomic.Int64
-	SlowestMicros                 atomic.Int64 // duration of the slowest save, in microseconds
+	SlowestMicros                 atomic.Int64 // a save, in microseconds
 }
 
-// NewWriter starts a writer to a store. Once ctx is done it saves the last pending state and closes the store.
+// NewWriter starts saving to a store, which it closes when ctx is done and the last save is out.
 func NewWriter(ctx context.Context, s *Store) *Writer {
 	k := &Writer{store: s, pending: make(chan *State, 1), closed: make(chan struct{})}
 	go k.run(ctx)
 	return k
 }
 
-// Save schedules a state to be saved, in place of one that is still pending. It never blocks.
+// Save hands over what is to be saved; it never blocks. What was not yet begun to be saved
+// is replaced.
 func (k *Writer) Save(m *State) {
 	for {
 		select {
@@ -45,10 +46,10 @@
 	}
 }
 
-// Stats returns the counters.
+// Stats counts what was done.
 func (k *Writer) Stats() *Stats { return &k.stats }
 
-// Closed returns a channel that is closed once the store has been closed.
+// Closed is closed when the store has been closed.
 func (k *Writer) Closed() <-chan struct{} { return k.closed }
 
 func (k *Writer) run(ctx context.Context) {
@@ -64,7 +65,7 @@
 			k.save(m)
 		case <-ctx.Done():
 			select {
-			case m := <-k.pending: // the last pending state
+			case m := <-k.pending: // what was handed over last
 				k.save(m)
 			default:
 			}
@@ -80,7 +81,7 @@
 		err = k.store.Save(t)
 	}
 	if err != nil {
-		// Logged once for a series of failures: a full disk would fill the log.
+		// Once for a row of failures: a full disk would fill the log, too.
 		if k.stats.Failed.Add(1) == 1 {
 			slog.Warn("state not saved", "err", err)
 		}
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -14,29 +14,29 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// silentDiscovery answers calls over pipes, so that it can be met in simulated time. A call
-// that it does not answer stays open, as one whose connection was cut does.
+// silentDiscovery answers calls over pipes, so that it can be used in simulated time. A call that it
+// does not answer stays open, like one whose connection was cut.
 type silentDiscovery struct {
 	mu             sync.Mutex
 	list           TargetList
-	unresponsive   bool      // to calls that come from now on
-	calls          int       // so far, and
-	abandonedCalls int       // up to which of them none is ever answered
-	lastCallAt     time.Time // of the last of them
-	wake           chan struct{}
+	unresponsive   bool      // to calls from now on
+	calls          int       // so far
+	abandonedCalls int       // of the first calls none is ever answered
+	lastCallAt     time.Time // when the last one arrived
+	wakeWatches    chan struct{}
 }
 
 func newSilentDiscovery(servers ...Target) *silentDiscovery {
-	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, wake: make(chan struct{})}
+	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, wakeWatches: make(chan struct{})}
 }
 
-// change does something to it and wakes its watches.
+// change changes the discovery and wakes its watches.
 func (q *silentDiscovery) change(do func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	do()
-	close(q.wake)
-	q.wake = make(chan struct{})
+	close(q.wakeWatches)
+	q.wakeWatches = make(chan struct{})
 }
 
 func (q *silentDiscovery) drain(id string) {
@@ -50,7 +50,7 @@
 	})
 }
 
-// opened waits for the first call and tells when it came.
+// opened waits for the first call and returns when it arrived.
 func (q *silentDiscovery) opened() time.Time {
 	for {
 		q.mu.Lock()
@@ -78,7 +78,7 @@
 	}
 	for ended := err != nil; ; {
 		q.mu.Lock()
-		l, wake, silent := q.list, q.wake, call <= q.abandonedCalls
+		l, wake, silent := q.list, q.wakeWatches, call <= q.abandonedCalls
 		q.mu.Unlock()
 		if !silent && (ended || l.Version > index) {
 			_ = json.NewEncoder(w).Encode(l)
@@ -121,7 +121,7 @@
 		return near, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-p.ctx.Done(): // the transport goes on with a call that nobody waits for
+	case <-p.ctx.Done(): // the transport continues a call that nobody waits for
 		return nil, p.ctx.Err()
 	}
 }
@@ -176,7 +176,7 @@
 	return a
 }
 
-// sendsTo tells whether the agent would still send to a backend.
+// sendsTo tells whether the agent would send to a backend.
 func (a *simulatedAgent) sendsTo(id string) bool {
 	got := make(chan bool, 1)
 	a.loop.post(func() {
@@ -192,22 +192,21 @@
 	time.Sleep(time.Until(by))
 	synctest.Wait()
 	if a.sendsTo(id) {
-		a.t.Errorf("the agent still sends to %s, which it counts as told of", id)
+		a.t.Errorf("the agent still sends to %s, whose drain counts as known", id)
 	}
 }
 
 const (
-	// what the page says of silence: news counts as told so long after a watch fell silent, or
-	// so long after the end of its wait where that is later; after SIGHUP; and the grace for
-	// new sends after that.
+	// What the contract says of an unresponsive discovery: a change counts as known so long after a watch
+	// became unresponsive, or so long after the end of its time-out where that is later; and after SIGHUP.
 	silenceDeadline, watchEndDeadline, reloadDeadline = 6 * time.Second, 2 * time.Second, 4 * time.Second
-	// immediately is what an agent may take for what it counts as told from the first moment.
+	// immediately is the time that an agent has for what it counts as knowing from the first moment.
 	immediately = 250 * time.Millisecond
 )
 
-// Each sentence of the standing test's page on what counts as told, in simulated time. Where
-// changes are pushed or asked for the clock is the same.
-func TestSilence(t *testing.T) {
+// Each sentence of the contract on when a change counts as known, in simulated time. Pushed and
+// requested changes have the same clock.
+func TestDiscoverySilence(t *testing.T) {
 	two := func() []Target { return []Target{target("s-1", "127.0.0.1:2"), target("s-2", "127.0.0.1:3")} }
 	each := func(name string, play func(t *testing.T, membership policy.MembershipMode)) {
 		for _, membership := range []policy.MembershipMode{policy.MembershipPushed, policy.MembershipOnRequest} {
@@ -216,76 +215,76 @@
 			})
 		}
 	}
-	// An open watch that is well tells at once.
-	each("well", func(t *testing.T, membership policy.MembershipMode) {
-		q := newSilentDiscovery(two()...)
-		a := startSimulatedAgent(t, q, q.list, membership)
+	// An open watch on a responsive discovery reports at once.
+	each("responsive", func(t *testing.T, membership policy.MembershipMode) {
+		discovery := newSilentDiscovery(two()...)
+		agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 		time.Sleep(3 * time.Second)
-		q.drain("s-1")
-		a.mustStopSending("s-1", time.Now().Add(immediately))
+		discovery.drain("s-1")
+		agent.mustStopSending("s-1", time.Now().Add(immediately))
 	})
-	// A watch falls silent at the start, in the middle or at the end of its wait: what comes
-	// after is had from the next in time, whether it came at once or late.
+	// A watch becomes unresponsive at the start, in the middle or at the end of its time-out: the next one
+	// reports later changes in time, whether they came at once or late.
 	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
-		for _, news := range []time.Duration{0, 5 * time.Second} {
-			each("silent after "+into.String()+" news after "+news.String(), func(t *testing.T, membership policy.MembershipMode) {
-				q := newSilentDiscovery(two()...)
-				a := startSimulatedAgent(t, q, q.list, membership)
-				opened := q.opened()
+		for _, change := range []time.Duration{0, 5 * time.Second} {
+			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T, membership policy.MembershipMode) {
+				discovery := newSilentDiscovery(two()...)
+				agent := startSimulatedAgent(t, discovery, discovery.list, membership)
+				opened := discovery.opened()
 				time.Sleep(time.Until(opened.Add(into)))
 				synctest.Wait()
-				q.change(func() { q.abandonedCalls = q.calls })
+				discovery.change(func() { discovery.abandonedCalls = discovery.calls })
 				fell := time.Now()
-				time.Sleep(news)
-				q.drain("s-1")
+				time.Sleep(change)
+				discovery.drain("s-1")
 				told := later(fell.Add(silenceDeadline), opened.Add(watchTimeout+watchEndDeadline))
-				a.mustStopSending("s-1", told)
+				agent.mustStopSending("s-1", told)
 			})
 		}
 	}
-	// Where lists are pushed, what the agent has counts as told from the first moment of a new
-	// process, however old the list that it was started with.
+	// Where changes are pushed, the current list counts as known from the first moment of a new process,
+	// however old the list that it was started with.
 	t.Run("restart", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			q := newSilentDiscovery(two()...)
+			discovery := newSilentDiscovery(two()...)
 			old := TargetList{Version: 1, Full: true, Servers: two()}
-			q.drain("s-1")
-			a := startSimulatedAgent(t, q, old, "pushed")
-			a.mustStopSending("s-1", time.Now().Add(immediately))
+			discovery.drain("s-1")
+			agent := startSimulatedAgent(t, discovery, old, "pushed")
+			agent.mustStopSending("s-1", time.Now().Add(immediately))
 		})
 	})
-	// The same after an outage that a process was started in: it began with a silent call.
+	// The same after an outage in which the process was started: its first call gets no answer.
 	t.Run("restart in an outage", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			q := newSilentDiscovery(two()...)
+			discovery := newSilentDiscovery(two()...)
 			old := TargetList{Version: 1, Full: true, Servers: two()}
-			q.change(func() { q.unresponsive = true })
-			q.drain("s-1")
-			a := startSimulatedAgent(t, q, old, "pushed")
-			opened := q.opened()
+			discovery.change(func() { discovery.unresponsive = true })
+			discovery.drain("s-1")
+			agent := startSimulatedAgent(t, discovery, old, "pushed")
+			opened := discovery.opened()
 			time.Sleep(3 * time.Second)
-			q.change(func() { q.unresponsive = false })
-			a.mustStopSending("s-1", opened.Add(watchTimeout+watchEndDeadline))
+			discovery.change(func() { discovery.unresponsive = false })
+			agent.mustStopSending("s-1", opened.Add(watchTimeout+watchEndDeadline))
 		})
 	})
-	// After SIGHUP what the new discovery has counts 4 s later, though the watch on the old one
-	// is silent, and though the new one does not hear the first call.
-	for _, deaf := range []time.Duration{0, time.Second, 2500 * time.Millisecond} {
-		each("SIGHUP, deaf for "+deaf.String(), func(t *testing.T, membership policy.MembershipMode) {
-			q, next := newSilentDiscovery(two()...), newSilentDiscovery(two()...)
-			a := startSimulatedAgent(t, q, q.list, membership)
+	// After SIGHUP the list of the new discovery counts as known 4 s later, though the watch on the old
+	// one is unresponsive, and though the new one does not answer the first call.
+	for _, outage := range []time.Duration{0, time.Second, 2500 * time.Millisecond} {
+		each("SIGHUP, unresponsive for "+outage.String(), func(t *testing.T, membership policy.MembershipMode) {
+			discovery, next := newSilentDiscovery(two()...), newSilentDiscovery(two()...)
+			agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 			time.Sleep(time.Second)
-			q.change(func() { q.abandonedCalls = q.calls })
+			discovery.change(func() { discovery.abandonedCalls = discovery.calls })
 			next.drain("s-1")
-			next.change(func() { next.unresponsive = deaf > 0 })
+			next.change(func() { next.unresponsive = outage > 0 })
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			a.net.serve(ctx, "two:2", next)
+			agent.net.serve(ctx, "two:2", next)
 			hup := time.Now()
-			a.loop.post(func() { a.loop.switchDiscovery("two:2") })
-			time.Sleep(deaf)
+			agent.loop.post(func() { agent.loop.switchDiscovery("two:2") })
+			time.Sleep(outage)
 			next.change(func() { next.unresponsive = false })
-			a.mustStopSending("s-1", hup.Add(reloadDeadline))
+			agent.mustStopSending("s-1", hup.Add(reloadDeadline))
 		})
 	}
 }
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -10,27 +10,26 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// newPartitionedRelay returns a relay that was complete and has been without a quorum for twenty seconds.
-func newPartitionedRelay(t *testing.T) *manualNode {
-	t.Helper()
+// newPartitionedNode returns a relay that was complete and has been without a quorum for twenty seconds.
+func newPartitionedNode(t *testing.T) *manualNode {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
 	other := relay.connect("addr of o", "o/1", true)
 	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true})
 	relay.ApplyConfig(5, documentOf(5))
 	relay.tick()
 	require.True(t, relay.readiness.complete())
-	relay.core.hasQuorum.Store(false)
+	relay.core.linked.Store(false)
 	delete(relay.sessions, other)
 	relay.runFor(20*time.Second, nil)
 	require.False(t, relay.readiness.complete(), "others may have more")
 	require.True(t, relay.snapshot.Synced, "it continues to serve with what it has")
-	relay.core.hasQuorum.Store(true)
+	relay.core.linked.Store(true)
 	return relay
 }
 
 // A relay that lost its quorum is not complete again before a complete one has sent it everything.
 func TestReturningRelaySyncsFirst(t *testing.T) {
-	relay := newPartitionedRelay(t)
+	relay := newPartitionedNode(t)
 	relay.runFor(2*tickInterval, nil)
 	require.False(t, relay.readiness.complete(), "it has just regained its quorum")
 	other := relay.connect("addr of o", "o/2", true)
@@ -50,7 +49,7 @@
 
 // Where no complete relay can be reached, a relay that lost its quorum declares itself complete, as at a start.
 func TestReturningRelayWithoutPeers(t *testing.T) {
-	relay := newPartitionedRelay(t)
+	relay := newPartitionedNode(t)
 	relay.MarkConfigCurrent()
 	relay.runFor(selfStartDelay+2*tickInterval, nil)
 	assert.True(t, relay.readiness.complete())
--- a/internal/fleet/rpc/bench_test.go
+++ b/internal/fleet/rpc/bench_test.go
@@ -12,59 +12,58 @@
 }
 
 func benchServer(b *testing.B) string {
-	b.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	mux := NewMux()
-	HandleUnary(mux, "bench.echo", func(_ context.Context, request *echoMessage) (*echoMessage, error) { return request, nil })
-	HandleStream(mux, "bench.stream", func(stream *Stream[echoMessage, echoMessage]) error {
+	t := NewMux()
+	HandleUnary(t, "bench.echo", func(_ context.Context, q *echoMessage) (*echoMessage, error) { return q, nil })
+	HandleStream(t, "bench.stream", func(s *Stream[echoMessage, echoMessage]) error {
 		for {
-			m, err := stream.Recv()
+			m, err := s.Recv()
 			if err != nil {
 				return err
 			}
-			if err := stream.Send(m); err != nil {
+			if err := s.Send(m); err != nil {
 				return err
 			}
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = Serve(ctx, listener, mux) })
+	wg.Go(func() { _ = Serve(ctx, ln, t) })
 	b.Cleanup(func() { cancel(); wg.Wait() })
-	return listener.Addr().String()
+	return ln.Addr().String()
 }
 
-// BenchmarkCall measures both sides of a call on a pooled connection.
+// A call on a pooled connection, both sides.
 func BenchmarkCall(b *testing.B) {
 	addr := benchServer(b)
-	pool := NewPool()
-	defer pool.Close()
-	request := &echoMessage{"0123456789"}
+	p := NewPool()
+	defer p.Close()
+	q := &echoMessage{"0123456789"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Call[echoMessage, echoMessage](b.Context(), pool, addr, "bench.echo", request); err != nil {
+		if _, err := Call[echoMessage, echoMessage](b.Context(), p, addr, "bench.echo", q); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkStream measures both sides of a message each way on an open stream.
+// A message each way on an open stream, both sides.
 func BenchmarkStream(b *testing.B) {
-	stream, closeStream, err := OpenStream[echoMessage, echoMessage](b.Context(), benchServer(b), "bench.stream")
+	st, hangUp, err := OpenStream[echoMessage, echoMessage](b.Context(), benchServer(b), "bench.stream")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer closeStream()
-	request := &echoMessage{"0123456789"}
+	defer hangUp()
+	q := &echoMessage{"0123456789"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := stream.Send(request); err != nil {
+		if err := st.Send(q); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := stream.Recv(); err != nil {
+		if _, err := st.Recv(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/fleet/rpc/preencoded_test.go
+++ b/internal/fleet/rpc/preencoded_test.go
@@ -10,47 +10,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Encoded messages of any length arrive as others do, and later messages do not modify the shared
-// bytes.
+// Encoded messages arrive as sent ones do, long and short, and what is sent after them leaves the
+// shared bytes as they were.
 func TestSendEncoded(t *testing.T) {
 	sizes := []int{0, 10, maxRetainedBuffer - 1, maxRetainedBuffer, 3 * maxRetainedBuffer, 2 << 20}
-	var shared, copies [][]byte
+	var shared, kept [][]byte
 	for _, size := range sizes {
 		raw, err := Encode(&testResponse{strings.Repeat("x", size)})
 		require.NoError(t, err)
-		shared, copies = append(shared, raw), append(copies, bytes.Clone(raw))
+		shared, kept = append(shared, raw), append(kept, bytes.Clone(raw))
 	}
-	mux := NewMux()
-	HandleStream(mux, "shared", func(stream *Stream[testResponse, testRequest]) error {
+	table := NewMux()
+	HandleStream(table, "shared", func(s *Stream[testResponse, testRequest]) error {
 		for _, raw := range shared {
-			if err := stream.SendEncoded(raw); err != nil {
+			if err := s.SendEncoded(raw); err != nil {
 				return err
 			}
-			if err := stream.Send(&testResponse{"between"}); err != nil {
+			if err := s.Send(&testResponse{"between"}); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	server := startServer(t, mux)
+	at := startServer(t, table)
 	var streams []*Stream[testRequest, testResponse]
 	for range 3 {
-		stream, closeStream, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), server.address, "shared")
+		s, hangUp, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), at.address, "shared")
 		require.NoError(t, err)
-		defer closeStream()
-		require.NoError(t, stream.Send(&testRequest{}))
-		streams = append(streams, stream)
+		defer hangUp()
+		require.NoError(t, s.Send(&testRequest{}))
+		streams = append(streams, s)
 	}
-	for _, stream := range streams {
+	for _, s := range streams {
 		for _, size := range sizes {
-			long, err := stream.Recv()
+			long, err := s.Recv()
 			require.NoError(t, err)
 			require.Len(t, long.Text, size)
 			require.Equal(t, size, strings.Count(long.Text, "x"))
-			next, err := stream.Recv()
+			next, err := s.Recv()
 			require.NoError(t, err)
 			require.Equal(t, "between", next.Text)
 		}
 	}
-	assert.Equal(t, copies, shared)
+	assert.Equal(t, kept, shared)
 }
