--- a/cmd/edgectl/main_test.go
+++ b/cmd/edgectl/main_test.go
@@ -24,12 +24,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeAgent is a plane that keeps one configuration.
+// fakeAgent is a controlapi.Backend that stores one configuration.
 type fakeAgent struct {
 	mu                sync.Mutex
 	document          *config.Document
 	revision          int64
-	unansweredSubmits int // so many orders are taken without an answer
+	unansweredSubmits int // submissions that are committed without an answer
 	lastBody          []byte
 }
 
--- a/internal/agent/consensus/participant_test.go
+++ b/internal/agent/consensus/participant_test.go
@@ -137,6 +137,20 @@
 	}
 }
 
+// sameTable reports whether all running voters have the same table, and one that was decided.
+func (b *cluster) sameTable() bool {
+	numbers := map[uint64]bool{}
+	for _, s := range b.voters {
+		if s == nil {
+			continue
+		}
+		s.mu.Lock()
+		numbers[s.last.Table.Number] = true
+		s.mu.Unlock()
+	}
+	return len(numbers) == 1 && !numbers[0]
+}
+
 // leader is the voter that vouches; -1 if none has since the last call.
 func (b *cluster) leader() int {
 	for i, s := range b.voters {
@@ -169,7 +183,9 @@
 		t.Errorf("%d leads and is gone", lead)
 	}
 	b.start(lead)
-	b.until("told what was decided without it", false, b.share("b", 1))
+	// Before it has caught up it has no table, in which every share is 1.
+	b.until("caught up", false, b.sameTable)
+	b.until("returned at the restarted voter", false, b.share("b", 1))
 	b.stop((lead + 1) % 3)
 	b.stop((lead + 2) % 3)
 	// The last one by itself: its leader's lease, if it had one, is over once it vouches no more.
--- a/internal/agent/snapshot/clock.go
+++ b/internal/agent/snapshot/clock.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// errReadOnlyFileSystem is a file system that takes no writes.
+// errReadOnlyFileSystem is the error of a read-only file system.
 var errReadOnlyFileSystem = syscall.EROFS
 
-// Clock is a time that outlives a process but not the machine's boot. The wall clock is not
-// used at all: it may jump while nobody looks.
+// Clock is a time that is comparable between processes of one boot of the machine. The wall clock is not
+// used, as it may jump between two runs.
 type Clock struct {
-	Boot   [16]byte // which boot of the machine; zero: not known
+	Boot   [16]byte // identifies the boot of the machine; zero if unknown
 	Uptime time.Duration
 }
 
-// Since is the time from an earlier clock to this one; the longest, and false, if that can't
-// be told: after another boot, or where either does not know its own.
+// Since returns the time from an earlier clock to this one. It returns the largest duration and false if
+// that is not known: after a reboot, or if the boot of either is unknown.
 func (c Clock) Since(then Clock) (time.Duration, bool) {
 	if c.Boot != then.Boot || c.Boot == [16]byte{} || then.Uptime > c.Uptime {
 		return unknownAge, false
@@ -31,7 +31,7 @@
 	return c.Uptime - then.Uptime, true
 }
 
-// Now is the clock of this machine; it counts while the machine sleeps.
+// Now returns the clock of this machine. It advances while the machine is suspended.
 func Now() Clock {
 	var c Clock
 	var t unix.Timespec
@@ -46,15 +46,15 @@
 	return c
 }
 
-// bootID is the kernel's name for this boot.
+// bootID returns the kernel's identifier of this boot.
 func bootID() (id [16]byte, err error) {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
-		return id, fmt.Errorf("durable: %w", err)
+		return id, fmt.Errorf("snapshot: %w", err)
 	}
 	raw, err := hex.DecodeString(strings.ReplaceAll(strings.TrimSpace(string(text)), "-", ""))
 	if err != nil || len(raw) != len(id) {
-		return id, errors.New("durable: the boot has no name")
+		return id, errors.New("snapshot: the boot has no name")
 	}
 	return [16]byte(raw), nil
 }
--- a/internal/agent/snapshot/state.go
+++ b/internal/agent/snapshot/state.go
@@ -13,33 +13,33 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// The tables of an agent's memory, and the versions of their forms.
+// The tables of a state, and the versions of their encodings.
 const (
 	tableServers, versionServers = "servers", 1
 	tableKeys, versionKeys       = "keys", 1
 	tableLoad, versionLoad       = "load", 1
 	tableList, versionList       = "list", 1
-	// tableSite came later: a file without it is of an agent that acted alone.
+	// tableSite was added later: a file without it is of an agent without a fleet.
 	tableSite, versionSite = "site", 1
 )
 
-// State is all that an agent keeps: what it has learned, and the list as it was told, each
-// entry in discovery's own form.
+// State is all that an agent stores: the snapshot of its policy, and the server list as discovery
+// reported it, each entry in the encoding of discovery.
 type State struct {
 	Policy    *policy.Snapshot
 	Discovery string
 	Version   uint64
 	Targets   map[string]json.RawMessage // by id
-	Site      *Site                      // nil: the agent acts alone
+	Site      *Site                      // nil for an agent without a fleet
 }
 
-// Site is what an agent knows of its site by its neighbours, ages as of the save.
+// Site is what an agent knows of its site from its peers, with ages as of the save.
 type Site struct {
-	Isolated bool                 `json:"Dark"` // the uplink was lost
+	Isolated bool                 `json:"Dark"` // the site had lost its uplink
 	Entries  []stalerouting.Entry `json:"Entries"`
 }
 
-// listHeader is what a list's version counts for. No id of a server is empty.
+// listHeader is the record that the version of a list refers to.
 type listHeader struct {
 	Discovery string `json:"Discovery"`
 	Version   uint64 `json:"Version"`
@@ -47,16 +47,16 @@
 }
 
 const (
-	// keysPerRecord is how many keys a record holds: a damaged one costs no more.
+	// keysPerRecord is the number of keys in one record, which bounds the loss by a damaged one.
 	keysPerRecord = 256
-	// maxServers bounds the servers that are kept.
+	// maxServers bounds the number of servers that are stored.
 	maxServers = 10_000
 )
 
-// listHeaderKey is the key of a list's head; those of its entries begin otherwise.
+// listHeaderKey is the key of the list's header. Those of its entries start with "=".
 const listHeaderKey = "."
 
-// loadRecord is what is known of all servers together.
+// loadRecord is what the policy knows about all servers together. Its JSON keys are part of stored state.
 type loadRecord struct {
 	Demand            float64   `json:"Demand"`
 	PeakCapacity      float64   `json:"Peak"`
@@ -67,14 +67,14 @@
 	ExpectedLatencyMs []float64 `json:"Expect"`
 }
 
-// Encode is a state as tables.
+// Encode encodes a state.
 func Encode(s *State) (Tables, error) {
 	m := s.Policy
 	t := Tables{tableServers: {}, tableKeys: {}, tableLoad: {}, tableList: {}}
 	if n := len(s.Targets); n > 0 && n <= maxServers {
 		text, err := json.Marshal(listHeader{s.Discovery, s.Version, n})
 		if err != nil {
-			return nil, fmt.Errorf("durable: list: %w", err)
+			return nil, fmt.Errorf("snapshot: list: %w", err)
 		}
 		t[tableList][listHeaderKey] = Record{versionList, text}
 		for id, target := range s.Targets {
@@ -84,14 +84,14 @@
 	if s.Site != nil {
 		text, err := json.Marshal(s.Site)
 		if err != nil {
-			return nil, fmt.Errorf("durable: site: %w", err)
+			return nil, fmt.Errorf("snapshot: site: %w", err)
 		}
 		t[tableSite] = map[string]Record{"now": {versionSite, text}}
 	}
 	for i := range m.Servers[:min(len(m.Servers), maxServers)] {
 		text, err := json.Marshal(&m.Servers[i])
 		if err != nil {
-			return nil, fmt.Errorf("durable: server %v: %w", m.Servers[i].Server, err)
+			return nil, fmt.Errorf("snapshot: server %v: %w", m.Servers[i].Server, err)
 		}
 		t[tableServers][fmt.Sprintf("%x", m.Servers[i].Server)] = Record{versionServers, text}
 	}
@@ -105,15 +105,15 @@
 	}
 	text, err := json.Marshal(loadRecord{m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs})
 	if err != nil {
-		return nil, fmt.Errorf("durable: load: %w", err)
+		return nil, fmt.Errorf("snapshot: load: %w", err)
 	}
 	t[tableLoad]["now"] = Record{versionLoad, text}
 	return t, nil
 }
 
-// Decode is the state of a generation; records that can't be read are dropped and named. How
-// long each state had lasted is counted on by the generation's age. A list of which an entry
-// is missing is no list: what it leaves out would count as gone.
+// Decode decodes the state of a generation. Invalid records are dropped and reported. Durations since an
+// event are extended by the generation's age. A list with a missing entry is dropped: its missing servers
+// would count as removed.
 func Decode(g *Generation) (st *State, problems []Problem) {
 	st = &State{}
 	m := &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)}
--- a/internal/agent/snapshot/writer.go
+++ b/internal/agent/snapshot/writer.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// Writer saves the newest state it was handed, at most one at a time, on a goroutine of its
-// own: no request waits for the disk, however slow it is.
+// Writer saves states on a goroutine of its own, so that no request waits for the disk. Only the newest
+// pending state is saved. Its methods are safe for concurrent use.
 type Writer struct {
 	store   *Store
-	pending chan *State // the newest only
+	pending chan *State // holds the newest state only
 	closed  chan struct{}
 	stats   Stats
 }
 
-// Stats are counted over a keeper's life. They are safe to read at any time.
+// Stats are the counters of a Writer. They are safe for concurrent use.
 type Stats struct {
 	Saved, Failed, Bytes, Skipped atomic.Int64
-	SlowestMicros                 atomic.Int64 // a save, in microseconds
+	SlowestMicros                 atomic.Int64 // duration of the slowest save, in microseconds
 }
 
-// NewWriter starts saving to a store, which it closes when ctx is done and the last save is out.
+// NewWriter starts a writer to a store. Once ctx is done it saves the last pending state and closes the store.
 func NewWriter(ctx context.Context, s *Store) *Writer {
 	k := &Writer{store: s, pending: make(chan *State, 1), closed: make(chan struct{})}
 	go k.run(ctx)
 	return k
 }
 
-// Save hands over what is to be saved; it never blocks. What was not yet begun to be saved
-// is replaced.
+// Save schedules a state to be saved, in place of one that is still pending. It never blocks.
 func (k *Writer) Save(m *State) {
 	for {
 		select {
@@ -46,10 +45,10 @@
 	}
 }
 
-// Stats counts what was done.
+// Stats returns the counters.
 func (k *Writer) Stats() *Stats { return &k.stats }
 
-// Closed is closed when the store has been closed.
+// Closed returns a channel that is closed once the store has been closed.
 func (k *Writer) Closed() <-chan struct{} { return k.closed }
 
 func (k *Writer) run(ctx context.Context) {
@@ -65,7 +64,7 @@
 			k.save(m)
 		case <-ctx.Done():
 			select {
-			case m := <-k.pending: // what was handed over last
+			case m := <-k.pending: // the last pending state
 				k.save(m)
 			default:
 			}
@@ -81,7 +80,7 @@
 		err = k.store.Save(t)
 	}
 	if err != nil {
-		// Once for a row of failures: a full disk would fill the log, too.
+		// Logged once for a series of failures: a full disk would fill the log.
 		if k.stats.Failed.Add(1) == 1 {
 			slog.Warn("state not saved", "err", err)
 		}
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -596,14 +596,16 @@
 // It expires at the same age whenever the process started.
 func TestRestoredInstanceExpires(t *testing.T) {
 	for _, start := range []time.Duration{1, time.Second, time.Hour} {
-		fleet := newTestFleet("a")
-		fleet.now = start
-		instance := ready("s", 7)
-		require.True(t, fleet.agents[0].Restore(fleet.now, &instance))
-		fleet.run(restoredHeartbeats*heartbeatInterval-tickInterval, nil)
-		assert.True(t, fleet.agents[0].lists("s"), "%v", start)
-		fleet.run(2*tickInterval, nil)
-		assert.False(t, fleet.agents[0].lists("s"), "%v", start)
+		t.Run(start.String(), func(t *testing.T) {
+			fleet := newTestFleet("a")
+			fleet.now = start
+			instance := ready("s", 7)
+			require.True(t, fleet.agents[0].Restore(fleet.now, &instance))
+			fleet.run(restoredHeartbeats*heartbeatInterval-tickInterval, nil)
+			assert.True(t, fleet.agents[0].lists("s"), "%v", start)
+			fleet.run(2*tickInterval, nil)
+			assert.False(t, fleet.agents[0].lists("s"), "%v", start)
+		})
 	}
 }
 
@@ -729,28 +731,30 @@
 
 func TestValid(t *testing.T) {
 	for name, spoil := range map[string]func(*Instance){
-		"no id":           func(instance *Instance) { instance.ID = "" },
-		"huge id":         func(instance *Instance) { instance.ID = strings.Repeat("x", 1<<20) },
-		"huge service":    func(instance *Instance) { instance.Service = strings.Repeat("x", 1<<20) },
-		"huge address":    func(instance *Instance) { instance.Addr = strings.Repeat("x", 1<<20) },
-		"huge zone":       func(instance *Instance) { instance.Zone = strings.Repeat("x", 1<<20) },
-		"huge revision":   func(instance *Instance) { instance.Revision = strings.Repeat("x", 1<<20) },
-		"unknown state":   func(instance *Instance) { instance.State = Deregistered + 1 },
-		"negative slots":  func(instance *Instance) { instance.Slots = -1 },
-		"absurd slots":    func(instance *Instance) { instance.Slots = math.MaxInt },
-		"negative cold":   func(instance *Instance) { instance.WarmUp = -1 },
-		"endless cold":    func(instance *Instance) { instance.WarmUp = math.MaxInt64 },
-		"too many models": func(instance *Instance) { instance.Models = make([]Model, 1<<16) },
-		"huge model":      func(instance *Instance) { instance.Models = []Model{{Name: strings.Repeat("x", 1<<20)}} },
+		"no ID":            func(instance *Instance) { instance.ID = "" },
+		"huge ID":          func(instance *Instance) { instance.ID = strings.Repeat("x", 1<<20) },
+		"huge service":     func(instance *Instance) { instance.Service = strings.Repeat("x", 1<<20) },
+		"huge address":     func(instance *Instance) { instance.Addr = strings.Repeat("x", 1<<20) },
+		"huge zone":        func(instance *Instance) { instance.Zone = strings.Repeat("x", 1<<20) },
+		"huge revision":    func(instance *Instance) { instance.Revision = strings.Repeat("x", 1<<20) },
+		"unknown state":    func(instance *Instance) { instance.State = Deregistered + 1 },
+		"negative slots":   func(instance *Instance) { instance.Slots = -1 },
+		"absurd slots":     func(instance *Instance) { instance.Slots = math.MaxInt },
+		"negative warm-up": func(instance *Instance) { instance.WarmUp = -1 },
+		"endless warm-up":  func(instance *Instance) { instance.WarmUp = math.MaxInt64 },
+		"too many models":  func(instance *Instance) { instance.Models = make([]Model, 1<<16) },
+		"huge model":       func(instance *Instance) { instance.Models = []Model{{Name: strings.Repeat("x", 1<<20)}} },
 	} {
-		instance := ready("s", 1)
-		instance.Models = []Model{{"m", 1}}
-		require.True(t, instance.Valid())
-		spoil(&instance)
-		assert.False(t, instance.Valid(), name)
+		t.Run(name, func(t *testing.T) {
+			instance := ready("s", 1)
+			instance.Models = []Model{{"m", 1}}
+			require.True(t, instance.Valid())
+			spoil(&instance)
+			assert.False(t, instance.Valid())
+		})
 	}
-	gone := Instance{ID: "s", State: Deregistered}
-	assert.True(t, gone.Valid(), "an end needs no more than the ID")
+	ended := Instance{ID: "s", State: Deregistered}
+	assert.True(t, ended.Valid(), "an end needs no more than the ID")
 }
 
 // A list is immutable and changes only with its version.
--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -27,10 +27,10 @@
 func fullSync(agents, hubs, servers, tenants int) []deltasync.Delta {
 	var out []deltasync.Delta
 	for i := range agents + hubs {
-		d := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
+		delta := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
 		add := func(key string, data []byte) {
-			d.To++
-			d.Items = append(d.Items, deltasync.Item{Key: key, Version: d.To, Data: data})
+			delta.To++
+			delta.Items = append(delta.Items, deltasync.Item{Key: key, Version: delta.To, Data: data})
 		}
 		add(memberKey, encode(benchMember(i)))
 		if i < hubs {
@@ -43,7 +43,7 @@
 				add(serverPrefix+in.ID, encode(in))
 			}
 		}
-		out = append(out, d)
+		out = append(out, delta)
 	}
 	raw := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: tenants})
 	return append(out, deltasync.Delta{Source: configSource, To: 1, Items: []deltasync.Item{{Key: configKey, Version: 1, Data: encode(&configItem{1, raw})}}})
--- a/internal/fleet/relay/cluster_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -61,19 +61,19 @@
 	t.Parallel()
 	cluster := newSyncedCluster(t, 3, 3)
 	agent := cluster.edgeAgents[0]
-	gone := cluster.relayOf(agent)
-	gone.stop()
+	stopped := cluster.relayOf(agent)
+	stopped.stop()
 	agent.startHeartbeats("s")
 	cluster.eventually("its changes reach all agents", listsServer("s"))
 	require.True(t, agent.heartbeat(drainingServer("s", 1000)))
 	cluster.eventually("its changes reach all agents", not(listsServer("s")))
 	cluster.eventually("it has one relay", func(agent *testAgent) bool {
 		relay := cluster.relayOf(agent)
-		return relay != nil && relay != gone && len(agent.sessionPeers()) == 1
+		return relay != nil && relay != stopped && len(agent.sessionPeers()) == 1
 	}, cluster.edgeAgents...)
 	cluster.eventually("the relay's lease expires", hasMembers(5))
-	gone.start()
-	gone.node.MarkConfigCurrent()
+	stopped.start()
+	stopped.node.MarkConfigCurrent()
 	cluster.awaitSynced(6)
 }
 
@@ -97,21 +97,21 @@
 	cluster := newSyncedCluster(t, 3, 2)
 	agent := cluster.edgeAgents[0]
 	old := cluster.relayOf(agent)
-	old.linked.Store(false)
+	old.hasQuorum.Store(false)
 	cluster.eventually("it has another relay only", func(agent *testAgent) bool {
 		relay := cluster.relayOf(agent)
 		return relay != nil && relay != old && len(agent.sessionPeers()) == 1
 	}, cluster.edgeAgents...)
-	old.linked.Store(true)
+	old.hasQuorum.Store(true)
 	// While no relay has a quorum it tries all of them; later one is enough.
 	for _, relay := range cluster.coreMembers {
-		relay.linked.Store(false)
+		relay.hasQuorum.Store(false)
 	}
 	cluster.eventually("it tries all relays", func(agent *testAgent) bool { return len(agent.sessionPeers()) == 3 }, cluster.edgeAgents...)
 	cluster.coreMembers[0].node.ApplyConfig(1, documentOf(1))
 	cluster.eventually("replication continues without a quorum", hasConfig(1))
 	for _, relay := range cluster.coreMembers {
-		relay.linked.Store(true)
+		relay.hasQuorum.Store(true)
 	}
 	cluster.eventually("it has one relay", func(agent *testAgent) bool { return len(agent.sessionPeers()) == 1 }, cluster.edgeAgents...)
 	cluster.awaitSynced(5)
@@ -130,10 +130,10 @@
 		}
 	}
 	for _, b := range cluster.all() {
-		b.fakeCore.hubs.Store(&rest)
+		b.fakeCore.members.Store(&rest)
 	}
-	old.core.Store(false)
-	old.linked.Store(false)
+	old.isMember.Store(false)
+	old.hasQuorum.Store(false)
 	cluster.eventually("it has another relay only", func(agent *testAgent) bool {
 		relay := cluster.relayOf(agent)
 		return relay != nil && relay != old && len(agent.sessionPeers()) == 1
@@ -221,7 +221,7 @@
 	for _, agent := range rest {
 		sources[agent.Name] = agent.node.Report().Source
 	}
-	cut.linked.Store(false)
+	cut.hasQuorum.Store(false)
 	cut.setPartitioned(true, rest...)
 	cluster.eventually("the others expire it", hasMembers(5), rest...)
 	require.True(t, hasMembers(6)(cut))
@@ -230,7 +230,7 @@
 	old.stop()
 	cluster.eventually("the others expire an agent", hasMembers(4), append(cluster.coreMembers[1:3:3], cluster.edgeAgents[1:]...)...)
 	require.True(t, hasMembers(6)(cut), "it expires nobody")
-	cut.linked.Store(true)
+	cut.hasQuorum.Store(true)
 	cut.setPartitioned(false, rest...)
 	cluster.awaitSynced(5)
 	for _, agent := range rest {
@@ -267,37 +267,37 @@
 	cluster := newTestCluster(t, 3, 3)
 	cluster.heartbeatInterval = 2 * time.Second
 	cluster.start().awaitSynced(6)
-	for _, who := range []*testAgent{cluster.edgeAgents[0], cluster.coreMembers[0]} {
-		who.startHeartbeats("s of " + who.Name)
-		cluster.eventually("listed", listsServer("s of "+who.Name))
-		who.node.AnnounceDraining()
+	for _, departing := range []*testAgent{cluster.edgeAgents[0], cluster.coreMembers[0]} {
+		departing.startHeartbeats("s of " + departing.Name)
+		cluster.eventually("listed", listsServer("s of "+departing.Name))
+		departing.node.AnnounceDraining()
 		cluster.eventually("it is known to be draining", func(agent *testAgent) bool {
 			for _, m := range agent.node.OtherMembers(false) {
-				if m.Name == who.Name {
+				if m.Name == departing.Name {
 					return false
 				}
 			}
 			return true
 		})
-		membersBefore := who.snapshot.Load().Agents
+		membersBefore := departing.snapshot.Load().Agents
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		begin := time.Now()
-		who.node.Depart(ctx)
+		departing.node.Depart(ctx)
 		require.NoError(t, ctx.Err())
 		cancel()
 		var rest []*testAgent
 		for _, agent := range cluster.all() {
-			if agent != who && agent.node != nil {
+			if agent != departing && agent.node != nil {
 				rest = append(rest, agent)
 			}
 		}
 		cluster.eventually("all others drop it", hasMembers(membersBefore-1), rest...)
 		assert.Less(t, time.Since(begin), leaseDuration)
 		for _, agent := range rest {
-			assert.True(t, listsServer("s of "+who.Name)(agent), "its servers have time to call another agent")
+			assert.True(t, listsServer("s of "+departing.Name)(agent), "its servers have time to call another agent")
 		}
-		who.node.tick()
-		who.stop()
+		departing.node.tick()
+		departing.stop()
 		cluster.eventually("it does not come back", hasMembers(membersBefore-1), rest...)
 	}
 }
@@ -409,12 +409,12 @@
 	cluster.eventually("listed", listsServer("s"))
 	relay := cluster.coreMembers[0]
 	relay.stop()
-	relay.linked.Store(false)
+	relay.hasQuorum.Store(false)
 	relay.start()
 	relay.node.MarkConfigCurrent()
 	cluster.eventually("receives the server", listsServer("s"), relay)
 	require.False(t, relay.snapshot.Load().Synced, "it has no quorum")
-	relay.linked.Store(true)
+	relay.hasQuorum.Store(true)
 	cluster.eventually("is synced", func(agent *testAgent) bool { return agent.snapshot.Load().Synced }, relay)
 	require.True(t, listsServer("s")(relay))
 	cluster.awaitSynced(4)
@@ -425,7 +425,7 @@
 	t.Parallel()
 	cluster := newTestCluster(t, 2, 1)
 	for _, relay := range cluster.coreMembers {
-		relay.linked.Store(false)
+		relay.hasQuorum.Store(false)
 	}
 	cluster.start()
 	cluster.eventually("has sessions", func(agent *testAgent) bool { return hasMembers(3)(agent) && !agent.snapshot.Load().Synced })
@@ -456,7 +456,7 @@
 		if b == nil {
 			return false
 		}
-		probe := New(Options{HeartbeatInterval: time.Second, Core: newCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: *b})
+		probe := New(Options{HeartbeatInterval: time.Second, Core: newFakeCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: *b})
 		return probe.servers.List().ByID["stays"] != nil && probe.servers.List().ByID["dies"] != nil && probe.servers.List().ByID["drains"] == nil
 	}, relay)
 	stop()
--- a/internal/fleet/relay/node_test.go
+++ b/internal/fleet/relay/node_test.go
@@ -23,35 +23,35 @@
 }
 
 func newManualNode(name string, core bool, peers ...Peer) *manualNode {
-	s := &manualNode{core: newCore(core, core, peers...)}
-	s.Node = New(Options{Self: Member{Name: name, Addr: "addr of " + name, Zone: "near"}, HeartbeatInterval: 500 * time.Millisecond, Core: s.core,
-		SeedAddrs: func() []string { return []string{"seed-0", "seed-1", "seed-2"} }, OnChange: func(n *Snapshot) { s.snapshot = n }})
-	return s
+	node := &manualNode{core: newFakeCore(core, core, peers...)}
+	node.Node = New(Options{Self: Member{Name: name, Addr: "addr of " + name, Zone: "near"}, HeartbeatInterval: 500 * time.Millisecond, Core: node.core,
+		SeedAddrs: func() []string { return []string{"seed-0", "seed-1", "seed-2"} }, OnChange: func(n *Snapshot) { node.snapshot = n }})
+	return node
 }
 
 // runFor ticks for a duration and calls each before every tick.
-func (s *manualNode) runFor(d time.Duration, each func()) {
-	for end := s.now() + d; s.now() < end; {
-		s.advanceClock(tickInterval)
+func (n *manualNode) runFor(d time.Duration, each func()) {
+	for end := n.now() + d; n.now() < end; {
+		n.advanceClock(tickInterval)
 		if each != nil {
 			each()
 		}
-		s.tick()
+		n.tick()
 	}
 }
 
 // connect adds a session with a peer, which sends nothing by itself.
-func (s *manualNode) connect(peerAddr, source string, core bool) *session {
-	peer := newSession(s.now(), &hello{Source: source, IsCore: core}, peerAddr, func() uint64 { return 0 }, func() {})
-	peer.started = s.now() - time.Minute
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.sessions[peer] = true
+func (n *manualNode) connect(peerAddr, source string, core bool) *session {
+	peer := newSession(n.now(), &hello{Source: source, IsCore: core}, peerAddr, func() uint64 { return 0 }, func() {})
+	peer.started = n.now() - time.Minute
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.sessions[peer] = true
 	return peer
 }
 
 // deliver has the node handle a message of a session, after a round trip through the encoding.
-func (s *manualNode) deliver(peer *session, m *message) {
+func (n *manualNode) deliver(peer *session, m *message) {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -60,30 +60,30 @@
 	if err := msgpack.Unmarshal(raw, copied); err != nil {
 		panic(err)
 	}
-	s.handleMessage(peer, copied)
+	n.handleMessage(peer, copied)
 }
 
-func (s *manualNode) heartbeatFrom(peer *session) func() {
-	return func() { s.deliver(peer, &message{IsCore: peer.peerIsCore, HasQuorum: peer.peerIsCore}) }
+func (n *manualNode) heartbeatFrom(peer *session) func() {
+	return func() { n.deliver(peer, &message{IsCore: peer.peerIsCore, HasQuorum: peer.peerIsCore}) }
 }
 
 // syncFrom applies everything that another node has.
-func (s *manualNode) syncFrom(from *manualNode) {
+func (n *manualNode) syncFrom(from *manualNode) {
 	from.mu.Lock()
-	s.mu.Lock()
-	deltas := from.items.DeltasSince(s.items.Vector())
-	s.mu.Unlock()
+	n.mu.Lock()
+	deltas := from.items.DeltasSince(n.items.Vector())
+	n.mu.Unlock()
 	from.mu.Unlock()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.applyDeltasLocked(deltas)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.applyDeltasLocked(deltas)
 }
 
-func (s *manualNode) source() string { return s.items.OwnSource() }
+func (n *manualNode) source() string { return n.items.OwnSource() }
 
 // publishedEndSources returns the sources that it announces as ended.
-func (s *manualNode) publishedEndSources() (out []string) {
-	for key, data := range s.itemsOf(s.source()) {
+func (n *manualNode) publishedEndSources() (out []string) {
+	for key, data := range n.itemsOf(n.source()) {
 		if strings.HasPrefix(key, endPrefix) && data != nil {
 			out = append(out, key[len(endPrefix):])
 		}
@@ -92,11 +92,11 @@
 }
 
 // itemsOf returns the data of all items of a source.
-func (s *manualNode) itemsOf(source string) map[string][]byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (n *manualNode) itemsOf(source string) map[string][]byte {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	out := map[string][]byte{}
-	for _, d := range s.items.DeltasSince(nil) {
+	for _, d := range n.items.DeltasSince(nil) {
 		if d.Source == source {
 			for _, it := range d.Items {
 				out[it.Key] = it.Data
@@ -107,17 +107,17 @@
 }
 
 // initialDelta is the first delta of a source, of alternating keys and data.
-func initialDelta(source string, kv ...any) deltasync.Delta {
-	d := deltasync.Delta{Source: source}
-	for i := 0; i < len(kv); i += 2 {
-		d.To++
-		data, ok := kv[i+1].([]byte)
+func initialDelta(source string, keysAndData ...any) deltasync.Delta {
+	delta := deltasync.Delta{Source: source}
+	for i := 0; i < len(keysAndData); i += 2 {
+		delta.To++
+		data, ok := keysAndData[i+1].([]byte)
 		if !ok {
-			data = encode(kv[i+1])
+			data = encode(keysAndData[i+1])
 		}
-		d.Items = append(d.Items, deltasync.Item{Key: kv[i].(string), Version: d.To, Data: data})
+		delta.Items = append(delta.Items, deltasync.Item{Key: keysAndData[i].(string), Version: delta.To, Data: data})
 	}
-	return d
+	return delta
 }
 
 // leaseDelta is a later delta of a source, which grants a lease or, without data, releases it.
@@ -289,11 +289,11 @@
 	relay.syncFrom(agent)
 	peer := relay.connect("addr of a", agent.source(), false)
 	relay.runFor(time.Second, relay.heartbeatFrom(peer))
-	relay.core.linked.Store(false)
+	relay.core.hasQuorum.Store(false)
 	delete(relay.sessions, peer)
 	relay.runFor(time.Minute, nil)
 	require.Empty(t, relay.publishedEndSources())
-	relay.core.linked.Store(true)
+	relay.core.hasQuorum.Store(true)
 	relay.runFor(leaseDuration-tickInterval, nil)
 	require.Empty(t, relay.publishedEndSources(), "it has just regained its quorum")
 	other.syncFrom(agent)
@@ -333,7 +333,7 @@
 	peer := relay.connect("addr of a", agent.source(), false)
 	relay.runFor(time.Second, relay.heartbeatFrom(peer))
 	require.NotNil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
-	relay.core.core.Store(false)
+	relay.core.isMember.Store(false)
 	relay.runFor(tickInterval, relay.heartbeatFrom(peer))
 	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
 	relay.runFor(time.Minute, relay.heartbeatFrom(peer))
@@ -343,18 +343,18 @@
 // An agent that missed an announcement drops a source without a lease, once it has long enough had a
 // session with a relay that has a quorum; sources that it has sessions with it does not drop.
 func TestAgentDropsSourcesWithoutLeases(t *testing.T) {
-	agent, gone, held := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
-	agent.syncFrom(gone)
-	agent.syncFrom(held)
+	agent, unleased, leased := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
+	agent.syncFrom(unleased)
+	agent.syncFrom(leased)
 	agent.runFor(time.Minute, nil)
 	require.Len(t, agent.members, 3, "without a relay a missing lease proves nothing")
 	peer := agent.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
-	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+held.source(), present)}})
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+leased.source(), present)}})
 	agent.runFor(2*leaseDuration-time.Second, agent.heartbeatFrom(peer))
 	require.Len(t, agent.members, 4)
 	agent.runFor(2*time.Second, agent.heartbeatFrom(peer))
 	assert.Len(t, agent.members, 3)
-	assert.NotContains(t, agent.members, gone.source())
+	assert.NotContains(t, agent.members, unleased.source())
 	assert.Empty(t, agent.publishedEndSources(), "for itself only")
 	agent.runFor(time.Minute, agent.heartbeatFrom(peer))
 	assert.Len(t, agent.members, 3)
@@ -364,37 +364,37 @@
 // An agent drops no source whose lease the core may still renew: a relay that was cut off comes back just
 // before its lease expires, and the agent's ticks are not those of the core.
 func TestAgentAllowsTheCoreTimeToRenewALease(t *testing.T) {
-	agent, away := newManualNode("a", false), newManualNode("away", false)
-	agent.syncFrom(away)
+	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(unreachable)
 	relay := agent.connect("addr of h", "h/1", true)
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), present)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
 	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
-	require.Contains(t, agent.members, away.source(), "the core may not have ended it")
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, away.source(), present)}})
+	require.Contains(t, agent.members, unreachable.source(), "the core may not have ended it")
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, unreachable.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
-	require.Contains(t, agent.members, away.source(), "the lease was renewed")
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, away.source(), nil)}})
+	require.Contains(t, agent.members, unreachable.source(), "the lease was renewed")
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, unreachable.source(), nil)}})
 	agent.runFor(sourceExpiry+2*tickInterval, agent.heartbeatFrom(relay))
-	assert.NotContains(t, agent.members, away.source(), "nobody has held its lease for long")
+	assert.NotContains(t, agent.members, unreachable.source(), "nobody has held its lease for long")
 }
 
 // An agent whose relay is silent, frozen or cut off, drops nothing: another relay may hold the lease.
-func TestAgentBehindASilentRelayDropsNothing(t *testing.T) {
-	agent, away := newManualNode("a", false), newManualNode("away", false)
-	agent.syncFrom(away)
+func TestAgentWithTimedOutRelayDropsNothing(t *testing.T) {
+	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(unreachable)
 	frozen := agent.connect("addr of h", "h/1", true)
-	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+away.source(), present)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
-	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, away.source(), nil)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
 	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
 	agent.runFor(sessionTimeout+3*tickInterval, nil)
-	require.Contains(t, agent.members, away.source(), "the frozen relay cannot tell")
+	require.Contains(t, agent.members, unreachable.source(), "the frozen relay cannot tell")
 	next := agent.connect("addr of o", "o/1", true)
-	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+away.source(), present)}})
+	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+unreachable.source(), present)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(next))
-	assert.Contains(t, agent.members, away.source())
+	assert.Contains(t, agent.members, unreachable.source())
 }
 
 // Only core members with a quorum declare themselves complete.
@@ -416,7 +416,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			relay := newManualNode("h", testCase.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
-			relay.core.linked.Store(testCase.linked)
+			relay.core.hasQuorum.Store(testCase.linked)
 			if testCase.newest {
 				relay.MarkConfigCurrent()
 			}
@@ -449,12 +449,14 @@
 		"a core member":                  {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
 		"a core member without a quorum": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
 	} {
-		agent := newManualNode("a", testCase.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
-		agent.core.linked.Store(testCase.linked)
-		peer := agent.connect("addr of h", "h/1", true)
-		agent.deliver(peer, &testCase.m)
-		agent.tick()
-		assert.Equal(t, testCase.want, agent.snapshot.Synced, name)
+		t.Run(name, func(t *testing.T) {
+			agent := newManualNode("a", testCase.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
+			agent.core.hasQuorum.Store(testCase.linked)
+			peer := agent.connect("addr of h", "h/1", true)
+			agent.deliver(peer, &testCase.m)
+			agent.tick()
+			assert.Equal(t, testCase.want, agent.snapshot.Synced)
+		})
 	}
 }
 
@@ -462,52 +464,52 @@
 func TestDialTargets(t *testing.T) {
 	peers := []Peer{{"h0", "far"}, {"h1", "near"}, {"h2", "far"}, {"h3", "far"}}
 	node := newManualNode("a", false, peers...)
-	var got []string
+	var addrs []string
 	for turn := range 16 {
-		got = append(got, node.dialTargets(turn)...)
+		addrs = append(addrs, node.dialTargets(turn)...)
 	}
-	require.Len(t, got, 16)
-	assert.Equal(t, "h1", got[0], "of its zone")
-	count := map[string]int{}
-	for _, addr := range got {
-		count[addr]++
+	require.Len(t, addrs, 16)
+	assert.Equal(t, "h1", addrs[0], "of its zone")
+	attempts := map[string]int{}
+	for _, addr := range addrs {
+		attempts[addr]++
 	}
-	for _, p := range peers {
-		assert.Equal(t, 3, count[p.Addr], "%v", got)
+	for _, member := range peers {
+		assert.Equal(t, 3, attempts[member.Addr], "%v", addrs)
 	}
 	for i := range 3 {
-		assert.Positive(t, count[fmt.Sprint("seed-", i)], "%v", got)
+		assert.Positive(t, attempts[fmt.Sprint("seed-", i)], "%v", addrs)
 	}
 	// Without any known relay they try the seeds, and the addresses of redirects.
 	node = newManualNode("a", false)
 	node.upstream.redirectAddrs = []string{"named", "addr of a"}
-	count = map[string]int{}
+	attempts = map[string]int{}
 	for turn := range 20 {
 		for _, addr := range node.dialTargets(turn) {
-			count[addr]++
+			attempts[addr]++
 		}
 	}
-	assert.Len(t, count, 4, "%v", count)
-	assert.Zero(t, count["addr of a"], "not itself")
+	assert.Len(t, attempts, 4, "%v", attempts)
+	assert.Zero(t, attempts["addr of a"], "not itself")
 	// With a relay that has a quorum they try none, and close the other sessions.
 	node = newManualNode("a", false, peers...)
-	over := map[string]bool{}
-	for _, p := range []string{"h0", "h3", "h2"} {
-		peer := node.connect(p, p+"/1", true)
-		peer.outbound, peer.peerHasQuorum = true, p != "h2"
-		peer.cancel = func() { over[p] = true }
+	canceled := map[string]bool{}
+	for _, member := range []string{"h0", "h3", "h2"} {
+		peer := node.connect(member, member+"/1", true)
+		peer.outbound, peer.peerHasQuorum = true, member != "h2"
+		peer.cancel = func() { canceled[member] = true }
 	}
 	assert.Empty(t, node.dialTargets(0))
-	assert.Len(t, over, 2)
-	assert.True(t, over["h2"])
+	assert.Len(t, canceled, 2)
+	assert.True(t, canceled["h2"])
 	// Core members dial those with a higher address, and close sessions with former members.
 	node = newManualNode("c", true, Peer{Addr: "addr of a"}, Peer{Addr: "addr of c"}, Peer{Addr: "addr of d"}, Peer{Addr: "addr of e"})
 	peer := node.connect("addr of d", "d/1", true)
 	peer.outbound = true
 	otherPeer := node.connect("addr of z", "z/1", true)
-	otherPeer.outbound, otherPeer.cancel = true, func() { over["z"] = true }
+	otherPeer.outbound, otherPeer.cancel = true, func() { canceled["z"] = true }
 	assert.Equal(t, []string{"addr of e"}, node.dialTargets(0))
-	assert.True(t, over["z"])
+	assert.True(t, canceled["z"])
 }
 
 // Invalid items of a source change nothing but its own state.
@@ -655,8 +657,10 @@
 		"not ready":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{drainingServer("d", 1)}}), 0},
 		"truncated":      {encode(&savedServers{Format: savedServersFormat, Servers: []*registry.Instance{sound}})[:20], 0},
 	} {
-		relay := New(Options{Self: Member{Name: "a"}, HeartbeatInterval: time.Second, Core: newCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: testCase.saved})
-		assert.Len(t, relay.servers.List().ByID, testCase.want, name)
+		t.Run(name, func(t *testing.T) {
+			relay := New(Options{Self: Member{Name: "a"}, HeartbeatInterval: time.Second, Core: newFakeCore(false, false), OnChange: func(*Snapshot) {}, SavedServers: testCase.saved})
+			assert.Len(t, relay.servers.List().ByID, testCase.want)
+		})
 	}
 }
 
@@ -680,9 +684,9 @@
 	for seq := range uint64(3) {
 		agent.ApplyConfig(seq+1, raw)
 	}
-	kept, _ := agent.changeLog.Since(0)
-	for _, testCase := range kept {
-		assert.LessOrEqual(t, len(testCase.Item.Data), maxLoggedBytes)
+	changes, _ := agent.changeLog.Since(0)
+	for _, change := range changes {
+		assert.LessOrEqual(t, len(change.Item.Data), maxLoggedBytes)
 	}
 	assert.Equal(t, uint64(3), agent.snapshot.ConfigSeq)
 }
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -171,13 +171,13 @@
 	agent.stop()
 	seed := cluster.edgeAgents[0]
 	none := []Peer{}
-	agent.fakeCore.hubs.Store(&none)
+	agent.fakeCore.members.Store(&none)
 	agent.seeds = func() []string { return []string{seed.Addr} }
 	agent.start()
 	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
 	cluster.eventually("one session with a relay", func(agent *testAgent) bool { return cluster.relayOf(agent) != nil && len(agent.sessionPeers()) == 1 }, agent)
 	// Without a view an agent names the core members by their member entries.
-	seed.fakeCore.hubs.Store(&none)
+	seed.fakeCore.members.Store(&none)
 	st = seed.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	m, err = st.Recv()
@@ -205,7 +205,7 @@
 		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
 		relay.node.ApplyConfig(seq+1, raw)
 	}
-	begin := time.Now()
+	start := time.Now()
 	cluster.eventually("all others continue", hasConfig(3))
 	require.True(t, relay.heartbeat(server("s", 1)))
 	cluster.eventually("all others continue", listsServer("s"))
@@ -217,7 +217,7 @@
 		}
 		return true
 	}, relay)
-	t.Log("after", time.Since(begin))
+	t.Log("after", time.Since(start))
 }
 
 // A relay that accepts and sends nothing, or noise, delays its agent only briefly.
@@ -226,21 +226,21 @@
 	cluster := newSyncedCluster(t, 1, 1)
 	agent := cluster.edgeAgents[0]
 	agent.stop()
-	var wg sync.WaitGroup
-	t.Cleanup(wg.Wait)
-	serve := func(say string) Peer {
+	var serving sync.WaitGroup
+	t.Cleanup(serving.Wait)
+	serve := func(greeting string) Peer {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		wg.Go(func() {
+		serving.Go(func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				wg.Go(func() {
-					defer c.Close()
-					_, _ = io.WriteString(c, say)
-					_, _ = io.Copy(io.Discard, c)
+				serving.Go(func() {
+					defer conn.Close()
+					_, _ = io.WriteString(conn, greeting)
+					_, _ = io.Copy(io.Discard, conn)
 				})
 			}
 		})
@@ -248,7 +248,7 @@
 		return Peer{ln.Addr().String(), agent.Zone}
 	}
 	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), cluster.coreMembers[0].Members()[0]}
-	agent.fakeCore.hubs.Store(&hubs)
+	agent.fakeCore.members.Store(&hubs)
 	agent.start()
 	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/fleet/relay/quorum_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -120,8 +120,8 @@
 			relay.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", present, "2", present, "3", present, "4", present, "5", present, "6", present, "7", present, "8", present, "9", present)})
 			relay.mu.Unlock()
 			agent := relay.connect("addr of x", "x/1", false)
-			stranger := relay.connect("addr of y", "y/1", true) // a former core member
-			relay.deliver(stranger, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
+			former := relay.connect("addr of y", "y/1", true) // a former core member
+			relay.deliver(former, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
 			for i, version := range testCase.held {
 				peer := relay.connect(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
 				peer.sent["x/1"] = 9 // sent, which proves nothing
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -10,26 +10,27 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// newPartitionedNode returns a relay that was complete and has been without a quorum for twenty seconds.
-func newPartitionedNode(t *testing.T) *manualNode {
+// newPartitionedRelay returns a relay that was complete and has been without a quorum for twenty seconds.
+func newPartitionedRelay(t *testing.T) *manualNode {
+	t.Helper()
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
 	other := relay.connect("addr of o", "o/1", true)
 	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true})
 	relay.ApplyConfig(5, documentOf(5))
 	relay.tick()
 	require.True(t, relay.readiness.complete())
-	relay.core.linked.Store(false)
+	relay.core.hasQuorum.Store(false)
 	delete(relay.sessions, other)
 	relay.runFor(20*time.Second, nil)
 	require.False(t, relay.readiness.complete(), "others may have more")
 	require.True(t, relay.snapshot.Synced, "it continues to serve with what it has")
-	relay.core.linked.Store(true)
+	relay.core.hasQuorum.Store(true)
 	return relay
 }
 
 // A relay that lost its quorum is not complete again before a complete one has sent it everything.
 func TestReturningRelaySyncsFirst(t *testing.T) {
-	relay := newPartitionedNode(t)
+	relay := newPartitionedRelay(t)
 	relay.runFor(2*tickInterval, nil)
 	require.False(t, relay.readiness.complete(), "it has just regained its quorum")
 	other := relay.connect("addr of o", "o/2", true)
@@ -49,7 +50,7 @@
 
 // Where no complete relay can be reached, a relay that lost its quorum declares itself complete, as at a start.
 func TestReturningRelayWithoutPeers(t *testing.T) {
-	relay := newPartitionedNode(t)
+	relay := newPartitionedRelay(t)
 	relay.MarkConfigCurrent()
 	relay.runFor(selfStartDelay+2*tickInterval, nil)
 	assert.True(t, relay.readiness.complete())
--- a/internal/fleet/relay/testcluster_test.go
+++ b/internal/fleet/relay/testcluster_test.go
@@ -26,21 +26,21 @@
 
 // fakeCore is a Core whose answers a test sets.
 type fakeCore struct {
-	core, linked atomic.Bool
-	hubs         atomic.Pointer[[]Peer]
+	isMember, hasQuorum atomic.Bool
+	members             atomic.Pointer[[]Peer]
 }
 
-func newCore(core, linked bool, hubs ...Peer) *fakeCore {
-	testCase := &fakeCore{}
-	testCase.core.Store(core)
-	testCase.linked.Store(linked)
-	testCase.hubs.Store(&hubs)
-	return testCase
+func newFakeCore(isMember, hasQuorum bool, members ...Peer) *fakeCore {
+	core := &fakeCore{}
+	core.isMember.Store(isMember)
+	core.hasQuorum.Store(hasQuorum)
+	core.members.Store(&members)
+	return core
 }
 
-func (c *fakeCore) IsMember() bool  { return c.core.Load() }
-func (c *fakeCore) HasQuorum() bool { return c.linked.Load() }
-func (c *fakeCore) Members() []Peer { return *c.hubs.Load() }
+func (c *fakeCore) IsMember() bool  { return c.isMember.Load() }
+func (c *fakeCore) HasQuorum() bool { return c.hasQuorum.Load() }
+func (c *fakeCore) Members() []Peer { return *c.members.Load() }
 
 // testNetwork connects the agents of a cluster. Each is reached through a proxy, which knows the caller
 // by the address in its hello. A link that is cut blocks all bytes and closes no connection.
@@ -55,79 +55,79 @@
 }
 
 // setRate bounds what a link carries, in bytes per second.
-func (w *testNetwork) setRate(from, to string, bytesPerSecond int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBufferBytes)
+func (n *testNetwork) setRate(from, to string, bytesPerSecond int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBufferBytes)
 }
 
 // throttle waits until a link has carried so many bytes. It returns false if the network is closed first.
-func (w *testNetwork) throttle(from, to string, bytes int) bool {
-	w.mu.Lock()
-	limiter := w.rates[[2]string{from, to}]
-	w.mu.Unlock()
-	return limiter == nil || limiter.WaitN(w.ctx, bytes) == nil
+func (n *testNetwork) throttle(from, to string, bytes int) bool {
+	n.mu.Lock()
+	limiter := n.rates[[2]string{from, to}]
+	n.mu.Unlock()
+	return limiter == nil || limiter.WaitN(n.ctx, bytes) == nil
 }
 
 // copyBufferBytes is how much a link carries at once.
 const copyBufferBytes = 64 << 10
 
-func (w *testNetwork) setCut(from, to string, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut[[2]string{from, to}] = cut
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (n *testNetwork) setCut(from, to string, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut[[2]string{from, to}] = cut
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
 // awaitOpen waits until a link is not cut. It returns false if the network is closed first.
-func (w *testNetwork) awaitOpen(from, to string) bool {
+func (n *testNetwork) awaitOpen(from, to string) bool {
 	for {
-		w.mu.Lock()
-		cut, changed := w.cut[[2]string{from, to}], w.changed
-		w.mu.Unlock()
+		n.mu.Lock()
+		cut, changed := n.cut[[2]string{from, to}], n.changed
+		n.mu.Unlock()
 		if !cut {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-w.ctx.Done():
+		case <-n.ctx.Done():
 			return false
 		}
 	}
 }
 
 // serveProxy proxies connections to an agent until the cluster is closed.
-func (w *testNetwork) serveProxy(listener net.Listener, agent *testAgent) {
-	w.wg.Go(func() {
-		<-w.ctx.Done()
+func (n *testNetwork) serveProxy(listener net.Listener, agent *testAgent) {
+	n.wg.Go(func() {
+		<-n.ctx.Done()
 		listener.Close()
 	})
-	w.wg.Go(func() {
+	n.wg.Go(func() {
 		for {
-			in, err := listener.Accept()
+			caller, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			w.wg.Go(func() { w.proxyConn(in, agent) })
+			n.wg.Go(func() { n.proxyConn(caller, agent) })
 		}
 	})
 }
 
-func (w *testNetwork) proxyConn(in net.Conn, agent *testAgent) {
-	behind := agent.backendAddr.Load()
-	if behind == nil { // it has not started
-		in.Close()
+func (n *testNetwork) proxyConn(caller net.Conn, agent *testAgent) {
+	backendAddr := agent.backendAddr.Load()
+	if backendAddr == nil { // it has not started
+		caller.Close()
 		return
 	}
-	out, err := net.Dial("tcp", *behind)
+	backend, err := net.Dial("tcp", *backendAddr)
 	if err != nil {
-		in.Close()
+		caller.Close()
 		return
 	}
-	stop := context.AfterFunc(w.ctx, func() { in.Close(); out.Close() })
+	stop := context.AfterFunc(n.ctx, func() { caller.Close(); backend.Close() })
 	defer stop()
-	copying := func(dst, src net.Conn, pass func([]byte) bool) {
+	forward := func(dst, src net.Conn, pass func([]byte) bool) {
 		defer dst.Close()
 		defer src.Close()
 		buf := make([]byte, copyBufferBytes)
@@ -147,28 +147,28 @@
 		}
 	}
 	var first []byte
-	caller, known, knows := "", make(chan struct{}), func() {}
+	callerAddr, known, knows := "", make(chan struct{}), func() {}
 	knows = sync.OnceFunc(func() { close(known) })
 	var copies sync.WaitGroup
 	copies.Go(func() {
 		defer knows()
-		copying(out, in, func(p []byte) bool {
-			if caller == "" {
-				first = append(first, p...)
-				for _, from := range w.addrs {
+		forward(backend, caller, func(chunk []byte) bool {
+			if callerAddr == "" {
+				first = append(first, chunk...)
+				for _, from := range n.addrs {
 					if from != agent.Addr && bytes.Contains(first, []byte(from)) {
-						caller = from
+						callerAddr = from
 						knows()
 					}
 				}
 			}
-			return w.awaitOpen(caller, agent.Addr) && w.throttle(caller, agent.Addr, len(p))
+			return n.awaitOpen(callerAddr, agent.Addr) && n.throttle(callerAddr, agent.Addr, len(chunk))
 		})
 	})
 	copies.Go(func() {
-		copying(in, out, func(p []byte) bool {
+		forward(caller, backend, func(chunk []byte) bool {
 			<-known // the answering side sends nothing before the hello
-			return w.awaitOpen(agent.Addr, caller) && w.throttle(agent.Addr, caller, len(p))
+			return n.awaitOpen(agent.Addr, callerAddr) && n.throttle(agent.Addr, callerAddr, len(chunk))
 		})
 	})
 	copies.Wait()
@@ -198,6 +198,7 @@
 
 // newTestCluster returns a cluster in which nothing has started. Its core has a quorum.
 func newTestCluster(t *testing.T, hubs, agents int) *testCluster {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cluster := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
 	t.Cleanup(func() {
@@ -230,7 +231,7 @@
 		defer cluster.serveProxy(listener, agent) // once all addresses are known
 	}
 	for i, agent := range cluster.all() {
-		agent.fakeCore = newCore(i < hubs, i < hubs, peers...)
+		agent.fakeCore = newFakeCore(i < hubs, i < hubs, peers...)
 		agent.seeds = func() []string { return []string{peers[0].Addr} }
 	}
 	return cluster
@@ -253,6 +254,7 @@
 
 // newSyncedCluster returns a cluster in which all agents run and are synced.
 func newSyncedCluster(t *testing.T, hubs, agents int) *testCluster {
+	t.Helper()
 	cluster := newTestCluster(t, hubs, agents).start()
 	cluster.awaitSynced(hubs + agents)
 	return cluster
@@ -268,17 +270,17 @@
 }
 
 // eventually waits until a condition holds for all running agents, or for the given ones.
-func (l *testCluster) eventually(what string, is func(*testAgent) bool, at ...*testAgent) {
+func (l *testCluster) eventually(what string, holds func(*testAgent) bool, agents ...*testAgent) {
 	l.t.Helper()
-	if len(at) == 0 {
+	if len(agents) == 0 {
 		for _, agent := range l.all() {
 			if agent.node != nil {
-				at = append(at, agent)
+				agents = append(agents, agent)
 			}
 		}
 	}
-	for _, agent := range at {
-		if !assert.Eventually(l.t, func() bool { return is(agent) }, testTimeout, 10*time.Millisecond, "%s: %s", what, agent.Name) {
+	for _, agent := range agents {
+		if !assert.Eventually(l.t, func() bool { return holds(agent) }, testTimeout, 10*time.Millisecond, "%s: %s", what, agent.Name) {
 			for _, agent := range l.all() {
 				if agent.node != nil {
 					l.t.Logf("%s: %+v", agent.Name, agent.node.Report())
@@ -293,8 +295,8 @@
 func (a *testAgent) start() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
-	behind := listener.Addr().String()
-	a.backendAddr.Store(&behind)
+	backendAddr := listener.Addr().String()
+	a.backendAddr.Store(&backendAddr)
 	ctx, cancel := context.WithCancel(a.ctx)
 	options := Options{Self: a.Member, HeartbeatInterval: a.heartbeatInterval, Core: a.fakeCore, SeedAddrs: a.seeds}
 	var last *Snapshot
@@ -350,6 +352,7 @@
 
 // timeoutContext returns a context that ends after d, or with the test.
 func timeoutContext(t *testing.T, d time.Duration) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -10,9 +10,9 @@
 )
 
 // connectOutbound adds a session that the agent began with a relay.
-func (s *manualNode) connectOutbound(peerAddr string) (peer *session, ended *bool) {
-	peer = s.connect(peerAddr, peerAddr+"/1", true)
-	peer.outbound, peer.started = true, s.now()
+func (n *manualNode) connectOutbound(peerAddr string) (peer *session, ended *bool) {
+	peer = n.connect(peerAddr, peerAddr+"/1", true)
+	peer.outbound, peer.started = true, n.now()
 	ended = new(bool)
 	peer.cancel = func() { *ended = true }
 	return peer, ended
@@ -20,24 +20,24 @@
 
 // pollDialTargets has the agent look for relays at its interval until it has one to dial, at most for a
 // duration. Before each look it calls talk.
-func (s *manualNode) pollDialTargets(d time.Duration, talk func()) (after time.Duration, wanted []string) {
-	begin := s.now()
-	for turn := 0; s.now()-begin < d; turn++ {
-		s.advanceClock(redialInterval)
+func (n *manualNode) pollDialTargets(d time.Duration, talk func()) (after time.Duration, wanted []string) {
+	begin := n.now()
+	for turn := 0; n.now()-begin < d; turn++ {
+		n.advanceClock(redialInterval)
 		if talk != nil {
 			talk()
 		}
-		if wanted = s.dialTargets(turn); len(wanted) > 0 {
-			return s.now() - begin, wanted
+		if wanted = n.dialTargets(turn); len(wanted) > 0 {
+			return n.now() - begin, wanted
 		}
 	}
 	return 0, nil
 }
 
 // pollFor has the agent look for relays at its interval for a duration.
-func (s *manualNode) pollFor(d time.Duration, talk func()) {
-	for end := s.now() + d; s.now() < end; {
-		s.pollDialTargets(min(redialInterval, end-s.now()), talk)
+func (n *manualNode) pollFor(d time.Duration, talk func()) {
+	for end := n.now() + d; n.now() < end; {
+		n.pollDialTargets(min(redialInterval, end-n.now()), talk)
 	}
 }
 
@@ -65,25 +65,25 @@
 func TestAgentReturnsToRelayOfItsZone(t *testing.T) {
 	agent := newManualNode("a", false, Peer{"far-0", "far"}, Peer{"near-0", "near"}, Peer{"far-1", "far"}, Peer{"near-1", "near"})
 	far, farEnded := agent.connectOutbound("far-0")
-	linked := func() { agent.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
-	linked()
+	sendComplete := func() { agent.deliver(far, &message{IsCore: true, HasQuorum: true, Complete: true}) }
+	sendComplete()
 	for range 5 { // the relays of its zone are unreachable
-		after, wanted := agent.pollDialTargets(time.Minute, linked)
+		after, wanted := agent.pollDialTargets(time.Minute, sendComplete)
 		assert.ElementsMatch(t, []string{"near-0", "near-1"}, wanted)
 		assert.GreaterOrEqual(t, after, homeZoneRetryInterval-redialInterval)
 		assert.LessOrEqual(t, after, homeZoneRetryInterval+homeZoneRetryJitter+2*redialInterval)
 	}
 	// One is reachable, and has no quorum.
-	cold, coldEnded := agent.connectOutbound("near-0")
-	agent.pollFor(helloTimeout+redialInterval, func() { linked(); agent.deliver(cold, &message{IsCore: true}) })
-	require.True(t, *coldEnded)
-	delete(agent.sessions, cold)
+	withoutQuorum, withoutQuorumEnded := agent.connectOutbound("near-0")
+	agent.pollFor(helloTimeout+redialInterval, func() { sendComplete(); agent.deliver(withoutQuorum, &message{IsCore: true}) })
+	require.True(t, *withoutQuorumEnded)
+	delete(agent.sessions, withoutQuorum)
 	// One has a quorum, and does not become complete.
 	slow, slowEnded := agent.connectOutbound("near-0")
-	still := func() { linked(); agent.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
-	agent.pollFor(probationPeriod-2*redialInterval, still)
+	sendIncomplete := func() { sendComplete(); agent.deliver(slow, &message{IsCore: true, HasQuorum: true}) }
+	agent.pollFor(probationPeriod-2*redialInterval, sendIncomplete)
 	require.False(t, *slowEnded)
-	agent.pollFor(3*redialInterval, still)
+	agent.pollFor(3*redialInterval, sendIncomplete)
 	require.True(t, *slowEnded)
 	delete(agent.sessions, slow)
 	require.False(t, *farEnded)
--- a/internal/fleet/rpc/bench_test.go
+++ b/internal/fleet/rpc/bench_test.go
@@ -12,58 +12,59 @@
 }
 
 func benchServer(b *testing.B) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	b.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	t := NewMux()
-	HandleUnary(t, "bench.echo", func(_ context.Context, q *echoMessage) (*echoMessage, error) { return q, nil })
-	HandleStream(t, "bench.stream", func(s *Stream[echoMessage, echoMessage]) error {
+	mux := NewMux()
+	HandleUnary(mux, "bench.echo", func(_ context.Context, request *echoMessage) (*echoMessage, error) { return request, nil })
+	HandleStream(mux, "bench.stream", func(stream *Stream[echoMessage, echoMessage]) error {
 		for {
-			m, err := s.Recv()
+			m, err := stream.Recv()
 			if err != nil {
 				return err
 			}
-			if err := s.Send(m); err != nil {
+			if err := stream.Send(m); err != nil {
 				return err
 			}
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = Serve(ctx, ln, t) })
+	wg.Go(func() { _ = Serve(ctx, listener, mux) })
 	b.Cleanup(func() { cancel(); wg.Wait() })
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
-// A call on a pooled connection, both sides.
+// BenchmarkCall measures both sides of a call on a pooled connection.
 func BenchmarkCall(b *testing.B) {
 	addr := benchServer(b)
-	p := NewPool()
-	defer p.Close()
-	q := &echoMessage{"0123456789"}
+	pool := NewPool()
+	defer pool.Close()
+	request := &echoMessage{"0123456789"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Call[echoMessage, echoMessage](b.Context(), p, addr, "bench.echo", q); err != nil {
+		if _, err := Call[echoMessage, echoMessage](b.Context(), pool, addr, "bench.echo", request); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// A message each way on an open stream, both sides.
+// BenchmarkStream measures both sides of a message each way on an open stream.
 func BenchmarkStream(b *testing.B) {
-	st, hangUp, err := OpenStream[echoMessage, echoMessage](b.Context(), benchServer(b), "bench.stream")
+	stream, closeStream, err := OpenStream[echoMessage, echoMessage](b.Context(), benchServer(b), "bench.stream")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer hangUp()
-	q := &echoMessage{"0123456789"}
+	defer closeStream()
+	request := &echoMessage{"0123456789"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := st.Send(q); err != nil {
+		if err := stream.Send(request); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := st.Recv(); err != nil {
+		if _, err := stream.Recv(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/fleet/rpc/dialer_test.go
+++ b/internal/fleet/rpc/dialer_test.go
@@ -19,19 +19,19 @@
 	return DialTCP(ctx, addr)
 }
 
-// Calls and streams go over the dialer that they are given.
+// Calls and streams use the dialer that they are given.
 func TestCallsUseTheDialer(t *testing.T) {
-	at := startServer(t, testMux(nil))
-	var d countingDialer
-	p := NewPoolWithDialer(&d)
-	t.Cleanup(p.Close)
+	server := startServer(t, testMux(nil))
+	var dialer countingDialer
+	pool := NewPoolWithDialer(&dialer)
+	t.Cleanup(pool.Close)
 	for range 3 {
-		_, err := Call[testRequest, testResponse](timeoutContext(t, 10*time.Second), p, at.address, "echo", &testRequest{Text: "a"})
+		_, err := Call[testRequest, testResponse](timeoutContext(t, 10*time.Second), pool, server.address, "echo", &testRequest{Text: "a"})
 		require.NoError(t, err)
 	}
-	assert.Equal(t, int64(1), d.opened.Load(), "calls share a connection")
-	_, hangUp, err := OpenStreamWithDialer[testRequest, testResponse](timeoutContext(t, 10*time.Second), &d, at.address, "echo")
+	assert.Equal(t, int64(1), dialer.opened.Load(), "calls share a connection")
+	_, closeStream, err := OpenStreamWithDialer[testRequest, testResponse](timeoutContext(t, 10*time.Second), &dialer, server.address, "echo")
 	require.NoError(t, err)
-	hangUp()
-	assert.Equal(t, int64(2), d.opened.Load(), "a stream has one of its own")
+	closeStream()
+	assert.Equal(t, int64(2), dialer.opened.Load(), "a stream has one of its own")
 }
--- a/internal/fleet/rpc/preencoded_test.go
+++ b/internal/fleet/rpc/preencoded_test.go
@@ -10,47 +10,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Encoded messages arrive as sent ones do, long and short, and what is sent after them leaves the
-// shared bytes as they were.
+// Encoded messages of any length arrive as others do, and later messages do not modify the shared
+// bytes.
 func TestSendEncoded(t *testing.T) {
 	sizes := []int{0, 10, maxRetainedBuffer - 1, maxRetainedBuffer, 3 * maxRetainedBuffer, 2 << 20}
-	var shared, kept [][]byte
+	var shared, copies [][]byte
 	for _, size := range sizes {
 		raw, err := Encode(&testResponse{strings.Repeat("x", size)})
 		require.NoError(t, err)
-		shared, kept = append(shared, raw), append(kept, bytes.Clone(raw))
+		shared, copies = append(shared, raw), append(copies, bytes.Clone(raw))
 	}
-	table := NewMux()
-	HandleStream(table, "shared", func(s *Stream[testResponse, testRequest]) error {
+	mux := NewMux()
+	HandleStream(mux, "shared", func(stream *Stream[testResponse, testRequest]) error {
 		for _, raw := range shared {
-			if err := s.SendEncoded(raw); err != nil {
+			if err := stream.SendEncoded(raw); err != nil {
 				return err
 			}
-			if err := s.Send(&testResponse{"between"}); err != nil {
+			if err := stream.Send(&testResponse{"between"}); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	at := startServer(t, table)
+	server := startServer(t, mux)
 	var streams []*Stream[testRequest, testResponse]
 	for range 3 {
-		s, hangUp, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), at.address, "shared")
+		stream, closeStream, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), server.address, "shared")
 		require.NoError(t, err)
-		defer hangUp()
-		require.NoError(t, s.Send(&testRequest{}))
-		streams = append(streams, s)
+		defer closeStream()
+		require.NoError(t, stream.Send(&testRequest{}))
+		streams = append(streams, stream)
 	}
-	for _, s := range streams {
+	for _, stream := range streams {
 		for _, size := range sizes {
-			long, err := s.Recv()
+			long, err := stream.Recv()
 			require.NoError(t, err)
 			require.Len(t, long.Text, size)
 			require.Equal(t, size, strings.Count(long.Text, "x"))
-			next, err := s.Recv()
+			next, err := stream.Recv()
 			require.NoError(t, err)
 			require.Equal(t, "between", next.Text)
 		}
 	}
-	assert.Equal(t, kept, shared)
+	assert.Equal(t, copies, shared)
 }
--- a/internal/fleet/settings/settings_test.go
+++ b/internal/fleet/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// example has every key that is known, and some that are not.
+// example has every known key, and some unknown ones.
 const example = `
 node-name = "edge-a1-3"
 role = "all"
@@ -76,38 +76,39 @@
 `
 
 func parse(t *testing.T, text string) *Settings {
-	s, err := Parse([]byte(text))
+	t.Helper()
+	settings, err := Parse([]byte(text))
 	require.NoError(t, err)
-	return s
+	return settings
 }
 
 func TestParseDecodesEveryKey(t *testing.T) {
-	s := parse(t, example)
+	settings := parse(t, example)
 	want := &Settings{Name: "edge-a1-3", Role: "all", MachineClass: "edge", ServedRoles: []string{"edge", "control"}, IP: "10.7.0.13", Zone: "a.1",
 		Region: "north", PortRange: []int{7300, 7315}, Seeds: []string{"10.7.0.11:8262", "10.8.0.11:8262", "10.9.0.11:8262"},
 		FirstStart: true, CountedLoss: true, StateDir: "/data/all", DiscoverySource: "self_register", EntryKind: "vip", HeartbeatPeriodMs: 900,
 		ActiveContracts: []string{"base", "drain", "of-later"}, Zones: map[string]string{"a.1": "north", "b.c.d": "south", "plain": "south"},
-		Digest: s.Digest}
+		Digest: settings.Digest}
 	want.Listen.Front, want.Listen.Readiness, want.Listen.Control = "10.7.0.13:8263", "10.7.0.13:8268", "10.7.0.13:8262"
 	want.Limits.CPUShare, want.Limits.CPUCores, want.Limits.MemoryMB, want.Limits.FileDescriptors = 0.6, 2, 256, 4000
 	want.Limits.LinkMbps, want.Limits.DiskMB = 100.5, 32
 	want.Tolerance.Machines, want.Tolerance.Zones, want.Tolerance.Regions = 1, 2, 3
-	b := &want.Bounds
-	b.SeedLagS, b.ReuseAfterS, b.ContactMs, b.AckMs, b.SettleS, b.DrainMs, b.GraceS = 3, 2, 3100, 4100, 4, 2100, 7.5
-	b.LossSlackMs, b.ConvergeMs, b.RevertSlackMs, b.StretchMs = 210, 2200, 260, 5100
-	b.RetryRatio, b.RetryWindowS, b.RetrySlack, b.RecoveryS, b.PassMs = 0.2, 9, 58, 12, 130
-	assert.Equal(t, want, s)
-	assert.True(t, s.ServesRole("edge"))
-	assert.True(t, s.ServesRole("control"))
-	assert.False(t, s.ServesRole("other"))
-	assert.True(t, s.HasDisk())
-	assert.Equal(t, 7500*time.Millisecond, s.Grace())
-	assert.Equal(t, 7300, s.PeerPort())
-	assert.Equal(t, "10.8.0.11:7300", s.PeerAddress("10.8.0.11:8262"))
-	assert.Equal(t, "10.8.0.11:7300", s.PeerAddress(" 10.8.0.11 "))
+	bounds := &want.Bounds
+	bounds.SeedLagS, bounds.ReuseAfterS, bounds.ContactMs, bounds.AckMs, bounds.SettleS, bounds.DrainMs, bounds.GraceS = 3, 2, 3100, 4100, 4, 2100, 7.5
+	bounds.LossSlackMs, bounds.ConvergeMs, bounds.RevertSlackMs, bounds.StretchMs = 210, 2200, 260, 5100
+	bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack, bounds.RecoveryS, bounds.PassMs = 0.2, 9, 58, 12, 130
+	assert.Equal(t, want, settings)
+	assert.True(t, settings.ServesRole("edge"))
+	assert.True(t, settings.ServesRole("control"))
+	assert.False(t, settings.ServesRole("other"))
+	assert.True(t, settings.HasDisk())
+	assert.Equal(t, 7500*time.Millisecond, settings.Grace())
+	assert.Equal(t, 7300, settings.PeerPort())
+	assert.Equal(t, "10.8.0.11:7300", settings.PeerAddress("10.8.0.11:8262"))
+	assert.Equal(t, "10.8.0.11:7300", settings.PeerAddress(" 10.8.0.11 "))
 }
 
-// without drops the lines of a key, first of a table's.
+// without returns the example without the lines of a key.
 func without(key string) string {
 	var out []string
 	for _, line := range strings.Split(example, "\n") {
@@ -118,7 +119,7 @@
 	return strings.Join(out, "\n")
 }
 
-// withValue gives a key another value.
+// withValue returns the example with another value of a key.
 func withValue(key, value string) string {
 	lines := strings.Split(example, "\n")
 	for i, line := range lines {
@@ -130,39 +131,39 @@
 	panic("no key " + key)
 }
 
-// What may be left out has a default.
+// Optional settings have defaults.
 func TestDefaults(t *testing.T) {
-	for key, is := range map[string]func(*Settings) bool{
-		"beat-period-ms":   func(s *Settings) bool { return s.HeartbeatPeriodMs == 1000 },
-		"contact-ms":       func(s *Settings) bool { return s.Bounds.ContactMs == 3000 },
-		"ack-ms":           func(s *Settings) bool { return s.Bounds.AckMs == 4000 },
-		"drain-ms":         func(s *Settings) bool { return s.Bounds.DrainMs == 2000 },
-		"converge-ms":      func(s *Settings) bool { return s.Bounds.ConvergeMs == 2000 },
-		"revert-slack-ms":  func(s *Settings) bool { return s.Bounds.RevertSlackMs == 250 },
-		"stretch-ms":       func(s *Settings) bool { return s.Bounds.StretchMs == 5000 },
-		"pass_ms":          func(s *Settings) bool { return s.Bounds.PassMs == 120 },
-		"loss-slack-ms":    func(s *Settings) bool { return s.Bounds.LossSlackMs == 200 },
-		"memory-mb":        func(s *Settings) bool { return s.Limits.MemoryMB == 128 },
-		"fd-limit":         func(s *Settings) bool { return s.Limits.FileDescriptors == 1024 },
-		"grace-s":          func(s *Settings) bool { return s.Grace() == 8*time.Second },
-		"retry-window-s":   func(s *Settings) bool { return s.Bounds.RetryWindowS == 10 },
-		"retry-ratio":      func(s *Settings) bool { return s.Bounds.RetryRatio == 0 }, // none may be repeated
-		"state-dir":        func(s *Settings) bool { return !s.HasDisk() },
-		"first-start":      func(s *Settings) bool { return !s.FirstStart }, // nothing is founded by mistake
-		"seed-nodes":       func(s *Settings) bool { return len(s.Seeds) == 0 },
-		"active-contracts": func(s *Settings) bool { return len(s.ActiveContracts) == 0 },
+	for key, hasDefault := range map[string]func(*Settings) bool{
+		"beat-period-ms":   func(settings *Settings) bool { return settings.HeartbeatPeriodMs == 1000 },
+		"contact-ms":       func(settings *Settings) bool { return settings.Bounds.ContactMs == 3000 },
+		"ack-ms":           func(settings *Settings) bool { return settings.Bounds.AckMs == 4000 },
+		"drain-ms":         func(settings *Settings) bool { return settings.Bounds.DrainMs == 2000 },
+		"converge-ms":      func(settings *Settings) bool { return settings.Bounds.ConvergeMs == 2000 },
+		"revert-slack-ms":  func(settings *Settings) bool { return settings.Bounds.RevertSlackMs == 250 },
+		"stretch-ms":       func(settings *Settings) bool { return settings.Bounds.StretchMs == 5000 },
+		"pass_ms":          func(settings *Settings) bool { return settings.Bounds.PassMs == 120 },
+		"loss-slack-ms":    func(settings *Settings) bool { return settings.Bounds.LossSlackMs == 200 },
+		"memory-mb":        func(settings *Settings) bool { return settings.Limits.MemoryMB == 128 },
+		"fd-limit":         func(settings *Settings) bool { return settings.Limits.FileDescriptors == 1024 },
+		"grace-s":          func(settings *Settings) bool { return settings.Grace() == 8*time.Second },
+		"retry-window-s":   func(settings *Settings) bool { return settings.Bounds.RetryWindowS == 10 },
+		"retry-ratio":      func(settings *Settings) bool { return settings.Bounds.RetryRatio == 0 }, // no retries
+		"state-dir":        func(settings *Settings) bool { return !settings.HasDisk() },
+		"first-start":      func(settings *Settings) bool { return !settings.FirstStart }, // no bootstrap by mistake
+		"seed-nodes":       func(settings *Settings) bool { return len(settings.Seeds) == 0 },
+		"active-contracts": func(settings *Settings) bool { return len(settings.ActiveContracts) == 0 },
 	} {
-		assert.True(t, is(parse(t, without(key))), key)
+		assert.True(t, hasDefault(parse(t, without(key))), key)
 	}
-	// What a process doesn't serve it needs no address for.
-	s := parse(t, strings.Replace(without("front"), `["edge","control"]`, `["control"]`, 1))
-	assert.False(t, s.ServesRole("edge"))
+	// A process needs no address for a role that it does not serve.
+	settings := parse(t, strings.Replace(without("front"), `["edge","control"]`, `["control"]`, 1))
+	assert.False(t, settings.ServesRole("edge"))
 	parse(t, strings.Replace(without("control"), `["edge","control"]`, `["edge"]`, 1))
 }
 
 // Every error names its key and a remedy.
 func TestErrorsNameKeyAndRemedy(t *testing.T) {
-	for _, c := range []struct{ key, in, value string }{
+	for _, test := range []struct{ key, in, value string }{
 		{"ip", "ip", ""}, {"ip", "ip", `""`}, {"ip", "ip", `"here"`}, {"ip", "ip", `"::1"`}, {"ip", "ip", `"10.0.0.1:80"`}, {"ip", "ip", `"10.0.0.256"`},
 		{"node-name", "node-name", ""}, {"node-name", "node-name", `""`},
 		{"zone", "zone", ""},
@@ -186,22 +187,22 @@
 		{"fault-tolerance.machine-losses", "machine-losses", "-1"}, {"fault-tolerance.zones", "zones", "-1"},
 		{"fault-tolerance.region-losses", "region-losses", "-1"},
 	} {
-		text := without(c.in)
-		if c.value != "" {
-			text = withValue(c.in, c.value)
+		text := without(test.in)
+		if test.value != "" {
+			text = withValue(test.in, test.value)
 		}
-		s, err := Parse([]byte(text))
-		var f *apierror.Error
-		if assert.ErrorAs(t, err, &f, "%s = %s", c.in, c.value) {
-			assert.Equal(t, c.key, f.Key, "%s = %s", c.in, c.value)
-			assert.NotEmpty(t, f.Remedy)
+		settings, err := Parse([]byte(text))
+		var apiError *apierror.Error
+		if assert.ErrorAs(t, err, &apiError, "%s = %s", test.in, test.value) {
+			assert.Equal(t, test.key, apiError.Key, "%s = %s", test.in, test.value)
+			assert.NotEmpty(t, apiError.Remedy)
 			assert.Equal(t, apierror.Invalid, apierror.KindOf(err))
-			assert.Nil(t, s)
+			assert.Nil(t, settings)
 		}
 	}
 }
 
-// A value of a wrong type is told by its key.
+// A value of a wrong type is reported by its key.
 func TestTypeErrorsNameTheKey(t *testing.T) {
 	for key, value := range map[string]string{"beat-period-ms": `"soon"`, "port-range": `["a","b"]`, "first-start": `"perhaps"`,
 		"seed-nodes": `[["10.0.0.1:80"]]`, "retry-ratio": `"some"`, "memory-mb": "[1,2]", "node-name": "{x = 1}"} {
@@ -225,13 +226,13 @@
 	_, err = Load(dir)
 	require.ErrorContains(t, err, "settings file")
 	require.NoError(t, os.WriteFile(path, []byte(example), 0o600))
-	one, err := Load(path)
+	first, err := Load(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, []byte(withValue("zone", `"plain"`)), 0o600))
-	two, err := Load(path)
+	second, err := Load(path)
 	require.NoError(t, err)
-	assert.NotEqual(t, one.Digest, two.Digest)
-	assert.Equal(t, one.Digest, parse(t, example).Digest)
+	assert.NotEqual(t, first.Digest, second.Digest)
+	assert.Equal(t, first.Digest, parse(t, example).Digest)
 	require.NoError(t, os.WriteFile(path, []byte(example+"#"+strings.Repeat("x", maxFileBytes)), 0o600))
 	_, err = Load(path)
 	require.ErrorContains(t, err, "at most")
@@ -240,7 +241,7 @@
 	assert.Equal(t, DefaultFile, Path())
 }
 
-// Whatever a file holds, it gives settings or an error, and settings are those of a sound process.
+// Any file results in an error or in valid settings.
 func TestParseOfMutatedFiles(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(example), "\n")
 	rapid.Check(t, func(t *rapid.T) {
@@ -257,16 +258,16 @@
 			}
 			out = append(out, line)
 		}
-		s, err := Parse([]byte(strings.Join(out, "\n")))
+		settings, err := Parse([]byte(strings.Join(out, "\n")))
 		if err != nil {
-			require.Nil(t, s)
+			require.Nil(t, settings)
 			require.NotEmpty(t, err.Error())
 			return
 		}
-		require.NotEmpty(t, s.Name)
-		require.Positive(t, s.PeerPort())
-		require.Positive(t, s.Grace())
-		require.Positive(t, s.HeartbeatPeriodMs)
-		require.Positive(t, s.Limits.MemoryMB)
+		require.NotEmpty(t, settings.Name)
+		require.Positive(t, settings.PeerPort())
+		require.Positive(t, settings.Grace())
+		require.Positive(t, settings.HeartbeatPeriodMs)
+		require.Positive(t, settings.Limits.MemoryMB)
 	})
 }
--- a/internal/testbed/controlsim/run.go
+++ b/internal/testbed/controlsim/simulation.go
@@ -1,7 +1,6 @@
 package controlsim
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"hash/fnv"
@@ -52,28 +51,6 @@
 	stopped      []chan struct{} // processes that were stopped
 }
 
-// event is a line of the run's log.
-type event struct {
-	at   time.Duration
-	text string
-}
-
-// formatEvents are the events as text: those of one moment have no order of their own.
-func formatEvents(events []event) (out []string) {
-	slices.SortFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text)) })
-	for _, e := range events {
-		out = append(out, fmt.Sprintf("%v %s", e.at, e.text))
-	}
-	return out
-}
-
-// activeFault is a time in which a machine is hit by a fault.
-type activeFault struct {
-	machine    *machine
-	kind       FaultKind
-	begin, end time.Time // end zero: it lasts
-}
-
 // simulate plays a setup in a bubble of virtual time.
 func simulate(t *testing.T, s scenario) (result Result) {
 	defer seedCryptoRand(s.seed)()
@@ -217,148 +194,9 @@
 	r.stopped = append(r.stopped, done)
 }
 
-func (r *simulation) addMachine(withDisk bool) *machine {
-	r.mu.Lock()
-	index := len(r.machines)
-	r.mu.Unlock()
-	m := newMachine(r, index, withDisk)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.machines = append(r.machines, m)
-	return m
-}
-
-func (r *simulation) allMachines() []*machine {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.machines)
-}
-
-// coreMachines are the machines with a disk, agents the others.
-func (r *simulation) coreMachines() []*machine {
-	return slices.DeleteFunc(r.allMachines(), func(m *machine) bool { return m.media == nil })
-}
-
-func (r *simulation) agentMachines() []*machine {
-	return slices.DeleteFunc(r.allMachines(), func(m *machine) bool { return m.media != nil })
-}
-
-func (r *simulation) machineByAddr(addr string) *machine {
-	for _, m := range r.allMachines() {
-		if m.host.addr == addr {
-			return m
-		}
-	}
-	return nil
-}
-
-// newestView is the newest view that any process knows.
-func (r *simulation) newestView() (newest view.View) {
-	for _, m := range r.allMachines() {
-		if p := m.running(); p != nil {
-			if v, ok := p.core.View(); ok && v.Number > newest.Number {
-				newest = v
-			}
-		}
-	}
-	return newest
-}
-
-// pickProcess is one of the processes that run, another one than the last if there is one.
-func (r *simulation) pickProcess(random *rand.Rand, last *process) *process {
-	var running []*process
-	for _, m := range r.allMachines() {
-		if p := m.running(); p != nil && p != last {
-			running = append(running, p)
-		}
-	}
-	if len(running) == 0 {
-		return last
-	}
-	return running[random.IntN(len(running))]
-}
-
-// healthySince are the processes that have run, and whose machines were in no fault, since a time.
-func (r *simulation) healthySince(since time.Time) (out []*process) {
-	hit := map[*machine]bool{}
-	r.mu.Lock()
-	for _, t := range r.activeFaults {
-		if t.end.IsZero() || t.end.After(since) {
-			hit[t.machine] = true
-		}
-	}
-	r.mu.Unlock()
-	for _, m := range r.allMachines() {
-		if p := m.running(); p != nil && !hit[m] && !p.startedAt.After(since) {
-			out = append(out, p)
-		}
-	}
-	return out
-}
-
-// stableBetween tells whether no fault began or ended in a time of the run.
-func (r *simulation) stableBetween(from, to time.Duration) bool {
-	within := func(t time.Time) bool { at := t.Sub(r.startedAt); return at >= from && at <= to }
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.activeFaults, func(t *activeFault) bool { return within(t.begin) || within(t.end) })
-}
-
-// beginFault notes that a machine is hit by a fault, until the function that it returns is called.
-func (r *simulation) beginFault(m *machine, kind FaultKind) (end func()) {
-	t := &activeFault{machine: m, kind: kind, begin: time.Now()}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.activeFaults = append(r.activeFaults, t)
-	return func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		t.end = time.Now()
-	}
-}
-
-// canInject tells whether one more machine of the core may be hit: fewer than half are then. A disk
-// that was lost counts until recoveryTime after its machine, or what replaces it, started; not for the
-// loss of the replacement, which takes the same place.
-func (r *simulation) canInject(m *machine, replacement bool) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := time.Now()
-	hit := map[*machine]bool{m: true}
-	for _, t := range r.activeFaults {
-		lost := (t.kind == Wipe || t.kind == Replace) && !replacement
-		if t.machine.media != nil && (t.end.IsZero() || lost && now.Sub(t.end) < recoveryTime) {
-			hit[t.machine] = true
-		}
-	}
-	return 2*len(hit) < r.scenario.coreCount
-}
-
-// noteDiskLoss notes that a disk was lost.
-func (r *simulation) noteDiskLoss() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastDiskLoss = time.Now()
-}
-
-// diskLostSince tells whether a disk was lost after a time.
-func (r *simulation) diskLostSince(t time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lastDiskLoss.After(t)
-}
-
 // elapsed is the time of the run.
 func (r *simulation) elapsed() time.Duration { return time.Since(r.startedAt) }
 
-// logEvent adds an event.
-func (r *simulation) logEvent(format string, args ...any) {
-	e := event{at: r.elapsed(), text: fmt.Sprintf(format, args...)}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.events = append(r.events, e)
-}
-
 // newRandom is the random source of one part of the run.
 func (r *simulation) newRandom(part string, index int) *rand.Rand {
 	h := fnv.New64a()
--- a/internal/testbed/controlsim/play.go
+++ b/internal/testbed/controlsim/worker.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"slices"
 	"testing"
 	"time"
 )
@@ -64,53 +63,3 @@
 	p.Elapsed = time.Since(begun)
 	return p
 }
-
-// shrinkAttempts is how often a plan without one of its faults is played before that fault counts as
-// needed: what goroutine runs first differs from one play to the next.
-const shrinkAttempts = 2
-
-// shrink drops the faults of a plan that breaks a promise one by one while it still breaks one.
-func shrink(t *testing.T, s scenario, broken Result) ([]Fault, Result) {
-	for i := 0; i < len(s.faults); {
-		without := s
-		without.faults = slices.Delete(slices.Clone(s.faults), i, i+1)
-		shorter := Result{}
-		for range shrinkAttempts {
-			if shorter = simulate(t, without); len(shorter.Violations) > 0 {
-				break
-			}
-		}
-		if len(shorter.Violations) == 0 {
-			i++
-			continue
-		}
-		s, broken = without, shorter
-	}
-	return s.faults, broken
-}
-
-// Replay plays a run twice, writes the log of the first, and tells where the second differs.
-func Replay(t *testing.T, point int, seed uint64, out io.Writer) (broken bool, err error) {
-	discardServerLogs()
-	first, second := Simulate(t, point, seed), Simulate(t, point, seed)
-	for _, e := range first.Events {
-		if _, err := fmt.Fprintln(out, e); err != nil {
-			return false, err
-		}
-	}
-	_, err = fmt.Fprintln(out, compareEvents(first.Events, second.Events))
-	return len(first.Violations)+len(second.Violations) > 0, err
-}
-
-// compareEvents tells the first difference of two logs, whose events of one moment have no order.
-func compareEvents(a, b []string) string {
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
-			return fmt.Sprintf("the second play differs from event %d of %d on:\n  %s\n  %s", i+1, len(a), a[i], b[i])
-		}
-	}
-	if len(a) != len(b) {
-		return fmt.Sprintf("the second play has %d events, the first %d", len(b), len(a))
-	}
-	return fmt.Sprintf("both plays have the same %d events", len(a))
-}
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -248,7 +248,7 @@
 		Packages: in(hubPackage), Run: "^TestAgentAllowsTheCoreTimeToRenewALease$"},
 	{ID: "hub-silent-relay-counts", Point: CutOff, File: "internal/fleet/relay/session.go",
 		Old: "s.peerHasQuorum && now-s.lastMessage <= sessionTimeout", New: "s.peerHasQuorum",
-		Packages: in(hubPackage), Run: "^TestAgentBehindASilentRelayDropsNothing$"},
+		Packages: in(hubPackage), Run: "^TestAgentWithTimedOutRelayDropsNothing$"},
 	{ID: "hub-drain-acknowledged-early", Point: CutOff, File: "internal/fleet/relay/quorum.go",
 		Old: "if s.peerIsCore && s.ownQuorumVersion >= version {", New: "if s.peerIsCore && s.ownReceived >= version {",
 		Packages: in(hubPackage), Run: "^TestPartitionedDrainIsNotAcknowledged$|^TestMinorityAcknowledgesNoDrain$"},
