--- a/cmd/edgectl/main_test.go
+++ b/cmd/edgectl/main_test.go
@@ -78,40 +78,40 @@
 	return nil, apierror.New(apierror.Unavailable, "", "", "no %s", what)
 }
 
-func startAgent(t *testing.T, p controlapi.Backend) string {
+func startAgent(t *testing.T, backend controlapi.Backend) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- controlapi.NewServer(p, controlapi.Options{}).Serve(ctx, ln) }()
+	go func() { done <- controlapi.NewServer(backend, controlapi.Options{}).Serve(ctx, listener) }()
 	t.Cleanup(func() {
 		cancel()
 		assert.NoError(t, <-done)
 	})
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer ln.Close()
-	return ln.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
 func runCommand(t *testing.T, stdin string, args ...string) (status int, out, errs string) {
 	t.Helper()
-	var o, e bytes.Buffer
-	status = run(t.Context(), args, strings.NewReader(stdin), &o, &e)
-	return status, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	status = run(t.Context(), args, strings.NewReader(stdin), &stdout, &stderr)
+	return status, stdout.String(), stderr.String()
 }
 
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
-	p := filepath.Join(t.TempDir(), name)
-	require.NoError(t, os.WriteFile(p, []byte(text), 0o600))
-	return p
+	path := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
 }
 
 const exampleJSON = `{"revision":3, "note":1.0,"routes":[{"name":"r","hostname":"h.example","path-prefix":"/","timeout-ms":5,"target-service":"s"}],"services":[{"name":"s"}]}`
@@ -131,11 +131,11 @@
 `
 
 func TestPutPatchAndGetConfig(t *testing.T) {
-	a := startAgent(t, &fakeAgent{})
-	t.Setenv("CHALKDOOR_AGENTS", a)
+	address := startAgent(t, &fakeAgent{})
+	t.Setenv("CHALKDOOR_AGENTS", address)
 	status, _, errs := runCommand(t, "", "config", "get")
 	assert.Equal(t, exitNotFound, status, errs)
-	status, out, errs := runCommand(t, "", "--agent", unreachableAddress(t), "--agent", a, "config", "put", writeFile(t, "c.json", exampleJSON), "--if-match", "0")
+	status, out, errs := runCommand(t, "", "--agent", unreachableAddress(t), "--agent", address, "config", "put", writeFile(t, "c.json", exampleJSON), "--if-match", "0")
 	require.Equal(t, exitOK, status, errs)
 	assert.Equal(t, "revision 3 is taken, on top of 0\n", out)
 	status, out, _ = runCommand(t, "", "config", "get")
@@ -155,10 +155,10 @@
 }
 
 func TestPutConvertsTOML(t *testing.T) {
-	reg := &fakeAgent{}
-	status, _, errs := runCommand(t, "", "--agent", startAgent(t, reg), "config", "put", writeFile(t, "c.toml", exampleTOML))
+	agent := &fakeAgent{}
+	status, _, errs := runCommand(t, "", "--agent", startAgent(t, agent), "config", "put", writeFile(t, "c.toml", exampleTOML))
 	require.Equal(t, exitOK, status, errs)
-	assert.JSONEq(t, `{"revision":3,"routes":[{"name":"r","hostname":"h.example","path-prefix":"/","timeout-ms":5,"gap_aim_ms":300,"target-service":"s"}],"services":[{"name":"s"}],"x.y":{"a.b":1.5}}`, string(reg.document.Raw()))
+	assert.JSONEq(t, `{"revision":3,"routes":[{"name":"r","hostname":"h.example","path-prefix":"/","timeout-ms":5,"gap_aim_ms":300,"target-service":"s"}],"services":[{"name":"s"}],"x.y":{"a.b":1.5}}`, string(agent.document.Raw()))
 	status, _, _ = runCommand(t, "", "config", "check", writeFile(t, "c.toml", "revision = ["))
 	assert.Equal(t, exitInvalid, status)
 	status, _, _ = runCommand(t, "", "config", "check", writeFile(t, "c.toml", exampleTOML+"bad = nan"))
@@ -166,9 +166,9 @@
 }
 
 func TestUnansweredSubmitIsRetried(t *testing.T) {
-	reg := &fakeAgent{unansweredSubmits: 1}
-	a := startAgent(t, reg)
-	status, out, errs := runCommand(t, "", "--agent", a, "--agent", a, "config", "put", writeFile(t, "c.json", exampleJSON))
+	agent := &fakeAgent{unansweredSubmits: 1}
+	address := startAgent(t, agent)
+	status, out, errs := runCommand(t, "", "--agent", address, "--agent", address, "config", "put", writeFile(t, "c.json", exampleJSON))
 	require.Equal(t, exitOK, status, errs)
 	assert.Equal(t, "revision 3 is taken, on top of 0\n", out)
 }
@@ -182,42 +182,42 @@
 }
 
 func TestCheckReportsKeyAndRemedy(t *testing.T) {
-	c := writeFile(t, "c.json", exampleJSON)
-	status, out, _ := runCommand(t, "", "config", "check", c)
+	path := writeFile(t, "c.json", exampleJSON)
+	status, out, _ := runCommand(t, "", "config", "check", path)
 	assert.Equal(t, exitOK, status)
-	assert.Equal(t, c+" is sound: revision 3, routes: 1, services: 1\n", out)
+	assert.Equal(t, path+" is sound: revision 3, routes: 1, services: 1\n", out)
 	status, out, _ = runCommand(t, exampleJSON, "--json", "config", "check", "-")
 	assert.Equal(t, exitOK, status)
 	assert.JSONEq(t, `{"revision":3,"routes":1,"services":1}`, out)
 	status, _, errs := runCommand(t, strings.Replace(exampleJSON, `"timeout-ms":5`, `"timeout-ms":0`, 1), "config", "check", "-")
 	assert.Equal(t, exitInvalid, status)
 	assert.Equal(t, "edgectl: -.routes.r.timeout-ms: it is 0; give more than 0\n", errs)
-	status, _, errs = runCommand(t, exampleJSON, "config", "check", "-", "--on", c)
+	status, _, errs = runCommand(t, exampleJSON, "config", "check", "-", "--on", path)
 	assert.Equal(t, exitInvalid, status)
 	assert.Contains(t, errs, "revision: it is 3 and the current one is 3; give a higher one")
-	status, _, _ = runCommand(t, `{"revision":9}`, "config", "check", "-", "--patch", "--on", c)
+	status, _, _ = runCommand(t, `{"revision":9}`, "config", "check", "-", "--patch", "--on", path)
 	assert.Equal(t, exitOK, status)
 
-	reg := &fakeAgent{}
-	a := startAgent(t, reg)
-	reg.Submit(t.Context(), false, 0, []byte(exampleJSON))
-	status, _, errs = runCommand(t, `{"revision":9}`, "--agent", a, "config", "check", "-", "--patch")
+	agent := &fakeAgent{}
+	address := startAgent(t, agent)
+	agent.Submit(t.Context(), false, 0, []byte(exampleJSON))
+	status, _, errs = runCommand(t, `{"revision":9}`, "--agent", address, "config", "check", "-", "--patch")
 	assert.Equal(t, exitOK, status, errs)
 }
 
 func TestInspectPrintsTables(t *testing.T) {
-	a := startAgent(t, &fakeAgent{})
-	status, out, errs := runCommand(t, "", "--agent", a, "members")
+	address := startAgent(t, &fakeAgent{})
+	status, out, errs := runCommand(t, "", "--agent", address, "members")
 	require.Equal(t, exitOK, status, errs)
 	assert.Equal(t, "age-ms  name     zones\n12      edge-1   \n3.5     edge?2?  a,b\n", out)
-	status, out, _ = runCommand(t, "", "--agent", a, "view")
+	status, out, _ = runCommand(t, "", "--agent", address, "view")
 	assert.Equal(t, exitOK, status)
 	assert.Equal(t, "chain   a,b\nnumber  3\nwhy     -\nat:\n  age-ms  4\nvoters:\n  disk\n  d1\n", out)
-	status, out, _ = runCommand(t, "", "--agent", a, "--json", "view")
+	status, out, _ = runCommand(t, "", "--agent", address, "--json", "view")
 	assert.Equal(t, exitOK, status)
 	assert.JSONEq(t, `{"number":3,"chain":["a","b"],"voters":[{"disk":"d1"}],"why":null,"at":{"age-ms":4}}`, out)
 
-	status, out, _ = runCommand(t, "", "--agent", a, "--agent", unreachableAddress(t), "--timeout", "100ms", "--json", "view", "--each")
+	status, out, _ = runCommand(t, "", "--agent", address, "--agent", unreachableAddress(t), "--timeout", "100ms", "--json", "view", "--each")
 	assert.Equal(t, exitUnavailable, status)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	require.Len(t, lines, 2)
@@ -226,21 +226,21 @@
 		View  map[string]any
 	}
 	require.NoError(t, json.Unmarshal([]byte(lines[0]), &first))
-	assert.Equal(t, a, first.Agent)
+	assert.Equal(t, address, first.Agent)
 	assert.Equal(t, 3.0, first.View["number"])
 	assert.Contains(t, lines[1], `"error":`)
-	status, out, _ = runCommand(t, "", "--agent", a, "view", "--each")
+	status, out, _ = runCommand(t, "", "--agent", address, "view", "--each")
 	assert.Equal(t, exitOK, status)
-	assert.True(t, strings.HasPrefix(out, "# "+a+"\nchain   a,b\n"), out)
+	assert.True(t, strings.HasPrefix(out, "# "+address+"\nchain   a,b\n"), out)
 }
 
 func TestVerifyState(t *testing.T) {
 	dir := t.TempDir()
 	status, out, errs := runCommand(t, "", "--json", "state", "verify", dir)
 	require.Equal(t, exitOK, status, errs)
-	var rep store.Report
-	require.NoError(t, json.Unmarshal([]byte(out), &rep))
-	assert.False(t, rep.Damaged)
+	var report store.Report
+	require.NoError(t, json.Unmarshal([]byte(out), &report))
+	assert.False(t, report.Damaged)
 	status, _, _ = runCommand(t, "", "state", "verify", filepath.Join(dir, "none"))
 	assert.Equal(t, exitUsage, status)
 }
@@ -261,7 +261,7 @@
 }
 
 func TestAgentsOfSettingsFile(t *testing.T) {
-	a := startAgent(t, &fakeAgent{})
+	address := startAgent(t, &fakeAgent{})
 	t.Setenv("CHALKDOOR_NODE_FILE", writeFile(t, "local.toml", fmt.Sprintf(`node-name = "n"
 ip = "127.0.0.1"
 zone = "z"
@@ -270,7 +270,7 @@
 seed-nodes = [%q]
 [listen]
 control = %q
-`, a, unreachableAddress(t))))
+`, address, unreachableAddress(t))))
 	status, out, errs := runCommand(t, "", "view")
 	assert.Equal(t, exitOK, status, errs)
 	assert.Contains(t, out, "number  3")
