--- a/internal/fleet/rollout/race_test.go
+++ b/internal/fleet/rollout/race_test.go
@@ -2,6 +2,6 @@
 
 package rollout
 
-// slow tells that each step costs ten times as much. All here is of one goroutine: what takes minutes
-// then is played in part or not at all.
-const slow = true
+// raceEnabled tells that each step costs ten times as much. All tests here use one goroutine: those
+// that would take minutes run in part or not at all.
+const raceEnabled = true
