--- a/internal/fleet/registry/late_test.go
+++ b/internal/fleet/registry/late_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
 // A server that deregisters and continues to serve and to send heartbeats: it is off the list at once
@@ -112,3 +114,121 @@
 	agent.call(fleet.now, ready("s", 0))
 	assert.True(t, agent.lists("s"))
 }
+
+// In whatever order the calls of a server, late ones too, and the deltas between two agents arrive: an
+// agent that knows of a drain or an end never lists the server again.
+func TestLateCallsUndoNoFinalState(t *testing.T) {
+	for name, calls := range map[string][]Instance{
+		"drain": {ready("s", 2), ready("s", 3), draining("s", 4)},
+		"leave": {ready("s", 2), ready("s", 3), {ID: "s", State: Deregistered}},
+		"both":  {ready("s", 2), draining("s", 3), {ID: "s", State: Deregistered}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			result := interleave.Explore(100, 1e6, func(run *interleave.Run) error { return newLateCalls(run, calls).play() })
+			require.NoError(t, result.Err, result.Trace)
+			assert.True(t, result.Exhausted, result.String())
+			t.Log(result)
+		})
+	}
+	result := interleave.Explore(100, 1e6, func(run *interleave.Run) error {
+		defective := newLateCalls(run, []Instance{ready("s", 2), draining("s", 3)})
+		defective.forgetful = true
+		return defective.play()
+	})
+	assert.Error(t, result.Err, "an agent that forgets final states is found")
+}
+
+// lateCalls is one order of the calls of server "s" to two agents, and of their replication.
+type lateCalls struct {
+	run       *interleave.Run
+	fleet     *testFleet
+	remaining []addressedCall
+	syncs     []int  // by agent: how often it is still sent what the other has
+	final     []bool // by agent: whether it knows of a final state
+	forgetful bool   // a seeded defect: agents forget final states
+}
+
+// addressedCall is a call of a server to one agent.
+type addressedCall struct {
+	instance Instance
+	to       int
+}
+
+func newLateCalls(run *interleave.Run, calls []Instance) *lateCalls {
+	l := &lateCalls{run: run, fleet: newTestFleet("a", "b"), syncs: []int{2, 1}, final: []bool{false, false}}
+	l.fleet.agents[0].call(l.fleet.now, ready("s", 1))
+	l.fleet.syncAll()
+	for _, instance := range calls {
+		l.remaining = append(l.remaining, addressedCall{instance, run.Choose(2)})
+	}
+	return l
+}
+
+// play performs all steps in the order that the run chooses, and returns an error if an agent lists the
+// server again.
+func (l *lateCalls) play() error {
+	for {
+		steps := l.enabledSteps()
+		if len(steps) == 0 {
+			break
+		}
+		steps[l.run.Choose(len(steps))]()
+		for i, agent := range l.fleet.agents {
+			agent.tick(l.fleet.now)
+			if l.final[i] && agent.lists("s") {
+				return fmt.Errorf("agent %d lists what it knew to end", i)
+			}
+		}
+	}
+	l.fleet.syncAll()
+	for i, agent := range l.fleet.agents {
+		if agent.lists("s") {
+			return fmt.Errorf("agent %d lists it at the end", i)
+		}
+	}
+	return nil
+}
+
+// enabledSteps returns the steps that may come next: any remaining call, and either agent's sync.
+func (l *lateCalls) enabledSteps() (steps []func()) {
+	for i := range l.remaining {
+		steps = append(steps, func() { l.deliver(i) })
+	}
+	for to := range l.syncs {
+		if l.syncs[to] > 0 {
+			steps = append(steps, func() { l.sync(to) })
+		}
+	}
+	return steps
+}
+
+func (l *lateCalls) deliver(i int) {
+	call := l.remaining[i]
+	l.remaining = append(l.remaining[:i:i], l.remaining[i+1:]...)
+	agent := l.fleet.agents[call.to]
+	agent.call(l.fleet.now, call.instance)
+	if call.instance.State == Ready {
+		return
+	}
+	l.final[call.to] = true
+	if l.forgetful {
+		delete(agent.entries, "s")
+		delete(agent.local, "s")
+	}
+}
+
+func (l *lateCalls) sync(to int) {
+	l.fleet.agents[to].syncFrom(l.fleet.now, l.fleet.agents[1-to])
+	l.final[to] = l.final[to] || l.final[1-to]
+	l.syncs[to]--
+}
+
+// A late call does not renew a server that sends no heartbeats.
+func TestLateCallIsNoHeartbeat(t *testing.T) {
+	fleet := newTestFleet("a")
+	agent := fleet.agents[0]
+	instance := ready("s", 0)
+	fleet.run(5*heartbeatInterval, fleet.heartbeats(agent, &instance))
+	fleet.run(10*heartbeatInterval, func() { agent.call(fleet.now, ready("s", 2)) })
+	assert.False(t, agent.lists("s"))
+}
--- /dev/null
+++ b/internal/fleet/registry/reports_test.go
@@ -0,0 +1,77 @@
+package registry
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// Servers from disk are listed until their next heartbeats are due, and all other reports supersede them.
+func TestRestore(t *testing.T) {
+	fleet := newTestFleet("a", "b")
+	agent := fleet.agents[0]
+	for _, s := range []string{"back", "dies", "drained"} {
+		instance := ready(s, 7)
+		require.True(t, agent.Restore(fleet.now, &instance))
+		require.False(t, agent.Restore(fleet.now, &instance), "it is known")
+		agent.publish(&instance)
+	}
+	agent.call(fleet.now, draining("drained", 9))
+	fleet.syncAll()
+	sendHeartbeats := ready("back", 8)
+	fleet.run(2*heartbeatInterval, func() { fleet.syncAll() })
+	assert.True(t, fleet.agents[1].lists("dies"), "two heartbeat intervals are a chance to call again")
+	each := fleet.heartbeats(agent, &sendHeartbeats)
+	fleet.run(2*heartbeatInterval, func() { each(); fleet.syncAll() })
+	for i, agent := range fleet.agents {
+		assert.True(t, agent.lists("back"), "%d", i)
+		assert.False(t, agent.lists("dies"), "%d", i)
+		assert.False(t, agent.lists("drained"), "%d", i)
+	}
+	instance := ready("back", 7)
+	assert.False(t, fleet.agents[1].Restore(fleet.now, &instance))
+}
+
+// It expires at the same age whenever the process started.
+func TestRestoredInstanceExpires(t *testing.T) {
+	for _, start := range []time.Duration{1, time.Second, time.Hour} {
+		t.Run(start.String(), func(t *testing.T) {
+			fleet := newTestFleet("a")
+			fleet.now = start
+			instance := ready("s", 7)
+			require.True(t, fleet.agents[0].Restore(fleet.now, &instance))
+			fleet.run(restoredHeartbeats*heartbeatInterval-tickInterval, nil)
+			assert.True(t, fleet.agents[0].lists("s"), "%v", start)
+			fleet.run(2*tickInterval, nil)
+			assert.False(t, fleet.agents[0].lists("s"), "%v", start)
+		})
+	}
+}
+
+// A new incarnation retains its servers, their homes and the final states that it reported.
+func TestRenameOwnSource(t *testing.T) {
+	fleet := newTestFleet("a", "b")
+	first, second := fleet.agents[0], fleet.agents[1]
+	first.call(fleet.now, ready("s", 1))
+	first.call(fleet.now, draining("d", 1))
+	fleet.syncAll()
+	first.startIncarnation(fleet.now)
+	update := first.store.OwnVersion()
+	first.call(fleet.now, ready("s", 2))
+	assert.Equal(t, update, first.store.OwnVersion(), "it is published already")
+	second.endSource(fleet.now, "a")
+	fleet.syncAll()
+	instance := ready("s", 2)
+	fleet.run(10*heartbeatInterval, fleet.heartbeats(first, &instance))
+	for _, agent := range fleet.agents {
+		assert.True(t, agent.lists("s"))
+		assert.False(t, agent.lists("d"))
+		assert.Len(t, agent.entries["s"].reports, 1)
+	}
+	assert.Equal(t, "a.1", first.entries["s"].owner)
+	assert.Equal(t, 1, first.LocalCount())
+	fleet.run(10*heartbeatInterval, fleet.syncAll)
+	assert.False(t, second.lists("s"))
+}
