--- a/internal/fleet/config/patch_test.go
+++ b/internal/fleet/config/patch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"strings"
 	"testing"
 
@@ -95,75 +96,77 @@
 	return out
 }
 
+// marshal encodes a value, half of the time indented.
+func marshal(t *rapid.T, value any) []byte {
+	raw, err := json.Marshal(value)
+	if rapid.Bool().Draw(t, "indented") {
+		raw, err = json.MarshalIndent(value, " ", "\t")
+	}
+	require.NoError(t, err)
+	return raw
+}
+
+// patchItems is the reference model of a patch: a list of items after some names were removed and some
+// items were upserted.
+func patchItems(current, upsert []map[string]any, remove []string) []any {
+	result := []any{}
+	for _, item := range current {
+		name := item["name"].(string)
+		if slices.Contains(remove, name) {
+			continue
+		}
+		if i := indexOfName(upsert, name); i >= 0 {
+			item = upsert[i]
+		}
+		result = append(result, item)
+	}
+	for _, item := range upsert {
+		name := item["name"].(string)
+		if indexOfName(current, name) < 0 || slices.Contains(remove, name) {
+			result = append(result, item)
+		}
+	}
+	return result
+}
+
+// indexOfName returns the index of the item of a name, -1 if there is none.
+func indexOfName(items []map[string]any, name string) int {
+	return slices.IndexFunc(items, func(item map[string]any) bool { return item["name"] == name })
+}
+
+// decodeAny returns a value as JSON has it.
+func decodeAny(t *rapid.T, value any) (decoded any) {
+	require.NoError(t, json.Unmarshal(marshal(t, value), &decoded))
+	return decoded
+}
+
 func TestPatchMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, put := items(t, "now"), items(t, "put")
-		drop := rapid.SliceOfN(rapid.StringMatching(`[a-z"\\ é]{1,3}`), 0, 4).Draw(t, "drop")
-		for _, it := range now {
-			if rapid.Bool().Draw(t, "drop it") {
-				drop = append(drop, it["name"].(string))
-			} else if rapid.Bool().Draw(t, "put it") && !containsName(put, it["name"].(string)) {
-				put = append(put, map[string]any{"name": it["name"], "new": true})
+		list, upsert := items(t, "list"), items(t, "upsert")
+		remove := rapid.SliceOfN(rapid.StringMatching(`[a-z"\\ é]{1,3}`), 0, 4).Draw(t, "remove")
+		for _, item := range list {
+			name := item["name"].(string)
+			if rapid.Bool().Draw(t, "remove it") {
+				remove = append(remove, name)
+			} else if rapid.Bool().Draw(t, "upsert it") && indexOfName(upsert, name) < 0 {
+				upsert = append(upsert, map[string]any{"name": name, "new": true})
 			}
 		}
-		marshal := func(v any) []byte { b, err := json.Marshal(v); require.NoError(t, err); return b }
-		current := marshal(map[string]any{"revision": 1, "routes": []any{}, "services": []any{}, "list": now, "else": items(t, "else")})
-		if rapid.Bool().Draw(t, "indented") {
-			var v any
-			require.NoError(t, json.Unmarshal(current, &v))
-			b, err := json.MarshalIndent(v, " ", "\t")
-			require.NoError(t, err)
-			current = b
-		}
-		next, rev, err := Apply(current, true, marshal(map[string]any{"revision": 2, "upsert": map[string]any{"list": put}, "remove": map[string]any{"list": drop}}))
+		current := marshal(t, map[string]any{"revision": 1, "routes": []any{}, "services": []any{}, "list": list, "else": items(t, "else")})
+		patch := marshal(t, map[string]any{"revision": 2, "upsert": map[string]any{"list": upsert}, "remove": map[string]any{"list": remove}})
+		next, revision, err := Apply(current, true, patch)
 		require.NoError(t, err)
-		require.Equal(t, int64(2), rev)
+		require.Equal(t, int64(2), revision)
 
-		var want []any
-		for _, it := range now {
-			name := it["name"].(string)
-			gone := false
-			for _, n := range drop {
-				gone = gone || n == name
-			}
-			if !gone {
-				for _, p := range put {
-					if p["name"] == name {
-						it = p
-					}
-				}
-				want = append(want, it)
-			}
-		}
-		for _, p := range put {
-			there := false
-			for _, w := range want {
-				there = there || w.(map[string]any)["name"] == p["name"]
-			}
-			if !there {
-				want = append(want, p)
-			}
-		}
 		var before, after map[string]any
 		require.NoError(t, json.Unmarshal(current, &before))
 		require.NoError(t, json.Unmarshal(next, &after))
 		before["revision"] = 2.0
-		wanted := []any{}
-		require.NoError(t, json.Unmarshal(marshal(append([]any{}, want...)), &wanted))
-		before["list"] = wanted
+		before["list"] = decodeAny(t, patchItems(list, upsert, remove))
 		require.Equal(t, before, after)
 	})
 }
 
-func containsName(all []map[string]any, name string) bool {
-	for _, it := range all {
-		if it["name"] == name {
-			return true
-		}
-	}
-	return false
-}
-
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(example), []byte(`{"revision":9,"upsert":{"routes":[{"name":"r-b"}]},"remove":{"routes":["r-a"]},"limits":{"idle-ms":1}}`))
 	f.Add([]byte(example), []byte(`{"revision":9,"upsert":{"a\"b":[],"quotas":{"x":1}},"remove":{"tenants":["t1"],"note":[]}}`))
--- a/internal/fleet/rpc/stream_test.go
+++ b/internal/fleet/rpc/stream_test.go
@@ -14,37 +14,52 @@
 
 var errRejected = errors.New("too loud")
 
-// Both sides of a stream send at any time, and either side ends it.
-func TestStreams(t *testing.T) {
+// uppercaseMux returns a mux whose call uppercase sends a greeting and then each text in upper case. It
+// reports how a stream ended unless the handler rejected it.
+func uppercaseMux(ended chan<- error) *Mux {
 	mux := NewMux()
-	ended := make(chan error, 1)
-	HandleStream(mux, "shout", func(stream *Stream[testResponse, testRequest]) (err error) {
-		defer func() {
-			if err != errRejected {
-				<-stream.Context().Done()
-				ended <- err
-			}
-		}()
-		if err := stream.Send(&testResponse{"welcome"}); err != nil {
+	HandleStream(mux, "uppercase", func(stream *Stream[testResponse, testRequest]) error {
+		err := answerInUppercase(stream)
+		if err != errRejected {
+			<-stream.Context().Done()
+			ended <- err
+		}
+		return err
+	})
+	return mux
+}
+
+func answerInUppercase(stream *Stream[testResponse, testRequest]) error {
+	if err := stream.Send(&testResponse{"welcome"}); err != nil {
+		return err
+	}
+	for {
+		request, err := stream.Recv()
+		if err != nil {
 			return err
 		}
-		for {
-			request, err := stream.Recv()
-			if err != nil {
-				return err
-			}
-			if request.Text == "fail" {
-				return errRejected
-			}
-			if err := stream.Send(&testResponse{strings.ToUpper(request.Text)}); err != nil {
-				return err
-			}
+		if request.Text == "fail" {
+			return errRejected
 		}
-	})
-	server := startServer(t, mux)
-	open := func() (*Stream[testRequest, testResponse], func()) {
-		stream, closeStream, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), server.address, "shout")
-		require.NoError(t, err)
+		if err := stream.Send(&testResponse{strings.ToUpper(request.Text)}); err != nil {
+			return err
+		}
+	}
+}
+
+func openTestStream(t *testing.T, address, name string) (stream *Stream[testRequest, testResponse], closeStream func()) {
+	t.Helper()
+	stream, closeStream, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), address, name)
+	require.NoError(t, err, "a stream opens without an answer")
+	return stream, closeStream
+}
+
+// Both sides of a stream send at any time, and either side ends it.
+func TestStreams(t *testing.T) {
+	ended := make(chan error, 1)
+	server := startServer(t, uppercaseMux(ended))
+	open := func(t *testing.T) (*Stream[testRequest, testResponse], func()) {
+		stream, closeStream := openTestStream(t, server.address, "uppercase")
 		require.NoError(t, stream.Send(&testRequest{Text: "a"}))
 		for _, want := range []string{"welcome", "A"} {
 			response, err := stream.Recv()
@@ -53,72 +68,79 @@
 		}
 		return stream, closeStream
 	}
-	stream, closeStream := open()
-	closeStream()
-	require.Error(t, <-ended)
-	_, err := stream.Recv()
-	require.Error(t, err)
-
-	stream, closeStream = open()
-	stream.Close()
-	require.Error(t, <-ended)
-	closeStream()
-
-	stream, closeStream = open()
-	defer closeStream()
-	require.NoError(t, stream.Send(&testRequest{Text: "fail"}))
-	_, err = stream.Recv()
-	require.Error(t, err)
-	assert.Contains(t, err.Error(), "too loud")
-
-	stream, closeStream, err = OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), server.address, "other")
-	require.NoError(t, err)
-	defer closeStream()
-	_, err = stream.Recv()
-	assert.ErrorIs(t, err, ErrUnknownMethod)
+	t.Run("the connection is closed", func(t *testing.T) {
+		stream, closeStream := open(t)
+		closeStream()
+		require.Error(t, <-ended)
+		_, err := stream.Recv()
+		require.Error(t, err)
+	})
+	t.Run("the stream is closed", func(t *testing.T) {
+		stream, closeStream := open(t)
+		stream.Close()
+		require.Error(t, <-ended)
+		closeStream()
+	})
+	t.Run("the handler returns an error", func(t *testing.T) {
+		stream, closeStream := open(t)
+		defer closeStream()
+		require.NoError(t, stream.Send(&testRequest{Text: "fail"}))
+		_, err := stream.Recv()
+		require.Error(t, err)
+		assert.Contains(t, err.Error(), "too loud")
+	})
+	t.Run("the call is unknown", func(t *testing.T) {
+		stream, closeStream := openTestStream(t, server.address, "other")
+		defer closeStream()
+		_, err := stream.Recv()
+		assert.ErrorIs(t, err, ErrUnknownMethod)
+	})
 }
 
 // Close ends a stream at once, also while a Send is blocked by a peer that does not read.
 func TestCloseDuringBlockedSend(t *testing.T) {
-	big := &testResponse{strings.Repeat("x", 8<<20)}
+	large := &testResponse{strings.Repeat("x", 8<<20)}
 	mux := NewMux()
 	sending := make(chan func() error, 1)
 	sent := make(chan error, 1)
 	HandleStream(mux, "flood", func(stream *Stream[testResponse, testRequest]) error {
 		sending <- stream.Close
-		err := stream.Send(big)
+		err := stream.Send(large)
 		sent <- err
 		return err
 	})
 	server := startServer(t, mux)
-	stream, closeStream, err := OpenStream[testRequest, testResponse](timeoutContext(t, 20*time.Second), server.address, "flood")
-	require.NoError(t, err)
+	stream, closeStream := openTestStream(t, server.address, "flood")
 	defer closeStream()
 	require.NoError(t, stream.Send(&testRequest{}))
-	stop := <-sending
-	// The receiver buffers one message only, as Recv is not called.
+	closeByHandler := <-sending
+	// The caller buffers one message only, as it does not call Recv.
 	begin := time.Now()
 	closed := make(chan struct{})
-	go func() { stop(); close(closed) }()
+	go func() { closeByHandler(); close(closed) }()
 	<-closed
 	require.Error(t, <-sent)
 	assert.Less(t, time.Since(begin), tcpUserTimeout/2, "before the kernel times out")
+}
 
-	// The same on the side that opened the stream.
+// The same on the side that opened the stream.
+func TestCloseDuringBlockedSendOfCaller(t *testing.T) {
+	large := &testResponse{strings.Repeat("x", 8<<20)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	upload, closeUpload, err := OpenStream[testResponse, testRequest](timeoutContext(t, 20*time.Second), listener.Addr().String(), "flood")
+	stream, closeStream, err := OpenStream[testResponse, testRequest](timeoutContext(t, 20*time.Second), listener.Addr().String(), "flood")
 	require.NoError(t, err)
-	defer closeUpload()
-	go func() { sent <- upload.Send(big) }()
+	defer closeStream()
+	sent := make(chan error, 1)
+	go func() { sent <- stream.Send(large) }()
 	conn, err := listener.Accept()
 	require.NoError(t, err)
 	defer conn.Close()
 	_, err = io.ReadFull(conn, make([]byte, 64<<10)) // the message is being sent
 	require.NoError(t, err)
-	begin = time.Now()
-	upload.Close()
+	begin := time.Now()
+	stream.Close()
 	require.Error(t, <-sent)
 	assert.Less(t, time.Since(begin), tcpUserTimeout/2)
 }
