--- a/cmd/controlsim/hunt.go
+++ b/cmd/controlsim/hunt.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// progressInterval is the pause between two lines of progress.
+	// progressInterval is the pause between two progress lines.
 	progressInterval = 10 * time.Second
-	// maxPrinted bounds the violations that are printed of one play: the log has all.
+	// maxPrinted bounds the violations that are printed of one run: the log of a replay has all.
 	maxPrinted = 3
-	// maxLineBytes bounds a worker's line: the log of a run and some more.
+	// maxLineBytes bounds a worker's line, which has the log of a failed run.
 	maxLineBytes = 64 << 20
 )
 
@@ -36,18 +36,18 @@
 	Jobs    int     `name:"jobs" default:"4" help:"Runs at once, a process each."`
 }
 
-// tally sums up the runs of a point.
+// tally sums up the runs of a scenario.
 type tally struct {
-	runs, broken, updates, reads, drains, calls int
+	runs, failed, updates, reads, drains, calls int
 	elapsed, virtualTime                        time.Duration
 }
 
-// hunt is a hunt under way.
+// hunt runs many seeds in worker processes and collects their reports.
 type hunt struct {
 	out     io.Writer
 	mu      sync.Mutex
-	tallies [controlsim.ScenarioCount + 1]tally
-	failed  bool
+	tallies [controlsim.ScenarioCount + 1]tally // by the number of the scenario
+	failed  bool                                // a guarantee was violated, or a worker failed
 }
 
 func (c *huntCmd) Run() error {
@@ -73,20 +73,20 @@
 	reporter.Wait()
 	h.printSummary()
 	if h.failed {
-		return errors.New("a promise was broken, or a worker failed")
+		return errors.New("a guarantee was violated, or a worker failed")
 	}
 	return nil
 }
 
-// runWorker plays a share of the seeds in a process of its own.
+// runWorker runs a share of the seeds in a process of its own: simulations of one process can't run concurrently.
 func (h *hunt) runWorker(ctx context.Context, c *huntCmd, index, jobs int) error {
 	self, err := os.Executable()
 	if err != nil {
 		return errors.Wrap(err, "find the program")
 	}
-	u := func(n uint64) string { return strconv.FormatUint(n, 10) }
-	cmd := exec.CommandContext(ctx, self, "work", "--point", c.Point, "--first", u(c.First+uint64(index)), "--step", strconv.Itoa(jobs),
-		"--end", u(c.First+c.Seeds), "--minutes", time.Duration(c.Minutes*float64(time.Minute)).String())
+	formatUint := func(n uint64) string { return strconv.FormatUint(n, 10) }
+	cmd := exec.CommandContext(ctx, self, "work", "--point", c.Point, "--first", formatUint(c.First+uint64(index)), "--step", strconv.Itoa(jobs),
+		"--end", formatUint(c.First+c.Seeds), "--minutes", time.Duration(c.Minutes*float64(time.Minute)).String())
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -95,54 +95,55 @@
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start a worker")
 	}
-	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, maxLineBytes)
-	for lines.Scan() {
-		var p controlsim.Report
-		if json.Unmarshal(lines.Bytes(), &p) == nil && p.Point > 0 && p.Point <= controlsim.ScenarioCount {
-			h.add(&p)
-		} else if text := lines.Text(); text != "PASS" {
+	reports := bufio.NewScanner(out)
+	reports.Buffer(nil, maxLineBytes)
+	for reports.Scan() {
+		var report controlsim.Report
+		if json.Unmarshal(reports.Bytes(), &report) == nil && report.Scenario > 0 && report.Scenario <= controlsim.ScenarioCount {
+			h.add(&report)
+		} else if text := reports.Text(); text != "PASS" {
 			fmt.Fprintln(os.Stderr, text)
 		}
 	}
 	if err := cmd.Wait(); err != nil {
 		return errors.Wrapf(err, "worker %d", index)
 	}
-	if err := lines.Err(); err != nil {
+	if err := reports.Err(); err != nil {
 		return errors.Wrap(err, "read from a worker")
 	}
 	return nil
 }
 
-// add adds a run, and prints what it broke.
-func (h *hunt) add(p *controlsim.Report) {
+// add adds the report of a run, and prints the violations and the faults that suffice for them.
+func (h *hunt) add(report *controlsim.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t := &h.tallies[p.Point]
+	t := &h.tallies[report.Scenario]
 	t.runs++
-	t.updates += p.Result.Updates
-	t.reads += p.Result.Reads
-	t.drains += p.Result.Drains
-	t.calls += p.Result.Calls
-	t.elapsed += p.Elapsed
-	t.virtualTime += p.Result.VirtualTime
-	if len(p.Result.Violations) == 0 {
+	t.updates += report.Result.Updates
+	t.reads += report.Result.Reads
+	t.drains += report.Result.Drains
+	t.calls += report.Result.Calls
+	t.elapsed += report.Elapsed
+	t.virtualTime += report.Result.VirtualTime
+	if len(report.Result.Violations) == 0 {
 		return
 	}
-	t.broken++
+	t.failed++
 	h.failed = true
-	for _, v := range p.Result.Violations[:min(maxPrinted, len(p.Result.Violations))] {
-		fmt.Fprintf(h.out, "point %d %v\n", p.Point, v)
+	for _, v := range report.Result.Violations[:min(maxPrinted, len(report.Result.Violations))] {
+		fmt.Fprintf(h.out, "point %d %v\n", report.Scenario, v)
 	}
-	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", p.Point, p.Seed, len(p.MinimalFaults), p.FaultCount)
-	for _, f := range p.MinimalFaults {
+	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", report.Scenario, report.Seed, len(report.MinimalFaults), report.FaultCount)
+	for _, f := range report.MinimalFaults {
 		fmt.Fprintf(h.out, "  %v\n", f)
 	}
-	for _, v := range p.MinimalResult.Violations[:min(maxPrinted, len(p.MinimalResult.Violations))] {
+	for _, v := range report.MinimalResult.Violations[:min(maxPrinted, len(report.MinimalResult.Violations))] {
 		fmt.Fprintf(h.out, "  breaks: %v\n", v)
 	}
 }
 
+// fail records and prints the failure of a worker.
 func (h *hunt) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,11 +151,11 @@
 	fmt.Fprintln(h.out, err)
 }
 
-// reportProgress tells now and then how far the hunt is.
+// reportProgress prints the progress to standard error until ctx ends.
 func (h *hunt) reportProgress(ctx context.Context) {
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
-	begun := time.Now()
+	startedAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -162,21 +163,21 @@
 		case <-tick.C:
 		}
 		h.mu.Lock()
-		runs, broken := 0, 0
+		runs, failed := 0, 0
 		for _, t := range h.tallies {
-			runs, broken = runs+t.runs, broken+t.broken
+			runs, failed = runs+t.runs, failed+t.failed
 		}
-		fmt.Fprintf(os.Stderr, "%v: %d runs, %d broke a promise\n", time.Since(begun).Round(time.Second), runs, broken)
+		fmt.Fprintf(os.Stderr, "%v: %d runs, %d violated a guarantee\n", time.Since(startedAt).Round(time.Second), runs, failed)
 		h.mu.Unlock()
 	}
 }
 
-// printSummary prints the summary by point.
+// printSummary prints a line for each scenario that was run.
 func (h *hunt) printSummary() {
 	fmt.Fprintln(h.out, "point  runs  broken  orders  reads  drains  calls  virtual  played")
 	for point, t := range h.tallies {
 		if t.runs > 0 {
-			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.broken, t.updates, t.reads, t.drains, t.calls,
+			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.failed, t.updates, t.reads, t.drains, t.calls,
 				t.virtualTime.Round(time.Second), t.elapsed.Round(time.Second))
 		}
 	}
--- a/cmd/controlsim/main.go
+++ b/cmd/controlsim/main.go
@@ -1,5 +1,5 @@
-// Command controlsim plays control sides in virtual time from seeds and looks for broken promises:
-// see internal/testbed/controlsim.
+// Command controlsim simulates control planes in virtual time, driven by seeds, and searches for violated guarantees:
+// see internal/testbed/controlsim. The flags call a scenario a point.
 package main
 
 import (
@@ -32,9 +32,9 @@
 
 func (c *replayCmd) Run() error {
 	return runInTest(func(t *testing.T) {
-		broken, err := controlsim.Replay(t, c.Point, c.Seed, os.Stdout)
-		if err != nil || broken {
-			t.Errorf("a promise was broken, or the log could not be written: %v", err)
+		violated, err := controlsim.Replay(t, c.Point, c.Seed, os.Stdout)
+		if err != nil || violated {
+			t.Errorf("a guarantee was violated, or the log could not be written: %v", err)
 		}
 	})
 }
@@ -48,22 +48,22 @@
 }
 
 func (c *workCmd) Run() error {
-	list, err := parseScenarios(c.Point)
+	scenarios, err := parseScenarios(c.Point)
 	if err != nil {
 		return err
 	}
-	w := controlsim.Worker{Points: list, First: c.First, Step: max(1, c.Step), End: c.End}
+	worker := controlsim.Worker{Scenarios: scenarios, First: c.First, Step: max(1, c.Step), End: c.End}
 	if c.Minutes > 0 {
-		w.Deadline = time.Now().Add(c.Minutes)
+		worker.Deadline = time.Now().Add(c.Minutes)
 	}
 	return runInTest(func(t *testing.T) {
-		if err := w.Run(t, os.Stdout); err != nil {
+		if err := worker.Run(t, os.Stdout); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// parseScenarios are the points that a flag names.
+// parseScenarios returns the numbers of the scenarios that a flag names.
 func parseScenarios(text string) ([]int, error) {
 	if text == "all" {
 		var all []int
@@ -79,11 +79,12 @@
 	return []int{p}, nil
 }
 
-// runInTest runs a function as a test, which virtual time asks for, and ends the process by its result.
+// runInTest runs a function as a test, because testing/synctest needs one. It ends the process with the status of the
+// test and does not return.
 func runInTest(fn func(*testing.T)) error {
-	os.Args = os.Args[:1] // the arguments are not the test's
-	any := func(string, string) (bool, error) { return true, nil }
-	testing.Main(any, []testing.InternalTest{{Name: "controlsim", F: fn}}, nil, nil)
+	os.Args = os.Args[:1] // the flags are not those of the test
+	matchAny := func(string, string) (bool, error) { return true, nil }
+	testing.Main(matchAny, []testing.InternalTest{{Name: "controlsim", F: fn}}, nil, nil)
 	return nil
 }
 
--- a/internal/testbed/controlsim/checker.go
+++ b/internal/testbed/controlsim/checker.go
@@ -14,14 +14,28 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// maxViolations bounds what one run reports.
-const maxViolations = 16
+const (
+	// maxViolations bounds the violations that one run reports.
+	maxViolations = 16
+	// propagationTimeout is how long after its acknowledgement an update, or a drain, is known to every process of a
+	// healthy machine.
+	propagationTimeout = 2 * time.Second
+	// healthyPeriod is how long a machine has been without faults to count as healthy.
+	healthyPeriod = 4 * time.Second
+	// updateAckTimeout is how long an update may take while the core is stable.
+	updateAckTimeout = 4 * time.Second
+	// stablePeriod is how long before the update no fault has begun or ended if the core counts as stable.
+	stablePeriod = 4 * time.Second
+	// neverReturned is the return time, in nanoseconds, of an update with unknown outcome: it may take effect at any
+	// later time.
+	neverReturned = 1 << 60
+)
 
-// Violation is a broken promise.
+// Violation is a violated guarantee of the control plane.
 type Violation struct {
 	Seed    uint64
-	At      time.Duration // of the run
-	Machine string
+	At      time.Duration // virtual time since the start of the run
+	Machine string        // its name, or the part of the fleet that is concerned
 	What    string
 }
 
@@ -29,189 +43,191 @@
 	return fmt.Sprintf("seed %d at %v, %s: %s", v.Seed, v.At, v.Machine, v.What)
 }
 
-// checker holds the run to what the control side promises.
+// checker checks a run against the guarantees of the control plane. Its methods may be called concurrently.
 type checker struct {
 	sim *simulation
 
 	mu            sync.Mutex
 	violations    []Violation
 	history       []porcupine.Operation
-	views         map[uint64]view.View
-	configs       map[uint64]string // what the configuration of a sequence number says
-	ackedRevision int64             // highest revision that was acknowledged
-	updates       int
-	reads         int
-	drains        int
-	calls         int // between processes that were answered
+	views         map[uint64]view.View // by number
+	configs       map[uint64]string    // id of the update, by the sequence number of its configuration
+	ackedRevision int64                // highest revision that was acknowledged
+	updates       int                  // committed
+	reads         int                  // answered
+	drains        int                  // acknowledged
+	calls         int                  // echo calls that were answered
 }
 
-const (
-	// propagationTimeout is how long after its acknowledgement a change, or a drain, is known at every
-	// machine in touch; healthyPeriod is how long a machine was in no fault to be counted as that.
-	propagationTimeout, healthyPeriod = 2 * time.Second, 4 * time.Second
-	// updateAckTimeout is how long an order may take while the core is stable: no fault begins or ends for
-	// stablePeriod before it and meanwhile.
-	updateAckTimeout, stablePeriod = 4 * time.Second, 4 * time.Second
-)
-
-func newChecker(r *simulation) *checker {
-	return &checker{sim: r, views: map[uint64]view.View{}, configs: map[uint64]string{}}
+func newChecker(s *simulation) *checker {
+	return &checker{sim: s, views: map[uint64]view.View{}, configs: map[uint64]string{}}
 }
 
-func (f *checker) reportViolation(machine, format string, args ...any) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.reportViolationLocked(machine, format, args...)
+func (c *checker) reportViolation(machine, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportViolationLocked(machine, format, args...)
 }
 
-func (f *checker) reportViolationLocked(machine, format string, args ...any) {
-	v := Violation{Seed: f.sim.scenario.seed, At: f.sim.elapsed(), Machine: machine, What: fmt.Sprintf(format, args...)}
-	f.sim.logEvent("VIOLATION %s: %s", v.Machine, v.What)
-	if len(f.violations) < maxViolations {
-		f.violations = append(f.violations, v)
+func (c *checker) reportViolationLocked(machine, format string, args ...any) {
+	v := Violation{Seed: c.sim.scenario.seed, At: c.sim.elapsed(), Machine: machine, What: fmt.Sprintf(format, args...)}
+	c.sim.logEvent("VIOLATION %s: %s", v.Machine, v.What)
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, v)
 	}
 }
 
-// viewLearned takes that a process has learned a view: there is one of each number.
-func (f *checker) viewLearned(p *process, v view.View) {
+// viewLearned checks a view that a process has learned: all processes learn the same view under one number.
+func (c *checker) viewLearned(p *process, v view.View) {
 	if p.ended.Load() {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known, is := f.views[v.Number]
-	if !is {
-		f.views[v.Number] = v.Clone()
-		f.sim.logEvent("view %d: %s", v.Number, f.sim.describeView(v))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known, ok := c.views[v.Number]
+	if !ok {
+		c.views[v.Number] = v.Clone()
+		c.sim.logEvent("view %d: %s", v.Number, c.sim.describeView(v))
 		return
 	}
 	if !known.Equal(v) {
-		f.reportViolationLocked(p.machine.name, "view %d is %s here and %s elsewhere", v.Number, f.sim.describeView(v), f.sim.describeView(known))
+		c.reportViolationLocked(p.machine.name, "view %d is %s here and %s elsewhere", v.Number, c.sim.describeView(v), c.sim.describeView(known))
 	}
 }
 
-// configApplied takes that a process goes by a configuration: never by an older one than before, and by the
-// same one as the others under one number.
-func (f *checker) configApplied(p *process, s *relay.Snapshot) {
+// configApplied checks the configuration that a process has applied: it is never older than the one before, and
+// all processes apply the same configuration under one sequence number.
+func (c *checker) configApplied(p *process, snapshot *relay.Snapshot) {
 	if p.ended.Load() {
 		return
 	}
-	before := p.snapshot.Swap(s)
-	if before != nil && before.ConfigSeq == s.ConfigSeq {
+	previous := p.snapshot.Swap(snapshot)
+	if previous != nil && previous.ConfigSeq == snapshot.ConfigSeq {
 		return
 	}
-	if before != nil && s.ConfigSeq < before.ConfigSeq {
-		f.reportViolation(p.machine.name, "goes back from configuration %d to %d", before.ConfigSeq, s.ConfigSeq)
+	if previous != nil && snapshot.ConfigSeq < previous.ConfigSeq {
+		c.reportViolation(p.machine.name, "goes back from configuration %d to %d", previous.ConfigSeq, snapshot.ConfigSeq)
 	}
-	if s.Config == nil {
+	if snapshot.Config == nil {
 		return
 	}
-	id := operationID(s.Config.Raw())
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if known, is := f.configs[s.ConfigSeq]; is && known != id {
-		f.reportViolationLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", s.ConfigSeq, id, known)
+	id := updateID(snapshot.Config.Raw())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if known, ok := c.configs[snapshot.ConfigSeq]; ok && known != id {
+		c.reportViolationLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", snapshot.ConfigSeq, id, known)
 	}
-	f.configs[s.ConfigSeq] = id
-	f.sim.logEvent("%s goes by configuration %d, revision %d", p.machine.name, s.ConfigSeq, s.Config.Revision)
+	c.configs[snapshot.ConfigSeq] = id
+	c.sim.logEvent("%s applies configuration %d, revision %d", p.machine.name, snapshot.ConfigSeq, snapshot.Config.Revision)
 }
 
-// checkHistory tells whether the history is one of a register.
-func (f *checker) checkHistory() {
-	f.mu.Lock()
-	history := slices.Clone(f.history)
-	f.mu.Unlock()
+// checkHistory checks that the operators' updates and reads are linearizable.
+func (c *checker) checkHistory() {
+	c.mu.Lock()
+	history := slices.Clone(c.history)
+	c.mu.Unlock()
 	if !porcupine.CheckOperations(registerModel.ToModel(), history) {
-		f.reportViolation("operators", "the history of %d orders and reads is not linearizable", len(history))
+		c.reportViolation("operators", "the history of %d updates and reads is not linearizable", len(history))
 	}
 }
 
-// recordOperation takes one order or read with its answer.
-func (f *checker) recordOperation(operator int, input any, out response, called time.Duration) {
-	op := porcupine.Operation{ClientId: operator, Input: input, Call: int64(called), Output: out, Return: int64(f.sim.elapsed())}
-	if out.outcome == chain.OutcomeUnknown {
-		op.Return = 1 << 60 // it may be taken at any later time
+// recordOperation adds an update or a read, called at a virtual time and returning now, to the history.
+func (c *checker) recordOperation(operator int, input any, output response, calledAt time.Duration) {
+	op := porcupine.Operation{ClientId: operator, Input: input, Call: int64(calledAt), Output: output, Return: int64(c.sim.elapsed())}
+	if output.outcome == chain.OutcomeUnknown {
+		op.Return = neverReturned
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.history = append(f.history, op)
-	if in, isOrder := input.(updateInput); !isOrder {
-		f.reads++
-	} else if out.outcome == chain.OutcomeCommitted {
-		f.updates++
-		f.ackedRevision = max(f.ackedRevision, in.revision)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.history = append(c.history, op)
+	if update, isUpdate := input.(updateInput); !isUpdate {
+		c.reads++
+	} else if output.outcome == chain.OutcomeCommitted {
+		c.updates++
+		c.ackedRevision = max(c.ackedRevision, update.revision)
 	}
 }
 
-// updateCompleted takes that an operator has the last answer to an order.
-func (f *checker) updateCompleted(in updateInput, out response, called time.Duration) {
-	switch took := f.sim.elapsed() - called; {
-	case out.outcome == chain.OutcomeCommitted:
-		f.checkReplicas(in.revision)
-		f.checkLater(propagationTimeout, func(acked time.Time) { f.checkPropagated(in.revision, acked) })
-	case out.outcome == chain.OutcomeUnknown && took >= updateAckTimeout && f.sim.stableBetween(called-stablePeriod, called+updateAckTimeout):
-		f.reportViolation("operators", "order %s was not answered within %v of a stable core", in.id, took)
+// updateCompleted checks an update after its last attempt: a committed one is replicated and soon propagated, and
+// the outcome is known while the core is stable.
+func (c *checker) updateCompleted(update updateInput, output response, calledAt time.Duration) {
+	elapsed := c.sim.elapsed() - calledAt
+	switch {
+	case output.outcome == chain.OutcomeCommitted:
+		c.checkReplicas(update.revision)
+		c.checkLater(propagationTimeout, func(acked time.Time) { c.checkPropagated(update.revision, acked) })
+	case output.outcome == chain.OutcomeUnknown && elapsed >= updateAckTimeout &&
+		c.sim.stableBetween(calledAt-stablePeriod, calledAt+updateAckTimeout):
+		c.reportViolation("operators", "update %s was not answered within %v of a stable core", update.id, elapsed)
 	}
 }
 
-// checkReplicas counts the disks that hold a change when it is acknowledged.
-func (f *checker) checkReplicas(revision int64) {
-	if f.sim.diskLostSince(time.Now().Add(-healthyPeriod)) {
-		return // a copy of it may have been on that disk
+// checkReplicas checks that enough disks have an update when it is acknowledged.
+func (c *checker) checkReplicas(revision int64) {
+	if c.sim.diskLostSince(time.Now().Add(-healthyPeriod)) {
+		return // a replica may have been on that disk
 	}
-	copies := 0
-	for _, m := range f.sim.coreMachines() {
+	replicas := 0
+	for _, m := range c.sim.coreMachines() {
 		state, err := controlplane.InspectRecords(m.media.read)
 		if err != nil {
-			f.reportViolation(m.name, "%v", err)
+			c.reportViolation(m.name, "%v", err)
 		} else if state.Record.Value.Revision >= revision {
-			copies++
+			replicas++
 		}
 	}
-	if floor := f.sim.newestView().RequiredSpread(view.Tolerance{Machines: f.sim.scenario.toleratedLosses}).Machines; copies < floor {
-		f.reportViolation("core", "revision %d is acknowledged with %d copies, not %d", revision, copies, floor)
+	tolerance := view.Tolerance{Machines: c.sim.scenario.toleratedLosses}
+	if required := c.sim.newestView().RequiredSpread(tolerance).Machines; replicas < required {
+		c.reportViolation("core", "revision %d is acknowledged with %d replicas, not %d", revision, replicas, required)
 	}
 }
 
-// checkLater calls a check after a time, unless the run ends before.
-func (f *checker) checkLater(wait time.Duration, check func(since time.Time)) {
+// checkLater calls a check after a delay, unless the run ends before. The check gets the present time.
+func (c *checker) checkLater(delay time.Duration, check func(since time.Time)) {
 	since := time.Now()
-	f.sim.checks.Go(func() {
-		if sleep(f.sim.checking, wait); f.sim.checking.Err() == nil {
+	c.sim.checks.Go(func() {
+		if sleep(c.sim.checking, delay); c.sim.checking.Err() == nil {
 			check(since)
 		}
 	})
 }
 
-// checkPropagated looks for machines in touch that go by an older configuration than an acknowledged one.
-func (f *checker) checkPropagated(revision int64, acked time.Time) {
-	for _, p := range f.sim.healthySince(acked.Add(-healthyPeriod)) {
+// checkPropagated checks that the healthy machines have applied an acknowledged revision.
+func (c *checker) checkPropagated(revision int64, acked time.Time) {
+	for _, p := range c.sim.healthySince(acked.Add(-healthyPeriod)) {
 		if s := p.snapshot.Load(); s == nil || s.Config == nil || s.Config.Revision < revision {
-			f.reportViolation(p.machine.name, "revision %d is not in force %v after its acknowledgement", revision, propagationTimeout)
+			c.reportViolation(p.machine.name, "revision %d is not in force %v after its acknowledgement", revision, propagationTimeout)
 		}
 	}
 }
 
-// drainAcknowledged takes that a drain was acknowledged.
-func (f *checker) drainAcknowledged(id string) {
-	f.mu.Lock()
-	f.drains++
-	f.mu.Unlock()
-	f.sim.logEvent("%s is answered that it drains", id)
-	f.checkLater(propagationTimeout, func(acked time.Time) {
-		for _, p := range f.sim.healthySince(acked.Add(-healthyPeriod)) {
+// drainAcknowledged counts an acknowledged drain, and checks later that the healthy machines know of it.
+func (c *checker) drainAcknowledged(id string) {
+	c.mu.Lock()
+	c.drains++
+	c.mu.Unlock()
+	c.sim.logEvent("the drain of %s is acknowledged", id)
+	c.checkLater(propagationTimeout, func(acked time.Time) {
+		for _, p := range c.sim.healthySince(acked.Add(-healthyPeriod)) {
 			if s := p.snapshot.Load(); s != nil && s.Servers != nil && s.Servers.ByID[id] != nil {
-				f.reportViolation(p.machine.name, "%s is listed %v after its drain was acknowledged", id, propagationTimeout)
+				c.reportViolation(p.machine.name, "%s is listed %v after its drain was acknowledged", id, propagationTimeout)
 			}
 		}
 	})
 }
 
-// callCompleted counts the calls between processes.
-func (f *checker) callCompleted(answered bool) {
+// callCompleted counts the answered echo calls.
+func (c *checker) callCompleted(answered bool) {
 	if answered {
-		f.mu.Lock()
-		f.calls++
-		f.mu.Unlock()
+		c.mu.Lock()
+		c.calls++
+		c.mu.Unlock()
 	}
 }
+
+// highestAckedRevision is the highest revision that was acknowledged to an operator.
+func (c *checker) highestAckedRevision() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ackedRevision
+}
--- a/internal/testbed/controlsim/conn.go
+++ b/internal/testbed/controlsim/conn.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// segment is a part of a stream on its way.
+// segment is a part of a stream in flight.
 type segment struct {
 	data []byte
-	due  time.Time
-	fin  bool
+	due  time.Time // when it arrives over an open link
+	fin  bool      // the end of the stream
 }
 
-// conn is one end of a connection. Its fields belong to the network's lock.
+// conn is one end of a connection. It implements net.Conn without deadlines. Its fields are guarded by the network's
+// lock, which is the lock of cond, too.
 type conn struct {
 	network       *network
 	local, remote *host
 	peer          *conn
 	cond          *sync.Cond
 
-	inFlight      []segment // on their way to the peer
-	inFlightBytes int       // bytes of them
-	linkFreeAt    time.Time // when the link has sent all of them
-	unackedSince  time.Time // since when sent bytes are not acknowledged; zero: all are
-	lastReceived  time.Time // when something last came in
+	inFlight      []segment // to the peer, in order
+	inFlightBytes int       // their size
+	linkFreeAt    time.Time // when the link has transmitted all of them
+	unackedSince  time.Time // since when sent bytes are unacknowledged; zero: none are
+	lastReceived  time.Time // when a segment last arrived
 
 	received    []byte // not read yet
-	receivedFIN bool   // the peer's end of the stream has arrived
-	err         error  // broken, or closed here
-	closed      bool   // by its own process
+	receivedFIN bool   // the peer has closed its end, and its last byte has arrived
+	err         error  // why this end is broken or closed; nil: it is open
+	closed      bool   // by its process
 }
 
-// Read waits for bytes.
+// Read waits for bytes, the end of the stream or an error.
 func (c *conn) Read(b []byte) (int, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -58,51 +59,51 @@
 	}
 }
 
-// waitLocked waits for a change of the connection, or for the end of a freeze.
+// waitLocked waits for a change of the connection, or for the end of a pause. It releases the lock meanwhile.
 func (c *conn) waitLocked() {
 	if !c.local.paused {
 		c.cond.Wait()
 		return
 	}
-	thawed := c.local.resumed
+	resumed := c.local.resumed
 	c.network.mu.Unlock()
-	<-thawed
+	<-resumed
 	c.network.mu.Lock()
 }
 
-// Write waits while the window is full.
+// Write sends bytes, and waits while the window is full.
 func (c *conn) Write(b []byte) (int, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	done := 0
 	for done < len(b) {
-		room := windowBytes - c.inFlightBytes - len(c.peer.received)
+		available := windowBytes - c.inFlightBytes - len(c.peer.received)
 		switch {
 		case c.err != nil:
 			return done, c.err
-		case c.local.paused || room <= 0:
+		case c.local.paused || available <= 0:
 			c.waitLocked()
 			continue
 		}
-		n := min(room, segmentBytes, len(b)-done)
+		n := min(available, segmentBytes, len(b)-done)
 		c.sendLocked(segment{data: append([]byte(nil), b[done:done+n]...)})
 		done += n
 	}
 	return done, nil
 }
 
-// sendLocked puts a segment on its way.
+// sendLocked sends a segment, as fast as the link's bandwidth allows.
 func (c *conn) sendLocked(s segment) {
 	now := time.Now()
-	begin := now
-	if c.linkFreeAt.After(begin) {
-		begin = c.linkFreeAt
+	transmitted := now
+	if c.linkFreeAt.After(now) {
+		transmitted = c.linkFreeAt
 	}
 	if c.network.bandwidth > 0 {
-		begin = begin.Add(time.Duration(len(s.data)) * time.Second / time.Duration(c.network.bandwidth))
+		transmitted = transmitted.Add(time.Duration(len(s.data)) * time.Second / time.Duration(c.network.bandwidth))
 	}
-	c.linkFreeAt = begin
-	s.due = begin.Add(linkDelay)
+	c.linkFreeAt = transmitted
+	s.due = transmitted.Add(linkDelay)
 	if c.unackedSince.IsZero() {
 		c.unackedSince = now
 	}
@@ -115,12 +116,12 @@
 	})
 }
 
-// deliverLocked brings to the peer what is due, if the link is open.
+// deliverLocked delivers the segments that are due, if the link is open and the remote host has power.
 func (c *conn) deliverLocked() {
 	now := time.Now()
 	for len(c.inFlight) > 0 && !c.inFlight[0].due.After(now) {
 		switch c.network.links[direction{c.local.addr, c.remote.addr}] {
-		case linkSilent:
+		case linkDrops:
 			return
 		case linkRejects:
 			c.breakLocked(syscall.ECONNRESET)
@@ -129,7 +130,7 @@
 		if !c.remote.powered {
 			return
 		}
-		if c.peer.err != nil { // the other end knows of no such connection
+		if c.peer.err != nil { // the remote host has no such connection any more
 			c.breakLocked(syscall.ECONNRESET)
 			return
 		}
@@ -141,14 +142,14 @@
 		c.peer.lastReceived = now
 		c.network.notifyWatchesLocked(c.remote, s.data)
 		if c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
-			c.unackedSince = now // of what is left
+			c.unackedSince = now // of the segments that are left
 		}
 		c.peer.cond.Broadcast()
 	}
 	c.acknowledgeLocked()
 }
 
-// acknowledgeLocked notes that all that was sent has arrived and its acknowledgement, too.
+// acknowledgeLocked records the acknowledgement of all that was sent, if it has arrived and the link back is open.
 func (c *conn) acknowledgeLocked() {
 	if len(c.inFlight) == 0 && c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
 		c.unackedSince = time.Time{}
@@ -158,8 +159,8 @@
 	}
 }
 
-// breakLocked ends this end at once: what it sent and has not arrived is lost. The other end learns
-// it from the answer to its next segment.
+// breakLocked breaks this end: what it sent and has not arrived is lost. The other end learns of it from the reset of
+// its next segment.
 func (c *conn) breakLocked(err error) {
 	if c.err == nil {
 		c.err = &net.OpError{Op: "read", Net: "sim", Addr: address(c.remote.addr), Err: err}
@@ -169,8 +170,8 @@
 	c.cond.Broadcast()
 }
 
-// closeLocked is what the process's Close does, or the kernel after its end: what was sent goes on
-// its way, and an end follows it. Where bytes were not read it is a reset.
+// closeLocked closes this end, for the process or, after its end, by the kernel: segments in flight are still
+// delivered, and a FIN follows them. If received bytes were not read, the connection is reset instead.
 func (c *conn) closeLocked() {
 	if c.err != nil || c.closed {
 		c.closed = true
@@ -189,7 +190,7 @@
 	c.cond.Broadcast()
 }
 
-// Close never waits, but that a frozen process can't close anything: its end follows the thaw.
+// Close never waits. That of a paused process takes effect when the pause ends.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -197,9 +198,9 @@
 		c.closeLocked()
 		return nil
 	}
-	thawed := c.local.resumed
-	go func() { // ends with the freeze, at the run's end at the latest
-		<-thawed
+	resumed := c.local.resumed
+	go func() { // ends with the pause, at the end of the run at the latest
+		<-resumed
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
 		c.closeLocked()
@@ -207,13 +208,17 @@
 	return nil
 }
 
+// LocalAddr is the address of the host of this end.
 func (c *conn) LocalAddr() net.Addr { return address(c.local.addr) }
 
+// RemoteAddr is the address of the other host.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote.addr) }
 
-// The calls of rpc set no deadlines.
+// SetDeadline fails: package rpc sets no deadlines.
 func (c *conn) SetDeadline(time.Time) error { return os.ErrNoDeadline }
 
+// SetReadDeadline fails.
 func (c *conn) SetReadDeadline(time.Time) error { return os.ErrNoDeadline }
 
+// SetWriteDeadline fails.
 func (c *conn) SetWriteDeadline(time.Time) error { return os.ErrNoDeadline }
--- a/internal/testbed/controlsim/crypto_rand.go
+++ b/internal/testbed/controlsim/crypto_rand.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// seededReader is a source for crypto/rand, from which processes make their names: ids of disks order the
-// first chain, so runs of one seed would differ from their first step on.
+// seededReader is a deterministic source for crypto/rand, from which processes draw their identifiers. The ids of
+// disks order the initial chain, so without it the runs of one seed would differ from their first step on.
 type seededReader struct {
 	mu     sync.Mutex
 	source *rand.ChaCha8
@@ -21,12 +21,12 @@
 	return s.source.Read(b)
 }
 
-// seedCryptoRand has crypto/rand give bytes from a seed until restore is called. Runs of one process are
-// played one after the other for it.
+// seedCryptoRand makes crypto/rand deterministic until restore is called. The reader is global, so a process must
+// not run simulations concurrently.
 func seedCryptoRand(seed uint64) (restore func()) {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
-	var before io.Reader
-	before, cryptorand.Reader = cryptorand.Reader, &seededReader{source: rand.NewChaCha8(key)}
-	return func() { cryptorand.Reader = before }
+	var previous io.Reader
+	previous, cryptorand.Reader = cryptorand.Reader, &seededReader{source: rand.NewChaCha8(key)}
+	return func() { cryptorand.Reader = previous }
 }
--- a/internal/testbed/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -11,104 +11,110 @@
 )
 
 const (
-	// meanSyncTime is what a write and its sync take on a healthy disk.
+	// meanSyncTime is the mean latency of a write with its sync on a healthy disk.
 	meanSyncTime = 2 * time.Millisecond
-	// maxPendingWrites bounds the operations that wait for a disk, as the store does.
+	// maxPendingWrites bounds the writes that wait for a disk, as package store does.
 	maxPendingWrites = 64
-	probeKey         = "probe"
+	// probeKey is the record of a probe; it is never stored.
+	probeKey = "probe"
 )
 
-// media is what a machine's disk holds. It outlives the processes of the machine.
+// media is the content of a machine's disk. It outlives the processes of the machine.
 type media struct {
 	mu       sync.Mutex
 	random   *rand.Rand
 	records  map[string][]byte // synced
-	slowdown int               // times as slow as a healthy disk
+	slowdown int               // factor of the latency; 1: healthy
 	full     bool
-	stalled  chan struct{} // closed when the stall ends; nil: none
+	stalled  chan struct{} // closed when the stall ends; nil: not stalled
 }
 
 func newMedia(random *rand.Rand) *media {
 	return &media{random: random, records: map[string][]byte{}, slowdown: 1}
 }
 
-// wipe loses all that was kept, as an exchanged disk.
-func (d *media) wipe() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.records = map[string][]byte{}
+// wipe loses all records, as an exchanged disk.
+func (m *media) wipe() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.records = map[string][]byte{}
 }
 
-func (d *media) setSlowdown(times int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.slowdown = times
+// setSlowdown sets the factor of the latency.
+func (m *media) setSlowdown(times int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.slowdown = times
 }
 
-func (d *media) setFull(full bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.full = full
+// setFull makes writes fail, or succeed again.
+func (m *media) setFull(full bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.full = full
 }
 
-func (d *media) setStalled(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// setStalled makes writes block, or continue.
+func (m *media) setStalled(stalled bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
-	case on && d.stalled == nil:
-		d.stalled = make(chan struct{})
-	case !on && d.stalled != nil:
-		close(d.stalled)
-		d.stalled = nil
+	case stalled && m.stalled == nil:
+		m.stalled = make(chan struct{})
+	case !stalled && m.stalled != nil:
+		close(m.stalled)
+		m.stalled = nil
 	}
 }
 
-// read is the synced record of a name.
-func (d *media) read(key string) ([]byte, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	raw, ok := d.records[key]
+// read is the synced record of a key.
+func (m *media) read(key string) ([]byte, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	raw, ok := m.records[key]
 	return raw, ok
 }
 
-// disk is the store of one process on a media: core.Disk.
+// disk is the store of one process on a machine's media. It implements controlplane.Disk.
 type disk struct {
 	media     *media
 	host      *host
-	writeSlot chan struct{} // holds a token while no operation is under way
+	writeSlot chan struct{} // holds a token while no write is in progress
 	ctx       context.Context
-	stop      context.CancelFunc // with the process
+	stop      context.CancelFunc // called at the end of the process
 
 	mu           sync.Mutex
-	records      map[string][]byte
-	pending      []time.Time
-	failingSince time.Time
-	written      bool
-	lastErr      error
+	records      map[string][]byte // as the process sees them
+	pending      []time.Time       // when the writes in progress began
+	failingSince time.Time         // zero: the last write succeeded
+	written      bool              // a write has succeeded
+	lastErr      error             // of the last write
 }
 
+// openDisk opens a media for a process: it has the synced records.
 func openDisk(m *media, h *host) *disk {
 	d := &disk{media: m, host: h, writeSlot: make(chan struct{}, 1), records: map[string][]byte{}}
 	d.ctx, d.stop = context.WithCancel(context.Background())
 	d.writeSlot <- struct{}{}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for k, v := range m.records {
-		d.records[k] = v
+	for key, value := range m.records {
+		d.records[key] = value
 	}
 	return d
 }
 
-// Get is the newest record of a name.
+// Get is the newest record of a key.
 func (d *disk) Get(key string) ([]byte, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	val, ok := d.records[key]
-	return val, ok
+	value, ok := d.records[key]
+	return value, ok
 }
 
-// Put returns nil once the record is synced.
-func (d *disk) Put(key string, val []byte) error {
+// Put returns nil once the record is synced; store.ErrBusy if too many writes wait, store.ErrClosed after the end of
+// the process, syscall.ENOSPC on a full disk.
+func (d *disk) Put(key string, value []byte) error {
 	d.mu.Lock()
 	if len(d.pending) >= maxPendingWrites {
 		d.mu.Unlock()
@@ -116,23 +122,23 @@
 	}
 	d.pending = append(d.pending, time.Now())
 	d.mu.Unlock()
-	err := d.write(key, append([]byte(nil), val...))
+	err := d.write(key, append([]byte(nil), value...))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pending = d.pending[1:]
 	switch d.lastErr = err; {
 	case err == nil:
 		d.written, d.failingSince = true, time.Time{}
-		d.records[key] = append([]byte(nil), val...)
+		d.records[key] = append([]byte(nil), value...)
 	case d.failingSince.IsZero():
 		d.failingSince = time.Now()
 	}
 	return err
 }
 
-// write does one operation at a time. One that is under way when its process ends, or its machine
-// loses power, is on the media or isn't.
-func (d *disk) write(key string, val []byte) error {
+// write does one write at a time. One that is in progress when its process ends, or its machine loses power, may or
+// may not reach the media.
+func (d *disk) write(key string, value []byte) error {
 	select {
 	case <-d.writeSlot:
 		defer func() { d.writeSlot <- struct{}{} }()
@@ -153,18 +159,18 @@
 		return syscall.ENOSPC
 	}
 	if key != probeKey && !m.full {
-		m.records[key] = val
+		m.records[key] = value
 	}
 	return err
 }
 
-// simulateLatency takes the time of a write and its sync.
+// simulateLatency waits as long as a write and its sync take.
 func (d *disk) simulateLatency() error {
 	m := d.media
 	m.mu.Lock()
 	stalled := m.stalled
-	wait := meanSyncTime/2 + time.Duration(m.random.Int64N(int64(meanSyncTime)))
-	wait *= time.Duration(m.slowdown)
+	latency := meanSyncTime/2 + time.Duration(m.random.Int64N(int64(meanSyncTime)))
+	latency *= time.Duration(m.slowdown)
 	m.mu.Unlock()
 	if stalled != nil {
 		select {
@@ -173,7 +179,7 @@
 			return store.ErrClosed
 		}
 	}
-	t := time.NewTimer(wait)
+	t := time.NewTimer(latency)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -183,13 +189,13 @@
 	}
 }
 
-// Probe writes a small record.
+// Probe writes an empty record.
 func (d *disk) Probe() error { return d.Put(probeKey, nil) }
 
-// Scrub finds what was written: damaged records are tested with the store.
+// Scrub finds no damage: damaged records are tested in package store.
 func (d *disk) Scrub() (bool, error) { return true, nil }
 
-// Health never waits for the disk.
+// Health is the health of the disk at a time. It never waits for the disk.
 func (d *disk) Health(now time.Time) store.Health {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,5 +209,5 @@
 	return h
 }
 
-// Close ends the operations that wait.
+// Close ends the writes that wait.
 func (d *disk) Close() { d.stop() }
--- a/internal/testbed/controlsim/disk_test.go
+++ b/internal/testbed/controlsim/disk_test.go
@@ -59,8 +59,8 @@
 		writer.Wait()
 		require.Zero(t, d.Health(time.Now()).FailingFor)
 		m.setSlowdown(diskSlowdown)
-		begun := time.Now()
+		startedAt := time.Now()
 		require.NoError(t, d.Probe())
-		require.GreaterOrEqual(t, time.Since(begun), diskSlowdown*meanSyncTime/2)
+		require.GreaterOrEqual(t, time.Since(startedAt), diskSlowdown*meanSyncTime/2)
 	})
 }
--- a/internal/testbed/controlsim/doc.go
+++ b/internal/testbed/controlsim/doc.go
@@ -1,27 +1,33 @@
-// Package controlsim plays whole control sides in one process: the real core, chain, view, hub, feed,
-// registry, leases and rpc of each machine, in the virtual time of testing/synctest, from a seed.
+// Package controlsim simulates complete control planes in one process: the real core, chain, view, relay,
+// deltasync, registry, lease and rpc code of each machine runs in the virtual time of testing/synctest, driven by
+// a seed (deterministic simulation testing).
 //
-// Simulated are the network (network.go: order, windows, delays, bandwidth, closed ports, silent and
-// refusing cuts one way or both, resets, bytes that a cut holds up, connections that break after 1.5 s
-// without an acknowledgement), the disks (disk.go: what was synced outlives a loss of power, an operation
-// under way is there or not; slow, stalled, full, lost), machines and their processes (machine.go), and
-// what acts on them: operators, servers, callers and faults (faults.go). A fault hits at its time, or in
-// the moments after a call of the core arrives at a machine. scenarios.go draws a run from the point and
-// the seed, and referee.go holds it to what is promised.
+// Simulated are:
+//   - the network (network.go, endpoint.go, conn.go): order, windows, delays, bandwidth, closed ports, silent and
+//     rejecting partitions in one or both directions, resets, bytes that a partition delays, connections that fail
+//     after 1.5 s without an acknowledgement;
+//   - the disks (disk.go): synced records survive a power loss, a write in flight may or may not; slow, stalled,
+//     full and lost disks;
+//   - machines and their processes (machine.go, process.go);
+//   - the workload: operators, model servers and echo clients (operators.go, model_servers.go, echo.go);
+//   - faults (faults.go, inject.go): each is injected at its time, or just after a call of the core has arrived at a
+//     machine.
 //
-// A killed process can't be stopped in the middle of a step: its network and its disk end at once, and
-// what its goroutines still do reaches nobody. A frozen machine's processes can't be stopped at all: a
-// freeze holds up all that they read, write, accept, dial and sync, while their timers go on; their
-// kernel goes on to acknowledge, as a real one does. What a process does on waking from a gap between
-// its own ticks isn't played.
+// scenario.go derives a scenario from its number and the seed; checker.go checks the run against the guarantees of
+// the control plane.
 //
-// Not simulated: the daemon's HTTP interfaces (operators and servers call core and hub where the control
-// calls do), clients' requests, torn or damaged files (those are package store's and tested there),
-// clocks that jump, cores without disks, other kinds of packet loss than whole cuts.
+// A killed process can't be stopped in the middle of a step: its network and its disk end at once, and what its
+// goroutines still do has no effect. A paused machine's processes can't be stopped at all: a pause blocks all that
+// they read, write, accept, dial and sync, while their timers run on; their kernel goes on acknowledging, as a real
+// one does. How a process reacts to a gap between its own ticks is not simulated.
 //
-// Plans, delays of disks, names and the choices of operators, servers and callers follow from the seed.
-// Not from the seed are the order in which runnable goroutines go on, choices of select among channels
-// that are ready, the iteration of maps, and the jitter of repairs (math/rand's own source in package
-// core). So two plays of a seed have the same faults at the same times, but not each event; Replay tells
-// where they part. A seed that breaks a promise may take some plays to break it again.
+// Not simulated either: the daemon's HTTP interfaces (operators and servers call core and relay where the control
+// calls do), client requests, torn or damaged files (tested in package store), clock jumps, cores without disks,
+// packet loss other than complete partitions.
+//
+// Scenarios, disk latencies, identifiers and the choices of the workload follow from the seed. The order in which
+// runnable goroutines proceed, the choice of select among ready channels, map iteration and the jitter of repairs
+// (math/rand's global source in package controlplane) don't. Two runs of a seed therefore have the same faults at
+// the same times, but not the same events; Replay reports where they diverge. A seed that violates a guarantee may
+// need several runs to violate it again.
 package controlsim
--- a/internal/testbed/controlsim/echo.go
+++ b/internal/testbed/controlsim/echo.go
@@ -12,39 +12,44 @@
 
 const (
 	echoCall = "controlsim.echo"
-	// echoInterval is the pause between two calls of one caller, echoTimeout bounds a call, maxEchoBytes its body.
-	echoInterval, echoTimeout, maxEchoBytes = 40 * time.Millisecond, 300 * time.Millisecond, 32 << 10
-	// maxEchoDelay bounds how long the called process takes.
+	// echoInterval is the pause between two calls of one client.
+	echoInterval = 40 * time.Millisecond
+	// minEchoTimeout and echoTimeoutRange bound the random timeout of a call.
+	minEchoTimeout, echoTimeoutRange = 30 * time.Millisecond, 300 * time.Millisecond
+	// maxEchoBytes bounds the body of a call.
+	maxEchoBytes = 32 << 10
+	// maxEchoDelay bounds the time that the called process takes.
 	maxEchoDelay = 40 * time.Millisecond
 )
 
-// echo is a question and, by the same token, its answer.
+// echo is both the request and its response: equal tokens tell that they belong together.
 type echo struct {
 	Token string `msgpack:"t"`
 	Body  string `msgpack:"b"`
 }
 
-// registerEchoHandler has a process answer with what it was asked, after a little time.
-func registerEchoHandler(t *rpc.Mux, random *rand.Rand) {
-	lags := make(chan time.Duration, 1)
-	lags <- 0
-	rpc.HandleUnary(t, echoCall, func(ctx context.Context, q *echo) (*echo, error) {
-		<-lags
-		lag := time.Duration(random.Int64N(int64(maxEchoDelay)))
-		lags <- lag
-		sleep(ctx, lag)
-		return q, ctx.Err()
+// registerEchoHandler makes a process answer echo calls with the request after a random delay.
+func registerEchoHandler(mux *rpc.Mux, random *rand.Rand) {
+	randomLock := make(chan struct{}, 1) // a channel: synctest counts waiting for it as durably blocked
+	randomLock <- struct{}{}
+	rpc.HandleUnary(mux, echoCall, func(ctx context.Context, request *echo) (*echo, error) {
+		<-randomLock
+		delay := time.Duration(random.Int64N(int64(maxEchoDelay)))
+		randomLock <- struct{}{}
+		sleep(ctx, delay)
+		return request, ctx.Err()
 	})
 }
 
-// echoClient calls other processes over the pool of its own process and looks at whose answer comes.
+// echoClient calls processes over the connection pools of other processes and checks that each response belongs
+// to its request.
 type echoClient struct {
 	sim    *simulation
 	index  int
 	random *rand.Rand
 }
 
-// run goes on until ctx ends.
+// run calls until ctx ends.
 func (c *echoClient) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		from, to := c.sim.pickProcess(c.random, nil), c.sim.pickProcess(c.random, nil)
@@ -56,12 +61,12 @@
 }
 
 func (c *echoClient) call(ctx context.Context, from, to *process, token string) {
-	ctx, cancel := context.WithTimeout(ctx, echoTimeout/10+time.Duration(c.random.Int64N(int64(echoTimeout))))
+	ctx, cancel := context.WithTimeout(ctx, minEchoTimeout+time.Duration(c.random.Int64N(int64(echoTimeoutRange))))
 	defer cancel()
-	q := &echo{Token: token, Body: strings.Repeat(token[len(token)-1:], c.random.IntN(maxEchoBytes))}
-	a, err := rpc.Call[echo, echo](ctx, from.pool, to.machine.host.addr, echoCall, q)
-	if err == nil && *a != *q {
-		c.sim.checker.reportViolation(from.machine.name, "call %s of %s got the answer of call %s", token, to.machine.name, a.Token)
+	request := &echo{Token: token, Body: strings.Repeat(token[len(token)-1:], c.random.IntN(maxEchoBytes))}
+	response, err := rpc.Call[echo, echo](ctx, from.pool, to.machine.host.addr, echoCall, request)
+	if err == nil && *response != *request {
+		c.sim.checker.reportViolation(from.machine.name, "call %s of %s got the response of call %s", token, to.machine.name, response.Token)
 	}
 	c.sim.checker.callCompleted(err == nil)
 }
--- a/internal/testbed/controlsim/endpoint.go
+++ b/internal/testbed/controlsim/endpoint.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// listener is the port of one process.
+// listener is the open port of one process. It implements net.Listener.
 type listener struct {
 	host    *host
 	pending chan *conn
@@ -18,6 +18,7 @@
 	closed  chan struct{}
 }
 
+// Accept returns the next connection, after a pause of the process has ended; net.ErrClosed after Close.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		select {
@@ -31,6 +32,7 @@
 	}
 }
 
+// Close closes the port. Connections stay open.
 func (l *listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	l.host.network.mu.Lock()
@@ -41,6 +43,7 @@
 	return nil
 }
 
+// Addr is the address of the host.
 func (l *listener) Addr() net.Addr { return address(l.host.addr) }
 
 // address is a net.Addr of the simulated network.
@@ -50,13 +53,14 @@
 
 func (a address) String() string { return string(a) }
 
-// dialer dials for one process.
+// dialer connects for one process. It implements rpc.Dialer.
 type dialer struct {
 	host *host
-	done <-chan struct{} // of the process
+	done <-chan struct{} // closed at the end of the process
 }
 
-// Dial connects to the port of another host. A silent path costs connectTimeout.
+// Dial connects to the port of another host. The error is a *net.OpError around the errno of a real kernel: a
+// refused connection fails at once, a lost one after connectTimeout.
 func (d dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -71,9 +75,9 @@
 		<-ctx.Done()
 		return nil, dialError(addr, syscall.ETIMEDOUT)
 	}
-	if perr := d.sleep(ctx, linkDelay); err == nil && perr != nil {
+	if sleepErr := d.sleep(ctx, linkDelay); err == nil && sleepErr != nil {
 		_ = c.Close()
-		return nil, dialError(addr, perr)
+		return nil, dialError(addr, sleepErr)
 	}
 	if err != nil {
 		return nil, dialError(addr, err)
@@ -81,6 +85,7 @@
 	return c, nil
 }
 
+// sleep waits for a duration, the end of the process or ctx.
 func (d dialer) sleep(ctx context.Context, wait time.Duration) error {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -102,7 +107,7 @@
 func (h *host) listen() *listener {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	l := &listener{host: h, pending: make(chan *conn, backlog), closed: make(chan struct{})}
+	l := &listener{host: h, pending: make(chan *conn, acceptBacklog), closed: make(chan struct{})}
 	h.listener = l
 	return l
 }
--- a/internal/testbed/controlsim/events.go
+++ b/internal/testbed/controlsim/events.go
@@ -9,23 +9,24 @@
 
 // event is a line of the run's log.
 type event struct {
-	at   time.Duration
+	at   time.Duration // virtual time since the start of the run
 	text string
 }
 
-// formatEvents are the events as text: those of one moment have no order of their own.
-func formatEvents(events []event) (out []string) {
+// formatEvents sorts events by time and formats them. Events of one instant are concurrent, and are sorted by
+// their text to make logs comparable.
+func formatEvents(events []event) (lines []string) {
 	slices.SortFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text)) })
 	for _, e := range events {
-		out = append(out, fmt.Sprintf("%v %s", e.at, e.text))
+		lines = append(lines, fmt.Sprintf("%v %s", e.at, e.text))
 	}
-	return out
+	return lines
 }
 
-// logEvent adds an event.
-func (r *simulation) logEvent(format string, args ...any) {
-	e := event{at: r.elapsed(), text: fmt.Sprintf(format, args...)}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.events = append(r.events, e)
+// logEvent adds an event to the run's log.
+func (s *simulation) logEvent(format string, args ...any) {
+	e := event{at: s.elapsed(), text: fmt.Sprintf(format, args...)}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.events = append(s.events, e)
 }
--- a/internal/testbed/controlsim/fault_history.go
+++ b/internal/testbed/controlsim/fault_history.go
@@ -5,79 +5,85 @@
 	"time"
 )
 
-// activeFault is a time in which a machine is hit by a fault.
-type activeFault struct {
+// faultPeriod is a period in which a machine is faulty.
+type faultPeriod struct {
 	machine    *machine
 	kind       FaultKind
-	begin, end time.Time // end zero: it lasts
+	begin, end time.Time // end is zero while the fault lasts
 }
 
-// healthySince are the processes that have run, and whose machines were in no fault, since a time.
-func (r *simulation) healthySince(since time.Time) (out []*process) {
-	hit := map[*machine]bool{}
-	r.mu.Lock()
-	for _, t := range r.activeFaults {
-		if t.end.IsZero() || t.end.After(since) {
-			hit[t.machine] = true
+// beginFault begins a fault period of a machine. The function that it returns ends the period.
+func (s *simulation) beginFault(m *machine, kind FaultKind) (end func()) {
+	period := &faultPeriod{machine: m, kind: kind, begin: time.Now()}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faultPeriods = append(s.faultPeriods, period)
+	return func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		period.end = time.Now()
+	}
+}
+
+// healthySince are the processes that have run since a time, on machines without a fault since then.
+func (s *simulation) healthySince(since time.Time) (processes []*process) {
+	faulty := map[*machine]bool{}
+	s.mu.Lock()
+	for _, period := range s.faultPeriods {
+		if period.end.IsZero() || period.end.After(since) {
+			faulty[period.machine] = true
 		}
 	}
-	r.mu.Unlock()
-	for _, m := range r.allMachines() {
-		if p := m.running(); p != nil && !hit[m] && !p.startedAt.After(since) {
-			out = append(out, p)
+	s.mu.Unlock()
+	for _, m := range s.allMachines() {
+		if p := m.running(); p != nil && !faulty[m] && !p.startedAt.After(since) {
+			processes = append(processes, p)
 		}
 	}
-	return out
+	return processes
 }
 
-// stableBetween tells whether no fault began or ended in a time of the run.
-func (r *simulation) stableBetween(from, to time.Duration) bool {
-	within := func(t time.Time) bool { at := t.Sub(r.startedAt); return at >= from && at <= to }
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.activeFaults, func(t *activeFault) bool { return within(t.begin) || within(t.end) })
-}
-
-// beginFault notes that a machine is hit by a fault, until the function that it returns is called.
-func (r *simulation) beginFault(m *machine, kind FaultKind) (end func()) {
-	t := &activeFault{machine: m, kind: kind, begin: time.Now()}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.activeFaults = append(r.activeFaults, t)
-	return func() {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		t.end = time.Now()
+// stableBetween tells whether no fault began or ended between two virtual times of the run.
+func (s *simulation) stableBetween(from, to time.Duration) bool {
+	isBetween := func(t time.Time) bool {
+		at := t.Sub(s.startedAt)
+		return at >= from && at <= to
 	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !slices.ContainsFunc(s.faultPeriods, func(period *faultPeriod) bool {
+		return isBetween(period.begin) || isBetween(period.end)
+	})
 }
 
-// canInject tells whether one more machine of the core may be hit: fewer than half are then. A disk
-// that was lost counts until recoveryTime after its machine, or what replaces it, started; not for the
-// loss of the replacement, which takes the same place.
-func (r *simulation) canInject(m *machine, replacement bool) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// canInject tells whether fewer than half of the core's machines are faulty with one more. A machine that lost its
+// disk counts until recoveryTime after it, or its replacement, has started; not for a fault of the replacement, which
+// takes the same position.
+func (s *simulation) canInject(m *machine, replacement bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	hit := map[*machine]bool{m: true}
-	for _, t := range r.activeFaults {
-		lost := (t.kind == Wipe || t.kind == Replace) && !replacement
-		if t.machine.media != nil && (t.end.IsZero() || lost && now.Sub(t.end) < recoveryTime) {
-			hit[t.machine] = true
+	faulty := map[*machine]bool{m: true}
+	for _, period := range s.faultPeriods {
+		diskLost := (period.kind == Wipe || period.kind == Replace) && !replacement
+		recovering := diskLost && now.Sub(period.end) < recoveryTime
+		if period.machine.media != nil && (period.end.IsZero() || recovering) {
+			faulty[period.machine] = true
 		}
 	}
-	return 2*len(hit) < r.scenario.coreCount
+	return 2*len(faulty) < s.scenario.coreCount
 }
 
-// noteDiskLoss notes that a disk was lost.
-func (r *simulation) noteDiskLoss() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastDiskLoss = time.Now()
+// recordDiskLoss records that a disk was lost now.
+func (s *simulation) recordDiskLoss() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastDiskLoss = time.Now()
 }
 
 // diskLostSince tells whether a disk was lost after a time.
-func (r *simulation) diskLostSince(t time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.lastDiskLoss.After(t)
+func (s *simulation) diskLostSince(t time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lastDiskLoss.After(t)
 }
--- a/internal/testbed/controlsim/faults.go
+++ b/internal/testbed/controlsim/faults.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// FaultKind is what a fault does.
+// FaultKind is the kind of a fault, as it is printed.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	Partition        FaultKind = "cut"        // from the machines of the core, and from the agents if Wide
-	Kill             FaultKind = "kill"       // the process
-	PowerLoss        FaultKind = "power-loss" // the machine
-	Terminate        FaultKind = "terminate"  // SIGTERM to the process
-	Pause            FaultKind = "freeze"
-	Wipe             FaultKind = "wipe"    // the process ends and comes back with an empty disk
-	Replace          FaultKind = "replace" // the machine goes for good, an empty one comes at another address
-	SlowDisk         FaultKind = "slow-disk"
-	StallDisk        FaultKind = "stall-disk"
-	FullDisk         FaultKind = "full-disk"
-	ResetConnections FaultKind = "reset"    // all connections of the machine, once
-	CoreOutage       FaultKind = "blackout" // all machines of the core lose power
+	Partition        FaultKind = "partition"   // separates the machine from the core, or from its Peer
+	Kill             FaultKind = "kill"        // of the process
+	PowerLoss        FaultKind = "power-loss"  // of the machine
+	Terminate        FaultKind = "terminate"   // SIGTERM to the process
+	Pause            FaultKind = "pause"       // of the process: no input or output
+	Wipe             FaultKind = "wipe"        // the process ends and is restarted with an empty disk
+	Replace          FaultKind = "replace"     // the machine is lost, an empty one is added at another address
+	SlowDisk         FaultKind = "slow-disk"   // writes take diskSlowdown times as long
+	StallDisk        FaultKind = "stall-disk"  // writes block
+	FullDisk         FaultKind = "full-disk"   // writes fail
+	ResetConnections FaultKind = "reset"       // all connections of the machine, once
+	CoreOutage       FaultKind = "core-outage" // all machines of the core lose power
 )
 
-// Target names the machine that a fault hits, by the view at that moment.
+// Target selects the machine of a fault by its role when the fault is injected.
 type Target string
 
-// The places.
+// The targets.
 const (
 	Head   Target = "head"
 	Middle Target = "middle"
 	Tail   Target = "tail"
-	Member Target = "member" // of the core, by Index
-	Agent  Target = "agent"  // by Index
-	Newest Target = "newest" // of the machines with a disk
+	Member Target = "member" // a machine of the core, by Index
+	Agent  Target = "agent"  // a machine without a disk, by Index
+	Newest Target = "newest" // the machine of the core that was added last
 )
 
 // Fault is one fault of a scenario. The JSON keys are those of a worker's reports.
@@ -57,10 +57,11 @@
 	Delay      time.Duration `json:"Lag"` // of a CoreOutage: between the restarts of two machines
 }
 
+// String is the fault as it is logged.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%v %s of %s %d for %v", f.At, f.Kind, f.Target, f.Index, f.Duration)
 	if f.Kind == Partition {
-		s += fmt.Sprintf(" (out %v, in %v, loud %v, from agents %v)", f.Outbound, f.Inbound, f.Reject, f.IncludesAgents)
+		s += fmt.Sprintf(" (outbound %v, inbound %v, rejecting %v, includes agents %v)", f.Outbound, f.Inbound, f.Reject, f.IncludesAgents)
 	}
 	if f.Peer != "" {
 		s += fmt.Sprintf(" (only from %s)", f.Peer)
--- a/internal/testbed/controlsim/inject.go
+++ b/internal/testbed/controlsim/inject.go
@@ -8,18 +8,60 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// callTimeout is how long a fault waits for the call that it is to follow.
-const callTimeout = 5 * time.Second
+const (
+	// callTimeout bounds how long a fault waits for the call that it is to follow.
+	callTimeout = 5 * time.Second
+	// diskSlowdown is the factor by which a slow disk is slower than a healthy one.
+	diskSlowdown = 30
+)
+
+// inject waits for the time of a fault, injects it and ends it.
+func (s *simulation) inject(ctx context.Context, f Fault) {
+	sleep(ctx, f.At)
+	target := s.targetOf(f)
+	if ctx.Err() != nil || target == nil {
+		return
+	}
+	if f.AfterCall != "" && !s.awaitCall(ctx, f) {
+		return
+	}
+	if f.Kind == CoreOutage {
+		s.injectCoreOutage(ctx, f)
+		return
+	}
+	s.logEvent("fault: %v: %s", f, target.name)
+	defer s.beginFault(target, f.Kind)()
+	switch f.Kind {
+	case Partition:
+		if !s.injectPartition(ctx, f, target) {
+			return
+		}
+	case Kill, PowerLoss, Wipe, Terminate, Replace:
+		s.injectProcessLoss(ctx, f, target)
+	case Pause:
+		s.network.pause(target.host)
+		sleep(ctx, f.Duration)
+		s.network.resume(target.host)
+	case SlowDisk, StallDisk, FullDisk:
+		injectDiskFault(ctx, f, target.media)
+	case ResetConnections:
+		for _, other := range s.allMachines() {
+			s.network.resetConns(target.host.addr, other.host.addr)
+		}
+	}
+	s.logEvent("fault ends: %s of %s", f.Kind, target.name)
+}
 
-// awaitCall waits until a call that a fault is to follow has arrived at its machine.
-func (r *simulation) awaitCall(ctx context.Context, f Fault) bool {
-	at := r.chainMember(r.newestView(), f.CallTarget)
-	if at == nil {
+// awaitCall waits until the call that a fault is to follow has arrived at its machine, and the fault's delay
+// longer. It returns false if there was no such call in time.
+func (s *simulation) awaitCall(ctx context.Context, f Fault) bool {
+	called := s.chainMember(s.newestView(), f.CallTarget)
+	if called == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	arrived, forget := r.network.watchCall(at.host, f.AfterCall)
+	arrived, forget := s.network.watchCall(called.host, f.AfterCall)
 	defer forget()
 	select {
 	case <-arrived:
@@ -30,66 +72,42 @@
 	}
 }
 
-// inject brings a fault about and ends it.
-func (r *simulation) inject(ctx context.Context, f Fault) {
-	sleep(ctx, f.At)
-	m := r.targetOf(f)
-	if ctx.Err() != nil || m == nil {
-		return
-	}
-	if f.AfterCall != "" && !r.awaitCall(ctx, f) {
-		return
-	}
-	if f.Kind == CoreOutage {
-		r.injectCoreOutage(ctx, f)
-		return
+// injectPartition returns false if the fault's peer is missing from the view, or is the machine itself.
+func (s *simulation) injectPartition(ctx context.Context, f Fault, m *machine) bool {
+	p := &partition{machine: m, fault: f}
+	if f.Peer != "" {
+		if p.peer = s.chainMember(s.newestView(), f.Peer); p.peer == nil || p.peer == m {
+			return false
+		}
+		defer s.beginFault(p.peer, f.Kind)()
 	}
-	r.logEvent("fault: %v: %s", f, m.name)
-	defer r.beginFault(m, f.Kind)()
+	s.addPartition(p)
+	sleep(ctx, f.Duration)
+	s.removePartition(p)
+	return true
+}
+
+func injectDiskFault(ctx context.Context, f Fault, m *media) {
 	switch f.Kind {
-	case Partition:
-		c := &partition{machine: m, fault: f}
-		if f.Peer != "" {
-			if c.peer = r.chainMember(r.newestView(), f.Peer); c.peer == nil || c.peer == m {
-				return
-			}
-			defer r.beginFault(c.peer, f.Kind)()
-		}
-		r.setPartition(c, true)
-		sleep(ctx, f.Duration)
-		r.setPartition(c, false)
-	case Kill, PowerLoss, Wipe, Terminate, Replace:
-		r.injectMachineLoss(ctx, f, m)
-	case Pause:
-		r.network.pause(m.host)
-		sleep(ctx, f.Duration)
-		r.network.resume(m.host)
 	case SlowDisk:
-		m.media.setSlowdown(diskSlowdown)
-		sleep(ctx, f.Duration)
-		m.media.setSlowdown(1)
+		m.setSlowdown(diskSlowdown)
+		defer m.setSlowdown(1)
 	case StallDisk:
-		m.media.setStalled(true)
-		sleep(ctx, f.Duration)
-		m.media.setStalled(false)
+		m.setStalled(true)
+		defer m.setStalled(false)
 	case FullDisk:
-		m.media.setFull(true)
-		sleep(ctx, f.Duration)
-		m.media.setFull(false)
-	case ResetConnections:
-		for _, other := range r.allMachines() {
-			r.network.resetConns(m.host.addr, other.host.addr)
-		}
+		m.setFull(true)
+		defer m.setFull(false)
 	}
-	r.logEvent("fault ends: %s of %s", f.Kind, m.name)
+	sleep(ctx, f.Duration)
 }
 
-// injectCoreOutage has all machines of the core lose power, and come back one shortly after the other.
-func (r *simulation) injectCoreOutage(ctx context.Context, f Fault) {
-	r.logEvent("fault: %v", f)
-	core := slices.DeleteFunc(r.coreMachines(), func(m *machine) bool { return m.running() == nil })
+// injectCoreOutage cuts the power of all machines of the core and restarts them one shortly after the other.
+func (s *simulation) injectCoreOutage(ctx context.Context, f Fault) {
+	s.logEvent("fault: %v", f)
+	core := slices.DeleteFunc(s.coreMachines(), func(m *machine) bool { return m.running() == nil })
 	for _, m := range core {
-		defer r.beginFault(m, f.Kind)()
+		defer s.beginFault(m, f.Kind)()
 		m.kill(true)
 	}
 	sleep(ctx, f.Duration)
@@ -99,16 +117,13 @@
 		}
 		sleep(ctx, f.Delay)
 	}
-	r.logEvent("fault ends: %s", f.Kind)
+	s.logEvent("fault ends: %s", f.Kind)
 }
 
-// diskSlowdown is how much slower a slow disk is.
-const diskSlowdown = 30
-
-// injectMachineLoss ends a process and starts it, or what replaces it, again.
-func (r *simulation) injectMachineLoss(ctx context.Context, f Fault, m *machine) {
+// injectProcessLoss ends a process and restarts it, or starts its replacement on a new machine.
+func (s *simulation) injectProcessLoss(ctx context.Context, f Fault, m *machine) {
 	if f.Kind == Replace {
-		r.noteReplaced(m)
+		s.recordReplacement(m)
 	}
 	if f.Kind == Terminate {
 		m.terminate(ctx)
@@ -121,22 +136,23 @@
 	}
 	switch f.Kind {
 	case Wipe:
-		r.noteDiskLoss()
+		s.recordDiskLoss()
 		m.media.wipe()
 	case Replace:
-		r.noteDiskLoss()
-		m = r.addMachine(m.media != nil)
-		defer r.beginFault(m, f.Kind)()
+		s.recordDiskLoss()
+		m = s.addMachine(m.media != nil)
+		defer s.beginFault(m, f.Kind)()
 	}
 	if m.running() == nil {
 		m.start(ctx, false)
 	}
 }
 
-// targetOf is the machine that a fault hits, nil if it has to leave it be.
-func (r *simulation) targetOf(f Fault) *machine {
-	core, agents := r.coreMachines(), r.agentMachines()
-	m := r.chainMember(r.newestView(), f.Target)
+// targetOf resolves the target of a fault by the newest view; nil if there is none, or if too many machines of the
+// core would be faulty at once.
+func (s *simulation) targetOf(f Fault) *machine {
+	core, agents := s.coreMachines(), s.agentMachines()
+	m := s.chainMember(s.newestView(), f.Target)
 	switch {
 	case f.Target == Newest:
 		m = core[len(core)-1]
@@ -145,25 +161,25 @@
 	case f.Target == Agent || f.Target == Member:
 		m = core[f.Index%len(core)]
 	}
-	if m == nil || f.AfterCall == "" && m.media != nil && !r.canInject(m, f.Target == Newest) {
+	if m == nil || f.AfterCall == "" && m.media != nil && !s.canInject(m, f.Target == Newest) {
 		return nil
 	}
 	return m
 }
 
-// chainMember is the machine of a place in a view's chain, nil if the place is none of those.
-func (r *simulation) chainMember(v view.View, place Target) *machine {
+// chainMember is the machine at the head, in the middle or at the tail of a view's chain; nil for other targets.
+func (s *simulation) chainMember(v view.View, target Target) *machine {
 	last := len(v.Chain) - 1
 	if last < 0 {
 		return nil
 	}
-	switch place {
+	switch target {
 	case Head:
-		return r.machineByAddr(v.Chain[0].Addr)
+		return s.machineByAddr(v.Chain[0].Addr)
 	case Middle:
-		return r.machineByAddr(v.Chain[last/2].Addr)
+		return s.machineByAddr(v.Chain[last/2].Addr)
 	case Tail:
-		return r.machineByAddr(v.Chain[last].Addr)
+		return s.machineByAddr(v.Chain[last].Addr)
 	}
 	return nil
 }
--- a/internal/testbed/controlsim/logging.go
+++ b/internal/testbed/controlsim/logging.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// discardServerLogs drops the log of the code that is played: runs have a log of their own.
+// discardServerLogs discards what the simulated processes log: a run has its own log of events.
 func discardServerLogs() {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	port              = ":7400"
-	heartbeatInterval = time.Second
-	savedServersKey   = "servers"
-	// configReadTimeout bounds one read of the newest configuration at a start, configRetryPause is between two.
-	configReadTimeout, configRetryPause = time.Second, 200 * time.Millisecond
-	// handoverTimeout bounds a process's end after SIGTERM, departTimeout its last words.
-	handoverTimeout, departTimeout = 4 * time.Second, 500 * time.Millisecond
+	port = ":7400"
+	// zoneCount is the number of zones that the machines are spread over.
+	zoneCount = 3
+	// handoverTimeout bounds the handover of a process that ends after SIGTERM.
+	handoverTimeout = 4 * time.Second
+	// departTimeout bounds the announcement of its departure.
+	departTimeout = 500 * time.Millisecond
 )
 
-// machine is one machine of the fleet: a host on the network, a disk if it is of the core, and the
-// process that runs on it.
+// machine is one machine of the fleet: a host on the network, a disk if it belongs to the core, and the process
+// that runs on it.
 type machine struct {
 	sim          *simulation
 	index        int
@@ -28,73 +28,64 @@
 	zone         string
 	host         *host
 	media        *media // nil: an agent without a disk
-	incarnations int
+	incarnations int    // processes started so far
 
-	// Of the run's lock: when the machine came, when it was replaced (zero: it was not), and the machines
-	// that its settings file names.
-	addedAt, replacedAt time.Time
-	seeds               []*machine
+	// Guarded by the simulation's lock.
+	addedAt    time.Time
+	replacedAt time.Time  // zero: not replaced
+	seeds      []*machine // that its settings file names
 
 	mu      sync.Mutex
-	process *process
+	process *process // nil: none runs
 }
 
-func newMachine(r *simulation, index int, withDisk bool) *machine {
+func newMachine(s *simulation, index int, withDisk bool) *machine {
 	kind := "agent"
 	if withDisk {
 		kind = "core"
 	}
-	m := &machine{sim: r, index: index, addedAt: time.Now(), name: fmt.Sprintf("%s-%d", kind, index), zone: fmt.Sprintf("z%d", index%3)}
-	m.host = r.network.addHost(fmt.Sprintf("10.0.0.%d%s", index+1, port))
+	m := &machine{sim: s, index: index, addedAt: time.Now(), name: fmt.Sprintf("%s-%d", kind, index),
+		zone: fmt.Sprintf("z%d", index%zoneCount)}
+	m.host = s.network.addHost(fmt.Sprintf("10.0.0.%d%s", index+1, port))
 	if withDisk {
-		m.media = newMedia(r.newRandom("disk", index))
+		m.media = newMedia(s.newRandom("disk", index))
 	}
 	return m
 }
 
-// running is the process, nil if there is none.
+// running is the machine's process, nil if none runs.
 func (m *machine) running() *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// start begins a life. The machine has power then.
-func (m *machine) start(ctx context.Context, first bool) {
+// start powers the machine on and starts a process on it, which runs until ctx ends or it is killed.
+func (m *machine) start(ctx context.Context, firstStart bool) {
 	m.sim.network.powerOn(m.host)
 	m.incarnations++
 	p := &process{machine: m, incarnation: m.incarnations, startedAt: time.Now(), done: make(chan struct{})}
 	ctx, p.cancel = context.WithCancel(ctx)
-	over := dialer{host: m.host, done: ctx.Done()}
-	p.pool = rpc.NewPoolWithDialer(over)
-	if err := p.open(over, first); err != nil {
+	dial := dialer{host: m.host, done: ctx.Done()}
+	p.pool = rpc.NewPoolWithDialer(dial)
+	if err := p.open(dial, firstStart); err != nil {
 		m.sim.checker.reportViolation(m.name, "the process does not start: %v", err)
 		p.cancel()
 		return
 	}
-	table := rpc.NewMux()
-	p.core.RegisterHandlers(table)
-	p.relay.RegisterHandlers(table)
-	registerEchoHandler(table, m.sim.newRandom("echo", m.index))
+	mux := rpc.NewMux()
+	p.core.RegisterHandlers(mux)
+	p.relay.RegisterHandlers(mux)
+	registerEchoHandler(mux, m.sim.newRandom("echo", m.index))
 	listener := m.host.listen()
 	m.mu.Lock()
 	m.process = p
 	m.mu.Unlock()
-	m.sim.logEvent("%s starts life %d", m.name, p.incarnation)
-	go func() { // ends with ctx; stop waits for it
-		defer close(p.done)
-		var parts sync.WaitGroup
-		parts.Go(func() { _ = rpc.Serve(ctx, listener, table) })
-		parts.Go(func() { _ = p.core.Run(ctx) })
-		parts.Go(func() { _ = p.relay.Run(ctx) })
-		parts.Go(func() { p.readNewestConfig(ctx) })
-		<-ctx.Done()
-		p.pool.Close()
-		parts.Wait()
-	}()
+	m.sim.logEvent("%s starts incarnation %d", m.name, p.incarnation)
+	go p.serve(ctx, listener, mux) // ends with ctx; simulation.stop waits for p.done
 }
 
-// kill ends the process at once; with powerLoss its machine falls silent, too, until its next start.
+// kill ends the process at once. With powerLoss the machine is unreachable until its next start.
 func (m *machine) kill(powerLoss bool) {
 	m.mu.Lock()
 	p := m.process
@@ -113,30 +104,30 @@
 		p.disk.stop()
 	}
 	p.cancel()
-	m.sim.noteStopped(p.done)
-	m.sim.logEvent("%s ends life %d (power loss: %v)", m.name, p.incarnation, powerLoss)
+	m.sim.recordStopped(p.done)
+	m.sim.logEvent("%s ends incarnation %d (power loss: %v)", m.name, p.incarnation, powerLoss)
 }
 
-// terminate ends the process as the daemon does after SIGTERM.
+// terminate shuts the process down gracefully, as the daemon does after SIGTERM.
 func (m *machine) terminate(ctx context.Context) {
 	p := m.running()
 	if p == nil {
 		return
 	}
-	m.sim.logEvent("%s is told to end", m.name)
+	m.sim.logEvent("%s gets SIGTERM", m.name)
 	p.relay.AnnounceDraining()
-	grace, cancel := context.WithTimeout(ctx, handoverTimeout)
-	p.core.Handover(grace)
+	handoverCtx, cancel := context.WithTimeout(ctx, handoverTimeout)
+	p.core.Handover(handoverCtx)
 	cancel()
-	bye, cancel := context.WithTimeout(ctx, departTimeout)
-	p.relay.Depart(bye)
+	departCtx, cancel := context.WithTimeout(ctx, departTimeout)
+	p.relay.Depart(departCtx)
 	cancel()
 	if m.running() == p {
 		m.kill(false)
 	}
 }
 
-// sleep waits for a time or ctx.
+// sleep waits for a duration of virtual time, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/testbed/controlsim/machine_list.go
+++ b/internal/testbed/controlsim/machine_list.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// machineListDelay is how far the operator's list of control machines lags behind.
+	// machineListDelay is how far the operator's list of the core's machines lags behind.
 	machineListDelay = 3 * time.Second
-	// seedCount is how many machines a settings file names.
+	// seedCount is the number of machines that a settings file names.
 	seedCount = 3
 )
 
-// seedAddrs are the addresses that the machine's settings file names: machines of the operator's list as it
-// was when the file was written. Those may be down or replaced since. The file is written for a new machine,
-// and again once the list has none of the machines that it names: a process that knows nothing else could
-// reach nobody by it.
+// seedAddrs are the seed addresses of the machine's settings file. They come from the operator's list as it was when
+// the file was written, so the machines may be down or replaced since. The file is written for a new machine, and
+// again once none of its machines is listed any more: a process without other knowledge could reach nobody then.
 func (m *machine) seedAddrs() (addrs []string) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
@@ -30,13 +29,13 @@
 	return addrs
 }
 
-// machineListLocked is the operator's list at a time: the machines with a disk that were there and had not
-// been replaced. Before the start it has those that the fleet starts with. The run's lock is held.
-func (r *simulation) machineListLocked(at time.Time) (list []*machine) {
-	if at.Before(r.startedAt) {
-		at = r.startedAt
+// machineListLocked is the operator's list at a time: the machines with a disk that had been added and not been
+// replaced. Before the start of the run it has those that the fleet starts with.
+func (s *simulation) machineListLocked(at time.Time) (list []*machine) {
+	if at.Before(s.startedAt) {
+		at = s.startedAt
 	}
-	for _, m := range r.machines {
+	for _, m := range s.machines {
 		if m.media != nil && !m.addedAt.After(at) && (m.replacedAt.IsZero() || m.replacedAt.After(at)) {
 			list = append(list, m)
 		}
@@ -44,9 +43,9 @@
 	return list
 }
 
-// noteReplaced takes a machine off the operator's list: it is gone for good.
-func (r *simulation) noteReplaced(m *machine) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// recordReplacement removes a machine from the operator's list for good.
+func (s *simulation) recordReplacement(m *machine) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	m.replacedAt = time.Now()
 }
--- a/internal/testbed/controlsim/machines.go
+++ b/internal/testbed/controlsim/machines.go
@@ -8,34 +8,38 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-func (r *simulation) addMachine(withDisk bool) *machine {
-	r.mu.Lock()
-	index := len(r.machines)
-	r.mu.Unlock()
-	m := newMachine(r, index, withDisk)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.machines = append(r.machines, m)
+// addMachine adds a machine, which is not started yet.
+func (s *simulation) addMachine(withDisk bool) *machine {
+	s.mu.Lock()
+	index := len(s.machines)
+	s.mu.Unlock()
+	m := newMachine(s, index, withDisk)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.machines = append(s.machines, m)
 	return m
 }
 
-func (r *simulation) allMachines() []*machine {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.machines)
+// allMachines are the machines in the order of their addition, replaced ones included.
+func (s *simulation) allMachines() []*machine {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.machines)
 }
 
-// coreMachines are the machines with a disk, agents the others.
-func (r *simulation) coreMachines() []*machine {
-	return slices.DeleteFunc(r.allMachines(), func(m *machine) bool { return m.media == nil })
+// coreMachines are the machines with a disk.
+func (s *simulation) coreMachines() []*machine {
+	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.media == nil })
 }
 
-func (r *simulation) agentMachines() []*machine {
-	return slices.DeleteFunc(r.allMachines(), func(m *machine) bool { return m.media != nil })
+// agentMachines are the machines without a disk.
+func (s *simulation) agentMachines() []*machine {
+	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.media != nil })
 }
 
-func (r *simulation) machineByAddr(addr string) *machine {
-	for _, m := range r.allMachines() {
+// machineByAddr is the machine of an address, nil if there is none.
+func (s *simulation) machineByAddr(addr string) *machine {
+	for _, m := range s.allMachines() {
 		if m.host.addr == addr {
 			return m
 		}
@@ -43,9 +47,9 @@
 	return nil
 }
 
-// newestView is the newest view that any process knows.
-func (r *simulation) newestView() (newest view.View) {
-	for _, m := range r.allMachines() {
+// newestView is the newest view that any running process has learned.
+func (s *simulation) newestView() (newest view.View) {
+	for _, m := range s.allMachines() {
 		if p := m.running(); p != nil {
 			if v, ok := p.core.View(); ok && v.Number > newest.Number {
 				newest = v
@@ -55,10 +59,10 @@
 	return newest
 }
 
-// pickProcess is one of the processes that run, another one than the last if there is one.
-func (r *simulation) pickProcess(random *rand.Rand, last *process) *process {
+// pickProcess picks a running process other than the last one. It returns last if no other runs.
+func (s *simulation) pickProcess(random *rand.Rand, last *process) *process {
 	var running []*process
-	for _, m := range r.allMachines() {
+	for _, m := range s.allMachines() {
 		if p := m.running(); p != nil && p != last {
 			running = append(running, p)
 		}
@@ -69,13 +73,13 @@
 	return running[random.IntN(len(running))]
 }
 
-// describeView names a view's chain.
-func (r *simulation) describeView(v view.View) string {
-	s := fmt.Sprintf("%d voters, chain", len(v.Voters))
-	for _, l := range v.Chain {
-		if m := r.machineByAddr(l.Addr); m != nil {
-			s += " " + m.name
+// describeView lists the machines of a view's chain from head to tail.
+func (s *simulation) describeView(v view.View) string {
+	text := fmt.Sprintf("%d voters, chain", len(v.Voters))
+	for _, replica := range v.Chain {
+		if m := s.machineByAddr(replica.Addr); m != nil {
+			text += " " + m.name
 		}
 	}
-	return s
+	return text
 }
--- a/internal/testbed/controlsim/model_servers.go
+++ b/internal/testbed/controlsim/model_servers.go
@@ -12,24 +12,24 @@
 const (
 	// heartbeatTimeout bounds one call of a server.
 	heartbeatTimeout = 950 * time.Millisecond
-	// deregisterTimeout is how long a server repeats a drain or a leave without an answer.
+	// deregisterTimeout bounds the retries of a drain or a deregistration.
 	deregisterTimeout = 10 * time.Second
 )
 
-// modelServer is a model server: it beats at one agent, goes on at another one without an answer, drains,
-// leaves, and comes back as a new incarnation.
+// modelServer sends heartbeats to one agent, switches to another agent after a call without a response, drains,
+// deregisters, and comes back as a new instance.
 type modelServer struct {
 	sim    *simulation
 	index  int
 	random *rand.Rand
-	agent  *process
+	agent  *process // nil: to be picked
 	seq    uint64
 }
 
-// run goes on until ctx ends.
+// run goes through instances until ctx ends.
 func (s *modelServer) run(ctx context.Context) {
-	for life := 1; ctx.Err() == nil; life++ {
-		id := fmt.Sprintf("server-%d-%d", s.index, life)
+	for incarnation := 1; ctx.Err() == nil; incarnation++ {
+		id := fmt.Sprintf("server-%d-%d", s.index, incarnation)
 		for range 1 + s.random.IntN(s.sim.scenario.maxHeartbeats) {
 			s.sendHeartbeat(ctx, id, registry.Ready)
 			sleep(ctx, heartbeatInterval/2+time.Duration(s.random.Int64N(int64(heartbeatInterval))))
@@ -42,9 +42,9 @@
 	}
 }
 
-// retry makes a call until it is answered.
+// retry repeats a call until it gets a response, and tells whether it got one in time.
 func (s *modelServer) retry(ctx context.Context, call func() bool) bool {
-	for begun := time.Now(); ctx.Err() == nil && time.Since(begun) < deregisterTimeout; sleep(ctx, retryPause) {
+	for startedAt := time.Now(); ctx.Err() == nil && time.Since(startedAt) < deregisterTimeout; sleep(ctx, retryPause) {
 		if call() {
 			return true
 		}
@@ -54,24 +54,25 @@
 
 func (s *modelServer) sendHeartbeat(ctx context.Context, id string, state registry.State) bool {
 	s.seq++
-	in := &registry.Instance{ID: id, Service: "service", Addr: fmt.Sprintf("10.1.0.%d:80", s.index+1), Zone: "z0", Slots: 4, State: state, Seq: s.seq}
-	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.relay.Heartbeat(ctx, in) })
+	instance := &registry.Instance{ID: id, Service: "service", Addr: fmt.Sprintf("10.1.0.%d:80", s.index+1), Zone: "z0",
+		Slots: 4, State: state, Seq: s.seq}
+	return s.callAgent(ctx, func(ctx context.Context, agent *process) bool { return agent.relay.Heartbeat(ctx, instance) })
 }
 
 func (s *modelServer) deregister(ctx context.Context, id string) bool {
-	return s.call(ctx, func(ctx context.Context, p *process) bool { return p.relay.Deregister(ctx, id) })
+	return s.callAgent(ctx, func(ctx context.Context, agent *process) bool { return agent.relay.Deregister(ctx, id) })
 }
 
-// call makes one call at the server's agent; without an answer the next one goes to another agent.
-func (s *modelServer) call(ctx context.Context, ask func(context.Context, *process) bool) bool {
+// callAgent makes one call to the server's agent. Without a response the next call goes to another agent.
+func (s *modelServer) callAgent(ctx context.Context, call func(context.Context, *process) bool) bool {
 	if s.agent == nil || s.agent.ended.Load() {
 		s.agent = s.sim.pickProcess(s.random, s.agent)
 	}
-	p := s.agent
-	if p == nil {
+	agent := s.agent
+	if agent == nil {
 		return false
 	}
-	answered := externalCall(ctx, p, heartbeatTimeout, func(ctx context.Context) bool { return ask(ctx, p) })
+	answered := externalCall(ctx, agent, heartbeatTimeout, func(ctx context.Context) bool { return call(ctx, agent) })
 	if !answered {
 		s.agent = nil
 	}
--- a/internal/testbed/controlsim/network.go
+++ b/internal/testbed/controlsim/network.go
@@ -11,55 +11,57 @@
 )
 
 const (
-	// linkDelay is how long a segment takes within a region, one way.
+	// linkDelay is the latency of a segment within a region, one way.
 	linkDelay = 500 * time.Microsecond
-	// windowBytes bounds the bytes of one direction that are under way or not read yet.
+	// windowBytes bounds the bytes of one direction of a connection that are in flight or not read yet.
 	windowBytes = 256 << 10
-	// segmentBytes is how much one segment carries.
+	// segmentBytes is the capacity of a segment.
 	segmentBytes = 64 << 10
-	// ackTimeout is how long sent bytes may stay unacknowledged, keepaliveTimeout how long an idle connection
-	// lives across a cut.
-	ackTimeout, keepaliveTimeout = 1500 * time.Millisecond, 2 * time.Second
+	// ackTimeout is how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+	ackTimeout = 1500 * time.Millisecond
+	// keepaliveTimeout is how long an idle connection survives a partition.
+	keepaliveTimeout = 2 * time.Second
 	// connectTimeout bounds a connect.
 	connectTimeout = 300 * time.Millisecond
-	// scanInterval is how often connections look for what has timed out.
+	// scanInterval is the pause between two searches for expired connections.
 	scanInterval = 100 * time.Millisecond
-	// backlog bounds the connections that wait to be accepted.
-	backlog = 128
+	// acceptBacklog bounds the connections that wait to be accepted.
+	acceptBacklog = 128
 )
 
-// linkState is what one direction between two hosts does with segments.
+// linkState is what one direction between two hosts does with segments. Higher states are more severe.
 type linkState uint8
 
 const (
 	linkOpen    linkState = iota
-	linkSilent            // segments are held up until the link opens again
-	linkRejects           // a firewall answers each with a reset
+	linkDrops             // segments are lost; retransmissions arrive once the link opens
+	linkRejects           // each segment is answered with a reset, as by a firewall
 )
 
 // direction is one direction between two hosts.
 type direction struct{ from, to string }
 
-// network is the wire between hosts. It models what TCP shows to programs: order, windows, closed
-// ports, resets, and the time-outs that internal/fleet/rpc asks of the kernel.
+// network connects hosts. It models what TCP shows to programs: order, windows, closed ports, resets, and the
+// timeouts that package rpc asks of the kernel. Its lock guards hosts, listeners and connections, too.
 type network struct {
 	mu           sync.Mutex
 	hosts        map[string]*host
 	links        map[direction]linkState
-	blockedSince map[direction]time.Time // since when a link isn't open
-	bandwidth    int                     // bytes a second of each direction of a connection; 0: no bound
+	blockedSince map[direction]time.Time // of the links that aren't open
+	bandwidth    int                     // bytes per second and direction of a connection; 0: unlimited
 	conns        map[*conn]bool
 	callWatches  map[*callWatch]bool
 }
 
-// callWatch waits for a call that arrives at a host.
+// callWatch waits for an rpc call to arrive at a host.
 type callWatch struct {
 	host    *host
-	name    []byte
+	name    []byte // of the call, as it stands in the segment
 	arrived chan struct{}
 }
 
-// watchCall gives a channel that is closed once a call of a name has arrived at a host.
+// watchCall returns a channel that is closed once a call of a name has arrived at a host. The caller forgets the
+// watch when it waits no longer.
 func (n *network) watchCall(h *host, call string) (arrived <-chan struct{}, forget func()) {
 	w := &callWatch{host: h, name: []byte(call), arrived: make(chan struct{})}
 	n.mu.Lock()
@@ -72,30 +74,32 @@
 	}
 }
 
-func (n *network) notifyWatchesLocked(at *host, data []byte) {
+// notifyWatchesLocked ends the watches for the calls in a segment that has arrived at a host.
+func (n *network) notifyWatchesLocked(at *host, segment []byte) {
 	for w := range n.callWatches {
-		if w.host == at && bytes.Contains(data, w.name) {
+		if w.host == at && bytes.Contains(segment, w.name) {
 			close(w.arrived)
 			delete(n.callWatches, w)
 		}
 	}
 }
 
-// host is the kernel's side of a machine: it outlives the processes of the machine.
+// host is a machine's kernel: it outlives the processes of the machine. Its fields are guarded by the network's lock.
 type host struct {
 	network  *network
 	addr     string
 	powered  bool
 	paused   bool
-	resumed  chan struct{} // closed when frozen ends
-	listener *listener     // of the process that runs; nil: the port is closed
+	resumed  chan struct{} // closed when the pause ends
+	listener *listener     // of the running process; nil: the port is closed
 }
 
 func newNetwork() *network {
-	return &network{hosts: map[string]*host{}, links: map[direction]linkState{}, blockedSince: map[direction]time.Time{}, conns: map[*conn]bool{},
-		callWatches: map[*callWatch]bool{}}
+	return &network{hosts: map[string]*host{}, links: map[direction]linkState{},
+		blockedSince: map[direction]time.Time{}, conns: map[*conn]bool{}, callWatches: map[*callWatch]bool{}}
 }
 
+// addHost adds a host that is powered and has no open port.
 func (n *network) addHost(addr string) *host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,7 +108,7 @@
 	return h
 }
 
-// expireConns looks for time-outs until ctx ends.
+// expireConns breaks the connections that time out, until ctx ends.
 func (n *network) expireConns(ctx context.Context) {
 	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
@@ -118,7 +122,7 @@
 	}
 }
 
-// expireAt breaks connections whose bytes stay unacknowledged or whose keepalive probes stay unanswered.
+// expireAt breaks the connections whose bytes stay unacknowledged or whose keepalive probes stay unanswered.
 func (n *network) expireAt(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,10 +133,10 @@
 	}
 }
 
-// unreachableFor is how long probes of a connection and their answers have not come through.
+// unreachableFor is how long keepalive probes of a connection, or the responses to them, have been lost.
 func (n *network) unreachableFor(c *conn, now time.Time) (longest time.Duration) {
-	for _, r := range []direction{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
-		if since, is := n.blockedSince[r]; is {
+	for _, way := range []direction{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
+		if since, blocked := n.blockedSince[way]; blocked {
 			longest = max(longest, now.Sub(since))
 		}
 	}
@@ -142,18 +146,18 @@
 	return longest
 }
 
-// setLink changes one direction between two hosts. What was held up goes on when it opens.
+// setLink changes one direction between two hosts. Delayed segments are delivered when it opens.
 func (n *network) setLink(from, to string, state linkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := direction{from, to}
+	way := direction{from, to}
 	if state == linkOpen {
-		delete(n.links, r)
-		delete(n.blockedSince, r)
+		delete(n.links, way)
+		delete(n.blockedSince, way)
 	} else {
-		n.links[r] = state
-		if _, is := n.blockedSince[r]; !is {
-			n.blockedSince[r] = time.Now()
+		n.links[way] = state
+		if _, blocked := n.blockedSince[way]; !blocked {
+			n.blockedSince[way] = time.Now()
 		}
 	}
 	for c := range n.conns {
@@ -166,7 +170,7 @@
 	}
 }
 
-// resetConns breaks all connections between two hosts, as a device between them that forgets them.
+// resetConns breaks all connections between two hosts, as a stateful firewall between them that is restarted.
 func (n *network) resetConns(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,7 +181,7 @@
 	}
 }
 
-// powerOff has a host send and answer nothing any more; it forgets its connections.
+// powerOff makes a host silent, and drops its connections without telling their other ends.
 func (n *network) powerOff(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -190,7 +194,7 @@
 	h.resumeLocked()
 }
 
-// powerOn has a host answer again: connections of its earlier life are reset by their next segment.
+// powerOn makes a host respond again: the next segment of a connection from before its power loss is reset.
 func (n *network) powerOn(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -202,7 +206,7 @@
 	}
 }
 
-// closeProcess closes a host's port and all connections of its process.
+// closeProcess closes the port and all connections of a host's process, as the kernel does at its end.
 func (n *network) closeProcess(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -215,7 +219,7 @@
 	}
 }
 
-// pause holds up all that the process of a host does with the network.
+// pause blocks the network and disk operations of a host's process.
 func (n *network) pause(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -224,6 +228,7 @@
 	}
 }
 
+// resume ends a pause.
 func (n *network) resume(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -237,50 +242,54 @@
 	}
 }
 
-// waitResumed waits until the host's process is not frozen.
+// waitResumed waits until the host's process is not paused. The error is that of ctx.
 func (h *host) waitResumed(ctx context.Context) error {
 	for {
 		h.network.mu.Lock()
-		frozen, thawed := h.paused, h.resumed
+		paused, resumed := h.paused, h.resumed
 		h.network.mu.Unlock()
-		if !frozen {
+		if !paused {
 			return nil
 		}
 		select {
-		case <-thawed:
+		case <-resumed:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// errNoResponse tells that a connect is lost on the way.
-var errNoResponse = errors.New("no answer")
+// errNoResponse is returned by connect when the request or its response is lost: the caller sees a timeout.
+var errNoResponse = errors.New("no response")
 
+// connect opens a connection to the listener of an address and returns its local end.
 func (n *network) connect(from *host, addr string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.hosts[addr]
-	there, back := n.links[direction{from.addr, addr}], n.links[direction{addr, from.addr}]
+	outbound, inbound := n.links[direction{from.addr, addr}], n.links[direction{addr, from.addr}]
 	switch {
 	case !from.powered:
 		return nil, syscall.ENETUNREACH
-	case there == linkRejects:
+	case outbound == linkRejects:
 		return nil, syscall.ECONNREFUSED
-	case there == linkSilent || back != linkOpen || to == nil || !to.powered:
+	case outbound == linkDrops || inbound != linkOpen || to == nil || !to.powered:
 		return nil, errNoResponse
 	case to.listener == nil:
 		return nil, syscall.ECONNREFUSED
 	}
-	now := time.Now()
-	a, b := &conn{network: n, local: from, remote: to, lastReceived: now}, &conn{network: n, local: to, remote: from, lastReceived: now}
-	a.cond, b.cond = sync.NewCond(&n.mu), sync.NewCond(&n.mu)
-	a.peer, b.peer = b, a
+	local, remote := n.newConn(from, to), n.newConn(to, from)
+	local.peer, remote.peer = remote, local
 	select {
-	case to.listener.pending <- b:
-	default:
+	case to.listener.pending <- remote:
+	default: // the backlog is full
 		return nil, errNoResponse
 	}
-	n.conns[a], n.conns[b] = true, true
-	return a, nil
+	n.conns[local], n.conns[remote] = true, true
+	return local, nil
+}
+
+// newConn is one end of a connection, without its peer.
+func (n *network) newConn(local, remote *host) *conn {
+	return &conn{network: n, local: local, remote: remote, lastReceived: time.Now(), cond: sync.NewCond(&n.mu)}
 }
--- a/internal/testbed/controlsim/network_test.go
+++ b/internal/testbed/controlsim/network_test.go
@@ -18,12 +18,12 @@
 
 // connectionTest is two hosts and a connection between them in a bubble.
 type connectionTest struct {
-	t      *testing.T
-	net    *network
-	a, b   *host
-	dialer dialer
-	out    net.Conn // of a
-	in     net.Conn // of b
+	t             *testing.T
+	network       *network
+	local, remote *host
+	dialer        dialer
+	localConn     net.Conn // of a
+	remoteConn    net.Conn // of b
 }
 
 func withConnection(t *testing.T, test func(w *connectionTest)) {
@@ -32,13 +32,13 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { n.expireConns(ctx) })
-		w := &connectionTest{t: t, net: n, a: n.addHost(hostA), b: n.addHost(hostB)}
-		w.dialer = dialer{host: w.a, done: ctx.Done()}
-		listener := w.b.listen()
+		w := &connectionTest{t: t, network: n, local: n.addHost(hostA), remote: n.addHost(hostB)}
+		w.dialer = dialer{host: w.local, done: ctx.Done()}
+		listener := w.remote.listen()
 		var err error
-		w.out, err = w.dialer.Dial(ctx, hostB)
+		w.localConn, err = w.dialer.Dial(ctx, hostB)
 		require.NoError(t, err)
-		w.in, err = listener.Accept()
+		w.remoteConn, err = listener.Accept()
 		require.NoError(t, err)
 		test(w)
 		cancel()
@@ -47,26 +47,26 @@
 }
 
 func (w *connectionTest) send(text string) {
-	_, err := w.out.Write([]byte(text))
+	_, err := w.localConn.Write([]byte(text))
 	require.NoError(w.t, err)
 }
 
 func (w *connectionTest) receive(n int) string {
 	b := make([]byte, n)
-	_, err := io.ReadFull(w.in, b)
+	_, err := io.ReadFull(w.remoteConn, b)
 	require.NoError(w.t, err)
 	return string(b)
 }
 
 func TestSilentPartitionDelaysBytes(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
-		w.net.setLink(hostA, hostB, linkSilent)
+		w.network.setLink(hostA, hostB, linkDrops)
 		w.send("late")
 		sleep(context.Background(), time.Second)
-		w.net.setLink(hostA, hostB, linkOpen)
-		begun := time.Now()
+		w.network.setLink(hostA, hostB, linkOpen)
+		startedAt := time.Now()
 		require.Equal(t, "late", w.receive(4))
-		require.Zero(t, time.Since(begun))
+		require.Zero(t, time.Since(startedAt))
 	})
 }
 
@@ -74,17 +74,17 @@
 	for name, way := range map[string]direction{"lost": {hostA, hostB}, "not acknowledged": {hostB, hostA}} {
 		t.Run(name, func(t *testing.T) {
 			withConnection(t, func(w *connectionTest) {
-				w.net.setLink(way.from, way.to, linkSilent)
+				w.network.setLink(way.from, way.to, linkDrops)
 				w.send("lost")
-				begun := time.Now()
-				_, err := w.out.Read(make([]byte, 1))
+				startedAt := time.Now()
+				_, err := w.localConn.Read(make([]byte, 1))
 				require.ErrorIs(t, err, syscall.ETIMEDOUT)
-				require.InDelta(t, ackTimeout, time.Since(begun), float64(2*scanInterval))
-				w.net.setLink(way.from, way.to, linkOpen)
-				_, err = w.in.Write([]byte("answer"))
+				require.InDelta(t, ackTimeout, time.Since(startedAt), float64(2*scanInterval))
+				w.network.setLink(way.from, way.to, linkOpen)
+				_, err = w.remoteConn.Write([]byte("answer"))
 				require.NoError(t, err)
-				_, err = io.Copy(io.Discard, w.in)
-				require.ErrorIs(t, err, syscall.ECONNRESET, "the other end learns it from its own bytes")
+				_, err = io.Copy(io.Discard, w.remoteConn)
+				require.ErrorIs(t, err, syscall.ECONNRESET, "the other end learns it from the reset of its own bytes")
 			})
 		})
 	}
@@ -92,8 +92,8 @@
 
 func TestKeepaliveDetectsPartition(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
-		w.net.setLink(hostB, hostA, linkSilent)
-		_, err := w.in.Read(make([]byte, 1))
+		w.network.setLink(hostB, hostA, linkDrops)
+		_, err := w.remoteConn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ETIMEDOUT)
 	})
 }
@@ -104,10 +104,10 @@
 		var writer sync.WaitGroup
 		writer.Go(func() { w.send(string(sent)) })
 		sleep(context.Background(), time.Second)
-		w.net.mu.Lock()
-		held := len(w.in.(*conn).received)
-		w.net.mu.Unlock()
-		require.Equal(t, windowBytes, held)
+		w.network.mu.Lock()
+		unread := len(w.remoteConn.(*conn).received)
+		w.network.mu.Unlock()
+		require.Equal(t, windowBytes, unread)
 		require.Equal(t, string(sent), w.receive(len(sent)))
 		writer.Wait()
 	})
@@ -116,49 +116,49 @@
 func TestConnectionClose(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
 		w.send("last")
-		require.NoError(t, w.out.Close())
+		require.NoError(t, w.localConn.Close())
 		require.Equal(t, "last", w.receive(4))
-		_, err := w.in.Read(make([]byte, 1))
+		_, err := w.remoteConn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	})
 	withConnection(t, func(w *connectionTest) {
 		w.send("unread")
 		sleep(context.Background(), time.Second)
-		w.net.closeProcess(w.b)
-		_, err := w.out.Read(make([]byte, 1))
+		w.network.closeProcess(w.remote)
+		_, err := w.localConn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 		_, err = w.dialer.Dial(context.Background(), hostB)
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "a dead port refuses")
-		w.net.powerOff(w.b)
-		begun := time.Now()
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "a closed port refuses")
+		w.network.powerOff(w.remote)
+		startedAt := time.Now()
 		_, err = w.dialer.Dial(context.Background(), hostB)
 		require.Error(t, err)
 		require.NotErrorIs(t, err, syscall.ECONNREFUSED)
-		require.Equal(t, connectTimeout, time.Since(begun), "a machine without power is silent")
+		require.Equal(t, connectTimeout, time.Since(startedAt), "a machine without power is silent")
 	})
 }
 
 func TestRejectingPartitionRefusesAndResets(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
-		w.net.setLink(hostA, hostB, linkRejects)
+		w.network.setLink(hostA, hostB, linkRejects)
 		_, err := w.dialer.Dial(context.Background(), hostB)
 		require.ErrorIs(t, err, syscall.ECONNREFUSED)
 		w.send("refused")
-		_, err = w.out.Read(make([]byte, 1))
+		_, err = w.localConn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 	})
 }
 
 func TestPausedProcessReadsNothing(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
-		w.net.pause(w.b)
-		w.send("held")
+		w.network.pause(w.remote)
+		w.send("late")
 		var reader sync.WaitGroup
-		begun := time.Now()
+		startedAt := time.Now()
 		reader.Go(func() { w.receive(4) })
 		sleep(context.Background(), 5*time.Second)
-		w.net.resume(w.b)
+		w.network.resume(w.remote)
 		reader.Wait()
-		require.Equal(t, 5*time.Second, time.Since(begun), "its kernel has acknowledged them meanwhile")
+		require.Equal(t, 5*time.Second, time.Since(startedAt), "its kernel has acknowledged them meanwhile")
 	})
 }
--- a/internal/testbed/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -12,27 +12,26 @@
 )
 
 const (
-	// clientDelay is how long a call of an operator or a server takes to a machine, one way.
-	clientDelay = 3 * time.Millisecond
-	// attemptTimeout bounds one call of an operator, as a client's time-out.
+	// attemptTimeout bounds one call of an operator.
 	attemptTimeout = 950 * time.Millisecond
-	// updateTimeout is how long an operator repeats an order without an answer.
+	// updateTimeout bounds the retries of an update.
 	updateTimeout = 5 * time.Second
-	retryPause    = 50 * time.Millisecond
-	// maxLostResponses bounds how many answers to one order are lost.
+	// retryPause is the pause between two attempts.
+	retryPause = 50 * time.Millisecond
+	// maxLostResponses bounds the responses to one update that are lost.
 	maxLostResponses = 2
 )
 
-// operator sends orders and reads, one at a time, to machines in turn.
+// operator sends updates and reads, one at a time, to random processes.
 type operator struct {
 	sim         *simulation
 	index       int
 	random      *rand.Rand
-	revision    int64 // revision
-	updateCount int
+	revision    int64 // the newest one that the operator knows
+	updateCount int   // updates begun
 }
 
-// run goes on until ctx ends.
+// run updates and reads until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if o.random.Float64() < o.sim.scenario.readShare {
@@ -40,102 +39,114 @@
 		} else {
 			o.update(ctx)
 		}
-		wait := o.sim.scenario.updateInterval
-		sleep(ctx, wait/2+time.Duration(o.random.Int64N(int64(wait))))
+		interval := o.sim.scenario.updateInterval
+		sleep(ctx, interval/2+time.Duration(o.random.Int64N(int64(interval))))
 	}
 }
 
-// update sends one order, and again elsewhere while it has no answer.
+// update makes one update and passes its outcome to the checker.
 func (o *operator) update(ctx context.Context) {
 	o.updateCount++
-	in := updateInput{ifMatch: o.revision, revision: o.revision + 1, id: fmt.Sprintf("%d.%d", o.index, o.updateCount)}
-	body := encodeConfig(in, o.sim.scenario.bodySize)
-	called := o.sim.elapsed()
-	out := response{}
+	input := updateInput{ifMatch: o.revision, revision: o.revision + 1, id: fmt.Sprintf("%d.%d", o.index, o.updateCount)}
+	calledAt := o.sim.elapsed()
+	output := o.submitUntilAnswered(ctx, input, calledAt)
+	switch output.outcome {
+	case chain.OutcomeCommitted:
+		if output.revision != input.revision {
+			o.sim.checker.reportViolation("operators", "update %s led to revision %d, not %d", input.id, output.revision, input.revision)
+		}
+		o.revision = output.revision
+	case chain.OutcomeConflict:
+		o.revision = output.revision
+	case chain.OutcomeInvalid:
+		o.sim.checker.reportViolation("operators", "update %s is invalid", input.id)
+		return
+	}
+	o.sim.checker.recordOperation(o.index, input, output, calledAt)
+	o.sim.checker.updateCompleted(input, output, calledAt)
+}
+
+// submitUntilAnswered retries an update at other processes until its outcome is known or updateTimeout has passed.
+func (o *operator) submitUntilAnswered(ctx context.Context, input updateInput, calledAt time.Duration) (output response) {
+	body := encodeConfig(input, o.sim.scenario.bodySize)
 	var p *process
-	for tries := 0; out.outcome == chain.OutcomeUnknown && (tries == 0 || o.sim.elapsed()-called < updateTimeout && ctx.Err() == nil); tries++ {
-		if tries > 0 {
+	for attempt := 0; output.outcome == chain.OutcomeUnknown; attempt++ {
+		if attempt > 0 {
+			if o.sim.elapsed()-calledAt >= updateTimeout || ctx.Err() != nil {
+				break
+			}
 			sleep(ctx, retryPause)
 		}
 		if p = o.sim.pickProcess(o.random, p); p == nil {
 			continue
 		}
-		v := o.submit(ctx, p, &chain.Update{IfMatch: in.ifMatch, Body: body}, tries < maxLostResponses)
-		out = response{outcome: v.Outcome, revision: v.Revision}
-		o.sim.logEvent("operator %d: order %s on %d at %s: %v %d %s", o.index, in.id, in.ifMatch, p.machine.name, v.Outcome, v.Revision, v.Reason)
+		result := o.submit(ctx, p, &chain.Update{IfMatch: input.ifMatch, Body: body}, attempt < maxLostResponses)
+		output = response{outcome: result.Outcome, revision: result.Revision}
+		o.sim.logEvent("operator %d: update %s on %d at %s: %v %d %s", o.index, input.id, input.ifMatch, p.machine.name,
+			result.Outcome, result.Revision, result.Reason)
 	}
-	switch out.outcome {
-	case chain.OutcomeCommitted:
-		if out.revision != in.revision {
-			o.sim.checker.reportViolation("operators", "order %s led to revision %d, not %d", in.id, out.revision, in.revision)
-		}
-		o.revision = out.revision
-	case chain.OutcomeConflict:
-		o.revision = out.revision
-	case chain.OutcomeInvalid:
-		o.sim.checker.reportViolation("operators", "order %s is invalid", in.id)
-		return
-	}
-	o.sim.checker.recordOperation(o.index, in, out, called)
-	o.sim.checker.updateCompleted(in, out, called)
+	return output
 }
 
-// submit makes one call; the answer may be lost on the way.
-func (o *operator) submit(ctx context.Context, p *process, order *chain.Update, maybeLost bool) (v chain.Result) {
+// submit makes one attempt. With maybeLost its response may be lost after the call took effect.
+func (o *operator) submit(ctx context.Context, p *process, update *chain.Update, maybeLost bool) (result chain.Result) {
 	answered := externalCall(ctx, p, attemptTimeout, func(ctx context.Context) bool {
-		v = p.core.Submit(ctx, order)
+		result = p.core.Submit(ctx, update)
 		return true
 	})
 	switch {
 	case !answered:
-		return chain.Result{Reason: "no answer"}
+		return chain.Result{Reason: "no response"}
 	case maybeLost && o.random.Float64() < o.sim.scenario.lostResponseShare:
-		return chain.Result{Reason: "the answer is lost"}
+		return chain.Result{Reason: "the response is lost"}
 	}
-	return v
+	return result
 }
 
-// read reads the configuration once; no answer promises nothing.
+// read reads the configuration once. A read without a response is not recorded: it guarantees nothing.
 func (o *operator) read(ctx context.Context) {
 	p := o.sim.pickProcess(o.random, nil)
 	if p == nil {
 		return
 	}
-	called := o.sim.elapsed()
-	var v chain.Value
-	answered := externalCall(ctx, p, attemptTimeout, func(ctx context.Context) (ok bool) {
+	calledAt := o.sim.elapsed()
+	var value chain.Value
+	answered := externalCall(ctx, p, attemptTimeout, func(ctx context.Context) bool {
 		var err error
-		v, err = p.core.Read(ctx)
+		value, err = p.core.Read(ctx)
 		return err == nil
 	})
 	if !answered {
 		return
 	}
-	o.sim.logEvent("operator %d: reads revision %d at %s", o.index, v.Revision, p.machine.name)
-	o.revision = v.Revision
-	o.sim.checker.recordOperation(o.index, readInput{}, response{chain.OutcomeCommitted, v.Revision, operationID(v.Body)}, called)
+	o.sim.logEvent("operator %d: reads revision %d at %s", o.index, value.Revision, p.machine.name)
+	o.revision = value.Revision
+	output := response{chain.OutcomeCommitted, value.Revision, updateID(value.Body)}
+	o.sim.checker.recordOperation(o.index, readInput{}, output, calledAt)
 }
 
-// configuration is the little of a configuration that runs need.
+// configuration is the part of a configuration that the simulation uses.
 type configuration struct {
 	Revision  int64    `json:"revision"`
 	Services  []string `json:"services"`
 	Routes    []string `json:"routes"`
-	Operation string   `json:"operation"` // who made it
+	Operation string   `json:"operation"` // id of the update that made it
 	Padding   string   `json:"padding,omitempty"`
 }
 
-func encodeConfig(in updateInput, size int) []byte {
-	c := configuration{Revision: in.revision, Services: []string{}, Routes: []string{}, Operation: in.id, Padding: strings.Repeat("x", size)}
+// encodeConfig is the configuration that an update sets, with padding of a size in bytes.
+func encodeConfig(update updateInput, paddingSize int) []byte {
+	c := configuration{Revision: update.revision, Services: []string{}, Routes: []string{}, Operation: update.id,
+		Padding: strings.Repeat("x", paddingSize)}
 	raw, err := json.Marshal(&c)
 	if err != nil {
-		panic("controlsim: " + err.Error()) // plain fields
+		panic("controlsim: " + err.Error()) // impossible: plain fields
 	}
 	return raw
 }
 
-// operationID tells which order made a configuration.
-func operationID(raw []byte) string {
+// updateID is the id of the update that made a configuration; "" if it is none of the simulation.
+func updateID(raw []byte) string {
 	var c configuration
 	if json.Unmarshal(raw, &c) != nil {
 		return ""
--- a/internal/testbed/controlsim/partition.go
+++ b/internal/testbed/controlsim/partition.go
@@ -1,49 +1,60 @@
 package controlsim
 
-// partition is a cut that lasts.
+// partition is a partition in force.
 type partition struct {
 	machine *machine
-	peer    *machine // nil: all others
+	peer    *machine // nil: the machine is separated from all others
 	fault   Fault
 }
 
-// linkState is what a cut does to one direction.
-func (c *partition) linkState(from, to *machine) linkState {
-	if c.machine != from && c.machine != to || !c.fault.IncludesAgents && (from.media == nil || to.media == nil) {
+// linkState is the state that the partition alone gives the direction between two machines.
+func (p *partition) linkState(from, to *machine) linkState {
+	if p.machine != from && p.machine != to || !p.fault.IncludesAgents && (from.media == nil || to.media == nil) {
 		return linkOpen
 	}
-	if c.peer != nil && c.peer != from && c.peer != to {
+	if p.peer != nil && p.peer != from && p.peer != to {
 		return linkOpen
 	}
-	if c.machine == from && !c.fault.Outbound || c.machine == to && !c.fault.Inbound {
+	if p.machine == from && !p.fault.Outbound || p.machine == to && !p.fault.Inbound {
 		return linkOpen
 	}
-	if c.fault.Reject {
+	if p.fault.Reject {
 		return linkRejects
 	}
-	return linkSilent
+	return linkDrops
 }
 
-// setPartition begins or ends a cut and brings the links up to what all cuts make of them.
-func (r *simulation) setPartition(c *partition, on bool) {
-	r.mu.Lock()
-	if on {
-		r.partitions[c] = true
-	} else {
-		delete(r.partitions, c)
-	}
-	cuts := make([]*partition, 0, len(r.partitions))
-	for c := range r.partitions {
-		cuts = append(cuts, c)
+// addPartition begins a partition.
+func (s *simulation) addPartition(p *partition) {
+	s.mu.Lock()
+	s.partitions[p] = true
+	s.mu.Unlock()
+	s.updateLinks(p.machine)
+}
+
+// removePartition ends a partition.
+func (s *simulation) removePartition(p *partition) {
+	s.mu.Lock()
+	delete(s.partitions, p)
+	s.mu.Unlock()
+	s.updateLinks(p.machine)
+}
+
+// updateLinks gives each link of a machine the most severe state of all partitions in force.
+func (s *simulation) updateLinks(m *machine) {
+	s.mu.Lock()
+	partitions := make([]*partition, 0, len(s.partitions))
+	for p := range s.partitions {
+		partitions = append(partitions, p)
 	}
-	r.mu.Unlock()
-	for _, other := range r.allMachines() {
-		for _, way := range [][2]*machine{{c.machine, other}, {other, c.machine}} {
+	s.mu.Unlock()
+	for _, other := range s.allMachines() {
+		for _, ends := range [][2]*machine{{m, other}, {other, m}} {
 			state := linkOpen
-			for _, c := range cuts {
-				state = max(state, c.linkState(way[0], way[1]))
+			for _, p := range partitions {
+				state = max(state, p.linkState(ends[0], ends[1]))
 			}
-			r.network.setLink(way[0].host.addr, way[1].host.addr, state)
+			s.network.setLink(ends[0].host.addr, ends[1].host.addr, state)
 		}
 	}
 }
--- a/internal/testbed/controlsim/process.go
+++ b/internal/testbed/controlsim/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,7 +14,17 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// process is one life of a machine's daemon: core and hub as the daemon joins them.
+const (
+	heartbeatInterval = time.Second
+	// savedServersKey is the disk record of the servers that the relay knows.
+	savedServersKey = "servers"
+	// configReadTimeout bounds one read of the newest configuration at a start.
+	configReadTimeout = time.Second
+	// configRetryPause is the pause between two such reads.
+	configRetryPause = 200 * time.Millisecond
+)
+
+// process is one incarnation of a machine's daemon: core and relay, connected as the daemon connects them.
 type process struct {
 	machine     *machine
 	incarnation int
@@ -21,57 +32,73 @@
 	relay       *relay.Node
 	pool        *rpc.Pool
 	startedAt   time.Time
-	disk        *disk
+	disk        *disk // nil: an agent without a disk
 	cancel      context.CancelFunc
-	done        chan struct{}
-	ended       atomic.Bool // what it says and does counts no more
-	snapshot    atomic.Pointer[relay.Snapshot]
+	done        chan struct{}                  // closed after the last goroutine of the process
+	ended       atomic.Bool                    // killed: what its goroutines still report has no effect
+	snapshot    atomic.Pointer[relay.Snapshot] // the last one that the relay published
 }
 
-// open makes the parts of the process.
-func (p *process) open(over rpc.Dialer, first bool) (err error) {
+// open creates the components of the process.
+func (p *process) open(dial rpc.Dialer, firstStart bool) (err error) {
 	m := p.machine
-	o := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: first, Seeds: m.seedAddrs, KnownAddresses: p.knownAddrs,
-		Tolerance: view.Tolerance{Machines: m.sim.scenario.toleratedLosses}, Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
+	coreOptions := controlplane.Options{Addr: m.host.addr, Zone: m.zone, FirstStart: firstStart, Seeds: m.seedAddrs,
+		KnownAddresses: p.knownAddrs, Tolerance: view.Tolerance{Machines: m.sim.scenario.toleratedLosses},
+		Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
 		OnCommit: func(v chain.Value) { p.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.sim.checker.viewLearned(p, v) }}
-	h := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"}, HeartbeatInterval: heartbeatInterval,
-		SeedAddrs: m.seedAddrs, Dialer: over, OnChange: func(s *relay.Snapshot) { m.sim.checker.configApplied(p, s) }}
+	relayOptions := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: "r"},
+		HeartbeatInterval: heartbeatInterval, SeedAddrs: m.seedAddrs, Dialer: dial,
+		OnChange: func(snapshot *relay.Snapshot) { m.sim.checker.configApplied(p, snapshot) }}
 	if m.media != nil {
 		p.disk = openDisk(m.media, m.host)
-		o.HasDisk, o.StateDir, o.Disk = true, m.name, p.disk
+		coreOptions.HasDisk, coreOptions.StateDir, coreOptions.Disk = true, m.name, p.disk
 	}
-	if p.core, err = controlplane.Open(o); err != nil {
+	if p.core, err = controlplane.Open(coreOptions); err != nil {
 		return err
 	}
 	if m.media != nil {
-		h.SaveServers = func(b []byte) error { return p.core.SaveRecord(savedServersKey, b) }
-		h.SavedServers, _ = p.core.LoadRecord(savedServersKey)
+		relayOptions.SaveServers = func(b []byte) error { return p.core.SaveRecord(savedServersKey, b) }
+		relayOptions.SavedServers, _ = p.core.LoadRecord(savedServersKey)
 	}
-	h.Core = coreMembership{p.core}
-	p.relay = relay.New(h)
+	relayOptions.Core = coreMembership{p.core}
+	p.relay = relay.New(relayOptions)
 	return nil
 }
 
-func (p *process) knownAddrs() (out []string) {
+// serve runs the components until ctx ends, and waits for them.
+func (p *process) serve(ctx context.Context, listener *listener, mux *rpc.Mux) {
+	defer close(p.done)
+	var components sync.WaitGroup
+	components.Go(func() { _ = rpc.Serve(ctx, listener, mux) })
+	components.Go(func() { _ = p.core.Run(ctx) })
+	components.Go(func() { _ = p.relay.Run(ctx) })
+	components.Go(func() { p.readNewestConfig(ctx) })
+	<-ctx.Done()
+	p.pool.Close()
+	components.Wait()
+}
+
+// knownAddrs are the addresses of the other machines that the relay knows.
+func (p *process) knownAddrs() (addrs []string) {
 	if p.relay == nil {
 		return nil
 	}
 	for _, m := range p.relay.OtherMembers(true) {
-		out = append(out, m.Addr)
+		addrs = append(addrs, m.Addr)
 	}
-	return out
+	return addrs
 }
 
-// readNewestConfig asks the core once for the newest configuration, as the daemon does.
+// readNewestConfig reads the newest configuration from the core once after the start, as the daemon does.
 func (p *process) readNewestConfig(ctx context.Context) {
 	for ctx.Err() == nil {
-		once, cancel := context.WithTimeout(ctx, configReadTimeout)
-		v, err := p.core.Read(once)
+		readCtx, cancel := context.WithTimeout(ctx, configReadTimeout)
+		value, err := p.core.Read(readCtx)
 		cancel()
 		if err == nil {
-			if v.Seq > 0 {
-				p.relay.ApplyConfig(v.Seq, v.Body)
+			if value.Seq > 0 {
+				p.relay.ApplyConfig(value.Seq, value.Body)
 			}
 			p.relay.MarkConfigCurrent()
 			return
@@ -80,21 +107,21 @@
 	}
 }
 
-// coreMembership is what the hub asks of the core's member, as in the daemon.
+// coreMembership is what the relay needs to know of the core's member, as in the daemon.
 type coreMembership struct{ member *controlplane.Member }
 
 func (c coreMembership) IsMember() bool { return c.member.IsVoter() }
 
 func (c coreMembership) HasQuorum() bool { return c.member.HasQuorum() }
 
-func (c coreMembership) Members() (out []relay.Peer) {
+func (c coreMembership) Members() (peers []relay.Peer) {
 	v, _ := c.member.View()
-	for _, p := range v.Voters {
-		out = append(out, relay.Peer{Addr: p.Addr, Zone: p.Zone})
+	for _, voter := range v.Voters {
+		peers = append(peers, relay.Peer{Addr: voter.Addr, Zone: voter.Zone})
 	}
-	return out
+	return peers
 }
 
-func applyUpdate(current []byte, o *chain.Update) ([]byte, int64, error) {
-	return config.Apply(current, o.Patch, o.Body)
+func applyUpdate(current []byte, update *chain.Update) ([]byte, int64, error) {
+	return config.Apply(current, update.Patch, update.Body)
 }
--- a/internal/testbed/controlsim/register_model.go
+++ b/internal/testbed/controlsim/register_model.go
@@ -6,46 +6,52 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// updateInput and readInput are what operators ask of the register, answers what they got.
-type (
-	updateInput struct {
-		ifMatch, revision int64
-		id                string
-	}
-	readInput struct{}
-	response  struct {
-		outcome  chain.Outcome
-		revision int64
-		id       string // of a read
-	}
-	register struct {
-		revision int64
-		id       string
-	}
-)
+// updateInput is a compare-and-set of the configuration.
+type updateInput struct {
+	ifMatch  int64 // revision that the update is based on
+	revision int64 // that it leads to
+	id       string
+}
+
+// readInput is a read of the configuration.
+type readInput struct{}
+
+// response is what an operator got for an update or a read.
+type response struct {
+	outcome  chain.Outcome
+	revision int64
+	id       string // of the update that a read returned; "" in the response to an update
+}
+
+// register is the state of the model: the configuration as operators see it.
+type register struct {
+	revision int64
+	id       string // of the last update
+}
 
-// registerModel is what operators see: a register that is changed by comparing its version.
+// registerModel is the sequential specification of the configuration: a register with compare-and-set on its
+// revision. An update with unknown outcome may or may not have taken effect.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{register{}} },
 	Step: func(state, input, output any) []any {
-		cur, out := state.(register), output.(response)
-		in, isOrder := input.(updateInput)
-		if !isOrder {
-			if out.revision != cur.revision || out.id != cur.id {
+		current, out := state.(register), output.(response)
+		update, isUpdate := input.(updateInput)
+		if !isUpdate {
+			if out.revision != current.revision || out.id != current.id {
 				return nil
 			}
-			return []any{cur}
+			return []any{current}
 		}
-		next := register{in.revision, in.id}
-		switch fits := in.ifMatch == cur.revision; {
-		case out.outcome == chain.OutcomeCommitted && fits:
+		next := register{update.revision, update.id}
+		switch matches := update.ifMatch == current.revision; {
+		case out.outcome == chain.OutcomeCommitted && matches:
 			return []any{next}
-		case out.outcome == chain.OutcomeConflict && !fits && out.revision == cur.revision:
-			return []any{cur}
-		case out.outcome == chain.OutcomeUnknown && fits:
-			return []any{cur, next}
+		case out.outcome == chain.OutcomeConflict && !matches && out.revision == current.revision:
+			return []any{current}
+		case out.outcome == chain.OutcomeUnknown && matches:
+			return []any{current, next}
 		case out.outcome == chain.OutcomeUnknown:
-			return []any{cur}
+			return []any{current}
 		}
 		return nil
 	},
--- a/internal/testbed/controlsim/register_model_test.go
+++ b/internal/testbed/controlsim/register_model_test.go
@@ -10,26 +10,26 @@
 )
 
 func TestRegisterModel(t *testing.T) {
-	order := func(ifMatch int64, id string) updateInput { return updateInput{ifMatch, ifMatch + 1, id} }
+	update := func(ifMatch int64, id string) updateInput { return updateInput{ifMatch, ifMatch + 1, id} }
 	op := func(call, end int64, in any, out response) porcupine.Operation {
 		return porcupine.Operation{Call: call, Return: end, Input: in, Output: out}
 	}
-	taken := func(call, end, ifMatch int64, id string) porcupine.Operation {
-		return op(call, end, order(ifMatch, id), response{outcome: chain.OutcomeCommitted, revision: ifMatch + 1})
+	committed := func(call, end, ifMatch int64, id string) porcupine.Operation {
+		return op(call, end, update(ifMatch, id), response{outcome: chain.OutcomeCommitted, revision: ifMatch + 1})
 	}
 	for name, c := range map[string]struct {
-		history []porcupine.Operation
-		fits    bool
+		history      []porcupine.Operation
+		linearizable bool
 	}{
-		"one after the other":      {[]porcupine.Operation{taken(1, 2, 0, "a"), taken(3, 4, 1, "b")}, true},
-		"two under one number":     {[]porcupine.Operation{taken(1, 4, 0, "a"), taken(2, 3, 0, "b")}, false},
-		"an old read":              {[]porcupine.Operation{taken(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 0, ""})}, false},
-		"a read of another's":      {[]porcupine.Operation{taken(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 1, "b"})}, false},
-		"a taken order is refused": {[]porcupine.Operation{op(1, 4, order(0, "a"), response{chain.OutcomeConflict, 1, ""}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, false},
-		"an unclear one is taken":  {[]porcupine.Operation{op(1, 1<<60, order(0, "a"), response{}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, true},
+		"sequential updates":                     {[]porcupine.Operation{committed(1, 2, 0, "a"), committed(3, 4, 1, "b")}, true},
+		"two updates of one revision":            {[]porcupine.Operation{committed(1, 4, 0, "a"), committed(2, 3, 0, "b")}, false},
+		"stale read":                             {[]porcupine.Operation{committed(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 0, ""})}, false},
+		"read of an unknown update":              {[]porcupine.Operation{committed(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 1, "b"})}, false},
+		"committed update is rejected":           {[]porcupine.Operation{op(1, 4, update(0, "a"), response{chain.OutcomeConflict, 1, ""}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, false},
+		"update of unknown outcome is committed": {[]porcupine.Operation{op(1, neverReturned, update(0, "a"), response{}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, c.fits, porcupine.CheckOperations(registerModel.ToModel(), c.history))
+			require.Equal(t, c.linearizable, porcupine.CheckOperations(registerModel.ToModel(), c.history))
 		})
 	}
 }
--- a/internal/testbed/controlsim/replay.go
+++ b/internal/testbed/controlsim/replay.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// Replay plays a run twice, writes the log of the first, and tells where the second differs.
-func Replay(t *testing.T, point int, seed uint64, out io.Writer) (broken bool, err error) {
+// Replay runs a scenario twice, writes the log of the first run, and reports where the second one diverges. It
+// tells whether a run violated a guarantee; the error is that of out.
+func Replay(t *testing.T, number int, seed uint64, out io.Writer) (violated bool, err error) {
 	discardServerLogs()
-	first, second := Simulate(t, point, seed), Simulate(t, point, seed)
+	first, second := Simulate(t, number, seed), Simulate(t, number, seed)
 	for _, e := range first.Events {
 		if _, err := fmt.Fprintln(out, e); err != nil {
 			return false, err
@@ -19,15 +20,15 @@
 	return len(first.Violations)+len(second.Violations) > 0, err
 }
 
-// compareEvents tells the first difference of two logs, whose events of one moment have no order.
-func compareEvents(a, b []string) string {
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
-			return fmt.Sprintf("the second play differs from event %d of %d on:\n  %s\n  %s", i+1, len(a), a[i], b[i])
+// compareEvents describes the first difference of two logs.
+func compareEvents(first, second []string) string {
+	for i := range min(len(first), len(second)) {
+		if first[i] != second[i] {
+			return fmt.Sprintf("the second run differs from event %d of %d on:\n  %s\n  %s", i+1, len(first), first[i], second[i])
 		}
 	}
-	if len(a) != len(b) {
-		return fmt.Sprintf("the second play has %d events, the first %d", len(b), len(a))
+	if len(first) != len(second) {
+		return fmt.Sprintf("the second run has %d events, the first %d", len(second), len(first))
 	}
-	return fmt.Sprintf("both plays have the same %d events", len(a))
+	return fmt.Sprintf("both runs have the same %d events", len(first))
 }
--- a/internal/testbed/controlsim/shrink.go
+++ b/internal/testbed/controlsim/shrink.go
@@ -5,26 +5,27 @@
 	"testing"
 )
 
-// shrinkAttempts is how often a plan without one of its faults is played before that fault counts as
-// needed: what goroutine runs first differs from one play to the next.
+// shrinkAttempts is how often a scenario is run without one of its faults before that fault counts as needed:
+// the order in which goroutines run differs from run to run.
 const shrinkAttempts = 2
 
-// shrink drops the faults of a plan that breaks a promise one by one while it still breaks one.
-func shrink(t *testing.T, s scenario, broken Result) ([]Fault, Result) {
+// shrink removes faults one by one from a scenario that violates a guarantee, as long as the rest still violates
+// one. It returns the remaining faults and the result of a run with them.
+func shrink(t *testing.T, s scenario, failed Result) ([]Fault, Result) {
 	for i := 0; i < len(s.faults); {
-		without := s
-		without.faults = slices.Delete(slices.Clone(s.faults), i, i+1)
-		shorter := Result{}
+		candidate := s
+		candidate.faults = slices.Delete(slices.Clone(s.faults), i, i+1)
+		result := Result{}
 		for range shrinkAttempts {
-			if shorter = simulate(t, without); len(shorter.Violations) > 0 {
+			if result = simulate(t, candidate); len(result.Violations) > 0 {
 				break
 			}
 		}
-		if len(shorter.Violations) == 0 {
+		if len(result.Violations) == 0 {
 			i++
 			continue
 		}
-		s, broken = without, shorter
+		s, failed = candidate, result
 	}
-	return s.faults, broken
+	return s.faults, failed
 }
--- a/internal/testbed/controlsim/simulation.go
+++ b/internal/testbed/controlsim/simulation.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	// initialViewTimeout is how long a fleet may take to found its first view.
+	// initialViewTimeout bounds the time until the fleet has its first view.
 	initialViewTimeout = 10 * time.Second
-	pollInterval       = 20 * time.Millisecond
-	// catchUpTimeout is how long after the last fault everybody has the newest configuration.
+	// catchUpTimeout bounds the time from the last update until every process has the newest configuration.
 	catchUpTimeout = 10 * time.Second
+	// pollInterval is the pause between two evaluations of a condition.
+	pollInterval = 20 * time.Millisecond
 )
 
 // Result is the outcome of one run. The JSON keys are those of a worker's reports.
@@ -33,97 +34,103 @@
 	VirtualTime time.Duration `json:"Virtual"`
 }
 
-// simulation is one run under way.
+// simulation is one run of a scenario.
 type simulation struct {
 	scenario  scenario
 	network   *network
 	checker   *checker
 	startedAt time.Time
-	checking  context.Context // ends before the processes are stopped
-	checks    sync.WaitGroup  // of the referee
+	checking  context.Context // ends before the processes are stopped: pending checks are dropped then
+	checks    sync.WaitGroup  // pending checks of the checker
 
 	mu           sync.Mutex
-	machines     []*machine
+	machines     []*machine // in the order of their addition, replaced ones included
 	partitions   map[*partition]bool
-	activeFaults []*activeFault
-	lastDiskLoss time.Time // when a disk was last lost
+	faultPeriods []*faultPeriod
+	lastDiskLoss time.Time // zero: no disk was lost
 	events       []event
-	stopped      []chan struct{} // processes that were stopped
+	stopped      []chan struct{} // closed when a killed process has ended
 }
 
-// simulate plays a setup in a bubble of virtual time.
-func simulate(t *testing.T, s scenario) (result Result) {
-	defer seedCryptoRand(s.seed)()
+// simulate runs a scenario in a synctest bubble, in virtual time.
+func simulate(t *testing.T, scenario scenario) (result Result) {
+	defer seedCryptoRand(scenario.seed)()
 	synctest.Test(t, func(t *testing.T) {
-		r := &simulation{scenario: s, network: newNetwork(), startedAt: time.Now(), partitions: map[*partition]bool{}}
-		r.network.bandwidth = s.bandwidth
-		r.checker = newChecker(r)
+		s := &simulation{scenario: scenario, network: newNetwork(), startedAt: time.Now(), partitions: map[*partition]bool{}}
+		s.network.bandwidth = scenario.bandwidth
+		s.checker = newChecker(s)
 		ctx, cancel := context.WithCancel(context.Background())
-		var wire sync.WaitGroup
-		wire.Go(func() { r.network.expireConns(ctx) })
-		playing, endPlay := context.WithCancel(ctx)
-		r.checking = playing
-		r.execute(ctx)
-		result.VirtualTime = r.elapsed()
-		endPlay()
-		r.checks.Wait()
-		r.stop()
+		var expiring sync.WaitGroup
+		expiring.Go(func() { s.network.expireConns(ctx) })
+		checking, endChecks := context.WithCancel(ctx)
+		s.checking = checking
+		s.execute(ctx)
+		result.VirtualTime = s.elapsed()
+		endChecks()
+		s.checks.Wait()
+		s.stop()
 		cancel()
-		wire.Wait()
-		r.checker.checkHistory()
-		result.Violations, result.Events = r.checker.violations, formatEvents(r.events)
-		result.Updates, result.Reads = r.checker.updates, r.checker.reads
-		result.Drains, result.Calls = r.checker.drains, r.checker.calls
+		expiring.Wait()
+		s.checker.checkHistory()
+		result.Violations, result.Events = s.checker.violations, formatEvents(s.events)
+		result.Updates, result.Reads = s.checker.updates, s.checker.reads
+		result.Drains, result.Calls = s.checker.drains, s.checker.calls
 	})
 	return result
 }
 
-// execute founds the fleet, plays faults and work beside each other, and looks at what is left.
-func (r *simulation) execute(ctx context.Context) {
-	for range r.scenario.coreCount {
-		r.addMachine(true)
+// execute starts the fleet, runs workload and faults side by side, and checks that the fleet catches up afterwards.
+func (s *simulation) execute(ctx context.Context) {
+	for range s.scenario.coreCount {
+		s.addMachine(true)
 	}
-	for range r.scenario.agentCount {
-		r.addMachine(false)
+	for range s.scenario.agentCount {
+		s.addMachine(false)
 	}
-	for _, m := range r.allMachines() {
+	for _, m := range s.allMachines() {
 		m.start(ctx, true)
 	}
-	if !r.waitUntil(ctx, initialViewTimeout, r.hasInitialView) {
-		r.checker.reportViolation("core", "no first view within %v", initialViewTimeout)
+	if !s.waitUntil(ctx, initialViewTimeout, s.hasInitialView) {
+		s.checker.reportViolation("core", "no initial view within %v", initialViewTimeout)
 		return
 	}
-	work, stopWork := context.WithCancel(ctx)
-	var workers, faults sync.WaitGroup
-	for i := range r.scenario.operatorCount {
-		o := &operator{sim: r, index: i, random: r.newRandom("operator", i)}
-		workers.Go(func() { o.run(work) })
+	active, deactivate := context.WithCancel(ctx)
+	var workload, faults sync.WaitGroup
+	s.startWorkload(active, &workload)
+	for _, f := range s.scenario.faults {
+		faults.Go(func() { s.inject(active, f) })
 	}
-	for i := range r.scenario.serverCount {
-		s := &modelServer{sim: r, index: i, random: r.newRandom("server", i)}
-		workers.Go(func() { s.run(work) })
+	sleep(ctx, s.scenario.faultDuration)
+	faults.Wait()
+	sleep(ctx, s.scenario.quietPeriod/2)
+	deactivate()
+	workload.Wait()
+	if !s.waitUntil(ctx, catchUpTimeout, func() bool { return s.catchUpProblem() == "" }) {
+		s.checker.reportViolation("fleet", "not caught up %v after the last update: %s", catchUpTimeout, s.catchUpProblem())
 	}
-	for i := range r.scenario.echoClientCount {
-		c := &echoClient{sim: r, index: i, random: r.newRandom("caller", i)}
-		workers.Go(func() { c.run(work) })
+	sleep(ctx, propagationTimeout) // for the last checks of the checker
+}
+
+// startWorkload starts operators, model servers and echo clients, which run until ctx ends. The names of their
+// random sources are part of a seed's run.
+func (s *simulation) startWorkload(ctx context.Context, workload *sync.WaitGroup) {
+	for i := range s.scenario.operatorCount {
+		operator := &operator{sim: s, index: i, random: s.newRandom("operator", i)}
+		workload.Go(func() { operator.run(ctx) })
 	}
-	for _, f := range r.scenario.faults {
-		faults.Go(func() { r.inject(work, f) })
+	for i := range s.scenario.serverCount {
+		server := &modelServer{sim: s, index: i, random: s.newRandom("server", i)}
+		workload.Go(func() { server.run(ctx) })
 	}
-	sleep(ctx, r.scenario.faultDuration)
-	faults.Wait()
-	sleep(ctx, r.scenario.quietPeriod/2)
-	stopWork()
-	workers.Wait()
-	if !r.waitUntil(ctx, catchUpTimeout, func() bool { return r.catchUpProblem() == "" }) {
-		r.checker.reportViolation("fleet", "not caught up %v after the last order: %s", catchUpTimeout, r.catchUpProblem())
+	for i := range s.scenario.echoClientCount {
+		client := &echoClient{sim: s, index: i, random: s.newRandom("caller", i)}
+		workload.Go(func() { client.run(ctx) })
 	}
-	sleep(ctx, propagationTimeout) // the last checks of the referee
 }
 
-// hasInitialView tells whether all machines of the core know a view and are in touch.
-func (r *simulation) hasInitialView() bool {
-	for _, m := range r.coreMachines() {
+// hasInitialView tells whether all machines of the core have a quorum.
+func (s *simulation) hasInitialView() bool {
+	for _, m := range s.coreMachines() {
 		if p := m.running(); p == nil || !p.core.HasQuorum() {
 			return false
 		}
@@ -131,39 +138,38 @@
 	return true
 }
 
-// catchUpProblem names what is not as it should be long after the last fault; "" if all is.
-func (r *simulation) catchUpProblem() string {
-	r.checker.mu.Lock()
-	acked := r.checker.ackedRevision
-	r.checker.mu.Unlock()
-	v := r.newestView()
-	whole := 0
-	for _, m := range r.allMachines() {
+// catchUpProblem describes the first process that lacks the newest configuration or the quorum, or an incomplete
+// chain; "" if there is no such problem.
+func (s *simulation) catchUpProblem() string {
+	acked := s.checker.highestAckedRevision()
+	v := s.newestView()
+	complete := 0
+	for _, m := range s.allMachines() {
 		p := m.running()
 		if p == nil {
 			continue
 		}
-		s := p.snapshot.Load()
+		snapshot := p.snapshot.Load()
 		status := p.core.Status()
 		switch _, voter := v.Voter(status.ID); {
-		case acked > 0 && (s == nil || s.Config == nil || s.Config.Revision < acked):
+		case acked > 0 && (snapshot == nil || snapshot.Config == nil || snapshot.Config.Revision < acked):
 			return fmt.Sprintf("%s lacks revision %d", m.name, acked)
 		case status.Position >= 0 && status.Complete:
-			whole++
+			complete++
 		case voter && !status.HasQuorum:
-			return m.name + " is not in touch with the core"
+			return m.name + " has no quorum"
 		}
 	}
-	if want := min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: r.scenario.toleratedLosses})); whole < want {
-		return fmt.Sprintf("the chain has %d complete members, not %d", whole, want)
+	if want := min(len(v.Voters), view.MaxChainLength(view.Tolerance{Machines: s.scenario.toleratedLosses})); complete < want {
+		return fmt.Sprintf("the chain has %d complete members, not %d", complete, want)
 	}
 	return ""
 }
 
-// waitUntil polls a condition.
-func (r *simulation) waitUntil(ctx context.Context, within time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(within); !ok(); {
-		if time.Now().After(end) || ctx.Err() != nil {
+// waitUntil polls a condition and tells whether it became true in time.
+func (s *simulation) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); !condition(); {
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			return false
 		}
 		sleep(ctx, pollInterval)
@@ -171,35 +177,36 @@
 	return true
 }
 
-// stop ends all processes and waits for them.
-func (r *simulation) stop() {
-	for _, m := range r.allMachines() {
+// stop kills all processes and waits for their goroutines.
+func (s *simulation) stop() {
+	for _, m := range s.allMachines() {
 		if m.media != nil {
 			m.media.setStalled(false)
 		}
 		m.kill(false)
 	}
-	r.mu.Lock()
-	ended := slices.Clone(r.stopped)
-	r.mu.Unlock()
-	for _, done := range ended {
+	s.mu.Lock()
+	stopped := slices.Clone(s.stopped)
+	s.mu.Unlock()
+	for _, done := range stopped {
 		<-done
 	}
 }
 
-// noteStopped notes a process that was stopped: the run waits for its last goroutine.
-func (r *simulation) noteStopped(done chan struct{}) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.stopped = append(r.stopped, done)
+// recordStopped adds a killed process, whose last goroutine stop waits for.
+func (s *simulation) recordStopped(done chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopped = append(s.stopped, done)
 }
 
-// elapsed is the time of the run.
-func (r *simulation) elapsed() time.Duration { return time.Since(r.startedAt) }
+// elapsed is the virtual time since the start of the run.
+func (s *simulation) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// newRandom is the random source of one part of the run.
-func (r *simulation) newRandom(part string, index int) *rand.Rand {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%s/%d/%d", part, index, r.scenario.number)
-	return rand.New(rand.NewPCG(r.scenario.seed, h.Sum64()))
+// newRandom is the random source of one component of the run. It follows from the seed, the scenario's number and
+// the component's name alone.
+func (s *simulation) newRandom(component string, index int) *rand.Rand {
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%s/%d/%d", component, index, s.scenario.number)
+	return rand.New(rand.NewPCG(s.scenario.seed, hash.Sum64()))
 }
--- a/internal/testbed/controlsim/simulation_test.go
+++ b/internal/testbed/controlsim/simulation_test.go
@@ -14,24 +14,24 @@
 	leaktest.Main(m)
 }
 
-// regressionSeeds are played with the other tests, by point. Seeds 4 and 7 of point 2 find a vote that is
-// not on disk, 0 of point 1 a read that nobody confirmed, 57 a drain that a hub acknowledges by itself while
-// it is cut off.
+// regressionSeeds are run with the other tests, by scenario. Seeds 4 and 7 of scenario 2 find a vote that is not on
+// disk, seed 0 of scenario 1 a read that no quorum confirmed, seed 57 a drain that a partitioned relay acknowledges
+// by itself.
 var regressionSeeds = map[int][]uint64{1: {0, 57}, 2: {4, 7}, 3: {0}, 4: {5}, 5: {0}}
 
-// A fixed set of seeds of each point breaks no promise.
+// The regression seeds of each scenario violate no guarantee.
 func TestRegressionSeeds(t *testing.T) {
-	for point := 1; point <= ScenarioCount; point++ {
-		for _, seed := range regressionSeeds[point] {
-			t.Run(fmt.Sprintf("point %d seed %d", point, seed), func(t *testing.T) {
-				result := simulate(t, newScenario(point, seed))
+	for number := 1; number <= ScenarioCount; number++ {
+		for _, seed := range regressionSeeds[number] {
+			t.Run(fmt.Sprintf("scenario %d seed %d", number, seed), func(t *testing.T) {
+				result := simulate(t, newScenario(number, seed))
 				for _, v := range result.Violations {
 					t.Log(v)
 				}
 				require.Empty(t, result.Violations)
 				require.Positive(t, result.Updates)
 				require.Positive(t, result.Reads)
-				t.Logf("%v, %d orders, %d reads, %d drains, %d calls", result.VirtualTime, result.Updates, result.Reads, result.Drains, result.Calls)
+				t.Logf("%v, %d updates, %d reads, %d drains, %d calls", result.VirtualTime, result.Updates, result.Reads, result.Drains, result.Calls)
 			})
 		}
 	}
--- a/internal/testbed/controlsim/worker.go
+++ b/internal/testbed/controlsim/worker.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Simulate plays a point's run of a seed.
-func Simulate(t *testing.T, point int, seed uint64) Result {
-	return simulate(t, newScenario(point, seed))
+// Simulate runs the scenario of a number, 1 to ScenarioCount, and a seed.
+func Simulate(t *testing.T, number int, seed uint64) Result {
+	return simulate(t, newScenario(number, seed))
 }
 
-// Report is a line of a worker: one run.
+// Report is the line of JSON that a worker writes for one run.
 type Report struct {
-	Point         int
+	Scenario      int `json:"Point"`
 	Seed          uint64
 	Result        Result
 	Elapsed       time.Duration `json:"Took"`    // wall-clock time
@@ -24,26 +24,28 @@
 	MinimalResult Result        `json:"Shorter"` // of a run with MinimalFaults only
 }
 
-// Worker is the share of a hunt that one worker plays: seeds first, first+step and so on below the end.
+// Worker is the share of a hunt that one worker process runs: the seeds First, First+Step and so on below End.
 type Worker struct {
-	Points      []int
+	Scenarios   []int // run with each seed
 	First, Step uint64
 	End         uint64
 	Deadline    time.Time // no run begins later; zero: no bound
 }
 
-// Run plays the share and writes a line of JSON for each run. It ends early only if out fails.
+// Run runs the share and writes a Report for each run. The error is that of out.
 func (w Worker) Run(t *testing.T, out io.Writer) error {
 	discardServerLogs()
-	lines := json.NewEncoder(out)
+	reports := json.NewEncoder(out)
 	for seed := w.First; seed < w.End; seed += w.Step {
-		for _, point := range w.Points {
+		for _, number := range w.Scenarios {
 			if !w.Deadline.IsZero() && time.Now().After(w.Deadline) {
 				return nil
 			}
-			var p Report
-			t.Run(fmt.Sprintf("point %d seed %d", point, seed), func(t *testing.T) { p = simulateAndShrink(t, point, seed) })
-			if err := lines.Encode(&p); err != nil {
+			var report Report
+			t.Run(fmt.Sprintf("point %d seed %d", number, seed), func(t *testing.T) {
+				report = simulateAndShrink(t, number, seed)
+			})
+			if err := reports.Encode(&report); err != nil {
 				return err
 			}
 		}
@@ -51,15 +53,17 @@
 	return nil
 }
 
-func simulateAndShrink(t *testing.T, point int, seed uint64) Report {
-	begun := time.Now()
-	s := newScenario(point, seed)
-	p := Report{Point: point, Seed: seed, FaultCount: len(s.faults), Result: simulate(t, s)}
-	if len(p.Result.Violations) > 0 {
-		p.MinimalFaults, p.MinimalResult = shrink(t, s, p.Result)
+// simulateAndShrink runs a scenario, and looks for a minimal one if it violates a guarantee. The log of a run
+// without violations is dropped.
+func simulateAndShrink(t *testing.T, number int, seed uint64) Report {
+	startedAt := time.Now()
+	s := newScenario(number, seed)
+	report := Report{Scenario: number, Seed: seed, FaultCount: len(s.faults), Result: simulate(t, s)}
+	if len(report.Result.Violations) > 0 {
+		report.MinimalFaults, report.MinimalResult = shrink(t, s, report.Result)
 	} else {
-		p.Result.Events = nil
+		report.Result.Events = nil
 	}
-	p.Elapsed = time.Since(begun)
-	return p
+	report.Elapsed = time.Since(startedAt)
+	return report
 }
