--- a/internal/fleet/config/patch_test.go
+++ b/internal/fleet/config/patch_test.go
@@ -157,6 +157,9 @@
 		next, revision, err := Apply(current, true, patch)
 		require.NoError(t, err)
 		require.Equal(t, int64(2), revision)
+		document, err := Parse(next)
+		require.NoError(t, err)
+		require.Equal(t, revision, document.Revision)
 
 		var before, after map[string]any
 		require.NoError(t, json.Unmarshal(current, &before))
--- a/internal/fleet/rpc/stream_test.go
+++ b/internal/fleet/rpc/stream_test.go
@@ -79,6 +79,8 @@
 		stream, closeStream := open(t)
 		stream.Close()
 		require.Error(t, <-ended)
+		_, err := stream.Recv()
+		require.Error(t, err)
 		closeStream()
 	})
 	t.Run("the handler returns an error", func(t *testing.T) {
@@ -88,6 +90,7 @@
 		_, err := stream.Recv()
 		require.Error(t, err)
 		assert.Contains(t, err.Error(), "too loud")
+		assert.NotErrorIs(t, err, ErrUnknownMethod)
 	})
 	t.Run("the call is unknown", func(t *testing.T) {
 		stream, closeStream := openTestStream(t, server.address, "other")
