--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// hasAvailable tells whether there is a backend to send to.
+// hasAvailable reports whether there is a backend to send to.
 func (t *backendTable) hasAvailable() bool {
 	for _, known := range t.byID {
 		if !known.unavailable.Load() {
--- a/internal/agent/clientrequest.go
+++ b/internal/agent/clientrequest.go
@@ -27,7 +27,7 @@
 	unreservedBody = 4 << 10
 )
 
-// errBodyMemory tells that the memory budget has nothing left for a request's body.
+// errBodyMemory reports that the memory budget has nothing left for a request's body.
 var errBodyMemory = errors.New("no memory for a body")
 
 // singleValueHeaders are the header fields with a meaning here: one of them twice is ambiguous.
@@ -190,7 +190,7 @@
 	return reserved, nil
 }
 
-// isToken tells whether s is valid as an ID or a key.
+// isToken reports whether s is valid as an ID or a key.
 func isToken(s string) bool {
 	return len(s) <= maxTokenLength && httpguts.ValidHeaderFieldName(s)
 }
--- a/internal/agent/connpool.go
+++ b/internal/agent/connpool.go
@@ -19,7 +19,7 @@
 	connReadBuffer = 4 << 10
 )
 
-// errNoDescriptor tells that as many connections are open as may be, and none of them is idle.
+// errNoDescriptor reports that as many connections are open as may be, and none of them is idle.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
 // connPool retains idle connections to backends and bounds the number of all. http.Transport is not used on
@@ -139,7 +139,7 @@
 	p.idle[of] = idle
 }
 
-// evictOldestLocked closes the connection that has been idle longest, and tells whether there was one.
+// evictOldestLocked closes the connection that has been idle longest, and reports whether there was one.
 func (p *connPool) evictOldestLocked() bool {
 	var oldest *backendConn
 	for _, idle := range p.idle {
--- a/internal/agent/coordinator.go
+++ b/internal/agent/coordinator.go
@@ -32,7 +32,7 @@
 	ZoneOverrides []ZoneOverride
 	// FetchList asks for one fetch of the full list.
 	FetchList bool
-	// PeerReports are what discovery told peers of servers: ID, State and StartedMs.
+	// PeerReports are what discovery reported to peers of servers: ID, State and StartedMs.
 	PeerReports []Target
 }
 
--- a/internal/agent/directives.go
+++ b/internal/agent/directives.go
@@ -126,7 +126,7 @@
 // expiryMs is the time of the policy's clock at which a TTL has passed.
 func (l *eventLoop) expiryMs(ttl time.Duration) float64 { return l.now() + inMilliseconds(ttl) }
 
-// applyPeerReports takes over what discovery told peers of servers that are listed here: later processes, drains
+// applyPeerReports takes over what discovery reported to peers of servers that are listed here: later processes, drains
 // and removals. Addresses may differ between agents, so nothing can be used of a server that is not listed.
 func (l *eventLoop) applyPeerReports(reports []Target) {
 	changed := TargetList{Version: l.listVersion}
@@ -144,7 +144,7 @@
 	}
 }
 
-// supersedes tells whether a report is of a later process than a target, or of a later state of the same one.
+// supersedes reports whether a report is of a later process than a target, or of a later state of the same one.
 func supersedes(report, target *Target) bool {
 	if report.StartedMs != target.StartedMs {
 		return report.StartedMs > target.StartedMs
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -38,7 +38,7 @@
 	go l.discovery.watch(0, true)
 }
 
-// listIsPushed tells whether the policy expects changes of the list without a subscription. On sockets that is
+// listIsPushed reports whether the policy expects changes of the list without a subscription. On sockets that is
 // a watch, too, but the loop's own to keep open.
 func (l *eventLoop) listIsPushed() bool {
 	return l.config.Settings.Membership == policy.MembershipPushed
--- a/internal/agent/probes.go
+++ b/internal/agent/probes.go
@@ -48,7 +48,7 @@
 }
 
 // probe requests a backend's load report. It uses an idle connection where there is one, as a new one costs the
-// backend more than the probe. A probe is idempotent: if a reused connection breaks a new one tells whether the
+// backend more than the probe. A probe is idempotent: if a reused connection breaks a new one reports whether the
 // backend is at fault.
 func (s *sender) probe(ctx context.Context, to *backend, addr string) attemptResult {
 	startedAt := time.Now()
@@ -64,7 +64,7 @@
 	return result
 }
 
-// probeOnce makes one attempt; reused tells whether it used an idle connection.
+// probeOnce makes one attempt; reused reports whether it used an idle connection.
 func (s *sender) probeOnce(ctx context.Context, to *backend, addr string, deadline time.Time) (result attemptResult, reused bool) {
 	conn, err := s.pool.get(ctx, to, addr, earliest(deadline, time.Now().Add(s.pool.connectTimeout)))
 	if err != nil {
@@ -83,7 +83,7 @@
 	return result, reused
 }
 
-// exchangeProbe requests the load report on a connection; reusable tells whether that may carry another
+// exchangeProbe requests the load report on a connection; reusable reports whether that may carry another
 // request.
 func (s *sender) exchangeProbe(conn *backendConn, addr string, deadline time.Time) (result attemptResult, reusable bool) {
 	conn.SetDeadline(deadline)
--- a/internal/agent/probes_test.go
+++ b/internal/agent/probes_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A probe uses an idle connection; one that breaks there tells nothing of the backend.
+// A probe uses an idle connection; one that breaks there says nothing about the backend.
 func TestProbeOverIdleConnection(t *testing.T) {
 	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && echoWithReports(c, req, n) })
 	s, to := testSender(10), &backend{}
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -118,7 +118,7 @@
 	l.abandon(request)
 }
 
-// abandon cancels the attempts of a request that ended without the policy, and tells the policy so.
+// abandon cancels the attempts of a request that ended without the policy, and notifies the policy.
 func (l *eventLoop) abandon(request *pendingRequest) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.cancel != nil {
--- a/internal/agent/response_test.go
+++ b/internal/agent/response_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// A backend's 400 tells nothing of the backend: it is used for the next request as before, and so is
+// A backend's 400 says nothing about the backend: it is used for the next request as before, and so is
 // its connection.
 func TestBadRequestEjectsNoBackend(t *testing.T) {
 	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
--- a/internal/agent/sender.go
+++ b/internal/agent/sender.go
@@ -52,7 +52,7 @@
 // attempt and closes its connection.
 func (s *sender) send(ctx context.Context, to *backend, addr string, request *clientRequest, sentAt, deadline time.Time) attemptResult {
 	result := s.sendOnce(ctx, to, addr, request, deadline)
-	// A withdrawn attempt tells nothing of its backend, also if a connect was withdrawn. A response that had
+	// A withdrawn attempt says nothing about its backend, also if a connect was withdrawn. A response that had
 	// arrived counts, and what was never written was not executed.
 	if ctx.Err() != nil && result.statusCode == 0 && result.status != policy.NotSent {
 		result.status = policy.Cancelled
@@ -86,7 +86,7 @@
 }
 
 // exchange writes the request and reads its response, unless the backend drains by now: the connect may have
-// taken long. reusable tells whether the connection may carry another request.
+// taken long. reusable reports whether the connection may carry another request.
 func (s *sender) exchange(ctx context.Context, conn *backendConn, request *clientRequest, deadline time.Time) (result attemptResult, reusable bool) {
 	conn.SetDeadline(deadline)
 	if ctx.Err() != nil || conn.backend.unavailable.Load() {
@@ -136,7 +136,7 @@
 	s.pool.ages.Record(conn.idleSlot, reset)
 }
 
-// isLocalFailure tells whether a connect failed for lack of something at this agent.
+// isLocalFailure reports whether a connect failed for lack of something at this agent.
 func isLocalFailure(err error) bool {
 	return errors.Is(err, errNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
--- a/internal/agent/sender_test.go
+++ b/internal/agent/sender_test.go
@@ -138,7 +138,7 @@
 }
 
 // A backend that drains by the end of a connect is sent nothing, and an attempt cancelled meanwhile
-// tells nothing of its backend.
+// says nothing about its backend.
 func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
 	fake := newBackend(t, echo)
 	s := testSender(8)
@@ -163,7 +163,7 @@
 	}
 }
 
-// A local failure tells nothing of the backend.
+// A local failure says nothing about the backend.
 func TestLocalFailuresAreNotTheBackends(t *testing.T) {
 	fake := newBackend(t, echo)
 	now := time.Now()
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -176,7 +176,7 @@
 	return a
 }
 
-// sendsTo tells whether the agent would send to a backend.
+// sendsTo reports whether the agent would send to a backend.
 func (a *simulatedAgent) sendsTo(id string) bool {
 	got := make(chan bool, 1)
 	a.loop.post(func() {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// cannotFinish tells whether a request, sent now, has less time left than so many expected latencies.
+// cannotFinish reports whether a request, sent now, has less time left than so many expected latencies.
 func (b *Balancer) cannotFinish(req *request, latencies float64) bool {
 	return b.now+latencies*b.latency.expected[req.class] > req.targetAt || b.now >= req.deadline
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -59,7 +59,8 @@
 	return b.mayRepeatOn(req, srv)
 }
 
-// mayRepeatOn tells whether a request may be executed on the server though it may have been executed before.
+// mayRepeatOn reports whether a request may be executed on the server though it may have been executed
+// before.
 func (b *Balancer) mayRepeatOn(req *request, srv *server) bool {
 	class := &b.settings.Classes[req.class]
 	if req.maybeExecuted == 0 || class.Idempotency == Idempotent {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -31,14 +31,17 @@
 		if srv.state > Unknown {
 			state.unhealthy = append(state.unhealthy, srv)
 		}
-		switch {
-		case b.slowStartFactor(srv) < 1:
+		if b.slowStartFactor(srv) < 1 {
 			state.warmingUp = append(state.warmingUp, srv)
-		case srv.ready && srv.state <= Unknown:
-			state.healthyWarmWeight += srv.weight * b.effectiveShare(srv)
-			state.warmWeight += srv.weight * b.effectiveShare(srv)
-		case srv.ready && srv.state < Unhealthy:
-			state.warmWeight += srv.weight * b.effectiveShare(srv)
+			continue
+		}
+		if !srv.ready || srv.state == Unhealthy {
+			continue
+		}
+		weight := srv.weight * b.effectiveShare(srv)
+		state.warmWeight += weight
+		if srv.state <= Unknown {
+			state.healthyWarmWeight += weight
 		}
 	}
 }
@@ -72,10 +75,3 @@
 	state.peak = max(state.peak, state.total)
 	return state.total
 }
-
-// transition puts a server into a health state.
-func (b *Balancer) transition(srv *server, to State) {
-	if srv.Transition(to, b.now) {
-		b.generation++
-	}
-}
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -21,10 +21,10 @@
 				agent.endAttempt(id, 0, a.Server, []Status{OK, OK, OK, Error, ConnectFailed}[rng.IntN(5)], 5)
 			}
 		}
-		ill, warm, all := 0, 0.0, 0.0
+		unhealthy, warm, all := 0, 0.0, 0.0
 		for _, s := range agent.balancer.servers {
 			if s.state > Unknown {
-				ill++
+				unhealthy++
 			}
 			if s.ready && s.state <= Unknown && agent.balancer.slowStartFactor(s) == 1 {
 				warm += s.weight
@@ -34,10 +34,10 @@
 			}
 		}
 		agent.balancer.capacity.totalAt = 0
-		if gotWarm, gotAll := agent.balancer.currentWarmWeight(), agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthy) != ill ||
+		if gotWarm, gotAll := agent.balancer.currentWarmWeight(), agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthy) != unhealthy ||
 			max(gotWarm-warm, warm-gotWarm, gotAll-all, all-gotAll) > 1e-6 {
 			t.Fatalf("step %d: %d unhealthy, %.3f warm, %.3f in all; recounted %d, %.3f, %.3f", step,
-				len(agent.balancer.capacity.unhealthy), gotWarm, gotAll, ill, warm, all)
+				len(agent.balancer.capacity.unhealthy), gotWarm, gotAll, unhealthy, warm, all)
 		}
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -59,15 +59,15 @@
 
 // adjustConcurrency moves a server's concurrency limit after a served attempt: additive increase while it is
 // used and the latency is low, multiplicative decrease once a latency while the server is overloaded.
-func (b *Balancer) adjustConcurrency(srv *server, overloaded, latencyMs float64) {
+func (b *Balancer) adjustConcurrency(srv *server, overloadLatency, latencyMs float64) {
 	switch {
-	case srv.latency > overloaded && b.now-srv.limitReducedAt > latencyMs:
+	case srv.latency > overloadLatency && b.now-srv.limitReducedAt > latencyMs:
 		least := 1.0
-		if srv.latency > severeOverloadFactor*overloaded {
+		if srv.latency > severeOverloadFactor*overloadLatency {
 			least = minConcurrency
 		}
 		b.reduceConcurrency(srv, latencyDecrease, least)
-	case srv.latency < overloaded && float64(len(srv.inFlight)+2) > srv.concurrencyLimit &&
+	case srv.latency < overloadLatency && float64(len(srv.inFlight)+2) > srv.concurrencyLimit &&
 		b.latency.responses > baselineResponses:
 		srv.concurrencyLimit += min(1/srv.concurrencyLimit, srv.concurrencyLimit)
 	}
@@ -79,7 +79,7 @@
 	srv.limitReducedAt = b.now
 }
 
-// reportsOverload tells whether a server reports far more requests in flight than the others do on average:
+// reportsOverload reports whether a server reports far more requests in flight than the others do on average:
 // a cap by what all agents have in flight there.
 func (b *Balancer) reportsOverload(srv *server, report []float32) bool {
 	inFlight, ok := b.reportedMetric(report, "inflight")
--- a/policy/events.go
+++ b/policy/events.go
@@ -28,7 +28,7 @@
 	Weight    float64
 }
 
-// UpdateKind tells how a discovery event changes the endpoint list.
+// UpdateKind is how a discovery event changes the endpoint list.
 type UpdateKind uint8
 
 // The kinds of updates.
@@ -51,13 +51,13 @@
 	ConnectFailed Status = 304
 	Reset         Status = 305
 	Cancelled     Status = 306
-	NotSent       Status = 307 // it failed at this agent, which tells nothing of the server
+	NotSent       Status = 307 // it failed at this agent, which says nothing about the server
 )
 
-// NotExecuted tells whether the ending proves that the server did not execute the request.
+// NotExecuted reports whether the ending proves that the server did not execute the request.
 func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
-// EventKind tells which fields of an Event count.
+// EventKind determines which fields of an Event count.
 type EventKind uint8
 
 // The kinds of events, each with its fields.
@@ -100,7 +100,7 @@
 	ReachableShare float64 // part of the fleet and of its demand that this agent's site reaches; 1: all
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind determines which fields of an Action count.
 type ActionKind uint8
 
 // The kinds of actions, each with its fields.
--- a/policy/health.go
+++ b/policy/health.go
@@ -8,7 +8,7 @@
 	successesPerEjection = 16
 )
 
-// State is what an agent holds a listed server to be.
+// State is what an agent believes about a listed server.
 type State uint8
 
 // The four states, best first.
@@ -57,13 +57,13 @@
 // Since is when the current state was entered, in milliseconds of the caller's clock.
 func (h *EndpointHealth) Since() float64 { return h.since }
 
-// TimedOut tells whether the server was ejected for a time-out; only a served request clears it.
+// TimedOut reports whether the server was ejected for a time-out; only a served request clears it.
 func (h *EndpointHealth) TimedOut() bool { return h.timedOut }
 
 // Ejections is the number of ejections of late; it sets the next ejection's time.
 func (h *EndpointHealth) Ejections() int { return h.ejections }
 
-// Transition enters a state; it tells whether priorities may have changed.
+// Transition enters a state; it reports whether priorities may have changed.
 func (h *EndpointHealth) Transition(to State, now float64) bool {
 	changed := h.state > Unknown || to > Unknown
 	h.state, h.since = to, now
@@ -83,7 +83,7 @@
 }
 
 // RecordFailure ejects for a failed attempt. Failures while it is Unhealthy eject no second time; ejected
-// tells whether this one did.
+// reports whether this one did.
 func (h *EndpointHealth) RecordFailure(timedOut bool, now float64) (ejected bool) {
 	if h.state == Unhealthy {
 		return false
@@ -105,14 +105,14 @@
 	return max(min(doubled, maxEjectionMs), minMs)
 }
 
-// BeginValidation makes a server that was Unhealthy for ejectionMs UnhealthyPending, and tells whether it
+// BeginValidation makes a server that was Unhealthy for ejectionMs UnhealthyPending, and reports whether it
 // did.
 func (h *EndpointHealth) BeginValidation(ejectionMs, now float64) bool {
 	return h.state == Unhealthy && now-h.since >= ejectionMs && h.Transition(UnhealthyPending, now)
 }
 
-// RecordSuccess takes a served attempt. One that was sent before an ejection tells nothing of what came
-// after, and does not count. changed tells whether priorities may have changed.
+// RecordSuccess takes a served attempt. One that was sent before an ejection says nothing about what came
+// after, and does not count. changed reports whether priorities may have changed.
 func (h *EndpointHealth) RecordSuccess(sentAt, now float64) (counts, changed bool) {
 	if h.state == Unhealthy && sentAt < h.since && !h.timedOut {
 		return false, false
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -37,8 +37,8 @@
 	m.expected[class] = movingMean(m.expected[class], latencyMs, 4*fleetMeanWeight)
 }
 
-// record takes a relative latency into the recent mean and the baseline. soleInFlight tells that the attempt
-// was the only one of its agent on its server.
+// record takes a relative latency into the recent mean and the baseline. soleInFlight reports that the
+// attempt was the only one of its agent on its server.
 func (m *latencyModel) record(relative float64, soleInFlight bool, agents int) {
 	m.responses++
 	m.recent = movingMean(m.recent, relative, max(fleetMeanWeight, 1/m.responses))
@@ -51,7 +51,7 @@
 	default:
 		rise := fleetMeanWeight / baselineRiseDivisor
 		if soleInFlight {
-			// It tells the more the fewer agents there are, as those see most of the load.
+			// It says more, the fewer agents there are, as those see most of the load.
 			rise = fleetMeanWeight / min(2*math.Pow(float64(max(agents, 1)), 3), baselineRiseDivisor)
 		}
 		m.baseline = movingMean(m.baseline, m.recent, rise)
--- a/policy/mix.go
+++ b/policy/mix.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// overQuota tells whether a tenant sends more than its share of all requests.
+// overQuota reports whether a tenant sends more than its share of all requests.
 func (m *trafficMix) overQuota(tenants []Tenant, tenant int) bool {
 	if tenant < 0 || tenant >= len(m.tenantShares) {
 		return false
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -51,7 +51,7 @@
 	b.finish(req)
 }
 
-// observeAttempt takes what the end of an attempt tells of its server.
+// observeAttempt takes what the end of an attempt says about its server.
 func (b *Balancer) observeAttempt(sent *attempt, event *Event) {
 	srv := sent.server
 	switch event.Status {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// timeoutLatencyFactor is how many expected latencies a time-out must have lasted to tell of its
+	// timeoutLatencyFactor is how many expected latencies a time-out must have lasted to count against its
 	// server; one that lasted the entire latency target always does.
 	timeoutLatencyFactor = 4.0
 	// unresponsiveLatencies is after how many expected latencies without a response a server with one
@@ -26,7 +26,7 @@
 	b.failureRate += fleetMeanWeight * (failure - b.failureRate)
 }
 
-// toleratesFailures tells whether the server fails no more than any may: connections break, and responses
+// toleratesFailures reports whether the server fails no more than any may: connections break, and responses
 // arrive corrupt.
 func (b *Balancer) toleratesFailures(srv *server) bool {
 	return srv.failureRate < baseFailureTolerance+failureToleranceFactor*b.failureRate
@@ -48,6 +48,13 @@
 	b.fetchList()
 }
 
+// transition puts a server into a health state.
+func (b *Balancer) transition(srv *server, to State) {
+	if srv.Transition(to, b.now) {
+		b.generation++
+	}
+}
+
 // ejectionTime is how long a server stays Unhealthy before it is validated: the shortest latency target,
 // or a turn of this agent where it meets the server seldom, doubled with each further ejection. While the
 // others lack capacity it is 0 for a server that responds: one that fails some requests is better than to
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -222,10 +222,10 @@
 // and each ejected a server that was not at fault, and its zone.
 func TestShortTimeoutsEjectNoServer(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		left    float64 // times the expected latency, 20 ms
-		tries   int
-		demoted bool
+		name      string
+		remaining float64 // times the expected latency, 20 ms
+		attempts  int
+		ejected   bool
 	}{
 		{"hardly the expected latency", 1.6, 3, false}, // sent, and cut to its deadline
 		{"much more", 10, 1, true},
@@ -241,9 +241,9 @@
 				}
 			}
 			ejected := 0
-			for range c.tries {
+			for range c.attempts {
 				agent.lastID++
-				remaining := c.left * agent.balancer.latency.expected[0]
+				remaining := c.remaining * agent.balancer.latency.expected[0]
 				a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 0, RemainingMs: remaining}), ActionSend)
 				if a == nil {
 					t.Fatal("not sent")
@@ -256,8 +256,8 @@
 					ejected++
 				}
 			}
-			if (ejected > 0) != c.demoted {
-				t.Errorf("%d servers ejected, want some: %v", ejected, c.demoted)
+			if (ejected > 0) != c.ejected {
+				t.Errorf("%d servers ejected, want some: %v", ejected, c.ejected)
 			}
 		})
 	}
--- a/policy/overrides_test.go
+++ b/policy/overrides_test.go
@@ -152,8 +152,8 @@
 		}
 		agent.handle(Event{Kind: EventOverrides, Overrides: out, ReachableShare: 1, ZoneWeighted: true})
 	}
-	for _, c := range []struct{ home, away float64 }{{1.6, 0.4}, {0.5, 1.5}} {
-		override(1, c.home, c.away)
+	for _, c := range []struct{ own, other float64 }{{1.6, 0.4}, {0.5, 1.5}} {
+		override(1, c.own, c.other)
 		n := 0
 		for key := range uint64(4000) {
 			agent.now++
@@ -163,8 +163,8 @@
 			}
 			agent.endAttempt(id, 0, to, OK, 20)
 		}
-		if got, want := float64(n)/4000, c.home/(c.home+c.away); got < want-0.05 || got > want+0.05 {
-			t.Errorf("traffic weights of %v and %v: %.3f in the own zone, want %.3f", c.home, c.away, got, want)
+		if got, want := float64(n)/4000, c.own/(c.own+c.other); got < want-0.05 || got > want+0.05 {
+			t.Errorf("traffic weights of %v and %v: %.3f in the own zone, want %.3f", c.own, c.other, got, want)
 		}
 	}
 	before := agent.balancer.currentCapacity()
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -132,7 +132,7 @@
 	return srv.Priority(b.now, lapseMs)
 }
 
-// waitsForAffinity tells whether the request still waits for the first servers in its key's order.
+// waitsForAffinity reports whether the request still waits for the first servers in its key's order.
 func (b *Balancer) waitsForAffinity(req *request) bool {
 	return req.key != 0 && len(req.attempts) == 0 &&
 		b.now-req.arrivedAt < affinityWaitShare*(req.targetAt-req.arrivedAt)
@@ -143,7 +143,7 @@
 	return srv.weight * slowStart * b.effectiveShare(srv) * b.effectiveTraffic(srv)
 }
 
-// belowLoadCap tells whether the server is under its load cap, in the tier of the request's last pick,
+// belowLoadCap reports whether the server is under its load cap, in the tier of the request's last pick,
 // and has capacity.
 func (b *Balancer) belowLoadCap(srv *server, req *request) bool {
 	share := b.currentWeight(srv, b.slowStartFactor(srv)) / req.tierWeight
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -22,7 +22,7 @@
 	validationTurn bool // the last earned probe was left to validation
 }
 
-// available tells whether a probe may be sent.
+// available reports whether a probe may be sent.
 func (p *probeBudget) available() bool { return p.tokens >= 1 && p.inFlight < maxProbesInFlight }
 
 // sendProbe probes a server.
@@ -63,7 +63,7 @@
 	}
 }
 
-// representsLoad tells whether the load of the server tells of the fleet's. That of a lost zone does not,
+// representsLoad reports whether the load of the server represents the fleet's. That of a lost zone does not,
 // and that of a server that warms up hardly, as it gets no more than its credit.
 func (b *Balancer) representsLoad(srv *server) bool {
 	warm := b.slowStartFactor(srv) == 1 ||
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Idempotency tells whether a request of a class may be executed more than once.
+// Idempotency reports whether a request of a class may be executed more than once.
 type Idempotency string
 
 // The kinds of idempotency, by their names in the settings.
@@ -96,7 +96,7 @@
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// LoadReportMode tells where servers report their load.
+// LoadReportMode is where servers report their load.
 type LoadReportMode string
 
 // The modes, by their names in the settings.
@@ -112,7 +112,7 @@
 	Metrics []string       `json:"names"` // of the values, in their order
 }
 
-// MembershipMode tells how an agent learns of changes in the endpoint list.
+// MembershipMode is how an agent learns of changes in the endpoint list.
 type MembershipMode string
 
 // The modes, by their names in the settings.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// slowStartAllows tells whether a server is warm, or has the credit for a request. Where no server is warm,
+// slowStartAllows reports whether a server is warm, or has the credit for a request. Where no server is warm,
 // one may be sent what warm servers got before.
 func (b *Balancer) slowStartAllows(srv *server) bool {
 	if b.slowStartFactor(srv) == 1 || srv.slowStartCredit >= 1 {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -120,9 +120,9 @@
 
 // restoreKeys takes over the popularity of keys, less with age.
 func (b *Balancer) restoreKeys(snapshot *Snapshot) {
+	remaining := 1 - snapshot.AgeMs/snapshotKeysMaxAgeMs
 	for _, key := range snapshot.Keys[:min(len(snapshot.Keys), maxSnapshotKeys)] {
-		if count := finiteOrZero(key.Count) *
-			(1 - snapshot.AgeMs/snapshotKeysMaxAgeMs); count >= minKeyCount {
+		if count := finiteOrZero(key.Count) * remaining; count >= minKeyCount {
 			b.keys.counts[key.Key] += count
 			b.keys.total += count
 		}
@@ -131,10 +131,10 @@
 
 func (b *Balancer) restoreLatency(snapshot *Snapshot) {
 	model := &b.latency
-	for i := range model.expected {
-		if i < len(snapshot.ExpectedLatencyMs) && finiteOrZero(snapshot.ExpectedLatencyMs[i]) > 0 {
-			model.expected[i] = min(snapshot.ExpectedLatencyMs[i],
-				maxRelativeLatency*b.settings.Classes[i].LatencyTargetMs)
+	classes := min(len(model.expected), len(snapshot.ExpectedLatencyMs))
+	for i, expected := range snapshot.ExpectedLatencyMs[:classes] {
+		if finiteOrZero(expected) > 0 {
+			model.expected[i] = min(expected, maxRelativeLatency*b.settings.Classes[i].LatencyTargetMs)
 		}
 	}
 	baseline := finiteOrZero(snapshot.BaselineLatency)
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// needsProbe tells whether a probe would validate the server. A probe tells no more than that the process
+// needsProbe reports whether a probe would validate the server. A probe tells no more than that the process
 // runs, which is known of one that answered; and one out of the site's reach would use up the probes.
 func (b *Balancer) needsProbe(srv *server) bool {
 	pending := srv.state == UnhealthyPending && srv.ready && srv.timedOut &&
