--- /dev/null
+++ b/internal/fleet/relay/leases_test.go
@@ -0,0 +1,126 @@
+package relay
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
+)
+
+// A core member that had no quorum may not know of the leases that others grant: it expires nobody
+// before it had the time to learn of them.
+func TestRelayWaitsALeaseBeforeExpiringOthers(t *testing.T) {
+	relay, other, agent := newManualNode("h", true), newManualNode("o", true), newManualNode("a", false)
+	relay.syncFrom(agent)
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(time.Second, relay.heartbeatFrom(peer))
+	relay.core.hasQuorum.Store(false)
+	delete(relay.sessions, peer)
+	relay.runFor(time.Minute, nil)
+	require.Empty(t, relay.publishedEndSources())
+	relay.core.hasQuorum.Store(true)
+	relay.runFor(leaseDuration-tickInterval, nil)
+	require.Empty(t, relay.publishedEndSources(), "it has just regained its quorum")
+	other.syncFrom(agent)
+	otherPeer := other.connect("addr of a", agent.source(), false)
+	other.runFor(tickInterval, other.heartbeatFrom(otherPeer))
+	relay.syncFrom(other)
+	thirdPeer := relay.connect("addr of o", other.source(), true)
+	relay.runFor(time.Minute, relay.heartbeatFrom(thirdPeer))
+	assert.Empty(t, relay.publishedEndSources(), "another grants the lease")
+	assert.Len(t, relay.members, 3)
+}
+
+// The lease of a dead relay expires, and with it those that it granted.
+func TestLeaseOfDeadRelayExpires(t *testing.T) {
+	relay, dead, agent := newManualNode("h", true, Peer{}, Peer{}), newManualNode("d", true, Peer{}, Peer{}), newManualNode("a", false)
+	relay.syncFrom(agent)
+	dead.syncFrom(agent)
+	peer, otherPeer := relay.connect("addr of d", dead.source(), true), dead.connect("addr of h", relay.source(), true)
+	thirdPeer := dead.connect("addr of a", agent.source(), false)
+	dead.runFor(time.Second, func() { dead.heartbeatFrom(otherPeer)(); dead.heartbeatFrom(thirdPeer)() })
+	relay.syncFrom(dead)
+	relay.runFor(leaseDuration+time.Second, relay.heartbeatFrom(peer))
+	require.Empty(t, relay.publishedEndSources())
+	require.True(t, relay.leases.Granted(agent.source()), "by the other")
+	delete(relay.sessions, peer)
+	relay.runFor(leaseDuration+2*tickInterval, nil)
+	assert.Equal(t, []string{dead.source()}, relay.publishedEndSources())
+	relay.runFor(leaseDuration+2*tickInterval, nil)
+	assert.ElementsMatch(t, []string{dead.source(), agent.source()}, relay.publishedEndSources(), "nobody grants the agent's either")
+	assert.Len(t, relay.members, 1)
+}
+
+// A former member of the core grants no leases.
+func TestFormerCoreMemberGrantsNoLeases(t *testing.T) {
+	relay, agent := newManualNode("h", true), newManualNode("a", false)
+	relay.syncFrom(agent)
+	peer := relay.connect("addr of a", agent.source(), false)
+	relay.runFor(time.Second, relay.heartbeatFrom(peer))
+	require.NotNil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
+	relay.core.isMember.Store(false)
+	relay.runFor(tickInterval, relay.heartbeatFrom(peer))
+	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
+	relay.runFor(time.Minute, relay.heartbeatFrom(peer))
+	assert.Empty(t, relay.publishedEndSources())
+}
+
+// An agent that missed an announcement drops a source without a lease, once it has long enough had a
+// session with a relay that has a quorum; sources that it has sessions with it does not drop.
+func TestAgentDropsSourcesWithoutLeases(t *testing.T) {
+	agent, unleased, leased := newManualNode("a", false), newManualNode("gone", false), newManualNode("held", false)
+	agent.syncFrom(unleased)
+	agent.syncFrom(leased)
+	agent.runFor(time.Minute, nil)
+	require.Len(t, agent.members, 3, "without a relay a missing lease proves nothing")
+	peer := agent.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+leased.source(), present)}})
+	agent.runFor(2*leaseDuration-time.Second, agent.heartbeatFrom(peer))
+	require.Len(t, agent.members, 4)
+	agent.runFor(2*time.Second, agent.heartbeatFrom(peer))
+	assert.Len(t, agent.members, 3)
+	assert.NotContains(t, agent.members, unleased.source())
+	assert.Empty(t, agent.publishedEndSources(), "for itself only")
+	agent.runFor(time.Minute, agent.heartbeatFrom(peer))
+	assert.Len(t, agent.members, 3)
+	assert.Equal(t, 3, agent.snapshot.Agents)
+}
+
+// An agent drops no source whose lease the core may still renew: a relay that was cut off comes back just
+// before its lease expires, and the agent's ticks are not those of the core.
+func TestAgentAllowsTheCoreTimeToRenewALease(t *testing.T) {
+	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(unreachable)
+	relay := agent.connect("addr of h", "h/1", true)
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
+	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
+	require.Contains(t, agent.members, unreachable.source(), "the core may not have ended it")
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, unreachable.source(), present)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
+	require.Contains(t, agent.members, unreachable.source(), "the lease was renewed")
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, unreachable.source(), nil)}})
+	agent.runFor(sourceExpiry+2*tickInterval, agent.heartbeatFrom(relay))
+	assert.NotContains(t, agent.members, unreachable.source(), "nobody has held its lease for long")
+}
+
+// An agent whose relay is silent, frozen or cut off, drops nothing: another relay may hold the lease.
+func TestAgentWithTimedOutRelayDropsNothing(t *testing.T) {
+	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
+	agent.syncFrom(unreachable)
+	frozen := agent.connect("addr of h", "h/1", true)
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
+	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
+	agent.runFor(sessionTimeout+3*tickInterval, nil)
+	require.Contains(t, agent.members, unreachable.source(), "the frozen relay cannot tell")
+	next := agent.connect("addr of o", "o/1", true)
+	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+unreachable.source(), present)}})
+	agent.runFor(time.Minute, agent.heartbeatFrom(next))
+	assert.Contains(t, agent.members, unreachable.source())
+}
--- a/internal/fleet/relay/quorum_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -168,3 +168,18 @@
 	relay.deliver(agent, &message{Deltas: []deltasync.Delta{initialDelta("a/1", "k", present)}})
 	assert.Empty(t, agent.pendingAcks, "agents need no acknowledgement")
 }
+
+// Only core members count for the quorum: a relay does not wait for its agents, but for other relays.
+func TestAgentReplicaDoesNotCountForQuorum(t *testing.T) {
+	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+	agent, other := relay.connect("addr of a", "a/1", false), relay.connect("addr of o", "o/1", true)
+	require.True(t, relay.Heartbeat(t.Context(), server("s", 1)))
+	relay.deliver(agent, &message{ReceivedVersion: relay.items.OwnVersion() + 1})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 2)))
+	relay.deliver(agent, &message{ReceivedVersion: relay.items.OwnVersion()})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 3)))
+	relay.deliver(other, &message{IsCore: true, ReceivedVersion: relay.items.OwnVersion(), Acknowledged: deltasync.Vector{relay.source(): relay.items.OwnVersion() - 1}})
+	require.False(t, relay.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s", 4)))
+	relay.deliver(other, &message{IsCore: true, Acknowledged: deltasync.Vector{relay.source(): relay.items.OwnVersion()}})
+	assert.True(t, relay.Heartbeat(t.Context(), drainingServer("s", 5)))
+}
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -92,3 +92,66 @@
 	hub.syncFrom(agent)
 	assert.Equal(t, uint64(9), hub.snapshot.ConfigSeq)
 }
+
+// Only core members with a quorum declare themselves complete.
+func TestSelfStart(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		core, linked, newest bool
+		peer                 *message
+		after                time.Duration
+		want                 bool
+	}{
+		"whole core, none complete":      {true, true, true, &message{IsCore: true, HasQuorum: true}, tickInterval, true},
+		"whole core, one complete":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // it has no quorum
+		"whole core, one complete, late": {true, true, true, &message{IsCore: true, Complete: true}, selfStartDelay + 2*tickInterval, true},
+		"one is missing":                 {true, true, true, nil, selfStartDelay - tickInterval, false},
+		"one is missing, late":           {true, true, true, nil, selfStartDelay + 2*tickInterval, true},
+		"configuration not current":      {true, true, false, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
+		"no quorum":                      {true, false, true, &message{IsCore: true}, time.Minute, false},
+		"not a core member":              {false, false, true, &message{IsCore: true, HasQuorum: true}, time.Minute, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			relay := newManualNode("h", testCase.core, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
+			relay.core.hasQuorum.Store(testCase.linked)
+			if testCase.newest {
+				relay.MarkConfigCurrent()
+			}
+			var peer *session
+			if testCase.peer != nil {
+				peer = relay.connect("addr of o", "o/1", true)
+			}
+			relay.runFor(testCase.after, func() {
+				if peer != nil {
+					relay.deliver(peer, testCase.peer)
+				}
+			})
+			assert.Equal(t, testCase.want, relay.snapshot.Synced)
+		})
+	}
+}
+
+// A complete peer makes an agent synced only if the peer is a core member with a quorum, and a core
+// member only if that has a quorum itself.
+func TestSynced(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		core, linked bool
+		m            message
+		want         bool
+	}{
+		"an agent":                       {false, false, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"by a relay without a quorum":    {false, false, message{IsCore: true, Complete: true}, false},
+		"by an incomplete relay":         {false, false, message{IsCore: true, HasQuorum: true}, false},
+		"by a peer that is no relay":     {false, false, message{HasQuorum: true, Complete: true}, false},
+		"a core member":                  {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
+		"a core member without a quorum": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			agent := newManualNode("a", testCase.core, Peer{Addr: "addr of a"}, Peer{Addr: "addr of h"})
+			agent.core.hasQuorum.Store(testCase.linked)
+			peer := agent.connect("addr of h", "h/1", true)
+			agent.deliver(peer, &testCase.m)
+			agent.tick()
+			assert.Equal(t, testCase.want, agent.snapshot.Synced)
+		})
+	}
+}
--- a/internal/fleet/relay/fulltable_test.go
+++ b/internal/fleet/relay/servers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -10,6 +11,19 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
+// Calls with invalid instances are rejected, as other agents would ignore them.
+func TestInvalidCallsAreRejected(t *testing.T) {
+	agent := newManualNode("a", true, Peer{Addr: "addr of a"})
+	in := server("s", 1)
+	in.Slots = -1
+	assert.False(t, agent.Heartbeat(t.Context(), in))
+	assert.False(t, agent.Heartbeat(t.Context(), server("", 1)))
+	assert.False(t, agent.Deregister(t.Context(), ""))
+	assert.False(t, agent.Deregister(t.Context(), strings.Repeat("x", 1<<16)))
+	assert.True(t, agent.Deregister(t.Context(), "unknown"))
+	assert.True(t, agent.Heartbeat(t.Context(), server("s", 1)))
+}
+
 // A relay whose table is full acknowledges no call of an unknown server, and does those of the servers
 // that it knows.
 func TestFullTableRejectsUnknownServers(t *testing.T) {
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -149,3 +149,55 @@
 	require.True(t, agent.heartbeat(drainingServer("s", 1000)))
 	cluster.awaitSynced(4)
 }
+
+// Agents try the relays in turn, those of their zone first, and seeds in between.
+func TestDialTargets(t *testing.T) {
+	peers := []Peer{{"h0", "far"}, {"h1", "near"}, {"h2", "far"}, {"h3", "far"}}
+	node := newManualNode("a", false, peers...)
+	var addrs []string
+	for turn := range 16 {
+		addrs = append(addrs, node.dialTargets(turn)...)
+	}
+	require.Len(t, addrs, 16)
+	assert.Equal(t, "h1", addrs[0], "of its zone")
+	attempts := map[string]int{}
+	for _, addr := range addrs {
+		attempts[addr]++
+	}
+	for _, member := range peers {
+		assert.Equal(t, 3, attempts[member.Addr], "%v", addrs)
+	}
+	for i := range 3 {
+		assert.Positive(t, attempts[fmt.Sprint("seed-", i)], "%v", addrs)
+	}
+	// Without any known relay they try the seeds, and the addresses of redirects.
+	node = newManualNode("a", false)
+	node.upstream.redirectAddrs = []string{"named", "addr of a"}
+	attempts = map[string]int{}
+	for turn := range 20 {
+		for _, addr := range node.dialTargets(turn) {
+			attempts[addr]++
+		}
+	}
+	assert.Len(t, attempts, 4, "%v", attempts)
+	assert.Zero(t, attempts["addr of a"], "not itself")
+	// With a relay that has a quorum they try none, and close the other sessions.
+	node = newManualNode("a", false, peers...)
+	canceled := map[string]bool{}
+	for _, member := range []string{"h0", "h3", "h2"} {
+		peer := node.connect(member, member+"/1", true)
+		peer.outbound, peer.peerHasQuorum = true, member != "h2"
+		peer.cancel = func() { canceled[member] = true }
+	}
+	assert.Empty(t, node.dialTargets(0))
+	assert.Len(t, canceled, 2)
+	assert.True(t, canceled["h2"])
+	// Core members dial those with a higher address, and close sessions with former members.
+	node = newManualNode("c", true, Peer{Addr: "addr of a"}, Peer{Addr: "addr of c"}, Peer{Addr: "addr of d"}, Peer{Addr: "addr of e"})
+	peer := node.connect("addr of d", "d/1", true)
+	peer.outbound = true
+	otherPeer := node.connect("addr of z", "z/1", true)
+	otherPeer.outbound, otherPeer.cancel = true, func() { canceled["z"] = true }
+	assert.Equal(t, []string{"addr of e"}, node.dialTargets(0))
+	assert.True(t, canceled["z"])
+}
