--- a/cmd/edgectl/version.go
+++ b/cmd/edgectl/version.go
@@ -1,8 +1,7 @@
 package main
 
 import (
-	"runtime/debug"
-
+	"chalkdoor.example/chalkdoor/internal/buildinfo"
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
@@ -17,15 +16,10 @@
 
 // Run prints the version of the build.
 func (versionCommand) Run(s *session) error {
-	info, ok := debug.ReadBuildInfo()
+	info, ok := buildinfo.Read()
 	if !ok {
 		return apierror.New(apierror.Internal, "", "build it with modules", "this build has no version")
 	}
-	output := versionOutput{Version: info.Main.Version, Go: info.GoVersion}
-	for _, setting := range info.Settings {
-		if setting.Key == "vcs.revision" {
-			output.Revision = setting.Value
-		}
-	}
+	output := versionOutput{Version: info.Version, Revision: info.Revision, Go: info.Go}
 	return s.printResult(output, "edgectl %s %s %s", output.Version, output.Revision, output.Go)
 }
--- a/cmd/edged/main.go
+++ b/cmd/edged/main.go
@@ -3,18 +3,19 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"flag"
 	"fmt"
 	"os"
 	"os/signal"
-	"runtime/debug"
 	"strconv"
 	"syscall"
 
 	"github.com/alecthomas/kong"
 	"k8s.io/klog/v2"
 
+	"chalkdoor.example/chalkdoor/internal/buildinfo"
 	"chalkdoor.example/chalkdoor/internal/fleet/daemon"
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
@@ -91,18 +92,12 @@
 
 // Run prints the version of the build.
 func (versionCommand) Run() error {
-	info, ok := debug.ReadBuildInfo()
+	info, ok := buildinfo.Read()
 	if !ok {
 		fmt.Println("edged")
 		return nil
 	}
-	revision := "unknown"
-	for _, setting := range info.Settings {
-		if setting.Key == "vcs.revision" {
-			revision = setting.Value
-		}
-	}
-	fmt.Println("edged", revision, info.GoVersion)
+	fmt.Println("edged", cmp.Or(info.Revision, "unknown"), info.Go)
 	return nil
 }
 
