--- a/internal/fleet/gateway/conn.go
+++ b/internal/fleet/gateway/conn.go
@@ -50,6 +50,9 @@
 	}
 }
 
+// IdleSince returns when the connection was last returned to the pool.
+func (c *conn) IdleSince() time.Time { return c.idleSince }
+
 // setUserTimeout sets tcpUserTimeout on a socket, as net.Dialer.Control. It is best effort: the
 // time-outs of requests bound the wait, too.
 func setUserTimeout(_, _ string, socket syscall.RawConn) error {
--- a/internal/fleet/gateway/exchange_test.go
+++ b/internal/fleet/gateway/exchange_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	gateway.Update(&relay.Snapshot{ConfigSeq: 1, Config: document, Servers: list, Agents: 1, Synced: true})
 	for instanceID := range list.ByID {
-		gateway.pool.open++
+		require.NoError(t, gateway.pool.conns.Reserve())
 		gateway.pool.put(newConn(&fakeConn{exchange: x}, instanceID))
 	}
 	req := httptest.NewRequest("POST", path, strings.NewReader(exchangeBody))
--- a/internal/fleet/gateway/handler_test.go
+++ b/internal/fleet/gateway/handler_test.go
@@ -212,13 +212,22 @@
 // TestReadinessTakesNoLock answers a readiness probe while all locks are held.
 func TestReadinessTakesNoLock(t *testing.T) {
 	harness := newHarness(t, 1, nil)
+	conns := harness.gateway.pool.conns
+	require.NoError(t, conns.Reserve())
+	idle := newConn(&fakeConn{}, "i-idle")
+	idle.usableUntil = time.Now().Add(testTimeout)
+	require.True(t, conns.PutIdle(idle.instanceID, idle))
 	harness.gateway.mu.Lock()
 	defer harness.gateway.mu.Unlock()
-	harness.gateway.pool.mu.Lock()
-	defer harness.gateway.pool.mu.Unlock()
-	recorder := httptest.NewRecorder()
-	harness.gateway.ServeReadiness(recorder, nil)
-	require.Equal(t, 200, recorder.Code)
+	probed := false
+	conns.CloseIdleIf(func(string) bool { // called with the pool's lock held
+		recorder := httptest.NewRecorder()
+		harness.gateway.ServeReadiness(recorder, nil)
+		require.Equal(t, 200, recorder.Code)
+		probed = true
+		return true
+	})
+	require.True(t, probed)
 }
 
 // shutdownClients are clients whose requests are at different stages when the gateway shuts down.
--- a/internal/fleet/gateway/outcome.go
+++ b/internal/fleet/gateway/outcome.go
@@ -5,6 +5,7 @@
 	"errors"
 	"syscall"
 
+	"chalkdoor.example/chalkdoor/internal/connpool"
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
@@ -73,7 +74,7 @@
 // isLocalShortage reports whether a connect failed for what this process or host lacks, which is no
 // fault of the server.
 func isLocalShortage(err error) bool {
-	for _, shortage := range []error{errPoolExhausted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
+	for _, shortage := range []error{connpool.ErrExhausted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
 		if errors.Is(err, shortage) {
 			return true
 		}
--- a/internal/fleet/gateway/parse_test.go
+++ b/internal/fleet/gateway/parse_test.go
@@ -9,6 +9,7 @@
 	"github.com/go-faster/errors"
 	"github.com/stretchr/testify/require"
 
+	"chalkdoor.example/chalkdoor/internal/connpool"
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 )
 
@@ -81,7 +82,7 @@
 }
 
 func TestIsLocalShortage(t *testing.T) {
-	for _, shortage := range []error{errPoolExhausted, syscall.EMFILE, syscall.EADDRNOTAVAIL} {
+	for _, shortage := range []error{connpool.ErrExhausted, syscall.EMFILE, syscall.EADDRNOTAVAIL} {
 		require.True(t, isLocalShortage(errors.Wrap(shortage, "connect")), "%v", shortage)
 	}
 	require.False(t, isLocalShortage(syscall.ECONNREFUSED))
--- a/internal/fleet/gateway/pool_test.go
+++ b/internal/fleet/gateway/pool_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"chalkdoor.example/chalkdoor/internal/connpool"
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
@@ -57,7 +58,7 @@
 func (p *testPool) requireExhausted(server int) {
 	p.t.Helper()
 	_, _, err := p.getFrom(server)
-	require.ErrorIs(p.t, err, errPoolExhausted)
+	require.ErrorIs(p.t, err, connpool.ErrExhausted)
 }
 
 func TestPoolEvictsOnlyIdleConnections(t *testing.T) {
@@ -90,23 +91,26 @@
 	pool.put(unlisted)
 	expired.usableUntil = time.Now()
 	pool.closeExpired()
-	require.Equal(t, 1, pool.open)
+	open, _ := pool.conns.Count()
+	require.Equal(t, 1, open)
 	pool.retainListed(pool.harness.serverList(pool.harness.servers[2]).ByID)
-	require.Zero(t, pool.open)
-	require.Empty(t, pool.idle)
+	open, idle := pool.conns.Count()
+	require.Zero(t, open)
+	require.Zero(t, idle)
 }
 
 // requireNoUsableConn waits until the gateway has no idle connection to a server that may carry a request.
 func (h *testHarness) requireNoUsableConn(server *testServer) {
 	h.t.Helper()
-	pool := h.gateway.pool
+	conns := h.gateway.pool.conns
 	require.Eventually(h.t, func() bool {
-		pool.mu.Lock()
-		defer pool.mu.Unlock()
-		for _, conn := range pool.idle[server.instance.ID] {
-			return !http1.IsIdle(conn.Conn, conn.reader)
+		conn, ok := conns.TakeIdle(server.instance.ID)
+		if !ok {
+			open, _ := conns.Count()
+			return open == 0 // it was not usable when it was put back
 		}
-		return pool.open == 0 // it was not usable when it was put back
+		usable := http1.IsIdle(conn.Conn, conn.reader)
+		return conns.PutIdle(server.instance.ID, conn) && !usable
 	}, testTimeout, time.Millisecond)
 }
 
--- a/internal/fleet/gateway/upstreambody_test.go
+++ b/internal/fleet/gateway/upstreambody_test.go
@@ -45,7 +45,8 @@
 			}
 			require.Equal(t, "seal-1", resp.Header.Get(headerServerSeal))
 			require.Equal(t, c.body, body)
-			require.Zero(t, harness.gateway.pool.open, "the connection is still open")
+			open, _ := harness.gateway.pool.conns.Count()
+			require.Zero(t, open, "the connection is still open")
 		})
 	}
 }
