--- a/internal/agent/connpool_test.go
+++ b/internal/agent/connpool_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"chalkdoor.example/chalkdoor/internal/connpool"
 	"chalkdoor.example/chalkdoor/policy"
 )
 
@@ -102,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer y.Close()
-	if _, err := p.get(t.Context(), one, fake.addr, end); err != errNoDescriptor {
+	if _, err := p.get(t.Context(), one, fake.addr, end); err != connpool.ErrExhausted {
 		t.Errorf("a third connection of two: %v", err)
 	}
 	p.put(x)
@@ -111,8 +112,8 @@
 		t.Fatal(err)
 	}
 	z.Close()
-	if p.open != 2 {
-		t.Errorf("%d connections counted, want 2", p.open)
+	if open, _ := p.count(); open != 2 {
+		t.Errorf("%d connections counted, want 2", open)
 	}
 }
 
@@ -135,8 +136,11 @@
 	p.put(y)
 	old.unavailable.Store(true)
 	p.closeExpired()
-	if p.open != 1 || len(p.idle) != 1 || len(p.idle[heir]) != 1 {
-		t.Errorf("%d open, idle %v", p.open, p.idle)
+	if open, idle := p.count(); open != 1 || idle != 1 {
+		t.Errorf("%d open, %d idle, want 1 and 1", open, idle)
+	}
+	if z, ok := p.conns.TakeIdle(heir); !ok || z != y {
+		t.Error("the idle connection is not that of the new backend")
 	}
 }
 
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -348,7 +348,7 @@
 // testSender makes attempts over a bounded number of connections.
 func testSender(most int) *sender {
 	return &sender{memoryBudget: semaphore.NewWeighted(1 << 20), responseMetrics: []string{"qps", "util", "eps"},
-		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, maxOpen: most, idle: map[*backend][]*backendConn{}}}
+		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, conns: newBackendConns(most)}}
 }
 
 func testClientRequest(body []byte) *clientRequest {
--- a/internal/agent/probes_test.go
+++ b/internal/agent/probes_test.go
@@ -49,8 +49,8 @@
 				t.Errorf("status %d, report %v, want %d, %v", r.status, r.report, c.status, c.report)
 			}
 			// A connection with a malformed response is not reused.
-			if idleConn := len(s.pool.idle) > 0; idleConn != (r.statusCode != 0) {
-				t.Errorf("connection retained: %v", idleConn)
+			if _, idle := s.pool.count(); (idle > 0) != (r.statusCode != 0) {
+				t.Errorf("%d connections retained", idle)
 			}
 		})
 	}
--- a/internal/agent/sender.go
+++ b/internal/agent/sender.go
@@ -13,6 +13,7 @@
 
 	"golang.org/x/sync/semaphore"
 
+	"chalkdoor.example/chalkdoor/internal/connpool"
 	"chalkdoor.example/chalkdoor/internal/http1"
 	"chalkdoor.example/chalkdoor/policy"
 )
@@ -138,7 +139,7 @@
 
 // isLocalFailure reports whether a connect failed for lack of something at this agent.
 func isLocalFailure(err error) bool {
-	return errors.Is(err, errNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+	return errors.Is(err, connpool.ErrExhausted) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
 }
 
--- a/internal/agent/sender_test.go
+++ b/internal/agent/sender_test.go
@@ -125,15 +125,17 @@
 	nc.(*net.TCPConn).SetWriteBuffer(4096)
 	addr := ln.Addr().String()
 	s, b := testSender(8), &backend{}
-	s.pool.open = 1
-	s.pool.idle[b] = []*backendConn{{Conn: nc, reader: bufio.NewReader(nc), backend: b, addr: addr, idleSince: time.Now()}}
+	if err := s.pool.conns.Reserve(); err != nil {
+		t.Fatal(err)
+	}
+	s.pool.conns.PutIdle(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc), backend: b, addr: addr, idleSince: time.Now()})
 	c := testClientRequest(make([]byte, maxRequestBody))
 	now := time.Now()
 	if res := s.send(context.Background(), b, addr, c, now, now.Add(testTimeout)); res.status != policy.ConnectFailed {
 		t.Errorf("ended as %d, want %d", res.status, policy.ConnectFailed)
 	}
-	if s.pool.open != 0 {
-		t.Errorf("%d connections counted as open", s.pool.open)
+	if open, _ := s.pool.count(); open != 0 {
+		t.Errorf("%d connections counted as open", open)
 	}
 }
 
