--- a/internal/fleet/balancer/fleet_test.go
+++ b/internal/fleet/balancer/fleet_test.go
@@ -7,35 +7,35 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The figures asked for here lie well under what these plays give: a change that makes a
-// fleet clearly worse is found, and luck is not.
+// The figures required here are well below those of the simulations: a change that makes a fleet
+// clearly worse is found, and chance is not.
 
-// withPrefillNotices has agents tell each other of prompts that keep a server busy for long.
+// withPrefillNotices has agents publish the prompts that keep a server busy for long.
 func withPrefillNotices(site simSite) simSite {
 	site.noticeDelay, site.minNoticePrefill = 40*ms, 50*ms
 	return site
 }
 
 func TestFleetUnderNormalLoad(t *testing.T) {
-	for name, config := range map[string]simSite{"18 servers": site18(3), "12 servers": site12(3), "112 servers": site112(3)} {
+	for name, site := range map[string]simSite{"18 servers": site18(3), "12 servers": site12(3), "112 servers": site112(3)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			config.duration = 15 * time.Second
-			if config.servers > 64 {
-				config.duration = 4 * time.Second
+			site.duration = 15 * time.Second
+			if site.servers > 64 {
+				site.duration = 4 * time.Second
 			}
-			withoutNotices, r := simulate(config), simulate(withPrefillNotices(config))
-			t.Logf("alone %s", withoutNotices)
-			t.Logf("told  %s", r)
+			withoutNotices, r := simulate(site), simulate(withPrefillNotices(site))
+			t.Logf("without notices: %s", withoutNotices)
+			t.Logf("with notices: %s", r)
 			for _, r := range []*simResult{withoutNotices, r} {
-				assert.Zero(t, r.rejected[0]+r.rejected[1], "nothing is short")
+				assert.Zero(t, r.rejected[0]+r.rejected[1], "there is free capacity")
 				assert.Greater(t, r.onTimeRatio(0), 0.84)
 				assert.Greater(t, r.onTimeRatio(1), 0.86)
-				assert.Greater(t, r.cacheHitRatio(), 0.85, "shared parts are read once")
-				assert.Less(t, r.imbalance(), 2.3, "no server reads much more than the mean")
+				assert.Greater(t, r.cacheHitRatio(), 0.85, "shared segments are computed once")
+				assert.Less(t, r.imbalance(), 2.3, "no server prefills much more than the mean")
 			}
 			assert.Greater(t, r.onTimeRatio(0), 0.91)
-			assert.Greater(t, r.onTimeRatio(1), 0.97, "short prompts do not wait behind long ones")
+			assert.Greater(t, r.onTimeRatio(1), 0.97, "short prompts do not wait for long ones")
 		})
 	}
 }
@@ -47,7 +47,7 @@
 	t.Log(r)
 	assert.Greater(t, r.onTimeRatio(0), 0.88)
 	assert.Greater(t, r.onTimeRatio(1), 0.96)
-	assert.Less(t, r.imbalance(), 1.8, "it is spread")
+	assert.Less(t, r.imbalance(), 1.8, "its subset is large")
 	assert.Greater(t, r.cacheHitRatio(), 0.85)
 }
 
@@ -56,7 +56,7 @@
 	site.unresponsive, site.duration = map[int]bool{2: true, 7: true}, 15*time.Second
 	r := simulate(site)
 	t.Log(r, r.sentToUnresponsive)
-	assert.Less(t, float64(r.sentToUnresponsive)/float64(r.sent), 0.02, "they are known after few attempts")
+	assert.Less(t, float64(r.sentToUnresponsive)/float64(r.sent), 0.02, "they are ejected after few attempts")
 	assert.Greater(t, r.onTimeRatio(0), 0.86)
 	assert.Greater(t, r.onTimeRatio(1), 0.94)
 }
@@ -67,8 +67,8 @@
 	r := simulate(site)
 	t.Log(r)
 	sum := 0.0
-	for _, w := range r.prefillMs {
-		sum += w
+	for _, ms := range r.prefillMs {
+		sum += ms
 	}
 	assert.Less(t, r.prefillMs[2]+r.prefillMs[7], 2*0.85*sum/float64(len(r.prefillMs)), "they get less")
 	assert.Greater(t, r.onTimeRatio(0), 0.84)
@@ -84,16 +84,16 @@
 	assert.Greater(t, r.onTimeRatio(1), 0.97)
 }
 
-// TestFleetUnderOverload has half as much again as the servers can do at all.
+// TestFleetUnderOverload offers one and a half times what the servers can do.
 func TestFleetUnderOverload(t *testing.T) {
 	site := withPrefillNotices(site18(8))
 	site.loadFactor, site.duration = 2.6, 15*time.Second
 	r := simulate(site)
 	t.Log(r)
-	rejected := func(k int) float64 { return float64(r.rejected[k]) / float64(r.offered[k]) }
-	assert.Greater(t, rejected(0), 0.05, "who cannot be served in time is told so")
-	assert.Less(t, rejected(0), 0.65, "and no kind is starved")
-	assert.Less(t, rejected(1), rejected(0), "the less urgent ones first")
+	rejected := func(traffic int) float64 { return float64(r.rejected[traffic]) / float64(r.offered[traffic]) }
+	assert.Greater(t, rejected(0), 0.05, "requests without a chance are rejected")
+	assert.Less(t, rejected(0), 0.65, "no traffic is starved")
+	assert.Less(t, rejected(1), rejected(0), "the less urgent requests are shed first")
 	assert.Greater(t, float64(r.served[1])/float64(r.offered[1]), 0.85)
 	assert.Greater(t, r.onTimeRatio(1), 0.3)
 }
