--- a/internal/fleet/balancer/bench_test.go
+++ b/internal/fleet/balancer/bench_test.go
@@ -28,8 +28,8 @@
 	return p
 }
 
-// pickRequests has a picker place and end so many requests, of as many shared prefixes, each with a part of
-// a session of its own.
+// pickRequests has a picker pick servers for so many requests, of as many shared prefixes, each with a
+// segment of a session of its own, and ends them.
 func pickRequests(p *Picker, prefixes int) {
 	route := &config.Route{Name: "r", Kind: config.Streaming, MaxAttempts: 2}
 	now := time.Duration(0)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A list in which one server is new, and one has gone.
+// BenchmarkUpdateInstances applies a list in which one server is new and one is removed.
 func BenchmarkUpdateInstances(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// What a picker holds: for each server, and for the prefixes that it met, up to its bounds.
+// BenchmarkHeap is the memory of a picker: for each server, and for the prefixes that it has seen, up to its
+// bounds.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
 	bare := heapsize.Of(func() any { return benchPicker(servers) })
@@ -82,7 +83,7 @@
 	}
 }
 
-// The look at what is to be validated, while nothing is.
+// BenchmarkDueHealthChecks is without a server to check.
 func BenchmarkDueHealthChecks(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/fleet/balancer/picker_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -7,7 +7,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"pgregory.net/rapid"
 
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 	"chalkdoor.example/chalkdoor/internal/fleet/inference"
@@ -51,7 +50,7 @@
 	return p
 }
 
-// newTestRequest is a request whose prompt has a shared part, and one of its own.
+// newTestRequest is a request whose prompt has a shared segment and one of its own.
 func newTestRequest(shared, own uint64) *Request {
 	return &Request{Route: urgentRoute, Service: "llm", Model: "m", Segments: []Segment{{ID: shared, Tokens: 2000}, {ID: own, Tokens: 500}},
 		PromptTokens: 2500, MaxOutputTokens: 20, TimeLeft: 3 * time.Second, LatencyTarget: 500 * ms}
@@ -59,7 +58,7 @@
 
 func (p *Picker) stateOf(id string) policy.State { return p.servers[id].State() }
 
-// mustForward places the request and lets it leave.
+// mustForward picks a server for the request and sends it.
 func mustForward(t require.TestingT, p *Picker, now time.Duration, r *Request) *Attempt {
 	d := p.Pick(now, r)
 	require.Equal(t, Forward, d.Action, d.Reason)
@@ -67,6 +66,7 @@
 	return d.Attempt
 }
 
+// succeed ends an attempt after its first token.
 func succeed(a *Attempt, now time.Duration) {
 	a.Headers(now, 200, nil)
 	a.Events(now, 1)
@@ -74,22 +74,27 @@
 }
 
 func TestHealthFollowsAttemptOutcomes(t *testing.T) {
-	for _, x := range []struct {
-		end  Outcome
-		want policy.State
-	}{
-		{Succeeded, policy.Connected}, {ClientError, policy.Unknown}, {Rejected, policy.Unknown}, {Cancelled, policy.Unknown},
-		{ConnectFailed, policy.Unhealthy}, {Reset, policy.Unhealthy}, {BadResponse, policy.Unhealthy}, {ServerError, policy.Unhealthy},
-		{Timeout, policy.Unhealthy},
+	for outcome, want := range map[Outcome]policy.State{
+		Succeeded:     policy.Connected,
+		ClientError:   policy.Unknown,
+		Rejected:      policy.Unknown,
+		Cancelled:     policy.Unknown,
+		ConnectFailed: policy.Unhealthy,
+		Reset:         policy.Unhealthy,
+		BadResponse:   policy.Unhealthy,
+		ServerError:   policy.Unhealthy,
+		Timeout:       policy.Unhealthy,
 	} {
-		p := newTestPicker(1, 3)
-		a := mustForward(t, p, 0, newTestRequest(1, 2))
-		id := a.server.instance.ID
-		a.End(2*time.Second, x.end)
-		assert.Equal(t, x.want, p.stateOf(id), "end %d", x.end)
-		a.End(3*time.Second, Reset)
-		assert.Equal(t, x.want, p.stateOf(id), "an attempt ends once")
-		assert.Zero(t, p.servers[id].inFlight+p.services["llm"].inFlight)
+		t.Run(outcome.String(), func(t *testing.T) {
+			p := newTestPicker(1, 3)
+			a := mustForward(t, p, 0, newTestRequest(1, 2))
+			id := a.server.instance.ID
+			a.End(2*time.Second, outcome)
+			assert.Equal(t, want, p.stateOf(id))
+			a.End(3*time.Second, Reset)
+			assert.Equal(t, want, p.stateOf(id), "an attempt ends once")
+			assert.Zero(t, p.servers[id].inFlight+p.services["llm"].inFlight)
+		})
 	}
 }
 
@@ -127,13 +132,13 @@
 		require.NotEqual(t, bad, b.server)
 		succeed(b, 60*ms)
 	}
-	assert.Empty(t, p.DueHealthChecks(100*ms), "held")
+	assert.Empty(t, p.DueHealthChecks(100*ms), "still ejected")
 	due := p.DueHealthChecks(300 * ms)
-	require.Len(t, due, 1, "refreshed, and validated in the background")
+	require.Len(t, due, 1, "its ejection is over, and it is checked in the background")
 	assert.Equal(t, bad.instance, due[0])
 	assert.Empty(t, p.DueHealthChecks(301*ms), "once")
 	assert.Equal(t, 1, p.serverRank(310*ms, bad, &pickContext{Request: newTestRequest(1, 2)}))
-	assert.Equal(t, 0, p.serverRank(time.Second, bad, &pickContext{Request: newTestRequest(1, 2)}), "it lapses")
+	assert.Equal(t, 0, p.serverRank(time.Second, bad, &pickContext{Request: newTestRequest(1, 2)}), "without a verdict it counts as healthy")
 	p.HealthCheckDone(320*ms, bad.instance.ID, true, nil)
 	assert.Equal(t, policy.Connected, bad.State())
 }
@@ -148,13 +153,13 @@
 	assert.Equal(t, 1, p.serverRank(5*time.Second, a.server, q))
 	p.HealthCheckDone(5*time.Second, a.server.instance.ID, false, nil)
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next hold is longer")
+	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next ejection is longer")
 }
 
 func TestNonIdempotentRequestTriesNoUncheckedServer(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
-	for range 10 { // no stray failure
+	for range 10 { // more than is tolerable
 		p.updateFailureRate(0, a.server, true)
 	}
 	a.End(ms, Reset)
@@ -176,7 +181,7 @@
 	due := p.DueHealthChecks(time.Second)
 	require.Len(t, due, 1)
 	succeed(b, 1100*ms)
-	require.Equal(t, policy.Connected, a.server.State(), "it served meanwhile")
+	require.Equal(t, policy.Connected, a.server.State(), "it has served since")
 	p.HealthCheckDone(1200*ms, due[0].ID, false, nil)
 	assert.Equal(t, policy.Connected, a.server.State())
 }
@@ -195,7 +200,7 @@
 		p.markUnhealthy(0, s, false)
 	}
 	a := mustForward(t, p, ms, newTestRequest(1, 2))
-	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests never wait for validation")
+	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests never wait for checks")
 }
 
 func TestRefusedConnectAndListChangeAllowChecks(t *testing.T) {
@@ -209,14 +214,14 @@
 	p.UpdateInstances(300*ms, instanceList(all[:4]...))
 	assert.Equal(t, policy.Unhealthy, bad.State(), "nothing has changed")
 	p.UpdateInstances(300*ms, instanceList(all...))
-	assert.Equal(t, policy.UnhealthyPending, bad.State(), "a server came")
+	assert.Equal(t, policy.UnhealthyPending, bad.State(), "a server was added")
 
 	bad.RecordFailure(true, 400)
 	a := mustForward(t, p, 700*ms, newTestRequest(1, 2))
 	a.End(701*ms, ConnectFailed)
-	assert.Equal(t, policy.UnhealthyPending, bad.State(), "another one refused a connect")
+	assert.Equal(t, policy.UnhealthyPending, bad.State(), "another server refused a connection")
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.False(t, a.server.TimedOut(), "one that says no is there")
+	assert.False(t, a.server.TimedOut(), "a refusal is no time-out")
 }
 
 func TestChecksAreRateLimited(t *testing.T) {
@@ -238,7 +243,7 @@
 	assert.Equal(t, unhealthyCheckInterval, p.HealthCheckInterval())
 	p.DueHealthChecks(now)
 	p.DueHealthChecks(now + 2*checkTimeout)
-	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "what is never ended is given up")
+	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "a check that is never ended is given up")
 }
 
 func TestUnresponsiveServerIsChecked(t *testing.T) {
@@ -250,7 +255,7 @@
 	require.Len(t, due, 1)
 	assert.Equal(t, a.server.instance, due[0])
 	assert.Equal(t, policy.UnhealthyPending, a.server.State())
-	assert.NotEqual(t, a.server, mustForward(t, p, 2*time.Second, newTestRequest(1, 3)).server, "and passed over meanwhile")
+	assert.NotEqual(t, a.server, mustForward(t, p, 2*time.Second, newTestRequest(1, 3)).server, "it is skipped until then")
 	succeed(a, 2100*ms)
 	assert.Equal(t, policy.Connected, a.server.State())
 }
@@ -277,7 +282,7 @@
 	a.End(ms, Misdirected)
 	assert.NotContains(t, p.servers, in.ID)
 	p.UpdateInstances(2*ms, list)
-	assert.NotContains(t, p.servers, in.ID, "the same news do not bring it back")
+	assert.NotContains(t, p.servers, in.ID, "the same list does not bring it back")
 	assert.Len(t, p.services["llm"].ring, 1)
 	in.Seq++
 	list.ByID[in.ID] = &in
@@ -300,12 +305,12 @@
 	}
 	p.UpdateInstances(ms, instanceList(remaining...))
 	for i := range uint64(20) {
-		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server, "one that is not listed any more gets nothing")
+		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server, "a removed server gets nothing")
 	}
 	a.End(3*ms, Succeeded)
 	assert.Equal(t, policy.Unknown, a.server.State(), "its attempts end without a verdict")
 	p.UpdateInstances(4*ms, instanceList(testInstances(3)...))
-	assert.NotSame(t, a.server, p.servers[a.server.instance.ID], "what comes back is new")
+	assert.NotSame(t, a.server, p.servers[a.server.instance.ID], "a server that is added again is new")
 	p.UpdateInstances(5*ms, nil)
 	p.UpdateConfig(5*ms, nil)
 	assert.Len(t, p.servers, 3)
@@ -316,7 +321,7 @@
 	assert.Equal(t, "other", p.servers[moved.ID].service.name)
 	assert.Empty(t, p.services["llm"].servers)
 	p.UpdateConfig(7*ms, &config.Document{})
-	assert.NotContains(t, p.services, "gone")
+	assert.NotContains(t, p.services, "removed")
 	d := p.Pick(7*ms, newTestRequest(1, 2))
 	assert.Equal(t, Reject, d.Action)
 	assert.Equal(t, "no server of the service is known", d.Reason)
@@ -346,7 +351,7 @@
 		assert.Equal(t, "m", mustForward(t, p, 0, newTestRequest(i, 100+i)).server.instance.Models[0].Name)
 	}
 	r := newTestRequest(1, 2)
-	r.Model = "unheard of"
+	r.Model = "unknown"
 	mustForward(t, p, 0, r)
 	s := p.servers["i-0000"]
 	s.inference.Begin(0, inference.AppendPrefixes(nil, "m", r.Segments), 2500, 1)
@@ -354,7 +359,7 @@
 	next := *all[0]
 	next.Models = []registry.Model{{Name: "m", Revision: 2}}
 	p.UpdateInstances(ms, instanceList(append([]*registry.Instance{&next}, all[1:]...)...))
-	assert.Zero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)), "other weights keep nothing of the old")
+	assert.Zero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)), "other weights make the cache useless")
 }
 
 func TestAgentsAgreeOnAKeysServer(t *testing.T) {
@@ -384,7 +389,7 @@
 		p, q := newTestPicker(1, 12), newTestPicker(1, 11)
 		a, b := mustForward(t, p, 0, newTestRequest(key, 1)), mustForward(t, q, 0, newTestRequest(key, 1))
 		if a.server.instance.ID != b.server.instance.ID {
-			assert.Equal(t, "i-0011", a.server.instance.ID, "only those of the server that went")
+			assert.Equal(t, "i-0011", a.server.instance.ID, "only those of the removed server")
 			moved++
 		}
 	}
@@ -405,7 +410,7 @@
 func TestHotKeyHasALargerSubset(t *testing.T) {
 	p := newTestPicker(1, 10)
 	now := time.Duration(0)
-	for i := range uint64(400) { // one key in two requests
+	for i := range uint64(400) { // every other request has the hot key
 		key := 1000 + i%20
 		if i%2 == 0 {
 			key = 7
@@ -465,7 +470,7 @@
 	reportOverload(p)
 	r := newTestRequest(1, 2)
 	d := p.Pick(0, r)
-	require.Equal(t, Forward, d.Action, "it may be late, yet it is served")
+	require.Equal(t, Forward, d.Action, "it may be late, but has a chance")
 	r.TimeLeft = 100 * ms
 	d = p.Pick(0, r)
 	require.Equal(t, Reject, d.Action)
@@ -497,12 +502,12 @@
 		}
 		return float64(rejected) / 1000
 	}
-	assert.Zero(t, share(draftRoute, 0.1, true), "nothing is short")
+	assert.Zero(t, share(draftRoute, 0.1, true), "no class is late")
 	assert.InDelta(t, 0.3, share(draftRoute, 0.3, true), 0.06)
-	assert.InDelta(t, maxShedRatio, share(draftRoute, 1, true), 0.06, "some are always sent")
-	assert.Zero(t, share(draftRoute, 1, false), "an estimate alone refuses nothing")
+	assert.InDelta(t, maxShedRatio, share(draftRoute, 1, true), 0.06, "some are always forwarded")
+	assert.Zero(t, share(draftRoute, 1, false), "an estimate alone sheds nothing")
 	assert.Zero(t, share(urgentRoute, 0.4, true))
-	assert.InDelta(t, 0.5, share(urgentRoute, 1, true), 0.06, "those that come late anyway")
+	assert.InDelta(t, 0.5, share(urgentRoute, 1, true), 0.06, "those that would be late anyway")
 }
 
 func TestServerPriority(t *testing.T) {
@@ -514,7 +519,7 @@
 		last = got
 	}
 	assert.Equal(t, 0, serverPriority(0))
-	assert.Equal(t, 5, serverPriority(1), "what servers take where nothing is said")
+	assert.Equal(t, 5, serverPriority(1), "the default of servers")
 }
 
 func TestSlowStartServersGetLess(t *testing.T) {
@@ -549,8 +554,8 @@
 	before.End(0, Cancelled)
 	require.Equal(t, a.server.instance.ID, before.server.instance.ID, "they share a key")
 	receiver.ObserveRemotePrefill(5*ms, 5*ms, &notice)
-	assert.NotEqual(t, a.server.instance.ID, mustForward(t, receiver, 5*ms, newTestRequest(1, 4)).server.instance.ID, "who has to be quick goes elsewhere")
-	assert.Equal(t, 2000, receiver.servers[notice.Instance].inference.CachedTokens(notice.Prefixes), "its parts are kept there now")
+	assert.NotEqual(t, a.server.instance.ID, mustForward(t, receiver, 5*ms, newTestRequest(1, 4)).server.instance.ID, "an urgent request goes elsewhere")
+	assert.Equal(t, 2000, receiver.servers[notice.Instance].inference.CachedTokens(notice.Prefixes), "its prefixes are cached there now")
 	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: "unknown"})
 	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: notice.Instance, Prefixes: make([]Segment, maxNoticePrefixes+1), PromptTokens: 1})
 	assert.Equal(t, 1, receiver.servers[notice.Instance].inference.QueuedPrefills(6*ms))
@@ -583,125 +588,6 @@
 	}
 }
 
-// TestArbitraryHistory plays any order of events: counts hold, nothing goes to a server that is not
-// listed or was tried, and while no server is loaded nothing is refused.
-func TestArbitraryHistory(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		p := New(Options{Zone: "z1", Seed: rapid.Uint64().Draw(t, "seed"), PrefixIndexBytes: 20_000})
-		now, seq := time.Duration(0), uint64(1)
-		listed := map[string]uint64{} // by id, the call-seq
-		var attempts []*Attempt
-		var checks []*registry.Instance
-		advance := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms }
-		attempt := func(t *rapid.T) *Attempt {
-			if len(attempts) == 0 {
-				t.Skip("none")
-			}
-			return attempts[rapid.IntRange(0, len(attempts)-1).Draw(t, "attempt")]
-		}
-		t.Repeat(map[string]func(*rapid.T){
-			"list": func(t *rapid.T) {
-				advance(t)
-				var all []*registry.Instance
-				clear(listed)
-				n := rapid.SampledFrom([]int{0, 1, 3, 10, 90}).Draw(t, "n")
-				seq += uint64(rapid.IntRange(0, 1).Draw(t, "news"))
-				for _, in := range testInstances(n) {
-					if rapid.IntRange(0, 5).Draw(t, "in") > 0 {
-						in.Seq, in.WarmUp = seq, time.Duration(rapid.IntRange(0, 2).Draw(t, "cold"))*time.Second
-						all = append(all, in)
-						listed[in.ID] = seq
-					}
-				}
-				p.UpdateInstances(now, instanceList(all...))
-				for id, s := range p.misdirected {
-					if s >= seq {
-						delete(listed, id)
-					}
-				}
-			},
-			"conf": func(*rapid.T) { p.UpdateConfig(now, testConfig()) },
-			"place": func(t *rapid.T) {
-				advance(t)
-				r := newTestRequest(uint64(rapid.IntRange(0, 5).Draw(t, "key")), uint64(len(attempts)))
-				r.TimeLeft = time.Duration(rapid.IntRange(-10, 5000).Draw(t, "left")) * ms
-				r.Elapsed = time.Duration(rapid.IntRange(0, 1000).Draw(t, "elapsed")) * ms
-				r.Route = rapid.SampledFrom([]*config.Route{urgentRoute, draftRoute, nil}).Draw(t, "route")
-				if rapid.Bool().Draw(t, "plain") {
-					r.Segments = nil
-				}
-				for i := range rapid.IntRange(0, 3).Draw(t, "tried") {
-					r.Tried = append(r.Tried, fmt.Sprintf("i-%04d", i))
-				}
-				d := p.Pick(now, r)
-				if d.Action == Reject {
-					require.Nil(t, d.Attempt)
-					require.GreaterOrEqual(t, d.RetryAfter, minRetryAfter)
-					require.NotEmpty(t, d.Reason)
-					return
-				}
-				require.Contains(t, listed, d.Instance.ID)
-				require.NotContains(t, r.Tried, d.Instance.ID)
-				attempts = append(attempts, d.Attempt)
-			},
-			"sent": func(t *rapid.T) { attempt(t).Sent(now) },
-			"head": func(t *rapid.T) {
-				advance(t)
-				attempt(t).Headers(now, 200, &Load{Running: rapid.IntRange(0, 9).Draw(t, "run"), Waiting: rapid.IntRange(0, 9).Draw(t, "wait"), Slots: 8})
-			},
-			"event": func(t *rapid.T) { advance(t); attempt(t).Events(now, 1) },
-			"end": func(t *rapid.T) {
-				advance(t)
-				a := attempt(t)
-				end := Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "end"))
-				if !a.ended && end == Misdirected && listed[a.server.instance.ID] <= a.instanceSeq {
-					delete(listed, a.server.instance.ID)
-				}
-				a.End(now, end)
-			},
-			"checks": func(t *rapid.T) {
-				advance(t)
-				checks = append(checks, p.DueHealthChecks(now)...)
-				require.Greater(t, p.HealthCheckInterval(), time.Duration(0))
-			},
-			"checked": func(t *rapid.T) {
-				if len(checks) > 0 {
-					p.HealthCheckDone(now, checks[0].ID, rapid.Bool().Draw(t, "ok"), nil)
-					checks = checks[1:]
-				}
-			},
-			"heard": func(t *rapid.T) {
-				p.ObserveRemotePrefill(now, 0, &PrefillNotice{Instance: fmt.Sprintf("i-%04d", rapid.IntRange(0, 9).Draw(t, "i")), PromptTokens: 9000, UncachedTokens: 9000})
-			},
-			"": func(t *rapid.T) {
-				require.Len(t, p.servers, len(listed))
-				checking, inflight := 0, 0
-				for id, s := range p.servers {
-					require.Contains(t, listed, id)
-					require.Len(t, s.attempts, s.inFlight)
-					if s.checkInFlight {
-						checking++
-					}
-				}
-				for _, a := range attempts {
-					if !a.ended {
-						inflight++
-					}
-				}
-				require.Equal(t, checking, p.checksInFlight)
-				require.LessOrEqual(t, checking, maxChecksInFlight)
-				sum := 0
-				for _, v := range p.services {
-					sum += v.inFlight
-					require.Len(t, v.ring, len(v.servers))
-				}
-				require.Equal(t, inflight, sum)
-				require.Len(t, p.Snapshot(now), len(listed))
-			},
-		})
-	})
-}
-
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/internal/fleet/inference/bench_test.go
+++ b/internal/fleet/inference/bench_test.go
@@ -7,24 +7,24 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// serversWithCachedPrefixes is so many servers of which parts prompt parts each are remembered.
+// serversWithCachedPrefixes returns servers of each of which so many prefixes are tracked.
 func serversWithCachedPrefixes(servers, prefixes int) []*Server {
-	speeds := NewLatencyModel()
+	latency := NewLatencyModel()
 	all := make([]*Server, servers)
 	for i := range all {
-		s := NewServer(Capacity{Slots: 64, CacheTokens: 600_000, MaxPrefixes: max(prefixes, 1)}, speeds)
+		s := NewServer(Capacity{Slots: 64, CacheTokens: 600_000, MaxPrefixes: max(prefixes, 1)}, latency)
 		for j := range prefixes {
-			r := s.Begin(0, []Segment{{Mix64(uint64(i*prefixes + j)), 200}}, 200, 10)
-			r.Events(ms, 1)
-			r.End(ms, true)
+			sequence := s.Begin(0, []Segment{{Mix64(uint64(i*prefixes + j)), 200}}, 200, 10)
+			sequence.Events(ms, 1)
+			sequence.End(ms, true)
 		}
 		all[i] = s
 	}
 	return all
 }
 
-// What is held for each server, and for each prompt part that is remembered of it, by the number
-// of parts of one server.
+// BenchmarkHeap is the memory of each server, and of each prefix that is tracked for it, by the number of
+// prefixes of a server.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
 	bare := heapsize.Of(func() any { return serversWithCachedPrefixes(servers, 0) })
