--- /dev/null
+++ b/internal/testbed/mutation/mutation.go
@@ -0,0 +1,48 @@
+// Package mutation is a mutation test of the control plane: a table of small defects of the sources, each with the
+// tests that have to detect it, and a runner that builds a copy of the tree with one of them at a time.
+package mutation
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+
+	"github.com/go-faster/errors"
+)
+
+// Point is the class of guarantees that a mutation violates: one of the operators' five points.
+type Point int
+
+// The points.
+const (
+	CutOff     Point = 1 + iota // a partitioned machine returns stale state or acknowledges something
+	Races                       // two updates of one revision are acknowledged, or a retried one is rejected
+	SecondLoss                  // after a second loss no majority or no complete replica is left
+	CatchingUp                  // a member never catches up, or leads with stale state
+	OneAnswer                   // a response goes to the wrong caller, or a call is sent twice
+)
+
+// Mutation is one change of a source file, with the tests that have to fail because of it.
+type Mutation struct {
+	ID       string
+	Point    Point
+	File     string   // slash-separated path from the root of the tree
+	Old, New string   // Old, which occurs exactly once in the file, is replaced by New
+	Packages []string // of the tests, as arguments of go test
+	Run      string   // pattern of the tests, as of go test -run
+}
+
+// ErrNotApplicable is returned if a mutation's Old does not occur exactly once in its file, or equals New.
+var ErrNotApplicable = errors.New("the mutation is not applicable: update its snippet in the table to the source")
+
+// Apply returns the content of the mutated file of the tree at root. The file itself does not change.
+func (m *Mutation) Apply(root string) (string, error) {
+	source, err := os.ReadFile(filepath.Join(root, filepath.FromSlash(m.File)))
+	if err != nil {
+		return "", errors.Wrap(err, "read the source of mutation "+m.ID)
+	}
+	if n := strings.Count(string(source), m.Old); n != 1 || m.Old == m.New {
+		return "", errors.Wrapf(ErrNotApplicable, "%s: %d occurrences in %s", m.ID, n, m.File)
+	}
+	return strings.Replace(string(source), m.Old, m.New, 1), nil
+}
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -17,7 +17,7 @@
 func in(name string) []string { return []string{name} }
 
 // Table is all defects. Each was found by its tests when it was entered.
-var Table = []Defect{
+var Table = []Mutation{
 	// The core: what is told rests on a majority and on the disk.
 	{ID: "core-read-unconfirmed", Point: CutOff, File: "internal/fleet/controlplane/client.go",
 		Old: "	if err := m.confirmView(ctx, replica.View); err != nil {", New: "	if err := ctx.Err(); err != nil {",
