--- a/internal/agent/opsconfig/opsconfig.go
+++ b/internal/agent/opsconfig/opsconfig.go
@@ -189,6 +189,7 @@
 	Text string // what was expected
 }
 
+// Error implements error: file, line, key and what was expected.
 func (e *Error) Error() string {
 	at := e.File
 	if e.Line > 0 {
--- a/internal/agent/snapshot/store.go
+++ b/internal/agent/snapshot/store.go
@@ -65,6 +65,7 @@
 	Reason string
 }
 
+// String returns the place and the reason.
 func (p Problem) String() string { return p.Where + ": " + p.Reason }
 
 // Generation is the data of one save.
--- a/internal/agent/zonefailover/trafficshare.go
+++ b/internal/agent/zonefailover/trafficshare.go
@@ -102,11 +102,11 @@
 }
 
 // capacity returns the weight that a zone has for a site.
-func (w *trafficDemand) capacity(site, zone string) float64 {
+func (demand *trafficDemand) capacity(site, zone string) float64 {
 	if site == zone {
-		return w.localCapacity[zone]
+		return demand.localCapacity[zone]
 	}
-	return w.remoteCapacity[zone]
+	return demand.remoteCapacity[zone]
 }
 
 // trafficDemand sums the load that agents report, or returns nil while too little is known.
