--- a/internal/agent/clientrequest_test.go
+++ b/internal/agent/clientrequest_test.go
@@ -80,7 +80,8 @@
 		{"a head too large", rawOrder("/api/a1", "1", "X: "+strings.Repeat("p", 2*maxHead)+"\r\n", ""), 431},
 		{"HTTP/1.0", strings.Replace(rawOrder("/api/a1", "1", "Content-Length: 0\r\n", ""), "1.1", "1.0", 1), 505},
 		{"length and chunked, a request hidden", rawOrder("/api/a1", "1",
-			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", len(hidden)+5), "0\r\n\r\n"+hidden), 411},
+			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", len(hidden)+5),
+			"0\r\n\r\n"+hidden), 411},
 		{"chunked", rawOrder("/api/a1", "1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+hidden), 411},
 		{"two lengths", rawOrder("/api/a1", "1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400},
 		{"negative length", rawOrder("/api/a1", "1", "Content-Length: -4\r\n", "abcd"), 400},
@@ -163,7 +164,8 @@
 	c := agent.dial()
 	fmt.Fprint(c, rawOrder("/api/a1", "same", "Content-Length: 0\r\n", ""))
 	<-arrived
-	if got := agent.exchange(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
+	if got := agent.exchange(rawOrder("/api/b2", "same", "Content-Length: 0\r\n", "")); !strings.HasPrefix(got,
+		"HTTP/1.1 409 ") {
 		t.Errorf("answered %.100q, want 409", got)
 	}
 	close(release)
@@ -182,7 +184,8 @@
 func TestTargetIsForwardedUnchanged(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
-		got := agent.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
+		got := agent.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)),
+			"Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
 			t.Errorf("%q: %.300q", target, got)
 		}
@@ -248,7 +251,8 @@
 			t.Fatalf("passed on as %q: %v", c.encodeHead(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
-		if err != nil || len(body) != len(c.body) || out.RequestURI != c.target || out.Header.Get("Request-Id") != c.id || br.Buffered() > 0 {
+		if err != nil || len(body) != len(c.body) || out.RequestURI != c.target ||
+			out.Header.Get("Request-Id") != c.id || br.Buffered() > 0 {
 			t.Errorf("%q became %+v", text, out)
 		}
 	})
--- a/internal/agent/directives_test.go
+++ b/internal/agent/directives_test.go
@@ -73,8 +73,10 @@
 	first := target("s-1", one.addr)
 	first.StartedMs = 5
 	layer := &fakeCoordinator{ready: make(chan struct{})}
-	agent := startAgentWith(t, newDiscoveryServer(t, first, target("s-2", two.addr)), nil, func(l *eventLoop) { l.coordinator = layer })
-	layer.override(agent, Override{ID: "s-1", StartedMs: 5, TTL: time.Minute}, Override{ID: "s-2", StartedMs: 77, TTL: time.Minute}, Override{ID: "gone"})
+	agent := startAgentWith(t, newDiscoveryServer(t, first, target("s-2", two.addr)), nil,
+		func(l *eventLoop) { l.coordinator = layer })
+	layer.override(agent, Override{ID: "s-1", StartedMs: 5, TTL: time.Minute}, Override{ID: "s-2", StartedMs: 77,
+		TTL: time.Minute}, Override{ID: "gone"})
 	for range 10 {
 		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 		wantStatus(t, status, 200)
@@ -86,7 +88,8 @@
 	if len(layer.listed) != 2 || len(layer.observations) != 10 {
 		t.Fatalf("told of %d servers and %d attempts, want 2 and 10", len(layer.listed), len(layer.observations))
 	}
-	if s := layer.observations[0]; s.ID != "s-2" || s.StartedMs != 0 || s.Class != 2 || s.Status != policy.OK || s.Latency <= 0 || s.Probe {
+	if s := layer.observations[0]; s.ID != "s-2" || s.StartedMs != 0 || s.Class != 2 || s.Status != policy.OK ||
+		s.Latency <= 0 || s.Probe {
 		t.Errorf("told of %+v", s)
 	}
 	layer.mu.Unlock()
@@ -106,7 +109,8 @@
 	one.Zone, other.Zone = "east", "west"
 	layer := &fakeCoordinator{ready: make(chan struct{})}
 	agent := startAgentWith(t, newDiscoveryServer(t, one, other), nil, func(l *eventLoop) { l.coordinator = layer })
-	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Minute}}, Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour, Trial: true}}})
+	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Minute}},
+		Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour, Trial: true}}})
 	for range 10 {
 		status, _, _ := agent.do(newRequest(agent.addr, "read", "x"))
 		wantStatus(t, status, 200)
@@ -115,7 +119,8 @@
 		t.Errorf("%d requests in the zone and %d out of it, want 10 and 0", near.count(), far.count())
 	}
 	// A server's override that holds for longer does not extend its zone's.
-	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Millisecond}}, Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour}}})
+	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west", TTL: time.Millisecond}},
+		Overrides: []Override{{ID: "s-2", ShareFactor: 1, TTL: time.Hour}}})
 	for end := time.Now().Add(testTimeout); far.count() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("the zone's standing outlasts its time")
@@ -124,7 +129,8 @@
 		wantStatus(t, status, 200)
 	}
 	before := far.count()
-	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west"}, {Zone: "east", ReachableShare: 1, TTL: time.Minute}}})
+	layer.direct(agent, Directives{ZoneOverrides: []ZoneOverride{{Zone: "west"}, {Zone: "east",
+		ReachableShare: 1, TTL: time.Minute}}})
 	status, _, _ := agent.do(newRequest(agent.addr, "read", "x"))
 	wantStatus(t, status, 200)
 	if far.count() != before+1 {
@@ -140,7 +146,8 @@
 	second.StartedMs = 7
 	layer := &fakeCoordinator{ready: make(chan struct{})}
 	agent := startAgentWith(t, newDiscoveryServer(t, first, second), nil, func(l *eventLoop) { l.coordinator = layer })
-	layer.direct(agent, Directives{PeerReports: []Target{{ID: "s-1", State: "draining"}, {ID: "s-2", State: "removed", StartedMs: 6}, {ID: "s-3", State: "up"}}})
+	layer.direct(agent, Directives{PeerReports: []Target{{ID: "s-1", State: "draining"}, {ID: "s-2",
+		State: "removed", StartedMs: 6}, {ID: "s-3", State: "up"}}})
 	layer.direct(agent, Directives{PeerReports: []Target{{ID: "s-1", State: "up"}}}) // from before the drain
 	for range 6 {
 		status, _, _ := agent.do(newRequest(agent.addr, "read", "x"))
@@ -159,9 +166,11 @@
 // Traffic weights leave the sum of all servers' weights as it is; where most of the traffic was to go
 // to zones that are removed, or without a share, there are none.
 func TestZoneTrafficWeights(t *testing.T) {
-	l := &eventLoop{targets: map[string]Target{"a": {Zone: "x", State: "up", Weight: 4}, "b": {Zone: "y", State: "up", Weight: 2},
+	l := &eventLoop{targets: map[string]Target{"a": {Zone: "x", State: "up", Weight: 4}, "b": {Zone: "y",
+		State: "up", Weight: 2},
 		"c": {Zone: "z", State: "up", Weight: 2}, "d": {Zone: "z", State: "draining", Weight: 9}}}
-	list := []ZoneOverride{{Zone: "x", ShareFactor: 1, TrafficShare: 0.8, TTL: time.Minute}, {Zone: "y", ShareFactor: 1, TrafficShare: 0.2, TTL: time.Minute},
+	list := []ZoneOverride{{Zone: "x", ShareFactor: 1, TrafficShare: 0.8, TTL: time.Minute}, {Zone: "y",
+		ShareFactor: 1, TrafficShare: 0.2, TTL: time.Minute},
 		{Zone: "z", ShareFactor: 1, TTL: time.Minute}}
 	of, decided := l.zoneTrafficWeights(list)
 	if !decided || math.Abs(of["x"]-1.6) > 1e-9 || math.Abs(of["y"]-0.8) > 1e-9 || of["z"] != minTrafficWeight {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -46,7 +46,8 @@
 	for _, c := range []struct {
 		failures    int
 		least, most time.Duration
-	}{{1, minWatchBackoff / 2, minWatchBackoff}, {3, 2 * minWatchBackoff, 4 * minWatchBackoff}, {1000, maxWatchBackoff / 2, maxWatchBackoff}} {
+	}{{1, minWatchBackoff / 2, minWatchBackoff}, {3, 2 * minWatchBackoff, 4 * minWatchBackoff}, {1000,
+		maxWatchBackoff / 2, maxWatchBackoff}} {
 		seen := map[time.Duration]bool{}
 		for range 100 {
 			p := watchBackoff(c.failures)
--- a/internal/agent/endpointlist_test.go
+++ b/internal/agent/endpointlist_test.go
@@ -82,7 +82,8 @@
 		drains := target("s-1", "127.0.0.1:1")
 		drains.State = "draining"
 		l.onDiscoveryList(&TargetList{Version: 9, Servers: []Target{drains}}, true, nil)
-		l.onDiscoveryList(&TargetList{Version: 8, Full: true, Servers: []Target{target("s-1", "127.0.0.1:1")}}, false, nil)
+		l.onDiscoveryList(&TargetList{Version: 8, Full: true, Servers: []Target{target("s-1", "127.0.0.1:1")}},
+			false, nil)
 		if !l.backends.byID["s-1"].unavailable.Load() {
 			t.Error("an older list reverted a drain")
 		}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -122,7 +122,8 @@
 // echo answers every request with its own path and body.
 func echo(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return writeTestResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
+	return writeTestResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n",
+		req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
 
 // resetConn ends a connection with RST.
@@ -317,7 +318,8 @@
 }
 
 func testConfig(listen, discovery string, known TargetList) (*Config, error) {
-	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", InitialList: known, Settings: json.RawMessage(testSettings)}
+	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", InitialList: known,
+		Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
 	return f.validate()
 }
@@ -352,7 +354,8 @@
 }
 
 func testClientRequest(body []byte) *clientRequest {
-	return &clientRequest{method: "POST", target: "/api/a1", host: "x", header: http.Header{"Request-Id": {"1"}}, body: body}
+	return &clientRequest{method: "POST", target: "/api/a1", host: "x", header: http.Header{"Request-Id": {"1"}},
+		body: body}
 }
 
 // lastID makes the ID of every request unique.
--- a/internal/agent/probes_test.go
+++ b/internal/agent/probes_test.go
@@ -31,11 +31,21 @@
 		status policy.Status
 		report []float32
 	}{
-		"a report":        {echoWithReports, policy.OK, []float32{3, 0.5, 0}},
-		"a spoilt report": {func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, 200, "", "qps=x") }, policy.OK, nil},
-		"not ready":       {func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, 503, "", "") }, policy.Error, nil},
-		"a closed one":    {func(net.Conn, *http.Request, int) bool { return false }, policy.Reset, nil},
-		"noise":           {func(c net.Conn, _ *http.Request, _ int) bool { c.Write([]byte("\x00\x01\n\n")); return true }, policy.Error, nil},
+		"a report": {echoWithReports, policy.OK, []float32{3, 0.5, 0}},
+		"a spoilt report": {func(c net.Conn, _ *http.Request, _ int) bool {
+			return writeTestResponse(c, 200, "",
+				"qps=x")
+		}, policy.OK, nil},
+		"not ready": {func(c net.Conn, _ *http.Request, _ int) bool {
+			return writeTestResponse(c, 503, "",
+				"")
+		}, policy.Error, nil},
+		"a closed one": {func(net.Conn, *http.Request, int) bool { return false }, policy.Reset, nil},
+		"noise": {func(c net.Conn, _ *http.Request,
+			_ int) bool {
+			c.Write([]byte("\x00\x01\n\n"))
+			return true
+		}, policy.Error, nil},
 		"an endless claim": {func(c net.Conn, _ *http.Request, _ int) bool {
 			return writeTestResponse(c, 200, "Content-Length: 9\r\n", "x")
 		}, policy.Error, nil},
@@ -58,7 +68,10 @@
 
 // A probe uses an idle connection; one that breaks there says nothing about the backend.
 func TestProbeOverIdleConnection(t *testing.T) {
-	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool { return n != 1 && echoWithReports(c, req, n) })
+	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		return n != 1 &&
+			echoWithReports(c, req, n)
+	})
 	s, to := testSender(10), &backend{}
 	s.probeMetrics = s.responseMetrics
 	for i := range 3 {
@@ -85,7 +98,8 @@
 		name := agent.loop.backends.byID["s-1"].policyAddr
 		agent.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: name}})
 		agent.loop.execute([]policy.Action{{Kind: policy.ActionProbe, Server: policy.Addr{1}}})
-		if n := len(agent.loop.pendingEvents); agent.loop.probesInFlight != 1 || n != 1 || agent.loop.pendingEvents[n-1].Status != policy.NotSent {
+		if n := len(agent.loop.pendingEvents); agent.loop.probesInFlight != 1 || n != 1 ||
+			agent.loop.pendingEvents[n-1].Status != policy.NotSent {
 			t.Errorf("%d probes under way, pending %+v", agent.loop.probesInFlight, agent.loop.pendingEvents)
 		}
 	})
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -50,7 +50,8 @@
 		wantStatus(t, status, 200)
 	}
 	if discovery.callCount() != asked || old.count() != n {
-		t.Errorf("%d calls to the old discovery, %d requests to its backend, after the switch", discovery.callCount()-asked, old.count()-n)
+		t.Errorf("%d calls to the old discovery, %d requests to its backend, after the switch",
+			discovery.callCount()-asked, old.count()-n)
 	}
 	done := make(chan bool)
 	agent.loop.post(func() {
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -69,7 +69,8 @@
 
 // The backstop answers before the deadline when the policy does not.
 func TestBackstop(t *testing.T) {
-	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.config, func() {})
+	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")),
+		nil).loop.config, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/savedstate_test.go
+++ b/internal/agent/savedstate_test.go
@@ -24,7 +24,8 @@
 			discovery.list.Version = 1
 			drained := target("s-1", old.addr)
 			drained.State = "draining"
-			k := &SavedState{Discovery: discovery.Listener.Addr().String(), List: TargetList{Version: 2, Full: true, Servers: []Target{drained, target("s-2", fresh.addr)}}}
+			k := &SavedState{Discovery: discovery.Listener.Addr().String(), List: TargetList{Version: 2,
+				Full: true, Servers: []Target{drained, target("s-2", fresh.addr)}}}
 			c.change(k)
 			before := old.count()
 			usable := make(chan bool, 1)
--- a/internal/agent/sender_test.go
+++ b/internal/agent/sender_test.go
@@ -37,15 +37,20 @@
 		{"reset after the last byte may have been executed", "order",
 			func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 502, 1},
 		{"close after the last byte may have been executed", "order", raw("", false), 502, 1},
-		{"truncated body may have been executed", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
+		{"truncated body may have been executed", "order",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
 		{"truncated chunk may have been executed", "order",
 			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", false), 502, 1},
-		{"a response without length may have been executed", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false), 502, 1},
+		{"a response without length may have been executed", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false),
+			502, 1},
 		{"malformed head may have been executed", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"too large body may have been executed", "order", always(200, "", strings.Repeat("x", maxResponseBody+1)), 502, 1},
-		{"a response larger than requests may be", "order", always(200, "", strings.Repeat("x", 6*maxRequestBody)), 200, 1},
+		{"too large body may have been executed", "order", always(200, "", strings.Repeat("x",
+			maxResponseBody+1)), 502, 1},
+		{"a response larger than requests may be", "order", always(200, "", strings.Repeat("x",
+			6*maxRequestBody)), 200, 1},
 		{"the same in chunks", "order", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
-			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 6*maxRequestBody, strings.Repeat("x", 6*maxRequestBody)), true), 200, 1},
+			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 6*maxRequestBody, strings.Repeat("x", 6*maxRequestBody)), true),
+			200, 1},
 		{"a request that the backend finds invalid is not retried", "send", always(400, "", ""), 400, 1},
 		{"429 of a backend would be a rejection", "order", always(429, "", ""), 502, 1},
 		{"503 with proof was not executed", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
@@ -102,7 +107,10 @@
 // only the count of written bytes tells it from a reset.
 func TestBreakBeforeTheLastByteIsNotExecuted(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET,
+				syscall.SO_RCVBUF, 4096)
+		})
 	}}
 	ln, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,7 +136,8 @@
 	if err := s.pool.conns.Reserve(); err != nil {
 		t.Fatal(err)
 	}
-	s.pool.conns.PutIdle(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc), backend: b, addr: addr, idleSince: time.Now()})
+	s.pool.conns.PutIdle(b, &backendConn{Conn: nc, reader: bufio.NewReader(nc), backend: b, addr: addr,
+		idleSince: time.Now()})
 	c := testClientRequest(make([]byte, maxRequestBody))
 	now := time.Now()
 	if res := s.send(context.Background(), b, addr, c, now, now.Add(testTimeout)); res.status != policy.ConnectFailed {
@@ -170,7 +179,8 @@
 	fake := newBackend(t, echo)
 	now := time.Now()
 	full := testSender(0)
-	if res := full.send(t.Context(), &backend{}, fake.addr, testClientRequest(nil), now, now.Add(testTimeout)); res.status != policy.NotSent {
+	if res := full.send(t.Context(), &backend{}, fake.addr, testClientRequest(nil), now,
+		now.Add(testTimeout)); res.status != policy.NotSent {
 		t.Errorf("no descriptor: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,7 +188,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if res := testSender(8).send(t.Context(), &backend{}, ln.Addr().String(), testClientRequest(nil), now, now.Add(testTimeout)); res.status != policy.ConnectFailed {
+	if res := testSender(8).send(t.Context(), &backend{}, ln.Addr().String(), testClientRequest(nil), now,
+		now.Add(testTimeout)); res.status != policy.ConnectFailed {
 		t.Errorf("refused: ended as %d, want %d", res.status, policy.ConnectFailed)
 	}
 }
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -27,7 +27,8 @@
 }
 
 func newSilentDiscovery(servers ...Target) *silentDiscovery {
-	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers}, wakeWatches: make(chan struct{})}
+	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers},
+		wakeWatches: make(chan struct{})}
 }
 
 // change changes the discovery and wakes its watches.
@@ -149,7 +150,8 @@
 	loop *eventLoop
 }
 
-func startSimulatedAgent(t *testing.T, q *silentDiscovery, known TargetList, membership policy.MembershipMode) *simulatedAgent {
+func startSimulatedAgent(t *testing.T, q *silentDiscovery, known TargetList,
+	membership policy.MembershipMode) *simulatedAgent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &simulatedAgent{t: t, net: &pipeNetwork{ctx: ctx, listeners: map[string]chan net.Conn{}}}
 	a.net.serve(ctx, "one:1", q)
@@ -227,7 +229,8 @@
 	// reports later changes in time, whether they came at once or late.
 	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
 		for _, change := range []time.Duration{0, 5 * time.Second} {
-			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T, membership policy.MembershipMode) {
+			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T,
+				membership policy.MembershipMode) {
 				discovery := newSilentDiscovery(two()...)
 				agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 				opened := discovery.opened()
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -105,7 +105,8 @@
 			agent.now++
 			agent.lastID++
 			id := agent.lastID
-			ev := Event{Kind: EventRequest, Request: id, Class: 0, Key: 1 + client, RemainingMs: 600, IsRetry: attempt > 0}
+			ev := Event{Kind: EventRequest, Request: id, Class: 0, Key: 1 + client, RemainingMs: 600,
+				IsRetry: attempt > 0}
 			if a := findAction(agent.handle(ev), ActionSend); a != nil {
 				in++
 				agent.endAttempt(id, 0, a.Server, Cancelled, 1)
@@ -117,7 +118,8 @@
 		t.Errorf("%d of 300 clients were let in by retries, want as many as two attempts let in", in)
 	}
 	if agent.balancer.admission.sheddingShare() > 0 || before == 0 {
-		t.Errorf("rejections for lack of capacity were taken for overload: shed %.2f", agent.balancer.admission.sheddingShare())
+		t.Errorf("rejections for lack of capacity were taken for overload: shed %.2f",
+			agent.balancer.admission.sheddingShare())
 	}
 }
 
@@ -128,7 +130,8 @@
 	if refused := agent.countRejected(200); refused > 0 {
 		t.Fatalf("%d of 200 rejected at 0.7 of the capacity", refused)
 	}
-	agent.balancer.admission.admittedShare, agent.balancer.admission.demand = 0.3, 0.92*agent.balancer.currentCapacity()/0.3
+	agent.balancer.admission.admittedShare, agent.balancer.admission.demand = 0.3,
+		0.92*agent.balancer.currentCapacity()/0.3
 	s := agent.balancer.servers[0]
 	for range int(4 * utilizationWindow) {
 		agent.balancer.admission.admittedShare = agent.balancer.admissionShare()
@@ -152,13 +155,15 @@
 		sent := false
 		for range 60 { // some are rejected for lack of capacity
 			agent.lastID++
-			a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 1, RemainingMs: c.times*usual + 5}), ActionSend)
+			a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 1,
+				RemainingMs: c.times*usual + 5}), ActionSend)
 			if sent = sent || a != nil; a != nil {
 				agent.endAttempt(agent.lastID, 0, a.Server, Cancelled, 1)
 			}
 		}
 		if sent != c.sent {
-			t.Errorf("%.1f of the expected latency left at a demand of %.1f: sent %v, want %v", c.times, c.demand, sent, c.sent)
+			t.Errorf("%.1f of the expected latency left at a demand of %.1f: sent %v, want %v", c.times,
+				c.demand, sent, c.sent)
 		}
 	}
 }
--- a/policy/aperture_test.go
+++ b/policy/aperture_test.go
@@ -21,12 +21,14 @@
 		t.Errorf("an agent with 14 requests a second uses %d of 100 servers, want some 30", few)
 	}
 	if sendSteadily(many, 4, 6000, rng); len(many[0].balancer.aperture.servers) < 75 {
-		t.Errorf("an agent with 250 requests a second uses %d of 100 servers, want most", len(many[0].balancer.aperture.servers))
+		t.Errorf("an agent with 250 requests a second uses %d of 100 servers, want most",
+			len(many[0].balancer.aperture.servers))
 	}
 	before := slices.Clone(agents[0].balancer.aperture.servers)
 	agents[0].updateList(UpdateDelta, Endpoint{Server: addr(200), Status: Ready, Weight: 1})
 	for _, s := range before {
-		if !slices.Contains(agents[0].balancer.aperture.servers, s) && len(agents[0].balancer.aperture.servers) >= len(before) {
+		if !slices.Contains(agents[0].balancer.aperture.servers, s) &&
+			len(agents[0].balancer.aperture.servers) >= len(before) {
 			t.Errorf("a new server took %v's place", s.addr)
 		}
 	}
@@ -54,7 +56,8 @@
 	}
 	agent.updateList(UpdateDelta, started...)
 	for range 20 { // all of which stay in flight
-		if _, s := agent.mustSend(0, 0); agent.balancer.slowStartFactor(agent.balancer.serverByAddr[s]) < 1 && agent.balancer.serverByAddr[s].slowStartCredit < -1 {
+		if _, s := agent.mustSend(0, 0); agent.balancer.slowStartFactor(agent.balancer.serverByAddr[s]) < 1 &&
+			agent.balancer.serverByAddr[s].slowStartCredit < -1 {
 			t.Errorf("a cold server got more than its credit")
 		}
 	}
@@ -80,7 +83,8 @@
 	count := map[Addr]int{}
 	for key := range uint64(4000) {
 		req := &request{key: key + 1, hashKey: key + 1}
-		x, y := a.balancer.subsetFor(req, a.balancer.aperture.servers), b.balancer.subsetFor(req, b.balancer.aperture.servers)
+		x, y := a.balancer.subsetFor(req, a.balancer.aperture.servers), b.balancer.subsetFor(req,
+			b.balancer.aperture.servers)
 		if len(x) != subsetSize {
 			t.Fatalf("a sample of %d, want %d", len(x), subsetSize)
 		}
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -7,7 +7,8 @@
 		agent := newTestAgent(t, testSettings(), 3)
 		id, s := agent.mustSend(1, 5)
 		actions := agent.endAttempt(id, 0, s, st, 50)
-		if findAction(actions, ActionSend) != nil || findAction(actions, ActionReject) != nil || findAction(actions, ActionFail) == nil {
+		if findAction(actions, ActionSend) != nil || findAction(actions, ActionReject) != nil ||
+			findAction(actions, ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
@@ -28,7 +29,8 @@
 	}
 	agent.now += 496 // just within the 500 ms less the margin
 	actions = agent.endAttempt(id, 1, a.Server, Error, 20)
-	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) == nil && len(agent.balancer.pending) == 0 {
+	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) == nil &&
+		len(agent.balancer.pending) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -68,8 +70,10 @@
 			}
 		}
 	}
-	actions := agent.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
-	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) != nil || len(agent.balancer.requests) != 0 {
+	actions := agent.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: s, Status: Reset,
+		LatencyMs: 2000, Final: true})
+	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) != nil ||
+		len(agent.balancer.requests) != 0 {
 		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(agent.balancer.requests))
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -8,7 +8,8 @@
 
 func ExampleBalancer() {
 	settings := Settings{
-		Classes:    []Class{{Name: "read", LatencyTargetMs: 200, ClientTimeoutMs: 800, Idempotency: Idempotent, Value: 1}},
+		Classes: []Class{{Name: "read", LatencyTargetMs: 200, ClientTimeoutMs: 800, Idempotency: Idempotent,
+			Value: 1}},
 		Limits:     Limits{MaxAttempts: 3},
 		Membership: "pushed",
 		RoundMs:    5,
@@ -38,11 +39,14 @@
 			Endpoint{Server: addr(1), Status: Ready, Weight: 1, StartedMs: -x})
 		id, s := agent.mustSend(0, 7)
 		agent.handle(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: x, Final: true})
-		agent.handle(Event{Kind: EventRequest, Request: 99, RemainingMs: x, WorkHintMs: x, HasWorkHint: true, Attempt: -1})
+		agent.handle(Event{Kind: EventRequest, Request: 99, RemainingMs: x, WorkHintMs: x, HasWorkHint: true,
+			Attempt: -1})
 		agent.handle(Event{Kind: EventAttemptEnded, Request: 99, Attempt: -1, Server: s, Status: OK})
 		for _, srv := range agent.balancer.servers {
-			if w := agent.balancer.rendezvousScore(&request{hashKey: 3}, srv); math.IsNaN(w) || math.IsNaN(srv.latency) || srv.assumedStartAt > agent.now {
-				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.addr, w, srv.latency, srv.assumedStartAt)
+			if w := agent.balancer.rendezvousScore(&request{hashKey: 3}, srv); math.IsNaN(w) ||
+				math.IsNaN(srv.latency) || srv.assumedStartAt > agent.now {
+				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.addr, w, srv.latency,
+					srv.assumedStartAt)
 			}
 		}
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -46,8 +46,9 @@
 	}
 	for i := range pending {
 		agent.lastID++
-		req := &request{id: agent.lastID, class: 2, key: 1 + rng.Uint64N(500), firstArrivedAt: agent.now, arrivedAt: agent.now,
-			targetAt: 1e12, deadline: 1e12}
+		req := &request{id: agent.lastID, class: 2, key: 1 + rng.Uint64N(500), firstArrivedAt: agent.now,
+			arrivedAt: agent.now,
+			targetAt:  1e12, deadline: 1e12}
 		if i%2 == 0 { // has waited long enough for the servers of its key
 			req.arrivedAt = -1e12
 		}
@@ -69,9 +70,11 @@
 		switch a := &actions[i]; a.Kind {
 		case ActionSend:
 			r.now += 10
-			r.balancer.Handle(r.now, &Event{Kind: EventAttemptEnded, Request: id, Server: a.Server, Status: OK, LatencyMs: 10, Final: true}, nil)
+			r.balancer.Handle(r.now, &Event{Kind: EventAttemptEnded, Request: id, Server: a.Server, Status: OK,
+				LatencyMs: 10, Final: true}, nil)
 		case ActionProbe:
-			r.balancer.Handle(r.now, &Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1, LoadReport: []float32{1, 0.4}}, nil)
+			r.balancer.Handle(r.now, &Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1,
+				LoadReport: []float32{1, 0.4}}, nil)
 		}
 	}
 	r.balancer.Handle(r.now, &Event{Kind: EventClientGone, Request: id}, nil) // no effect on a served one
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -13,7 +13,8 @@
 		agent.now += 20 * rng.Float64()
 		switch s := addr(rng.IntN(35)); rng.IntN(12) {
 		case 0:
-			agent.updateList(UpdateDelta, Endpoint{Server: s, Status: ListedStatus(rng.IntN(3)), Weight: 1 + rng.Float64(), StartedMs: agent.now})
+			agent.updateList(UpdateDelta, Endpoint{Server: s, Status: ListedStatus(rng.IntN(3)),
+				Weight: 1 + rng.Float64(), StartedMs: agent.now})
 		default:
 			id, actions := agent.request(0, 1+rng.Uint64N(99))
 			if a := findAction(actions, ActionSend); a != nil {
@@ -34,7 +35,8 @@
 			}
 		}
 		agent.balancer.capacity.totalAt = 0
-		if gotWarm, gotAll := agent.balancer.currentWarmWeight(), agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthy) != unhealthy ||
+		if gotWarm, gotAll := agent.balancer.currentWarmWeight(),
+			agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthy) != unhealthy ||
 			max(gotWarm-warm, warm-gotWarm, gotAll-all, all-gotAll) > 1e-6 {
 			t.Fatalf("step %d: %d unhealthy, %.3f warm, %.3f in all; recounted %d, %.3f, %.3f", step,
 				len(agent.balancer.capacity.unhealthy), gotWarm, gotAll, unhealthy, warm, all)
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -24,7 +24,8 @@
 	agent := newTestAgent(t, testSettings(), 1)
 	agent.updateList(UpdateDelta, Endpoint{Server: addr(1), Status: Ready, Weight: 1, StartedMs: agent.now})
 	agent.balancer.latency.baseline = 0.2
-	if warmingUp, warm := agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(1)]), agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(0)]); warmingUp < 2*warm {
+	if warmingUp, warm := agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(1)]),
+		agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(0)]); warmingUp < 2*warm {
 		t.Errorf("limit %.2f of a server that warms up, %.2f of a warm one", warmingUp, warm)
 	}
 }
@@ -82,7 +83,8 @@
 			agent.endAttempt(ids[i], 0, tos[i], OK, 20)
 		}
 	}
-	if w := max(agent.balancer.servers[0].concurrencyLimit, agent.balancer.servers[1].concurrencyLimit); w <= initialConcurrency {
+	if w := max(agent.balancer.servers[0].concurrencyLimit,
+		agent.balancer.servers[1].concurrencyLimit); w <= initialConcurrency {
 		t.Errorf("no limit grew once the baseline was known: %.2f", w)
 	}
 }
@@ -135,7 +137,8 @@
 	agent := newTestAgent(t, set, 3)
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for _, report := range [][]float32{nil, {nan}, {inf}, {-inf}, {-3}} {
-		if s := agent.balancer.servers[0]; agent.balancer.reportsOverload(s, report) || agent.balancer.meanReported != 0 {
+		if s := agent.balancer.servers[0]; agent.balancer.reportsOverload(s, report) ||
+			agent.balancer.meanReported != 0 {
 			t.Errorf("report %v: taken for overload, or the mean is %v", report, agent.balancer.meanReported)
 		}
 	}
@@ -160,7 +163,8 @@
 		t.Errorf("pauses of %.0f, a turn is %.0f", rests, turn)
 	}
 	for range 5 {
-		agent.balancer.onServed(&attempt{request: &request{targetAt: agent.now + 100}, server: s, sentAt: agent.now}, &Event{Status: OK, LatencyMs: 5})
+		agent.balancer.onServed(&attempt{request: &request{targetAt: agent.now + 100}, server: s,
+			sentAt: agent.now}, &Event{Status: OK, LatencyMs: 5})
 	}
 	if s.overloadStreak != 0 {
 		t.Errorf("still counts as overloaded %d times in a row", s.overloadStreak)
--- a/policy/deploy_test.go
+++ b/policy/deploy_test.go
@@ -45,7 +45,8 @@
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(key[1]), -1) {
 		named = append(named, name[1])
 	}
-	decisions := slices.DeleteFunc(sourceFiles(t), func(name string) bool { return slices.Contains(undecidingFiles, name) })
+	decisions := slices.DeleteFunc(sourceFiles(t),
+		func(name string) bool { return slices.Contains(undecidingFiles, name) })
 	slices.Sort(named)
 	if !slices.Equal(named, decisions) {
 		t.Errorf("the deploy file names %v, want %v", named, decisions)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -17,7 +17,8 @@
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		retry := findAction(b.Handle(first.DurationMs, &Event{Kind: EventDiscovery, Update: UpdateFailed}, nil), ActionTimer)
+		retry := findAction(b.Handle(first.DurationMs, &Event{Kind: EventDiscovery, Update: UpdateFailed}, nil),
+			ActionTimer)
 		if retry == nil || retry.DurationMs > set.Contract.DiscoveryDeadlineMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retry)
 		}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -22,11 +22,13 @@
 		Classes: []Class{
 			{Name: "free", LatencyTargetMs: 300, ClientTimeoutMs: 1000, Idempotency: Idempotent, Value: 1},
 			{Name: "once", LatencyTargetMs: 300, ClientTimeoutMs: 1000, Idempotency: NonIdempotent, Value: 4},
-			{Name: "keyed", LatencyTargetMs: 300, ClientTimeoutMs: 1000, Idempotency: Deduplicated, DedupScope: DedupWithinCell, DedupWindowMs: 500, Value: 2},
+			{Name: "keyed", LatencyTargetMs: 300, ClientTimeoutMs: 1000, Idempotency: Deduplicated,
+				DedupScope: DedupWithinCell, DedupWindowMs: 500, Value: 2},
 		},
 		Limits: Limits{AllowCancel: true, MaxAttempts: 3, MaxRetryAfterMs: 500, AllowParallelAttempts: true,
 			ConnectTimeoutMs: 100},
-		Contract: Contract{ResponseGraceMs: 20, DiscoveryDeadlineMs: 8000, SlowStartFloor: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
+		Contract: Contract{ResponseGraceMs: 20, DiscoveryDeadlineMs: 8000, SlowStartFloor: 0.2,
+			SlowStartMs: 10000, DrainGraceMs: 500,
 			CollapseLoadFactor: 3, CollapseAfterMs: 1000},
 		Membership: "pushed", AgentCount: 3, RoundMs: 5, ValueBy: "request", Weights: "nominal",
 	}
@@ -59,13 +61,15 @@
 func (r *testAgent) request(class int, key uint64) (RequestID, []Action) {
 	r.lastID++
 	if !r.splitKeys {
-		r.balancer.keys = keyPopularity{counts: map[uint64]float64{}, total: keyHistoryFactor*float64(len(r.balancer.servers))/maxKeyShare - 1}
+		r.balancer.keys = keyPopularity{counts: map[uint64]float64{},
+			total: keyHistoryFactor*float64(len(r.balancer.servers))/maxKeyShare - 1}
 	}
 	return r.lastID, r.handle(Event{Kind: EventRequest, Request: r.lastID, Class: class, Key: key, RemainingMs: 600})
 }
 
 func (r *testAgent) endAttempt(id RequestID, index int, server Addr, status Status, latencyMs float64) []Action {
-	return r.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: index, Server: server, Status: status, LatencyMs: latencyMs, Final: status == OK})
+	return r.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: index, Server: server, Status: status,
+		LatencyMs: latencyMs, Final: status == OK})
 }
 
 func findAction(actions []Action, kind ActionKind) *Action {
@@ -107,7 +111,8 @@
 			agent.endAttempt(id, 0, a.Server, OK, 20)
 		}
 		if a := findAction(actions, ActionProbe); a != nil {
-			agent.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1, LoadReport: []float32{1, util}})
+			agent.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1,
+				LoadReport: []float32{1, util}})
 		}
 	}
 	return agent
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -19,7 +19,8 @@
 			agent.endAttempt(id, 0, s, OK, rtt)
 		}
 		if grown := agent.balancer.latency.baseline > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, agent.balancer.latency.baseline)
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents,
+				agent.balancer.latency.baseline)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -119,7 +119,8 @@
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was validated by %d free and %d single shot requests; want some and none", idempotent, nonIdempotent)
+		t.Errorf("a pending server was validated by %d free and %d single shot requests; want some and none",
+			idempotent, nonIdempotent)
 	}
 }
 
@@ -244,7 +245,8 @@
 			for range c.attempts {
 				agent.lastID++
 				remaining := c.remaining * agent.balancer.latency.expected[0]
-				a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 0, RemainingMs: remaining}), ActionSend)
+				a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 0,
+					RemainingMs: remaining}), ActionSend)
 				if a == nil {
 					t.Fatal("not sent")
 				}
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -74,7 +74,8 @@
 	set.LoadReport = LoadReport{Mode: "on_probe", Metrics: []string{"util"}}
 	agent := newTestAgent(t, set, 4)
 	for i := range 6 {
-		agent.updateList(UpdateDelta, Endpoint{Server: addr(4 + i), Status: Ready, Weight: 1, StartedMs: agent.now - 7000})
+		agent.updateList(UpdateDelta, Endpoint{Server: addr(4 + i), Status: Ready, Weight: 1,
+			StartedMs: agent.now - 7000})
 	}
 	probed := 0
 	for range 2000 {
@@ -85,7 +86,8 @@
 			if agent.balancer.slowStartFactor(agent.balancer.serverByAddr[a.Server]) < 1 {
 				t.Fatalf("a server that warms up was sampled")
 			}
-			agent.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1, LoadReport: []float32{0.5}})
+			agent.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1,
+				LoadReport: []float32{0.5}})
 		}
 	}
 	if probed < 20 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -79,7 +79,8 @@
 			if st == Timeout {
 				ends = w.now + a.DurationMs
 			}
-			r.attempts = append(r.attempts, &simAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.DurationMs), status: st})
+			r.attempts = append(r.attempts, &simAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends,
+				w.now+a.DurationMs), status: st})
 		case ActionReject, ActionFail:
 			if r.finalAnswers++; r.finalAnswers > 1 {
 				w.t.Fatalf("request %d: a second final response", a.Request)
@@ -88,8 +89,10 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.settings.Classes[r.class]
-			if a.Kind == ActionReject && r.mayHaveRun() && (c.Idempotency == NonIdempotent || c.Idempotency == Deduplicated && c.DedupScope != DedupEverywhere) {
-				w.t.Fatalf("request %d of effect %s rejected though it may have been executed", a.Request, c.Idempotency)
+			if a.Kind == ActionReject && r.mayHaveRun() && (c.Idempotency == NonIdempotent ||
+				c.Idempotency == Deduplicated && c.DedupScope != DedupEverywhere) {
+				w.t.Fatalf("request %d of effect %s rejected though it may have been executed", a.Request,
+					c.Idempotency)
 			}
 		case ActionCancel:
 			if !w.settings.Limits.AllowCancel {
@@ -136,7 +139,8 @@
 			w.t.Fatalf("request %d sent again though it may have been executed", a.Request)
 		case c.Idempotency == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
-		case c.Idempotency == Deduplicated && (c.DedupScope == DedupWithinZone && x.Zone != y.Zone || c.DedupScope == DedupWithinCell && x.Cell != y.Cell):
+		case c.Idempotency == Deduplicated && (c.DedupScope == DedupWithinZone && x.Zone != y.Zone ||
+			c.DedupScope == DedupWithinCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its scope", a.Request)
 		}
 	}
@@ -176,7 +180,8 @@
 				LatencyMs: w.now - t.sentAt, Final: r.finalAnswers > 0})
 		}
 		if r.finalAnswers == 0 && w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
-			w.t.Fatalf("request %d of class %d lost: no response %.0f ms after its deadline", id, r.class, w.now-r.deadline)
+			w.t.Fatalf("request %d of class %d lost: no response %.0f ms after its deadline", id, r.class,
+				w.now-r.deadline)
 		}
 		if r.finalAnswers > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
 			delete(w.requests, id)
@@ -219,8 +224,10 @@
 			remaining := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.settings.Classes))
 			w.requests[w.lastID] = &simRequest{class: class, deadline: w.now + remaining}
-			w.handle(Event{Kind: EventRequest, Request: w.lastID, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				RemainingMs: remaining, HasWorkHint: rng.IntN(2) == 0, WorkHintMs: 100 * rng.Float64(), IsRetry: rng.IntN(5) == 0})
+			w.handle(Event{Kind: EventRequest, Request: w.lastID, Class: class, Tenant: rng.IntN(2),
+				Key:         uint64(rng.IntN(30)),
+				RemainingMs: remaining, HasWorkHint: rng.IntN(2) == 0, WorkHintMs: 100 * rng.Float64(),
+				IsRetry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
@@ -238,7 +245,8 @@
 		}
 	}
 	if n := len(w.balancer.requests); n != 0 || len(w.balancer.pending) != 0 || w.balancer.inFlight != 0 {
-		t.Errorf("seed %d: %d requests, %d pending, %d in flight at the end", seed, n, len(w.balancer.pending), w.balancer.inFlight)
+		t.Errorf("seed %d: %d requests, %d pending, %d in flight at the end", seed, n, len(w.balancer.pending),
+			w.balancer.inFlight)
 	}
 	for _, s := range w.balancer.servers {
 		if len(s.inFlight) != 0 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -141,8 +141,10 @@
 		all += n
 	}
 	factor := 0.2 + 0.8*1500/10000 // mean of the 3 s
-	if share := float64(all) / servers * factor; float64(got[addr(7)]) < 0.35*share || float64(got[addr(7)]) > 1.5*share {
-		t.Errorf("a server that warms up got %d requests of %d, its share by slow start is %.0f", got[addr(7)], all, share)
+	if share := float64(all) / servers * factor; float64(got[addr(7)]) < 0.35*share ||
+		float64(got[addr(7)]) > 1.5*share {
+		t.Errorf("a server that warms up got %d requests of %d, its share by slow start is %.0f", got[addr(7)],
+			all, share)
 	}
 }
 
@@ -171,7 +173,8 @@
 				agent.now++
 				agent.balancer.admission.demand, agent.balancer.admission.admittedShare = c.demand*agent.balancer.currentCapacity(), 1
 				warmingUp.slowStartCredit = 0
-				id, event := agent.lastID+1, Event{Kind: EventRequest, Request: agent.lastID + 1, Class: 1, RemainingMs: 600, IsRetry: c.retry}
+				id, event := agent.lastID+1, Event{Kind: EventRequest, Request: agent.lastID + 1, Class: 1,
+					RemainingMs: 600, IsRetry: c.retry}
 				agent.lastID++
 				if a := findAction(agent.handle(event), ActionSend); a != nil {
 					agent.endAttempt(id, 0, a.Server, OK, 5)
@@ -204,14 +207,20 @@
 	for i := 1; i < 4; i++ {
 		warmingUp(i).slowStartCredit = 0
 	}
-	agent.handle(Event{Kind: EventOverrides, ReachableShare: 1, ZoneWeighted: true, Overrides: []Override{{Server: addr(0), ShareFactor: 1, TrafficWeight: 1, ExpiresMs: agent.now + 1e6},
-		{Server: addr(1), ShareFactor: 1, TrafficWeight: 1, ExpiresMs: agent.now + 1e6}, {Server: addr(2), ShareFactor: 0, TrafficWeight: 1, ExpiresMs: agent.now + 1e6},
-		{Server: addr(3), ShareFactor: 1, TrafficWeight: 0.01, ExpiresMs: agent.now + 1e6}}})
+	expires := agent.now + 1e6
+	agent.handle(Event{Kind: EventOverrides, ReachableShare: 1, ZoneWeighted: true, Overrides: []Override{
+		{Server: addr(0), ShareFactor: 1, TrafficWeight: 1, ExpiresMs: expires},
+		{Server: addr(1), ShareFactor: 1, TrafficWeight: 1, ExpiresMs: expires},
+		{Server: addr(2), ShareFactor: 0, TrafficWeight: 1, ExpiresMs: expires},
+		{Server: addr(3), ShareFactor: 1, TrafficWeight: 0.01, ExpiresMs: expires},
+	}})
 	for range 3 {
 		agent.now++
 		agent.balancer.accrueSlowStart()
 	}
-	if warmingUp(1).slowStartCredit <= 0 || warmingUp(2).slowStartCredit != 0 || warmingUp(3).slowStartCredit > 0.011*warmingUp(1).slowStartCredit {
-		t.Errorf("credits %v, %v and %v of one in use, one ejected and one of little traffic weight", warmingUp(1).slowStartCredit, warmingUp(2).slowStartCredit, warmingUp(3).slowStartCredit)
+	if warmingUp(1).slowStartCredit <= 0 || warmingUp(2).slowStartCredit != 0 ||
+		warmingUp(3).slowStartCredit > 0.011*warmingUp(1).slowStartCredit {
+		t.Errorf("credits %v, %v and %v of one in use, one ejected and one of little traffic weight",
+			warmingUp(1).slowStartCredit, warmingUp(2).slowStartCredit, warmingUp(3).slowStartCredit)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -37,7 +37,8 @@
 	m := r.balancer.Snapshot(r.now)
 	var entries []Endpoint
 	for _, s := range r.balancer.servers {
-		entries = append(entries, Endpoint{Server: s.addr, Zone: s.zone, Cell: s.cell, StartedMs: s.listedStartAt, Status: Ready, Weight: 1})
+		entries = append(entries, Endpoint{Server: s.addr, Zone: s.zone, Cell: s.cell,
+			StartedMs: s.listedStartAt, Status: Ready, Weight: 1})
 	}
 	if change != nil {
 		change(m, entries)
@@ -69,8 +70,10 @@
 	if agent.balancer.serverByAddr[addr(9)].slowStartCredit != 0 {
 		t.Errorf("a server that warms up has a credit of %.2f", agent.balancer.serverByAddr[addr(9)].slowStartCredit)
 	}
-	if agent.balancer.keys.total == 0 || agent.balancer.latency.baseline == 0 || agent.balancer.latency.expected[0] > 30 {
-		t.Errorf("keys %.0f, baseline %.2f, expected latency %.0f", agent.balancer.keys.total, agent.balancer.latency.baseline, agent.balancer.latency.expected[0])
+	if agent.balancer.keys.total == 0 || agent.balancer.latency.baseline == 0 ||
+		agent.balancer.latency.expected[0] > 30 {
+		t.Errorf("keys %.0f, baseline %.2f, expected latency %.0f", agent.balancer.keys.total,
+			agent.balancer.latency.baseline, agent.balancer.latency.expected[0])
 	}
 }
 
@@ -121,15 +124,19 @@
 		m.ExpectedLatencyMs = []float64{nan, -5, 1e300, 4}
 		for i := range m.Servers {
 			s := &m.Servers[i]
-			s.State, s.Ejections, s.FailureRate, s.Latency, s.MeanLatencyMs, s.LatencySamples, s.ConcurrencyLimit = 77, -9, nan, 1e300, nan, -3, nan
+			s.State, s.Ejections, s.FailureRate, s.Latency, s.MeanLatencyMs, s.LatencySamples,
+				s.ConcurrencyLimit = 77, -9, nan, 1e300, nan, -3, nan
 		}
 		m.Keys = append(m.Keys, KeyCount{5, nan}, KeyCount{6, -3})
 	})
-	if agent.balancer.admission.demand != 0 || agent.balancer.admission.admittedShare > 1 || agent.balancer.latency.baseline > overloadTargetShare {
-		t.Errorf("demand %v, admitted %v, baseline %v", agent.balancer.admission.demand, agent.balancer.admission.admittedShare, agent.balancer.latency.baseline)
+	if agent.balancer.admission.demand != 0 || agent.balancer.admission.admittedShare > 1 ||
+		agent.balancer.latency.baseline > overloadTargetShare {
+		t.Errorf("demand %v, admitted %v, baseline %v", agent.balancer.admission.demand,
+			agent.balancer.admission.admittedShare, agent.balancer.latency.baseline)
 	}
 	for _, s := range agent.balancer.servers {
-		if s.state > Unhealthy || s.latencySamples < 0 || !(s.concurrencyLimit >= minConcurrency && s.concurrencyLimit <= 64) || !(s.failureRate >= 0 && s.failureRate <= 1) {
+		if s.state > Unhealthy || s.latencySamples < 0 || !(s.concurrencyLimit >= minConcurrency &&
+			s.concurrencyLimit <= 64) || !(s.failureRate >= 0 && s.failureRate <= 1) {
 			t.Errorf("server %+v", s)
 		}
 	}
@@ -158,7 +165,8 @@
 		}
 	}
 	if s := agent.balancer.serverByAddr[addr(0)]; s.state != Connected || back > 2*agent.balancer.minLatencyTarget {
-		t.Errorf("%v, used again after %.0f ms, one latency target is %.0f", s.state, back, agent.balancer.minLatencyTarget)
+		t.Errorf("%v, used again after %.0f ms, one latency target is %.0f", s.state, back,
+			agent.balancer.minLatencyTarget)
 	}
 }
 
@@ -173,7 +181,8 @@
 		for i := range 300 {
 			agent.now += 5
 			agent.lastID++
-			actions := agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: i % 2, Key: uint64(i%17) + 1, RemainingMs: 600})
+			actions := agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: i % 2,
+				Key: uint64(i%17) + 1, RemainingMs: 600})
 			all = append(all, actions...)
 			if a := findAction(actions, ActionSend); a != nil {
 				all = append(all, agent.endAttempt(agent.lastID, 0, a.Server, []Status{OK, OK, Error}[i%3], 20)...)
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -38,7 +38,8 @@
 		s := agent.balancer.serverByAddr[addr(1)]
 		s.state, s.timedOut, s.since = UnhealthyPending, true, agent.now
 		agent.balancer.generation++
-		agent.handle(Event{Kind: EventOverrides, ReachableShare: within, Overrides: []Override{{Server: addr(1), ExpiresMs: agent.now + 1e6}}})
+		agent.handle(Event{Kind: EventOverrides, ReachableShare: within, Overrides: []Override{{Server: addr(1),
+			ExpiresMs: agent.now + 1e6}}})
 		agent.balancer.actions, agent.balancer.probes.tokens = nil, maxProbesInFlight
 		agent.balancer.validateUnhealthy()
 		if probed := findAction(agent.balancer.actions, ActionProbe) != nil; probed != (within == 1) {
