--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -47,7 +47,7 @@
 func main() {
 	var c cli
 	ctx := kong.Parse(&c, kong.Name("fleetlab"), kong.Description("The laboratory of the router fleet, on loopback."),
-		kong.Vars{"faults": strings.Join(fleetlab.Faults, ",")}, kong.UsageOnError(), kong.Exit(func(code int) {
+		kong.Vars{"faults": strings.Join(fleetlab.FaultNames, ",")}, kong.UsageOnError(), kong.Exit(func(code int) {
 			if code == 80 { // kong's own for what it cannot parse
 				code = 2
 			}
@@ -85,7 +85,7 @@
 	cfg := fleetlab.DefaultConfig(p.Agents, p.Core, p.Servers)
 	cfg.Program, cfg.Dir, cfg.Seed = program, dir, p.Seed
 	progress := func(s string) { fmt.Fprintln(os.Stderr, s) }
-	r, err := fleetlab.Play(ctx, cfg, fleetlab.Options{For: p.For, Rate: p.Rate, Fault: p.Fault}, progress)
+	r, err := fleetlab.Run(ctx, cfg, fleetlab.Options{Duration: p.For, Rate: p.Rate, Fault: p.Fault}, progress)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 	} else {
 		r.Write(out)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroken
 	}
 	return nil
--- a/internal/testbed/fleetlab/client_test.go
+++ b/internal/testbed/fleetlab/client_test.go
@@ -21,11 +21,11 @@
 
 // bench is clients, one agent that stands in for the fleet, and servers, in one process.
 type bench struct {
-	*seen
+	*recorder
 	now     func() time.Duration
 	classes []*Class
 	clients *Clients
-	entry   *Entry
+	entry   *LoadBalancer
 	servers []*modelserver.Server
 }
 
@@ -35,7 +35,7 @@
 func newBench(t *testing.T, servers int, d door) *bench {
 	t.Helper()
 	began := time.Now()
-	b := &bench{seen: &seen{}, now: func() time.Duration { return time.Since(began) }, classes: DefaultConfig(1, 1, 2).Classes}
+	b := &bench{recorder: &recorder{}, now: func() time.Duration { return time.Since(began) }, classes: DefaultConfig(1, 1, 2).Classes}
 	engine := modelserver.EngineConfig{Slots: 8, Queue: 8, StepMs: 2, SlotMs: 0.01, PrefillPerMs: 1000, Chunk: 8000, KVTokens: 100000, Stride: 4}
 	for range servers {
 		s, err := modelserver.Start(modelserver.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", Weights: 1, Engine: engine, Now: b.now, Seen: b.record})
@@ -66,8 +66,8 @@
 		}
 	})}
 	owner.Go(func() { _ = srv.Serve(ready) })
-	b.entry = newEntry([]Door{{IP: "127.0.0.1", Zone: "z", Front: front.Addr().String(), Readiness: ready.Addr().String()}}, 10*time.Millisecond)
-	b.clients = newClients(b.classes, b.entry, b.now, b.seen, 1, []string{"z"}, "t")
+	b.entry = newLoadBalancer([]Endpoint{{IP: "127.0.0.1", Zone: "z", Front: front.Addr().String(), Readiness: ready.Addr().String()}}, 10*time.Millisecond)
+	b.clients = newClients(b.classes, b.entry, b.now, b.recorder, 1, []string{"z"}, "t")
 	t.Cleanup(func() {
 		b.clients.Close()
 		b.entry.Close()
@@ -75,18 +75,18 @@
 		srv.Close()
 		owner.Wait()
 	})
-	d0 := &Doc{Revision: 1, Routes: []Route{{Name: "n", Host: hostname, Prefix: "/", Service: serviceA}}}
-	b.Changes = []*Change{{Doc: d0, Valid: true, Sent: 1, Acked: 2}}
+	d0 := &Document{Revision: 1, Routes: []Route{{Name: "n", Host: hostname, Prefix: "/", Service: serviceA}}}
+	b.Changes = []*ConfigChange{{Doc: d0, Valid: true, SentAt: 1, AckedAt: 2}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	require.NoError(t, b.entry.Await(ctx, func(m map[string]bool) bool { return len(m) == 1 }))
+	require.NoError(t, b.entry.WaitReady(ctx, func(m map[string]bool) bool { return len(m) == 1 }))
 	return b
 }
 
 // broken is the rules that are broken so far.
 func (b *bench) broken() (rules []string) {
 	r := testRules()
-	for _, v := range Check(b.all(), r) {
+	for _, v := range Check(b.snapshot(), r) {
 		rules = append(rules, v.Rule)
 	}
 	return rules
@@ -94,12 +94,12 @@
 
 // ask has a client of a class ask once.
 func (b *bench) ask(class, client, number int) Outcome {
-	return b.clients.ask(context.Background(), b.clients.askOf(&loadgen.Ask{Class: class, Agent: client, Number: number}))
+	return b.clients.send(context.Background(), b.clients.newRequest(&loadgen.Ask{Class: class, Agent: client, Number: number}))
 }
 
-func (b *bench) last() *Try {
-	all := b.all()
-	return all.Tries[len(all.Tries)-1]
+func (b *bench) last() *Attempt {
+	all := b.snapshot()
+	return all.Attempts[len(all.Attempts)-1]
 }
 
 // next reads a request of a client; nil when there is none.
@@ -165,25 +165,25 @@
 	}
 }
 
-func TestClientsAreServedWhole(t *testing.T) {
+func TestClientsAreServedCompletely(t *testing.T) {
 	b := newBench(t, 1, pass)
 	cfg := &loadgen.Config{Seed: 3, Agents: 4, Rate: 100, For: 300 * time.Millisecond, Keys: 5, Skew: 1,
 		Classes: []loadgen.Class{{Name: "a", Share: 1}, {Name: "b", Share: 1}}}
 	plan, err := loadgen.Plan(cfg)
 	require.NoError(t, err)
-	var got tally
+	var got outcomeLog
 	b.clients.Run(context.Background(), plan, got.add)
-	require.Len(t, got.all, len(plan))
-	for _, o := range got.all {
-		assert.LessOrEqual(t, o.Verdict, Late, o.Why)
-		assert.Positive(t, o.First)
+	require.Len(t, got.outcomes, len(plan))
+	for _, o := range got.outcomes {
+		assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
+		assert.Positive(t, o.FirstEvent)
 	}
 	assert.Empty(t, b.broken())
 	assert.Positive(t, b.servers[0].Figures().Saved, "prompts share parts")
 }
 
 // What a bad agent does is seen, and told as the rule that it breaks.
-func TestClientsSeeWhatABadAgentDoes(t *testing.T) {
+func TestClientsDetectProtocolViolations(t *testing.T) {
 	rewrite := func(change func(line string) string) door {
 		return func(b *bench, c net.Conn) {
 			in := bufio.NewReader(c)
@@ -252,7 +252,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t, 1, c.door)
-			b.classes[0].Retries = 0
+			b.classes[0].MaxRetries = 0
 			b.ask(0, 0, 1)
 			b.clients.Close()
 			got := b.broken()
@@ -292,7 +292,7 @@
 	}
 }
 
-func TestClientComesAgainAsItMay(t *testing.T) {
+func TestClientRetries(t *testing.T) {
 	const unsafe, resumable = 0, 1
 	for _, c := range []struct {
 		name  string
@@ -311,35 +311,35 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t, 1, refuseFirst(c.head))
-			b.classes[c.class].Aim, b.classes[c.class].GapAim = time.Minute, time.Minute // a busy machine is none of its matter
+			b.classes[c.class].FirstEventTarget, b.classes[c.class].EventGapTarget = time.Minute, time.Minute // a busy machine is none of its matter
 			o := b.ask(c.class, 1, 1)
-			assert.Equal(t, c.tries, o.Tries)
+			assert.Equal(t, c.tries, o.Attempts)
 			if o.Verdict == Late { // an event that took long
 				o.Verdict = Served
 			}
 			assert.Equal(t, c.want, o.Verdict)
 			if c.name == "told when" {
-				all := b.all().Tries
+				all := b.snapshot().Attempts
 				require.Len(t, all, 2)
-				assert.GreaterOrEqual(t, all[1].Began-all[0].End, 200*time.Millisecond)
+				assert.GreaterOrEqual(t, all[1].StartedAt-all[0].EndedAt, 200*time.Millisecond)
 			}
 		})
 	}
 }
 
-func TestRetryAfterIsAtMostAThirdOfTheTimeLeft(t *testing.T) {
+func TestRetryDelayIsAtMostAThirdOfTheTimeLeft(t *testing.T) {
 	b := newBench(t, 1, refuseFirst("HTTP/1.1 503 x\r\nRetry-After: 60"))
 	b.classes[1].Deadline = 1500 * time.Millisecond
 	o := b.ask(1, 1, 1)
-	assert.Equal(t, 2, o.Tries)
-	all := b.all().Tries
+	assert.Equal(t, 2, o.Attempts)
+	all := b.snapshot().Attempts
 	require.Len(t, all, 2)
-	wait := all[1].Began - all[0].End
+	wait := all[1].StartedAt - all[0].EndedAt
 	assert.GreaterOrEqual(t, wait, 300*time.Millisecond)
 	assert.Less(t, wait, time.Second)
 }
 
-func TestClientTakesItsStreamUp(t *testing.T) {
+func TestClientResumesItsStream(t *testing.T) {
 	b := newBench(t, 2, func(b *bench, c net.Conn) {
 		r, body := next(bufio.NewReader(c))
 		if r == nil {
@@ -353,15 +353,15 @@
 		cut := tee{c, &short{to: c}}
 		forward(b.servers[0], r, body, cut, nil)
 	})
-	b.classes[1].Most = 80
+	b.classes[1].MaxOutputTokens = 80
 	o := b.ask(1, 1, 1)
-	assert.Equal(t, 2, o.Tries)
-	assert.LessOrEqual(t, o.Verdict, Late, o.Why)
-	all := b.all().Tries
+	assert.Equal(t, 2, o.Attempts)
+	assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
+	all := b.snapshot().Attempts
 	require.Len(t, all, 2)
-	assert.Equal(t, Closed, all[0].Broken)
+	assert.Equal(t, Closed, all[0].EndReason)
 	assert.Len(t, all[0].Events, 2)
-	assert.Equal(t, 2, all[1].After)
+	assert.Equal(t, 2, all[1].AfterEvent)
 	assert.Equal(t, 3, all[1].Events[0].N)
 	assert.Empty(t, b.broken())
 }
@@ -382,7 +382,7 @@
 	return s.to.Write(p)
 }
 
-func TestStreamTakenUpInsideOneAnswer(t *testing.T) {
+func TestStreamResumedWithinOneResponse(t *testing.T) {
 	b := newBench(t, 2, func(b *bench, c net.Conn) {
 		r, body := next(bufio.NewReader(c))
 		if r == nil {
@@ -409,15 +409,15 @@
 			return l
 		}, modelserver.HeaderLastID, "2")
 	})
-	b.classes[1].Most = 80
+	b.classes[1].MaxOutputTokens = 80
 	o := b.ask(1, 1, 1)
-	assert.Equal(t, 1, o.Tries)
-	assert.LessOrEqual(t, o.Verdict, Late, o.Why)
+	assert.Equal(t, 1, o.Attempts)
+	assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
 	assert.NotEqual(t, b.last().Events[1].Seal, b.last().Events[2].Seal)
 	assert.Empty(t, b.broken())
 }
 
-func TestEntryTakesOutWhoMissesTwice(t *testing.T) {
+func TestLoadBalancerRemovesAgentAfterTwoMissedProbes(t *testing.T) {
 	var mu sync.Mutex
 	answers, asked := []int{200, 200, 503, 503, 200}, 0
 	round := make(chan int, 100)
@@ -441,18 +441,18 @@
 	owner.Go(func() { _ = srv.Serve(ln) })
 	defer owner.Wait()
 	defer srv.Close()
-	e := newEntry([]Door{{IP: "1", Zone: "z", Readiness: ln.Addr().String()}}, 20*time.Millisecond)
+	e := newLoadBalancer([]Endpoint{{IP: "1", Zone: "z", Readiness: ln.Addr().String()}}, 20*time.Millisecond)
 	defer e.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	in := func(n int) func(map[string]bool) bool { return func(m map[string]bool) bool { return len(m) == n } }
-	require.NoError(t, e.Await(ctx, in(1)))
-	require.NoError(t, e.Await(ctx, in(0)))
-	require.NoError(t, e.Await(ctx, in(1)))
+	require.NoError(t, e.WaitReady(ctx, in(1)))
+	require.NoError(t, e.WaitReady(ctx, in(0)))
+	require.NoError(t, e.WaitReady(ctx, in(1)))
 }
 
-func TestEntryPicks(t *testing.T) {
-	e := &Entry{doors: []Door{{IP: "a1", Zone: "a"}, {IP: "a2", Zone: "a"}, {IP: "a3", Zone: "a"}, {IP: "b1", Zone: "b"}}, in: []bool{true, true, true, true}}
+func TestLoadBalancerPicks(t *testing.T) {
+	e := &LoadBalancer{endpoints: []Endpoint{{IP: "a1", Zone: "a"}, {IP: "a2", Zone: "a"}, {IP: "a3", Zone: "a"}, {IP: "b1", Zone: "b"}}, isReady: []bool{true, true, true, true}}
 	first := e.Pick("a", 7, 1)
 	assert.Equal(t, first, e.Pick("a", 7, 1))
 	assert.NotEqual(t, first, e.Pick("a", 7, 2), "a later try lands on another")
@@ -461,16 +461,16 @@
 		used[e.Pick("a", client, 1).IP] = true
 	}
 	assert.Equal(t, map[string]bool{"a1": true, "a2": true, "a3": true}, used)
-	e.in = []bool{false, true, true, true}
+	e.isReady = []bool{false, true, true, true}
 	for client := range 50 {
 		assert.NotEqual(t, "a1", e.Pick("a", client, 1).IP)
 	}
-	e.in = []bool{false, false, true, true} // fewer than half: all of them
+	e.isReady = []bool{false, false, true, true} // fewer than half: all of them
 	clear(used)
 	for client := range 50 {
 		used[e.Pick("a", client, 1).IP] = true
 	}
 	assert.Len(t, used, 3)
-	e.in = []bool{false, false, false, true} // none: another zone's
+	e.isReady = []bool{false, false, false, true} // none: another zone's
 	assert.Equal(t, "b1", e.Pick("a", 1, 1).IP)
 }
--- a/internal/testbed/fleetlab/doc.go
+++ b/internal/testbed/fleetlab/config_document.go
@@ -10,9 +10,9 @@
 	"github.com/go-faster/errors"
 )
 
-// Doc is an operator's configuration as it travels. It is written down apart from the
+// Document is an operator's configuration as it travels. It is written down apart from the
 // daemon's own, so that one checks the other.
-type Doc struct {
+type Document struct {
 	Revision int       `json:"revision"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
@@ -21,20 +21,20 @@
 
 // Route is one route.
 type Route struct {
-	Name        string  `json:"name"`
-	Host        string  `json:"hostname"`
-	Prefix      string  `json:"path-prefix"`
-	Kind        string  `json:"route-kind"`
-	TimeoutMs   int     `json:"timeout-ms"`
-	SetpointMs  int     `json:"setpoint-ms"`
-	Priority    int     `json:"admission-priority"`
-	Service     string  `json:"target-service,omitempty"`
-	Split       []Split `json:"weighted-split,omitempty"`
-	MaxAttempts int     `json:"max-attempts"`
-	Affinity    bool    `json:"affinity"`
-	Resumable   bool    `json:"resumable"`
-	GapAimMs    int     `json:"gap_aim_ms,omitempty"`
-	Note        string  `json:"x-note,omitempty"` // a field that nobody knows: it has to come back
+	Name             string  `json:"name"`
+	Host             string  `json:"hostname"`
+	Prefix           string  `json:"path-prefix"`
+	Kind             string  `json:"route-kind"`
+	TimeoutMs        int     `json:"timeout-ms"`
+	SetpointMs       int     `json:"setpoint-ms"`
+	Priority         int     `json:"admission-priority"`
+	Service          string  `json:"target-service,omitempty"`
+	Split            []Split `json:"weighted-split,omitempty"`
+	MaxAttempts      int     `json:"max-attempts"`
+	Affinity         bool    `json:"affinity"`
+	Resumable        bool    `json:"resumable"`
+	EventGapTargetMs int     `json:"gap_aim_ms,omitempty"`
+	Comment          string  `json:"x-note,omitempty"` // a field that nobody knows: it has to come back
 }
 
 // Split is a part of a route's traffic.
@@ -96,14 +96,14 @@
 }
 
 // clone is a copy that shares nothing that changes.
-func (d *Doc) clone() *Doc {
+func (d *Document) clone() *Document {
 	c := *d
 	c.Routes, c.Services = slices.Clone(d.Routes), slices.Clone(d.Services)
 	return &c
 }
 
-// patched is the configuration after a patch.
-func (d *Doc) patched(p *Patch) *Doc {
+// withPatch is the configuration after a patch.
+func (d *Document) withPatch(p *Patch) *Document {
 	c := d.clone()
 	c.Revision = p.Revision
 	for _, r := range p.Upsert.Routes {
@@ -126,7 +126,7 @@
 }
 
 // route is the one of a request; nil if none fits.
-func (d *Doc) route(host, target string) *Route {
+func (d *Document) route(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
 	for i := range d.Routes {
@@ -139,7 +139,7 @@
 }
 
 // services are where a request may go by the configuration.
-func (d *Doc) services(host, target string) []string {
+func (d *Document) services(host, target string) []string {
 	r := d.route(host, target)
 	if r == nil {
 		return nil
@@ -156,18 +156,18 @@
 	return out
 }
 
-// sameAs tells whether what was read back is the configuration, whatever the order of its
+// matchesJSON tells whether what was read back is the configuration, whatever the order of its
 // named items.
-func (d *Doc) sameAs(text []byte) error {
+func (d *Document) matchesJSON(text []byte) error {
 	want, err := json.Marshal(d)
 	if err != nil {
 		return errors.Wrap(err, "configuration")
 	}
-	a, err := byName(want)
+	a, err := decodeByName(want)
 	if err != nil {
 		return err
 	}
-	b, err := byName(text)
+	b, err := decodeByName(text)
 	if err != nil {
 		return err
 	}
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// byName reads a configuration with its lists as maps.
-func byName(text []byte) (map[string]any, error) {
+// decodeByName reads a configuration with its lists as maps.
+func decodeByName(text []byte) (map[string]any, error) {
 	var m map[string]any
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if err := dec.Decode(&m); err != nil {
--- /dev/null
+++ b/internal/testbed/fleetlab/fleet.go
@@ -0,0 +1,222 @@
+// Package fleetlab plays the whole router fleet on loopback: processes of the daemon, model
+// servers, the entry, clients, an operator, faults, and a referee that judges what clients,
+// servers and the operator saw by the rules of the protocol.
+//
+// Each machine has a loopback address of its own, so that ports are alike on all of them. The
+// laboratory ends only processes that it started.
+package fleetlab
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
+	"chalkdoor.example/chalkdoor/internal/testbed/process"
+)
+
+// Config is a fleet.
+type Config struct {
+	Program       string // the daemon's
+	Dir           string // for settings, state and logs
+	Agents        int
+	Core          int // of them with a disk, the first ones
+	Servers       int
+	Zones         int
+	Clients       int
+	Seed          uint64
+	MemoryMB      int
+	Bounds        Bounds
+	Engine        modelserver.EngineConfig
+	Classes       []*Class
+	ProbeInterval time.Duration // the entry's period
+}
+
+// hostname is that of all routes.
+const hostname = "desk.example"
+
+// The services: most servers are of the first.
+const (
+	serviceA = "llm-a"
+	serviceB = "llm-b"
+)
+
+// DefaultConfig is a fleet of so many, with two kinds of requests: long ones that must not run
+// twice, and short urgent ones that may be taken up elsewhere.
+func DefaultConfig(agents, core, servers int) Config {
+	return Config{Agents: agents, Core: core, Servers: servers, Zones: min(3, agents), Clients: 4 * agents, Seed: 1, MemoryMB: 284, Bounds: DefaultBounds(),
+		Engine:        modelserver.EngineConfig{Slots: 32, Queue: 64, StepMs: 4, SlotMs: 0.05, PrefillPerMs: 64, Chunk: 2048, KVTokens: 200_000, Stride: 4},
+		ProbeInterval: 250 * time.Millisecond,
+		Classes: []*Class{
+			{Name: "narrative", Host: hostname, Path: "/narrative/", Share: 0.2, FirstEventTarget: 800 * time.Millisecond, EventGapTarget: 300 * time.Millisecond,
+				Deadline: 15 * time.Second, Timeout: 15 * time.Second, MaxRetries: 1, SharedTokens: 2000, OwnTokens: 2500, MaxOutputTokens: 160, BodyBytes: 6000},
+			{Name: "verdict", Host: hostname, Path: "/verdict/", Share: 0.8, FirstEventTarget: 400 * time.Millisecond, EventGapTarget: 300 * time.Millisecond,
+				Deadline: 3 * time.Second, Timeout: 3 * time.Second, Resumable: true, MaxRetries: 1, SharedTokens: 400, OwnTokens: 700, MaxOutputTokens: 24, BodyBytes: 1200},
+		}}
+}
+
+// Fleet is a fleet that runs. Close ends it.
+type Fleet struct {
+	cfg          Config
+	startedAt    time.Time
+	subnet       *subnet
+	processes    *process.Group
+	background   sync.WaitGroup
+	recorder     *recorder
+	zones        []string
+	seeds        []string
+	Agents       []*Agent
+	LoadBalancer *LoadBalancer
+	Operator     *Operator
+
+	probeCount atomic.Int64
+
+	mu             sync.Mutex
+	servers        []*modelserver.Server
+	stoppedServers []*modelserver.Server
+}
+
+// Now is the laboratory's clock.
+func (l *Fleet) Now() time.Duration { return time.Since(l.startedAt) }
+
+// Start starts all processes at once, sends the first configuration, starts the model servers
+// and waits until every agent is ready and serves each route, or ctx ends.
+func Start(ctx context.Context, cfg Config) (*Fleet, error) {
+	if cfg.Agents < 1 || cfg.Core < 1 || cfg.Core > cfg.Agents || cfg.Agents > 80 || cfg.Servers < 2 || cfg.Servers > 80 || cfg.Zones < 1 || cfg.Clients < 1 {
+		return nil, errors.Errorf("%d agents, %d of the core, %d servers, %d zones, %d clients: give 1 to 80 agents, some of the core, 2 to 80 servers", cfg.Agents, cfg.Core, cfg.Servers, cfg.Zones, cfg.Clients)
+	}
+	net, err := claimSubnet()
+	if err != nil {
+		return nil, err
+	}
+	l := &Fleet{cfg: cfg, startedAt: time.Now(), subnet: net, processes: process.NewGroup(), recorder: &recorder{}}
+	if err := l.start(ctx); err != nil {
+		l.Close()
+		return nil, err
+	}
+	return l, nil
+}
+
+func (l *Fleet) start(ctx context.Context) error {
+	cfg := l.cfg
+	for i := range cfg.Zones {
+		l.zones = append(l.zones, fmt.Sprintf("zone-%c", 'a'+i))
+	}
+	for i := range cfg.Agents {
+		a := &Agent{Name: fmt.Sprintf("edge-%d", i+1), IP: l.subnet.ip(10 + i), Zone: l.zones[i%cfg.Zones], Core: i < cfg.Core, fleet: l}
+		a.dir = filepath.Join(cfg.Dir, a.Name)
+		if err := os.Mkdir(a.dir, 0o755); err != nil { // a first start has empty disks
+			return errors.Wrap(err, "give an empty folder that is there")
+		}
+		l.Agents = append(l.Agents, a)
+	}
+	rng := rand.New(rand.NewPCG(cfg.Seed, 5))
+	for _, i := range rng.Perm(cfg.Agents)[:min(3, cfg.Agents)] {
+		l.seeds = append(l.seeds, l.Agents[i].ControlAddr())
+	}
+	l.Operator = newOperator(l.controlAddrs, l.Now, l.recorder, cfg.Seed)
+	for _, i := range rng.Perm(cfg.Agents) {
+		if err := l.Agents[i].start(true); err != nil {
+			return err
+		}
+	}
+	var doors []Endpoint
+	for _, a := range l.Agents {
+		doors = append(doors, a.Endpoint())
+	}
+	l.LoadBalancer = newLoadBalancer(doors, cfg.ProbeInterval)
+	for i := range cfg.Servers {
+		if err := l.startServer(i); err != nil {
+			return err
+		}
+	}
+	if status, err := l.Operator.Put(ctx, 0, l.initialDocument()); err != nil {
+		return err
+	} else if status != 200 {
+		return errors.Errorf("the first configuration was refused with %d", status)
+	}
+	return l.WaitServing(ctx)
+}
+
+// initialDocument is the configuration that a fleet begins with.
+func (l *Fleet) initialDocument() *Document {
+	d := &Document{Revision: 3, Limits: Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000}}
+	for i, c := range l.cfg.Classes {
+		r := Route{Name: "r-" + c.Name, Host: c.Host, Prefix: c.Path, Kind: "streaming", TimeoutMs: int(c.Timeout.Milliseconds()), SetpointMs: int(c.FirstEventTarget.Milliseconds()),
+			Priority: len(l.cfg.Classes) - 1 - i, MaxAttempts: 2, Affinity: true, Resumable: c.Resumable, EventGapTargetMs: int(c.EventGapTarget.Milliseconds()), Comment: "of " + c.Name}
+		if i == 0 {
+			r.Service = serviceA
+		} else { // a service may be named twice
+			r.Split = []Split{{serviceA, 50}, {serviceB, 30}, {serviceA, 20}}
+		}
+		d.Routes = append(d.Routes, r)
+	}
+	for _, s := range []string{serviceA, serviceB} {
+		d.Services = append(d.Services, Service{Name: s, HealthPath: "/health", ConnLimit: connLimit, Protocol: "h1",
+			Engine: Engine{Slots: l.cfg.Engine.Slots, CacheTokens: l.cfg.Engine.KVTokens, KVTokenBytes: 163840, LinkMbps: 180000, Stride: l.cfg.Engine.Stride, Models: []EngineModel{{"m"}}}})
+	}
+	return d
+}
+
+func (l *Fleet) controlAddrs() []string {
+	var list []string
+	for _, a := range l.Agents {
+		list = append(list, a.ControlAddr())
+	}
+	return list
+}
+
+// Check ends nothing: it judges what was seen so far.
+func (l *Fleet) Check() []Violation {
+	s := l.recorder.snapshot()
+	for _, a := range l.Agents {
+		if race := a.dataRace(); race != "" {
+			s.UnexpectedExits = append(s.UnexpectedExits, a.Name+": "+race)
+		}
+	}
+	b := l.cfg.Bounds
+	return Check(s, Rules{Stride: l.cfg.Engine.Stride, Contact: b.Contact, Drain: b.Drain, Converge: b.Converge, RevertSlack: b.RevertSlack, LossSlack: b.LossSlack,
+		Grace: b.Grace, RetryRatio: b.RetryRatio, RetryWindow: b.RetryWindow, RetrySlack: b.RetrySlack, Slack: 50 * time.Millisecond})
+}
+
+// ReadBack has the operator read the configuration, for the referee to judge.
+func (l *Fleet) ReadBack(ctx context.Context) {
+	text, err := l.Operator.ReadBack(ctx)
+	l.recorder.mu.Lock()
+	defer l.recorder.mu.Unlock()
+	l.recorder.ReadBack, l.recorder.ReadErr = text, err
+}
+
+// Close ends all: servers, processes, and what waits for them.
+func (l *Fleet) Close() {
+	if l.LoadBalancer != nil {
+		l.LoadBalancer.Close()
+	}
+	l.mu.Lock()
+	servers := slices.Concat(l.servers, l.stoppedServers)
+	l.mu.Unlock()
+	for _, s := range servers {
+		if s != nil {
+			s.Close()
+		}
+	}
+	for _, a := range l.Agents {
+		a.mu.Lock()
+		a.stopping = true
+		a.mu.Unlock()
+	}
+	l.processes.Close()
+	l.background.Wait()
+	if l.Operator != nil {
+		l.Operator.close()
+	}
+	l.subnet.lock.Close()
+}
--- a/internal/testbed/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -22,7 +22,7 @@
 var fleets = make(chan struct{}, 2)
 
 // startFleet starts a small fleet of the daemon, with shorter bounds than a deployment has.
-func startFleet(t *testing.T, agents, core, servers int, with func(*Config)) (context.Context, *Lab) {
+func startFleet(t *testing.T, agents, core, servers int, with func(*Config)) (context.Context, *Fleet) {
 	t.Helper()
 	t.Parallel()
 	fleets <- struct{}{}
@@ -30,9 +30,9 @@
 	cfg := DefaultConfig(agents, core, servers)
 	cfg.Program, cfg.Dir, cfg.Zones = daemon, t.TempDir(), 2
 	b := &cfg.Bounds
-	b.Contact, b.Drain, b.Beat, b.Settle = 1500*time.Millisecond, 1200*time.Millisecond, 200*time.Millisecond, 2*time.Second
+	b.Contact, b.Drain, b.HeartbeatInterval, b.Settle = 1500*time.Millisecond, 1200*time.Millisecond, 200*time.Millisecond, 2*time.Second
 	for _, c := range cfg.Classes { // a busy machine makes answers late; that is not what is tested here
-		c.Aim, c.GapAim = 4*time.Second, 2*time.Second
+		c.FirstEventTarget, c.EventGapTarget = 4*time.Second, 2*time.Second
 	}
 	if with != nil {
 		with(&cfg)
@@ -45,19 +45,19 @@
 		l.Close()
 		if t.Failed() {
 			for _, a := range l.Agents {
-				t.Logf("%s (%s): %s", a.Name, a.IP, a.tail())
+				t.Logf("%s (%s): %s", a.Name, a.IP, a.logTail())
 			}
 		}
 	})
 	return ctx, l
 }
 
-// traffic is clients at work until wait is called, which gives what came of their asks.
-func (l *Lab) traffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
+// startTraffic is clients at work until wait is called, which gives what came of their asks.
+func (l *Fleet) startTraffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
 	t.Helper()
-	clients, plan, err := l.Traffic(rate, length)
+	clients, plan, err := l.NewWorkload(rate, length)
 	require.NoError(t, err)
-	var got tally
+	var got outcomeLog
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,13 +66,13 @@
 	return func() []Outcome {
 		<-done
 		clients.Close()
-		require.Len(t, got.all, len(plan))
-		return got.all
+		require.Len(t, got.outcomes, len(plan))
+		return got.outcomes
 	}
 }
 
-// judged has the configuration read back, and no rule broken.
-func judged(ctx context.Context, t *testing.T, l *Lab) {
+// requireNoViolations has the configuration read back, and no rule broken.
+func requireNoViolations(ctx context.Context, t *testing.T, l *Fleet) {
 	t.Helper()
 	l.ReadBack(ctx)
 	for _, v := range l.Check() {
@@ -84,22 +84,22 @@
 func failed(all []Outcome) (out []string) {
 	for _, o := range all {
 		if o.Verdict > Late {
-			out = append(out, fmt.Sprintf("%s %v (%s) after %d tries", o.Class.Name, o.Verdict, o.Why, o.Tries))
+			out = append(out, fmt.Sprintf("%s %v (%s) after %d tries", o.Class.Name, o.Verdict, o.FailureReason, o.Attempts))
 		}
 	}
 	return out
 }
 
-func TestCalmFleetServesAll(t *testing.T) {
+func TestFleetWithoutFaultsServesAll(t *testing.T) {
 	ctx, l := startFleet(t, 5, 3, 4, nil)
-	all := l.traffic(ctx, t, 50, 2*time.Second)()
+	all := l.startTraffic(ctx, t, 50, 2*time.Second)()
 	assert.Empty(t, failed(all))
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestConfigurationIsSoonInForceOnAllAgents(t *testing.T) {
+func TestConfigurationPropagatesToAllAgents(t *testing.T) {
 	ctx, l := startFleet(t, 5, 3, 4, nil)
-	wait := l.traffic(ctx, t, 30, 4*time.Second)
+	wait := l.startTraffic(ctx, t, 30, 4*time.Second)
 	first := l.Operator.Current()
 
 	// A refusal changes nothing, whatever it was for.
@@ -122,7 +122,7 @@
 	class := *l.cfg.Classes[1]
 	class.Name, class.Path = "added", "/added/"
 	for _, a := range l.Agents {
-		require.NoError(t, l.serves(ctx, a, &class))
+		require.NoError(t, l.waitServing(ctx, a, &class))
 	}
 	assert.Less(t, l.Now()-acked, l.cfg.Bounds.Converge+patience/10)
 
@@ -138,14 +138,14 @@
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	for _, a := range l.Agents {
-		l.denies(ctx, t, a, &class)
+		l.requireNotFound(ctx, t, a, &class)
 	}
 	assert.Empty(t, failed(wait()))
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-// denies asks an agent for a class until it answers 404.
-func (l *Lab) denies(ctx context.Context, t *testing.T, a *Agent, c *Class) {
+// requireNotFound asks an agent for a class until it answers 404.
+func (l *Fleet) requireNotFound(ctx context.Context, t *testing.T, a *Agent, c *Class) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
 		if x := l.Probe(ctx, a, c); x.Status == 404 {
@@ -155,7 +155,7 @@
 	require.FailNow(t, "the route is still there", a.Name)
 }
 
-func TestTwoOperatorsRace(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	ctx, l := startFleet(t, 3, 3, 2, nil)
 	first := l.Operator.Current()
 	type answer struct {
@@ -164,7 +164,7 @@
 	}
 	answers := make(chan answer, 2)
 	for i := range 2 {
-		op := newOperator(l.control, l.Now, l.seen, uint64(i)+7)
+		op := newOperator(l.controlAddrs, l.Now, l.recorder, uint64(i)+7)
 		t.Cleanup(op.close)
 		d := first.clone()
 		d.Revision += 1 + i
@@ -182,32 +182,32 @@
 	}
 	slices.Sort(got)
 	assert.Equal(t, []int{200, 412}, got)
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestAgentEndsInOrderUnderStreams(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) { c.Classes[0].Most = 600 }) // streams of seconds
-	wait := l.traffic(ctx, t, 30, 5*time.Second)
+func TestAgentShutsDownGracefullyUnderStreams(t *testing.T) {
+	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) { c.Classes[0].MaxOutputTokens = 600 }) // streams of seconds
+	wait := l.startTraffic(ctx, t, 30, 5*time.Second)
 	agent := l.awaitBusyAgent(ctx, t, 3)
 	require.NoError(t, agent.Terminate(ctx), "in order, within its grace")
-	require.NoError(t, agent.Start())
-	require.NoError(t, l.AllReady(ctx))
+	require.NoError(t, agent.Restart())
+	require.NoError(t, l.WaitAllReady(ctx))
 	assert.Empty(t, failed(wait()))
-	for _, x := range l.seen.all().Tries {
+	for _, x := range l.recorder.snapshot().Attempts {
 		assert.False(t, x.Agent == agent.IP && x.Status == 200 && !x.Complete, "%s was cut", x.ID)
 	}
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
 // awaitBusyAgent waits until an agent has so many streams under way for some time, and returns it; of
 // several, the last one. Which agents have many depends on their addresses, by which clients are spread.
-func (l *Lab) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
+func (l *Fleet) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
 	t.Helper()
 	for {
-		list, more := l.seen.streams()
+		list, more := l.recorder.streams()
 		count := map[string]int{}
 		for _, s := range list {
-			if l.age(s) {
+			if l.isOld(s) {
 				count[s.Agent]++
 			}
 		}
@@ -224,14 +224,14 @@
 	}
 }
 
-// age tells whether a stream is under way for some time: some of its events have come.
-func (l *Lab) age(s Stream) bool { return l.Now()-s.At > 100*time.Millisecond }
+// isOld tells whether a stream is under way for some time: some of its events have come.
+func (l *Fleet) isOld(s Stream) bool { return l.Now()-s.At > 100*time.Millisecond }
 
 func TestCoreMachineIsKilled(t *testing.T) {
 	ctx, l := startFleet(t, 5, 3, 4, nil)
-	wait := l.traffic(ctx, t, 40, 6*time.Second)
+	wait := l.startTraffic(ctx, t, 40, 6*time.Second)
 	core := l.Agents[0]
-	require.NoError(t, l.AwaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == core.IP && l.age(s) }))
+	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == core.IP && l.isOld(s) }))
 	core.Kill()
 	// The core goes on without it: a change is acknowledged, and in force.
 	r := l.Operator.Current().Routes[0]
@@ -241,17 +241,17 @@
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
 	assert.Less(t, l.Now()-sent, l.cfg.Bounds.Ack+l.cfg.Bounds.Contact)
-	require.NoError(t, core.Start())
-	require.NoError(t, l.Settle(ctx))
+	require.NoError(t, core.Restart())
+	require.NoError(t, l.WaitServing(ctx))
 	all := wait()
 	// What may run again is served all the same; what may not is lost where it ran on the machine.
 	for _, o := range all {
 		if o.Class.Resumable {
-			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s", o.Verdict, o.Why)
+			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s", o.Verdict, o.FailureReason)
 		}
 	}
 	assert.Less(t, len(failed(all)), len(all)/10)
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
 func TestAllMachinesAreKilled(t *testing.T) {
@@ -265,14 +265,14 @@
 		a.Kill()
 	}
 	for _, a := range l.Agents {
-		require.NoError(t, a.Start())
+		require.NoError(t, a.Restart())
 	}
-	require.NoError(t, l.Settle(ctx))
-	assert.Empty(t, failed(l.traffic(ctx, t, 30, time.Second)()))
-	judged(ctx, t, l)
+	require.NoError(t, l.WaitServing(ctx))
+	assert.Empty(t, failed(l.startTraffic(ctx, t, 30, time.Second)()))
+	requireNoViolations(ctx, t, l)
 }
 
-func TestCoreMachineLosesItsDiskAfterAnAcknowledgement(t *testing.T) {
+func TestCoreMachineLosesItsDiskAfterAcknowledgement(t *testing.T) {
 	ctx, l := startFleet(t, 4, 3, 2, nil)
 	r := l.Operator.Current().Routes[0]
 	r.TimeoutMs -= 500
@@ -281,89 +281,89 @@
 	require.Equal(t, 200, status)
 	lost := l.Agents[0]
 	for _, a := range l.Agents[:l.cfg.Core] { // the one that acknowledged it, if it has a disk
-		if changes := l.seen.all().Changes; a.IP == changes[len(changes)-1].By {
+		if changes := l.recorder.snapshot().Changes; a.IP == changes[len(changes)-1].AckedBy {
 			lost = a
 		}
 	}
 	lost.Kill()
-	require.NoError(t, lost.Wipe())
+	require.NoError(t, lost.WipeDisk())
 	l.ReadBack(ctx)
 	assert.Empty(t, l.Check())
-	require.NoError(t, lost.Start())
-	require.NoError(t, l.Settle(ctx))
+	require.NoError(t, lost.Restart())
+	require.NoError(t, l.WaitServing(ctx))
 	r.TimeoutMs -= 500
 	status, err = l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestFrozenAgentWakes(t *testing.T) {
+func TestPausedAgentResumes(t *testing.T) {
 	ctx, l := startFleet(t, 4, 3, 3, nil)
-	wait := l.traffic(ctx, t, 30, 5*time.Second)
+	wait := l.startTraffic(ctx, t, 30, 5*time.Second)
 	frozen := l.Agents[3]
-	require.NoError(t, l.AwaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == frozen.IP }))
-	require.NoError(t, frozen.Freeze())
-	require.NoError(t, l.Entry.Await(ctx, func(ready map[string]bool) bool { return !ready[frozen.IP] }))
+	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == frozen.IP }))
+	require.NoError(t, frozen.Pause())
+	require.NoError(t, l.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return !ready[frozen.IP] }))
 	// What it has missed must not come back with it.
 	r := l.Operator.Current().Routes[0]
 	r.Service = serviceB
 	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, frozen.Thaw())
-	require.NoError(t, l.AllReady(ctx))
+	require.NoError(t, frozen.Resume())
+	require.NoError(t, l.WaitAllReady(ctx))
 	all := wait()
 	assert.Less(t, len(failed(all)), len(all)/10, "%v", failed(all))
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestReloadCutsNothing(t *testing.T) {
+func TestReloadBreaksNoStream(t *testing.T) {
 	ctx, l := startFleet(t, 3, 3, 3, nil)
-	wait := l.traffic(ctx, t, 30, 2*time.Second)
+	wait := l.startTraffic(ctx, t, 30, 2*time.Second)
 	for _, a := range l.Agents {
-		require.NoError(t, l.AwaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == a.IP && l.age(s) }))
+		require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == a.IP && l.isOld(s) }))
 		require.NoError(t, a.Reload())
 	}
 	assert.Empty(t, failed(wait()))
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestServerLeavesUnderTraffic(t *testing.T) {
+func TestServerDrainsUnderTraffic(t *testing.T) {
 	ctx, l := startFleet(t, 4, 3, 4, nil)
-	wait := l.traffic(ctx, t, 40, 6*time.Second)
+	wait := l.startTraffic(ctx, t, 40, 6*time.Second)
 	leaves := l.Server(0)
 	require.NoError(t, leaves.Leave(ctx))
 	require.NoError(t, l.RestartServer(ctx, 0))
 	assert.Empty(t, failed(wait()))
 	acked := false
-	for _, r := range l.seen.all().Records {
+	for _, r := range l.recorder.snapshot().Records {
 		acked = acked || r.Kind == modelserver.Draining && r.Instance == leaves.ID()
 	}
 	assert.True(t, acked, "its draining was acknowledged")
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
 func TestServerCrashesUnderStreams(t *testing.T) {
 	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) {
-		c.Classes[1].Most, c.Classes[1].Deadline, c.Classes[1].Timeout = 300, 10*time.Second, 10*time.Second // long streams that may be taken up
-		c.Bounds.RetryWindow = 500 * time.Millisecond                                                        // a new process has no share of the budget before
+		c.Classes[1].MaxOutputTokens, c.Classes[1].Deadline, c.Classes[1].Timeout = 300, 10*time.Second, 10*time.Second // long streams that may be taken up
+		c.Bounds.RetryWindow = 500 * time.Millisecond                                                                   // a new process has no share of the budget before
 	})
-	wait := l.traffic(ctx, t, 40, 4*time.Second)
+	wait := l.startTraffic(ctx, t, 40, 4*time.Second)
 	path := l.cfg.Classes[1].Path
-	require.NoError(t, l.AwaitStreams(ctx, 3, func(s Stream) bool {
-		return s.Instance == l.Server(0).ID() && strings.HasPrefix(s.Target, path) && l.age(s)
+	require.NoError(t, l.WaitStreams(ctx, 3, func(s Stream) bool {
+		return s.Instance == l.Server(0).ID() && strings.HasPrefix(s.Target, path) && l.isOld(s)
 	}))
 	l.Server(0).Crash()
 	require.NoError(t, l.RestartServer(ctx, 0))
 	all := wait()
 	for _, o := range all {
 		if o.Class.Resumable {
-			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s after %d tries", o.Verdict, o.Why, o.Tries)
+			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s after %d tries", o.Verdict, o.FailureReason, o.Attempts)
 		}
 	}
 	taken := 0
-	for _, x := range l.seen.all().Tries {
+	for _, x := range l.recorder.snapshot().Attempts {
 		for i := range x.Events {
 			if i > 0 && x.Events[i].Seal != x.Events[i-1].Seal {
 				taken++
@@ -371,25 +371,25 @@
 		}
 	}
 	assert.Positive(t, taken, "streams were taken up inside one answer")
-	judged(ctx, t, l)
+	requireNoViolations(ctx, t, l)
 }
 
-func TestPlayPrintsItsFigures(t *testing.T) {
+func TestRunPrintsItsReport(t *testing.T) {
 	t.Parallel()
 	fleets <- struct{}{}
 	defer func() { <-fleets }()
 	cfg := DefaultConfig(3, 3, 3)
 	cfg.Program, cfg.Dir = daemon, t.TempDir()
-	r, err := Play(context.Background(), cfg, Options{For: 2 * time.Second, Fault: "drain"}, nil)
+	r, err := Run(context.Background(), cfg, Options{Duration: 2 * time.Second, Fault: "drain"}, nil)
 	require.NoError(t, err)
 	assert.Positive(t, r.Served)
-	assert.Equal(t, r.Asked, r.Served+r.Refused+sum(r.Failed))
+	assert.Equal(t, r.Requests, r.Served+r.Rejected+sum(r.Failed))
 	assert.Equal(t, 3, r.Changes)
-	assert.Empty(t, r.Broken)
+	assert.Empty(t, r.Violations)
 	for _, c := range r.Classes {
-		assert.Positive(t, c.First95, c.Name)
+		assert.Positive(t, c.FirstEventP95Ms, c.Name)
 	}
-	_, err = Play(context.Background(), cfg, Options{For: time.Second, Fault: "flood"}, nil)
+	_, err = Run(context.Background(), cfg, Options{Duration: time.Second, Fault: "flood"}, nil)
 	require.ErrorContains(t, err, "crash-server")
 }
 
@@ -400,17 +400,17 @@
 	return n
 }
 
-func TestTrafficIsDrawnFromItsSeed(t *testing.T) {
+func TestWorkloadFollowsFromSeed(t *testing.T) {
 	cfg := DefaultConfig(2, 1, 2)
-	l := &Lab{cfg: cfg, zones: []string{"z"}, seen: &seen{}}
-	a, plan, err := l.Traffic(50, 2*time.Second)
+	l := &Fleet{cfg: cfg, zones: []string{"z"}, recorder: &recorder{}}
+	a, plan, err := l.NewWorkload(50, 2*time.Second)
 	require.NoError(t, err)
-	b, again, err := l.Traffic(50, 2*time.Second)
+	b, again, err := l.NewWorkload(50, 2*time.Second)
 	require.NoError(t, err)
 	assert.Equal(t, plan, again)
 	require.NotEmpty(t, plan)
 	for i := range plan {
-		x, y := a.askOf(&plan[i]), b.askOf(&loadgen.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
-		assert.Equal(t, x, func() *ask { y.class = x.class; return y }())
+		x, y := a.newRequest(&plan[i]), b.newRequest(&loadgen.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
+		assert.Equal(t, x, func() *request { y.class = x.class; return y }())
 	}
 }
--- a/internal/testbed/fleetlab/operator.go
+++ b/internal/testbed/fleetlab/operator.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	operatorWait  = time.Second            // for an answer
-	firstPause    = 50 * time.Millisecond  // after a failure, growing
-	longestPause  = 400 * time.Millisecond // of the pauses
-	maxConfigRead = 16 << 20
-	maxHops       = 2
+	operatorTimeout = time.Second            // for an answer
+	minBackoff      = 50 * time.Millisecond  // after a failure, growing
+	maxBackoff      = 400 * time.Millisecond // of the pauses
+	maxConfigRead   = 16 << 20
+	maxRedirects    = 2
 )
 
 // Operator sends configurations and keeps what became of them.
 type Operator struct {
-	control func() []string // the agents' addresses
-	now     func() time.Duration
-	seen    *seen
-	http    *http.Client
+	control  func() []string // the agents' addresses
+	now      func() time.Duration
+	recorder *recorder
+	client   *http.Client
 
 	mu      sync.Mutex
-	rng     *rand.Rand
-	current *Doc // the newest that was acknowledged
+	random  *rand.Rand
+	current *Document // the newest that was acknowledged
 }
 
-func newOperator(control func() []string, now func() time.Duration, s *seen, seed uint64) *Operator {
-	return &Operator{control: control, now: now, seen: s, rng: rand.New(rand.NewPCG(seed, 3)),
-		http: &http.Client{Timeout: operatorWait, Transport: &http.Transport{IdleConnTimeout: 5 * time.Second}, CheckRedirect: func(r *http.Request, via []*http.Request) error {
-			if len(via) > maxHops {
+func newOperator(control func() []string, now func() time.Duration, s *recorder, seed uint64) *Operator {
+	return &Operator{control: control, now: now, recorder: s, random: rand.New(rand.NewPCG(seed, 3)),
+		client: &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{IdleConnTimeout: 5 * time.Second}, CheckRedirect: func(r *http.Request, via []*http.Request) error {
+			if len(via) > maxRedirects {
 				return errors.New("redirected too often")
 			}
 			return nil
@@ -45,7 +45,7 @@
 }
 
 // Current is the newest configuration that was acknowledged to this operator; nil before.
-func (o *Operator) Current() *Doc {
+func (o *Operator) Current() *Document {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.current
@@ -53,8 +53,8 @@
 
 // Put sends a whole configuration on top of a version until it has a clear answer. It returns
 // its status.
-func (o *Operator) Put(ctx context.Context, base int, d *Doc) (int, error) {
-	return o.change(ctx, http.MethodPut, &Change{Base: base, Doc: d, Valid: true}, d)
+func (o *Operator) Put(ctx context.Context, base int, d *Document) (int, error) {
+	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d, Valid: true}, d)
 }
 
 // Patch sends a change of the newest configuration, whose revision it draws.
@@ -64,43 +64,43 @@
 		return 0, errors.New("there is no configuration yet")
 	}
 	if p.Revision == 0 {
-		p.Revision = cur.Revision + 1 + o.draw(3)
+		p.Revision = cur.Revision + 1 + o.randomIntN(3)
 	}
-	return o.change(ctx, http.MethodPatch, &Change{Base: cur.Revision, Doc: cur.patched(&p), Valid: true}, p)
+	return o.submit(ctx, http.MethodPatch, &ConfigChange{BaseRevision: cur.Revision, Doc: cur.withPatch(&p), Valid: true}, p)
 }
 
 // PutInvalid sends what has to be refused.
-func (o *Operator) PutInvalid(ctx context.Context, base int, d *Doc) (int, error) {
-	return o.change(ctx, http.MethodPut, &Change{Base: base, Doc: d}, d)
+func (o *Operator) PutInvalid(ctx context.Context, base int, d *Document) (int, error) {
+	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d}, d)
 }
 
-func (o *Operator) draw(n int) int {
+func (o *Operator) randomIntN(n int) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.rng.IntN(n)
+	return o.random.IntN(n)
 }
 
-// change sends until there is a clear answer or ctx ends.
-func (o *Operator) change(ctx context.Context, method string, c *Change, body any) (int, error) {
+// submit sends until there is a clear answer or ctx ends.
+func (o *Operator) submit(ctx context.Context, method string, c *ConfigChange, body any) (int, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return 0, errors.Wrap(err, "configuration")
 	}
-	o.seen.mu.Lock()
-	c.Sent = o.now()
-	o.seen.Changes = append(o.seen.Changes, c)
-	o.seen.mu.Unlock()
-	status, by, _, err := o.insist(ctx, method, strconv.Itoa(c.Base), text)
+	o.recorder.mu.Lock()
+	c.SentAt = o.now()
+	o.recorder.Changes = append(o.recorder.Changes, c)
+	o.recorder.mu.Unlock()
+	status, by, _, err := o.callUntilAnswered(ctx, method, strconv.Itoa(c.BaseRevision), text)
 	if err != nil {
 		return 0, errors.Wrapf(err, "configuration %d", c.Doc.Revision)
 	}
-	o.seen.mu.Lock()
+	o.recorder.mu.Lock()
 	if status/100 == 2 {
-		c.Acked, c.By = o.now(), by
+		c.AckedAt, c.AckedBy = o.now(), by
 	} else {
-		c.Over = status
+		c.RejectStatus = status
 	}
-	o.seen.mu.Unlock()
+	o.recorder.mu.Unlock()
 	if status/100 == 2 {
 		o.mu.Lock()
 		if o.current == nil || o.current.Revision < c.Doc.Revision {
@@ -113,7 +113,7 @@
 
 // ReadBack reads the newest configuration.
 func (o *Operator) ReadBack(ctx context.Context) ([]byte, error) {
-	status, _, text, err := o.insist(ctx, http.MethodGet, "", nil)
+	status, _, text, err := o.callUntilAnswered(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -123,14 +123,14 @@
 	return text, nil
 }
 
-// insist calls one agent after the other until one answers clearly.
-func (o *Operator) insist(ctx context.Context, method, match string, body []byte) (status int, by string, text []byte, err error) {
-	pause, odd := firstPause, 0
+// callUntilAnswered calls one agent after the other until one answers clearly.
+func (o *Operator) callUntilAnswered(ctx context.Context, method, match string, body []byte) (status int, by string, text []byte, err error) {
+	pause, odd := minBackoff, 0
 	last := errors.New("no agent to call")
 	for {
 		list := o.control()
 		if len(list) > 0 {
-			status, by, text, err = o.call(ctx, list[o.draw(len(list))], method, match, body)
+			status, by, text, err = o.call(ctx, list[o.randomIntN(len(list))], method, match, body)
 			switch {
 			case err != nil:
 				last = err
@@ -146,7 +146,7 @@
 			}
 		}
 		t := time.NewTimer(pause)
-		pause = min(pause*2, longestPause)
+		pause = min(pause*2, maxBackoff)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -165,7 +165,7 @@
 		req.Header.Set("If-Match", match)
 		req.Header.Set("Content-Type", "application/json")
 	}
-	resp, err := o.http.Do(req)
+	resp, err := o.client.Do(req)
 	if err != nil {
 		return 0, "", nil, errors.Wrap(err, "operator")
 	}
@@ -177,7 +177,7 @@
 	return resp.StatusCode, ipOf(resp.Request.URL.Host), text, nil
 }
 
-func (o *Operator) close() { o.http.CloseIdleConnections() }
+func (o *Operator) close() { o.client.CloseIdleConnections() }
 
 // revisionOf is the version of a configuration read back.
 func revisionOf(text []byte) (int, error) {
--- /dev/null
+++ b/internal/testbed/fleetlab/run.go
@@ -0,0 +1,175 @@
+package fleetlab
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+)
+
+// FaultNames are what a play can be asked for.
+var FaultNames = []string{"none", "kill-core", "term", "freeze", "crash-server", "drain"}
+
+const (
+	// downtime is how long what was ended stays down.
+	downtime = 2 * time.Second
+	// recoveryTimeout bounds what follows the traffic: coming back, and reading back.
+	recoveryTimeout = 30 * time.Second
+)
+
+// Options are how a fleet is played.
+type Options struct {
+	Duration time.Duration
+	Rate     float64 // requests a second; 0: as fits the agents
+	Fault    string  // one of Faults, a third into the play
+}
+
+// Run starts a fleet, plays clients, an operator and a fault, and judges it. Progress, if not
+// nil, is told what happens. An error is the laboratory's own, or a fleet that does not start;
+// broken rules are in the report.
+func Run(ctx context.Context, cfg Config, opt Options, progress func(string)) (*Report, error) {
+	if !slices.Contains(FaultNames, opt.Fault) {
+		return nil, errors.Errorf("unknown fault %q: give one of %v", opt.Fault, FaultNames)
+	}
+	if opt.Duration < time.Second || opt.Duration > time.Hour {
+		return nil, errors.Errorf("a play of %v: give 1s to 1h", opt.Duration)
+	}
+	if opt.Rate <= 0 {
+		opt.Rate = 12 * float64(cfg.Agents)
+	}
+	if progress == nil {
+		progress = func(string) {}
+	}
+	start, cancel := context.WithTimeout(ctx, time.Minute)
+	defer cancel()
+	l, err := Start(start, cfg)
+	if err != nil {
+		return nil, err
+	}
+	defer l.Close()
+	setup := l.Now()
+	progress(fmt.Sprintf("%d agents and %d servers serve after %.1f s", cfg.Agents, cfg.Servers, setup.Seconds()))
+
+	clients, plan, err := l.NewWorkload(opt.Rate, opt.Duration)
+	if err != nil {
+		return nil, err
+	}
+	var t outcomeLog
+	var beside sync.WaitGroup
+	errs := make(chan error, 2)
+	beside.Go(func() { errs <- l.changeConfig(ctx, opt.Duration) })
+	beside.Go(func() { errs <- l.injectFault(ctx, opt, progress) })
+	began := l.Now()
+	clients.Run(ctx, plan, t.add)
+	took := l.Now() - began
+	beside.Wait()
+	clients.Close()
+	for range 2 {
+		if err := <-errs; err != nil {
+			return nil, err
+		}
+	}
+	end, cancel := context.WithTimeout(ctx, recoveryTimeout)
+	defer cancel()
+	if err := l.WaitAllReady(end); err != nil {
+		return nil, errors.Wrap(err, "after the traffic")
+	}
+	l.ReadBack(end)
+	r := l.report(&t)
+	r.Fault, r.Seconds, r.SetupSeconds = opt.Fault, took.Seconds(), setup.Seconds()
+	return r, nil
+}
+
+// NewWorkload draws what clients will want.
+func (l *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
+	cfg := &loadgen.Config{Seed: l.cfg.Seed, Agents: l.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
+	for _, c := range l.cfg.Classes {
+		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Share: c.Share})
+	}
+	plan, err := loadgen.Plan(cfg)
+	if err != nil {
+		return nil, nil, err
+	}
+	return newClients(l.cfg.Classes, l.LoadBalancer, l.Now, l.recorder, l.cfg.Seed, l.zones, "c"), plan, nil
+}
+
+// sleep waits; false when ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// changeConfig has the operator change the configuration twice: a time-out, then a split.
+func (l *Fleet) changeConfig(ctx context.Context, length time.Duration) error {
+	if !sleep(ctx, length/5) {
+		return nil
+	}
+	r := l.Operator.Current().Routes[0]
+	r.TimeoutMs -= 1000
+	if _, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}}); err != nil {
+		return err
+	}
+	if !sleep(ctx, length/2) {
+		return nil
+	}
+	r = l.Operator.Current().Routes[1]
+	r.Split = []Split{{serviceA, 50}, {serviceB, 50}}
+	_, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	return err
+}
+
+// injectFault breaks something and mends it.
+func (l *Fleet) injectFault(ctx context.Context, opt Options, progress func(string)) error {
+	if opt.Fault == "none" || !sleep(ctx, opt.Duration/3) {
+		return nil
+	}
+	core, other := l.Agents[0], l.Agents[len(l.Agents)-1]
+	down := min(downtime, opt.Duration/4)
+	switch opt.Fault {
+	case "kill-core":
+		core.Kill()
+		progress(core.Name + " of the core was killed")
+		sleep(ctx, down)
+		progress(core.Name + " starts again")
+		return core.Restart()
+	case "term":
+		progress(other.Name + " is asked to end")
+		if err := other.Terminate(ctx); err != nil {
+			return err
+		}
+		progress(other.Name + " has ended in order")
+		sleep(ctx, down)
+		return other.Restart()
+	case "freeze":
+		if err := other.Pause(); err != nil {
+			return err
+		}
+		progress(other.Name + " is frozen")
+		sleep(ctx, down)
+		progress(other.Name + " wakes")
+		return other.Resume()
+	case "crash-server":
+		l.Server(0).Crash()
+		progress("a server crashed: " + l.Server(0).ID() + "; another is to start in its place")
+		return l.RestartServer(ctx, 0)
+	case "drain":
+		progress("a server leaves: " + l.Server(0).ID())
+		if err := l.Server(0).Leave(ctx); err != nil {
+			return err
+		}
+		progress("it has ended; another is to start in its place")
+		return l.RestartServer(ctx, 0)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/fleetlab/waiting.go
@@ -0,0 +1,103 @@
+package fleetlab
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
+)
+
+// WaitAllReady waits until the entry has all agents in.
+func (l *Fleet) WaitAllReady(ctx context.Context) error {
+	if err := l.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return len(ready) == len(l.Agents) }); err != nil {
+		return errors.Wrapf(err, "%d of %d agents are ready", len(l.LoadBalancer.Ready()), len(l.Agents))
+	}
+	return nil
+}
+
+// WaitServing waits until all agents are ready and serve each class, and all servers are known.
+func (l *Fleet) WaitServing(ctx context.Context) error {
+	for i := range l.cfg.Servers {
+		select {
+		case <-l.Server(i).Registered():
+		case <-ctx.Done():
+			return errors.Wrapf(ctx.Err(), "server %d: no beat was acknowledged", i+1)
+		}
+	}
+	if err := l.WaitAllReady(ctx); err != nil {
+		return err
+	}
+	errs := make(chan error, len(l.Agents)*len(l.cfg.Classes))
+	for _, a := range l.Agents {
+		for _, c := range l.cfg.Classes {
+			l.background.Go(func() { errs <- l.waitServing(ctx, a, c) })
+		}
+	}
+	for range cap(errs) {
+		if err := <-errs; err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// waitServing asks an agent until it serves a class.
+func (l *Fleet) waitServing(ctx context.Context, a *Agent, c *Class) error {
+	for {
+		t := l.Probe(ctx, a, c)
+		if t.Status == 200 && t.Complete {
+			return nil
+		}
+		timer := time.NewTimer(defaultRetryDelay)
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return errors.Wrapf(ctx.Err(), "%s does not serve %s: status %d, %v %s", a.Name, c.Name, t.Status, t.EndReason, t.ProtocolError)
+		}
+	}
+}
+
+// WaitStreams waits until so many of the streams under way are as wanted.
+func (l *Fleet) WaitStreams(ctx context.Context, n int, want func(Stream) bool) error {
+	for {
+		list, more := l.recorder.streams()
+		got := 0
+		for _, s := range list {
+			if want(s) {
+				got++
+			}
+		}
+		if got >= n {
+			return nil
+		}
+		select {
+		case <-more:
+		case <-ctx.Done():
+			return errors.Wrapf(ctx.Err(), "%d of %d streams", got, n)
+		}
+	}
+}
+
+// Probe sends one request of a class directly to an agent.
+func (l *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
+	n := int(l.probeCount.Add(1))
+	clients := newClients([]*Class{c}, nil, l.Now, l.recorder, l.cfg.Seed, l.zones, "p")
+	of := clients.newRequest(&loadgen.Ask{Number: n})
+	d := a.Endpoint()
+	t := &Attempt{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
+		Prompt: of.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: l.Now(), Timeout: c.Timeout}
+	t.Deadline = t.StartedAt + c.Deadline
+	k, _, err := dial(ctx, &d)
+	if err != nil {
+		t.EndReason, t.EndedAt = NoConnect, l.Now()
+	} else {
+		k.exchange(ctx, l.Now, t, of.body, false, c.idleTimeout())
+		k.Close()
+	}
+	l.recorder.attemptEnded(t)
+	return t
+}
