--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -24,21 +24,21 @@
 }
 
 // fullSync is what a relay sends to an agent that has nothing.
-func fullSync(agents, hubs, servers, tenants int) []deltasync.Delta {
+func fullSync(agents, relays, servers, tenants int) []deltasync.Delta {
 	var out []deltasync.Delta
-	for i := range agents + hubs {
+	for i := range agents + relays {
 		delta := deltasync.Delta{Source: fmt.Sprintf("edge-%d/0123456789ab", i)}
 		add := func(key string, data []byte) {
 			delta.To++
 			delta.Items = append(delta.Items, deltasync.Item{Key: key, Version: delta.To, Data: data})
 		}
 		add(memberKey, encode(benchMember(i)))
-		if i < hubs {
-			for j := i; j < agents+hubs; j += hubs {
+		if i < relays {
+			for j := i; j < agents+relays; j += relays {
 				add(fmt.Sprintf("%sedge-%d/0123456789ab", leasePrefix, j), []byte{1})
 			}
 		} else {
-			for j := i - hubs; j < servers; j += agents {
+			for j := i - relays; j < servers; j += agents {
 				in := benchInstance(j)
 				add(serverPrefix+in.ID, encode(in))
 			}
@@ -103,11 +103,11 @@
 func (edgeCore) HasQuorum() bool { return false }
 func (edgeCore) Members() []Peer { return nil }
 
-func newBenchNode(agents, hubs, servers, tenants int) *Node {
+func newBenchNode(agents, relays, servers, tenants int) *Node {
 	node := New(Options{Self: *benchMember(9999), HeartbeatInterval: 1200 * time.Millisecond, Core: edgeCore{}, OnChange: func(*Snapshot) {}})
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	deltas := fullSync(agents, hubs, servers, tenants)
+	deltas := fullSync(agents, relays, servers, tenants)
 	raw := encode(&message{Deltas: deltas})
 	m := new(message)
 	if err := msgpack.Unmarshal(raw, m); err != nil { // as it arrives: no memory is shared
@@ -119,13 +119,13 @@
 
 // BenchmarkHeap measures the memory of a node, by agents, servers and tenants.
 func BenchmarkHeap(b *testing.B) {
-	for _, n := range []struct{ agents, hubs, servers, tenants int }{
+	for _, n := range []struct{ agents, relays, servers, tenants int }{
 		{0, 0, 0, 0}, {360, 7, 0, 0}, {360, 7, 850, 0}, {360, 7, 850, 650}, {360, 7, 850, 6500},
 	} {
 		b.Run(fmt.Sprintf("agents=%d/servers=%d/tenants=%d", n.agents, n.servers, n.tenants), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				bytes = heapsize.Of(func() any { return newBenchNode(n.agents, n.hubs, n.servers, n.tenants) })
+				bytes = heapsize.Of(func() any { return newBenchNode(n.agents, n.relays, n.servers, n.tenants) })
 			}
 			b.ReportMetric(float64(bytes), "B/agent")
 		})
--- a/internal/fleet/relay/cluster_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -67,10 +67,7 @@
 	cluster.eventually("its changes reach all agents", listsServer("s"))
 	require.True(t, agent.heartbeat(drainingServer("s", 1000)))
 	cluster.eventually("its changes reach all agents", not(listsServer("s")))
-	cluster.eventually("it has one relay", func(agent *testAgent) bool {
-		relay := cluster.relayOf(agent)
-		return relay != nil && relay != stopped && len(agent.sessionPeers()) == 1
-	}, cluster.edgeAgents...)
+	cluster.eventually("it has one relay", both(hasOtherRelay(stopped), hasSessions(1)), cluster.edgeAgents...)
 	cluster.eventually("the relay's lease expires", hasMembers(5))
 	stopped.start()
 	stopped.node.MarkConfigCurrent()
@@ -84,7 +81,7 @@
 	agent := cluster.edgeAgents[0]
 	old := cluster.relayOf(agent)
 	old.setPartitioned(true, agent)
-	cluster.eventually("it has another relay", func(agent *testAgent) bool { relay := cluster.relayOf(agent); return relay != nil && relay != old }, agent)
+	cluster.eventually("it has another relay", hasOtherRelay(old), agent)
 	old.setPartitioned(false, agent)
 	agent.startHeartbeats("s")
 	cluster.eventually("its changes reach all agents", listsServer("s"))
@@ -98,22 +95,19 @@
 	agent := cluster.edgeAgents[0]
 	old := cluster.relayOf(agent)
 	old.hasQuorum.Store(false)
-	cluster.eventually("it has another relay only", func(agent *testAgent) bool {
-		relay := cluster.relayOf(agent)
-		return relay != nil && relay != old && len(agent.sessionPeers()) == 1
-	}, cluster.edgeAgents...)
+	cluster.eventually("it has another relay only", both(hasOtherRelay(old), hasSessions(1)), cluster.edgeAgents...)
 	old.hasQuorum.Store(true)
 	// While no relay has a quorum it tries all of them; later one is enough.
 	for _, relay := range cluster.coreMembers {
 		relay.hasQuorum.Store(false)
 	}
-	cluster.eventually("it tries all relays", func(agent *testAgent) bool { return len(agent.sessionPeers()) == 3 }, cluster.edgeAgents...)
+	cluster.eventually("it tries all relays", hasSessions(3), cluster.edgeAgents...)
 	cluster.coreMembers[0].node.ApplyConfig(1, documentOf(1))
 	cluster.eventually("replication continues without a quorum", hasConfig(1))
 	for _, relay := range cluster.coreMembers {
 		relay.hasQuorum.Store(true)
 	}
-	cluster.eventually("it has one relay", func(agent *testAgent) bool { return len(agent.sessionPeers()) == 1 }, cluster.edgeAgents...)
+	cluster.eventually("it has one relay", hasSessions(1), cluster.edgeAgents...)
 	cluster.awaitSynced(5)
 }
 
@@ -134,10 +128,7 @@
 	}
 	old.isMember.Store(false)
 	old.hasQuorum.Store(false)
-	cluster.eventually("it has another relay only", func(agent *testAgent) bool {
-		relay := cluster.relayOf(agent)
-		return relay != nil && relay != old && len(agent.sessionPeers()) == 1
-	}, cluster.edgeAgents...)
+	cluster.eventually("it has another relay only", both(hasOtherRelay(old), hasSessions(1)), cluster.edgeAgents...)
 	cluster.awaitSynced(5)
 	// It grants no leases any more: an agent that stops now expires.
 	cluster.edgeAgents[1].stop()
@@ -247,15 +238,8 @@
 	agent := cluster.edgeAgents[0]
 	old := cluster.relayOf(agent)
 	agent.setCut(old.Addr, agent.Addr, true)
-	cluster.eventually("it has another relay", func(agent *testAgent) bool { relay := cluster.relayOf(agent); return relay != nil && relay != old }, agent)
-	cluster.eventually("its old relay closes the session", func(relay *testAgent) bool {
-		for _, s := range relay.sessionPeers() {
-			if s == agent.Addr {
-				return false
-			}
-		}
-		return true
-	}, old)
+	cluster.eventually("it has another relay", hasOtherRelay(old), agent)
+	cluster.eventually("its old relay closes the session", not(hasSessionWith(agent.Addr)), old)
 	agent.setCut(old.Addr, agent.Addr, false)
 	cluster.awaitSynced(4)
 }
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -84,7 +84,7 @@
 		before[agent.Name] = agent.node.Report().Source
 	}
 	st := relay.openSession()
-	vector := deltasync.Vector{configSource: 1 << 60, before["hub-0"]: 1 << 60, "": 7, "y/1": 3}
+	vector := deltasync.Vector{configSource: 1 << 60, before["relay-0"]: 1 << 60, "": 7, "y/1": 3}
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", IsCore: true, Vector: vector}, HasQuorum: true, Complete: true}))
 	_, err := st.Recv()
 	require.NoError(t, err)
@@ -99,7 +99,7 @@
 		{IsCore: true, HasQuorum: true, Complete: true, ReceivedVersion: 1 << 60},
 		{Redirect: make([]Peer, 10000)},
 		{Hello: &hello{Source: before["agent-0"]}},
-		{Deltas: []deltasync.Delta{{Source: before["hub-0"], To: 100, Items: items(99, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: before["relay-0"], To: 100, Items: items(99, memberKey)}}},
 		{Deltas: []deltasync.Delta{{Source: configSource, From: 0, To: 1 << 50}}},
 		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, To: 12, Items: items(11, configKey)}}},
 		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, To: 1 << 50}}},
@@ -191,15 +191,8 @@
 	cluster := newSyncedCluster(t, 2, 1)
 	relay := cluster.coreMembers[0]
 	st := relay.openSession()
-	require.NoError(t, st.Send(&message{Hello: &hello{Source: "deaf/1", Addr: "deaf:1"}}))
-	cluster.eventually("has a session", func(relay *testAgent) bool {
-		for _, addr := range relay.sessionPeers() {
-			if addr == "deaf:1" {
-				return true
-			}
-		}
-		return false
-	}, relay)
+	require.NoError(t, st.Send(&message{Hello: &hello{Source: "unread/1", Addr: "unread:1"}}))
+	cluster.eventually("has a session", hasSessionWith("unread:1"), relay)
 	// More than the kernel buffers.
 	for seq := range uint64(3) {
 		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
@@ -209,14 +202,7 @@
 	cluster.eventually("all others continue", hasConfig(3))
 	require.True(t, relay.heartbeat(server("s", 1)))
 	cluster.eventually("all others continue", listsServer("s"))
-	cluster.eventually("its session is closed", func(relay *testAgent) bool {
-		for _, addr := range relay.sessionPeers() {
-			if addr == "deaf:1" {
-				return false
-			}
-		}
-		return true
-	}, relay)
+	cluster.eventually("its session is closed", not(hasSessionWith("unread:1")), relay)
 	t.Log("after", time.Since(start))
 }
 
@@ -247,8 +233,8 @@
 		t.Cleanup(func() { ln.Close() })
 		return Peer{ln.Addr().String(), agent.Zone}
 	}
-	hubs := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), cluster.coreMembers[0].Members()[0]}
-	agent.fakeCore.members.Store(&hubs)
+	relays := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), cluster.coreMembers[0].Members()[0]}
+	agent.fakeCore.members.Store(&relays)
 	agent.start()
 	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/fleet/relay/quorum_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -20,29 +20,29 @@
 	t.Parallel()
 	cluster := newSyncedCluster(t, 3, 2)
 	agent := cluster.edgeAgents[0]
-	hub := cluster.relayOf(agent)
+	relay := cluster.relayOf(agent)
 	require.True(t, agent.heartbeat(server("s", 1)))
-	require.True(t, hub.heartbeat(server("r", 1)))
+	require.True(t, relay.heartbeat(server("r", 1)))
 	cluster.eventually("listed", listsServer("s"))
 	cluster.eventually("listed", listsServer("r"))
 	for _, other := range cluster.all() {
-		if other != agent && other != hub {
-			other.setPartitioned(true, agent, hub)
+		if other != agent && other != relay {
+			other.setPartitioned(true, agent, relay)
 		}
 	}
-	require.True(t, hub.HasQuorum(), "it has not noticed")
+	require.True(t, relay.HasQuorum(), "it has not noticed")
 	assert.False(t, agent.node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("s", 2)))
 	assert.False(t, agent.node.Deregister(timeoutContext(t, shortTimeout), "s"))
-	assert.False(t, hub.node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("r", 2)))
-	assert.False(t, listsServer("s")(hub), "it takes effect locally all the same")
+	assert.False(t, relay.node.Heartbeat(timeoutContext(t, shortTimeout), drainingServer("r", 2)))
+	assert.False(t, listsServer("s")(relay), "it takes effect locally all the same")
 	for _, other := range cluster.all() {
-		if other != agent && other != hub {
+		if other != agent && other != relay {
 			assert.True(t, listsServer("s")(other), other.Name)
-			other.setPartitioned(false, agent, hub)
+			other.setPartitioned(false, agent, relay)
 		}
 	}
 	require.True(t, agent.heartbeat(drainingServer("s", 3)))
-	require.True(t, hub.heartbeat(drainingServer("r", 3)))
+	require.True(t, relay.heartbeat(drainingServer("r", 3)))
 	cluster.eventually("gone", not(listsServer("s")))
 	cluster.eventually("gone", not(listsServer("r")))
 }
@@ -93,9 +93,9 @@
 // none.
 func TestQuorumVersion(t *testing.T) {
 	for _, testCase := range []struct {
-		hubs int      // of core members, this process the first
-		held []uint64 // acknowledged by the others
-		want uint64
+		members int      // of the core, this process the first
+		held    []uint64 // acknowledged by the others
+		want    uint64
 	}{
 		{0, nil, 0},
 		{1, nil, 9},
@@ -112,14 +112,14 @@
 	} {
 		t.Run(fmt.Sprint(testCase), func(t *testing.T) {
 			var peers []Peer
-			for i := range testCase.hubs {
+			for i := range testCase.members {
 				peers = append(peers, Peer{Addr: fmt.Sprint("addr of ", i)})
 			}
 			relay := newManualNode("0", true, peers...)
 			relay.mu.Lock()
 			relay.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", present, "2", present, "3", present, "4", present, "5", present, "6", present, "7", present, "8", present, "9", present)})
 			relay.mu.Unlock()
-			agent := relay.connect("addr of x", "x/1", false)
+			holder := relay.connect("addr of x", "x/1", false)
 			former := relay.connect("addr of y", "y/1", true) // a former core member
 			relay.deliver(former, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
 			for i, version := range testCase.held {
@@ -127,7 +127,7 @@
 				peer.sent["x/1"] = 9 // sent, which proves nothing
 				relay.deliver(peer, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": version}})
 			}
-			relay.deliver(agent, &message{Acknowledged: deltasync.Vector{"x/1": 9}})
+			relay.deliver(holder, &message{Acknowledged: deltasync.Vector{"x/1": 9}})
 			assert.Equal(t, testCase.want, relay.quorumVersionLocked("x/1", peers))
 		})
 	}
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -72,10 +72,10 @@
 
 // An agent that has a newer configuration than its restarted relay sends it to the relay, and takes
 // nothing older from it.
-func TestAgentKeepsNewerConfigurationThanItsRelay(t *testing.T) {
-	agent, hub := newManualNode("a", false), newManualNode("h", true, Peer{Addr: "addr of h"})
+func TestAgentRetainsNewerConfigurationThanItsRelay(t *testing.T) {
+	agent, relay := newManualNode("a", false), newManualNode("h", true, Peer{Addr: "addr of h"})
 	agent.ApplyConfig(9, documentOf(9))
-	hub.ApplyConfig(5, documentOf(5))
+	relay.ApplyConfig(5, documentOf(5))
 	older := deltasync.Delta{Source: configSource, To: 5, Items: []deltasync.Item{{Key: configKey, Version: 5, Data: encode(&configItem{5, documentOf(5)})}}}
 	peer := agent.connect("addr of h", "h/1", true)
 	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{older}})
@@ -84,13 +84,13 @@
 	agent.mu.Lock()
 	vector := agent.items.Vector()
 	agent.mu.Unlock()
-	hub.mu.Lock()
-	for _, d := range hub.items.DeltasSince(vector) {
+	relay.mu.Lock()
+	for _, d := range relay.items.DeltasSince(vector) {
 		assert.NotEqual(t, configSource, d.Source, "a relay sends no older configuration")
 	}
-	hub.mu.Unlock()
-	hub.syncFrom(agent)
-	assert.Equal(t, uint64(9), hub.snapshot.ConfigSeq)
+	relay.mu.Unlock()
+	relay.syncFrom(agent)
+	assert.Equal(t, uint64(9), relay.snapshot.ConfigSeq)
 }
 
 // Only core members with a quorum declare themselves complete.
--- a/internal/fleet/relay/testcluster_test.go
+++ b/internal/fleet/relay/testcluster_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -46,7 +47,7 @@
 }
 
 // newTestCluster returns a cluster in which nothing has started. Its core has a quorum.
-func newTestCluster(t *testing.T, hubs, agents int) *testCluster {
+func newTestCluster(t *testing.T, relays, agents int) *testCluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cluster := &testCluster{t: t, heartbeatInterval: 500 * time.Millisecond, testNetwork: &testNetwork{ctx: ctx, cut: map[[2]string]bool{}, rates: map[[2]string]*rate.Limiter{}, changed: make(chan struct{})}}
@@ -58,29 +59,29 @@
 		cluster.wg.Wait()
 	})
 	var peers []Peer
-	for i := range hubs + agents {
+	for i := range relays + agents {
 		agent := &testAgent{testCluster: cluster, stop: func() {}, Member: Member{Zone: "far", Region: "region"}}
 		if i%3 == 0 {
 			agent.Zone = "near"
 		}
-		if i < hubs {
-			agent.Name = fmt.Sprint("hub-", i)
+		if i < relays {
+			agent.Name = fmt.Sprint("relay-", i)
 			cluster.coreMembers = append(cluster.coreMembers, agent)
 		} else {
-			agent.Name = fmt.Sprint("agent-", i-hubs)
+			agent.Name = fmt.Sprint("agent-", i-relays)
 			cluster.edgeAgents = append(cluster.edgeAgents, agent)
 		}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		agent.Addr, agent.ControlAddr = listener.Addr().String(), "control of "+agent.Name
 		cluster.addrs = append(cluster.addrs, agent.Addr)
-		if i < hubs {
+		if i < relays {
 			peers = append(peers, Peer{agent.Addr, agent.Zone})
 		}
 		defer cluster.serveProxy(listener, agent) // once all addresses are known
 	}
 	for i, agent := range cluster.all() {
-		agent.fakeCore = newFakeCore(i < hubs, i < hubs, peers...)
+		agent.fakeCore = newFakeCore(i < relays, i < relays, peers...)
 		agent.seeds = func() []string { return []string{peers[0].Addr} }
 	}
 	return cluster
@@ -102,10 +103,10 @@
 }
 
 // newSyncedCluster returns a cluster in which all agents run and are synced.
-func newSyncedCluster(t *testing.T, hubs, agents int) *testCluster {
+func newSyncedCluster(t *testing.T, relays, agents int) *testCluster {
 	t.Helper()
-	cluster := newTestCluster(t, hubs, agents).start()
-	cluster.awaitSynced(hubs + agents)
+	cluster := newTestCluster(t, relays, agents).start()
+	cluster.awaitSynced(relays + agents)
 	return cluster
 }
 
@@ -247,6 +248,29 @@
 	return func(agent *testAgent) bool { s := agent.snapshot.Load(); return s != nil && s.Agents == n }
 }
 
+// both reports whether two conditions hold.
+func both(first, second func(*testAgent) bool) func(*testAgent) bool {
+	return func(agent *testAgent) bool { return first(agent) && second(agent) }
+}
+
+// hasOtherRelay reports whether an agent has a session with another relay than a given one.
+func hasOtherRelay(old *testAgent) func(*testAgent) bool {
+	return func(agent *testAgent) bool {
+		relay := agent.relayOf(agent)
+		return relay != nil && relay != old
+	}
+}
+
+// hasSessions reports whether an agent has so many sessions.
+func hasSessions(count int) func(*testAgent) bool {
+	return func(agent *testAgent) bool { return len(agent.sessionPeers()) == count }
+}
+
+// hasSessionWith reports whether an agent has a session with the peer at an address.
+func hasSessionWith(addr string) func(*testAgent) bool {
+	return func(agent *testAgent) bool { return slices.Contains(agent.sessionPeers(), addr) }
+}
+
 func hasConfig(seq uint64) func(*testAgent) bool {
 	return func(agent *testAgent) bool {
 		s := agent.snapshot.Load()
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -136,7 +136,7 @@
 	returned := func(agent *testAgent) bool { return cluster.relayOf(agent) == own && len(agent.sessionPeers()) == 1 }
 	cluster.eventually("has the relay of its zone", returned, agent)
 	own.stop()
-	cluster.eventually("has another relay", func(agent *testAgent) bool { relay := cluster.relayOf(agent); return relay != nil && relay != own }, agent)
+	cluster.eventually("has another relay", hasOtherRelay(own), agent)
 	cluster.coreMembers[1].node.ApplyConfig(1, documentOf(1))
 	cluster.eventually("in force", hasConfig(1))
 	own.start()
