--- a/internal/fleet/balancer/health.go
+++ b/internal/fleet/balancer/health.go
@@ -17,13 +17,13 @@
 	baseEjectionMs, minEjectionMs = 500.0, 250.0
 	// pendingTimeoutMs is how long an UnhealthyPending server waits for the verdict of a health
 	// check before it counts as healthy again. One that timed out waits for
-	// unresponsivePendingTimeoutMs: it costs whoever tries it another time-out.
+	// unresponsivePendingTimeoutMs: a request that tries it may cost another time-out.
 	pendingTimeoutMs, unresponsivePendingTimeoutMs = 500.0, 4000.0
 	// maxChecksInFlight bounds concurrent health checks.
 	maxChecksInFlight = 2
 	// healthCheckRate and healthCheckBurst bound health checks per second: they are priced.
 	healthCheckRate, healthCheckBurst = 4.0, 4.0
-	// checkTimeout is when a health check that was never ended is given up.
+	// checkTimeout is when a health check without a result is abandoned.
 	checkTimeout = 5 * time.Second
 	// An attempt without a response for unresponsiveFactor times its estimate and the usual error,
 	// and for minUnresponsiveTime, has its server checked.
@@ -124,7 +124,7 @@
 }
 
 // DueHealthChecks returns the instances to check now, each by a GET of its service's health path
-// whose end is given to HealthCheckDone. No request waits for a check.
+// whose result must be passed to HealthCheckDone. No request waits for a check.
 func (p *Picker) DueHealthChecks(now time.Duration) (due []*registry.Instance) {
 	p.checkBudget.refill(now)
 	for _, svc := range p.services {
--- a/internal/fleet/balancer/lateness.go
+++ b/internal/fleet/balancer/lateness.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// priorityClasses is the number of priorities that are told apart.
+	// priorityClasses is the number of priorities that are distinguished.
 	priorityClasses = 10
 	// latenessWindow is the time constant by which the lateness of a class fades.
 	latenessWindow = 2 * time.Second
--- a/internal/fleet/balancer/notice.go
+++ b/internal/fleet/balancer/notice.go
@@ -6,7 +6,7 @@
 const maxNoticePrefixes = 64
 
 // PrefillNotice is what one agent publishes to others of a request that it forwarded: reported
-// loads are old, and long prompts delay whoever picks the same server without knowing of them.
+// loads are old, and a long prompt delays the requests of other agents that do not know of it.
 type PrefillNotice struct {
 	Instance string
 	// Prefixes are the prompt's shared prefixes, by the IDs of inference.AppendPrefixes.
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -186,7 +186,7 @@
 	return min(c.TimeLeft, c.LatencyTarget-c.Elapsed)
 }
 
-// serverPriority is the priority that a server is given: 0 for the most urgent class, the servers'
+// serverPriority is the priority that is sent to a server: 0 for the most urgent class, the servers'
 // default for the next, and up to 9 for those after it.
 func serverPriority(class int) int {
 	if class == 0 {
--- a/internal/fleet/balancer/picker.go
+++ b/internal/fleet/balancer/picker.go
@@ -14,7 +14,7 @@
 	defaultPrefixIndexBytes = 4 << 20
 	// minPrefixesPerServer are tracked of each server, however many servers there are.
 	minPrefixesPerServer = 16
-	// maxMisdirected bounds the instances that are kept out of the list.
+	// maxMisdirected bounds the instances that are excluded from the list.
 	maxMisdirected = 4096
 )
 
@@ -27,7 +27,7 @@
 	PrefixIndexBytes int
 }
 
-// Picker holds what one agent knows of the servers and picks among them. It is not safe for
+// Picker is what one agent knows of the servers, and picks among them. It is not safe for
 // concurrent use.
 type Picker struct {
 	options  Options
@@ -41,7 +41,7 @@
 	checksInFlight int
 	failureRate    float64 // of all attempts
 
-	// Buffers of the pick under way.
+	// Buffers of the current pick, to save allocations.
 	prefixScratch []Segment
 	tierScratch   []*server
 	sampleScratch []*server
--- a/internal/fleet/balancer/server.go
+++ b/internal/fleet/balancer/server.go
@@ -30,7 +30,7 @@
 	latency      *inference.LatencyModel
 	servers      []*server // by ID
 	ring         []*server // by hash
-	// membershipChanged tells that servers came or went since the list was applied.
+	// membershipChanged is set when servers were added or removed since the list was applied.
 	membershipChanged bool
 	inFlight          int
 	keyLoads          keyLoads
@@ -48,8 +48,8 @@
 	listed                bool
 	listedAt              time.Duration
 	inFlight              int
-	attempts              []*Attempt    // under way, oldest first
-	openConnections       int           // the most requests in flight of late: so many may be open
+	attempts              []*Attempt    // in flight, oldest first
+	openConnections       int           // estimate: the most requests in flight recently
 	openConnectionsAt     time.Duration // when that was
 	slowStartUntil        time.Duration
 	fullUntil             time.Duration
@@ -100,7 +100,7 @@
 	return compareByID(a, b)
 }
 
-// capacityOf is what an instance can hold, by its own word or else by the configuration.
+// capacityOf is what an instance can hold, as it reports or else as configured.
 func (v *service) capacityOf(instance *registry.Instance, maxPrefixes int) inference.Capacity {
 	capacity := inference.Capacity{
 		Slots:          v.engineConfig.Slots,
--- a/internal/fleet/inference/latency.go
+++ b/internal/fleet/inference/latency.go
@@ -39,7 +39,7 @@
 	fifoRatio     float64 // part of the short prompts that waited for longer ones before them
 }
 
-// NewLatencyModel returns the model that holds before anything was measured.
+// NewLatencyModel returns the model to use before anything was measured.
 func NewLatencyModel() *LatencyModel {
 	return &LatencyModel{
 		firstToken: newLinearFit(sampleRetention, []float64{priorFirstTokenMs, priorPrefillMs, priorAttentionMs},
--- a/internal/fleet/inference/linear_fit.go
+++ b/internal/fleet/inference/linear_fit.go
@@ -6,7 +6,7 @@
 // fitIterations is how often a sample refines the coefficients.
 const fitIterations = 8
 
-// linearFit is a running least-squares fit of a linear function, held near a prior, with bounded
+// linearFit is a running least-squares fit of a linear function, regularized towards a prior, with bounded
 // coefficients and exponentially fading samples. Unused features are zero.
 type linearFit struct {
 	features     int
--- a/internal/fleet/inference/prefix_cache.go
+++ b/internal/fleet/inference/prefix_cache.go
@@ -5,7 +5,7 @@
 
 // prefixCache mirrors which prompt prefixes a server's KV cache is estimated to hold, by prefix
 // ID. The least recently used entries are evicted, by tokens and by number, so that memory is
-// bounded. The zero value holds nothing and takes nothing until it is resized.
+// bounded. The zero value is empty, and accepts nothing until it is resized.
 type prefixCache struct {
 	maxTokens, tokens int
 	maxEntries        int
--- a/internal/fleet/inference/server.go
+++ b/internal/fleet/inference/server.go
@@ -11,7 +11,7 @@
 	loadDecayMs = 300.0
 	// lagDecayMs is the time constant by which a server's lag is forgotten, and maxLagMs its limit.
 	lagDecayMs, maxLagMs = 5000.0, 5000.0
-	// loadLifetime is how many mean decode times a reported number of running requests holds.
+	// loadLifetime is for how many mean decode times a reported number of running requests is valid.
 	loadLifetime = 4
 	// minEstimateMs is the shortest time to a first token that is estimated.
 	minEstimateMs = 0.1
@@ -208,7 +208,7 @@
 	return q
 }
 
-// longerPrefill is the latest prefill under way that is much longer, or nil.
+// longerPrefill is the latest prefill in flight that is much longer, or nil.
 func (s *Server) longerPrefill(prefillMs float64) *Sequence {
 	for _, other := range slices.Backward(s.prefilling) {
 		if other.prefillMs > 2*prefillMs+1 {
--- a/internal/fleet/rollout/comparison.go
+++ b/internal/fleet/rollout/comparison.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// metric is one way in which a revision can be worse.
+// metric is a respect in which a revision can be worse.
 type metric int
 
 const (
--- a/internal/fleet/rollout/controller.go
+++ b/internal/fleet/rollout/controller.go
@@ -37,7 +37,7 @@
 
 // Observation is what the lease holder knows at a moment.
 type Observation struct {
-	Servers     []Server // of the service, with those that are draining or were lost of late
+	Servers     []Server // of the service, with those that are draining or have recently been lost
 	Agents      []Agent  // the members, with those that have reported nothing
 	Reports     *ReportAggregator
 	ConfigError error // what of the spec contradicts the configuration in force
@@ -58,7 +58,7 @@
 	avoidUntil      map[string]time.Duration // by server: when it may be drained
 	lastDrainAt     time.Duration
 	paused          bool               // as of the last record
-	regionLoad      map[string]float64 // the highest of late, in units of capacity
+	regionLoad      map[string]float64 // the recent maximum, in units of capacity
 	regionLoadAt    time.Duration
 	waitReasons     []string
 	worstShortage   Shortage
@@ -78,8 +78,8 @@
 }
 
 // Reconcile returns the record to write on top of this one, by compare-and-set, or nil if nothing
-// changes. It is called about once a second, and whenever a report has news. What it takes as done
-// is done once its record is committed.
+// changes. It is called about once a second, and whenever a report has changed. A step is
+// taken once its record is committed.
 func (c *Controller) Reconcile(now time.Duration, record *Record, observation *Observation) *Record {
 	c.resetForPhase(now, record)
 	c.waitReasons, c.worstShortage = c.waitReasons[:0], Shortage{}
--- a/internal/fleet/rollout/doc.go
+++ b/internal/fleet/rollout/doc.go
@@ -3,10 +3,10 @@
 // it would have. It is pure; times are on the steady clock of one process.
 //
 // All that is agreed on is one Record, stored by the chain and changed by compare-and-set only. It
-// says of each server that is drained or ramped up which share of its requests it gets. The record
+// states for each server that is drained or ramped up which share of its requests it gets. The record
 // is the order: it reaches every agent by delta sync, as the configuration does, and each agent
-// acknowledges by Version which record it applies. So an order that was given is durable, one that
-// is not durable was never given, and whoever takes over continues from there.
+// acknowledges by Version which record it applies. So an order that reaches an agent
+// is durable, and the next lease holder continues from there.
 //
 //	operator ── Start, Pause, Resume, Abort ──▶ Record ◀── Reconcile ── Controller, at the lease holder
 //	                                             │delta sync               ▲ ReportAggregator: ReplicaMap, Judge
@@ -20,8 +20,8 @@
 //   - a server gets no new work once it is handed to the platform, from any agent that holds a
 //     lease, and had none of theirs left;
 //   - no server is drained while a group that it serves would have fewer replicas than required, or
-//     the others no capacity for the peak load and the failures required, as far as reports tell;
+//     the others no capacity for the peak load and the failures required, as far as reports show;
 //   - at most at-once servers are below their full share, except those that the platform or a fault
 //     takes out;
-//   - the same record and the same observation give the same step, whoever holds the lease.
+//   - the same record and the same observation give the same step, whichever process holds the lease.
 package rollout
--- a/internal/fleet/rollout/group.go
+++ b/internal/fleet/rollout/group.go
@@ -32,7 +32,7 @@
 	return uint16(inference.Mix64(g.Key^inference.HashString(g.Route)) % buckets)
 }
 
-// Sends is what a report tells of where requests were sent.
+// Sends is the part of a report on where requests were sent.
 type Sends struct {
 	// Buckets has for each route and server the hash groups that were sent there, each packed with
 	// its number of requests.
--- a/internal/fleet/rollout/judge.go
+++ b/internal/fleet/rollout/judge.go
@@ -104,15 +104,9 @@
 		if !s.plausible() || !s.valid() {
 			continue
 		}
-		counts := j.counts[s.Stratum]
-		if counts == nil {
-			if len(j.counts) >= 2*maxStrata {
-				continue
-			}
-			counts = &Counts{}
-			j.counts[s.Stratum] = counts
+		if counts := boundedCounts(j.counts, s.Stratum, 2*maxStrata); counts != nil {
+			counts.merge(&s.Counts)
 		}
-		counts.merge(&s.Counts)
 	}
 }
 
@@ -147,8 +141,8 @@
 	}
 }
 
-// newStrata are the slot's strata of the new revision, in an order that makes sums come out alike
-// whoever adds them up.
+// newStrata are the slot's strata of the new revision, sorted, so that every holder
+// computes the same sums.
 func (j *Judge) newStrata() []Stratum {
 	var strata []Stratum
 	for stratum := range j.counts {
@@ -177,7 +171,7 @@
 	}
 }
 
-// Verdict is what holds by now.
+// Verdict returns the verdict by all that was compared so far.
 func (j *Judge) Verdict(spec *JudgeSpec) Verdict {
 	all := j.comparisons[cohort{}]
 	if all == nil {
--- a/internal/fleet/rollout/operations.go
+++ b/internal/fleet/rollout/operations.go
@@ -8,7 +8,7 @@
 )
 
 // This file has the writes of operators and of a new lease holder. Each returns the record to write
-// on top of r, or r itself if that says already what is requested: they are idempotent.
+// on top of r, or r itself if nothing changes: they are idempotent.
 
 // Start begins a rollout. One that is in progress is never replaced: the error is of kind Conflict.
 func (r *Record) Start(spec *Spec) (*Record, error) {
--- a/internal/fleet/rollout/reconcile_drain.go
+++ b/internal/fleet/rollout/reconcile_drain.go
@@ -201,7 +201,8 @@
 }
 
 // isEmpty reports whether nothing runs at a closed server: no agent has a request in flight there,
-// and the server says so itself. One that reports nothing is believed to be empty later.
+// and the server reports so itself. One that reports nothing is believed to be empty after the
+// time that streams have to finish.
 func (r *reconciliation) isEmpty(s *Server, age time.Duration) bool {
 	for _, a := range r.observation.Agents {
 		if a.InFlight[s.ID] > 0 {
--- a/internal/fleet/rollout/reconcile_phase.go
+++ b/internal/fleet/rollout/reconcile_phase.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// pruneFullShare drops servers that are long gone from those at their full share.
+// pruneFullShare drops servers that are not listed any more from those at their full share.
 func (r *reconciliation) pruneFullShare() {
 	const slack = 256
 	if len(r.record.FullShare) <= 2*len(r.observation.Servers)+slack {
--- a/internal/fleet/rollout/reconcile_safety.go
+++ b/internal/fleet/rollout/reconcile_safety.go
@@ -9,11 +9,11 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// loadDecayTime is the time constant by which a load fades that is not there any more: the load of
-// servers that crash is gone only until it comes to others.
+// loadDecayTime is the time constant by which a load fades: when servers
+// crash, their load disappears only until it moves to others.
 const loadDecayTime = time.Minute
 
-// CapacityError says why the servers of a region can't do without one of them.
+// CapacityError explains why the servers of a region can't do without one of them.
 type CapacityError struct {
 	Server    string // the one to do without
 	Spare     int    // further servers that may fail
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("without %s and %d more, region %s has room for %.1f, and needs %.1f", e.Server, e.Spare, e.Region, e.Available, e.Required)
 }
 
-// ReplicaError says which groups would have too few replicas without a server.
+// ReplicaError names the groups that would have too few replicas without a server.
 type ReplicaError struct {
 	Groups int
 	Worst  Shortage
--- a/internal/fleet/rollout/record.go
+++ b/internal/fleet/rollout/record.go
@@ -63,9 +63,9 @@
 	Phase   Phase  `msgpack:"p"`
 	Paused  bool   `msgpack:"q"`
 	Reason  string `msgpack:"w"` // of a pause or a rollback
-	// Initialized tells that the holder has set FullShare and InitialCapacity for the phase.
+	// Initialized is set once the holder has set FullShare and InitialCapacity for the phase.
 	Initialized bool `msgpack:"b"`
-	// Verified tells that enough requests were compared and the new revision passed.
+	// Verified is set once enough requests were compared and the new revision passed.
 	Verified        bool               `msgpack:"u"`
 	InitialCapacity map[string]float64 `msgpack:"c"` // by region, when the rollout began
 	Draining        []DrainingServer   `msgpack:"o"` // by ID
@@ -130,7 +130,7 @@
 	return c
 }
 
-// rollBack begins the way back to the old revision.
+// rollBack begins to return the servers to the old revision.
 func (r *Record) rollBack(reason string) {
 	r.Phase, r.Initialized, r.Paused, r.Reason = PhaseRollback, false, false, truncateReason(reason)
 }
@@ -138,8 +138,8 @@
 // finish ends the rollout and remembers it.
 func (r *Record) finish(phase Phase) {
 	r.Phase, r.Paused, r.Initialized, r.InitialCapacity, r.FullShare = phase, false, false, nil, nil
-	kept := r.History[max(0, len(r.History)-maxHistory+1):len(r.History):len(r.History)]
-	r.History = append(kept, Summary{
+	retained := r.History[max(0, len(r.History)-maxHistory+1):len(r.History):len(r.History)]
+	r.History = append(retained, Summary{
 		Number:   r.Number,
 		Service:  r.Spec.Service,
 		Model:    r.Spec.Model,
--- a/internal/fleet/rollout/report_aggregator.go
+++ b/internal/fleet/rollout/report_aggregator.go
@@ -66,15 +66,9 @@
 		if counts == nil || !counts.plausible() {
 			continue
 		}
-		sum := a.serverCounts[id]
-		if sum == nil {
-			if len(a.serverCounts) >= limit {
-				continue
-			}
-			sum = &Counts{}
-			a.serverCounts[id] = sum
+		if sum := boundedCounts(a.serverCounts, id, limit); sum != nil {
+			sum.merge(counts)
 		}
-		sum.merge(counts)
 	}
 }
 
--- a/internal/fleet/rollout/requesthistory/event.go
+++ b/internal/fleet/rollout/requesthistory/event.go
@@ -8,22 +8,21 @@
 	// AttemptSent begins an attempt. Detail: the revision that it expects, and the ID of the chunk
 	// that it resumes after.
 	AttemptSent Event = iota
-	// AttemptNotRun says that the attempt has not run and never will: by the server's word, or as it
-	// was not sent completely.
+	// AttemptNotRun: the attempt has not run and never will, as the server reports or as it was not
+	// sent completely.
 	AttemptNotRun
 	// ResponseStarted is the header of a successful response. Detail: the revision that it names.
 	ResponseStarted
 	// ChunkForwarded is a chunk of the response that is forwarded to the client. Detail: its ID, and
 	// the revision if it names another.
 	ChunkForwarded
-	// AttemptFailed says that the attempt broke: it may have run.
+	// AttemptFailed: the attempt was interrupted, and may have run.
 	AttemptFailed
-	// AttemptMigrated says that the agent breaks the attempt itself, as the server is drained.
+	// AttemptMigrated: the agent cancels the attempt, as the server is drained.
 	AttemptMigrated
-	// Completed says that the complete response was forwarded.
+	// Completed: the complete response was forwarded.
 	Completed
-	// ErrorForwarded says that a server's complete response that is no success was forwarded: the
-	// request has run.
+	// ErrorForwarded: a server's complete error response was forwarded, and the request has run.
 	ErrorForwarded
 	// Rejected is an answer of 408, 421, 429 or 503: the request has not run and never will.
 	Rejected
@@ -31,7 +30,7 @@
 	Failed
 	// Truncated ends a response that has begun so that it does not look complete.
 	Truncated
-	// ClientLeft says that the client has closed its connection.
+	// ClientLeft: the client has closed its connection.
 	ClientLeft
 
 	eventCount
@@ -48,7 +47,7 @@
 	return "unknown event"
 }
 
-// Detail comes with an event. Zero means that the event does not say.
+// Detail comes with an event. Zero means unspecified.
 type Detail struct {
 	ID      int64 // of a chunk, from 1
 	Version int   // revision of the model
--- a/internal/fleet/rollout/samples.go
+++ b/internal/fleet/rollout/samples.go
@@ -28,8 +28,8 @@
 	LongestGap       time.Duration // between two events
 	GapTarget        time.Duration // 0: none is required
 	Events           int
-	// CacheMiss tells that the server had to prefill shared segments that others have cached: its
-	// time to the first token says nothing about the revision.
+	// CacheMiss is set if the server had to prefill shared segments that others have cached: its time
+	// to the first token is no measure of the revision.
 	CacheMiss bool
 	Failed    bool // it may have run and has no complete response, unless the client left
 	Rejected  bool // the server rejected it unrun
@@ -145,28 +145,31 @@
 	return &SampleRecorder{counts: map[Stratum]*Counts{}, serverCounts: map[string]*Counts{}}
 }
 
-// Record counts an attempt that ended at a server of one revision. ramping tells that the server is
-// ramped up, and is counted by itself, too.
+// Record counts an attempt that ended at a server of one revision. Attempts at a server
+// that is ramping are also counted by server.
 func (r *SampleRecorder) Record(s *Sample, isNew, ramping bool) {
 	stratum := Stratum{Route: s.Group.Route, Size: sizeClass(s.PromptTokens), Class: uint8(s.Group.bucket() % groupClasses), New: isNew}
-	if !addBounded(r.counts, stratum, s, maxStrata) || !ramping {
+	counts := boundedCounts(r.counts, stratum, maxStrata)
+	if counts == nil {
 		return
 	}
-	addBounded(r.serverCounts, s.Server, s, maxInTransition)
+	counts.add(s)
+	if !ramping {
+		return
+	}
+	if counts := boundedCounts(r.serverCounts, s.Server, maxInTransition); counts != nil {
+		counts.add(s)
+	}
 }
 
-// addBounded counts a sample by a key, unless that would be one key too many.
-func addBounded[K comparable](counts map[K]*Counts, key K, s *Sample, limit int) bool {
+// boundedCounts returns the counts of a key, or nil if that would be one key too many.
+func boundedCounts[K comparable](counts map[K]*Counts, key K, limit int) *Counts {
 	c := counts[key]
-	if c == nil {
-		if len(counts) >= limit {
-			return false
-		}
+	if c == nil && len(counts) < limit {
 		c = &Counts{}
 		counts[key] = c
 	}
-	c.add(s)
-	return true
+	return c
 }
 
 // sizeClass is a prompt's class by length: the first up to 256 tokens, and one for each doubling.
@@ -174,7 +177,7 @@
 	return uint8(min(max(bits.Len(uint(max(tokens, 0)))-firstSizeBits, 0), sizeClasses-1))
 }
 
-// SampleReport is what a report tells of both revisions.
+// SampleReport is the part of a report on the samples of both revisions.
 type SampleReport struct {
 	Strata  []StratumCounts    `msgpack:"c,omitempty"`
 	Servers map[string]*Counts `msgpack:"o,omitempty"` // by server that is ramped up
--- a/internal/fleet/rollout/send_tracker.go
+++ b/internal/fleet/rollout/send_tracker.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxReportPairs bounds what an agent tells of groups in one report.
+	// maxReportPairs bounds the counts of groups in one report.
 	maxReportPairs = 4096
 	// trackedHotGroups is the number of groups that an agent counts by themselves.
 	trackedHotGroups = 32
--- a/internal/fleet/rollout/session_affinity.go
+++ b/internal/fleet/rollout/session_affinity.go
@@ -20,7 +20,7 @@
 
 // SessionAffinity keeps sessions on one revision while a server of it serves: by what this agent
 // sent before and, where it knows nothing, by a hash against the new revision's part of the
-// capacity. A session that nobody remembers moves once, when that part passes its hash. It takes
+// capacity. A session that no agent remembers moves once, when that part passes its hash. It takes
 // 128 KB and is not safe for concurrent use. The zero value remembers nothing.
 type SessionAffinity struct {
 	startedAt time.Duration // of the younger filters
--- a/internal/fleet/rollout/shortages.go
+++ b/internal/fleet/rollout/shortages.go
@@ -24,7 +24,7 @@
 }
 
 // shortages finds the groups of a server that would be short of replicas without it: how many, and
-// the one that lacks most. It looks only at groups that the server was sent of late and that came
+// the one that lacks most. It looks only at groups that the server was recently sent and that came
 // at least minRequests times in the window: the prefix of a rare group is computed again by its next
 // request, wherever that goes. With anyReplica only groups that would have no replica count.
 func (m *ReplicaMap) shortages(id string, servers map[string]serverReplica, minRequests float64, anyReplica bool) (groups int, worst Shortage) {
--- a/internal/fleet/rollout/spec.go
+++ b/internal/fleet/rollout/spec.go
@@ -99,7 +99,7 @@
 	AllowedRevisions []int `koanf:"versions" msgpack:"v" json:"versions,omitempty"`
 }
 
-// defaultSpec is what a file need not say.
+// defaultSpec is the spec of an empty file.
 func defaultSpec() Spec {
 	return Spec{
 		From:    -1,
--- a/internal/fleet/rollout/spec_validate.go
+++ b/internal/fleet/rollout/spec_validate.go
@@ -32,7 +32,7 @@
 	v.require(name != "" && len(name) <= maxName, key, remedy, "it is missing or longer than %d bytes", maxName)
 }
 
-// validationErrors are all that is wrong with what a file says.
+// validationErrors returns an error of kind Invalid for each invalid field.
 func (s *Spec) validationErrors() []error {
 	var v validation
 	v.requireName("service", s.Service, "name a service of the configuration")
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Status is what an operator is told of a rollout. The fields from TimeLeft to Verdict are known to
+// Status is the state of a rollout, for operators. The fields from TimeLeft to Verdict are known to
 // the lease holder only.
 type Status struct {
 	Number     uint64           `json:"number"`
@@ -38,7 +38,7 @@
 	History          []Summary        `json:"past,omitempty"`
 }
 
-// Status is what any agent can tell of the record and its own list of servers.
+// Status is the state that any agent can derive from the record and its own list of servers.
 func (r *Record) Status(servers []Server) Status {
 	s := Status{
 		Number:   r.Number,
--- a/internal/fleet/singleton/candidate.go
+++ b/internal/fleet/singleton/candidate.go
@@ -72,7 +72,7 @@
 }
 
 // NextWrite is the write that this process has to make now, if any: a renewal, or a claim of the
-// role that nobody holds any more. rank, from 0, staggers candidates that would claim at the same
+// role that has no holder any more. rank, from 0, staggers candidates that would claim at the same
 // time.
 func (c *Candidate) NextWrite(now time.Duration, rank int) (w Write, due bool) {
 	if !c.known || c.resigned || c.lastWriteAt > 0 && now-c.lastWriteAt < c.timing.RenewInterval/2 {
@@ -90,8 +90,8 @@
 	return c.newWrite(now, Record{Term: c.record.Term + 1, Holder: c.self}), true
 }
 
-// mayClaim reports whether the role is free for this process: it was named as successor, nobody
-// holds it, or the holder's lease has expired whenever it began.
+// mayClaim reports whether the role is free for this process: it was named as successor, there
+// is no holder, or its lease has expired whenever it began.
 func (c *Candidate) mayClaim(now, stagger time.Duration) bool {
 	unchanged := now - c.unchangedSince
 	switch {
@@ -114,7 +114,7 @@
 }
 
 // Resign ends this process's part: it does not act any more from now on, as the write may be
-// committed at any moment. If it was the holder, the write names its successor, or nobody with "".
+// committed at any moment. If it was the holder, the write names its successor, or none with "".
 // It may be called again until that is committed.
 func (c *Candidate) Resign(now time.Duration, successor string) (w Write, ok bool) {
 	c.resigned = true
--- a/internal/fleet/singleton/doc.go
+++ b/internal/fleet/singleton/doc.go
@@ -17,5 +17,5 @@
 //     lease, whatever it believed; what it was about to do carries an older term or version and is
 //     rejected.
 //
-// Not guaranteed: that there is a holder. Without a majority nobody takes over.
+// Not guaranteed: that there is a holder. Without a majority no process takes over.
 package singleton
--- a/internal/fleet/singleton/record.go
+++ b/internal/fleet/singleton/record.go
@@ -11,9 +11,9 @@
 // Record is what is agreed on.
 type Record struct {
 	// Term counts the holders. It is the fencing token of all that a holder does; 0 means that
-	// nobody has held the role yet.
+	// no process has held the role yet.
 	Term uint64 `msgpack:"n"`
-	// Holder is one incarnation of one process; "" is nobody.
+	// Holder is one incarnation of one process; "" is none.
 	Holder string `msgpack:"h"`
 	// Renewal distinguishes one write of a holder from another.
 	Renewal uint64 `msgpack:"b"`
