--- a/internal/fleet/relay/configcache.go
+++ b/internal/fleet/relay/configcache.go
@@ -14,7 +14,7 @@
 	configCacheTTL = time.Second
 )
 
-// configFlags is what the message with a configuration says of its sender.
+// configFlags is what the message with a configuration reports of its sender.
 type configFlags struct {
 	isCore, hasQuorum, complete bool
 }
--- a/internal/fleet/relay/doc.go
+++ b/internal/fleet/relay/doc.go
@@ -13,7 +13,7 @@
 //   - readiness: whether this process has everything that a relay knows
 //   - leaseManager: which agents some core member grants a lease to, and which of those this node
 //   - endAnnouncements: the sources that this node announces as ended
-//   - sessionSet: the sessions, and what each peer has said or acknowledged
+//   - sessionSet: the sessions, and what each peer has reported or acknowledged
 //   - upstreamSelector: which relays an agent dials
 //   - configCache: the last long configuration as it was encoded
 //   - noticeLimiter: the rate of prefill notices
--- a/internal/fleet/relay/incarnation.go
+++ b/internal/fleet/relay/incarnation.go
@@ -11,7 +11,7 @@
 const (
 	// endRetention is how long a node announces that a source has ended.
 	endRetention = 60 * time.Second
-	// incarnationBytes is the number of random bytes that tell incarnations of one agent apart.
+	// incarnationBytes is the number of random bytes that distinguish the incarnations of one agent.
 	incarnationBytes = 6
 )
 
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 )
 
-// Notices tell other agents of requests that were just sent to a server, as the loads that servers
+// Notices inform other agents of requests that were just sent to a server, as the loads that servers
 // report are old when they arrive. A notice that is lost harms nobody, so notices are not stored,
 // not repeated, and dropped where there is no capacity. An agent sends them to its relays; a relay
 // forwards those of its agents to all its sessions, and those of other relays to its agents.
@@ -42,8 +42,8 @@
 	bytesPerMegabit = 1e6 / 8
 )
 
-// notice says that an agent sent a request to a server. It is encoded as an array: its fields are
-// told apart by their order.
+// notice reports that an agent sent a request to a server. It is encoded as an array: its fields are
+// identified by their order.
 type notice struct {
 	//lint:ignore U1000 msgpack reads this field by reflection
 	_msgpack       struct{} `msgpack:",as_array"`
@@ -67,7 +67,7 @@
 // age is how long ago the request was sent when the notice was forwarded.
 func (n *notice) age() time.Duration { return time.Duration(n.AgeMs) * time.Millisecond }
 
-// BroadcastNotice tells the other agents of a request that was just sent, and that keeps its server in
+// BroadcastNotice informs the other agents of a request that was just sent, and that keeps its server in
 // prefill for an estimated time. A notice for which there is no capacity is dropped, those with a
 // short prefill first.
 func (n *Node) BroadcastNotice(sent balancer.PrefillNotice, prefill time.Duration) {
--- a/internal/fleet/relay/quorum_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -93,9 +93,9 @@
 // none.
 func TestQuorumVersion(t *testing.T) {
 	for _, testCase := range []struct {
-		members int      // of the core, this process the first
-		held    []uint64 // acknowledged by the others
-		want    uint64
+		members      int      // of the core, this process the first
+		acknowledged []uint64 // acknowledged by the others
+		want         uint64
 	}{
 		{0, nil, 0},
 		{1, nil, 9},
@@ -122,7 +122,7 @@
 			holder := relay.connect("addr of x", "x/1", false)
 			former := relay.connect("addr of y", "y/1", true) // a former core member
 			relay.deliver(former, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
-			for i, version := range testCase.held {
+			for i, version := range testCase.acknowledged {
 				peer := relay.connect(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
 				peer.sent["x/1"] = 9 // sent, which proves nothing
 				relay.deliver(peer, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": version}})
--- a/internal/fleet/relay/receive.go
+++ b/internal/fleet/relay/receive.go
@@ -42,14 +42,14 @@
 	}
 }
 
-// recordPeerLocked records what a peer says of itself.
+// recordPeerLocked records what a peer reports of itself.
 func (n *Node) recordPeerLocked(s *session, m *message) {
 	s.lastMessage = n.now()
 	if m.HasQuorum {
 		s.lastQuorum = s.lastMessage
 	}
 	s.peerIsCore, s.peerHasQuorum = m.IsCore, m.HasQuorum
-	if m.Hello == nil { // a hello is sent before the deltas and says nothing of completeness
+	if m.Hello == nil { // a hello is sent before the deltas and reports no completeness
 		s.peerComplete, s.completenessKnown = m.Complete, true
 	}
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordOwnVersionsLocked records how far the own source has been replicated, as a peer says. Versions
+// recordOwnVersionsLocked records how far the own source has been replicated, as a peer reports. Versions
 // that this node has not published yet are of an earlier incarnation, or of a faulty peer.
 func (n *Node) recordOwnVersionsLocked(s *session, m *message) {
 	published := n.items.OwnVersion()
@@ -78,7 +78,7 @@
 	}
 }
 
-// markCompleteLocked records that a complete relay with a quorum has sent all that it has: it says
+// markCompleteLocked records that a complete relay with a quorum has sent all that it has: it reports
 // that it is complete only after that (see sender).
 func (n *Node) markCompleteLocked(s *session) {
 	if first := n.readiness.markComplete(); first {
--- a/internal/fleet/relay/send.go
+++ b/internal/fleet/relay/send.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// status is what a message says of its sender, beside the deltas.
+// status is what a message reports of its sender, beside the deltas.
 type status struct {
 	isCore, hasQuorum, complete bool
 	received                    uint64 // version of the peer's source that this node has
@@ -16,7 +16,7 @@
 	return status{isCore: m.IsCore, hasQuorum: m.HasQuorum, complete: m.Complete, received: m.ReceivedVersion, quorumVersion: m.QuorumVersion}
 }
 
-// message returns a message that says the same.
+// message returns a message that reports the same.
 func (s status) message() *message {
 	return &message{IsCore: s.isCore, HasQuorum: s.hasQuorum, Complete: s.complete, ReceivedVersion: s.received, QuorumVersion: s.quorumVersion}
 }
@@ -26,7 +26,7 @@
 	node    *Node
 	stream  *stream
 	session *session
-	// lastStatus is what the peer was last told. It says that this node is complete only in or after
+	// lastStatus is what the peer was last sent. It reports this node as complete only in or after
 	// the message with all that the node had when it was.
 	lastStatus   status
 	heartbeatDue bool
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -31,12 +31,12 @@
 	started  time.Duration
 	cancel   context.CancelFunc
 
-	// What the peer last said of itself.
+	// What the peer last reported of itself.
 	peerIsCore        bool
 	peerHasQuorum     bool
 	peerComplete      bool          // see readiness
-	completenessKnown bool          // it has said whether it is complete
-	lastQuorum        time.Duration // when it last said that it has a quorum, or the session began
+	completenessKnown bool          // it has reported whether it is complete
+	lastQuorum        time.Duration // when it last reported that it has a quorum, or the session began
 
 	// What shows that the peer is alive.
 	lastMessage   time.Duration // when the last complete message came
@@ -46,10 +46,10 @@
 
 	// How far the replication is.
 	sent             deltasync.Vector // what the peer has, or was sent
-	acknowledged     deltasync.Vector // what the peer itself has said to have
+	acknowledged     deltasync.Vector // what the peer itself has acknowledged
 	pendingAcks      map[string]bool  // sources of which it sent deltas that are not acknowledged yet
 	ownReceived      uint64           // version of the own source that the peer has
-	ownQuorumVersion uint64           // version of the own source that a majority has, as the peer says
+	ownQuorumVersion uint64           // version of the own source that a majority has, as the peer reports
 	quorumAdvanced   chan struct{}    // wakes the sender when that of the peer's source has risen
 
 	pendingNotices []notice
@@ -123,7 +123,7 @@
 // wholeCoreIncomplete reports whether there are sessions with all other members of the core, and none
 // of them is complete: then nobody is.
 func (set sessionSet) wholeCoreIncomplete(selfAddr string, members []Peer) bool {
-	complete := map[string]bool{} // by address, of those that have said
+	complete := map[string]bool{} // by address, of those that have reported it
 	for s := range set {
 		if s.completenessKnown {
 			complete[s.peerAddr] = complete[s.peerAddr] || s.peerComplete
