--- a/internal/fleet/balancer/health.go
+++ b/internal/fleet/balancer/health.go
@@ -130,6 +130,9 @@
 	for _, svc := range p.services {
 		for _, s := range svc.servers {
 			p.detectUnresponsive(now, s)
+			if s.State() <= policy.Unknown && !s.checkInFlight {
+				continue // healthy, as nearly all are
+			}
 			p.refreshEjection(now, s)
 			p.abandonCheck(now, s)
 			if p.startCheck(now, s) {
