--- a/internal/testbed/fleetlab/check_config.go
+++ b/internal/testbed/fleetlab/check_config.go
@@ -10,64 +10,64 @@
 )
 
 // checkChanges judges what was acknowledged, and what was read back.
-func (j *checker) checkChanges() {
+func (c *checker) checkChanges() {
 	var newest *ConfigChange
-	for i, c := range j.Changes {
-		if c.AckedAt == 0 {
+	for i, change := range c.Changes {
+		if change.AckedAt == 0 {
 			continue
 		}
-		if !c.Valid {
-			j.addViolation("CONFIG", c.AckedAt, "an invalid configuration (%d) was acknowledged", c.Doc.Revision)
+		if !change.Valid {
+			c.addViolation("CONFIG", change.AckedAt, "an invalid configuration (%d) was acknowledged", change.Doc.Revision)
 		}
-		for _, o := range j.Changes[:i] {
-			if o.AckedAt > 0 && o.BaseRevision == c.BaseRevision && o.Doc.Revision != c.Doc.Revision {
-				j.addViolation("CONFIG", c.AckedAt, "%d and %d were both acknowledged on top of %d", o.Doc.Revision, c.Doc.Revision, c.BaseRevision)
+		for _, o := range c.Changes[:i] {
+			if o.AckedAt > 0 && o.BaseRevision == change.BaseRevision && o.Doc.Revision != change.Doc.Revision {
+				c.addViolation("CONFIG", change.AckedAt, "%d and %d were both acknowledged on top of %d", o.Doc.Revision, change.Doc.Revision, change.BaseRevision)
 			}
 		}
-		if newest == nil || c.Doc.Revision > newest.Doc.Revision {
-			newest = c
+		if newest == nil || change.Doc.Revision > newest.Doc.Revision {
+			newest = change
 		}
 	}
-	if newest == nil || j.ReadBack == nil && j.ReadErr == nil {
+	if newest == nil || c.ReadBack == nil && c.ReadErr == nil {
 		return
 	}
-	if j.ReadErr != nil {
-		j.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, and cannot be read back: %v", newest.Doc.Revision, j.ReadErr)
+	if c.ReadErr != nil {
+		c.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, and cannot be read back: %v", newest.Doc.Revision, c.ReadErr)
 		return
 	}
-	rev, err := revisionOf(j.ReadBack)
+	rev, err := revisionOf(c.ReadBack)
 	if err != nil {
-		j.addViolation("CONFIG", newest.AckedAt, "%v", err)
+		c.addViolation("CONFIG", newest.AckedAt, "%v", err)
 		return
 	}
 	if rev < newest.Doc.Revision {
-		j.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, %d is read back", newest.Doc.Revision, rev)
+		c.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, %d is read back", newest.Doc.Revision, rev)
 		return
 	}
 	var why error
-	for _, c := range j.Changes {
-		if c.Doc.Revision != rev {
+	for _, change := range c.Changes {
+		if change.Doc.Revision != rev {
 			continue
 		}
-		if c.isRejected() {
+		if change.isRejected() {
 			why = fmt.Errorf("it was refused")
-		} else if why = c.Doc.matchesJSON(j.ReadBack); why == nil {
+		} else if why = change.Doc.matchesJSON(c.ReadBack); why == nil {
 			return
 		}
 	}
-	j.addViolation("CONFIG", newest.AckedAt, "%d is read back, which is not what was sent: %v", rev, why)
+	c.addViolation("CONFIG", newest.AckedAt, "%d is read back, which is not what was sent: %v", rev, why)
 }
 
 // checkAppliedConfig judges which configuration agents act by: not older than what was acknowledged
 // long enough ago, and never back within a life.
-func (j *checker) checkAppliedConfig() {
+func (c *checker) checkAppliedConfig() {
 	var all []handling
-	for _, t := range j.Attempts {
-		for _, x := range j.runs[t.ID] {
-			all = append(all, handling{t, x.At, x.Service})
+	for _, attempt := range c.Attempts {
+		for _, run := range c.runs[attempt.ID] {
+			all = append(all, handling{attempt, run.At, run.Service})
 		}
-		if t.Status == 404 && t.Seal == "" && len(j.runs[t.ID]) == 0 {
-			all = append(all, handling{t, t.EndedAt, ""})
+		if attempt.Status == 404 && attempt.Seal == "" && len(c.runs[attempt.ID]) == 0 {
+			all = append(all, handling{attempt, attempt.EndedAt, ""})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b handling) int { return cmp.Compare(a.at, b.at) })
@@ -82,36 +82,36 @@
 		var lowest, newest *ConfigChange // by which it may have been handled
 		wrong := false                   // a refused configuration handles it so
 		acked := 0                       // long enough ago
-		for _, c := range j.Changes {
-			if c.AckedAt > 0 && c.AckedAt+j.rules.Converge+j.rules.Slack < h.attempt.StartedAt {
-				acked = max(acked, c.Doc.Revision)
+		for _, change := range c.Changes {
+			if change.AckedAt > 0 && change.AckedAt+c.rules.Converge+c.rules.Slack < h.attempt.StartedAt {
+				acked = max(acked, change.Doc.Revision)
 			}
 			switch {
-			case c.SentAt > h.at || !h.matches(c.Doc):
-			case c.isRejected():
+			case change.SentAt > h.at || !h.matches(change.Doc):
+			case change.isRejected():
 				wrong = true
 			default:
-				if lowest == nil || c.Doc.Revision < lowest.Doc.Revision {
-					lowest = c
+				if lowest == nil || change.Doc.Revision < lowest.Doc.Revision {
+					lowest = change
 				}
-				if newest == nil || c.Doc.Revision > newest.Doc.Revision {
-					newest = c
+				if newest == nil || change.Doc.Revision > newest.Doc.Revision {
+					newest = change
 				}
 			}
 		}
 		if newest == nil {
 			if wrong {
-				j.addViolation("CONFIG", h.at, "%s by %s: %v, as only a refused configuration has it", h.attempt.ID, agent, h)
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, as only a refused configuration has it", h.attempt.ID, agent, h)
 			}
 			continue // else none was there yet, or ROUTE tells
 		}
-		if newest.Doc.Revision < acked && j.isInContact(agent, h.at) {
-			j.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, sent after %d was in force for long enough", h.attempt.ID, agent, h, newest.Doc.Revision, acked)
+		if newest.Doc.Revision < acked && c.isInContact(agent, h.at) {
+			c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, sent after %d was in force for long enough", h.attempt.ID, agent, h, newest.Doc.Revision, acked)
 		}
-		life := j.incarnationStart(agent, h.at)
+		life := c.incarnationStart(agent, h.at)
 		for _, f := range floors[agent] {
-			if f.at >= life && f.at+j.rules.RevertSlack+j.rules.Slack < h.attempt.StartedAt && newest.Doc.Revision < f.revision && j.isInContact(agent, h.at) {
-				j.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, after it acted by %d", h.attempt.ID, agent, h, newest.Doc.Revision, f.revision)
+			if f.at >= life && f.at+c.rules.RevertSlack+c.rules.Slack < h.attempt.StartedAt && newest.Doc.Revision < f.revision && c.isInContact(agent, h.at) {
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, after it acted by %d", h.attempt.ID, agent, h, newest.Doc.Revision, f.revision)
 				break
 			}
 		}
@@ -122,36 +122,38 @@
 }
 
 // checkDenied judges own 3xx and 4xx on requests that every configuration in force allows.
-func (j *checker) checkDenied() {
+func (c *checker) checkDenied() {
 	var of []*Attempt
-	for _, t := range j.Attempts {
-		if t.Status < 300 || t.Status >= 500 || t.Status == 408 || t.Status == 421 || t.Status == 429 || t.Seal != "" || !j.isInContact(t.Agent, t.EndedAt) {
+	for _, attempt := range c.Attempts {
+		if attempt.Status < 300 || attempt.Status >= 500 || attempt.Status == 408 || attempt.Status == 421 || attempt.Status == 429 || attempt.Seal != "" || !c.isInContact(attempt.Agent, attempt.EndedAt) {
 			continue
 		}
-		if slices.ContainsFunc(j.Records, func(r modelserver.Record) bool { return r.Kind == modelserver.Unrunnable && r.Attempt == t.ID }) {
+		if slices.ContainsFunc(c.Records, func(record modelserver.Record) bool {
+			return record.Kind == modelserver.Unrunnable && record.Attempt == attempt.ID
+		}) {
 			continue // the server's own
 		}
 		allowed, any := true, false
-		for _, c := range j.Changes {
-			if !c.isRejected() && c.SentAt <= t.EndedAt {
+		for _, change := range c.Changes {
+			if !change.isRejected() && change.SentAt <= attempt.EndedAt {
 				any = true
-				allowed = allowed && c.Doc.route(t.Host, t.Target) != nil
+				allowed = allowed && change.Doc.route(attempt.Host, attempt.Target) != nil
 			}
 		}
 		if any && allowed {
-			of = append(of, t)
+			of = append(of, attempt)
 		}
 	}
-	if len(of) > 5+len(j.Attempts)/500 {
-		j.addViolation("DENIED", of[0].EndedAt, "%d proper requests of %d, the first with %d: %s", len(of), len(j.Attempts), of[0].Status, of[0].ID)
+	if len(of) > 5+len(c.Attempts)/500 {
+		c.addViolation("DENIED", of[0].EndedAt, "%d proper requests of %d, the first with %d: %s", len(of), len(c.Attempts), of[0].Status, of[0].ID)
 	}
 }
 
 // incarnationStart is when the life of an agent's process began that it is in at a time.
-func (j *checker) incarnationStart(agent string, at time.Duration) (from time.Duration) {
-	for _, t := range j.Faults {
-		if t.ProcessStart && t.Agent == agent && t.Begin <= at {
-			from = max(from, t.Begin)
+func (c *checker) incarnationStart(agent string, at time.Duration) (from time.Duration) {
+	for _, attempt := range c.Faults {
+		if attempt.ProcessStart && attempt.Agent == agent && attempt.Begin <= at {
+			from = max(from, attempt.Begin)
 		}
 	}
 	return from
--- a/internal/testbed/fleetlab/check_servers.go
+++ b/internal/testbed/fleetlab/check_servers.go
@@ -8,37 +8,39 @@
 )
 
 // readRecords pairs what servers say, and judges UNASKED and ROUTE.
-func (j *checker) readRecords() {
-	for _, r := range j.Records {
-		switch r.Kind {
+func (c *checker) readRecords() {
+	for _, record := range c.Records {
+		switch record.Kind {
 		case modelserver.Started:
-			x := &serverRun{Record: r, events: r.First - 1}
-			j.runs[r.Attempt] = append(j.runs[r.Attempt], x)
-			j.runsBySeal[r.Seal] = x
-			t := j.attempts[r.Attempt]
-			if t == nil {
-				j.addViolation("UNASKED", r.At, "%s ran %q, which no client sent", r.Instance, r.Attempt)
+			run := &serverRun{Record: record, events: record.First - 1}
+			c.runs[record.Attempt] = append(c.runs[record.Attempt], run)
+			c.runsBySeal[record.Seal] = run
+			attempt := c.attempts[record.Attempt]
+			if attempt == nil {
+				c.addViolation("UNASKED", record.At, "%s ran %q, which no client sent", record.Instance, record.Attempt)
 				continue
 			}
-			if t.Method != r.Method || t.Target != r.Target || t.Host != r.Host || t.Prompt.Body != r.Body {
-				j.addViolation("UNASKED", r.At, "%s ran %s as %s %s%s (body %x), sent as %s %s%s (body %x)", r.Instance, r.Attempt,
-					r.Method, r.Host, r.Target, r.Body, t.Method, t.Host, t.Target, t.Prompt.Body)
+			if attempt.Method != record.Method || attempt.Target != record.Target || attempt.Host != record.Host || attempt.Prompt.Body != record.Body {
+				c.addViolation("UNASKED", record.At, "%s ran %s as %s %s%s (body %x), sent as %s %s%s (body %x)", record.Instance, record.Attempt,
+					record.Method, record.Host, record.Target, record.Body, attempt.Method, attempt.Host, attempt.Target, attempt.Prompt.Body)
 			}
-			if !slices.ContainsFunc(j.Changes, func(c *ConfigChange) bool { return slices.Contains(c.Doc.services(r.Host, r.Target), r.Service) }) {
-				j.addViolation("ROUTE", r.At, "%s of %s ran %s for %s%s, which no configuration allows", r.Instance, r.Service, r.Attempt, r.Host, r.Target)
+			if !slices.ContainsFunc(c.Changes, func(change *ConfigChange) bool {
+				return slices.Contains(change.Doc.services(record.Host, record.Target), record.Service)
+			}) {
+				c.addViolation("ROUTE", record.At, "%s of %s ran %s for %s%s, which no configuration allows", record.Instance, record.Service, record.Attempt, record.Host, record.Target)
 			}
 		case modelserver.Ended:
-			if x := j.runsBySeal[r.Seal]; x != nil {
-				x.ended, x.events, x.complete = r.At, r.Pieces, r.Whole
+			if run := c.runsBySeal[record.Seal]; run != nil {
+				run.ended, run.events, run.complete = record.At, record.Pieces, record.Whole
 			}
 		case modelserver.Unrunnable:
-			if j.attempts[r.Attempt] == nil {
-				j.addViolation("UNASKED", r.At, "%s got a request (%s %s) with the id %q, which no client sent", r.Instance, r.Method, r.Target, r.Attempt)
+			if c.attempts[record.Attempt] == nil {
+				c.addViolation("UNASKED", record.At, "%s got a request (%s %s) with the id %q, which no client sent", record.Instance, record.Method, record.Target, record.Attempt)
 			}
 		case modelserver.Crashed:
-			for _, x := range j.runsBySeal {
-				if x.Instance == r.Instance && (x.ended == 0 || x.ended >= r.At) && !x.complete {
-					x.serverCrashed = true
+			for _, run := range c.runsBySeal {
+				if run.Instance == record.Instance && (run.ended == 0 || run.ended >= record.At) && !run.complete {
+					run.serverCrashed = true
 				}
 			}
 		}
@@ -46,53 +48,53 @@
 }
 
 // checkDrains judges DRAIN.
-func (j *checker) checkDrains() {
+func (c *checker) checkDrains() {
 	told, away := map[string]modelserver.Record{}, map[[2]string]bool{}
-	for _, r := range j.Records {
-		if r.Kind == modelserver.TurnedAway && r.Status == 421 {
-			away[[2]string{r.Instance, r.Attempt}] = true
+	for _, record := range c.Records {
+		if record.Kind == modelserver.TurnedAway && record.Status == 421 {
+			away[[2]string{record.Instance, record.Attempt}] = true
 		}
 	}
-	for _, r := range j.Records {
-		switch r.Kind {
+	for _, record := range c.Records {
+		switch record.Kind {
 		case modelserver.Draining, modelserver.Gone:
-			if _, ok := told[r.Instance]; !ok && j.isInContact(ipOf(r.Agent), r.At) {
-				told[r.Instance] = r
+			if _, ok := told[record.Instance]; !ok && c.isInContact(ipOf(record.Agent), record.At) {
+				told[record.Instance] = record
 			}
 		case modelserver.Arrived:
-			at, ok := told[r.Instance]
-			if !ok || r.At <= at.At+j.rules.Drain+j.rules.Slack || away[[2]string{r.Instance, r.Attempt}] {
+			at, ok := told[record.Instance]
+			if !ok || record.At <= at.At+c.rules.Drain+c.rules.Slack || away[[2]string{record.Instance, record.Attempt}] {
 				continue
 			}
-			if t := j.attempts[r.Attempt]; t != nil && j.isInContact(t.Agent, r.At) {
-				j.addViolation("DRAIN", r.At, "%s by %s reached %s %v after %s acknowledged that it leaves", r.Attempt, t.Agent, r.Instance, r.At-at.At, at.Agent)
+			if attempt := c.attempts[record.Attempt]; attempt != nil && c.isInContact(attempt.Agent, record.At) {
+				c.addViolation("DRAIN", record.At, "%s by %s reached %s %v after %s acknowledged that it leaves", record.Attempt, attempt.Agent, record.Instance, record.At-at.At, at.Agent)
 			}
 		}
 	}
 }
 
 // checkRetryBudget judges BUDGET, for each service.
-func (j *checker) checkRetryBudget() {
+func (c *checker) checkRetryBudget() {
 	seen := map[string]bool{}
 	again, asked := map[string][]time.Duration{}, map[string][]time.Duration{}
-	for _, r := range j.Records {
-		if r.Kind != modelserver.Arrived {
+	for _, record := range c.Records {
+		if record.Kind != modelserver.Arrived {
 			continue
 		}
-		if seen[r.Attempt] {
-			again[r.Service] = append(again[r.Service], r.At)
+		if seen[record.Attempt] {
+			again[record.Service] = append(again[record.Service], record.At)
 		}
-		seen[r.Attempt] = true
+		seen[record.Attempt] = true
 	}
-	for _, t := range j.Attempts {
+	for _, attempt := range c.Attempts {
 		of := map[string]bool{}
-		for _, c := range j.Changes {
-			for _, s := range c.Doc.services(t.Host, t.Target) {
+		for _, change := range c.Changes {
+			for _, s := range change.Doc.services(attempt.Host, attempt.Target) {
 				of[s] = true
 			}
 		}
 		for s := range of {
-			asked[s] = append(asked[s], t.StartedAt)
+			asked[s] = append(asked[s], attempt.StartedAt)
 		}
 	}
 	in := func(at []time.Duration, from, to time.Duration) int {
@@ -100,14 +102,14 @@
 		b, _ := slices.BinarySearch(at, to)
 		return b - a
 	}
-	w := j.rules.RetryWindow
+	w := c.rules.RetryWindow
 	for service, at := range again {
 		for _, end := range at {
 			from, to := end-w, end+1
 			n := in(at, from, to)
 			requests := max(in(asked[service], from, to), in(asked[service], from-w, to-w), in(asked[service], from-w/2, to-w/2))
-			if float64(n) > j.rules.RetryRatio*float64(requests)+j.rules.RetrySlack {
-				j.addViolation("BUDGET", end, "%s: %d repeats within %v of %d requests", service, n, w, requests)
+			if float64(n) > c.rules.RetryRatio*float64(requests)+c.rules.RetrySlack {
+				c.addViolation("BUDGET", end, "%s: %d repeats within %v of %d requests", service, n, w, requests)
 				break
 			}
 		}
--- a/internal/testbed/fleetlab/checker.go
+++ b/internal/testbed/fleetlab/checker.go
@@ -79,16 +79,16 @@
 	return j.violations
 }
 
-func (j *checker) addViolation(rule string, at time.Duration, format string, args ...any) {
-	j.violations = append(j.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(rule string, at time.Duration, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
 // isInContact tells whether an agent was calm, and the core stable, for long enough before a time.
-func (j *checker) isInContact(agent string, at time.Duration) bool {
-	for _, t := range j.Faults {
-		near := func(x time.Duration) bool { return x <= at && x+j.rules.Contact > at }
-		own := t.Agent == agent && t.Begin <= at && (t.Active || t.End+j.rules.Contact > at)
-		core := t.Core && (near(t.Begin) || !t.Active && near(t.End))
+func (c *checker) isInContact(agent string, at time.Duration) bool {
+	for _, attempt := range c.Faults {
+		near := func(run time.Duration) bool { return run <= at && run+c.rules.Contact > at }
+		own := attempt.Agent == agent && attempt.Begin <= at && (attempt.Active || attempt.End+c.rules.Contact > at)
+		core := attempt.Core && (near(attempt.Begin) || !attempt.Active && near(attempt.End))
 		if own || core {
 			return false
 		}
--- a/internal/testbed/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -108,15 +108,15 @@
 }
 
 // newRequest draws an ask; equal plans give equal asks.
-func (c *Clients) newRequest(a *loadgen.Ask) *request {
-	class := c.classes[a.Class]
-	rng := rand.New(rand.NewPCG(c.seed, uint64(a.Number)))
-	own := class.OwnTokens/2 + rng.IntN(class.OwnTokens+1)
-	body := strings.Repeat("x", class.BodyBytes/2+rng.IntN(class.BodyBytes+1)) + strconv.Itoa(a.Number)
-	return &request{class: class, client: a.Agent, number: a.Number, body: body, prompt: modelserver.Prompt{Model: "m",
-		Tokens: fmt.Sprintf("%d,%d", commonPrefixTokens+class.SharedTokens+own, class.MaxOutputTokens),
-		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", modelserver.Sum(class.Name)>>32, commonPrefixTokens, modelserver.Sum(class.Name, strconv.Itoa(a.Key))>>32, class.SharedTokens,
-			modelserver.Sum(c.idPrefix, strconv.Itoa(a.Number))>>32, own), Body: modelserver.Sum(body)}}
+func (c *Clients) newRequest(planned *loadgen.Ask) *request {
+	class := c.classes[planned.Class]
+	random := rand.New(rand.NewPCG(c.seed, uint64(planned.Number)))
+	ownTokens := class.OwnTokens/2 + random.IntN(class.OwnTokens+1)
+	body := strings.Repeat("x", class.BodyBytes/2+random.IntN(class.BodyBytes+1)) + strconv.Itoa(planned.Number)
+	return &request{class: class, client: planned.Agent, number: planned.Number, body: body, prompt: modelserver.Prompt{Model: "m",
+		Tokens: fmt.Sprintf("%d,%d", commonPrefixTokens+class.SharedTokens+ownTokens, class.MaxOutputTokens),
+		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", modelserver.Sum(class.Name)>>32, commonPrefixTokens, modelserver.Sum(class.Name, strconv.Itoa(planned.Key))>>32, class.SharedTokens,
+			modelserver.Sum(c.idPrefix, strconv.Itoa(planned.Number))>>32, ownTokens), Body: modelserver.Sum(body)}}
 }
 
 // Run sends the asks of a plan at their times and tells done of each outcome, from many
@@ -153,42 +153,42 @@
 }
 
 // send sends a request, and again as its client does.
-func (c *Clients) send(ctx context.Context, a *request) Outcome {
-	class := a.class
-	began := c.now()
-	end := began + class.Deadline
-	o := Outcome{Class: class}
+func (c *Clients) send(ctx context.Context, request *request) Outcome {
+	class := request.class
+	startedAt := c.now()
+	deadline := startedAt + class.Deadline
+	outcome := Outcome{Class: class}
 	var got []ReceivedEvent // over the tries: a stream may be taken up
 	for {
-		o.Attempts++
+		outcome.Attempts++
 		after := 0
 		if class.Resumable && len(got) > 0 {
 			after = got[len(got)-1].N
 		}
-		t := c.attempt(ctx, a, o.Attempts, after, end)
-		c.recorder.attemptEnded(t)
-		if t.Status/100 == 2 {
-			got = append(got, t.Events...)
+		attempt := c.attempt(ctx, request, outcome.Attempts, after, deadline)
+		c.recorder.attemptEnded(attempt)
+		if attempt.Status/100 == 2 {
+			got = append(got, attempt.Events...)
 		}
-		o.update(t, got, began)
-		promised := t.Status == 503 || t.Status == 429 || t.Status == 408 || t.Status == 421
-		again := promised || t.EndReason == NoConnect || class.Resumable && (t.Status == 0 || t.Status >= 500 || t.Status/100 == 2 && !t.Complete)
-		if o.Verdict <= Late || !again || o.Attempts > class.MaxRetries || ctx.Err() != nil {
-			return o
+		outcome.update(attempt, got, startedAt)
+		notExecuted := attempt.Status == 503 || attempt.Status == 429 || attempt.Status == 408 || attempt.Status == 421
+		mayRetry := notExecuted || attempt.EndReason == NoConnect || class.Resumable && (attempt.Status == 0 || attempt.Status >= 500 || attempt.Status/100 == 2 && !attempt.Complete)
+		if outcome.Verdict <= Late || !mayRetry || outcome.Attempts > class.MaxRetries || ctx.Err() != nil {
+			return outcome
 		}
 		wait := defaultRetryDelay
-		if t.RetryAfter > 0 {
-			wait = min(t.RetryAfter, (end-c.now())/3)
+		if attempt.RetryAfter > 0 {
+			wait = min(attempt.RetryAfter, (deadline-c.now())/3)
 		}
-		if c.now()+wait >= end {
-			return o
+		if c.now()+wait >= deadline {
+			return outcome
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return o
+			return outcome
 		}
 	}
 }
@@ -230,79 +230,79 @@
 			c.mu.Unlock()
 			break
 		}
-		k := list[len(list)-1]
+		conn := list[len(list)-1]
 		c.idle[client] = list[:len(list)-1]
 		c.mu.Unlock()
-		if c.isQuiet(k) && c.now()-k.idleSince < idleConnTimeout {
-			return k, k.agent, nil
+		if c.isQuiet(conn) && c.now()-conn.idleSince < idleConnTimeout {
+			return conn, conn.agent, nil
 		}
-		k.Close()
+		conn.Close()
 	}
-	a := c.balancer.Pick(c.zones[client%len(c.zones)], client, try)
-	if a == nil {
+	endpoint := c.balancer.Pick(c.zones[client%len(c.zones)], client, try)
+	if endpoint == nil {
 		return nil, "", errors.New("nobody to connect to")
 	}
-	return dial(ctx, a)
+	return dial(ctx, endpoint)
 }
 
 // isQuiet tells whether nothing came on an idle connection, and notes it if something did.
-func (c *Clients) isQuiet(k *conn) bool {
-	if k.reader.Buffered() > 0 {
-		c.recordExtraBytes(k)
+func (c *Clients) isQuiet(conn *conn) bool {
+	if conn.reader.Buffered() > 0 {
+		c.recordExtraBytes(conn)
 		return false
 	}
-	raw, err := k.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var n int
-	var rerr error
+	var recvErr error
 	if err := raw.Read(func(fd uintptr) bool {
-		n, _, rerr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, recvErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return true
 	}); err != nil {
 		return false
 	}
-	if rerr == nil && n > 0 {
-		c.recordExtraBytes(k)
+	if recvErr == nil && n > 0 {
+		c.recordExtraBytes(conn)
 	}
-	return errors.Is(rerr, unix.EAGAIN)
+	return errors.Is(recvErr, unix.EAGAIN)
 }
 
-func (c *Clients) recordExtraBytes(k *conn) {
+func (c *Clients) recordExtraBytes(conn *conn) {
 	c.recorder.mu.Lock()
 	defer c.recorder.mu.Unlock()
-	if k.lastAttempt != nil {
-		k.lastAttempt.ExtraBytes = true
+	if conn.lastAttempt != nil {
+		conn.lastAttempt.ExtraBytes = true
 	}
 }
 
 // releaseConn puts a connection away for the client's next request.
-func (c *Clients) releaseConn(client int, k *conn, t *Attempt) {
-	k.lastAttempt, k.idleSince = t, c.now()
+func (c *Clients) releaseConn(client int, conn *conn, attempt *Attempt) {
+	conn.lastAttempt, conn.idleSince = attempt, c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle[client] = append(c.idle[client], k)
+	c.idle[client] = append(c.idle[client], conn)
 }
 
 // attempt is one request on the wire, with an id of its own.
-func (c *Clients) attempt(ctx context.Context, a *request, n, after int, end time.Duration) *Attempt {
-	class := a.class
-	t := &Attempt{ID: fmt.Sprintf("%s%06x-%d", c.idPrefix, a.number, n), Class: class.Name, Method: http.MethodPost, Host: class.Host,
-		Target: class.Path + "gen?n=" + strconv.Itoa(a.number), Prompt: a.prompt, Idempotent: class.Resumable, Resumable: class.Resumable,
+func (c *Clients) attempt(ctx context.Context, request *request, n, after int, end time.Duration) *Attempt {
+	class := request.class
+	attempt := &Attempt{ID: fmt.Sprintf("%s%06x-%d", c.idPrefix, request.number, n), Class: class.Name, Method: http.MethodPost, Host: class.Host,
+		Target: class.Path + "gen?n=" + strconv.Itoa(request.number), Prompt: request.prompt, Idempotent: class.Resumable, Resumable: class.Resumable,
 		AfterEvent: after, Deadline: end, Timeout: class.Timeout}
-	t.StartedAt = c.now()
-	k, agent, err := c.acquireConn(ctx, a.client, n)
-	t.Agent = agent
+	attempt.StartedAt = c.now()
+	conn, agent, err := c.acquireConn(ctx, request.client, n)
+	attempt.Agent = agent
 	if err != nil {
-		t.EndReason, t.EndedAt = NoConnect, c.now()
-		return t
+		attempt.EndReason, attempt.EndedAt = NoConnect, c.now()
+		return attempt
 	}
-	c.recorder.attemptStarted(t.ID, t.Agent)
-	if again := k.exchange(ctx, c.now, t, a.body, a.client%2 == 0, class.idleTimeout()); again {
-		c.releaseConn(a.client, k, t)
-		return t
+	c.recorder.attemptStarted(attempt.ID, attempt.Agent)
+	if reusable := conn.exchange(ctx, c.now, attempt, request.body, request.client%2 == 0, class.idleTimeout()); reusable {
+		c.releaseConn(request.client, conn, attempt)
+		return attempt
 	}
-	k.Close()
-	return t
+	conn.Close()
+	return attempt
 }
--- a/internal/testbed/fleetlab/config_document.go
+++ b/internal/testbed/fleetlab/config_document.go
@@ -163,17 +163,17 @@
 	if err != nil {
 		return errors.Wrap(err, "configuration")
 	}
-	a, err := decodeByName(want)
+	sent, err := decodeByName(want)
 	if err != nil {
 		return err
 	}
-	b, err := decodeByName(text)
+	readBack, err := decodeByName(text)
 	if err != nil {
 		return err
 	}
-	for key := range a {
-		if !reflect.DeepEqual(a[key], b[key]) {
-			return errors.Errorf("%s: sent %v, read back %v", key, a[key], b[key])
+	for key := range sent {
+		if !reflect.DeepEqual(sent[key], readBack[key]) {
+			return errors.Errorf("%s: sent %v, read back %v", key, sent[key], readBack[key])
 		}
 	}
 	return nil
--- a/internal/testbed/fleetlab/fleet.go
+++ b/internal/testbed/fleetlab/fleet.go
@@ -85,7 +85,7 @@
 }
 
 // Now is the laboratory's clock.
-func (l *Fleet) Now() time.Duration { return time.Since(l.startedAt) }
+func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // Start starts all processes at once, sends the first configuration, starts the model servers
 // and waits until every agent is ready and serves each route, or ctx ends.
@@ -105,53 +105,53 @@
 	return l, nil
 }
 
-func (l *Fleet) start(ctx context.Context) error {
-	cfg := l.cfg
+func (f *Fleet) start(ctx context.Context) error {
+	cfg := f.cfg
 	for i := range cfg.Zones {
-		l.zones = append(l.zones, fmt.Sprintf("zone-%c", 'a'+i))
+		f.zones = append(f.zones, fmt.Sprintf("zone-%c", 'a'+i))
 	}
 	for i := range cfg.Agents {
-		a := &Agent{Name: fmt.Sprintf("edge-%d", i+1), IP: l.subnet.ip(10 + i), Zone: l.zones[i%cfg.Zones], Core: i < cfg.Core, fleet: l}
+		a := &Agent{Name: fmt.Sprintf("edge-%d", i+1), IP: f.subnet.ip(10 + i), Zone: f.zones[i%cfg.Zones], Core: i < cfg.Core, fleet: f}
 		a.dir = filepath.Join(cfg.Dir, a.Name)
 		if err := os.Mkdir(a.dir, 0o755); err != nil { // a first start has empty disks
 			return errors.Wrap(err, "give an empty folder that is there")
 		}
-		l.Agents = append(l.Agents, a)
+		f.Agents = append(f.Agents, a)
 	}
-	rng := rand.New(rand.NewPCG(cfg.Seed, 5))
-	for _, i := range rng.Perm(cfg.Agents)[:min(3, cfg.Agents)] {
-		l.seeds = append(l.seeds, l.Agents[i].ControlAddr())
+	random := rand.New(rand.NewPCG(cfg.Seed, 5))
+	for _, i := range random.Perm(cfg.Agents)[:min(3, cfg.Agents)] {
+		f.seeds = append(f.seeds, f.Agents[i].ControlAddr())
 	}
-	l.Operator = newOperator(l.controlAddrs, l.Now, l.recorder, cfg.Seed)
-	for _, i := range rng.Perm(cfg.Agents) {
-		if err := l.Agents[i].start(true); err != nil {
+	f.Operator = newOperator(f.controlAddrs, f.Now, f.recorder, cfg.Seed)
+	for _, i := range random.Perm(cfg.Agents) {
+		if err := f.Agents[i].start(true); err != nil {
 			return err
 		}
 	}
 	var doors []Endpoint
-	for _, a := range l.Agents {
+	for _, a := range f.Agents {
 		doors = append(doors, a.Endpoint())
 	}
-	l.LoadBalancer = newLoadBalancer(doors, cfg.ProbeInterval)
+	f.LoadBalancer = newLoadBalancer(doors, cfg.ProbeInterval)
 	for i := range cfg.Servers {
-		if err := l.startServer(i); err != nil {
+		if err := f.startServer(i); err != nil {
 			return err
 		}
 	}
-	if status, err := l.Operator.Put(ctx, 0, l.initialDocument()); err != nil {
+	if status, err := f.Operator.Put(ctx, 0, f.initialDocument()); err != nil {
 		return err
 	} else if status != 200 {
 		return errors.Errorf("the first configuration was refused with %d", status)
 	}
-	return l.WaitServing(ctx)
+	return f.WaitServing(ctx)
 }
 
 // initialDocument is the configuration that a fleet begins with.
-func (l *Fleet) initialDocument() *Document {
+func (f *Fleet) initialDocument() *Document {
 	d := &Document{Revision: 3, Limits: Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000}}
-	for i, c := range l.cfg.Classes {
+	for i, c := range f.cfg.Classes {
 		r := Route{Name: "r-" + c.Name, Host: c.Host, Prefix: c.Path, Kind: "streaming", TimeoutMs: int(c.Timeout.Milliseconds()), SetpointMs: int(c.FirstEventTarget.Milliseconds()),
-			Priority: len(l.cfg.Classes) - 1 - i, MaxAttempts: 2, Affinity: true, Resumable: c.Resumable, EventGapTargetMs: int(c.EventGapTarget.Milliseconds()), Comment: "of " + c.Name}
+			Priority: len(f.cfg.Classes) - 1 - i, MaxAttempts: 2, Affinity: true, Resumable: c.Resumable, EventGapTargetMs: int(c.EventGapTarget.Milliseconds()), Comment: "of " + c.Name}
 		if i == 0 {
 			r.Service = serviceA
 		} else { // a service may be named twice
@@ -161,62 +161,62 @@
 	}
 	for _, s := range []string{serviceA, serviceB} {
 		d.Services = append(d.Services, Service{Name: s, HealthPath: "/health", ConnLimit: connLimit, Protocol: "h1",
-			Engine: Engine{Slots: l.cfg.Engine.Slots, CacheTokens: l.cfg.Engine.KVTokens, KVTokenBytes: 163840, LinkMbps: 180000, Stride: l.cfg.Engine.Stride, Models: []EngineModel{{"m"}}}})
+			Engine: Engine{Slots: f.cfg.Engine.Slots, CacheTokens: f.cfg.Engine.KVTokens, KVTokenBytes: 163840, LinkMbps: 180000, Stride: f.cfg.Engine.Stride, Models: []EngineModel{{"m"}}}})
 	}
 	return d
 }
 
-func (l *Fleet) controlAddrs() []string {
+func (f *Fleet) controlAddrs() []string {
 	var list []string
-	for _, a := range l.Agents {
+	for _, a := range f.Agents {
 		list = append(list, a.ControlAddr())
 	}
 	return list
 }
 
 // Check ends nothing: it judges what was seen so far.
-func (l *Fleet) Check() []Violation {
-	s := l.recorder.snapshot()
-	for _, a := range l.Agents {
+func (f *Fleet) Check() []Violation {
+	s := f.recorder.snapshot()
+	for _, a := range f.Agents {
 		if race := a.dataRace(); race != "" {
 			s.UnexpectedExits = append(s.UnexpectedExits, a.Name+": "+race)
 		}
 	}
-	b := l.cfg.Bounds
-	return Check(s, Rules{Stride: l.cfg.Engine.Stride, Contact: b.Contact, Drain: b.Drain, Converge: b.Converge, RevertSlack: b.RevertSlack, LossSlack: b.LossSlack,
+	b := f.cfg.Bounds
+	return Check(s, Rules{Stride: f.cfg.Engine.Stride, Contact: b.Contact, Drain: b.Drain, Converge: b.Converge, RevertSlack: b.RevertSlack, LossSlack: b.LossSlack,
 		Grace: b.Grace, RetryRatio: b.RetryRatio, RetryWindow: b.RetryWindow, RetrySlack: b.RetrySlack, Slack: 50 * time.Millisecond})
 }
 
 // ReadBack has the operator read the configuration, for the referee to judge.
-func (l *Fleet) ReadBack(ctx context.Context) {
-	text, err := l.Operator.ReadBack(ctx)
-	l.recorder.mu.Lock()
-	defer l.recorder.mu.Unlock()
-	l.recorder.ReadBack, l.recorder.ReadErr = text, err
+func (f *Fleet) ReadBack(ctx context.Context) {
+	text, err := f.Operator.ReadBack(ctx)
+	f.recorder.mu.Lock()
+	defer f.recorder.mu.Unlock()
+	f.recorder.ReadBack, f.recorder.ReadErr = text, err
 }
 
 // Close ends all: servers, processes, and what waits for them.
-func (l *Fleet) Close() {
-	if l.LoadBalancer != nil {
-		l.LoadBalancer.Close()
+func (f *Fleet) Close() {
+	if f.LoadBalancer != nil {
+		f.LoadBalancer.Close()
 	}
-	l.mu.Lock()
-	servers := slices.Concat(l.servers, l.stoppedServers)
-	l.mu.Unlock()
+	f.mu.Lock()
+	servers := slices.Concat(f.servers, f.stoppedServers)
+	f.mu.Unlock()
 	for _, s := range servers {
 		if s != nil {
 			s.Close()
 		}
 	}
-	for _, a := range l.Agents {
+	for _, a := range f.Agents {
 		a.mu.Lock()
 		a.stopping = true
 		a.mu.Unlock()
 	}
-	l.processes.Close()
-	l.background.Wait()
-	if l.Operator != nil {
-		l.Operator.close()
+	f.processes.Close()
+	f.background.Wait()
+	if f.Operator != nil {
+		f.Operator.close()
 	}
-	l.subnet.lock.Close()
+	f.subnet.lock.Close()
 }
--- a/internal/testbed/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -53,9 +53,9 @@
 }
 
 // startTraffic is clients at work until wait is called, which gives what came of their asks.
-func (l *Fleet) startTraffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
+func (f *Fleet) startTraffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
 	t.Helper()
-	clients, plan, err := l.NewWorkload(rate, length)
+	clients, plan, err := f.NewWorkload(rate, length)
 	require.NoError(t, err)
 	var got outcomeLog
 	done := make(chan struct{})
@@ -145,10 +145,10 @@
 }
 
 // requireNotFound asks an agent for a class until it answers 404.
-func (l *Fleet) requireNotFound(ctx context.Context, t *testing.T, a *Agent, c *Class) {
+func (f *Fleet) requireNotFound(ctx context.Context, t *testing.T, a *Agent, c *Class) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
-		if x := l.Probe(ctx, a, c); x.Status == 404 {
+		if x := f.Probe(ctx, a, c); x.Status == 404 {
 			return
 		}
 	}
@@ -201,17 +201,17 @@
 
 // awaitBusyAgent waits until an agent has so many streams under way for some time, and returns it; of
 // several, the last one. Which agents have many depends on their addresses, by which clients are spread.
-func (l *Fleet) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
+func (f *Fleet) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
 	t.Helper()
 	for {
-		list, more := l.recorder.streams()
+		list, more := f.recorder.streams()
 		count := map[string]int{}
 		for _, s := range list {
-			if l.isOld(s) {
+			if f.isOld(s) {
 				count[s.Agent]++
 			}
 		}
-		for _, agent := range slices.Backward(l.Agents) {
+		for _, agent := range slices.Backward(f.Agents) {
 			if count[agent.IP] >= streams {
 				return agent
 			}
@@ -225,7 +225,7 @@
 }
 
 // isOld tells whether a stream is under way for some time: some of its events have come.
-func (l *Fleet) isOld(s Stream) bool { return l.Now()-s.At > 100*time.Millisecond }
+func (f *Fleet) isOld(s Stream) bool { return f.Now()-s.At > 100*time.Millisecond }
 
 func TestCoreMachineIsKilled(t *testing.T) {
 	ctx, l := startFleet(t, 5, 3, 4, nil)
--- a/internal/testbed/fleetlab/load_balancer.go
+++ b/internal/testbed/fleetlab/load_balancer.go
@@ -49,21 +49,21 @@
 }
 
 // Close ends it.
-func (e *LoadBalancer) Close() {
-	e.cancel()
-	e.probing.Wait()
-	e.client.CloseIdleConnections()
+func (b *LoadBalancer) Close() {
+	b.cancel()
+	b.probing.Wait()
+	b.client.CloseIdleConnections()
 }
 
-func (e *LoadBalancer) probeLoop(ctx context.Context, i int) {
-	tick := time.NewTicker(e.probeInterval)
+func (b *LoadBalancer) probeLoop(ctx context.Context, i int) {
+	tick := time.NewTicker(b.probeInterval)
 	defer tick.Stop()
 	for {
-		ok := e.probe(ctx, e.endpoints[i].Readiness)
+		ok := b.probe(ctx, b.endpoints[i].Readiness)
 		if ctx.Err() != nil {
 			return
 		}
-		e.recordProbe(i, ok)
+		b.recordProbe(i, ok)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -72,12 +72,12 @@
 	}
 }
 
-func (e *LoadBalancer) probe(ctx context.Context, addr string) bool {
+func (b *LoadBalancer) probe(ctx context.Context, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/chalkdoor/ready", nil)
 	if err != nil {
 		return false
 	}
-	resp, err := e.client.Do(req)
+	resp, err := b.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -86,25 +86,25 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (e *LoadBalancer) recordProbe(i int, ok bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (b *LoadBalancer) recordProbe(i int, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if ok {
-		e.missedProbes[i], e.isReady[i] = 0, true
-	} else if e.missedProbes[i]++; e.missedProbes[i] >= maxMissedProbes {
-		e.isReady[i] = false
+		b.missedProbes[i], b.isReady[i] = 0, true
+	} else if b.missedProbes[i]++; b.missedProbes[i] >= maxMissedProbes {
+		b.isReady[i] = false
 	}
-	close(e.changed)
-	e.changed = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // Ready tells which agents get new connections, by IP.
-func (e *LoadBalancer) Ready() map[string]bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (b *LoadBalancer) Ready() map[string]bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	m := map[string]bool{}
-	for i, d := range e.endpoints {
-		if e.isReady[i] {
+	for i, d := range b.endpoints {
+		if b.isReady[i] {
 			m[d.IP] = true
 		}
 	}
@@ -112,12 +112,12 @@
 }
 
 // WaitReady waits until the agents that are in are as wanted.
-func (e *LoadBalancer) WaitReady(ctx context.Context, want func(ready map[string]bool) bool) error {
+func (b *LoadBalancer) WaitReady(ctx context.Context, want func(ready map[string]bool) bool) error {
 	for {
-		e.mu.Lock()
-		changed := e.changed
-		e.mu.Unlock()
-		if want(e.Ready()) {
+		b.mu.Lock()
+		changed := b.changed
+		b.mu.Unlock()
+		if want(b.Ready()) {
 			return nil
 		}
 		select {
@@ -130,37 +130,37 @@
 
 // Pick gives a client of a zone an agent: the same one while the agents that are in stay the
 // same, and another one for each further try. Nil where there is none at all.
-func (e *LoadBalancer) Pick(zone string, client, try int) *Endpoint {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var zoned, in, anywhere []*Endpoint
-	for i := range e.endpoints {
-		d := &e.endpoints[i]
-		if e.isReady[i] {
+func (b *LoadBalancer) Pick(zone string, client, try int) *Endpoint {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var inZone, ready, anywhere []*Endpoint
+	for i := range b.endpoints {
+		d := &b.endpoints[i]
+		if b.isReady[i] {
 			anywhere = append(anywhere, d)
 		}
 		if d.Zone == zone {
-			if zoned = append(zoned, d); e.isReady[i] {
-				in = append(in, d)
+			if inZone = append(inZone, d); b.isReady[i] {
+				ready = append(ready, d)
 			}
 		}
 	}
-	of := in
+	candidates := ready
 	switch {
-	case len(in) == 0 && len(anywhere) > 0:
-		of = anywhere
-	case len(in) == 0 && len(zoned) == 0:
-		for i := range e.endpoints {
-			of = append(of, &e.endpoints[i])
+	case len(ready) == 0 && len(anywhere) > 0:
+		candidates = anywhere
+	case len(ready) == 0 && len(inZone) == 0:
+		for i := range b.endpoints {
+			candidates = append(candidates, &b.endpoints[i])
 		}
-	case 2*len(in) < len(zoned):
-		of = zoned
+	case 2*len(ready) < len(inZone):
+		candidates = inZone
 	}
-	if len(of) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	slices.SortFunc(of, func(a, b *Endpoint) int {
+	slices.SortFunc(candidates, func(a, b *Endpoint) int {
 		return cmp.Compare(modelserver.Sum(a.IP, strconv.Itoa(client)), modelserver.Sum(b.IP, strconv.Itoa(client)))
 	})
-	return of[(try-1)%len(of)]
+	return candidates[(try-1)%len(candidates)]
 }
--- a/internal/testbed/fleetlab/observations.go
+++ b/internal/testbed/fleetlab/observations.go
@@ -106,30 +106,30 @@
 }
 
 // attemptStarted notes a try that is under way with an agent.
-func (s *recorder) attemptStarted(id, agent string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.inProgress == nil {
-		s.inProgress = map[string]string{}
+func (r *recorder) attemptStarted(id, agent string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.inProgress == nil {
+		r.inProgress = map[string]string{}
 	}
-	s.inProgress[id] = agent
+	r.inProgress[id] = agent
 }
 
 // attemptEnded notes a try that has ended.
-func (s *recorder) attemptEnded(t *Attempt) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.Attempts = append(s.Attempts, t)
-	delete(s.inProgress, t.ID)
+func (r *recorder) attemptEnded(t *Attempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Attempts = append(r.Attempts, t)
+	delete(r.inProgress, t.ID)
 }
 
-func (s *recorder) record(r modelserver.Record) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.Records = append(s.Records, r)
-	if s.changed != nil {
-		close(s.changed)
-		s.changed = nil
+func (r *recorder) record(record modelserver.Record) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Records = append(r.Records, record)
+	if r.changed != nil {
+		close(r.changed)
+		r.changed = nil
 	}
 }
 
@@ -140,56 +140,56 @@
 }
 
 // streams are the runs that are under way.
-func (s *recorder) streams() (list []Stream, more <-chan struct{}) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *recorder) streams() (list []Stream, more <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	open := map[string]modelserver.Record{}
-	for _, r := range s.Records {
-		switch r.Kind {
+	for _, record := range r.Records {
+		switch record.Kind {
 		case modelserver.Started:
-			open[r.Seal] = r
+			open[record.Seal] = record
 		case modelserver.Ended:
-			delete(open, r.Seal)
+			delete(open, record.Seal)
 		}
 	}
-	for _, r := range open {
-		if agent, ok := s.inProgress[r.Attempt]; ok {
-			list = append(list, Stream{r, agent})
+	for _, record := range open {
+		if agent, ok := r.inProgress[record.Attempt]; ok {
+			list = append(list, Stream{record, agent})
 		}
 	}
-	if s.changed == nil {
-		s.changed = make(chan struct{})
+	if r.changed == nil {
+		r.changed = make(chan struct{})
 	}
-	return list, s.changed
+	return list, r.changed
 }
 
-func (s *recorder) processExited(how string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.UnexpectedExits = append(s.UnexpectedExits, how)
+func (r *recorder) processExited(how string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.UnexpectedExits = append(r.UnexpectedExits, how)
 }
 
 // beginFault notes the begin of a trouble and returns what ends it.
-func (s *recorder) beginFault(t Fault, now func() time.Duration) func() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *recorder) beginFault(t Fault, now func() time.Duration) func() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	t.Begin, t.Active = now(), true
-	s.Faults = append(s.Faults, t)
-	i := len(s.Faults) - 1
+	r.Faults = append(r.Faults, t)
+	i := len(r.Faults) - 1
 	return func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.Faults[i].End, s.Faults[i].Active = now(), false
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.Faults[i].End, r.Faults[i].Active = now(), false
 	}
 }
 
 // snapshot is a copy in the order of time.
-func (s *recorder) snapshot() *Observations {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	c := s.Observations
-	c.Attempts, c.Records, c.Changes = slices.Clone(s.Attempts), slices.Clone(s.Records), slices.Clone(s.Changes)
-	c.Faults, c.UnexpectedExits = slices.Clone(s.Faults), slices.Clone(s.UnexpectedExits)
+func (r *recorder) snapshot() *Observations {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	c := r.Observations
+	c.Attempts, c.Records, c.Changes = slices.Clone(r.Attempts), slices.Clone(r.Records), slices.Clone(r.Changes)
+	c.Faults, c.UnexpectedExits = slices.Clone(r.Faults), slices.Clone(r.UnexpectedExits)
 	slices.SortStableFunc(c.Attempts, func(a, b *Attempt) int { return cmp.Compare(a.StartedAt, b.StartedAt) })
 	slices.SortStableFunc(c.Records, func(a, b modelserver.Record) int { return cmp.Compare(a.At, b.At) })
 	return &c
--- a/internal/testbed/fleetlab/report.go
+++ b/internal/testbed/fleetlab/report.go
@@ -69,10 +69,10 @@
 	outcomes []Outcome
 }
 
-func (t *outcomeLog) add(o Outcome) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.outcomes = append(t.outcomes, o)
+func (l *outcomeLog) add(o Outcome) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.outcomes = append(l.outcomes, o)
 }
 
 // Write prints the report for people.
@@ -97,11 +97,11 @@
 }
 
 // report sums what was seen.
-func (l *Fleet) report(t *outcomeLog) *Report {
+func (f *Fleet) report(t *outcomeLog) *Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &Report{Agents: l.cfg.Agents, Core: l.cfg.Core, Servers: l.cfg.Servers, Seed: l.cfg.Seed, Failed: map[string]int{}, Violations: []Violation{}}
-	for _, c := range l.cfg.Classes {
+	r := &Report{Agents: f.cfg.Agents, Core: f.cfg.Core, Servers: f.cfg.Servers, Seed: f.cfg.Seed, Failed: map[string]int{}, Violations: []Violation{}}
+	for _, c := range f.cfg.Classes {
 		of := ClassReport{Name: c.Name}
 		first, paused, pass := newHistogram(), newHistogram(), newHistogram()
 		for i := range t.outcomes {
@@ -135,21 +135,21 @@
 		r.InTime += of.InTime
 		r.Classes = append(r.Classes, of)
 	}
-	l.mu.Lock()
-	servers := slices.Concat(l.servers, l.stoppedServers)
-	l.mu.Unlock()
+	f.mu.Lock()
+	servers := slices.Concat(f.servers, f.stoppedServers)
+	f.mu.Unlock()
 	for _, s := range servers {
-		f, m := s.Figures(), &r.Model
-		m.Ran += f.Ran
-		m.Rejected += f.TurnedAway
-		m.PromptTokensRead += f.Read
-		m.PromptTokensSaved += f.Saved
-		m.Preempted += f.Preempted
-		m.Conns += f.Conns
-		m.Health += f.Health
-		m.Reports += f.Reports
+		stats, m := s.Figures(), &r.Model
+		m.Ran += stats.Ran
+		m.Rejected += stats.TurnedAway
+		m.PromptTokensRead += stats.Read
+		m.PromptTokensSaved += stats.Saved
+		m.Preempted += stats.Preempted
+		m.Conns += stats.Conns
+		m.Health += stats.Health
+		m.Reports += stats.Reports
 	}
-	s := l.recorder.snapshot()
+	s := f.recorder.snapshot()
 	arrived := map[string]bool{}
 	for _, x := range s.Records {
 		if x.Kind != modelserver.Arrived {
@@ -166,7 +166,7 @@
 			r.ConfigAckMs = max(r.ConfigAckMs, float64((c.AckedAt-c.SentAt).Microseconds())/1000)
 		}
 	}
-	r.Violations = append(r.Violations, l.Check()...)
+	r.Violations = append(r.Violations, f.Check()...)
 	return r
 }
 
--- a/internal/testbed/fleetlab/run.go
+++ b/internal/testbed/fleetlab/run.go
@@ -86,16 +86,16 @@
 }
 
 // NewWorkload draws what clients will want.
-func (l *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
-	cfg := &loadgen.Config{Seed: l.cfg.Seed, Agents: l.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
-	for _, c := range l.cfg.Classes {
+func (f *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
+	cfg := &loadgen.Config{Seed: f.cfg.Seed, Agents: f.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
+	for _, c := range f.cfg.Classes {
 		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Share: c.Share})
 	}
 	plan, err := loadgen.Plan(cfg)
 	if err != nil {
 		return nil, nil, err
 	}
-	return newClients(l.cfg.Classes, l.LoadBalancer, l.Now, l.recorder, l.cfg.Seed, l.zones, "c"), plan, nil
+	return newClients(f.cfg.Classes, f.LoadBalancer, f.Now, f.recorder, f.cfg.Seed, f.zones, "c"), plan, nil
 }
 
 // sleep waits; false when ctx ends first.
@@ -111,30 +111,30 @@
 }
 
 // changeConfig has the operator change the configuration twice: a time-out, then a split.
-func (l *Fleet) changeConfig(ctx context.Context, length time.Duration) error {
+func (f *Fleet) changeConfig(ctx context.Context, length time.Duration) error {
 	if !sleep(ctx, length/5) {
 		return nil
 	}
-	r := l.Operator.Current().Routes[0]
+	r := f.Operator.Current().Routes[0]
 	r.TimeoutMs -= 1000
-	if _, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}}); err != nil {
+	if _, err := f.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}}); err != nil {
 		return err
 	}
 	if !sleep(ctx, length/2) {
 		return nil
 	}
-	r = l.Operator.Current().Routes[1]
+	r = f.Operator.Current().Routes[1]
 	r.Split = []Split{{serviceA, 50}, {serviceB, 50}}
-	_, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	_, err := f.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	return err
 }
 
 // injectFault breaks something and mends it.
-func (l *Fleet) injectFault(ctx context.Context, opt Options, progress func(string)) error {
+func (f *Fleet) injectFault(ctx context.Context, opt Options, progress func(string)) error {
 	if opt.Fault == "none" || !sleep(ctx, opt.Duration/3) {
 		return nil
 	}
-	core, other := l.Agents[0], l.Agents[len(l.Agents)-1]
+	core, other := f.Agents[0], f.Agents[len(f.Agents)-1]
 	down := min(downtime, opt.Duration/4)
 	switch opt.Fault {
 	case "kill-core":
@@ -160,16 +160,16 @@
 		progress(other.Name + " wakes")
 		return other.Resume()
 	case "crash-server":
-		l.Server(0).Crash()
-		progress("a server crashed: " + l.Server(0).ID() + "; another is to start in its place")
-		return l.RestartServer(ctx, 0)
+		f.Server(0).Crash()
+		progress("a server crashed: " + f.Server(0).ID() + "; another is to start in its place")
+		return f.RestartServer(ctx, 0)
 	case "drain":
-		progress("a server leaves: " + l.Server(0).ID())
-		if err := l.Server(0).Leave(ctx); err != nil {
+		progress("a server leaves: " + f.Server(0).ID())
+		if err := f.Server(0).Leave(ctx); err != nil {
 			return err
 		}
 		progress("it has ended; another is to start in its place")
-		return l.RestartServer(ctx, 0)
+		return f.RestartServer(ctx, 0)
 	}
 	return nil
 }
--- a/internal/testbed/fleetlab/settings_file.go
+++ b/internal/testbed/fleetlab/settings_file.go
@@ -29,11 +29,11 @@
 // writeSettings writes the machine's settings file.
 func (a *Agent) writeSettings(first bool) (string, error) {
 	var b strings.Builder
-	l, bo := a.fleet, a.fleet.cfg.Bounds
+	fleet, bounds := a.fleet, a.fleet.cfg.Bounds
 	list := func(items []string) string { return `["` + strings.Join(items, `","`) + `"]` }
 	ms := time.Duration.Milliseconds
 	fmt.Fprintf(&b, "node-name = %q\nrole = \"edge\"\nmachine-class = \"edge\"\nserved-roles = [\"edge\",\"control\"]\nip = %q\nzone = %q\nregion = \"lab\"\n", a.Name, a.IP, a.Zone)
-	fmt.Fprintf(&b, "port-range = [%d,%d]\nseed-nodes = %s\nfirst-start = %v\n", firstPort, lastPort, list(l.seeds), first)
+	fmt.Fprintf(&b, "port-range = [%d,%d]\nseed-nodes = %s\nfirst-start = %v\n", firstPort, lastPort, list(fleet.seeds), first)
 	if a.Core {
 		state := filepath.Join(a.dir, "state")
 		if err := os.MkdirAll(state, 0o755); err != nil {
@@ -41,18 +41,18 @@
 		}
 		fmt.Fprintf(&b, "counted-loss = true\nstate-dir = %q\n", state)
 	}
-	fmt.Fprintf(&b, "discovery-source = \"self_register\"\nentry-kind = \"vip\"\nbeat-period-ms = %d\n", ms(bo.HeartbeatInterval))
+	fmt.Fprintf(&b, "discovery-source = \"self_register\"\nentry-kind = \"vip\"\nbeat-period-ms = %d\n", ms(bounds.HeartbeatInterval))
 	fmt.Fprintf(&b, "active-contracts = %s\n[zones]\n", list([]string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream"}))
-	for _, z := range l.zones {
+	for _, z := range fleet.zones {
 		fmt.Fprintf(&b, "%s = \"lab\"\n", z)
 	}
 	fmt.Fprintf(&b, "[listen]\nfront = %q\nreadiness = %q\ncontrol = %q\n", hostPort(a.IP, frontPort), hostPort(a.IP, readinessPort), hostPort(a.IP, controlPort))
-	fmt.Fprintf(&b, "[limits]\ncpu-share = 1.0\ncpu-cores = 1\nmemory-mb = %d\nfd-limit = 4100\nlink-mbps = 1000.0\ndisk-mb = 64\n", l.cfg.MemoryMB)
+	fmt.Fprintf(&b, "[limits]\ncpu-share = 1.0\ncpu-cores = 1\nmemory-mb = %d\nfd-limit = 4100\nlink-mbps = 1000.0\ndisk-mb = 64\n", fleet.cfg.MemoryMB)
 	fmt.Fprintf(&b, "[fault-tolerance]\nmachine-losses = 1\nzones = 0\nregion-losses = 0\n")
 	fmt.Fprintf(&b, "[bounds]\nseed-lag-s = 3\nreuse-after-s = 2\ncontact-ms = %d\nack-ms = %d\nsettle-s = %v\ndrain-ms = %d\ngrace-s = %v\nloss-slack-ms = %d\n",
-		ms(bo.Contact), ms(bo.Ack), bo.Settle.Seconds(), ms(bo.Drain), bo.Grace.Seconds(), ms(bo.LossSlack))
+		ms(bounds.Contact), ms(bounds.Ack), bounds.Settle.Seconds(), ms(bounds.Drain), bounds.Grace.Seconds(), ms(bounds.LossSlack))
 	fmt.Fprintf(&b, "converge-ms = %d\nrevert-slack-ms = %d\nstretch-ms = %d\nretry-ratio = %v\nretry-window-s = %v\nretry-slack = %v\nrecovery-s = %v\npass_ms = %d\nagain_s = 0\n",
-		ms(bo.Converge), ms(bo.RevertSlack), ms(bo.Stretch), bo.RetryRatio, bo.RetryWindow.Seconds(), bo.RetrySlack, bo.Recovery.Seconds(), ms(forwardTarget))
+		ms(bounds.Converge), ms(bounds.RevertSlack), ms(bounds.Stretch), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.Recovery.Seconds(), ms(forwardTarget))
 	path := filepath.Join(a.dir, "local.toml")
 	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
 		return "", errors.Wrap(err, a.Name)
--- a/internal/testbed/fleetlab/waiting.go
+++ b/internal/testbed/fleetlab/waiting.go
@@ -11,29 +11,29 @@
 )
 
 // WaitAllReady waits until the entry has all agents in.
-func (l *Fleet) WaitAllReady(ctx context.Context) error {
-	if err := l.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return len(ready) == len(l.Agents) }); err != nil {
-		return errors.Wrapf(err, "%d of %d agents are ready", len(l.LoadBalancer.Ready()), len(l.Agents))
+func (f *Fleet) WaitAllReady(ctx context.Context) error {
+	if err := f.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return len(ready) == len(f.Agents) }); err != nil {
+		return errors.Wrapf(err, "%d of %d agents are ready", len(f.LoadBalancer.Ready()), len(f.Agents))
 	}
 	return nil
 }
 
 // WaitServing waits until all agents are ready and serve each class, and all servers are known.
-func (l *Fleet) WaitServing(ctx context.Context) error {
-	for i := range l.cfg.Servers {
+func (f *Fleet) WaitServing(ctx context.Context) error {
+	for i := range f.cfg.Servers {
 		select {
-		case <-l.Server(i).Registered():
+		case <-f.Server(i).Registered():
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "server %d: no beat was acknowledged", i+1)
 		}
 	}
-	if err := l.WaitAllReady(ctx); err != nil {
+	if err := f.WaitAllReady(ctx); err != nil {
 		return err
 	}
-	errs := make(chan error, len(l.Agents)*len(l.cfg.Classes))
-	for _, a := range l.Agents {
-		for _, c := range l.cfg.Classes {
-			l.background.Go(func() { errs <- l.waitServing(ctx, a, c) })
+	errs := make(chan error, len(f.Agents)*len(f.cfg.Classes))
+	for _, a := range f.Agents {
+		for _, c := range f.cfg.Classes {
+			f.background.Go(func() { errs <- f.waitServing(ctx, a, c) })
 		}
 	}
 	for range cap(errs) {
@@ -45,9 +45,9 @@
 }
 
 // waitServing asks an agent until it serves a class.
-func (l *Fleet) waitServing(ctx context.Context, a *Agent, c *Class) error {
+func (f *Fleet) waitServing(ctx context.Context, a *Agent, c *Class) error {
 	for {
-		t := l.Probe(ctx, a, c)
+		t := f.Probe(ctx, a, c)
 		if t.Status == 200 && t.Complete {
 			return nil
 		}
@@ -62,9 +62,9 @@
 }
 
 // WaitStreams waits until so many of the streams under way are as wanted.
-func (l *Fleet) WaitStreams(ctx context.Context, n int, want func(Stream) bool) error {
+func (f *Fleet) WaitStreams(ctx context.Context, n int, want func(Stream) bool) error {
 	for {
-		list, more := l.recorder.streams()
+		list, more := f.recorder.streams()
 		got := 0
 		for _, s := range list {
 			if want(s) {
@@ -83,21 +83,21 @@
 }
 
 // Probe sends one request of a class directly to an agent.
-func (l *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
-	n := int(l.probeCount.Add(1))
-	clients := newClients([]*Class{c}, nil, l.Now, l.recorder, l.cfg.Seed, l.zones, "p")
+func (f *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
+	n := int(f.probeCount.Add(1))
+	clients := newClients([]*Class{c}, nil, f.Now, f.recorder, f.cfg.Seed, f.zones, "p")
 	of := clients.newRequest(&loadgen.Ask{Number: n})
 	d := a.Endpoint()
 	t := &Attempt{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
-		Prompt: of.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: l.Now(), Timeout: c.Timeout}
+		Prompt: of.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: f.Now(), Timeout: c.Timeout}
 	t.Deadline = t.StartedAt + c.Deadline
 	k, _, err := dial(ctx, &d)
 	if err != nil {
-		t.EndReason, t.EndedAt = NoConnect, l.Now()
+		t.EndReason, t.EndedAt = NoConnect, f.Now()
 	} else {
-		k.exchange(ctx, l.Now, t, of.body, false, c.idleTimeout())
+		k.exchange(ctx, f.Now, t, of.body, false, c.idleTimeout())
 		k.Close()
 	}
-	l.recorder.attemptEnded(t)
+	f.recorder.attemptEnded(t)
 	return t
 }
