--- a/internal/testbed/fleetlab/agents.go
+++ b/internal/testbed/fleetlab/agents.go
@@ -15,7 +15,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
-// The ports are alike on all machines: each has an address of its own.
+// The ports are the same on all machines, because each machine has its own address.
 const (
 	controlPort   = 8262
 	frontPort     = 8263
@@ -25,7 +25,7 @@
 	serverPort    = 8080
 )
 
-// Agent is one machine of the fleet with its process.
+// Agent is one machine of the fleet with its process. Its methods may be called concurrently.
 type Agent struct {
 	Name, IP, Zone string
 	Core           bool
@@ -34,18 +34,21 @@
 	dir      string
 	mu       sync.Mutex
 	process  *process.Proc
-	endFault func() // ends the trouble under way
-	stopping bool   // it was ended on purpose
+	endFault func() // ends the fault in progress; nil: none
+	stopping bool   // its end is expected
 }
 
-// Endpoint is where the entry finds it, Control where servers and the operator do.
+// Endpoint is the agent as the load balancer finds it.
 func (a *Agent) Endpoint() Endpoint {
 	return Endpoint{IP: a.IP, Zone: a.Zone, Front: hostPort(a.IP, frontPort), Readiness: hostPort(a.IP, readinessPort)}
 }
+
+// ControlAddr is the address at which servers and the operator find the agent.
 func (a *Agent) ControlAddr() string { return hostPort(a.IP, controlPort) }
-func (a *Agent) logPath() string     { return filepath.Join(a.dir, "log") }
 
-// start starts the machine's process.
+func (a *Agent) logPath() string { return filepath.Join(a.dir, "log") }
+
+// start starts the process, ends the fault in progress, and watches for an unexpected exit.
 func (a *Agent) start(first bool) error {
 	path, err := a.writeSettings(first)
 	if err != nil {
@@ -70,13 +73,13 @@
 		gone := a.stopping || a.process != p
 		a.mu.Unlock()
 		if !gone {
-			a.fleet.recorder.processExited(fmt.Sprintf("%s ended by itself: %v\n%s", a.Name, err, a.logTail()))
+			a.fleet.recorder.processExited(fmt.Sprintf("%s exited unexpectedly: %v\n%s", a.Name, err, a.logTail()))
 		}
 	})
 	return nil
 }
 
-// logTail is the end of its log.
+// logTail is the end of the process's log.
 func (a *Agent) logTail() string {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -85,7 +88,7 @@
 	return string(text[max(len(text)-1500, 0):])
 }
 
-// dataRace is what the race detector wrote into its log; empty if nothing.
+// dataRace is the report of the race detector in the process's log; "" if there is none.
 func (a *Agent) dataRace() string {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -98,7 +101,7 @@
 	return string(text[i:min(i+4000, len(text))])
 }
 
-// beginOutage notes an end that is on purpose, which lasts until the next start.
+// beginOutage records a fault that ends the process and lasts until its next start.
 func (a *Agent) beginOutage(t Fault) *process.Proc {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,17 +111,17 @@
 	return a.process
 }
 
-// Kill ends its process at once.
+// Kill kills the process.
 func (a *Agent) Kill() { a.beginOutage(Fault{}).Kill() }
 
-// Terminate ends its process in order, and by force after the grace, which is an error.
+// Terminate shuts the process down gracefully. A process that takes longer than the grace is killed, which is an error.
 func (a *Agent) Terminate(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, a.fleet.cfg.Bounds.Grace)
 	defer cancel()
 	return a.beginOutage(Fault{Graceful: true}).Terminate(ctx)
 }
 
-// Restart starts it again, with the disk that it had.
+// Restart starts the process again, with its disk.
 func (a *Agent) Restart() error { return a.start(false) }
 
 // WipeDisk empties the disk of a machine whose process has ended.
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// Pause stops its process until Thaw.
+// Pause suspends the process until Resume.
 func (a *Agent) Pause() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,7 +141,7 @@
 	return a.process.Stop()
 }
 
-// Resume lets it go on.
+// Resume continues a suspended process.
 func (a *Agent) Resume() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,7 +153,7 @@
 	return err
 }
 
-// Reload sends it SIGHUP.
+// Reload makes the process reload its settings (SIGHUP).
 func (a *Agent) Reload() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/fleetlab/check_config.go
+++ b/internal/testbed/fleetlab/check_config.go
@@ -9,7 +9,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// checkChanges judges what was acknowledged, and what was read back.
+// checkChanges checks the acknowledged changes (CONFIG): they are valid, at most one is based on a revision, and the
+// configuration that was read back is not older.
 func (c *checker) checkChanges() {
 	var newest *ConfigChange
 	for i, change := range c.Changes {
@@ -58,10 +59,45 @@
 	c.addViolation("CONFIG", newest.AckedAt, "%d is read back, which is not what was sent: %v", rev, why)
 }
 
-// checkAppliedConfig judges which configuration agents act by: not older than what was acknowledged
-// long enough ago, and never back within a life.
+// appliedRevision is a revision that an agent had applied at a time.
+type appliedRevision struct {
+	revision int
+	at       time.Duration
+}
+
+// checkAppliedConfig checks by the handling of requests which configuration agents apply (CONFIG): one that is not
+// older than what was acknowledged long enough before, and within an incarnation never an older one than before.
 func (c *checker) checkAppliedConfig() {
-	var all []handling
+	applied := map[string][]appliedRevision{} // by agent, each higher than the one before within an incarnation
+	for _, h := range c.handlings() {
+		agent := h.attempt.Agent
+		lowest, newest, byRejected := c.explain(&h)
+		if newest == nil {
+			if byRejected {
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, as only a refused configuration has it", h.attempt.ID, agent, &h)
+			}
+			continue // else there was no configuration yet, or it is a violation of ROUTE
+		}
+		if acked := c.ackedLongBefore(h.attempt.StartedAt); newest.Doc.Revision < acked && c.isInContact(agent, h.at) {
+			c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, sent after %d was in force for long enough", h.attempt.ID, agent, &h, newest.Doc.Revision, acked)
+		}
+		incarnation := c.incarnationStart(agent, h.at)
+		for _, a := range applied[agent] {
+			longBefore := a.at >= incarnation && a.at+c.rules.RevertSlack+c.rules.Slack < h.attempt.StartedAt
+			if longBefore && newest.Doc.Revision < a.revision && c.isInContact(agent, h.at) {
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, after it acted by %d", h.attempt.ID, agent, &h, newest.Doc.Revision, a.revision)
+				break
+			}
+		}
+		previous := applied[agent]
+		if n := len(previous); h.service != "" && (n == 0 || previous[n-1].revision < lowest.Doc.Revision || previous[n-1].at < incarnation) {
+			applied[agent] = append(previous, appliedRevision{lowest.Doc.Revision, h.at})
+		}
+	}
+}
+
+// handlings are the executed and the not found requests, ordered by time.
+func (c *checker) handlings() (all []handling) {
 	for _, attempt := range c.Attempts {
 		for _, run := range c.runs[attempt.ID] {
 			all = append(all, handling{attempt, run.At, run.Service})
@@ -71,57 +107,42 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b handling) int { return cmp.Compare(a.at, b.at) })
-	type floor struct {
-		revision int
-		at       time.Duration
-	}
-	floors := map[string][]floor{} // by agent
-	for i := range all {
-		h := &all[i]
-		agent := h.attempt.Agent
-		var lowest, newest *ConfigChange // by which it may have been handled
-		wrong := false                   // a refused configuration handles it so
-		acked := 0                       // long enough ago
-		for _, change := range c.Changes {
-			if change.AckedAt > 0 && change.AckedAt+c.rules.Converge+c.rules.Slack < h.attempt.StartedAt {
-				acked = max(acked, change.Doc.Revision)
-			}
-			switch {
-			case change.SentAt > h.at || !h.matches(change.Doc):
-			case change.isRejected():
-				wrong = true
-			default:
-				if lowest == nil || change.Doc.Revision < lowest.Doc.Revision {
-					lowest = change
-				}
-				if newest == nil || change.Doc.Revision > newest.Doc.Revision {
-					newest = change
-				}
+	return all
+}
+
+// explain returns the lowest and the newest revision that lead to a handling, nil if there is none, and whether a
+// rejected change leads to it.
+func (c *checker) explain(h *handling) (lowest, newest *ConfigChange, byRejected bool) {
+	for _, change := range c.Changes {
+		switch {
+		case change.SentAt > h.at || !h.matches(change.Doc):
+		case change.isRejected():
+			byRejected = true
+		default:
+			if lowest == nil || change.Doc.Revision < lowest.Doc.Revision {
+				lowest = change
 			}
-		}
-		if newest == nil {
-			if wrong {
-				c.addViolation("CONFIG", h.at, "%s by %s: %v, as only a refused configuration has it", h.attempt.ID, agent, h)
+			if newest == nil || change.Doc.Revision > newest.Doc.Revision {
+				newest = change
 			}
-			continue // else none was there yet, or ROUTE tells
-		}
-		if newest.Doc.Revision < acked && c.isInContact(agent, h.at) {
-			c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, sent after %d was in force for long enough", h.attempt.ID, agent, h, newest.Doc.Revision, acked)
 		}
-		life := c.incarnationStart(agent, h.at)
-		for _, f := range floors[agent] {
-			if f.at >= life && f.at+c.rules.RevertSlack+c.rules.Slack < h.attempt.StartedAt && newest.Doc.Revision < f.revision && c.isInContact(agent, h.at) {
-				c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, after it acted by %d", h.attempt.ID, agent, h, newest.Doc.Revision, f.revision)
-				break
-			}
-		}
-		if fs := floors[agent]; h.service != "" && (len(fs) == 0 || fs[len(fs)-1].revision < lowest.Doc.Revision || fs[len(fs)-1].at < life) {
-			floors[agent] = append(fs, floor{lowest.Doc.Revision, h.at})
+	}
+	return lowest, newest, byRejected
+}
+
+// ackedLongBefore is the highest revision that was acknowledged so long before a time that all agents in contact have
+// applied it; 0 if there is none.
+func (c *checker) ackedLongBefore(at time.Duration) (revision int) {
+	for _, change := range c.Changes {
+		if change.AckedAt > 0 && change.AckedAt+c.rules.Converge+c.rules.Slack < at {
+			revision = max(revision, change.Doc.Revision)
 		}
 	}
+	return revision
 }
 
-// checkDenied judges own 3xx and 4xx on requests that every configuration in force allows.
+// checkDenied checks that agents in contact don't reject requests that every configuration in force allows (DENIED).
+// A few are tolerated.
 func (c *checker) checkDenied() {
 	var of []*Attempt
 	for _, attempt := range c.Attempts {
@@ -131,7 +152,7 @@
 		if slices.ContainsFunc(c.Records, func(record modelserver.Record) bool {
 			return record.Kind == modelserver.Unrunnable && record.Attempt == attempt.ID
 		}) {
-			continue // the server's own
+			continue // by the server
 		}
 		allowed, any := true, false
 		for _, change := range c.Changes {
@@ -149,7 +170,7 @@
 	}
 }
 
-// incarnationStart is when the life of an agent's process began that it is in at a time.
+// incarnationStart is the start of the incarnation in which an agent's process is at a time.
 func (c *checker) incarnationStart(agent string, at time.Duration) (from time.Duration) {
 	for _, attempt := range c.Faults {
 		if attempt.ProcessStart && attempt.Agent == agent && attempt.Begin <= at {
@@ -159,13 +180,14 @@
 	return from
 }
 
-// handling is what a request's handling tells of the configuration that was in force.
+// handling is how an agent handled a request, from which follows the configuration that it had applied.
 type handling struct {
 	attempt *Attempt
 	at      time.Duration
-	service string // that ran it; "": 404
+	service string // that executed it; "": status 404
 }
 
+// matches tells whether a configuration leads to this handling.
 func (h *handling) matches(d *Document) bool {
 	if h.service == "" {
 		return d.route(h.attempt.Host, h.attempt.Target) == nil
@@ -173,6 +195,7 @@
 	return slices.Contains(d.services(h.attempt.Host, h.attempt.Target), h.service)
 }
 
+// String describes the handling in a violation.
 func (h *handling) String() string {
 	if h.service == "" {
 		return "answered 404"
--- a/internal/testbed/fleetlab/check_requests.go
+++ b/internal/testbed/fleetlab/check_requests.go
@@ -7,7 +7,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// checkResponse judges MIXED and ORDER.
+// checkResponse checks that a response belongs to its request (MIXED) and that its events are complete and in order
+// (ORDER).
 func (c *checker) checkResponse(attempt *Attempt) {
 	if attempt.ExtraBytes {
 		c.addViolation("MIXED", attempt.EndedAt, "%s: bytes after the answer", attempt.ID)
@@ -69,7 +70,8 @@
 	}
 }
 
-// checkExecutions judges TWICE and REFUSED.
+// checkExecutions checks that a request that is not idempotent is executed at most once (TWICE), and not at all if it
+// was rejected (REFUSED).
 func (c *checker) checkExecutions(attempt *Attempt) {
 	runs := c.runs[attempt.ID]
 	if attempt.Idempotent {
@@ -86,7 +88,7 @@
 	}
 }
 
-// checkLosses judges what was cut around an ordered end.
+// checkLosses checks that the graceful shutdown of an agent breaks no request off (LOST).
 func (c *checker) checkLosses(attempt *Attempt) {
 	if attempt.SentAt == 0 || attempt.Complete || attempt.EndReason != Closed || attempt.EndedAt >= attempt.Deadline || attempt.Timeout > 0 && attempt.EndedAt >= attempt.SentAt+attempt.Timeout {
 		return
@@ -100,7 +102,7 @@
 		}) || c.serverFailed(attempt) {
 			return
 		}
-		// Still at work in the second half of the grace: it was too long.
+		// A request that is still executed in the second half of the grace was too long.
 		work := slices.ContainsFunc(c.runs[attempt.ID], func(record *serverRun) bool { return record.ended == 0 || record.ended >= run.Begin+c.rules.Grace/2 })
 		if work && attempt.EndedAt >= run.Begin+c.rules.Grace/2 {
 			return
@@ -115,7 +117,7 @@
 	}
 }
 
-// serverFailed tells whether a server broke off a run of the try itself.
+// serverFailed tells whether a server itself broke off an execution of the attempt.
 func (c *checker) serverFailed(attempt *Attempt) bool {
 	return slices.ContainsFunc(c.runs[attempt.ID], func(run *serverRun) bool {
 		return run.serverCrashed || run.ended > 0 && !run.complete && run.ended >= attempt.Deadline
--- a/internal/testbed/fleetlab/check_servers.go
+++ b/internal/testbed/fleetlab/check_servers.go
@@ -7,7 +7,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// readRecords pairs what servers say, and judges UNASKED and ROUTE.
+// readRecords pairs the records of the servers, and checks that each executed request was sent (UNASKED) and that a
+// configuration routes it to the service (ROUTE).
 func (c *checker) readRecords() {
 	for _, record := range c.Records {
 		switch record.Kind {
@@ -47,7 +48,7 @@
 	}
 }
 
-// checkDrains judges DRAIN.
+// checkDrains checks that agents send no request to a server after the acknowledgement of its drain (DRAIN).
 func (c *checker) checkDrains() {
 	told, away := map[string]modelserver.Record{}, map[[2]string]bool{}
 	for _, record := range c.Records {
@@ -73,7 +74,7 @@
 	}
 }
 
-// checkRetryBudget judges BUDGET, for each service.
+// checkRetryBudget checks that the repeated requests of each service stay within the retry budget (BUDGET).
 func (c *checker) checkRetryBudget() {
 	seen := map[string]bool{}
 	again, asked := map[string][]time.Duration{}, map[string][]time.Duration{}
--- a/internal/testbed/fleetlab/checker.go
+++ b/internal/testbed/fleetlab/checker.go
@@ -10,10 +10,10 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// Rules are the figures by which a run is judged.
+// Rules are the parameters of the checks.
 type Rules struct {
-	Stride      int           // tokens to an event
-	Contact     time.Duration // calm for so long is in touch
+	Stride      int           // tokens per event
+	Contact     time.Duration // an agent without faults for this long is in contact
 	Drain       time.Duration
 	Converge    time.Duration
 	RevertSlack time.Duration
@@ -22,26 +22,27 @@
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	Slack       time.Duration // that sockets and a busy machine add to each of these times
+	Slack       time.Duration // added to each of these durations, for sockets and a busy machine
 }
 
-// Violation is a broken rule.
+// Violation is a violated rule.
 type Violation struct {
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"text"`
 }
 
+// String is the violation as it is printed.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// checker holds what Check finds out.
+// checker is the state of a Check.
 type checker struct {
 	*Observations
 	rules      Rules
 	attempts   map[string]*Attempt
-	runs       map[string][]*serverRun // by attempt
+	runs       map[string][]*serverRun // by the id of the attempt
 	runsBySeal map[string]*serverRun
 	violations []Violation
 }
@@ -49,13 +50,14 @@
 // serverRun is one run of a request by a server.
 type serverRun struct {
 	modelserver.Record               // of its start
-	events             int           // events made
-	ended              time.Duration // 0: not seen
+	events             int           // events produced
+	ended              time.Duration // 0: not observed
 	complete           bool
-	serverCrashed      bool // its server broke it off
+	serverCrashed      bool // its server crashed before the end
 }
 
-// Check judges what was seen. The lists have to be in the order of time.
+// Check checks observations against the guarantees of the protocol and returns the violations, ordered by time. The
+// observations have to be ordered by time, too.
 func Check(s *Observations, rules Rules) []Violation {
 	j := &checker{Observations: s, rules: rules, attempts: map[string]*Attempt{}, runs: map[string][]*serverRun{}, runsBySeal: map[string]*serverRun{}}
 	for _, t := range s.Attempts {
@@ -83,7 +85,8 @@
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// isInContact tells whether an agent was calm, and the core stable, for long enough before a time.
+// isInContact tells whether an agent had no fault, and the core no change of faults, for Rules.Contact before a time.
+// Some guarantees hold only then.
 func (c *checker) isInContact(agent string, at time.Duration) bool {
 	for _, attempt := range c.Faults {
 		near := func(run time.Duration) bool { return run <= at && run+c.rules.Contact > at }
--- a/internal/testbed/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -17,68 +17,71 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// Class is a kind of request.
+// Class is a class of requests, with a route of its own.
 type Class struct {
 	Name             string
 	Host             string
-	Path             string // within the route's prefix, begins with it
+	Path             string // the route's path prefix
 	Share            float64
-	FirstEventTarget time.Duration // to the first event
+	FirstEventTarget time.Duration // latency target of the first event
 	EventGapTarget   time.Duration // between events
 	Deadline         time.Duration
 	Timeout          time.Duration // of its route
 	Resumable        bool
 	MaxRetries       int
-	SharedTokens     int // tokens of the part that a subject's requests share
-	OwnTokens        int // tokens of a request's own part, on the mean
-	MaxOutputTokens  int // tokens out
-	BodyBytes        int // bytes
+	SharedTokens     int // of the prompt prefix that the requests of one key share
+	OwnTokens        int // mean, of the rest of the prompt
+	MaxOutputTokens  int // of the response
+	BodyBytes        int // mean
 }
 
-// commonPrefixTokens is the first part of all prompts of a class: its tokens.
+// commonPrefixTokens is the length of the prompt prefix that all requests of a class share.
 const commonPrefixTokens = 128
 
 const (
-	connectTimeout = time.Second // for a new connection to come up
-	// idleConnTimeout is how long a client keeps an idle connection; the routes' limit is longer.
+	// connectTimeout bounds a connect.
+	connectTimeout = time.Second
+	// idleConnTimeout is how long a client keeps an idle connection. The agents' limit is longer.
 	idleConnTimeout = 4 * time.Second
-	// defaultRetryDelay is how long a client waits where it is not told.
+	// defaultRetryDelay is the pause before a retry without Retry-After.
 	defaultRetryDelay = 60 * time.Millisecond
-	maxErrorBody      = 64 << 10
-	// forwardTarget is how long an event may take from its server to the client.
+	// maxErrorBody bounds the bytes that are read of an error response.
+	maxErrorBody = 64 << 10
+	// forwardTarget is the latency target of an event from its server to the client.
 	forwardTarget = 120 * time.Millisecond
 )
 
-// idleTimeout is after how much of it a client gives a stream up.
+// idleTimeout is how long a client waits for the next event.
 func (c *Class) idleTimeout() time.Duration {
 	return max(2*time.Second, 4*c.FirstEventTarget, 8*c.EventGapTarget)
 }
 
-// Verdict is what came of an ask, its tries together.
+// Verdict is the outcome of a request over all its attempts. Up to Late it was served.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Served Verdict = iota
-	Late
-	Rejected
+	Served   Verdict = iota // completely, within the latency targets
+	Late                    // completely, beyond a latency target
+	Rejected                // by status 503, 429, 408 or 421: the agent guarantees that it was not executed
 	Failed
 )
 
+// String is the verdict in lower case.
 func (v Verdict) String() string { return [...]string{"served", "late", "refused", "failed"}[v] }
 
-// Outcome is the end of an ask.
+// Outcome is the outcome of a request.
 type Outcome struct {
 	Class          *Class
 	Verdict        Verdict
-	FailureReason  string // of a failure
+	FailureReason  string // "" if served
 	Attempts       int
-	FirstEvent     time.Duration // to the first event, from the first try; 0: none came
-	LongestGap     time.Duration // the longest between events
-	LongestForward time.Duration // the longest that an event took from its server
+	FirstEvent     time.Duration // from the first attempt to the first event; 0: no event
+	LongestGap     time.Duration // between two events
+	LongestForward time.Duration // from the server to the client, of one event
 }
 
-// Clients ask, as many as there are, over connections that some keep.
+// Clients send requests. Some reuse connections. Its methods may be called concurrently.
 type Clients struct {
 	classes  []*Class
 	balancer *LoadBalancer
@@ -86,19 +89,20 @@
 	recorder *recorder
 	seed     uint64
 	zones    []string
-	idPrefix string // tells the ids of these clients from others'
+	idPrefix string // of the ids of the attempts
 
 	mu   sync.Mutex
-	idle map[int][]*conn // by client
+	idle map[int][]*conn // by the number of the client
 
 	inProgress sync.WaitGroup
 }
 
+// newClients creates clients that are distributed over zones.
 func newClients(classes []*Class, e *LoadBalancer, now func() time.Duration, s *recorder, seed uint64, zones []string, tag string) *Clients {
 	return &Clients{classes: classes, balancer: e, now: now, recorder: s, seed: seed, zones: zones, idPrefix: tag, idle: map[int][]*conn{}}
 }
 
-// request is one thing that a client wants.
+// request is what a client sends, possibly in several attempts.
 type request struct {
 	class  *Class
 	client int
@@ -107,7 +111,7 @@
 	body   string
 }
 
-// newRequest draws an ask; equal plans give equal asks.
+// newRequest draws the details of a planned request: they follow from the seed and the request's number.
 func (c *Clients) newRequest(planned *loadgen.Ask) *request {
 	class := c.classes[planned.Class]
 	random := rand.New(rand.NewPCG(c.seed, uint64(planned.Number)))
@@ -119,8 +123,8 @@
 			modelserver.Sum(c.idPrefix, strconv.Itoa(planned.Number))>>32, ownTokens), Body: modelserver.Sum(body)}}
 }
 
-// Run sends the asks of a plan at their times and tells done of each outcome, from many
-// goroutines. It returns when all are out.
+// Run sends the requests of a plan at their times and passes each outcome to done, concurrently. It returns after the
+// last outcome.
 func (c *Clients) Run(ctx context.Context, plan []loadgen.Ask, done func(Outcome)) {
 	start := c.now()
 	timer := time.NewTimer(0)
@@ -139,7 +143,7 @@
 	c.inProgress.Wait()
 }
 
-// Close ends the connections that are kept, and looks once more for what came on them.
+// Close closes the idle connections, and checks once more that nothing has arrived on them.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,13 +156,13 @@
 	c.idle = map[int][]*conn{}
 }
 
-// send sends a request, and again as its client does.
+// send sends a request and retries it as its class allows.
 func (c *Clients) send(ctx context.Context, request *request) Outcome {
 	class := request.class
 	startedAt := c.now()
 	deadline := startedAt + class.Deadline
 	outcome := Outcome{Class: class}
-	var got []ReceivedEvent // over the tries: a stream may be taken up
+	var got []ReceivedEvent // of all attempts: a stream may be resumed
 	for {
 		outcome.Attempts++
 		after := 0
@@ -193,7 +197,7 @@
 	}
 }
 
-// update notes what a try made of an ask.
+// update derives the outcome from the last attempt and the events of all attempts.
 func (o *Outcome) update(t *Attempt, got []ReceivedEvent, began time.Duration) {
 	o.FirstEvent, o.LongestGap, o.LongestForward, o.FailureReason = 0, 0, 0, ""
 	for i, e := range got {
@@ -221,7 +225,8 @@
 	}
 }
 
-// acquireConn gives a connection: one that is kept on the first try, else a new one.
+// acquireConn returns an idle connection of the client for a first attempt if there is one, else a new one, and the IP
+// of its agent.
 func (c *Clients) acquireConn(ctx context.Context, client, try int) (*conn, string, error) {
 	for try == 1 {
 		c.mu.Lock()
@@ -240,12 +245,12 @@
 	}
 	endpoint := c.balancer.Pick(c.zones[client%len(c.zones)], client, try)
 	if endpoint == nil {
-		return nil, "", errors.New("nobody to connect to")
+		return nil, "", errors.New("no agent to connect to")
 	}
 	return dial(ctx, endpoint)
 }
 
-// isQuiet tells whether nothing came on an idle connection, and notes it if something did.
+// isQuiet tells whether an idle connection is open and nothing has arrived on it. It records unexpected bytes.
 func (c *Clients) isQuiet(conn *conn) bool {
 	if conn.reader.Buffered() > 0 {
 		c.recordExtraBytes(conn)
@@ -269,6 +274,7 @@
 	return errors.Is(recvErr, unix.EAGAIN)
 }
 
+// recordExtraBytes records bytes that arrived after the last response of a connection.
 func (c *Clients) recordExtraBytes(conn *conn) {
 	c.recorder.mu.Lock()
 	defer c.recorder.mu.Unlock()
@@ -277,7 +283,7 @@
 	}
 }
 
-// releaseConn puts a connection away for the client's next request.
+// releaseConn makes a connection available to the next request of the client.
 func (c *Clients) releaseConn(client int, conn *conn, attempt *Attempt) {
 	conn.lastAttempt, conn.idleSince = attempt, c.now()
 	c.mu.Lock()
@@ -285,7 +291,7 @@
 	c.idle[client] = append(c.idle[client], conn)
 }
 
-// attempt is one request on the wire, with an id of its own.
+// attempt sends a request once, under an id of its own.
 func (c *Clients) attempt(ctx context.Context, request *request, n, after int, end time.Duration) *Attempt {
 	class := request.class
 	attempt := &Attempt{ID: fmt.Sprintf("%s%06x-%d", c.idPrefix, request.number, n), Class: class.Name, Method: http.MethodPost, Host: class.Host,
--- a/internal/testbed/fleetlab/client_conn.go
+++ b/internal/testbed/fleetlab/client_conn.go
@@ -16,79 +16,90 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// conn is a connection of a client with an agent.
+// maxEventLines bounds the lines of one event.
+const maxEventLines = 16
+
+// conn is a connection of a client to an agent.
 type conn struct {
 	*net.TCPConn
 	reader      *bufio.Reader
-	agent       string
-	lastAttempt *Attempt
-	idleSince   time.Duration
+	agent       string        // IP
+	lastAttempt *Attempt      // nil: none yet
+	idleSince   time.Duration // by the clock of the fleet
 }
 
-// exchange sends a request and reads its answer. It tells whether the connection can be used
-// again. A client that keeps none says so.
-func (c *conn) exchange(ctx context.Context, now func() time.Duration, attempt *Attempt, body string, keep bool, silence time.Duration) (again bool) {
+// exchange sends a request and reads its response into the attempt. It tells whether the connection can be reused.
+// Without keep the client asks the agent to close it.
+func (c *conn) exchange(ctx context.Context, now func() time.Duration, attempt *Attempt, body string, keep bool, idleTimeout time.Duration) (reusable bool) {
 	defer func() { attempt.EndedAt = now() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	patience := func(d time.Duration) { // at most d, and not past the deadline
+	extendDeadline := func() { // by idleTimeout, at most to the deadline of the attempt
 		if ctx.Err() == nil {
-			_ = c.SetDeadline(time.Now().Add(min(d, attempt.Deadline-now())))
+			_ = c.SetDeadline(time.Now().Add(min(idleTimeout, attempt.Deadline-now())))
 		}
 	}
-	patience(silence)
-	text := "POST " + attempt.Target + " HTTP/1.1\r\nHost: " + attempt.Host + "\r\n" + modelserver.HeaderAttempt + ": " + attempt.ID + "\r\n" +
-		modelserver.HeaderModel + ": " + attempt.Prompt.Model + "\r\n" + modelserver.HeaderTokens + ": " + attempt.Prompt.Tokens + "\r\n" +
-		modelserver.HeaderPrefix + ": " + attempt.Prompt.Prefix + "\r\n" +
-		modelserver.HeaderDeadline + ": " + strconv.FormatInt(max((attempt.Deadline-now()).Milliseconds(), 1), 10) + "\r\n"
-	if attempt.AfterEvent > 0 {
-		text += modelserver.HeaderLastID + ": " + strconv.Itoa(attempt.AfterEvent) + "\r\n"
-	}
-	if !keep {
-		text += "Connection: close\r\n"
+	extendDeadline()
+	if _, err := io.WriteString(c, attempt.encode(body, keep, attempt.Deadline-now())); err == nil {
+		attempt.SentAt = now()
+	} // else there may be a response already
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
+	if err != nil {
+		attempt.recordFailure(err)
+		return false
 	}
-	if attempt.Prompt.Body%3 == 0 { // some bodies come in chunks
-		half := len(body) / 2
-		text += "Transfer-Encoding: chunked\r\n\r\n"
-		for _, part := range []string{body[:half], body[half:]} {
-			if part != "" {
-				text += strconv.FormatInt(int64(len(part)), 16) + "\r\n" + part + "\r\n"
-			}
-		}
-		text += "0\r\n\r\n"
+	defer response.Body.Close()
+	attempt.recordHeader(response)
+	if attempt.Status/100 == 2 {
+		err = attempt.readEvents(response.Body, now, extendDeadline)
 	} else {
-		text += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBody))
 	}
-	if _, err := io.WriteString(c, text); err == nil {
-		attempt.SentAt = now()
-	} // else an answer may be there already
-	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		attempt.recordFailure(err)
 		return false
 	}
-	defer resp.Body.Close()
-	attempt.Status, attempt.Seal, attempt.AttemptHeader = resp.StatusCode, resp.Header.Get(modelserver.HeaderSeal), resp.Header.Get(modelserver.HeaderAttempt)
-	attempt.Encoded = resp.Header.Get("Content-Encoding") != ""
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		attempt.RetryAfter = time.Duration(s * float64(time.Second))
+	attempt.Complete = true
+	return keep && !response.Close
+}
+
+// encode is the request as it is sent, for a client that waits for a duration. Every third body is sent in chunks.
+func (a *Attempt) encode(body string, keep bool, timeLeft time.Duration) string {
+	text := "POST " + a.Target + " HTTP/1.1\r\nHost: " + a.Host + "\r\n" + modelserver.HeaderAttempt + ": " + a.ID + "\r\n" +
+		modelserver.HeaderModel + ": " + a.Prompt.Model + "\r\n" + modelserver.HeaderTokens + ": " + a.Prompt.Tokens + "\r\n" +
+		modelserver.HeaderPrefix + ": " + a.Prompt.Prefix + "\r\n" +
+		modelserver.HeaderDeadline + ": " + strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10) + "\r\n"
+	if a.AfterEvent > 0 {
+		text += modelserver.HeaderLastID + ": " + strconv.Itoa(a.AfterEvent) + "\r\n"
+	}
+	if !keep {
+		text += "Connection: close\r\n"
+	}
+	if a.Prompt.Body%3 != 0 {
+		return text + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 	}
-	if attempt.Status/100 != 2 {
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxErrorBody)); err != nil {
-			attempt.recordFailure(err)
-			return false
+	text += "Transfer-Encoding: chunked\r\n\r\n"
+	half := len(body) / 2
+	for _, chunk := range []string{body[:half], body[half:]} {
+		if chunk != "" {
+			text += strconv.FormatInt(int64(len(chunk)), 16) + "\r\n" + chunk + "\r\n"
 		}
-		attempt.Complete = true
-		return keep && !resp.Close
 	}
-	if err := attempt.readEvents(resp.Body, now, func() { patience(silence) }); err != nil {
-		attempt.recordFailure(err)
-		return false
+	return text + "0\r\n\r\n"
+}
+
+// recordHeader records the status and the header of a response.
+func (a *Attempt) recordHeader(response *http.Response) {
+	a.Status = response.StatusCode
+	a.Seal = response.Header.Get(modelserver.HeaderSeal)
+	a.AttemptHeader = response.Header.Get(modelserver.HeaderAttempt)
+	a.Encoded = response.Header.Get("Content-Encoding") != ""
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		a.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	attempt.Complete = true
-	return keep && !resp.Close
 }
 
+// dial connects to an agent. It returns the agent's IP also with an error.
 func dial(ctx context.Context, a *Endpoint) (*conn, string, error) {
 	d := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	n, err := d.DialContext(ctx, "tcp", a.Front)
@@ -98,14 +109,14 @@
 	return &conn{TCPConn: n.(*net.TCPConn), reader: bufio.NewReaderSize(n, 4<<10), agent: a.IP}, a.IP, nil
 }
 
-// readEvents reads the events of a stream to the end of its body.
-func (a *Attempt) readEvents(body io.Reader, now func() time.Duration, more func()) error {
+// readEvents reads the events of a stream to the end of its body, and calls received after each.
+func (a *Attempt) readEvents(body io.Reader, now func() time.Duration, received func()) error {
 	in := bufio.NewReader(body)
 	var lines []string
 	for {
 		line, err := in.ReadString('\n')
 		if err == io.EOF && (line != "" || len(lines) > 0) {
-			a.ProtocolError = fmt.Sprintf("half an event at the end: %q", append(lines, line))
+			a.ProtocolError = fmt.Sprintf("incomplete event at the end: %q", append(lines, line))
 		}
 		if err == io.EOF {
 			return nil
@@ -114,8 +125,8 @@
 			return err
 		}
 		if line = strings.TrimRight(line, "\r\n"); line != "" {
-			if lines = append(lines, line); len(lines) > 16 {
-				return errors.New("an event of over 16 lines")
+			if lines = append(lines, line); len(lines) > maxEventLines {
+				return errors.Errorf("an event of over %d lines", maxEventLines)
 			}
 			continue
 		}
@@ -124,11 +135,11 @@
 			return err
 		}
 		a.Events, lines = append(a.Events, ReceivedEvent{event, now()}), nil
-		more()
+		received()
 	}
 }
 
-// recordFailure notes how an answer ended that did not come whole.
+// recordFailure records why a response is incomplete.
 func (a *Attempt) recordFailure(err error) {
 	var timeout net.Error
 	var op *net.OpError
--- a/internal/testbed/fleetlab/config_document.go
+++ b/internal/testbed/fleetlab/config_document.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Document is an operator's configuration as it travels. It is written down apart from the
-// daemon's own, so that one checks the other.
+// Document is an operator's configuration, as it is sent. It is independent of package config on purpose, so that
+// each checks the other.
 type Document struct {
 	Revision int       `json:"revision"`
 	Routes   []Route   `json:"routes"`
@@ -19,7 +19,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route is one route.
+// Route is one route. Durations are in milliseconds.
 type Route struct {
 	Name             string  `json:"name"`
 	Host             string  `json:"hostname"`
@@ -34,16 +34,16 @@
 	Affinity         bool    `json:"affinity"`
 	Resumable        bool    `json:"resumable"`
 	EventGapTargetMs int     `json:"gap_aim_ms,omitempty"`
-	Comment          string  `json:"x-note,omitempty"` // a field that nobody knows: it has to come back
+	Comment          string  `json:"x-note,omitempty"` // an unknown field, which has to be preserved
 }
 
-// Split is a part of a route's traffic.
+// Split is a service's weight in the traffic of a route.
 type Split struct {
 	Service string  `json:"target-service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is one service of model servers.
+// Service is a group of model servers.
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"health-path"`
@@ -53,7 +53,7 @@
 	Engine     Engine `json:"inference-engine"`
 }
 
-// Engine is what is told of a service's servers.
+// Engine describes the inference engine of a service's servers.
 type Engine struct {
 	Slots        int           `json:"slots"`
 	CacheTokens  int           `json:"cache-tokens"`
@@ -63,12 +63,12 @@
 	Models       []EngineModel `json:"models"`
 }
 
-// EngineModel is a model of a service.
+// EngineModel is a model that a service serves.
 type EngineModel struct {
 	Name string `json:"name"`
 }
 
-// Limits bound what clients may send.
+// Limits bound what clients may send, in bytes and milliseconds.
 type Limits struct {
 	HeaderBytes int `json:"header-bytes"`
 	BodyBytes   int `json:"body-bytes"`
@@ -89,20 +89,20 @@
 	Services []Service `json:"services,omitempty"`
 }
 
-// Remove takes items away by name.
+// Remove removes items by name.
 type Remove struct {
 	Routes   []string `json:"routes,omitempty"`
 	Services []string `json:"services,omitempty"`
 }
 
-// clone is a copy that shares nothing that changes.
+// clone is a copy with lists of its own.
 func (d *Document) clone() *Document {
 	c := *d
 	c.Routes, c.Services = slices.Clone(d.Routes), slices.Clone(d.Services)
 	return &c
 }
 
-// withPatch is the configuration after a patch.
+// withPatch is a copy with a patch applied.
 func (d *Document) withPatch(p *Patch) *Document {
 	c := d.clone()
 	c.Revision = p.Revision
@@ -125,7 +125,7 @@
 	return c
 }
 
-// route is the one of a request; nil if none fits.
+// route is the route with the longest prefix that matches a request; nil if none does.
 func (d *Document) route(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
@@ -138,7 +138,7 @@
 	return best
 }
 
-// services are where a request may go by the configuration.
+// services are the services that may serve a request.
 func (d *Document) services(host, target string) []string {
 	r := d.route(host, target)
 	if r == nil {
@@ -156,8 +156,7 @@
 	return out
 }
 
-// matchesJSON tells whether what was read back is the configuration, whatever the order of its
-// named items.
+// matchesJSON returns an error unless a text is the configuration. The order of named items does not matter.
 func (d *Document) matchesJSON(text []byte) error {
 	want, err := json.Marshal(d)
 	if err != nil {
@@ -179,7 +178,7 @@
 	return nil
 }
 
-// decodeByName reads a configuration with its lists as maps.
+// decodeByName decodes a configuration, with its lists as maps by name.
 func decodeByName(text []byte) (map[string]any, error) {
 	var m map[string]any
 	dec := json.NewDecoder(bytes.NewReader(text))
--- a/internal/testbed/fleetlab/fleet.go
+++ b/internal/testbed/fleetlab/fleet.go
@@ -1,9 +1,9 @@
-// Package fleetlab plays the whole router fleet on loopback: processes of the daemon, model
-// servers, the entry, clients, an operator, faults, and a referee that judges what clients,
-// servers and the operator saw by the rules of the protocol.
+// Package fleetlab runs a complete router fleet on loopback: processes of the daemon, model servers, the platform's
+// load balancer, clients, an operator and faults. A checker checks what clients, servers and the operator observe
+// against the guarantees of the protocol.
 //
-// Each machine has a loopback address of its own, so that ports are alike on all of them. The
-// laboratory ends only processes that it started.
+// Each machine has a loopback address of its own, so that its ports are the same on all machines. The laboratory ends
+// only processes that it has started.
 package fleetlab
 
 import (
@@ -23,12 +23,12 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/process"
 )
 
-// Config is a fleet.
+// Config describes a fleet and its workload.
 type Config struct {
-	Program       string // the daemon's
-	Dir           string // for settings, state and logs
+	Program       string // path of the daemon's program
+	Dir           string // for settings, state and logs; a folder of each agent is created in it
 	Agents        int
-	Core          int // of them with a disk, the first ones
+	Core          int // the number of agents, the first ones, that have a disk
 	Servers       int
 	Zones         int
 	Clients       int
@@ -37,20 +37,20 @@
 	Bounds        Bounds
 	Engine        modelserver.EngineConfig
 	Classes       []*Class
-	ProbeInterval time.Duration // the entry's period
+	ProbeInterval time.Duration // of the load balancer
 }
 
-// hostname is that of all routes.
+// hostname is the host of all routes.
 const hostname = "desk.example"
 
-// The services: most servers are of the first.
+// The services. Most servers belong to the first.
 const (
 	serviceA = "llm-a"
 	serviceB = "llm-b"
 )
 
-// DefaultConfig is a fleet of so many, with two kinds of requests: long ones that must not run
-// twice, and short urgent ones that may be taken up elsewhere.
+// DefaultConfig describes a fleet with two classes of requests: long ones that must not be executed twice, and short
+// urgent ones whose streams may be resumed elsewhere.
 func DefaultConfig(agents, core, servers int) Config {
 	return Config{Agents: agents, Core: core, Servers: servers, Zones: min(3, agents), Clients: 4 * agents, Seed: 1, MemoryMB: 284, Bounds: DefaultBounds(),
 		Engine:        modelserver.EngineConfig{Slots: 32, Queue: 64, StepMs: 4, SlotMs: 0.05, PrefillPerMs: 64, Chunk: 2048, KVTokens: 200_000, Stride: 4},
@@ -63,7 +63,7 @@
 		}}
 }
 
-// Fleet is a fleet that runs. Close ends it.
+// Fleet is a running fleet. Its methods may be called concurrently, except for Close.
 type Fleet struct {
 	cfg          Config
 	startedAt    time.Time
@@ -84,11 +84,11 @@
 	stoppedServers []*modelserver.Server
 }
 
-// Now is the laboratory's clock.
+// Now is the time since the start of the fleet: the clock of all observations.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
-// Start starts all processes at once, sends the first configuration, starts the model servers
-// and waits until every agent is ready and serves each route, or ctx ends.
+// Start starts all processes at once, sends the initial configuration, starts the model servers and waits until every
+// agent is ready and serves each route, or ctx ends. The caller closes the fleet.
 func Start(ctx context.Context, cfg Config) (*Fleet, error) {
 	if cfg.Agents < 1 || cfg.Core < 1 || cfg.Core > cfg.Agents || cfg.Agents > 80 || cfg.Servers < 2 || cfg.Servers > 80 || cfg.Zones < 1 || cfg.Clients < 1 {
 		return nil, errors.Errorf("%d agents, %d of the core, %d servers, %d zones, %d clients: give 1 to 80 agents, some of the core, 2 to 80 servers", cfg.Agents, cfg.Core, cfg.Servers, cfg.Zones, cfg.Clients)
@@ -113,8 +113,8 @@
 	for i := range cfg.Agents {
 		a := &Agent{Name: fmt.Sprintf("edge-%d", i+1), IP: f.subnet.ip(10 + i), Zone: f.zones[i%cfg.Zones], Core: i < cfg.Core, fleet: f}
 		a.dir = filepath.Join(cfg.Dir, a.Name)
-		if err := os.Mkdir(a.dir, 0o755); err != nil { // a first start has empty disks
-			return errors.Wrap(err, "give an empty folder that is there")
+		if err := os.Mkdir(a.dir, 0o755); err != nil { // it must not exist: the disks are empty at a first start
+			return errors.Wrap(err, "create the folder of an agent: give an empty folder that exists")
 		}
 		f.Agents = append(f.Agents, a)
 	}
@@ -146,7 +146,7 @@
 	return f.WaitServing(ctx)
 }
 
-// initialDocument is the configuration that a fleet begins with.
+// initialDocument is the configuration that a fleet starts with.
 func (f *Fleet) initialDocument() *Document {
 	d := &Document{Revision: 3, Limits: Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000}}
 	for i, c := range f.cfg.Classes {
@@ -174,7 +174,7 @@
 	return list
 }
 
-// Check ends nothing: it judges what was seen so far.
+// Check checks what was observed so far. The fleet keeps running.
 func (f *Fleet) Check() []Violation {
 	s := f.recorder.snapshot()
 	for _, a := range f.Agents {
@@ -187,7 +187,7 @@
 		Grace: b.Grace, RetryRatio: b.RetryRatio, RetryWindow: b.RetryWindow, RetrySlack: b.RetrySlack, Slack: 50 * time.Millisecond})
 }
 
-// ReadBack has the operator read the configuration, for the referee to judge.
+// ReadBack reads the configuration, for Check.
 func (f *Fleet) ReadBack(ctx context.Context) {
 	text, err := f.Operator.ReadBack(ctx)
 	f.recorder.mu.Lock()
@@ -195,7 +195,7 @@
 	f.recorder.ReadBack, f.recorder.ReadErr = text, err
 }
 
-// Close ends all: servers, processes, and what waits for them.
+// Close ends servers, processes and goroutines, and releases the subnet.
 func (f *Fleet) Close() {
 	if f.LoadBalancer != nil {
 		f.LoadBalancer.Close()
--- a/internal/testbed/fleetlab/load_balancer.go
+++ b/internal/testbed/fleetlab/load_balancer.go
@@ -14,16 +14,17 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// maxMissedProbes is how many questions in a row an agent may miss before it gets no connections.
+// maxMissedProbes is the number of consecutive failed probes after which an agent gets no connections.
 const maxMissedProbes = 2
 
-// Endpoint is an agent as the entry knows it.
+// Endpoint is an agent as the load balancer knows it.
 type Endpoint struct {
 	IP, Zone         string
 	Front, Readiness string
 }
 
-// LoadBalancer is the platform's: it asks agents whether they are ready, and gives each client one.
+// LoadBalancer stands for the platform's: it probes the readiness of the agents and assigns one to each client. Its
+// methods may be called concurrently.
 type LoadBalancer struct {
 	endpoints     []Endpoint
 	probeInterval time.Duration
@@ -37,18 +38,18 @@
 	changed      chan struct{}
 }
 
-// newLoadBalancer asks the agents at once and then each period.
-func newLoadBalancer(doors []Endpoint, every time.Duration) *LoadBalancer {
+// newLoadBalancer starts to probe the agents, at once and then periodically.
+func newLoadBalancer(endpoints []Endpoint, probeInterval time.Duration) *LoadBalancer {
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &LoadBalancer{endpoints: doors, probeInterval: every, cancel: cancel, isReady: make([]bool, len(doors)), missedProbes: make([]int, len(doors)), changed: make(chan struct{}),
-		client: &http.Client{Timeout: every, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: every, KeepAlive: -1}).DialContext}}}
-	for i := range doors {
+	e := &LoadBalancer{endpoints: endpoints, probeInterval: probeInterval, cancel: cancel, isReady: make([]bool, len(endpoints)), missedProbes: make([]int, len(endpoints)), changed: make(chan struct{}),
+		client: &http.Client{Timeout: probeInterval, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: probeInterval, KeepAlive: -1}).DialContext}}}
+	for i := range endpoints {
 		e.probing.Go(func() { e.probeLoop(ctx, i) })
 	}
 	return e
 }
 
-// Close ends it.
+// Close stops the probes and waits for them.
 func (b *LoadBalancer) Close() {
 	b.cancel()
 	b.probing.Wait()
@@ -82,7 +83,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // nobody reads it
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<10)) // only the status counts
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -98,7 +99,7 @@
 	b.changed = make(chan struct{})
 }
 
-// Ready tells which agents get new connections, by IP.
+// Ready returns the agents that get new connections, by IP.
 func (b *LoadBalancer) Ready() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,7 +112,7 @@
 	return m
 }
 
-// WaitReady waits until the agents that are in are as wanted.
+// WaitReady waits until the ready agents satisfy a condition. The error is that of ctx.
 func (b *LoadBalancer) WaitReady(ctx context.Context, want func(ready map[string]bool) bool) error {
 	for {
 		b.mu.Lock()
@@ -128,8 +129,9 @@
 	}
 }
 
-// Pick gives a client of a zone an agent: the same one while the agents that are in stay the
-// same, and another one for each further try. Nil where there is none at all.
+// Pick assigns an agent to a client of a zone by rendezvous hashing: the same one while the ready agents stay the same,
+// and another one for each retry. It prefers ready agents of the zone; if fewer than half of the zone are ready it
+// distrusts the probes and uses the whole zone. Nil if there is no agent at all.
 func (b *LoadBalancer) Pick(zone string, client, try int) *Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testbed/fleetlab/model_servers.go
+++ b/internal/testbed/fleetlab/model_servers.go
@@ -7,7 +7,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// startServer starts a server in a place, as a new incarnation.
+// startServer starts server i, as a new incarnation if there was one.
 func (f *Fleet) startServer(i int) error {
 	service := serviceA
 	if i%3 == 2 || i == f.cfg.Servers-1 && i < 3 {
@@ -33,18 +33,18 @@
 	return nil
 }
 
-// Server is the one in a place.
+// Server is the current incarnation of server i.
 func (f *Fleet) Server(i int) *modelserver.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[i]
 }
 
-// addressReuseDelay is how long the address of a server that has ended is not used again.
+// addressReuseDelay is how long the address of a stopped server is not reused.
 const addressReuseDelay = 2 * time.Second
 
-// RestartServer starts a server in the place of one that has ended, as soon as its address may
-// be used again, and waits until it is known.
+// RestartServer starts server i again after its end, as soon as its address may be reused, and waits until it is
+// registered.
 func (f *Fleet) RestartServer(ctx context.Context, i int) error {
 	if !sleep(ctx, addressReuseDelay) {
 		return ctx.Err()
@@ -60,5 +60,5 @@
 	}
 }
 
-// connLimit is of each server.
+// connLimit is the connection limit of each server.
 const connLimit = 330
--- a/internal/testbed/fleetlab/observations.go
+++ b/internal/testbed/fleetlab/observations.go
@@ -9,10 +9,10 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// Attempt is one request of a client as it saw it. Times are of the laboratory's clock.
+// Attempt is one request of a client, as the client observed it. Times are those of Fleet.Now.
 type Attempt struct {
 	ID         string
-	Agent      string // the IP of the agent that the connection is with
+	Agent      string // IP of the agent that the client is connected with
 	Class      string
 	Method     string
 	Host       string
@@ -20,92 +20,92 @@
 	Prompt     modelserver.Prompt
 	Idempotent bool
 	Resumable  bool
-	AfterEvent int // the event that it goes on after
+	AfterEvent int // resume after this event; 0: from the start
 
-	StartedAt time.Duration // the client began to write
-	SentAt    time.Duration // its last byte was written; 0: it was not
-	Deadline  time.Duration // until which the client waits
+	StartedAt time.Duration // the client began to connect
+	SentAt    time.Duration // its last byte was written; 0: never
+	Deadline  time.Duration // the client waits no longer
 	Timeout   time.Duration // of its route
 	EndedAt   time.Duration
 
-	Status        int       // 0: no head came
-	Seal          string    // of the answer
-	AttemptHeader string    // the answer's attempt id
-	Encoded       bool      // the answer came with a content encoding
-	Complete      bool      // the end of the body came
-	EndReason     EndReason // how it ended, if not complete
-	ProtocolError string    // what came that is no answer
-	ExtraBytes    bool      // bytes came after the answer
+	Status        int       // 0: no response header arrived
+	Seal          string    // of the response: it identifies the run of a server
+	AttemptHeader string    // attempt id in the response
+	Encoded       bool      // the response has a Content-Encoding
+	Complete      bool      // the end of the body arrived
+	EndReason     EndReason // why it ended; Completed if Complete
+	ProtocolError string    // what the agent sent instead of a response; "": nothing
+	ExtraBytes    bool      // bytes arrived after the response
 	Events        []ReceivedEvent
-	RetryAfter    time.Duration // Retry-After
+	RetryAfter    time.Duration // of the response's Retry-After header; 0: none
 }
 
-// ReceivedEvent is an event as a client got it.
+// ReceivedEvent is an event of a stream and when the client received it.
 type ReceivedEvent struct {
 	modelserver.Event
 	ReceivedAt time.Duration
 }
 
-// EndReason is how a try ended that did not complete.
+// EndReason is why an attempt ended.
 type EndReason uint8
 
-// The ends.
+// The reasons.
 const (
 	Completed EndReason = iota
-	NoConnect           // no connection came up
+	NoConnect           // no connection was established
 	Closed              // the agent ended the connection
-	TimedOut            // the client did, after its deadline or a silence
-	Malformed           // what came is no answer
+	TimedOut            // the client closed it after its deadline or its idle timeout
+	Malformed           // the response violates the protocol
 )
 
 func (e EndReason) String() string {
 	return [...]string{"whole", "no connection", "cut", "given up", "spoilt"}[e]
 }
 
-// ConfigChange is one change of the configuration as the operator sent it.
+// ConfigChange is one change of the configuration, as the operator sent it.
 type ConfigChange struct {
-	BaseRevision int       // the version that it builds on
-	Doc          *Document // what it makes
+	BaseRevision int       // revision that it is based on
+	Doc          *Document // the configuration that it leads to
 	Valid        bool
 	SentAt       time.Duration
-	AckedAt      time.Duration // 0: it was not
-	AckedBy      string        // the agent's IP that acknowledged it
-	RejectStatus int           // the status of a clear refusal; 0: none
+	AckedAt      time.Duration // 0: not acknowledged
+	AckedBy      string        // IP of the agent that acknowledged it
+	RejectStatus int           // status of a definite rejection; 0: none
 }
 
-// isRejected tells whether the change must never be in force.
+// isRejected tells whether no agent may ever apply the change.
 func (c *ConfigChange) isRejected() bool { return c.RejectStatus != 0 || !c.Valid }
 
-// Fault is what the laboratory did to an agent.
+// Fault is a fault that was injected into an agent, or a start of its process.
 type Fault struct {
 	Agent        string // IP
 	Core         bool
-	Graceful     bool // a SIGTERM
-	ProcessStart bool // a start: a new life of its process
+	Graceful     bool // by SIGTERM
+	ProcessStart bool // a start: a new incarnation
 	Begin, End   time.Duration
-	Active       bool // it is not over
+	Active       bool // it has not ended
 }
 
-// Observations is all that clients, servers and the operator saw of a run.
+// Observations are what clients, servers and the operator observed in a run.
 type Observations struct {
 	Attempts        []*Attempt
 	Records         []modelserver.Record
 	Changes         []*ConfigChange
 	Faults          []Fault
-	UnexpectedExits []string // processes that ended by themselves, and how
-	ReadBack        []byte   // at the end; nil if it was not asked for
+	UnexpectedExits []string // processes that ended without a fault, and how
+	ReadBack        []byte   // configuration at the end; nil: not read
 	ReadErr         error
 }
 
-// recorder collects, from many goroutines.
+// recorder collects observations. Its methods may be called concurrently.
 type recorder struct {
 	mu sync.Mutex
 	Observations
-	inProgress map[string]string // tries under way: id to agent
-	changed    chan struct{}     // closed at the next record; nil while nobody waits
+	inProgress map[string]string // IP of the agent, by the id of the attempt
+	changed    chan struct{}     // closed at the next record of a server; nil while nobody waits
 }
 
-// attemptStarted notes a try that is under way with an agent.
+// attemptStarted records that an attempt is in progress at an agent.
 func (r *recorder) attemptStarted(id, agent string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +115,7 @@
 	r.inProgress[id] = agent
 }
 
-// attemptEnded notes a try that has ended.
+// attemptEnded records an attempt that has ended.
 func (r *recorder) attemptEnded(t *Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,13 +133,13 @@
 	}
 }
 
-// Stream is a run that is under way.
+// Stream is a stream that a server is producing.
 type Stream struct {
 	modelserver.Record        // of its start
-	Agent              string // that its client is connected with
+	Agent              string // IP of the agent that its client is connected with
 }
 
-// streams are the runs that are under way.
+// streams returns the streams in progress, and a channel that is closed when they may have changed.
 func (r *recorder) streams() (list []Stream, more <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +169,7 @@
 	r.UnexpectedExits = append(r.UnexpectedExits, how)
 }
 
-// beginFault notes the begin of a trouble and returns what ends it.
+// beginFault records the begin of a fault. The function that it returns ends it.
 func (r *recorder) beginFault(t Fault, now func() time.Duration) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// snapshot is a copy in the order of time.
+// snapshot is a copy, with attempts and records ordered by time.
 func (r *recorder) snapshot() *Observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/fleetlab/operator.go
+++ b/internal/testbed/fleetlab/operator.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	operatorTimeout = time.Second            // for an answer
-	minBackoff      = 50 * time.Millisecond  // after a failure, growing
-	maxBackoff      = 400 * time.Millisecond // of the pauses
+	operatorTimeout = time.Second            // of one call
+	minBackoff      = 50 * time.Millisecond  // pause after a failure; it doubles
+	maxBackoff      = 400 * time.Millisecond // bounds the pause
 	maxConfigRead   = 16 << 20
 	maxRedirects    = 2
 )
 
-// Operator sends configurations and keeps what became of them.
+// Operator changes the configuration through the agents and records what becomes of it. Its methods may be called
+// concurrently.
 type Operator struct {
-	control  func() []string // the agents' addresses
+	control  func() []string // control addresses of the agents
 	now      func() time.Duration
 	recorder *recorder
 	client   *http.Client
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	current *Document // the newest that was acknowledged
+	current *Document // newest acknowledged configuration; nil: none
 }
 
 func newOperator(control func() []string, now func() time.Duration, s *recorder, seed uint64) *Operator {
@@ -44,20 +45,20 @@
 		}}}
 }
 
-// Current is the newest configuration that was acknowledged to this operator; nil before.
+// Current is the newest configuration that was acknowledged to this operator; nil if none was.
 func (o *Operator) Current() *Document {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.current
 }
 
-// Put sends a whole configuration on top of a version until it has a clear answer. It returns
-// its status.
+// Put replaces the configuration of a revision. It retries until the outcome is known or ctx ends, and returns the
+// status.
 func (o *Operator) Put(ctx context.Context, base int, d *Document) (int, error) {
 	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d, Valid: true}, d)
 }
 
-// Patch sends a change of the newest configuration, whose revision it draws.
+// Patch changes items of the newest configuration. Without a revision it draws a higher one.
 func (o *Operator) Patch(ctx context.Context, p Patch) (int, error) {
 	cur := o.Current()
 	if cur == nil {
@@ -69,7 +70,7 @@
 	return o.submit(ctx, http.MethodPatch, &ConfigChange{BaseRevision: cur.Revision, Doc: cur.withPatch(&p), Valid: true}, p)
 }
 
-// PutInvalid sends what has to be refused.
+// PutInvalid sends a configuration that has to be rejected.
 func (o *Operator) PutInvalid(ctx context.Context, base int, d *Document) (int, error) {
 	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d}, d)
 }
@@ -80,7 +81,7 @@
 	return o.random.IntN(n)
 }
 
-// submit sends until there is a clear answer or ctx ends.
+// submit records a change and sends it until the outcome is known or ctx ends.
 func (o *Operator) submit(ctx context.Context, method string, c *ConfigChange, body any) (int, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return status, nil
 }
 
-// ReadBack reads the newest configuration.
+// ReadBack reads the newest configuration, as JSON.
 func (o *Operator) ReadBack(ctx context.Context) ([]byte, error) {
 	status, _, text, err := o.callUntilAnswered(ctx, http.MethodGet, "", nil)
 	if err != nil {
@@ -123,7 +124,8 @@
 	return text, nil
 }
 
-// callUntilAnswered calls one agent after the other until one answers clearly.
+// callUntilAnswered calls random agents until one gives a definite answer. Other client errors count as definite when
+// they come for the third time.
 func (o *Operator) callUntilAnswered(ctx context.Context, method, match string, body []byte) (status int, by string, text []byte, err error) {
 	pause, odd := minBackoff, 0
 	last := errors.New("no agent to call")
@@ -156,6 +158,7 @@
 	}
 }
 
+// call makes one call, and follows redirects. It returns the IP of the agent that answered.
 func (o *Operator) call(ctx context.Context, addr, method, match string, body []byte) (int, string, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/chalkdoor/config", bytes.NewReader(body))
 	if err != nil {
@@ -179,7 +182,7 @@
 
 func (o *Operator) close() { o.client.CloseIdleConnections() }
 
-// revisionOf is the version of a configuration read back.
+// revisionOf is the revision of a configuration as JSON.
 func revisionOf(text []byte) (int, error) {
 	var d struct {
 		Revision int `json:"revision"`
--- a/internal/testbed/fleetlab/report.go
+++ b/internal/testbed/fleetlab/report.go
@@ -13,32 +13,31 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// Report is what came of a play.
+// Report is the result of a run.
 type Report struct {
-	Agents   int            `json:"agents"`
-	Core     int            `json:"core"`
-	Servers  int            `json:"servers"`
-	Seed     uint64         `json:"seed"`
-	Fault    string         `json:"fault"`
-	Seconds  float64        `json:"seconds"`
-	Requests int            `json:"asked"`
-	Served   int            `json:"served"`  // whole, in time or late
-	InTime   int            `json:"in_time"` // of the served
-	Late     int            `json:"late"`
-	Rejected int            `json:"refused"`
-	Failed   map[string]int `json:"failed"` // by kind
-	Classes  []ClassReport  `json:"classes"`
-	// Tries of clients, and arrivals at servers beyond the first of each.
-	ClientRetries int         `json:"client_retries"`
-	Repeats       int         `json:"repeats"`
-	Changes       int         `json:"config_changes"`
-	ConfigAckMs   float64     `json:"config_ack_ms"` // the slowest
-	Model         ServerStats `json:"model"`
-	Violations    []Violation `json:"broken"`
-	SetupSeconds  float64     `json:"setup_seconds"` // until all agents served
+	Agents        int            `json:"agents"`
+	Core          int            `json:"core"`
+	Servers       int            `json:"servers"`
+	Seed          uint64         `json:"seed"`
+	Fault         string         `json:"fault"`
+	Seconds       float64        `json:"seconds"`
+	Requests      int            `json:"asked"`
+	Served        int            `json:"served"`  // completely, in time or late
+	InTime        int            `json:"in_time"` // of the served
+	Late          int            `json:"late"`
+	Rejected      int            `json:"refused"`
+	Failed        map[string]int `json:"failed"` // by reason
+	Classes       []ClassReport  `json:"classes"`
+	ClientRetries int            `json:"client_retries"`
+	Repeats       int            `json:"repeats"`        // arrivals at servers after the first of each attempt
+	Changes       int            `json:"config_changes"` // acknowledged
+	ConfigAckMs   float64        `json:"config_ack_ms"`  // of the slowest change
+	Model         ServerStats    `json:"model"`
+	Violations    []Violation    `json:"broken"`
+	SetupSeconds  float64        `json:"setup_seconds"` // until all agents served
 }
 
-// ClassReport is what came of one class.
+// ClassReport is the result of one class.
 type ClassReport struct {
 	Name            string  `json:"name"`
 	Requests        int     `json:"asked"`
@@ -46,12 +45,12 @@
 	Served          int     `json:"served"`
 	FirstEventP50Ms float64 `json:"first_event_p50_ms"`
 	FirstEventP95Ms float64 `json:"first_event_p95_ms"`
-	LongestGapP50Ms float64 `json:"pause_p50_ms"` // the longest of each stream
+	LongestGapP50Ms float64 `json:"pause_p50_ms"` // of the longest gap of each stream
 	LongestGapP95Ms float64 `json:"pause_p95_ms"`
-	ForwardP95Ms    float64 `json:"pass_p95_ms"` // the longest way of an event from its server
+	ForwardP95Ms    float64 `json:"pass_p95_ms"` // of the slowest event of each stream, from server to client
 }
 
-// ServerStats sum what the servers did.
+// ServerStats are the totals of all servers.
 type ServerStats struct {
 	Ran               int `json:"ran"`
 	Rejected          int `json:"turned_away"`
@@ -63,7 +62,7 @@
 	Reports           int `json:"reports"`
 }
 
-// outcomeLog counts outcomes.
+// outcomeLog collects outcomes. It may be used concurrently.
 type outcomeLog struct {
 	mu       sync.Mutex
 	outcomes []Outcome
@@ -75,7 +74,7 @@
 	l.outcomes = append(l.outcomes, o)
 }
 
-// Write prints the report for people.
+// Write prints the report as text.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d agents (%d of the core), %d model servers, seed %d, fault %s, %.1f s of traffic\n", r.Agents, r.Core, r.Servers, r.Seed, r.Fault, r.Seconds)
 	fmt.Fprintf(w, "asked %d  served %d  in time %d  late %d  refused %d", r.Requests, r.Served, r.InTime, r.Late, r.Rejected)
@@ -96,86 +95,104 @@
 	}
 }
 
-// report sums what was seen.
-func (f *Fleet) report(t *outcomeLog) *Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// report summarizes the outcomes and the observations.
+func (f *Fleet) report(log *outcomeLog) *Report {
 	r := &Report{Agents: f.cfg.Agents, Core: f.cfg.Core, Servers: f.cfg.Servers, Seed: f.cfg.Seed, Failed: map[string]int{}, Violations: []Violation{}}
-	for _, c := range f.cfg.Classes {
-		of := ClassReport{Name: c.Name}
-		first, paused, pass := newHistogram(), newHistogram(), newHistogram()
-		for i := range t.outcomes {
-			o := &t.outcomes[i]
-			if o.Class != c {
-				continue
-			}
-			of.Requests++
-			r.ClientRetries += o.Attempts - 1
-			switch o.Verdict {
-			case Served:
-				of.InTime++
-				of.Served++
-			case Late:
-				of.Served++
-				r.Late++
-			case Rejected:
-				r.Rejected++
-			case Failed:
-				r.Failed[o.FailureReason]++
-			}
-			if o.Verdict <= Late {
-				recordDuration(first, o.FirstEvent)
-				recordDuration(paused, o.LongestGap)
-				recordDuration(pass, o.LongestForward)
-			}
-		}
-		of.FirstEventP50Ms, of.FirstEventP95Ms, of.LongestGapP50Ms, of.LongestGapP95Ms, of.ForwardP95Ms = percentileMs(first, 50), percentileMs(first, 95), percentileMs(paused, 50), percentileMs(paused, 95), percentileMs(pass, 95)
-		r.Requests += of.Requests
-		r.Served += of.Served
-		r.InTime += of.InTime
-		r.Classes = append(r.Classes, of)
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	for _, class := range f.cfg.Classes {
+		r.addClass(class, log.outcomes)
 	}
 	f.mu.Lock()
 	servers := slices.Concat(f.servers, f.stoppedServers)
 	f.mu.Unlock()
-	for _, s := range servers {
-		stats, m := s.Figures(), &r.Model
-		m.Ran += stats.Ran
-		m.Rejected += stats.TurnedAway
-		m.PromptTokensRead += stats.Read
-		m.PromptTokensSaved += stats.Saved
-		m.Preempted += stats.Preempted
-		m.Conns += stats.Conns
-		m.Health += stats.Health
-		m.Reports += stats.Reports
+	for _, server := range servers {
+		r.Model.add(server.Figures())
+	}
+	r.addObservations(f.recorder.snapshot())
+	r.Violations = append(r.Violations, f.Check()...)
+	return r
+}
+
+// addClass adds the outcomes of one class.
+func (r *Report) addClass(class *Class, outcomes []Outcome) {
+	report := ClassReport{Name: class.Name}
+	firstEvents, longestGaps, forwards := newHistogram(), newHistogram(), newHistogram()
+	for i := range outcomes {
+		outcome := &outcomes[i]
+		if outcome.Class != class {
+			continue
+		}
+		report.Requests++
+		r.ClientRetries += outcome.Attempts - 1
+		switch outcome.Verdict {
+		case Served:
+			report.InTime++
+			report.Served++
+		case Late:
+			report.Served++
+			r.Late++
+		case Rejected:
+			r.Rejected++
+		case Failed:
+			r.Failed[outcome.FailureReason]++
+		}
+		if outcome.Verdict <= Late {
+			recordDuration(firstEvents, outcome.FirstEvent)
+			recordDuration(longestGaps, outcome.LongestGap)
+			recordDuration(forwards, outcome.LongestForward)
+		}
 	}
-	s := f.recorder.snapshot()
+	report.FirstEventP50Ms, report.FirstEventP95Ms = percentileMs(firstEvents, 50), percentileMs(firstEvents, 95)
+	report.LongestGapP50Ms, report.LongestGapP95Ms = percentileMs(longestGaps, 50), percentileMs(longestGaps, 95)
+	report.ForwardP95Ms = percentileMs(forwards, 95)
+	r.Requests += report.Requests
+	r.Served += report.Served
+	r.InTime += report.InTime
+	r.Classes = append(r.Classes, report)
+}
+
+// addObservations adds the repeated requests and the acknowledged changes.
+func (r *Report) addObservations(observations *Observations) {
 	arrived := map[string]bool{}
-	for _, x := range s.Records {
-		if x.Kind != modelserver.Arrived {
+	for _, record := range observations.Records {
+		if record.Kind != modelserver.Arrived {
 			continue
 		}
-		if arrived[x.Attempt] {
+		if arrived[record.Attempt] {
 			r.Repeats++
 		}
-		arrived[x.Attempt] = true
+		arrived[record.Attempt] = true
 	}
-	for _, c := range s.Changes {
-		if c.AckedAt > 0 {
+	for _, change := range observations.Changes {
+		if change.AckedAt > 0 {
 			r.Changes++
-			r.ConfigAckMs = max(r.ConfigAckMs, float64((c.AckedAt-c.SentAt).Microseconds())/1000)
+			r.ConfigAckMs = max(r.ConfigAckMs, float64((change.AckedAt-change.SentAt).Microseconds())/1000)
 		}
 	}
-	r.Violations = append(r.Violations, f.Check()...)
-	return r
 }
 
+// add adds the figures of one server.
+func (s *ServerStats) add(figures modelserver.Figures) {
+	s.Ran += figures.Ran
+	s.Rejected += figures.TurnedAway
+	s.PromptTokensRead += figures.Read
+	s.PromptTokensSaved += figures.Saved
+	s.Preempted += figures.Preempted
+	s.Conns += figures.Conns
+	s.Health += figures.Health
+	s.Reports += figures.Reports
+}
+
+// newHistogram counts durations from 1 µs to 60 s.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
+// recordDuration records a duration in a histogram of microseconds.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(d.Microseconds(), 1))
 } // all are under a minute
 
+// percentileMs is a percentile in milliseconds; 0 of an empty histogram.
 func percentileMs(h *hdrhistogram.Histogram, q float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/testbed/fleetlab/run.go
+++ b/internal/testbed/fleetlab/run.go
@@ -12,26 +12,26 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
 )
 
-// FaultNames are what a play can be asked for.
+// FaultNames are the faults that Options.Fault may name.
 var FaultNames = []string{"none", "kill-core", "term", "freeze", "crash-server", "drain"}
 
 const (
-	// downtime is how long what was ended stays down.
+	// downtime is how long a process stays down, or paused.
 	downtime = 2 * time.Second
-	// recoveryTimeout bounds what follows the traffic: coming back, and reading back.
+	// recoveryTimeout bounds the recovery and the reading back after the workload.
 	recoveryTimeout = 30 * time.Second
 )
 
-// Options are how a fleet is played.
+// Options are the options of a run.
 type Options struct {
 	Duration time.Duration
-	Rate     float64 // requests a second; 0: as fits the agents
-	Fault    string  // one of Faults, a third into the play
+	Rate     float64 // requests per second; 0: in proportion to the agents
+	Fault    string  // one of FaultNames; it is injected after a third of Duration
 }
 
-// Run starts a fleet, plays clients, an operator and a fault, and judges it. Progress, if not
-// nil, is told what happens. An error is the laboratory's own, or a fleet that does not start;
-// broken rules are in the report.
+// Run starts a fleet, runs clients, an operator and a fault, and checks the observations. It passes what happens to
+// progress, if that isn't nil. Violations are in the report; an error is one of the laboratory itself, or a fleet that
+// does not start or recover.
 func Run(ctx context.Context, cfg Config, opt Options, progress func(string)) (*Report, error) {
 	if !slices.Contains(FaultNames, opt.Fault) {
 		return nil, errors.Errorf("unknown fault %q: give one of %v", opt.Fault, FaultNames)
@@ -85,7 +85,7 @@
 	return r, nil
 }
 
-// NewWorkload draws what clients will want.
+// NewWorkload plans the requests of clients: they follow from the seed.
 func (f *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
 	cfg := &loadgen.Config{Seed: f.cfg.Seed, Agents: f.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
 	for _, c := range f.cfg.Classes {
@@ -98,7 +98,7 @@
 	return newClients(f.cfg.Classes, f.LoadBalancer, f.Now, f.recorder, f.cfg.Seed, f.zones, "c"), plan, nil
 }
 
-// sleep waits; false when ctx ends first.
+// sleep waits for a duration. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -110,7 +110,7 @@
 	}
 }
 
-// changeConfig has the operator change the configuration twice: a time-out, then a split.
+// changeConfig changes the configuration twice: a timeout after a fifth of the run, then a split.
 func (f *Fleet) changeConfig(ctx context.Context, length time.Duration) error {
 	if !sleep(ctx, length/5) {
 		return nil
@@ -129,7 +129,7 @@
 	return err
 }
 
-// injectFault breaks something and mends it.
+// injectFault injects the fault of the options and ends it.
 func (f *Fleet) injectFault(ctx context.Context, opt Options, progress func(string)) error {
 	if opt.Fault == "none" || !sleep(ctx, opt.Duration/3) {
 		return nil
--- a/internal/testbed/fleetlab/settings_file.go
+++ b/internal/testbed/fleetlab/settings_file.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds are what the settings tell agents, and the referee judges by.
+// Bounds are the time bounds and limits in the agents' settings, by which the checker checks, too.
 type Bounds struct {
 	Contact, Ack, Drain, Converge, RevertSlack, LossSlack, Stretch time.Duration
 	Settle, Grace, Recovery, HeartbeatInterval                     time.Duration
@@ -19,14 +19,14 @@
 	RetrySlack                                                     float64
 }
 
-// DefaultBounds are those of a small deployment.
+// DefaultBounds are the bounds of a small deployment.
 func DefaultBounds() Bounds {
 	return Bounds{Contact: 3 * time.Second, Ack: 4 * time.Second, Drain: 2 * time.Second, Converge: 2 * time.Second,
 		RevertSlack: 250 * time.Millisecond, LossSlack: 200 * time.Millisecond, Stretch: 5 * time.Second, Settle: 4 * time.Second,
 		Grace: 8 * time.Second, Recovery: 12 * time.Second, HeartbeatInterval: 500 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30}
 }
 
-// writeSettings writes the machine's settings file.
+// writeSettings writes the machine's settings file and returns its path.
 func (a *Agent) writeSettings(first bool) (string, error) {
 	var b strings.Builder
 	fleet, bounds := a.fleet, a.fleet.cfg.Bounds
--- a/internal/testbed/fleetlab/subnet.go
+++ b/internal/testbed/fleetlab/subnet.go
@@ -8,15 +8,16 @@
 	"github.com/go-faster/errors"
 )
 
-// subnet is a network on loopback that no other laboratory uses while it is held.
+// subnet is a loopback network of addresses. Its lock, a listening port, keeps other laboratories away from it.
 type subnet struct {
 	prefix string
 	lock   net.Listener
 }
 
+// ip is the address of host n, 1 to 254.
 func (s *subnet) ip(n int) string { return s.prefix + fmt.Sprint(n) }
 
-// claimSubnet finds a free one.
+// claimSubnet finds and locks a free subnet.
 func claimSubnet() (*subnet, error) {
 	pid := os.Getpid()
 	for i := range 4000 {
@@ -26,7 +27,8 @@
 			return &subnet{prefix, ln}, nil
 		}
 	}
-	return nil, errors.New("no free network on loopback: end other laboratories")
+	return nil, errors.New("no free subnet on loopback: end other laboratories")
 }
 
+// hostPort joins an address and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
--- a/internal/testbed/fleetlab/waiting.go
+++ b/internal/testbed/fleetlab/waiting.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
 )
 
-// WaitAllReady waits until the entry has all agents in.
+// WaitAllReady waits until the load balancer finds all agents ready.
 func (f *Fleet) WaitAllReady(ctx context.Context) error {
 	if err := f.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return len(ready) == len(f.Agents) }); err != nil {
 		return errors.Wrapf(err, "%d of %d agents are ready", len(f.LoadBalancer.Ready()), len(f.Agents))
@@ -18,13 +18,13 @@
 	return nil
 }
 
-// WaitServing waits until all agents are ready and serve each class, and all servers are known.
+// WaitServing waits until all servers are registered and all agents are ready and serve each class.
 func (f *Fleet) WaitServing(ctx context.Context) error {
 	for i := range f.cfg.Servers {
 		select {
 		case <-f.Server(i).Registered():
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "server %d: no beat was acknowledged", i+1)
+			return errors.Wrapf(ctx.Err(), "server %d: no heartbeat was acknowledged", i+1)
 		}
 	}
 	if err := f.WaitAllReady(ctx); err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// waitServing asks an agent until it serves a class.
+// waitServing sends requests of a class to an agent until it serves one.
 func (f *Fleet) waitServing(ctx context.Context, a *Agent, c *Class) error {
 	for {
 		t := f.Probe(ctx, a, c)
@@ -61,7 +61,7 @@
 	}
 }
 
-// WaitStreams waits until so many of the streams under way are as wanted.
+// WaitStreams waits until n of the streams in progress satisfy a condition.
 func (f *Fleet) WaitStreams(ctx context.Context, n int, want func(Stream) bool) error {
 	for {
 		list, more := f.recorder.streams()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Probe sends one request of a class directly to an agent.
+// Probe sends one request of a class directly to an agent, without the load balancer and without retries.
 func (f *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
 	n := int(f.probeCount.Add(1))
 	clients := newClients([]*Class{c}, nil, f.Now, f.recorder, f.cfg.Seed, f.zones, "p")
