--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,5 @@
-// Command fleetlab plays the whole router fleet on loopback: processes of edged, model servers,
-// clients, an operator and a fault. It exits 1 where a rule is broken.
+// Command fleetlab runs a complete router fleet on loopback: processes of edged, model servers, clients, an operator and
+// a fault. It exits with status 1 if a rule is violated.
 package main
 
 import (
@@ -21,11 +21,18 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/fleetlab"
 )
 
-// daemon is the package of the program that is played.
+// daemon is the package of the daemon.
 const daemon = "chalkdoor.example/chalkdoor/cmd/edged"
 
-// errBroken ends the command where rules are broken, which have been printed.
-var errBroken = errors.New("rules are broken")
+// errViolated is returned after the report of a run with violations.
+var errViolated = errors.New("rules are violated")
+
+const (
+	// kongParseError is the exit status that kong gives to a command line that it cannot parse.
+	kongParseError = 80
+	// usageError is the usual exit status of such a command line.
+	usageError = 2
+)
 
 type cli struct {
 	Play playCmd `name:"play" cmd:"" help:"Start a fleet, play clients, an operator and a fault, and print what came of it."`
@@ -48,19 +55,19 @@
 	var c cli
 	ctx := kong.Parse(&c, kong.Name("fleetlab"), kong.Description("The laboratory of the router fleet, on loopback."),
 		kong.Vars{"faults": strings.Join(fleetlab.FaultNames, ",")}, kong.UsageOnError(), kong.Exit(func(code int) {
-			if code == 80 { // kong's own for what it cannot parse
-				code = 2
+			if code == kongParseError {
+				code = usageError
 			}
 			os.Exit(code)
 		}), kong.BindTo(os.Stdout, (*io.Writer)(nil)))
-	if err := ctx.Run(); errors.Is(err, errBroken) {
+	if err := ctx.Run(); errors.Is(err, errViolated) {
 		os.Exit(1)
 	} else {
 		ctx.FatalIfErrorf(err)
 	}
 }
 
-// Run plays once.
+// Run runs a fleet once and prints the report.
 func (p *playCmd) Run(out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -68,15 +75,15 @@
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "fleetlab-"); err != nil {
-			return errors.Wrap(err, "folder of the play")
+			return errors.Wrap(err, "create the folder of the run")
 		}
 		defer os.RemoveAll(dir)
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errors.Wrap(err, "folder of the play")
+		return errors.Wrap(err, "create the folder of the run")
 	}
 	dir, err := filepath.Abs(dir) // processes write below it
 	if err != nil {
-		return errors.Wrap(err, "folder of the play")
+		return errors.Wrap(err, "create the folder of the run")
 	}
 	program, err := p.program(ctx, dir)
 	if err != nil {
@@ -99,20 +106,20 @@
 		r.Write(out)
 	}
 	if len(r.Violations) > 0 {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
 
-// program finds the daemon, or builds it.
+// program returns the path of the daemon's program: the one of the flag, the one beside this program, or a new build.
 func (p *playCmd) program(ctx context.Context, dir string) (string, error) {
 	if p.Edged != "" {
 		return filepath.Abs(p.Edged)
 	}
 	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "edged")
-		if st, err := os.Stat(beside); err == nil && st.Mode().IsRegular() {
-			return beside, nil
+		sibling := filepath.Join(filepath.Dir(self), "edged")
+		if info, err := os.Stat(sibling); err == nil && info.Mode().IsRegular() {
+			return sibling, nil
 		}
 	}
 	bin := filepath.Join(dir, "edged")
--- a/internal/testbed/fleetlab/agents.go
+++ b/internal/testbed/fleetlab/agents.go
@@ -70,9 +70,9 @@
 	a.fleet.background.Go(func() {
 		err := p.Err()
 		a.mu.Lock()
-		gone := a.stopping || a.process != p
+		expected := a.stopping || a.process != p
 		a.mu.Unlock()
-		if !gone {
+		if !expected {
 			a.fleet.recorder.processExited(fmt.Sprintf("%s exited unexpectedly: %v\n%s", a.Name, err, a.logTail()))
 		}
 	})
--- a/internal/testbed/fleetlab/check_config.go
+++ b/internal/testbed/fleetlab/check_config.go
@@ -144,7 +144,7 @@
 // checkDenied checks that agents in contact don't reject requests that every configuration in force allows (DENIED).
 // A few are tolerated.
 func (c *checker) checkDenied() {
-	var of []*Attempt
+	var denied []*Attempt
 	for _, attempt := range c.Attempts {
 		if attempt.Status < 300 || attempt.Status >= 500 || attempt.Status == 408 || attempt.Status == 421 || attempt.Status == 429 || attempt.Seal != "" || !c.isInContact(attempt.Agent, attempt.EndedAt) {
 			continue
@@ -154,19 +154,19 @@
 		}) {
 			continue // by the server
 		}
-		allowed, any := true, false
+		allowed, hasConfig := true, false
 		for _, change := range c.Changes {
 			if !change.isRejected() && change.SentAt <= attempt.EndedAt {
-				any = true
+				hasConfig = true
 				allowed = allowed && change.Doc.route(attempt.Host, attempt.Target) != nil
 			}
 		}
-		if any && allowed {
-			of = append(of, attempt)
+		if hasConfig && allowed {
+			denied = append(denied, attempt)
 		}
 	}
-	if len(of) > 5+len(c.Attempts)/500 {
-		c.addViolation("DENIED", of[0].EndedAt, "%d proper requests of %d, the first with %d: %s", len(of), len(c.Attempts), of[0].Status, of[0].ID)
+	if len(denied) > 5+len(c.Attempts)/500 {
+		c.addViolation("DENIED", denied[0].EndedAt, "%d proper requests of %d, the first with %d: %s", len(denied), len(c.Attempts), denied[0].Status, denied[0].ID)
 	}
 }
 
--- a/internal/testbed/fleetlab/check_requests.go
+++ b/internal/testbed/fleetlab/check_requests.go
@@ -22,46 +22,46 @@
 	if attempt.Status/100 != 2 {
 		return
 	}
-	of := c.runsBySeal[attempt.Seal]
+	headRun := c.runsBySeal[attempt.Seal]
 	switch {
 	case attempt.Seal == "":
 		c.addViolation("MIXED", attempt.EndedAt, "%s: status %d without a seal", attempt.ID, attempt.Status)
 		return
-	case of == nil:
+	case headRun == nil:
 		c.addViolation("MIXED", attempt.EndedAt, "%s: the seal %s is no server's", attempt.ID, attempt.Seal)
 		return
-	case of.Attempt != attempt.ID:
-		c.addViolation("MIXED", attempt.EndedAt, "%s: the seal %s is of %s", attempt.ID, attempt.Seal, of.Attempt)
+	case headRun.Attempt != attempt.ID:
+		c.addViolation("MIXED", attempt.EndedAt, "%s: the seal %s is of %s", attempt.ID, attempt.Seal, headRun.Attempt)
 		return
 	case attempt.Encoded:
 		c.addViolation("MIXED", attempt.EndedAt, "%s: an encoding that no server made", attempt.ID)
 	}
 	next, seal := attempt.AfterEvent+1, ""
-	for _, e := range attempt.Events {
-		if e.N != next {
-			c.addViolation("ORDER", e.ReceivedAt, "%s: event %d where %d is due", attempt.ID, e.N, next)
+	for _, event := range attempt.Events {
+		if event.N != next {
+			c.addViolation("ORDER", event.ReceivedAt, "%s: event %d where %d is due", attempt.ID, event.N, next)
 			return
 		}
-		if e.Text != attempt.Prompt.Text(e.N) {
-			c.addViolation("MIXED", e.ReceivedAt, "%s: event %d says what no server made", attempt.ID, e.N)
+		if event.Text != attempt.Prompt.Text(event.N) {
+			c.addViolation("MIXED", event.ReceivedAt, "%s: event %d says what no server made", attempt.ID, event.N)
 			return
 		}
-		if e.Seal != seal {
-			run := c.runsBySeal[e.Seal]
+		if event.Seal != seal {
+			run := c.runsBySeal[event.Seal]
 			switch {
 			case run == nil || run.Attempt != attempt.ID:
-				c.addViolation("MIXED", e.ReceivedAt, "%s: event %d is of another request's run %s", attempt.ID, e.N, e.Seal)
+				c.addViolation("MIXED", event.ReceivedAt, "%s: event %d is of another request's run %s", attempt.ID, event.N, event.Seal)
 				return
-			case seal == "" && e.Seal != attempt.Seal:
-				c.addViolation("MIXED", e.ReceivedAt, "%s: its head is of %s, its first event of %s", attempt.ID, attempt.Seal, e.Seal)
-			case seal != "" && (!attempt.Resumable || run.First != e.N):
-				c.addViolation("ORDER", e.ReceivedAt, "%s: event %d of run %s joined to those of %s", attempt.ID, e.N, e.Seal, seal)
+			case seal == "" && event.Seal != attempt.Seal:
+				c.addViolation("MIXED", event.ReceivedAt, "%s: its head is of %s, its first event of %s", attempt.ID, attempt.Seal, event.Seal)
+			case seal != "" && (!attempt.Resumable || run.First != event.N):
+				c.addViolation("ORDER", event.ReceivedAt, "%s: event %d of run %s joined to those of %s", attempt.ID, event.N, event.Seal, seal)
 				return
 			}
-			seal = e.Seal
+			seal = event.Seal
 		}
-		if last := attempt.Prompt.Pieces(c.rules.Stride); e.Last != (e.N == last) {
-			c.addViolation("ORDER", e.ReceivedAt, "%s: event %d of %d marked as last: %v", attempt.ID, e.N, last, e.Last)
+		if last := attempt.Prompt.Pieces(c.rules.Stride); event.Last != (event.N == last) {
+			c.addViolation("ORDER", event.ReceivedAt, "%s: event %d of %d marked as last: %v", attempt.ID, event.N, last, event.Last)
 		}
 		next++
 	}
--- a/internal/testbed/fleetlab/check_servers.go
+++ b/internal/testbed/fleetlab/check_servers.go
@@ -50,21 +50,21 @@
 
 // checkDrains checks that agents send no request to a server after the acknowledgement of its drain (DRAIN).
 func (c *checker) checkDrains() {
-	told, away := map[string]modelserver.Record{}, map[[2]string]bool{}
+	acknowledged, rejected := map[string]modelserver.Record{}, map[[2]string]bool{}
 	for _, record := range c.Records {
 		if record.Kind == modelserver.TurnedAway && record.Status == 421 {
-			away[[2]string{record.Instance, record.Attempt}] = true
+			rejected[[2]string{record.Instance, record.Attempt}] = true
 		}
 	}
 	for _, record := range c.Records {
 		switch record.Kind {
 		case modelserver.Draining, modelserver.Gone:
-			if _, ok := told[record.Instance]; !ok && c.isInContact(ipOf(record.Agent), record.At) {
-				told[record.Instance] = record
+			if _, ok := acknowledged[record.Instance]; !ok && c.isInContact(ipOf(record.Agent), record.At) {
+				acknowledged[record.Instance] = record
 			}
 		case modelserver.Arrived:
-			at, ok := told[record.Instance]
-			if !ok || record.At <= at.At+c.rules.Drain+c.rules.Slack || away[[2]string{record.Instance, record.Attempt}] {
+			at, ok := acknowledged[record.Instance]
+			if !ok || record.At <= at.At+c.rules.Drain+c.rules.Slack || rejected[[2]string{record.Instance, record.Attempt}] {
 				continue
 			}
 			if attempt := c.attempts[record.Attempt]; attempt != nil && c.isInContact(attempt.Agent, record.At) {
@@ -77,40 +77,40 @@
 // checkRetryBudget checks that the repeated requests of each service stay within the retry budget (BUDGET).
 func (c *checker) checkRetryBudget() {
 	seen := map[string]bool{}
-	again, asked := map[string][]time.Duration{}, map[string][]time.Duration{}
+	repeated, requested := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, record := range c.Records {
 		if record.Kind != modelserver.Arrived {
 			continue
 		}
 		if seen[record.Attempt] {
-			again[record.Service] = append(again[record.Service], record.At)
+			repeated[record.Service] = append(repeated[record.Service], record.At)
 		}
 		seen[record.Attempt] = true
 	}
 	for _, attempt := range c.Attempts {
-		of := map[string]bool{}
+		services := map[string]bool{}
 		for _, change := range c.Changes {
 			for _, s := range change.Doc.services(attempt.Host, attempt.Target) {
-				of[s] = true
+				services[s] = true
 			}
 		}
-		for s := range of {
-			asked[s] = append(asked[s], attempt.StartedAt)
+		for s := range services {
+			requested[s] = append(requested[s], attempt.StartedAt)
 		}
 	}
-	in := func(at []time.Duration, from, to time.Duration) int {
+	countBetween := func(at []time.Duration, from, to time.Duration) int {
 		a, _ := slices.BinarySearch(at, from)
 		b, _ := slices.BinarySearch(at, to)
 		return b - a
 	}
-	w := c.rules.RetryWindow
-	for service, at := range again {
+	window := c.rules.RetryWindow
+	for service, at := range repeated {
 		for _, end := range at {
-			from, to := end-w, end+1
-			n := in(at, from, to)
-			requests := max(in(asked[service], from, to), in(asked[service], from-w, to-w), in(asked[service], from-w/2, to-w/2))
-			if float64(n) > c.rules.RetryRatio*float64(requests)+c.rules.RetrySlack {
-				c.addViolation("BUDGET", end, "%s: %d repeats within %v of %d requests", service, n, w, requests)
+			from, to := end-window, end+1
+			repeats := countBetween(at, from, to)
+			requests := max(countBetween(requested[service], from, to), countBetween(requested[service], from-window, to-window), countBetween(requested[service], from-window/2, to-window/2))
+			if float64(repeats) > c.rules.RetryRatio*float64(requests)+c.rules.RetrySlack {
+				c.addViolation("BUDGET", end, "%s: %d repeats within %v of %d requests", service, repeats, window, requests)
 				break
 			}
 		}
--- a/internal/testbed/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -227,8 +227,8 @@
 
 // acquireConn returns an idle connection of the client for a first attempt if there is one, else a new one, and the IP
 // of its agent.
-func (c *Clients) acquireConn(ctx context.Context, client, try int) (*conn, string, error) {
-	for try == 1 {
+func (c *Clients) acquireConn(ctx context.Context, client, attempt int) (*conn, string, error) {
+	for attempt == 1 {
 		c.mu.Lock()
 		list := c.idle[client]
 		if len(list) == 0 {
@@ -243,7 +243,7 @@
 		}
 		conn.Close()
 	}
-	endpoint := c.balancer.Pick(c.zones[client%len(c.zones)], client, try)
+	endpoint := c.balancer.Pick(c.zones[client%len(c.zones)], client, attempt)
 	if endpoint == nil {
 		return nil, "", errors.New("no agent to connect to")
 	}
--- a/internal/testbed/fleetlab/client_test.go
+++ b/internal/testbed/fleetlab/client_test.go
@@ -19,23 +19,23 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// bench is clients, one agent that stands in for the fleet, and servers, in one process.
-type bench struct {
+// clientTest is a test of clients with one fake agent and model servers, in one process.
+type clientTest struct {
 	*recorder
-	now     func() time.Duration
-	classes []*Class
-	clients *Clients
-	entry   *LoadBalancer
-	servers []*modelserver.Server
+	now      func() time.Duration
+	classes  []*Class
+	clients  *Clients
+	balancer *LoadBalancer
+	servers  []*modelserver.Server
 }
 
-// door is a stand-in for an agent: it handles one connection after the other as it is told.
-type door func(b *bench, c net.Conn)
+// fakeAgent handles a connection of a client in place of an agent.
+type fakeAgent func(b *clientTest, c net.Conn)
 
-func newBench(t *testing.T, servers int, d door) *bench {
+func newClientTest(t *testing.T, servers int, handle fakeAgent) *clientTest {
 	t.Helper()
-	began := time.Now()
-	b := &bench{recorder: &recorder{}, now: func() time.Duration { return time.Since(began) }, classes: DefaultConfig(1, 1, 2).Classes}
+	startedAt := time.Now()
+	b := &clientTest{recorder: &recorder{}, now: func() time.Duration { return time.Since(startedAt) }, classes: DefaultConfig(1, 1, 2).Classes}
 	engine := modelserver.EngineConfig{Slots: 8, Queue: 8, StepMs: 2, SlotMs: 0.01, PrefillPerMs: 1000, Chunk: 8000, KVTokens: 100000, Stride: 4}
 	for range servers {
 		s, err := modelserver.Start(modelserver.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", Weights: 1, Engine: engine, Now: b.now, Seen: b.record})
@@ -45,16 +45,16 @@
 	}
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var owner sync.WaitGroup
-	owner.Go(func() {
+	var background sync.WaitGroup
+	background.Go(func() {
 		for {
 			c, err := front.Accept()
 			if err != nil {
 				return
 			}
-			owner.Go(func() {
+			background.Go(func() {
 				defer c.Close()
-				d(b, c)
+				handle(b, c)
 			})
 		}
 	})
@@ -65,26 +65,26 @@
 			w.WriteHeader(404)
 		}
 	})}
-	owner.Go(func() { _ = srv.Serve(ready) })
-	b.entry = newLoadBalancer([]Endpoint{{IP: "127.0.0.1", Zone: "z", Front: front.Addr().String(), Readiness: ready.Addr().String()}}, 10*time.Millisecond)
-	b.clients = newClients(b.classes, b.entry, b.now, b.recorder, 1, []string{"z"}, "t")
+	background.Go(func() { _ = srv.Serve(ready) })
+	b.balancer = newLoadBalancer([]Endpoint{{IP: "127.0.0.1", Zone: "z", Front: front.Addr().String(), Readiness: ready.Addr().String()}}, 10*time.Millisecond)
+	b.clients = newClients(b.classes, b.balancer, b.now, b.recorder, 1, []string{"z"}, "t")
 	t.Cleanup(func() {
 		b.clients.Close()
-		b.entry.Close()
+		b.balancer.Close()
 		front.Close()
 		srv.Close()
-		owner.Wait()
+		background.Wait()
 	})
-	d0 := &Document{Revision: 1, Routes: []Route{{Name: "n", Host: hostname, Prefix: "/", Service: serviceA}}}
-	b.Changes = []*ConfigChange{{Doc: d0, Valid: true, SentAt: 1, AckedAt: 2}}
+	initial := &Document{Revision: 1, Routes: []Route{{Name: "n", Host: hostname, Prefix: "/", Service: serviceA}}}
+	b.Changes = []*ConfigChange{{Doc: initial, Valid: true, SentAt: 1, AckedAt: 2}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	require.NoError(t, b.entry.WaitReady(ctx, func(m map[string]bool) bool { return len(m) == 1 }))
+	require.NoError(t, b.balancer.WaitReady(ctx, func(m map[string]bool) bool { return len(m) == 1 }))
 	return b
 }
 
-// broken is the rules that are broken so far.
-func (b *bench) broken() (rules []string) {
+// violatedRules are the rules that are violated so far.
+func (b *clientTest) violatedRules() (rules []string) {
 	r := testRules()
 	for _, v := range Check(b.snapshot(), r) {
 		rules = append(rules, v.Rule)
@@ -92,18 +92,18 @@
 	return rules
 }
 
-// ask has a client of a class ask once.
-func (b *bench) ask(class, client, number int) Outcome {
+// send makes a client send a request of a class.
+func (b *clientTest) send(class, client, number int) Outcome {
 	return b.clients.send(context.Background(), b.clients.newRequest(&loadgen.Ask{Class: class, Agent: client, Number: number}))
 }
 
-func (b *bench) last() *Attempt {
+func (b *clientTest) lastAttempt() *Attempt {
 	all := b.snapshot()
 	return all.Attempts[len(all.Attempts)-1]
 }
 
-// next reads a request of a client; nil when there is none.
-func next(in *bufio.Reader) (*http.Request, []byte) {
+// readRequest reads a request of a client; nil at the end of the connection.
+func readRequest(in *bufio.Reader) (*http.Request, []byte) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return nil, nil
@@ -115,8 +115,8 @@
 	return r, body
 }
 
-// forward asks a server as an agent does, and gives the answer as it is on the wire, with what
-// change makes of it, piece by piece. It tells whether the answer came whole.
+// forward forwards a request to a server as an agent does, and copies the response as it is on the wire, line by line
+// through change. It tells whether the response is complete.
 func forward(s *modelserver.Server, r *http.Request, body []byte, c net.Conn, change func(line string) string, more ...string) bool {
 	up, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -155,10 +155,10 @@
 	}
 }
 
-// pass forwards all requests to the first server.
-func pass(b *bench, c net.Conn) {
+// forwardAll forwards all requests to the first server.
+func forwardAll(b *clientTest, c net.Conn) {
 	in := bufio.NewReader(c)
-	for r, body := next(in); r != nil; r, body = next(in) {
+	for r, body := readRequest(in); r != nil; r, body = readRequest(in) {
 		if !forward(b.servers[0], r, body, c, nil) || r.Close {
 			return
 		}
@@ -166,7 +166,7 @@
 }
 
 func TestClientsAreServedCompletely(t *testing.T) {
-	b := newBench(t, 1, pass)
+	b := newClientTest(t, 1, forwardAll)
 	cfg := &loadgen.Config{Seed: 3, Agents: 4, Rate: 100, For: 300 * time.Millisecond, Keys: 5, Skew: 1,
 		Classes: []loadgen.Class{{Name: "a", Share: 1}, {Name: "b", Share: 1}}}
 	plan, err := loadgen.Plan(cfg)
@@ -178,16 +178,16 @@
 		assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
 		assert.Positive(t, o.FirstEvent)
 	}
-	assert.Empty(t, b.broken())
+	assert.Empty(t, b.violatedRules())
 	assert.Positive(t, b.servers[0].Figures().Saved, "prompts share parts")
 }
 
-// What a bad agent does is seen, and told as the rule that it breaks.
+// Each protocol violation of an agent is reported as the rule that it violates.
 func TestClientsDetectProtocolViolations(t *testing.T) {
-	rewrite := func(change func(line string) string) door {
-		return func(b *bench, c net.Conn) {
+	rewrite := func(change func(line string) string) fakeAgent {
+		return func(b *clientTest, c net.Conn) {
 			in := bufio.NewReader(c)
-			for r, body := next(in); r != nil; r, body = next(in) {
+			for r, body := readRequest(in); r != nil; r, body = readRequest(in) {
 				if !forward(b.servers[0], r, body, c, change) || r.Close {
 					return
 				}
@@ -196,7 +196,7 @@
 	}
 	for _, c := range []struct {
 		name string
-		door door
+		door fakeAgent
 		want string
 	}{
 		{"no seal", rewrite(func(l string) string {
@@ -205,57 +205,60 @@
 			}
 			return l
 		}), "MIXED"},
-		{"no answer", func(b *bench, c net.Conn) { next(bufio.NewReader(c)); _, _ = io.WriteString(c, "what?\r\n\r\n") }, "MIXED"},
-		{"more after the answer", func(b *bench, c net.Conn) {
+		{"no answer", func(b *clientTest, c net.Conn) {
+			readRequest(bufio.NewReader(c))
+			_, _ = io.WriteString(c, "what?\r\n\r\n")
+		}, "MIXED"},
+		{"more after the answer", func(b *clientTest, c net.Conn) {
 			in := bufio.NewReader(c)
-			r, body := next(in)
+			r, body := readRequest(in)
 			var whole bytes.Buffer
 			forward(b.servers[0], r, body, tee{c, &whole}, nil)
 			whole.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			_, _ = c.Write(whole.Bytes())
-			next(in) // until the client sees it
+			readRequest(in) // until the client notices
 		}, "MIXED"},
-		{"ends as complete before its end", func(b *bench, c net.Conn) {
-			r, body := next(bufio.NewReader(c))
+		{"ends as complete before its end", func(b *clientTest, c net.Conn) {
+			r, body := readRequest(bufio.NewReader(c))
 			over := false
 			forward(b.servers[0], r, body, c, func(l string) string {
 				switch {
 				case over:
 					return ""
 				case strings.HasPrefix(l, "id: 3"):
-					over = true // in place of a chunk's data
+					over = true // instead of the data of a chunk
 				}
 				return l
 			})
-		}, ""}, // half a chunk: it does not look complete
-		{"an own body that looks complete", func(b *bench, c net.Conn) {
-			r, body := next(bufio.NewReader(c))
+		}, ""}, // half a chunk: the response is visibly incomplete
+		{"an own body that looks complete", func(b *clientTest, c net.Conn) {
+			r, body := readRequest(bufio.NewReader(c))
 			var head bytes.Buffer
 			forward(b.servers[0], r, body, tee{c, &head}, nil)
 			seal := strings.TrimSpace(strings.SplitN(strings.SplitN(head.String(), modelserver.HeaderSeal+":", 2)[1], "\r\n", 2)[0])
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+modelserver.HeaderSeal+": "+seal+"\r\n\r\n")
 		}, "ORDER"},
-		{"refused after it ran", func(b *bench, c net.Conn) {
-			r, body := next(bufio.NewReader(c))
+		{"refused after it ran", func(b *clientTest, c net.Conn) {
+			r, body := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, body, tee{c, io.Discard}, nil)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		}, "REFUSED"},
-		{"run twice", func(b *bench, c net.Conn) {
-			r, body := next(bufio.NewReader(c))
+		{"run twice", func(b *clientTest, c net.Conn) {
+			r, body := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, body, tee{c, io.Discard}, nil)
 			forward(b.servers[0], r, body, c, nil)
 		}, "TWICE"},
-		{"another body", func(b *bench, c net.Conn) {
-			r, _ := next(bufio.NewReader(c))
+		{"another body", func(b *clientTest, c net.Conn) {
+			r, _ := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, []byte("other"), c, nil)
 		}, "UNASKED"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, 1, c.door)
+			b := newClientTest(t, 1, c.door)
 			b.classes[0].MaxRetries = 0
-			b.ask(0, 0, 1)
+			b.send(0, 0, 1)
 			b.clients.Close()
-			got := b.broken()
+			got := b.violatedRules()
 			if c.want == "" {
 				assert.Empty(t, got)
 				return
@@ -265,7 +268,7 @@
 	}
 }
 
-// tee keeps what would go to a client.
+// tee writes elsewhere what would go to a client.
 type tee struct {
 	net.Conn
 	to io.Writer
@@ -273,11 +276,11 @@
 
 func (t tee) Write(p []byte) (int, error) { return t.to.Write(p) }
 
-// refuseFirst answers the first try of each request with a status, and passes on the others.
-func refuseFirst(head string) door {
-	return func(b *bench, c net.Conn) {
+// rejectFirst answers the first attempt of each request with a status, and forwards the others.
+func rejectFirst(head string) fakeAgent {
+	return func(b *clientTest, c net.Conn) {
 		in := bufio.NewReader(c)
-		for r, body := next(in); r != nil; r, body = next(in) {
+		for r, body := readRequest(in); r != nil; r, body = readRequest(in) {
 			if strings.HasSuffix(r.Header.Get(modelserver.HeaderAttempt), "-1") {
 				if head == "" {
 					return
@@ -310,11 +313,11 @@
 		{"not there", "HTTP/1.1 404 x", resumable, 1, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, 1, refuseFirst(c.head))
-			b.classes[c.class].FirstEventTarget, b.classes[c.class].EventGapTarget = time.Minute, time.Minute // a busy machine is none of its matter
-			o := b.ask(c.class, 1, 1)
+			b := newClientTest(t, 1, rejectFirst(c.head))
+			b.classes[c.class].FirstEventTarget, b.classes[c.class].EventGapTarget = time.Minute, time.Minute // a busy machine must not matter
+			o := b.send(c.class, 1, 1)
 			assert.Equal(t, c.tries, o.Attempts)
-			if o.Verdict == Late { // an event that took long
+			if o.Verdict == Late { // a slow event
 				o.Verdict = Served
 			}
 			assert.Equal(t, c.want, o.Verdict)
@@ -328,9 +331,9 @@
 }
 
 func TestRetryDelayIsAtMostAThirdOfTheTimeLeft(t *testing.T) {
-	b := newBench(t, 1, refuseFirst("HTTP/1.1 503 x\r\nRetry-After: 60"))
+	b := newClientTest(t, 1, rejectFirst("HTTP/1.1 503 x\r\nRetry-After: 60"))
 	b.classes[1].Deadline = 1500 * time.Millisecond
-	o := b.ask(1, 1, 1)
+	o := b.send(1, 1, 1)
 	assert.Equal(t, 2, o.Attempts)
 	all := b.snapshot().Attempts
 	require.Len(t, all, 2)
@@ -340,8 +343,8 @@
 }
 
 func TestClientResumesItsStream(t *testing.T) {
-	b := newBench(t, 2, func(b *bench, c net.Conn) {
-		r, body := next(bufio.NewReader(c))
+	b := newClientTest(t, 2, func(b *clientTest, c net.Conn) {
+		r, body := readRequest(bufio.NewReader(c))
 		if r == nil {
 			return
 		}
@@ -349,12 +352,12 @@
 			forward(b.servers[1], r, body, c, nil)
 			return
 		}
-		// The third event is not whole any more.
-		cut := tee{c, &short{to: c}}
+		// The third event is incomplete.
+		cut := tee{c, &truncatingWriter{to: c}}
 		forward(b.servers[0], r, body, cut, nil)
 	})
 	b.classes[1].MaxOutputTokens = 80
-	o := b.ask(1, 1, 1)
+	o := b.send(1, 1, 1)
 	assert.Equal(t, 2, o.Attempts)
 	assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
 	all := b.snapshot().Attempts
@@ -363,16 +366,16 @@
 	assert.Len(t, all[0].Events, 2)
 	assert.Equal(t, 2, all[1].AfterEvent)
 	assert.Equal(t, 3, all[1].Events[0].N)
-	assert.Empty(t, b.broken())
+	assert.Empty(t, b.violatedRules())
 }
 
-// short writes until the third event's id.
-type short struct {
+// truncatingWriter fails from the id of the third event on.
+type truncatingWriter struct {
 	to   io.Writer
 	over bool
 }
 
-func (s *short) Write(p []byte) (int, error) {
+func (s *truncatingWriter) Write(p []byte) (int, error) {
 	if strings.HasPrefix(string(p), "id: 3") {
 		s.over = true
 	}
@@ -383,14 +386,14 @@
 }
 
 func TestStreamResumedWithinOneResponse(t *testing.T) {
-	b := newBench(t, 2, func(b *bench, c net.Conn) {
-		r, body := next(bufio.NewReader(c))
+	b := newClientTest(t, 2, func(b *clientTest, c net.Conn) {
+		r, body := readRequest(bufio.NewReader(c))
 		if r == nil {
 			return
 		}
 		// The first server's head and two events, then the second server's from the third on.
 		chunk := ""
-		forward(b.servers[0], r, body, tee{c, &short{to: c}}, func(l string) string { // the size goes with its data
+		forward(b.servers[0], r, body, tee{c, &truncatingWriter{to: c}}, func(l string) string { // the size belongs to the data that follows
 			if !strings.HasPrefix(l, "id: ") && len(strings.TrimSpace(l)) <= 3 && strings.HasSuffix(l, "\r\n") && strings.TrimSpace(l) != "" {
 				chunk = l
 				return ""
@@ -410,11 +413,11 @@
 		}, modelserver.HeaderLastID, "2")
 	})
 	b.classes[1].MaxOutputTokens = 80
-	o := b.ask(1, 1, 1)
+	o := b.send(1, 1, 1)
 	assert.Equal(t, 1, o.Attempts)
 	assert.LessOrEqual(t, o.Verdict, Late, o.FailureReason)
-	assert.NotEqual(t, b.last().Events[1].Seal, b.last().Events[2].Seal)
-	assert.Empty(t, b.broken())
+	assert.NotEqual(t, b.lastAttempt().Events[1].Seal, b.lastAttempt().Events[2].Seal)
+	assert.Empty(t, b.violatedRules())
 }
 
 func TestLoadBalancerRemovesAgentAfterTwoMissedProbes(t *testing.T) {
@@ -465,12 +468,12 @@
 	for client := range 50 {
 		assert.NotEqual(t, "a1", e.Pick("a", client, 1).IP)
 	}
-	e.isReady = []bool{false, false, true, true} // fewer than half: all of them
+	e.isReady = []bool{false, false, true, true} // fewer than half of the zone: the whole zone
 	clear(used)
 	for client := range 50 {
 		used[e.Pick("a", client, 1).IP] = true
 	}
 	assert.Len(t, used, 3)
-	e.isReady = []bool{false, false, false, true} // none: another zone's
+	e.isReady = []bool{false, false, false, true} // none of the zone: another zone
 	assert.Equal(t, "b1", e.Pick("a", 1, 1).IP)
 }
--- a/internal/testbed/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -15,29 +15,29 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// patience bounds each wait for a signal; a calm machine needs a fraction.
-const patience = time.Minute
+// testTimeout bounds each wait; an idle machine needs a fraction of it.
+const testTimeout = time.Minute
 
-// fleets bounds how many fleets are up at once, so that each has a machine's worth of time.
-var fleets = make(chan struct{}, 2)
+// fleetSlots bounds the fleets that run at once, so that each has enough CPU time.
+var fleetSlots = make(chan struct{}, 2)
 
-// startFleet starts a small fleet of the daemon, with shorter bounds than a deployment has.
+// startFleet starts a small fleet, with shorter bounds than those of a deployment.
 func startFleet(t *testing.T, agents, core, servers int, with func(*Config)) (context.Context, *Fleet) {
 	t.Helper()
 	t.Parallel()
-	fleets <- struct{}{}
-	t.Cleanup(func() { <-fleets })
+	fleetSlots <- struct{}{}
+	t.Cleanup(func() { <-fleetSlots })
 	cfg := DefaultConfig(agents, core, servers)
-	cfg.Program, cfg.Dir, cfg.Zones = daemon, t.TempDir(), 2
+	cfg.Program, cfg.Dir, cfg.Zones = daemonProgram, t.TempDir(), 2
 	b := &cfg.Bounds
-	b.Contact, b.Drain, b.HeartbeatInterval, b.Settle = 1500*time.Millisecond, 1200*time.Millisecond, 200*time.Millisecond, 2*time.Second
-	for _, c := range cfg.Classes { // a busy machine makes answers late; that is not what is tested here
+	b.Contact, b.Drain, b.HeartbeatInterval, b.Stabilization = 1500*time.Millisecond, 1200*time.Millisecond, 200*time.Millisecond, 2*time.Second
+	for _, c := range cfg.Classes { // latency on a busy machine is not tested here
 		c.FirstEventTarget, c.EventGapTarget = 4*time.Second, 2*time.Second
 	}
 	if with != nil {
 		with(&cfg)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
 	l, err := Start(ctx, cfg)
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	return ctx, l
 }
 
-// startTraffic is clients at work until wait is called, which gives what came of their asks.
+// startTraffic starts clients. wait waits for their last request and returns the outcomes.
 func (f *Fleet) startTraffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
 	t.Helper()
 	clients, plan, err := f.NewWorkload(rate, length)
@@ -71,7 +71,7 @@
 	}
 }
 
-// requireNoViolations has the configuration read back, and no rule broken.
+// requireNoViolations reads the configuration back and checks all observations.
 func requireNoViolations(ctx context.Context, t *testing.T, l *Fleet) {
 	t.Helper()
 	l.ReadBack(ctx)
@@ -80,8 +80,8 @@
 	}
 }
 
-// failed are the outcomes that were not served.
-func failed(all []Outcome) (out []string) {
+// notServed describes the outcomes that were not served.
+func notServed(all []Outcome) (out []string) {
 	for _, o := range all {
 		if o.Verdict > Late {
 			out = append(out, fmt.Sprintf("%s %v (%s) after %d tries", o.Class.Name, o.Verdict, o.FailureReason, o.Attempts))
@@ -93,7 +93,7 @@
 func TestFleetWithoutFaultsServesAll(t *testing.T) {
 	ctx, l := startFleet(t, 5, 3, 4, nil)
 	all := l.startTraffic(ctx, t, 50, 2*time.Second)()
-	assert.Empty(t, failed(all))
+	assert.Empty(t, notServed(all))
 	requireNoViolations(ctx, t, l)
 }
 
@@ -102,7 +102,7 @@
 	wait := l.startTraffic(ctx, t, 30, 4*time.Second)
 	first := l.Operator.Current()
 
-	// A refusal changes nothing, whatever it was for.
+	// A rejected change has no effect, whatever the reason.
 	bad := first.clone()
 	bad.Revision += 1
 	bad.Routes = append(bad.Routes, Route{Name: "bad", Host: hostname, Prefix: "/bad/", Kind: "safe", TimeoutMs: 1000, Service: "nowhere", MaxAttempts: 1})
@@ -110,7 +110,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 400, status/100*100)
 
-	// A route is moved, one added, one taken away.
+	// One route is moved, one added, one removed.
 	moved := first.Routes[0]
 	moved.Service = serviceB
 	added := first.Routes[1]
@@ -124,9 +124,9 @@
 	for _, a := range l.Agents {
 		require.NoError(t, l.waitServing(ctx, a, &class))
 	}
-	assert.Less(t, l.Now()-acked, l.cfg.Bounds.Converge+patience/10)
+	assert.Less(t, l.Now()-acked, l.cfg.Bounds.Converge+testTimeout/10)
 
-	// The same order again is the same; another one on the old version is too late.
+	// A retried update has the same outcome; another one on the old revision conflicts.
 	d := l.Operator.Current()
 	other := d.clone()
 	other.Revision += 5
@@ -140,14 +140,14 @@
 	for _, a := range l.Agents {
 		l.requireNotFound(ctx, t, a, &class)
 	}
-	assert.Empty(t, failed(wait()))
+	assert.Empty(t, notServed(wait()))
 	requireNoViolations(ctx, t, l)
 }
 
-// requireNotFound asks an agent for a class until it answers 404.
+// requireNotFound sends requests of a class to an agent until it answers 404.
 func (f *Fleet) requireNotFound(ctx context.Context, t *testing.T, a *Agent, c *Class) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if x := f.Probe(ctx, a, c); x.Status == 404 {
 			return
 		}
@@ -192,15 +192,15 @@
 	require.NoError(t, agent.Terminate(ctx), "in order, within its grace")
 	require.NoError(t, agent.Restart())
 	require.NoError(t, l.WaitAllReady(ctx))
-	assert.Empty(t, failed(wait()))
+	assert.Empty(t, notServed(wait()))
 	for _, x := range l.recorder.snapshot().Attempts {
 		assert.False(t, x.Agent == agent.IP && x.Status == 200 && !x.Complete, "%s was cut", x.ID)
 	}
 	requireNoViolations(ctx, t, l)
 }
 
-// awaitBusyAgent waits until an agent has so many streams under way for some time, and returns it; of
-// several, the last one. Which agents have many depends on their addresses, by which clients are spread.
+// awaitBusyAgent waits until an agent has a number of streams in progress for some time, and returns the last such
+// agent. Which one it is depends on the addresses, over which rendezvous hashing distributes the clients.
 func (f *Fleet) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
 	t.Helper()
 	for {
@@ -224,7 +224,7 @@
 	}
 }
 
-// isOld tells whether a stream is under way for some time: some of its events have come.
+// isOld tells whether a stream has been in progress for some time, so that it has events.
 func (f *Fleet) isOld(s Stream) bool { return f.Now()-s.At > 100*time.Millisecond }
 
 func TestCoreMachineIsKilled(t *testing.T) {
@@ -233,7 +233,7 @@
 	core := l.Agents[0]
 	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == core.IP && l.isOld(s) }))
 	core.Kill()
-	// The core goes on without it: a change is acknowledged, and in force.
+	// The core works without it: a change is acknowledged and applied.
 	r := l.Operator.Current().Routes[0]
 	r.TimeoutMs -= 500
 	sent := l.Now()
@@ -244,13 +244,13 @@
 	require.NoError(t, core.Restart())
 	require.NoError(t, l.WaitServing(ctx))
 	all := wait()
-	// What may run again is served all the same; what may not is lost where it ran on the machine.
+	// Idempotent requests are served; others are lost if they ran through the machine.
 	for _, o := range all {
 		if o.Class.Resumable {
 			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s", o.Verdict, o.FailureReason)
 		}
 	}
-	assert.Less(t, len(failed(all)), len(all)/10)
+	assert.Less(t, len(notServed(all)), len(all)/10)
 	requireNoViolations(ctx, t, l)
 }
 
@@ -268,7 +268,7 @@
 		require.NoError(t, a.Restart())
 	}
 	require.NoError(t, l.WaitServing(ctx))
-	assert.Empty(t, failed(l.startTraffic(ctx, t, 30, time.Second)()))
+	assert.Empty(t, notServed(l.startTraffic(ctx, t, 30, time.Second)()))
 	requireNoViolations(ctx, t, l)
 }
 
@@ -280,7 +280,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
 	lost := l.Agents[0]
-	for _, a := range l.Agents[:l.cfg.Core] { // the one that acknowledged it, if it has a disk
+	for _, a := range l.Agents[:l.cfg.Core] { // the one that acknowledged the change, if it has a disk
 		if changes := l.recorder.snapshot().Changes; a.IP == changes[len(changes)-1].AckedBy {
 			lost = a
 		}
@@ -305,7 +305,7 @@
 	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == frozen.IP }))
 	require.NoError(t, frozen.Pause())
 	require.NoError(t, l.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return !ready[frozen.IP] }))
-	// What it has missed must not come back with it.
+	// The configuration that it missed must not be reverted.
 	r := l.Operator.Current().Routes[0]
 	r.Service = serviceB
 	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
@@ -314,7 +314,7 @@
 	require.NoError(t, frozen.Resume())
 	require.NoError(t, l.WaitAllReady(ctx))
 	all := wait()
-	assert.Less(t, len(failed(all)), len(all)/10, "%v", failed(all))
+	assert.Less(t, len(notServed(all)), len(all)/10, "%v", notServed(all))
 	requireNoViolations(ctx, t, l)
 }
 
@@ -325,7 +325,7 @@
 		require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == a.IP && l.isOld(s) }))
 		require.NoError(t, a.Reload())
 	}
-	assert.Empty(t, failed(wait()))
+	assert.Empty(t, notServed(wait()))
 	requireNoViolations(ctx, t, l)
 }
 
@@ -335,7 +335,7 @@
 	leaves := l.Server(0)
 	require.NoError(t, leaves.Leave(ctx))
 	require.NoError(t, l.RestartServer(ctx, 0))
-	assert.Empty(t, failed(wait()))
+	assert.Empty(t, notServed(wait()))
 	acked := false
 	for _, r := range l.recorder.snapshot().Records {
 		acked = acked || r.Kind == modelserver.Draining && r.Instance == leaves.ID()
@@ -346,7 +346,7 @@
 
 func TestServerCrashesUnderStreams(t *testing.T) {
 	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) {
-		c.Classes[1].MaxOutputTokens, c.Classes[1].Deadline, c.Classes[1].Timeout = 300, 10*time.Second, 10*time.Second // long streams that may be taken up
+		c.Classes[1].MaxOutputTokens, c.Classes[1].Deadline, c.Classes[1].Timeout = 300, 10*time.Second, 10*time.Second // long resumable streams
 		c.Bounds.RetryWindow = 500 * time.Millisecond                                                                   // a new process has no share of the budget before
 	})
 	wait := l.startTraffic(ctx, t, 40, 4*time.Second)
@@ -376,10 +376,10 @@
 
 func TestRunPrintsItsReport(t *testing.T) {
 	t.Parallel()
-	fleets <- struct{}{}
-	defer func() { <-fleets }()
+	fleetSlots <- struct{}{}
+	defer func() { <-fleetSlots }()
 	cfg := DefaultConfig(3, 3, 3)
-	cfg.Program, cfg.Dir = daemon, t.TempDir()
+	cfg.Program, cfg.Dir = daemonProgram, t.TempDir()
 	r, err := Run(context.Background(), cfg, Options{Duration: 2 * time.Second, Fault: "drain"}, nil)
 	require.NoError(t, err)
 	assert.Positive(t, r.Served)
--- a/internal/testbed/fleetlab/load_balancer.go
+++ b/internal/testbed/fleetlab/load_balancer.go
@@ -132,7 +132,7 @@
 // Pick assigns an agent to a client of a zone by rendezvous hashing: the same one while the ready agents stay the same,
 // and another one for each retry. It prefers ready agents of the zone; if fewer than half of the zone are ready it
 // distrusts the probes and uses the whole zone. Nil if there is no agent at all.
-func (b *LoadBalancer) Pick(zone string, client, try int) *Endpoint {
+func (b *LoadBalancer) Pick(zone string, client, attempt int) *Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var inZone, ready, anywhere []*Endpoint
@@ -164,5 +164,5 @@
 	slices.SortFunc(candidates, func(a, b *Endpoint) int {
 		return cmp.Compare(modelserver.Sum(a.IP, strconv.Itoa(client)), modelserver.Sum(b.IP, strconv.Itoa(client)))
 	})
-	return candidates[(try-1)%len(candidates)]
+	return candidates[(attempt-1)%len(candidates)]
 }
--- a/internal/testbed/fleetlab/main_test.go
+++ b/internal/testbed/fleetlab/main_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/goleak"
 )
 
-// daemon is the program that the process tests play.
-var daemon string
+// daemonProgram is the path of the daemon that the tests run.
+var daemonProgram string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "fleetlab-test-")
@@ -19,9 +19,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	daemon = filepath.Join(dir, "edged")
-	args := []string{"build", "-o", daemon}
-	if raceEnabled { // the daemon's races are found, too
+	daemonProgram = filepath.Join(dir, "edged")
+	args := []string{"build", "-o", daemonProgram}
+	if raceEnabled { // finds races in the daemon, too
 		args = append(args, "-race")
 	}
 	if text, err := exec.Command("go", append(args, "chalkdoor.example/chalkdoor/cmd/edged")...).CombinedOutput(); err != nil {
--- a/internal/testbed/fleetlab/settings_file.go
+++ b/internal/testbed/fleetlab/settings_file.go
@@ -13,7 +13,7 @@
 // Bounds are the time bounds and limits in the agents' settings, by which the checker checks, too.
 type Bounds struct {
 	Contact, Ack, Drain, Converge, RevertSlack, LossSlack, Stretch time.Duration
-	Settle, Grace, Recovery, HeartbeatInterval                     time.Duration
+	Stabilization, Grace, Recovery, HeartbeatInterval              time.Duration
 	RetryRatio                                                     float64
 	RetryWindow                                                    time.Duration
 	RetrySlack                                                     float64
@@ -22,7 +22,7 @@
 // DefaultBounds are the bounds of a small deployment.
 func DefaultBounds() Bounds {
 	return Bounds{Contact: 3 * time.Second, Ack: 4 * time.Second, Drain: 2 * time.Second, Converge: 2 * time.Second,
-		RevertSlack: 250 * time.Millisecond, LossSlack: 200 * time.Millisecond, Stretch: 5 * time.Second, Settle: 4 * time.Second,
+		RevertSlack: 250 * time.Millisecond, LossSlack: 200 * time.Millisecond, Stretch: 5 * time.Second, Stabilization: 4 * time.Second,
 		Grace: 8 * time.Second, Recovery: 12 * time.Second, HeartbeatInterval: 500 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30}
 }
 
@@ -50,7 +50,7 @@
 	fmt.Fprintf(&b, "[limits]\ncpu-share = 1.0\ncpu-cores = 1\nmemory-mb = %d\nfd-limit = 4100\nlink-mbps = 1000.0\ndisk-mb = 64\n", fleet.cfg.MemoryMB)
 	fmt.Fprintf(&b, "[fault-tolerance]\nmachine-losses = 1\nzones = 0\nregion-losses = 0\n")
 	fmt.Fprintf(&b, "[bounds]\nseed-lag-s = 3\nreuse-after-s = 2\ncontact-ms = %d\nack-ms = %d\nsettle-s = %v\ndrain-ms = %d\ngrace-s = %v\nloss-slack-ms = %d\n",
-		ms(bounds.Contact), ms(bounds.Ack), bounds.Settle.Seconds(), ms(bounds.Drain), bounds.Grace.Seconds(), ms(bounds.LossSlack))
+		ms(bounds.Contact), ms(bounds.Ack), bounds.Stabilization.Seconds(), ms(bounds.Drain), bounds.Grace.Seconds(), ms(bounds.LossSlack))
 	fmt.Fprintf(&b, "converge-ms = %d\nrevert-slack-ms = %d\nstretch-ms = %d\nretry-ratio = %v\nretry-window-s = %v\nretry-slack = %v\nrecovery-s = %v\npass_ms = %d\nagain_s = 0\n",
 		ms(bounds.Converge), ms(bounds.RevertSlack), ms(bounds.Stretch), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.Recovery.Seconds(), ms(forwardTarget))
 	path := filepath.Join(a.dir, "local.toml")
