--- a/internal/testbed/fleetlab/check_config.go
+++ b/internal/testbed/fleetlab/check_config.go
@@ -172,9 +172,9 @@
 
 // incarnationStart is the start of the incarnation in which an agent's process is at a time.
 func (c *checker) incarnationStart(agent string, at time.Duration) (from time.Duration) {
-	for _, attempt := range c.Faults {
-		if attempt.ProcessStart && attempt.Agent == agent && attempt.Begin <= at {
-			from = max(from, attempt.Begin)
+	for _, fault := range c.Faults {
+		if fault.ProcessStart && fault.Agent == agent && fault.Begin <= at {
+			from = max(from, fault.Begin)
 		}
 	}
 	return from
--- a/internal/testbed/fleetlab/checker.go
+++ b/internal/testbed/fleetlab/checker.go
@@ -88,10 +88,10 @@
 // isInContact tells whether an agent had no fault, and the core no change of faults, for Rules.Contact before a time.
 // Some guarantees hold only then.
 func (c *checker) isInContact(agent string, at time.Duration) bool {
-	for _, attempt := range c.Faults {
+	for _, fault := range c.Faults {
 		near := func(run time.Duration) bool { return run <= at && run+c.rules.Contact > at }
-		own := attempt.Agent == agent && attempt.Begin <= at && (attempt.Active || attempt.End+c.rules.Contact > at)
-		core := attempt.Core && (near(attempt.Begin) || !attempt.Active && near(attempt.End))
+		own := fault.Agent == agent && fault.Begin <= at && (fault.Active || fault.End+c.rules.Contact > at)
+		core := fault.Core && (near(fault.Begin) || !fault.Active && near(fault.End))
 		if own || core {
 			return false
 		}
