--- a/cmd/mutationtest/main.go
+++ b/cmd/mutationtest/main.go
@@ -49,13 +49,13 @@
 	}
 	var table []mutation.Mutation
 	for _, m := range mutation.Table {
-		if only.MatchString(m.ID) && (c.Point == 0 || int(m.Point) == c.Point) {
+		if only.MatchString(m.ID) && (c.Point == 0 || int(m.Category) == c.Point) {
 			table = append(table, m)
 		}
 	}
 	if c.List {
 		for _, m := range table {
-			fmt.Fprintf(out, "%-36s %d  %-28s %s of %s\n", m.ID, m.Point, m.File, m.Run, strings.Join(m.Packages, " "))
+			fmt.Fprintf(out, "%-36s %d  %-28s %s of %s\n", m.ID, m.Category, m.File, m.Tests, strings.Join(m.Packages, " "))
 		}
 		return nil
 	}
@@ -83,7 +83,7 @@
 	counts := map[mutation.Verdict]int{}
 	runner.RunAll(ctx, table, func(r mutation.Result) {
 		counts[r.Verdict]++
-		fmt.Fprintf(out, "%-14s %-36s point %d  %5.1fs  %s\n", r.Verdict, r.Mutation.ID, r.Mutation.Point, r.Elapsed.Seconds(), strings.Join(r.FailedTests, " "))
+		fmt.Fprintf(out, "%-14s %-36s point %d  %5.1fs  %s\n", r.Verdict, r.Mutation.ID, r.Mutation.Category, r.Elapsed.Seconds(), strings.Join(r.FailedTests, " "))
 		if c.Show {
 			fmt.Fprintln(out, r.Output)
 		}
--- a/internal/testbed/mutation/mutation.go
+++ b/internal/testbed/mutation/mutation.go
@@ -10,26 +10,26 @@
 	"github.com/go-faster/errors"
 )
 
-// Point is the class of guarantees that a mutation violates: one of the operators' five points.
-type Point int
+// Category is the kind of guarantee that a mutation violates. Its number is that of the flag --point.
+type Category int
 
-// The points.
+// The categories, one for each of the operators' five points.
 const (
-	CutOff     Point = 1 + iota // a partitioned machine returns stale state or acknowledges something
-	Races                       // two updates of one revision are acknowledged, or a retried one is rejected
-	SecondLoss                  // after a second loss no majority or no complete replica is left
-	CatchingUp                  // a member never catches up, or leads with stale state
-	OneAnswer                   // a response goes to the wrong caller, or a call is sent twice
+	StaleState      Category = 1 + iota // a partitioned machine returns stale state or acknowledges something
+	UpdateConflicts                     // two updates of one revision are acknowledged, or a retried one is rejected
+	Durability                          // after a second loss no majority or no complete replica is left
+	CatchUp                             // a member never catches up, or leads with stale state
+	CallMatching                        // a response goes to the wrong caller, or a call is sent twice
 )
 
 // Mutation is one change of a source file, with the tests that have to fail because of it.
 type Mutation struct {
 	ID       string
-	Point    Point
+	Category Category
 	File     string   // slash-separated path from the root of the tree
 	Old, New string   // Old, which occurs exactly once in the file, is replaced by New
 	Packages []string // of the tests, as arguments of go test
-	Run      string   // pattern of the tests, as of go test -run
+	Tests    string   // pattern of the tests, as of go test -run
 }
 
 // ErrNotApplicable is returned if a mutation's Old does not occur exactly once in its file, or equals New.
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -24,9 +24,9 @@
 		assert.NoError(t, err)
 		assert.False(t, ids[m.ID], "two mutations are called %s", m.ID)
 		ids[m.ID] = true
-		assert.True(t, m.Point >= CutOff && m.Point <= OneAnswer, m.ID)
+		assert.True(t, m.Category >= StaleState && m.Category <= CallMatching, m.ID)
 		assert.NotEmpty(t, m.Packages, m.ID)
-		for _, name := range anchoredTestNames(m.Run) {
+		for _, name := range anchoredTestNames(m.Tests) {
 			found := false
 			for _, p := range m.Packages {
 				found = found || hasTest(t, filepath.Join(root, p), name)
@@ -91,7 +91,7 @@
 	runner := newRunner(t)
 	require.NoFileExists(t, filepath.Join(runner.Tree, "ignored"))
 	entry := func(id, before, after string) Mutation {
-		return Mutation{ID: id, Point: Races, File: "one.go", Old: before, New: after, Packages: []string{"."}, Run: "^TestTwo$"}
+		return Mutation{ID: id, Category: UpdateConflicts, File: "one.go", Old: before, New: after, Packages: []string{"."}, Tests: "^TestTwo$"}
 	}
 	table := []Mutation{
 		entry("found", "1 + 1", "1 + 2"),
@@ -120,7 +120,7 @@
 	runner := newRunner(t)
 	entry := Mutation{ID: "any", File: "one.go", Old: "1 + 1", New: "1 + 2", Packages: []string{"."}}
 	for run, want := range map[string]bool{"^TestTwo$": true, "^TestBroken$": false, "^TestAbsent$": false} {
-		entry.Run = run
+		entry.Tests = run
 		assert.Equal(t, want, runner.CheckBaseline(t.Context(), []Mutation{entry}) == nil, run)
 	}
 }
--- a/internal/testbed/mutation/runner.go
+++ b/internal/testbed/mutation/runner.go
@@ -67,7 +67,7 @@
 	type suite struct{ packages, pattern string }
 	var checked []suite
 	for _, m := range table {
-		s := suite{strings.Join(m.Packages, " "), m.Run}
+		s := suite{strings.Join(m.Packages, " "), m.Tests}
 		if slices.Contains(checked, s) {
 			continue
 		}
@@ -158,7 +158,7 @@
 func (r *Runner) runTests(ctx context.Context, m Mutation, overlay string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.TestTimeout+buildTimeout)
 	defer cancel()
-	args := []string{"test", "-count=1", "-vet=off", "-failfast", "-timeout", r.TestTimeout.String(), "-run", m.Run}
+	args := []string{"test", "-count=1", "-vet=off", "-failfast", "-timeout", r.TestTimeout.String(), "-run", m.Tests}
 	if overlay != "" {
 		args = append(args, "-overlay", overlay)
 	}
