--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -87,17 +87,7 @@
 	l, now := s.coordinator, s.coordinator.now()
 	switch m := msg.(type) {
 	case serverList:
-		s.zones = s.zones[:0]
-		for _, h := range m.hosts {
-			if !slices.Contains(s.zones, h.Zone) {
-				s.zones = append(s.zones, h.Zone)
-			}
-		}
-		slices.Sort(s.zones)
-		// The age of the list in the configuration is not known.
-		if _, err := s.servers.Merge(now, m.entries); err != nil {
-			slog.Warn("site: list rejected", "err", err)
-		}
+		s.handleServerList(now, m)
 	case discoveryReport:
 		s.servers.ApplyDiscovery(now, m.list, m.complete)
 	case signalReceived:
@@ -107,17 +97,7 @@
 			slog.Debug("site: heartbeat rejected", "err", err)
 		}
 	case membersChanged:
-		var remote []string
-		s.otherAgents = s.otherAgents[:0]
-		for _, p := range m.list {
-			if p.Name != l.config.Membership.Name {
-				s.otherAgents = append(s.otherAgents, p.Name)
-			}
-			if p.Zone != l.config.Membership.Zone {
-				remote = append(remote, p.Name)
-			}
-		}
-		s.uplink.SetRemoteAgents(now, remote)
+		s.handleMembers(now, m)
 	case localDecision:
 		d := stalerouting.Decision{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
 		if !m.Confirmed {
@@ -133,16 +113,53 @@
 			l.send(m.From, KindPing, ping{From: l.config.Membership.Name, Pong: true})
 		}
 	case receivedState:
-		if m.Zone != l.config.Membership.Zone {
-			return // of another site
+		s.handlePeerState(now, m)
+	}
+}
+
+func (s *siteTask) handleServerList(now time.Duration, list serverList) {
+	s.zones = s.zones[:0]
+	for _, host := range list.hosts {
+		if !slices.Contains(s.zones, host.Zone) {
+			s.zones = append(s.zones, host.Zone)
+		}
+	}
+	slices.Sort(s.zones)
+	// The age of the list in the configuration is not known.
+	if _, err := s.servers.Merge(now, list.entries); err != nil {
+		slog.Warn("site: list rejected", "err", err)
+	}
+}
+
+func (s *siteTask) handleMembers(now time.Duration, members membersChanged) {
+	self := &s.coordinator.config.Membership
+	var remote []string
+	s.otherAgents = s.otherAgents[:0]
+	for _, peer := range members.list {
+		if peer.Name != self.Name {
+			s.otherAgents = append(s.otherAgents, peer.Name)
 		}
-		changed, err := s.servers.Merge(now, m.Entries)
-		if err != nil {
-			slog.Warn("site: server set rejected", "from", m.From, "err", err)
-		} else if s.uplink.DiscoveryUnreachable() && len(changed) > 0 {
-			l.addPeerReports(changed)
+		if peer.Zone != self.Zone {
+			remote = append(remote, peer.Name)
 		}
 	}
+	s.uplink.SetRemoteAgents(now, remote)
+}
+
+// handlePeerState merges the server set of a peer of the same site. While discovery can't be reached the
+// event loop is told of what changed.
+func (s *siteTask) handlePeerState(now time.Duration, state receivedState) {
+	if state.Zone != s.coordinator.config.Membership.Zone {
+		return
+	}
+	changed, err := s.servers.Merge(now, state.Entries)
+	if err != nil {
+		slog.Warn("site: server set rejected", "from", state.From, "err", err)
+		return
+	}
+	if s.uplink.DiscoveryUnreachable() && len(changed) > 0 {
+		s.coordinator.addPeerReports(changed)
+	}
 }
 
 // publishSnapshot makes the task's state available to its restart, to peers and to the disk.
--- a/internal/agent/opsconfig/opsconfig.go
+++ b/internal/agent/opsconfig/opsconfig.go
@@ -261,72 +261,97 @@
 	return f, nil
 }
 
-func (f *File) validate() (wrong []*Error) {
-	oneOf := func(key, value string, words []string) {
-		if !slices.Contains(words, value) {
-			wrong = append(wrong, &Error{Key: key, Text: fmt.Sprintf("%q is none of %s", value, strings.Join(words, ", "))})
-		}
+// problems collects what is wrong with a file.
+type problems []*Error
+
+func (p *problems) add(key, format string, args ...any) {
+	*p = append(*p, &Error{Key: key, Text: fmt.Sprintf(format, args...)})
+}
+
+// addInSection adds an error whose text begins with its key within a section.
+func (p *problems) addInSection(section string, err error) {
+	if err == nil {
+		return
 	}
-	address := func(key, value string) {
-		if value == "" {
-			return
-		}
-		_, port, err := net.SplitHostPort(value)
-		if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || key != "metrics.address" && n == 0 {
-			wrong = append(wrong, &Error{Key: key, Text: fmt.Sprintf("%q is no host:port", value)})
-		}
+	key, text, _ := strings.Cut(err.Error(), ": ")
+	p.add(section+"."+key, "%s", text)
+}
+
+// requireOneOf wants a value to be one of the given words.
+func (p *problems) requireOneOf(key, value string, words []string) {
+	if !slices.Contains(words, value) {
+		p.add(key, "%q is none of %s", value, strings.Join(words, ", "))
 	}
-	address("agent.listen", f.Agent.Listen)
-	address("agent.discovery", f.Agent.Discovery)
-	address("metrics.address", f.Metrics.Address)
+}
+
+// requireHostPort wants a host and a port, or nothing. Port 0 is allowed for metrics only.
+func (p *problems) requireHostPort(key, value string) {
+	if value == "" {
+		return
+	}
+	_, port, err := net.SplitHostPort(value)
+	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || key != "metrics.address" && n == 0 {
+		p.add(key, "%q is no host:port", value)
+	}
+}
+
+// validate returns all that is wrong with the values of a file, in the order of its sections.
+func (f *File) validate() []*Error {
+	var wrong problems
+	wrong.requireHostPort("agent.listen", f.Agent.Listen)
+	wrong.requireHostPort("agent.discovery", f.Agent.Discovery)
+	wrong.requireHostPort("metrics.address", f.Metrics.Address)
 	if every := time.Duration(f.State.Every); every < 100*time.Millisecond || every > time.Hour {
-		wrong = append(wrong, &Error{Key: "state.every", Text: fmt.Sprintf("%v is not 100ms to 1h", every)})
+		wrong.add("state.every", "%v is not 100ms to 1h", every)
+	}
+	f.validateFleet(&wrong)
+	f.validateVote(&wrong)
+	_, err := f.Council.Config(f.Agent.Name)
+	wrong.addInSection("council", err)
+	if len(f.Council.Voters) > 0 && len(f.Vote.Electorate) == 0 {
+		wrong.add("council.voters", "there is no council without vote.electorate")
 	}
-	fleet := f.Fleet.Name != ""
-	for _, a := range append([]string{f.Fleet.Bind, f.Fleet.Advertise}, f.Fleet.Seeds...) {
-		if _, err := netip.ParseAddrPort(a); err != nil && a != "" {
-			wrong = append(wrong, &Error{Key: f.Fleet.keyOf(a), Text: fmt.Sprintf("%q is no address:port", a)})
+	site := f.Site.UplinkConfig()
+	site.Members = []string{site.Self}
+	wrong.addInSection("site", site.Validate())
+	wrong.requireOneOf("log.format", f.Log.Format, Formats)
+	wrong.requireOneOf("log.level", f.Log.Level, Levels)
+	return wrong
+}
+
+func (f *File) validateFleet(wrong *problems) {
+	for _, address := range append([]string{f.Fleet.Bind, f.Fleet.Advertise}, f.Fleet.Seeds...) {
+		if _, err := netip.ParseAddrPort(address); err != nil && address != "" {
+			wrong.add(f.Fleet.keyOf(address), "%q is no address:port", address)
 		}
 	}
-	if fleet && f.Fleet.Bind == "" {
-		wrong = append(wrong, &Error{Key: "fleet.bind", Text: "needed by a fleet that has a name"})
+	if f.Fleet.Name == "" {
+		return
 	}
-	if fleet && len(f.Fleet.Seeds) == 0 {
-		wrong = append(wrong, &Error{Key: "fleet.seeds", Text: "needed by a fleet that has a name"})
+	if f.Fleet.Bind == "" {
+		wrong.add("fleet.bind", "needed by a fleet that has a name")
 	}
-	if len(f.Vote.Electorate) > 0 {
-		if !fleet {
-			wrong = append(wrong, &Error{Key: "vote.electorate", Text: "there are no votes without fleet.name"})
-		}
-		self := f.Agent.Name
-		if self == "" {
-			self = f.Vote.Electorate[0]
-		}
-		if !slices.Contains(f.Vote.Electorate, self) {
-			wrong = append(wrong, &Error{Key: "vote.electorate", Text: fmt.Sprintf("%q, this agent, is not in it", self)})
-		}
-		b := f.Vote.EjectionConfig(self)
-		if err := b.Validate(); err != nil {
-			key, text, _ := strings.Cut(err.Error(), ": ")
-			wrong = append(wrong, &Error{Key: "vote." + key, Text: text})
-		}
+	if len(f.Fleet.Seeds) == 0 {
+		wrong.add("fleet.seeds", "needed by a fleet that has a name")
 	}
-	if _, err := f.Council.Config(f.Agent.Name); err != nil {
-		key, text, _ := strings.Cut(err.Error(), ": ")
-		wrong = append(wrong, &Error{Key: "council." + key, Text: text})
+}
+
+func (f *File) validateVote(wrong *problems) {
+	if len(f.Vote.Electorate) == 0 {
+		return
 	}
-	if len(f.Council.Voters) > 0 && len(f.Vote.Electorate) == 0 {
-		wrong = append(wrong, &Error{Key: "council.voters", Text: "there is no council without vote.electorate"})
+	if f.Fleet.Name == "" {
+		wrong.add("vote.electorate", "there are no votes without fleet.name")
 	}
-	site := f.Site.UplinkConfig()
-	site.Members = []string{site.Self}
-	if err := site.Validate(); err != nil {
-		key, text, _ := strings.Cut(err.Error(), ": ")
-		wrong = append(wrong, &Error{Key: "site." + key, Text: text})
+	self := f.Agent.Name
+	if self == "" {
+		self = f.Vote.Electorate[0]
 	}
-	oneOf("log.format", f.Log.Format, Formats)
-	oneOf("log.level", f.Log.Level, Levels)
-	return wrong
+	if !slices.Contains(f.Vote.Electorate, self) {
+		wrong.add("vote.electorate", "%q, this agent, is not in it", self)
+	}
+	config := f.Vote.EjectionConfig(self)
+	wrong.addInSection("vote", config.Validate())
 }
 
 // keyOf is the key that an address stands at.
--- a/internal/agent/snapshot/state.go
+++ b/internal/agent/snapshot/state.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"math"
-	"strconv"
 	"strings"
 	"time"
 
@@ -49,6 +48,8 @@
 const (
 	// keysPerRecord is the number of keys in one record, which bounds the loss by a damaged one.
 	keysPerRecord = 256
+	// keySize is the size of a key and its count in a record, in bytes.
+	keySize = 16
 	// maxServers bounds the number of servers that are stored.
 	maxServers = 10_000
 )
@@ -114,73 +115,115 @@
 // Decode decodes the state of a generation. Invalid records are dropped and reported. Durations since an
 // event are extended by the generation's age. A list with a missing entry is dropped: its missing servers
 // would count as removed.
-func Decode(g *Generation) (st *State, problems []Problem) {
-	st = &State{}
-	m := &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)}
-	drop := func(table, key string, why any) {
-		problems = append(problems, Problem{fmt.Sprintf("%s %q", table, key), fmt.Sprint(why)})
-	}
-	for _, key := range sortedKeys(g.Tables[tableServers]) {
-		r := g.Tables[tableServers][key]
-		var s policy.ServerSnapshot
-		if r.Version != versionServers {
-			drop(tableServers, key, "version "+strconv.Itoa(int(r.Version)))
-		} else if err := json.Unmarshal(r.Value, &s); err != nil {
-			drop(tableServers, key, err)
-		} else if key != fmt.Sprintf("%x", s.Server) {
-			drop(tableServers, key, "of another server")
+func Decode(g *Generation) (*State, []Problem) {
+	d := &decoder{generation: g, state: &State{Policy: &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)}}}
+	d.decodeServers()
+	d.decodeKeys()
+	d.decodeLoad()
+	d.decodeSite()
+	d.decodeList()
+	return d.state, d.problems
+}
+
+// decoder decodes the tables of a generation one by one.
+type decoder struct {
+	generation *Generation
+	state      *State
+	problems   []Problem
+}
+
+// reject reports a record that is dropped.
+func (d *decoder) reject(table, key, format string, args ...any) {
+	d.problems = append(d.problems, Problem{fmt.Sprintf("%s %q", table, key), fmt.Sprintf(format, args...)})
+}
+
+func (d *decoder) decodeServers() {
+	records := d.generation.Tables[tableServers]
+	for _, key := range sortedKeys(records) {
+		record := records[key]
+		var server policy.ServerSnapshot
+		if record.Version != versionServers {
+			d.reject(tableServers, key, "version %d", record.Version)
+		} else if err := json.Unmarshal(record.Value, &server); err != nil {
+			d.reject(tableServers, key, "%v", err)
+		} else if key != fmt.Sprintf("%x", server.Server) {
+			d.reject(tableServers, key, "of another server")
 		} else {
-			s.InStateMs += m.AgeMs
-			m.Servers = append(m.Servers, s)
+			server.InStateMs += d.state.Policy.AgeMs
+			d.state.Policy.Servers = append(d.state.Policy.Servers, server)
 		}
 	}
-	for _, key := range sortedKeys(g.Tables[tableKeys]) {
-		r := g.Tables[tableKeys][key]
-		if r.Version != versionKeys || len(r.Value)%16 != 0 || len(r.Value) > 16*keysPerRecord {
-			drop(tableKeys, key, fmt.Sprintf("version %d, %d bytes", r.Version, len(r.Value)))
+}
+
+func (d *decoder) decodeKeys() {
+	records := d.generation.Tables[tableKeys]
+	for _, key := range sortedKeys(records) {
+		record := records[key]
+		if record.Version != versionKeys || len(record.Value)%keySize != 0 || len(record.Value) > keySize*keysPerRecord {
+			d.reject(tableKeys, key, "version %d, %d bytes", record.Version, len(record.Value))
 			continue
 		}
-		for raw := r.Value; len(raw) > 0; raw = raw[16:] {
-			m.Keys = append(m.Keys, policy.KeyCount{Key: binary.BigEndian.Uint64(raw), Count: math.Float64frombits(binary.BigEndian.Uint64(raw[8:]))})
+		for raw := record.Value; len(raw) > 0; raw = raw[keySize:] {
+			count := math.Float64frombits(binary.BigEndian.Uint64(raw[keySize/2:]))
+			d.state.Policy.Keys = append(d.state.Policy.Keys, policy.KeyCount{Key: binary.BigEndian.Uint64(raw), Count: count})
 		}
 	}
-	if r, ok := g.Tables[tableLoad]["now"]; ok {
-		var l loadRecord
-		if err := json.Unmarshal(r.Value, &l); err != nil || r.Version != versionLoad {
-			drop(tableLoad, "now", fmt.Sprintf("version %d, %v", r.Version, err))
-		} else {
-			m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs = l.Demand, l.PeakCapacity, l.AdmittedShare, l.BaselineLatency, l.RecentLatency, l.Responses, l.ExpectedLatencyMs
-		}
+}
+
+func (d *decoder) decodeLoad() {
+	record, ok := d.generation.Tables[tableLoad]["now"]
+	if !ok {
+		return
 	}
-	st.Policy = m
-	if r, ok := g.Tables[tableSite]["now"]; ok {
-		var s Site
-		if err := json.Unmarshal(r.Value, &s); err != nil || r.Version != versionSite || len(s.Entries) > stalerouting.MaxEntries {
-			drop(tableSite, "now", fmt.Sprintf("version %d, %d entries, %v", r.Version, len(s.Entries), err))
-		} else {
-			for i := range s.Entries {
-				s.Entries[i].Age = min(s.Entries[i].Age, stalerouting.UnknownAge) + min(g.Age, stalerouting.UnknownAge)
-			}
-			st.Site = &s
-		}
+	var load loadRecord
+	if err := json.Unmarshal(record.Value, &load); err != nil || record.Version != versionLoad {
+		d.reject(tableLoad, "now", "version %d, %v", record.Version, err)
+		return
+	}
+	p := d.state.Policy
+	p.Demand, p.PeakCapacity, p.AdmittedShare = load.Demand, load.PeakCapacity, load.AdmittedShare
+	p.BaselineLatency, p.RecentLatency = load.BaselineLatency, load.RecentLatency
+	p.Responses, p.ExpectedLatencyMs = load.Responses, load.ExpectedLatencyMs
+}
+
+func (d *decoder) decodeSite() {
+	record, ok := d.generation.Tables[tableSite]["now"]
+	if !ok {
+		return
+	}
+	var site Site
+	err := json.Unmarshal(record.Value, &site)
+	if err != nil || record.Version != versionSite || len(site.Entries) > stalerouting.MaxEntries {
+		d.reject(tableSite, "now", "version %d, %d entries, %v", record.Version, len(site.Entries), err)
+		return
 	}
-	r, ok := g.Tables[tableList][listHeaderKey]
+	age := min(d.generation.Age, stalerouting.UnknownAge)
+	for i := range site.Entries {
+		site.Entries[i].Age = min(site.Entries[i].Age, stalerouting.UnknownAge) + age
+	}
+	d.state.Site = &site
+}
+
+func (d *decoder) decodeList() {
+	records := d.generation.Tables[tableList]
+	record, ok := records[listHeaderKey]
 	if !ok {
-		if len(g.Tables[tableList]) > 0 {
-			drop(tableList, listHeaderKey, "missing")
+		if len(records) > 0 {
+			d.reject(tableList, listHeaderKey, "missing")
 		}
-		return st, problems
+		return
 	}
-	var h listHeader
-	if err := json.Unmarshal(r.Value, &h); err != nil || r.Version != versionList || h.Targets != len(g.Tables[tableList])-1 {
-		drop(tableList, listHeaderKey, fmt.Sprintf("version %d, %d of %d entries, %v", r.Version, len(g.Tables[tableList])-1, h.Targets, err))
-		return st, problems
+	var header listHeader
+	err := json.Unmarshal(record.Value, &header)
+	if err != nil || record.Version != versionList || header.Targets != len(records)-1 {
+		d.reject(tableList, listHeaderKey, "version %d, %d of %d entries, %v", record.Version, len(records)-1, header.Targets, err)
+		return
 	}
-	st.Discovery, st.Version, st.Targets = h.Discovery, h.Version, map[string]json.RawMessage{}
-	for key, r := range g.Tables[tableList] {
+	d.state.Discovery, d.state.Version = header.Discovery, header.Version
+	d.state.Targets = map[string]json.RawMessage{}
+	for key, entry := range records {
 		if id, ok := strings.CutPrefix(key, "="); ok {
-			st.Targets[id] = r.Value
+			d.state.Targets[id] = entry.Value
 		}
 	}
-	return st, problems
 }
--- a/internal/agent/zonefailover/trafficshare.go
+++ b/internal/agent/zonefailover/trafficshare.go
@@ -77,30 +77,44 @@
 		}
 	}
 	for site, parts := range shares {
-		total := 0.0
-		for _, z := range demand.zones {
-			total += demand.capacity(site, z)
-		}
-		for _, z := range demand.zones {
-			if overflow[site] > 1e-12 && total > 0 {
-				parts[z] += overflow[site] * demand.capacity(site, z) / total
-			}
-		}
-		sum := 0.0
-		for _, amount := range parts {
-			sum += amount
-		}
-		for z := range parts {
-			if sum > 0 {
-				parts[z] /= sum
-			} else {
-				parts[z] = map[bool]float64{true: 1, false: 0}[z == site]
-			}
-		}
+		demand.spread(site, overflow[site], parts)
+		normalize(site, parts)
 	}
 	return shares
 }
 
+// spread adds the demand beyond all capacity to the zones, in proportion to the capacity of each.
+func (demand *trafficDemand) spread(site string, overflow float64, parts map[string]float64) {
+	total := 0.0
+	for _, z := range demand.zones {
+		total += demand.capacity(site, z)
+	}
+	if overflow <= 1e-12 || total <= 0 {
+		return
+	}
+	for _, z := range demand.zones {
+		parts[z] += overflow * demand.capacity(site, z) / total
+	}
+}
+
+// normalize makes the parts add up to one. A site without any keeps its traffic at home.
+func normalize(site string, parts map[string]float64) {
+	sum := 0.0
+	for _, amount := range parts {
+		sum += amount
+	}
+	for z := range parts {
+		switch {
+		case sum > 0:
+			parts[z] /= sum
+		case z == site:
+			parts[z] = 1
+		default:
+			parts[z] = 0
+		}
+	}
+}
+
 // capacity returns the weight that a zone has for a site.
 func (demand *trafficDemand) capacity(site, zone string) float64 {
 	if site == zone {
