--- a/internal/testbed/fleetlab/check_requests.go
+++ b/internal/testbed/fleetlab/check_requests.go
@@ -93,25 +93,25 @@
 	if attempt.SentAt == 0 || attempt.Complete || attempt.EndReason != Closed || attempt.EndedAt >= attempt.Deadline || attempt.Timeout > 0 && attempt.EndedAt >= attempt.SentAt+attempt.Timeout {
 		return
 	}
-	for _, run := range c.Faults {
-		if !run.Graceful || run.Agent != attempt.Agent || attempt.EndedAt < run.Begin || attempt.EndedAt > run.Begin+c.rules.Grace+time.Second {
+	for _, fault := range c.Faults {
+		if !fault.Graceful || fault.Agent != attempt.Agent || attempt.EndedAt < fault.Begin || attempt.EndedAt > fault.Begin+c.rules.Grace+time.Second {
 			continue
 		}
-		if slices.ContainsFunc(c.Faults, func(o Fault) bool {
-			return !o.Graceful && !o.ProcessStart && (o.Agent == attempt.Agent || o.Core) && o.Begin <= attempt.EndedAt && (o.Active || o.End+c.rules.Contact > attempt.StartedAt)
+		if slices.ContainsFunc(c.Faults, func(other Fault) bool {
+			return !other.Graceful && !other.ProcessStart && (other.Agent == attempt.Agent || other.Core) && other.Begin <= attempt.EndedAt && (other.Active || other.End+c.rules.Contact > attempt.StartedAt)
 		}) || c.serverFailed(attempt) {
 			return
 		}
 		// A request that is still executed in the second half of the grace was too long.
-		work := slices.ContainsFunc(c.runs[attempt.ID], func(record *serverRun) bool { return record.ended == 0 || record.ended >= run.Begin+c.rules.Grace/2 })
-		if work && attempt.EndedAt >= run.Begin+c.rules.Grace/2 {
+		executing := slices.ContainsFunc(c.runs[attempt.ID], func(run *serverRun) bool { return run.ended == 0 || run.ended >= fault.Begin+c.rules.Grace/2 })
+		if executing && attempt.EndedAt >= fault.Begin+c.rules.Grace/2 {
 			return
 		}
-		passed := slices.ContainsFunc(c.Records, func(record modelserver.Record) bool {
+		forwarded := slices.ContainsFunc(c.Records, func(record modelserver.Record) bool {
 			return record.Kind == modelserver.Arrived && record.Attempt == attempt.ID
 		})
-		if passed || attempt.EndedAt > attempt.SentAt+c.rules.LossSlack+c.rules.Slack {
-			c.addViolation("LOST", attempt.EndedAt, "%s: cut %v after the SIGTERM of %s, with %d events", attempt.ID, attempt.EndedAt-run.Begin, attempt.Agent, len(attempt.Events))
+		if forwarded || attempt.EndedAt > attempt.SentAt+c.rules.LossSlack+c.rules.Slack {
+			c.addViolation("LOST", attempt.EndedAt, "%s: cut %v after the SIGTERM of %s, with %d events", attempt.ID, attempt.EndedAt-fault.Begin, attempt.Agent, len(attempt.Events))
 			return
 		}
 	}
--- a/internal/testbed/fleetlab/checker.go
+++ b/internal/testbed/fleetlab/checker.go
@@ -89,7 +89,7 @@
 // Some guarantees hold only then.
 func (c *checker) isInContact(agent string, at time.Duration) bool {
 	for _, fault := range c.Faults {
-		near := func(run time.Duration) bool { return run <= at && run+c.rules.Contact > at }
+		near := func(changed time.Duration) bool { return changed <= at && changed+c.rules.Contact > at }
 		own := fault.Agent == agent && fault.Begin <= at && (fault.Active || fault.End+c.rules.Contact > at)
 		core := fault.Core && (near(fault.Begin) || !fault.Active && near(fault.End))
 		if own || core {
