--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,5 +1,5 @@
-// Command scaletest plays fleets of hundreds of hollow agents on loopback and prints what control
-// costs each role.
+// Command scaletest runs fleets of hundreds of hollow agents on loopback and prints what the control plane costs each
+// role: see internal/testbed/hollownode.
 package main
 
 import (
@@ -61,10 +61,10 @@
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// Run serves one process of a play.
+// Run serves a host of a run.
 func (h *hostCmd) Run() error { return hollownode.Serve(context.Background(), h.Addr) }
 
-// Run plays once.
+// Run runs a fleet once and prints the result.
 func (r *runCmd) Run(out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -72,32 +72,32 @@
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "scaletest-"); err != nil {
-			return errors.Wrap(err, "folder of the play")
+			return errors.Wrap(err, "create the folder of the run")
 		}
 		defer os.RemoveAll(dir)
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
-		return errors.Wrap(err, "folder of the play")
+		return errors.Wrap(err, "create the folder of the run")
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "own program")
+		return errors.Wrap(err, "find the program")
 	}
 	cfg := hollownode.Config{Agents: r.Agents, Core: r.Core, Hosts: r.Hosts, Real: r.Real, Servers: r.Servers, Changes: r.Changes, Drains: r.Drains, Churn: r.Churn,
-		Lose: r.Lose, Size: sampling.Size{Routes: r.Routes, Services: r.Models, Tenants: r.Tenants}, Beat: r.Beat, Spread: r.Spread, For: r.For,
+		Lose: r.Lose, Size: sampling.Size{Routes: r.Routes, Services: r.Models, Tenants: r.Tenants}, HeartbeatInterval: r.Beat, Spread: r.Spread, Window: r.For,
 		Dir: dir, Program: self, Args: []string{"host"}}
 	if r.Real > 0 {
-		if cfg.Edged, err = r.daemon(ctx, self, dir); err != nil {
+		if cfg.DaemonProgram, err = r.daemon(ctx, self, dir); err != nil {
 			return err
 		}
 	}
-	res, err := hollownode.Play(ctx, cfg, func(s string) { fmt.Fprintln(os.Stderr, s) })
+	result, err := hollownode.Run(ctx, cfg, func(s string) { fmt.Fprintln(os.Stderr, s) })
 	if err != nil {
 		return err
 	}
 	if r.JSON != "" {
-		text, err := json.MarshalIndent(res, "", "  ")
+		text, err := json.MarshalIndent(result, "", "  ")
 		if err != nil {
-			return errors.Wrap(err, "figures")
+			return errors.Wrap(err, "write the result as JSON")
 		}
 		text = append(text, '\n')
 		if r.JSON == "-" {
@@ -105,20 +105,20 @@
 			return err
 		}
 		if err := os.WriteFile(r.JSON, text, 0o600); err != nil {
-			return errors.Wrap(err, "figures")
+			return errors.Wrap(err, "write the result as JSON")
 		}
 	}
-	return res.Write(out)
+	return result.Write(out)
 }
 
-// daemon finds the daemon, or builds it.
+// daemon returns the path of the daemon's program: the one of the flag, the one beside this program, or a new build.
 func (r *runCmd) daemon(ctx context.Context, self, dir string) (string, error) {
 	if r.Edged != "" {
 		return filepath.Abs(r.Edged)
 	}
-	beside := filepath.Join(filepath.Dir(self), "edged")
-	if st, err := os.Stat(beside); err == nil && st.Mode().IsRegular() {
-		return beside, nil
+	sibling := filepath.Join(filepath.Dir(self), "edged")
+	if info, err := os.Stat(sibling); err == nil && info.Mode().IsRegular() {
+		return sibling, nil
 	}
 	bin := filepath.Join(dir, "edged")
 	if text, err := exec.CommandContext(ctx, "go", "build", "-o", bin, edged).CombinedOutput(); err != nil {
--- a/internal/testbed/hollownode/real.go
+++ b/internal/testbed/hollownode/daemon.go
@@ -20,33 +20,33 @@
 
 const (
 	peerPort, controlPort, frontPort, readinessPort = 7300, 8262, 8263, 8268
-	// ticksPerSecond is the kernel's unit of processor time in /proc.
+	// ticksPerSecond is the kernel's unit of CPU time in /proc (USER_HZ).
 	ticksPerSecond = 100
-	// askEvery is how often a daemon is asked whether it is ready, as the platform's entry does more seldom.
-	askEvery = 25 * time.Millisecond
+	// probeInterval is the pause between two readiness probes.
+	probeInterval = 25 * time.Millisecond
 )
 
-// daemon is one real process of edged, an agent without a disk.
+// daemon is a real process of edged, as an agent without a disk.
 type daemon struct {
-	name, ip string
-	began    time.Duration
-	ready    time.Duration
-	proc     *process.Proc
-	client   *http.Client
-	cpu      time.Duration
+	name, ip  string
+	startedAt time.Duration
+	ready     time.Duration
+	process   *process.Proc
+	client    *http.Client
+	cpu       time.Duration
 }
 
-// DaemonReport is what one real daemon used; it has no clients.
+// DaemonReport is the measurement of a real daemon. It has no clients.
 type DaemonReport struct {
-	Name  string        `json:"name"`
-	Ready time.Duration `json:"ready"` // from its start
-	CPU   time.Duration `json:"cpu"`   // in the window, to 10 ms
-	RSS   int64         `json:"rss"`
-	Peak  int64         `json:"rss-peak"`
-	Seq   uint64        `json:"config-seq"` // of the configuration in force at the end
+	Name       string        `json:"name"`
+	ReadyDelay time.Duration `json:"ready"` // from its start
+	CPU        time.Duration `json:"cpu"`   // in the window, to 10 ms
+	RSS        int64         `json:"rss"`
+	Peak       int64         `json:"rss-peak"`
+	ConfigSeq  uint64        `json:"config-seq"` // of the configuration that is applied at the end
 }
 
-// startDaemon starts edged with settings as the platform writes them.
+// startDaemon writes the settings of edged and starts it.
 func startDaemon(g *process.Group, program, dir, name, ip, zone, region string, seeds []string, beat time.Duration) (*daemon, error) {
 	var b strings.Builder
 	list := func(items []string) string { return `["` + strings.Join(items, `","`) + `"]` }
@@ -66,22 +66,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &daemon{name: name, ip: ip, began: now(), proc: p, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{}}}, nil
+	return &daemon{name: name, ip: ip, startedAt: now(), process: p, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{}}}, nil
 }
 
-// awaitReady asks until it is.
-func (d *daemon) awaitReady(ctx context.Context) error {
-	tick := time.NewTicker(askEvery)
+// waitReady probes the daemon until it is ready.
+func (d *daemon) waitReady(ctx context.Context) error {
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		if status, _, err := d.get(ctx, readinessPort, "/chalkdoor/ready"); err == nil && status == http.StatusOK {
-			d.ready = now() - d.began
+			d.ready = now() - d.startedAt
 			return nil
 		}
 		select {
 		case <-tick.C:
-		case <-d.proc.Ended():
-			return errors.Errorf("%s ended: %v", d.name, d.proc.Err())
+		case <-d.process.Ended():
+			return errors.Errorf("%s ended: %v", d.name, d.process.Err())
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%s is not ready", d.name)
 		}
@@ -103,33 +103,35 @@
 	return resp.StatusCode, body.Bytes(), err
 }
 
-// Pid is the process's.
-func (d *daemon) Pid() int { return d.proc.Pid }
+// Pid is the id of the process.
+func (d *daemon) Pid() int { return d.process.Pid }
 
-func (d *daemon) begin() { d.cpu = processCPU(d.proc.Pid) }
+// beginWindow begins the measurement.
+func (d *daemon) beginWindow() { d.cpu = processCPU(d.process.Pid) }
 
+// report ends the measurement.
 func (d *daemon) report(ctx context.Context) DaemonReport {
-	r := DaemonReport{Name: d.name, Ready: d.ready, CPU: processCPU(d.proc.Pid) - d.cpu}
-	r.RSS, r.Peak = resident(d.proc.Pid)
+	r := DaemonReport{Name: d.name, ReadyDelay: d.ready, CPU: processCPU(d.process.Pid) - d.cpu}
+	r.RSS, r.Peak = resident(d.process.Pid)
 	var status struct {
 		Seq uint64 `json:"config-seq"`
 	}
 	if code, body, err := d.get(ctx, controlPort, "/chalkdoor/ops/status"); err == nil && code == http.StatusOK {
-		_ = json.Unmarshal(body, &status) // Seq 0 tells
+		_ = json.Unmarshal(body, &status) // ConfigSeq stays 0
 	}
-	r.Seq = status.Seq
+	r.ConfigSeq = status.Seq
 	return r
 }
 
 func (d *daemon) close() {
 	d.client.CloseIdleConnections()
-	d.proc.Kill()
+	d.process.Kill()
 }
 
-// processCPU is the processor time of another process, 0 where that can't be read.
+// processCPU is the CPU time of another process; 0 if it can't be read.
 func processCPU(pid int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold anything
+	_, rest, _ := strings.Cut(string(text), ") ") // the name before may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
 		return 0
--- a/internal/testbed/hollownode/tap_test.go
+++ b/internal/testbed/hollownode/traffic_test.go
@@ -11,8 +11,8 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// wire is the bytes of some packets, in frames of at most so many bytes.
-func wire(t *testing.T, most int, packets ...drpcwire.Packet) (out []byte) {
+// encodePackets encodes packets in frames of a maximal size.
+func encodePackets(t *testing.T, most int, packets ...drpcwire.Packet) (out []byte) {
 	for i, p := range packets {
 		p.ID = drpcwire.ID{Stream: 300, Message: uint64(i + 1)}
 		require.NoError(t, drpcwire.SplitN(p, most, func(f drpcwire.Frame) error {
@@ -23,18 +23,18 @@
 	return out
 }
 
-func TestFramesAreCountedHoweverTheyAreCut(t *testing.T) {
-	raw := wire(t, 50,
+func TestFramesAreCountedAcrossReads(t *testing.T) {
+	raw := encodePackets(t, 50,
 		drpcwire.Packet{Kind: drpcwire.KindInvoke, Data: []byte("core.ping")},
 		drpcwire.Packet{Kind: drpcwire.KindMessage, Data: make([]byte, 320)},
 		drpcwire.Packet{Kind: drpcwire.KindMessage},
 		drpcwire.Packet{Kind: drpcwire.KindClose})
 	for cut := 1; cut <= len(raw); cut++ {
-		var f frames
+		var f frameParser
 		messages, size, calls := 0, 0, ""
 		for rest := raw; len(rest) > 0; {
 			n := min(cut, len(rest))
-			f.feed(rest[:n], func(f *frames) {
+			f.write(rest[:n], func(f *frameParser) {
 				size += f.size
 				if f.kind == drpcwire.KindMessage && f.done {
 					messages++
@@ -51,11 +51,11 @@
 	}
 }
 
-func TestCallersOfSessionsAreToldApart(t *testing.T) {
+func TestSessionsAreCountedByCaller(t *testing.T) {
 	type hello struct {
 		Source string `msgpack:"s"`
 	}
-	tap := newTap()
+	tap := newTrafficCounter()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	counted := tap.listener(ln)
@@ -66,7 +66,7 @@
 	for _, source := range []string{"core-7/1", "agent-7/1"} {
 		first, err := msgpack.Marshal(map[string]any{"h": hello{source}})
 		require.NoError(t, err)
-		raw := wire(t, 7, drpcwire.Packet{Kind: drpcwire.KindInvoke, Data: []byte(session)}, drpcwire.Packet{Kind: drpcwire.KindMessage, Data: first},
+		raw := encodePackets(t, 7, drpcwire.Packet{Kind: drpcwire.KindInvoke, Data: []byte(sessionCall)}, drpcwire.Packet{Kind: drpcwire.KindMessage, Data: first},
 			drpcwire.Packet{Kind: drpcwire.KindMessage, Data: []byte{1}})
 		total += int64(len(raw))
 		wg.Go(func() {
@@ -83,11 +83,11 @@
 		}
 		c.Close()
 	}
-	got := tap.read()
+	got := tap.snapshot()
 	require.Len(t, got, 2)
-	for _, call := range []string{session + fromCore, session + fromAgent} {
+	for _, call := range []string{sessionCall + fromCore, sessionCall + fromAgent} {
 		require.Equal(t, int64(1), got[call].Calls)
 		require.Equal(t, int64(2), got[call].In)
 	}
-	require.Equal(t, total, got[session+fromCore].Bytes()+got[session+fromAgent].Bytes())
+	require.Equal(t, total, got[sessionCall+fromCore].Bytes()+got[sessionCall+fromAgent].Bytes())
 }
