--- a/internal/testbed/hollownode/collect.go
+++ b/internal/testbed/hollownode/collect.go
@@ -85,16 +85,16 @@
 
 // addDelays adds the delays of the start, of changes and of drains.
 func (f *fleet) addDelays(r *Result, reports []*HostReport, changes []Change) {
-	var start, known, returns []time.Duration
+	var starts, known, restarts []time.Duration
 	for _, h := range reports {
 		for _, n := range h.Nodes {
 			for j, ready := range n.ReadyDelays {
 				switch {
 				case ready == 0:
 				case j == 0 && (f.loss == nil || n.Name != f.loss.Name):
-					start = append(start, ready)
+					starts = append(starts, ready)
 				case j > 0:
-					returns = append(returns, ready)
+					restarts = append(restarts, ready)
 				}
 			}
 			if n.ServersKnownDelay > 0 && (f.loss == nil || n.Name != f.loss.Name) {
@@ -102,12 +102,12 @@
 			}
 		}
 	}
-	r.ReadyDelays, r.ServersKnown, r.RestartDelays = newDelays(start), newDelays(known), newDelays(returns)
-	hurt := func(c Change) bool { return f.loss != nil && c.AckedAt > f.loss.LostAt && c.SentAt < f.loss.RestoredAt }
-	spread := func(of []Change, pick func(*HostReport) []Propagation) (all, hit Delays) {
-		var last, lastHit []time.Duration
-		missing, missingHit := 0, 0
-		for i, c := range of {
+	r.ReadyDelays, r.ServersKnown, r.RestartDelays = newDelays(starts), newDelays(known), newDelays(restarts)
+	duringLoss := func(c Change) bool { return f.loss != nil && c.AckedAt > f.loss.LostAt && c.SentAt < f.loss.RestoredAt }
+	propagationDelays := func(measured []Change, pick func(*HostReport) []Propagation) (all, inLoss Delays) {
+		var last, lastInLoss []time.Duration
+		missing, missingInLoss := 0, 0
+		for i, c := range measured {
 			var s Propagation
 			for _, h := range reports {
 				s = s.plus(pick(h)[i])
@@ -116,43 +116,43 @@
 			if s.Nodes > s.Missing {
 				last = append(last, max(s.Last-c.AckedAt, 0))
 			}
-			if hurt(c) {
-				missingHit += s.Missing
-				lastHit = append(lastHit, max(s.Last-c.AckedAt, 0))
+			if duringLoss(c) {
+				missingInLoss += s.Missing
+				lastInLoss = append(lastInLoss, max(s.Last-c.AckedAt, 0))
 			}
 		}
-		all, hit = newDelays(last), newDelays(lastHit)
-		all.Missing, hit.Missing = missing, missingHit
-		return all, hit
+		all, inLoss = newDelays(last), newDelays(lastInLoss)
+		all.Missing, inLoss.Missing = missing, missingInLoss
+		return all, inLoss
 	}
-	var acks, acksHit []time.Duration
+	var acks, acksInLoss []time.Duration
 	for _, c := range changes {
 		acks = append(acks, c.AckedAt-c.SentAt)
-		if hurt(c) {
-			acksHit = append(acksHit, c.AckedAt-c.SentAt)
+		if duringLoss(c) {
+			acksInLoss = append(acksInLoss, c.AckedAt-c.SentAt)
 		}
 	}
-	var force, drains Delays
+	var appliedInLoss, drainsInLoss Delays
 	r.AckDelays = newDelays(acks)
-	r.AppliedDelays, force = spread(changes, func(h *HostReport) []Propagation { return h.Changes })
-	r.DrainDelays, drains = spread(f.drains, func(h *HostReport) []Propagation { return h.Drains })
+	r.AppliedDelays, appliedInLoss = propagationDelays(changes, func(h *HostReport) []Propagation { return h.Changes })
+	r.DrainDelays, drainsInLoss = propagationDelays(f.drains, func(h *HostReport) []Propagation { return h.Drains })
 	if f.loss != nil {
-		f.loss.AckDelays, f.loss.AppliedDelays, f.loss.DrainDelays = newDelays(acksHit), force, drains
+		f.loss.AckDelays, f.loss.AppliedDelays, f.loss.DrainDelays = newDelays(acksInLoss), appliedInLoss, drainsInLoss
 	}
 }
 
 // coreMembers are the measurements of the core's machines. Calls are counted by the called node only: a push comes from
 // the predecessor in the chain, and the other calls within the core are attributed to its members in equal shares.
-func (f *fleet) coreMembers(cores []*HostReport, seconds float64, own bool) (all []Member) {
+func (f *fleet) coreMembers(cores []*HostReport, seconds float64, ownProcesses bool) (all []Member) {
 	pushed := map[int]Count{} // by position in the chain
 	var others Count          // calls within the core
-	with := make([]Count, len(cores))
+	agentTraffic := make([]Count, len(cores))
 	for i, h := range cores {
 		n := h.Nodes[0]
 		for call, c := range n.Traffic {
 			switch {
 			case slices.Contains(agentCalls, call):
-				with[i] = with[i].plus(c)
+				agentTraffic[i] = agentTraffic[i].plus(c)
 			case call == pushCall:
 				pushed[n.Position] = c
 			default:
@@ -165,12 +165,12 @@
 		m := Member{Name: n.Name, Position: positionName(n), Sessions: n.Sessions, Goroutines: p.Goroutines}
 		share := 2 / float64(len(cores))
 		push := pushed[n.Position].plus(pushed[n.Position+1])
-		m.AgentBytes = float64(with[i].Bytes()) / seconds
+		m.AgentBytes = float64(agentTraffic[i].Bytes()) / seconds
 		m.PeerBytes = (share*float64(others.Bytes()) + float64(push.Bytes())) / seconds
 		m.Bytes = m.AgentBytes + m.PeerBytes
-		m.Messages = (float64(with[i].Messages()+push.Messages()) + share*float64(others.Messages())) / seconds
+		m.Messages = (float64(agentTraffic[i].Messages()+push.Messages()) + share*float64(others.Messages())) / seconds
 		m.Heap, m.Stacks, m.RSS, m.Peak, m.FDs = p.Heap, p.Stacks, p.RSS, p.Peak, p.FDs
-		if own {
+		if ownProcesses {
 			m.CPU = p.CPU.Seconds() / seconds
 		}
 		all = append(all, m)
--- a/internal/testbed/hollownode/counting_conn.go
+++ b/internal/testbed/hollownode/counting_conn.go
@@ -38,10 +38,10 @@
 	return n, err
 }
 
-func (c *conn) received(f *frameParser) {
-	if f.kind == drpcwire.KindInvoke {
-		c.pending += f.size
-		if c.call += string(f.data); !f.done {
+func (c *conn) received(frame *frameParser) {
+	if frame.kind == drpcwire.KindInvoke {
+		c.pending += frame.size
+		if c.call += string(frame.data); !frame.done {
 			return
 		}
 		call := c.call
@@ -58,11 +58,11 @@
 		return
 	}
 	if c.awaitsHello {
-		c.pending += f.size
-		if f.kind != drpcwire.KindMessage {
+		c.pending += frame.size
+		if frame.kind != drpcwire.KindMessage {
 			return
 		}
-		if c.hello = append(c.hello, f.data[:min(len(f.data), maxHelloBytes-len(c.hello))]...); !f.done {
+		if c.hello = append(c.hello, frame.data[:min(len(frame.data), maxHelloBytes-len(c.hello))]...); !frame.done {
 			return
 		}
 		count := c.tap.counterOf(sessionCall + callerKind(c.hello))
@@ -74,17 +74,17 @@
 		return
 	}
 	if count := c.current.Load(); count != nil {
-		count.bytesIn.Add(int64(f.size))
-		if f.kind == drpcwire.KindMessage && f.done {
+		count.bytesIn.Add(int64(frame.size))
+		if frame.kind == drpcwire.KindMessage && frame.done {
 			count.in.Add(1)
 		}
 	}
 }
 
-func (c *conn) sent(f *frameParser) {
+func (c *conn) sent(frame *frameParser) {
 	if count := c.current.Load(); count != nil {
-		count.bytesOut.Add(int64(f.size))
-		if f.kind == drpcwire.KindMessage && f.done {
+		count.bytesOut.Add(int64(frame.size))
+		if frame.kind == drpcwire.KindMessage && frame.done {
 			count.out.Add(1)
 		}
 	}
--- a/internal/testbed/hollownode/daemon.go
+++ b/internal/testbed/hollownode/daemon.go
@@ -47,26 +47,26 @@
 }
 
 // startDaemon writes the settings of edged and starts it.
-func startDaemon(g *process.Group, program, dir, name, ip, zone, region string, seeds []string, beat time.Duration) (*daemon, error) {
-	var b strings.Builder
+func startDaemon(processes *process.Group, program, dir, name, ip, zone, region string, seeds []string, heartbeatInterval time.Duration) (*daemon, error) {
+	var text strings.Builder
 	list := func(items []string) string { return `["` + strings.Join(items, `","`) + `"]` }
 	at := func(port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
-	fmt.Fprintf(&b, "node-name = %q\nrole = \"edge\"\nmachine-class = \"edge\"\nserved-roles = [\"edge\",\"control\"]\nip = %q\nzone = %q\nregion = %q\n", name, ip, zone, region)
-	fmt.Fprintf(&b, "port-range = [%d,%d]\nseed-nodes = %s\nfirst-start = true\ndiscovery-source = \"self_register\"\nentry-kind = \"vip\"\nbeat-period-ms = %d\n",
-		peerPort, peerPort+15, list(seeds), beat.Milliseconds())
-	fmt.Fprintf(&b, "active-contracts = %s\n[zones]\n%s = %q\n", list([]string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream"}), zone, region)
-	fmt.Fprintf(&b, "[listen]\nfront = %q\nreadiness = %q\ncontrol = %q\n", at(frontPort), at(readinessPort), at(controlPort))
-	b.WriteString("[limits]\ncpu-share = 1.0\ncpu-cores = 1\nmemory-mb = 128\nfd-limit = 4100\nlink-mbps = 1000.0\n[fault-tolerance]\nmachine-losses = 1\n[bounds]\nretry-ratio = 0.2\nretry-window-s = 10\nretry-slack = 58\n")
+	fmt.Fprintf(&text, "node-name = %q\nrole = \"edge\"\nmachine-class = \"edge\"\nserved-roles = [\"edge\",\"control\"]\nip = %q\nzone = %q\nregion = %q\n", name, ip, zone, region)
+	fmt.Fprintf(&text, "port-range = [%d,%d]\nseed-nodes = %s\nfirst-start = true\ndiscovery-source = \"self_register\"\nentry-kind = \"vip\"\nbeat-period-ms = %d\n",
+		peerPort, peerPort+15, list(seeds), heartbeatInterval.Milliseconds())
+	fmt.Fprintf(&text, "active-contracts = %s\n[zones]\n%s = %q\n", list([]string{"base", "drain", "config", "cost", "retry", "recover", "engine", "stream"}), zone, region)
+	fmt.Fprintf(&text, "[listen]\nfront = %q\nreadiness = %q\ncontrol = %q\n", at(frontPort), at(readinessPort), at(controlPort))
+	text.WriteString("[limits]\ncpu-share = 1.0\ncpu-cores = 1\nmemory-mb = 128\nfd-limit = 4100\nlink-mbps = 1000.0\n[fault-tolerance]\nmachine-losses = 1\n[bounds]\nretry-ratio = 0.2\nretry-window-s = 10\nretry-slack = 58\n")
 	path := filepath.Join(dir, name+".toml")
-	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text.String()), 0o600); err != nil {
 		return nil, errors.Wrap(err, name)
 	}
-	p, err := g.Start(process.Spec{Name: name, Path: program, Args: []string{"run"}, Env: append(os.Environ(), "CHALKDOOR_NODE_FILE="+path),
+	process, err := processes.Start(process.Spec{Name: name, Path: program, Args: []string{"run"}, Env: append(os.Environ(), "CHALKDOOR_NODE_FILE="+path),
 		Log: filepath.Join(dir, name+".log")})
 	if err != nil {
 		return nil, err
 	}
-	return &daemon{name: name, ip: ip, startedAt: now(), process: p, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{}}}, nil
+	return &daemon{name: name, ip: ip, startedAt: now(), process: process, client: &http.Client{Timeout: time.Second, Transport: &http.Transport{}}}, nil
 }
 
 // waitReady probes the daemon until it is ready.
--- a/internal/testbed/hollownode/frame_parser.go
+++ b/internal/testbed/hollownode/frame_parser.go
@@ -33,15 +33,15 @@
 				continue
 			}
 		}
-		k := int(min(uint64(len(p)), f.bodyBytesLeft))
+		n := int(min(uint64(len(p)), f.bodyBytesLeft))
 		keep := f.wantedBytes
 		if f.kind == drpcwire.KindInvoke {
 			keep = maxCallName
 		}
-		f.data = append(f.data, p[:min(k, max(keep-len(f.data), 0))]...)
-		f.bodyBytesLeft -= uint64(k)
-		f.size += k
-		p = p[k:]
+		f.data = append(f.data, p[:min(n, max(keep-len(f.data), 0))]...)
+		f.bodyBytesLeft -= uint64(n)
+		f.size += n
+		p = p[n:]
 		if f.bodyBytesLeft == 0 {
 			each(f)
 			f.headerBytes, f.inBody, f.data = 0, false, f.data[:0]
@@ -52,15 +52,15 @@
 // parseHeader parses the header and returns false if it is incomplete.
 func (f *frameParser) parseHeader() bool {
 	rest := f.header[1:f.headerBytes]
-	var v [3]uint64
-	for i := range v {
+	var values [3]uint64
+	for i := range values {
 		var ok bool
 		var err error
-		if rest, v[i], ok, err = drpcwire.ReadVarint(rest); !ok || err != nil {
+		if rest, values[i], ok, err = drpcwire.ReadVarint(rest); !ok || err != nil {
 			return false
 		}
 	}
 	f.kind, f.done = drpcwire.Kind(f.header[0]&0b01111110>>1), f.header[0]&1 > 0
-	f.bodyBytesLeft, f.size, f.inBody = v[2], f.headerBytes, true
+	f.bodyBytesLeft, f.size, f.inBody = values[2], f.headerBytes, true
 	return true
 }
--- a/internal/testbed/hollownode/host.go
+++ b/internal/testbed/hollownode/host.go
@@ -45,7 +45,7 @@
 	h := &Host{plan: p, ctx: ctx, stop: stop, heapBefore: heapsize.Held()}
 	h.watched.Store(&[]string{})
 	for _, s := range p.Nodes {
-		h.nodes = append(h.nodes, &node{NodeSpec: s, host: h, tap: newTrafficCounter()})
+		h.nodes = append(h.nodes, &node{NodeSpec: s, host: h, traffic: newTrafficCounter()})
 	}
 	for i, number := range p.Servers {
 		h.servers = append(h.servers, &server{host: h, number: number, nodeIndex: i, drainRequests: make(chan chan drainResult)})
@@ -126,7 +126,7 @@
 	h.cpuBefore, h.heartbeatsBefore = cpu(), h.answeredHeartbeats.Load()
 	h.trafficBefore = nil
 	for _, n := range h.nodes {
-		h.trafficBefore = append(h.trafficBefore, n.tap.snapshot())
+		h.trafficBefore = append(h.trafficBefore, n.traffic.snapshot())
 	}
 }
 
--- a/internal/testbed/hollownode/host_report.go
+++ b/internal/testbed/hollownode/host_report.go
@@ -5,72 +5,72 @@
 	r.Process = usage(h.heapBefore)
 	r.Process.CPUBefore = h.cpuBefore
 	r.Process.CPU -= h.cpuBefore
-	for _, c := range q.Changes {
-		r.Changes = append(r.Changes, h.propagation(c))
+	for _, change := range q.Changes {
+		r.Changes = append(r.Changes, h.propagation(change))
 	}
-	for _, c := range q.Drains {
-		r.Drains = append(r.Drains, h.propagation(c))
+	for _, change := range q.Drains {
+		r.Drains = append(r.Drains, h.propagation(change))
 	}
 	return r
 }
 
 func (h *Host) nodeReports() (all []NodeReport) {
 	for i, n := range h.nodes {
-		r := NodeReport{Name: n.Name, Position: -1, Traffic: n.tap.snapshot()}
+		report := NodeReport{Name: n.Name, Position: -1, Traffic: n.traffic.snapshot()}
 		if i < len(h.trafficBefore) {
-			r.TrafficBefore = h.trafficBefore[i]
-			r.Traffic = r.Traffic.minus(r.TrafficBefore)
+			report.TrafficBefore = h.trafficBefore[i]
+			report.Traffic = report.Traffic.minus(report.TrafficBefore)
 		}
-		if l := n.running(); l != nil {
-			s, f := l.core.Status(), l.relay.Report()
-			r.Running, r.Position, r.ChainLength, r.View, r.Sessions = true, s.Position, len(s.View.Chain), s.View.Number, len(f.Sessions)
-			l.mu.Lock()
-			if l.snapshot.Servers != nil {
-				r.Servers = len(l.snapshot.Servers.ByID)
+		if running := n.running(); running != nil {
+			status, relayReport := running.core.Status(), running.relay.Report()
+			report.Running, report.Position, report.ChainLength, report.View, report.Sessions = true, status.Position, len(status.View.Chain), status.View.Number, len(relayReport.Sessions)
+			running.mu.Lock()
+			if running.snapshot.Servers != nil {
+				report.Servers = len(running.snapshot.Servers.ByID)
 			}
-			l.mu.Unlock()
+			running.mu.Unlock()
 		}
 		n.mu.Lock()
-		lives := append([]*incarnation(nil), n.incarnations...)
+		incarnations := append([]*incarnation(nil), n.incarnations...)
 		n.mu.Unlock()
-		for j, l := range lives {
-			l.mu.Lock()
-			if j == 0 && l.serversKnownAt > 0 {
-				r.ServersKnownDelay = l.serversKnownAt - l.startedAt
+		for j, running := range incarnations {
+			running.mu.Lock()
+			if j == 0 && running.serversKnownAt > 0 {
+				report.ServersKnownDelay = running.serversKnownAt - running.startedAt
 			}
-			r.ReadyDelays = append(r.ReadyDelays, max(l.readyAt-l.startedAt, 0))
-			l.mu.Unlock()
-			if l.relay.Report().Source != l.source {
-				r.LapsedLeases++
+			report.ReadyDelays = append(report.ReadyDelays, max(running.readyAt-running.startedAt, 0))
+			running.mu.Unlock()
+			if running.relay.Report().Source != running.source {
+				report.LapsedLeases++
 			}
 		}
-		all = append(all, r)
+		all = append(all, report)
 	}
 	return all
 }
 
 // propagation is how a change reached the incarnations that were ready when it was sent. Those that ended before it
 // reached them are left out.
-func (h *Host) propagation(c Change) (s Propagation) {
+func (h *Host) propagation(change Change) (s Propagation) {
 	for _, n := range h.nodes {
 		n.mu.Lock()
-		lives := append([]*incarnation(nil), n.incarnations...)
+		incarnations := append([]*incarnation(nil), n.incarnations...)
 		n.mu.Unlock()
-		for _, l := range lives {
-			l.mu.Lock()
-			at := l.removedAt[c.ID]
-			if c.ID == "" {
-				for _, a := range l.arrivals {
-					if a.seq >= c.Seq {
+		for _, incarnation := range incarnations {
+			incarnation.mu.Lock()
+			at := incarnation.removedAt[change.ID]
+			if change.ID == "" {
+				for _, a := range incarnation.arrivals {
+					if a.seq >= change.Seq {
 						at = a.at
 						break
 					}
 				}
 			}
-			before, ended := l.readyAt > 0 && l.readyAt < c.SentAt, l.endedAt
-			l.mu.Unlock()
+			wasReady, ended := incarnation.readyAt > 0 && incarnation.readyAt < change.SentAt, incarnation.endedAt
+			incarnation.mu.Unlock()
 			switch {
-			case !before || at == 0 && ended > 0:
+			case !wasReady || at == 0 && ended > 0:
 			case at == 0:
 				s.Nodes++
 				s.Missing++
--- a/internal/testbed/hollownode/memory.go
+++ b/internal/testbed/hollownode/memory.go
@@ -15,20 +15,20 @@
 	if unix.Sysinfo(&info) != nil {
 		return
 	}
-	most := int64(uint64(info.Totalram) * uint64(info.Unit) / 2)
+	limit := int64(uint64(info.Totalram) * uint64(info.Unit) / 2)
 	for sleep(ctx, time.Second) {
-		sum, _ := resident(os.Getpid())
+		total, _ := resident(os.Getpid())
 		f.mu.Lock()
 		running := append([]interface{ Pid() int }(nil), f.measured...)
 		f.mu.Unlock()
-		for _, r := range running {
-			if pid := r.Pid(); pid > 0 {
+		for _, process := range running {
+			if pid := process.Pid(); pid > 0 {
 				rss, _ := resident(pid)
-				sum += rss
+				total += rss
 			}
 		}
-		if sum > most {
-			cancel(errors.Errorf("the fleet took %d MB, half of the machine's memory: give fewer agents or tenants", sum>>20))
+		if total > limit {
+			cancel(errors.Errorf("the fleet took %d MB, half of the machine's memory: give fewer agents or tenants", total>>20))
 			return
 		}
 	}
--- a/internal/testbed/hollownode/model_server.go
+++ b/internal/testbed/hollownode/model_server.go
@@ -33,10 +33,10 @@
 
 // sendHeartbeat sends a heartbeat to the server's node, or to the next ones until one answers.
 func (s *server) sendHeartbeat(ctx context.Context, state registry.State) bool {
-	in := s.instance(state)
+	instance := s.instance(state)
 	for range s.host.nodes {
-		once, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-		ok := s.host.nodes[s.nodeIndex%len(s.host.nodes)].heartbeat(once, in)
+		callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+		ok := s.host.nodes[s.nodeIndex%len(s.host.nodes)].heartbeat(callCtx, instance)
 		cancel()
 		if ok {
 			s.host.answeredHeartbeats.Add(1)
@@ -52,22 +52,22 @@
 
 // run sends heartbeats and drains on request until ctx ends.
 func (s *server) run(ctx context.Context) {
-	beat := time.NewTimer(rand.N(s.host.plan.HeartbeatInterval)) // servers must not be synchronized
-	defer beat.Stop()
+	heartbeat := time.NewTimer(rand.N(s.host.plan.HeartbeatInterval)) // servers must not be synchronized
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-beat.C:
+		case <-heartbeat.C:
 			s.sendHeartbeat(ctx, registry.Ready)
 			period := float64(s.host.plan.HeartbeatInterval)
-			beat.Reset(time.Duration(period * (1 + heartbeatJitter*(rand.Float64()-0.5))))
+			heartbeat.Reset(time.Duration(period * (1 + heartbeatJitter*(rand.Float64()-0.5))))
 		case answer := <-s.drainRequests:
-			d := drainResult{id: s.id()}
+			result := drainResult{id: s.id()}
 			if s.sendHeartbeat(ctx, registry.Draining) {
-				d.ackedAt = now()
+				result.ackedAt = now()
 			}
-			answer <- d
+			answer <- result
 			if !s.deregister(ctx) {
 				return
 			}
@@ -85,9 +85,9 @@
 			t.Stop()
 			return false
 		}
-		if l := s.host.nodes[s.nodeIndex%len(s.host.nodes)].running(); l != nil && wait == drainDuration {
-			once, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-			l.relay.Deregister(once, s.id())
+		if running := s.host.nodes[s.nodeIndex%len(s.host.nodes)].running(); running != nil && wait == drainDuration {
+			callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+			running.relay.Deregister(callCtx, s.id())
 			cancel()
 		}
 	}
--- a/internal/testbed/hollownode/node.go
+++ b/internal/testbed/hollownode/node.go
@@ -3,20 +3,14 @@
 import (
 	"context"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
 	"github.com/go-faster/errors"
 	"golang.org/x/sys/unix"
 
-	"chalkdoor.example/chalkdoor/internal/fleet/chain"
-	"chalkdoor.example/chalkdoor/internal/fleet/config"
-	"chalkdoor.example/chalkdoor/internal/fleet/controlplane"
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
-	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
-	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
 const (
@@ -47,8 +41,8 @@
 // node is a machine. Its process has one incarnation at a time.
 type node struct {
 	NodeSpec
-	host *Host
-	tap  *trafficCounter
+	host    *Host
+	traffic *trafficCounter
 
 	mu           sync.Mutex
 	current      *incarnation   // nil: none runs
@@ -57,57 +51,34 @@
 
 // start starts an incarnation; first is true in a new fleet.
 func (n *node) start(first bool) error {
-	p := &n.host.plan
-	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", n.Addr)
+	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", n.Addr)
 	if err != nil {
 		return errors.Wrapf(err, "%s", n.Name)
 	}
-	l := &incarnation{node: n, startedAt: now(), done: make(chan struct{}), removedAt: map[string]time.Duration{}, changed: make(chan struct{})}
+	started := &incarnation{node: n, startedAt: now(), done: make(chan struct{}), removedAt: map[string]time.Duration{}, changed: make(chan struct{})}
 	pool := rpc.NewPool()
-	seeds := func() []string { return slices.Clone(p.Seeds) }
-	l.core, err = controlplane.Open(controlplane.Options{Addr: n.Addr, Zone: n.Zone, StateDir: n.Dir, HasDisk: n.Dir != "", FirstStart: first, Seeds: seeds,
-		KnownAddresses: func() []string {
-			var out []string
-			if l.relay != nil {
-				for _, m := range l.relay.OtherMembers(true) {
-					out = append(out, m.Addr)
-				}
-			}
-			return out
-		},
-		Tolerance: view.Tolerance{Machines: p.ToleratedLosses}, Counted: n.Dir != "", Pool: pool,
-		Transition: func(cur []byte, o *chain.Update) ([]byte, int64, error) { return config.Apply(cur, o.Patch, o.Body) },
-		OnCommit:   func(v chain.Value) { l.relay.ApplyConfig(v.Seq, v.Body) }})
-	if err != nil {
-		ln.Close()
+	if err := started.open(first, pool); err != nil {
+		listener.Close()
 		return errors.Wrapf(err, "%s", n.Name)
 	}
-	o := relay.Options{Self: relay.Member{Name: n.Name, Addr: n.Addr, Zone: n.Zone, Region: n.Region, ControlAddr: n.Addr}, HeartbeatInterval: p.HeartbeatInterval,
-		Core: coreMembership{l.core}, SeedAddrs: seeds, OnChange: l.snapshotChanged}
-	if n.Dir != "" {
-		o.SaveServers = func(b []byte) error { return l.core.SaveRecord(savedServersKey, b) }
-		o.SavedServers, _ = l.core.LoadRecord(savedServersKey)
-	}
-	l.relay = relay.New(o)
-	l.source = l.relay.Report().Source
-	table := rpc.NewMux()
-	l.core.RegisterHandlers(table)
-	l.relay.RegisterHandlers(table)
+	mux := rpc.NewMux()
+	started.core.RegisterHandlers(mux)
+	started.relay.RegisterHandlers(mux)
 	ctx, cancel := context.WithCancel(context.Background())
-	l.stop = cancel
+	started.stop = cancel
 	n.mu.Lock()
-	n.current, n.incarnations = l, append(n.incarnations, l)
+	n.current, n.incarnations = started, append(n.incarnations, started)
 	n.mu.Unlock()
-	go func() {
-		defer close(l.done)
-		var wg sync.WaitGroup
-		wg.Go(func() { _ = rpc.Serve(ctx, n.tap.listener(ln), table) }) // fails only with its listener
-		wg.Go(func() { _ = l.core.Run(ctx) })
-		wg.Go(func() { _ = l.relay.Run(ctx) })
-		wg.Go(func() { l.readNewestConfig(ctx) })
+	go func() { // ends with ctx; node.stop waits for done
+		defer close(started.done)
+		var components sync.WaitGroup
+		components.Go(func() { _ = rpc.Serve(ctx, n.traffic.listener(listener), mux) }) // fails only with its listener
+		components.Go(func() { _ = started.core.Run(ctx) })
+		components.Go(func() { _ = started.relay.Run(ctx) })
+		components.Go(func() { started.readNewestConfig(ctx) })
 		<-ctx.Done()
 		pool.Close()
-		wg.Wait()
+		components.Wait()
 	}()
 	return nil
 }
@@ -115,25 +86,25 @@
 // stop ends the current incarnation, after an announcement to the others if graceful.
 func (n *node) stop(ctx context.Context, graceful bool) {
 	n.mu.Lock()
-	l := n.current
+	stopping := n.current
 	n.current = nil
 	n.mu.Unlock()
-	if l == nil {
+	if stopping == nil {
 		return
 	}
 	if graceful {
-		l.relay.AnnounceDraining()
-		bye, cancel := context.WithTimeout(ctx, departTimeout)
-		l.relay.Depart(bye)
+		stopping.relay.AnnounceDraining()
+		departCtx, cancel := context.WithTimeout(ctx, departTimeout)
+		stopping.relay.Depart(departCtx)
 		cancel()
 	}
-	l.mu.Lock()
-	l.endedAt = now()
-	close(l.changed)
-	l.changed = make(chan struct{})
-	l.mu.Unlock()
-	l.stop()
-	<-l.done
+	stopping.mu.Lock()
+	stopping.endedAt = now()
+	close(stopping.changed)
+	stopping.changed = make(chan struct{})
+	stopping.mu.Unlock()
+	stopping.stop()
+	<-stopping.done
 }
 
 // running is the current incarnation, nil if none runs.
--- a/internal/testbed/hollownode/remote_host.go
+++ b/internal/testbed/hollownode/remote_host.go
@@ -24,32 +24,32 @@
 func Serve(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "listen for control")
 	}
 	var mu sync.Mutex
-	var h *Host
-	get := func() *Host { mu.Lock(); defer mu.Unlock(); return h }
-	t := rpc.NewMux()
-	rpc.HandleUnary(t, rpcPlan, func(_ context.Context, p *HostPlan) (*Reply, error) {
+	var current *Host
+	currentHost := func() *Host { mu.Lock(); defer mu.Unlock(); return current }
+	mux := rpc.NewMux()
+	rpc.HandleUnary(mux, rpcPlan, func(_ context.Context, p *HostPlan) (*Reply, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if h != nil {
+		if current != nil {
 			return nil, errors.New("the host has a plan")
 		}
-		h = NewHost(*p)
+		current = NewHost(*p)
 		return &Reply{}, nil
 	})
-	rpc.HandleUnary(t, rpcDo, func(ctx context.Context, q *Request) (*Reply, error) {
-		if h := get(); h != nil {
-			return h.Do(ctx, q)
+	rpc.HandleUnary(mux, rpcDo, func(ctx context.Context, q *Request) (*Reply, error) {
+		if current := currentHost(); current != nil {
+			return current.Do(ctx, q)
 		}
 		return nil, errors.New("the host has no plan yet")
 	})
-	err = rpc.Serve(ctx, ln, t)
-	if h := get(); h != nil {
-		h.Close()
+	err = rpc.Serve(ctx, listener, mux)
+	if current := currentHost(); current != nil {
+		current.Close()
 	}
 	return err
 }
@@ -75,12 +75,12 @@
 
 // start starts the process and sends it its plan.
 func (r *remoteHost) start(ctx context.Context) error {
-	p, err := r.group.Start(r.spec)
+	started, err := r.group.Start(r.spec)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.current = p
+	r.current = started
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 		}
 		select {
 		case <-tick.C:
-		case <-p.Ended():
+		case <-started.Ended():
 			return errors.Errorf("%s ended: see %s", r.spec.Name, r.spec.Log)
 		case <-ctx.Done():
 			return errors.Wrapf(err, "%s does not answer", r.spec.Name)
--- a/internal/testbed/hollownode/window.go
+++ b/internal/testbed/hollownode/window.go
@@ -23,36 +23,36 @@
 	for _, d := range f.daemons {
 		d.beginWindow()
 	}
-	began := now()
+	startedAt := now()
 	window, cancel := context.WithTimeout(ctx, f.cfg.Window)
 	defer cancel()
-	var wg sync.WaitGroup
-	f.runPeriodically(window, &wg, f.cfg.Changes, func(int) error {
+	var workload sync.WaitGroup
+	f.runPeriodically(window, &workload, f.cfg.Changes, func(int) error {
 		return f.submit(ctx, true, sampling.Change(f.revision+1, f.cfg.Size))
 	})
-	f.runPeriodically(window, &wg, f.cfg.Drains, func(i int) error { return f.drain(ctx, i%f.cfg.Servers) })
-	f.runPeriodically(window, &wg, f.cfg.Churn, func(i int) error { return f.restartAgent(ctx, i) })
+	f.runPeriodically(window, &workload, f.cfg.Drains, func(i int) error { return f.drain(ctx, i%f.cfg.Servers) })
+	f.runPeriodically(window, &workload, f.cfg.Churn, func(i int) error { return f.restartAgent(ctx, i) })
 	if f.cfg.Lose != LoseNone {
-		wg.Go(func() { f.recordError(f.loseMember(window)) })
+		workload.Go(func() { f.recordError(f.loseMember(window)) })
 	}
 	<-window.Done()
-	wg.Wait()
+	workload.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	last, done := context.WithTimeout(ctx, propagationTimeout)
-	await := &Request{Do: doWait, Seq: f.seq}
+	waitCtx, cancelWait := context.WithTimeout(ctx, propagationTimeout)
+	request := &Request{Do: doWait, Seq: f.seq}
 	for _, c := range f.drains {
-		await.IDs = append(await.IDs, c.ID)
+		request.IDs = append(request.IDs, c.ID)
 	}
-	f.recordError(f.askAll(last, await))
-	done()
-	took := now() - began
+	f.recordError(f.askAll(waitCtx, request))
+	cancelWait()
+	took := now() - startedAt
 	return f.collect(ctx, took, f.changes[first:])
 }
 
 // runPeriodically calls a function a number of times per minute, one call at a time, until the window ends.
-func (f *fleet) runPeriodically(window context.Context, wg *sync.WaitGroup, perMinute float64, do func(i int) error) {
+func (f *fleet) runPeriodically(window context.Context, wg *sync.WaitGroup, perMinute float64, call func(i int) error) {
 	if perMinute <= 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 			case <-window.Done():
 				return
 			case <-tick.C:
-				f.recordError(do(i))
+				f.recordError(call(i))
 			}
 		}
 	})
@@ -72,27 +72,27 @@
 
 // submit commits an update through random agents and records it. It must be called by one goroutine at a time.
 func (f *fleet) submit(ctx context.Context, patch bool, body []byte) error {
-	c := Change{Seq: f.seq + 1, SentAt: now()}
-	q := &Request{Do: doSubmit, Update: chain.Update{Patch: patch, IfMatch: f.revision, Body: body}}
+	change := Change{Seq: f.seq + 1, SentAt: now()}
+	request := &Request{Do: doSubmit, Update: chain.Update{Patch: patch, IfMatch: f.revision, Body: body}}
 	for {
 		i := rand.IntN(len(f.agentHosts))
-		q.Node = rand.IntN(f.nodesPerHost[i])
-		once, cancel := context.WithTimeout(ctx, callTimeout)
-		a, err := f.agentHosts[i].Do(once, q)
+		request.Node = rand.IntN(f.nodesPerHost[i])
+		attemptCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		reply, err := f.agentHosts[i].Do(attemptCtx, request)
 		cancel()
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case err != nil || a.Result.Outcome == chain.OutcomeUnknown: // retry at another agent
-		case a.Result.Outcome == chain.OutcomeCommitted:
-			c.AckedAt = a.At
+		case err != nil || reply.Result.Outcome == chain.OutcomeUnknown: // retry at another agent
+		case reply.Result.Outcome == chain.OutcomeCommitted:
+			change.AckedAt = reply.At
 			f.mu.Lock()
-			f.seq, f.revision = c.Seq, a.Result.Revision
-			f.changes = append(f.changes, c)
+			f.seq, f.revision = change.Seq, reply.Result.Revision
+			f.changes = append(f.changes, change)
 			f.mu.Unlock()
 			return nil
 		default:
-			return errors.Errorf("update of revision %d: %s %s", f.revision, a.Result.Outcome, a.Result.Reason)
+			return errors.Errorf("update of revision %d: %s %s", f.revision, reply.Result.Outcome, reply.Result.Reason)
 		}
 	}
 }
@@ -105,18 +105,18 @@
 	if err := ask(ctx, f.hosts(), &Request{Do: doWatch, IDs: []string{id}}, nil); err != nil && f.cfg.Lose == LoseNone {
 		return err
 	}
-	c := Change{ID: id, SentAt: now()}
-	a, err := f.agentHosts[f.serverHosts[number]].Do(ctx, &Request{Do: doDrain, Node: number})
+	change := Change{ID: id, SentAt: now()}
+	reply, err := f.agentHosts[f.serverHosts[number]].Do(ctx, &Request{Do: doDrain, Node: number})
 	if err != nil {
 		return err
 	}
 	f.serverIncarnations[number]++
-	if a.ID != id || a.At == 0 {
+	if reply.ID != id || reply.At == 0 {
 		return errors.Errorf("the drain of %s was not acknowledged", id)
 	}
-	c.AckedAt = a.At
+	change.AckedAt = reply.At
 	f.mu.Lock()
-	f.drains = append(f.drains, c)
+	f.drains = append(f.drains, change)
 	f.mu.Unlock()
 	return nil
 }
@@ -144,29 +144,29 @@
 	if !sleep(window, f.cfg.Window/3) {
 		return nil
 	}
-	places := make([]NodeReport, len(f.coreHosts))
-	if err := ask(window, f.coreHosts, &Request{Do: doStatus}, func(i int, a *Reply) { places[i] = a.Report.Nodes[0] }); err != nil {
+	reports := make([]NodeReport, len(f.coreHosts))
+	if err := ask(window, f.coreHosts, &Request{Do: doStatus}, func(i int, a *Reply) { reports[i] = a.Report.Nodes[0] }); err != nil {
 		return err
 	}
-	at := -1
-	for i, p := range places {
+	target := -1
+	for i, p := range reports {
 		if p.Position >= 0 && (f.cfg.Lose == LoseHead && p.Position == 0 || f.cfg.Lose == LoseTail && p.Position == p.ChainLength-1 ||
 			f.cfg.Lose == LoseMiddle && p.Position == p.ChainLength/2) {
-			at = i
+			target = i
 		}
 	}
-	if at < 0 {
+	if target < 0 {
 		return errors.Errorf("no member of the chain is its %s", f.cfg.Lose)
 	}
-	l := &Loss{Name: places[at].Name, Position: f.cfg.Lose, LostAt: now()}
-	if err := f.coreHosts[at].Kill(window); err != nil {
+	loss := &Loss{Name: reports[target].Name, Position: f.cfg.Lose, LostAt: now()}
+	if err := f.coreHosts[target].Kill(window); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.loss = l
+	f.loss = loss
 	f.mu.Unlock()
 	ctx := context.WithoutCancel(window)
 	sleep(window, f.cfg.Window/3)
-	l.RestoredAt = now()
-	return f.coreHosts[at].Restore(ctx)
+	loss.RestoredAt = now()
+	return f.coreHosts[target].Restore(ctx)
 }
