--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,50 +3,53 @@
 import "math"
 
 const (
-	// goodputWindow is the number of ended requests by which an agent knows what part of them is answered
-	// in time. Under 1/sheddingFactor of them it sheds some, and never rejects more than maxRejection.
+	// goodputWindow is the number of ended requests over which goodput is averaged. Load is shed if less than
+	// 1/sheddingFactor of them were answered in time. At most the fraction maxRejection is rejected.
 	goodputWindow, sheddingFactor, maxRejection = 20.0, 1.5, 0.8
-	// targetUtilization is the utilization to which admission limits warm servers. capacityLossMargin is
-	// what is taken off it by the part of the capacity that was lost of late: keys that move cost more.
+	// targetUtilization is the utilization of warm servers up to which requests are admitted. It is reduced
+	// by capacityLossMargin times the fraction of the capacity that was lost recently, because keys that
+	// move to other servers cost more.
 	targetUtilization, capacityLossMargin = 0.92, 0.8
-	// utilizationWindow is the number of probes over which utilization is averaged. utilizationPrior idle
-	// ones are assumed at the start, so that one overloaded server is not taken for all.
+	// utilizationWindow is the number of probes over which utilization is averaged. At the start,
+	// utilizationPrior probes of idle servers are assumed, so that one overloaded server does not make the
+	// fleet look overloaded.
 	utilizationWindow, utilizationPrior = 4.0, 1.0
-	// queueLimitPerWeight is the requests in flight, for a weight of one, from which a server's queue
-	// counts as overload.
+	// queueLimitPerWeight is the number of requests in flight per unit of weight above which a server's
+	// queue counts as overloaded.
 	queueLimitPerWeight = 4.0
 )
 
-// admissionState is what admission control knows: the goodput of this agent's requests, and the demand on
-// the fleet by its servers' utilization.
+// admissionState is the state of admission control: the goodput of this agent's requests, and the demand on
+// the fleet, estimated from the utilization of its servers.
 type admissionState struct {
-	ended, onTime float64 // ended requests, fading, and those of them that were answered in time
+	// endedCount and onTimeCount count the ended requests and those answered in time; older ones count less.
+	endedCount, onTimeCount float64
 
-	samples       float64 // load reports taken
-	demand        float64 // load on the fleet if nothing were rejected; 0: not known
-	saturation    float64 // part of the sampled servers whose queues are overloaded
-	admittedShare float64 // part of the new requests that was not rejected of late
+	samples       float64 // number of load reports
+	demand        float64 // load on the fleet if nothing were rejected; zero if unknown
+	saturation    float64 // fraction of the sampled servers whose queues are overloaded
+	admittedShare float64 // fraction of the recent new requests that was admitted
 }
 
 func newAdmissionState() admissionState {
-	return admissionState{ended: goodputWindow / 2, onTime: goodputWindow / 2}
+	return admissionState{endedCount: goodputWindow / 2, onTimeCount: goodputWindow / 2}
 }
 
-// recordEnd counts an ended request and the part of its value that it earned.
+// recordEnd counts an ended request; earned is 1 if it was answered in time, and 0 otherwise.
 func (a *admissionState) recordEnd(earned float64) {
-	a.ended += 1 - a.ended/goodputWindow
-	a.onTime += earned - a.onTime/goodputWindow
+	a.endedCount += 1 - a.endedCount/goodputWindow
+	a.onTimeCount += earned - a.onTimeCount/goodputWindow
 }
 
-// sheddingShare is the part of the requests to shed at once. Where many are answered too late the servers
-// are overloaded and work in vain, and only less load lets them recover. An agent that sends little sees no
-// server's overload, but it does see the part of its own requests that is answered in time.
+// sheddingShare returns the fraction of requests to reject because many are answered too late. Overloaded
+// servers then work in vain, and only less load lets them recover. An agent that sends few requests cannot
+// see that a server is overloaded, but it can see which fraction of its own requests is answered in time.
 func (a *admissionState) sheddingShare() float64 {
-	return min(max(a.ended-sheddingFactor*a.onTime, 0)/(a.ended+1), maxRejection)
+	return min(max(a.endedCount-sheddingFactor*a.onTimeCount, 0)/(a.endedCount+1), maxRejection)
 }
 
-// admissionShare is the part of the requests for which the listed servers have capacity. It is known from
-// probes and follows the list at once, before the remaining servers are overloaded.
+// admissionShare returns the fraction of requests for which the listed servers have capacity. The demand is
+// measured by probes. A change of the list takes effect at once, before the remaining servers are overloaded.
 func (b *Balancer) admissionShare() float64 {
 	if b.admission.demand == 0 {
 		return 1
@@ -56,7 +59,7 @@
 	return min(max(utilization*capacity/b.admission.demand, 1-maxRejection), 1)
 }
 
-// recordUtilization takes a server's load report into the demand on the fleet.
+// recordUtilization updates the estimate of the demand on the fleet from a server's load report.
 func (b *Balancer) recordUtilization(srv *server, report []float32) {
 	utilization, ok := b.reportedMetric(report, "util")
 	if !ok || !srv.ready {
@@ -66,21 +69,22 @@
 	state.samples++
 	weight := max(1/utilizationWindow, 1/(state.samples+utilizationPrior))
 	if inFlight, ok := b.reportedMetric(report, "inflight"); ok {
-		// The utilization of an overloaded server does not tell by how much it is overloaded. On a large
-		// fleet its queue counts as far as others are overloaded, too: a few slow servers, which have
-		// long queues, are no lack of capacity.
+		// The utilization of an overloaded server does not show by how much it is overloaded, but its queue
+		// does. On a large fleet the queue counts in proportion to the fraction of overloaded servers: a few
+		// slow servers with long queues do not mean that the fleet lacks capacity.
 		excess := math.Sqrt(max(inFlight/(queueLimitPerWeight*srv.weight), 1)) - 1
 		state.saturation += (min(math.Ceil(excess), 1) - state.saturation) * weight
 		utilization *= 1 + excess*min(state.saturation*max(subsetThreshold/float64(len(b.hashRing)), 1), 1)
 	}
-	// An agent that rejects more than others sees their load as what is left of its own: it returns to
-	// them by the free capacity that it sees.
+	// The measured load is divided by the fraction that was admitted. An agent that rejects more than the
+	// others would overestimate the demand, as their load is in the measurement as well. Free capacity
+	// therefore raises the fraction.
 	admitted := state.admittedShare + (1-state.admittedShare)*max(1-utilization/targetUtilization, 0)
 	demand := utilization * b.currentCapacity() / max(admitted, 1-maxRejection)
 	state.demand += (demand - state.demand) * weight
 }
 
-// onRequest admits a request to the pending ones, or rejects it.
+// onRequest adds a request to the pending ones, or rejects it.
 func (b *Balancer) onRequest(event *Event) {
 	if event.Class < 0 || event.Class >= len(b.settings.Classes) || b.requests[event.Request] != nil {
 		return
@@ -100,7 +104,7 @@
 	b.admit(req, event.IsRetry)
 }
 
-// newRequest is the state of a request that arrives now.
+// newRequest returns the state of a request that arrives now.
 func (b *Balancer) newRequest(event *Event) *request {
 	req := &request{
 		id:             event.Request,
@@ -114,42 +118,43 @@
 	remaining := max(event.RemainingMs, 0)
 	req.deadline = b.now + remaining - min(b.settings.RoundMs, remaining/4)
 	if event.IsRetry {
-		b.unserved.restoreRetry(req)
+		b.unservedRequests.restoreRetry(req)
 	}
 	req.targetAt = min(req.firstArrivedAt+b.settings.Classes[req.class].LatencyTargetMs, req.deadline)
 	return req
 }
 
-// admit rejects a pending request at once if there is no capacity or no time for it.
+// admit rejects a new pending request at once if there is no capacity or not enough time for it.
 func (b *Balancer) admit(req *request, isRetry bool) {
-	shedding, lacking := b.admission.sheddingShare(), 1-b.admissionShare()
-	rejection := max(shedding, lacking)
-	marked := b.settings.Clients.MarksRetry
-	if marked && !isRetry { // rejected or not, see accrueSlowStart
+	shedding, shortage := b.admission.sheddingShare(), 1-b.admissionShare()
+	rejection := max(shedding, shortage)
+	retriesMarked := b.settings.Clients.MarksRetry
+	if retriesMarked && !isRetry { // even if it is rejected, see accrueSlowStart
 		b.accrueSlowStart()
 	}
-	if !isRetry { // a retry of a rejected request is rejected again, and is no further demand
+	if !isRetry { // a retry of a rejected request is rejected again and adds no demand
 		b.admission.admittedShare = movingMean(b.admission.admittedShare, 1-rejection, 4*fleetMeanWeight)
 	}
 	if req.admissionDraw < rejection {
-		// A rejection for lack of capacity is no sign of overload, nor are those of one client that
-		// retries again and again.
-		if shedding > lacking && !isRetry {
+		// Rejections for lack of capacity are no sign of overload, nor are those of a client that retries
+		// repeatedly.
+		if shedding > shortage && !isRetry {
 			b.admission.recordEnd(0)
 		}
 		b.endUnserved(req)
 		return
 	}
-	if !marked {
+	if !retriesMarked {
 		b.accrueSlowStart()
 	}
-	// The more is rejected, the surer of its answer a request has to be that is let in.
-	if b.cannotFinish(req, 1+lacking) {
+	// The more requests are rejected, the more time an admitted one must have left, so that it is answered.
+	if b.cannotFinish(req, 1+shortage) {
 		b.endUnserved(req)
 	}
 }
 
-// cannotFinish reports whether a request, sent now, has less time left than so many expected latencies.
+// cannotFinish reports whether a request that is sent now has less time left than the given number of
+// expected latencies.
 func (b *Balancer) cannotFinish(req *request, latencies float64) bool {
-	return b.now+latencies*b.latency.expected[req.class] > req.targetAt || b.now >= req.deadline
+	return b.now+latencies*b.latency.expectedMs[req.class] > req.targetAt || b.now >= req.deadline
 }
--- a/policy/aperture_test.go
+++ b/policy/aperture_test.go
@@ -10,31 +10,31 @@
 func TestApertureFollowsTrafficAndIsEven(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 6))
 	agents := newSmallAgents(t, 300, 100)
-	got := sendSteadily(agents, 70, 6000, rng)
+	requests := sendSteadily(agents, 70, 6000, rng)
 	for i := range 100 {
-		if n := got[addr(i)]; n < 100 || n > 500 {
+		if n := requests[addr(i)]; n < 100 || n > 500 {
 			t.Errorf("server %d got %d requests, the mean is %d", i, n, 300*6000/70/100)
 		}
 	}
-	few, many := len(agents[0].balancer.aperture.servers), newSmallAgents(t, 1, 100)
-	if few > 50 {
-		t.Errorf("an agent with 14 requests a second uses %d of 100 servers, want some 30", few)
+	size, busyAgent := len(agents[0].balancer.aperture.servers), newSmallAgents(t, 1, 100)
+	if size > 50 {
+		t.Errorf("an agent with 14 requests a second uses %d of 100 servers, want some 30", size)
 	}
-	if sendSteadily(many, 4, 6000, rng); len(many[0].balancer.aperture.servers) < 75 {
+	if sendSteadily(busyAgent, 4, 6000, rng); len(busyAgent[0].balancer.aperture.servers) < 75 {
 		t.Errorf("an agent with 250 requests a second uses %d of 100 servers, want most",
-			len(many[0].balancer.aperture.servers))
+			len(busyAgent[0].balancer.aperture.servers))
 	}
 	before := slices.Clone(agents[0].balancer.aperture.servers)
 	agents[0].updateList(UpdateDelta, Endpoint{Server: addr(200), Status: Ready, Weight: 1})
 	for _, s := range before {
 		if !slices.Contains(agents[0].balancer.aperture.servers, s) &&
 			len(agents[0].balancer.aperture.servers) >= len(before) {
-			t.Errorf("a new server took %v's place", s.addr)
+			t.Errorf("a new server replaced %v in the aperture", s.addr)
 		}
 	}
 }
 
-// Without a healthy server in the aperture a request goes to one outside it.
+// If no server in the aperture is healthy, a request goes to a server outside it.
 func TestRequestLeavesAnUnhealthyAperture(t *testing.T) {
 	agent := newSmallAgents(t, 300, 100)[0]
 	sendSteadily([]*testAgent{agent}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
@@ -42,11 +42,11 @@
 		agent.balancer.eject(s, true)
 	}
 	if _, s := agent.mustSend(0, 5); agent.balancer.serverByAddr[s].inAperture {
-		t.Errorf("sent to %v of an aperture that is lost", s)
+		t.Errorf("sent to %v, which is in an aperture without a healthy server", s)
 	}
 }
 
-// An aperture of servers that warm up is left, too: they may not be sent everything.
+// If all servers in the aperture are in slow start, they do not get all requests.
 func TestRequestLeavesAWarmingUpAperture(t *testing.T) {
 	agent := newSmallAgents(t, 300, 100)[0]
 	sendSteadily([]*testAgent{agent}, 70, 6000, rand.New(rand.NewPCG(8, 8)))
@@ -55,29 +55,30 @@
 		started = append(started, Endpoint{Server: s.addr, Status: Ready, Weight: 1, StartedMs: agent.now})
 	}
 	agent.updateList(UpdateDelta, started...)
-	for range 20 { // all of which stay in flight
+	for range 20 { // requests that all stay in flight
 		if _, s := agent.mustSend(0, 0); agent.balancer.slowStartFactor(agent.balancer.serverByAddr[s]) < 1 &&
 			agent.balancer.serverByAddr[s].slowStartCredit < -1 {
-			t.Errorf("a cold server got more than its credit")
+			t.Errorf("a server in slow start got more requests than its credit allows")
 		}
 	}
 }
 
-// Without a price for connections, or where servers close them at once, each agent uses all servers.
+// If connections have no price, or if servers close them at once, each agent uses all servers.
 func TestNoApertureWithoutAPrice(t *testing.T) {
 	set := testSettings()
-	for _, c := range []struct{ price, keep float64 }{{0, 10000}, {0.08, 0}} {
-		set.Prices.Handshake, set.Limits.KeepaliveMs = c.price, c.keep
+	for _, c := range []struct{ price, keepaliveMs float64 }{{0, 10000}, {0.08, 0}} {
+		set.Prices.Handshake, set.Limits.KeepaliveMs = c.price, c.keepaliveMs
 		agent := newTestAgent(t, set, 100)
 		sendSteadily([]*testAgent{agent}, 500, 6000, rand.New(rand.NewPCG(9, 9)))
 		if len(agent.balancer.aperture.servers) != 100 {
-			t.Errorf("price %v and keepalive %v: uses %d of 100", c.price, c.keep, len(agent.balancer.aperture.servers))
+			t.Errorf("price %v and keepalive %v ms: uses %d of 100 servers", c.price, c.keepaliveMs,
+				len(agent.balancer.aperture.servers))
 		}
 	}
 }
 
-// On a large fleet the subset for a key is the same at all agents, and each server is in as many
-// subsets as the next.
+// On a large fleet the subset for a key is the same at all agents, and the servers are in about equally many
+// subsets.
 func TestSubsetOfALargeFleet(t *testing.T) {
 	a, b := newTestAgent(t, testSettings(), 1000), newTestAgent(t, testSettings(), 1000)
 	count := map[Addr]int{}
@@ -86,18 +87,18 @@
 		x, y := a.balancer.subsetFor(req, a.balancer.aperture.servers), b.balancer.subsetFor(req,
 			b.balancer.aperture.servers)
 		if len(x) != subsetSize {
-			t.Fatalf("a sample of %d, want %d", len(x), subsetSize)
+			t.Fatalf("a subset of %d servers, want %d", len(x), subsetSize)
 		}
 		for i, s := range x {
 			if s.addr != y[i].addr {
-				t.Fatalf("key %d: agents sample differently", key)
+				t.Fatalf("key %d: the agents' subsets differ", key)
 			}
 			count[s.addr]++
 		}
 	}
 	for id, n := range count {
 		if mean := 4000 * subsetSize / 1000; n < mean/2 || n > 2*mean {
-			t.Errorf("server %v is in %d samples, the mean is %d", id, n, mean)
+			t.Errorf("server %v is in %d subsets, the mean is %d", id, n, mean)
 		}
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -9,13 +9,13 @@
 		actions := agent.endAttempt(id, 0, s, st, 50)
 		if findAction(actions, ActionSend) != nil || findAction(actions, ActionReject) != nil ||
 			findAction(actions, ActionFail) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
+			t.Errorf("status %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
 	agent := newTestAgent(t, testSettings(), 3)
 	id, s := agent.mustSend(1, 5)
 	if actions := agent.endAttempt(id, 0, s, ConnectFailed, 50); findAction(actions, ActionSend) == nil {
-		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+		t.Errorf("a request that was not executed was not retried: %+v", actions)
 	}
 }
 
@@ -25,13 +25,13 @@
 	actions := agent.endAttempt(id, 0, s, Error, 20)
 	a := findAction(actions, ActionSend)
 	if a == nil || agent.balancer.serverByAddr[a.Server].cell != agent.balancer.serverByAddr[s].cell {
-		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+		t.Fatalf("a retry of a deduplicated request did not stay in its cell: %+v", actions)
 	}
-	agent.now += 496 // just within the 500 ms less the margin
+	agent.now += 496 // within the window of 500 ms, but not within the margin before its end
 	actions = agent.endAttempt(id, 1, a.Server, Error, 20)
 	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) == nil &&
 		len(agent.balancer.pending) == 0 {
-		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+		t.Errorf("a deduplicated request was retried too close to the end of its window: %+v", actions)
 	}
 }
 
@@ -49,13 +49,14 @@
 	for key := range uint64(20) {
 		id, s := agent.mustSend(0, key+1)
 		if s == addr(1) {
-			t.Fatal("sent to a server that was removed")
+			t.Fatal("sent to a removed server")
 		}
 		agent.endAttempt(id, 0, s, OK, 20)
 	}
 }
 
-// A started stream belongs to the client: no further attempt and no response follow.
+// After the start of a streaming response, the agent makes no further attempt and sends no response of its
+// own.
 func TestStartedStreamBelongsToTheClient(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Streaming = true
@@ -66,7 +67,7 @@
 	for range 200 {
 		for _, a := range agent.fireTimer(10) {
 			if a.Request == id && a.Kind != ActionTimer {
-				t.Fatalf("action %+v for a request whose answer streams", a)
+				t.Fatalf("action %+v for a request whose response is streaming", a)
 			}
 		}
 	}
@@ -74,24 +75,25 @@
 		LatencyMs: 2000, Final: true})
 	if findAction(actions, ActionSend) != nil || findAction(actions, ActionFail) != nil ||
 		len(agent.balancer.requests) != 0 {
-		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(agent.balancer.requests))
+		t.Errorf("after the stream broke: actions %+v, %d requests left", actions,
+			len(agent.balancer.requests))
 	}
 }
 
-// A rejection promises the client that a retry is harmless: past the window in which repeats are
-// dropped it is not.
+// A rejection promises the client that a retry is harmless. After the window in which repeats are dropped, it
+// is not.
 func TestDeduplicatedRequestIsRejectedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
-		after float64
-		want  ActionKind
+		afterMs float64
+		want    ActionKind
 	}{{100, ActionReject}, {550, ActionFail}} {
 		set := testSettings()
 		set.Classes[2].DedupScope, set.Limits.MaxAttempts = DedupEverywhere, 1
 		agent := newTestAgent(t, set, 4)
 		id, s := agent.mustSend(2, 5)
-		agent.now += c.after
-		if actions := agent.endAttempt(id, 0, s, Error, c.after); findAction(actions, c.want) == nil {
-			t.Errorf("failed after %.0f of 500 ms: %+v", c.after, actions)
+		agent.now += c.afterMs
+		if actions := agent.endAttempt(id, 0, s, Error, c.afterMs); findAction(actions, c.want) == nil {
+			t.Errorf("error after %.0f ms, with a window of 500 ms: %+v", c.afterMs, actions)
 		}
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,61 +7,61 @@
 
 // The tokens of the Balancer's timers.
 const (
-	maintenanceTimer uint32 = iota + 1 // looks for time-outs and expired requests
+	maintenanceTimer uint32 = iota + 1 // ejects unresponsive servers and ends expired requests
 	watchTimer                         // subscribes to the endpoint list
 )
 
 const (
-	// minMaintenanceMs is the shortest interval of the maintenance timer, which otherwise runs every
-	// second round.
-	minMaintenanceMs = 5
-	// firstWatchSpread is the part of the contract's deadline for discovery, as a divisor, over which the
-	// first calls of agents that start together are spread.
-	firstWatchSpread = 8
+	// minMaintenanceIntervalMs is the shortest interval of the maintenance timer, which is otherwise twice
+	// Settings.RoundMs.
+	minMaintenanceIntervalMs = 5
+	// firstWatchDivisor divides the contract's discovery deadline. Agents that start together spread their
+	// first subscriptions over the resulting time.
+	firstWatchDivisor = 8
 )
 
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	settings         Settings
-	minLatencyTarget float64 // of all classes, ms
+	minLatencyTarget float64 // shortest latency target of all classes, ms
 	rng              *rand.Rand
-	now              float64  // clock of the event that is being handled
-	actions          []Action // that it has called for so far
-	timerRunning     bool     // the maintenance timer
+	now              float64  // time of the event that is being handled
+	actions          []Action // actions emitted for that event so far
+	timerRunning     bool     // whether the maintenance timer is running
 
 	servers      []*server // ordered by address
 	serverByAddr map[Addr]*server
 	hashRing     []*server // the same servers, ordered by hash
-	generation   uint64    // counts changes of health tiers and of the list
+	generation   uint64    // counts changes of the list, health tiers, aperture and overrides
 	discovery    discoveryState
 
-	requests  map[RequestID]*request // until they are answered and no attempt is in flight
-	pending   []*request             // those that wait for capacity
-	saturated bool                   // a request that would take any server found no capacity
-	inFlight  int                    // attempts
+	requests  map[RequestID]*request // requests that are unanswered or have an attempt in flight
+	pending   []*request             // requests that wait for capacity
+	saturated bool                   // no server had capacity for a pending request that may go to any
+	inFlight  int                    // number of attempts in flight
 
-	aperture  aperture
-	capacity  capacityState
-	latency   latencyModel
-	mix       trafficMix
-	keys      keyPopularity
-	admission admissionState
-	sending   sendingState
-	probes    probeBudget
-	retries   retryBudget
-	unserved  unservedRequests
-	overrides overrideState
+	aperture         aperture
+	capacity         capacityState
+	latency          latencyModel
+	mix              trafficMix
+	keys             keyPopularity
+	admission        admissionState
+	sending          sendingState
+	probes           probeBudget
+	retries          retryBudget
+	unservedRequests unservedRequests
+	overrides        overrideState
 
-	failureRate  float64 // part of all attempts that fail
-	meanReported float64 // mean of the reported requests in flight, for weight one
-	localWeight  float64 // weight of the own zone's servers, as a multiple
+	failureRate          float64 // fraction of all attempts that fail
+	meanReportedInFlight float64 // mean of the requests in flight that servers report, per unit of weight
+	localWeight          float64 // factor on the weight of servers in this agent's zone
 
-	candidates []*server // scratch space of pickAmong
+	candidates []*server // scratch space of formTier
 	subset     []*server // scratch space of subsetFor
 }
 
-// New returns the Balancer of one agent, or an error that names the setting that makes no sense. All its
-// randomness comes from the seed.
+// New returns the Balancer of one agent, or an error that names the first invalid setting. All randomness
+// of the Balancer comes from the seed.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -92,48 +92,48 @@
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now, b.actions = now, out
 	if b.settings.Membership == MembershipOnRequest {
-		// Agents that start together must not all call at once.
-		delay := b.rng.Float64() * b.settings.Contract.DiscoveryDeadlineMs / firstWatchSpread
+		// Agents that start together must not all call discovery at once.
+		delay := b.rng.Float64() * b.settings.Contract.DiscoveryDeadlineMs / firstWatchDivisor
 		b.emit(Action{Kind: ActionTimer, DurationMs: delay, Token: watchTimer})
 	}
 	return b.actions
 }
 
-// Handle takes one event, appends the actions that it calls for to out and returns it. Events for what is
-// finished or unknown are ignored.
+// Handle processes one event, appends the resulting actions to out and returns it. Events that refer to
+// something unknown or finished are ignored.
 func (b *Balancer) Handle(now float64, event *Event, out []Action) []Action {
 	b.now, b.actions = now, out
-	sane := event.sanitized()
-	switch sane.Kind {
+	sanitized := event.sanitized()
+	switch sanitized.Kind {
 	case EventRequest:
-		b.onRequest(sane)
+		b.onRequest(sanitized)
 	case EventAttemptEnded:
-		b.onAttemptEnded(sane)
+		b.onAttemptEnded(sanitized)
 	case EventStreamStarted:
-		b.onStreamStarted(sane)
+		b.onStreamStarted(sanitized)
 	case EventClientGone:
-		b.onClientGone(sane)
+		b.onClientGone(sanitized)
 	case EventDiscovery:
-		b.onDiscovery(sane)
+		b.onDiscovery(sanitized)
 	case EventProbeEnded:
-		b.onProbeEnded(sane)
+		b.onProbeEnded(sanitized)
 	case EventRestore:
-		b.restore(sane.Snapshot)
+		b.restore(sanitized.Snapshot)
 	case EventOverrides:
-		b.onOverrides(sane)
+		b.onOverrides(sanitized)
 	case EventTimer:
-		b.onTimer(sane.Token)
+		b.onTimer(sanitized.Token)
 	}
 	b.dispatch()
 	b.startTimer()
 	return b.actions
 }
 
-// startTimer runs the maintenance timer while there is something to watch.
+// startTimer starts the maintenance timer if requests are pending or in flight and it is not running yet.
 func (b *Balancer) startTimer() {
 	if !b.timerRunning && (len(b.pending) > 0 || b.inFlight > 0) {
 		b.timerRunning = true
-		b.emit(Action{Kind: ActionTimer, DurationMs: max(2*b.settings.RoundMs, minMaintenanceMs),
+		b.emit(Action{Kind: ActionTimer, DurationMs: max(2*b.settings.RoundMs, minMaintenanceIntervalMs),
 			Token: maintenanceTimer})
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -31,22 +31,23 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// Numbers that make no sense reach no decision: every request is still sent and ended.
+// Invalid numbers in events do not affect decisions: requests are still sent and ended.
 func TestInvalidNumbersReachNoDecision(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		agent := newTestAgent(t, testSettings(), 3)
 		agent.updateList(UpdateFull, Endpoint{Server: addr(0), Status: Ready, Weight: x, StartedMs: x},
 			Endpoint{Server: addr(1), Status: Ready, Weight: 1, StartedMs: -x})
 		id, s := agent.mustSend(0, 7)
-		agent.handle(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: x, Final: true})
+		agent.handle(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: x,
+			Final: true})
 		agent.handle(Event{Kind: EventRequest, Request: 99, RemainingMs: x, WorkHintMs: x, HasWorkHint: true,
 			Attempt: -1})
 		agent.handle(Event{Kind: EventAttemptEnded, Request: 99, Attempt: -1, Server: s, Status: OK})
 		for _, srv := range agent.balancer.servers {
 			if w := agent.balancer.rendezvousScore(&request{hashKey: 3}, srv); math.IsNaN(w) ||
-				math.IsNaN(srv.latency) || srv.assumedStartAt > agent.now {
-				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.addr, w, srv.latency,
-					srv.assumedStartAt)
+				math.IsNaN(srv.relativeLatency) || srv.assumedStartAt > agent.now {
+				t.Errorf("%v: server %v has score %v, latency %v, start %v", x, srv.addr, w,
+					srv.relativeLatency, srv.assumedStartAt)
 			}
 		}
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newBenchAgent is an agent that has measured all servers of its fleet. With pending requests none of
-// the servers has capacity; with unhealthy, every third server is.
+// newBenchAgent returns an agent that has measured all servers of its fleet. If there are pending requests,
+// no server has capacity. With unhealthy, every third server is Unhealthy.
 func newBenchAgent(b *testing.B, servers, pending int, unhealthy bool) *testAgent {
 	set := testSettings()
 	set.Limits.AllowProbes = true
@@ -49,7 +49,7 @@
 		req := &request{id: agent.lastID, class: 2, key: 1 + rng.Uint64N(500), firstArrivedAt: agent.now,
 			arrivedAt: agent.now,
 			targetAt:  1e12, deadline: 1e12}
-		if i%2 == 0 { // has waited long enough for the servers of its key
+		if i%2 == 0 { // has waited too long to wait for the servers of its key any longer
 			req.arrivedAt = -1e12
 		}
 		req.hashKey = req.key
@@ -70,8 +70,8 @@
 		switch a := &actions[i]; a.Kind {
 		case ActionSend:
 			r.now += 10
-			r.balancer.Handle(r.now, &Event{Kind: EventAttemptEnded, Request: id, Server: a.Server, Status: OK,
-				LatencyMs: 10, Final: true}, nil)
+			r.balancer.Handle(r.now, &Event{Kind: EventAttemptEnded, Request: id, Server: a.Server,
+				Status: OK, LatencyMs: 10, Final: true}, nil)
 		case ActionProbe:
 			r.balancer.Handle(r.now, &Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1,
 				LoadReport: []float32{1, 0.4}}, nil)
@@ -80,13 +80,14 @@
 	r.balancer.Handle(r.now, &Event{Kind: EventClientGone, Request: id}, nil) // no effect on a served one
 }
 
-// BenchmarkRequest is the cost of one keyed request from its arrival to its response or, where others
+// BenchmarkRequest measures the cost of one request with a key from its arrival to its response or, if others
 // are pending for lack of capacity, until its client leaves.
 func BenchmarkRequest(b *testing.B) {
 	for _, pending := range []int{0, 64, 512} {
 		for _, unhealthy := range []bool{false, true} {
 			for _, servers := range []int{10, 60, 200, 1000} {
-				b.Run(fmt.Sprintf("held=%d/ill=%v/servers=%d", pending, unhealthy, servers), func(b *testing.B) {
+				b.Run(fmt.Sprintf("pending=%d/unhealthy=%v/servers=%d", pending, unhealthy,
+					servers), func(b *testing.B) {
 					agent := newBenchAgent(b, servers, pending, unhealthy)
 					rng := rand.New(rand.NewPCG(3, 3))
 					b.ReportAllocs()
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,37 +2,37 @@
 
 import "math"
 
-// capacityState is a survey of the servers, taken once for each generation of the list and of the tiers,
-// and the capacity that follows from it, computed once for all decisions of a moment.
+// capacityState caches a survey of the servers, taken once for each generation, and the capacity computed
+// from it, once for each generation and time.
 type capacityState struct {
-	surveyed          uint64 // one more than the generation of the last survey, which found:
-	unhealthy         []*server
-	warmingUp         []*server
-	healthyWarmWeight float64 // of the ready servers of the best tier that are warm
-	warmWeight        float64 // and of all warm ones that are not Unhealthy
+	surveyVersion     uint64    // Balancer.generation at the last survey, plus one; zero if there was none
+	unhealthyServers  []*server // servers that are UnhealthyPending or Unhealthy
+	warmingUpServers  []*server // servers in slow start
+	healthyWarmWeight float64   // weight of the ready, warm servers that are Connected or Unknown
+	warmWeight        float64   // weight of the ready, warm servers that are not Unhealthy
 
-	total           float64 // capacity, as of
-	totalAt         float64
-	totalGeneration uint64
-	peak            float64 // the largest total of late, fading over the slow-start time
+	totalCapacity   float64 // capacity of all servers, see currentCapacity
+	totalAt         float64 // when totalCapacity was computed
+	totalGeneration uint64  // Balancer.generation when totalCapacity was computed
+	peak            float64 // recent maximum of totalCapacity, decaying over the slow-start time
 }
 
-// survey finds the servers on which most decisions turn: those that are not healthy, and those that are
-// warming up. Of the others their weight is enough.
+// survey lists the servers that most decisions depend on, which are the unhealthy ones and those in slow
+// start, and sums up the weights of the others. It does nothing if the last survey is of this generation.
 func (b *Balancer) survey() {
 	state := &b.capacity
-	if state.surveyed == b.generation+1 {
+	if state.surveyVersion == b.generation+1 {
 		return
 	}
-	state.surveyed = b.generation + 1
-	state.unhealthy, state.warmingUp = state.unhealthy[:0], state.warmingUp[:0]
+	state.surveyVersion = b.generation + 1
+	state.unhealthyServers, state.warmingUpServers = state.unhealthyServers[:0], state.warmingUpServers[:0]
 	state.healthyWarmWeight, state.warmWeight = 0, 0
 	for _, srv := range b.servers {
 		if srv.state > Unknown {
-			state.unhealthy = append(state.unhealthy, srv)
+			state.unhealthyServers = append(state.unhealthyServers, srv)
 		}
 		if b.slowStartFactor(srv) < 1 {
-			state.warmingUp = append(state.warmingUp, srv)
+			state.warmingUpServers = append(state.warmingUpServers, srv)
 			continue
 		}
 		if !srv.ready || srv.state == Unhealthy {
@@ -46,11 +46,11 @@
 	}
 }
 
-// currentWarmWeight is the weight of the warm servers of the best tier.
+// currentWarmWeight returns the weight of the warm servers that are Connected or Unknown.
 func (b *Balancer) currentWarmWeight() float64 {
 	b.survey()
 	weight := b.capacity.healthyWarmWeight
-	for _, srv := range b.capacity.warmingUp { // some of which are warm by now
+	for _, srv := range b.capacity.warmingUpServers { // some may be warm by now
 		if srv.ready && srv.state <= Unknown && b.slowStartFactor(srv) == 1 {
 			weight += srv.weight * b.effectiveShare(srv)
 		}
@@ -58,20 +58,21 @@
 	return weight
 }
 
-// currentCapacity is the weight of the servers that may be sent to, each by its slow-start factor.
+// currentCapacity returns the weight of the servers that may be sent requests, each scaled by its slow-start
+// factor.
 func (b *Balancer) currentCapacity() float64 {
 	state := &b.capacity
 	if state.totalAt == b.now && state.totalGeneration == b.generation {
-		return state.total
+		return state.totalCapacity
 	}
 	b.survey()
 	state.peak *= math.Exp((state.totalAt - b.now) / max(b.settings.Contract.SlowStartMs, 1))
-	state.total, state.totalAt, state.totalGeneration = state.warmWeight, b.now, b.generation
-	for _, srv := range state.warmingUp {
+	state.totalCapacity, state.totalAt, state.totalGeneration = state.warmWeight, b.now, b.generation
+	for _, srv := range state.warmingUpServers {
 		if srv.ready && srv.state < Unhealthy {
-			state.total += srv.weight * b.slowStartFactor(srv) * b.effectiveShare(srv)
+			state.totalCapacity += srv.weight * b.slowStartFactor(srv) * b.effectiveShare(srv)
 		}
 	}
-	state.peak = max(state.peak, state.total)
-	return state.total
+	state.peak = max(state.peak, state.totalCapacity)
+	return state.totalCapacity
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The survey equals a recount after every kind of change.
+// The cached survey equals a recount after every kind of change.
 func TestSurveyIsCurrent(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 30)
 	rng := rand.New(rand.NewPCG(4, 4))
@@ -22,24 +22,25 @@
 				agent.endAttempt(id, 0, a.Server, []Status{OK, OK, OK, Error, ConnectFailed}[rng.IntN(5)], 5)
 			}
 		}
-		unhealthy, warm, all := 0, 0.0, 0.0
+		unhealthy, warmWeight, capacity := 0, 0.0, 0.0
 		for _, s := range agent.balancer.servers {
 			if s.state > Unknown {
 				unhealthy++
 			}
 			if s.ready && s.state <= Unknown && agent.balancer.slowStartFactor(s) == 1 {
-				warm += s.weight
+				warmWeight += s.weight
 			}
 			if s.ready && s.state < Unhealthy {
-				all += s.weight * agent.balancer.slowStartFactor(s)
+				capacity += s.weight * agent.balancer.slowStartFactor(s)
 			}
 		}
 		agent.balancer.capacity.totalAt = 0
-		if gotWarm, gotAll := agent.balancer.currentWarmWeight(),
-			agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthy) != unhealthy ||
-			max(gotWarm-warm, warm-gotWarm, gotAll-all, all-gotAll) > 1e-6 {
-			t.Fatalf("step %d: %d unhealthy, %.3f warm, %.3f in all; recounted %d, %.3f, %.3f", step,
-				len(agent.balancer.capacity.unhealthy), gotWarm, gotAll, unhealthy, warm, all)
+		if gotWarm, gotCapacity := agent.balancer.currentWarmWeight(),
+			agent.balancer.currentCapacity(); len(agent.balancer.capacity.unhealthyServers) != unhealthy ||
+			max(gotWarm-warmWeight, warmWeight-gotWarm, gotCapacity-capacity, capacity-gotCapacity) > 1e-6 {
+			t.Fatalf("step %d: %d unhealthy, warm weight %.3f, capacity %.3f; recounted %d, %.3f, %.3f", step,
+				len(agent.balancer.capacity.unhealthyServers), gotWarm, gotCapacity, unhealthy, warmWeight,
+				capacity)
 		}
 	}
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -3,36 +3,38 @@
 import "math/bits"
 
 const (
-	// overloadTargetShare is the part of the latency target that a mean latency may take,
-	// overloadBaselineFactor how many times the fleet's baseline, before a server counts as overloaded.
+	// A server counts as overloaded if its mean relative latency is above overloadTargetShare or above
+	// overloadBaselineFactor times the fleet's baseline.
 	overloadTargetShare, overloadBaselineFactor = 0.5, 1.5
-	// severeOverloadFactor is how many times that latency a severely overloaded server takes.
+	// severeOverloadFactor is the multiple of that latency above which a server is severely overloaded.
 	severeOverloadFactor = 2.5
-	// initialConcurrency is the concurrency limit of a server of which no latency is known, minConcurrency
-	// what is left to a server however overloaded: enough to see when it no longer is.
+	// initialConcurrency is the concurrency limit of a server whose latency is unknown. minConcurrency is the
+	// lowest limit of a severely overloaded server: enough to detect when it has recovered.
 	initialConcurrency, minConcurrency = 2.0, 0.1
-	// latencyDecrease and rejectionDecrease are the multiplicative decreases of the concurrency limit.
+	// latencyDecrease and rejectionDecrease are the factors by which a high latency and a rejection decrease
+	// the concurrency limit.
 	latencyDecrease, rejectionDecrease = 0.85, 0.7
-	// overloadInFlightFactor is how many times the mean of the reported requests in flight a server may
-	// have.
+	// overloadInFlightFactor is the multiple of the mean reported requests in flight above which a server
+	// counts as overloaded.
 	overloadInFlightFactor = 1.5
-	// maxOverloadStreak bounds the doubling of an overloaded server's pause.
+	// maxOverloadStreak limits how often the pause of an overloaded server is doubled.
 	maxOverloadStreak = 4
-	// fewAgentsBits is the length in bits of the number of agents up to which pauses are not doubled.
+	// fewAgentsBits is the bit length of the largest number of agents with which pauses are not doubled.
 	fewAgentsBits = 4
 )
 
-// sendingState is how this agent's attempts follow each other.
+// sendingState holds when and how often this agent sends requests.
 type sendingState struct {
-	lastAt   float64
-	interval float64 // mean time between attempts
+	lastAt         float64 // time of the last attempt; zero before the first
+	meanIntervalMs float64 // mean time between attempts
 
-	warmRate   float64 // requests sent to a warm server of weight one, fading over the slow-start time,
-	warmRateAt float64 // as of
+	warmRate   float64 // recent arrivals for a warm server of weight one, decaying over the slow-start time
+	warmRateAt float64 // when warmRate was updated
 }
 
-// hasCapacity bounds what a server has in flight of this agent: by its concurrency limit, one at a time until
-// it is validated, and by its slow-start credit.
+// hasCapacity reports whether this agent may have another attempt in flight on the server: by the server's
+// concurrency limit and slow-start credit, and one at a time on a server that is not validated yet and whose
+// failure rate is not tolerated.
 func (b *Balancer) hasCapacity(srv *server) bool {
 	if srv.state >= UnhealthyPending && (len(srv.inFlight) == 0 || !b.toleratesFailures(srv)) {
 		return len(srv.inFlight) == 0
@@ -40,69 +42,73 @@
 	if len(srv.inFlight) >= max(int(srv.concurrencyLimit), 1) {
 		return false
 	}
-	// A limit under one is enforced by pauses: of many agents even one attempt of each can be too much, and
-	// a server that collapsed needs idle time to recover.
+	// A limit below one is enforced by a pause between attempts: with many agents, even one attempt of each
+	// can be too much, and a collapsed server needs idle time to recover.
 	if srv.concurrencyLimit < 1 && b.now-srv.lastSentAt < srv.meanLatencyMs/srv.concurrencyLimit {
 		return false
 	}
 	return b.slowStartAllows(srv)
 }
 
-// overloadLatency is the mean relative latency from which a server counts as overloaded. A few agents see
-// most of the load, and need not fear to overload a server that answers well within the target. A server
-// that warms up is slow before it is overloaded.
+// overloadLatency returns the mean relative latency above which a server counts as overloaded. It has a lower
+// bound that is higher the fewer agents there are: each of a few agents sees most of the load, so a server
+// that answers well within the target is not overloaded. A server in slow start is slow before it is
+// overloaded.
 func (b *Balancer) overloadLatency(srv *server) float64 {
-	least := 2 * overloadTargetShare / (2 + float64(b.settings.AgentCount))
-	relative := min(overloadTargetShare, max(overloadBaselineFactor*b.latency.baseline, least))
-	return relative / b.slowStartFactor(srv)
+	lowerBound := 2 * overloadTargetShare / (2 + float64(b.settings.AgentCount))
+	warmLatency := min(overloadTargetShare, max(overloadBaselineFactor*b.latency.baseline, lowerBound))
+	return warmLatency / b.slowStartFactor(srv)
 }
 
-// adjustConcurrency moves a server's concurrency limit after a served attempt: additive increase while it is
-// used and the latency is low, multiplicative decrease once a latency while the server is overloaded.
+// adjustConcurrency adjusts a server's concurrency limit after a served attempt: additive increase while the
+// limit is used and the latency is low, multiplicative decrease while the server is overloaded, at most once
+// in the time of one latency.
 func (b *Balancer) adjustConcurrency(srv *server, overloadLatency, latencyMs float64) {
 	switch {
-	case srv.latency > overloadLatency && b.now-srv.limitReducedAt > latencyMs:
-		least := 1.0
-		if srv.latency > severeOverloadFactor*overloadLatency {
-			least = minConcurrency
+	case srv.relativeLatency > overloadLatency && b.now-srv.limitReducedAt > latencyMs:
+		lowestLimit := 1.0
+		if srv.relativeLatency > severeOverloadFactor*overloadLatency {
+			lowestLimit = minConcurrency
 		}
-		b.reduceConcurrency(srv, latencyDecrease, least)
-	case srv.latency < overloadLatency && float64(len(srv.inFlight)+2) > srv.concurrencyLimit &&
+		b.reduceConcurrency(srv, latencyDecrease, lowestLimit)
+	case srv.relativeLatency < overloadLatency && float64(len(srv.inFlight)+2) > srv.concurrencyLimit &&
 		b.latency.responses > baselineResponses:
 		srv.concurrencyLimit += min(1/srv.concurrencyLimit, srv.concurrencyLimit)
 	}
 }
 
-// reduceConcurrency multiplies a server's concurrency limit, down to a least value.
-func (b *Balancer) reduceConcurrency(srv *server, factor, least float64) {
-	srv.concurrencyLimit = min(srv.concurrencyLimit, max(srv.concurrencyLimit*factor, least))
+// reduceConcurrency multiplies a server's concurrency limit by factor, but not below lowestLimit.
+func (b *Balancer) reduceConcurrency(srv *server, factor, lowestLimit float64) {
+	srv.concurrencyLimit = min(srv.concurrencyLimit, max(srv.concurrencyLimit*factor, lowestLimit))
 	srv.limitReducedAt = b.now
 }
 
-// reportsOverload reports whether a server reports far more requests in flight than the others do on average:
-// a cap by what all agents have in flight there.
+// reportsOverload reports whether a server reports far more requests in flight, by all agents, than the
+// servers do on average.
 func (b *Balancer) reportsOverload(srv *server, report []float32) bool {
 	inFlight, ok := b.reportedMetric(report, "inflight")
 	if !ok {
 		return false
 	}
 	inFlight /= srv.weight
-	b.meanReported = movingMean(b.meanReported, inFlight, 4*fleetMeanWeight)
-	return inFlight > overloadInFlightFactor*b.meanReported+1
+	b.meanReportedInFlight = movingMean(b.meanReportedInFlight, inFlight, 4*fleetMeanWeight)
+	return inFlight > overloadInFlightFactor*b.meanReportedInFlight+1
 }
 
-// pause lets an overloaded server miss about one turn of this agent. An agent that meets it twice a
-// minute cannot follow its load by a concurrency limit; but all agents together send it less by the part
-// of them that found it overloaded. Each time in a row doubles the turns, or the queue of a server that
-// became slower under its load would stay. Of few agents each follows by its limit, and a pause would
-// leave the server idle: fewer than 16 double nothing.
+// pause makes this agent skip an overloaded server for about serverIntervalMs. An agent that sends to a
+// server twice a minute cannot follow its load with a concurrency limit. But together the agents send it
+// less, by the fraction of them that found it overloaded. The pause doubles each time in a row, because
+// otherwise the queue of a server that became slower under load would remain. With fewer than 16 agents it
+// does not double: each of them follows the load with its limit, and long pauses would leave the server idle.
 func (b *Balancer) pause(srv *server) {
 	b.adjustLocalWeight(srv, true)
-	turns := b.turnMs() * float64(int(1)<<srv.overloadStreak)
-	srv.pausedUntil = b.now + min(turns, b.settings.Contract.SlowStartMs)*(0.5+b.rng.Float64())
+	pauseMs := b.serverIntervalMs() * float64(int(1)<<srv.overloadStreak)
+	srv.pausedUntil = b.now + min(pauseMs, b.settings.Contract.SlowStartMs)*(0.5+b.rng.Float64())
 	agentBits := bits.Len(uint(b.settings.AgentCount))
 	srv.overloadStreak = min(srv.overloadStreak+1, maxOverloadStreak, max(agentBits-fewAgentsBits, 0))
 }
 
-// turnMs is the mean time between two of this agent's attempts to the same server.
-func (b *Balancer) turnMs() float64 { return b.sending.interval * float64(len(b.aperture.servers)) }
+// serverIntervalMs returns the mean time between two attempts of this agent on the same server.
+func (b *Balancer) serverIntervalMs() float64 {
+	return b.sending.meanIntervalMs * float64(len(b.aperture.servers))
+}
--- a/policy/deploy_test.go
+++ b/policy/deploy_test.go
@@ -12,10 +12,10 @@
 // maxLineWidth is the width of the longest line of this package, a tab counted as four characters.
 const maxLineWidth = 110
 
-// undecidingFiles hold the interface and its documentation; every other file of this package decides.
-var undecidingFiles = []string{"policy/doc.go", "policy/events.go", "policy/settings.go", "policy/stats.go"}
+// interfaceFiles hold the interface and its documentation. All other files of this package make decisions.
+var interfaceFiles = []string{"policy/doc.go", "policy/events.go", "policy/settings.go", "policy/stats.go"}
 
-// sourceFiles lists this package's files without its tests, by their paths from the root.
+// sourceFiles returns the paths from the root of this package's files, without its tests.
 func sourceFiles(t *testing.T) (names []string) {
 	t.Helper()
 	paths, err := filepath.Glob("*.go")
@@ -30,8 +30,7 @@
 	return names
 }
 
-// The deploy file's policy key names the files that hold the decisions: all of them, each once, and nothing
-// that is not there.
+// The policy key of the deploy file lists each file that makes decisions exactly once, and no other file.
 func TestDeployFileNamesEveryDecisionFile(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -41,15 +40,15 @@
 	if key == nil {
 		t.Fatal("deploy/balancer.toml has no policy key")
 	}
-	var named []string
+	var listed []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(key[1]), -1) {
-		named = append(named, name[1])
+		listed = append(listed, name[1])
 	}
-	decisions := slices.DeleteFunc(sourceFiles(t),
-		func(name string) bool { return slices.Contains(undecidingFiles, name) })
-	slices.Sort(named)
-	if !slices.Equal(named, decisions) {
-		t.Errorf("the deploy file names %v, want %v", named, decisions)
+	want := slices.DeleteFunc(sourceFiles(t),
+		func(name string) bool { return slices.Contains(interfaceFiles, name) })
+	slices.Sort(listed)
+	if !slices.Equal(listed, want) {
+		t.Errorf("the deploy file lists %v, want %v", listed, want)
 	}
 }
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,21 +1,23 @@
-// Package policy is the load-balancing policy of one agent, a sidecar beside one client: to which server
-// each request is sent, when, with what time-out, whether it is retried, and when it is rejected.
+// Package policy is the load-balancing policy of one agent, the sidecar of one client. It decides to which
+// server each request is sent, when and with which timeout, whether it is retried, and when it is rejected.
 //
-// A Balancer is a deterministic state machine without I/O. Its caller passes events together with a clock
-// and carries out the returned actions in their order. Equal settings, seeds and events give equal actions:
+// A Balancer is a deterministic state machine without I/O. Its caller passes in events with the time of its
+// clock and carries out the returned actions in order. Equal settings, seeds and events give equal actions:
 // all randomness comes from the seed. Nothing here is safe for concurrent use.
 //
-// Times are milliseconds of the caller's steady clock, durations are milliseconds. Capacity and load are
-// counted in warm servers of weight one, latencies of different classes as parts of their latency targets.
+// Times are milliseconds of the caller's monotonic clock, durations are milliseconds. The unit of capacity
+// and load is one warm server of weight one. A relative latency is a fraction of its class's latency target,
+// which makes the latencies of different classes comparable.
 //
-// The modules, in the order in which a request meets them:
+// The files, in the order in which a request passes through them:
 //
-//   - balancer.go dispatches events; endpoints.go applies what discovery lists
-//   - admission.go accepts, sheds or rejects a request; queue.go orders what waits for capacity
-//   - pick.go chooses the server: health tiers first, then rendezvous.go's order among those that
-//     aperture.go, slowstart.go and concurrency.go allow; attempts.go checks and sends
-//   - outcomes.go takes the end of an attempt; outlier.go, zones.go and health.go eject,
-//     validation.go brings back; retry.go decides about another attempt
-//   - capacity.go, latency.go, mix.go and probes.go are the measurements that the others decide by
-//   - overrides.go applies what agents decided together, snapshot.go what an earlier process learned
+//   - balancer.go dispatches events; endpoints.go applies updates of the endpoint list
+//   - admission.go admits, sheds or rejects a request; queue.go orders the requests that wait for capacity
+//   - pick.go chooses the server: by health tier first, then in the order of rendezvous.go among the servers
+//     that aperture.go, slowstart.go and concurrency.go allow; attempts.go checks and sends
+//   - outcomes.go handles the end of an attempt; outlier.go, zones.go and health.go eject servers,
+//     validation.go brings them back; retry.go decides about another attempt
+//   - capacity.go, latency.go, mix.go and probes.go measure what the other files base their decisions on
+//   - overrides.go applies what the agents decided together; snapshot.go saves what an agent has learned
+//     and restores it in its next process
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -11,66 +11,67 @@
 const (
 	// minFetchIntervalMs is the shortest time between two fetches of the full list.
 	minFetchIntervalMs = 1000
-	// watchBackoffMs is half of the longest pause before the first repetition of a failed subscription.
+	// watchBackoffMs is the base of the exponential backoff after failed subscriptions: the first retry
+	// waits at most twice as long.
 	watchBackoffMs = 500
-	// restartConcurrency is the concurrency limit of a server that started again.
+	// restartConcurrency is the concurrency limit of a server that has just restarted.
 	restartConcurrency = 1
 )
 
-// server is what the agent knows of one listed server.
+// server holds what the agent knows about one listed server.
 type server struct {
 	EndpointHealth
 	addr  Addr
 	hash  uint64
 	zone  int
 	cell  int
-	ready bool // as listed
+	ready bool // listed as Ready
 
 	weight         float64
-	listedStartAt  float64 // start of its process by the list; 0: long ago
-	assumedStartAt float64 // the same, or later where a restart is assumed
+	listedStartAt  float64 // start of its process as listed; zero if long ago
+	assumedStartAt float64 // listedStartAt, or later if a restart is assumed
 	inAperture     bool
 
 	inFlight       []*attempt // oldest first
 	lastSentAt     float64
-	lastResponseAt float64 // when it last answered anything
+	lastResponseAt float64 // time of its last response, whatever its status
 
-	unreachableSince float64 // first failed connect since its last response; 0: none
-	timedOutFrom     float64 // when the attempt was sent on which it was found unresponsive
-	zoneSuspected    bool    // taken for unresponsive as others of its zone are
-	failureRate      float64 // part of its attempts that fail
+	unreachableSince float64 // time of the first failed connect since its last response; zero if none failed
+	timedOutSentAt   float64 // send time of the last attempt that found it unresponsive; zero if none did
+	zoneSuspected    bool    // assumed to be unresponsive because other servers of its zone are
+	failureRate      float64 // fraction of its attempts that fail
 	lastOutcomeAt    float64
 
 	probing      bool // a probe is in flight
-	samplingLoad bool // which samples the load
+	samplingLoad bool // the probe in flight samples the load
 
-	latency          float64 // mean, as a part of the latency target
+	relativeLatency  float64 // mean relative latency; zero if none is known
 	latencySamples   int
 	meanLatencyMs    float64
-	concurrencyLimit float64 // attempts that this agent may have in flight there
+	concurrencyLimit float64 // attempts to it that this agent may have in flight
 	limitReducedAt   float64
-	overloadStreak   int     // how often in a row it was found overloaded
-	pausedUntil      float64 // passed over in its tier
+	overloadStreak   int     // how often it was found overloaded, less its responses without overload
+	pausedUntil      float64 // until this time other servers of its tier are preferred
 
-	slowStartCredit float64 // requests that it may be sent while it warms up
+	slowStartCredit float64 // requests that it may be sent during slow start
 
-	rendezvous float64 // score for the request that is being placed; the lowest wins
+	rendezvous float64 // score for the request that is being dispatched; the lowest wins
 
-	withheldShare     float64 // part of its share that an override takes away
-	trafficWeight     float64 // what it weighs by an override, as a part of the mean
+	withheldShare     float64 // fraction of its share that an override withholds
+	trafficWeight     float64 // weight for traffic between zones by an override, relative to the mean
 	overrideExpiresAt float64
-	trialExpiresAt    float64 // it is to get a trial request before
+	trialExpiresAt    float64 // time until which it is due for a trial request; zero after the trial
 }
 
-// discoveryState is what the agent knows of its endpoint list.
+// discoveryState is the state of the endpoint list and of its subscription.
 type discoveryState struct {
-	updates       uint64 // that were applied
+	updates       uint64 // number of applied updates
 	lastFetchAt   float64
-	watchFailures int // in a row
+	watchFailures int // consecutive failures
 }
 
-// fetchList asks for the full list, seldom: the stream of changes is as fresh, and every call loads
-// discovery.
+// fetchList requests the full list, unless it did so recently: the stream of updates is as fresh, and every
+// fetch puts load on discovery.
 func (b *Balancer) fetchList() {
 	if b.now-b.discovery.lastFetchAt >= max(b.settings.Contract.DiscoveryDeadlineMs, minFetchIntervalMs) {
 		b.discovery.lastFetchAt = b.now
@@ -104,8 +105,8 @@
 	b.updateAperture()
 }
 
-// retryWatch subscribes again after a pause: exponential backoff with jitter, within the contract's
-// deadline. Pushed updates need no subscription.
+// retryWatch schedules another subscription after an exponential backoff with jitter, within the contract's
+// discovery deadline. Pushed updates need no subscription.
 func (b *Balancer) retryWatch() {
 	b.discovery.watchFailures++
 	if b.settings.Membership != MembershipOnRequest {
@@ -116,7 +117,7 @@
 	b.emit(Action{Kind: ActionTimer, DurationMs: backoff * (0.5 + 0.5*b.rng.Float64()), Token: watchTimer})
 }
 
-// updateServer takes over one endpoint, which may be new.
+// updateServer applies one listed endpoint and adds its server if it is new.
 func (b *Balancer) updateServer(endpoint *Endpoint) {
 	srv, startedAt := b.serverByAddr[endpoint.Server], min(finiteOrZero(endpoint.StartedMs), b.now)
 	if srv == nil {
@@ -148,16 +149,16 @@
 	return srv
 }
 
-// resetRestarted drops what was known of the server's earlier process; the new one is warming up.
+// resetRestarted discards what was learned about the server's previous process; the new one is in slow start.
 func (b *Balancer) resetRestarted(srv *server, startedAt float64) {
 	srv.listedStartAt, srv.assumedStartAt = startedAt, startedAt
 	srv.EndpointHealth, srv.zoneSuspected = NewEndpointHealth(b.now), false
-	srv.latency, srv.latencySamples = 0, 0
+	srv.relativeLatency, srv.latencySamples = 0, 0
 	srv.concurrencyLimit, srv.overloadStreak = restartConcurrency, 0
 	srv.slowStartCredit = b.drawSlowStartCredit()
 }
 
-// insertServer inserts a server into servers that are ordered by key, then by address.
+// insertServer inserts a server into a slice that is ordered by key, then by address.
 func insertServer(servers []*server, srv *server, key func(*server) uint64) []*server {
 	i, _ := slices.BinarySearchFunc(servers, srv, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(key(x), key(y)), bytes.Compare(x.addr[:], y.addr[:]))
@@ -165,7 +166,7 @@
 	return slices.Insert(servers, i, srv)
 }
 
-// addressBits is the address as a number; equal order, equal number.
+// addressBits returns the address as a number; addresses and their numbers sort in the same order.
 func addressBits(addr Addr) uint64 {
 	bits := uint64(0)
 	for _, octet := range addr {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -11,16 +11,17 @@
 	}
 	first := findAction(b.Start(0, nil), ActionTimer)
 	if first == nil || first.DurationMs > set.Contract.DiscoveryDeadlineMs {
-		t.Fatalf("no subscription within the contract's time: %+v", first)
+		t.Fatalf("no subscription within the discovery deadline: %+v", first)
 	}
-	if findAction(b.Handle(first.DurationMs, &Event{Kind: EventTimer, Token: first.Token}, nil), ActionWatch) == nil {
+	if findAction(b.Handle(first.DurationMs, &Event{Kind: EventTimer, Token: first.Token}, nil),
+		ActionWatch) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		retry := findAction(b.Handle(first.DurationMs, &Event{Kind: EventDiscovery, Update: UpdateFailed}, nil),
-			ActionTimer)
+		retry := findAction(b.Handle(first.DurationMs, &Event{Kind: EventDiscovery, Update: UpdateFailed},
+			nil), ActionTimer)
 		if retry == nil || retry.DurationMs > set.Contract.DiscoveryDeadlineMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retry)
+			t.Fatalf("a failed subscription was not retried within the discovery deadline: %+v", retry)
 		}
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -10,7 +10,7 @@
 // ListedStatus is the state in which discovery lists a server.
 type ListedStatus uint8
 
-// The states of the list.
+// The states in the list.
 const (
 	Draining ListedStatus = iota
 	Ready
@@ -23,7 +23,7 @@
 	Zone      int
 	Cell      int
 	Kind      int
-	StartedMs float64 // clock time of the latest start; 0: long ago
+	StartedMs float64 // clock time of the latest start; zero if long ago
 	Status    ListedStatus
 	Weight    float64
 }
@@ -34,15 +34,15 @@
 // The kinds of updates.
 const (
 	UpdateDelta  UpdateKind = iota // only the given endpoints changed
-	UpdateFull                     // servers that are not named are removed
-	UpdateCached                   // as UpdateFull, from before the agent's start
+	UpdateFull                     // servers that are not given are removed
+	UpdateCached                   // like UpdateFull, with a list from before the agent's start
 	UpdateFailed                   // the call to discovery failed
 )
 
 // Status is how an attempt or a probe ended.
 type Status uint16
 
-// The endings, by their numbers on the simulator's wire.
+// The statuses, by their numbers in the simulator's protocol.
 const (
 	OK            Status = 100
 	Error         Status = 301
@@ -51,18 +51,18 @@
 	ConnectFailed Status = 304
 	Reset         Status = 305
 	Cancelled     Status = 306
-	NotSent       Status = 307 // it failed at this agent, which says nothing about the server
+	NotSent       Status = 307 // it failed within this agent, which says nothing about the server
 )
 
-// NotExecuted reports whether the ending proves that the server did not execute the request.
+// NotExecuted reports whether the status proves that the server did not execute the request.
 func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
-// EventKind determines which fields of an Event count.
+// EventKind determines which fields of an Event are used.
 type EventKind uint8
 
 // The kinds of events, each with its fields.
 const (
-	EventRequest       EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, IsRetry and the hint
+	EventRequest       EventKind = iota + 1 // Request, Class, Tenant, Key, RemainingMs, IsRetry, work hint
 	EventAttemptEnded                       // Request, Attempt, Server, Status, LatencyMs, Final, LoadReport
 	EventStreamStarted                      // Request, Attempt, Server, LatencyMs: a streaming response began
 	EventClientGone                         // Request: the client cancelled it
@@ -70,8 +70,8 @@
 	EventProbeEnded                         // Server, Status, LatencyMs, LoadReport
 	EventTimer                              // Token
 	EventPeerMessage                        // a message of another agent; it has no effect
-	EventRestore                            // Snapshot of an earlier process; after the first list
-	EventOverrides                          // Overrides, all that hold; ZoneWeighted; ReachableShare
+	EventRestore                            // Snapshot of an earlier process; sent after the first list
+	EventOverrides                          // Overrides: all that hold now; ZoneWeighted; ReachableShare
 )
 
 // Event is something that happened to one agent.
@@ -80,8 +80,8 @@
 	Request        RequestID
 	Class          int
 	Tenant         int
-	Key            uint64  // for affinity; 0: none
-	RemainingMs    float64 // until the client's deadline
+	Key            uint64  // affinity key; zero if there is none
+	RemainingMs    float64 // time until the client's deadline
 	WorkHintMs     float64
 	HasWorkHint    bool
 	IsRetry        bool
@@ -93,28 +93,28 @@
 	LoadReport     []float32 // in the order of Settings.LoadReport.Metrics
 	Update         UpdateKind
 	Endpoints      []Endpoint // neither changed nor retained by the Balancer
-	Token          uint32     // of the timer
+	Token          uint32     // token of the timer
 	Snapshot       *Snapshot  // neither changed nor retained by the Balancer
 	Overrides      []Override
-	ZoneWeighted   bool    // the Overrides' TrafficWeights place traffic between zones
-	ReachableShare float64 // part of the fleet and of its demand that this agent's site reaches; 1: all
+	ZoneWeighted   bool    // the TrafficWeights of Overrides distribute traffic between zones
+	ReachableShare float64 // fraction of the fleet and its demand that this agent's site reaches; 1 if all
 }
 
-// ActionKind determines which fields of an Action count.
+// ActionKind determines which fields of an Action are used.
 type ActionKind uint8
 
 // The kinds of actions, each with its fields.
 const (
-	ActionSend      ActionKind = iota + 1 // Request, Server, DurationMs: the time-out
+	ActionSend      ActionKind = iota + 1 // Request, Server, DurationMs: the timeout
 	ActionCancel                          // Request, Attempt
-	ActionReject                          // Request, DurationMs: when to retry; a retry is harmless
+	ActionReject                          // Request, DurationMs: time until a retry; a retry is harmless
 	ActionFail                            // Request: it may have been executed
 	ActionProbe                           // Server
 	ActionTimer                           // DurationMs, Token
 	ActionWatch                           // subscribe to changes of the endpoint list
 	ActionFetch                           // fetch the full endpoint list once
 	ActionLog                             // Text
-	ActionCloseIdle                       // Server: close its idle connections; never asked for here
+	ActionCloseIdle                       // Server: close its idle connections; never emitted by the Balancer
 )
 
 // Action is something the caller has to do, in the order given.
@@ -128,9 +128,9 @@
 	Text       string
 }
 
-// sanitized is the event with numbers that make sense.
+// sanitized returns a copy of the event in which invalid times are zero.
 func (event *Event) sanitized() *Event {
-	sane := *event
-	sane.RemainingMs, sane.LatencyMs = finiteOrZero(sane.RemainingMs), finiteOrZero(sane.LatencyMs)
-	return &sane
+	result := *event
+	result.RemainingMs, result.LatencyMs = finiteOrZero(result.RemainingMs), finiteOrZero(result.LatencyMs)
+	return &result
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,10 +1,11 @@
 package policy
 
 const (
-	// maxEjections bounds the doubling of a server's ejection time, maxEjectionMs that time.
+	// maxEjections limits the counted ejections, each of which after the first doubles the ejection time;
+	// maxEjectionMs limits the ejection time.
 	maxEjections, maxEjectionMs = 5, 8000.0
-	// successesPerEjection is the number of served attempts, for each ejection counted, after which one
-	// ejection is forgotten.
+	// successesPerEjection times the counted ejections is the number of served attempts after which the
+	// count decreases by one.
 	successesPerEjection = 16
 )
 
@@ -14,15 +15,15 @@
 // The four states, best first.
 const (
 	Connected        State = iota // it served an attempt
-	Unknown                       // nothing is known of it
+	Unknown                       // nothing is known about it
 	UnhealthyPending              // it waits for validation by a request or a probe
 	Unhealthy                     // ejected
 )
 
-// StateNames are the names of the states, by their number.
+// StateNames holds the names of the states, indexed by State.
 var StateNames = [...]string{"connected", "unknown", "unhealthy_pending", "unhealthy"}
 
-// String is the state's name, or "invalid".
+// String returns the state's name, or "invalid".
 func (s State) String() string {
 	if int(s) < len(StateNames) {
 		return StateNames[s]
@@ -37,53 +38,54 @@
 	priorityUnhealthy
 )
 
-// EndpointHealth is the health of one server by the attempts of one caller (passive health checking with
-// outlier ejection). Each caller ejects by itself. Times are milliseconds of a steady clock. The zero value
-// is Connected; NewEndpointHealth gives Unknown. It is not safe for concurrent use.
+// EndpointHealth is the health of one server as seen by one caller from its own attempts (passive health
+// checking with outlier ejection). Callers eject independently of each other. Times are milliseconds of a
+// monotonic clock. The zero value is Connected; NewEndpointHealth returns one that is Unknown. It is not safe
+// for concurrent use.
 type EndpointHealth struct {
 	state     State
 	since     float64 // when the state was entered
-	timedOut  bool    // ejected for a time-out, not for a response
-	ejections int     // ejections of late; each doubles the ejection time
-	successes int     // served attempts since the last change of ejections
+	timedOut  bool    // ejected for a timeout, not for a response
+	ejections int     // number of recent ejections; each after the first doubles the ejection time
+	successes int     // number of served attempts since ejections last changed
 }
 
-// NewEndpointHealth is the health of a server that is newly listed: Unknown.
+// NewEndpointHealth returns the health of a newly listed server: Unknown.
 func NewEndpointHealth(now float64) EndpointHealth { return EndpointHealth{state: Unknown, since: now} }
 
-// State is the current state.
+// State returns the current state.
 func (h *EndpointHealth) State() State { return h.state }
 
-// Since is when the current state was entered, in milliseconds of the caller's clock.
+// Since returns when the current state was entered, in milliseconds of the caller's clock.
 func (h *EndpointHealth) Since() float64 { return h.since }
 
-// TimedOut reports whether the server was ejected for a time-out; only a served request clears it.
+// TimedOut reports whether the server was ejected for a timeout. Only a served request clears it.
 func (h *EndpointHealth) TimedOut() bool { return h.timedOut }
 
-// Ejections is the number of ejections of late; it sets the next ejection's time.
+// Ejections returns the number of recent ejections, which determines EjectionTime.
 func (h *EndpointHealth) Ejections() int { return h.ejections }
 
-// Transition enters a state; it reports whether priorities may have changed.
+// Transition enters a state and reports whether priorities may have changed.
 func (h *EndpointHealth) Transition(to State, now float64) bool {
 	changed := h.state > Unknown || to > Unknown
 	h.state, h.since = to, now
 	return changed
 }
 
-// Priority is the server's tier, 0 the best. UnhealthyPending comes second until lapseMs have passed, and
-// then counts as healthy: a request validates it.
-func (h *EndpointHealth) Priority(now, lapseMs float64) int {
+// Priority returns the server's health tier; 0 is the best. A server that is UnhealthyPending is in the
+// second tier for pendingMs and then in the first, so that a request validates it.
+func (h *EndpointHealth) Priority(now, pendingMs float64) int {
 	switch {
 	case h.state == Unhealthy:
 		return priorityUnhealthy
-	case h.state == UnhealthyPending && now-h.since < lapseMs:
+	case h.state == UnhealthyPending && now-h.since < pendingMs:
 		return priorityPending
 	}
 	return priorityHealthy
 }
 
-// RecordFailure ejects for a failed attempt. Failures while it is Unhealthy eject no second time; ejected
-// reports whether this one did.
+// RecordFailure ejects the server after a failed attempt, unless it is Unhealthy already; ejected reports
+// whether it did.
 func (h *EndpointHealth) RecordFailure(timedOut bool, now float64) (ejected bool) {
 	if h.state == Unhealthy {
 		return false
@@ -93,26 +95,27 @@
 	return true
 }
 
-// RecordEjection makes the next ejection time longer.
+// RecordEjection counts an ejection, which may double EjectionTime.
 func (h *EndpointHealth) RecordEjection() {
 	h.ejections, h.successes = min(h.ejections+1, maxEjections), 0
 }
 
-// EjectionTime is how long, in milliseconds, the server stays Unhealthy: baseMs, doubled with each further
-// ejection up to a bound, and no less than minMs.
+// EjectionTime returns how long, in milliseconds, the server stays Unhealthy: baseMs, doubled for each
+// counted ejection after the first, at most maxEjectionMs and at least minMs.
 func (h *EndpointHealth) EjectionTime(baseMs, minMs float64) float64 {
 	doubled := baseMs * float64(int(1)<<max(h.ejections-1, 0))
 	return max(min(doubled, maxEjectionMs), minMs)
 }
 
-// BeginValidation makes a server that was Unhealthy for ejectionMs UnhealthyPending, and reports whether it
-// did.
+// BeginValidation moves a server that has been Unhealthy for ejectionMs to UnhealthyPending, and reports
+// whether it did.
 func (h *EndpointHealth) BeginValidation(ejectionMs, now float64) bool {
 	return h.state == Unhealthy && now-h.since >= ejectionMs && h.Transition(UnhealthyPending, now)
 }
 
-// RecordSuccess takes a served attempt. One that was sent before an ejection says nothing about what came
-// after, and does not count. changed reports whether priorities may have changed.
+// RecordSuccess records a served attempt. An attempt that was sent before the server was ejected for a
+// response does not count, as it says nothing about the time since. changed reports whether priorities may
+// have changed.
 func (h *EndpointHealth) RecordSuccess(sentAt, now float64) (counts, changed bool) {
 	if h.state == Unhealthy && sentAt < h.since && !h.timedOut {
 		return false, false
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// testAgent drives one Balancer by hand.
+// testAgent drives one Balancer with events of a test.
 type testAgent struct {
 	t        *testing.T
 	balancer *Balancer
 	now      float64
 	lastID   RequestID
-	// splitKeys lets popular keys be split; otherwise each counts as one of very many.
+	// splitKeys allows popular keys to be split. Without it, each key counts as one of very many.
 	splitKeys bool
 }
 
@@ -58,18 +58,21 @@
 	return r.handle(Event{Kind: EventDiscovery, Update: kind, Endpoints: entries})
 }
 
+// request makes a request with 600 ms left and returns the resulting actions.
 func (r *testAgent) request(class int, key uint64) (RequestID, []Action) {
 	r.lastID++
 	if !r.splitKeys {
 		r.balancer.keys = keyPopularity{counts: map[uint64]float64{},
 			total: keyHistoryFactor*float64(len(r.balancer.servers))/maxKeyShare - 1}
 	}
-	return r.lastID, r.handle(Event{Kind: EventRequest, Request: r.lastID, Class: class, Key: key, RemainingMs: 600})
+	return r.lastID, r.handle(Event{Kind: EventRequest, Request: r.lastID, Class: class, Key: key,
+		RemainingMs: 600})
 }
 
-func (r *testAgent) endAttempt(id RequestID, index int, server Addr, status Status, latencyMs float64) []Action {
-	return r.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: index, Server: server, Status: status,
-		LatencyMs: latencyMs, Final: status == OK})
+func (r *testAgent) endAttempt(id RequestID, index int, server Addr, status Status,
+	latencyMs float64) []Action {
+	return r.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: index, Server: server,
+		Status: status, LatencyMs: latencyMs, Final: status == OK})
 }
 
 func findAction(actions []Action, kind ActionKind) *Action {
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// mustSend makes one request and returns where it was sent.
+// mustSend makes one request and returns the server to which it was sent.
 func (r *testAgent) mustSend(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
@@ -92,13 +95,13 @@
 	return id, a.Server
 }
 
-// fireTimer fires the maintenance timer after a time in ms.
+// fireTimer advances the clock by ms and fires the maintenance timer.
 func (r *testAgent) fireTimer(ms float64) []Action {
 	r.now += ms
 	return r.handle(Event{Kind: EventTimer, Token: maintenanceTimer})
 }
 
-// newLoadedAgent is an agent whose probes have all found the given utilization on its ten servers.
+// newLoadedAgent returns an agent with ten servers whose probes have all reported the given utilization.
 func newLoadedAgent(t *testing.T, util float32) *testAgent {
 	set := testSettings()
 	set.Limits.AllowProbes = true
@@ -118,21 +121,21 @@
 	return agent
 }
 
-// countRejected makes requests, serves each that is sent at once, and counts the rejected ones.
-func (r *testAgent) countRejected(n int) (refused int) {
+// countRejected makes n requests, serves those that are sent at once, and counts the rejected ones.
+func (r *testAgent) countRejected(n int) (rejected int) {
 	for range n {
 		r.now += 0.1
 		id, actions := r.request(1, r.balancer.rng.Uint64())
 		if findAction(actions, ActionReject) != nil {
-			refused++
+			rejected++
 		} else if a := findAction(actions, ActionSend); a != nil {
 			r.endAttempt(id, 0, a.Server, OK, 20)
 		}
 	}
-	return refused
+	return rejected
 }
 
-// newSmallAgents are agents of one fleet with few requests each, where connections have a price.
+// newSmallAgents returns the agents of one fleet in which connections have a price.
 func newSmallAgents(t *testing.T, count, servers int) []*testAgent {
 	set := testSettings()
 	set.AgentCount, set.Prices.Handshake, set.Limits.KeepaliveMs = count, 0.08, 10000
@@ -147,7 +150,7 @@
 	return agents
 }
 
-// sendSteadily lets each agent make a request at an interval, and counts the requests of each server.
+// sendSteadily makes one request per interval at each agent, and counts the requests sent to each server.
 func sendSteadily(agents []*testAgent, intervalMs, durationMs float64, rng *rand.Rand) map[Addr]int {
 	requests := map[Addr]int{}
 	for _, r := range agents {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// Observed with one agent and four servers: the first responses were quick, as few keys were in use,
-// and later ones counted as overload at one attempt a server, for good.
+// Observed with one agent and four servers: the first responses were quick, as few keys were in use. All
+// later ones counted as overload, even with one attempt in flight on each server.
 func TestLoneAgentRaisesTheLatencyBaseline(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
 		set.AgentCount = agents
 		agent := newTestAgent(t, set, 4)
 		for i := range 2500 {
-			rtt := 20.0
+			latencyMs := 20.0
 			if i > 100 {
-				rtt = 60
+				latencyMs = 60
 			}
 			id, s := agent.mustSend(0, uint64(agent.balancer.rng.Int64()))
-			agent.now += rtt
-			agent.endAttempt(id, 0, s, OK, rtt)
+			agent.now += latencyMs
+			agent.endAttempt(id, 0, s, OK, latencyMs)
 		}
-		if grown := agent.balancer.latency.baseline > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents,
-				agent.balancer.latency.baseline)
+		if rose := agent.balancer.latency.baseline > 0.15; rose != (agents == 1) {
+			t.Errorf("%d agents: the baseline is %.3f after 2400 sequential responses in 0.2 of the target",
+				agents, agent.balancer.latency.baseline)
 		}
 	}
 }
 
-// Observed (id08146): agents restarted one by one while the fleet was overloaded.
+// Observed when agents were restarted one by one while the fleet was overloaded.
 func TestOverloadAtTheStartIsNotTheBaseline(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
 	for range baselineResponses {
@@ -34,6 +34,6 @@
 		agent.endAttempt(id, 0, s, OK, 270)
 	}
 	if agent.balancer.latency.baseline > overloadTargetShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", agent.balancer.latency.baseline)
+		t.Errorf("responses in 0.9 of the target gave a baseline of %.2f", agent.balancer.latency.baseline)
 	}
 }
--- a/policy/mix.go
+++ b/policy/mix.go
@@ -1,18 +1,19 @@
 package policy
 
-// mixDecay lets a request count less for shares with each later one: about the last 500 count.
+// mixDecay is the factor by which each request reduces the weight of the earlier ones in the shares: about
+// the last 500 requests count.
 const mixDecay = 0.998
 
-// quotaTolerance is how many times its quota a tenant may send before it counts as over it.
+// quotaTolerance is the multiple of its quota above which a tenant counts as over quota.
 const quotaTolerance = 1.1
 
-// trafficMix is what share of this agent's requests each class and tenant has, fading with age.
+// trafficMix holds the shares of the tenants and classes in this agent's recent requests.
 type trafficMix struct {
 	tenantShares []float64
 	classShares  []float64
-	classOnTime  []float64 // shares of those answered in time
-	worstClass   int       // the class with the smallest part answered in time
-	meanValue    float64   // of a request
+	classOnTime  []float64 // for each class, the share of all requests that is of it and was answered in time
+	worstClass   int       // class with the smallest fraction answered in time
+	meanValue    float64   // mean value of a request
 }
 
 func newTrafficMix(settings *Settings) trafficMix {
@@ -51,7 +52,7 @@
 // countOnTime counts an answer in time for its class.
 func (m *trafficMix) countOnTime(class int) { m.classOnTime[class] += 1 - mixDecay }
 
-// updateWorstClass finds the class with the smallest part answered in time.
+// updateWorstClass finds the class with the smallest fraction answered in time.
 func (m *trafficMix) updateWorstClass() {
 	for i := range m.classOnTime {
 		if m.classOnTime[i]*m.classShares[m.worstClass] < m.classOnTime[m.worstClass]*m.classShares[i] {
@@ -60,7 +61,7 @@
 	}
 }
 
-// overQuota reports whether a tenant sends more than its share of all requests.
+// overQuota reports whether a tenant sends more than its quota of all requests, with some tolerance.
 func (m *trafficMix) overQuota(tenants []Tenant, tenant int) bool {
 	if tenant < 0 || tenant >= len(m.tenantShares) {
 		return false
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// onAttemptEnded takes the end of an attempt.
+// onAttemptEnded handles the end of an attempt.
 func (b *Balancer) onAttemptEnded(event *Event) {
 	req := b.requests[event.Request]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) ||
 		req.attempts[event.Attempt].ended {
 		return
 	}
-	sent := req.attempts[event.Attempt]
-	sent.ended = true
+	att := req.attempts[event.Attempt]
+	att.ended = true
 	req.inFlight--
 	b.inFlight--
-	if i := slices.Index(sent.server.inFlight, sent); i >= 0 {
-		sent.server.inFlight = slices.Delete(sent.server.inFlight, i, i+1)
+	if i := slices.Index(att.server.inFlight, att); i >= 0 {
+		att.server.inFlight = slices.Delete(att.server.inFlight, i, i+1)
 	}
 	if event.Status.NotExecuted() {
-		req.maybeExecuted--
+		req.possibleExecutions--
 	}
 	req.reachedServer = req.reachedServer || event.Status != ConnectFailed && event.Status != NotSent
-	b.observeAttempt(sent, event)
+	b.observeAttempt(att, event)
 	if req.finished || event.Final || event.Status == OK {
 		b.finish(req)
 	} else {
@@ -28,7 +28,8 @@
 	}
 }
 
-// onStreamStarted takes the start of a streaming response, which belongs to the client from now on.
+// onStreamStarted handles the start of a streaming response. From then on the client reads the stream, and
+// the request is finished for this agent.
 func (b *Balancer) onStreamStarted(event *Event) {
 	req := b.requests[event.Request]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) {
@@ -38,34 +39,34 @@
 	req.attempts[event.Attempt].server.lastResponseAt = b.now
 }
 
-// onClientGone takes the cancellation of a request by its client.
+// onClientGone handles the cancellation of a request by its client.
 func (b *Balancer) onClientGone(event *Event) {
 	req := b.requests[event.Request]
 	if req == nil || req.finished {
 		return
 	}
 	b.rememberUnserved(req)
-	if req.inFlight > 0 && b.now > req.targetAt { // a client that leaves sooner is no sign of overload
+	if req.inFlight > 0 && b.now > req.targetAt { // a client that leaves earlier is no sign of overload
 		b.admission.recordEnd(0)
 	}
 	b.finish(req)
 }
 
-// observeAttempt takes what the end of an attempt says about its server.
-func (b *Balancer) observeAttempt(sent *attempt, event *Event) {
-	srv := sent.server
+// observeAttempt updates the state of the server from the end of an attempt on it.
+func (b *Balancer) observeAttempt(att *attempt, event *Event) {
+	srv := att.server
 	switch event.Status {
 	case OK:
 		b.recordFailureRate(srv, 0)
-		b.onServed(sent, event)
+		b.onServed(att, event)
 	case Error, Reset:
 		b.recordFailureRate(srv, 1)
 		srv.lastResponseAt = b.now
 		b.eject(srv, false)
 	case ConnectFailed:
-		b.onConnectFailed(sent, event.LatencyMs)
+		b.onConnectFailed(att, event.LatencyMs)
 	case Timeout:
-		b.onTimeout(sent, event.LatencyMs)
+		b.onTimeout(att, event.LatencyMs)
 	case Rejected:
 		srv.lastResponseAt = b.now
 		b.reduceConcurrency(srv, rejectionDecrease, 1)
@@ -73,56 +74,56 @@
 	}
 }
 
-// onConnectFailed takes a failed connect. A server that refuses it is there, one that lets it time out is
-// not.
-func (b *Balancer) onConnectFailed(sent *attempt, tookMs float64) {
-	srv := sent.server
+// onConnectFailed handles a failed connect. A server that refuses a connection is reachable; it only counts
+// as timed out if the connect took the entire timeout.
+func (b *Balancer) onConnectFailed(att *attempt, durationMs float64) {
+	srv := att.server
 	b.recordFailureRate(srv, 1)
-	srv.timedOutFrom = sent.sentAt
-	b.eject(srv, tookMs >= b.settings.Limits.ConnectTimeoutMs)
+	srv.timedOutSentAt = att.sentAt
+	b.eject(srv, durationMs >= b.settings.Limits.ConnectTimeoutMs)
 	if srv.unreachableSince == 0 {
 		srv.unreachableSince = b.now
 	}
 }
 
-// onTimeout takes a time-out. A server that was given less time than responses take is not at fault: clients
-// that retry shortly before their end would eject entire zones. One that answered others meanwhile is not at
-// fault for a costly request, and counts as slow.
-func (b *Balancer) onTimeout(sent *attempt, tookMs float64) {
-	srv, req := sent.server, sent.request
-	expected := b.latency.expected[req.class]
-	if tookMs < expected {
+// onTimeout handles a timeout. A timeout shorter than the expected latency says nothing about the server:
+// otherwise clients that retry shortly before their deadline would eject entire zones. A server that has
+// answered other requests in the meantime is not ejected for one costly request, but counts as slow.
+func (b *Balancer) onTimeout(att *attempt, durationMs float64) {
+	srv, req := att.server, att.request
+	expectedMs := b.latency.expectedMs[req.class]
+	if durationMs < expectedMs {
 		return
 	}
 	b.pause(srv)
-	if srv.lastResponseAt > sent.sentAt {
-		srv.recordLatency(b.relativeLatency(req, tookMs))
+	if srv.lastResponseAt > att.sentAt {
+		srv.recordLatency(b.relativeLatency(req, durationMs))
 		return
 	}
-	if tookMs >= min(timeoutLatencyFactor*expected, b.settings.Classes[req.class].LatencyTargetMs) {
-		srv.timedOutFrom = sent.sentAt
+	if durationMs >= min(timeoutLatencyFactor*expectedMs, b.settings.Classes[req.class].LatencyTargetMs) {
+		srv.timedOutSentAt = att.sentAt
 		b.eject(srv, true)
 	}
 }
 
-// onServed takes a served attempt.
-func (b *Balancer) onServed(sent *attempt, event *Event) {
-	srv, req, latencyMs := sent.server, sent.request, event.LatencyMs
+// onServed updates the measurements after a served attempt.
+func (b *Balancer) onServed(att *attempt, event *Event) {
+	srv, req, latencyMs := att.server, att.request, event.LatencyMs
 	onTime := b.now <= req.targetAt
 	b.retries.earn()
 	b.onResponse(srv)
 	srv.meanLatencyMs = movingMean(srv.meanLatencyMs, latencyMs, serverMeanWeight)
 	b.latency.recordClass(req.class, latencyMs, b.settings.Classes[req.class].LatencyTargetMs)
-	b.recordServed(sent, onTime)
-	relative := b.relativeLatency(req, latencyMs)
-	b.latency.record(relative, sent.soleInFlight, b.settings.AgentCount)
-	srv.recordLatency(relative)
+	b.recordServed(att, onTime)
+	relativeLatency := b.relativeLatency(req, latencyMs)
+	b.latency.record(relativeLatency, att.soleInFlight, b.settings.AgentCount)
+	srv.recordLatency(relativeLatency)
 	if b.reportsOverload(srv, event.LoadReport) || !onTime {
 		b.pause(srv)
 	} else {
 		srv.overloadStreak = max(srv.overloadStreak-1, 0)
 	}
-	counts, changed := srv.RecordSuccess(sent.sentAt, b.now)
+	counts, changed := srv.RecordSuccess(att.sentAt, b.now)
 	if !counts {
 		return
 	}
@@ -132,22 +133,22 @@
 	b.adjustConcurrency(srv, b.overloadLatency(srv), latencyMs)
 }
 
-// recordServed takes a served request into the measurements of what is answered in time.
-func (b *Balancer) recordServed(sent *attempt, onTime bool) {
+// recordServed updates the measurements of answers in time after a served request.
+func (b *Balancer) recordServed(att *attempt, onTime bool) {
 	earned := 0.0
 	if onTime {
-		b.adjustLocalWeight(sent.server, false)
-		b.mix.countOnTime(sent.request.class)
+		b.adjustLocalWeight(att.server, false)
+		b.mix.countOnTime(att.request.class)
 		earned = 1
 	}
-	if !sent.request.finished {
+	if !att.request.finished {
 		b.admission.recordEnd(earned)
 	}
 }
 
-// onResponse notes that a server answered. One that no connect reached for long may be a new process that
-// warms up and is not yet listed as such: it is taken for one that started now. Quick responses refute
-// nothing: such a server is quick while it has little to do.
+// onResponse records that a server answered. A server that was unreachable for long may be a new process
+// that is not listed as such yet, so it is assumed to have started now. Quick responses do not disprove that:
+// a server in slow start is quick while it has little to do.
 func (b *Balancer) onResponse(srv *server) {
 	if srv.unreachableSince > 0 && b.now-srv.unreachableSince > b.settings.Contract.CollapseAfterMs {
 		srv.assumedStartAt, srv.concurrencyLimit, srv.slowStartCredit = b.now, restartConcurrency, 0
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -16,9 +16,9 @@
 	}
 	id, s2 := agent.mustSend(0, 7)
 	if s2 != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+		t.Fatalf("the key moved from %v to %v without a cause", s, s2)
 	}
-	srv.failureRate = 0.5 // more than any server may fail
+	srv.failureRate = 0.5 // more than is tolerated of any server
 	actions := agent.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
@@ -27,17 +27,18 @@
 		t.Error("an ejection did not fetch the list")
 	}
 	if a := findAction(actions, ActionSend); a == nil || a.Server == s {
-		t.Errorf("the free request did not go on to another server: %+v", actions)
+		t.Errorf("the idempotent request was not retried on another server: %+v", actions)
 	}
-	// While it is Unhealthy its key goes elsewhere; after its ejection time the next request makes it
-	// pending, and a served response Connected.
+	// While the server is Unhealthy, its key's requests go to others. After its ejection time the next
+	// request makes it UnhealthyPending, and a served one makes it Connected.
 	if _, s3 := agent.mustSend(0, 7); s3 == s {
-		t.Error("an Unhealthy server was chosen before the better tier")
+		t.Error("an Unhealthy server was picked although there are healthy ones")
 	}
 	agent.now += agent.balancer.ejectionTime(srv) + 1
 	id, s4 := agent.mustSend(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
-		t.Fatalf("after the ejection: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+		t.Fatalf("after the ejection time: state %d, sent to %v; want UnhealthyPending and sent to it",
+			srv.state, s4)
 	}
 	agent.now += 50
 	agent.endAttempt(id, 0, s, OK, 50)
@@ -58,7 +59,7 @@
 	}
 }
 
-// A server that hangs is ejected by a time-out; it would stay Connected otherwise.
+// A server that sends no response is ejected. Otherwise it would stay Connected.
 func TestHungServerIsEjected(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
 	for range 200 { // learn the expected latency
@@ -75,62 +76,62 @@
 	t.Error("a server that answers nothing for 300 ms was not ejected")
 }
 
-// A server that failed often is ejected for long while others can take its requests, but is validated
-// at once while they lack capacity.
+// A server that failed often is ejected for a long time, but is validated at once while the other servers
+// lack capacity.
 func TestFailingServerIsValidatedAtOnceWhileOthersLackCapacity(t *testing.T) {
-	for _, full := range []bool{false, true} {
+	for _, saturated := range []bool{false, true} {
 		agent := newTestAgent(t, testSettings(), 4)
-		bad := agent.balancer.serverByAddr[addr(0)]
-		bad.failureRate = 1
+		failing := agent.balancer.serverByAddr[addr(0)]
+		failing.failureRate = 1
 		for range 3 {
-			agent.balancer.transition(bad, Connected)
-			agent.balancer.eject(bad, false)
+			agent.balancer.transition(failing, Connected)
+			agent.balancer.eject(failing, false)
 		}
-		if full {
-			for range 40 { // more than the other limits allow
+		if saturated {
+			for range 40 { // more than the concurrency limits of the others allow
 				agent.request(0, 0)
 			}
 		}
 		agent.now += agent.balancer.minLatencyTarget + 1
 		agent.request(0, 0)
-		if tried := bad.state == UnhealthyPending; tried != full {
-			t.Errorf("others saturated: %v; failing server validated after one latency target: %v", full, tried)
+		if pending := failing.state == UnhealthyPending; pending != saturated {
+			t.Errorf("others saturated: %v; failing server validated after one latency target: %v", saturated,
+				pending)
 		}
 	}
 }
 
-// A request that must not be executed twice would be lost on a server that is only being validated.
+// A request that must not be executed twice is not sent to a server under validation, where it could be lost.
 func TestNonIdempotentRequestsValidateNoServer(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
-	bad := agent.balancer.serverByAddr[addr(0)]
-	agent.balancer.transition(bad, UnhealthyPending)
-	bad.failureRate = 1
+	pending := agent.balancer.serverByAddr[addr(0)]
+	agent.balancer.transition(pending, UnhealthyPending)
+	pending.failureRate = 1
 	idempotent, nonIdempotent := 0, 0
 	for range 200 {
 		agent.now += 10
 		for class, n := range []*int{&idempotent, &nonIdempotent} {
 			id, s := agent.mustSend(class, uint64(agent.balancer.rng.Int64()))
-			if s == bad.addr {
+			if s == pending.addr {
 				*n++
 			}
 			agent.endAttempt(id, 0, s, OK, 5)
-			agent.balancer.transition(bad, UnhealthyPending)
-			bad.failureRate = 1
+			agent.balancer.transition(pending, UnhealthyPending)
+			pending.failureRate = 1
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was validated by %d free and %d single shot requests; want some and none",
-			idempotent, nonIdempotent)
+		t.Errorf("validated by %d idempotent and %d non-idempotent requests; want some and none", idempotent,
+			nonIdempotent)
 	}
 }
 
-// Observed: one of twelve requests failed on any server alike, by broken connections and corrupt
-// responses. Each failure ejected its server for more than a latency target, and a quarter of the
-// requests was rejected for lack of servers. Such failures cost no capacity; more of them than others
-// have do.
+// Observed: on every server one of twelve requests failed, through broken connections and corrupt responses.
+// Each failure ejected its server for more than a latency target, and a quarter of the requests was rejected
+// for lack of servers. Such failures are tolerated unless a server has more of them than the others.
 func TestToleratedFailuresEjectNoServer(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
-	refused, n := 0, 0
+	rejected, n := 0, 0
 	for range 600 {
 		agent.now += 10
 		id, s := agent.mustSend(0, uint64(agent.balancer.rng.Int64()))
@@ -141,42 +142,42 @@
 		for _, a := range agent.endAttempt(id, 0, s, status, 5) {
 			switch a.Kind {
 			case ActionReject, ActionFail:
-				refused++
+				rejected++
 			case ActionSend:
 				agent.endAttempt(id, 1, a.Server, OK, 5)
 			}
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 600 rejected", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 600 rejected", rejected)
 	}
 	for _, s := range agent.balancer.servers {
-		if s.ejections > 2 || !agent.balancer.toleratesFailures(s) { // chance may eject one now and then
-			t.Errorf("a server that fails as all do has %d strikes", s.ejections)
+		if s.ejections > 2 || !agent.balancer.toleratesFailures(s) { // random variation may eject a server
+			t.Errorf("a server that fails as often as the others was ejected %d times", s.ejections)
 		}
 	}
-	bad := agent.balancer.servers[0]
+	failing := agent.balancer.servers[0]
 	agent.balancer.saturated = false
 	for range 4 {
-		agent.balancer.recordFailureRate(bad, 1)
-		agent.balancer.transition(bad, Connected)
-		agent.balancer.eject(bad, false)
+		agent.balancer.recordFailureRate(failing, 1)
+		agent.balancer.transition(failing, Connected)
+		agent.balancer.eject(failing, false)
 	}
-	if agent.balancer.ejectionTime(bad) < agent.balancer.minLatencyTarget {
-		t.Error("a server that fails each time is not ejected")
+	if agent.balancer.ejectionTime(failing) < agent.balancer.minLatencyTarget {
+		t.Error("a server that fails all requests is not ejected for a latency target")
 	}
 }
 
-// Observed: one attempt that hung on a dead connection excluded its server until it ended, although
+// Observed: one attempt that hung on a dead connection excluded its server until the attempt ended, although
 // the server answered all others.
 func TestOneHangingAttemptExcludesNoServer(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 1)
 	srv := agent.balancer.serverByAddr[addr(0)]
-	hangs, s := agent.mustSend(0, 7)
-	id, _ := agent.mustSend(1, 7) // which is not retried
+	hangingID, s := agent.mustSend(0, 7)
+	id, _ := agent.mustSend(1, 7) // a request that is not retried
 	agent.endAttempt(id, 0, s, Error, 5)
-	if srv.state != Unhealthy || agent.balancer.requests[hangs] == nil {
-		t.Fatalf("state %d", srv.state)
+	if srv.state != Unhealthy || agent.balancer.requests[hangingID] == nil {
+		t.Fatalf("after the error: state %d", srv.state)
 	}
 	agent.now += 5
 	if _, to := agent.mustSend(0, 7); to != s || srv.state != UnhealthyPending {
@@ -184,13 +185,14 @@
 	}
 }
 
-// Observed with 80 agents: each met a server that failed fast every few seconds, had it back Connected
-// by a probe, which such a server answers, and sent it the next request.
-func TestEjectionLastsATurnOfARareAgent(t *testing.T) {
+// Observed with 80 agents: each sent a request every few seconds to a server that failed all requests
+// quickly. A probe, which such a server answers, made it Connected again, and the next request was sent to
+// it.
+func TestEjectionLastsAsLongAsTheIntervalBetweenAttempts(t *testing.T) {
 	set := testSettings()
 	set.Limits.AllowProbes = true
 	agent := newTestAgent(t, set, 10)
-	bad, turns, probes := addr(0), 0, 0
+	failing, attempts, probes := addr(0), 0, 0
 	const requests = 400
 	for range requests {
 		agent.now += 200
@@ -205,30 +207,30 @@
 				break
 			}
 			status := OK
-			if a.Server == bad {
-				status, turns = Error, turns+1
+			if a.Server == failing {
+				status, attempts = Error, attempts+1
 			}
 			actions = agent.endAttempt(id, index, a.Server, status, 20)
 		}
 	}
-	if even := requests / 10; turns == 0 || turns > even/2 {
-		t.Errorf("a server that always fails got %d attempts, an even share is %d", turns, even)
+	if evenShare := requests / 10; attempts == 0 || attempts > evenShare/2 {
+		t.Errorf("a server that fails all requests got %d attempts, an even share is %d", attempts, evenShare)
 	}
 	if probes > 0 {
 		t.Errorf("%d probes of a server that answers", probes)
 	}
 }
 
-// Scenario join+mass: requests of clients that retried near their end timed out after 60 to 100 ms,
-// and each ejected a server that was not at fault, and its zone.
+// Observed in the scenario join+mass: requests of clients that retried shortly before their deadline timed
+// out after 60 to 100 ms. Each of them ejected a server that was not at fault, and its zone.
 func TestShortTimeoutsEjectNoServer(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		remaining float64 // times the expected latency, 20 ms
+		latencies float64 // remaining time in expected latencies of 20 ms
 		attempts  int
 		ejected   bool
 	}{
-		{"hardly the expected latency", 1.6, 3, false}, // sent, and cut to its deadline
+		{"less than twice the expected latency", 1.6, 3, false},
 		{"much more", 10, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -244,14 +246,14 @@
 			ejected := 0
 			for range c.attempts {
 				agent.lastID++
-				remaining := c.remaining * agent.balancer.latency.expected[0]
+				remainingMs := c.latencies * agent.balancer.latency.expectedMs[0]
 				a := findAction(agent.handle(Event{Kind: EventRequest, Request: agent.lastID, Class: 0,
-					RemainingMs: remaining}), ActionSend)
+					RemainingMs: remainingMs}), ActionSend)
 				if a == nil {
 					t.Fatal("not sent")
 				}
-				agent.now += remaining
-				agent.endAttempt(agent.lastID, 0, a.Server, Timeout, remaining)
+				agent.now += remainingMs
+				agent.endAttempt(agent.lastID, 0, a.Server, Timeout, remainingMs)
 			}
 			for _, s := range agent.balancer.servers {
 				if s.state > Unknown {
@@ -259,7 +261,7 @@
 				}
 			}
 			if (ejected > 0) != c.ejected {
-				t.Errorf("%d servers ejected, want some: %v", ejected, c.ejected)
+				t.Errorf("%d servers ejected; want any: %v", ejected, c.ejected)
 			}
 		})
 	}
--- a/policy/overrides.go
+++ b/policy/overrides.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// trialTimeoutMs is how long a server that is to get a trial request waits for one.
+// trialTimeoutMs is how long a server remains due for a trial request.
 const trialTimeoutMs = 2000.0
 
-// Override is what agents decided together of one server.
+// Override is what the agents decided together about one server.
 type Override struct {
 	Server Addr
-	// ShareFactor is the part of its share that the server gets from the agents of a site; 0: it is
-	// ejected, and gets trials alone.
+	// ShareFactor is the fraction of its share that the server gets from the agents of a site. Zero means
+	// that it is ejected and only gets trials.
 	ShareFactor float64
-	// TrafficWeight is what it weighs for the site's traffic, as a part of the mean, where the event is
-	// ZoneWeighted.
+	// TrafficWeight is the server's weight for the site's traffic, relative to the mean. It is used if the
+	// event is ZoneWeighted.
 	TrafficWeight float64
 	ExpiresMs     float64 // clock time from which the override no longer holds
-	Trial         bool    // this agent has to send it one request soon that may be repeated
-	Probe         bool    // this agent has to probe it
+	Trial         bool    // this agent must soon send the server one request that may be repeated
+	Probe         bool    // this agent has to probe the server
 }
 
-// overrideState is what was decided for all servers together.
+// overrideState holds what the overrides decide for all servers together.
 type overrideState struct {
-	zoneWeighted   bool      // traffic between zones is placed by the overrides
-	reachableShare float64   // part of the fleet that the site reaches
-	trials         []*server // that are to get a trial request
+	zoneWeighted   bool      // the overrides distribute traffic between zones
+	reachableShare float64   // fraction of the fleet that the site reaches
+	trials         []*server // servers that are due for a trial request
 }
 
-// onOverrides takes all overrides that hold: a server that is not named has its entire share. Each expires by
-// itself, whatever becomes of those that decided it.
+// onOverrides replaces all overrides: a server without one gets its entire share. Each override expires at
+// its own time, even if the agents that decided it are gone.
 func (b *Balancer) onOverrides(event *Event) {
 	for _, srv := range b.servers {
 		srv.withheldShare, srv.trafficWeight = 0, 1
@@ -49,7 +49,7 @@
 	srv.trafficWeight = finiteOrZero(override.TrafficWeight)
 	srv.overrideExpiresAt = finiteOrZero(override.ExpiresMs)
 	if override.Probe && b.settings.Limits.AllowProbes && !srv.probing {
-		b.sendProbe(srv) // at the expense of those that requests earn
+		b.sendProbe(srv) // costs a token that requests earned, even if none is left
 	}
 	if override.Trial && srv.trialExpiresAt < b.now {
 		srv.trialExpiresAt = b.now + trialTimeoutMs
@@ -57,8 +57,8 @@
 	}
 }
 
-// scaleDemand follows a change of what the site reaches: what is out of reach takes its part of the demand
-// with it, and of the capacity there was.
+// scaleDemand adapts the demand and the peak capacity to a change of the fraction of the fleet that the site
+// reaches: servers out of reach take their share of both with them.
 func (b *Balancer) scaleDemand(reachableShare float64) {
 	factor := reachableShare / b.overrides.reachableShare
 	if !(factor > 0) {
@@ -69,8 +69,8 @@
 	b.overrides.reachableShare = reachableShare
 }
 
-// pickTrial is a server that is to get a trial request, for a request that suits it: the first attempt of one
-// that may be repeated.
+// pickTrial returns a server that is due for a trial request, or nil. Only the first attempt of a request
+// that may be repeated is sent on trial.
 func (b *Balancer) pickTrial(req *request) *server {
 	b.overrides.trials = slices.DeleteFunc(b.overrides.trials,
 		func(srv *server) bool { return srv.trialExpiresAt < b.now })
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// effectiveShare is the part of its weight that a server may have now; 0 is ejected.
+// effectiveShare returns the fraction of its share that a server gets now; zero if an override ejects it.
 func (b *Balancer) effectiveShare(srv *server) float64 {
 	if b.now >= srv.overrideExpiresAt {
 		return 1
@@ -94,9 +94,9 @@
 	return 1 - srv.withheldShare
 }
 
-// effectiveTraffic is what a server weighs beside its share where traffic is placed between zones; it is no
-// part of its capacity.
-func (b *Balancer) effectiveTraffic(srv *server) float64 {
+// effectiveTrafficWeight returns the server's weight for the distribution of traffic between zones, which
+// does not change its capacity.
+func (b *Balancer) effectiveTrafficWeight(srv *server) float64 {
 	if !b.overrides.zoneWeighted || b.now >= srv.overrideExpiresAt {
 		return 1
 	}
--- a/policy/overrides_test.go
+++ b/policy/overrides_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// override applies overrides that expire after a time in ms.
+// override applies overrides that expire after durationMs.
 func (r *testAgent) override(durationMs float64, overrides ...Override) []Action {
 	for i := range overrides {
 		overrides[i].ExpiresMs = r.now + durationMs
@@ -10,8 +10,8 @@
 	return r.handle(Event{Kind: EventOverrides, Overrides: overrides})
 }
 
-// An ejected server gets nothing, not even as the last resort, until the override expires or is
-// replaced.
+// A server that an override ejects gets no requests, even if there is no other server, until the override
+// expires or is replaced.
 func TestEjectedServerIsNoLastResort(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 1)
 	agent.override(500, Override{Server: addr(0)})
@@ -19,22 +19,23 @@
 	if findAction(actions, ActionSend) != nil {
 		t.Fatal("sent to an ejected server")
 	}
-	answered := false
+	rejected := false
 	for range 30 {
 		if a := findAction(agent.fireTimer(10), ActionReject); a != nil && a.Request == id {
-			answered = true
+			rejected = true
 		}
 	}
-	if !answered {
-		t.Error("not refused in time")
+	if !rejected {
+		t.Error("not rejected in time")
 	}
 	agent.now += 500
 	if _, to := agent.mustSend(0, 2); to != addr(0) {
-		t.Error("not sent to again after the ejection's time")
+		t.Error("gets no requests after the override expired")
 	}
 }
 
-// A returning server gets its part, and keys that return at one step stay at the next.
+// A server gets the fraction of its share that the override sets. Keys that return to it when the fraction
+// rises remain there when it rises further.
 func TestShareFactor(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 5)
 	var keys [4]map[uint64]bool
@@ -50,14 +51,15 @@
 			agent.endAttempt(id, 0, to, OK, 20)
 		}
 	}
-	// By its odds against the others with its entire share.
+	// The ratio of its keys to those of the others, with its entire share.
 	odds := float64(len(keys[3])) / float64(4000-len(keys[3]))
 	for step, factor := range []float64{0, 0.1, 0.3} {
-		if got, want := float64(len(keys[step]))/4000, factor*odds/(1+factor*odds); got < 0.75*want || got > 1.25*want {
-			t.Errorf("at a share factor of %v it got %.3f of the keys, want %.3f", factor, got, want)
+		if got, want := float64(len(keys[step]))/4000, factor*odds/(1+factor*odds); got < 0.75*want ||
+			got > 1.25*want {
+			t.Errorf("with a share factor of %v it got %.3f of the keys, want %.3f", factor, got, want)
 		}
 	}
-	// Keys are split at random while little is known of them: few move for that reason.
+	// Keys are split at random while few requests have been counted, so some move for that reason.
 	moved := 0
 	for key := range keys[2] {
 		if !keys[3][key] {
@@ -69,7 +71,7 @@
 	}
 }
 
-// A server on trial gets one request that may be repeated, ejected or not.
+// A server that is due for a trial gets one request that may be repeated, whether it is ejected or not.
 func TestTrial(t *testing.T) {
 	for _, factor := range []float64{0, 1} {
 		agent := newTestAgent(t, testSettings(), 6)
@@ -92,14 +94,14 @@
 		for key := range uint64(50) {
 			id, to := agent.mustSend(0, mixBits(key))
 			if to == addr(3) {
-				t.Fatal("a second trial without an override")
+				t.Fatal("a second trial request for one override")
 			}
 			agent.endAttempt(id, 0, to, OK, 20)
 		}
 	}
 }
 
-// Ejected servers are no capacity.
+// Servers that are ejected by overrides do not count as capacity.
 func TestEjectedServersAreNoCapacity(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
 	before := agent.balancer.currentCapacity()
@@ -109,51 +111,52 @@
 	}
 }
 
-// Servers out of reach take their part of the demand with them: a site that is cut off with a third of
-// the servers admits as much as before, where a fleet that has lost the others admits less. The
-// earlier demand holds again when they are back.
+// Servers out of reach take their share of the demand with them: a site that is cut off with a third of the
+// servers admits as much as before, while a fleet that has lost two thirds of its servers admits less. When
+// the servers are back, the earlier demand holds again.
 func TestUnreachableServersTakeTheirDemand(t *testing.T) {
-	admitted := func(within float64) (cut, back float64) {
+	admitted := func(reachableShare float64) (during, after float64) {
 		agent := newTestAgent(t, testSettings(), 6)
 		agent.balancer.admission.demand = 0.6 * agent.balancer.currentCapacity()
-		var out []Override
+		var overrides []Override
 		for i := range 2 * len(agent.balancer.servers) / 3 {
-			out = append(out, Override{Server: agent.balancer.servers[i].addr})
+			overrides = append(overrides, Override{Server: agent.balancer.servers[i].addr})
 		}
-		for i := range out {
-			out[i].ExpiresMs = agent.now + 1e6
+		for i := range overrides {
+			overrides[i].ExpiresMs = agent.now + 1e6
 		}
-		agent.handle(Event{Kind: EventOverrides, Overrides: out, ReachableShare: within})
-		cut = agent.balancer.admissionShare()
+		agent.handle(Event{Kind: EventOverrides, Overrides: overrides, ReachableShare: reachableShare})
+		during = agent.balancer.admissionShare()
 		agent.handle(Event{Kind: EventOverrides, ReachableShare: 1})
-		return cut, agent.balancer.admissionShare()
+		return during, agent.balancer.admissionShare()
 	}
-	if cut, back := admitted(1.0 / 3); cut < 0.99 || back < 0.99 {
-		t.Errorf("a site by itself admits %v, and %v when the others are back", cut, back)
+	if during, after := admitted(1.0 / 3); during < 0.99 || after < 0.99 {
+		t.Errorf("a site that is cut off admits %v, and %v when the others are back", during, after)
 	}
-	if cut, back := admitted(1); cut > 0.7 || back < 0.99 {
-		t.Errorf("a fleet of a third admits %v, and %v when the others are back", cut, back)
+	if during, after := admitted(1); during > 0.7 || after < 0.99 {
+		t.Errorf("a third of the fleet admits %v, and %v when the others are back", during, after)
 	}
 }
 
-// Where traffic is placed between zones a server gets requests by its traffic weight, in whichever
-// zone it is, and the capacity that a lost zone takes is by its servers' weights alone.
+// If overrides distribute traffic between zones, a server gets requests by its traffic weight, whatever its
+// zone. The capacity that is lost with a zone depends on its servers' weights alone.
 func TestTrafficWeights(t *testing.T) {
-	agent := newTestAgent(t, testSettings(), 4) // zones 0 and 1 in turn; the own is 0
-	out := make([]Override, 4)
-	override := func(factor, own, other float64) {
-		for i := range out {
-			out[i] = Override{Server: addr(i), ShareFactor: 1, TrafficWeight: own, ExpiresMs: agent.now + 1e6}
+	agent := newTestAgent(t, testSettings(), 4) // servers alternate between zones 0 and 1; the agent is in 0
+	overrides := make([]Override, 4)
+	override := func(ownShare, ownWeight, otherWeight float64) {
+		for i := range overrides {
+			overrides[i] = Override{Server: addr(i), ShareFactor: 1, TrafficWeight: ownWeight,
+				ExpiresMs: agent.now + 1e6}
 			if i%2 == 1 {
-				out[i].TrafficWeight = other
+				overrides[i].TrafficWeight = otherWeight
 			} else {
-				out[i].ShareFactor = factor
+				overrides[i].ShareFactor = ownShare
 			}
 		}
-		agent.handle(Event{Kind: EventOverrides, Overrides: out, ReachableShare: 1, ZoneWeighted: true})
+		agent.handle(Event{Kind: EventOverrides, Overrides: overrides, ReachableShare: 1, ZoneWeighted: true})
 	}
-	for _, c := range []struct{ own, other float64 }{{1.6, 0.4}, {0.5, 1.5}} {
-		override(1, c.own, c.other)
+	for _, c := range []struct{ ownWeight, otherWeight float64 }{{1.6, 0.4}, {0.5, 1.5}} {
+		override(1, c.ownWeight, c.otherWeight)
 		n := 0
 		for key := range uint64(4000) {
 			agent.now++
@@ -163,13 +166,15 @@
 			}
 			agent.endAttempt(id, 0, to, OK, 20)
 		}
-		if got, want := float64(n)/4000, c.own/(c.own+c.other); got < want-0.05 || got > want+0.05 {
-			t.Errorf("traffic weights of %v and %v: %.3f in the own zone, want %.3f", c.own, c.other, got, want)
+		if got, want := float64(n)/4000, c.ownWeight/(c.ownWeight+c.otherWeight); got < want-0.05 ||
+			got > want+0.05 {
+			t.Errorf("traffic weights of %v and %v: %.3f in the agent's zone, want %.3f", c.ownWeight,
+				c.otherWeight, got, want)
 		}
 	}
 	before := agent.balancer.currentCapacity()
 	override(0, 1.6, 0.4)
 	if got := agent.balancer.currentCapacity(); got != before/2 {
-		t.Errorf("a capacity of %v without the own zone, %v with it", got, before)
+		t.Errorf("a capacity of %v without the agent's zone, %v with it", got, before)
 	}
 }
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -9,6 +9,6 @@
 		agent.endAttempt(id, 0, s, Error, 5)
 	}
 	if _, s := agent.mustSend(0, 3); s == (Addr{}) {
-		t.Error("nothing was sent though Unhealthy servers are the only ones")
+		t.Error("not sent, although there are servers, all of them Unhealthy")
 	}
 }
--- a/policy/probes.go
+++ b/policy/probes.go
@@ -3,23 +3,23 @@
 import "slices"
 
 const (
-	// maxProbesInFlight bounds the probes in flight, maxProbesPerRequest those that a request earns, and
-	// probeCostBudget what they may take off the result.
+	// maxProbesInFlight bounds the probes in flight, maxProbesPerRequest the probes that a request earns, and
+	// probeCostBudget the points that probes may deduct from the result.
 	maxProbesInFlight, maxProbesPerRequest, probeCostBudget = 2, 0.1, 0.006
-	// While less than mostlyAdmitted of the requests are admitted, probes may be rejectingProbeFactor times
-	// as many: to reject requests for which there is capacity costs more.
-	mostlyAdmitted, rejectingProbeFactor = 0.9, 3.0
-	// sampleDraws is the number of servers that are drawn to find one that can be sampled.
+	// While less than rejectingProbeShare of the requests is admitted, the probe rate is multiplied by
+	// rejectingProbeFactor: to reject requests for which there is capacity costs more than probes.
+	rejectingProbeShare, rejectingProbeFactor = 0.9, 3.0
+	// sampleDraws is the number of random draws to find a server that can be sampled.
 	sampleDraws = 4
-	// minProbePrice guards a division by the price.
+	// minProbePrice avoids a division by zero.
 	minProbePrice = 1e-9
 )
 
-// probeBudget bounds the probes: tokens are earned by requests.
+// probeBudget limits probes. Each costs one token, and requests earn tokens.
 type probeBudget struct {
 	tokens         float64
 	inFlight       int
-	validationTurn bool // the last earned probe was left to validation
+	validationTurn bool // the last available probe was left to validation
 }
 
 // available reports whether a probe may be sent.
@@ -33,11 +33,11 @@
 	b.emit(Action{Kind: ActionProbe, Server: srv.addr})
 }
 
-// probeRate is the probes that each request earns, by their price. Where requests are rejected by what
-// probes tell, it has to be current.
+// probeRate returns the number of probes that each request earns, which depends on their price. It is higher
+// while requests are rejected, because rejections need current load data.
 func (b *Balancer) probeRate() float64 {
 	rate := min(maxProbesPerRequest, probeCostBudget/max(b.settings.Prices.Probe, minProbePrice))
-	if b.admission.admittedShare < mostlyAdmitted {
+	if b.admission.admittedShare < rejectingProbeShare {
 		rate *= rejectingProbeFactor
 	}
 	return rate
@@ -45,8 +45,8 @@
 
 // sampleLoad probes a random server of the aperture for its load. Every second probe is left to validation.
 func (b *Balancer) sampleLoad() {
-	nearby := b.aperture.servers
-	if !b.settings.Limits.AllowProbes || !b.probes.available() || len(nearby) == 0 ||
+	servers := b.aperture.servers
+	if !b.settings.Limits.AllowProbes || !b.probes.available() || len(servers) == 0 ||
 		!slices.Contains(b.settings.LoadReport.Metrics, "util") {
 		return
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	for range sampleDraws {
-		srv := nearby[b.rng.IntN(len(nearby))]
+		srv := servers[b.rng.IntN(len(servers))]
 		if b.representsLoad(srv) {
 			srv.samplingLoad = true
 			b.sendProbe(srv)
@@ -63,8 +63,8 @@
 	}
 }
 
-// representsLoad reports whether the load of the server represents the fleet's. That of a lost zone does not,
-// and that of a server that warms up hardly, as it gets no more than its credit.
+// representsLoad reports whether the load of the server represents the fleet's. The load of a lost zone does
+// not, and that of a server in slow start hardly does, as it gets no more than its credit.
 func (b *Balancer) representsLoad(srv *server) bool {
 	warm := b.slowStartFactor(srv) == 1 ||
 		b.capacity.healthyWarmWeight == 0 && b.rng.Float64() < b.slowStartFactor(srv)
@@ -72,7 +72,7 @@
 		b.effectiveShare(srv) > 0
 }
 
-// reportedMetric is a value of a load report; false if the report has none of that name.
+// reportedMetric returns the named value of a load report, and false if the report has no such value.
 func (b *Balancer) reportedMetric(report []float32, name string) (float64, bool) {
 	i := slices.Index(b.settings.LoadReport.Metrics, name)
 	if i < 0 || i >= len(report) {
--- a/policy/probes_test.go
+++ b/policy/probes_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Observed: 3.5 probes a request, as an overloaded server rejects probes, too, and each request sent
-// the next one.
+// Observed: 3.5 probes for each request. An overloaded server rejects probes as well, and each request caused
+// the next probe.
 func TestProbesAreFewerThanRequests(t *testing.T) {
 	set := testSettings()
 	set.Limits.AllowProbes = true
@@ -31,8 +31,8 @@
 	}
 }
 
-// While a zone is suspected the servers that bear its load are sampled, not the lost ones, whose
-// probes time out: the load would be known too late for rejections.
+// While a zone is suspected, only the other servers, which get its load, are sampled. Probes of the lost
+// servers time out, and the load would be known too late to reject requests.
 func TestSuspectedServersAreNoLoadSample(t *testing.T) {
 	set := testSettings()
 	set.Limits.AllowProbes = true
@@ -53,12 +53,13 @@
 				if sampled++; s.zoneSuspected {
 					t.Fatal("a suspected server is sampled")
 				}
-				agent.handle(Event{Kind: EventProbeEnded, Server: s.addr, Status: OK, LoadReport: []float32{1, 0.5}})
+				agent.handle(Event{Kind: EventProbeEnded, Server: s.addr, Status: OK,
+					LoadReport: []float32{1, 0.5}})
 				break
 			}
 		}
 		for _, s := range agent.balancer.servers {
-			s.zoneSuspected = s.state == UnhealthyPending // a response clears them
+			s.zoneSuspected = s.state == UnhealthyPending // as the response may have cleared the suspicion
 		}
 	}
 	if sampled < 300 {
@@ -66,8 +67,8 @@
 	}
 }
 
-// The load is that of warm servers: one that warms up gets no more than its credit, and idle ones made
-// an agent take overloaded warm servers for half utilized.
+// Only the load of warm servers is sampled. Observed: servers in slow start get no more than their credit,
+// and samples of idle ones made overloaded warm servers look half utilized.
 func TestWarmingUpServersAreNoLoadSample(t *testing.T) {
 	set := testSettings()
 	set.Limits.AllowProbes = true
@@ -84,7 +85,7 @@
 		if a := findAction(actions, ActionProbe); a != nil {
 			probed++
 			if agent.balancer.slowStartFactor(agent.balancer.serverByAddr[a.Server]) < 1 {
-				t.Fatalf("a server that warms up was sampled")
+				t.Fatalf("a server in slow start was sampled")
 			}
 			agent.handle(Event{Kind: EventProbeEnded, Server: a.Server, Status: OK, LatencyMs: 1,
 				LoadReport: []float32{0.5}})
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// simulation runs random clients, servers and lists against one Balancer and checks the contract from
-// outside, on the actions alone.
+// simulation runs random clients, servers and list updates against one Balancer and checks from its actions
+// alone that it keeps the contract.
 type simulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -20,7 +20,7 @@
 	requests      map[RequestID]*simRequest
 	timers        []simTimer
 	list          map[Addr]Endpoint
-	drainingSince map[Addr]float64 // when it was listed as draining or removed
+	drainingSince map[Addr]float64 // when a server was listed as draining or removed
 	history       []Action
 }
 
@@ -33,10 +33,10 @@
 }
 
 type simRequest struct {
-	class        int
-	deadline     float64
-	attempts     []*simAttempt
-	finalAnswers int
+	class          int
+	deadline       float64
+	attempts       []*simAttempt
+	finalResponses int
 }
 
 type simTimer struct {
@@ -74,15 +74,15 @@
 		switch a.Kind {
 		case ActionSend:
 			w.checkSend(r, &a)
-			ends := w.now + 1 + 150*w.rng.Float64()
+			endsAt := w.now + 1 + 150*w.rng.Float64()
 			st := []Status{OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
 			if st == Timeout {
-				ends = w.now + a.DurationMs
+				endsAt = w.now + a.DurationMs
 			}
-			r.attempts = append(r.attempts, &simAttempt{server: a.Server, sentAt: w.now, endsAt: min(ends,
-				w.now+a.DurationMs), status: st})
+			r.attempts = append(r.attempts, &simAttempt{server: a.Server, sentAt: w.now,
+				endsAt: min(endsAt, w.now+a.DurationMs), status: st})
 		case ActionReject, ActionFail:
-			if r.finalAnswers++; r.finalAnswers > 1 {
+			if r.finalResponses++; r.finalResponses > 1 {
 				w.t.Fatalf("request %d: a second final response", a.Request)
 			}
 			if w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
@@ -91,19 +91,19 @@
 			c := w.settings.Classes[r.class]
 			if a.Kind == ActionReject && r.mayHaveRun() && (c.Idempotency == NonIdempotent ||
 				c.Idempotency == Deduplicated && c.DedupScope != DedupEverywhere) {
-				w.t.Fatalf("request %d of effect %s rejected though it may have been executed", a.Request,
-					c.Idempotency)
+				w.t.Fatalf("request %d of idempotency %s rejected although it may have been executed",
+					a.Request, c.Idempotency)
 			}
 		case ActionCancel:
 			if !w.settings.Limits.AllowCancel {
-				w.t.Fatal("cancelled where it is not allowed")
+				w.t.Fatal("an attempt was cancelled although that is not allowed")
 			}
-			if ended := r.attempts[a.Attempt]; !ended.ended {
-				ended.status, ended.endsAt = Cancelled, w.now+5
+			if cancelled := r.attempts[a.Attempt]; !cancelled.ended {
+				cancelled.status, cancelled.endsAt = Cancelled, w.now+5
 			}
 		case ActionProbe:
 			if !w.settings.Limits.AllowProbes {
-				w.t.Fatal("probed where it is not allowed")
+				w.t.Fatal("a server was probed although that is not allowed")
 			}
 		case ActionTimer:
 			w.timers = append(w.timers, simTimer{w.now + a.DurationMs, a.Token})
@@ -112,18 +112,22 @@
 }
 
 func (r *simRequest) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(t *simAttempt) bool { return !t.ended || !t.status.NotExecuted() })
+	return slices.ContainsFunc(r.attempts, func(t *simAttempt) bool {
+		return !t.ended || !t.status.NotExecuted()
+	})
 }
 
 func (w *simulation) checkSend(r *simRequest, a *Action) {
 	c := w.settings.Classes[r.class]
-	if r.finalAnswers > 0 || w.now > r.deadline {
-		w.t.Fatalf("request %d sent after its end", a.Request)
+	if r.finalResponses > 0 || w.now > r.deadline {
+		w.t.Fatalf("request %d sent after its final response or deadline", a.Request)
 	}
 	if len(r.attempts) >= w.settings.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.settings.Limits.MaxAttempts)
+		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1,
+			w.settings.Limits.MaxAttempts)
 	}
-	if since, bad := w.drainingSince[a.Server]; bad && w.now-since > w.settings.Contract.DrainGraceMs {
+	if since, draining := w.drainingSince[a.Server]; draining &&
+		w.now-since > w.settings.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after it was listed as draining", a.Server, w.now-since)
 	}
 	for _, t := range r.attempts {
@@ -136,12 +140,13 @@
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
 		case c.Idempotency == NonIdempotent:
-			w.t.Fatalf("request %d sent again though it may have been executed", a.Request)
+			w.t.Fatalf("request %d sent again although it may have been executed", a.Request)
 		case c.Idempotency == Deduplicated && w.now-t.sentAt > c.DedupWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request, w.now-t.sentAt)
+			w.t.Fatalf("request %d sent again %.0f ms after it may have been executed", a.Request,
+				w.now-t.sentAt)
 		case c.Idempotency == Deduplicated && (c.DedupScope == DedupWithinZone && x.Zone != y.Zone ||
 			c.DedupScope == DedupWithinCell && x.Cell != y.Cell):
-			w.t.Fatalf("request %d sent again outside its scope", a.Request)
+			w.t.Fatalf("request %d sent again outside its deduplication scope", a.Request)
 		}
 	}
 }
@@ -173,17 +178,17 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.finalAnswers++ // a second response changes nothing
-				r.finalAnswers = min(r.finalAnswers, 1)
+				r.finalResponses++ // a second response has no effect
+				r.finalResponses = min(r.finalResponses, 1)
 			}
-			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
-				LatencyMs: w.now - t.sentAt, Final: r.finalAnswers > 0})
+			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server,
+				Status: t.status, LatencyMs: w.now - t.sentAt, Final: r.finalResponses > 0})
 		}
-		if r.finalAnswers == 0 && w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
-			w.t.Fatalf("request %d of class %d lost: no response %.0f ms after its deadline", id, r.class,
+		if r.finalResponses == 0 && w.now > r.deadline+w.settings.Contract.ResponseGraceMs {
+			w.t.Fatalf("request %d of class %d has no response %.0f ms after its deadline", id, r.class,
 				w.now-r.deadline)
 		}
-		if r.finalAnswers > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
+		if r.finalResponses > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
 			delete(w.requests, id)
 		}
 	}
@@ -207,8 +212,8 @@
 
 func runSimulation(t *testing.T, seed uint64) []Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &simulation{t: t, rng: rng, settings: randomSettings(rng), now: 5000, requests: map[RequestID]*simRequest{},
-		list: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
+	w := &simulation{t: t, rng: rng, settings: randomSettings(rng), now: 5000,
+		requests: map[RequestID]*simRequest{}, list: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 	var err error
 	if w.balancer, err = New(w.settings, seed); err != nil {
 		t.Fatal(err)
@@ -233,8 +238,8 @@
 		case 0:
 			w.changeList()
 		case 1:
-			if r := w.requests[w.lastID]; r != nil && r.finalAnswers == 0 {
-				r.finalAnswers = 1
+			if r := w.requests[w.lastID]; r != nil && r.finalResponses == 0 {
+				r.finalResponses = 1
 				w.handle(Event{Kind: EventClientGone, Request: w.lastID})
 			}
 		case 2: // events of unknown requests are ignored
@@ -245,16 +250,16 @@
 		}
 	}
 	if n := len(w.balancer.requests); n != 0 || len(w.balancer.pending) != 0 || w.balancer.inFlight != 0 {
-		t.Errorf("seed %d: %d requests, %d pending, %d in flight at the end", seed, n, len(w.balancer.pending),
-			w.balancer.inFlight)
+		t.Errorf("seed %d: %d requests, %d pending, %d attempts in flight at the end", seed, n,
+			len(w.balancer.pending), w.balancer.inFlight)
 	}
 	for _, s := range w.balancer.servers {
 		if len(s.inFlight) != 0 {
-			t.Errorf("seed %d: server %v has %d attempts", seed, s.addr, len(s.inFlight))
+			t.Errorf("seed %d: server %v has %d attempts in flight at the end", seed, s.addr, len(s.inFlight))
 		}
 	}
-	if len(w.balancer.unserved) > maxPending {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.balancer.unserved))
+	if len(w.balancer.unservedRequests) > maxPending {
+		t.Errorf("seed %d: %d unserved requests remembered", seed, len(w.balancer.unservedRequests))
 	}
 	return w.history
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,18 +6,17 @@
 )
 
 const (
-	// maxPending bounds the pending requests, and so the work of one decision.
+	// maxPending bounds the pending requests, and with them the work of one decision.
 	maxPending = 512
-	// maxDispatchFailures is the number of requests for which no server has capacity, of those that would
-	// take any, after which no other one is tried.
+	// maxDispatchFailures ends a dispatch: so many requests that may go to any server found no capacity.
 	maxDispatchFailures = 4
-	// unsentTimeShare is the part of its time after which a request that reached no server is rejected:
-	// from half of it on the client counts the wait as worse than a rejection.
+	// unsentTimeShare is the fraction of its time after which a request that reached no server is rejected.
+	// After half of the time a client counts the wait as worse than a rejection.
 	unsentTimeShare = 0.46
 )
 
-// valueOf is what a unit of server time spent on the request earns by the objective: a part of the overall
-// result, and all of the worst class's if it is of that.
+// valueOf returns what a unit of server time spent on the request adds to the objective: to the overall
+// result and, if the request is of the worst class, to that class's component.
 func (b *Balancer) valueOf(req *request) float64 {
 	class := &b.settings.Classes[req.class]
 	objective := &b.settings.Objective
@@ -25,17 +24,17 @@
 	if req.class == b.mix.worstClass {
 		value += objective.WorstClass * b.mix.meanValue / b.mix.classShares[req.class]
 	}
-	if b.now+b.latency.expected[req.class] > req.targetAt {
+	if b.now+b.latency.expectedMs[req.class] > req.targetAt {
 		value *= b.settings.Prices.LateFailure
 	}
 	if b.mix.overQuota(b.settings.Tenants, req.tenant) {
 		value *= b.settings.OverQuotaValue
 	}
-	return value / b.latency.expected[req.class]
+	return value / b.latency.expectedMs[req.class]
 }
 
-// dispatch sends pending requests as far as there is capacity: the most valuable first, of equals the
-// newest, as under overload the oldest would only end late.
+// dispatch sends pending requests while there is capacity: the most valuable first, and the newest first
+// among equals, because under overload the oldest would be answered late anyway.
 func (b *Balancer) dispatch() {
 	b.sortPending()
 	b.saturated = false
@@ -51,7 +50,7 @@
 			continue
 		}
 		i++
-		// A request that waits for the servers of its key may find none where the next one does.
+		// A request that waits for the servers of its key is not counted: others may still find capacity.
 		if !b.waitsForAffinity(req) {
 			failures++
 		}
@@ -72,16 +71,16 @@
 	})
 }
 
-// affinityServersBusy tells, without another pick, that a request still waits for the servers of its key and
-// that these are as busy as at its last pick, if it had one.
+// affinityServersBusy reports whether the request still waits for the servers of its key, found by its last
+// pick, and these still have no capacity. It saves another pick, and is false for a request without a pick.
 func (b *Balancer) affinityServersBusy(req *request) bool {
-	picked := req.preferred[0] != nil
-	return picked && b.waitsForAffinity(req) && req.preferredAt == b.generation &&
-		!b.belowLoadCap(req.preferred[0], req) && !b.belowLoadCap(req.preferred[1], req)
+	picked := req.preferredServers[0] != nil
+	return picked && b.waitsForAffinity(req) && req.preferredGeneration == b.generation &&
+		!b.belowLoadCap(req.preferredServers[0], req) && !b.belowLoadCap(req.preferredServers[1], req)
 }
 
-// expirePending ends pending requests that can earn nothing any more: rejected early, they cost no server
-// any work.
+// expirePending ends pending requests that have waited too long or can no longer be answered in time:
+// rejected early, they cost the servers no work.
 func (b *Balancer) expirePending() {
 	for i := 0; i < len(b.pending); {
 		req := b.pending[i]
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -11,24 +11,23 @@
 	for range 130 {
 		if a := findAction(actions, ActionReject); a != nil {
 			if a.Request != id {
-				t.Fatalf("refused %d, want %d", a.Request, id)
+				t.Fatalf("rejected request %d, want %d", a.Request, id)
 			}
 			return
 		}
 		actions = agent.fireTimer(10)
 	}
-	t.Error("a request without servers was never answered")
+	t.Error("a request without servers was never rejected")
 }
 
-// Observed (i8d4be0, ifafc7b): pending requests that wait for the servers of their key must not block
-// others from servers with capacity.
+// Observed: pending requests that waited for the servers of their key kept others from servers with capacity.
 func TestAffinityWaitBlocksNoOtherRequest(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 6)
 	for range 30 {
-		agent.request(0, 42) // one key: saturates its two servers, the others are pending
+		agent.request(0, 42) // requests of one key saturate its two servers, and the rest are pending
 	}
 	if len(agent.balancer.pending) == 0 {
-		t.Fatal("nothing is pending: the test is void")
+		t.Fatal("no request is pending, so the test shows nothing")
 	}
 	sent := 0
 	for key := uint64(100); key < 140; key++ {
@@ -41,31 +40,33 @@
 	}
 }
 
-// Observed (i7e1314): the class of the least value was starved though the objective counts the worst
+// Observed: the class with the lowest value was starved, although the objective has a component for the worst
 // class.
 func TestWorstClassRanksHigherAmongPending(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	agent := newTestAgent(t, set, 2)
-	served, starved := &request{class: 1, targetAt: agent.now + 500}, &request{class: 0, targetAt: agent.now + 500}
+	served, starved := &request{class: 1, targetAt: agent.now + 500},
+		&request{class: 0, targetAt: agent.now + 500}
 	for range 500 { // class 1 is served, class 0 is not
 		agent.balancer.mix.countClass(agent.balancer.settings.Classes, 0)
 		agent.balancer.mix.countClass(agent.balancer.settings.Classes, 1)
 		agent.balancer.mix.classOnTime[1] += 1 - mixDecay
 	}
-	with := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served)
+	asWorst := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served)
 	agent.balancer.mix.worstClass = 1
-	if without := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served); with <= without {
-		t.Errorf("the starved class weighs %.2f, one that is served %.2f", with, without)
+	if notWorst := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served); asWorst <= notWorst {
+		t.Errorf("class 0 has %.2f times the value of class 1 as the worst class, and %.2f times otherwise",
+			asWorst, notWorst)
 	}
 }
 
-// A request that reached no server is rejected before half of its time is over: from then on the
-// client counts the wait as worse. One that reached a server may wait.
+// A request that reached no server is rejected before half of its time is over: after that, the client counts
+// the wait as worse than a rejection. A request that reached a server may wait longer.
 func TestUnsentRequestIsRejectedBeforeHalfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		set := testSettings()
-		set.Classes[0].LatencyTargetMs = 900 // which is not over by then
+		set.Classes[0].LatencyTargetMs = 900 // longer than the time that the request has
 		agent := newTestAgent(t, set, 1)
 		srv := agent.balancer.serverByAddr[addr(0)]
 		srv.concurrencyLimit = 1
@@ -78,24 +79,24 @@
 		if findAction(actions, ActionSend) != nil {
 			t.Fatal("sent to a server that is not ready")
 		}
-		q := agent.balancer.requests[id]
-		q.reachedServer = reached
-		half := (q.deadline - q.arrivedAt) / 2
-		ended := math.Inf(1)
-		for from := agent.now; agent.now < q.deadline && math.IsInf(ended, 1); {
+		req := agent.balancer.requests[id]
+		req.reachedServer = reached
+		halfMs := (req.deadline - req.arrivedAt) / 2
+		endedAfterMs := math.Inf(1)
+		for from := agent.now; agent.now < req.deadline && math.IsInf(endedAfterMs, 1); {
 			for _, a := range agent.fireTimer(5) {
 				if a.Request == id && (a.Kind == ActionReject || a.Kind == ActionFail) {
-					ended = agent.now - from
+					endedAfterMs = agent.now - from
 				}
 			}
 		}
-		if (ended < half) == reached {
-			t.Errorf("reached a server: %v; ended after %v ms of %v", reached, ended, 2*half)
+		if (endedAfterMs < halfMs) == reached {
+			t.Errorf("reached a server: %v; ended after %v ms of %v ms", reached, endedAfterMs, 2*halfMs)
 		}
 	}
 }
 
-// Requests with a key may come before the first list of servers does, and must survive until it comes.
+// Requests with a key may arrive before the first list of servers, and must stay pending until it arrives.
 func TestKeyedRequestsBeforeTheFirstList(t *testing.T) {
 	balancer, err := New(testSettings(), 1)
 	if err != nil {
@@ -104,13 +105,13 @@
 	agent := &testAgent{t: t, balancer: balancer, now: 1e6}
 	balancer.Start(agent.now, nil)
 	agent.request(1, 7)
-	agent.request(1, 8) // the first one is pending, and is looked at again
+	agent.request(1, 8) // the first one is pending, and its dispatch is tried again
 	agent.fireTimer(10)
 	if len(balancer.pending) != 2 {
 		t.Fatalf("%d requests are pending, want 2", len(balancer.pending))
 	}
 	actions := agent.updateList(UpdateCached, Endpoint{Server: addr(0), Status: Ready, Weight: 1})
 	if findAction(actions, ActionSend) == nil {
-		t.Error("a request that came before the list was not sent")
+		t.Error("no request that arrived before the list was sent")
 	}
 }
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -3,23 +3,24 @@
 import "math"
 
 const (
-	// maxKeyShare is the largest part of a server's even share of requests that one part of a key may
-	// bring. keyHistoryFactor is the number of requests, for each part that there may be, by which a key's
-	// share is known.
+	// maxKeyShare is the largest fraction of a server's even share of the requests that one key, or one part
+	// of a popular key, may bring. keyHistoryFactor is the number of requests over which keys are counted, as
+	// a multiple of the largest number of parts.
 	maxKeyShare, keyHistoryFactor = 0.25, 2.0
-	// minKeyCount is the count under which a key is forgotten.
+	// minKeyCount is the count below which a key is forgotten.
 	minKeyCount = 0.5
 	// minHashUnit keeps the logarithm of a hash finite.
 	minHashUnit = 1e-18
 )
 
-// keyPopularity counts the requests of each key, fading: counts are halved when there are too many.
+// keyPopularity counts the requests of each key. All counts are halved when their total reaches a limit, so
+// that older requests count less.
 type keyPopularity struct {
 	counts map[uint64]float64
 	total  float64
 }
 
-// count counts a request of a key, after halving all counts if they have reached a limit.
+// count counts a request of a key, after halving all counts if their total has reached the limit.
 func (k *keyPopularity) count(key uint64, limit float64) {
 	if k.total >= limit {
 		k.total /= 2
@@ -33,9 +34,10 @@
 	k.counts[key]++
 }
 
-// hashKeyFor is the hash key of a request. A key with more than maxKeyShare of a server's share of this
-// agent's requests is split at random into parts, each with a server order of its own: none of many agents
-// has enough in flight for the load cap to move a popular key on. While little is known each key has two.
+// hashKeyFor returns the hash key of a request. A key with more than maxKeyShare of a server's even share of
+// this agent's requests is split at random into parts, each with its own order of servers: with many agents,
+// none has enough attempts in flight for the load cap to move a popular key to other servers. While few
+// requests have been counted, each key has two parts.
 func (b *Balancer) hashKeyFor(key uint64) uint64 {
 	if key == 0 {
 		return 0
@@ -49,14 +51,15 @@
 	return key
 }
 
-// rendezvousScore orders servers by weighted rendezvous hashing, the lowest first: every agent of a zone
-// finds the same order for a key, and a server's share of the keys is that of its weight.
+// rendezvousScore returns the server's score for the request by weighted rendezvous hashing; the lowest score
+// comes first. All agents of a zone get the same order for a key, and a server's share of the keys is
+// proportional to its weight.
 func (b *Balancer) rendezvousScore(req *request, srv *server) float64 {
 	bits := mixBits(req.hashKey ^ srv.hash)
 	if req.key == 0 {
 		bits = b.rng.Uint64()
 	}
-	weight := srv.weight * b.effectiveShare(srv) * b.effectiveTraffic(srv)
+	weight := srv.weight * b.effectiveShare(srv) * b.effectiveTrafficWeight(srv)
 	if b.slowStartFactor(srv) < 1 {
 		weight *= slowStartKeyFactor
 	}
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Observed (ia9314f): one key had a tenth of the traffic and one server got all of it, as no agent had
-// more than one of its requests in flight. Other keys use few servers.
+// Observed: one key had a tenth of the traffic, and one server got all of it, as no agent had more than one
+// of its requests in flight. A popular key must use many servers, any other key few.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 20)
 	agent.splitKeys = true
@@ -26,6 +26,7 @@
 		}
 	}
 	if len(popular) < 8 || len(rare) > 5 {
-		t.Errorf("a fifth of all requests went to %d servers, a hundredth to %d", len(popular), len(rare))
+		t.Errorf("a key with a fifth of all requests used %d servers, one with a hundredth %d", len(popular),
+			len(rare))
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,14 +3,15 @@
 import "slices"
 
 const (
-	// retryBudgetRatio is the retries that a served request earns, retryBudgetMax what may be saved up, and
-	// what an agent starts with.
+	// retryBudgetRatio is the number of retries that a served request earns. retryBudgetMax is the largest
+	// number of saved retries, with which an agent starts.
 	retryBudgetRatio, retryBudgetMax = 0.25, 4.0
 	// maxUnserved bounds the unserved requests that are remembered.
 	maxUnserved = maxPending
 )
 
-// retryBudget bounds retries by served requests: where few are served retries would only multiply the load.
+// retryBudget limits retries in proportion to served requests: while few requests are served, retries would
+// only multiply the load.
 type retryBudget struct {
 	tokens float64
 }
@@ -18,12 +19,12 @@
 // earn adds what a served request earns.
 func (r *retryBudget) earn() { r.tokens = min(r.tokens+retryBudgetRatio, retryBudgetMax) }
 
-// retryElsewhere makes a request whose attempt failed pending for another server where its class, the limits
-// and its time allow that, and ends it otherwise.
+// retryElsewhere makes a request whose attempt failed pending again, to be sent to another server, if its
+// class, the limits, the retry budget and its deadline allow that. Otherwise it ends the request.
 func (b *Balancer) retryElsewhere(req *request, failure Status) {
 	class := &b.settings.Classes[req.class]
-	allowed := req.maybeExecuted == 0 || class.Idempotency != NonIdempotent
-	free := failure == NotSent // which reached no server
+	allowed := req.possibleExecutions == 0 || class.Idempotency != NonIdempotent
+	free := failure == NotSent // the attempt reached no server
 	affordable := b.retries.tokens >= 1 || free
 	if !allowed || !affordable || len(req.attempts) >= b.settings.Limits.MaxAttempts ||
 		b.now >= req.deadline {
@@ -39,7 +40,7 @@
 	b.pending = append(b.pending, req)
 }
 
-// unservedRequest is what is remembered of a request that was not served, to recognize its client's retry.
+// unservedRequest holds what is remembered of a request that was not served, for its client's retry.
 type unservedRequest struct {
 	class          int
 	key            uint64
@@ -51,17 +52,17 @@
 // unservedRequests are the unserved requests, oldest first.
 type unservedRequests []unservedRequest
 
-// rememberUnserved remembers a request whose client may retry, so that the retry is judged by the time that
-// has passed for the client.
+// rememberUnserved remembers a request whose client may retry, so that the latency target of the retry counts
+// from the client's first attempt.
 func (b *Balancer) rememberUnserved(req *request) {
 	if !b.settings.Clients.MarksRetry {
 		return
 	}
-	b.unserved = slices.DeleteFunc(b.unserved, func(past unservedRequest) bool {
-		return b.now-past.firstArrivedAt > b.settings.Classes[past.class].ClientTimeoutMs
+	b.unservedRequests = slices.DeleteFunc(b.unservedRequests, func(entry unservedRequest) bool {
+		return b.now-entry.firstArrivedAt > b.settings.Classes[entry.class].ClientTimeoutMs
 	})
-	if len(b.unserved) < maxUnserved {
-		b.unserved = append(b.unserved, unservedRequest{
+	if len(b.unservedRequests) < maxUnserved {
+		b.unservedRequests = append(b.unservedRequests, unservedRequest{
 			class:          req.class,
 			key:            req.key,
 			firstArrivedAt: req.firstArrivedAt,
@@ -71,20 +72,21 @@
 	}
 }
 
-// restoreRetry gives a retry what is remembered of the attempt before it. A client that retries more than
-// once keeps its draw for admission: otherwise all that retry would be let in.
+// restoreRetry gives a retry the state that is remembered of the client's previous attempt. A client that
+// retries more than once keeps its admission draw: with a new draw for each retry, all clients that keep
+// retrying would be admitted.
 func (u *unservedRequests) restoreRetry(req *request) {
-	i := slices.IndexFunc(*u, func(past unservedRequest) bool {
-		return past.class == req.class &&
-			past.key == req.key
+	i := slices.IndexFunc(*u, func(entry unservedRequest) bool {
+		return entry.class == req.class &&
+			entry.key == req.key
 	})
 	if i < 0 {
 		return
 	}
-	past := (*u)[i]
+	entry := (*u)[i]
 	*u = slices.Delete(*u, i, i+1)
-	req.firstArrivedAt, req.clientRetries = past.firstArrivedAt, past.clientRetries+1
+	req.firstArrivedAt, req.clientRetries = entry.firstArrivedAt, entry.clientRetries+1
 	if req.clientRetries > 1 {
-		req.admissionDraw = past.admissionDraw
+		req.admissionDraw = entry.admissionDraw
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Idempotency reports whether a request of a class may be executed more than once.
+// Idempotency says whether the requests of a class may be executed more than once.
 type Idempotency string
 
 // The kinds of idempotency, by their names in the settings.
 const (
-	Idempotent    Idempotency = "free"        // executing it again is harmless
-	Deduplicated  Idempotency = "guarded"     // servers drop repeats within a scope, for a time
-	NonIdempotent Idempotency = "single_shot" // must never be executed twice
+	Idempotent    Idempotency = "free"        // executing a request again is harmless
+	Deduplicated  Idempotency = "guarded"     // servers drop repeats within a scope and a time window
+	NonIdempotent Idempotency = "single_shot" // a request must never be executed twice
 )
 
 // DedupScope is the group of servers that drop repeats of a Deduplicated request.
@@ -32,12 +32,11 @@
 	// ClientTimeoutMs is the time after which clients give up.
 	ClientTimeoutMs float64     `json:"giveUpMs"`
 	Idempotency     Idempotency `json:"effect"`
-	// DedupScope and DedupWindowMs bound, for Deduplicated requests, where and for how long repeats
-	// are dropped.
+	// DedupScope and DedupWindowMs say where and for how long repeats of Deduplicated requests are dropped.
 	DedupScope    DedupScope `json:"group"`
 	DedupWindowMs float64    `json:"keyTtlMs"`
-	// Value is what a request answered in time is worth, LateValueShare the part of it that a late
-	// answer is worth.
+	// Value is what a request answered in time is worth. LateValueShare is the fraction of Value that a
+	// late answer is worth.
 	Value          float64 `json:"credit"`
 	LateValueShare float64 `json:"lateShare"`
 	Streaming      bool    `json:"streamed"`
@@ -47,15 +46,15 @@
 type Tenant struct {
 	Name           string  `json:"name"`
 	QuotaPerSecond float64 `json:"quotaPerS"`
-	QuotaShare     float64 `json:"portion"` // part of all requests
+	QuotaShare     float64 `json:"portion"` // fraction of all requests
 }
 
-// Limits is what a deployment permits an agent.
+// Limits holds what a deployment allows an agent to do.
 type Limits struct {
 	AllowCancel           bool    `json:"cancelling"`
 	ConnectTimeoutMs      float64 `json:"connectTimeoutMs"`
-	KeepaliveMs           float64 `json:"keepaliveMs"` // after which servers close idle connections
-	MaxAttempts           int     `json:"maxAttempts"` // of a request
+	KeepaliveMs           float64 `json:"keepaliveMs"` // time after which servers close idle connections
+	MaxAttempts           int     `json:"maxAttempts"` // attempts of one request
 	MaxRetryAfterMs       float64 `json:"maxRetryAfterMs"`
 	AllowParallelAttempts bool    `json:"parallelTries"`
 	AllowProbes           bool    `json:"probing"`
@@ -63,21 +62,25 @@
 	MaxOpenRequests       int     `json:"openCap"`
 }
 
-// Contract holds the figures of the contract between clients, agents and servers.
+// Contract holds the parameters of the contract between clients, agents and servers.
 type Contract struct {
-	ResponseGraceMs     float64 `json:"answerSlackMs"` // past a deadline, for the response
-	DiscoveryDeadlineMs float64 `json:"askWithinMs"`   // within which an agent calls discovery
-	// A server that started less than SlowStartMs ago has a part of its capacity that grows linearly
-	// from SlowStartFloor to 1.
+	// ResponseGraceMs is how long after a request's deadline the agent may still respond.
+	ResponseGraceMs float64 `json:"answerSlackMs"`
+	// DiscoveryDeadlineMs is the time within which an agent must call discovery.
+	DiscoveryDeadlineMs float64 `json:"askWithinMs"`
+	// In the first SlowStartMs after a start, a server's capacity grows linearly from the fraction
+	// SlowStartFloor to 1.
 	SlowStartFloor float64 `json:"coldFrom"`
 	SlowStartMs    float64 `json:"coldMs"`
-	DrainGraceMs   float64 `json:"drainGraceMs"`
-	// A server collapses under CollapseLoadFactor times its capacity that lasts CollapseAfterMs.
+	// DrainGraceMs is how long a server may still be sent requests after it is listed as draining.
+	DrainGraceMs float64 `json:"drainGraceMs"`
+	// A server collapses when its load is CollapseLoadFactor times its capacity for CollapseAfterMs.
 	CollapseLoadFactor float64 `json:"fallMultiple"`
 	CollapseAfterMs    float64 `json:"tipAfterMs"`
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices holds the points that are deducted from the result for each kind of cost, multiplied by the share
+// or the rate at which it occurs.
 type Prices struct {
 	CrossZone   float64 `json:"crossZone"`
 	Handshake   float64 `json:"handshake"`
@@ -88,7 +91,7 @@
 	Discovery   float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the components of the result.
 type Objective struct {
 	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
@@ -96,32 +99,32 @@
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// LoadReportMode is where servers report their load.
+// LoadReportMode says on which responses servers report their load.
 type LoadReportMode string
 
 // The modes, by their names in the settings.
 const (
 	LoadReportOff     LoadReportMode = "off"
-	LoadReportInline  LoadReportMode = "inline"   // on every response, and on probes
-	LoadReportOnProbe LoadReportMode = "on_probe" // on probes alone
+	LoadReportInline  LoadReportMode = "inline"   // on all responses, those to probes included
+	LoadReportOnProbe LoadReportMode = "on_probe" // only on responses to probes
 )
 
 // LoadReport describes the servers' load reports.
 type LoadReport struct {
 	Mode    LoadReportMode `json:"how"`
-	Metrics []string       `json:"names"` // of the values, in their order
+	Metrics []string       `json:"names"` // names of the reported values, in order
 }
 
-// MembershipMode is how an agent learns of changes in the endpoint list.
+// MembershipMode says how an agent learns of changes in the endpoint list.
 type MembershipMode string
 
 // The modes, by their names in the settings.
 const (
-	MembershipPushed    MembershipMode = "pushed"     // changes arrive without a request
+	MembershipPushed    MembershipMode = "pushed"     // changes arrive without a subscription
 	MembershipOnRequest MembershipMode = "on_request" // the agent has to subscribe
 )
 
-// Settings configures one agent; it is given once, at its start.
+// Settings configures one agent. It does not change after the agent's start.
 type Settings struct {
 	Classes    []Class        `json:"classes"`
 	Tenants    []Tenant       `json:"tenants"`
@@ -137,16 +140,16 @@
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
-	AgentIndex     int     `json:"index"`        // of this agent among AgentCount
-	AgentCount     int     `json:"replicasOfMe"` // agents of the fleet
-	OverQuotaValue float64 `json:"overShareWorth"`
-	RoundMs        float64 `json:"roundMs"` // how late an event may arrive
-	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	ValueBy        string  `json:"worthBy"` // "request" or "work"
-	Zone           int     `json:"zone"`    // of this agent
+	AgentIndex     int     `json:"index"`          // number of this agent, from 0 to AgentCount-1
+	AgentCount     int     `json:"replicasOfMe"`   // number of agents in the fleet
+	OverQuotaValue float64 `json:"overShareWorth"` // factor on the value of requests over a tenant's quota
+	RoundMs        float64 `json:"roundMs"`        // longest delay with which an event may arrive
+	Weights        string  `json:"weights"`        // "off", "nominal", "rough" or "live"
+	ValueBy        string  `json:"worthBy"`        // "request" or "work"
+	Zone           int     `json:"zone"`           // zone of this agent
 }
 
-// validate returns an error that names the first setting that makes no sense by its key.
+// validate returns an error with the key of the first invalid setting, or nil.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
@@ -175,14 +178,15 @@
 		{"replicasOfMe", float64(s.AgentCount)},
 		{"roundMs", s.RoundMs},
 	} {
-		if !(setting.value >= 0) { // NaN, too
+		if !(setting.value >= 0) { // true for NaN as well
 			return fmt.Errorf("settings: %s: must not be negative, is %v", setting.key, setting.value)
 		}
 	}
 	return nil
 }
 
-// validate is Settings.validate for the class of an index.
+// validate returns an error with the key of the class's first invalid setting, or nil. The index is that of
+// the class in Settings.Classes.
 func (c *Class) validate(index int) error {
 	key := func(name string) string { return fmt.Sprintf("settings: classes[%d].%s", index, name) }
 	switch {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestInvalidSettings(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyTargetMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].ClientTimeoutMs = -1 },
@@ -16,16 +16,16 @@
 		"membershipMode":      func(s *Settings) { s.Membership = "" },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !contains(err.Error(), key) {
-			t.Errorf("spoilt %s: error %v does not name it", key, err)
+			t.Errorf("invalid %s: the error %v does not name it", key, err)
 		}
 	}
 }
 
-func contains(s, part string) bool {
-	for i := 0; i+len(part) <= len(s); i++ {
-		if s[i:i+len(part)] == part {
+func contains(s, substr string) bool {
+	for i := 0; i+len(substr) <= len(s); i++ {
+		if s[i:i+len(substr)] == substr {
 			return true
 		}
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,22 +3,24 @@
 import "math"
 
 const (
-	// slowStartBurst bounds the credit of a server that warms up, in requests: all agents may spend theirs
-	// at once.
+	// slowStartBurst is the largest credit of a server in slow start, in requests. It is small because all
+	// agents may spend their credit at the same time.
 	slowStartBurst = 1.0
-	// slowStartKeyFactor is how much more than by its weight such a server attracts keys: each of many
-	// agents earns a request a minute, which must not wait for a key of the server's own.
+	// slowStartKeyFactor multiplies the weight of a server in slow start in the order of a key. Each of many
+	// agents earns about one request a minute for such a server; without the factor that request would have
+	// to wait for one of the server's own keys.
 	slowStartKeyFactor = 8.0
-	// slowStartLoadMargin is by how much an even share of an idle fleet has to stay below the load that
-	// makes a server collapse: one that warms up knows no keys, has to open connections, and chance adds.
+	// slowStartLoadMargin is the Contract.CollapseLoadFactor from which on servers in slow start earn their
+	// full share of the requests; with a lower factor they earn proportionally less. Such a server has no
+	// keys in its cache and has to open connections, and random variation adds to its load.
 	slowStartLoadMargin = 6.0
 )
 
-// slowStartFactor is the part of its capacity that a server has by the contract: 1 once it is warm.
+// slowStartFactor returns the fraction of its capacity that a server has by the contract; 1 once it is warm.
 func (b *Balancer) slowStartFactor(srv *server) float64 {
 	contract := &b.settings.Contract
 	age := b.now - srv.assumedStartAt
-	// A start that was only assumed counts until the list had the time to confirm it.
+	// An assumed start only counts until discovery has had the time to list it.
 	if srv.assumedStartAt <= 0 || age >= contract.SlowStartMs ||
 		srv.assumedStartAt != srv.listedStartAt && age > contract.DiscoveryDeadlineMs {
 		return 1
@@ -26,16 +28,17 @@
 	return contract.SlowStartFloor + (1-contract.SlowStartFloor)*max(age, 0)/contract.SlowStartMs
 }
 
-// drawSlowStartCredit is the first credit of a server that warms up: a part of a request by chance. Of many
-// agents that never earn a whole one, as many send one as together earned one.
+// drawSlowStartCredit returns the initial credit of a server in slow start: a random fraction of a request.
+// If many agents each earn less than one request, on average as many of them send one as they earn together.
 func (b *Balancer) drawSlowStartCredit() float64 { return b.rng.Float64() }
 
-// accrueSlowStart gives each server that warms up its share, by weight and slow-start factor, of a request
-// that arrives, also of one that is rejected: the servers that could take it would idle otherwise. So the
-// shares of all agents stay in proportion to what servers can do without any coordination. Retries earn
-// nothing; where they are not marked only admitted requests earn, as rejections could multiply what comes.
+// accrueSlowStart adds to the credit of each server in slow start its share of an arriving request, by weight
+// and slow-start factor. A rejected request counts as well: the servers that could take it would idle
+// otherwise. This keeps a server's share of all agents' requests in proportion to its capacity, without
+// coordination. Retries earn nothing. If retries are not marked, only admitted requests earn credit, because
+// rejections could multiply the arrivals.
 func (b *Balancer) accrueSlowStart() {
-	b.currentCapacity() // and its peak: what was lost of late is no reason to push these servers
+	b.currentCapacity() // updates the peak: recently lost capacity is no reason to send these servers more
 	capacity := b.capacity.peak
 	if capacity == 0 {
 		return
@@ -44,19 +47,20 @@
 	b.sending.warmRate = b.sending.warmRate*decay + 1/capacity
 	b.sending.warmRateAt = b.now
 	b.survey()
-	// The share of the servers outside the aperture is accrued inside it.
-	earned := float64(len(b.hashRing)) / float64(max(len(b.aperture.servers), 1))
-	earned *= min(b.settings.Contract.CollapseLoadFactor/slowStartLoadMargin, 1)
-	for _, srv := range b.capacity.warmingUp {
+	// Servers in the aperture also earn the shares of those outside it.
+	scale := float64(len(b.hashRing)) / float64(max(len(b.aperture.servers), 1))
+	scale *= min(b.settings.Contract.CollapseLoadFactor/slowStartLoadMargin, 1)
+	for _, srv := range b.capacity.warmingUpServers {
 		if factor := b.slowStartFactor(srv); factor < 1 && srv.inAperture {
-			share := earned * factor * srv.weight * b.effectiveShare(srv) * b.effectiveTraffic(srv) / capacity
+			share := scale * factor * srv.weight * b.effectiveShare(srv) *
+				b.effectiveTrafficWeight(srv) / capacity
 			srv.slowStartCredit = min(srv.slowStartCredit+share, slowStartBurst)
 		}
 	}
 }
 
-// slowStartAllows reports whether a server is warm, or has the credit for a request. Where no server is warm,
-// one may be sent what warm servers got before.
+// slowStartAllows reports whether a server is warm or has credit for a request. If no server is warm, a
+// server may also be sent requests at its share of the rate at which warm servers got them before.
 func (b *Balancer) slowStartAllows(srv *server) bool {
 	if b.slowStartFactor(srv) == 1 || srv.slowStartCredit >= 1 {
 		return true
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// A server that warms up gets no more than its share by slow start, even after an idle time.
+// A server in slow start gets no more than its share.
 func TestSlowStartLimitsAServersShare(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 5)
-	agent.updateList(UpdateDelta, Endpoint{Server: addr(4), Status: Ready, Weight: 1, StartedMs: agent.now - 10})
-	got, all := 0, 2000
-	for range all {
+	agent.updateList(UpdateDelta, Endpoint{Server: addr(4), Status: Ready, Weight: 1,
+		StartedMs: agent.now - 10})
+	got, total := 0, 2000
+	for range total {
 		agent.now++
 		id, s := agent.mustSend(0, uint64(agent.balancer.rng.Int64()))
 		if s == addr(4) {
@@ -18,13 +19,13 @@
 		}
 		agent.endAttempt(id, 0, s, OK, 20)
 	}
-	even, factor := float64(all)/5, (0.2+0.36)/2
-	if share := even * factor; float64(got) > 1.2*share || float64(got) < 0.4*share {
-		t.Errorf("a server that warms up got %d of %d sends; its share by slow start is %.0f", got, all, share)
+	evenShare, factor := float64(total)/5, (0.2+0.36)/2
+	if share := evenShare * factor; float64(got) > 1.2*share || float64(got) < 0.4*share {
+		t.Errorf("a server in slow start got %d of %d requests; its share is %.0f", got, total, share)
 	}
 }
 
-// Observed (i5d0607): a zone was lost and only servers that warm up remained.
+// Observed when a zone was lost and only servers in slow start remained.
 func TestWarmingUpServersServeWhenWarmOnesFail(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 2)
 	for range 200 {
@@ -38,11 +39,11 @@
 		agent.balancer.eject(agent.balancer.serverByAddr[addr(i)], true)
 	}
 	if _, s := agent.mustSend(0, 9); s != addr(2) {
-		t.Errorf("sent to %v, want the server that warms up", s)
+		t.Errorf("sent to %v, want the server in slow start", s)
 	}
 }
 
-// Observed (i958eff): servers were back from time-outs as new processes before the list named them so.
+// Observed: servers that had timed out were back as new processes before they were listed as such.
 func TestServerBackFromATimeoutIsInSlowStart(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 3)
 	id, s := agent.mustSend(0, 9)
@@ -60,12 +61,13 @@
 		}
 	}
 	if srv := agent.balancer.serverByAddr[s]; agent.balancer.slowStartFactor(srv) >= 0.5 {
-		t.Errorf("a server back from a time-out is taken for warm: factor %.2f", agent.balancer.slowStartFactor(srv))
+		t.Errorf("a server that is back from a timeout counts as warm: factor %.2f",
+			agent.balancer.slowStartFactor(srv))
 	}
 }
 
-// Observed (ifa9784): under overload most attempts were rejected, and credit by attempt gave a server
-// that warms up many times its share. A request counts once, however often it is sent.
+// Observed: under overload most attempts were rejected, and credit for each attempt gave a server in slow
+// start many times its share. A request must count once, however often it is sent.
 func TestSlowStartCreditAccruesByRequestNotByAttempt(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
 	agent.updateList(UpdateDelta, Endpoint{Server: addr(4), Status: Ready, Weight: 1, StartedMs: agent.now})
@@ -84,19 +86,20 @@
 			attempts++
 			actions = agent.endAttempt(id, index, a.Server, Rejected, 1)
 		}
-		if share := agent.balancer.slowStartFactor(warmingUp) / agent.balancer.currentCapacity(); warmingUp.slowStartCredit > share+1e-9 {
+		if share := agent.balancer.slowStartFactor(warmingUp) /
+			agent.balancer.currentCapacity(); warmingUp.slowStartCredit > share+1e-9 {
 			t.Fatalf("credit %.3f for one request, its share is %.3f", warmingUp.slowStartCredit, share)
 		}
 	}
 	if attempts <= requests {
-		t.Fatalf("%d attempts for %d requests", attempts, requests)
+		t.Fatalf("%d attempts for %d requests, want more attempts than requests", attempts, requests)
 	}
 }
 
-// Observed (ia9314f): none of a thousand agents earned a whole request for a new server, and the new
-// half of the fleet idled until it was warm.
+// Observed: none of a thousand agents earned a whole request for a new server, and the new half of the fleet
+// was idle until it was warm.
 func TestManySmallAgentsWarmUpAServer(t *testing.T) {
-	warmingUp, all := 0, 0
+	got, total := 0, 0
 	for seed := range uint64(200) {
 		agent := newTestAgent(t, testSettings(), 19)
 		b, err := New(testSettings(), seed)
@@ -114,19 +117,19 @@
 		for range 20 {
 			agent.now += 100
 			id, s := agent.mustSend(0, agent.balancer.rng.Uint64())
-			if all++; s == addr(19) {
-				warmingUp++
+			if total++; s == addr(19) {
+				got++
 			}
 			agent.endAttempt(id, 0, s, OK, 20)
 		}
 	}
-	if even := all / 20; warmingUp < even/20 || warmingUp > even {
-		t.Errorf("a server that warms up got %d of %d requests, where an even share is %d", warmingUp, all, even)
+	if evenShare := total / 20; got < evenShare/20 || got > evenShare {
+		t.Errorf("a server in slow start got %d of %d requests, an even share is %d", got, total, evenShare)
 	}
 }
 
-// Scenario zone+mass: each of 300 agents earned a new server one request in 100 s and then waited for
-// a key of that server: it was warm before it got its share.
+// Observed in the scenario zone+mass: each of 300 agents earned one request in 100 s for a new server and
+// then waited for a key of that server, which was warm before it got its share.
 func TestManySmallAgentsSpendSlowStartCreditAtOnce(t *testing.T) {
 	const servers = 60
 	agents := newSmallAgents(t, 300, servers)
@@ -135,27 +138,28 @@
 	for _, r := range agents {
 		r.updateList(UpdateDelta, Endpoint{Server: addr(7), Status: Ready, Weight: 1, StartedMs: 1e6 + 1990})
 	}
-	got := sendSteadily(agents, 70, 3000, rng)
-	all := 0
-	for _, n := range got {
-		all += n
+	requests := sendSteadily(agents, 70, 3000, rng)
+	total := 0
+	for _, n := range requests {
+		total += n
 	}
-	factor := 0.2 + 0.8*1500/10000 // mean of the 3 s
-	if share := float64(all) / servers * factor; float64(got[addr(7)]) < 0.35*share ||
-		float64(got[addr(7)]) > 1.5*share {
-		t.Errorf("a server that warms up got %d requests of %d, its share by slow start is %.0f", got[addr(7)],
-			all, share)
+	factor := 0.2 + 0.8*1500/10000 // mean over the 3 s
+	if share := float64(total) / servers * factor; float64(requests[addr(7)]) < 0.35*share ||
+		float64(requests[addr(7)]) > 1.5*share {
+		t.Errorf("a server in slow start got %d of %d requests, its share is %.0f", requests[addr(7)], total,
+			share)
 	}
 }
 
-// Scenario join+mass: while half of the requests was rejected the new servers that were to take over
-// earned half, and the warm ones were overloaded. A retry earns nothing more.
+// Observed in the scenario join+mass: while half of the requests was rejected, the new servers earned only
+// half of their share, and the warm ones were overloaded. Rejected requests must earn credit, but retries
+// must not.
 func TestRejectionsAccrueSlowStartCredit(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		retry, marked bool
-		demand        float64 // times the capacity; half is rejected at about 1.8
-		least, most   float64 // of the share of the arrivals
+		demand        float64 // as a multiple of the capacity; half is rejected at about 1.8
+		least, most   float64 // bounds of the earned fraction of the server's share of the arrivals
 	}{
 		{"capacity for all", false, true, 0.5, 0.95, 1.01},
 		{"half rejected", false, true, 1.8, 0.95, 1.01},
@@ -166,12 +170,14 @@
 			set := testSettings()
 			set.Clients.MarksRetry = c.marked
 			agent := newTestAgent(t, set, 10)
-			agent.updateList(UpdateDelta, Endpoint{Server: addr(10), Status: Ready, Weight: 1, StartedMs: agent.now})
+			agent.updateList(UpdateDelta, Endpoint{Server: addr(10), Status: Ready, Weight: 1,
+				StartedMs: agent.now})
 			warmingUp := agent.balancer.serverByAddr[addr(10)]
 			earned, share := 0.0, 0.0
 			for range 400 {
 				agent.now++
-				agent.balancer.admission.demand, agent.balancer.admission.admittedShare = c.demand*agent.balancer.currentCapacity(), 1
+				agent.balancer.admission.demand, agent.balancer.admission.admittedShare =
+					c.demand*agent.balancer.currentCapacity(), 1
 				warmingUp.slowStartCredit = 0
 				id, event := agent.lastID+1, Event{Kind: EventRequest, Request: agent.lastID + 1, Class: 1,
 					RemainingMs: 600, IsRetry: c.retry}
@@ -180,17 +186,20 @@
 					agent.endAttempt(id, 0, a.Server, OK, 5)
 				}
 				earned += warmingUp.slowStartCredit
-				share += agent.balancer.slowStartFactor(warmingUp) / agent.balancer.capacity.peak * set.Contract.CollapseLoadFactor / slowStartLoadMargin
+				share += agent.balancer.slowStartFactor(warmingUp) / agent.balancer.capacity.peak *
+					set.Contract.CollapseLoadFactor / slowStartLoadMargin
 			}
 			if ratio := earned / share; ratio < c.least || ratio > c.most {
-				t.Errorf("earned %.2f of its share of the arrivals, want %.2f to %.2f", ratio, c.least, c.most)
+				t.Errorf("earned %.2f of its share of the arrivals, want %.2f to %.2f", ratio, c.least,
+					c.most)
 			}
 		})
 	}
 }
 
-// Slow-start credit accrues by what a server is to get: one that is ejected, or has hardly any traffic
-// weight, saves none up that all agents would spend as soon as that changes.
+// Slow-start credit accrues in proportion to the traffic that overrides give to a server. Otherwise an
+// ejected server would accumulate credit that all agents spend as soon as the ejection ends; so would one
+// with a low traffic weight.
 func TestEjectedServersAccrueNoCredit(t *testing.T) {
 	set := testSettings()
 	set.Clients.MarksRetry = true
@@ -220,7 +229,7 @@
 	}
 	if warmingUp(1).slowStartCredit <= 0 || warmingUp(2).slowStartCredit != 0 ||
 		warmingUp(3).slowStartCredit > 0.011*warmingUp(1).slowStartCredit {
-		t.Errorf("credits %v, %v and %v of one in use, one ejected and one of little traffic weight",
+		t.Errorf("credits %v, %v and %v of a server in use, an ejected one and one with a low traffic weight",
 			warmingUp(1).slowStartCredit, warmingUp(2).slowStartCredit, warmingUp(3).slowStartCredit)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -5,33 +5,34 @@
 	"testing"
 )
 
-// newExperiencedAgent is an agent of ten servers after some traffic; the first server answers errors,
-// the second nothing, the last warms up.
+// newExperiencedAgent returns an agent with ten servers after some traffic. The first server responds with
+// errors, the second does not respond, and the last is in slow start.
 func newExperiencedAgent(t *testing.T) *testAgent {
 	t.Helper()
 	agent := newTestAgent(t, testSettings(), 10)
 	agent.splitKeys = true
-	agent.updateList(UpdateDelta, Endpoint{Server: addr(9), Status: Ready, Weight: 1, StartedMs: agent.now - 1000})
+	agent.updateList(UpdateDelta, Endpoint{Server: addr(9), Status: Ready, Weight: 1,
+		StartedMs: agent.now - 1000})
 	for range 400 {
 		agent.now += 5
 		id, actions := agent.request(0, 1+agent.balancer.rng.Uint64N(20))
 		if a := findAction(actions, ActionSend); a != nil {
-			status, took := OK, 20.0
+			status, latencyMs := OK, 20.0
 			switch a.Server {
 			case addr(0):
 				status = Error
 			case addr(1):
-				status, took = Timeout, 400
+				status, latencyMs = Timeout, 400
 			}
 			agent.now += 20
-			agent.endAttempt(id, 0, a.Server, status, took)
+			agent.endAttempt(id, 0, a.Server, status, latencyMs)
 		}
 	}
 	return agent
 }
 
-// restartFrom starts another process with the first one's list and snapshot, both changed by change;
-// it also returns the snapshot.
+// restartFrom starts another process with the list and the snapshot of the first one, after change has
+// modified both. It returns the new agent and the snapshot.
 func restartFrom(t *testing.T, r *testAgent, change func(*Snapshot, []Endpoint)) (*testAgent, *Snapshot) {
 	t.Helper()
 	m := r.balancer.Snapshot(r.now)
@@ -64,28 +65,30 @@
 			t.Errorf("server %d is %v, want %v", i, s.state, want)
 		}
 	}
-	if s := agent.balancer.serverByAddr[addr(2)]; s.latency == 0 || s.latencySamples > 5 || s.meanLatencyMs == 0 {
-		t.Errorf("of a healthy server: %+v", s)
+	if s := agent.balancer.serverByAddr[addr(2)]; s.relativeLatency == 0 || s.latencySamples > 5 ||
+		s.meanLatencyMs == 0 {
+		t.Errorf("the healthy server was restored as %+v", s)
 	}
 	if agent.balancer.serverByAddr[addr(9)].slowStartCredit != 0 {
-		t.Errorf("a server that warms up has a credit of %.2f", agent.balancer.serverByAddr[addr(9)].slowStartCredit)
+		t.Errorf("a server in slow start has a credit of %.2f",
+			agent.balancer.serverByAddr[addr(9)].slowStartCredit)
 	}
 	if agent.balancer.keys.total == 0 || agent.balancer.latency.baseline == 0 ||
-		agent.balancer.latency.expected[0] > 30 {
+		agent.balancer.latency.expectedMs[0] > 30 {
 		t.Errorf("keys %.0f, baseline %.2f, expected latency %.0f", agent.balancer.keys.total,
-			agent.balancer.latency.baseline, agent.balancer.latency.expected[0])
+			agent.balancer.latency.baseline, agent.balancer.latency.expectedMs[0])
 	}
 }
 
-// State that no longer holds, or never did, is not restored.
+// State that no longer holds, or that is invalid, is not restored.
 func TestRestoreDropsStaleState(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Snapshot, []Endpoint)
-		states bool // still restored
-		keys   bool
+		states bool // whether server states are restored
+		keys   bool // whether keys are restored
 	}{
-		{"as it was", func(*Snapshot, []Endpoint) {}, true, true},
+		{"unchanged", func(*Snapshot, []Endpoint) {}, true, true},
 		{"restarted servers", func(_ *Snapshot, e []Endpoint) {
 			for i := range e {
 				e[i].StartedMs = 998_000
@@ -96,9 +99,9 @@
 				e[i].Server = addr(100 + i)
 			}
 		}, false, true},
-		{"older than its bound", func(m *Snapshot, _ []Endpoint) { m.AgeMs = snapshotMaxAgeMs + 1 }, false, true},
-		{"much older", func(m *Snapshot, _ []Endpoint) { m.AgeMs = snapshotKeysMaxAgeMs + 1 }, false, false},
-		{"of an age that makes no sense", func(m *Snapshot, _ []Endpoint) { m.AgeMs = -1 }, false, false},
+		{"old", func(m *Snapshot, _ []Endpoint) { m.AgeMs = snapshotMaxAgeMs + 1 }, false, true},
+		{"too old", func(m *Snapshot, _ []Endpoint) { m.AgeMs = snapshotKeysMaxAgeMs + 1 }, false, false},
+		{"invalid age", func(m *Snapshot, _ []Endpoint) { m.AgeMs = -1 }, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			agent, _ := restartFrom(t, newExperiencedAgent(t), c.change)
@@ -109,13 +112,13 @@
 				}
 			}
 			if (known > 0) != c.states || (agent.balancer.keys.total > 0) != c.keys {
-				t.Errorf("%d states and %.0f requests of keys", known, agent.balancer.keys.total)
+				t.Errorf("restored %d server states and %.0f key requests", known, agent.balancer.keys.total)
 			}
 		})
 	}
 }
 
-// Numbers from a damaged snapshot give no state that the agent could not have come to.
+// Invalid numbers in a damaged snapshot do not put the agent into an invalid state.
 func TestRestoreOfInvalidSnapshot(t *testing.T) {
 	nan := 0.0
 	nan /= nan
@@ -137,7 +140,7 @@
 	for _, s := range agent.balancer.servers {
 		if s.state > Unhealthy || s.latencySamples < 0 || !(s.concurrencyLimit >= minConcurrency &&
 			s.concurrencyLimit <= 64) || !(s.failureRate >= 0 && s.failureRate <= 1) {
-			t.Errorf("server %+v", s)
+			t.Errorf("invalid state of a server: %+v", s)
 		}
 	}
 	for range 200 {
@@ -149,29 +152,30 @@
 	}
 }
 
-// A server that was ejected and has recovered waits for one validation, and no longer.
+// A server that was ejected in the snapshot and has recovered waits for no more than one validation.
 func TestRestoredEjectionDelaysByOneValidation(t *testing.T) {
 	agent, _ := restartFrom(t, newExperiencedAgent(t), nil)
-	back := 0.0
+	usedAfterMs := 0.0
 	from := agent.now
-	for back == 0 && agent.now < from+maxEjectionMs {
+	for usedAfterMs == 0 && agent.now < from+maxEjectionMs {
 		agent.now += 5
 		id, actions := agent.request(0, agent.balancer.rng.Uint64())
 		if a := findAction(actions, ActionSend); a != nil {
 			agent.endAttempt(id, 0, a.Server, OK, 5)
 			if a.Server == addr(0) {
-				back = agent.now - from
+				usedAfterMs = agent.now - from
 			}
 		}
 	}
-	if s := agent.balancer.serverByAddr[addr(0)]; s.state != Connected || back > 2*agent.balancer.minLatencyTarget {
-		t.Errorf("%v, used again after %.0f ms, one latency target is %.0f", s.state, back,
-			agent.balancer.minLatencyTarget)
+	if s := agent.balancer.serverByAddr[addr(0)]; s.state != Connected ||
+		usedAfterMs > 2*agent.balancer.minLatencyTarget {
+		t.Errorf("state %v, used again after %.0f ms, want at most two latency targets of %.0f ms", s.state,
+			usedAfterMs, agent.balancer.minLatencyTarget)
 	}
 }
 
-// Equal snapshots and events give equal actions, and an agent with an empty snapshot acts as one
-// without.
+// Equal snapshots and events give equal actions. An agent with an empty snapshot acts like one without a
+// snapshot.
 func TestRestoreIsDeterministic(t *testing.T) {
 	run := func(m *Snapshot, restore bool) (all []Action) {
 		agent := newTestAgent(t, testSettings(), 10)
@@ -185,16 +189,17 @@
 				Key: uint64(i%17) + 1, RemainingMs: 600})
 			all = append(all, actions...)
 			if a := findAction(actions, ActionSend); a != nil {
-				all = append(all, agent.endAttempt(agent.lastID, 0, a.Server, []Status{OK, OK, Error}[i%3], 20)...)
+				all = append(all, agent.endAttempt(agent.lastID, 0, a.Server,
+					[]Status{OK, OK, Error}[i%3], 20)...)
 			}
 		}
 		return all
 	}
 	m := newExperiencedAgent(t).balancer.Snapshot(1e6)
 	if !reflect.DeepEqual(run(m, true), run(m, true)) {
-		t.Error("equal snapshots, different actions")
+		t.Error("equal snapshots gave different actions")
 	}
 	if !reflect.DeepEqual(run(nil, true), run(nil, false)) {
-		t.Error("an empty snapshot changes the actions")
+		t.Error("an empty snapshot changed the actions")
 	}
 }
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -1,11 +1,11 @@
 package policy
 
-// validateUnhealthy makes servers that were Unhealthy for long enough pending, and validates pending ones in
-// the background; each request triggers it.
+// validateUnhealthy moves servers whose ejection time is over to UnhealthyPending, and probes pending ones.
+// Each request triggers it.
 func (b *Balancer) validateUnhealthy() {
 	b.survey()
-	for _, srv := range b.capacity.unhealthy {
-		// One attempt that hangs must not exclude a server that answers the others.
+	for _, srv := range b.capacity.unhealthyServers {
+		// One attempt that hangs must not exclude a server that answers others.
 		free := len(srv.inFlight) == 0 || !srv.timedOut && b.toleratesFailures(srv)
 		if srv.ready && free && srv.BeginValidation(b.ejectionTime(srv), b.now) {
 			b.generation++
@@ -17,15 +17,16 @@
 	}
 }
 
-// needsProbe reports whether a probe would validate the server. A probe tells no more than that the process
-// runs, which is known of one that answered; and one out of the site's reach would use up the probes.
+// needsProbe reports whether the server is to be validated by a probe. A probe only shows that the process
+// runs, which is known of a server that answered. Probes of servers out of the site's reach would use up the
+// budget.
 func (b *Balancer) needsProbe(srv *server) bool {
 	pending := srv.state == UnhealthyPending && srv.ready && srv.timedOut &&
 		(b.overrides.reachableShare == 1 || b.effectiveShare(srv) > 0)
 	return pending && b.settings.Limits.AllowProbes && !srv.probing
 }
 
-// onProbeEnded takes the end of a probe.
+// onProbeEnded handles the end of a probe.
 func (b *Balancer) onProbeEnded(event *Event) {
 	srv := b.serverByAddr[event.Server]
 	if srv == nil || !srv.probing {
@@ -33,7 +34,7 @@
 	}
 	srv.probing = false
 	b.probes.inFlight--
-	if event.Status == OK && srv.samplingLoad { // servers under validation are no fair sample
+	if event.Status == OK && srv.samplingLoad { // servers under validation do not represent the fleet's load
 		b.recordUtilization(srv, event.LoadReport)
 	}
 	srv.samplingLoad = false
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -24,26 +24,26 @@
 	agent.request(0, 8)
 	agent.handle(Event{Kind: EventProbeEnded, Server: s, Status: OK, LatencyMs: 5})
 	if agent.balancer.serverByAddr[s].state != Connected {
-		t.Error("a good probe did not set Connected")
+		t.Error("a successful probe did not set Connected")
 	}
 }
 
-// An unresponsive server out of the site's reach is not probed: it would use up the probes for those
-// that the site has.
+// An unresponsive server that the site does not reach is not probed: it would use up the probes for those
+// that the site reaches.
 func TestUnreachableServersAreNotProbed(t *testing.T) {
-	for _, within := range []float64{1, 0.5} {
+	for _, reachableShare := range []float64{1, 0.5} {
 		set := testSettings()
 		set.Limits.AllowProbes = true
 		agent := newTestAgent(t, set, 4)
 		s := agent.balancer.serverByAddr[addr(1)]
 		s.state, s.timedOut, s.since = UnhealthyPending, true, agent.now
 		agent.balancer.generation++
-		agent.handle(Event{Kind: EventOverrides, ReachableShare: within, Overrides: []Override{{Server: addr(1),
-			ExpiresMs: agent.now + 1e6}}})
+		agent.handle(Event{Kind: EventOverrides, ReachableShare: reachableShare,
+			Overrides: []Override{{Server: addr(1), ExpiresMs: agent.now + 1e6}}})
 		agent.balancer.actions, agent.balancer.probes.tokens = nil, maxProbesInFlight
 		agent.balancer.validateUnhealthy()
-		if probed := findAction(agent.balancer.actions, ActionProbe) != nil; probed != (within == 1) {
-			t.Errorf("reachable share %v: probed %v", within, probed)
+		if probed := findAction(agent.balancer.actions, ActionProbe) != nil; probed != (reachableShare == 1) {
+			t.Errorf("reachable share %v: probed %v", reachableShare, probed)
 		}
 	}
 }
--- a/policy/zones.go
+++ b/policy/zones.go
@@ -1,15 +1,17 @@
 package policy
 
 const (
-	// zoneSuspicionCount is the number of unresponsive servers of a zone from which all of it is suspected.
+	// zoneSuspicionCount is the number of unresponsive servers with which all servers of a zone are
+	// suspected.
 	zoneSuspicionCount = 2
-	// localWeightMin and localWeightMax bound how much more a server of the agent's own zone weighs:
-	// crossing zones takes time and may have a price. localWeightStep is how fast it moves.
+	// localWeightMin and localWeightMax bound the factor on the weight of servers in the agent's own zone:
+	// crossing zones takes time and may have a price. localWeightStep is the largest relative change by one
+	// attempt.
 	localWeightMin, localWeightMax, localWeightStep = 1.5, 8.0, 0.1
 )
 
-// suspectZone takes all servers of a zone for unresponsive if several are, and none of the zone has responded
-// since. A probe or a response clears those that were only suspected.
+// suspectZone suspects all servers of a zone to be unresponsive if several of them are and no server of the
+// zone has responded since. A response to a request or a probe clears the suspicion.
 func (b *Balancer) suspectZone(zone int) {
 	if b.unresponsiveIn(zone) < zoneSuspicionCount {
 		return
@@ -33,14 +35,14 @@
 	count := 0
 	for _, srv := range b.servers {
 		if srv.zone == zone && srv.ready && srv.state >= UnhealthyPending && srv.timedOut &&
-			srv.timedOutFrom > lastResponse {
+			srv.timedOutSentAt > lastResponse {
 			count++
 		}
 	}
 	return count
 }
 
-// clearZoneSuspicion takes back a suspicion that a response from the zone has refuted.
+// clearZoneSuspicion clears the suspicion of a zone's servers after one of them has responded.
 func (b *Balancer) clearZoneSuspicion(zone int) {
 	for _, srv := range b.servers {
 		if srv.zone != zone || !srv.zoneSuspected {
@@ -54,9 +56,9 @@
 	}
 }
 
-// adjustLocalWeight moves the weight of the own zone's servers up while the part of the requests sent
-// there and not answered in time is under the price of crossing zones, and down while it is above: one
-// zone may have more traffic than its servers can serve.
+// adjustLocalWeight adjusts the weight of the servers in the agent's own zone: up while the fraction of the
+// requests sent there that is not answered in time is below the price of crossing zones, and down while it is
+// above. A zone may have more traffic than its servers can serve.
 func (b *Balancer) adjustLocalWeight(srv *server, missed bool) {
 	if srv.zone != b.settings.Zone {
 		return
--- a/policy/zones_test.go
+++ b/policy/zones_test.go
@@ -2,28 +2,29 @@
 
 import "testing"
 
-// Crossing zones costs time and has a price: of many keys more stay in the own zone than its servers'
-// part, and still all servers are used.
+// Crossing zones takes time and has a price: the agent's own zone gets more than its servers' share of the
+// keys, and all servers are used.
 func TestOwnZoneIsPreferred(t *testing.T) {
-	agent := newTestAgent(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
-	own, used, all := 0, map[Addr]bool{}, 600
-	for key := range uint64(all) {
+	agent := newTestAgent(t, testSettings(), 6) // servers alternate between zones 0 and 1; the agent is in 0
+	local, used, total := 0, map[Addr]bool{}, 600
+	for key := range uint64(total) {
 		id, s := agent.mustSend(0, mixBits(key+1))
 		agent.endAttempt(id, 0, s, OK, 20)
 		used[s] = true
 		if agent.balancer.serverByAddr[s].zone == 0 {
-			own++
+			local++
 		}
 	}
-	if share := float64(own) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
-		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
+	if share := float64(local) / float64(total); share < 0.53 || share > 0.68 || len(used) != 6 {
+		t.Errorf("the agent's zone got %.2f of the keys, and %d servers were used; want about 0.6 and 6",
+			share, len(used))
 	}
 }
 
-// Observed: crossing has a price, but one zone has more traffic than its servers can serve. A fixed
-// weight by the price was better on some runs and worse on others.
+// Crossing zones has a price, but a zone may have more traffic than its servers can serve. Observed: a fixed
+// weight by the price was better in some runs and worse in others.
 func TestLocalWeightGrowsWhileTheZoneIsOnTime(t *testing.T) {
-	weight := func(price, rtt float64) float64 {
+	weight := func(price, latencyMs float64) float64 {
 		set := testSettings()
 		set.Prices.CrossZone = price
 		agent := newTestAgent(t, set, 6)
@@ -31,29 +32,29 @@
 			agent.now += 500
 			id, actions := agent.request(0, agent.balancer.rng.Uint64())
 			if a := findAction(actions, ActionSend); a != nil {
-				agent.now += rtt
-				agent.endAttempt(id, 0, a.Server, OK, rtt)
+				agent.now += latencyMs
+				agent.endAttempt(id, 0, a.Server, OK, latencyMs)
 			}
 		}
 		return agent.balancer.localWeight
 	}
 	if w := weight(0.1, 20); w < 4 {
-		t.Errorf("own zone in time: weight %.1f, want much", w)
+		t.Errorf("the agent's zone answers in time: weight %.1f, want 4 or more", w)
 	}
 	for _, w := range []float64{weight(0.1, 500), weight(0, 20)} {
 		if w != localWeightMin {
-			t.Errorf("own zone late, or crossing free: weight %.1f, want the least", w)
+			t.Errorf("the agent's zone is late, or crossing zones is free: weight %.1f, want the minimum", w)
 		}
 	}
 }
 
-// Observed: 80 agents found the loss of a zone of 20 servers one server and one lost request at a
-// time. Two unresponsive servers, without a response from the zone since, suffice.
+// Observed: 80 agents detected the loss of a zone with 20 servers one by one, and lost a request for each
+// server. Two unresponsive servers are enough to suspect the zone if it has not responded since.
 func TestUnresponsiveZoneIsSuspected(t *testing.T) {
-	for _, answers := range []bool{false, true} {
+	for _, responds := range []bool{false, true} {
 		set := testSettings()
 		set.Limits.AllowProbes = true
-		agent := newTestAgent(t, set, 12) // the odd ones in zone 1
+		agent := newTestAgent(t, set, 12) // servers alternate between zones 0 and 1
 		timeOut := func(i int) {
 			id, s := agent.mustSend(0, agent.balancer.rng.Uint64())
 			for agent.balancer.serverByAddr[s].zone != 1 || agent.balancer.serverByAddr[s].state > Unknown {
@@ -62,14 +63,14 @@
 				id, s = agent.mustSend(0, agent.balancer.rng.Uint64())
 			}
 			agent.now += 100
-			if answers && i > 0 {
-				for _, o := range agent.balancer.servers {
-					o.lastResponseAt = agent.now
+			if responds && i > 0 {
+				for _, other := range agent.balancer.servers {
+					other.lastResponseAt = agent.now
 				}
 			}
 			agent.endAttempt(id, 0, s, ConnectFailed, 100)
 		}
-		suspects := func() (n int) {
+		suspected := func() (n int) {
 			for _, s := range agent.balancer.servers {
 				if s.zoneSuspected {
 					n++
@@ -77,21 +78,21 @@
 			}
 			return n
 		}
-		// The responses that the search above gets from zone 1 are older than these attempts.
+		// Makes the responses that timeOut gets from zone 1 older than the attempts that time out.
 		timeOut(0)
 		agent.now += 10
-		first := agent.balancer.now
+		firstTimeoutAt := agent.balancer.now
 		for _, s := range agent.balancer.servers {
 			if s.timedOut {
-				s.timedOutFrom = first
+				s.timedOutSentAt = firstTimeoutAt
 			}
-			s.lastResponseAt = min(s.lastResponseAt, first-1)
+			s.lastResponseAt = min(s.lastResponseAt, firstTimeoutAt-1)
 		}
 		timeOut(1)
-		if got := suspects(); answers == (got > 0) {
-			t.Fatalf("the zone responds: %v, %d servers suspected", answers, got)
+		if got := suspected(); responds == (got > 0) {
+			t.Fatalf("the zone responds: %v, %d servers suspected", responds, got)
 		}
-		if answers {
+		if responds {
 			continue
 		}
 		for _, s := range agent.balancer.servers {
@@ -107,7 +108,7 @@
 				break
 			}
 		}
-		if got := suspects(); got > 0 {
+		if got := suspected(); got > 0 {
 			t.Errorf("%d servers still suspected after a response from the zone", got)
 		}
 	}
