--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -25,9 +25,11 @@
 	agent := newTestAgent(t, testSettings(), 1)
 	agent.updateList(UpdateDelta, Endpoint{Server: addr(1), Status: Ready, Weight: 1, StartedMs: agent.now})
 	agent.balancer.latency.baseline = 0.2
-	if warmingUp, warm := agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(1)]),
-		agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(0)]); warmingUp < 2*warm {
-		t.Errorf("overload latency %.2f of a server in slow start, %.2f of a warm one", warmingUp, warm)
+	if slowStartLatency, warmLatency := agent.balancer.overloadLatency(agent.balancer.serverByAddr[addr(1)]),
+		agent.balancer.overloadLatency(
+			agent.balancer.serverByAddr[addr(0)]); slowStartLatency < 2*warmLatency {
+		t.Errorf("overload latency %.2f of a server in slow start, %.2f of a warm one", slowStartLatency,
+			warmLatency)
 	}
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -81,11 +81,11 @@
 func TestFailingServerIsValidatedAtOnceWhileOthersLackCapacity(t *testing.T) {
 	for _, saturated := range []bool{false, true} {
 		agent := newTestAgent(t, testSettings(), 4)
-		failing := agent.balancer.serverByAddr[addr(0)]
-		failing.failureRate = 1
+		failingServer := agent.balancer.serverByAddr[addr(0)]
+		failingServer.failureRate = 1
 		for range 3 {
-			agent.balancer.transition(failing, Connected)
-			agent.balancer.eject(failing, false)
+			agent.balancer.transition(failingServer, Connected)
+			agent.balancer.eject(failingServer, false)
 		}
 		if saturated {
 			for range 40 { // more than the concurrency limits of the others allow
@@ -94,7 +94,7 @@
 		}
 		agent.now += agent.balancer.minLatencyTarget + 1
 		agent.request(0, 0)
-		if pending := failing.state == UnhealthyPending; pending != saturated {
+		if pending := failingServer.state == UnhealthyPending; pending != saturated {
 			t.Errorf("others saturated: %v; failing server validated after one latency target: %v", saturated,
 				pending)
 		}
@@ -104,20 +104,20 @@
 // A request that must not be executed twice is not sent to a server under validation, where it could be lost.
 func TestNonIdempotentRequestsValidateNoServer(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
-	pending := agent.balancer.serverByAddr[addr(0)]
-	agent.balancer.transition(pending, UnhealthyPending)
-	pending.failureRate = 1
+	pendingServer := agent.balancer.serverByAddr[addr(0)]
+	agent.balancer.transition(pendingServer, UnhealthyPending)
+	pendingServer.failureRate = 1
 	idempotent, nonIdempotent := 0, 0
 	for range 200 {
 		agent.now += 10
 		for class, n := range []*int{&idempotent, &nonIdempotent} {
 			id, s := agent.mustSend(class, uint64(agent.balancer.rng.Int64()))
-			if s == pending.addr {
+			if s == pendingServer.addr {
 				*n++
 			}
 			agent.endAttempt(id, 0, s, OK, 5)
-			agent.balancer.transition(pending, UnhealthyPending)
-			pending.failureRate = 1
+			agent.balancer.transition(pendingServer, UnhealthyPending)
+			pendingServer.failureRate = 1
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
@@ -156,14 +156,14 @@
 			t.Errorf("a server that fails as often as the others was ejected %d times", s.ejections)
 		}
 	}
-	failing := agent.balancer.servers[0]
+	failingServer := agent.balancer.servers[0]
 	agent.balancer.saturated = false
 	for range 4 {
-		agent.balancer.recordFailureRate(failing, 1)
-		agent.balancer.transition(failing, Connected)
-		agent.balancer.eject(failing, false)
+		agent.balancer.recordFailureRate(failingServer, 1)
+		agent.balancer.transition(failingServer, Connected)
+		agent.balancer.eject(failingServer, false)
 	}
-	if agent.balancer.ejectionTime(failing) < agent.balancer.minLatencyTarget {
+	if agent.balancer.ejectionTime(failingServer) < agent.balancer.minLatencyTarget {
 		t.Error("a server that fails all requests is not ejected for a latency target")
 	}
 }
@@ -192,7 +192,7 @@
 	set := testSettings()
 	set.Limits.AllowProbes = true
 	agent := newTestAgent(t, set, 10)
-	failing, attempts, probes := addr(0), 0, 0
+	failingServer, attempts, probes := addr(0), 0, 0
 	const requests = 400
 	for range requests {
 		agent.now += 200
@@ -207,7 +207,7 @@
 				break
 			}
 			status := OK
-			if a.Server == failing {
+			if a.Server == failingServer {
 				status, attempts = Error, attempts+1
 			}
 			actions = agent.endAttempt(id, index, a.Server, status, 20)
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -46,16 +46,17 @@
 	set := testSettings()
 	set.Objective = Objective{Overall: 0.5, WorstClass: 0.5}
 	agent := newTestAgent(t, set, 2)
-	served, starved := &request{class: 1, targetAt: agent.now + 500},
+	servedRequest, starvedRequest := &request{class: 1, targetAt: agent.now + 500},
 		&request{class: 0, targetAt: agent.now + 500}
 	for range 500 { // class 1 is served, class 0 is not
 		agent.balancer.mix.countClass(agent.balancer.settings.Classes, 0)
 		agent.balancer.mix.countClass(agent.balancer.settings.Classes, 1)
 		agent.balancer.mix.classOnTime[1] += 1 - mixDecay
 	}
-	asWorst := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served)
+	asWorst := agent.balancer.valueOf(starvedRequest) / agent.balancer.valueOf(servedRequest)
 	agent.balancer.mix.worstClass = 1
-	if notWorst := agent.balancer.valueOf(starved) / agent.balancer.valueOf(served); asWorst <= notWorst {
+	if notWorst := agent.balancer.valueOf(starvedRequest) /
+		agent.balancer.valueOf(servedRequest); asWorst <= notWorst {
 		t.Errorf("class 0 has %.2f times the value of class 1 as the worst class, and %.2f times otherwise",
 			asWorst, notWorst)
 	}
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -7,7 +7,7 @@
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 20)
 	agent.splitKeys = true
-	popular, rare := map[Addr]bool{}, map[Addr]bool{}
+	popularServers, rareServers := map[Addr]bool{}, map[Addr]bool{}
 	for i := range 4000 {
 		agent.now += 20
 		key := 1000 + agent.balancer.rng.Uint64N(1000)
@@ -20,13 +20,13 @@
 		agent.endAttempt(id, 0, s, OK, 10)
 		switch key {
 		case 7:
-			popular[s] = true
+			popularServers[s] = true
 		case 8:
-			rare[s] = true
+			rareServers[s] = true
 		}
 	}
-	if len(popular) < 8 || len(rare) > 5 {
-		t.Errorf("a key with a fifth of all requests used %d servers, one with a hundredth %d", len(popular),
-			len(rare))
+	if len(popularServers) < 8 || len(rareServers) > 5 {
+		t.Errorf("a key with a fifth of all requests used %d servers, one with a hundredth %d",
+			len(popularServers), len(rareServers))
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -71,12 +71,12 @@
 func TestSlowStartCreditAccruesByRequestNotByAttempt(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 4)
 	agent.updateList(UpdateDelta, Endpoint{Server: addr(4), Status: Ready, Weight: 1, StartedMs: agent.now})
-	warmingUp := agent.balancer.serverByAddr[addr(4)]
+	newServer := agent.balancer.serverByAddr[addr(4)]
 	const requests = 10
 	attempts := 0
 	for range requests {
 		agent.now += 5
-		warmingUp.slowStartCredit = 0
+		newServer.slowStartCredit = 0
 		id, actions := agent.request(1, agent.balancer.rng.Uint64())
 		for index := 0; ; index++ {
 			a := findAction(actions, ActionSend)
@@ -86,9 +86,9 @@
 			attempts++
 			actions = agent.endAttempt(id, index, a.Server, Rejected, 1)
 		}
-		if share := agent.balancer.slowStartFactor(warmingUp) /
-			agent.balancer.currentCapacity(); warmingUp.slowStartCredit > share+1e-9 {
-			t.Fatalf("credit %.3f for one request, its share is %.3f", warmingUp.slowStartCredit, share)
+		if share := agent.balancer.slowStartFactor(newServer) /
+			agent.balancer.currentCapacity(); newServer.slowStartCredit > share+1e-9 {
+			t.Fatalf("credit %.3f for one request, its share is %.3f", newServer.slowStartCredit, share)
 		}
 	}
 	if attempts <= requests {
@@ -172,21 +172,21 @@
 			agent := newTestAgent(t, set, 10)
 			agent.updateList(UpdateDelta, Endpoint{Server: addr(10), Status: Ready, Weight: 1,
 				StartedMs: agent.now})
-			warmingUp := agent.balancer.serverByAddr[addr(10)]
+			newServer := agent.balancer.serverByAddr[addr(10)]
 			earned, share := 0.0, 0.0
 			for range 400 {
 				agent.now++
 				agent.balancer.admission.demand, agent.balancer.admission.admittedShare =
 					c.demand*agent.balancer.currentCapacity(), 1
-				warmingUp.slowStartCredit = 0
+				newServer.slowStartCredit = 0
 				id, event := agent.lastID+1, Event{Kind: EventRequest, Request: agent.lastID + 1, Class: 1,
 					RemainingMs: 600, IsRetry: c.retry}
 				agent.lastID++
 				if a := findAction(agent.handle(event), ActionSend); a != nil {
 					agent.endAttempt(id, 0, a.Server, OK, 5)
 				}
-				earned += warmingUp.slowStartCredit
-				share += agent.balancer.slowStartFactor(warmingUp) / agent.balancer.capacity.peak *
+				earned += newServer.slowStartCredit
+				share += agent.balancer.slowStartFactor(newServer) / agent.balancer.capacity.peak *
 					set.Contract.CollapseLoadFactor / slowStartLoadMargin
 			}
 			if ratio := earned / share; ratio < c.least || ratio > c.most {
@@ -212,9 +212,9 @@
 		}
 	}
 	agent.updateList(UpdateFull, entries...)
-	warmingUp := func(i int) *server { return agent.balancer.serverByAddr[addr(i)] }
+	serverAt := func(i int) *server { return agent.balancer.serverByAddr[addr(i)] }
 	for i := 1; i < 4; i++ {
-		warmingUp(i).slowStartCredit = 0
+		serverAt(i).slowStartCredit = 0
 	}
 	expires := agent.now + 1e6
 	agent.handle(Event{Kind: EventOverrides, ReachableShare: 1, ZoneWeighted: true, Overrides: []Override{
@@ -227,9 +227,9 @@
 		agent.now++
 		agent.balancer.accrueSlowStart()
 	}
-	if warmingUp(1).slowStartCredit <= 0 || warmingUp(2).slowStartCredit != 0 ||
-		warmingUp(3).slowStartCredit > 0.011*warmingUp(1).slowStartCredit {
+	if serverAt(1).slowStartCredit <= 0 || serverAt(2).slowStartCredit != 0 ||
+		serverAt(3).slowStartCredit > 0.011*serverAt(1).slowStartCredit {
 		t.Errorf("credits %v, %v and %v of a server in use, an ejected one and one with a low traffic weight",
-			warmingUp(1).slowStartCredit, warmingUp(2).slowStartCredit, warmingUp(3).slowStartCredit)
+			serverAt(1).slowStartCredit, serverAt(2).slowStartCredit, serverAt(3).slowStartCredit)
 	}
 }
