--- a/internal/fleet/balancer/arbitrary_history_test.go
+++ b/internal/fleet/balancer/arbitrary_history_test.go
@@ -12,14 +12,14 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// arbitraryHistory plays events in any order against a picker.
+// arbitraryHistory applies events to a picker in any order.
 type arbitraryHistory struct {
 	picker   *Picker
 	now      time.Duration
-	seq      uint64
-	listed   map[string]uint64 // sequence numbers by instance ID
-	attempts []*Attempt
-	checks   []*registry.Instance // in flight
+	seq      uint64               // sequence number of the instances in the current list
+	listed   map[string]uint64    // sequence numbers of the listed instances, by ID
+	attempts []*Attempt           // all attempts so far
+	checks   []*registry.Instance // instances with a health check in flight
 }
 
 func newArbitraryHistory(t *rapid.T) *arbitraryHistory {
@@ -27,15 +27,15 @@
 	return &arbitraryHistory{picker: New(options), seq: 1, listed: map[string]uint64{}}
 }
 
-// advance lets time pass.
+// advance advances the time by up to 1.5 seconds.
 func (h *arbitraryHistory) advance(t *rapid.T) {
 	h.now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms
 }
 
-// attempt is any attempt so far.
+// attempt returns any attempt so far.
 func (h *arbitraryHistory) attempt(t *rapid.T) *Attempt {
 	if len(h.attempts) == 0 {
-		t.Skip("there is none")
+		t.Skip("no attempt has begun")
 	}
 	return h.attempts[rapid.IntRange(0, len(h.attempts)-1).Draw(t, "attempt")]
 }
@@ -91,7 +91,11 @@
 
 func (h *arbitraryHistory) headers(t *rapid.T) {
 	h.advance(t)
-	load := &Load{Running: rapid.IntRange(0, 9).Draw(t, "running"), Waiting: rapid.IntRange(0, 9).Draw(t, "waiting"), Slots: 8}
+	load := &Load{
+		Running: rapid.IntRange(0, 9).Draw(t, "running"),
+		Waiting: rapid.IntRange(0, 9).Draw(t, "waiting"),
+		Slots:   8,
+	}
 	h.attempt(t).Headers(h.now, 200, load)
 }
 
@@ -129,7 +133,7 @@
 	h.picker.ObserveRemotePrefill(h.now, 0, &PrefillNotice{Instance: id, PromptTokens: 9000, UncachedTokens: 9000})
 }
 
-// check verifies that servers are listed and that counts are right.
+// check verifies that the picker knows exactly the listed servers and that its counts are right.
 func (h *arbitraryHistory) check(t *rapid.T) {
 	p := h.picker
 	require.Len(t, p.servers, len(h.listed))
@@ -156,8 +160,8 @@
 	require.Len(t, p.Snapshot(h.now), len(h.listed))
 }
 
-// In any order of events counts are right, and nothing goes to a server that is not listed or was
-// tried.
+// TestArbitraryHistory requires that, in any order of events, counts are right and no request goes to
+// a server that is not listed or was tried.
 func TestArbitraryHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newArbitraryHistory(t)
--- a/internal/fleet/balancer/attempt.go
+++ b/internal/fleet/balancer/attempt.go
@@ -10,10 +10,10 @@
 const (
 	// fullBackoff is how long a server that rejected a request counts as full, on average.
 	fullBackoff = 200 * time.Millisecond
-	// connectTimeoutThreshold is how long a failed connect must have taken to be a time-out rather
-	// than a refusal.
+	// A failed connect counts as a time-out if it took at least connectTimeoutThreshold, otherwise
+	// as a refusal.
 	connectTimeoutThreshold = 200 * time.Millisecond
-	// queueingSmoothing is the weight of one reported load in the queueing ratio.
+	// queueingSmoothing is the weight of one reported load in service.queueingRatio.
 	queueingSmoothing = 0.05
 )
 
@@ -23,21 +23,21 @@
 // The outcomes.
 const (
 	Succeeded     Outcome = iota // the complete response arrived
-	ClientError                  // a 4xx about the request: no verdict on the server
-	Rejected                     // rejected unrun, as the server is full: no failure
-	Misdirected                  // 421: another instance is at the address, the list is old
-	ConnectFailed                // refused, or not connected in time
+	ClientError                  // a 4xx that is due to the request; says nothing about the server's health
+	Rejected                     // the server was full and did not run the request; not a failure
+	Misdirected                  // 421: another instance has the address, so the list is outdated
+	ConnectFailed                // the connection was refused or not established in time
 	Reset                        // the connection was closed or reset
-	Timeout
-	BadResponse // the response was truncated or malformed
-	ServerError // a 5xx of a request that ran
-	Cancelled   // the client left: no verdict on the server
+	Timeout                      // no complete response arrived in time
+	BadResponse                  // the response was truncated or malformed
+	ServerError                  // a 5xx for a request that ran
+	Cancelled                    // the client disconnected; says nothing about the server's health
 )
 
 var outcomeNames = [...]string{"succeeded", "client error", "rejected", "misdirected", "connect failed", "reset",
 	"timeout", "bad response", "server error", "cancelled"}
 
-// String is the outcome's name.
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -55,21 +55,21 @@
 	}
 }
 
-// Attempt is one forwarding of a request. Its methods take the Picker's clock and share its lock:
-// they are as little safe for concurrent use.
+// Attempt is one attempt of a request at a server. Its methods take times of the Picker's clock and
+// change the Picker: a caller that guards the Picker with a lock must hold it for them too.
 type Attempt struct {
 	picker         *Picker
 	server         *server
 	sequence       *inference.Sequence
 	prefixes       []Segment
 	sentAt         time.Duration
-	targetAt       time.Duration // when its first token is late
-	estimate       time.Duration // time to its first token, when it was picked
+	targetAt       time.Duration // when the first token becomes late
+	estimate       time.Duration // estimated time to the first token when the server was picked
 	promptTokens   int
-	instanceSeq    uint64 // the instance's sequence number when it was picked
-	status         int
+	instanceSeq    uint64 // the instance's sequence number when the server was picked
+	status         int    // HTTP status of the response; zero before its header
 	priorityClass  int
-	responded      bool
+	responded      bool // part of a response has arrived
 	firstEventSeen bool
 	ended          bool
 }
@@ -80,7 +80,7 @@
 	a.sequence.Sent(now)
 }
 
-// Headers records the response's header, with the load that it reports, if any.
+// Headers records the response's header. The load is the one that it reports, or nil.
 func (a *Attempt) Headers(now time.Duration, status int, load *Load) {
 	a.recordResponse(now)
 	a.status = status
@@ -106,6 +106,7 @@
 	a.sequence.Events(now, n)
 }
 
+// recordResponse records that the server answered the attempt.
 func (a *Attempt) recordResponse(now time.Duration) {
 	a.responded = true
 	a.server.lastResponseAt = max(a.server.lastResponseAt, now)
@@ -130,7 +131,7 @@
 	}
 }
 
-// updateHealth is the verdict of the outcome on the server.
+// updateHealth updates the server's health from the outcome.
 func (a *Attempt) updateHealth(now time.Duration, outcome Outcome) {
 	s, p := a.server, a.picker
 	switch outcome {
@@ -149,7 +150,7 @@
 		p.allowChecks(now, s.service)
 	case Reset, BadResponse, ServerError:
 		s.lastResponseAt = max(s.lastResponseAt, now)
-		if a.status != http.StatusGatewayTimeout { // the client's own deadline is no failure
+		if a.status != http.StatusGatewayTimeout { // 504: the client's deadline passed, not the server's fault
 			p.markUnhealthy(now, s, false)
 		}
 	case Timeout:
@@ -160,8 +161,8 @@
 	}
 }
 
-// timeoutBlamesServer reports whether the attempt was given enough time for an answer, and the
-// server answered nothing else meanwhile.
+// timeoutBlamesServer reports whether a time-out is the server's fault: the attempt had enough time
+// for an answer, and the server has answered nothing since it was sent.
 func (a *Attempt) timeoutBlamesServer(now time.Duration) bool {
 	return !a.responded && a.server.lastResponseAt < a.sentAt && now-a.sentAt >= max(2*a.estimate, minUnresponsiveTime)
 }
--- a/internal/fleet/balancer/bench_test.go
+++ b/internal/fleet/balancer/bench_test.go
@@ -14,8 +14,14 @@
 func benchList(servers int) *registry.List {
 	l := &registry.List{ByService: map[string][]*registry.Instance{}, ByID: map[string]*registry.Instance{}}
 	for i := range servers {
-		in := &registry.Instance{ID: fmt.Sprintf("i-%08x", i), Service: "llm", Zone: fmt.Sprintf("zone-%d", i%5), Slots: 64, Seq: 1}
-		l.ByService["llm"], l.ByID[in.ID] = append(l.ByService["llm"], in), in
+		instance := &registry.Instance{
+			ID:      fmt.Sprintf("i-%08x", i),
+			Service: "llm",
+			Zone:    fmt.Sprintf("zone-%d", i%5),
+			Slots:   64,
+			Seq:     1,
+		}
+		l.ByService["llm"], l.ByID[instance.ID] = append(l.ByService["llm"], instance), instance
 	}
 	return l
 }
@@ -28,15 +34,18 @@
 	return p
 }
 
-// pickRequests has a picker pick servers for so many requests, of as many shared prefixes, each with a
-// segment of a session of its own, and ends them.
-func pickRequests(p *Picker, prefixes int) {
+// pickRequests picks servers for a number of requests and ends the requests that are forwarded. Each
+// request has a shared segment that no other request has, and a segment of its own.
+func pickRequests(p *Picker, requests int) {
 	route := &config.Route{Name: "r", Kind: config.Streaming, MaxAttempts: 2}
 	now := time.Duration(0)
-	for i := range uint64(prefixes) {
+	for i := range uint64(requests) {
 		now += 10 * time.Millisecond
 		d := p.Pick(now, &Request{Route: route, Service: "llm", Model: "m",
-			Segments:     []Segment{{ID: inference.Mix64(i), Tokens: 200}, {ID: inference.Mix64(i + 1<<40), Tokens: 50}},
+			Segments: []Segment{
+				{ID: inference.Mix64(i), Tokens: 200},
+				{ID: inference.Mix64(i + 1<<40), Tokens: 50},
+			},
 			PromptTokens: 250, MaxOutputTokens: 20, TimeLeft: 3 * time.Second, LatencyTarget: time.Second})
 		if d.Action == Forward {
 			d.Attempt.Events(now+time.Millisecond, 1)
@@ -45,7 +54,8 @@
 	}
 }
 
-// BenchmarkUpdateInstances applies a list in which one server is new and one is removed.
+// BenchmarkUpdateInstances alternates between two lists, of which each has one server that the other
+// does not have.
 func BenchmarkUpdateInstances(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -61,8 +71,8 @@
 	}
 }
 
-// BenchmarkHeap is the memory of a picker: for each server, and for the prefixes that it has seen, up to its
-// bounds.
+// BenchmarkHeap measures the memory of a picker: for each server, and for several numbers of prefixes
+// that it has seen. The picker bounds the number of prefixes that it keeps.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
 	bare := heapsize.Of(func() any { return benchPicker(servers) })
@@ -83,14 +93,14 @@
 	}
 }
 
-// BenchmarkDueHealthChecks is without a server to check.
+// BenchmarkDueHealthChecks measures the call while no server has to be checked.
 func BenchmarkDueHealthChecks(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			p := benchPicker(servers)
 			for now := time.Duration(0); b.Loop(); now += time.Second {
 				if len(p.DueHealthChecks(now)) > 0 {
-					b.Fatal("due")
+					b.Fatal("a health check is due")
 				}
 			}
 		})
--- a/internal/fleet/balancer/cost.go
+++ b/internal/fleet/balancer/cost.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Costs are parts of a request's value.
+// The costs are fractions of a request's value.
 const (
-	// latenessCost is lost by a request that misses its latency target.
+	// latenessCost is the cost of missing the latency target.
 	latenessCost = 0.7
-	// recomputeCost is that of a thousand shared tokens that another server has cached.
+	// recomputeCost is the cost of prefilling a thousand shared tokens that another server has cached.
 	recomputeCost = 0.06
-	// crossZoneCost is that of leaving the zone, connectionCost that of a new connection, and
-	// slowStartCost that of a server in slow start.
+	// crossZoneCost is the cost of a server in another zone, connectionCost that of a new connection,
+	// and slowStartCost that of a server in slow start.
 	crossZoneCost, connectionCost, slowStartCost = 0.01, 0.004, 0.3
-	// prefillCost is what a millisecond of prefill takes from the requests behind it, and
-	// congestionCost what it takes in addition where all of them are late.
+	// prefillCost is the cost of a millisecond of prefill to the requests behind it, and
+	// congestionCost is the additional cost if all of them are late.
 	prefillCost, congestionCost = 0.0005, 0.02
-	// firstTokenCost is that of a millisecond until a first token that is in time, and tieBreakCost
-	// keeps agents that know the same from picking the same server.
+	// firstTokenCost is the cost of each millisecond until the first token. tieBreakCost is the bound
+	// of a random cost that keeps agents with the same knowledge from picking the same server.
 	firstTokenCost, tieBreakCost = 1e-5, 1e-6
 )
 
-// spreadShare and spreadErrorShare are how far first tokens scatter around their estimate, as
-// parts of the estimate and of the mean error.
+// The spread of the time to the first token around its estimate is taken to be spreadShare of the
+// estimate plus spreadErrorShare of the mean error.
 const spreadShare, spreadErrorShare = 0.1, 0.6
 
-// estimateCost computes what the request costs at the candidate, where a millisecond of its
-// prefill costs others prefillCostPerMs.
-func (p *Picker) estimateCost(now time.Duration, svc *service, pick *pickContext, c *candidate, prefillCostPerMs float64) {
+// estimateCost sets the candidate's estimated time to the first token, its probability to be late
+// and its cost. Each millisecond of the request's prefill costs other requests prefillCostPerMs.
+func (p *Picker) estimateCost(
+	now time.Duration, svc *service, pick *pickContext, c *candidate, prefillCostPerMs float64,
+) {
 	s := c.server
 	cached := s.inference.CachedTokens(p.prefixScratch)
 	recomputed := 0
@@ -36,7 +38,7 @@
 		if !c.inSubset {
 			recomputed = pick.sharedTokens - cached
 		} else if pick.keySeenAt > s.listedAt {
-			cached = pick.sharedTokens // other agents send the key there, too
+			cached = pick.sharedTokens // other agents send requests with this key there too
 		}
 	}
 	firstToken, uncached := s.inference.EstimateFirstTokenCached(now, cached, pick.PromptTokens, pick.MaxOutputTokens)
--- a/internal/fleet/balancer/fleet_test.go
+++ b/internal/fleet/balancer/fleet_test.go
@@ -7,17 +7,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The figures required here are well below those of the simulations: a change that makes a fleet
-// clearly worse is found, and chance is not.
+// The limits in these tests leave a wide margin to the results of the simulations: the tests fail if
+// a change makes a fleet clearly worse, but not by chance.
 
-// withPrefillNotices has agents publish the prompts that keep a server busy for long.
+// withPrefillNotices returns the site with agents that publish notices of long prefills.
 func withPrefillNotices(site simSite) simSite {
 	site.noticeDelay, site.minNoticePrefill = 40*ms, 50*ms
 	return site
 }
 
 func TestFleetUnderNormalLoad(t *testing.T) {
-	for name, site := range map[string]simSite{"18 servers": site18(3), "12 servers": site12(3), "112 servers": site112(3)} {
+	for name, site := range map[string]simSite{
+		"18 servers":  site18(3),
+		"12 servers":  site12(3),
+		"112 servers": site112(3),
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			site.duration = 15 * time.Second
@@ -31,7 +35,7 @@
 				assert.Zero(t, r.rejected[0]+r.rejected[1], "there is free capacity")
 				assert.Greater(t, r.onTimeRatio(0), 0.84)
 				assert.Greater(t, r.onTimeRatio(1), 0.86)
-				assert.Greater(t, r.cacheHitRatio(), 0.85, "shared segments are computed once")
+				assert.Greater(t, r.cacheHitRatio(), 0.85, "most shared segments are computed once")
 				assert.Less(t, r.imbalance(), 2.3, "no server prefills much more than the mean")
 			}
 			assert.Greater(t, r.onTimeRatio(0), 0.91)
@@ -47,7 +51,7 @@
 	t.Log(r)
 	assert.Greater(t, r.onTimeRatio(0), 0.88)
 	assert.Greater(t, r.onTimeRatio(1), 0.96)
-	assert.Less(t, r.imbalance(), 1.8, "its subset is large")
+	assert.Less(t, r.imbalance(), 1.8, "the hot key's subset is large")
 	assert.Greater(t, r.cacheHitRatio(), 0.85)
 }
 
@@ -56,7 +60,8 @@
 	site.unresponsive, site.duration = map[int]bool{2: true, 7: true}, 15*time.Second
 	r := simulate(site)
 	t.Log(r, r.sentToUnresponsive)
-	assert.Less(t, float64(r.sentToUnresponsive)/float64(r.sent), 0.02, "they are ejected after few attempts")
+	assert.Less(t, float64(r.sentToUnresponsive)/float64(r.sent), 0.02,
+		"unresponsive servers are ejected after few attempts")
 	assert.Greater(t, r.onTimeRatio(0), 0.86)
 	assert.Greater(t, r.onTimeRatio(1), 0.94)
 }
@@ -70,7 +75,7 @@
 	for _, ms := range r.prefillMs {
 		sum += ms
 	}
-	assert.Less(t, r.prefillMs[2]+r.prefillMs[7], 2*0.85*sum/float64(len(r.prefillMs)), "they get less")
+	assert.Less(t, r.prefillMs[2]+r.prefillMs[7], 2*0.85*sum/float64(len(r.prefillMs)), "slow servers get less work")
 	assert.Greater(t, r.onTimeRatio(0), 0.84)
 	assert.Greater(t, r.onTimeRatio(1), 0.93)
 }
@@ -84,15 +89,15 @@
 	assert.Greater(t, r.onTimeRatio(1), 0.97)
 }
 
-// TestFleetUnderOverload offers one and a half times what the servers can do.
+// TestFleetUnderOverload offers about one and a half times the load that the servers can handle.
 func TestFleetUnderOverload(t *testing.T) {
 	site := withPrefillNotices(site18(8))
 	site.loadFactor, site.duration = 2.6, 15*time.Second
 	r := simulate(site)
 	t.Log(r)
 	rejected := func(traffic int) float64 { return float64(r.rejected[traffic]) / float64(r.offered[traffic]) }
-	assert.Greater(t, rejected(0), 0.05, "requests without a chance are rejected")
-	assert.Less(t, rejected(0), 0.65, "no traffic is starved")
+	assert.Greater(t, rejected(0), 0.05, "requests that cannot be answered in time are rejected")
+	assert.Less(t, rejected(0), 0.65, "long requests are not starved")
 	assert.Less(t, rejected(1), rejected(0), "the less urgent requests are shed first")
 	assert.Greater(t, float64(r.served[1])/float64(r.offered[1]), 0.85)
 	assert.Greater(t, r.onTimeRatio(1), 0.3)
--- a/internal/fleet/balancer/key_loads.go
+++ b/internal/fleet/balancer/key_loads.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxSubsetSize bounds the servers that a key belongs to.
+	// maxSubsetSize bounds the number of servers in a key's subset.
 	maxSubsetSize = 8
-	// maxKeyShare is the part of a server's even share of the work that one key may bring to each
-	// server of its subset.
+	// maxKeyShare is the largest fraction of a server's even share of the work that one key may add
+	// to each server of its subset.
 	maxKeyShare = 0.5
-	// keyLoadWindow is the time constant by which a key's work fades.
+	// keyLoadWindow is the time constant with which a key's past work decays.
 	keyLoadWindow = 10 * time.Second
-	// maxKeys bounds the tracked keys.
+	// maxKeys bounds the number of tracked keys.
 	maxKeys = 8192
-	// priorOtherWorkMs is the work that is assumed of other keys while little is known.
+	// priorOtherWorkMs is work of other keys that is assumed in addition to the recorded work. It
+	// matters while little is recorded.
 	priorOtherWorkMs = 2000.0
 )
 
-// keyLoads tracks the recent prefill work in ms that each key brought.
+// keyLoads tracks the recent prefill work, in milliseconds, of the requests with each key.
 type keyLoads struct {
 	total decayingSum
 	byKey map[uint64]decayingSum
 }
 
-// decayingSum is a sum that fades with age.
+// decayingSum is a sum that decays exponentially with time.
 type decayingSum struct {
 	sum       float64
 	updatedAt time.Duration
@@ -35,6 +36,7 @@
 	return s.sum * math.Exp(-float64(now-s.updatedAt)/float64(keyLoadWindow))
 }
 
+// add records the prefill work of a request with the key.
 func (k *keyLoads) add(now time.Duration, key uint64, workMs float64) {
 	if k.byKey == nil {
 		k.byKey = map[uint64]decayingSum{}
@@ -46,11 +48,12 @@
 	k.byKey[key] = decayingSum{k.byKey[key].value(now) + workMs, now}
 }
 
-// evict drops the keys of little work, and in any case more than a half of all.
+// evict removes the keys with little work, and then further keys until at most half of maxKeys are
+// left.
 func (k *keyLoads) evict(now time.Duration) {
-	least := 2 * k.total.value(now) / maxKeys
+	minWorkMs := 2 * k.total.value(now) / maxKeys
 	for key, load := range k.byKey {
-		if load.value(now) < least {
+		if load.value(now) < minWorkMs {
 			delete(k.byKey, key)
 		}
 	}
@@ -62,14 +65,14 @@
 	}
 }
 
-// subsetSize is the number of servers, of so many, that the key belongs to: the first ones in its
-// hash order.
+// subsetSize returns the size of the key's subset, given the number of servers. The subset is the
+// first servers in the key's hash order.
 func (k *keyLoads) subsetSize(now time.Duration, key uint64, servers int) int {
 	share := k.byKey[key].value(now) / (k.total.value(now) + priorOtherWorkMs)
 	return min(max(int(math.Ceil(share*float64(servers)/maxKeyShare)), 1), maxSubsetSize, servers)
 }
 
-// lastSeen is when the key came last, -1 if it is not tracked.
+// lastSeen returns when work of the key was last recorded, or -1 if the key is not tracked.
 func (k *keyLoads) lastSeen(key uint64) time.Duration {
 	if load, ok := k.byKey[key]; ok {
 		return load.updatedAt
--- a/internal/fleet/balancer/lateness.go
+++ b/internal/fleet/balancer/lateness.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// priorityClasses is the number of priorities that are distinguished.
+	// priorityClasses is the number of priority classes; class 0 is the most urgent.
 	priorityClasses = 10
-	// latenessWindow is the time constant by which the lateness of a class fades.
+	// latenessWindow is the time constant with which the lateness of a class decays.
 	latenessWindow = 2 * time.Second
 	// latenessSmoothing is the weight of one request in the lateness of its class.
 	latenessSmoothing = 0.1
 )
 
-// lateness is the part of a class's requests that miss their latency target, as expected when they
-// are picked and as observed.
+// lateness is the fraction of a class's requests that miss their latency target: as expected when
+// a server is picked, and as observed when the first token arrives.
 type lateness struct{ expected, observed decayingMean }
 
 func (l *lateness) recordExpected(now time.Duration, probability float64) {
@@ -30,12 +30,13 @@
 	l.observed.add(now, sample)
 }
 
-// agreed is the lower of both: an estimate alone sheds nothing.
-func (l *lateness) agreed(now time.Duration) float64 {
+// confirmedRatio returns the lower of the expected and the observed ratio, so that an estimate alone
+// sheds nothing.
+func (l *lateness) confirmedRatio(now time.Duration) float64 {
 	return min(l.expected.valueAt(now), l.observed.valueAt(now))
 }
 
-// worstExpectedLateness is that of the class that fares worst.
+// worstExpectedLateness returns the highest expected lateness of all classes.
 func (v *service) worstExpectedLateness(now time.Duration) (worst float64) {
 	for i := range v.lateness {
 		worst = max(worst, v.lateness[i].expected.valueAt(now))
@@ -43,7 +44,7 @@
 	return worst
 }
 
-// decayingMean is a mean that fades to 0 without samples.
+// decayingMean is an exponentially weighted mean that decays to 0 without samples.
 type decayingMean struct {
 	value     float64
 	updatedAt time.Duration
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -11,65 +11,66 @@
 )
 
 const (
-	// boundedLoadFactor is how far above its even share of the agent's attempts a server may go
-	// before a key's request moves on to the next in hash order: the c of Mirrokni, Thorup and
-	// Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016.
+	// boundedLoadFactor times its even share of the agent's attempts is how many attempts a server
+	// may have in flight before a key's request moves on to the next server in hash order. It is
+	// the c of Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016.
 	boundedLoadFactor = 4.0
-	// maxFullScan is the number of servers up to which all are ranked for each request; of more,
-	// ringSampleSize are.
+	// Up to maxFullScan servers are all ranked for each request. Of more servers, a sample of
+	// ringSampleSize is ranked first.
 	maxFullScan, ringSampleSize = 64, 48
-	// fallbackCandidates are the servers after a key's subset that are considered, and
-	// randomCandidates those that are drawn: agents that know the same loads must not all pick the
-	// same server.
+	// fallbackCandidates is the number of servers after a key's subset that are considered too, and
+	// randomCandidates the number that are drawn at random: agents that know the same loads must
+	// not all pick the same server.
 	fallbackCandidates, randomCandidates = 2, 2
 	maxCandidates                        = maxSubsetSize + fallbackCandidates + randomCandidates
-	// minKeyTokens is the length from which shared segments are worth an affinity.
+	// minKeyTokens is the least length of the shared segments, in tokens, for which a request
+	// prefers the servers that are likely to have them cached.
 	minKeyTokens = 128
-	// minRetryAfter is the least advice of a rejection, and maxRetryAfterShare the most as a part of
-	// the time left: clients wait no longer.
+	// minRetryAfter is the shortest RetryAfter of a rejection. maxRetryAfterShare is the longest one
+	// as a fraction of the time left, since clients wait no longer than that.
 	minRetryAfter      = 50 * time.Millisecond
 	maxRetryAfterShare = 1.0 / 3
-	// noServerRetryAfter is the advice where no server is known: lists change within seconds.
+	// noServerRetryAfter is the RetryAfter if no server is known: lists change within seconds.
 	noServerRetryAfter = time.Second
-	// defaultServerPriority is what servers assume of a request without a priority, and
-	// maxServerPriority the least urgent.
+	// defaultServerPriority is the priority that servers assume for a request without one, and
+	// maxServerPriority is the least urgent priority.
 	defaultServerPriority, maxServerPriority = 5, 9
 )
 
-// Segment is a part of a prompt, by the ID that clients give it.
+// Segment is a part of a prompt, identified by the ID that clients give it.
 type Segment = inference.Segment
 
 // Load is the load that a server reports with a response.
 type Load = inference.Load
 
-// Request is a request that has to be picked a server for, for its first attempt or a retry.
+// Request describes a request that needs a server, for its first attempt or for a retry.
 type Request struct {
 	Route           *config.Route
-	Service         string // of the route's splits, the one that was drawn
+	Service         string // the service that was drawn from the route's traffic splits
 	Model           string
-	Segments        []Segment // of the prompt, in order; the last is the request's or session's own
+	Segments        []Segment // of the prompt, in order; only the last is specific to the request or session
 	PromptTokens    int
 	MaxOutputTokens int
 	TimeLeft        time.Duration // until the client's deadline
-	LatencyTarget   time.Duration // for the first token, from Elapsed 0; 0: none
+	LatencyTarget   time.Duration // for the first token, since the request was read; zero if there is none
 	Elapsed         time.Duration // since the request was read
-	Tried           []string      // IDs of the instances that it was offered to
-	// Ranked tells that Rank, from 0 to 9, counts in place of the route's priority: it combines that
-	// with the tenant's.
+	Tried           []string      // IDs of the instances that earlier attempts were sent to
+	// Ranked is set if Rank replaces the route's priority. Rank, from 0 to 9, combines the
+	// priorities of the route and of the tenant.
 	Ranked bool
 	Rank   int
 }
 
-// Action is what is to become of a request.
+// Action is what to do with a request.
 type Action uint8
 
 // The actions.
 const (
-	Forward Action = iota // to Instance; the Attempt has begun and must be ended
-	Reject                // nothing has run; RetryAfter says when there may be capacity
+	Forward Action = iota // forward it to Instance; the caller must end the Attempt
+	Reject                // reject it; RetryAfter says when there may be capacity
 )
 
-// String is the action's name.
+// String returns the action's name.
 func (a Action) String() string {
 	if a == Forward {
 		return "forward"
@@ -91,23 +92,24 @@
 	Action     Action
 	Instance   *registry.Instance
 	Attempt    *Attempt
-	Priority   int           // for the server, from 0, the most urgent, to 9
-	RetryAfter time.Duration // of a rejection
-	Reason     string        // of a rejection
+	Priority   int           // to send to the server, from 0 (the most urgent) to 9
+	RetryAfter time.Duration // if rejected: when the client should retry
+	Reason     string        // if rejected: why
 }
 
-// pickContext is what of a request decides where it goes.
+// pickContext is a request with the values that a pick derives from it.
 type pickContext struct {
 	*Request
 	priorityClass int
-	key           uint64        // prefix that is worth an affinity; 0: none
-	sharedTokens  int           // of the segments before the last
-	keySeenAt     time.Duration // when the key came last, negative if unknown
+	key           uint64        // ID of the shared prefix; zero if that has fewer than minKeyTokens
+	sharedTokens  int           // tokens of all segments but the last
+	keySeenAt     time.Duration // when the key was last forwarded; negative if it is not tracked
 	nonIdempotent bool
 }
 
-// Pick decides where the request goes. It is forwarded unless it has no chance in its time, the
-// servers are full, or they are overloaded and it is less urgent or late anyway.
+// Pick decides where the request goes. It is forwarded unless no server is available, it cannot be
+// answered in the time left, or the servers are overloaded and it is less urgent or would be late
+// anyway.
 func (p *Picker) Pick(now time.Duration, r *Request) Decision {
 	svc := p.services[r.Service]
 	if svc == nil || len(svc.servers) == 0 {
@@ -129,7 +131,12 @@
 		return reject(r, chosen.firstToken-max(r.LatencyTarget-r.Elapsed, 0)/2, reason)
 	}
 	attempt := p.beginAttempt(now, &pick, &chosen)
-	return Decision{Action: Forward, Instance: chosen.server.instance, Attempt: attempt, Priority: pick.serverPriority()}
+	return Decision{
+		Action:   Forward,
+		Instance: chosen.server.instance,
+		Attempt:  attempt,
+		Priority: pick.serverPriority(),
+	}
 }
 
 // beginAttempt records that the request is forwarded to the candidate.
@@ -160,7 +167,7 @@
 }
 
 // newPickContext derives the request's key: the prefix of all its segments but the last, which is
-// its own. The prefixes are left in prefixScratch.
+// specific to the request. It stores the request's prefixes in prefixScratch.
 func (p *Picker) newPickContext(svc *service, r *Request) pickContext {
 	pick := pickContext{Request: r}
 	if r.Route != nil {
@@ -185,7 +192,8 @@
 	return pick
 }
 
-// timeToTarget is the time in which the first token has its full value.
+// timeToTarget returns the time that is left until the first token is late: until the latency target
+// or the client's deadline, whichever comes first.
 func (c *pickContext) timeToTarget() time.Duration {
 	if c.LatencyTarget <= 0 {
 		return c.TimeLeft
@@ -193,8 +201,8 @@
 	return min(c.TimeLeft, c.LatencyTarget-c.Elapsed)
 }
 
-// serverPriority is the priority that is sent to a server: the rank where there is one, otherwise that of
-// the class.
+// serverPriority returns the priority that is sent to a server: the rank if there is one, otherwise
+// the priority of the class.
 func (c *pickContext) serverPriority() int {
 	if c.Ranked {
 		return min(c.priorityClass, maxServerPriority)
@@ -202,8 +210,8 @@
 	return serverPriority(c.priorityClass)
 }
 
-// serverPriority is 0 for the most urgent class, the servers' default for the next, and up to 9 for
-// those after it.
+// serverPriority returns the priority for a class: 0 for the most urgent class, the servers'
+// default for the next, and up to 9 for those after it.
 func serverPriority(class int) int {
 	if class == 0 {
 		return 0
@@ -211,14 +219,15 @@
 	return min(defaultServerPriority-1+class, maxServerPriority)
 }
 
-// tier is the servers that a request may go to, all of one health rank.
+// tier holds the servers that a request may go to, all of one health rank.
 type tier struct {
-	servers    []*server
-	represents int           // the number of servers that servers are a sample of
-	freeIn     time.Duration // if all are full: when the first may have capacity
+	servers       []*server
+	estimatedSize int           // estimated number of such servers in the service; servers may be a sample
+	freeIn        time.Duration // time until the first full server may have capacity; zero if none is full
 }
 
-// bestTier returns the servers of the best rank, of a sample of the ring if that has healthy ones.
+// bestTier returns the servers of the best rank: those of a sample of the ring if the sample has
+// healthy servers, otherwise those of the whole ring.
 func (p *Picker) bestTier(now time.Duration, svc *service, pick *pickContext) tier {
 	for _, pool := range [2][]*server{p.sampleRing(svc, pick.key), svc.ring} {
 		rank, freeIn := p.collectTier(now, pool, pick)
@@ -229,18 +238,21 @@
 	return tier{}
 }
 
-// collectTier leaves the servers of the pool's best rank that are not full in tierScratch. freeIn
-// is when the first full one of that rank may have capacity, 0 if none is full.
-func (p *Picker) collectTier(now time.Duration, pool []*server, pick *pickContext) (best int, freeIn time.Duration) {
-	best = 2 * healthTiers
+// collectTier finds the best rank among the servers of the pool that were not tried, and stores
+// those of that rank that are not full in tierScratch. freeIn is the time until the first full
+// server of that rank may have capacity; zero if none is full.
+func (p *Picker) collectTier(
+	now time.Duration, pool []*server, pick *pickContext,
+) (bestRank int, freeIn time.Duration) {
+	bestRank = 2 * healthTiers
 	p.tierScratch = p.tierScratch[:0]
 	for _, s := range pool {
 		rank := p.serverRank(now, s, pick)
-		if rank > best || slices.Contains(pick.Tried, s.instance.ID) {
+		if rank > bestRank || slices.Contains(pick.Tried, s.instance.ID) {
 			continue
 		}
-		if rank < best {
-			best, freeIn, p.tierScratch = rank, 0, p.tierScratch[:0]
+		if rank < bestRank {
+			bestRank, freeIn, p.tierScratch = rank, 0, p.tierScratch[:0]
 		}
 		if now < s.fullUntil {
 			if wait := s.fullUntil - now; freeIn == 0 || wait < freeIn {
@@ -250,12 +262,12 @@
 		}
 		p.tierScratch = append(p.tierScratch, s)
 	}
-	return best, freeIn
+	return bestRank, freeIn
 }
 
-// sampleRing returns the part of a large ring that follows a key's position, which is the same at
-// all agents, or a random one without a key. A change of the list moves each sample by one server
-// at most.
+// sampleRing returns the whole ring if it is small. Of a large ring it returns ringSampleSize
+// consecutive servers from the key's position on, which is the same at all agents; without a key
+// the position is random. If one server is added or removed, a sample changes by one server at most.
 func (p *Picker) sampleRing(svc *service, key uint64) []*server {
 	if len(svc.ring) <= maxFullScan {
 		return svc.ring
@@ -273,19 +285,20 @@
 type candidate struct {
 	server          *server
 	score           uint64 // rendezvous hash
-	inSubset        bool   // it is one of those that the key belongs to
+	inSubset        bool   // the server belongs to the key's subset
 	cost            float64
-	lateProbability float64
-	firstToken      time.Duration // estimate
+	lateProbability float64       // probability that the first token is late
+	firstToken      time.Duration // estimated time to the first token
 }
 
-// candidates is a list of bounded length.
+// candidates is a list of candidates of bounded length.
 type candidates struct {
 	list [maxCandidates]candidate
 	n    int
 }
 
-// insert keeps the servers of the highest scores, up to limit, in descending order.
+// insert adds a server, keeping at most limit servers: those with the highest scores, in
+// descending order.
 func (c *candidates) insert(s *server, score uint64, limit int) {
 	if c.n == limit && score <= c.list[c.n-1].score {
 		return
@@ -309,18 +322,18 @@
 }
 
 // bestCandidate considers the key's subset of the tier, the servers that follow it in hash order
-// and some random ones, and returns the one of least cost.
+// and some random ones, and returns the one of lowest cost.
 func (p *Picker) bestCandidate(now time.Duration, svc *service, pick *pickContext, t tier) candidate {
 	subset := 1
 	if pick.key != 0 {
-		subset = min(svc.keyLoads.subsetSize(now, pick.key, t.represents), len(t.servers))
+		subset = min(svc.keyLoads.subsetSize(now, pick.key, t.estimatedSize), len(t.servers))
 	}
-	var considered candidates
-	p.addByHash(&considered, pick.key, t, subset, svc.inFlight)
+	var shortlist candidates
+	p.addCandidates(&shortlist, pick.key, t, subset, svc.inFlight)
 	prefillCostPerMs := prefillCost + congestionCost*svc.worstExpectedLateness(now)
-	best := &considered.list[0]
-	for i := range considered.n {
-		c := &considered.list[i]
+	best := &shortlist.list[0]
+	for i := range shortlist.n {
+		c := &shortlist.list[i]
 		c.inSubset = pick.key != 0 && i < subset
 		p.estimateCost(now, svc, pick, c, prefillCostPerMs)
 		if c.cost < best.cost {
@@ -330,10 +343,11 @@
 	return *best
 }
 
-// addByHash adds the servers of the tier that come first in the key's hash order (at random
-// without a key) and some random ones, all below the load bound; if there is none, any one.
-func (p *Picker) addByHash(considered *candidates, key uint64, t tier, subset, inFlight int) {
-	bound := int(math.Ceil(boundedLoadFactor * float64(inFlight+1) / float64(t.represents)))
+// addCandidates adds the servers of the tier that come first in the key's hash order (in a random
+// order without a key) and some random ones. Only servers below the load bound are added; if there
+// is none, one random server is.
+func (p *Picker) addCandidates(shortlist *candidates, key uint64, t tier, subset, inFlight int) {
+	bound := int(math.Ceil(boundedLoadFactor * float64(inFlight+1) / float64(t.estimatedSize)))
 	for _, s := range t.servers {
 		if s.inFlight >= bound {
 			continue
@@ -342,15 +356,15 @@
 		if key == 0 {
 			score = p.rng.Uint64()
 		}
-		considered.insert(s, score, subset+fallbackCandidates)
+		shortlist.insert(s, score, subset+fallbackCandidates)
 	}
 	for range randomCandidates {
 		s := t.servers[p.rng.IntN(len(t.servers))]
-		if s.inFlight < bound && !considered.contains(s) {
-			considered.append(s)
+		if s.inFlight < bound && !shortlist.contains(s) {
+			shortlist.append(s)
 		}
 	}
-	if considered.n == 0 { // all are at the bound
-		considered.append(t.servers[p.rng.IntN(len(t.servers))])
+	if shortlist.n == 0 { // all servers are at the bound
+		shortlist.append(t.servers[p.rng.IntN(len(t.servers))])
 	}
 }
--- a/internal/fleet/balancer/picker.go
+++ b/internal/fleet/balancer/picker.go
@@ -12,36 +12,37 @@
 
 const (
 	defaultPrefixIndexBytes = 4 << 20
-	// minPrefixesPerServer are tracked of each server, however many servers there are.
+	// minPrefixesPerServer is the least number of prefixes that are tracked for each server, even
+	// if PrefixIndexBytes is exceeded with many servers.
 	minPrefixesPerServer = 16
-	// maxMisdirected bounds the instances that are excluded from the list.
+	// maxMisdirected bounds the number of instances in Picker.misdirected.
 	maxMisdirected = 4096
 )
 
-// Options configure a Picker.
+// Options configures a Picker.
 type Options struct {
 	Zone string // the agent's own failure domain
-	Seed uint64 // of all randomness
-	// PrefixIndexBytes bounds the memory of the prefixes that are tracked, over all servers; 0
-	// stands for 4 MiB.
+	Seed uint64 // seeds the random number generator
+	// PrefixIndexBytes bounds the memory of the prefixes that are tracked, over all servers. Zero
+	// means 4 MiB.
 	PrefixIndexBytes int
 }
 
-// Picker is what one agent knows of the servers, and picks among them. It is not safe for
-// concurrent use.
+// Picker holds what one agent knows about the servers and picks one for each request. It is not
+// safe for concurrent use.
 type Picker struct {
 	options  Options
 	rng      *rand.Rand
 	services map[string]*service
-	servers  map[string]*server // listed ones, by instance ID
-	// misdirected are the instances that answered 421, by ID, with the sequence number that they
-	// were listed by. A list with the same number does not bring them back.
+	servers  map[string]*server // the listed servers by instance ID
+	// misdirected holds the instances whose address answered 421: by ID, the sequence number that
+	// they were listed with. Only a higher sequence number adds such an instance again.
 	misdirected    map[string]uint64
-	checkBudget    tokenBucket
+	checkBudget    tokenBucket // limits the rate of health checks
 	checksInFlight int
-	failureRate    float64 // of all attempts
+	failureRate    float64 // smoothed failure rate of the attempts at all servers
 
-	// Buffers of the current pick, to save allocations.
+	// Buffers that are reused by each pick to save allocations.
 	prefixScratch []Segment
 	tierScratch   []*server
 	sampleScratch []*server
@@ -62,7 +63,7 @@
 	}
 }
 
-// getOrCreateService returns the service of that name.
+// getOrCreateService returns the service of that name and creates it if it does not exist.
 func (p *Picker) getOrCreateService(name string) *service {
 	svc := p.services[name]
 	if svc == nil {
@@ -72,14 +73,14 @@
 	return svc
 }
 
-// removeIfUnused forgets a service that has no servers, no attempts and no configuration.
+// removeIfUnused removes a service that has no servers, no attempts in flight and no configuration.
 func (p *Picker) removeIfUnused(svc *service) {
 	if len(svc.servers) == 0 && svc.inFlight == 0 && !svc.configured {
 		delete(p.services, svc.name)
 	}
 }
 
-// UpdateConfig applies the configuration in force. Nil changes nothing.
+// UpdateConfig applies the current configuration. Nil changes nothing.
 func (p *Picker) UpdateConfig(_ time.Duration, document *config.Document) {
 	if document == nil {
 		return
@@ -102,8 +103,8 @@
 	}
 }
 
-// UpdateInstances applies the list of servers as it stands. New instances begin as Unknown; those
-// that are not listed any more get nothing from now on. Nil changes nothing.
+// UpdateInstances applies the current list of servers. New instances begin in state Unknown.
+// Instances that are no longer listed get no more requests. Nil changes nothing.
 func (p *Picker) UpdateInstances(now time.Duration, list *registry.List) {
 	if list == nil {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// updateInstance applies one item of a list of so many.
+// updateInstance applies one item of the list of servers; listed is the length of that list.
 func (p *Picker) updateInstance(now time.Duration, svc *service, instance *registry.Instance, listed int) {
 	if seq, ok := p.misdirected[instance.ID]; ok && instance.Seq <= seq {
 		return
@@ -141,7 +142,7 @@
 	delete(p.misdirected, instance.ID)
 	s := p.servers[instance.ID]
 	if s != nil && s.service != svc {
-		p.removeServer(s) // an ID in another service is another server
+		p.removeServer(s) // the same ID in another service is another server
 		s = nil
 	}
 	if s == nil {
@@ -155,14 +156,15 @@
 	s.inference.SetCapacity(svc.capacityOf(instance, p.prefixesPerServer(listed)))
 }
 
-// addServer lists a new server.
+// addServer adds a newly listed server.
 func (p *Picker) addServer(now time.Duration, svc *service, instance *registry.Instance, listed int) {
 	s := newServer(now, svc, instance, p.prefixesPerServer(listed))
 	p.servers[instance.ID] = s
 	svc.insert(s)
 }
 
-// removeServer takes a server off the list. Its attempts end without a verdict on it.
+// removeServer removes a server that is no longer listed. The outcomes of its attempts in flight
+// are not recorded in its health.
 func (p *Picker) removeServer(s *server) {
 	s.listed = false
 	delete(p.servers, s.instance.ID)
@@ -173,8 +175,8 @@
 	s.service.remove(s)
 }
 
-// removeMisdirected takes an instance out that is not at its address, unless it was listed anew
-// since.
+// removeMisdirected removes an instance that is not at its address, unless it has been listed with
+// a sequence number above seq since then.
 func (p *Picker) removeMisdirected(id string, seq uint64) {
 	s := p.servers[id]
 	if s == nil || s.instance.Seq > seq {
@@ -186,7 +188,8 @@
 	p.removeServer(s)
 }
 
-// prefixesPerServer is how many prompt prefixes may be tracked of each of so many servers.
+// prefixesPerServer returns how many prompt prefixes may be tracked for each server, given the
+// number of servers.
 func (p *Picker) prefixesPerServer(servers int) int {
 	return max(p.options.PrefixIndexBytes/inference.BytesPerPrefix/max(servers, 1), minPrefixesPerServer)
 }
--- a/internal/fleet/balancer/picker_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -24,7 +24,13 @@
 func testInstances(n int) []*registry.Instance {
 	var all []*registry.Instance
 	for i := range n {
-		all = append(all, &registry.Instance{ID: fmt.Sprintf("i-%04d", i), Service: "llm", Zone: fmt.Sprintf("z%d", i%3), Slots: 8, Seq: 1})
+		all = append(all, &registry.Instance{
+			ID:      fmt.Sprintf("i-%04d", i),
+			Service: "llm",
+			Zone:    fmt.Sprintf("z%d", i%3),
+			Slots:   8,
+			Seq:     1,
+		})
 	}
 	return all
 }
@@ -50,15 +56,17 @@
 	return p
 }
 
-// newTestRequest is a request whose prompt has a shared segment and one of its own.
-func newTestRequest(shared, own uint64) *Request {
-	return &Request{Route: urgentRoute, Service: "llm", Model: "m", Segments: []Segment{{ID: shared, Tokens: 2000}, {ID: own, Tokens: 500}},
+// newTestRequest returns a request whose prompt has a shared segment and one of its own, with the
+// given IDs.
+func newTestRequest(sharedID, ownID uint64) *Request {
+	return &Request{Route: urgentRoute, Service: "llm", Model: "m",
+		Segments:     []Segment{{ID: sharedID, Tokens: 2000}, {ID: ownID, Tokens: 500}},
 		PromptTokens: 2500, MaxOutputTokens: 20, TimeLeft: 3 * time.Second, LatencyTarget: 500 * ms}
 }
 
 func (p *Picker) stateOf(id string) policy.State { return p.servers[id].State() }
 
-// mustForward picks a server for the request and sends it.
+// mustForward picks a server for the request, requires that it is forwarded, and records it as sent.
 func mustForward(t require.TestingT, p *Picker, now time.Duration, r *Request) *Attempt {
 	d := p.Pick(now, r)
 	require.Equal(t, Forward, d.Action, d.Reason)
@@ -66,7 +74,7 @@
 	return d.Attempt
 }
 
-// succeed ends an attempt after its first token.
+// succeed ends an attempt successfully after its first token.
 func succeed(a *Attempt, now time.Duration) {
 	a.Headers(now, 200, nil)
 	a.Events(now, 1)
@@ -92,20 +100,20 @@
 			a.End(2*time.Second, outcome)
 			assert.Equal(t, want, p.stateOf(id))
 			a.End(3*time.Second, Reset)
-			assert.Equal(t, want, p.stateOf(id), "an attempt ends once")
+			assert.Equal(t, want, p.stateOf(id), "only the first outcome of an attempt counts")
 			assert.Zero(t, p.servers[id].inFlight+p.services["llm"].inFlight)
 		})
 	}
 }
 
-func TestTimeoutWithoutFaultOfTheServer(t *testing.T) {
+func TestTimeoutThatIsNotTheServersFault(t *testing.T) {
 	for name, during := range map[string]func(p *Picker, a *Attempt) time.Duration{
-		"it was short": func(*Picker, *Attempt) time.Duration { return 100 * ms },
-		"the server answered others": func(p *Picker, a *Attempt) time.Duration {
+		"the attempt was short": func(*Picker, *Attempt) time.Duration { return 100 * ms },
+		"the server answered other attempts": func(p *Picker, a *Attempt) time.Duration {
 			a.server.lastResponseAt = time.Second
 			return 2 * time.Second
 		},
-		"the answer had begun": func(p *Picker, a *Attempt) time.Duration {
+		"the response had begun": func(p *Picker, a *Attempt) time.Duration {
 			a.Headers(ms, 200, nil)
 			return 2 * time.Second
 		},
@@ -119,7 +127,8 @@
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.Headers(time.Second, 504, nil)
 	a.End(time.Second, ServerError)
-	assert.Equal(t, policy.Unknown, p.stateOf(a.server.instance.ID), "the client's deadline is no fault of the server")
+	assert.Equal(t, policy.Unknown, p.stateOf(a.server.instance.ID),
+		"a 504 for the client's deadline is not the server's fault")
 }
 
 func TestUnhealthyServerIsSkippedUntilChecked(t *testing.T) {
@@ -132,13 +141,14 @@
 		require.NotEqual(t, bad, b.server)
 		succeed(b, 60*ms)
 	}
-	assert.Empty(t, p.DueHealthChecks(100*ms), "still ejected")
+	assert.Empty(t, p.DueHealthChecks(100*ms), "the server is still ejected")
 	due := p.DueHealthChecks(300 * ms)
-	require.Len(t, due, 1, "its ejection is over, and it is checked in the background")
+	require.Len(t, due, 1, "the ejection is over, and the server is checked in the background")
 	assert.Equal(t, bad.instance, due[0])
-	assert.Empty(t, p.DueHealthChecks(301*ms), "once")
+	assert.Empty(t, p.DueHealthChecks(301*ms), "the server is checked only once")
 	assert.Equal(t, 1, p.serverRank(310*ms, bad, &pickContext{Request: newTestRequest(1, 2)}))
-	assert.Equal(t, 0, p.serverRank(time.Second, bad, &pickContext{Request: newTestRequest(1, 2)}), "without a verdict it counts as healthy")
+	assert.Equal(t, 0, p.serverRank(time.Second, bad, &pickContext{Request: newTestRequest(1, 2)}),
+		"without a result of the check the server counts as healthy after a while")
 	p.HealthCheckDone(320*ms, bad.instance.ID, true, nil)
 	assert.Equal(t, policy.Connected, bad.State())
 }
@@ -153,13 +163,14 @@
 	assert.Equal(t, 1, p.serverRank(5*time.Second, a.server, q))
 	p.HealthCheckDone(5*time.Second, a.server.instance.ID, false, nil)
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs, "the next ejection is longer")
+	assert.Greater(t, a.server.EjectionTime(baseEjectionMs, minEjectionMs), baseEjectionMs,
+		"the next ejection is longer")
 }
 
-func TestNonIdempotentRequestTriesNoUncheckedServer(t *testing.T) {
+func TestNonIdempotentRequestAvoidsUncheckedServer(t *testing.T) {
 	p := newTestPicker(1, 3)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
-	for range 10 { // more than is tolerable
+	for range 10 { // raises the failure rate above the tolerable one
 		p.updateFailureRate(0, a.server, true)
 	}
 	a.End(ms, Reset)
@@ -181,7 +192,7 @@
 	due := p.DueHealthChecks(time.Second)
 	require.Len(t, due, 1)
 	succeed(b, 1100*ms)
-	require.Equal(t, policy.Connected, a.server.State(), "it has served since")
+	require.Equal(t, policy.Connected, a.server.State(), "the server has answered a request since then")
 	p.HealthCheckDone(1200*ms, due[0].ID, false, nil)
 	assert.Equal(t, policy.Connected, a.server.State())
 }
@@ -200,10 +211,10 @@
 		p.markUnhealthy(0, s, false)
 	}
 	a := mustForward(t, p, ms, newTestRequest(1, 2))
-	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests never wait for checks")
+	assert.Equal(t, policy.Unhealthy, a.server.State(), "requests do not wait for health checks")
 }
 
-func TestRefusedConnectAndListChangeAllowChecks(t *testing.T) {
+func TestRefusedConnectAndListChangeAllowEarlyChecks(t *testing.T) {
 	p := newTestPicker(1, 4)
 	all := testInstances(5)
 	bad := p.servers["i-0003"]
@@ -212,7 +223,7 @@
 	bad.RecordEjection()
 	bad.RecordFailure(true, 0)
 	p.UpdateInstances(300*ms, instanceList(all[:4]...))
-	assert.Equal(t, policy.Unhealthy, bad.State(), "nothing has changed")
+	assert.Equal(t, policy.Unhealthy, bad.State(), "the list has not changed")
 	p.UpdateInstances(300*ms, instanceList(all...))
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "a server was added")
 
@@ -221,7 +232,7 @@
 	a.End(701*ms, ConnectFailed)
 	assert.Equal(t, policy.UnhealthyPending, bad.State(), "another server refused a connection")
 	assert.Equal(t, policy.Unhealthy, a.server.State())
-	assert.False(t, a.server.TimedOut(), "a refusal is no time-out")
+	assert.False(t, a.server.TimedOut(), "a refused connection is not a time-out")
 }
 
 func TestChecksAreRateLimited(t *testing.T) {
@@ -229,21 +240,21 @@
 	for _, s := range p.servers {
 		p.markUnhealthy(0, s, true)
 	}
-	now, begun := time.Second, 0
+	now, started := time.Second, 0
 	for ; now < 4*time.Second; now += 50 * ms {
 		due := p.DueHealthChecks(now)
-		begun += len(due)
+		started += len(due)
 		assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight)
 		for _, in := range due {
 			p.HealthCheckDone(now+ms, in.ID, false, nil)
 		}
 	}
-	assert.LessOrEqual(t, begun, int(healthCheckBurst+3*healthCheckRate)+1)
-	assert.Greater(t, begun, 10)
+	assert.LessOrEqual(t, started, int(healthCheckBurst+3*healthCheckRate)+1)
+	assert.Greater(t, started, 10)
 	assert.Equal(t, unhealthyCheckInterval, p.HealthCheckInterval())
 	p.DueHealthChecks(now)
 	p.DueHealthChecks(now + 2*checkTimeout)
-	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "a check that is never ended is given up")
+	assert.LessOrEqual(t, p.checksInFlight, maxChecksInFlight, "a check without a result is abandoned")
 }
 
 func TestUnresponsiveServerIsChecked(t *testing.T) {
@@ -255,12 +266,13 @@
 	require.Len(t, due, 1)
 	assert.Equal(t, a.server.instance, due[0])
 	assert.Equal(t, policy.UnhealthyPending, a.server.State())
-	assert.NotEqual(t, a.server, mustForward(t, p, 2*time.Second, newTestRequest(1, 3)).server, "it is skipped until then")
+	assert.NotEqual(t, a.server, mustForward(t, p, 2*time.Second, newTestRequest(1, 3)).server,
+		"the server is skipped until its check has ended")
 	succeed(a, 2100*ms)
 	assert.Equal(t, policy.Connected, a.server.State())
 }
 
-func TestFullServersAreSkippedForAMoment(t *testing.T) {
+func TestFullServersAreSkippedTemporarily(t *testing.T) {
 	p := newTestPicker(1, 2)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	a.End(ms, Rejected)
@@ -274,7 +286,7 @@
 	mustForward(t, p, 400*ms, newTestRequest(1, 5))
 }
 
-func TestMisdirectedInstanceIsRemovedUntilListedAnew(t *testing.T) {
+func TestMisdirectedInstanceIsRemovedUntilListedAgain(t *testing.T) {
 	p := newTestPicker(1, 2)
 	a := mustForward(t, p, 0, newTestRequest(1, 2))
 	in := *a.server.instance
@@ -282,7 +294,7 @@
 	a.End(ms, Misdirected)
 	assert.NotContains(t, p.servers, in.ID)
 	p.UpdateInstances(2*ms, list)
-	assert.NotContains(t, p.servers, in.ID, "the same list does not bring it back")
+	assert.NotContains(t, p.servers, in.ID, "the same list does not add it again")
 	assert.Len(t, p.services["llm"].ring, 1)
 	in.Seq++
 	list.ByID[in.ID] = &in
@@ -305,12 +317,13 @@
 	}
 	p.UpdateInstances(ms, instanceList(remaining...))
 	for i := range uint64(20) {
-		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server, "a removed server gets nothing")
+		assert.NotEqual(t, a.server, mustForward(t, p, 2*ms, newTestRequest(1, i)).server,
+			"a removed server gets no requests")
 	}
 	a.End(3*ms, Succeeded)
-	assert.Equal(t, policy.Unknown, a.server.State(), "its attempts end without a verdict")
+	assert.Equal(t, policy.Unknown, a.server.State(), "an attempt does not change the health of a removed server")
 	p.UpdateInstances(4*ms, instanceList(testInstances(3)...))
-	assert.NotSame(t, a.server, p.servers[a.server.instance.ID], "a server that is added again is new")
+	assert.NotSame(t, a.server, p.servers[a.server.instance.ID], "a server that is listed again starts without state")
 	p.UpdateInstances(5*ms, nil)
 	p.UpdateConfig(5*ms, nil)
 	assert.Len(t, p.servers, 3)
@@ -359,7 +372,8 @@
 	next := *all[0]
 	next.Models = []registry.Model{{Name: "m", Revision: 2}}
 	p.UpdateInstances(ms, instanceList(append([]*registry.Instance{&next}, all[1:]...)...))
-	assert.Zero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)), "other weights make the cache useless")
+	assert.Zero(t, s.inference.CachedTokens(inference.AppendPrefixes(nil, "m", r.Segments)),
+		"the cache is invalid after a change of the weights")
 }
 
 func TestAgentsAgreeOnAKeysServer(t *testing.T) {
@@ -378,7 +392,7 @@
 			}
 			used[want.ID] = true
 		}
-		assert.Greater(t, len(used), min(n, 50)/2, "keys are spread")
+		assert.Greater(t, len(used), min(n, 50)/2, "keys are spread over the servers")
 	}
 }
 
@@ -389,7 +403,7 @@
 		p, q := newTestPicker(1, 12), newTestPicker(1, 11)
 		a, b := mustForward(t, p, 0, newTestRequest(key, 1)), mustForward(t, q, 0, newTestRequest(key, 1))
 		if a.server.instance.ID != b.server.instance.ID {
-			assert.Equal(t, "i-0011", a.server.instance.ID, "only those of the removed server")
+			assert.Equal(t, "i-0011", a.server.instance.ID, "only keys of the removed server move")
 			moved++
 		}
 	}
@@ -398,19 +412,19 @@
 
 func TestBoundedLoad(t *testing.T) {
 	p := newTestPicker(1, 10)
-	most := map[string]int{}
+	attempts := map[string]int{} // by instance ID
 	for i := range uint64(100) {
 		a := mustForward(t, p, 0, newTestRequest(7, i))
-		most[a.server.instance.ID]++
+		attempts[a.server.instance.ID]++
 		assert.LessOrEqual(t, a.server.inFlight, int(boundedLoadFactor*float64(i+1)/10)+1)
 	}
-	assert.GreaterOrEqual(t, len(most), 3)
+	assert.GreaterOrEqual(t, len(attempts), 3)
 }
 
 func TestHotKeyHasALargerSubset(t *testing.T) {
 	p := newTestPicker(1, 10)
 	now := time.Duration(0)
-	for i := range uint64(400) { // every other request has the hot key
+	for i := range uint64(400) { // every second request has the hot key
 		key := 1000 + i%20
 		if i%2 == 0 {
 			key = 7
@@ -421,7 +435,7 @@
 	hot := inference.AppendPrefixes(nil, "m", newTestRequest(7, 0).Segments)[0].ID
 	assert.Greater(t, p.services["llm"].keyLoads.subsetSize(now, hot, 10), 2)
 	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now, 12345, 10))
-	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now+10*time.Minute, hot, 10), "it is forgotten")
+	assert.Equal(t, 1, p.services["llm"].keyLoads.subsetSize(now+10*time.Minute, hot, 10), "its load has decayed")
 }
 
 func TestTrackedKeysAreBounded(t *testing.T) {
@@ -470,7 +484,7 @@
 	reportOverload(p)
 	r := newTestRequest(1, 2)
 	d := p.Pick(0, r)
-	require.Equal(t, Forward, d.Action, "it may be late, but has a chance")
+	require.Equal(t, Forward, d.Action, "the request may be late, but can be answered in the time left")
 	r.TimeLeft = 100 * ms
 	d = p.Pick(0, r)
 	require.Equal(t, Reject, d.Action)
@@ -480,15 +494,17 @@
 }
 
 func TestLessUrgentRequestsAreShedFirst(t *testing.T) {
-	share := func(route *config.Route, late float64, expected bool) float64 {
+	// rejectedRatio returns the fraction of a route's requests that are rejected while the most urgent
+	// class has the given lateness. If observed is false, the lateness is only expected.
+	rejectedRatio := func(route *config.Route, lateRatio float64, observed bool) float64 {
 		p := newTestPicker(1, 4)
 		reportOverload(p)
 		rejected := 0
 		for i := range uint64(1000) {
 			v := p.services["llm"]
-			v.lateness[0] = lateness{decayingMean{late, 0}, decayingMean{late, 0}}
+			v.lateness[0] = lateness{decayingMean{lateRatio, 0}, decayingMean{lateRatio, 0}}
 			v.lateness[1] = lateness{}
-			if !expected {
+			if !observed {
 				v.lateness[0].observed = decayingMean{}
 			}
 			r := newTestRequest(i, i)
@@ -502,27 +518,27 @@
 		}
 		return float64(rejected) / 1000
 	}
-	assert.Zero(t, share(draftRoute, 0.1, true), "no class is late")
-	assert.InDelta(t, 0.3, share(draftRoute, 0.3, true), 0.06)
-	assert.InDelta(t, maxShedRatio, share(draftRoute, 1, true), 0.06, "some are always forwarded")
-	assert.Zero(t, share(draftRoute, 1, false), "an estimate alone sheds nothing")
-	assert.Zero(t, share(urgentRoute, 0.4, true))
-	assert.InDelta(t, 0.5, share(urgentRoute, 1, true), 0.06, "those that would be late anyway")
+	assert.Zero(t, rejectedRatio(draftRoute, 0.1, true), "lateness is below shedThreshold")
+	assert.InDelta(t, 0.3, rejectedRatio(draftRoute, 0.3, true), 0.06)
+	assert.InDelta(t, maxShedRatio, rejectedRatio(draftRoute, 1, true), 0.06, "a fraction is always forwarded")
+	assert.Zero(t, rejectedRatio(draftRoute, 1, false), "an estimate alone sheds nothing")
+	assert.Zero(t, rejectedRatio(urgentRoute, 0.4, true))
+	assert.InDelta(t, 0.5, rejectedRatio(urgentRoute, 1, true), 0.06, "requests that would be late anyway are shed")
 }
 
 func TestServerPriority(t *testing.T) {
 	last := -1
-	for u := range priorityClasses {
-		got := serverPriority(u)
+	for class := range priorityClasses {
+		got := serverPriority(class)
 		assert.GreaterOrEqual(t, got, last)
 		assert.LessOrEqual(t, got, 9)
 		last = got
 	}
 	assert.Equal(t, 0, serverPriority(0))
-	assert.Equal(t, 5, serverPriority(1), "the default of servers")
+	assert.Equal(t, 5, serverPriority(1), "the second class has the servers' default priority")
 }
 
-func TestSlowStartServersGetLess(t *testing.T) {
+func TestServersInSlowStartGetFewerRequests(t *testing.T) {
 	p := newTestPicker(1, 0)
 	all := testInstances(4)
 	all[0].WarmUp = 10 * time.Second
@@ -552,12 +568,19 @@
 	assert.Greater(t, work, 300*ms)
 	before := mustForward(t, receiver, 0, newTestRequest(1, 3))
 	before.End(0, Cancelled)
-	require.Equal(t, a.server.instance.ID, before.server.instance.ID, "they share a key")
+	require.Equal(t, a.server.instance.ID, before.server.instance.ID, "both requests have the same key")
 	receiver.ObserveRemotePrefill(5*ms, 5*ms, &notice)
-	assert.NotEqual(t, a.server.instance.ID, mustForward(t, receiver, 5*ms, newTestRequest(1, 4)).server.instance.ID, "an urgent request goes elsewhere")
-	assert.Equal(t, 2000, receiver.servers[notice.Instance].inference.CachedTokens(notice.Prefixes), "its prefixes are cached there now")
+	assert.NotEqual(t, a.server.instance.ID,
+		mustForward(t, receiver, 5*ms, newTestRequest(1, 4)).server.instance.ID,
+		"an urgent request goes to another server")
+	assert.Equal(t, 2000, receiver.servers[notice.Instance].inference.CachedTokens(notice.Prefixes),
+		"the notice's prefixes are cached there now")
 	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: "unknown"})
-	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{Instance: notice.Instance, Prefixes: make([]Segment, maxNoticePrefixes+1), PromptTokens: 1})
+	receiver.ObserveRemotePrefill(5*ms, 0, &PrefillNotice{
+		Instance:     notice.Instance,
+		Prefixes:     make([]Segment, maxNoticePrefixes+1),
+		PromptTokens: 1,
+	})
 	assert.Equal(t, 1, receiver.servers[notice.Instance].inference.QueuedPrefills(6*ms))
 }
 
@@ -567,23 +590,23 @@
 	a.Headers(10*ms, 200, &Load{Running: 1, Waiting: 2, Slots: 8})
 	b := mustForward(t, p, 0, newTestRequest(3, 4))
 	b.End(20*ms, Reset)
-	views := p.Snapshot(120 * ms)
-	require.Len(t, views, 3)
-	for i, v := range views {
-		assert.Equal(t, fmt.Sprintf("i-%04d", i), v.ID)
-		assert.Equal(t, "llm", v.Service)
-		assert.Greater(t, v.FirstTokenEstimate, time.Duration(0))
-		switch v.ID {
+	statuses := p.Snapshot(120 * ms)
+	require.Len(t, statuses, 3)
+	for i, status := range statuses {
+		assert.Equal(t, fmt.Sprintf("i-%04d", i), status.ID)
+		assert.Equal(t, "llm", status.Service)
+		assert.Greater(t, status.FirstTokenEstimate, time.Duration(0))
+		switch status.ID {
 		case b.server.instance.ID:
-			assert.Equal(t, "unhealthy", v.State)
-			assert.Equal(t, 100*ms, v.TimeInState)
+			assert.Equal(t, "unhealthy", status.State)
+			assert.Equal(t, 100*ms, status.TimeInState)
 		case a.server.instance.ID:
-			assert.Equal(t, 1, v.InFlight)
-			assert.Equal(t, Load{Running: 1, Waiting: 2, Slots: 8}, v.Load)
-			assert.Equal(t, 110*ms, v.LoadAge)
+			assert.Equal(t, 1, status.InFlight)
+			assert.Equal(t, Load{Running: 1, Waiting: 2, Slots: 8}, status.Load)
+			assert.Equal(t, 110*ms, status.LoadAge)
 		default:
-			assert.Equal(t, "unknown", v.State)
-			assert.Equal(t, time.Duration(-1), v.LoadAge)
+			assert.Equal(t, "unknown", status.State)
+			assert.Equal(t, time.Duration(-1), status.LoadAge)
 		}
 	}
 }
--- a/internal/fleet/balancer/server.go
+++ b/internal/fleet/balancer/server.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	// connectionIdleTime is how long an idle connection is taken to stay open.
+	// connectionIdleTime is how long an idle connection is assumed to stay open.
 	connectionIdleTime = 10 * time.Second
-	// loadReportLifetime is how long a reported load proves that requests wait at a server.
+	// loadReportLifetime is how long a reported load is evidence that requests wait at a server.
 	loadReportLifetime = time.Second
-	// minQueueingRatio is the part of the reported loads that must have had waiting requests for
-	// one such report to prove anything.
+	// minQueueingRatio is the queueingRatio above which a single report of waiting requests is
+	// evidence of load.
 	minQueueingRatio = 0.5
 )
 
-// service is the servers of one service, and what is known of its requests.
+// service holds the servers of one service and what is known about its requests.
 type service struct {
 	name         string
-	configured   bool
-	engineConfig config.Engine // the zero value where it is no model service
+	configured   bool          // the current configuration contains the service
+	engineConfig config.Engine // the zero value if the service has no inference engine
 	latency      *inference.LatencyModel
-	servers      []*server // by ID
-	ring         []*server // by hash
-	// membershipChanged is set when servers were added or removed since the list was applied.
+	servers      []*server // sorted by ID
+	ring         []*server // sorted by hash
+	// membershipChanged is set if servers were added or removed since the previous list was applied.
 	membershipChanged bool
-	inFlight          int
+	inFlight          int // attempts of this agent in flight
 	keyLoads          keyLoads
 	lateness          [priorityClasses]lateness
-	queueingRatio     float64 // part of the reported loads in which requests waited
+	queueingRatio     float64 // smoothed fraction of the reported loads in which requests waited
 }
 
-// server is one listed instance, or one that was.
+// server is an instance that is listed or that was listed when an attempt began.
 type server struct {
-	policy.EndpointHealth // health, by this agent's own attempts
+	policy.EndpointHealth // health according to this agent's own attempts
 	service               *service
 	instance              *registry.Instance
 	ringHash              uint64
 	inference             *inference.Server
 	listed                bool
 	listedAt              time.Duration
-	inFlight              int
-	attempts              []*Attempt    // in flight, oldest first
-	openConnections       int           // estimate: the most requests in flight recently
-	openConnectionsAt     time.Duration // when that was
+	inFlight              int           // attempts of this agent in flight
+	attempts              []*Attempt    // the attempts in flight, oldest first
+	openConnections       int           // estimate: the largest recent number of attempts in flight
+	openConnectionsAt     time.Duration // when openConnections was set
 	slowStartUntil        time.Duration
-	fullUntil             time.Duration
-	lastResponseAt        time.Duration // of anything that it answered; negative: never
-	failureRate           float64       // of its attempts
-	failureRateAt         time.Duration
+	fullUntil             time.Duration // until when the server counts as full; zero if it never rejected
+	lastResponseAt        time.Duration // time of the last response of any kind; negative if there was none
+	failureRate           float64       // smoothed failure rate of its attempts
+	failureRateAt         time.Duration // when failureRate was updated
 	checkInFlight         bool
 	checkStartedAt        time.Duration
 }
@@ -100,7 +100,8 @@
 	return compareByID(a, b)
 }
 
-// capacityOf is what an instance can hold, as it reports or else as configured.
+// capacityOf returns the instance's capacity: the number of slots as it reports it, if it does,
+// everything else as configured.
 func (v *service) capacityOf(instance *registry.Instance, maxPrefixes int) inference.Capacity {
 	capacity := inference.Capacity{
 		Slots:          v.engineConfig.Slots,
@@ -114,22 +115,23 @@
 	return capacity
 }
 
-// isLoaded reports whether half of the known slots are taken, or requests wait at a server.
-// Below that nothing is rejected.
+// isLoaded reports whether at least half of the known slots are taken or requests wait at a server.
+// Nothing is rejected for overload or lack of time unless it is true.
 func (v *service) isLoaded(now time.Duration) bool {
 	running, slots := 0, 0
 	for _, s := range v.servers {
 		running += max(s.inference.Running(now), s.inFlight)
 		slots += s.inference.Slots()
 		load, age, ok := s.inference.Load(now)
-		if ok && age < loadReportLifetime && load.Waiting > 0 && v.queueingRatio > minQueueingRatio && s.inference.QueuedPrefills(now) > 0 {
+		if ok && age < loadReportLifetime && load.Waiting > 0 &&
+			v.queueingRatio > minQueueingRatio && s.inference.QueuedPrefills(now) > 0 {
 			return true
 		}
 	}
 	return slots > 0 && 2*running >= slots
 }
 
-// addAttempt records an attempt that begins.
+// addAttempt records that an attempt has begun.
 func (s *server) addAttempt(now time.Duration, a *Attempt) {
 	s.attempts = append(s.attempts, a)
 	s.inFlight++
--- a/internal/fleet/balancer/sim_server_test.go
+++ b/internal/fleet/balancer/sim_server_test.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// prefillBudget is how many tokens a server prefills in one step.
+	// prefillBudget is the largest number of tokens that a server prefills in one step.
 	prefillBudget = 2048
-	// maxQueue is how many requests wait at a server, as a multiple of its slots.
+	// maxQueue is the largest number of requests that wait at a server, as a multiple of its slots.
 	maxQueue = 3
 )
 
@@ -17,35 +17,36 @@
 type simJob struct {
 	prefixes             []Segment
 	prompt, outputTokens int
-	cached               int // tokens of the prompt
-	remaining            int // tokens to prefill
-	emitted              int // output tokens
+	cached               int // prompt tokens that were cached when the job joined the batch
+	remaining            int // prompt tokens that still have to be prefilled
+	emitted              int // output tokens so far
 	priority             int
-	decoding             bool
+	decoding             bool // the prompt is prefilled
 	onFirstToken         func(load Load)
 	onEnd                func(load Load, events int)
 	onReject             func()
 }
 
-// reservedTokens is what the job takes of the KV cache.
+// reservedTokens returns how many tokens of the KV cache are reserved for the job.
 func (j *simJob) reservedTokens() int { return j.prompt + j.outputTokens }
 
 // simServer is a model server with continuous batching: each step prefills a chunk of prompts and
-// decodes a token of each stream. It caches prefixes.
+// decodes one token of each stream. It caches prefixes.
 type simServer struct {
 	sim            *sim
 	index          int
 	zone           string
-	slowdown       float64
-	cachedAt       map[uint64]time.Duration // by prefix: its last use
+	slowdown       float64                  // factor on the duration of steps
+	cachedAt       map[uint64]time.Duration // time of the last use of each cached prefix, by ID
 	prefixTokens   map[uint64]int
 	cachedTokens   int
-	reservedTokens int // of the batch
+	reservedTokens int // tokens reserved for the batch
 	waiting        []*simJob
 	batch          []*simJob
-	stepping       bool
+	stepping       bool // a step is running
 }
 
+// load returns the load that the server reports.
 func (s *simServer) load() Load {
 	decoding := 0
 	for _, j := range s.batch {
@@ -56,7 +57,7 @@
 	return Load{Running: decoding, Waiting: len(s.batch) - decoding + len(s.waiting), Slots: s.sim.site.slots}
 }
 
-// arrive queues a job by its priority, or rejects it.
+// arrive queues a job by priority, or rejects it if the queue is full or the job exceeds the cache.
 func (s *simServer) arrive(j *simJob) {
 	if len(s.waiting) >= maxQueue*s.sim.site.slots || j.reservedTokens() > s.sim.site.cacheTokens {
 		j.onReject()
@@ -72,7 +73,7 @@
 	}
 }
 
-// admit moves waiting jobs to the batch.
+// admit moves waiting jobs to the batch while slots and cache tokens allow it.
 func (s *simServer) admit() {
 	for len(s.waiting) > 0 && len(s.batch) < s.sim.site.slots {
 		j := s.waiting[0]
@@ -94,7 +95,7 @@
 	return ok
 }
 
-// cachedPrefix is how many tokens at the head of the job's prompt are cached.
+// cachedPrefix returns how many tokens at the start of the job's prompt are cached.
 func (s *simServer) cachedPrefix(j *simJob) (tokens int) {
 	for _, prefix := range j.prefixes {
 		if !s.isCached(prefix) {
@@ -105,7 +106,8 @@
 	return tokens
 }
 
-// countSharedTokens notes the job's shared tokens, and those that a server computes again.
+// countSharedTokens adds to the result the job's prompt tokens, its shared tokens, and the shared
+// tokens that this server computes although some server computed them before.
 func (s *simServer) countSharedTokens(j *simJob) {
 	result := &s.sim.result
 	result.promptTokens += float64(j.prompt)
@@ -118,7 +120,8 @@
 	}
 }
 
-// cache adds prefixes, and evicts the least recently used ones.
+// cache adds prefixes to the cache or marks them as used now, and evicts the least recently used ones
+// beyond its capacity.
 func (s *simServer) cache(prefixes []Segment) {
 	for _, prefix := range prefixes {
 		if !s.isCached(prefix) {
@@ -144,7 +147,7 @@
 	return oldest
 }
 
-// step begins the next step, if there is work.
+// step starts the next step if there is work.
 func (s *simServer) step() {
 	s.admit()
 	s.stepping = len(s.batch) > 0
@@ -163,7 +166,8 @@
 	s.sim.after(duration(durationMs*s.slowdown), func() { s.endStep(prefilled) })
 }
 
-// prefill prefills a chunk. It returns the jobs whose prefill ends, and how long it takes.
+// prefill prefills one chunk of the batch. It returns the jobs whose prefill is complete and the
+// duration of the chunk.
 func (s *simServer) prefill() (done []*simJob, durationMs float64) {
 	site := s.sim.site
 	budget, chunk := prefillBudget, s.chunkTokens()
@@ -184,7 +188,7 @@
 	return done, durationMs
 }
 
-// chunkTokens is how many tokens of one prompt are prefilled in a step.
+// chunkTokens returns the largest number of tokens of one prompt that are prefilled in a step.
 func (s *simServer) chunkTokens() int {
 	if !s.sim.site.interleavedPrefill {
 		return prefillBudget
@@ -198,7 +202,7 @@
 	return prefillBudget / max(prefilling, 1)
 }
 
-// endStep emits a token of each stream, the first one of those that were prefilled.
+// endStep emits one token of each stream, including the first token of the prefilled jobs.
 func (s *simServer) endStep(prefilled []*simJob) {
 	site := s.sim.site
 	for _, j := range prefilled {
--- a/internal/fleet/balancer/sim_traffic_test.go
+++ b/internal/fleet/balancer/sim_traffic_test.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
-// Network delays of a simulation, and the time that a time-out takes.
+// The network delays and the attempt timeout of a simulation.
 const (
 	sameZoneDelay  = 200 * time.Microsecond
 	crossZoneDelay = 500 * time.Microsecond
@@ -17,18 +17,18 @@
 	attemptTimeout = time.Second
 )
 
-// simSource is the clients of one kind of traffic.
+// simSource generates the requests of one kind of traffic.
 type simSource struct {
 	sim        *sim
-	index      int // of the traffic
+	index      int // index of the traffic in simSite.traffic
 	traffic    *simTraffic
 	route      *config.Route
-	tokens     [][]int   // of each shared segment's variants
-	popularity []float64 // cumulative, of the last shared segment's variants
-	requests   uint64
+	tokens     [][]int   // tokens of each shared segment's variants
+	popularity []float64 // cumulative weights of the last shared segment's variants
+	requests   uint64    // number of requests so far
 }
 
-// simRequest is a request from its arrival at an agent on.
+// simRequest is a request that has arrived at an agent.
 type simRequest struct {
 	source       *simSource
 	agent        *Picker
@@ -36,7 +36,7 @@
 	promptTokens int
 	outputTokens int
 	readAt       time.Duration
-	tried        []string
+	tried        []string // instance IDs of all attempts so far
 }
 
 func newSimSource(s *sim, index int) *simSource {
@@ -50,7 +50,8 @@
 	}
 	for i, segment := range traffic.sharedSegments {
 		for range segment.variants {
-			source.tokens[i] = append(source.tokens[i], max(source.logNormal(float64(segment.tokens), segment.spread), 16))
+			source.tokens[i] = append(source.tokens[i],
+				max(source.logNormal(float64(segment.tokens), segment.spread), 16))
 		}
 	}
 	last := traffic.sharedSegments[len(traffic.sharedSegments)-1]
@@ -62,14 +63,14 @@
 	return source
 }
 
-// logNormal draws a number of a log-normal distribution.
+// logNormal draws a number from a log-normal distribution.
 func (c *simSource) logNormal(mean, spread float64) int {
 	return int(mean * math.Exp(spread*c.sim.rng.NormFloat64()-spread*spread/2))
 }
 
 func (c *simSource) start() { c.sim.after(0, c.next) }
 
-// next sends the next request, or a burst.
+// next sends the next request, or a burst with a probability of 0.2, and schedules the one after it.
 func (c *simSource) next() {
 	site, rng := c.sim.site, c.sim.rng
 	if c.sim.now > site.duration {
@@ -86,7 +87,7 @@
 	c.sim.after(duration(rng.ExpFloat64()*meanSeconds*1e3), c.next)
 }
 
-// variant draws a variant of the last shared segment, which implies those before it.
+// variant draws a variant of the last shared segment, which determines the variants of the others.
 func (c *simSource) variant() int {
 	rng := c.sim.rng
 	variant, _ := slices.BinarySearch(c.popularity, rng.Float64()*c.popularity[len(c.popularity)-1])
@@ -103,7 +104,10 @@
 	var segments []Segment
 	for i, segment := range traffic.sharedSegments {
 		n := variant % segment.variants
-		segments = append(segments, Segment{ID: uint64(c.index+1)<<40 | uint64(i+1)<<32 | uint64(n), Tokens: c.tokens[i][n]})
+		segments = append(segments, Segment{
+			ID:     uint64(c.index+1)<<40 | uint64(i+1)<<32 | uint64(n),
+			Tokens: c.tokens[i][n],
+		})
 	}
 	ownTokens := min(max(c.logNormal(traffic.ownTokens, traffic.ownSpread), 8), traffic.maxOwnTokens)
 	segments = append(segments, Segment{ID: uint64(c.index+1)<<60 | c.requests, Tokens: ownTokens})
@@ -123,7 +127,7 @@
 	}
 }
 
-// attempt has the request's agent pick a server, and sends it there.
+// attempt lets the request's agent pick a server and sends the request to it.
 func (r *simRequest) attempt() {
 	s, traffic := r.source.sim, r.source.traffic
 	elapsed := s.now - r.readAt
@@ -150,7 +154,7 @@
 	r.send(decision)
 }
 
-// publishNotice tells the other agents of a long prefill.
+// publishNotice sends the other agents a notice if the attempt's prefill is long.
 func (r *simRequest) publishNotice(a *Attempt) {
 	s := r.source.sim
 	notice, prefill := a.PrefillNotice()
@@ -193,7 +197,7 @@
 	s.after(delay, func() { server.arrive(job) })
 }
 
-// retry attempts the request again, unless that was its last attempt.
+// retry attempts the request again unless it has used all attempts.
 func (r *simRequest) retry() {
 	if len(r.tried) < r.source.traffic.maxAttempts {
 		r.attempt()
@@ -202,6 +206,7 @@
 	}
 }
 
+// firstToken records the arrival of the first token.
 func (r *simRequest) firstToken(a *Attempt, load Load) {
 	s, index := r.source.sim, r.source.index
 	a.Headers(s.now, 200, &load)
@@ -213,6 +218,7 @@
 	}
 }
 
+// succeed records that the response is complete.
 func (r *simRequest) succeed(a *Attempt, events int) {
 	s := r.source.sim
 	s.result.served[r.source.index]++
--- a/internal/fleet/balancer/status.go
+++ b/internal/fleet/balancer/status.go
@@ -8,28 +8,28 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// statusPromptTokens is the length of the prompt that a status gives an estimate for.
+// statusPromptTokens is the prompt length that ServerStatus.FirstTokenEstimate is given for.
 const statusPromptTokens = 1000
 
-// ServerStatus is what the agent knows of one server, for operators; nothing decides by it.
+// ServerStatus is the agent's view of one server. It is shown to operators and affects no decision.
 type ServerStatus struct {
 	ID                 string        `json:"ID"`
 	Service            string        `json:"Service"`
 	Zone               string        `json:"Zone"`
 	State              string        `json:"State"`
 	TimeInState        time.Duration `json:"InState"`
-	TimedOut           bool          `json:"Silent"`   // it was marked unhealthy for a time-out
-	Ejections          int           `json:"Strikes"`  // recent ones in a row
+	TimedOut           bool          `json:"Silent"`   // it was ejected for a time-out and has served no request since
+	Ejections          int           `json:"Strikes"`  // recent ejections; each makes the next one longer
 	InFlight           int           `json:"InFlight"` // attempts of this agent
-	AwaitingFirstToken int           `json:"Unread"`   // of them
+	AwaitingFirstToken int           `json:"Unread"`   // attempts of this agent without a first token
 	Full               bool          `json:"Full"`     // it rejected a request a moment ago
 	SlowStart          bool          `json:"Cold"`
-	FirstTokenEstimate time.Duration `json:"Estimate"` // for a short prompt
-	Load               Load          `json:"Load"`
-	LoadAge            time.Duration `json:"LoadAge"` // of Load; negative: none was reported
+	FirstTokenEstimate time.Duration `json:"Estimate"` // for a prompt of statusPromptTokens without cached tokens
+	Load               Load          `json:"Load"`     // as last reported; zero if none was
+	LoadAge            time.Duration `json:"LoadAge"`  // time since Load was reported; negative if none was
 }
 
-// Snapshot lists what is known of the servers, by service and ID.
+// Snapshot returns the status of all servers, sorted by service and ID.
 func (p *Picker) Snapshot(now time.Duration) []ServerStatus {
 	statuses := make([]ServerStatus, 0, len(p.servers))
 	for _, svc := range p.services {
--- a/internal/fleet/inference/bench_test.go
+++ b/internal/fleet/inference/bench_test.go
@@ -7,7 +7,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// serversWithCachedPrefixes returns servers of each of which so many prefixes are tracked.
+// serversWithCachedPrefixes returns the given number of servers, each with so many tracked prefixes.
 func serversWithCachedPrefixes(servers, prefixes int) []*Server {
 	latency := NewLatencyModel()
 	all := make([]*Server, servers)
@@ -23,8 +23,8 @@
 	return all
 }
 
-// BenchmarkHeap is the memory of each server, and of each prefix that is tracked for it, by the number of
-// prefixes of a server.
+// BenchmarkHeap measures the memory of a server and of each prefix that is tracked for it, for several
+// numbers of prefixes per server.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 850
 	bare := heapsize.Of(func() any { return serversWithCachedPrefixes(servers, 0) })
--- a/internal/fleet/inference/latency_test.go
+++ b/internal/fleet/inference/latency_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLatencyModelIsLearned has a server of other latencies than the prior, which prefills in order.
+// TestLatencyModelIsLearned learns the latencies of a server that differ from the prior ones.
 func TestLatencyModelIsLearned(t *testing.T) {
 	latency := NewLatencyModel()
 	s := NewServer(Capacity{Slots: 64, CacheTokens: 1 << 30, TokensPerEvent: 5, MaxPrefixes: 1000}, latency)
@@ -40,7 +40,7 @@
 	assert.Less(t, latency.FirstTokenError(), 10*ms)
 }
 
-// TestPrefillOrderIsLearned has servers that prefill long prompts in order, or interleaved with others.
+// TestPrefillOrderIsLearned learns whether a server prefills prompts in order of arrival or interleaved.
 func TestPrefillOrderIsLearned(t *testing.T) {
 	for _, inOrder := range []bool{true, false} {
 		s := NewServer(Capacity{Slots: 64, CacheTokens: 1 << 30, MaxPrefixes: 1000}, NewLatencyModel())
--- a/internal/fleet/inference/linear_fit.go
+++ b/internal/fleet/inference/linear_fit.go
@@ -3,23 +3,24 @@
 // maxFeatures is the number of features that a linearFit can have.
 const maxFeatures = 3
 
-// fitIterations is how often a sample refines the coefficients.
+// fitIterations is the number of coordinate descent iterations after each sample.
 const fitIterations = 8
 
-// linearFit is a running least-squares fit of a linear function, regularized towards a prior, with bounded
-// coefficients and exponentially fading samples. Unused features are zero.
+// linearFit is a running least-squares fit of a linear function. It is regularized towards a prior,
+// its coefficients are bounded, and the weights of samples decay exponentially. Unused features are
+// zero.
 type linearFit struct {
-	features     int
-	retention    float64 // weight that the older samples keep with each new one
+	features     int     // number of features
+	retention    float64 // factor on the weight of the older samples with each new one
 	prior        [maxFeatures]float64
-	priorWeight  [maxFeatures]float64 // in squares of the features
-	lower, upper [maxFeatures]float64 // bounds of the coefficients
-	moments      [maxFeatures][maxFeatures]float64
-	target       [maxFeatures]float64
+	priorWeight  [maxFeatures]float64              // in units of the squared features
+	lower, upper [maxFeatures]float64              // bounds of the coefficients
+	moments      [maxFeatures][maxFeatures]float64 // weighted sums of products of two features
+	target       [maxFeatures]float64              // weighted sums of products of a feature and the observed value
 	coefficients [maxFeatures]float64
 }
 
-// newLinearFit returns a fit that gives its prior. All slices have an item for each feature.
+// newLinearFit returns a fit whose coefficients are the prior. All slices have one item per feature.
 func newLinearFit(retention float64, prior, priorWeight, lower, upper []float64) linearFit {
 	f := linearFit{features: len(prior), retention: retention}
 	copy(f.prior[:], prior)
@@ -30,12 +31,12 @@
 	return f
 }
 
-// predict is the function's value.
+// predict returns the function's value for the features x.
 func (f *linearFit) predict(x [maxFeatures]float64) float64 {
 	return f.coefficients[0]*x[0] + f.coefficients[1]*x[1] + f.coefficients[2]*x[2]
 }
 
-// observe adds a sample.
+// observe adds a sample: the value y for the features x.
 func (f *linearFit) observe(x [maxFeatures]float64, y float64) {
 	for i := range f.features {
 		for j := range f.features {
@@ -46,18 +47,18 @@
 	f.solve()
 }
 
-// solve improves the coefficients by coordinate descent: each takes what the others leave, within
-// its bounds.
+// solve refines the coefficients by coordinate descent: each is set to its optimum, within its
+// bounds, for the current values of the others.
 func (f *linearFit) solve() {
 	for range fitIterations {
 		for i := range f.features {
-			rest := f.target[i] + f.priorWeight[i]*f.prior[i]
+			residual := f.target[i] + f.priorWeight[i]*f.prior[i]
 			for j := range f.features {
 				if j != i {
-					rest -= f.moments[i][j] * f.coefficients[j]
+					residual -= f.moments[i][j] * f.coefficients[j]
 				}
 			}
-			f.coefficients[i] = min(max(rest/(f.moments[i][i]+f.priorWeight[i]), f.lower[i]), f.upper[i])
+			f.coefficients[i] = min(max(residual/(f.moments[i][i]+f.priorWeight[i]), f.lower[i]), f.upper[i])
 		}
 	}
 }
--- a/internal/fleet/inference/prefill_queue.go
+++ b/internal/fleet/inference/prefill_queue.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// maxQueuedPrefills bounds the prompts that are tracked one by one; the work of further ones is
-// added to the last.
+// maxQueuedPrefills bounds the number of queue entries. The work of further prompts is added to the
+// last entry.
 const maxQueuedPrefills = 64
 
-// prefillQueue is the prompts that a server has to prefill, by their time of arrival. It models a
-// server that works them off one after the other, each from its arrival on at the earliest.
+// prefillQueue holds the prompts that a server has to prefill, in order of arrival. It models a server
+// that prefills one prompt after the other, none before its arrival.
 type prefillQueue struct {
 	jobs       []queuedPrefill
-	advancedTo time.Duration
+	advancedTo time.Duration // time up to which prefilled work is subtracted
 	lastID     uint64
 }
 
+// queuedPrefill is one prompt of a prefillQueue.
 type queuedPrefill struct {
 	id          uint64
 	arrivedAt   time.Duration
-	remainingMs float64
+	remainingMs float64 // prefill work that remains
 }
 
-// push adds a prompt by the time of its arrival, which may be past, and returns its ID.
+// push adds a prompt with the time of its arrival, which may be in the past, and returns its ID.
 func (q *prefillQueue) push(arrivedAt time.Duration, workMs float64) uint64 {
 	if n := len(q.jobs); n >= maxQueuedPrefills {
 		q.jobs[n-1].remainingMs += workMs
@@ -38,7 +39,7 @@
 	return q.lastID
 }
 
-// backlogMs is the work that remains, at most maxEachMs of each prompt.
+// backlogMs returns the total work that remains, counting at most maxEachMs of each prompt.
 func (q *prefillQueue) backlogMs(now time.Duration, maxEachMs float64) (sum float64) {
 	q.advance(now)
 	for i := range q.jobs {
@@ -47,14 +48,14 @@
 	return sum
 }
 
-// len is the number of prompts that remain.
+// len returns the number of prompts that remain.
 func (q *prefillQueue) len(now time.Duration) int {
 	q.advance(now)
 	return len(q.jobs)
 }
 
-// complete removes a prompt that was prefilled or ended and, where prefills are in order, all
-// before it.
+// complete removes a prompt that was prefilled or whose request ended. If inOrder is set, it also
+// removes all prompts before it.
 func (q *prefillQueue) complete(id uint64, inOrder bool) {
 	i := slices.IndexFunc(q.jobs, func(job queuedPrefill) bool { return job.id == id })
 	switch {
@@ -66,7 +67,7 @@
 	}
 }
 
-// advance works off the prompts up to now.
+// advance subtracts the work that was done up to now, and removes the prompts without remaining work.
 func (q *prefillQueue) advance(now time.Duration) {
 	done := 0
 	for ; done < len(q.jobs); done++ {
--- a/internal/fleet/inference/prefill_queue_test.go
+++ b/internal/fleet/inference/prefill_queue_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestPrefillQueue compares the backlog with when a server would be idle.
+// TestPrefillQueue compares the backlog with the time until a server without other work would be idle.
 func TestPrefillQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue, now, busyUntil := prefillQueue{}, time.Duration(0), time.Duration(0)
--- a/internal/fleet/inference/prefix_cache.go
+++ b/internal/fleet/inference/prefix_cache.go
@@ -1,22 +1,22 @@
 package inference
 
-// BytesPerPrefix is about the memory of one tracked prefix.
+// BytesPerPrefix is the approximate memory that one tracked prefix takes.
 const BytesPerPrefix = 48
 
-// prefixCache mirrors which prompt prefixes a server's KV cache is estimated to hold, by prefix
-// ID. The least recently used entries are evicted, by tokens and by number, so that memory is
-// bounded. The zero value is empty, and accepts nothing until it is resized.
+// prefixCache tracks the prompt prefixes that a server's KV cache is estimated to hold. It is an LRU
+// cache that is bounded both by tokens and by entries. The zero value is empty and accepts nothing
+// until it is resized.
 type prefixCache struct {
 	maxTokens, tokens int
 	maxEntries        int
-	index             map[uint64]int32 // by prefix ID: a link to its entry
+	index             map[uint64]int32 // links to the entries by prefix ID
 	entries           []cacheEntry
-	free              int32 // link to the first unused entry; these are chained by next
+	free              int32 // link to the first unused entry; next links the others
 	head, tail        int32 // links to the most and the least recently used entry
 }
 
-// cacheEntry is an entry of the list by use. A link is 1 + an index into entries, and 0 is none:
-// links take half the memory of pointers, and the collector does not follow them.
+// cacheEntry is an entry of the LRU list. A link is an index into entries plus 1, or 0 for no entry.
+// Links take half the memory of pointers, and the garbage collector does not follow them.
 type cacheEntry struct {
 	prefix     uint64
 	tokens     int32
@@ -26,8 +26,8 @@
 // contains reports whether the prefix is cached.
 func (c *prefixCache) contains(prefix uint64) bool { _, ok := c.index[prefix]; return ok }
 
-// touch makes the prefix the most recently used one, and evicts what it displaces. One that can't
-// fit at all is ignored.
+// touch makes the prefix the most recently used one. It adds the prefix if needed, evicting others to
+// make room. A prefix with more tokens than the cache can hold is ignored.
 func (c *prefixCache) touch(prefix uint64, tokens int) {
 	if tokens > c.maxTokens || c.maxEntries < 1 {
 		return
@@ -50,7 +50,7 @@
 	c.pushFront(link)
 }
 
-// allocate returns a link to an unused entry.
+// allocate returns a link to an unused entry, and adds one if there is none.
 func (c *prefixCache) allocate() int32 {
 	if link := c.free; link != 0 {
 		c.free = c.entries[link-1].next
@@ -60,6 +60,7 @@
 	return int32(len(c.entries))
 }
 
+// evict removes an entry and makes it reusable.
 func (c *prefixCache) evict(link int32) {
 	entry := &c.entries[link-1]
 	c.unlink(link)
@@ -69,6 +70,7 @@
 	c.free = link
 }
 
+// pushFront makes an entry the head of the list.
 func (c *prefixCache) pushFront(link int32) {
 	entry := &c.entries[link-1]
 	entry.prev, entry.next = 0, c.head
@@ -81,6 +83,7 @@
 	}
 }
 
+// unlink removes an entry from the list only.
 func (c *prefixCache) unlink(link int32) {
 	entry := &c.entries[link-1]
 	if entry.prev != 0 {
@@ -95,7 +98,7 @@
 	}
 }
 
-// resize sets the bounds and evicts what exceeds them.
+// resize sets the bounds and evicts entries until the cache is within them.
 func (c *prefixCache) resize(maxTokens, maxEntries int) {
 	c.maxTokens, c.maxEntries = maxTokens, maxEntries
 	for c.tail != 0 && (c.tokens > c.maxTokens || len(c.index) > c.maxEntries) {
@@ -108,7 +111,7 @@
 	*c = prefixCache{maxTokens: c.maxTokens, maxEntries: c.maxEntries}
 }
 
-// remove drops a prefix that was never computed.
+// remove removes a prefix if it is cached.
 func (c *prefixCache) remove(prefix uint64) {
 	if link, ok := c.index[prefix]; ok {
 		c.evict(link)
--- a/internal/fleet/inference/prefix_cache_test.go
+++ b/internal/fleet/inference/prefix_cache_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// plainCache is a prefixCache as a list, the most recently used prefix last.
-type plainCache struct {
+// modelCache is a simple model of prefixCache.
+type modelCache struct {
 	maxTokens, maxEntries int
-	prefixes              []Segment
+	prefixes              []Segment // the most recently used prefix is last
 }
 
-func (c *plainCache) tokens() (sum int) {
+func (c *modelCache) tokens() (sum int) {
 	for _, prefix := range c.prefixes {
 		sum += prefix.Tokens
 	}
 	return sum
 }
 
-func (c *plainCache) evict() {
+func (c *modelCache) evict() {
 	for len(c.prefixes) > 0 && (c.tokens() > c.maxTokens || len(c.prefixes) > c.maxEntries) {
 		c.prefixes = c.prefixes[1:]
 	}
 }
 
-func (c *plainCache) touch(prefix Segment) {
+func (c *modelCache) touch(prefix Segment) {
 	if prefix.Tokens > c.maxTokens || c.maxEntries < 1 {
 		return
 	}
@@ -39,18 +39,18 @@
 	c.evict()
 }
 
-func (c *plainCache) index(id uint64) int {
+func (c *modelCache) index(id uint64) int {
 	return slices.IndexFunc(c.prefixes, func(prefix Segment) bool { return prefix.ID == id })
 }
 
-func (c *plainCache) remove(id uint64) {
+func (c *modelCache) remove(id uint64) {
 	if i := c.index(id); i >= 0 {
 		c.prefixes = slices.Delete(c.prefixes, i, i+1)
 	}
 }
 
-// requireEqual requires that a cache has the same entries in the same order.
-func (c *plainCache) requireEqual(t *rapid.T, cache *prefixCache) {
+// requireEqual requires that the cache has the same entries as the model, in the same order.
+func (c *modelCache) requireEqual(t *rapid.T, cache *prefixCache) {
 	require.Equal(t, c.tokens(), cache.tokens)
 	require.Len(t, cache.index, len(c.prefixes))
 	link := cache.tail
@@ -62,7 +62,7 @@
 	require.Zero(t, link)
 }
 
-// TestPrefixCache compares the cache with a plain list.
+// TestPrefixCache compares the cache with a simple model.
 func TestPrefixCache(t *testing.T) {
 	const ids = 30
 	rapid.Check(t, func(t *rapid.T) {
@@ -72,29 +72,29 @@
 		}
 		maxTokens, maxEntries := drawBounds(t)
 		cache := prefixCache{maxTokens: maxTokens, maxEntries: maxEntries}
-		plain := plainCache{maxTokens: maxTokens, maxEntries: maxEntries}
+		model := modelCache{maxTokens: maxTokens, maxEntries: maxEntries}
 		t.Repeat(map[string]func(*rapid.T){
 			"touch": func(t *rapid.T) {
 				prefix := Segment{drawID(t), rapid.IntRange(0, 60).Draw(t, "tokens")}
 				cache.touch(prefix.ID, prefix.Tokens)
-				plain.touch(prefix)
+				model.touch(prefix)
 			},
 			"remove": func(t *rapid.T) {
 				id := drawID(t)
 				cache.remove(id)
-				plain.remove(id)
+				model.remove(id)
 			},
 			"resize": func(t *rapid.T) {
-				plain.maxTokens, plain.maxEntries = drawBounds(t)
-				cache.resize(plain.maxTokens, plain.maxEntries)
-				plain.evict()
+				model.maxTokens, model.maxEntries = drawBounds(t)
+				cache.resize(model.maxTokens, model.maxEntries)
+				model.evict()
 			},
 			"reset": func(*rapid.T) {
 				cache.reset()
-				plain.prefixes = nil
+				model.prefixes = nil
 			},
 			"": func(t *rapid.T) {
-				plain.requireEqual(t, &cache)
+				model.requireEqual(t, &cache)
 				require.LessOrEqual(t, len(cache.entries), ids+1, "entries are reused")
 			},
 		})
--- a/internal/fleet/inference/prompt.go
+++ b/internal/fleet/inference/prompt.go
@@ -1,14 +1,15 @@
 package inference
 
-// Segment is a part of a prompt. Its ID names either the segment's own content or, after
+// Segment is a part of a prompt. Its ID identifies either the segment's own content or, after
 // AppendPrefixes, the whole prefix of the prompt up to and including the segment.
 type Segment struct {
 	ID     uint64 `msgpack:"ID"`
 	Tokens int    `msgpack:"Tokens"`
 }
 
-// AppendPrefixes appends the segments to dst with their IDs replaced by those of the prefixes that
-// they end, for one model: the KV cache entry of a segment depends on everything before it.
+// AppendPrefixes appends the segments of a prompt for the given model to dst. It replaces the ID of
+// each by that of the prefix that ends with it, since the KV cache entry of a segment depends on
+// everything before it.
 func AppendPrefixes(dst []Segment, model string, segments []Segment) []Segment {
 	hash := fnv1a(model)
 	for _, segment := range segments {
@@ -18,8 +19,8 @@
 	return dst
 }
 
-// HashString hashes an identifier alike in all processes and versions: agents agree on the order
-// of servers for a key by it.
+// HashString hashes an identifier. The hash is the same in all processes and versions, so that agents
+// agree on the order of servers for a key.
 func HashString(s string) uint64 { return Mix64(fnv1a(s)) }
 
 // Mix64 is the finalizer of splitmix64 (Steele, Lea and Flood, "Fast splittable pseudorandom
@@ -37,7 +38,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// fnv1a is the 64-bit FNV-1a hash. The standard library's allocates.
+// fnv1a returns the 64-bit FNV-1a hash. Unlike the standard library's, it does not allocate.
 func fnv1a(s string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := range len(s) {
--- a/internal/fleet/inference/server_test.go
+++ b/internal/fleet/inference/server_test.go
@@ -13,7 +13,7 @@
 
 var testCapacity = Capacity{Slots: 8, CacheTokens: 10_000, TokensPerEvent: 4, MaxPrefixes: 100}
 
-func prefixes(parts ...Segment) []Segment { return AppendPrefixes(nil, "m", parts) }
+func prefixes(segments ...Segment) []Segment { return AppendPrefixes(nil, "m", segments) }
 
 func TestCachedTokensCountsOnlyTheLeadingPrefixes(t *testing.T) {
 	s := NewServer(testCapacity, NewLatencyModel())
@@ -22,9 +22,9 @@
 	assert.Equal(t, 9000, s.CachedTokens(x))
 	assert.Equal(t, 4000, s.CachedTokens(prefixes(Segment{1, 4000}, Segment{9, 10})))
 	s.Begin(0, prefixes(Segment{4, 1500}), 1500, 10)
-	assert.Equal(t, 8000, s.CachedTokens(x), "of one prompt the last prefix is evicted first")
+	assert.Equal(t, 8000, s.CachedTokens(x), "the last prefix of a prompt is evicted first")
 	s.Begin(0, prefixes(Segment{5, 6000}), 6000, 10)
-	assert.Zero(t, s.CachedTokens(x)-s.CachedTokens(x[:1]), "a prefix is useless without those before it")
+	assert.Zero(t, s.CachedTokens(x)-s.CachedTokens(x[:1]), "a prefix does not count without the prefixes before it")
 	s.ResetCache()
 	assert.Zero(t, s.CachedTokens(x))
 }
@@ -51,11 +51,11 @@
 	assert.InDelta(t, 3*priorPrefillMs, millis(behind-empty), 2, "a prompt waits for the prefills before it")
 	cached, uncached := s.EstimateFirstToken(0, prefixes(Segment{1, 3000}, Segment{2, 1000}), 4000, 10)
 	assert.Equal(t, 1000, uncached)
-	assert.InDelta(t, millis(behind), millis(cached), 2, "cached tokens cost only their attention")
+	assert.InDelta(t, millis(behind), millis(cached), 2, "cached tokens add only attention work")
 	later, _ := s.EstimateFirstToken(30*ms, nil, 1000, 10)
 	assert.InDelta(t, 30, millis(behind-later), 1, "the queue has advanced")
 	large, _ := s.EstimateFirstToken(30*ms, nil, 20_000, 10)
-	assert.Equal(t, unservable, large, "it is rejected as though the server were full")
+	assert.Equal(t, unservableEstimate, large, "the prompt does not fit into the KV cache")
 }
 
 func TestOverduePrefillDelaysTheNextEstimate(t *testing.T) {
@@ -89,12 +89,12 @@
 	base, _ := s.EstimateFirstToken(0, nil, 100, 10)
 	s.BeginRemote(100*ms, 40*ms, prefixes(Segment{7, 2000}), 8000, 6000)
 	delayed, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
-	assert.InDelta(t, 6*priorPrefillMs-40, millis(delayed-base), 10, "less what was prefilled since it was sent")
-	assert.Equal(t, 2000, s.CachedTokens(prefixes(Segment{7, 2000})), "its prefixes are cached there now")
+	assert.InDelta(t, 6*priorPrefillMs-40, millis(delayed-base), 10, "the prefill began when the prompt was sent")
+	assert.Equal(t, 2000, s.CachedTokens(prefixes(Segment{7, 2000})), "the notice's prefixes are cached now")
 	s.BeginRemote(100*ms, -time.Hour, nil, -5, 1<<40)
 	s.BeginRemote(100*ms, time.Hour, nil, 100, -1)
 	afterInvalid, _ := s.EstimateFirstToken(100*ms, nil, 100, 10)
-	assert.InDelta(t, millis(delayed), millis(afterInvalid), 1, "invalid notices delay nobody")
+	assert.InDelta(t, millis(delayed), millis(afterInvalid), 1, "invalid notices add no delay")
 }
 
 func TestSlowServerLags(t *testing.T) {
@@ -107,7 +107,7 @@
 		r.End(now, true)
 	}
 	assert.Greater(t, s.LagMs(now), 100.0)
-	assert.Less(t, s.LagMs(now+time.Minute), 1.0, "it is forgotten")
+	assert.Less(t, s.LagMs(now+time.Minute), 1.0, "the lag has decayed")
 }
 
 func TestEndIsIdempotent(t *testing.T) {
@@ -121,8 +121,8 @@
 	assert.Zero(t, s.reservedTokens)
 }
 
-// TestArbitraryEventOrder has the events of sequences in any order: counts return to zero, and estimates
-// are plausible throughout.
+// TestArbitraryEventOrder applies the events of sequences in any order. Estimates stay plausible, and
+// counts return to zero once all sequences have ended.
 func TestArbitraryEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewServer(testCapacity, NewLatencyModel())
@@ -131,15 +131,17 @@
 		advance := func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * ms }
 		sequence := func(t *rapid.T) *Sequence {
 			if len(sequences) == 0 {
-				t.Skip("there is none")
+				t.Skip("no sequence has begun")
 			}
 			return rapid.SampledFrom(sequences).Draw(t, "sequence")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
 				n := rapid.IntRange(0, 12_000).Draw(t, "tokens")
-				x := prefixes(Segment{uint64(rapid.IntRange(0, 9).Draw(t, "segment")), n / 2}, Segment{uint64(len(sequences)) + 100, n - n/2})
-				sequences = append(sequences, s.Begin(now, x, n, rapid.IntRange(0, 500).Draw(t, "out")))
+				x := prefixes(
+					Segment{uint64(rapid.IntRange(0, 9).Draw(t, "segment")), n / 2},
+					Segment{uint64(len(sequences)) + 100, n - n/2})
+				sequences = append(sequences, s.Begin(now, x, n, rapid.IntRange(0, 500).Draw(t, "output")))
 			},
 			"sent":   func(t *rapid.T) { advance(t); sequence(t).Sent(now) },
 			"events": func(t *rapid.T) { advance(t); sequence(t).Events(now, rapid.IntRange(-1, 30).Draw(t, "n")) },
@@ -154,7 +156,8 @@
 			},
 			"remote": func(t *rapid.T) {
 				age := time.Duration(rapid.IntRange(-5, 500).Draw(t, "age")) * ms
-				s.BeginRemote(now, age, nil, rapid.IntRange(-1, 9000).Draw(t, "prompt"), rapid.IntRange(-1, 9000).Draw(t, "uncached"))
+				s.BeginRemote(now, age, nil,
+					rapid.IntRange(-1, 9000).Draw(t, "prompt"), rapid.IntRange(-1, 9000).Draw(t, "uncached"))
 			},
 			"": func(t *rapid.T) {
 				first, uncached := s.EstimateFirstToken(now, nil, 1000, 100)
--- a/internal/fleet/retrybudget/bench_test.go
+++ b/internal/fleet/retrybudget/bench_test.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// BenchmarkServices records a request and asks for a retry, for one service among others.
+// BenchmarkServices records a request and tries a retry for each of several services in turn.
 func BenchmarkServices(b *testing.B) {
 	for _, services := range []int{1, 6, 1000} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkHeap measures the memory of each service that is counted.
+// BenchmarkHeap measures the memory that each counted service takes.
 func BenchmarkHeap(b *testing.B) {
 	const services = 1000
 	var bytes int64
@@ -44,7 +44,7 @@
 	b.ReportMetric(float64(bytes)/services, "B/service")
 }
 
-// BenchmarkTryRetry records a request and asks for a retry, for one service alone.
+// BenchmarkTryRetry records a request and tries a retry for a single service.
 func BenchmarkTryRetry(b *testing.B) {
 	budget := New(0.2, window, 58)
 	budget.SetAgentCount(0, 9)
--- a/internal/fleet/retrybudget/budget.go
+++ b/internal/fleet/retrybudget/budget.go
@@ -1,12 +1,12 @@
-// Package retrybudget bounds the retries of a fleet of agents that don't coordinate: over any window the
-// sends after the first of each request stay within ratio x requests + slack, summed over the fleet,
-// even while agents die, restart or are partitioned from each other.
+// Package retrybudget bounds the retries of a fleet of agents that do not coordinate. In any window the
+// retries of the fleet stay within ratio x requests + slack, even while agents crash, restart or are
+// partitioned from each other. Every send of a request after the first is a retry.
 //
-// Each agent stays within a part that is safe without the others: retries up to a fraction of the ratio
-// of its own requests, plus its share of the slack. A new process has no share until a complete window
-// has passed, as its predecessor may have spent it. A fifth of the slack is not distributed: it covers
-// that each agent counts the windows that end with its own sends, and that a few requests are unevenly
-// distributed over them.
+// Each agent stays within a limit that is safe without knowing the retries of the others: a fraction of
+// the ratio of its own requests, plus its share of the slack. A new process has no share until a
+// complete window has passed, as its predecessor may have spent the share. A fifth of the slack is not
+// distributed. It is a margin for two errors: an agent counts only the windows that end with its own
+// sends, and the requests of a window, if there are few, are distributed unevenly over it.
 package retrybudget
 
 import (
@@ -15,41 +15,44 @@
 )
 
 const (
-	// ratioFraction and slackFraction leave room for what an agent can't count exactly: sends that have
-	// not arrived, requests of the window before, and agents that it does not know of yet.
+	// ratioFraction and slackFraction are the fractions of ratio and slack that agents use. The rest
+	// is a margin for what an agent can't count exactly: sends that have not arrived, requests of the
+	// previous window, and agents that it does not know of yet.
 	ratioFraction, slackFraction = 0.85, 0.8
-	// windowBuckets is the resolution of a window: counts are too strict by one of them at most.
+	// windowBuckets is the number of buckets per window. A count is too strict by at most one bucket.
 	windowBuckets = 64
-	// ringBuckets is a window, and the bucket of which a part has passed out of it.
+	// ringBuckets covers a window plus the oldest bucket, which is only partly in the window.
 	ringBuckets = windowBuckets + 1
-	// maxServices bounds the services that are counted; others get no retries.
+	// maxServices bounds the number of services that are counted; other services get no retries.
 	maxServices = 1024
-	// peakEpochs is over how many windows the share follows the largest number of agents.
+	// peakEpochs is the number of epochs over which the largest number of agents is kept. An epoch is
+	// as long as a window.
 	peakEpochs = 3
 )
 
-// Budget is the part of the retry budget of one process. It is pure: it takes the time as the first
-// argument of its methods, any clock that does not run backwards. It is not safe for concurrent use.
+// Budget is the share of one process in the retry budget of a fleet. It reads no clock: its methods take
+// the time as their first argument, from any clock that does not run backwards. It is not safe for
+// concurrent use.
 type Budget struct {
 	ratio, slack float64
 	window       time.Duration
 	hasStarted   bool // startedAt is set
 	startedAt    time.Duration
-	agents       int             // known now
-	peakAgents   [peakEpochs]int // the most known in this epoch, the one before, and so on
-	epoch        int64           // windows since time zero
+	agents       int             // number of agents that are known now
+	peakAgents   [peakEpochs]int // largest number known in this epoch, in the previous one, and so on
+	epoch        int64           // number of the current epoch; epoch 0 begins at time zero
 	services     map[string]*serviceCounts
 }
 
-// serviceCounts are the sends for one service by bucket of time, as a ring.
+// serviceCounts counts the sends for one service in a ring of time buckets.
 type serviceCounts struct {
-	newest            int64 // number of the newest bucket since time zero
+	newest            int64 // number of the newest bucket; bucket 0 begins at time zero
 	requests, retries [ringBuckets]uint32
 }
 
-// New returns the budget of a process that starts at the time of the first call of a method. Ratio and
-// slack are those of the fleet; the slack is in retries. Negative ones count as 0, and a window below
-// the resolution as the least one.
+// New returns the budget of a process. The process is taken to start at the time of the first method
+// call. Ratio and slack are those of the fleet, the slack as a number of retries. Negative values count
+// as 0, and a window is at least windowBuckets nanoseconds long.
 func New(ratio float64, window time.Duration, slack float64) *Budget {
 	return &Budget{
 		ratio:    max(ratio, 0),
@@ -59,23 +62,23 @@
 	}
 }
 
-// SetAgentCount sets how many agents are known, this one included. The share follows the largest number
-// of at least two windows: an agent that is no longer known may still send.
+// SetAgentCount sets the number of agents that are known, including this one. The share depends on the
+// largest number of the last two windows or more, since an agent that is no longer known may still send.
 func (b *Budget) SetAgentCount(now time.Duration, agents int) {
 	b.advanceEpoch(now)
 	b.agents = agents
 	b.peakAgents[0] = max(b.peakAgents[0], agents)
 }
 
-// RecordRequest counts the first send of a request. Each attempt of a client is a request of its own.
+// RecordRequest counts the first send of a request. A retry by the client is a new request.
 func (b *Budget) RecordRequest(now time.Duration, service string) {
 	if counts := b.serviceAt(now, service); counts != nil {
 		counts.requests[counts.newest%ringBuckets]++
 	}
 }
 
-// TryRetry reports whether one more send of a request that was sent before is within the budget, and
-// counts it if so.
+// TryRetry reports whether one more retry of a request is within the budget. If so, it counts the
+// retry.
 func (b *Budget) TryRetry(now time.Duration, service string) bool {
 	counts := b.serviceAt(now, service)
 	if counts == nil {
@@ -89,7 +92,8 @@
 	return true
 }
 
-// SlackShare returns how many retries beyond the ratio this process may send in a window.
+// SlackShare returns how many retries this process may send in a window beyond those that its requests
+// allow.
 func (b *Budget) SlackShare(now time.Duration) int {
 	b.advanceEpoch(now)
 	agents := slices.Max(b.peakAgents[:])
@@ -99,14 +103,14 @@
 	return int(slackFraction * b.slack / float64(agents))
 }
 
-// start records the time of the first call.
+// start records the time of the first call as startedAt.
 func (b *Budget) start(now time.Duration) {
 	if !b.hasStarted {
 		b.hasStarted, b.startedAt = true, now
 	}
 }
 
-// advanceEpoch moves the peaks of the number of agents to the epoch of now.
+// advanceEpoch shifts peakAgents to the epoch that contains now.
 func (b *Budget) advanceEpoch(now time.Duration) {
 	b.start(now)
 	epoch := int64(now / b.window)
@@ -116,8 +120,8 @@
 	b.epoch = max(b.epoch, epoch)
 }
 
-// serviceAt returns the counts of a service with now in the newest bucket; nil if there are too many
-// services.
+// serviceAt returns the counts of a service, advanced so that now is in the newest bucket. It returns nil
+// if there are too many services.
 func (b *Budget) serviceAt(now time.Duration, service string) *serviceCounts {
 	b.start(now)
 	bucket := int64(now / (b.window / windowBuckets))
@@ -136,7 +140,7 @@
 	return counts
 }
 
-// evictIdle removes the services that nothing was sent to for a window.
+// evictIdle removes the services that were not used for a window.
 func (b *Budget) evictIdle(bucket int64) {
 	for name, counts := range b.services {
 		if bucket-counts.newest > windowBuckets {
@@ -145,7 +149,7 @@
 	}
 }
 
-// advance makes a bucket the newest one and clears those between.
+// advance makes the given bucket the newest one and clears the buckets up to it.
 func (c *serviceCounts) advance(bucket int64) {
 	for range min(max(bucket-c.newest, 0), ringBuckets) {
 		c.newest++
@@ -154,8 +158,8 @@
 	c.newest = max(c.newest, bucket)
 }
 
-// totals returns the requests and retries of the window. A part of the oldest bucket has passed out of
-// it: its retries count, its requests don't.
+// totals returns the requests and retries in the window. The oldest bucket is only partly in the window:
+// its retries count, its requests don't.
 func (c *serviceCounts) totals() (requests, retries uint64) {
 	oldest := (c.newest + 1) % ringBuckets
 	for i := range c.requests {
--- a/internal/fleet/retrybudget/budget_test.go
+++ b/internal/fleet/retrybudget/budget_test.go
@@ -17,14 +17,14 @@
 func TestNewProcessHasNoSlackShare(t *testing.T) {
 	budget := New(0.2, window, 58)
 	budget.SetAgentCount(time.Hour, 9)
-	assert.Zero(t, budget.SlackShare(time.Hour+window), "its predecessor may have spent it until now")
+	assert.Zero(t, budget.SlackShare(time.Hour+window), "its predecessor may have spent the share until now")
 	assert.False(t, budget.TryRetry(time.Hour+window, "s"))
 	assert.Equal(t, 5, budget.SlackShare(time.Hour+window+1), "0.8 x 58 / 9")
 	for range 5 {
 		assert.True(t, budget.TryRetry(time.Hour+window+1, "s"))
 	}
 	assert.False(t, budget.TryRetry(time.Hour+window+1, "s"))
-	assert.True(t, budget.TryRetry(time.Hour+window+1, "other"), "each service has its own")
+	assert.True(t, budget.TryRetry(time.Hour+window+1, "other"), "each service has its own share")
 }
 
 func TestRequestsEarnRetries(t *testing.T) {
@@ -51,7 +51,7 @@
 	assert.Equal(t, 40, budget.SlackShare(8*window+1))
 	budget.SetAgentCount(8*window+2, 10)
 	assert.Equal(t, 8, budget.SlackShare(8*window+2), "new agents count at once")
-	assert.Equal(t, 8, budget.SlackShare(20*window), "the last number stays in force")
+	assert.Equal(t, 8, budget.SlackShare(20*window), "the last number set stays in force")
 	assert.Zero(t, New(0.2, window, 100).SlackShare(5*window), "no agents known")
 }
 
@@ -65,43 +65,44 @@
 	assert.Len(t, budget.services, 1, "idle services are evicted")
 }
 
-// fleetModel is a fleet of agents that die, restart and know of each other late. It records the time of
-// each request and of each retry that a budget has allowed.
+// fleetModel is a fleet of agents that crash, restart and learn of each other late. It records the time
+// of each request and of each retry that a budget has allowed.
 type fleetModel struct {
 	ratio, slack      float64
-	rate              float64       // requests a second and agent
-	swing             float64       // of the rate, as a fraction
-	burstStart        time.Duration // of a higher rate
-	deathRate         float64       // deaths a second and agent
+	rate              float64       // requests per second and agent
+	swing             float64       // fraction by which the rate alternately rises and falls
+	burstStart        time.Duration // when a burst of requests begins
+	crashRate         float64       // crashes per second and agent
 	random            *rand.Rand
-	agents            []*Budget // nil before its first start
+	agents            []*Budget // an item is nil before the agent's first start
 	requests, retries []time.Duration
 }
 
 const (
-	// modelStep is the time that one step of a fleetModel takes.
+	// modelStep is the length of one step of a fleetModel.
 	modelStep = 50 * time.Millisecond
-	// burstDuration is how long a burst lasts, swingPeriod how long the rate stays high or low.
+	// burstDuration is how long a burst lasts. swingPeriod is how long the rate stays high or low.
 	burstDuration, swingPeriod = 4 * time.Second, 7 * time.Second
 )
 
 func drawFleet(t *rapid.T) *fleetModel {
 	m := &fleetModel{
 		ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"),
-		// The part of the slack that is not distributed covers that a few requests are unevenly
-		// distributed: agents count the windows that end with each of their sends, operators others.
+		// The slack is at least 20 because the fraction of it that is not distributed has to cover
+		// requests that are unevenly distributed over a window. Agents count the windows that end with
+		// their own sends, operators count other windows.
 		slack: float64(rapid.IntRange(20, 250).Draw(t, "slack")),
 	}
 	m.agents = make([]*Budget, rapid.IntRange(1, 20).Draw(t, "agents"))
 	m.rate = rapid.Float64Range(0.1, 40).Draw(t, "rate")
 	m.swing = rapid.Float64Range(0, 0.5).Draw(t, "swing")
 	m.burstStart = time.Duration(rapid.IntRange(0, 60).Draw(t, "burst")) * time.Second
-	m.deathRate = rapid.Float64Range(0, 0.3).Draw(t, "deaths")
+	m.crashRate = rapid.Float64Range(0, 0.3).Draw(t, "crashes")
 	m.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	return m
 }
 
-// run plays all agents for the given time.
+// run runs all agents for the given time.
 func (m *fleetModel) run(duration time.Duration) {
 	for now := time.Duration(0); now < duration; now += modelStep {
 		for i := range m.agents {
@@ -112,15 +113,16 @@
 	}
 }
 
-// restart starts an agent for the first time, or, at the death rate, again.
+// restart starts an agent for the first time, or restarts it at random with the crash rate.
 func (m *fleetModel) restart(now time.Duration, agent int) {
-	if m.agents[agent] == nil || m.random.Float64() < m.deathRate*modelStep.Seconds() {
+	if m.agents[agent] == nil || m.random.Float64() < m.crashRate*modelStep.Seconds() {
 		m.agents[agent] = New(m.ratio, window, m.slack)
 		m.agents[agent].SetAgentCount(now, len(m.agents))
 	}
 }
 
-// updateAgentCount tells an agent of all others or, during a partition, of some of them.
+// updateAgentCount at random sets the number of agents that an agent knows: all of them or, as in a
+// partition, about half of them.
 func (m *fleetModel) updateAgentCount(now time.Duration, budget *Budget) {
 	all := len(m.agents)
 	if m.random.IntN(20) == 0 {
@@ -130,7 +132,7 @@
 	}
 }
 
-// send sends the requests of one step at the rate of now, and then all retries that are allowed.
+// send sends an agent's requests of one step and then all retries that its budget allows.
 func (m *fleetModel) send(now time.Duration, budget *Budget) {
 	rate := m.rate * (1 + m.swing*float64(1-2*(int(now/swingPeriod)%2)))
 	if now >= m.burstStart && now < m.burstStart+burstDuration {
@@ -155,8 +157,8 @@
 	return end - first
 }
 
-// TestFleetStaysWithinBudget counts as the operators do: retries in any window against the requests of
-// that window, of the one before, or of the one half a window earlier.
+// TestFleetStaysWithinBudget counts as operators do: the retries in any window are compared with the
+// requests in that window, in the previous one, or in the one that starts half a window earlier.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawFleet(t)
@@ -168,7 +170,7 @@
 				countBetween(fleet.requests, from-window/2, from+window/2))
 			retries := countBetween(fleet.retries, from, from+window)
 			if limit := fleet.ratio*float64(requests) + fleet.slack; float64(retries) > limit {
-				t.Fatalf("%d retries in the window from %v, allowed are %.1f", retries, from, limit)
+				t.Fatalf("%d retries in the window from %v, want at most %.1f", retries, from, limit)
 			}
 		}
 	})
