--- a/internal/fleet/lease/bench_test.go
+++ b/internal/fleet/lease/bench_test.go
@@ -11,11 +11,12 @@
 // coreMachines is the number of control plane machines that grant leases.
 const coreMachines = 7
 
-// tableOf is a table of agents with one lease each.
+// tableOf returns a table of agents with one lease each.
 func tableOf(agents int) *Table {
 	table := New(leaseDuration)
 	for i := range agents {
-		table.Grant(time.Second, fmt.Sprintf("edge-%d/0123456789ab", i), fmt.Sprintf("core-%d/0123456789ab", i%coreMachines))
+		table.Grant(time.Second,
+			fmt.Sprintf("edge-%d/0123456789ab", i), fmt.Sprintf("core-%d/0123456789ab", i%coreMachines))
 	}
 	return table
 }
@@ -27,7 +28,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(table.Expired(time.Second)) > 0 {
-					b.Fatal("a lease is expired")
+					b.Fatal("a lease has expired")
 				}
 			}
 		})
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -15,7 +15,7 @@
 	checkInterval = 200 * time.Millisecond
 )
 
-// polledTable is a table that is checked for expired leases at intervals, as by its owner.
+// polledTable is a table that is checked for expired leases at intervals, as by its user.
 type polledTable struct {
 	*Table
 	now time.Duration
@@ -25,7 +25,7 @@
 	return &polledTable{Table: New(leaseDuration), now: time.Second}
 }
 
-// advance lets time pass and returns the agents that are expired at its end.
+// advance lets time pass and returns the agents whose leases have expired at the end.
 func (p *polledTable) advance(duration time.Duration) (expired []string) {
 	for end := p.now + duration; p.now < end; {
 		p.now += min(checkInterval, end-p.now)
@@ -40,7 +40,7 @@
 	table.Grant(table.now, "agent-a", "core-2")
 	assert.Empty(t, table.advance(time.Minute), "a granted lease never expires")
 	table.Revoke(table.now, "agent-a", "core-1")
-	table.Revoke(table.now, "agent-a", "core-1") // again
+	table.Revoke(table.now, "agent-a", "core-1") // a second time
 	table.Revoke(table.now, "agent-a", "core-3") // not a grantor
 	table.Revoke(table.now, "agent-b", "core-1") // not a known agent
 	assert.True(t, table.Granted("agent-a"))
@@ -48,7 +48,7 @@
 	table.Revoke(table.now, "agent-a", "core-2")
 	assert.False(t, table.Granted("agent-a"))
 	assert.Empty(t, table.advance(leaseDuration))
-	table.Revoke(table.now, "agent-a", "core-2") // late, renews nothing
+	table.Revoke(table.now, "agent-a", "core-2") // a late repetition does not extend the lease
 	assert.Equal(t, []string{"agent-a"}, table.advance(time.Millisecond))
 	table.Remove(table.now, "agent-a")
 	assert.Empty(t, table.advance(time.Minute))
@@ -63,16 +63,16 @@
 	table.Grant(table.now, "agent-a", "core-2")
 	assert.Empty(t, table.advance(time.Minute))
 	table.Revoke(table.now, "agent-a", "core-2")
-	assert.Empty(t, table.advance(leaseDuration), "it has its full duration again")
+	assert.Empty(t, table.advance(leaseDuration), "the lease has its full duration again")
 	assert.Equal(t, []string{"agent-a"}, table.advance(time.Millisecond))
 }
 
-// An agent without a lease has the duration of one to get it.
+// An agent without a lease has one lease duration to get one.
 func TestObservedAgentWithoutLeaseExpires(t *testing.T) {
 	table := newPolledTable()
 	table.Observe(table.now, "agent-a")
 	require.Empty(t, table.advance(leaseDuration))
-	table.Observe(table.now, "agent-a") // renews nothing
+	table.Observe(table.now, "agent-a") // does not extend the time
 	assert.Equal(t, []string{"agent-a"}, table.advance(time.Millisecond))
 	assert.False(t, table.Granted("agent-a"))
 	assert.False(t, table.Granted("unknown"))
@@ -89,7 +89,7 @@
 	assert.Equal(t, time.Second, table.UngrantedFor(table.now, "agent-a"))
 }
 
-// The leases of a removed grantor are revoked, but not those that others grant.
+// The leases granted by a removed grantor are revoked, but not those granted by others.
 func TestRemovedGrantorRevokesItsLeases(t *testing.T) {
 	table := newPolledTable()
 	table.Grant(table.now, "agent-a", "core-1")
@@ -103,7 +103,7 @@
 	assert.Equal(t, []string{"agent-a"}, table.advance(leaseDuration+time.Millisecond))
 }
 
-// A process that was suspended does not know what happened meanwhile.
+// After a suspension leases get their full duration again, as the process does not know what happened meanwhile.
 func TestSuspensionRestartsLeases(t *testing.T) {
 	table := newPolledTable()
 	table.Grant(table.now, "agent-a", "core-1")
@@ -127,28 +127,30 @@
 	assert.True(t, table.Granted("new"))
 }
 
-// Machines that are gone may have granted leases to each other. That holds nobody, and the agents of a
-// machine that is lost in the ordinary way get their full time first.
+// Machines that are gone may have granted leases to each other. These do not keep any agent in the fleet, but the
+// agents of a machine that has just been lost first have time to get another lease.
 func TestUnreachableGrantorsHoldNobody(t *testing.T) {
 	const duration = 2 * time.Second
 	table := New(duration)
 	start := time.Minute
-	for holder, grantor := range map[string]string{"former-a": "former-b", "former-b": "former-a", "agent": "former-a", "other": "self"} {
+	for holder, grantor := range map[string]string{
+		"former-a": "former-b", "former-b": "former-a", "agent": "former-a", "other": "self",
+	} {
 		table.Grant(start, holder, grantor)
 	}
 	roots := map[string]bool{"self": true}
-	for now := start; now <= start+unreachableLeases*duration; now += duration / 4 {
+	for now := start; now <= start+unreachableRetention*duration; now += duration / 4 {
 		table.ObserveRoots(now, roots)
 		require.Empty(t, table.Expired(now), "after %v", now-start)
 		require.True(t, table.Reachable("other"))
 		require.False(t, table.Reachable("agent"))
 	}
-	now := start + unreachableLeases*duration + duration/4
+	now := start + unreachableRetention*duration + duration/4
 	table.ObserveRoots(now, roots)
 	require.Equal(t, []string{"agent", "former-a", "former-b"}, table.Expired(now))
 }
 
-// What is reachable only through another machine counts, and a suspended process gives everybody time.
+// An agent is also reachable through other machines. After a suspension no agent expires at once.
 func TestReachableThroughAnotherMachine(t *testing.T) {
 	const duration = 2 * time.Second
 	table := New(duration)
@@ -158,10 +160,10 @@
 	table.ObserveRoots(time.Minute, map[string]bool{"self": true})
 	require.True(t, table.Reachable("agent"))
 	table.Revoke(time.Minute, "relay", "self")
-	table.Grant(time.Minute, "relay", "agent") // a circle
+	table.Grant(time.Minute, "relay", "agent") // the leases form a cycle
 	table.ObserveRoots(time.Minute, map[string]bool{"self": true})
 	require.False(t, table.Reachable("agent"))
 	require.Empty(t, table.Expired(time.Minute))
 	table.ObserveRoots(2*time.Minute, map[string]bool{"self": true})
-	require.Empty(t, table.Expired(2*time.Minute), "it was suspended")
+	require.Empty(t, table.Expired(2*time.Minute), "the process was suspended")
 }
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// modelNodes is how many nodes the model has, each of which is an agent and a grantor.
+// modelNodes is the number of nodes in the model. Each of them is an agent and a grantor.
 const modelNodes = 5
 
-// model is a simple implementation of what a table has to do.
+// model is a simple implementation of what a Table does.
 type model struct {
-	grantors  map[string]map[string]bool // by agent
-	ungranted map[string]time.Duration   // by agent: since when it has no grantors
+	grantors       map[string]map[string]bool // by agent
+	ungrantedSince map[string]time.Duration   // by agent, the time since which it has no grantors
 }
 
 func nodeName(i int) string { return fmt.Sprint("n", i) }
 
 func (m *model) observe(now time.Duration, agent string) {
 	if m.grantors[agent] == nil {
-		m.grantors[agent], m.ungranted[agent] = map[string]bool{}, now
+		m.grantors[agent], m.ungrantedSince[agent] = map[string]bool{}, now
 	}
 }
 
@@ -37,7 +37,7 @@
 	}
 	delete(m.grantors[agent], grantor)
 	if len(m.grantors[agent]) == 0 {
-		m.ungranted[agent] = now
+		m.ungrantedSince[agent] = now
 	}
 }
 
@@ -52,19 +52,20 @@
 	expired := []string{}
 	for i := range modelNodes {
 		agent := nodeName(i)
-		if grantors, known := m.grantors[agent]; known && len(grantors) == 0 && now-m.ungranted[agent] > leaseDuration {
+		if grantors, known := m.grantors[agent]; known && len(grantors) == 0 &&
+			now-m.ungrantedSince[agent] > leaseDuration {
 			expired = append(expired, agent)
 		}
 	}
 	return expired
 }
 
-// Whatever several machines grant and revoke in any order, and whichever are removed, the leases expire
-// that no machine has granted for the duration of one, and no state of removed agents remains.
+// Whatever several machines grant and revoke in any order, and whichever of them are removed, exactly those leases
+// expire that no machine has granted for longer than the lease duration. No state of removed agents remains.
 func TestLeasesOfSeveralGrantors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newPolledTable()
-		m := &model{grantors: map[string]map[string]bool{}, ungranted: map[string]time.Duration{}}
+		m := &model{grantors: map[string]map[string]bool{}, ungrantedSince: map[string]time.Duration{}}
 		node := rapid.Custom(func(t *rapid.T) string {
 			return nodeName(rapid.IntRange(0, modelNodes-1).Draw(t, "n"))
 		})
--- a/internal/fleet/quota/broker.go
+++ b/internal/fleet/quota/broker.go
@@ -11,128 +11,132 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// The names of the calls, as they are on the wire.
+// The names of the calls on the wire.
 const (
 	callAdmit = "quota.admit"
 	callDraw  = "quota.draw"
-	// callForward asks another agent to ask a holder.
+	// callForward asks another agent to call a holder on the caller's behalf.
 	callForward = "quota.forward"
-	// callDeputize asks a member of the core for a part of its share.
+	// callDeputize asks a member of the core for half of its share.
 	callDeputize = "quota.deputize"
 )
 
-// exhaustedPause is for how long a tenant counts as exhausted after nothing more could be drawn from any
-// member.
+// exhaustedPause is how long a tenant counts as exhausted after a gathering for it has failed. Meanwhile its
+// requests are admitted from the local share only.
 const exhaustedPause = 40 * time.Millisecond
 
-// Verdict is what becomes of a request that was asked for.
+// Verdict is the result of an admission call.
 type Verdict uint8
 
 // The verdicts. The numbers are on the wire.
 const (
-	Unavailable Verdict = iota // this member can't tell: ask another
+	Unavailable Verdict = iota // the holder can't decide; another one may
 	Admitted
-	Exhausted // the tenant is over its quota
+	Exhausted // the tenant has used up its quota
 )
 
-// admitRequest asks for an amount of a tenant's quota.
+// admitRequest asks a holder to admit a request that costs an amount of a tenant's quota.
 type admitRequest struct {
 	Tenant string  `msgpack:"t"`
 	Amount float64 `msgpack:"a"`
 }
 
-// admitResponse answers it.
+// admitResponse is the response to an admitRequest.
 type admitResponse struct {
 	Verdict      Verdict `msgpack:"v"`
-	RetryAfterMs int64   `msgpack:"r,omitempty"` // of Exhausted
-	// Undecided, of Unavailable: the holder has asked the others, and none has answered in time. To ask
-	// another one would only have them all asked again.
+	RetryAfterMs int64   `msgpack:"r,omitempty"` // set only if the verdict is Exhausted
+	// Undecided is set only if the verdict is Unavailable: the holder drew from the others, and none of
+	// them answered in time. Asking another holder would only repeat these draws.
 	Undecided bool `msgpack:"u,omitempty"`
 }
 
-// MaxConfirmedAge is how long ago a member of the core must have been confirmed by a majority to admit
-// requests by its share: a member that was replaced while it is cut off learns it no other way.
+// MaxConfirmedAge is the maximum age of the last confirmation by a majority that this process is a member
+// of the core. With an older one it admits no requests from its share: a member that was replaced while it
+// is partitioned has no other way to learn of that.
 const MaxConfirmedAge = 3 * time.Second
 
-// Core is what a broker needs to know of the core. Its methods are safe for concurrent use.
+// Core is what a Broker and a Client need to know about the core. Its methods are safe for concurrent
+// use. They return the addresses in the zone of this process before others.
 type Core interface {
-	// IsMember reports whether this process is a member of the core, and Confirmed whether a majority
-	// has confirmed that within MaxConfirmedAge.
+	// IsMember reports whether this process is a member of the core.
 	IsMember() bool
+	// Confirmed reports whether a majority has confirmed that within MaxConfirmedAge.
 	Confirmed() bool
-	// MemberAddrs returns the addresses of all members, and HolderAddrs those of all members and their
-	// deputies, those of the own zone first.
+	// MemberAddrs returns the addresses of all members.
 	MemberAddrs() []string
+	// HolderAddrs returns the addresses of all members and of their deputies.
 	HolderAddrs() []string
-	// AgentAddrs returns the addresses of other agents, those of the own zone first.
+	// AgentAddrs returns the addresses of other agents.
 	AgentAddrs() []string
 	// PublishDeputy publishes whether this process is a deputy.
 	PublishDeputy(deputy bool)
 }
 
-// Options configure a Broker and a Client.
+// Options configures a Broker and a Client.
 type Options struct {
 	Bounds Bounds
 	// SelfAddr is the address at which other agents call this one.
 	SelfAddr string
 	Core     Core
 	Pool     *rpc.Pool
-	// FirstStart tells that no process of the fleet has run before.
+	// FirstStart is set if no process of the fleet has run before.
 	FirstStart bool
-	// SaveRecord writes the record of a member of the core to its disk, and returns once it is there;
-	// SavedRecord is the one that an earlier process has written last. Both are nil without a disk.
+	// SaveRecord writes the record of a member of the core to its disk and returns once it is durable.
+	// SavedRecord is the last record that an earlier process of this member has written. Both are nil if
+	// there is no disk.
 	SaveRecord  func(record []byte) error
 	SavedRecord []byte
 }
 
-// Broker admits requests by one member's ledger. It is safe for concurrent use.
+// Broker admits requests from the shares in one holder's Ledger. It is safe for concurrent use.
 type Broker struct {
 	options Options
 	started time.Time
 
-	mu           sync.Mutex // guards all that follows
-	ledger       *Ledger
-	gatherings   map[string]*gathering    // by tenant whose draws are in progress
-	lateDraws    map[string]*lateDraws    // by tenant of which a draw has outlasted its gathering
-	recentDraws  map[string]recentDraw    // by tenant
-	exhausted    map[string]exhaustion    // of tenants for which lately nothing more could be drawn
-	unresponsive map[string]time.Duration // until when a holder is not drawn from
-	rejected     map[string]int64         // by tenant, since the start
-	// peerLevels is what the shares of other members had when they were last drawn from, by tenant and
+	mu                sync.Mutex // guards all fields below
+	ledger            *Ledger
+	gatherings        map[string]*gathering    // running gatherings by tenant
+	lateDraws         map[string]*lateDraws    // by tenant
+	recentDraws       map[string]recentDraw    // by tenant
+	exhaustions       map[string]exhaustion    // by tenant
+	unresponsiveUntil map[string]time.Duration // by holder's address, the time until which it is not drawn from
+	rejections        map[string]int64         // by tenant, the number of rejections since the start
+	// peerLevels is the level of each other holder's share after the last draw from it, by tenant and
 	// address.
-	peerLevels map[string]map[string]float64
-	deputy     deputy      // of this process, as a member of the core
-	appointed  appointment // of this process, as a deputy
-	appointing string      // the agent whose appointment is being recorded, "" if none is
-	// recordedDeputy is the deputy by the newest record that is certainly on disk.
+	peerLevels  map[string]map[string]float64
+	deputy      deputy      // the deputy of this process, if that is a member of the core
+	appointment appointment // this process's own term as a deputy
+	appointee   string      // address of the agent whose appointment is being recorded; empty if there is none
+	// recordedDeputy is the deputy in the newest record that is certainly on disk.
 	recordedDeputy string
-	// recordedSettled: that record says that a process may begin anew.
+	// recordedSettled is the Settled flag of that record.
 	recordedSettled bool
 
-	// recording has a token while a record is being written. Nobody waits for it with mu held.
-	recording chan struct{}
+	// recordSemaphore is a semaphore: it has a token while a record is being written. Nobody waits for it with
+	// mu held.
+	recordSemaphore chan struct{}
 }
 
 // NewBroker returns a broker without tenants.
 func NewBroker(options Options) *Broker {
 	b := &Broker{
-		options:      options,
-		started:      time.Now(),
-		ledger:       NewLedger(options.Bounds),
-		gatherings:   map[string]*gathering{},
-		lateDraws:    map[string]*lateDraws{},
-		recentDraws:  map[string]recentDraw{},
-		exhausted:    map[string]exhaustion{},
-		unresponsive: map[string]time.Duration{},
-		rejected:     map[string]int64{},
-		peerLevels:   map[string]map[string]float64{},
-		recording:    make(chan struct{}, 1),
+		options:           options,
+		started:           time.Now(),
+		ledger:            NewLedger(options.Bounds),
+		gatherings:        map[string]*gathering{},
+		lateDraws:         map[string]*lateDraws{},
+		recentDraws:       map[string]recentDraw{},
+		exhaustions:       map[string]exhaustion{},
+		unresponsiveUntil: map[string]time.Duration{},
+		rejections:        map[string]int64{},
+		peerLevels:        map[string]map[string]float64{},
+		recordSemaphore:   make(chan struct{}, 1),
 	}
 	b.restore(options.SavedRecord)
 	return b
 }
 
-// RegisterHandlers adds the calls of agents and of other members to the process's table.
+// RegisterHandlers adds the handlers of the calls by agents and other holders to the process's table.
 func (b *Broker) RegisterHandlers(table *rpc.Mux) {
 	rpc.HandleUnary(table, callAdmit, b.handleAdmit)
 	rpc.HandleUnary(table, callDraw, b.handleDraw)
@@ -141,7 +145,7 @@
 
 func (b *Broker) now() time.Duration { return time.Since(b.started) }
 
-// Update applies the quotas of a configuration.
+// Update applies the quotas in a configuration.
 func (b *Broker) Update(document *config.Document) {
 	limits := map[string]Limit{}
 	for name, tenant := range document.Tenants() {
@@ -152,9 +156,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.SetLimits(b.now(), limits)
-	for name := range b.exhausted {
+	for name := range b.exhaustions {
 		if _, ok := limits[name]; !ok {
-			delete(b.exhausted, name)
+			delete(b.exhaustions, name)
 		}
 	}
 	for name := range b.peerLevels {
@@ -167,9 +171,9 @@
 			delete(b.recentDraws, name)
 		}
 	}
-	for name := range b.rejected {
+	for name := range b.rejections {
 		if _, ok := limits[name]; !ok {
-			delete(b.rejected, name)
+			delete(b.rejections, name)
 		}
 	}
 }
@@ -179,18 +183,18 @@
 	return &response, nil
 }
 
-// admit takes an amount of a tenant's quota, of the own share and, where that does not suffice, of the
-// other holders'.
+// admit admits an amount of a tenant's quota from the local share and, if that is too small, from the shares
+// of the other holders.
 func (b *Broker) admit(ctx context.Context, tenant string, amount float64) admitResponse {
 	divisor, ok := b.divisor()
 	if !ok {
 		return admitResponse{Verdict: Unavailable}
 	}
 	for {
-		own, running, response := b.takeOwn(tenant, amount, divisor)
+		started, running, response := b.takeFromShare(tenant, amount, divisor)
 		switch {
-		case own != nil:
-			return b.gather(ctx, own)
+		case started != nil:
+			return b.gather(ctx, started)
 		case running == nil:
 			return response
 		}
@@ -202,52 +206,54 @@
 	}
 }
 
-// takeOwn takes an amount of the own share. Where that does not suffice it takes what is there and begins a
-// gathering of the rest, own. If another one for the tenant is running, that is to be waited for first.
-func (b *Broker) takeOwn(tenant string, amount float64, divisor int) (own, running *gathering, response admitResponse) {
+// takeFromShare takes an amount from the local share. If the share is too small, takeFromShare takes what is there and
+// starts a gathering of the rest. If a gathering for the tenant is already running, takeFromShare takes nothing
+// and returns that one: the caller has to wait for its end and try again.
+func (b *Broker) takeFromShare(
+	tenant string, amount float64, divisor int,
+) (started, running *gathering, response admitResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	b.ledger.SetDivisor(now, divisor)
 	switch {
 	case !b.ledger.Known(tenant):
-		return nil, nil, admitResponse{Verdict: Unavailable} // by another configuration than the agent's
+		return nil, nil, admitResponse{Verdict: Unavailable} // the agent has another configuration
 	case b.ledger.Take(now, tenant, amount):
 		return nil, nil, admitResponse{Verdict: Admitted}
-	case now < b.exhausted[tenant].until:
-		return nil, nil, b.rejectLocked(tenant, amount, b.exhausted[tenant].proven)
+	case now < b.exhaustions[tenant].expiresAt:
+		return nil, nil, b.rejectLocked(tenant, amount, b.exhaustions[tenant].proven)
 	}
 	if running := b.gatherings[tenant]; running != nil {
 		return nil, running, admitResponse{}
 	}
-	own = newGathering(tenant, amount, b.ledger.Draw(now, tenant, amount))
-	b.gatherings[tenant] = own
-	return own, nil, admitResponse{}
+	started = newGathering(tenant, amount, b.ledger.Draw(now, tenant, amount))
+	b.gatherings[tenant] = started
+	return started, nil, admitResponse{}
 }
 
-// exhaustion is for how long a tenant counts as exhausted after nothing more could be drawn, and whether
-// another holder has told so.
+// exhaustion records that a gathering for a tenant has failed.
 type exhaustion struct {
-	until  time.Duration
-	proven bool
+	expiresAt time.Duration // end of exhaustedPause
+	proven    bool          // another holder has answered, or there is none
 }
 
-// rejectLocked counts and returns a rejection. Unless it is proven that the tenant is over its quota, the
-// verdict is that nobody can tell.
+// rejectLocked counts and returns a rejection. If it isn't proven that the tenant has used up its quota, it
+// returns the undecided verdict instead.
 func (b *Broker) rejectLocked(tenant string, amount float64, proven bool) admitResponse {
 	if !proven {
 		return admitResponse{Verdict: Unavailable, Undecided: true}
 	}
-	b.rejected[tenant]++
+	b.rejections[tenant]++
 	return admitResponse{Verdict: Exhausted, RetryAfterMs: b.ledger.RetryAfter(tenant, amount).Milliseconds()}
 }
 
-// Report is the state of the quotas at one process, as operators see it.
+// Report is the state of the quotas at one process, for operators.
 type Report struct {
-	Admits   bool             `json:"admits"` // it is a member of the core, or a deputy
-	Deputy   string           `json:"deputy"` // its deputy's address
-	Shares   []Share          `json:"shares"` // by tenant
-	Rejected map[string]int64 `json:"rejected"`
+	Admits   bool             `json:"admits"`   // it admits requests, as a member of the core or as a deputy
+	Deputy   string           `json:"deputy"`   // address of its deputy; empty if there is none
+	Shares   []Share          `json:"shares"`   // sorted by tenant
+	Rejected map[string]int64 `json:"rejected"` // by tenant, the number of rejections since the start
 }
 
 // Report returns the state of the quotas.
@@ -255,8 +261,10 @@
 	_, admits := b.divisor()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	report := Report{Admits: admits, Deputy: b.deputy.addr, Shares: b.ledger.Shares(b.now()), Rejected: map[string]int64{}}
-	for tenant, count := range b.rejected {
+	report := Report{
+		Admits: admits, Deputy: b.deputy.addr, Shares: b.ledger.Shares(b.now()), Rejected: map[string]int64{},
+	}
+	for tenant, count := range b.rejections {
 		report.Rejected[tenant] = count
 	}
 	slices.SortFunc(report.Shares, func(a, b Share) int { return cmp.Compare(a.Tenant, b.Tenant) })
--- a/internal/fleet/quota/broker_test.go
+++ b/internal/fleet/quota/broker_test.go
@@ -20,14 +20,14 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// testProcess is one process of a fleet over loopback.
+// testProcess is one process of a fleet that communicates over loopback.
 type testProcess struct {
 	fleet     *testFleet
 	addr      string
 	isMember  bool
 	confirmed atomic.Bool
-	isDeputy  atomic.Bool // as published
-	holders   []string    // that this process knows, nil: all
+	isDeputy  atomic.Bool // as published with PublishDeputy
+	holders   []string    // addresses of the holders that this process knows; nil for all
 	broker    *Broker
 	client    *Client
 	stop      func()
@@ -68,7 +68,7 @@
 // MemberAddrs implements Core.
 func (p *testProcess) MemberAddrs() []string { return p.fleet.members }
 
-// testFleet is members of the core and agents beside them.
+// testFleet consists of members of the core and other agents.
 type testFleet struct {
 	t       *testing.T
 	members []string
@@ -118,7 +118,7 @@
  {"name":"t","api-keys":["k"],"count-unit":"token_meter","rate-per-s":%RATE%,"burst":0},
  {"name":"free","api-keys":["f"]}]}`
 
-// smallQuota has next to no rate, so that a test's time does not matter.
+// smallQuota has almost no rate, so that the duration of a test does not matter.
 func smallQuota() string { return replaceRate("1") }
 
 func replaceRate(rate string) string {
@@ -131,14 +131,14 @@
 	return quotaDocument
 }
 
-// startTotal is what all members together have at their start.
-func startTotal() float64 { return startShare * testBounds.tolerance(Limit{RatePerS: 1}) }
+// startTotal returns the amount that all members together have at their start.
+func startTotal() float64 { return startFraction * testBounds.tolerance(Limit{RatePerS: 1}) }
 
-// An agent's requests are admitted by the shares of all members, whichever it asks, and no further.
+// Requests are admitted from the shares of all members together, whichever member is asked, and only up to their sum.
 func TestSharesAreDrawnTogether(t *testing.T) {
 	fleet := newTestFleet(t, 5, 1, smallQuota())
 	agent := fleet.all[5]
-	amount := startTotal() / 2.01 // more than two members have
+	amount := startTotal() / 2.01 // more than the shares of two members
 	ctx := context.Background()
 	require.Equal(t, Admitted, agent.client.Admit(ctx, "t", amount).Verdict)
 	require.Equal(t, Admitted, agent.client.Admit(ctx, "t", amount).Verdict)
@@ -147,13 +147,13 @@
 	require.Positive(t, decision.RetryAfter)
 	require.Equal(t, Exhausted, agent.client.Admit(ctx, "t", amount).Verdict)
 	member := fleet.all[0]
-	require.Equal(t, Exhausted, member.client.Admit(ctx, "t", amount).Verdict, "a member's own requests count as well")
+	require.Equal(t, Exhausted, member.client.Admit(ctx, "t", amount).Verdict, "a member uses the same shares")
 	agent.client.Return("t", amount)
-	require.Equal(t, Admitted, agent.client.Admit(ctx, "t", amount).Verdict, "what was not used may be")
+	require.Equal(t, Admitted, agent.client.Admit(ctx, "t", amount).Verdict, "a returned amount can be used")
 	require.Positive(t, fleet.all[0].broker.Report().Rejected["t"])
 }
 
-// Concurrent requests through all members admit no more than the shares have.
+// Concurrent requests through all processes admit no more than the shares have.
 func TestConcurrentAdmissions(t *testing.T) {
 	fleet := newTestFleet(t, 5, 3, smallQuota())
 	const amount = 1000
@@ -175,7 +175,7 @@
 	require.GreaterOrEqual(t, float64(admitted.Load()*amount), 0.8*startTotal())
 }
 
-// Members that are lost, or are no members any more, are passed over.
+// A lost member, and one that a majority no longer confirms, is skipped.
 func TestLostMembers(t *testing.T) {
 	fleet := newTestFleet(t, 5, 1, smallQuota())
 	agent := fleet.all[5]
@@ -184,40 +184,41 @@
 	decision := agent.client.Admit(context.Background(), "t", startTotal()/2)
 	require.Equal(t, Admitted, decision.Verdict)
 	decision = agent.client.Admit(context.Background(), "t", startTotal()/2)
-	require.Equal(t, Exhausted, decision.Verdict, "two fifths are lost with them")
+	require.Equal(t, Exhausted, decision.Verdict, "two fifths of the quota are lost with the two members")
 	for _, member := range fleet.all[:5] {
 		member.confirmed.Store(false)
 	}
 	require.Equal(t, Unavailable, agent.client.Admit(context.Background(), "t", 1).Verdict)
 }
 
-// A tenant that a member has no quota of is judged by another one's configuration.
-func TestTenantThatIsUnknown(t *testing.T) {
+// If a member has no quota for a tenant, another member with another configuration decides.
+func TestUnknownTenantIsDecidedByAnotherMember(t *testing.T) {
 	fleet := newTestFleet(t, 3, 1, smallQuota())
 	ctx := context.Background()
 	assert.Equal(t, Unavailable, fleet.all[3].client.Admit(ctx, "new", 1).Verdict)
 	assert.Equal(t, Unavailable, fleet.all[3].client.Admit(ctx, "free", 1).Verdict)
-	document, err := config.Parse([]byte(`{"revision":2,"services":[],"routes":[],"tenants":[{"name":"new","rate-per-s":100,"burst":10}]}`))
+	document, err := config.Parse([]byte(
+		`{"revision":2,"services":[],"routes":[],"tenants":[{"name":"new","rate-per-s":100,"burst":10}]}`))
 	require.NoError(t, err)
 	fleet.all[1].broker.Update(document)
 	require.Equal(t, Admitted, fleet.all[3].client.Admit(ctx, "new", 1).Verdict)
 }
 
-// A member that hangs costs no more than the delay until another is asked.
-func TestSilentMember(t *testing.T) {
+// A member that hangs delays a request only until another one is asked.
+func TestUnresponsiveMember(t *testing.T) {
 	fleet := newTestFleet(t, 3, 1, smallQuota())
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts, and never answers
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections but never answers
 	require.NoError(t, err)
-	defer silent.Close()
-	fleet.members = append([]string{silent.Addr().String()}, fleet.members...)
+	defer listener.Close()
+	fleet.members = append([]string{listener.Addr().String()}, fleet.members...)
 	agent := fleet.all[3]
 	require.Equal(t, Admitted, agent.client.Admit(context.Background(), "t", 10).Verdict)
 	begin := time.Now()
 	require.Equal(t, Admitted, agent.client.Admit(context.Background(), "t", 10).Verdict)
-	require.Less(t, time.Since(begin), hedgeDelay, "it is asked last now")
+	require.Less(t, time.Since(begin), hedgeDelay, "the member that hangs is now asked last")
 }
 
-// A member of the core appoints one deputy, and both have half of its share from then on.
+// A member of the core appoints one deputy. From then on each of the two has half of the member's share.
 func TestDeputyHasHalfOfTheShare(t *testing.T) {
 	fleet := newTestFleet(t, 2, 2, smallQuota())
 	first, second := fleet.all[2].broker, fleet.all[3].broker
@@ -228,21 +229,22 @@
 	require.Equal(t, 4, divisor)
 	second.askToBeDeputy(ctx)
 	_, ok = second.divisor()
-	require.False(t, ok, "there is one already")
+	require.False(t, ok, "there is a deputy already")
 	first.publishAppointment()
 	require.True(t, fleet.all[2].isDeputy.Load())
 
 	member := fleet.all[0].broker
 	require.Equal(t, 4, member.Report().Shares[0].divisorOf(startTotal()))
 	require.Equal(t, fleet.all[2].addr, member.Report().Deputy)
-	require.Equal(t, Admitted, fleet.all[3].client.Admit(ctx, "t", 0.7*startTotal()).Verdict, "a half, a quarter and a part of the other")
+	require.Equal(t, Admitted, fleet.all[3].client.Admit(ctx, "t", 0.7*startTotal()).Verdict,
+		"taken from one half and two quarters")
 	require.Equal(t, Exhausted, fleet.all[3].client.Admit(ctx, "t", 0.4*startTotal()).Verdict)
 }
 
-// divisorOf is of how many equal parts of a total a share has one.
+// divisorOf returns the number of such shares in a total.
 func (s Share) divisorOf(total float64) int { return int(math.Round(total / s.Level)) }
 
-// Deputies admit requests while the whole core is lost, until their term is over.
+// Deputies admit requests while the whole core is lost, until their term ends.
 func TestDeputyAdmitsWithoutTheCore(t *testing.T) {
 	fleet := newTestFleet(t, 2, 2, smallQuota())
 	agent, client := fleet.all[2], fleet.all[3].client
@@ -250,7 +252,7 @@
 	agent.broker.publishAppointment()
 	fleet.all[0].stop()
 	fleet.all[1].stop()
-	agent.broker.askToBeDeputy(context.Background()) // fails, and changes nothing
+	agent.broker.askToBeDeputy(context.Background()) // fails and changes nothing
 	require.Equal(t, Admitted, client.Admit(context.Background(), "t", startTotal()/10).Verdict)
 	agent.broker.started = agent.broker.started.Add(-deputyTerm)
 	require.Equal(t, Unavailable, client.Admit(context.Background(), "t", startTotal()/100).Verdict)
@@ -258,8 +260,8 @@
 	require.False(t, agent.isDeputy.Load())
 }
 
-// The term counts from the question at the deputy, and from later at the member: no other deputy has the
-// half meanwhile.
+// A term starts with the deputy's call, and ends later for the member than for the deputy: so no two deputies
+// have the same half of a share at once.
 func TestTermsOfDeputiesDoNotOverlap(t *testing.T) {
 	fleet := newTestFleet(t, 1, 2, smallQuota())
 	member := fleet.all[0].broker
@@ -270,17 +272,17 @@
 	}
 	require.Equal(t, 2, appoint("a"))
 	member.started = member.started.Add(-deputyTerm)
-	require.Zero(t, appoint("b"), "the margin is not over")
+	require.Zero(t, appoint("b"), "the margin has not passed")
 	member.started = member.started.Add(-deputyMargin)
 	require.Equal(t, 2, appoint("b"))
 	require.Zero(t, appoint("a"))
 	require.Zero(t, appoint(""))
 	fleet.all[0].confirmed.Store(false)
-	require.Zero(t, appoint("b"), "a member that is cut off prolongs no term")
-	require.Equal(t, 2, NewBroker(member.options).ledgerDivisor(t), "after a restart it counts on an earlier deputy")
+	require.Zero(t, appoint("b"), "a member that is partitioned extends no term")
+	require.Equal(t, 2, NewBroker(member.options).ledgerDivisor(t), "after a restart it allows for an earlier deputy")
 }
 
-// The margin of a term allows for a deputy's clock that is slow and a member's that is fast by 2 in 100.
+// The margin of a term suffices if the deputy's clock is 2% slow and the member's clock is 2% fast.
 func TestTermsAllowForDriftingClocks(t *testing.T) {
 	const fast, slow = 1.02, 0.98
 	heldFor := float64(deputyTerm) / slow
@@ -288,42 +290,42 @@
 	require.Less(t, heldFor, countedFor)
 }
 
-// advanceClock advances the client's clock. Questions of before may still be under way.
+// advanceClock advances the client's clock. Earlier calls may still be in progress.
 func (c *Client) advanceClock(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.started = c.started.Add(-d)
 }
 
-// A member that has just started, without a record, prolongs the term of its deputy at once, and appoints
-// no other before that one's term is certainly over.
+// A member that restarts without a record extends the term of its deputy at once, and appoints no other agent
+// before that term has certainly ended.
 func TestMemberThatRestartsKeepsItsDeputy(t *testing.T) {
 	fleet := newTestFleet(t, 1, 1, smallQuota())
 	agent := fleet.all[1].broker
 	agent.askToBeDeputy(context.Background())
 	member := fleet.all[0].broker
 	member.restore(nil) // as after a restart
-	stranger, err := member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
+	otherResponse, err := member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
 	require.NoError(t, err)
-	require.Equal(t, &deputizeResponse{Soon: true}, stranger)
+	require.Equal(t, &deputizeResponse{Soon: true}, otherResponse)
 	agent.askToBeDeputy(context.Background())
 	require.Equal(t, fleet.all[1].addr, member.Report().Deputy)
-	stranger, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
+	otherResponse, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
 	require.NoError(t, err)
-	require.Equal(t, &deputizeResponse{}, stranger)
+	require.Equal(t, &deputizeResponse{}, otherResponse)
 
 	member.restore(nil)
 	member.started = member.started.Add(-deputyTerm)
-	stranger, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
+	otherResponse, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
 	require.NoError(t, err)
-	require.Zero(t, stranger.Divisor, "the margin is not over")
+	require.Zero(t, otherResponse.Divisor, "the margin has not passed")
 	member.started = member.started.Add(-deputyMargin)
-	stranger, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
+	otherResponse, err = member.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
 	require.NoError(t, err)
-	require.Equal(t, 2, stranger.Divisor, "the earlier deputy did not ask")
+	require.Equal(t, 2, otherResponse.Divisor, "the earlier deputy has not called")
 }
 
-// ledgerDivisor is the divisor of a broker whose process has just started.
+// ledgerDivisor returns the divisor of a broker whose process has just started.
 func (b *Broker) ledgerDivisor(t *testing.T) int {
 	b.options.Core.(*testProcess).confirmed.Store(true)
 	divisor, ok := b.divisor()
@@ -331,13 +333,13 @@
 	return divisor
 }
 
-// A deputy whose term was interrupted begins with next to nothing.
+// A deputy that gets a new term after its last one has ended starts with almost nothing.
 func TestReturningDeputyBeginsAnew(t *testing.T) {
 	fleet := newTestFleet(t, 1, 1, replaceRate("100000"))
 	deputy := fleet.all[1].broker
 	deputy.askToBeDeputy(context.Background())
 	limit := Limit{RatePerS: 100_000}
-	start := startShare * testBounds.tolerance(limit) / 2
+	start := startFraction * testBounds.tolerance(limit) / 2
 	full := deputy.started.Add(-time.Hour)
 	deputy.started = full
 	require.Greater(t, deputy.Report().Shares[0].Level, 1.9*start)
@@ -346,54 +348,54 @@
 }
 
 // A holder that does not answer delays a draw by no more than drawHedgeDelay.
-func TestDrawsPassOverSilentHolders(t *testing.T) {
+func TestDrawsSkipUnresponsiveHolders(t *testing.T) {
 	fleet := newTestFleet(t, 2, 0, smallQuota())
 	for range 3 {
-		silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts, and never answers
+		listener, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections but never answers
 		require.NoError(t, err)
-		defer silent.Close()
-		fleet.members = append(fleet.members, silent.Addr().String())
+		defer listener.Close()
+		fleet.members = append(fleet.members, listener.Addr().String())
 	}
 	decision := fleet.all[0].client.Admit(context.Background(), "t", 0.3*startTotal())
-	require.Equal(t, Admitted, decision.Verdict, "a fifth and a part of the other's fifth")
+	require.Equal(t, Admitted, decision.Verdict, "one fifth and part of another one")
 }
 
-// What could not be drawn from holders that did not answer in time may be there: the tenant is not said to
-// be over its quota.
+// If holders do not answer a draw in time, they may still have the missing amount: the tenant must not count as
+// over its quota.
 func TestUnansweredDrawsProveNothing(t *testing.T) {
 	fleet := newTestFleet(t, 1, 0, smallQuota())
-	silent := newSilentHolder(t)
-	fleet.members = append(fleet.members, silent)
+	holder := newUnresponsiveHolder(t)
+	fleet.members = append(fleet.members, holder)
 	member := fleet.all[0]
 	amount := 0.7 * startTotal()
 	decision := member.client.Admit(context.Background(), "t", amount)
 	require.Equal(t, Decision{Verdict: Unavailable, Undecided: true}, decision)
-	require.Equal(t, decision, member.client.Admit(context.Background(), "t", amount), "nobody is asked again at once")
-	require.InDelta(t, startTotal()/2, member.broker.Report().Shares[0].Level, 1, "what was taken is back")
+	require.Equal(t, decision, member.client.Admit(context.Background(), "t", amount), "no holder is asked again")
+	require.InDelta(t, startTotal()/2, member.broker.Report().Shares[0].Level, 1, "the amount taken was returned")
 }
 
-// A tenant is over its quota by the holders that answer, though another one is lost.
+// A tenant counts as over its quota if some holder answers, even though another one is lost.
 func TestExhaustedAmongTheHoldersThatAnswer(t *testing.T) {
 	fleet := newTestFleet(t, 2, 0, smallQuota())
-	fleet.members = append(fleet.members, newSilentHolder(t))
+	fleet.members = append(fleet.members, newUnresponsiveHolder(t))
 	member := fleet.all[0]
 	require.Equal(t, Exhausted, member.client.Admit(context.Background(), "t", 0.8*startTotal()).Verdict)
 }
 
-// A holder that could not tell is not passed over: the next one would ask all the others again.
+// After an undecided answer no other holder is asked: it would only ask all the others again.
 func TestUndecidedAnswerIsFinal(t *testing.T) {
 	fleet := newTestFleet(t, 3, 1, smallQuota())
-	silent := newSilentHolder(t)
+	holder := newUnresponsiveHolder(t)
 	agent := fleet.all[3]
 	for _, member := range fleet.all[:3] {
-		member.holders = []string{member.addr, silent}
+		member.holders = []string{member.addr, holder}
 	}
 	decision := agent.client.Admit(context.Background(), "t", 0.95*startTotal())
 	require.Equal(t, Decision{Verdict: Unavailable, Undecided: true}, decision)
 	asked := 0
 	for _, member := range fleet.all[:3] {
 		member.broker.mu.Lock()
-		if len(member.broker.exhausted) > 0 {
+		if len(member.broker.exhaustions) > 0 {
 			asked++
 		}
 		member.broker.mu.Unlock()
@@ -401,34 +403,39 @@
 	require.Equal(t, 1, asked)
 }
 
-// newSilentHolder returns the address of a holder that accepts connections, and never answers.
-func newSilentHolder(t *testing.T) string {
+// newUnresponsiveHolder returns the address of a holder that accepts connections but never answers.
+func newUnresponsiveHolder(t *testing.T) string {
 	t.Helper()
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = silent.Close() })
-	return silent.Addr().String()
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
 }
 
-// An agent that reaches no holder has another agent ask one: at once where all refuse, and else once none has
-// answered for some time.
-func TestAgentWithoutHoldersAsksThroughAnother(t *testing.T) {
+// An agent that reaches no holder asks another agent to call one: at once if all holders refuse connections,
+// otherwise once no holder has answered for some time.
+func TestAgentWithoutHoldersHasItsCallForwarded(t *testing.T) {
 	type unreachable struct {
-		holders  func(t *testing.T) []string
-		isSilent bool
+		holders        func(t *testing.T) []string
+		isUnresponsive bool
 	}
 	for name, test := range map[string]unreachable{
 		"none known": {holders: func(*testing.T) []string { return []string{} }},
-		"all refuse": {holders: func(*testing.T) []string { return []string{"127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"} }},
-		"all silent": {isSilent: true, holders: func(t *testing.T) []string {
-			return []string{newSilentHolder(t), newSilentHolder(t), newSilentHolder(t), newSilentHolder(t), newSilentHolder(t)}
+		"all refuse": {holders: func(*testing.T) []string {
+			return []string{"127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"}
+		}},
+		"all unresponsive": {isUnresponsive: true, holders: func(t *testing.T) []string {
+			return []string{
+				newUnresponsiveHolder(t), newUnresponsiveHolder(t), newUnresponsiveHolder(t),
+				newUnresponsiveHolder(t), newUnresponsiveHolder(t),
+			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newTestFleet(t, 2, 2, smallQuota())
 			agent := fleet.all[2]
 			agent.holders = test.holders(t)
-			if test.isSilent {
+			if test.isUnresponsive {
 				require.Equal(t, Unavailable, agent.client.Admit(context.Background(), "t", 1).Verdict)
 				agent.client.advanceClock(cutOffAfter)
 			}
@@ -438,7 +445,7 @@
 	}
 }
 
-// An agent that was cut off learns that it no longer is, though other agents answer sooner.
+// An agent that was cut off notices that a holder answers again, even if other agents answer sooner.
 func TestAgentLearnsThatHoldersAnswerAgain(t *testing.T) {
 	fleet := newTestFleet(t, 1, 2, smallQuota())
 	client := fleet.all[1].client
@@ -453,11 +460,11 @@
 	require.Eventually(t, func() bool { return !isCutOff() }, 10*time.Second, time.Millisecond)
 }
 
-// A slow holder is no reason to ask other agents.
-func TestSlowHoldersAreNotAskedThroughAgents(t *testing.T) {
+// An agent does not ask other agents because of a slow holder.
+func TestCallsToSlowHoldersAreNotForwarded(t *testing.T) {
 	fleet := newTestFleet(t, 1, 2, smallQuota())
 	agent := fleet.all[1]
-	agent.holders = []string{newSilentHolder(t), newSilentHolder(t), fleet.members[0]}
+	agent.holders = []string{newUnresponsiveHolder(t), newUnresponsiveHolder(t), fleet.members[0]}
 	for range 2 {
 		require.Equal(t, Admitted, agent.client.Admit(context.Background(), "t", 1).Verdict)
 		agent.client.advanceClock(cutOffAfter + unresponsivePause)
@@ -467,23 +474,23 @@
 	require.Zero(t, agent.client.unansweredSince)
 }
 
-// A question makes one hop: agents that all reach no holder do not ask each other on and on.
+// A call is forwarded only once: agents that reach no holder do not forward it to each other without end.
 func TestQuestionsAreForwardedOnce(t *testing.T) {
 	fleet := newTestFleet(t, 1, 4, smallQuota())
 	for _, agent := range fleet.all[1:] {
 		agent.holders = []string{}
 	}
-	fleet.all[0].isMember = false // nor does it admit
+	fleet.all[0].isMember = false // so it admits no requests either
 	require.Equal(t, Unavailable, fleet.all[1].client.Admit(context.Background(), "t", 1).Verdict)
 	for _, agent := range fleet.all[2:] {
 		agent.client.mu.Lock()
 		assert.Zero(t, agent.client.forwarding)
-		assert.Empty(t, agent.client.unresponsive, "it has asked nobody")
+		assert.Empty(t, agent.client.unresponsiveUntil, "it has asked no process")
 		agent.client.mu.Unlock()
 	}
 }
 
-// An agent forwards a bounded number of questions at a time.
+// An agent forwards a bounded number of calls at a time.
 func TestForwardingIsBounded(t *testing.T) {
 	fleet := newTestFleet(t, 1, 1, smallQuota())
 	forwarder := fleet.all[1].client
@@ -499,12 +506,16 @@
 	require.Equal(t, maxForwarding-1, forwarder.forwarding)
 }
 
-// Holders come first, and other agents once all have failed; they take turns where no holder has answered lately.
+// Holders come first, and other agents once all holders have failed. If no holder has answered recently, agents and
+// holders take turns.
 func TestOrderOfCandidates(t *testing.T) {
 	order := func(holders, agents int, isCutOff, answer bool) (calls string) {
-		asked := &candidates{holders: make([]string, holders), isCutOff: isCutOff, agents: func() []string { return make([]string, agents) }}
+		queue := &candidates{
+			holders: make([]string, holders), isCutOff: isCutOff,
+			listAgents: func() []string { return make([]string, agents) },
+		}
 		for pending := 0; ; {
-			next, found := asked.next(pending)
+			next, found := queue.next(pending)
 			if !found {
 				return calls
 			}
@@ -515,7 +526,7 @@
 		}
 	}
 	assert.Equal(t, "hhhhaa", order(4, 5, false, true))
-	assert.Equal(t, "hhhh", order(4, 5, false, false), "they may still answer")
+	assert.Equal(t, "hhhh", order(4, 5, false, false), "the holders may still answer")
 	assert.Equal(t, "ahahhh", order(4, 5, true, false))
 	assert.Equal(t, "ahhh", order(3, 1, true, true))
 	assert.Equal(t, "aa", order(0, 3, false, true))
--- a/internal/fleet/quota/candidates.go
+++ b/internal/fleet/quota/candidates.go
@@ -8,72 +8,74 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// maxForwarding bounds the questions of other agents that one agent forwards at a time.
+// maxForwarding bounds the number of calls that an agent forwards for other agents at a time.
 const maxForwarding = 32
 
-// candidate is who is asked to admit a request, and by which call.
+// candidate is a process to ask for admission, and the name of the call.
 type candidate struct{ addr, call string }
 
-// candidates is the order in which a request's question is asked: holders of shares, and other agents that
-// may reach one where no holder answers. It is used by one goroutine.
+// candidates is the order in which processes are asked to admit one request: the holders of shares and, where no
+// holder answers, other agents that may reach one. It is used by one goroutine.
 type candidates struct {
-	holders    []string // those that lately did not answer come last
-	agents     func() []string
-	isCutOff   bool     // no holder has answered lately: other agents come in turn with them
-	forwarders []string // the other agents, once the first is due
-	agentsDue  bool     // agents was called
-	asked      int      // holders
-	forwarded  int
+	holders      []string        // those that did not answer recently come last
+	listAgents   func() []string // returns the other agents; nil if the call must not be forwarded
+	isCutOff     bool            // no holder has answered recently: other agents and holders are asked in turn
+	forwarders   []string        // result of listAgents, once that was called
+	agentsListed bool            // listAgents was called
+	holdersAsked int             // number of holders that were asked
+	agentsAsked  int             // number of other agents that were asked
 }
 
-// limit is how many candidates there are at most.
+// limit returns the maximum number of candidates.
 func (c *candidates) limit() int { return len(c.holders) + maxAgentsAsked }
 
-// next returns the next candidate, and whether there is one. While holders may still answer, other agents are
-// asked only by one that is cut off: a holder that is slow has too much to do, and would be asked again.
+// next returns the next candidate, if there is one. While holders may still answer, other agents are asked only
+// if this one is cut off: a slow holder is overloaded, and a forwarded call would only add to its load.
 func (c *candidates) next(pending int) (candidate, bool) {
-	if c.isCutOff && c.forwarded <= c.asked || pending == 0 && c.asked == len(c.holders) {
+	if c.isCutOff && c.agentsAsked <= c.holdersAsked || pending == 0 && c.holdersAsked == len(c.holders) {
 		if addr, found := c.nextAgent(); found {
 			return candidate{addr: addr, call: callForward}, true
 		}
 	}
-	if c.asked < len(c.holders) {
-		c.asked++
-		return candidate{addr: c.holders[c.asked-1], call: callAdmit}, true
+	if c.holdersAsked < len(c.holders) {
+		c.holdersAsked++
+		return candidate{addr: c.holders[c.holdersAsked-1], call: callAdmit}, true
 	}
 	return candidate{}, false
 }
 
-// delay is how long the candidate that was asked last may take before the next one is asked as well. An agent
-// that is cut off asks a holder at the same time as another agent, to learn when it is no longer.
+// delay returns how long the last candidate may take to answer before the next one is asked as well. An agent that
+// is cut off asks a holder at the same time as another agent, to learn when it is no longer cut off.
 func (c *candidates) delay() time.Duration {
-	if c.isCutOff && c.asked == 0 {
+	if c.isCutOff && c.holdersAsked == 0 {
 		return 0
 	}
 	return hedgeDelay
 }
 
 func (c *candidates) nextAgent() (addr string, found bool) {
-	if c.agents != nil && !c.agentsDue {
-		c.agentsDue = true
-		c.forwarders = c.agents()
+	if c.listAgents != nil && !c.agentsListed {
+		c.agentsListed = true
+		c.forwarders = c.listAgents()
 	}
-	if c.forwarded >= min(len(c.forwarders), maxAgentsAsked) {
+	if c.agentsAsked >= min(len(c.forwarders), maxAgentsAsked) {
 		return "", false
 	}
-	c.forwarded++
-	return c.forwarders[c.forwarded-1], true
+	c.agentsAsked++
+	return c.forwarders[c.agentsAsked-1], true
 }
 
-// candidates returns whom to ask. Other agents are among them if the question may be forwarded.
+// candidates returns the processes to ask. They include other agents if the call may be forwarded.
 func (c *Client) candidates(mayForward bool) *candidates {
-	holders := slices.DeleteFunc(c.options.Core.HolderAddrs(), func(addr string) bool { return addr == c.options.SelfAddr })
+	holders := slices.DeleteFunc(c.options.Core.HolderAddrs(), func(addr string) bool {
+		return addr == c.options.SelfAddr
+	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	responsive, unresponsive := c.partitionLocked(holders)
 	ordered := append(responsive, unresponsive...)
 	now := c.now()
-	asked := &candidates{
+	order := &candidates{
 		holders:  ordered[:min(len(ordered), maxHoldersAsked)],
 		isCutOff: c.unansweredSince > 0 && now-c.unansweredSince > cutOffAfter,
 	}
@@ -81,12 +83,12 @@
 		c.unansweredSince = now
 	}
 	if mayForward {
-		asked.agents = func() []string { return c.agentsToAsk(holders) }
+		order.listAgents = func() []string { return c.agentsToAsk(holders) }
 	}
-	return asked
+	return order
 }
 
-// agentsToAsk returns the other agents that are no holders and did answer lately, or were not asked.
+// agentsToAsk returns the other agents that hold no share, except those that did not answer recently.
 func (c *Client) agentsToAsk(holders []string) []string {
 	others := slices.DeleteFunc(c.options.Core.AgentAddrs(), func(addr string) bool {
 		return addr == c.options.SelfAddr || slices.Contains(holders, addr)
@@ -97,11 +99,11 @@
 	return responsive
 }
 
-// partitionLocked divides addresses by whether they lately did not answer.
+// partitionLocked separates the addresses of processes that did not answer recently from the others.
 func (c *Client) partitionLocked(addrs []string) (responsive, unresponsive []string) {
 	now := c.now()
 	for _, addr := range addrs {
-		if now < c.unresponsive[addr] {
+		if now < c.unresponsiveUntil[addr] {
 			unresponsive = append(unresponsive, addr)
 		} else {
 			responsive = append(responsive, addr)
@@ -117,13 +119,13 @@
 	c.unansweredSince = 0
 }
 
-// RegisterHandlers adds the call of other agents to the process's table.
+// RegisterHandlers adds the handler of the calls by other agents to the process's table.
 func (c *Client) RegisterHandlers(table *rpc.Mux) {
 	rpc.HandleUnary(table, callForward, c.handleForward)
 }
 
-// handleForward asks a holder for an agent that reaches none. It asks no other agent, so that a question
-// makes one hop at most.
+// handleForward asks holders on behalf of an agent that reaches none. It asks no other agent, so a call is
+// forwarded at most once.
 func (c *Client) handleForward(ctx context.Context, request *admitRequest) (*admitResponse, error) {
 	if !c.beginForwarding() {
 		return &admitResponse{Verdict: Unavailable}, nil
@@ -131,11 +133,11 @@
 	defer c.endForwarding()
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout/2)
 	defer cancel()
-	response := c.admitDirectly(ctx, request, false)
+	response := c.askHolders(ctx, request, false)
 	return &response, nil
 }
 
-// beginForwarding reports whether another agent's question is forwarded now.
+// beginForwarding reports whether there is room for forwarding another agent's call, and counts the call if so.
 func (c *Client) beginForwarding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/quota/deputy.go
+++ b/internal/fleet/quota/deputy.go
@@ -9,58 +9,61 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// Each member of the core gives half of its share to one agent beside the core, its deputy, so that
-// requests are admitted also while the whole core is lost, by all machines at once or one after the
-// other. A deputy holds its half for a term that counts from its question; the member gives that half
-// to nobody else, and does not use it itself, before the term is certainly over.
+// Each member of the core lends half of its share to one agent outside the core, its deputy. So requests
+// are still admitted while the whole core is lost, whether all its machines fail at once or one after the
+// other. A deputy holds its half for a term that starts when it sends its call. The member neither uses
+// that half nor gives it to another agent until the term has certainly ended.
 
 const (
-	// deputyTerm is for how long a deputy holds its part after it last asked, and deputyMargin how much
-	// longer the member counts on it: their clocks may run at slightly different rates.
+	// deputyTerm is the time for which a deputy holds its half after its last call. deputyMargin is how much
+	// longer the member reserves that half, since the two clocks may run at slightly different rates.
 	deputyTerm   = 4500 * time.Millisecond
 	deputyMargin = 500 * time.Millisecond
-	// deputyRenewal is the time between two questions of a deputy, candidateInterval that of an agent
-	// that was told that there is one, and soonInterval that of one that was told to ask again soon. Up
-	// to the same again is added at random to the last two.
-	deputyRenewal     = 700 * time.Millisecond
-	candidateInterval = 4 * time.Second
-	soonInterval      = 400 * time.Millisecond
-	// candidateTick is how often it is looked whether a question is due.
-	candidateTick = 200 * time.Millisecond
-	// deputizeTimeout bounds a question.
+	// deputyRenewInterval is the time between two calls of a deputy. deputizeRetryInterval is the time until the
+	// next call of an agent that got the answer that there is a deputy, and soonRetryInterval that of an agent that
+	// was asked to try again soon. A random time of up to the same length is added to the last two.
+	deputyRenewInterval   = 700 * time.Millisecond
+	deputizeRetryInterval = 4 * time.Second
+	soonRetryInterval     = 400 * time.Millisecond
+	// deputizeCheckInterval is the interval at which an agent checks whether a call is due.
+	deputizeCheckInterval = 200 * time.Millisecond
+	// deputizeTimeout bounds one call.
 	deputizeTimeout = 300 * time.Millisecond
 )
 
-// deputizeRequest asks a member of the core to be its deputy, or to stay it.
+// deputizeRequest asks a member of the core to make the caller its deputy, or to extend the caller's term.
 type deputizeRequest struct {
-	Addr string `msgpack:"a"` // of the agent that asks
-	// Renewal: it is the deputy of the member, and its term is not over.
+	Addr string `msgpack:"a"` // address of the caller
+	// Renewal is set if the caller is the deputy of the member and its term has not ended.
 	Renewal bool `msgpack:"r,omitempty"`
 }
 
-// deputizeResponse answers it.
+// deputizeResponse is the response to a deputizeRequest.
 type deputizeResponse struct {
-	Divisor int `msgpack:"d"` // the deputy has one of so many equal shares; 0: it is none
-	// Soon: there is no deputy yet that is known, but one may be appointed soon.
+	// Divisor is the number of equal shares that each quota is divided into, of which the deputy has one; 0 if
+	// the caller is not the deputy.
+	Divisor int `msgpack:"d"`
+	// Soon is set if the caller should try again soon: no deputy is known at present, and one may be appointed.
 	Soon bool `msgpack:"s,omitempty"`
 }
 
-// deputy is the deputy of a member of the core.
+// deputy is the deputy of a member of the core. Its zero value means that there is none.
 type deputy struct {
-	addr  string        // "": none is known
-	until time.Duration // when its term is over
+	addr    string        // empty if it is unknown
+	termEnd time.Duration // end of its term including the margin
 }
 
 // appointment is this process's own term as a deputy.
 type appointment struct {
-	until     time.Duration
-	divisor   int
-	by        string // address of the member
-	nextAsk   time.Duration
-	published bool
+	termEnd   time.Duration // end of the term; 0 if there was none
+	divisor   int           // number of equal shares that each quota is divided into
+	member    string        // address of the member of the core
+	nextCall  time.Duration // time of the next call
+	published bool          // whether this process is published as a deputy
 }
 
-// divisor returns of how many equal shares this process has one, and whether it admits requests by it.
+// divisor returns the number of equal shares that each quota is divided into, of which this process has one, and
+// whether the process admits requests from it.
 func (b *Broker) divisor() (int, bool) {
 	if b.options.Core.IsMember() {
 		members := len(b.options.Core.MemberAddrs())
@@ -69,19 +72,19 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.now() < b.deputy.until {
+		if b.now() < b.deputy.termEnd {
 			return 2 * members, true
 		}
 		return members, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.appointed.divisor, b.now() < b.appointed.until
+	return b.appointment.divisor, b.now() < b.appointment.termEnd
 }
 
-// handleDeputize appoints the agent that asks, or prolongs its term, if there is no other deputy. The
-// appointment is on disk before it is answered: after a restart this member waits for the deputy, or
-// until its term is certainly over.
+// handleDeputize appoints the caller, or extends its term, if there is no other deputy. The appointment is on
+// disk before it is answered: so after a restart this member appoints no other agent before the term has
+// certainly ended.
 func (b *Broker) handleDeputize(_ context.Context, request *deputizeRequest) (*deputizeResponse, error) {
 	if !b.options.Core.IsMember() || request.Addr == "" {
 		return &deputizeResponse{}, nil
@@ -96,36 +99,36 @@
 	recorded := b.recordDeputy(request.Addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.appointing == request.Addr {
-		b.appointing = ""
+	if b.appointee == request.Addr {
+		b.appointee = ""
 	}
 	if !recorded {
 		return &deputizeResponse{Soon: true}, nil
 	}
 	now := b.now()
-	b.deputy = deputy{addr: request.Addr, until: now + deputyTerm + deputyMargin}
+	b.deputy = deputy{addr: request.Addr, termEnd: now + deputyTerm + deputyMargin}
 	b.ledger.SetDivisor(now, 2*members)
 	return &deputizeResponse{Divisor: b.ledger.Divisor()}, nil
 }
 
-// reserveDeputy reserves the place of the deputy for the agent that asks. It returns the answer if
-// another agent has the place.
+// reserveDeputy reserves the position of the deputy for the caller. If another agent has it, reserveDeputy returns
+// the response to the caller.
 func (b *Broker) reserveDeputy(request *deputizeRequest) (refusal *deputizeResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	earlier := b.deputy.addr == "" && request.Renewal // appointed by an earlier process on this machine
-	if b.now() < b.deputy.until && b.deputy.addr != request.Addr && !earlier {
+	byEarlierProcess := b.deputy.addr == "" && request.Renewal // appointed by an earlier process on this machine
+	if b.now() < b.deputy.termEnd && b.deputy.addr != request.Addr && !byEarlierProcess {
 		return &deputizeResponse{Soon: b.deputy.addr == ""}
 	}
-	if b.appointing != "" && b.appointing != request.Addr {
+	if b.appointee != "" && b.appointee != request.Addr {
 		return &deputizeResponse{Soon: true}
 	}
-	b.appointing = request.Addr
+	b.appointee = request.Addr
 	return nil
 }
 
-// recordDeputy has the newest record on disk name the agent that is being appointed, and reports
-// whether it does. A process without a disk has nothing to record.
+// recordDeputy makes sure that the newest record on disk names the agent that is being appointed, and reports
+// whether it does. Without a disk there is nothing to record.
 func (b *Broker) recordDeputy(addr string) bool {
 	b.mu.Lock()
 	recorded := b.options.SaveRecord == nil || b.recordedDeputy == addr
@@ -137,15 +140,15 @@
 	return err == nil
 }
 
-// Run asks to be a deputy while this process is no member of the core, and records what a member has to
-// know after a restart, until ctx ends. It returns nil.
+// Run asks to be a deputy while this process is not a member of the core, and writes the records that a member
+// needs after a restart, until ctx ends. It returns nil.
 func (b *Broker) Run(ctx context.Context) error {
 	if b.options.SaveRecord != nil {
 		var recorder sync.WaitGroup
 		recorder.Go(func() { b.runRecorder(ctx) })
 		defer recorder.Wait()
 	}
-	ticker := time.NewTicker(candidateTick)
+	ticker := time.NewTicker(deputizeCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -153,67 +156,68 @@
 			return nil
 		case <-ticker.C:
 		}
-		if b.questionDue() {
+		if b.deputizeDue() {
 			b.askToBeDeputy(ctx)
 		}
 		b.publishAppointment()
 	}
 }
 
-// questionDue reports whether it is time to ask.
-func (b *Broker) questionDue() bool {
+// deputizeDue reports whether a call to become or stay a deputy is due.
+func (b *Broker) deputizeDue() bool {
 	if b.options.Core.IsMember() {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now() >= b.appointed.nextAsk
+	return b.now() >= b.appointment.nextCall
 }
 
-// askToBeDeputy asks the member of the core that this agent prefers.
+// askToBeDeputy calls the member of the core that this agent prefers.
 func (b *Broker) askToBeDeputy(ctx context.Context) {
 	members := b.options.Core.MemberAddrs()
 	if len(members) == 0 {
 		return
 	}
-	begun := b.now()
+	calledAt := b.now()
 	ctx, cancel := context.WithTimeout(ctx, deputizeTimeout)
 	defer cancel()
-	request := &deputizeRequest{Addr: b.options.SelfAddr, Renewal: b.isDeputyOf(members[0], begun)}
+	request := &deputizeRequest{Addr: b.options.SelfAddr, Renewal: b.isDeputyOf(members[0], calledAt)}
 	response, err := rpc.Call[deputizeRequest, deputizeResponse](ctx, b.options.Pool, members[0], callDeputize, request)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case err != nil: // the term that it may have goes on
-		b.appointed.nextAsk = begun + deputyRenewal
+	case err != nil: // a current term continues
+		b.appointment.nextCall = calledAt + deputyRenewInterval
 	case response.Divisor > 0:
-		b.ledger.SetDivisor(begun, response.Divisor)
-		if begun >= b.appointed.until {
-			b.ledger.Restart(begun)
+		b.ledger.SetDivisor(calledAt, response.Divisor)
+		if calledAt >= b.appointment.termEnd {
+			b.ledger.Restart(calledAt)
 		}
-		b.appointed.until, b.appointed.divisor, b.appointed.by = begun+deputyTerm, response.Divisor, members[0]
-		b.appointed.nextAsk = begun + deputyRenewal
+		b.appointment.termEnd, b.appointment.divisor, b.appointment.member =
+			calledAt+deputyTerm, response.Divisor, members[0]
+		b.appointment.nextCall = calledAt + deputyRenewInterval
 	case response.Soon:
-		b.appointed.nextAsk = begun + soonInterval + rand.N(soonInterval)
+		b.appointment.nextCall = calledAt + soonRetryInterval + rand.N(soonRetryInterval)
 	default:
-		b.appointed.nextAsk = begun + candidateInterval + rand.N(candidateInterval)
+		b.appointment.nextCall = calledAt + deputizeRetryInterval + rand.N(deputizeRetryInterval)
 	}
 }
 
-// isDeputyOf reports whether this process's term at a member is not over.
+// isDeputyOf reports whether this process is the deputy of a member, and its term has not ended.
 func (b *Broker) isDeputyOf(member string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.appointed.by == member && now < b.appointed.until
+	return b.appointment.member == member && now < b.appointment.termEnd
 }
 
-// publishAppointment publishes a change of whether this process is a deputy.
+// publishAppointment publishes whether this process is a deputy, if that has changed.
 func (b *Broker) publishAppointment() {
 	_, admits := b.divisor()
 	deputy := admits && !b.options.Core.IsMember()
 	b.mu.Lock()
-	changed := deputy != b.appointed.published
-	b.appointed.published = deputy
+	changed := deputy != b.appointment.published
+	b.appointment.published = deputy
 	b.mu.Unlock()
 	if changed {
 		b.options.Core.PublishDeputy(deputy)
--- a/internal/fleet/quota/draw.go
+++ b/internal/fleet/quota/draw.go
@@ -12,71 +12,74 @@
 )
 
 const (
-	// drawTimeout bounds one draw from another holder, drawHedgeDelay is after how long the next one is
-	// drawn from beside it, and unresponsivePause for how long one that did not answer is passed over.
+	// drawTimeout bounds one draw from another holder. drawHedgeDelay is how long a holder may take to answer
+	// before the next one is drawn from as well. unresponsivePause is how long a holder that did not answer is
+	// skipped.
 	drawTimeout       = 80 * time.Millisecond
 	drawHedgeDelay    = 15 * time.Millisecond
 	unresponsivePause = time.Second
-	// lateDrawTimeout bounds how long what a draw brings after drawTimeout is waited for: it has left the
-	// other share already.
+	// lateDrawTimeout bounds the wait for an answer that is later than drawTimeout. The amount in it has
+	// already left the other share.
 	lateDrawTimeout = 500 * time.Millisecond
-	// drawMemory is for how long a holder remembers who drew a tenant's quota from it.
+	// drawMemory is how long a holder remembers which other holder last drew a tenant's quota from it.
 	drawMemory = 200 * time.Millisecond
-	// settleTimeout is for how long a draw that gets too little waits for what is on its way here. It
-	// leaves time for the answer within drawTimeout.
-	settleTimeout = 40 * time.Millisecond
+	// arrivalTimeout bounds the wait for amounts that are on their way to a share, if the share is too small
+	// for a draw. It leaves time to answer the draw within drawTimeout.
+	arrivalTimeout = 40 * time.Millisecond
 )
 
-// drawRequest asks another holder for what a share lacks.
+// drawRequest asks another holder for an amount that a share lacks.
 type drawRequest struct {
 	Tenant string  `msgpack:"t"`
-	Amount float64 `msgpack:"a"` // that is needed now
-	Extra  float64 `msgpack:"x"` // that the share has room for beyond that
-	// Rank is that of the gathering, and Addr its holder. Earlier programs leave out both.
+	Amount float64 `msgpack:"a"` // amount that is needed now
+	Extra  float64 `msgpack:"x"` // further amount that the share has room for
+	// Rank is the rank of the gathering, and Addr the address of its holder. Earlier versions of the program
+	// send neither.
 	Rank uint64 `msgpack:"r,omitempty"`
 	Addr string `msgpack:"d,omitempty"`
 }
 
-// drawResponse has how much of that it gives.
+// drawResponse is the response to a drawRequest.
 type drawResponse struct {
-	Amount float64 `msgpack:"a"`
-	Level  float64 `msgpack:"l"` // what its share then has
-	// Drawer is another holder that lately drew from this one, if that gives less than was asked for: it
-	// may have more than it needed.
+	Amount float64 `msgpack:"a"` // amount that is given
+	Level  float64 `msgpack:"l"` // amount that remains available in the share
+	// Drawer is the address of another holder that drew from this share recently, and so may have more than it
+	// needed. It is empty if there is none, or if the requested amount is given.
 	Drawer string `msgpack:"w,omitempty"`
 }
 
-// draw is what one other holder gave.
+// draw is the result of a draw from one other holder.
 type draw struct {
 	amount float64
-	// answered: it told what it has, or can't be reached, so that its share is lost with it.
+	// answered is set if the holder has answered. It is also set if the holder can't be reached, as its share
+	// is then lost with it.
 	answered bool
-	drawer   string // as in the response
+	drawer   string // see drawResponse
 }
 
-// recentDraw is the last draw for a tenant by another holder.
+// recentDraw is the last draw of a tenant's quota by another holder.
 type recentDraw struct {
 	addr string
 	at   time.Duration
 }
 
-// drawOrderLocked returns the other holders in the order in which they are drawn from: those whose shares
-// had the most come first, after those of which nothing is known. It leaves out those that lately did
-// not answer.
+// drawOrderLocked returns the other holders in the order in which they are drawn from: first those whose level
+// is unknown, then by the level after the last draw, highest first. It leaves out holders that did not answer
+// recently.
 func (b *Broker) drawOrderLocked(tenant string, holders []string) []string {
 	now := b.now()
 	others := slices.DeleteFunc(slices.Clone(holders), func(addr string) bool {
-		return addr == b.options.SelfAddr || now < b.unresponsive[addr]
+		return addr == b.options.SelfAddr || now < b.unresponsiveUntil[addr]
 	})
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	known := b.peerLevels[tenant]
-	for addr := range known {
+	levels := b.peerLevels[tenant]
+	for addr := range levels {
 		if !slices.Contains(holders, addr) {
-			delete(known, addr)
+			delete(levels, addr)
 		}
 	}
 	level := func(addr string) float64 {
-		if level, ok := known[addr]; ok {
+		if level, ok := levels[addr]; ok {
 			return level
 		}
 		return math.Inf(1)
@@ -85,7 +88,7 @@
 	return others
 }
 
-// drawFrom draws from one other holder. What that gives after drawTimeout is added to the own share.
+// drawFrom draws from one other holder. An amount that arrives after drawTimeout is added to the local share.
 func (b *Broker) drawFrom(addr string, request *drawRequest) draw {
 	results := make(chan draw, 1)
 	go func() { results <- b.callDraw(addr, request) }()
@@ -97,11 +100,11 @@
 	case <-timeout.C:
 	}
 	b.setUnresponsive(addr)
-	go func() { b.addToOwn(request.Tenant, (<-results).amount) }()
+	go func() { b.addToShare(request.Tenant, (<-results).amount) }()
 	return draw{}
 }
 
-// callDraw asks another holder for what a share lacks.
+// callDraw calls another holder for a draw.
 func (b *Broker) callDraw(addr string, request *drawRequest) draw {
 	ctx, cancel := context.WithTimeout(context.Background(), lateDrawTimeout)
 	defer cancel()
@@ -122,65 +125,67 @@
 	return draw{amount: amount, answered: true, drawer: response.Drawer}
 }
 
-// setUnresponsive has a holder passed over for unresponsivePause.
+// setUnresponsive excludes a holder from draws for unresponsivePause.
 func (b *Broker) setUnresponsive(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.unresponsive[addr] = b.now() + unresponsivePause
-	b.forgetResponsiveLocked()
+	b.unresponsiveUntil[addr] = b.now() + unresponsivePause
+	b.pruneUnresponsiveLocked()
 }
 
-// forgetResponsiveLocked drops the holders that may be drawn from again.
-func (b *Broker) forgetResponsiveLocked() {
+// pruneUnresponsiveLocked removes the holders that may be drawn from again.
+func (b *Broker) pruneUnresponsiveLocked() {
 	now := b.now()
-	for addr, until := range b.unresponsive {
+	for addr, until := range b.unresponsiveUntil {
 		if now >= until {
-			delete(b.unresponsive, addr)
+			delete(b.unresponsiveUntil, addr)
 		}
 	}
 }
 
-// handleDraw gives another holder what it lacks of this one's share, as far as that goes. Where that is too
-// little, and more is on its way to this share, it waits for that.
+// handleDraw gives another holder what it lacks, as far as the local share has it. If the share is too small, and
+// more is on its way to it, handleDraw waits for that.
 func (b *Broker) handleDraw(ctx context.Context, request *drawRequest) (*drawResponse, error) {
 	divisor, ok := b.divisor()
 	if !ok {
 		return &drawResponse{}, nil
 	}
-	drawn, settled := b.drawForOther(request, divisor, 0)
-	if settled == nil {
+	drawn, arrived := b.drawForOther(request, divisor, 0)
+	if arrived == nil {
 		return drawn, nil
 	}
-	timeout := time.NewTimer(settleTimeout)
+	timeout := time.NewTimer(arrivalTimeout)
 	defer timeout.Stop()
 	select {
-	case <-settled:
+	case <-arrived:
 	case <-timeout.C:
 	case <-ctx.Done():
-		b.addToOwn(request.Tenant, drawn.Amount) // the caller is gone
+		b.addToShare(request.Tenant, drawn.Amount) // the caller is gone
 		return nil, ctx.Err()
 	}
 	drawn, _ = b.drawForOther(request, divisor, drawn.Amount)
 	return drawn, nil
 }
 
-// addToOwn adds to the own share what was drawn and reached no gathering.
-func (b *Broker) addToOwn(tenant string, amount float64) {
+// addToShare adds a drawn amount that reached no gathering to the local share.
+func (b *Broker) addToShare(tenant string, amount float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Return(b.now(), tenant, amount)
 }
 
-// drawForOther gives another holder what it lacks beyond what it has been given. Where that is too little,
-// settled is closed once more may be there.
-func (b *Broker) drawForOther(request *drawRequest, divisor int, given float64) (response *drawResponse, settled <-chan struct{}) {
+// drawForOther gives another holder what it lacks beyond the amount already given. If the share is too small and
+// more is on its way to it, arrived is closed once that may have arrived; otherwise arrived is nil.
+func (b *Broker) drawForOther(
+	request *drawRequest, divisor int, given float64,
+) (response *drawResponse, arrived <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	b.ledger.SetDivisor(now, divisor)
 	drawn := given + b.ledger.DrawBalanced(now, request.Tenant, max(request.Amount-given, 0), max(request.Extra, 0))
-	own := b.gatherings[request.Tenant]
-	drawn += own.yield(request.Amount-drawn, request.Rank, request.Addr)
+	running := b.gatherings[request.Tenant]
+	drawn += running.yield(request.Amount-drawn, request.Rank, request.Addr)
 	response = &drawResponse{Amount: drawn, Level: b.ledger.Level(now, request.Tenant)}
 	recent := b.recentDraws[request.Tenant]
 	if request.Addr != "" && b.ledger.Known(request.Tenant) {
@@ -192,8 +197,8 @@
 	if recent.addr != request.Addr && now-recent.at < drawMemory {
 		response.Drawer = recent.addr
 	}
-	if own != nil && request.Rank < own.rank {
-		return response, own.done
+	if running != nil && request.Rank < running.rank {
+		return response, running.done
 	}
 	if late := b.lateDraws[request.Tenant]; late != nil {
 		return response, late.done
--- a/internal/fleet/quota/floor_test.go
+++ b/internal/fleet/quota/floor_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// shareOnDisk is a member's ledger with its records: the one on disk, and the one that is being written,
-// which may be there already.
+// shareOnDisk is a member's ledger with its records: the one on disk and the latest one, which may be on disk as
+// soon as its write has begun.
 type shareOnDisk struct {
 	ledger         *Ledger
 	startedAt      time.Duration
@@ -19,7 +19,7 @@
 	writing        bool
 }
 
-// step begins or ends a write, or does neither.
+// step begins a write, ends one, or does nothing.
 func (s *shareOnDisk) step(now time.Duration, rng *rand.Rand) {
 	switch {
 	case !s.writing && (s.ledger.RecordDue(now) || s.onDisk == nil || s.onDisk.Settled != s.settled(now)):
@@ -30,10 +30,10 @@
 	}
 }
 
-// settled is Ledger.Settled, whose clock begins with the process.
+// settled is Ledger.Settled by a clock that starts with the process.
 func (s *shareOnDisk) settled(now time.Duration) bool { return s.ledger.Settled(now - s.startedAt) }
 
-// end ends a write. One that fails may have reached the disk.
+// end ends a write. A write that fails may have reached the disk.
 func (s *shareOnDisk) end(written bool, rng *rand.Rand) {
 	s.ledger.EndRecord(written)
 	s.writing = false
@@ -42,7 +42,7 @@
 	}
 }
 
-// losePower restarts the member by what is on its disk, with the record that was being written or without.
+// losePower restarts the member from what is on its disk. A record that is being written may be there or not.
 func (s *shareOnDisk) losePower(now time.Duration, members int, limit Limit, rng *rand.Rand) {
 	if s.writing && rng.IntN(2) == 0 {
 		s.onDisk = s.latest
@@ -56,11 +56,14 @@
 	s.ledger.SetLimits(now, map[string]Limit{testTenant: limit})
 }
 
-// Power is lost at any write, twice within a window, or a disk with it: no window admits more than the
-// bounds allow.
+// No window admits more than the bounds allow, even if all members lose power at any time, twice within a window, and
+// some of them lose their disks as well.
 func TestNoWindowExceedsBoundsThroughLossesOfPower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Limit{RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 500_000).Draw(t, "burst")}
+		limit := Limit{
+			RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"),
+			Burst:    rapid.Float64Range(0, 500_000).Draw(t, "burst"),
+		}
 		members := rapid.IntRange(1, 7).Draw(t, "members")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		shares := make([]*shareOnDisk, members)
@@ -93,18 +96,21 @@
 	})
 }
 
-// Each member has given half of its share to a deputy, which has no disk and begins anew with each of its
-// processes: no window admits more than the bounds allow, though all machines lose power twice within one.
+// Each member has lent half of its share to a deputy, which has no disk and starts anew in each of its processes.
+// No window admits more than the bounds allow, even if all machines lose power twice within one.
 func TestNoWindowExceedsBoundsWithDeputies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Limit{RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 500_000).Draw(t, "burst")}
+		limit := Limit{
+			RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"),
+			Burst:    rapid.Float64Range(0, 500_000).Draw(t, "burst"),
+		}
 		members := rapid.IntRange(1, 7).Draw(t, "members")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		ledgers := newShares(2*members, limit)
 		for _, ledger := range ledgers {
 			ledger.SetDivisor(0, 2*members)
 		}
-		shares := make([]*shareOnDisk, members) // of the members; their deputies follow in ledgers
+		shares := make([]*shareOnDisk, members) // of the members; ledgers has those of their deputies after them
 		for i := range shares {
 			shares[i] = &shareOnDisk{ledger: ledgers[i]}
 		}
@@ -134,7 +140,7 @@
 	})
 }
 
-// slidingSum is a sum over the quota's window.
+// slidingSum is the sum of the amounts in the quota's window.
 type slidingSum struct {
 	times   []time.Duration
 	amounts []float64
@@ -145,15 +151,15 @@
 	s.times, s.amounts, s.sum = append(s.times, at), append(s.amounts, amount), s.sum+amount
 }
 
-// requireAllowed requires that the window that ends at a time has no more than the bounds allow.
+// requireAllowed requires that the sum in the window that ends now is within the bounds.
 func (s *slidingSum) requireAllowed(t *rapid.T, now time.Duration, limit Limit) {
 	t.Helper()
 	if sum := s.within(now); sum > allowed(limit)*1.000001 {
-		t.Fatalf("%v in the window that ends at %v, allowed are %v", sum, now, allowed(limit))
+		t.Fatalf("%v admitted in the window that ends at %v, %v are allowed", sum, now, allowed(limit))
 	}
 }
 
-// within is the sum of the window that ends at a time.
+// within returns the sum in the window that ends now.
 func (s *slidingSum) within(now time.Duration) float64 {
 	for len(s.times) > 0 && s.times[0] <= now-testBounds.Window {
 		s.sum -= s.amounts[0]
@@ -162,8 +168,8 @@
 	return s.sum
 }
 
-// Whenever power is lost, the next process begins with no more than this one held, or with what a share has
-// that has just begun, and with that only if this one had settled.
+// Whenever power is lost, the next process starts with no more than this one held, or, if this one had settled,
+// with the start level if that is higher.
 func TestRestoredShareIsNeverMoreThanItWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{RatePerS: 10_000, Burst: rapid.Float64Range(0, 200_000).Draw(t, "burst")}
@@ -173,7 +179,7 @@
 			share.step(now, rng)
 			switch rng.IntN(40) {
 			case 0:
-				share.ledger.SetLimits(now, map[string]Limit{testTenant: {RatePerS: 100, Burst: 100}}) // for a moment
+				share.ledger.SetLimits(now, map[string]Limit{testTenant: {RatePerS: 100, Burst: 100}}) // briefly
 				share.ledger.SetLimits(now, map[string]Limit{testTenant: limit})
 			case 1:
 				share.ledger.SetDivisor(now, 3+rng.IntN(4))
@@ -189,7 +195,7 @@
 			}
 			share.losePower(now, divisor, limit, rng)
 			if restored := share.ledger.accounts[testTenant].level; restored > held*1.000001 {
-				t.Fatalf("%v at %v, %v were held", restored, now, held)
+				t.Fatalf("%v restored at %v, only %v were held", restored, now, held)
 			}
 		}
 	})
@@ -198,7 +204,9 @@
 func TestTenantsOfARecord(t *testing.T) {
 	limit := Limit{RatePerS: 1000, Burst: 100_000}
 	ledger := NewLedger(testBounds)
-	ledger.Restore(map[string]float64{"known": 500, "negative": -1, "nan": math.NaN(), "infinite": math.Inf(1), "huge": 1e30, "late": 70}, false)
+	ledger.Restore(map[string]float64{
+		"known": 500, "negative": -1, "nan": math.NaN(), "infinite": math.Inf(1), "huge": 1e30, "late": 70,
+	}, false)
 	ledger.SetDivisor(0, 2)
 	ledger.SetLimits(0, nil) // the configuration is not known yet
 	limits := map[string]Limit{}
@@ -208,7 +216,7 @@
 	ledger.SetLimits(0, limits)
 	held := func(name string) float64 { return ledger.accounts[name].level }
 	require.EqualValues(t, 500, held("known"))
-	require.Zero(t, held("unknown"), "it may have had a share")
+	require.Zero(t, held("unknown"), "an unknown tenant may have had a share")
 	require.Zero(t, held("negative"))
 	require.Zero(t, held("nan"))
 	require.Zero(t, held("infinite"))
--- a/internal/fleet/quota/gathering.go
+++ b/internal/fleet/quota/gathering.go
@@ -7,90 +7,95 @@
 	"time"
 )
 
-// gathering is the collection of what one request needs beyond its holder's own share.
+// gathering collects the amount that one request needs: what the holder's own share has, and the rest from
+// other holders.
 //
-// Two holders that gather for one tenant at a time could each hold a part of what is left, and both fail
-// though the tenant is within its quota. So gatherings have a rank: one that is drawn from by one of a higher
-// rank gives it what it has collected, and looks there again once that has ended; one that is drawn from by
-// one of a lower rank answers once it has ended itself, if what is there does not suffice.
+// If two holders gathered for one tenant at the same time, each could collect a part of what is left, and
+// both would fail although the tenant is within its quota. So each gathering has a random rank. When its
+// holder is asked for a draw by a gathering of a higher rank, the gathering gives away what it has
+// collected, and draws from that other holder again later. A draw by a gathering of a lower rank that gets
+// too little is answered once the local gathering has ended.
 type gathering struct {
 	tenant string
-	amount float64 // that is needed
-	rank   uint64  // above 0
-	done   chan struct{}
+	amount float64       // total amount that the request needs
+	rank   uint64        // never 0
+	done   chan struct{} // closed when the gathering has ended
 
 	// Guarded by the broker's mu:
-	taken    float64  // collected so far
-	complete bool     // it has enough, or has failed: it gives nothing away
-	again    []string // holders to draw from once more, when all others were
-	recalled int      // of them those that drew lately
+	collected    float64  // amount collected so far
+	complete     bool     // it has enough or has failed, and gives nothing away any more
+	drawAgain    []string // addresses of holders to draw from again, after all others
+	addedDrawers int      // number of holders in drawAgain that were named by others as recent drawers
 }
 
-// maxRecalled is from how many holders that drew lately a gathering draws once more.
-const maxRecalled = 2
+// maxAddedDrawers is the maximum number of recent drawers that a gathering draws from again.
+const maxAddedDrawers = 2
 
-// newGathering returns a gathering of an amount of which a part is taken.
-func newGathering(tenant string, amount, taken float64) *gathering {
-	return &gathering{tenant: tenant, amount: amount, taken: taken, rank: rand.Uint64() | 1, done: make(chan struct{})}
+// newGathering returns a gathering of an amount, a part of which is already collected.
+func newGathering(tenant string, amount, collected float64) *gathering {
+	return &gathering{
+		tenant: tenant, amount: amount, collected: collected, rank: rand.Uint64() | 1, done: make(chan struct{}),
+	}
 }
 
-// collect adds what was drawn, and returns what is still missing.
+// collect adds a drawn amount, and returns the amount that is still missing.
 func (g *gathering) collect(drawn float64) (missing float64) {
-	g.taken += drawn
-	g.complete = g.complete || g.taken >= g.amount
-	return max(g.amount-g.taken, 0)
+	g.collected += drawn
+	g.complete = g.complete || g.collected >= g.amount
+	return max(g.amount-g.collected, 0)
 }
 
-// recall has a holder drawn from once more that lately drew from another one.
-func (g *gathering) recall(addr, self string) {
-	if addr == "" || addr == self || g.recalled >= maxRecalled || slices.Contains(g.again, addr) {
+// addDrawer makes the gathering draw again from a holder that another one has named as a recent drawer.
+func (g *gathering) addDrawer(addr, self string) {
+	if addr == "" || addr == self || g.addedDrawers >= maxAddedDrawers || slices.Contains(g.drawAgain, addr) {
 		return
 	}
-	g.recalled++
-	g.again = append(g.again, addr)
+	g.addedDrawers++
+	g.drawAgain = append(g.drawAgain, addr)
 }
 
-// yield gives up to an amount of what was collected to a gathering of another holder, if that has the higher
-// rank.
+// yield gives up to an amount of what was collected to another holder's gathering, if that has a higher rank,
+// and returns how much it gives.
 func (g *gathering) yield(amount float64, rank uint64, addr string) float64 {
 	if g == nil || g.complete || rank <= g.rank {
 		return 0
 	}
-	yielded := max(min(g.taken, amount), 0)
-	if yielded > 0 && !slices.Contains(g.again, addr) {
-		g.again = append(g.again, addr)
+	yielded := max(min(g.collected, amount), 0)
+	if yielded > 0 && !slices.Contains(g.drawAgain, addr) {
+		g.drawAgain = append(g.drawAgain, addr)
 	}
-	g.taken -= yielded
+	g.collected -= yielded
 	return yielded
 }
 
-// lateDraws are the draws for one tenant that go on after their gathering has ended. What they bring is added
-// to the own share.
+// lateDraws counts the draws for one tenant that outlast their gathering. The amounts they bring are added to
+// the local share.
 type lateDraws struct {
 	pending int
-	done    chan struct{} // closed when none is pending
+	done    chan struct{} // closed when no draw is pending
 }
 
-// gather draws what is missing from other holders. If they don't have it, what was taken is returned to the
-// own share.
+// gather draws the missing amount from other holders. If they don't have enough, what was collected is returned
+// to the local share.
 func (b *Broker) gather(ctx context.Context, g *gathering) admitResponse {
 	holders := b.options.Core.HolderAddrs()
-	others, room := b.planDraws(g.tenant, holders)
+	others, headroom := b.planDraws(g.tenant, holders)
 	isAlone := len(holders) == 0 || len(holders) == 1 && holders[0] == b.options.SelfAddr
-	answered := b.drawAll(ctx, g, others, room)
+	answered := b.drawAll(ctx, g, others, headroom)
 	return b.finishGathering(g, answered || isAlone)
 }
 
-// planDraws returns the holders to draw from, in their order, and how much the own share has room for.
-func (b *Broker) planDraws(tenant string, holders []string) (others []string, room float64) {
+// planDraws returns the other holders in the order in which they are drawn from, and the room in the local share.
+func (b *Broker) planDraws(tenant string, holders []string) (others []string, headroom float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.drawOrderLocked(tenant, holders), b.ledger.Room(b.now(), tenant)
+	return b.drawOrderLocked(tenant, holders), b.ledger.Headroom(b.now(), tenant)
 }
 
-// drawAll draws from the other holders in turn until enough is collected: from the next one once the one
-// before has answered, or has not for drawHedgeDelay. It reports whether any has answered.
-func (b *Broker) drawAll(ctx context.Context, g *gathering, others []string, room float64) (answered bool) {
+// drawAll draws from the other holders one after another until enough is collected. It moves on to the next
+// holder once the previous one has answered, or has not answered for drawHedgeDelay. It reports whether any
+// holder has answered.
+func (b *Broker) drawAll(ctx context.Context, g *gathering, others []string, headroom float64) (answered bool) {
 	draws := make(chan draw, len(others))
 	pending := 0
 	defer func() { b.returnLate(g.tenant, draws, pending) }()
@@ -108,7 +113,9 @@
 			if len(others) == 0 {
 				continue
 			}
-			request := &drawRequest{Tenant: g.tenant, Amount: missing, Extra: room, Rank: g.rank, Addr: b.options.SelfAddr}
+			request := &drawRequest{
+				Tenant: g.tenant, Amount: missing, Extra: headroom, Rank: g.rank, Addr: b.options.SelfAddr,
+			}
 			addr := others[0]
 			others = others[1:]
 			pending++
@@ -119,50 +126,52 @@
 		}
 		if missing > 0 && len(others) == 0 && pending == 0 {
 			b.awaitLateDraws(ctx, g.tenant)
-			missing, others = b.collectOwn(g)
+			missing, others = b.collectFromShare(g)
 		}
 	}
 	return answered
 }
 
-// collect adds what was drawn to a gathering, and returns what is still missing.
+// collect adds a draw to a gathering, and returns the amount that is still missing.
 func (b *Broker) collect(g *gathering, drawn draw) (missing float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	g.recall(drawn.drawer, b.options.SelfAddr)
+	g.addDrawer(drawn.drawer, b.options.SelfAddr)
 	return g.collect(drawn.amount)
 }
 
-// collectOwn adds to a gathering what has come to the own share since, when all others were drawn from. If that
-// does not suffice, and there is nobody to draw from again, the gathering has failed and gives nothing away.
-func (b *Broker) collectOwn(g *gathering) (missing float64, again []string) {
+// collectFromShare adds to a gathering what has arrived in the local share by the time all other holders were drawn
+// from. If that is too little, and there is no holder to draw from again, the gathering has failed and gives nothing
+// away any more.
+func (b *Broker) collectFromShare(g *gathering) (missing float64, drawAgain []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	missing = g.collect(b.ledger.Draw(b.now(), g.tenant, g.amount-g.taken))
-	again, g.again = g.again, nil
-	g.complete = g.complete || len(again) == 0
-	return missing, again
+	missing = g.collect(b.ledger.Draw(b.now(), g.tenant, g.amount-g.collected))
+	drawAgain, g.drawAgain = g.drawAgain, nil
+	g.complete = g.complete || len(drawAgain) == 0
+	return missing, drawAgain
 }
 
-// finishGathering ends the gathering for a tenant. Unless another holder has answered, or there is none, the
-// tenant may be within its quota. To want an answer of all of them costs more than it is worth: under a
-// hot tenant some are always late, and clients come back sooner after 503 than after 429.
+// finishGathering ends the gathering for a tenant. A failure proves that the tenant has used up its quota only if
+// another holder has answered, or there is none. Requiring the answers of all holders would cost more than it is
+// worth: for a tenant under high load some are always late, and clients retry sooner after status 503 than after
+// 429.
 func (b *Broker) finishGathering(g *gathering, proven bool) admitResponse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(g.done)
 	delete(b.gatherings, g.tenant)
 	now := b.now()
-	if g.taken >= g.amount {
-		b.ledger.Return(now, g.tenant, g.taken-g.amount)
+	if g.collected >= g.amount {
+		b.ledger.Return(now, g.tenant, g.collected-g.amount)
 		return admitResponse{Verdict: Admitted}
 	}
-	b.ledger.Return(now, g.tenant, g.taken)
-	b.exhausted[g.tenant] = exhaustion{until: now + exhaustedPause, proven: proven}
-	return b.rejectLocked(g.tenant, g.amount-g.taken, proven)
+	b.ledger.Return(now, g.tenant, g.collected)
+	b.exhaustions[g.tenant] = exhaustion{expiresAt: now + exhaustedPause, proven: proven}
+	return b.rejectLocked(g.tenant, g.amount-g.collected, proven)
 }
 
-// returnLate adds to the own share what is drawn after its gathering has ended.
+// returnLate adds the amounts of late draws to the local share.
 func (b *Broker) returnLate(tenant string, draws <-chan draw, pending int) {
 	if pending == 0 {
 		return
@@ -182,7 +191,7 @@
 	}()
 }
 
-// returnDrawn adds to the own share what one late draw has brought.
+// returnDrawn adds the amount of one late draw to the local share.
 func (b *Broker) returnDrawn(tenant string, late *lateDraws, drawn draw) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -194,9 +203,9 @@
 	}
 }
 
-// awaitLateDraws waits until no late draw for a tenant is pending, for settleTimeout at most.
+// awaitLateDraws waits until no late draw for a tenant is pending, but at most for arrivalTimeout.
 func (b *Broker) awaitLateDraws(ctx context.Context, tenant string) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, arrivalTimeout)
 	defer cancel()
 	b.mu.Lock()
 	late := b.lateDraws[tenant]
--- a/internal/fleet/quota/late_answers.go
+++ b/internal/fleet/quota/late_answers.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// maxLateAnswers bounds the questions of a tenant that a client waits for after they were decided.
+// maxLateAnswers is the maximum number of calls of a tenant whose late answers a client waits for.
 const maxLateAnswers = 8
 
-// lateAnswers are the answers to a question that was decided without them.
-type lateAnswers struct{ done chan struct{} } // closed once all have come
+// lateAnswers stands for the answers to a call that arrive after the call was decided.
+type lateAnswers struct{ done chan struct{} } // closed when all have arrived
 
-// returnLate returns what holders admit after their answer was waited for.
+// returnLate returns the amounts that holders admit in late answers.
 func (c *Client) returnLate(request *admitRequest, answers <-chan admitResponse, pending int) {
 	if pending == 0 {
 		return
@@ -27,53 +27,53 @@
 	}()
 }
 
-// beginLate records that answers are late. Beyond maxLateAnswers, and maxTenantsCached tenants, nobody waits
-// for them.
+// beginLate records that the answers to a call are late. Beyond maxLateAnswers calls of a tenant, and
+// maxTenantsCached tenants, it does not: later calls do not wait for these answers.
 func (c *Client) beginLate(tenant string) *lateAnswers {
 	late := &lateAnswers{done: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.late[tenant]
-	if len(known) < maxLateAnswers && (known != nil || len(c.late) < maxTenantsCached) {
-		c.late[tenant] = append(known, late)
+	registered := c.lateAnswers[tenant]
+	if len(registered) < maxLateAnswers && (registered != nil || len(c.lateAnswers) < maxTenantsCached) {
+		c.lateAnswers[tenant] = append(registered, late)
 	}
 	return late
 }
 
-// endLate records that late answers have all come.
+// endLate records that all late answers to a call have arrived.
 func (c *Client) endLate(tenant string, late *lateAnswers) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(late.done)
-	remaining := slices.DeleteFunc(c.late[tenant], func(other *lateAnswers) bool { return other == late })
+	remaining := slices.DeleteFunc(c.lateAnswers[tenant], func(other *lateAnswers) bool { return other == late })
 	if len(remaining) == 0 {
-		delete(c.late, tenant)
+		delete(c.lateAnswers, tenant)
 		return
 	}
-	c.late[tenant] = remaining
+	c.lateAnswers[tenant] = remaining
 }
 
-// awaitReturned looks whether the amount has been returned since a tenant's question was asked, and waits for the
-// late answers of earlier questions: the holders may lack just what those admit. It reports whether the amount
-// was there.
+// awaitReturned takes an amount from what was returned if all of it is there. Otherwise it waits for the late
+// answers to earlier calls, as these may admit just the amount that the holders lack now. It reports whether it
+// has taken the amount.
 func (c *Client) awaitReturned(ctx context.Context, tenant string, amount float64) bool {
-	taken, known := c.takeReturned(tenant, amount)
-	for !taken && len(known) > 0 {
+	taken, late := c.takeReturned(tenant, amount)
+	for !taken && len(late) > 0 {
 		select {
-		case <-known[0].done:
+		case <-late[0].done:
 		case <-ctx.Done():
 			return false
 		}
-		known = known[1:]
+		late = late[1:]
 		taken, _ = c.takeReturned(tenant, amount)
 	}
 	return taken
 }
 
-// takeReturned takes an amount of what was returned if all of it is there, and returns the late answers that
-// may bring more.
-func (c *Client) takeReturned(tenant string, amount float64) (taken bool, known []*lateAnswers) {
+// takeReturned takes an amount from what was returned if all of it is there, and reports whether it was. It also
+// returns the late answers that may bring more.
+func (c *Client) takeReturned(tenant string, amount float64) (taken bool, late []*lateAnswers) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.takeReturnedLocked(tenant, amount), slices.Clone(c.late[tenant])
+	return c.takeReturnedLocked(tenant, amount), slices.Clone(c.lateAnswers[tenant])
 }
--- a/internal/fleet/quota/ledger.go
+++ b/internal/fleet/quota/ledger.go
@@ -5,24 +5,25 @@
 )
 
 const (
-	// reserveShare is the part of what the bounds allow beyond the quota that is added to the burst, and
-	// startShare the part that all members together have in their buckets when they start. What
-	// remains allows for two restarts of all members within a window, and for rateMargin.
-	reserveShare, startShare = 0.4, 0.2
-	// rateMargin is the part of the rate that is added to it: a share that is full gains nothing, and
-	// together the shares would bring less than the rate.
+	// reserveFraction is the fraction of the tolerance (what the bounds allow beyond the quota) that is added
+	// to the burst. startFraction is the fraction that all members together have in their buckets when they
+	// start. The remaining fraction allows for two restarts of all members within a window, and for
+	// rateMargin.
+	reserveFraction, startFraction = 0.4, 0.2
+	// rateMargin is the fraction by which the rate is increased. A full share gains nothing, so without
+	// the margin the shares together would gain less than the rate.
 	rateMargin = 0.01
-	// holderWindows is for how many windows a member that was lost still counts: it may be cut off and
-	// admit by its share.
-	holderWindows = 2
-	// maxRetryAfter bounds the advice of a rejection.
+	// retentionWindows is the number of windows for which a lost member still counts: it may be partitioned
+	// and still admit requests from its share.
+	retentionWindows = 2
+	// maxRetryAfter is the longest retry delay of a rejection.
 	maxRetryAfter = 5 * time.Second
-	// minRetryAfter is the least advice of a rejection.
+	// minRetryAfter is the shortest retry delay of a rejection.
 	minRetryAfter = 20 * time.Millisecond
 )
 
-// Bounds are what the operators' pages allow of all quotas: in each window (rate x window + burst) x (1 +
-// Overshoot) + Slack.
+// Bounds limits what is admitted of any quota: at most (rate x window + burst) x (1 + Overshoot) + Slack in
+// each window.
 type Bounds struct {
 	Window           time.Duration
 	Overshoot, Slack float64
@@ -33,38 +34,39 @@
 	RatePerS, Burst float64
 }
 
-// tolerance is what the bounds allow beyond a limit in a window.
+// tolerance returns what the bounds allow beyond a limit in a window.
 func (b *Bounds) tolerance(limit Limit) float64 {
 	return b.Overshoot*(limit.RatePerS*b.Window.Seconds()+limit.Burst) + b.Slack
 }
 
-// Ledger holds one member's share of each tenant's quota. It is not safe for concurrent use.
+// Ledger holds one holder's share of each tenant's quota. It is not safe for concurrent use.
 type Ledger struct {
-	bounds   Bounds
-	divisor  int // this is one of so many equal shares
-	fewSince time.Duration
-	few      int // shares now, if they are fewer than divisor; 0: they are not
-	accounts map[string]*account
-	restored map[string]float64 // floors of a former process that no share has begun with yet
-	// isRestoring: the first limits since Restore are not known yet.
+	bounds              Bounds
+	divisor             int           // number of equal shares that each quota is divided into; 0 until it is known
+	pendingDivisorSince time.Duration // when pendingDivisor was first set
+	pendingDivisor      int           // lower divisor that is not in force yet; 0 if there is none
+	accounts            map[string]*account
+	restored            map[string]float64 // floors in an earlier process's record of tenants without an account
+	// isRestoring is set from Restore until the first limits are known.
 	isRestoring bool
-	// mayBeginAnew: restored shares begin with no less than new ones.
-	mayBeginAnew bool
-	// hasRecord: a record of this process is on disk.
+	// restoredSettled is set if the process that wrote the restored record had settled: restored shares
+	// start with at least startLevel.
+	restoredSettled bool
+	// hasRecord is set once a record of this process is on disk.
 	hasRecord bool
 }
 
 // account is the share of one tenant's quota.
 type account struct {
 	limit     Limit
-	level     float64 // what it holds
+	level     float64 // amount that the share holds
 	updatedAt time.Duration
-	removedAt time.Duration // when the tenant was taken from the configuration; 0: it is there
+	removedAt time.Duration // when the tenant was removed from the configuration; 0 if it is there
 
 	lowWater   lowWater
-	floor      float64 // the highest that a record on disk may have: the level does not go below it
-	recorded   float64 // the floor of the newest record, written or being written
-	isRestored bool    // it began with the floor of a former process
+	floor      float64 // highest floor in any record that may be on disk; the level is not spent below it
+	recorded   float64 // floor in the newest record, written or being written; unrecorded if it has none
+	isRestored bool    // the share started with the floor in an earlier process's record
 }
 
 // NewLedger returns a ledger without tenants.
@@ -72,22 +74,22 @@
 	return &Ledger{bounds: bounds, accounts: map[string]*account{}}
 }
 
-// SetDivisor sets of how many equal shares of each quota this one is. A larger number counts at once, a
-// lower one after holderWindows.
+// SetDivisor sets the number of equal shares that each quota is divided into. A higher number takes effect
+// at once, a lower one after retentionWindows.
 func (l *Ledger) SetDivisor(now time.Duration, divisor int) {
 	switch {
 	case divisor >= l.divisor:
 		l.applyDivisor(now, divisor)
-		l.few = 0
-	case divisor != l.few:
-		l.few, l.fewSince = divisor, now
-	case now-l.fewSince > holderWindows*l.bounds.Window:
+		l.pendingDivisor = 0
+	case divisor != l.pendingDivisor:
+		l.pendingDivisor, l.pendingDivisorSince = divisor, now
+	case now-l.pendingDivisorSince > retentionWindows*l.bounds.Window:
 		l.applyDivisor(now, divisor)
-		l.few = 0
+		l.pendingDivisor = 0
 	}
 }
 
-// Divisor is of how many equal shares of each quota this one is.
+// Divisor returns the number of equal shares that each quota is divided into.
 func (l *Ledger) Divisor() int { return l.divisor }
 
 func (l *Ledger) applyDivisor(now time.Duration, divisor int) {
@@ -102,7 +104,7 @@
 	for _, a := range l.accounts {
 		switch {
 		case first && a.isRestored:
-			l.beginRestored(a)
+			l.startRestored(a)
 		case first:
 			a.level = l.startLevel(a.limit)
 		}
@@ -110,8 +112,8 @@
 	}
 }
 
-// SetLimits replaces the quotas. A tenant that had one keeps what it has used; one that is taken away
-// is remembered for as long as that counts.
+// SetLimits replaces the quotas. A tenant that already had a quota keeps its level, up to the new capacity.
+// The account of a removed tenant is kept for retentionWindows, as what was admitted from it still counts.
 func (l *Ledger) SetLimits(now time.Duration, limits map[string]Limit) {
 	for name, limit := range limits {
 		a := l.accounts[name]
@@ -131,34 +133,34 @@
 			l.accrue(now, a)
 			a.removedAt = max(now, 1)
 		}
-		if now-a.removedAt > holderWindows*l.bounds.Window {
+		if now-a.removedAt > retentionWindows*l.bounds.Window {
 			delete(l.accounts, name)
 		}
 	}
 	if len(limits) > 0 {
-		l.isRestoring = false // a tenant that is added later and that the record does not have is new
+		l.isRestoring = false // from now on a tenant that is not in the record is a new one
 	}
 }
 
-// capacity is the most that a share holds.
+// capacity returns the maximum amount that a share holds.
 func (l *Ledger) capacity(limit Limit) float64 {
-	return (limit.Burst + reserveShare*l.bounds.tolerance(limit)) / float64(max(l.divisor, 1))
+	return (limit.Burst + reserveFraction*l.bounds.tolerance(limit)) / float64(max(l.divisor, 1))
 }
 
-// rate is what a share gains in a second.
+// rate returns the amount that a share gains per second.
 func (l *Ledger) rate(limit Limit) float64 {
 	return limit.RatePerS * (1 + rateMargin) / float64(max(l.divisor, 1))
 }
 
-// startLevel is what a share holds that has just begun.
+// startLevel returns the amount in a share that has just started.
 func (l *Ledger) startLevel(limit Limit) float64 {
 	if l.divisor == 0 {
 		return 0
 	}
-	return startShare * l.bounds.tolerance(limit) / float64(l.divisor)
+	return startFraction * l.bounds.tolerance(limit) / float64(l.divisor)
 }
 
-// accrue adds what the rate has brought since the last time.
+// accrue adds the amount that a share has gained since its last update.
 func (l *Ledger) accrue(now time.Duration, a *account) {
 	a.lowWater.observe(now, a.level)
 	elapsed := max(now-a.updatedAt, 0)
@@ -171,7 +173,7 @@
 	}
 }
 
-// lookup returns the account of a tenant that the configuration limits, nil if there is none.
+// lookup returns the updated account of a tenant, or nil if the configuration has no quota for it.
 func (l *Ledger) lookup(now time.Duration, tenant string) *account {
 	a := l.accounts[tenant]
 	if a == nil || a.removedAt > 0 {
@@ -181,13 +183,13 @@
 	return a
 }
 
-// Known returns whether the tenant has a quota here.
+// Known reports whether the tenant has a quota.
 func (l *Ledger) Known(tenant string) bool {
 	a := l.accounts[tenant]
 	return a != nil && a.removedAt == 0
 }
 
-// Take takes an amount from the tenant's share if all of it is there.
+// Take takes an amount from the tenant's share if all of it is available, and reports whether it was.
 func (l *Ledger) Take(now time.Duration, tenant string, amount float64) bool {
 	a := l.lookup(now, tenant)
 	if a == nil || a.available() < amount {
@@ -197,7 +199,7 @@
 	return true
 }
 
-// Draw takes what is there, up to an amount, and returns how much that is.
+// Draw takes what is available from the tenant's share, up to an amount, and returns how much it took.
 func (l *Ledger) Draw(now time.Duration, tenant string, amount float64) float64 {
 	a := l.lookup(now, tenant)
 	if a == nil {
@@ -208,21 +210,21 @@
 	return drawn
 }
 
-// spend takes an amount that is there.
+// spend subtracts an available amount from a share.
 func (l *Ledger) spend(now time.Duration, a *account, amount float64) {
 	a.level -= amount
 	a.lowWater.observe(now, a.level)
 }
 
-// DrawBalanced is Draw for another member, whose own share is empty: beyond the amount that it needs it
-// is given half of what then remains here, up to extra. So the tenant's next requests need no draw, and
-// no share is full, and gains nothing, while another one is empty.
+// DrawBalanced is Draw for another holder whose own share is empty. Beyond the amount that it needs, that
+// holder gets half of what remains here, up to extra. So the tenant's next requests there need no draw,
+// and no share is full, gaining nothing, while another one is empty.
 func (l *Ledger) DrawBalanced(now time.Duration, tenant string, amount, extra float64) float64 {
 	drawn := l.Draw(now, tenant, amount)
 	return drawn + l.Draw(now, tenant, min(extra, l.Level(now, tenant)/2))
 }
 
-// Level is what may be taken from a tenant's share.
+// Level returns the available amount in a tenant's share.
 func (l *Ledger) Level(now time.Duration, tenant string) float64 {
 	a := l.lookup(now, tenant)
 	if a == nil {
@@ -231,8 +233,8 @@
 	return a.available()
 }
 
-// Room is what a tenant's share could hold beyond what it has.
-func (l *Ledger) Room(now time.Duration, tenant string) float64 {
+// Headroom returns the amount that can be added to a tenant's share until it is full.
+func (l *Ledger) Headroom(now time.Duration, tenant string) float64 {
 	a := l.lookup(now, tenant)
 	if a == nil {
 		return 0
@@ -240,14 +242,15 @@
 	return max(l.capacity(a.limit)-a.level, 0)
 }
 
-// Return gives back what was taken or drawn and not used.
+// Return gives back an amount that was taken or drawn but not used.
 func (l *Ledger) Return(now time.Duration, tenant string, amount float64) {
 	if a := l.lookup(now, tenant); a != nil && amount > 0 {
 		a.level += amount
 	}
 }
 
-// RetryAfter is how long it takes until all shares together have brought an amount.
+// RetryAfter returns the time in which all shares together gain an amount, between minRetryAfter and
+// maxRetryAfter.
 func (l *Ledger) RetryAfter(tenant string, amount float64) time.Duration {
 	a := l.accounts[tenant]
 	if a == nil || a.limit.RatePerS <= 0 {
@@ -260,7 +263,8 @@
 	return max(time.Duration(seconds*float64(time.Second)), minRetryAfter)
 }
 
-// Restart leaves in each share what one has that has just begun: others may have used it meanwhile.
+// Restart lowers the level of each share to that of one that has just started, if it is higher. It is for
+// shares that others may have used in the meantime.
 func (l *Ledger) Restart(now time.Duration) {
 	for _, a := range l.accounts {
 		l.accrue(now, a)
@@ -268,15 +272,15 @@
 	}
 }
 
-// Share is one tenant's share as operators see it.
+// Share describes one tenant's share for operators.
 type Share struct {
 	Tenant   string  `json:"tenant"`
-	Level    float64 `json:"level"`    // what it holds
-	Capacity float64 `json:"capacity"` // the most that it holds
+	Level    float64 `json:"level"`    // amount that it holds
+	Capacity float64 `json:"capacity"` // maximum amount that it holds
 	RatePerS float64 `json:"rate-per-s"`
 }
 
-// Shares returns all shares, in no order.
+// Shares returns the shares of all tenants in no particular order.
 func (l *Ledger) Shares(now time.Duration) []Share {
 	shares := make([]Share, 0, len(l.accounts))
 	for name, a := range l.accounts {
@@ -284,7 +288,9 @@
 			continue
 		}
 		l.accrue(now, a)
-		shares = append(shares, Share{Tenant: name, Level: a.level, Capacity: l.capacity(a.limit), RatePerS: l.rate(a.limit)})
+		shares = append(shares, Share{
+			Tenant: name, Level: a.level, Capacity: l.capacity(a.limit), RatePerS: l.rate(a.limit),
+		})
 	}
 	return shares
 }
--- a/internal/fleet/quota/ledger_test.go
+++ b/internal/fleet/quota/ledger_test.go
@@ -20,12 +20,12 @@
 	testMembers = 6
 )
 
-// allowed is what the bounds allow in a window.
+// allowed returns what the bounds allow in a window.
 func allowed(limit Limit) float64 {
 	return limit.RatePerS*testBounds.Window.Seconds() + limit.Burst + testBounds.tolerance(limit)
 }
 
-// newShares returns the ledgers of so many members at time 0.
+// newShares returns the ledgers of members that start at time 0.
 func newShares(members int, limit Limit) []*Ledger {
 	ledgers := make([]*Ledger, members)
 	for i := range ledgers {
@@ -44,10 +44,10 @@
 func TestShareFillsToItsPart(t *testing.T) {
 	limit := Limit{RatePerS: 600, Burst: 1200}
 	ledger := newShare(0, 6, limit)
-	start := startShare * testBounds.tolerance(limit) / 6
+	start := startFraction * testBounds.tolerance(limit) / 6
 	require.InDelta(t, start, ledger.Shares(0)[0].Level, 1e-6)
-	require.InDelta(t, start+100, ledger.Shares(time.Second)[0].Level, 1.001, "a sixth of the rate")
-	capacity := (1200 + reserveShare*testBounds.tolerance(limit)) / 6
+	require.InDelta(t, start+100, ledger.Shares(time.Second)[0].Level, 1.001, "one sixth of the rate")
+	capacity := (1200 + reserveFraction*testBounds.tolerance(limit)) / 6
 	require.InDelta(t, capacity, ledger.Shares(time.Hour)[0].Level, 1e-6)
 	require.False(t, ledger.Take(time.Hour, testTenant, capacity+1))
 	require.True(t, ledger.Take(time.Hour, testTenant, capacity))
@@ -66,7 +66,7 @@
 	require.Len(t, ledger.Shares(0), 1)
 }
 
-// A lower limit takes what is above it; a higher one gives no more than the rate brings.
+// A lower limit cuts the level to the lower capacity. A higher one adds no more than the rate does.
 func TestLimitChanges(t *testing.T) {
 	high, low := Limit{RatePerS: 6000, Burst: 600_000}, Limit{RatePerS: 60, Burst: 60}
 	ledger := newShare(0, 6, high)
@@ -80,7 +80,7 @@
 	require.InDelta(t, lowered+1000, ledger.Shares(now + time.Second)[0].Level, 10.001)
 }
 
-// A tenant that is taken away and comes back has what it left, not a new share.
+// A tenant that is removed and added again has what was left of its share, not a new share.
 func TestTenantReturns(t *testing.T) {
 	limit := Limit{RatePerS: 600, Burst: 6000}
 	ledger := newShare(0, 6, limit)
@@ -91,11 +91,11 @@
 	ledger.SetLimits(2*time.Second, map[string]Limit{testTenant: limit})
 	require.InDelta(t, 200, ledger.Shares(2 * time.Second)[0].Level, 2.001)
 	ledger.SetLimits(3*time.Second, nil)
-	ledger.SetLimits(3*time.Second+2*holderWindows*testBounds.Window, nil)
-	require.Empty(t, ledger.accounts, "it is forgotten in the end")
+	ledger.SetLimits(3*time.Second+2*retentionWindows*testBounds.Window, nil)
+	require.Empty(t, ledger.accounts, "the account is deleted after some time")
 }
 
-// A member that is lost counts on until its share can't be used any more.
+// A lost member still counts for as long as it may use its share.
 func TestDivisor(t *testing.T) {
 	limit := Limit{RatePerS: 600, Burst: 6000}
 	ledger := newShare(0, 6, limit)
@@ -105,18 +105,21 @@
 	ledger.SetDivisor(10*time.Second, 6)
 	ledger.SetDivisor(11*time.Second, 5)
 	ledger.SetDivisor(27*time.Second, 5)
-	require.InDelta(t, 101, rate(27*time.Second), 1e-6, "it came back in between")
+	require.InDelta(t, 101, rate(27*time.Second), 1e-6, "the member came back in between")
 	ledger.SetDivisor(28*time.Second, 5)
 	require.InDelta(t, 121.2, rate(28*time.Second), 1e-6)
 	ledger.SetDivisor(28*time.Second, 7)
-	require.InDelta(t, 606.0/7, rate(28*time.Second), 1e-6, "one more counts at once")
+	require.InDelta(t, 606.0/7, rate(28*time.Second), 1e-6, "an additional member counts at once")
 }
 
-// Whatever is asked, drawn, returned and restarted (each member once, in one window), no window admits
-// more than the bounds allow.
+// No window admits more than the bounds allow, whatever is requested, drawn and returned, even if all members restart
+// at once.
 func TestNoWindowExceedsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Limit{RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 500_000).Draw(t, "burst")}
+		limit := Limit{
+			RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"),
+			Burst:    rapid.Float64Range(0, 500_000).Draw(t, "burst"),
+		}
 		members := rapid.IntRange(1, 7).Draw(t, "members")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		ledgers := newShares(members, limit)
@@ -138,11 +141,14 @@
 	})
 }
 
-// The members' clocks run up to 2 in 100 fast or slow, and all restart once: no window of the true time admits more
-// than the bounds allow.
+// The members' clocks are up to 2% fast or slow, and all members restart once: no window of true time admits more than
+// the bounds allow.
 func TestNoWindowExceedsBoundsByDriftingClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := Limit{RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 500_000).Draw(t, "burst")}
+		limit := Limit{
+			RatePerS: rapid.Float64Range(1, 500_000).Draw(t, "rate"),
+			Burst:    rapid.Float64Range(0, 500_000).Draw(t, "burst"),
+		}
 		rates := rapid.SliceOfN(rapid.Float64Range(0.98, 1.02), 1, 7).Draw(t, "clock rates")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		ledgers := newShares(len(rates), limit)
@@ -165,9 +171,9 @@
 	})
 }
 
-// simulate sends requests of a tenant, at a multiple of its rate on average, to members chosen by pick.
-// If shaped, it sends only those that one bucket of the whole limit would admit. It returns the share
-// of requests that were rejected, and what was admitted as a part of the rate.
+// simulate sends requests of a tenant, at a multiple of its rate on average, to members chosen by pick. If shaped, it
+// sends only those that one bucket for the whole limit would admit. It returns the fraction of requests that were
+// rejected, and the admitted amount as a fraction of the rate.
 func simulate(limit Limit, load float64, shaped bool, pick func(*rand.Rand) int) (rejected, admitted float64) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	ledgers := newShares(testMembers, limit)
@@ -175,7 +181,8 @@
 	var sent, sentAndRejected, admittedTokens float64
 	single, singleAt := limit.Burst, time.Duration(0)
 	recordedAt := time.Duration(0)
-	for now := warmup; now < end; now += time.Duration(rng.ExpFloat64() * mean / (load * limit.RatePerS) * float64(time.Second)) {
+	for now := warmup; now < end; now += time.Duration(
+		rng.ExpFloat64() * mean / (load * limit.RatePerS) * float64(time.Second)) {
 		amount := 200 + (mean-200)*rng.ExpFloat64()
 		single = min(single+(now-singleAt).Seconds()*limit.RatePerS, limit.Burst)
 		singleAt = now
@@ -194,7 +201,7 @@
 	return sentAndRejected / sent, admittedTokens / (limit.RatePerS * (end - warmup).Seconds())
 }
 
-// recordAll writes the records that are due, with a disk that needs no time.
+// recordAll writes the records that are due, to disks without a delay.
 func recordAll(ledgers []*Ledger, now time.Duration, recordedAt *time.Duration) {
 	if now-*recordedAt < recordInterval {
 		return
@@ -208,33 +215,36 @@
 	}
 }
 
-// drawTogether takes an amount of one member's share and, where that does not suffice, of the others'.
-func drawTogether(ledgers []*Ledger, now time.Duration, own int, amount float64, rng *rand.Rand) bool {
-	return drawByClocks(ledgers, func(int) time.Duration { return now }, own, amount, rng)
+// drawTogether takes an amount from one member's share and, if that is too small, from the others' shares.
+func drawTogether(ledgers []*Ledger, now time.Duration, member int, amount float64, rng *rand.Rand) bool {
+	return drawByClocks(ledgers, func(int) time.Duration { return now }, member, amount, rng)
 }
 
-// drawByClocks is drawTogether where each member goes by a clock of its own.
-func drawByClocks(ledgers []*Ledger, clock func(member int) time.Duration, own int, amount float64, rng *rand.Rand) bool {
-	taken := ledgers[own].Draw(clock(own), testTenant, amount)
-	room := ledgers[own].Room(clock(own), testTenant)
+// drawByClocks is drawTogether with a separate clock for each member.
+func drawByClocks(
+	ledgers []*Ledger, clock func(member int) time.Duration, member int, amount float64, rng *rand.Rand,
+) bool {
+	taken := ledgers[member].Draw(clock(member), testTenant, amount)
+	headroom := ledgers[member].Headroom(clock(member), testTenant)
 	others := rng.Perm(len(ledgers))
 	slices.SortStableFunc(others, func(i, j int) int {
 		return cmp.Compare(ledgers[j].Level(clock(j), testTenant), ledgers[i].Level(clock(i), testTenant))
 	})
 	for _, other := range others {
-		if other != own && taken < amount {
-			taken += ledgers[other].DrawBalanced(clock(other), testTenant, amount-taken, room)
+		if other != member && taken < amount {
+			taken += ledgers[other].DrawBalanced(clock(other), testTenant, amount-taken, headroom)
 		}
 	}
 	if taken < amount {
-		ledgers[own].Return(clock(own), testTenant, taken)
+		ledgers[member].Return(clock(member), testTenant, taken)
 		return false
 	}
-	ledgers[own].Return(clock(own), testTenant, taken-amount)
+	ledgers[member].Return(clock(member), testTenant, taken-amount)
 	return true
 }
 
-// Of a tenant that asks for 0.95 of its limit, unevenly but within its burst, next to nothing is rejected; of one that asks for eight times its limit, next to all of the limit is served.
+// Almost no request is rejected of a tenant that uses 0.95 of its limit, unevenly but within its burst. A tenant that
+// asks for eight times its limit gets almost all of the limit.
 func TestQuotaIsTightOnBothSides(t *testing.T) {
 	for _, limit := range []Limit{{RatePerS: 350_000, Burst: 350_000}, {RatePerS: 36_000, Burst: 36_000}} {
 		for name, pick := range map[string]func(*rand.Rand) int{
--- a/internal/fleet/quota/record.go
+++ b/internal/fleet/quota/record.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// recordFormat is the first byte of a record.
+	// recordFormat is the first byte of a record and identifies its format.
 	recordFormat = 1
-	// recordInterval is how often it is looked whether a record is due, and the least time between two.
+	// recordInterval is the interval at which it is checked whether a record is due, and so the minimum time
+	// between two records.
 	recordInterval = 100 * time.Millisecond
-	// recordBytesPerS bounds what is written: after a large record the next one waits for longer.
+	// recordBytesPerS bounds the bytes written per second: after a large record the next one waits longer.
 	recordBytesPerS = 128 << 10
 )
 
 var (
-	// errRecordFormat is returned for a record of another version.
-	errRecordFormat = errors.New("the record of the quotas has an unknown format; shares begin as on an empty disk")
-	// errNoDisk is returned for a record of a process without a disk.
-	errNoDisk = errors.New("this process has no disk for a record of the quotas")
+	// errRecordFormat is returned for a record in an unknown format.
+	errRecordFormat = errors.New("the quota record has an unknown format; shares start as on an empty disk")
+	// errNoDisk is returned if a record can't be written because the process has no disk.
+	errNoDisk = errors.New("this process has no disk for quota records")
 )
 
-// record is what a member of the core keeps on its disk for its next process.
+// record is what a member of the core keeps on disk for its next process.
 type record struct {
 	Floors map[string]float64 `msgpack:"f"` // by tenant
-	// Deputy is the address of the deputy that may have a term, "" if none may.
+	// Deputy is the address of the deputy whose term may not have ended; empty if there is none.
 	Deputy string `msgpack:"d,omitempty"`
-	// Settled tells that the process had run for a window.
+	// Settled is set if the process had run for a window; see Ledger.Settled.
 	Settled bool `msgpack:"s,omitempty"`
 }
 
@@ -46,16 +47,16 @@
 	}
 	decoded := &record{}
 	if err := msgpack.Unmarshal(raw[1:], decoded); err != nil {
-		return nil, errors.Wrap(err, "decode the record of the quotas")
+		return nil, errors.Wrap(err, "decode the quota record")
 	}
 	return decoded, nil
 }
 
-// restore continues from the record of an earlier process of this member. Without one the shares and the
-// deputy are as after the loss of a disk: an earlier process may have had both.
+// restore continues from the record of an earlier process of this member. Without a record the shares start as on an
+// empty disk, and half of each share is reserved for one term, as an earlier process may have appointed a deputy.
 func (b *Broker) restore(raw []byte) {
 	if !b.options.FirstStart {
-		b.deputy = deputy{until: deputyTerm + deputyMargin}
+		b.deputy = deputy{termEnd: deputyTerm + deputyMargin}
 	}
 	if raw == nil {
 		return
@@ -69,11 +70,11 @@
 	b.deputy.addr = saved.Deputy
 	b.recordedDeputy, b.recordedSettled = saved.Deputy, saved.Settled
 	if saved.Deputy == "" {
-		b.deputy.until = 0
+		b.deputy.termEnd = 0
 	}
 }
 
-// runRecorder writes records as they are due, until ctx ends.
+// runRecorder writes records when they are due, until ctx ends.
 func (b *Broker) runRecorder(ctx context.Context) {
 	wait := time.NewTimer(recordInterval)
 	defer wait.Stop()
@@ -91,7 +92,7 @@
 	}
 }
 
-// recordDue reports whether the newest record is too far from what this process holds.
+// recordDue reports whether the newest record differs too much from the state of this process.
 func (b *Broker) recordDue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,25 +101,25 @@
 		b.ledger.RecordDue(now)
 }
 
-// deputyToRecordLocked is the address of the deputy that has a term or is about to have one, "" if there
-// is none.
+// deputyToRecordLocked returns the address of the deputy that has a term or is being appointed; empty if there is
+// none.
 func (b *Broker) deputyToRecordLocked() string {
 	switch {
-	case b.appointing != "":
-		return b.appointing
-	case b.now() < b.deputy.until:
+	case b.appointee != "":
+		return b.appointee
+	case b.now() < b.deputy.termEnd:
 		return b.deputy.addr
 	}
 	return ""
 }
 
-// writeRecord writes a record, and returns its size in bytes once it is on disk.
+// writeRecord writes a record and returns its size in bytes. It returns once the record is on disk.
 func (b *Broker) writeRecord() (size int, err error) {
 	if b.options.SaveRecord == nil {
 		return 0, errNoDisk
 	}
-	b.recording <- struct{}{}
-	defer func() { <-b.recording }()
+	b.recordSemaphore <- struct{}{}
+	defer func() { <-b.recordSemaphore }()
 	b.mu.Lock()
 	now := b.now()
 	next := &record{Floors: b.ledger.BeginRecord(now), Deputy: b.deputyToRecordLocked(), Settled: b.ledger.Settled(now)}
--- a/internal/fleet/quota/record_test.go
+++ b/internal/fleet/quota/record_test.go
@@ -15,13 +15,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// memoryDisk keeps the record of a member, as its disk does.
+// memoryDisk keeps the record of a member like its disk.
 type memoryDisk struct {
 	mu     sync.Mutex
 	record []byte
 	writes int
-	err    error         // of the next writes
-	stall  chan struct{} // closed when a write may go on; nil: at once
+	err    error         // result of the next writes
+	stall  chan struct{} // writes wait until it is closed; nil if they need not wait
 }
 
 func (d *memoryDisk) save(raw []byte) error {
@@ -50,7 +50,7 @@
 	return saved
 }
 
-// soloCore is a core of one member, without a network.
+// soloCore is a core with this process as its only member, without a network.
 type soloCore struct{ unconfirmed atomic.Bool }
 
 func (*soloCore) IsMember() bool        { return true }
@@ -60,10 +60,12 @@
 func (*soloCore) AgentAddrs() []string  { return nil }
 func (*soloCore) PublishDeputy(bool)    {}
 
-// startMember returns the broker of a member that has just started, by what is on its disk.
+// startMember returns the broker of a member that has just started with what is on its disk.
 func startMember(t *testing.T, disk *memoryDisk) *Broker {
 	t.Helper()
-	options := Options{Bounds: testBounds, SelfAddr: "self", Core: &soloCore{}, SaveRecord: disk.save, SavedRecord: disk.record}
+	options := Options{
+		Bounds: testBounds, SelfAddr: "self", Core: &soloCore{}, SaveRecord: disk.save, SavedRecord: disk.record,
+	}
 	broker := NewBroker(options)
 	document, err := config.Parse([]byte(replaceRate("10000")))
 	require.NoError(t, err)
@@ -72,7 +74,7 @@
 	return broker
 }
 
-// runFor runs a broker for some time of a bubble.
+// runFor runs a broker for some time on the test's fake clock.
 func runFor(t *testing.T, broker *Broker, length time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), length)
@@ -80,14 +82,14 @@
 	require.NoError(t, broker.Run(ctx))
 }
 
-// admit reports whether a broker without others admits an amount.
+// admits reports whether a broker without other holders admits an amount.
 func admits(broker *Broker, amount float64) bool {
 	return broker.admit(context.Background(), "t", amount).Verdict == Admitted
 }
 
-// level is what the share of the only tenant holds.
+// level returns the level of the only tenant's share.
 func level(broker *Broker) float64 {
-	broker.admit(context.Background(), "t", 0) // has the share accrue
+	broker.admit(context.Background(), "t", 0) // makes the share accrue
 	return broker.Report().Shares[0].Level
 }
 
@@ -95,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		disk := &memoryDisk{}
 		broker := startMember(t, disk)
-		require.True(t, admits(broker, 1), "the divisor counts from the first request")
+		require.True(t, admits(broker, 1), "the first request sets the divisor")
 		start := level(broker)
 		runFor(t, broker, time.Minute)
 		full := level(broker)
@@ -105,13 +107,13 @@
 		restored := level(restarted)
 		require.LessOrEqual(t, restored, full)
 		require.Greater(t, restored, 0.4*full)
-		require.False(t, admits(restarted, 0.1*full), "nothing is spent before a new record allows it")
+		require.False(t, admits(restarted, 0.1*full), "nothing can be spent before a new record is on disk")
 		runFor(t, restarted, 2*recordInterval)
 		require.True(t, admits(restarted, 0.2*full))
 	})
 }
 
-// A restart in each of many moments adds nothing, though each process has spent what it had.
+// Many restarts do not increase what is admitted, though each process spends all that it can.
 func TestRestartsAddNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := &memoryDisk{}
@@ -133,16 +135,18 @@
 	})
 }
 
-// A record that an unknown version has written, or none, is as an empty disk; a wiped disk waits for the
-// deputy that an earlier process may have appointed.
+// A record in an unknown or damaged format counts as none: the shares start as on an empty disk, and the member waits
+// for a deputy that an earlier process may have appointed.
 func TestStartWithoutRecord(t *testing.T) {
-	for name, raw := range map[string][]byte{"none": nil, "empty": {}, "of another format": {9, 1, 2}, "torn": {recordFormat, 0x82, 0xa1}} {
+	for name, raw := range map[string][]byte{
+		"none": nil, "empty": {}, "of another format": {9, 1, 2}, "torn": {recordFormat, 0x82, 0xa1},
+	} {
 		t.Run(name, func(t *testing.T) {
 			broker := startMember(t, &memoryDisk{record: raw})
 			require.True(t, admits(broker, 1))
 			tolerance := testBounds.tolerance(Limit{RatePerS: 10_000})
-			require.InDelta(t, startShare*tolerance/2, level(broker), 100)
-			require.Equal(t, deputyTerm+deputyMargin, broker.deputy.until)
+			require.InDelta(t, startFraction*tolerance/2, level(broker), 100)
+			require.Equal(t, deputyTerm+deputyMargin, broker.deputy.termEnd)
 		})
 	}
 }
@@ -172,7 +176,7 @@
 		response, err := broker.handleDeputize(context.Background(), &deputizeRequest{Addr: "a", Renewal: true})
 		require.NoError(t, err)
 		require.Equal(t, 2, response.Divisor)
-		require.Equal(t, writes, disk.writes, "a longer term needs no record")
+		require.Equal(t, writes, disk.writes, "extending the term needs no record")
 	})
 }
 
@@ -191,8 +195,8 @@
 	require.Equal(t, 2, response.Divisor)
 }
 
-// After a restart the recorded deputy has its place at once, also as a new process, and nobody else before
-// its term is certainly over. Once that is so, the record names none.
+// After a restart the member appoints the recorded deputy again at once, even if that has restarted as well, and no
+// other agent before its term has certainly ended. After that the record names no deputy.
 func TestRecordedDeputyKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := &memoryDisk{}
@@ -205,21 +209,21 @@
 		divisor, ok := restarted.divisor()
 		require.True(t, ok)
 		require.Equal(t, 2, divisor)
-		stranger, err := restarted.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
+		otherResponse, err := restarted.handleDeputize(context.Background(), &deputizeRequest{Addr: "b"})
 		require.NoError(t, err)
-		require.Equal(t, &deputizeResponse{}, stranger)
-		again, err := restarted.handleDeputize(context.Background(), &deputizeRequest{Addr: "a"})
+		require.Equal(t, &deputizeResponse{}, otherResponse)
+		reappointed, err := restarted.handleDeputize(context.Background(), &deputizeRequest{Addr: "a"})
 		require.NoError(t, err)
-		require.Equal(t, 2, again.Divisor)
+		require.Equal(t, 2, reappointed.Divisor)
 
 		runFor(t, restarted, deputyTerm+deputyMargin+2*recordInterval)
 		require.Empty(t, disk.newest(t).Deputy)
 		divisor, _ = startMember(t, disk).divisor()
-		require.Equal(t, 1, divisor, "no part is kept back for a deputy")
+		require.Equal(t, 1, divisor, "no half is reserved for a deputy")
 	})
 }
 
-// A member that nobody asks writes nothing, and a large record is followed by a longer pause.
+// A member without requests writes nothing, and after a large record it waits longer for the next one.
 func TestRecordsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := &memoryDisk{}
@@ -243,7 +247,7 @@
 	})
 }
 
-// A disk that stalls or refuses keeps back a part of the share, and no more.
+// While writes to the disk fail, only a part of the share is held back.
 func TestShareWithoutRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := &memoryDisk{}
@@ -259,11 +263,11 @@
 		}
 		assert.Greater(t, spent, 0.5*full)
 		runFor(t, broker, time.Second)
-		assert.True(t, admits(broker, 4_000), "the rate of a half share is spent as before")
+		assert.True(t, admits(broker, 4_000), "what a half share gains can still be spent")
 	})
 }
 
-// On the very first start no earlier process has appointed a deputy.
+// On the first start of a fleet no earlier process can have appointed a deputy.
 func TestFirstStartKeepsNothingBack(t *testing.T) {
 	broker := NewBroker(Options{Bounds: testBounds, SelfAddr: "self", Core: &soloCore{}, FirstStart: true})
 	divisor, ok := broker.divisor()
--- a/internal/fleet/singleton/candidate.go
+++ b/internal/fleet/singleton/candidate.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// maxPendingWrites bounds the writes whose start is remembered. One that is forgotten grants no
-// lease.
+// maxPendingWrites is the maximum number of writes whose start is remembered. A write that is no longer
+// remembered grants no lease.
 const maxPendingWrites = 16
 
-// Write is a compare-and-set to make at once: Record replaces the stored one if that still has
+// Write is a compare-and-set to make at once: Record replaces the stored record if that still has
 // ExpectedVersion.
 type Write struct {
 	ExpectedVersion uint64
 	Record          Record
 }
 
-// pendingWrite is a write of this process that may be committed.
+// pendingWrite is a write of this process that may have been committed or may still be.
 type pendingWrite struct {
 	term, renewal uint64
 	startedAt     time.Duration
 }
 
-// Candidate is one process's part. It is not safe for concurrent use.
+// Candidate is the state of one process. It is not safe for concurrent use.
 type Candidate struct {
 	self           string
 	timing         Timing
-	version        uint64 // of record
-	record         Record // the newest that is known to be committed
-	known          bool
-	unchangedSince time.Duration // when the record's Renewal was first seen
-	lastRenewal    uint64        // the highest that was used
+	version        uint64        // version of record
+	record         Record        // newest record that is known to be committed
+	observed       bool          // whether any record was observed
+	unchangedSince time.Duration // when the record's Term and Renewal were first observed
+	lastRenewal    uint64        // highest renewal number that this process has used
 	pending        []pendingWrite
 	lastWriteAt    time.Duration
 	resigned       bool
 }
 
-// New returns the part of one incarnation of a process; no other incarnation may have the name.
+// New returns the candidate of one incarnation of a process. No other incarnation may have the name self.
 func New(self string, timing Timing) *Candidate { return &Candidate{self: self, timing: timing} }
 
-// Observe takes a record that is known to be committed, with its version: whatever is read or
-// received, and each write of this process that was committed. Older ones are ignored.
+// Observe takes in a record that is known to be committed, with its version. It is called for any
+// record that is read or received, and for each committed write of this process. Older records are ignored.
 func (c *Candidate) Observe(now time.Duration, version uint64, record Record) {
-	if c.known && version <= c.version {
+	if c.observed && version <= c.version {
 		return
 	}
-	if !c.known || record.Term != c.record.Term || record.Renewal != c.record.Renewal {
+	if !c.observed || record.Term != c.record.Term || record.Renewal != c.record.Renewal {
 		c.unchangedSince = now
 	}
-	c.version, c.record, c.known = version, record, true
+	c.version, c.record, c.observed = version, record, true
 }
 
-// Record is the newest record that was observed.
+// Record returns the newest record that was observed.
 func (c *Candidate) Record() Record { return c.record }
 
-// isActingHolder reports whether this process is the holder, as far as it knows; its lease may have
+// isActingHolder reports whether this process is the holder as far as it knows. Its lease may have
 // expired.
 func (c *Candidate) isActingHolder() bool { return !c.resigned && c.record.actingHolder(c.self) }
 
@@ -71,11 +71,11 @@
 	return 0, false
 }
 
-// NextWrite is the write that this process has to make now, if any: a renewal, or a claim of the
-// role that has no holder any more. rank, from 0, staggers candidates that would claim at the same
+// NextWrite returns the write that this process has to make now, if any: a renewal, or a claim of a
+// role that is free. rank, which starts at 0, staggers candidates that would claim the role at the same
 // time.
 func (c *Candidate) NextWrite(now time.Duration, rank int) (w Write, due bool) {
-	if !c.known || c.resigned || c.lastWriteAt > 0 && now-c.lastWriteAt < c.timing.RenewInterval/2 {
+	if !c.observed || c.resigned || c.lastWriteAt > 0 && now-c.lastWriteAt < c.timing.RenewInterval/2 {
 		return Write{}, false
 	}
 	if c.isActingHolder() {
@@ -90,8 +90,8 @@
 	return c.newWrite(now, Record{Term: c.record.Term + 1, Holder: c.self}), true
 }
 
-// mayClaim reports whether the role is free for this process: it was named as successor, there
-// is no holder, or its lease has expired whenever it began.
+// mayClaim reports whether this process may claim the role: it was named as the successor, there is no
+// holder, or the holder's lease has certainly expired.
 func (c *Candidate) mayClaim(now, stagger time.Duration) bool {
 	unchanged := now - c.unchangedSince
 	switch {
@@ -104,8 +104,8 @@
 	}
 }
 
-// Renew is the renewal to include in a write that the holder makes for its own purpose. ok is false
-// if this process is not the holder.
+// Renew returns a renewal for the holder to include in a write that it makes for another purpose. ok is
+// false if this process is not the holder.
 func (c *Candidate) Renew(now time.Duration) (w Write, ok bool) {
 	if !c.isActingHolder() {
 		return Write{}, false
@@ -113,9 +113,9 @@
 	return c.newWrite(now, Record{Term: c.record.Term, Holder: c.self}), true
 }
 
-// Resign ends this process's part: it does not act any more from now on, as the write may be
-// committed at any moment. If it was the holder, the write names its successor, or none with "".
-// It may be called again until that is committed.
+// Resign makes this process resign for good. It must no longer act as the holder from now on, as the
+// write may be committed at any moment. If it is the holder, the write names its successor, or none if
+// successor is empty. Resign may be called again until the write is committed.
 func (c *Candidate) Resign(now time.Duration, successor string) (w Write, ok bool) {
 	c.resigned = true
 	if !c.record.actingHolder(c.self) {
@@ -128,8 +128,8 @@
 	return c.newWrite(now, record), true
 }
 
-// newWrite gives each write a renewal number of its own: one that was believed to be lost may be
-// committed late, and grants a lease only from its own start.
+// newWrite returns a write with its own renewal number. So a write that was believed to be lost and is
+// committed late grants a lease only from its own start.
 func (c *Candidate) newWrite(now time.Duration, record Record) Write {
 	c.lastRenewal = max(c.lastRenewal, c.record.Renewal) + 1
 	record.Renewal = c.lastRenewal
--- a/internal/fleet/singleton/candidate_test.go
+++ b/internal/fleet/singleton/candidate_test.go
@@ -24,7 +24,7 @@
 	return true
 }
 
-// mustCommit commits a write and has its candidate observe that.
+// mustCommit commits a write and has its candidate observe the committed record.
 func mustCommit(t *testing.T, r *register, c *Candidate, now time.Duration, w Write) {
 	t.Helper()
 	require.True(t, r.compareAndSet(w))
@@ -39,7 +39,7 @@
 	a, b := New("a", DefaultTiming), New("b", DefaultTiming)
 	for _, c := range []*Candidate{a, b} {
 		_, due := c.NextWrite(now, 0)
-		assert.False(t, due, "nothing is known yet")
+		assert.False(t, due, "no record is known yet")
 		c.Observe(now, 0, r.record)
 	}
 	w, due := a.NextWrite(now, 0)
@@ -75,7 +75,7 @@
 	_, holds := a.HoldsLease(now + DefaultTiming.LeaseDuration - 1)
 	assert.True(t, holds)
 	_, holds = a.HoldsLease(now + DefaultTiming.LeaseDuration)
-	assert.False(t, holds, "its lease runs from when the write began")
+	assert.False(t, holds, "the lease runs from the start of the write")
 
 	b.Observe(now+time.Second, r.version, r.record)
 	_, due := b.NextWrite(now+time.Second+DefaultTiming.TakeoverDelay-1, 0)
@@ -84,11 +84,11 @@
 	require.True(t, due)
 	mustCommit(t, r, b, now+time.Second+DefaultTiming.TakeoverDelay, w)
 
-	now += time.Minute // a continues, and believes that it holds the lease
+	now += time.Minute // a resumes and does not know yet that it has lost the lease
 	_, holds = a.HoldsLease(now)
 	assert.False(t, holds)
 	w, due = a.NextWrite(now, 0)
-	require.True(t, due, "it tries to renew")
+	require.True(t, due, "a tries to renew its lease")
 	assert.False(t, r.compareAndSet(w))
 	a.Observe(now, r.version, r.record)
 	_, due = a.NextWrite(now, 0)
@@ -105,7 +105,7 @@
 	w, due := a.Resign(now, "b")
 	require.True(t, due)
 	_, holds := a.HoldsLease(now)
-	assert.False(t, holds, "its resignation may be committed at any moment")
+	assert.False(t, holds, "the resignation may be committed at any moment")
 	mustCommit(t, r, a, now, w)
 	b.Observe(now, r.version, r.record)
 	c.Observe(now, r.version, r.record)
@@ -117,7 +117,7 @@
 	_, holds = b.HoldsLease(now)
 	assert.True(t, holds)
 
-	// A successor that is gone delays a takeover no longer than a holder that is gone.
+	// A lost successor delays a takeover no longer than a lost holder does.
 	w, _ = b.Resign(now, "absent")
 	mustCommit(t, r, b, now, w)
 	c.Observe(now, r.version, r.record)
@@ -146,12 +146,12 @@
 	a.Observe(now, 0, r.record)
 	w, _ := a.NextWrite(now, 0)
 	mustCommit(t, r, a, now, w)
-	lost, ok := a.Renew(now + time.Second)
+	first, ok := a.Renew(now + time.Second)
 	require.True(t, ok)
-	again, ok := a.Renew(now + 2*time.Second)
+	second, ok := a.Renew(now + 2*time.Second)
 	require.True(t, ok)
-	require.True(t, r.compareAndSet(lost)) // it arrives late
-	assert.False(t, r.compareAndSet(again))
+	require.True(t, r.compareAndSet(first)) // the first write arrives late
+	assert.False(t, r.compareAndSet(second))
 	a.Observe(now+2*time.Second, r.version, r.record)
 	_, holds := a.HoldsLease(now + time.Second + DefaultTiming.LeaseDuration - 1)
 	assert.True(t, holds)
@@ -173,8 +173,8 @@
 	}
 }
 
-// In any history of three processes no two hold the lease at once, each holder has a higher term, and
-// once writes arrive there is a holder within the takeover delay and the stagger.
+// In any history of three processes no two of them hold the lease at once, and a term has only one holder. Once writes
+// arrive again, there is a holder within the takeover delay and the stagger.
 func TestRandomHistoryHasExactlyOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := &register{}, start
@@ -186,7 +186,7 @@
 				if term, holds := c.HoldsLease(now); holds {
 					holders++
 					if other, ok := holderOf[term]; ok && other != c.self {
-						t.Fatalf("term %d has the holders %s and %s", term, other, c.self)
+						t.Fatalf("term %d has two holders, %s and %s", term, other, c.self)
 					}
 					holderOf[term] = c.self
 				}
@@ -200,7 +200,9 @@
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			i := rapid.IntRange(0, len(candidates)-1).Draw(t, "process")
 			c := candidates[i]
-			switch rapid.SampledFrom([]string{"write", "write", "write", "response lost", "delay", "read", "renew", "delayed arrive"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{
+				"write", "write", "write", "response lost", "delay", "read", "renew", "delayed arrive",
+			}).Draw(t, "event") {
 			case "write":
 				if w, due := c.NextWrite(now, i); due && r.compareAndSet(w) {
 					c.Observe(now, r.version, r.record)
@@ -244,7 +246,7 @@
 			}
 		}
 		if holders != 1 {
-			t.Fatalf("%d processes hold the lease once all writes arrive: %+v", holders, r.record)
+			t.Fatalf("%d processes hold the lease after all writes arrived, want 1: %+v", holders, r.record)
 		}
 	})
 }
--- a/internal/fleet/singleton/doc.go
+++ b/internal/fleet/singleton/doc.go
@@ -1,21 +1,21 @@
-// Package singleton gives a role to one process at a time by a lease: the holder names its
-// successor when it can, and a majority decides when it can't. It is pure; times are on the steady
-// clock of one process.
+// Package singleton assigns a role to one process at a time, by a lease. The holder of the role names
+// its successor when it can, and a majority decides when it can't. The package does no I/O. Times are
+// readings of one process's monotonic clock.
 //
-// What is agreed on is a Record, in a replicated register that is changed by compare-and-set only
-// and that a majority stores (the chain). The holder renews its record; its lease lasts for
-// Timing.LeaseDuration from when it began to write the renewal that was committed. Whoever has seen
-// the record unchanged for Timing.TakeoverDelay, which is longer, may claim the role by the next
-// term: if its write is committed, there was no renewal in between. What a holder changes carries
-// its term as a fencing token, and its first change is that term: whatever an older holder has in
-// flight is rejected from then on.
+// The processes agree on a Record in a replicated register (the chain), which a majority stores and
+// which changes only by compare-and-set. The holder renews its record. Its lease lasts for
+// Timing.LeaseDuration from the time at which it began to write the renewal that was committed. A
+// process that has seen the record unchanged for Timing.TakeoverDelay, which is longer, may claim the
+// role with the next term: if its write is committed, there was no renewal in between. A holder's
+// changes carry its term as a fencing token, and its first change is the term itself: any change by an
+// earlier holder that is still in flight is rejected from then on.
 //
-// Guaranteed, while steady clocks differ in rate by less than TakeoverDelay exceeds LeaseDuration:
+// Guaranteed, as long as the clocks' rates differ by less than the ratio of TakeoverDelay to
+// LeaseDuration:
 //   - a term has one holder, and terms only increase;
 //   - at no moment do two processes find that they hold the lease;
-//   - a process that was paused or partitioned for a LeaseDuration finds that it does not hold the
-//     lease, whatever it believed; what it was about to do carries an older term or version and is
-//     rejected.
+//   - a process that was paused or partitioned for a LeaseDuration finds that it no longer holds the
+//     lease; the actions that it had begun carry an older term or version and are rejected.
 //
-// Not guaranteed: that there is a holder. Without a majority no process takes over.
+// Not guaranteed: that there is a holder. Without a majority no process takes over the role.
 package singleton
--- a/internal/fleet/singleton/model_test.go
+++ b/internal/fleet/singleton/model_test.go
@@ -11,15 +11,15 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// defect is a deliberate error, to verify that the model checker finds it.
+// defect is a deliberate error. The model checker must find each one.
 type defect string
 
 const (
 	none                    defect = ""
 	leaseLongerThanTakeover defect = "the lease is longer than the takeover delay"
 	leaseFromResponse       defect = "the lease runs from the response"
-	renewalReused           defect = "a write that was believed to be lost is repeated with its renewal number"
-	actsAfterResigning      defect = "the holder acts after it has named its successor"
+	renewalReused           defect = "a write that was believed to be lost is repeated with the same renewal number"
+	actsAfterResigning      defect = "the holder still acts after it has named its successor"
 	fenceIgnored            defect = "a receiver admits every term"
 	versionIgnored          defect = "a write is committed whatever version it expects"
 	renewalIgnored          defect = "a renewal does not restart the takeover delay"
@@ -28,27 +28,27 @@
 // timeUnit is the step of the model's clock.
 const timeUnit = time.Second
 
-// model is a few processes, the register, and a receiver of actions, at every moment that matters. A
-// process that takes no step while time passes is a paused one.
+// model consists of a few processes, the register, and a receiver of actions. Its steps are all events that matter. A
+// process that takes no step while time passes is paused.
 type model struct {
 	defect           defect
 	now              time.Duration
 	resignationsLeft int
 	withActions      bool
 	register         register
-	fence            Fence  // of the receiver
-	lastAppliedTerm  uint64 // newest term of an action that was done
+	fence            Fence  // fence of the receiver
+	lastAppliedTerm  uint64 // term of the last action that was executed
 	processes        []*process
 }
 
 type process struct {
 	candidate  *Candidate
-	inFlight   *Write // not arrived yet
-	actionTerm uint64 // of an action in flight; 0: none
-	unanswered *Write // the last write without a response
+	inFlight   *Write // write that has not arrived yet; nil if there is none
+	actionTerm uint64 // term of the action in flight; 0 if there is none
+	unanswered *Write // last write without a response; nil if there is none
 }
 
-// setup is the size of a model.
+// setup describes the size of a model.
 type setup struct {
 	processes, resignations int
 	actions                 bool
@@ -68,10 +68,10 @@
 	return m
 }
 
-// observe has a process read the register.
+// observe makes a process read the register.
 func (m *model) observe(p *process) {
 	c := p.candidate
-	since, known := c.unchangedSince, c.known
+	since, known := c.unchangedSince, c.observed
 	c.Observe(m.now, m.register.version, m.register.record)
 	if m.defect == renewalIgnored && known && c.record.Term > 0 && c.record.Renewal > 1 {
 		c.unchangedSince = since
@@ -103,7 +103,7 @@
 
 type step func() error
 
-// steps are all that may happen next. Their order identifies them in a trace.
+// steps returns all steps that are possible next. Their order identifies them in a trace.
 func (m *model) steps() []step {
 	steps := []step{func() error { m.now += timeUnit; return nil }}
 	for i, p := range m.processes {
@@ -120,7 +120,7 @@
 	return steps
 }
 
-// writeSteps are the writes that a process may begin.
+// writeSteps returns the steps in which a process begins a write.
 func (m *model) writeSteps(i int, p *process) (steps []step) {
 	if _, due := p.candidate.clone().NextWrite(m.now, 0); due {
 		steps = append(steps, func() error {
@@ -143,7 +143,7 @@
 	return steps
 }
 
-// arrive has a write reach the register. Its response may be lost.
+// arrive returns the step in which a write reaches the register. If answered is false, its response is lost.
 func (m *model) arrive(p *process, answered bool) step {
 	return func() error {
 		w := *p.inFlight
@@ -160,8 +160,8 @@
 	}
 }
 
-// actionSteps are the actions of a process that holds the lease, from when it looked to when the
-// receiver does them.
+// actionSteps returns the steps of an action: a process that finds that it holds the lease sends it, and the receiver
+// executes or rejects it.
 func (m *model) actionSteps(p *process) (steps []step) {
 	if term, holds := p.candidate.HoldsLease(m.now); holds && m.withActions && p.actionTerm == 0 {
 		steps = append(steps, func() error { p.actionTerm = term; return nil })
@@ -179,13 +179,13 @@
 		return nil
 	}
 	if term < m.lastAppliedTerm {
-		return fmt.Errorf("an action of term %d is done after one of term %d", term, m.lastAppliedTerm)
+		return fmt.Errorf("an action of term %d is executed after one of term %d", term, m.lastAppliedTerm)
 	}
 	m.lastAppliedTerm = term
 	return nil
 }
 
-// Steps is the number of steps that may be next.
+// Steps returns the number of steps that are possible next.
 func (m *model) Steps() int { return len(m.steps()) }
 
 // Do takes a step and checks the invariants.
@@ -212,14 +212,14 @@
 	return n
 }
 
-// clone shares nothing that changes.
+// clone returns a copy that shares no mutable state.
 func (c *Candidate) clone() *Candidate {
 	other := *c
 	other.pending = slices.Clone(c.pending)
 	return &other
 }
 
-// Clone shares nothing that changes.
+// Clone returns a copy that shares no mutable state.
 func (m *model) Clone() *model {
 	other := *m
 	other.processes = nil
@@ -231,8 +231,8 @@
 	return &other
 }
 
-// stateHash hashes what matters to the future of a model: times as ages and terms as distances, up
-// to what they are compared with. So the states of all times, however long, are a finite set.
+// stateHash hashes the part of a model's state that its future depends on. Times are hashed as ages and terms as
+// distances, up to the limits that they are compared with. So there are finitely many states, however long time passes.
 type stateHash struct {
 	model *model
 	sum   hash.Hash64
@@ -295,7 +295,7 @@
 	h.putPending(p)
 	if p.inFlight != nil {
 		h.put('o')
-		if p.inFlight.ExpectedVersion == m.register.version { // any other will be rejected, whatever it says
+		if p.inFlight.ExpectedVersion == m.register.version { // a write that expects another version will be rejected
 			h.put('k')
 			h.putRecord(p.inFlight.Record)
 		}
@@ -306,7 +306,7 @@
 	}
 }
 
-// Hash is equal for states of equal futures.
+// Hash returns the same value for states with the same future.
 func (m *model) Hash() uint64 {
 	h := stateHash{m, fnv.New64a()}
 	h.put(int64(m.resignationsLeft))
@@ -319,7 +319,7 @@
 	return h.sum.Sum64()
 }
 
-// committable is the record of the process that may still be committed, or nil.
+// committable returns the record of the write in flight if that may still be committed, or nil.
 func (p *process) committable(version uint64) *Record {
 	if p.inFlight == nil || p.inFlight.ExpectedVersion != version {
 		return nil
@@ -327,12 +327,12 @@
 	return &p.inFlight.Record
 }
 
-// maxSchedules is more than any of the models has.
+// maxSchedules is larger than the number of schedules of any of the models.
 const maxSchedules = 1_000_000
 
-// Through all interleavings of writes that arrive, arrive late or lose their response, reads,
-// actions, a handover and pauses, however long, no two processes hold the lease, and no action of an
-// older holder is done after one of a newer holder.
+// No two processes hold the lease, and no action of an earlier holder is executed after one of a later holder, in any
+// interleaving of writes (which may arrive late or lose their response), reads, actions, a handover, and pauses of any
+// length.
 func TestAllInterleavings(t *testing.T) {
 	for _, s := range []setup{{2, 0, false}, {2, 1, false}, {2, 0, true}} {
 		result := interleave.Search(newModel(none, s), maxSchedules)
@@ -343,7 +343,7 @@
 	}
 }
 
-// Without any of the rules one of the guarantees breaks, and the model checker finds how.
+// Each defect breaks a rule and with it one of the guarantees. The model checker finds how.
 func TestModelCheckerFindsEachDefect(t *testing.T) {
 	for defect, s := range map[defect]setup{
 		leaseLongerThanTakeover: {processes: 2},
@@ -357,11 +357,11 @@
 		t.Run(string(defect), func(t *testing.T) {
 			result := interleave.Search(newModel(defect, s), maxSchedules)
 			if result.Err == nil {
-				t.Fatalf("not found: %v", result)
+				t.Fatalf("the defect was not found: %v", result)
 			}
 			t.Log(result)
 			if err := interleave.Walk(newModel(defect, s), result.Trace); err == nil {
-				t.Error("its trace does not replay")
+				t.Error("replaying the trace does not show the defect")
 			}
 		})
 	}
--- a/internal/fleet/singleton/record.go
+++ b/internal/fleet/singleton/record.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxHolderName bounds the name of a holder, in bytes.
+// maxHolderName is the maximum length of a holder's name in bytes.
 const maxHolderName = 128
 
-// Record is what is agreed on.
+// Record is the state that the processes agree on.
 type Record struct {
-	// Term counts the holders. It is the fencing token of all that a holder does; 0 means that
-	// no process has held the role yet.
+	// Term increases with each new holder. It is the fencing token of the holder's actions. It is 0 if no
+	// process has held the role yet.
 	Term uint64 `msgpack:"n"`
-	// Holder is one incarnation of one process; "" is none.
+	// Holder is the name of one incarnation of a process; empty if there is no holder.
 	Holder string `msgpack:"h"`
-	// Renewal distinguishes one write of a holder from another.
+	// Renewal distinguishes a holder's writes from each other.
 	Renewal uint64 `msgpack:"b"`
-	// Successor is the process that the holder named when it resigned; "" while it acts.
+	// Successor is the process that the holder named when it resigned; empty if it has not resigned.
 	Successor string `msgpack:"s"`
 }
 
@@ -25,7 +25,8 @@
 type RecordError struct{ Record Record }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("invalid singleton record: term %d, holder %.20q, successor %.20q", e.Record.Term, e.Record.Holder, e.Record.Successor)
+	return fmt.Sprintf("invalid singleton record: term %d, holder %.20q, successor %.20q",
+		e.Record.Term, e.Record.Holder, e.Record.Successor)
 }
 
 // Validate returns a *RecordError for a record that no process can have written.
@@ -42,15 +43,15 @@
 	return r.Holder == process && r.Successor == ""
 }
 
-// Timing is how a lease is renewed and taken over.
+// Timing sets when a lease is renewed and taken over.
 type Timing struct {
-	RenewInterval time.Duration // between two renewals
-	LeaseDuration time.Duration // from when a renewal began to be written
-	TakeoverDelay time.Duration // a record must have been unchanged for, before others claim the role
-	Stagger       time.Duration // between candidates that claim at the same time, by their rank
+	RenewInterval time.Duration // time between two renewals
+	LeaseDuration time.Duration // duration of a lease from the start of the write that renews it
+	TakeoverDelay time.Duration // time for which a record must be unchanged before others claim the role
+	Stagger       time.Duration // additional delay of a claim for each rank
 }
 
-// DefaultTiming survives a change of the core's view without a change of the holder.
+// DefaultTiming lets a holder keep its role while the core's view changes.
 var DefaultTiming = Timing{
 	RenewInterval: time.Second,
 	LeaseDuration: 3 * time.Second,
@@ -58,17 +59,19 @@
 	Stagger:       300 * time.Millisecond,
 }
 
-// TimingError is returned for a timing that guarantees nothing.
+// TimingError is returned for a timing with which the guarantees of the package do not hold.
 type TimingError struct{ Timing Timing }
 
 func (e *TimingError) Error() string {
-	return fmt.Sprintf("unsafe singleton timing: 0 < renew interval %v < lease duration %v < takeover delay %v is required, with a stagger %v of 0 or more",
+	return fmt.Sprintf(
+		"unsafe singleton timing: need 0 < renew interval %v < lease duration %v < takeover delay %v, stagger %v >= 0",
 		e.Timing.RenewInterval, e.Timing.LeaseDuration, e.Timing.TakeoverDelay, e.Timing.Stagger)
 }
 
-// Validate returns a *TimingError for a timing that guarantees nothing.
+// Validate returns a *TimingError for a timing with which the guarantees of the package do not hold.
 func (t Timing) Validate() error {
-	if t.RenewInterval <= 0 || t.LeaseDuration <= t.RenewInterval || t.TakeoverDelay <= t.LeaseDuration || t.Stagger < 0 {
+	if t.RenewInterval <= 0 || t.LeaseDuration <= t.RenewInterval || t.TakeoverDelay <= t.LeaseDuration ||
+		t.Stagger < 0 {
 		return &TimingError{t}
 	}
 	return nil
