--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// maxResponsesRead is how many responses are read where one is due: surplus ones of earlier
-	// requests may precede it.
+	// maxResponsesRead bounds the responses that are read to find that of a request: surplus responses
+	// to earlier requests may precede it.
 	maxResponsesRead = 3
-	// maxUpstreamRetryAfter bounds the Retry-After of a server that is believed, in seconds.
+	// maxUpstreamRetryAfter bounds a server's Retry-After, in seconds: a value at or above it is ignored.
 	maxUpstreamRetryAfter = 60
 )
 
-// attempt is one send of a request to one server: connect, send the request, read the head of the
-// response, classify the response, relay it.
+// attempt is one attempt to have a server execute a request: connect, send the request, read the head of
+// the response, classify the response, relay it.
 type attempt struct {
 	gateway  *Gateway
 	response *clientResponse
 	request  *request
 	decision balancer.Decision
 	conn     *conn
-	dialed   bool             // the connection is new
-	reported balancer.Outcome // to the balancer when the attempt ends
+	dialed   bool             // the connection was opened for this attempt
+	reported balancer.Outcome // the outcome that the balancer gets when the attempt ends
 	reusable bool             // the response was read completely, and the server keeps the connection open
 }
 
@@ -40,10 +40,10 @@
 	if err := t.connect(ctx); err != nil {
 		return t.connectFailed(ctx, err)
 	}
-	_ = t.conn.SetWriteDeadline(r.deadline) // a closed connection fails its writes
+	_ = t.conn.SetWriteDeadline(r.deadline) // writes to a closed connection fail anyway
 	stop := context.AfterFunc(ctx, func() { t.conn.Close() })
 	defer func() { t.release(stop()) }()
-	if !t.listed() {
+	if !t.serverListed() {
 		t.reusable = true
 		return outcomeNotSent
 	}
@@ -67,7 +67,7 @@
 	return err
 }
 
-// connectFailed classifies a failed connect: nothing was sent.
+// connectFailed classifies an attempt that failed to connect: nothing was sent.
 func (t *attempt) connectFailed(ctx context.Context, err error) outcome {
 	if ctx.Err() == context.Canceled {
 		return t.gateway.cancelledOutcome(ctx, outcomeNotSent)
@@ -78,10 +78,10 @@
 	return outcomeNotSent
 }
 
-// release returns the connection to the pool, but only if the attempt was not cancelled, the response
-// was read completely and the request was delivered completely: the next bytes in either direction
-// have to be those of the next request. A server that has not read a long body yet is given some time
-// for that. Otherwise it closes the connection.
+// release returns the connection to the pool if it can carry another request: the attempt was not
+// cancelled, and both the request and the response were transferred completely, so that the next bytes in
+// either direction belong to the next request. A server that has responded but not yet read a long body
+// is given some time to read it. In all other cases release closes the connection.
 func (t *attempt) release(notCancelled bool) {
 	switch pool := t.gateway.pool; {
 	case !notCancelled || !t.reusable:
@@ -93,9 +93,9 @@
 	}
 }
 
-// listed reports whether the server is still listed. A connect may have taken long, and no request is
-// sent to a server that drains meanwhile.
-func (t *attempt) listed() bool {
+// serverListed reports whether the server is still listed. Connecting may take long, and a server that
+// has started to drain in the meantime must not get the request.
+func (t *attempt) serverListed() bool {
 	return t.gateway.snapshot.Load().Servers.ByID[t.decision.Instance.ID] != nil
 }
 
@@ -126,12 +126,12 @@
 	return nil
 }
 
-// expectedVersion returns the version of the weights that the server must have: the one that the
-// client names, or that of the events which the client has received. "" means any.
+// expectedVersion returns the version of the weights that the server must have: the one that the client
+// asks for, or else that of the events that the client has received. "" means any version.
 func (t *attempt) expectedVersion() string {
-	named := t.request.header.Get(headerExpectVersion)
-	if named != "" || !t.response.headerSent {
-		return named
+	requested := t.request.header.Get(headerExpectVersion)
+	if requested != "" || !t.response.headerSent {
+		return requested
 	}
 	return t.response.events.version
 }
@@ -148,8 +148,8 @@
 	return outcomeNotSent
 }
 
-// readResponseHead reads the head of the response to the request. A response with another attempt ID
-// is a surplus one to an earlier request: it is read completely and dropped.
+// readResponseHead reads the head of the response to the request. A response with another attempt ID is a
+// surplus response to an earlier request: it is read completely and discarded.
 func (t *attempt) readResponseHead(ctx context.Context) (*http.Response, error) {
 	for range maxResponsesRead {
 		if err := t.awaitData(ctx); err != nil {
@@ -184,7 +184,7 @@
 	return err
 }
 
-// headFailed classifies an attempt whose request was sent, but whose response has no head.
+// headFailed classifies an attempt whose request was sent, but whose response head could not be read.
 func (t *attempt) headFailed(ctx context.Context, err error) outcome {
 	switch ctx.Err() {
 	case nil:
@@ -215,7 +215,7 @@
 func (t *attempt) notExecuted(upstream *http.Response) bool {
 	switch {
 	case upstream.StatusCode == http.StatusMisdirectedRequest && t.expectedVersion() != "":
-		t.reported = balancer.ClientError // the listed server, perhaps, but with other weights
+		t.reported = balancer.ClientError // it may be the right instance with other weights
 		return true
 	case upstream.StatusCode == http.StatusMisdirectedRequest:
 		t.reported = balancer.Misdirected
--- a/internal/fleet/gateway/body.go
+++ b/internal/fleet/gateway/body.go
@@ -11,14 +11,16 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 )
 
-// unreservedBodyBytes are read of each body before memory is reserved for it: most are shorter.
+// unreservedBodyBytes is how much of each body is read before memory is reserved for it: most bodies are
+// shorter.
 const unreservedBodyBytes = 16 << 10
 
 // errBodyMemory means that the memory for request bodies is used up.
-var errBodyMemory = errors.New("no memory for a body")
+var errBodyMemory = errors.New("the memory for request bodies is used up")
 
-// readBody reads the complete body of a request within the configured size, the memory for bodies and
-// the request's deadline. Its error is errBodyMemory or a *requestError; then nothing is reserved.
+// readBody reads the complete body of a request, which is limited by the configured size, the memory for
+// bodies, readBodyTimeout and the request's deadline. Its error is errBodyMemory or a *requestError; after an
+// error no memory is reserved.
 func (g *Gateway) readBody(w http.ResponseWriter, req *http.Request, r *request, snapshot *relay.Snapshot) error {
 	limit := limitsOf(snapshot.Config).bodyBytes
 	if req.ContentLength > limit {
@@ -32,7 +34,7 @@
 		deadline = r.deadline
 	}
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(deadline) // a closed connection fails its reads
+	_ = controller.SetReadDeadline(deadline) // reads from a closed connection fail anyway
 	body, reserved, err := g.readReserved(http.MaxBytesReader(nil, req.Body, limit), req.ContentLength, limit)
 	if err != nil {
 		g.bodyMemory.Release(reserved)
@@ -43,29 +45,29 @@
 	return nil
 }
 
-// readReserved reads a body of the given length, -1 if unknown, and reserves memory for one that is
-// not short. It returns how many bytes are reserved, also with an error.
+// readReserved reads a body and, unless it is short, reserves memory for it; length is -1 if unknown. The
+// caller has to release the reserved bytes, also after an error.
 func (g *Gateway) readReserved(source io.Reader, length, limit int64) (body []byte, reserved int64, err error) {
 	var buffer bytes.Buffer
 	_, err = io.CopyN(&buffer, source, unreservedBodyBytes)
 	switch {
-	case errors.Is(err, io.EOF): // a short one
+	case errors.Is(err, io.EOF): // the body is short
 		return buffer.Bytes(), 0, nil
 	case err != nil:
 		return nil, 0, err
 	}
-	want := length
-	if want < 0 {
-		want = limit
+	reservation := length
+	if reservation < 0 {
+		reservation = limit
 	}
-	if !g.bodyMemory.TryAcquire(want) {
+	if !g.bodyMemory.TryAcquire(reservation) {
 		return nil, 0, errBodyMemory
 	}
 	_, err = io.Copy(&buffer, source)
-	return buffer.Bytes(), want, err
+	return buffer.Bytes(), reservation, err
 }
 
-// bodyError returns the error with which a body that could not be read is answered.
+// bodyError returns the error with which to answer a request whose body could not be read.
 func bodyError(err error, limit int64) error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -74,7 +76,7 @@
 	case errors.As(err, &tooLarge):
 		return bodyTooLarge(limit)
 	case isTimeout(err):
-		return requestErrorf(http.StatusRequestTimeout, "the body did not come in time")
+		return requestErrorf(http.StatusRequestTimeout, "the body did not arrive in time")
 	}
 	return requestErrorf(http.StatusBadRequest, "the body can't be read")
 }
--- a/internal/fleet/gateway/client_test.go
+++ b/internal/fleet/gateway/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testClient is one connection of a client.
+// testClient is a client with one connection.
 type testClient struct {
 	net.Conn
 	t      testing.TB
@@ -41,7 +41,7 @@
 	return client.readResponse()
 }
 
-// attemptCounter is the last attempt ID.
+// attemptCounter is the number of the last attempt ID.
 var attemptCounter atomic.Int64
 
 // requestHead returns the head of a request with a new attempt ID; the given fields end with CRLF.
@@ -62,7 +62,7 @@
 }
 
 // startUpload sends the head of a request and most of its body. When it returns, the gateway has matched
-// the route: it asks for the body after that.
+// the route, because it asks for the body only after that.
 func (c *testClient) startUpload(path string) {
 	c.t.Helper()
 	c.write(requestHead("POST", path, "Expect: 100-continue\r\nContent-Length: 40000\r\n"))
@@ -78,7 +78,7 @@
 	return resp
 }
 
-// tryReadResponse reads the next response. The error is that of its body.
+// tryReadResponse reads the next response. It returns the error from reading the body, if any.
 func (c *testClient) tryReadResponse() (resp *http.Response, body string, err error) {
 	c.t.Helper()
 	resp = c.readHead()
@@ -94,8 +94,8 @@
 	return resp, body
 }
 
-// readRejections reads responses until the gateway closes the connection. All must be errors after which
-// the connection is closed.
+// readRejections reads responses until the gateway closes the connection. All must have an error status and
+// announce that the connection will be closed.
 func (c *testClient) readRejections() {
 	c.t.Helper()
 	for {
@@ -105,7 +105,7 @@
 			return
 		}
 		require.GreaterOrEqual(c.t, resp.StatusCode, 400)
-		require.True(c.t, resp.Close, "%d keeps the connection", resp.StatusCode)
+		require.True(c.t, resp.Close, "response %d keeps the connection open", resp.StatusCode)
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 }
@@ -133,7 +133,7 @@
 	return string(event)
 }
 
-// requireRefused checks that a response promises that the request was not executed.
+// requireRefused checks that a response is a refusal, which promises that the request was not executed.
 func requireRefused(t testing.TB, resp *http.Response) {
 	t.Helper()
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
--- a/internal/fleet/gateway/clientconns.go
+++ b/internal/fleet/gateway/clientconns.go
@@ -11,37 +11,38 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// limitCheckInterval is the period at which the connections of clients are checked for those that are idle,
-// or at work on a head, for too long.
+// limitCheckInterval is how often client connections are checked for exceeded time limits.
 const limitCheckInterval = 100 * time.Millisecond
 
-// clientTimes is since when a client's connection has been waiting, by the clock of clientConns; 0: it is not.
-// It is safe for concurrent use.
+// clientTimes holds the times from which the timeouts of a client's connection count, by the clock of
+// clientConns. It is safe for concurrent use.
 type clientTimes struct {
-	idleSince atomic.Int64 // no request is being served
-	headSince atomic.Int64 // a head has begun
+	idleSince atomic.Int64 // when the connection became idle; 0 while a request is in progress
+	headSince atomic.Int64 // when the incomplete head began to arrive; 0 if there is none
 }
 
-// exceeded reports whether a connection without a request has been waiting for longer than its limits allow.
+// exceeded reports whether a connection without a request in progress has been waiting for longer than the
+// limits allow.
 func (t *clientTimes) exceeded(now int64, limits clientLimits) bool {
 	idleSince, headSince := t.idleSince.Load(), t.headSince.Load()
 	switch {
 	case idleSince == 0:
 		return false
-	case headSince != 0: // it may have come ahead, while the request before it was being served
-		return now-max(idleSince, headSince) > int64(limits.headerTime)
+	case headSince != 0: // it may have begun to arrive during the previous request
+		return now-max(idleSince, headSince) > int64(limits.headerTimeout)
 	}
-	return now-idleSince > int64(limits.idleTime)
+	return now-idleSince > int64(limits.idleTimeout)
 }
 
-// clientConns is the connections of clients. It closes those that exceed the limits in force at the moment:
-// net/http has fixed ones. Its clock counts no more than two checks for a time in which this process was
-// paused, as requests that came meanwhile have not been read. It is safe for concurrent use.
+// clientConns tracks the connections of clients and closes those that exceed the current time limits; the
+// timeouts of net/http can't change while it serves. The clock advances by at most two check intervals per
+// check: if the process was paused, requests that arrived in the meantime have not been read yet. It is safe
+// for concurrent use.
 type clientConns struct {
-	clock atomic.Int64 // in ns, above 0
+	clock atomic.Int64 // in nanoseconds, never 0
 
 	mu    sync.Mutex
-	times map[net.Conn]*clientTimes // guarded by mu
+	times map[net.Conn]*clientTimes // by open connection; guarded by mu
 }
 
 func newClientConns() *clientConns {
@@ -50,7 +51,7 @@
 	return c
 }
 
-// stateChanged is the ConnState of the http.Server.
+// stateChanged is the ConnState callback of the http.Server. It records when a connection becomes idle.
 func (c *clientConns) stateChanged(conn net.Conn, state http.ConnState) {
 	times := timesOf(conn)
 	if times == nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// timesOf returns the times of a connection that Serve has accepted, nil for another.
+// timesOf returns the times of a connection that Serve has accepted, or nil for any other connection.
 func timesOf(conn net.Conn) *clientTimes {
 	clientConn, ok := conn.(*http1.ClientConn)
 	if !ok {
@@ -85,11 +86,12 @@
 	return &framed.times
 }
 
-// enforce closes connections until ctx ends; limits returns those in force.
+// enforce closes connections that exceed their limits, until ctx ends. The function limits returns the
+// current ones.
 func (c *clientConns) enforce(ctx context.Context, limits func() clientLimits) {
 	ticker := time.NewTicker(limitCheckInterval)
 	defer ticker.Stop()
-	last := time.Now()
+	lastCheck := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -97,16 +99,16 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		c.check(now.Sub(last), limits())
-		last = now
+		c.check(now.Sub(lastCheck), limits())
+		lastCheck = now
 	}
 }
 
-// check closes the connections that exceed limits, some time after the check before.
+// check closes the connections that exceed limits; elapsed is the time since the previous check.
 func (c *clientConns) check(elapsed time.Duration, limits clientLimits) {
 	now := c.clock.Add(int64(min(elapsed, 2*limitCheckInterval)))
 	for _, conn := range c.exceeding(now, limits) {
-		_ = conn.Close() // under a request that has just begun it is closed behind the response
+		_ = conn.Close() // if a request has just begun, the close is deferred until its response
 	}
 }
 
--- a/internal/fleet/gateway/clientlimits_test.go
+++ b/internal/fleet/gateway/clientlimits_test.go
@@ -16,39 +16,39 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// newFramingConn returns a connection as Serve accepts it, with the default limits.
+// newFramingConn wraps a connection as Serve does, with the default limits.
 func newFramingConn(conn net.Conn, rejected *atomic.Int64) *framingConn {
 	return &framingConn{Conn: conn, rejected: rejected, clock: new(atomic.Int64), limits: func() clientLimits { return limitsOf(nil) }}
 }
 
-// withLimits returns a new configuration with limits.
+// withLimits returns a new configuration with the given limits.
 func (h *testHarness) withLimits(limits config.Limits) *config.Document {
 	document := h.document("")
 	document.Limits = limits
 	return document
 }
 
-// requestOfHeadSize returns a request whose head has a size in bytes.
+// requestOfHeadSize returns a request whose head has the given size in bytes.
 func requestOfHeadSize(size int) string {
 	const field = "X-Padding: %s\r\n"
-	missing := size - len(requestHead("GET", "/safe/x", fmt.Sprintf(field, "")))
-	return requestHead("GET", "/safe/x", fmt.Sprintf(field, strings.Repeat("p", missing)))
+	paddingSize := size - len(requestHead("GET", "/safe/x", fmt.Sprintf(field, "")))
+	return requestHead("GET", "/safe/x", fmt.Sprintf(field, strings.Repeat("p", paddingSize)))
 }
 
 func TestLimitsOfConfiguration(t *testing.T) {
-	defaults := clientLimits{defaultHeaderBytes, defaultMaxBodyBytes, defaultHeaderTime, defaultIdleTime}
+	defaults := clientLimits{defaultHeaderBytes, defaultMaxBodyBytes, defaultHeaderTimeout, defaultIdleTimeout}
 	assert.Equal(t, defaults, limitsOf(nil))
 	assert.Equal(t, defaults, limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: -1, IdleMs: -5}}))
 	assert.Equal(t, clientLimits{16384, 65536, 3 * time.Second, 120 * time.Second},
 		limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 65536, HeaderMs: 3000, IdleMs: 120_000}}))
 	large := limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: 1 << 40, HeaderMs: 1 << 62, IdleMs: 1 << 62}})
 	assert.Equal(t, int64(maxHeaderBytes), large.headerBytes)
-	assert.Positive(t, large.headerTime)
-	assert.Positive(t, large.idleTime)
+	assert.Positive(t, large.headerTimeout)
+	assert.Positive(t, large.idleTimeout)
 }
 
-// The size of a head is limited by the configuration in force when it arrives, also on a connection that was
-// opened before.
+// TestHeadOverTheLimit checks that the size of a head is limited by the configuration in force when the head
+// arrives, also on a connection that was opened before.
 func TestHeadOverTheLimit(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	harness.update(harness.withLimits(config.Limits{HeaderBytes: 1000}))
@@ -60,17 +60,18 @@
 	}
 	require.Equal(t, http.StatusOK, send(client, 990))
 	harness.update(harness.withLimits(config.Limits{HeaderBytes: 100_000}))
-	require.Equal(t, http.StatusOK, send(client, 90_000), "over net/http's usual limits, too")
+	require.Equal(t, http.StatusOK, send(client, 90_000), "a limit above defaultHeaderBytes must apply")
 	harness.update(harness.withLimits(config.Limits{HeaderBytes: 1000}))
 	rejected := harness.gateway.Counters.Rejected.Load()
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, send(client, 1010))
 	client.requireClosed()
 	assert.Equal(t, rejected+1, harness.gateway.Counters.Rejected.Load())
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, send(harness.dial(), 200_000))
-	assert.Equal(t, int64(2), harness.requestCount(), "the others were not executed")
+	assert.Equal(t, int64(2), harness.requestCount(), "only the requests within the limit may be executed")
 }
 
-// A request behind one that is being served is refused after the response to that.
+// TestHeadOverTheLimitBehindAnother checks that a pipelined request whose head is too long is rejected only
+// after the response to the request before it.
 func TestHeadOverTheLimitBehindAnother(t *testing.T) {
 	release := make(chan struct{})
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -89,8 +90,8 @@
 	client.requireClosed()
 }
 
-// A head that does not end within header-ms, and a connection that rests for longer than idle-ms, are closed
-// by the limits of the moment.
+// TestSlowHeadsAndIdleConnectionsAreClosed checks that connections are closed if a head is not complete within
+// header-ms or if they are idle for longer than idle-ms, and that changed limits apply to open connections.
 func TestSlowHeadsAndIdleConnectionsAreClosed(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	slow, unused, used := harness.dial(), harness.dial(), harness.dial()
@@ -105,7 +106,8 @@
 	require.Eventually(t, func() bool { return harness.gateway.clientConns.count() == 0 }, testTimeout, time.Millisecond)
 }
 
-// A request that takes longer than idle-ms and header-ms is served, and its connection with it.
+// TestRequestInFlightIsNotIdle checks that the connection of a request that takes longer than idle-ms and
+// header-ms stays open until the response is sent.
 func TestRequestInFlightIsNotIdle(t *testing.T) {
 	release := make(chan struct{})
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -113,17 +115,17 @@
 		return call.respondSuccess()
 	})
 	client, idle := harness.dial(), harness.dial()
-	client.write(requestHead("GET", "/safe/x", "") + "GET /sa") // the start of the next one, too
+	client.write(requestHead("GET", "/safe/x", "") + "GET /sa") // with the start of the next request
 	harness.nextCall()
 	harness.update(harness.withLimits(config.Limits{HeaderMs: 1, IdleMs: 1}))
-	idle.requireClosed() // so the connections have been checked
+	idle.requireClosed() // which shows that the connections have been checked
 	close(release)
 	resp, _ := client.readResponse()
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	client.requireClosed()
 }
 
-// timedConn is a connection of a client that net/http reports the state of.
+// timedConn is a client's connection whose state tests report in place of net/http.
 type timedConn struct {
 	*http1.ClientConn
 	framing *framingConn
@@ -137,26 +139,26 @@
 }
 
 func TestClientConnLimits(t *testing.T) {
-	limits := clientLimits{headerTime: 3 * time.Second, idleTime: 120 * time.Second}
+	limits := clientLimits{headerTimeout: 3 * time.Second, idleTimeout: 120 * time.Second}
 	conns, conn := newClientConns(), newTimedConn(t)
 	exceeded := func(after time.Duration) bool {
 		now := conns.clock.Add(int64(after))
 		return len(conns.exceeding(now, limits)) > 0
 	}
 	conns.stateChanged(conn.ClientConn, http.StateNew)
-	assert.False(t, exceeded(100*time.Second), "a rest over 75 s is kept")
+	assert.False(t, exceeded(100*time.Second), "a connection must stay open when idle for over 75 s")
 	assert.True(t, exceeded(21*time.Second))
 	conns.stateChanged(conn.ClientConn, http.StateActive)
-	assert.False(t, exceeded(time.Hour), "a request is being served")
+	assert.False(t, exceeded(time.Hour), "a connection must stay open during a request")
 	conns.stateChanged(conn.ClientConn, http.StateIdle)
 	assert.False(t, exceeded(119*time.Second))
 	conn.framing.times.headSince.Store(conns.clock.Load())
-	assert.False(t, exceeded(2*time.Second), "a head counts for itself")
+	assert.False(t, exceeded(2*time.Second), "the time of a head must count from its first byte")
 	assert.True(t, exceeded(2*time.Second))
-	limits.headerTime = 5 * time.Second
-	assert.False(t, exceeded(0), "by the limits of the moment")
+	limits.headerTimeout = 5 * time.Second
+	assert.False(t, exceeded(0), "a changed limit must apply at once")
 
-	// A head that came ahead counts from when the request before it was answered.
+	// The time of a pipelined head counts from the response to the request before it.
 	conns.stateChanged(conn.ClientConn, http.StateActive)
 	conns.clock.Add(int64(time.Hour))
 	conns.stateChanged(conn.ClientConn, http.StateIdle)
@@ -169,21 +171,22 @@
 	assert.Zero(t, conns.count())
 }
 
-// After a pause of the process what clients sent meanwhile is read before anything is closed.
+// TestPauseIsNoIdleTime checks that a pause of the process does not count as idle time: what clients sent in
+// the meantime has to be read before their connections may be closed.
 func TestPauseIsNoIdleTime(t *testing.T) {
-	limits := clientLimits{headerTime: time.Second, idleTime: time.Second}
+	limits := clientLimits{headerTimeout: time.Second, idleTimeout: time.Second}
 	conns, conn := newClientConns(), newTimedConn(t)
 	conns.stateChanged(conn.ClientConn, http.StateNew)
 	conns.check(time.Minute, limits)
-	assert.True(t, conn.BeginRequest(), "it is open")
+	assert.True(t, conn.BeginRequest(), "the connection must still be open")
 	conn.EndRequest()
-	for range int(limits.idleTime/limitCheckInterval) + 1 {
+	for range int(limits.idleTimeout/limitCheckInterval) + 1 {
 		conns.check(limitCheckInterval, limits)
 	}
-	assert.False(t, conn.BeginRequest(), "it was closed")
+	assert.False(t, conn.BeginRequest(), "the connection must be closed")
 }
 
-// count is the number of connections.
+// count returns the number of open connections.
 func (c *clientConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/gateway/conn.go
+++ b/internal/fleet/gateway/conn.go
@@ -15,10 +15,10 @@
 	// tcpUserTimeout is how long sent bytes may stay unacknowledged: a server behind a network
 	// partition neither answers nor resets the connection.
 	tcpUserTimeout = 3 * time.Second
-	// defaultKeepAlive is how long a connection may have been idle to be used again, if the server
-	// does not say so. keepAliveMargin is subtracted from what it says.
+	// defaultKeepAlive is how long an idle connection stays usable if the server does not give a time.
+	// keepAliveMargin is subtracted from the time that a server gives.
 	defaultKeepAlive, keepAliveMargin = 8 * time.Second, 500 * time.Millisecond
-	// maxKeepAlive bounds the keep-alive of a server that is believed.
+	// maxKeepAlive bounds the time that a server gives: a value at or above it is ignored.
 	maxKeepAlive = time.Hour
 	// connBufferBytes is the size of the read buffer of a connection.
 	connBufferBytes = 4 << 10
@@ -29,18 +29,18 @@
 	net.Conn
 	reader     *bufio.Reader
 	instanceID string        // of the server
-	keepAlive  time.Duration // how long the server keeps it open while idle
-	idleSince  time.Time     // set while idle
-	// usableUntil is when the server may close it; set while idle.
+	keepAlive  time.Duration // how long the connection stays usable while idle
+	idleSince  time.Time     // when it was last returned to the pool
+	// usableUntil is the time from which an idle connection may be closed by the server.
 	usableUntil time.Time
-	// idleBucket is how long it was idle before its current use, 0 if it is new; see
-	// http1.ReuseStats.
+	// idleBucket is the http1.IdleBucket of the time that the connection was idle before its current use;
+	// 0 if it is new.
 	idleBucket int
-	// upload is the sending of the current request.
+	// upload is the state of the current request's upload.
 	upload upload
 }
 
-// newConn returns a connection that was just opened to a server.
+// newConn returns a conn for a connection that was just opened to a server.
 func newConn(netConn net.Conn, instanceID string) *conn {
 	return &conn{
 		Conn:       netConn,
@@ -53,16 +53,16 @@
 // IdleSince returns when the connection was last returned to the pool.
 func (c *conn) IdleSince() time.Time { return c.idleSince }
 
-// setUserTimeout sets tcpUserTimeout on a socket, as net.Dialer.Control. It is best effort: the
-// time-outs of requests bound the wait, too.
+// setUserTimeout is a net.Dialer.Control function that sets tcpUserTimeout on a socket. It ignores a failure
+// to do so, as the timeouts of requests also bound the wait.
 func setUserTimeout(_, _ string, socket syscall.RawConn) error {
 	return socket.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
 
-// parseKeepAlive returns for how long a server keeps an idle connection open, less the margin, from
-// its Keep-Alive field: "timeout=SECONDS".
+// parseKeepAlive returns how long an idle connection stays usable according to the server's Keep-Alive
+// field, "timeout=SECONDS": that time minus keepAliveMargin, or defaultKeepAlive without a valid time.
 func parseKeepAlive(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
--- a/internal/fleet/gateway/disconnect_test.go
+++ b/internal/fleet/gateway/disconnect_test.go
@@ -29,10 +29,10 @@
 	require.Zero(t, harness.servers[0].connCount.Load())
 }
 
-// TestClientDisconnectDuringUpload has a client leave while the server does not read: the connection to the
-// server is closed at once.
+// TestClientDisconnectDuringUpload checks that the connection to the server is closed at once if the client
+// disconnects while the server does not read the body.
 func TestClientDisconnectDuringUpload(t *testing.T) {
-	const long = 12 << 20 // more than the buffers of a connection with a small receive buffer
+	const bodyBytes = 12 << 20 // more than the buffers of a connection with a small receive buffer
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -44,20 +44,20 @@
 	harness := newHarness(t, 0, nil)
 	harness.addServer(&testServer{listener: listener}, "s")
 	document := harness.document("")
-	document.Limits.BodyBytes = long
+	document.Limits.BodyBytes = bodyBytes
 	harness.update(document)
 	client := harness.dial()
-	client.write(postRequest("/once/x", "", strings.Repeat("x", long)))
+	client.write(postRequest("/once/x", "", strings.Repeat("x", bodyBytes)))
 	netConn, err := listener.Accept()
 	require.NoError(t, err)
 	harness.track(netConn)
 	client.Close()
-	// The connection takes no more bytes: only the client's disconnect can end the upload.
+	// The connection's buffers are full: only the client's disconnect can end the upload.
 	require.Eventually(t, func() bool { return harness.gateway.Counters.ClientDisconnects.Load() == 1 }, finalResponseMargin, time.Millisecond)
 	require.NoError(t, netConn.SetReadDeadline(time.Now().Add(testTimeout)))
 	length, err := io.Copy(io.Discard, netConn)
 	require.False(t, isTimeout(err), "the server's connection is still open")
-	require.Less(t, length, int64(long))
+	require.Less(t, length, int64(bodyBytes))
 }
 
 // TestClientDisconnectIsPrompt checks that a client's disconnect ends its request at once, not at its
@@ -135,8 +135,8 @@
 	})
 	t.Run("before it is sent", func(t *testing.T) {
 		harness := newHarness(t, 0, nil)
-		full := listenWithFullBacklog(t)
-		harness.addServer(&testServer{listener: full}, "s")
+		listener := listenWithFullBacklog(t)
+		harness.addServer(&testServer{listener: listener}, "s")
 		harness.update(harness.document(""))
 		client := harness.dial()
 		client.write(postRequest("/once/x", "", "q"))
@@ -148,7 +148,7 @@
 	})
 }
 
-// listenWithFullBacklog returns a listener whose queue of connections is full, so that connects wait.
+// listenWithFullBacklog returns a listener whose accept queue is full, so that further connects block.
 func listenWithFullBacklog(t *testing.T) net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -156,7 +156,7 @@
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { require.NoError(t, unix.Listen(int(fd), 0)) }))
-	for { // until a connect waits
+	for { // until a connect blocks
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			require.True(t, isTimeout(err))
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestHalfClosedClient closes the sending side of a client: nothing that it still reads may look like a complete
-// response.
+// TestHalfClosedClient checks that a client that closes the sending side of its connection does not get anything
+// that looks like a complete response.
 func TestHalfClosedClient(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
 		harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
--- a/internal/fleet/gateway/events.go
+++ b/internal/fleet/gateway/events.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// eventEnd separates the events of a stream (HTML, section 9.2.6, without its other line ends).
+// eventEnd ends each event of a stream. The HTML standard (section 9.2.6) also allows other line endings,
+// which are not supported.
 var eventEnd = []byte("\n\n")
 
-// eventSequence follows the events that a client has received, so that another server can continue
-// the stream after them. It decides which further events may be appended: those whose IDs are
-// consecutive, and that were made by the same version of the weights where servers change. It is pure
-// and not safe for concurrent use.
+// eventSequence tracks the events that a client has received, so that another server can continue the
+// stream after them. It decides which events may be appended: their IDs have to be consecutive, and the
+// first event of another server has to come from the same version of the weights as the one before. It does
+// no I/O and is not safe for concurrent use.
 type eventSequence struct {
-	lastID  string // of the last event; "" if none has one
-	nextID  int64  // that must follow; 0: not known yet
-	version string // of the weights that made the last event; "" if unknown
-	// resuming: the next event is the first of another server than the one before.
+	lastID  string // ID of the last event that has one; "" if there is none
+	nextID  int64  // ID that the next event must have; 0 if not known yet
+	version string // version of the weights that produced the last event; "" if unknown
+	// resuming is set until the first event after a change of servers.
 	resuming bool
 }
 
-// acceptedEvents is the size of events at the start of a buffer.
+// acceptedEvents is the length and the number of the events accepted from the start of a buffer.
 type acceptedEvents struct{ bytes, events int }
 
-// newEventSequence returns the sequence that continues after the event with the given ID; "" for one
-// that starts from the beginning. An ID that is no number does not determine the next.
+// newEventSequence returns a sequence that continues after the event with the given ID; "" starts from the
+// beginning. After an ID that is not a number, the next event may have any ID.
 func newEventSequence(lastID string) eventSequence {
 	s := eventSequence{lastID: lastID}
 	if id, err := strconv.ParseInt(lastID, 10, 64); err == nil {
@@ -45,8 +46,8 @@
 	return true
 }
 
-// accept takes the complete events at the start of a buffer. valid is false if an event that must not
-// be appended follows them.
+// accept appends the complete events at the start of a buffer up to the first one that must not be
+// appended; valid is false if there is such an event.
 func (s *eventSequence) accept(buffer []byte) (accepted acceptedEvents, valid bool) {
 	for {
 		end := bytes.Index(buffer[accepted.bytes:], eventEnd)
@@ -63,7 +64,7 @@
 	}
 }
 
-// append takes one event, if it may follow the previous one.
+// append records one event. It reports false if the event must not follow the previous one.
 func (s *eventSequence) append(event []byte) bool {
 	id, hasID := eventID(event)
 	if s.nextID > 0 && (!hasID || id != s.nextID) {
@@ -79,8 +80,9 @@
 	return true
 }
 
-// acceptVersion reports whether an event may follow the previous one by the version of its weights. A
-// server may change its weights within a stream, but not at the event with which it takes over.
+// acceptVersion reports whether an event may follow the previous one as far as the version of the weights
+// is concerned. A server may change its weights within a stream, but not at its first event after it took
+// over from another server.
 func (s *eventSequence) acceptVersion(event []byte) bool {
 	version, hasVersion := eventVersion(event)
 	if hasVersion && s.resuming && version != s.version {
@@ -93,7 +95,7 @@
 	return true
 }
 
-// eventID returns the ID of an event. It reports false if the event has none that is a number.
+// eventID returns the ID of an event. It reports false if the event has no ID or one that is not a number.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -104,8 +106,8 @@
 	return 0, false
 }
 
-// eventVersion returns the version of the weights that the first line of an event gives, and whether
-// it gives one.
+// eventVersion returns the version of the weights from the first line of an event, and whether that line
+// has the field.
 func eventVersion(event []byte) (string, bool) {
 	line, _, _ := bytes.Cut(event, []byte("\n"))
 	value, ok := bytes.CutPrefix(line, []byte("versions:"))
@@ -115,7 +117,7 @@
 	return parseVersion(string(value)), true
 }
 
-// parseVersion returns the version of weights that a header field gives; "" if it gives no number.
+// parseVersion returns the version of weights in a field value; "" if it is not a number.
 func parseVersion(field string) string {
 	number, err := strconv.ParseUint(strings.TrimSpace(field), 10, 64)
 	if err != nil {
--- a/internal/fleet/gateway/exchange_test.go
+++ b/internal/fleet/gateway/exchange_test.go
@@ -28,7 +28,7 @@
 	return config.Parse(fmt.Appendf(nil, testConfig, 1, ""))
 })
 
-// exchangeResult is what a client gets of an exchange.
+// exchangeResult is the response that a client gets in an exchange.
 type exchangeResult struct {
 	*httptest.ResponseRecorder
 	aborted bool // the client sees that the response is truncated
@@ -71,7 +71,7 @@
 	return result
 }
 
-// describe returns what happened, for messages.
+// describe summarizes an exchange for test messages.
 func (x *exchange) describe(path string, result exchangeResult) string {
 	return fmt.Sprintf("%s: read %d, sent %d of %d, end %v, write fails %v: %d %q, aborted %v, %d servers, %d executions",
 		path, x.requestBytesRead, x.responseBytesSent, len(x.first.text), x.endErr, x.writeFails,
@@ -87,7 +87,7 @@
 		require.LessOrEqual(t, x.executions(), 1, description)
 	}
 	if x.writeFails && !x.conns[0].headRead() {
-		require.Len(t, x.conns, 2, "half a head proves that the request was not executed: %s", description)
+		require.Len(t, x.conns, 2, "an incomplete head proves that the request was not executed: %s", description)
 	}
 	complete, body := x.sentComplete()
 	if complete && x.conns[0].headRead() && x.first.status == 200 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// cutAtEachByte calls check with an exchange for each number of bytes that the first server reads and
-// sends, with each way in which its connection may end.
+// cutAtEachByte calls check with an exchange for each combination of how many bytes the first server reads,
+// how many it sends, and how its connection ends.
 func cutAtEachByte(t *testing.T, path string, first scriptedResponse, others func(request string) scriptedResponse, check func(*exchange)) {
 	t.Helper()
 	complete := &exchange{first: first, others: others, requestBytesRead: 1 << 20, responseBytesSent: len(first.text), endErr: io.EOF}
@@ -129,7 +129,7 @@
 		for _, writeFails := range []bool{false, true} {
 			for read := range requestLength + 1 {
 				if writeFails && read == requestLength {
-					continue // no write fails
+					continue // the server reads everything, so no write fails
 				}
 				maxSent := 0
 				if read >= headLength {
@@ -144,8 +144,9 @@
 }
 
 // TestExchangeCutAtEachByte has a server end its connection after each byte of a request and each byte of
-// its response: a request that must not be executed twice is not, no truncated response looks complete,
-// and no client is told falsely that its request was not executed.
+// its response. It checks that a request that must not be executed twice is executed once at most, that no
+// truncated response looks complete, and that a client is told that its request was not executed only if
+// that is true.
 func TestExchangeCutAtEachByte(t *testing.T) {
 	others := func(string) scriptedResponse { return lengthDelimitedResponse(200, true, sealField, "another's") }
 	for name, first := range scriptedResponses {
@@ -160,14 +161,15 @@
 	}
 }
 
-// TestStreamCutAtEachByte does the same with streams: the client gets the beginning of the stream in
-// complete events, which looks complete only if it is. One that may not be resumed is executed once.
+// TestStreamCutAtEachByte has a server end its connection after each byte of a request and of a stream. It checks that the client gets complete events from the
+// start of the stream, that a truncated stream does not look complete, and that a stream that can't be resumed
+// is executed once at most.
 func TestStreamCutAtEachByte(t *testing.T) {
 	const last = 3
 	others := func(request string) scriptedResponse {
 		_, field, _ := strings.Cut(request, headerLastEventID+": ")
 		lastEventID := 0
-		_, _ = fmt.Sscan(field, &lastEventID) // without the field from the beginning
+		_, _ = fmt.Sscan(field, &lastEventID) // without the field the stream starts from the beginning
 		return streamResponse(lastEventID+1, last)
 	}
 	for _, path := range []string{"/stream/x", "/resume/x"} {
@@ -191,7 +193,8 @@
 	received := result.Body.String()
 	switch {
 	case result.aborted:
-		require.LessOrEqual(t, len(received), len(eventTexts(1, last)), description) // only the end may be missing
+		// Only the end of the stream may be missing.
+		require.LessOrEqual(t, len(received), len(eventTexts(1, last)), description)
 		require.Equal(t, eventTexts(1, strings.Count(received, "\n\n")), received, description)
 	case result.Code == 200:
 		require.Equal(t, eventTexts(1, last), received, description)
--- a/internal/fleet/gateway/gateway.go
+++ b/internal/fleet/gateway/gateway.go
@@ -19,46 +19,47 @@
 )
 
 const (
-	// bodyMemoryFraction is the part of the memory limit that request bodies may take, as a divisor.
-	bodyMemoryFraction = 4
-	// minUpstreamConns is how many connections to servers may be open at the least; else it is half
-	// the limit on file descriptors.
+	// bodyMemoryDivisor divides the memory limit: the quotient is the memory for request bodies.
+	bodyMemoryDivisor = 4
+	// minUpstreamConns is the minimum of the limit on open connections to servers, which is half the limit
+	// on file descriptors.
 	minUpstreamConns = 64
 )
 
 // Gateway serves the requests of clients. All its methods are safe for concurrent use.
 type Gateway struct {
 	startedAt   time.Time
-	keyMaxAge   time.Duration // for how long API keys may be unconfirmed; 0: for ever
+	keyMaxAge   time.Duration // how long API keys may stay unconfirmed; 0 if there is no limit
 	pool        *pool
-	bodyMemory  *semaphore.Weighted // bytes of request bodies
+	bodyMemory  *semaphore.Weighted // for request bodies, in bytes
 	lateUploads lateUploads
 	server      *http.Server
 
 	clientConns *clientConns
 
 	snapshot       atomic.Pointer[relay.Snapshot] // never nil
-	inFlight       atomic.Int64                   // connections of clients that a request keeps open
+	inFlight       atomic.Int64                   // client connections that a request keeps open
 	shuttingDown   atomic.Bool
 	cancelRequests context.CancelFunc // cancels all requests in flight
 
 	becameServable chan struct{} // closed once requests can be served
 	servableOnce   sync.Once     // closes becameServable
 
-	healthCheckWake chan struct{} // capacity 1: health checks may be due
+	healthCheckWake chan struct{} // of capacity 1; a value means that health checks may be due
 
 	mu          sync.Mutex // guards picker, its attempts, and retryBudget
 	picker      *balancer.Picker
 	retryBudget *retrybudget.Budget
 
-	// Counters count what became of requests.
+	// Counters counts requests by their outcome.
 	Counters Counters
 
-	// OnFirstServed, if set, is called once the first request was served. It must be set before Serve.
+	// OnFirstServed, if set, is called when the first request has been served. It must be set before Serve.
 	OnFirstServed func()
 
-	// KeysFreshAsOf returns a time such that the snapshot has every configuration that was acknowledged
-	// before it. It must be set before Serve where revocation is closed, and may not block.
+	// KeysFreshAsOf returns a time such that the snapshot includes every configuration that was
+	// acknowledged before that time, or the zero time if none is known. It must not block. If the setting
+	// RevocationClosed is on, it must be set before Serve.
 	KeysFreshAsOf func() time.Time
 
 	// Quota, if set, admits the requests of tenants that have a quota. It must be set before Serve.
@@ -78,7 +79,7 @@
 	g := &Gateway{
 		startedAt:       time.Now(),
 		pool:            newPool(max(nodeSettings.Limits.FileDescriptors/2, minUpstreamConns)),
-		bodyMemory:      semaphore.NewWeighted(nodeSettings.Limits.MemoryMB << 20 / bodyMemoryFraction),
+		bodyMemory:      semaphore.NewWeighted(nodeSettings.Limits.MemoryMB << 20 / bodyMemoryDivisor),
 		clientConns:     newClientConns(),
 		cancelRequests:  cancel,
 		becameServable:  make(chan struct{}),
@@ -93,7 +94,7 @@
 	g.server = &http.Server{
 		Handler:                      g,
 		MaxHeaderBytes:               maxHeaderBytes,
-		ConnState:                    g.clientConns.stateChanged, // closes those that wait too long
+		ConnState:                    g.clientConns.stateChanged, // records when they become idle
 		ErrorLog:                     slog.NewLogLogger(slog.DiscardHandler, slog.LevelWarn),
 		ConnContext:                  withClientConn,
 		BaseContext:                  func(net.Listener) context.Context { return base },
@@ -102,12 +103,12 @@
 	return g
 }
 
-// now is the clock of the balancer and of the retry budget: the monotonic time since the start, plus a
-// second, so that it is above the zero time of what has never happened.
+// now returns the current time for the balancer and the retry budget: the monotonic time since the start,
+// plus one second, because they take a zero time to mean that something has never happened.
 func (g *Gateway) now() time.Duration { return time.Since(g.startedAt) + time.Second }
 
 // Update replaces the configuration and the list of servers. Requests that arrive from now on are
-// handled according to the new snapshot, which must not be changed any more.
+// handled according to the new snapshot, which must not be modified afterwards.
 func (g *Gateway) Update(snapshot *relay.Snapshot) {
 	previous := g.snapshot.Swap(snapshot)
 	listChanged := previous.Servers != snapshot.Servers && snapshot.Servers != nil
@@ -130,7 +131,7 @@
 	g.wakeHealthChecks()
 }
 
-// Config returns the configuration in force, nil before the first.
+// Config returns the configuration in force, or nil if there is none yet.
 func (g *Gateway) Config() *config.Document { return g.snapshot.Load().Config }
 
 // ServerStatuses returns the state of each server as this agent has observed it, for operators.
@@ -140,7 +141,8 @@
 	return g.picker.Snapshot(g.now())
 }
 
-// ObserveRemotePrefill takes the notice of another agent about a request that it sent the given time ago.
+// ObserveRemotePrefill records another agent's notice of a request that it sent to a server; age is the
+// time since it sent the request.
 func (g *Gateway) ObserveRemotePrefill(age time.Duration, notice *balancer.PrefillNotice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/gateway/handler.go
+++ b/internal/fleet/gateway/handler.go
@@ -21,32 +21,31 @@
 	minRetryAfter = 10 * time.Millisecond
 	// rejectedBodyTimeout is how long the body of a rejected request may take to arrive.
 	rejectedBodyTimeout = 200 * time.Millisecond
-	// finalWriteTimeout is how long after the deadline of a request its response may take to be
-	// written.
+	// finalWriteTimeout is how long after the deadline of a request its response may still be written.
 	finalWriteTimeout = 250 * time.Millisecond
 )
 
-// The reasons for which the gateway refuses a request, as they are logevent.
+// The reasons for which the gateway refuses a request, as logged with logevent.RequestRejected.
 const (
 	reasonStarting = "starting"
 	reasonMemory   = "memory"
 	reasonAttempts = "attempts"
 	reasonBudget   = "budget"
-	// reasonUnconfirmed: an API key may have been revoked without this process knowing it.
+	// reasonUnconfirmed means that an API key may have been revoked without this process knowing it.
 	reasonUnconfirmed = "unconfirmed"
-	// reasonQuota: no member of the core told whether the tenant's quota allows the request.
+	// reasonQuota means that no core member decided whether the tenant's quota allows the request.
 	reasonQuota = "quota"
 )
 
-// ServeHTTP gives one request its final response. It panics with http.ErrAbortHandler where a
-// response can't be completed: the client then sees that it is truncated.
+// ServeHTTP handles one request of a client. It panics with http.ErrAbortHandler if the response can't be
+// completed, so that the client sees a truncated response.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	receivedAt := time.Now()
 	g.Counters.Requests.Add(1)
 	snapshot, refusal := g.servableSnapshot(req.Context(), receivedAt)
 	if refusal != "" {
 		if refusal == reasonUnconfirmed {
-			w.Header().Set("Connection", "close") // the client finds an agent that is not cut off
+			w.Header().Set("Connection", "close") // the client reconnects, perhaps to an agent that has confirmed keys
 			g.Counters.Unconfirmed.Add(1)
 		}
 		g.refuse(w, g.startupRetryAfter(), refusal)
@@ -60,8 +59,8 @@
 	defer g.bodyMemory.Release(r.reservedBytes)
 	if conn, ok := req.Context().Value(clientConnKey{}).(*http1.ClientConn); ok {
 		if !conn.BeginRequest() {
-			// The connection was closed before the request was forwarded. Its client sends it again,
-			// which is safe: nothing has executed it.
+			// The connection was closed before the request was forwarded. No server has executed the
+			// request, so the client can safely send it again.
 			panic(http.ErrAbortHandler)
 		}
 		defer conn.EndRequest()
@@ -70,7 +69,7 @@
 		}
 	}
 	// The configuration may have changed while the body arrived. A request must not be sent
-	// according to an older one.
+	// according to an outdated one.
 	if current := g.snapshot.Load(); current.Config != snapshot.Config {
 		if r, err = reparse(req, current, r); err != nil {
 			g.reject(w, err)
@@ -98,13 +97,14 @@
 	return r, nil
 }
 
-// limitWriteTime fails writes to a client from the given time on: a client that does not read would
-// occupy its server. The returned function lifts the limit for the next request of the connection.
+// limitWriteTime makes writes to a client fail from the deadline on, because a client that does not read
+// would keep its server occupied. The returned function removes the limit, so that it does not affect the
+// next request on the connection.
 func limitWriteTime(w http.ResponseWriter, deadline time.Time) (release func()) {
 	expired := make(chan struct{})
 	timer := time.AfterFunc(time.Until(deadline), func() {
 		defer close(expired)
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Now()) // a closed connection takes no writes
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now()) // writes to a closed connection fail anyway
 	})
 	return func() {
 		if !timer.Stop() {
@@ -141,7 +141,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// setRetryAfter tells the client when to come back.
+// setRetryAfter sets the Retry-After field of a response, in seconds.
 func setRetryAfter(w http.ResponseWriter, retryAfter time.Duration) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 }
@@ -158,7 +158,7 @@
 		g.Counters.Unauthorized.Add(1)
 	}
 	if status != http.StatusNotFound && status != http.StatusUnauthorized {
-		// Bound the wait for the rest of a body, which net/http would read.
+		// net/http reads the rest of the body: limit how long it waits for it.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectedBodyTimeout))
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/fleet/gateway/handler_test.go
+++ b/internal/fleet/gateway/handler_test.go
@@ -17,8 +17,9 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// TestRequestSmuggling sends messages that can be read in two ways, or not at all, and a request behind them that
-// may be part of them. They get an error, their connection is closed, and no server receives the request.
+// TestRequestSmuggling sends ambiguous or malformed requests, each followed by a hidden request that could be taken
+// for a part of it. The gateway must respond with errors only and close the connection, and no server may receive
+// the hidden request.
 func TestRequestSmuggling(t *testing.T) {
 	hidden := "POST /once/hidden HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": hidden\r\nContent-Length: 0\r\n\r\n"
 	chunked := "0\r\n\r\n" + hidden
@@ -40,12 +41,12 @@
 		"a bad chunk size":       requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "0x5\r\nshort\r\n" + chunked,
 		"a signed chunk size":    requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "+5\r\nshort\r\n" + chunked,
 		"a huge chunk size":      requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "ffffffffffffffff5\r\nshort\r\n" + chunked,
-		"no end of a chunk":      requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "5\r\nshort" + chunked,
+		"an unterminated chunk":  requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "5\r\nshort" + chunked,
 		"a bare line feed":       requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "5;\nxx\r\nshort\r\n" + chunked,
 		"a line feed in a field": requestHead("POST", "/once/x", "X-A: 1\rContent-Length: 5\r\n") + hidden,
 		"a NUL in a field":       requestHead("POST", "/once/x", "X-A: 1\x00\r\n") + hidden,
-		"a name with a space":    requestHead("POST", "/once/x", "X A: 1\r\n") + hidden,
-		"a name of nothing":      requestHead("POST", "/once/x", ": 1\r\n") + hidden,
+		"a space in a name":      requestHead("POST", "/once/x", "X A: 1\r\n") + hidden,
+		"an empty name":          requestHead("POST", "/once/x", ": 1\r\n") + hidden,
 		"no colon":               requestHead("POST", "/once/x", "X-A\r\n") + hidden,
 		"two hosts":              requestHead("POST", "/once/x", "Host: other.example\r\n") + hidden,
 		"no host":                "POST /once/x HTTP/1.1\r\n" + headerAttemptID + ": x\r\n\r\n" + hidden,
@@ -56,8 +57,8 @@
 		"a bad target":           requestHead("POST", "/once/x y", "") + hidden,
 		"a target with CR":       requestHead("POST", "/once/x\ry", "") + hidden,
 		"no path":                requestHead("POST", "once/x", "") + hidden,
-		"a star":                 requestHead("OPTIONS", "*", "") + hidden,
-		"an authority":           requestHead("CONNECT", "h.example:80", "") + hidden,
+		"an asterisk target":     requestHead("OPTIONS", "*", "") + hidden,
+		"an authority target":    requestHead("CONNECT", "h.example:80", "") + hidden,
 		"no version":             "POST /once/x\r\nHost: h.example\r\n" + headerAttemptID + ": x\r\n\r\n" + hidden,
 		"another version":        strings.Replace(requestHead("POST", "/once/x", ""), "HTTP/1.1", "HTTP/2.0", 1) + hidden,
 		"an old version":         strings.Replace(requestHead("POST", "/once/x", "Connection: keep-alive\r\n"), "HTTP/1.1", "HTTP/1.0", 1) + hidden,
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestRepeatedContentLength sends a length twice, which can be read in one way only: to serve it and to reject it
-// are both valid.
+// TestRepeatedContentLength sends the same Content-Length twice. This is not ambiguous, so the gateway may either
+// serve or reject the request.
 func TestRepeatedContentLength(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	resp, _ := harness.roundTrip(requestHead("POST", "/once/x", "Content-Length: 1\r\nContent-Length: 1\r\n") + "q")
@@ -161,7 +162,7 @@
 		require.Equal(t, "served hello", body)
 		require.NotContains(t, harness.nextCall().header, "Expect")
 	}
-	// Without a route the body is not waited for.
+	// Without a route the gateway does not wait for the body.
 	client.write(requestHead("POST", "/none/x", "Expect: 100-continue\r\nContent-Length: 5\r\n"))
 	resp, _ := client.readResponse()
 	require.Equal(t, 404, resp.StatusCode)
@@ -189,7 +190,7 @@
 		return recorder.Code
 	}
 	require.Equal(t, 503, ready())
-	// The snapshot is not up to date yet, and then it has no servers.
+	// The first snapshot is not up to date yet, the second one has no servers.
 	document := harness.document("")
 	harness.gateway.Update(&relay.Snapshot{Config: document, Servers: harness.serverList(), Agents: 1})
 	resp, _ = harness.roundTrip(postRequest("/once/x", "", "q"))
@@ -209,7 +210,7 @@
 	require.Equal(t, 200, ready())
 }
 
-// TestReadinessTakesNoLock answers a readiness probe while all locks are held.
+// TestReadinessTakesNoLock checks that a readiness probe is answered while all locks are held.
 func TestReadinessTakesNoLock(t *testing.T) {
 	harness := newHarness(t, 1, nil)
 	conns := harness.gateway.pool.conns
@@ -232,16 +233,16 @@
 
 // shutdownClients are clients whose requests are at different stages when the gateway shuts down.
 type shutdownClients struct {
-	idle      *testClient // has had a response
+	idle      *testClient // has received a response
 	fresh     *testClient // has sent nothing yet
 	streaming *testClient
-	stream    *http.Response // to streaming, after two events
-	waiting   *testClient    // for the response to a request that was sent to a server
-	uploading *testClient    // has sent a part of its request
-	remainder string         // of that request
+	stream    *http.Response // the response to streaming, of which two events were sent
+	waiting   *testClient    // waits for the response to a request that has reached a server
+	uploading *testClient    // has sent only the start of its request
+	remainder string         // the rest of that request
 }
 
-// startShutdownClients connects the clients, and waits until their requests have reached a server.
+// startShutdownClients connects the clients, and waits until their complete requests have reached a server.
 func startShutdownClients(harness *testHarness) *shutdownClients {
 	clients := &shutdownClients{idle: harness.dial(), fresh: harness.dial()}
 	clients.idle.write(postRequest("/once/x", "", "q"))
@@ -261,7 +262,7 @@
 	return clients
 }
 
-// requireLastResponse checks that a client gets a success, after which its connection is closed.
+// requireLastResponse checks that a client gets a success that closes its connection.
 func requireLastResponse(t *testing.T, client *testClient) (body string) {
 	t.Helper()
 	resp, body := client.readResponse()
@@ -335,7 +336,8 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-// TestShutdownCancelsRequests ends the context of a shutdown: requests break off at the client and at the server.
+// TestShutdownCancelsRequests checks that when the context of a shutdown ends, the response to a request in flight
+// is truncated and the connection to its server is closed.
 func TestShutdownCancelsRequests(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		call.startStream("s")
@@ -352,14 +354,14 @@
 	harness.gateway.Shutdown(ctx, 0)
 	require.EqualValues(t, 0, harness.gateway.inFlight.Load(), "a request is still in flight")
 	body, err := io.ReadAll(resp.Body)
-	require.Error(t, err, "it must not look complete")
+	require.Error(t, err, "the response must not look complete")
 	require.False(t, isTimeout(err), "the connection is still open")
 	require.Equal(t, eventTexts(1, 2), string(body))
 	call.requireClosed(t)
 }
 
-// TestRequestOnClosingConnection sends a request while its idle connection is closed: it gets a response, or none
-// at all and was not executed.
+// TestRequestOnClosingConnection sends a request while the gateway closes the idle connection that carries it. The
+// request must get a response, or not be executed.
 func TestRequestOnClosingConnection(t *testing.T) {
 	for range 20 {
 		harness := newHarness(t, 1, alwaysSucceed)
@@ -392,7 +394,7 @@
 	for range 300 {
 		conns = append(conns, harness.dial())
 	}
-	// Clients are served although others keep connections that they don't use.
+	// A client is served although others keep idle connections open.
 	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
 	for _, client := range conns {
--- a/internal/fleet/gateway/harness_test.go
+++ b/internal/fleet/gateway/harness_test.go
@@ -24,11 +24,12 @@
 // testTimeout bounds every wait of the tests; it is reached only by a failure.
 const testTimeout = 20 * time.Second
 
-// testMemoryMB is the memory limit of the gateway under test, testBodyMemory what of it bodies may take.
-const testMemoryMB, testBodyMemory = 256, 256 << 20 / bodyMemoryFraction
+// testMemoryMB is the memory limit of the gateway under test. testBodyMemory is the part of it for request
+// bodies, in bytes.
+const testMemoryMB, testBodyMemory = 256, 256 << 20 / bodyMemoryDivisor
 
-// testConfig has a route for each prefix. All allow three attempts but /one/. It takes a revision and
-// further routes.
+// testConfig is a format string for a configuration with a route for each prefix. All routes allow three
+// attempts, except /one/ with a single one. The arguments are the revision and additional routes.
 const testConfig = `{"revision":%d,"routes":[
  {"name":"safe","hostname":"h.example","path-prefix":"/safe/","route-kind":"safe","timeout-ms":10000,"setpoint-ms":1000,"target-service":"s","max-attempts":3},
  {"name":"once","hostname":"h.example","path-prefix":"/once/","route-kind":"unsafe","timeout-ms":10000,"setpoint-ms":1000,"target-service":"s","max-attempts":3},
@@ -38,7 +39,8 @@
  "services":[{"name":"s","health-path":"/health"},{"name":"t","health-path":"/health"}],
  "limits":{"header-bytes":16384,"body-bytes":65536,"header-ms":3000,"idle-ms":15000}}`
 
-// callScript handles the n-th request that reached any server, from 0. False closes its connection.
+// callScript handles the n-th request, from 0, that reached any server. If it returns false, the server
+// closes the connection.
 type callScript func(call *upstreamCall, n int) bool
 
 // testHarness is a gateway on a loopback listener, and scripted model servers.
@@ -52,8 +54,8 @@
 	calls     chan *upstreamCall // requests that reached a server
 	callCount atomic.Int64
 
-	listVersion uint64 // of the latest list of servers
-	revision    int    // of the latest configuration
+	listVersion uint64 // version of the latest list of servers
+	revision    int    // revision of the latest configuration
 
 	stop context.CancelFunc
 	wg   sync.WaitGroup
@@ -71,7 +73,7 @@
 	nodeSettings.Bounds.RetryRatio, nodeSettings.Bounds.RetrySlack = 0, 0
 }
 
-// testSettings returns settings under which nothing is scarce.
+// testSettings returns settings with limits that tests do not reach.
 func testSettings() *settings.Settings {
 	nodeSettings := &settings.Settings{Name: "a", Zone: "z", IP: "127.0.0.1"}
 	nodeSettings.Limits.MemoryMB, nodeSettings.Limits.FileDescriptors = testMemoryMB, 1024
@@ -121,7 +123,7 @@
 	return listener
 }
 
-// close ends the gateway, the servers and all their connections, and waits for them.
+// close stops the gateway, the servers and all their connections, and waits for them.
 func (h *testHarness) close() {
 	h.mu.Lock()
 	h.closed = true
@@ -139,7 +141,7 @@
 	h.wg.Wait()
 }
 
-// track has a connection closed with the harness.
+// track adds a connection to those that close closes.
 func (h *testHarness) track(conn net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -186,11 +188,12 @@
 	h.gateway.bodyMemory.Release(testBodyMemory)
 }
 
-// document returns a configuration of a new revision; more are further routes.
-func (h *testHarness) document(more string) *config.Document {
+// document returns a configuration with a new revision and additional routes, each in JSON with a leading
+// comma.
+func (h *testHarness) document(moreRoutes string) *config.Document {
 	h.t.Helper()
 	h.revision++
-	document, err := config.Parse(fmt.Appendf(nil, testConfig, h.revision, more))
+	document, err := config.Parse(fmt.Appendf(nil, testConfig, h.revision, moreRoutes))
 	require.NoError(h.t, err)
 	return document
 }
--- a/internal/fleet/gateway/header.go
+++ b/internal/fleet/gateway/header.go
@@ -14,17 +14,17 @@
 	headerNotRun         = "Chalkdoor-Not-Run"
 	headerLastEventID    = "Last-Event-Id"
 	headerPriority       = "Priority"
-	// headerVersions is the version of the weights that a response was made with,
-	// headerExpectVersion the one that a request is to be executed with.
+	// headerVersions is the version of the weights that produced a response. headerExpectVersion is the
+	// version that a request has to be executed with.
 	headerVersions      = "Versions"
 	headerExpectVersion = "Expect-Version"
-	// headerAPIKey is the key of a client, which no server sees, headerTenant the name of its tenant,
-	// which only the gateway sets.
+	// headerAPIKey is the key of a client; it is not sent to servers. headerTenant is the name of its
+	// tenant; only the gateway sets it.
 	headerAPIKey = "Api-Key"
 	headerTenant = "Chalkdoor-Tenant"
 )
 
-// uniqueFields may stand in a request once: repeated ones are ambiguous.
+// uniqueFields may appear at most once in a request: a repeated field is ambiguous.
 var uniqueFields = []string{headerAttemptID, headerDeadline, headerPromptPrefix, headerTokenCount, headerModel, headerLastEventID}
 
 // endToEndFields describe the request. They reach the server unchanged, even if the Connection field
--- a/internal/fleet/gateway/healthcheck.go
+++ b/internal/fleet/gateway/healthcheck.go
@@ -13,11 +13,11 @@
 const (
 	// healthCheckTimeout bounds one health check.
 	healthCheckTimeout = 500 * time.Millisecond
-	// defaultHealthPath is the path of health checks where the configuration has none.
+	// defaultHealthPath is the path of health checks if the configuration has none.
 	defaultHealthPath = "/health"
 )
 
-// wakeHealthChecks has Run look for due health checks at once.
+// wakeHealthChecks makes Run look for due health checks at once.
 func (g *Gateway) wakeHealthChecks() {
 	select {
 	case g.healthCheckWake <- struct{}{}:
@@ -36,7 +36,7 @@
 }
 
 // probeHealth sends a health check to a server. It returns whether the server is healthy and the load
-// that it reports, nil if none.
+// that it reports, or nil if it reports none.
 func (g *Gateway) probeHealth(ctx context.Context, instance *registry.Instance) (healthy bool, load *balancer.Load) {
 	deadline := time.Now().Add(healthCheckTimeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
--- a/internal/fleet/gateway/lateupload.go
+++ b/internal/fleet/gateway/lateupload.go
@@ -8,22 +8,22 @@
 const (
 	// lateUploadTimeout is how long a server may take to read the remainder of a body after its response.
 	lateUploadTimeout = 2 * time.Second
-	// deliveryPollInterval is how often it is looked whether the server's host has received what was written.
+	// deliveryPollInterval is how often awaitDelivery checks whether the server's host has received the request.
 	deliveryPollInterval = 5 * time.Millisecond
-	// maxLateUploads bounds the connections whose server is waited for.
+	// maxLateUploads bounds the connections with a late upload.
 	maxLateUploads = 64
 )
 
-// lateUploads are the connections whose response has been read completely while a part of the request was still to be
-// sent: a server may answer early and read on later. Such a connection carries the next request once the remainder of
-// the body has been delivered, and is closed if that takes long. The zero value has none.
+// lateUploads is the set of connections whose response has been read completely before the request was delivered: a
+// server may respond early and read the rest of the body later. Once the rest is delivered, the connection carries the
+// next request. If that takes longer than lateUploadTimeout, the connection is closed. The zero value is an empty set.
 type lateUploads struct {
 	mu     sync.Mutex
 	conns  map[*conn]bool
-	closed bool // no further ones are taken
+	closed bool // no further connections are added
 }
 
-// add takes a connection, and reports whether there was room for it.
+// add adds a connection. It reports false if the set is full or closed.
 func (l *lateUploads) add(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 	delete(l.conns, c)
 }
 
-// closeAll closes all connections, and those that come later.
+// closeAll closes all connections. From then on add rejects further ones.
 func (l *lateUploads) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,8 +53,9 @@
 	}
 }
 
-// finishUpload has the remainder of a body sent after its response, and returns the connection to the pool once that
-// is delivered. Until then the body stays in memory.
+// finishUpload lets the rest of a body be sent after its response, and then returns the connection to the pool. It
+// closes the connection instead if the upload fails, if there are too many late uploads, or if it can't reserve the
+// memory that the body occupies until then.
 func (g *Gateway) finishUpload(c *conn, bodyBytes int64) {
 	if !g.bodyMemory.TryAcquire(bodyBytes) {
 		g.pool.close(c)
@@ -77,11 +78,11 @@
 	}()
 }
 
-// awaitDelivery waits for a time until the server's host has received the complete request, and reports whether it
-// has.
+// awaitDelivery waits, for at most timeout, until the server's host has received the complete request. It reports
+// whether it has.
 func (c *conn) awaitDelivery(timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
-	_ = c.SetWriteDeadline(deadline) // a closed connection fails its writes
+	_ = c.SetWriteDeadline(deadline) // writes to a closed connection fail anyway
 	c.upload.wait()
 	poll := time.NewTicker(deliveryPollInterval)
 	defer poll.Stop()
--- a/internal/fleet/gateway/lateupload_test.go
+++ b/internal/fleet/gateway/lateupload_test.go
@@ -9,18 +9,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lateServer answers long bodies before it has read them, and reads on once it is told to.
-type lateServer struct {
-	readOn   chan struct{}
-	received chan string   // the bodies that it read late
-	conns    chan net.Conn // of the requests, in order
+// earlyResponder is a server that responds to a request with a long body before it has read the body, which it
+// reads once readRest is closed.
+type earlyResponder struct {
+	readRest chan struct{}
+	received chan string   // bodies that were read after the response
+	conns    chan net.Conn // connections of the requests, in order
 }
 
-func newLateServer() *lateServer {
-	return &lateServer{readOn: make(chan struct{}), received: make(chan string, 1), conns: make(chan net.Conn, 8)}
+func newEarlyResponder() *earlyResponder {
+	return &earlyResponder{readRest: make(chan struct{}), received: make(chan string, 1), conns: make(chan net.Conn, 8)}
 }
 
-func (s *lateServer) handle(t *testing.T) func(*pendingUpload) {
+func (s *earlyResponder) handle(t *testing.T) func(*pendingUpload) {
 	return func(upload *pendingUpload) {
 		s.conns <- upload.Conn
 		if upload.length < longBodyBytes {
@@ -30,7 +31,7 @@
 		}
 		upload.respond(200, sealField, "early")
 		select {
-		case <-s.readOn:
+		case <-s.readRest:
 		case <-t.Context().Done():
 			return
 		}
@@ -39,7 +40,7 @@
 	}
 }
 
-// awaitConns waits until the gateway has so many connections to servers, open ones and idle ones of them.
+// awaitConns waits until the gateway has wantOpen open connections to servers, of which wantIdle are idle.
 func (h *testHarness) awaitConns(wantOpen, wantIdle int) {
 	h.t.Helper()
 	require.Eventually(h.t, func() bool {
@@ -48,16 +49,16 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// A server that has answered early and reads on gets the remainder of the body, and the next request on the same
-// connection.
+// TestConnectionIsUsedOnAfterALateUpload checks that a server that responds early and then reads the rest of the body
+// gets all of it, and the next request on the same connection.
 func TestConnectionIsUsedOnAfterALateUpload(t *testing.T) {
-	server := newLateServer()
+	server := newEarlyResponder()
 	harness := newUploadHarness(t, 1, server.handle(t))
 	body := bytes.Repeat([]byte("0123456789abcdef"), longBodyBytes/16)
 	_, got := harness.roundTrip(postRequest("/once/x", "", string(body)))
 	require.Equal(t, "early", got)
 	first := <-server.conns
-	close(server.readOn)
+	close(server.readRest)
 	require.Equal(t, string(body), <-server.received)
 	harness.awaitConns(1, 1)
 	_, got = harness.roundTrip(postRequest("/once/x", "", "q"))
@@ -66,9 +67,10 @@
 	harness.requireMemoryReleased()
 }
 
-// While the remainder is not read the connection carries no other request, and it ends with the gateway.
+// TestUnreadUploadOccupiesItsConnection checks that a connection carries no other request while the server has not
+// read the rest of a body, and that it is closed with the gateway.
 func TestUnreadUploadOccupiesItsConnection(t *testing.T) {
-	server := newLateServer()
+	server := newEarlyResponder()
 	harness := newUploadHarness(t, 1, server.handle(t))
 	_, got := harness.roundTrip(postRequest("/once/x", "", string(make([]byte, longBodyBytes))))
 	require.Equal(t, "early", got)
@@ -81,7 +83,7 @@
 	harness.requireMemoryReleased()
 }
 
-// A server that does not read on is waited for no longer than allowed.
+// TestAwaitDeliveryEnds checks that the wait for a server that does not read the rest of a body ends at the timeout.
 func TestAwaitDeliveryEnds(t *testing.T) {
 	listener := listenLoopback(t)
 	netConn, err := net.Dial("tcp", listener.Addr().String())
@@ -94,7 +96,7 @@
 	require.NoError(t, conn.send([]byte("head"), make([]byte, longBodyBytes)))
 	require.False(t, conn.awaitDelivery(10*time.Millisecond))
 	conn.upload.wait()
-	require.Error(t, conn.upload.err, "nothing is written any more")
+	require.Error(t, conn.upload.err, "the upload must end incomplete")
 }
 
 func TestLateUploadsAreBounded(t *testing.T) {
@@ -109,5 +111,5 @@
 	require.True(t, uploads.add(conns[0]))
 	uploads.closeAll()
 	uploads.remove(conns[0])
-	require.False(t, uploads.add(conns[0]), "the gateway has ended")
+	require.False(t, uploads.add(conns[0]), "a closed set accepts no connection")
 }
--- a/internal/fleet/gateway/lifecycle.go
+++ b/internal/fleet/gateway/lifecycle.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// cancelledRequestTimeout is how long requests may take to end once they are cancelled, and
-	// shutdownPollInterval how often Shutdown looks whether they have.
+	// cancelledRequestTimeout is how long requests may take to end after they were cancelled.
+	// shutdownPollInterval is how often Shutdown checks whether they have ended.
 	cancelledRequestTimeout, shutdownPollInterval = 300 * time.Millisecond, 10 * time.Millisecond
 	// minMaintenanceInterval and maxMaintenanceInterval bound the time between two rounds of health
-	// checks and pool maintenance, unless something wakes them earlier.
+	// checks and pool maintenance, unless wakeHealthChecks starts one earlier.
 	minMaintenanceInterval, maxMaintenanceInterval = 20 * time.Millisecond, time.Second
 )
 
-// Serve accepts clients on a listener until Shutdown, and then returns nil.
+// Serve accepts client connections on a listener until Shutdown, and then returns nil.
 func (g *Gateway) Serve(listener net.Listener) error {
 	framing := &framingListener{Listener: listener, rejected: &g.Counters.Rejected, clock: &g.clientConns.clock, limits: g.limits}
 	err := g.server.Serve(&http1.Listener{Listener: framing, InFlight: &g.inFlight})
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// Run checks the health of servers, closes expired connections to them, and those of clients that exceed
-// their limits, until ctx ends. It returns nil once all checks have ended.
+// Run checks the health of servers, closes expired connections to servers, and closes connections of clients
+// that exceed their limits, until ctx ends. It returns nil once all checks have ended.
 func (g *Gateway) Run(ctx context.Context) error {
 	var checks sync.WaitGroup
 	defer checks.Wait()
@@ -50,28 +50,28 @@
 		case <-g.healthCheckWake:
 		case <-timer.C:
 		}
-		due, next := g.maintain(g.now())
-		for _, instance := range due {
+		instances, interval := g.maintain(g.now())
+		for _, instance := range instances {
 			checks.Go(func() { g.checkHealth(ctx, instance) })
 		}
-		timer.Reset(next)
+		timer.Reset(interval)
 	}
 }
 
-// maintain closes expired connections to servers, and returns the instances whose health is to be checked now
-// and after which time it wants to be called again.
-func (g *Gateway) maintain(now time.Duration) (due []*registry.Instance, next time.Duration) {
+// maintain closes expired connections to servers. It returns the instances whose health is to be checked now,
+// and the time after which it has to be called again.
+func (g *Gateway) maintain(now time.Duration) (instances []*registry.Instance, interval time.Duration) {
 	g.pool.closeExpired()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	due = g.picker.DueHealthChecks(now)
-	next = g.picker.HealthCheckInterval()
-	return due, min(max(next, minMaintenanceInterval), maxMaintenanceInterval)
+	instances = g.picker.DueHealthChecks(now)
+	interval = g.picker.HealthCheckInterval()
+	return instances, min(max(interval, minMaintenanceInterval), maxMaintenanceInterval)
 }
 
-// Shutdown ends service without dropping requests. For the time of linger connections are still
-// accepted, as clients learn of the shutdown late; every response closes its connection. Then the
-// listener is closed and the requests in flight are waited for until ctx ends, which cancels them.
+// Shutdown stops the gateway without dropping requests. For the duration of linger it still accepts
+// connections, as clients learn of the shutdown with a delay; every response closes its connection. Then it
+// closes the listener and waits for the requests in flight. It cancels those that are left when ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context, linger time.Duration) {
 	g.shuttingDown.Store(true)
 	g.server.SetKeepAlivesEnabled(false)
@@ -84,13 +84,13 @@
 		g.cancelRequests()
 		g.server.Close()
 	}
-	// The server no longer counts connections that it closed under a request.
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelledRequestTimeout)
+	// http.Server no longer counts connections that it closed while a request was being served.
+	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelledRequestTimeout)
 	defer cancel()
-	for g.inFlight.Load() > 0 && grace.Err() == nil {
+	for g.inFlight.Load() > 0 && graceCtx.Err() == nil {
 		select {
 		case <-time.After(shutdownPollInterval):
-		case <-grace.Done():
+		case <-graceCtx.Done():
 		}
 	}
 }
--- a/internal/fleet/gateway/outcome.go
+++ b/internal/fleet/gateway/outcome.go
@@ -14,19 +14,19 @@
 type outcome uint8
 
 const (
-	// outcomeAnswered: the client has its response, or the part of it that it will get.
+	// outcomeAnswered means that the client has its response, or as much of it as it will get.
 	outcomeAnswered outcome = iota
-	// outcomeNotSent: no server was sent the complete head, so none can have executed the request.
+	// outcomeNotSent means that the head was not sent completely, so the server can't have executed the request.
 	outcomeNotSent
-	// outcomeNotExecuted: the server states that it has not executed the request.
+	// outcomeNotExecuted means that the server states that it has not executed the request.
 	outcomeNotExecuted
-	// outcomeUnknown: the server may have executed the request.
+	// outcomeUnknown means that the server may have executed the request.
 	outcomeUnknown
-	// outcomeClientDisconnected: the client has closed its connection.
+	// outcomeClientDisconnected means that the client has closed its connection.
 	outcomeClientDisconnected
 )
 
-// String returns the outcome as it stands in messages.
+// String returns the outcome in words.
 func (o outcome) String() string {
 	switch o {
 	case outcomeAnswered:
@@ -43,8 +43,8 @@
 	return "invalid outcome"
 }
 
-// cancelledOutcome returns the outcome of an attempt whose context has ended: outcomeClientDisconnected if the
-// client has left, otherwise, after the deadline, the given one.
+// cancelledOutcome returns the outcome of an attempt whose context has ended: outcomeClientDisconnected,
+// which it also counts, if the client has disconnected, and afterDeadline if the deadline has passed.
 func (g *Gateway) cancelledOutcome(ctx context.Context, afterDeadline outcome) outcome {
 	if ctx.Err() == context.Canceled {
 		g.Counters.ClientDisconnects.Add(1)
@@ -53,8 +53,8 @@
 	return afterDeadline
 }
 
-// reportedOutcomeOf returns the outcome that is reported to the balancer for an error after the request was
-// sent.
+// reportedOutcomeOf returns the outcome to report to the balancer for an error that occurred after the
+// request was sent.
 func reportedOutcomeOf(err error) balancer.Outcome {
 	switch {
 	case errors.Is(err, http1.ErrMalformed):
@@ -65,14 +65,14 @@
 	return balancer.Reset
 }
 
-// isTimeout reports whether an error is a time-out.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isLocalShortage reports whether a connect failed for what this process or host lacks, which is no
-// fault of the server.
+// isLocalShortage reports whether a connect failed because this process or host has run out of a resource,
+// which is no fault of the server.
 func isLocalShortage(err error) bool {
 	for _, shortage := range []error{connpool.ErrExhausted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
 		if errors.Is(err, shortage) {
--- a/internal/fleet/gateway/outcome_test.go
+++ b/internal/fleet/gateway/outcome_test.go
@@ -11,13 +11,13 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// outcomeCase is what a server makes of the first request that reaches it.
+// outcomeCase is how a server responds to the first request that reaches it, and the expected result.
 type outcomeCase struct {
 	name    string
 	respond func(call *upstreamCall) bool
-	// status is the one that the client gets on a route whose requests must not be executed twice.
+	// status is the status code that the client gets on a route whose requests must not be executed twice.
 	status int
-	// retried: on a route that allows it, another server is tried.
+	// retried is set if another server is tried on a route that allows it.
 	retried bool
 }
 
@@ -124,7 +124,7 @@
 	case 200:
 		secondCall := harness.nextCall()
 		require.Equal(t, "served q", body)
-		require.NotSame(t, firstCall.server, secondCall.server, "the same server again")
+		require.NotSame(t, firstCall.server, secondCall.server, "the retry went to the same server")
 		require.Equal(t, firstCall.attemptID(), secondCall.attemptID())
 	case 500:
 		require.Equal(t, "failed", body)
--- a/internal/fleet/gateway/pool.go
+++ b/internal/fleet/gateway/pool.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// connectTimeout bounds a connect: a healthy server takes it at once.
+	// connectTimeout bounds the time to connect: a healthy server accepts at once.
 	connectTimeout = 400 * time.Millisecond
 	// maxIdlePerServer bounds the idle connections to one server.
 	maxIdlePerServer = 64
 )
 
 // pool holds the connections to servers, by instance ID. http.Transport is not used, for two reasons: it
-// repeats requests by itself if an idle connection turns out to be broken, and it does not tell whether the
-// last byte was written, which decides whether a request may have been executed. A pool is safe for
+// repeats requests by itself if an idle connection turns out to be broken, and it does not report whether
+// the last byte was written, which decides whether a request may have been executed. A pool is safe for
 // concurrent use.
 type pool struct {
 	conns *connpool.Pool[string, *conn]
@@ -30,9 +30,9 @@
 	return &pool{conns: connpool.New[string, *conn](maxOpen, maxIdlePerServer)}
 }
 
-// get returns an idle connection to a server that is still usable, the most recently used first, or
-// opens one; dialed tells which. The caller has to give it back by put or close. The error is
-// connpool.ErrExhausted or that of the connect.
+// get returns the most recently used idle connection to a server that is still usable, or opens one if
+// there is none; dialed reports whether it was opened. The caller has to pass it to put or close. The error
+// is connpool.ErrExhausted or that of connecting.
 func (p *pool) get(ctx context.Context, instance *registry.Instance, deadline time.Time) (c *conn, dialed bool, err error) {
 	for {
 		c, ok := p.conns.TakeIdle(instance.ID)
@@ -67,8 +67,8 @@
 	return true
 }
 
-// put returns a connection for the next request. It closes one that has brought bytes which were not
-// asked for, as they would be taken for the next response.
+// put returns a connection to the pool for the next request. It closes the connection if the server has
+// sent unexpected bytes, which would be taken for the next response, or if enough connections are idle.
 func (p *pool) put(c *conn) {
 	c.SetDeadline(time.Time{})
 	c.idleSince = time.Now()
@@ -78,16 +78,16 @@
 	}
 }
 
-// close closes a connection and waits until nothing is written to it any more.
+// close closes a connection and waits until its upload has ended.
 func (p *pool) close(c *conn) {
 	c.Close()
 	c.upload.wait()
 	p.conns.Release()
 }
 
-// retainListed closes the idle connections to servers that are no longer listed.
-func (p *pool) retainListed(listed map[string]*registry.Instance) {
-	p.conns.CloseIdleIf(func(instanceID string) bool { return listed[instanceID] == nil })
+// retainListed closes the idle connections to all but the given servers, which are those listed.
+func (p *pool) retainListed(servers map[string]*registry.Instance) {
+	p.conns.CloseIdleIf(func(instanceID string) bool { return servers[instanceID] == nil })
 }
 
 // closeExpired closes connections that have been idle for too long.
--- a/internal/fleet/gateway/pool_test.go
+++ b/internal/fleet/gateway/pool_test.go
@@ -44,7 +44,7 @@
 	return p.get(context.Background(), instance, time.Now().Add(testTimeout))
 }
 
-// requireDialed gets a new connection.
+// requireDialed gets a connection, and checks that it is a new one.
 func (p *testPool) requireDialed(server int) *conn {
 	p.t.Helper()
 	conn, dialed, err := p.getFrom(server)
@@ -75,11 +75,11 @@
 	pool := newTestPool(t)
 	first := pool.requireDialed(1)
 	pool.put(first)
-	again, dialed, err := pool.getFrom(1)
+	reused, dialed, err := pool.getFrom(1)
 	require.NoError(t, err)
 	require.False(t, dialed)
-	require.Equal(t, first, again)
-	first.keepAlive = 0 // it expires at once
+	require.Equal(t, first, reused)
+	first.keepAlive = 0 // expires at once
 	pool.put(first)
 	pool.requireDialed(1)
 }
@@ -107,7 +107,7 @@
 		conn, ok := conns.TakeIdle(server.instance.ID)
 		if !ok {
 			open, _ := conns.Count()
-			return open == 0 // it was not usable when it was put back
+			return open == 0 // put has closed it as unusable
 		}
 		usable := http1.IsIdle(conn.Conn, conn.reader)
 		return conns.PutIdle(server.instance.ID, conn) && !usable
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -281,7 +281,7 @@
 		Old: "c.limits().headerBytes", New: "defaultHeaderBytes",
 		Packages: in(gatewayPackage), Tests: "^TestHeadOverTheLimit"},
 	{ID: "gateway-client-limits-are-fixed", Category: StaleState, File: "internal/fleet/gateway/clientconns.go",
-		Old: "c.check(now.Sub(last), limits())", New: "c.check(now.Sub(last), limitsOf(nil))",
+		Old: "c.check(now.Sub(lastCheck), limits())", New: "c.check(now.Sub(lastCheck), limitsOf(nil))",
 		Packages: in(gatewayPackage), Tests: "^TestSlowHeadsAndIdleConnectionsAreClosed$"},
 	{ID: "gateway-request-in-flight-is-idle", Category: Durability, File: "internal/fleet/gateway/clientconns.go",
 		Old: "	case http.StateNew, http.StateIdle:\n		times", New: "	case http.StateNew, http.StateIdle, http.StateActive:\n		times",
