--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxResponsesRead bounds the responses that are read to find that of a request: surplus responses
-	// to earlier requests may precede it.
+	// maxResponsesRead bounds the responses that are read for one request: surplus responses to earlier
+	// requests may precede its own.
 	maxResponsesRead = 3
 	// maxUpstreamRetryAfter bounds a server's Retry-After, in seconds: a value at or above it is ignored.
 	maxUpstreamRetryAfter = 60
--- a/internal/fleet/gateway/clientlimits_test.go
+++ b/internal/fleet/gateway/clientlimits_test.go
@@ -41,10 +41,12 @@
 	assert.Equal(t, defaults, limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: -1, IdleMs: -5}}))
 	assert.Equal(t, clientLimits{16384, 65536, 3 * time.Second, 120 * time.Second},
 		limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 65536, HeaderMs: 3000, IdleMs: 120_000}}))
-	large := limitsOf(&config.Document{Limits: config.Limits{HeaderBytes: 1 << 40, HeaderMs: 1 << 62, IdleMs: 1 << 62}})
-	assert.Equal(t, int64(maxHeaderBytes), large.headerBytes)
-	assert.Positive(t, large.headerTimeout)
-	assert.Positive(t, large.idleTimeout)
+	largeLimits := limitsOf(&config.Document{
+		Limits: config.Limits{HeaderBytes: 1 << 40, HeaderMs: 1 << 62, IdleMs: 1 << 62},
+	})
+	assert.Equal(t, int64(maxHeaderBytes), largeLimits.headerBytes)
+	assert.Positive(t, largeLimits.headerTimeout)
+	assert.Positive(t, largeLimits.idleTimeout)
 }
 
 // TestHeadOverTheLimit checks that the size of a head is limited by the configuration in force when the head
@@ -94,13 +96,13 @@
 // header-ms or if they are idle for longer than idle-ms, and that changed limits apply to open connections.
 func TestSlowHeadsAndIdleConnectionsAreClosed(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
-	slow, unused, used := harness.dial(), harness.dial(), harness.dial()
-	used.write(requestHead("GET", "/safe/x", ""))
-	resp, _ := used.readResponse()
+	slowClient, unusedClient, usedClient := harness.dial(), harness.dial(), harness.dial()
+	usedClient.write(requestHead("GET", "/safe/x", ""))
+	resp, _ := usedClient.readResponse()
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	slow.write("GET /safe/x HTTP/1.1\r\nHost: h.exa")
+	slowClient.write("GET /safe/x HTTP/1.1\r\nHost: h.exa")
 	harness.update(harness.withLimits(config.Limits{HeaderMs: 1, IdleMs: 1}))
-	for _, client := range []*testClient{slow, unused, used} {
+	for _, client := range []*testClient{slowClient, unusedClient, usedClient} {
 		client.requireClosed()
 	}
 	require.Eventually(t, func() bool { return harness.gateway.clientConns.count() == 0 }, testTimeout, time.Millisecond)
@@ -114,11 +116,11 @@
 		<-release
 		return call.respondSuccess()
 	})
-	client, idle := harness.dial(), harness.dial()
+	client, idleClient := harness.dial(), harness.dial()
 	client.write(requestHead("GET", "/safe/x", "") + "GET /sa") // with the start of the next request
 	harness.nextCall()
 	harness.update(harness.withLimits(config.Limits{HeaderMs: 1, IdleMs: 1}))
-	idle.requireClosed() // which shows that the connections have been checked
+	idleClient.requireClosed() // which shows that the connections have been checked
 	close(release)
 	resp, _ := client.readResponse()
 	require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/internal/fleet/gateway/exchange_test.go
+++ b/internal/fleet/gateway/exchange_test.go
@@ -121,9 +121,11 @@
 // how many it sends, and how its connection ends.
 func cutAtEachByte(t *testing.T, path string, first scriptedResponse, others func(request string) scriptedResponse, check func(*exchange)) {
 	t.Helper()
-	complete := &exchange{first: first, others: others, requestBytesRead: 1 << 20, responseBytesSent: len(first.text), endErr: io.EOF}
-	complete.run(t, path)
-	requestLength := complete.conns[0].written.Len()
+	completeExchange := &exchange{
+		first: first, others: others, requestBytesRead: 1 << 20, responseBytesSent: len(first.text), endErr: io.EOF,
+	}
+	completeExchange.run(t, path)
+	requestLength := completeExchange.conns[0].written.Len()
 	headLength := requestLength - len(exchangeBody)
 	for _, endErr := range []error{io.EOF, syscall.ECONNRESET} {
 		for _, writeFails := range []bool{false, true} {
@@ -161,9 +163,9 @@
 	}
 }
 
-// TestStreamCutAtEachByte has a server end its connection after each byte of a request and of a stream. It checks that the client gets complete events from the
-// start of the stream, that a truncated stream does not look complete, and that a stream that can't be resumed
-// is executed once at most.
+// TestStreamCutAtEachByte has a server end its connection after each byte of a request and of a stream. It
+// checks that the client gets complete events from the start of the stream, that a truncated stream does not
+// look complete, and that a stream that can't be resumed is executed once at most.
 func TestStreamCutAtEachByte(t *testing.T) {
 	const last = 3
 	others := func(request string) scriptedResponse {
--- a/internal/fleet/gateway/handler_test.go
+++ b/internal/fleet/gateway/handler_test.go
@@ -304,9 +304,9 @@
 	clients.fresh.write(postRequest("/once/fresh", "", "q"))
 	requireLastResponse(t, clients.fresh)
 	clients.fresh.requireClosed()
-	late := harness.dial()
-	late.write(postRequest("/once/late", "", "q"))
-	requireLastResponse(t, late)
+	lateClient := harness.dial()
+	lateClient.write(postRequest("/once/late", "", "q"))
+	requireLastResponse(t, lateClient)
 	clients.uploading.write(clients.remainder)
 	requireLastResponse(t, clients.uploading)
 
--- a/internal/fleet/gateway/lateupload_test.go
+++ b/internal/fleet/gateway/lateupload_test.go
@@ -57,13 +57,13 @@
 	body := bytes.Repeat([]byte("0123456789abcdef"), longBodyBytes/16)
 	_, got := harness.roundTrip(postRequest("/once/x", "", string(body)))
 	require.Equal(t, "early", got)
-	first := <-server.conns
+	firstConn := <-server.conns
 	close(server.readRest)
 	require.Equal(t, string(body), <-server.received)
 	harness.awaitConns(1, 1)
 	_, got = harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, "small", got)
-	require.Same(t, first, <-server.conns)
+	require.Same(t, firstConn, <-server.conns)
 	harness.requireMemoryReleased()
 }
 
@@ -74,10 +74,10 @@
 	harness := newUploadHarness(t, 1, server.handle(t))
 	_, got := harness.roundTrip(postRequest("/once/x", "", string(make([]byte, longBodyBytes))))
 	require.Equal(t, "early", got)
-	first := <-server.conns
+	firstConn := <-server.conns
 	_, got = harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, "small", got)
-	require.NotSame(t, first, <-server.conns)
+	require.NotSame(t, firstConn, <-server.conns)
 	harness.gateway.lateUploads.closeAll()
 	harness.awaitConns(1, 1)
 	harness.requireMemoryReleased()
--- a/internal/fleet/gateway/pool_test.go
+++ b/internal/fleet/gateway/pool_test.go
@@ -63,33 +63,33 @@
 
 func TestPoolEvictsOnlyIdleConnections(t *testing.T) {
 	pool := newTestPool(t)
-	first := pool.requireDialed(0)
+	firstConn := pool.requireDialed(0)
 	pool.requireDialed(1)
 	pool.requireExhausted(2)
-	pool.put(first)
+	pool.put(firstConn)
 	pool.requireDialed(2)
 	pool.requireExhausted(0)
 }
 
 func TestPoolReusesConnections(t *testing.T) {
 	pool := newTestPool(t)
-	first := pool.requireDialed(1)
-	pool.put(first)
-	reused, dialed, err := pool.getFrom(1)
+	firstConn := pool.requireDialed(1)
+	pool.put(firstConn)
+	reusedConn, dialed, err := pool.getFrom(1)
 	require.NoError(t, err)
 	require.False(t, dialed)
-	require.Equal(t, first, reused)
-	first.keepAlive = 0 // expires at once
-	pool.put(first)
+	require.Equal(t, firstConn, reusedConn)
+	firstConn.keepAlive = 0 // expires at once
+	pool.put(firstConn)
 	pool.requireDialed(1)
 }
 
 func TestPoolCloses(t *testing.T) {
 	pool := newTestPool(t)
-	expired, unlisted := pool.requireDialed(1), pool.requireDialed(2)
-	pool.put(expired)
-	pool.put(unlisted)
-	expired.usableUntil = time.Now()
+	expiredConn, unlistedConn := pool.requireDialed(1), pool.requireDialed(2)
+	pool.put(expiredConn)
+	pool.put(unlistedConn)
+	expiredConn.usableUntil = time.Now()
 	pool.closeExpired()
 	open, _ := pool.conns.Count()
 	require.Equal(t, 1, open)
