--- a/internal/fleet/gateway/pool_test.go
+++ b/internal/fleet/gateway/pool_test.go
@@ -44,7 +44,7 @@
 	return p.get(context.Background(), instance, time.Now().Add(testTimeout))
 }
 
-// requireDialed gets a new connection.
+// requireDialed gets a connection, and checks that it is a new one.
 func (p *testPool) requireDialed(server int) *conn {
 	p.t.Helper()
 	conn, dialed, err := p.getFrom(server)
@@ -63,33 +63,33 @@
 
 func TestPoolEvictsOnlyIdleConnections(t *testing.T) {
 	pool := newTestPool(t)
-	first := pool.requireDialed(0)
+	firstConn := pool.requireDialed(0)
 	pool.requireDialed(1)
 	pool.requireExhausted(2)
-	pool.put(first)
+	pool.put(firstConn)
 	pool.requireDialed(2)
 	pool.requireExhausted(0)
 }
 
 func TestPoolReusesConnections(t *testing.T) {
 	pool := newTestPool(t)
-	first := pool.requireDialed(1)
-	pool.put(first)
-	again, dialed, err := pool.getFrom(1)
+	firstConn := pool.requireDialed(1)
+	pool.put(firstConn)
+	reusedConn, dialed, err := pool.getFrom(1)
 	require.NoError(t, err)
 	require.False(t, dialed)
-	require.Equal(t, first, again)
-	first.keepAlive = 0 // it expires at once
-	pool.put(first)
+	require.Equal(t, firstConn, reusedConn)
+	firstConn.keepAlive = 0 // expires at once
+	pool.put(firstConn)
 	pool.requireDialed(1)
 }
 
 func TestPoolCloses(t *testing.T) {
 	pool := newTestPool(t)
-	expired, unlisted := pool.requireDialed(1), pool.requireDialed(2)
-	pool.put(expired)
-	pool.put(unlisted)
-	expired.usableUntil = time.Now()
+	expiredConn, unlistedConn := pool.requireDialed(1), pool.requireDialed(2)
+	pool.put(expiredConn)
+	pool.put(unlistedConn)
+	expiredConn.usableUntil = time.Now()
 	pool.closeExpired()
 	open, _ := pool.conns.Count()
 	require.Equal(t, 1, open)
@@ -107,7 +107,7 @@
 		conn, ok := conns.TakeIdle(server.instance.ID)
 		if !ok {
 			open, _ := conns.Count()
-			return open == 0 // it was not usable when it was put back
+			return open == 0 // put has closed it as unusable
 		}
 		usable := http1.IsIdle(conn.Conn, conn.reader)
 		return conns.PutIdle(server.instance.ID, conn) && !usable
