--- a/internal/fleet/gateway/bench_test.go
+++ b/internal/fleet/gateway/bench_test.go
@@ -12,21 +12,22 @@
 	"testing"
 )
 
-// bodyEnd is the last line of the bodies, lastChunk that of a stream.
+// bodyEnd is the last line of each body, lastChunk the last chunk of a stream.
 const bodyEnd, lastChunk = "#end\n", "0\r\n"
 
 // BenchmarkRequest sends requests through a gateway from one client to one server. Both do as little as
 // possible: they read lines up to the end of a message, and write fixed bytes.
 func BenchmarkRequest(b *testing.B) {
-	first := "HTTP/1.1 200 OK\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" + headerServerSeal + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" + headerServerLoad + ": 3,0,64\r\nKeep-Alive: timeout=20\r\n"
+	headStart := "HTTP/1.1 200 OK\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" +
+		headerServerSeal + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" + headerServerLoad + ": 3,0,64\r\nKeep-Alive: timeout=20\r\n"
 	for _, c := range []struct {
 		name, path string
-		writes     []string // of the response
+		writes     []string // the writes by which the server sends the response
 	}{
-		{"whole", "/once/x", []string{first + "Content-Length: 506\r\n\r\n" + strings.Repeat("y", 500) + "\n#end\n"[:6]}},
-		{"stream-1", "/resume/x", streamWrites(first, 1)},
-		{"stream-6", "/resume/x", streamWrites(first, 6)},
-		{"stream-96", "/resume/x", streamWrites(first, 96)},
+		{"whole", "/once/x", []string{headStart + "Content-Length: 506\r\n\r\n" + strings.Repeat("y", 500) + "\n#end\n"[:6]}},
+		{"stream-1", "/resume/x", streamWrites(headStart, 1)},
+		{"stream-6", "/resume/x", streamWrites(headStart, 6)},
+		{"stream-96", "/resume/x", streamWrites(headStart, 96)},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			harness := newUnconfiguredHarness(b, 0, nil)
@@ -73,13 +74,13 @@
 func BenchmarkFraming(b *testing.B) {
 	request := []byte(benchmarkRequest("/once/x"))
 	for _, c := range []struct {
-		name    string
-		watched bool
+		name        string
+		framingConn bool
 	}{{"plain", false}, {"watched", true}} {
 		b.Run(c.name, func(b *testing.B) {
 			source := &repeatedConn{data: request}
 			var conn net.Conn = source
-			if c.watched {
+			if c.framingConn {
 				conn = newFramingConn(source, new(atomic.Int64))
 			}
 			reader := bufio.NewReader(conn)
@@ -117,13 +118,14 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": 9c41d07be2a35f68\r\n" + fields + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body)) + body
 }
 
-func streamWrites(first string, n int) []string {
-	out := []string{first + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"}
-	for i := 1; i <= n; i++ {
-		e := eventText(i)
-		out = append(out, fmt.Sprintf("%x\r\n%s\r\n", len(e), e))
+// streamWrites returns the writes of a stream with the given number of events.
+func streamWrites(headStart string, events int) []string {
+	writes := []string{headStart + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"}
+	for i := 1; i <= events; i++ {
+		event := eventText(i)
+		writes = append(writes, fmt.Sprintf("%x\r\n%s\r\n", len(event), event))
 	}
-	return append(out, "0\r\n\r\n")
+	return append(writes, "0\r\n\r\n")
 }
 
 // readThrough reads lines up to and including the given one.
--- a/internal/fleet/gateway/fakeconn_test.go
+++ b/internal/fleet/gateway/fakeconn_test.go
@@ -14,11 +14,11 @@
 type exchange struct {
 	first             scriptedResponse
 	others            func(request string) scriptedResponse
-	requestBytesRead  int         // by the first server
-	responseBytesSent int         // by the first server
-	endErr            error       // that follows the response; io.EOF: the server closes the connection
+	requestBytesRead  int         // bytes of the request that the first server reads
+	responseBytesSent int         // bytes of its response that the first server sends
+	endErr            error       // the read error after the response; io.EOF if the server closes the connection
 	writeFails        bool        // writes fail where the first server stops reading
-	conns             []*fakeConn // in the order in which they were written to
+	conns             []*fakeConn // the connections, in the order in which they were first written to
 }
 
 // executions returns how many servers have executed the request.
@@ -31,8 +31,8 @@
 	return count
 }
 
-// sentComplete returns whether the first server has sent its complete response, and the body of that. A
-// response without length ends where the server closes its connection: nothing else marks its end.
+// sentComplete reports whether the first server has sent its complete response, and returns the body of that
+// response. A response without a length ends where the server closes the connection.
 func (x *exchange) sentComplete() (complete bool, body string) {
 	if !x.first.closeDelimited {
 		return x.responseBytesSent == len(x.first.text), x.first.body
--- a/internal/fleet/gateway/framing_body.go
+++ b/internal/fleet/gateway/framing_body.go
@@ -1,6 +1,6 @@
 package gateway
 
-// maxChunkDigits bounds the size of a chunk to what an int64 holds.
+// maxChunkDigits limits the size of a chunk to what fits into an int64.
 const maxChunkDigits = 15
 
 // scanChunkSize reads a digit of a chunk size, or the byte after the last one.
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// endChunkLine reads the last byte of the line of a chunk size. The trailer follows the last chunk,
-// whose size is 0.
+// endChunkLine reads the line feed after a chunk size. The last chunk has the size 0 and is followed by the
+// trailer.
 func (s *framingScanner) endChunkLine(b byte) *framingError {
 	if b != '\n' {
 		return errLineEnd
--- a/internal/fleet/gateway/framing_bytes.go
+++ b/internal/fleet/gateway/framing_bytes.go
@@ -1,6 +1,6 @@
 package gateway
 
-// byteClass is a set of the parts of a message in which a byte may stand.
+// byteClass is the set of elements of a message in which a byte may occur.
 type byteClass uint8
 
 const (
@@ -9,7 +9,7 @@
 	classValue                        // field values and chunk extensions: targets, spaces and tabs
 )
 
-// byteClasses are the classes of each byte.
+// byteClasses holds the classes of each byte.
 var byteClasses = makeByteClasses()
 
 func makeByteClasses() (classes [256]byteClass) {
@@ -29,7 +29,7 @@
 	return classes
 }
 
-// prefixLength returns how many bytes at the start of p are of a class.
+// prefixLength returns how many bytes at the start of p belong to a class.
 func prefixLength(p []byte, class byteClass) int {
 	for i, b := range p {
 		if byteClasses[b]&class == 0 {
--- a/internal/fleet/gateway/framing_cases_test.go
+++ b/internal/fleet/gateway/framing_cases_test.go
@@ -2,25 +2,25 @@
 
 import "strings"
 
-// Heads of requests: the one of a POST still needs its empty line.
+// The heads of requests. postHead has no empty line at its end, so that fields can be appended.
 const (
 	getHead     = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 	postHead    = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	chunkedHead = postHead + "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// unambiguousRequests can be read in one way only.
+// unambiguousRequests are requests that can be read in one way only.
 var unambiguousRequests = map[string]string{
 	"no body":               getHead,
 	"a length":              postHead + "Content-Length: 5\r\n\r\nhello",
 	"length 0":              postHead + "Content-Length: 0\r\n\r\n",
-	"a length in space":     postHead + "content-length: \t 5 \t\r\n\r\nhello",
-	"a length in zeros":     postHead + "CONTENT-LENGTH:0000000000000000000000005\r\n\r\nhello",
+	"space around a length": postHead + "content-length: \t 5 \t\r\n\r\nhello",
+	"zeros before a length": postHead + "CONTENT-LENGTH:0000000000000000000000005\r\n\r\nhello",
 	"a body like a head":    postHead + "Content-Length: 28\r\n\r\n" + getHead,
 	"chunks":                chunkedHead + "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n",
 	"no chunks":             chunkedHead + "0\r\n\r\n",
 	"chunks in any case":    chunkedHead + "000A\r\n0123456789\r\n0a\r\n0123456789\r\n000\r\n\r\n",
-	"chunks of line ends":   chunkedHead + "6\r\n\r\n0\r\n\r\r\n0\r\n\r\n",
+	"line ends in a chunk":  chunkedHead + "6\r\n\r\n0\r\n\r\r\n0\r\n\r\n",
 	"chunk extensions":      chunkedHead + "5;a=b;c=\"d e\";\tf\r\nhello\r\n0;last\r\n\r\n",
 	"trailers":              chunkedHead + "5\r\nhello\r\n0\r\nX-A: 1\r\nX-B:\r\n\r\n",
 	"HTTP/1.0":              "POST /a HTTP/1.0\r\nContent-Length: 5\r\n\r\nhello",
@@ -35,7 +35,7 @@
 	"a long name":           postHead + strings.Repeat("Content-Length", 20) + ": 5\r\n\r\n",
 }
 
-// ambiguousRequest is a request that implementations read in several ways, or that some reject.
+// ambiguousRequest is a request that implementations read in different ways, or that some reject.
 type ambiguousRequest struct {
 	request string
 	err     *framingError
@@ -58,13 +58,13 @@
 	"another coding":             {postHead + "Transfer-Encoding: gzip\r\n\r\n", errTransferEncoding},
 	"a list of codings":          {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", errTransferEncoding},
 	"chunked and more":           {postHead + "Transfer-Encoding: chunked, identity\r\n\r\n", errTransferEncoding},
-	"a longer word":              {postHead + "Transfer-Encoding: chunkedx\r\n\r\n", errTransferEncoding},
-	"a shorter word":             {postHead + "Transfer-Encoding: chunke\r\n\r\n", errTransferEncoding},
-	"capitals":                   {postHead + "Transfer-Encoding: Chunked\r\n\r\n", errTransferEncoding},
-	"a tab":                      {postHead + "Transfer-Encoding:\tchunked\r\n\r\n", errTransferEncoding},
-	"a space behind":             {postHead + "Transfer-Encoding: chunked \r\n\r\n", errTransferEncoding},
+	"a longer coding name":       {postHead + "Transfer-Encoding: chunkedx\r\n\r\n", errTransferEncoding},
+	"a shorter coding name":      {postHead + "Transfer-Encoding: chunke\r\n\r\n", errTransferEncoding},
+	"a coding with a capital":    {postHead + "Transfer-Encoding: Chunked\r\n\r\n", errTransferEncoding},
+	"a tab before a coding":      {postHead + "Transfer-Encoding:\tchunked\r\n\r\n", errTransferEncoding},
+	"a space after a coding":     {postHead + "Transfer-Encoding: chunked \r\n\r\n", errTransferEncoding},
 	"no coding":                  {postHead + "Transfer-Encoding:\r\n\r\n", errTransferEncoding},
-	"a vertical tab":             {postHead + "Transfer-Encoding: \x0bchunked\r\n\r\n", errFieldValue},
+	"a vertical tab in a coding": {postHead + "Transfer-Encoding: \x0bchunked\r\n\r\n", errFieldValue},
 	"chunks in HTTP/1.0":         {"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", errTransferEncodingVersion},
 	"HTTP/2.0":                   {"PRI * HTTP/2.0\r\n\r\n", errVersion},
 	"HTTP/1.2":                   {"GET /a HTTP/1.2\r\n\r\n", errVersion},
@@ -77,19 +77,19 @@
 	"a tab in the request line":  {"GET\t/a HTTP/1.1\r\n\r\n", errRequestLine},
 	"a CR in the target":         {"GET /a\rb HTTP/1.1\r\n\r\n", errRequestLine},
 	"a NUL in the target":        {"GET /a\x00b HTTP/1.1\r\n\r\n", errRequestLine},
-	"a space ahead":              {" GET /a HTTP/1.1\r\n\r\n", errRequestLine},
+	"a space before the method":  {" GET /a HTTP/1.1\r\n\r\n", errRequestLine},
 	"TLS":                        {"\x16\x03\x01\x02\x00", errRequestLine},
 	"three empty lines":          {"\r\n\r\n\r\n" + getHead, errEmptyLines},
-	"a CR ahead":                 {"\rGET /a HTTP/1.1\r\n\r\n", errLineEnd},
-	"a LF ahead":                 {"\nGET /a HTTP/1.1\r\n\r\n", errRequestLine},
+	"a CR before the method":     {"\rGET /a HTTP/1.1\r\n\r\n", errLineEnd},
+	"a LF before the method":     {"\nGET /a HTTP/1.1\r\n\r\n", errRequestLine},
 	"a LF behind the version":    {"GET /a HTTP/1.1\nHost: h\r\n\r\n", errRequestLine},
 	"a CR behind the version":    {"GET /a HTTP/1.1\rHost: h\r\n\r\n", errLineEnd},
 	"a LF behind a field":        {"GET /a HTTP/1.1\r\nHost: h\n\r\n", errLineEnd},
 	"a CR in a field":            {"GET /a HTTP/1.1\r\nHost: h\rX-A: 1\r\n\r\n", errLineEnd},
 	"a LF for the empty line":    {"GET /a HTTP/1.1\r\nHost: h\r\n\n", errFieldName},
 	"a CR for the empty line":    {"GET /a HTTP/1.1\r\nHost: h\r\n\rX", errLineEnd},
-	"folded":                     {postHead + "X-A: 1\r\n b\r\n\r\n", errFoldedField},
-	"folded by a tab":            {postHead + "X-A: 1\r\n\tb\r\n\r\n", errFoldedField},
+	"a folded field":             {postHead + "X-A: 1\r\n b\r\n\r\n", errFoldedField},
+	"a field folded by a tab":    {postHead + "X-A: 1\r\n\tb\r\n\r\n", errFoldedField},
 	"a space ahead of fields":    {"GET /a HTTP/1.1\r\n Host: h\r\n\r\n", errFoldedField},
 	"a folded coding":            {postHead + "Transfer-Encoding:\r\n chunked\r\n\r\n", errTransferEncoding},
 	"a space behind a name":      {postHead + "Content-Length : 5\r\n\r\nhello", errFieldName},
@@ -103,7 +103,7 @@
 	"DEL in a field":             {postHead + "X-A: 1\x7f\r\n\r\n", errFieldValue},
 	"ESC in a field":             {postHead + "X-A: \x1b[0m\r\n\r\n", errFieldValue},
 	"no chunk size":              {chunkedHead + "\r\n\r\n", errChunkSize},
-	"an extension alone":         {chunkedHead + ";a=b\r\n\r\n", errChunkSize},
+	"an extension without size":  {chunkedHead + ";a=b\r\n\r\n", errChunkSize},
 	"a signed chunk size":        {chunkedHead + "+5\r\nhello\r\n0\r\n\r\n", errChunkSize},
 	"a chunk size of 0x5":        {chunkedHead + "0x5\r\nhello\r\n0\r\n\r\n", errChunkSize},
 	"a space ahead of a size":    {chunkedHead + " 5\r\nhello\r\n0\r\n\r\n", errChunkSize},
@@ -114,10 +114,10 @@
 	"a LF in an extension":       {chunkedHead + "5;a\nhello\r\n0\r\n\r\n", errLineEnd},
 	"a CR in an extension":       {chunkedHead + "5;a\rb\r\nhello\r\n0\r\n\r\n", errLineEnd},
 	"a NUL in an extension":      {chunkedHead + "5;\x00\r\nhello\r\n0\r\n\r\n", errLineEnd},
-	"a NUL in the last":          {chunkedHead + "0;\x00\r\n\r\n", errLineEnd},
+	"a NUL in the last size":     {chunkedHead + "0;\x00\r\n\r\n", errLineEnd},
 	"a LF behind a chunk":        {chunkedHead + "5\r\nhello\n0\r\n\r\n", errChunkEnd},
 	"a CR behind a chunk":        {chunkedHead + "5\r\nhello\r0\r\n\r\n", errChunkEnd},
-	"a longer chunk":             {chunkedHead + "4\r\nhello\r\n0\r\n\r\n", errChunkEnd},
+	"a chunk over its size":      {chunkedHead + "4\r\nhello\r\n0\r\n\r\n", errChunkEnd},
 	"a length in the trailer":    {chunkedHead + "0\r\nContent-Length: 5\r\n\r\n", errTrailerField},
 	"a coding in the trailer":    {chunkedHead + "0\r\nTransfer-Encoding: chunked\r\n\r\n", errTrailerField},
 	"a folded trailer":           {chunkedHead + "0\r\nX-A: 1\r\n b\r\n\r\n", errFoldedField},
--- a/internal/fleet/gateway/framing_conn.go
+++ b/internal/fleet/gateway/framing_conn.go
@@ -9,16 +9,17 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// malformedRemainder ends any part of a message in a way that net/http refuses: no line of a request
-// contains a NUL, and no line of a chunk a bare line feed. net/http then answers 400 and closes the
-// connection. It is given these bytes and no error, as an error would also end the request before.
+// malformedRemainder is what net/http reads after an ambiguous byte. It rejects these bytes in any part of a
+// message: no line of a request may contain a NUL, and no line with a chunk size a bare line feed. It then
+// answers 400 and closes the connection. A read error would also cancel the request before, so it is
+// returned only after these bytes.
 const malformedRemainder = "\x00\n\x00\r\n\r\n"
 
 // framingListener accepts connections that reject requests with ambiguous framing.
 type framingListener struct {
 	net.Listener
 	rejected *atomic.Int64 // counts the rejected requests
-	clock    *atomic.Int64 // of clientConns
+	clock    *atomic.Int64 // the clock of clientConns
 	limits   func() clientLimits
 }
 
@@ -31,9 +32,9 @@
 	return &framingConn{Conn: conn, rejected: l.rejected, clock: l.clock, limits: l.limits}, nil
 }
 
-// framingConn passes on what it reads up to the first byte at which the end of a request is ambiguous, or its
-// head longer than allowed; what follows never reaches the server. It relies on reads being sequential: net/http reads one byte
-// ahead while a handler runs, but never concurrently with another read.
+// framingConn passes on what it reads until the end of a request becomes ambiguous or its head is too long.
+// What follows never reaches the server. Reads must not be concurrent: net/http reads one byte ahead while a
+// handler runs, but never concurrently with another read.
 type framingConn struct {
 	net.Conn
 	rejected   *atomic.Int64
@@ -41,11 +42,11 @@
 	limits     func() clientLimits
 	times      clientTimes
 	scanner    framingScanner
-	framingErr error  // that the scanner found; nil: none
-	remainder  string // of malformedRemainder that is still to be read
+	framingErr error  // the error of the scanner; nil if there is none
+	remainder  string // the rest of malformedRemainder that has not been read yet
 }
 
-// Read reads from the connection, or what replaces an ambiguous request.
+// Read reads from the connection. After a framing error it reads what replaces the rejected request.
 func (c *framingConn) Read(p []byte) (int, error) {
 	if c.framingErr != nil {
 		return c.readRemainder(p)
@@ -67,7 +68,7 @@
 	return c.readRemainder(p)
 }
 
-// observeHead records since when a head has been arriving.
+// observeHead records when the head began that is being received, 0 if none is.
 func (c *framingConn) observeHead() {
 	if !c.scanner.inHead() {
 		c.times.headSince.Store(0)
@@ -76,8 +77,8 @@
 	}
 }
 
-// readRemainder reads what replaces an ambiguous request, and after that the framing error. A head that is
-// too long goes on until net/http refuses it as well, by 431.
+// readRemainder reads what replaces a rejected request, and returns the framing error at its end. A head that
+// is too long is continued without end, so that net/http rejects it with 431.
 func (c *framingConn) readRemainder(p []byte) (int, error) {
 	if errors.Is(c.framingErr, errHeadTooLong) {
 		for i := range p {
@@ -93,8 +94,8 @@
 	return n, nil
 }
 
-// CloseWrite closes the sending side, if the connection can do that. net/http uses it to let a last
-// response arrive before a reset.
+// CloseWrite closes the sending side if the connection supports it. net/http calls it so that the last
+// response arrives before a reset.
 func (c *framingConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/internal/fleet/gateway/framing_conn_test.go
+++ b/internal/fleet/gateway/framing_conn_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestAmbiguousRequestGets400 also checks that what follows an ambiguous request is not read.
+// TestAmbiguousRequestGets400 checks that each ambiguous request is answered by 400, and that the request after it
+// is not executed.
 func TestAmbiguousRequestGets400(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	for name, c := range ambiguousRequests {
@@ -40,7 +41,7 @@
 			rejected := harness.gateway.Counters.Rejected.Load()
 			client := harness.dial()
 			defer client.Close()
-			// On a route, as net/http does not read the bodies of other requests.
+			// The request must have a route, as net/http does not read the bodies of other requests.
 			routed := strings.TrimSuffix(requestHead("POST", "/once/x", ""), "\r\n")
 			request := strings.Replace(c.request, postHead, routed, 1)
 			client.write(request + postRequest("/once/hidden", "", ""))
@@ -54,7 +55,7 @@
 	}
 }
 
-// TestAmbiguousRequestBehindAnother checks that the requests ahead of an ambiguous one are answered first.
+// TestAmbiguousRequestBehindAnother checks that the requests before an ambiguous one are answered first.
 func TestAmbiguousRequestBehindAnother(t *testing.T) {
 	release := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
@@ -64,10 +65,13 @@
 		}
 		return call.respondSuccess()
 	})
-	ambiguous := requestHead("POST", "/once/x", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")
-	for _, second := range []string{ambiguous, ambiguous[1:10] + " ", "\x00", requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "x\r\n"} {
+	ambiguousHead := requestHead("POST", "/once/x", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n")
+	for _, secondRequest := range []string{
+		ambiguousHead, ambiguousHead[1:10] + " ", "\x00",
+		requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n") + "x\r\n",
+	} {
 		client := harness.dial()
-		client.write(postRequest("/once/first", "", "q") + second + postRequest("/once/hidden", "", ""))
+		client.write(postRequest("/once/first", "", "q") + secondRequest + postRequest("/once/hidden", "", ""))
 		require.Contains(t, harness.nextCall().requestLine, "/once/first")
 		require.Eventually(t, func() bool { return harness.gateway.Counters.Rejected.Load() > 0 }, testTimeout, time.Millisecond)
 		harness.gateway.Counters.Rejected.Store(0)
@@ -81,10 +85,10 @@
 		client.requireClosed()
 		harness.requireNoCall()
 	}
-	require.Zero(t, harness.gateway.Counters.ClientDisconnects.Load(), "a request was cancelled as if its client had left")
+	require.Zero(t, harness.gateway.Counters.ClientDisconnects.Load(), "a request was cancelled without a disconnect")
 }
 
-// TestFramingByteByByte sends pipelined requests with every kind of framing byte by byte.
+// TestFramingByteByByte sends requests with each kind of framing byte by byte on one connection.
 func TestFramingByteByByte(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		if strings.HasPrefix(call.requestLine, "HEAD") {
--- a/internal/fleet/gateway/framing_errors.go
+++ b/internal/fleet/gateway/framing_errors.go
@@ -1,16 +1,17 @@
 package gateway
 
-// framingError is a request whose end HTTP implementations may find at different bytes, or whose head is too long.
+// framingError says why a request is rejected: HTTP implementations may find its end at different bytes, or its head
+// is too long.
 type framingError struct {
-	reason string // what is ambiguous, and what to send instead
+	reason string // what is wrong, and what to send instead
 }
 
 func (e *framingError) Error() string { return "request framing: " + e.reason }
 
 // The errors that a scanner finds.
 var (
-	errHeadTooLong               = &framingError{"head of a request over the limit: send fewer or shorter fields"}
-	errEmptyLines                = &framingError{"more empty lines ahead of a request than are skipped: send none"}
+	errHeadTooLong               = &framingError{"head of the request over the limit: send fewer or shorter fields"}
+	errEmptyLines                = &framingError{"too many empty lines before a request: send none"}
 	errRequestLine               = &framingError{"malformed request line: send METHOD SP TARGET SP HTTP/1.1 CRLF"}
 	errVersion                   = &framingError{"unknown protocol version: send HTTP/1.1"}
 	errLineEnd                   = &framingError{"bare CR or LF: end lines with CRLF"}
@@ -19,7 +20,7 @@
 	errFieldValue                = &framingError{"control character in a field: leave it out"}
 	errContentLength             = &framingError{"malformed Content-Length: send one decimal number"}
 	errContentLengthRepeated     = &framingError{"several Content-Length fields: send one"}
-	errLengthAndTransferEncoding = &framingError{"Content-Length beside Transfer-Encoding: send one of them"}
+	errLengthAndTransferEncoding = &framingError{"both Content-Length and Transfer-Encoding: send one of them"}
 	errTransferEncoding          = &framingError{"Transfer-Encoding other than chunked: send chunked or Content-Length"}
 	errTransferEncodingRepeated  = &framingError{"several Transfer-Encoding fields: send one"}
 	errTransferEncodingVersion   = &framingError{"Transfer-Encoding in HTTP/1.0: send HTTP/1.1"}
--- a/internal/fleet/gateway/framing_fields.go
+++ b/internal/fleet/gateway/framing_fields.go
@@ -20,7 +20,7 @@
 	fieldTransferEncoding
 )
 
-// beginValue recognises a field by its complete name.
+// beginValue determines the kind of a field from its complete name.
 func (s *framingScanner) beginValue() *framingError {
 	s.field = fieldOther
 	if int(s.nameLength) > len(s.name) {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// scanFramingValue reads bytes of a value that frames the message. With an error it returns how many
-// precede the ambiguous one.
+// scanFramingValue reads bytes of the value of Content-Length or Transfer-Encoding. With an error it returns
+// how many bytes precede the invalid one.
 func (s *framingScanner) scanFramingValue(p []byte) (int, *framingError) {
 	for i, b := range p {
 		var err *framingError
@@ -83,7 +83,7 @@
 	return len(p), nil
 }
 
-// scanContentLength reads a byte of Content-Length: digits, with white space around them at most.
+// scanContentLength reads a byte of Content-Length: digits, optionally with white space around them.
 func (s *framingScanner) scanContentLength(b byte) *framingError {
 	if b == ' ' || b == '\t' {
 		s.digitsEnded = s.hasDigits
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// scanTransferEncoding reads a byte of Transfer-Encoding: spaces, and then "chunked" in lower case.
+// scanTransferEncoding reads a byte of Transfer-Encoding: optional spaces, then "chunked" in lower case.
 func (s *framingScanner) scanTransferEncoding(b byte) *framingError {
 	if b == ' ' && s.codingMatched == 0 {
 		return nil
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// endFramingValue checks that a value that frames the message is complete.
+// endFramingValue checks that the value of Content-Length or Transfer-Encoding is complete.
 func (s *framingScanner) endFramingValue() *framingError {
 	switch {
 	case s.field == fieldContentLength && !s.hasDigits:
--- a/internal/fleet/gateway/framing_head.go
+++ b/internal/fleet/gateway/framing_head.go
@@ -2,12 +2,12 @@
 
 const (
 	versionLength = len("HTTP/1.1")
-	// maxEmptyLines is how many empty lines may precede a request: net/http skips up to four bytes of
-	// them after a POST.
+	// maxEmptyLines is how many empty lines may precede a request: after a POST, net/http skips up to
+	// four bytes of them.
 	maxEmptyLines = 2
 )
 
-// scanStart reads the first byte of a request, or of an empty line ahead of it.
+// scanStart reads the first byte of a request, or of an empty line before it.
 func (s *framingScanner) scanStart(b byte) *framingError {
 	switch {
 	case b == '\r':
@@ -47,11 +47,11 @@
 	return s.expect(b, '\r', stateRequestLineEnd, errRequestLine)
 }
 
-// checkVersion compares what has been read of the version with HTTP/1.0 and HTTP/1.1.
+// checkVersion checks that what has been read of the version is the start of HTTP/1.0 or HTTP/1.1.
 func (s *framingScanner) checkVersion() *framingError {
-	const stem = "HTTP/1."
+	const prefix = "HTTP/1."
 	n := int(s.versionRead)
-	if string(s.version[:min(n, len(stem))]) != stem[:min(n, len(stem))] {
+	if string(s.version[:min(n, len(prefix))]) != prefix[:min(n, len(prefix))] {
 		return errVersion
 	}
 	if last := s.version[versionLength-1]; n == versionLength && last != '0' && last != '1' {
@@ -95,7 +95,8 @@
 	return n + 1, nil
 }
 
-// appendName stores as much of a field name as is needed to recognise those that frame the message.
+// appendName stores the next bytes of a field name. Of a name longer than Transfer-Encoding it notes only that
+// it is longer.
 func (s *framingScanner) appendName(p []byte) {
 	if int(s.nameLength)+len(p) > len(s.name) {
 		s.nameLength = uint8(len(s.name) + 1)
@@ -130,7 +131,7 @@
 	return n + 1, nil
 }
 
-// endFields reads the last byte of a header or of a trailer.
+// endFields reads the line feed that ends a header or a trailer.
 func (s *framingScanner) endFields(b byte) *framingError {
 	switch {
 	case b != '\n':
--- a/internal/fleet/gateway/framing_scanner.go
+++ b/internal/fleet/gateway/framing_scanner.go
@@ -1,9 +1,9 @@
 package gateway
 
-// scanState names the part of a message that the next byte belongs to.
+// scanState is the part of a message to which the next byte belongs.
 type scanState uint8
 
-// The states, in the order of a message.
+// The states, in the order in which they occur in a message.
 const (
 	stateMessageStart scanState = iota
 	stateEmptyLineEnd
@@ -25,37 +25,37 @@
 	stateChunkDataLF
 )
 
-// framingScanner follows the requests of one connection and finds the first byte at which the framing
-// of one is ambiguous: request line and header in framing_head.go, Content-Length and
-// Transfer-Encoding in framing_fields.go, bodies in framing_body.go. It stores no bytes but the start
-// of a field name and allocates nothing. Its zero value expects a request. It is not safe for
+// framingScanner scans the requests of one connection and finds the first byte at which the framing of a
+// request is ambiguous. It scans the request line and the header in framing_head.go, Content-Length and
+// Transfer-Encoding in framing_fields.go, and bodies in framing_body.go. It stores only the version and the
+// start of a field name, and allocates nothing. Its zero value expects a request. It is not safe for
 // concurrent use.
 type framingScanner struct {
 	state      scanState
-	emptyLines uint8 // ahead of the request line
-	inTrailer  bool  // the fields are those of a trailer
+	emptyLines uint8 // number of empty lines before the request line
+	inTrailer  bool  // the current fields belong to a trailer
 
 	version     [versionLength]byte
-	versionRead uint8 // bytes of it
+	versionRead uint8 // bytes of version that have been read
 
 	name          [len(transferEncoding)]byte
-	nameLength    uint8 // one over the size of name for all longer ones
+	nameLength    uint8 // len(name)+1 for all names that are longer than name
 	field         fieldKind
-	hasDigits     bool  // of Content-Length
-	digitsEnded   bool  // white space has followed them
-	codingMatched uint8 // bytes of chunkedCoding
-	chunkDigits   uint8
+	hasDigits     bool  // Content-Length has at least one digit
+	digitsEnded   bool  // white space has followed the digits
+	codingMatched uint8 // bytes of chunkedCoding that have been read
+	chunkDigits   uint8 // digits of the chunk size that have been read
 
 	hasContentLength    bool
 	hasTransferEncoding bool
-	remaining           int64 // bytes of a body or a chunk
+	remaining           int64 // bytes of the body or chunk that have not been read yet
 
-	headBytes int64 // of the head that is being read
+	headBytes int64 // bytes of the current head that have been read
 }
 
-// scan reads the next bytes of the connection. It returns how many of them are unambiguous and within a head
-// of maxHeadBytes, and the *framingError of what follows. A scanner that has returned an error must not be
-// used again.
+// scan reads the next bytes of the connection. It returns how many of them may be passed on, and a *framingError
+// if the framing is ambiguous after them or the head is longer than maxHeadBytes. A scanner that has returned an
+// error must not be used again.
 func (s *framingScanner) scan(p []byte, maxHeadBytes int64) (int, error) {
 	for i := 0; i < len(p); {
 		n, err := s.step(p[i:])
@@ -98,7 +98,7 @@
 	return 1, nil
 }
 
-// scanByte reads one byte where parts begin or end.
+// scanByte reads one byte in a state in which bytes are scanned one by one.
 func (s *framingScanner) scanByte(b byte) *framingError {
 	switch s.state {
 	case stateMessageStart:
@@ -126,10 +126,10 @@
 	}
 }
 
-// expect enters the next state if a byte is the required one, and returns otherwise if not.
-func (s *framingScanner) expect(b, required byte, next scanState, otherwise *framingError) *framingError {
+// expect enters the next state if b is the required byte. Otherwise it returns err.
+func (s *framingScanner) expect(b, required byte, next scanState, err *framingError) *framingError {
 	if b != required {
-		return otherwise
+		return err
 	}
 	s.state = next
 	return nil
--- a/internal/fleet/gateway/framing_scanner_test.go
+++ b/internal/fleet/gateway/framing_scanner_test.go
@@ -14,14 +14,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requestSpan is the offsets at which the head of a request and the complete request end.
+// requestSpan has the offsets at which the head of a request and the complete request end.
 type requestSpan struct{ headEnd, requestEnd int }
 
 // scanResult is what a scanner finds in the bytes of a connection.
 type scanResult struct {
-	spans       []requestSpan // of complete requests
-	headEnd     int           // of a last request that is incomplete; 0: none
-	errorOffset int           // of the first ambiguous byte; -1: none
+	spans       []requestSpan // the complete requests
+	headEnd     int           // the end of the head of a last, incomplete request; 0 if there is none
+	errorOffset int           // the offset of the first ambiguous byte; -1 if there is none
 	err         error
 }
 
@@ -30,13 +30,13 @@
 	result := scanResult{errorOffset: -1}
 	var scanner framingScanner
 	for i := range data {
-		before := scanner
+		previousScanner := scanner
 		_, result.err = scanner.scan(data[i:i+1], maxHeaderBytes)
 		if result.err != nil {
 			result.errorOffset = i
 			return result
 		}
-		if before.state == stateFieldsEnd && !before.inTrailer {
+		if previousScanner.state == stateFieldsEnd && !previousScanner.inTrailer {
 			result.headEnd = i + 1
 		}
 		if result.headEnd > 0 && scanner.state == stateMessageStart {
@@ -54,9 +54,9 @@
 }
 
 // parseAll has net/http read requests as its server does, until one can't be read completely. It returns the
-// complete ones and, if only the body of the next can't be read, where its head ends. consumed returns how
-// many bytes of the source have been read by then.
-func parseAll(source io.Reader, consumed func(*bufio.Reader) int) (complete []parsedRequest, headEnd int) {
+// complete requests and, if a request follows whose head is complete and whose body is not, the end of that
+// head. consumed returns how many bytes of the source the reader has consumed.
+func parseAll(source io.Reader, consumed func(*bufio.Reader) int) (requests []parsedRequest, headEnd int) {
 	reader := bufio.NewReader(source)
 	for method := ""; ; {
 		if method == http.MethodPost {
@@ -64,21 +64,21 @@
 		}
 		req, err := http.ReadRequest(reader)
 		if err != nil {
-			return complete, 0
+			return requests, 0
 		}
 		method = req.Method
 		request := parsedRequest{requestSpan: requestSpan{headEnd: consumed(reader)}}
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
-			return complete, request.headEnd
+			return requests, request.headEnd
 		}
 		request.requestEnd = consumed(reader)
 		request.text = fmt.Sprintf("%s %s %s %v %q", req.Method, req.RequestURI, req.Proto, req.Header, body)
-		complete = append(complete, request)
+		requests = append(requests, request)
 	}
 }
 
-// discardEmptyLines does what net/http's server does after a POST.
+// discardEmptyLines skips up to four bytes of empty lines, as net/http's server does after a POST.
 func discardEmptyLines(reader *bufio.Reader) {
 	start, _ := reader.Peek(4)
 	n := len(start) - len(bytes.TrimLeft(start, "\r\n"))
@@ -104,30 +104,32 @@
 }
 
 // compareWithNetHTTP checks that a scanner and net/http find the same requests, and that net/http reads no other
-// ones from a framingConn.
+// requests from a framingConn.
 func compareWithNetHTTP(t *testing.T, data []byte, readSize int) {
-	scanned := scanAll(data)
+	result := scanAll(data)
 	source := bytes.NewReader(data)
 	consumed := func(reader *bufio.Reader) int { return len(data) - source.Len() - reader.Buffered() }
-	parsed, headEnd := parseAll(source, consumed)
-	for i, request := range parsed {
-		if i >= len(scanned.spans) {
-			require.GreaterOrEqual(t, scanned.errorOffset, 0, "net/http reads request %d of %q completely, the scanner does not", i, data)
-			require.Less(t, scanned.errorOffset, request.requestEnd, "net/http reads request %d of %q, the scanner finds an error only after it", i, data)
+	requests, headEnd := parseAll(source, consumed)
+	for i, request := range requests {
+		if i >= len(result.spans) {
+			require.GreaterOrEqual(t, result.errorOffset, 0,
+				"net/http reads request %d of %q completely, the scanner does not", i, data)
+			require.Less(t, result.errorOffset, request.requestEnd,
+				"net/http reads request %d of %q, the scanner finds an error only after it", i, data)
 			break
 		}
-		require.Equal(t, request.requestSpan, scanned.spans[i], "the ends of request %d of %q", i, data)
+		require.Equal(t, request.requestSpan, result.spans[i], "the ends of request %d of %q", i, data)
 	}
-	if headEnd > 0 && scanned.errorOffset < 0 && len(parsed) == len(scanned.spans) {
-		require.Equal(t, headEnd, scanned.headEnd, "the end of the last head of %q", data)
+	if headEnd > 0 && result.errorOffset < 0 && len(requests) == len(result.spans) {
+		require.Equal(t, headEnd, result.headEnd, "the end of the last head of %q", data)
 	}
 
 	var rejected atomic.Int64
 	conn := newFramingConn(&scriptedConn{data: data, readSize: readSize}, &rejected)
-	passed, _ := parseAll(conn, func(*bufio.Reader) int { return 0 })
-	require.Len(t, passed, min(len(parsed), len(scanned.spans)), "requests of %q", data)
-	for i := range passed {
-		require.Equal(t, parsed[i].text, passed[i].text, "request %d of %q", i, data)
+	passedRequests, _ := parseAll(conn, func(*bufio.Reader) int { return 0 })
+	require.Len(t, passedRequests, min(len(requests), len(result.spans)), "requests of %q", data)
+	for i := range passedRequests {
+		require.Equal(t, requests[i].text, passedRequests[i].text, "request %d of %q", i, data)
 	}
 	require.LessOrEqual(t, rejected.Load(), int64(1))
 }
@@ -136,12 +138,12 @@
 	for name, request := range unambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			data := request + request + "\r\n\r\n" + getHead
-			scanned := scanAll([]byte(data))
-			require.NoError(t, scanned.err)
-			require.Len(t, scanned.spans, 3)
-			require.Equal(t, len(request), scanned.spans[0].requestEnd)
-			require.Equal(t, 2*len(request), scanned.spans[1].requestEnd)
-			require.Equal(t, len(data), scanned.spans[2].requestEnd)
+			result := scanAll([]byte(data))
+			require.NoError(t, result.err)
+			require.Len(t, result.spans, 3)
+			require.Equal(t, len(request), result.spans[0].requestEnd)
+			require.Equal(t, 2*len(request), result.spans[1].requestEnd)
+			require.Equal(t, len(data), result.spans[2].requestEnd)
 			for readSize := 1; readSize <= len(data); readSize++ {
 				compareWithNetHTTP(t, []byte(data), readSize)
 			}
@@ -149,14 +151,15 @@
 	}
 }
 
-// TestFramingErrors finds errors also behind other requests, wherever the bytes are split.
+// TestFramingErrors checks that the scanner finds an error at the same byte wherever the bytes are split, also
+// after other requests.
 func TestFramingErrors(t *testing.T) {
 	for name, c := range ambiguousRequests {
 		t.Run(name, func(t *testing.T) {
-			for _, ahead := range []string{"", getHead, chunkedHead + "1\r\nx\r\n0\r\n\r\n"} {
-				data := []byte(ahead + c.request + getHead)
-				scanned := scanAll(data)
-				require.Equal(t, c.err, scanned.err)
+			for _, preceding := range []string{"", getHead, chunkedHead + "1\r\nx\r\n0\r\n\r\n"} {
+				data := []byte(preceding + c.request + getHead)
+				result := scanAll(data)
+				require.Equal(t, c.err, result.err)
 				for split := range len(data) {
 					var scanner framingScanner
 					n, framingErr := scanner.scan(data[:split], maxHeaderBytes)
@@ -166,7 +169,7 @@
 						n += split
 					}
 					require.Equal(t, c.err, framingErr)
-					require.Equal(t, scanned.errorOffset, n)
+					require.Equal(t, result.errorOffset, n)
 				}
 				for _, readSize := range []int{1, 2, 3, 7, 50, len(data)} {
 					compareWithNetHTTP(t, data, readSize)
@@ -176,19 +179,19 @@
 	}
 }
 
-// TestMalformedRemainder checks that net/http takes the remainder for the end of no request, wherever that breaks
-// off.
+// TestMalformedRemainder checks that net/http reads no complete request where a request is cut at any byte and
+// continued by malformedRemainder.
 func TestMalformedRemainder(t *testing.T) {
 	for name, request := range unambiguousRequests {
 		t.Run(name, func(t *testing.T) {
 			for end := range len(request) {
-				for _, ahead := range []string{"", postHead + "Content-Length: 1\r\n\r\nx"} {
+				for _, preceding := range []string{"", postHead + "Content-Length: 1\r\n\r\nx"} {
 					if endsInBody(request[:end]) {
 						continue
 					}
-					data := strings.NewReader(ahead + request[:end] + malformedRemainder + getHead)
-					complete, _ := parseAll(data, func(*bufio.Reader) int { return 0 })
-					require.Len(t, complete, strings.Count(ahead, postHead), "%q", request[:end])
+					data := strings.NewReader(preceding + request[:end] + malformedRemainder + getHead)
+					requests, _ := parseAll(data, func(*bufio.Reader) int { return 0 })
+					require.Len(t, requests, strings.Count(preceding, postHead), "%q", request[:end])
 				}
 			}
 		})
--- a/internal/fleet/gateway/fuzz_test.go
+++ b/internal/fleet/gateway/fuzz_test.go
@@ -15,7 +15,7 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// connReading returns a connection on which a server sends the given bytes and closes.
+// connReading returns a connection on which a server sends the bytes of r and then closes.
 func connReading(r io.Reader) *conn { return newConn(readConn{r: r}, "i-0") }
 
 type readConn struct {
@@ -38,20 +38,20 @@
 	return resp, body, rest, err
 }
 
-// FuzzResponse reads arbitrary bytes as a response. The result does not depend on how they are divided into
-// reads, nothing but what follows the response remains, and a truncated response is never complete unless
-// it is close-delimited.
+// FuzzResponse reads arbitrary bytes as a response. It checks that the result does not depend on how the bytes
+// are divided into reads, that only what follows the response is left unread, and that a truncated response
+// is never taken for complete unless it is close-delimited.
 func FuzzResponse(f *testing.F) {
-	for _, a := range scriptedResponses {
-		f.Add([]byte(a.text+"HTTP/1.1 "), false)
+	for _, response := range scriptedResponses {
+		f.Add([]byte(response.text+"HTTP/1.1 "), false)
 	}
 	f.Add([]byte("HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n00\r\nA: b\r\n\r\nrest"), false)
 	f.Add([]byte("HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\n"), true)
 	f.Add([]byte("HTTP/1.0 200 X\nContent-Length: 3\n\nabc"), false)
 	f.Add([]byte("HTTP/1.1 204 X\r\n\r\nrest"), false)
-	f.Fuzz(func(t *testing.T, text []byte, bare bool) {
+	f.Fuzz(func(t *testing.T, text []byte, isHead bool) {
 		method := http.MethodPost
-		if bare {
+		if isHead {
 			method = http.MethodHead
 		}
 		resp, body, rest, err := readOneResponse(bytes.NewReader(text), method)
@@ -87,15 +87,15 @@
 	})
 }
 
-// FuzzResetResponse reads arbitrary bytes as a response whose connection is reset: a close-delimited one is
-// never complete.
+// FuzzResetResponse reads arbitrary bytes as a response whose connection is reset, and checks that a
+// close-delimited response is never taken for complete.
 func FuzzResetResponse(f *testing.F) {
-	for _, a := range scriptedResponses {
-		f.Add([]byte(a.text))
+	for _, response := range scriptedResponses {
+		f.Add([]byte(response.text))
 	}
-	broke := errors.New("connection reset")
+	resetErr := errors.New("connection reset")
 	f.Fuzz(func(t *testing.T, text []byte) {
-		conn := connReading(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(broke)))
+		conn := connReading(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(resetErr)))
 		resp, err := http1.ReadResponseHead(conn.reader)
 		if err != nil {
 			return
@@ -107,9 +107,9 @@
 	})
 }
 
-// FuzzEvents has an eventSequence accept arbitrary bytes, at once and in two parts cut anywhere. Both ways
-// accept the same events: complete ones only, with consecutive IDs, and none of another version of the
-// weights where another server takes over.
+// FuzzEvents has an eventSequence accept arbitrary bytes, at once and cut into two parts. It checks that both
+// accept the same events: only complete events, and none of another version of the weights where another
+// server takes over.
 func FuzzEvents(f *testing.F) {
 	f.Add(eventTexts(3, 5), 7, int64(3), true)
 	f.Add(versionChange("4", 3)+eventText(4), 20, int64(3), true)
--- a/internal/fleet/gateway/relay.go
+++ b/internal/fleet/gateway/relay.go
@@ -10,26 +10,27 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// maxBufferedBodyBytes is how long a body may be that is relayed only once it is complete, so that
-// another server can be tried if it is not.
+// maxBufferedBodyBytes is the largest size of a body that is relayed only once it is complete. If it turns
+// out to be truncated, another server can still be tried.
 const maxBufferedBodyBytes = 64 << 10
 
-// relayResult is the end of an attempt whose response is a success.
+// relayResult describes the end of an attempt that got a 2xx response.
 type relayResult struct {
 	outcome  outcome
-	reported balancer.Outcome // to the balancer
-	reusable bool             // the body was read completely
+	reported balancer.Outcome // the outcome that is reported to the balancer
+	reusable bool             // the body was read completely, so the connection can be used again
 }
 
-// resultServed is the result of a success that was relayed completely.
+// resultServed is the result of an attempt whose response was relayed completely.
 var resultServed = relayResult{outcomeAnswered, balancer.Succeeded, true}
 
-// relayFailed is the result of a success that broke off. The connection is of no further use.
+// relayFailed returns the result of an attempt whose response was not relayed completely. Its connection is
+// not used again.
 func relayFailed(result outcome, reported balancer.Outcome) relayResult {
 	return relayResult{result, reported, false}
 }
 
-// relaySuccess relays a success to the client.
+// relaySuccess relays a 2xx response to the client.
 func (t *attempt) relaySuccess(ctx context.Context, upstream *http.Response) outcome {
 	if upstream.Header.Get(headerServerSeal) == "" || upstream.Header.Get("Content-Encoding") != "" {
 		t.reported = balancer.BadResponse
@@ -46,8 +47,9 @@
 	return result.outcome
 }
 
-// relayBody relays a response that is no stream. One of up to maxBufferedBodyBytes is relayed once it
-// is complete; whether a longer one is, the client sees by its length or its last chunk.
+// relayBody relays a response that is not a stream. A body of up to maxBufferedBodyBytes is relayed once it
+// is complete. A longer one is relayed as it arrives; its length or its last chunk shows the client whether it
+// is complete.
 func (t *attempt) relayBody(ctx context.Context, upstream *http.Response) relayResult {
 	body, err := newBodyReader(t.conn, upstream, t.request.method)
 	if err != nil {
@@ -68,14 +70,14 @@
 	return resultServed
 }
 
-// relayLongBody relays a body as it arrives: first its start, which has been read.
+// relayLongBody relays a body as it arrives. start has been read already, rest is the remainder.
 func (t *attempt) relayLongBody(upstream *http.Response, start []byte, rest io.Reader) relayResult {
 	response := t.response
 	copyEndToEndHeader(response.writer.Header(), upstream.Header)
 	if upstream.ContentLength >= 0 {
 		response.writer.Header().Set("Content-Length", strconv.FormatInt(upstream.ContentLength, 10))
 	}
-	// Best effort: limitWriteTime bounds the writes, too.
+	// Errors are ignored, as limitWriteTime also ends writes that take too long.
 	_ = response.controller.SetWriteDeadline(t.request.deadline.Add(clientWriteTimeout))
 	response.writer.WriteHeader(upstream.StatusCode)
 	_, err := response.writer.Write(start)
@@ -90,8 +92,8 @@
 	return resultServed
 }
 
-// relayFailure classifies a response that is no success, and relays it if another server would answer
-// the same.
+// relayFailure classifies a response other than 2xx, and relays it if another server would give the same
+// answer.
 func (t *attempt) relayFailure(ctx context.Context, upstream *http.Response) outcome {
 	body, err := readBoundedBody(t.conn, upstream, t.request.method)
 	if err != nil && ctx.Err() != nil {
@@ -106,8 +108,8 @@
 		t.reported = reportedOutcomeOf(err)
 		return outcomeUnknown
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
-		// Without the server's statement these prove nothing here, and relayed they would promise the
-		// client that the request was not executed.
+		// Without the server's statement these do not prove that the request was not executed. They
+		// are not relayed, as the client would take them for that proof.
 		t.reported = balancer.ServerError
 		return outcomeUnknown
 	case status >= 500:
--- a/internal/fleet/gateway/relay_test.go
+++ b/internal/fleet/gateway/relay_test.go
@@ -28,7 +28,7 @@
 		return call.startStream("s") && call.writeChunk("one ") && call.writeChunk("two") && call.write("0\r\nX-Trailer: 1\r\n\r\n")
 	})
 	client := harness.dial()
-	for range 2 { // the trailer is not taken for the next response
+	for range 2 { // the trailer must not be taken for the next response
 		client.write(postRequest("/once/x", "", ""))
 		resp, body := client.readResponse()
 		require.Equal(t, "one two", body)
@@ -40,11 +40,11 @@
 // TestLongResponses checks bodies around the size up to which they are buffered. A longer one that is truncated
 // is not retried.
 func TestLongResponses(t *testing.T) {
-	long := strings.Repeat("0123456789abcdef", maxBufferedBodyBytes/16) // just buffered
+	longBody := strings.Repeat("0123456789abcdef", maxBufferedBodyBytes/16) // the longest body that is buffered
 	script := func(call *upstreamCall, n int) bool {
-		size := len(long)
+		size := len(longBody)
 		fmt.Sscan(call.header.Get("X-Size"), &size)
-		body := strings.Repeat(long, size/len(long)+1)[:size]
+		body := strings.Repeat(longBody, size/len(longBody)+1)[:size]
 		switch {
 		case call.header.Get("X-Cut") != "" && n == 0:
 			call.write("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", headerAttemptID, call.attemptID(), sealField, size+1, body)
@@ -69,7 +69,7 @@
 			client.write(requestHead(method, "/safe/x", fmt.Sprintf("X-Size: %d\r\nContent-Length: 0\r\n", size)))
 			resp, body := client.readResponse()
 			require.Equal(t, "seal-1", resp.Header.Get(headerServerSeal))
-			require.True(t, strings.Repeat(long, 6)[:size] == body, "%s %d: %d bytes", method, size, len(body))
+			require.True(t, strings.Repeat(longBody, 6)[:size] == body, "%s %d: %d bytes", method, size, len(body))
 		}
 	}
 	require.EqualValues(t, 1, harness.servers[0].connCount.Load())
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestLongFailures checks that failures of servers are bounded, and that the statement of one that it has not
-// executed the request counts whatever its size.
+// TestLongFailures checks that a server error with a long body is not relayed, and that a server's statement
+// that it has not executed the request counts whatever the size of its body.
 func TestLongFailures(t *testing.T) {
 	script := func(call *upstreamCall, _ int) bool {
 		status := 500
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxPromptSegments bounds the segments of a prompt that a client may describe.
+	// maxPromptSegments is how many segments of a prompt are read from a request; further ones are ignored.
 	maxPromptSegments = 64
-	// maxRequestTimeout bounds the time that a route or a client may give a request.
+	// maxRequestTimeout is the longest time-out of a request, whatever its route and its client allow.
 	maxRequestTimeout = 10 * time.Minute
 )
 
-// request is one attempt of a client, as it was received.
+// request is a client's request as it was received.
 type request struct {
 	balancer.Request
 	attemptID     string // chosen by the client, sent to each server
@@ -29,16 +29,16 @@
 	host          string
 	header        http.Header
 	body          []byte
-	reservedBytes int64 // of the gateway's body memory
+	reservedBytes int64 // bytes of the gateway's body memory that are reserved for body
 	receivedAt    time.Time
 	deadline      time.Time
-	lastEventID   string // of a stream that the client resumes; "" if none
+	lastEventID   string // the last event of the stream that the client resumes; "" if it resumes none
 	config        *config.Document
-	hidesKeys     bool           // API keys and names of tenants are not the client's to send
-	tenant        *config.Tenant // nil: none is needed, and none is known
+	hidesKeys     bool           // the API keys and tenant names that the client sent must not reach a server
+	tenant        *config.Tenant // nil if the request needs no tenant and has no known API key
 }
 
-// requestError is an invalid request, and the status with which it is answered.
+// requestError says what is invalid about a request, and has the HTTP status of the response.
 type requestError struct {
 	status  int
 	message string
@@ -53,9 +53,9 @@
 // parseRequest matches a request to its route and reads its header fields. Its error is a *requestError.
 func parseRequest(req *http.Request, snapshot *relay.Snapshot, receivedAt time.Time) (*request, error) {
 	if !req.ProtoAtLeast(1, 1) {
-		// Without chunks the end of a stream would be that of the connection, and a truncated one
-		// would look complete.
-		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
+		// HTTP/1.0 has no chunks: a stream would end with the connection, and a truncated one would
+		// look complete.
+		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is required")
 	}
 	target, err := originForm(req.RequestURI)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return r, nil
 }
 
-// reparse applies a newer configuration to a request that was received.
+// reparse parses a received request again, by a newer configuration. Its body is kept.
 func reparse(req *http.Request, snapshot *relay.Snapshot, received *request) (*request, error) {
 	r, err := parseRequest(req, snapshot, received.receivedAt)
 	if err == nil {
@@ -108,7 +108,7 @@
 	return r, err
 }
 
-// originForm returns a request target without scheme and authority, if it has them (RFC 9112,
+// originForm removes the scheme and the authority from a request target that has them (RFC 9112,
 // sections 3.2.1 and 3.2.2). It changes nothing else of the target.
 func originForm(target string) (string, error) {
 	const scheme = "http://"
@@ -121,16 +121,16 @@
 		target = authorityAndPath[pathStart:]
 	}
 	if !strings.HasPrefix(target, "/") {
-		return "", requestErrorf(http.StatusBadRequest, "the target is no path")
+		return "", requestErrorf(http.StatusBadRequest, "the target is not a path")
 	}
 	return target, nil
 }
 
-// checkFields reports repeated fields that have to be unique, and a missing attempt ID.
+// checkFields returns an error if a field that has to be unique is repeated, or if the attempt ID is missing.
 func checkFields(header http.Header) error {
 	for _, name := range uniqueFields {
 		if len(header[name]) > 1 {
-			return requestErrorf(http.StatusBadRequest, "%s more than once", name)
+			return requestErrorf(http.StatusBadRequest, "%s is sent more than once", name)
 		}
 	}
 	if header.Get(headerAttemptID) == "" {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// clientTimeout returns the time that a client gives its request, in milliseconds, but at most limit.
-// A value that can't be read gives the limit.
+// clientTimeout parses the time that a client allows for its request, in milliseconds. It returns at most
+// limit, and exactly limit for a value that is not a positive number.
 func clientTimeout(field string, limit time.Duration) time.Duration {
 	milliseconds, err := strconv.ParseFloat(field, 64)
 	if err != nil || !(milliseconds > 0) { // NaN compares as false
@@ -150,8 +150,8 @@
 	return min(limit, time.Duration(milliseconds*float64(time.Millisecond)))
 }
 
-// parseTokenCount reads the client's estimate of the tokens of its prompt and of the response. It is
-// a hint: what can't be read is 0.
+// parseTokenCount parses the client's estimate of the number of tokens in its prompt and in the response.
+// The estimate is a hint: a number that is missing or invalid counts as 0.
 func parseTokenCount(field string) (prompt, output int) {
 	promptText, outputText, _ := strings.Cut(field, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(promptText))
@@ -159,8 +159,8 @@
 	return max(prompt, 0), max(output, 0)
 }
 
-// parsePromptSegments reads the segments of a prompt, "ID:TOKENS" separated by commas. They are a hint: the
-// first that can't be read ends them. An ID that is no hexadecimal number is hashed.
+// parsePromptSegments parses the segments of a prompt, "ID:TOKENS" separated by commas. They are a hint:
+// parsing stops at the first invalid one. An ID that is not a hexadecimal number is hashed.
 func parsePromptSegments(field string) []balancer.Segment {
 	if field == "" {
 		return nil
--- a/internal/fleet/gateway/request_test.go
+++ b/internal/fleet/gateway/request_test.go
@@ -88,7 +88,7 @@
 	require.Equal(t, "q", call.body)
 }
 
-// TestEndToEndFields checks that fields reach the servers unchanged, at each attempt.
+// TestEndToEndFields checks that at each attempt the end-to-end fields reach the server unchanged.
 func TestEndToEndFields(t *testing.T) {
 	fields := map[string][]string{
 		headerModel: {"Model/v1.5:large"}, headerTokenCount: {"0001460, 80"}, headerPromptPrefix: {"5C1E07A2:800,91bd3f06:0410,,x"}, headerAttemptID: {"Id-0x9C\xe9"},
@@ -127,10 +127,10 @@
 		return call.respondSuccess()
 	})
 	_, _ = harness.roundTrip(postRequest("/once/x", headerDeadline+": 4000\r\n", "q"))
-	first, second := harness.nextCall().timeout(t), harness.nextCall().timeout(t)
-	require.LessOrEqual(t, first, 4*time.Second)
-	require.Greater(t, first, time.Second)
-	require.LessOrEqual(t, second, first-50*time.Millisecond)
+	firstTimeout, secondTimeout := harness.nextCall().timeout(t), harness.nextCall().timeout(t)
+	require.LessOrEqual(t, firstTimeout, 4*time.Second)
+	require.Greater(t, firstTimeout, time.Second)
+	require.LessOrEqual(t, secondTimeout, firstTimeout-50*time.Millisecond)
 	// An invalid deadline is ignored: the route's time-out applies.
 	for _, field := range []string{"", headerDeadline + ": 1e300\r\n", headerDeadline + ": inf\r\n", headerDeadline + ": nan\r\n", headerDeadline + ": -5\r\n", headerDeadline + ": soon\r\n",
 		headerDeadline + ": 99999999999999999999\r\n"} {
@@ -154,8 +154,8 @@
 
 		client.write(requestHead("POST", "/once/x", "Transfer-Encoding: chunked\r\n"))
 		for i := 0; i < n; i += 5000 {
-			part := body[i:min(i+5000, n)]
-			client.write(fmt.Sprintf("%X;ext=1\r\n%s\r\n", len(part), part))
+			chunk := body[i:min(i+5000, n)]
+			client.write(fmt.Sprintf("%X;ext=1\r\n%s\r\n", len(chunk), chunk))
 		}
 		client.write("0\r\nX-Trailer: 1\r\n\r\n")
 		_, got = client.readResponse()
@@ -217,7 +217,7 @@
 
 func TestRouteChangeDuringBody(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
-	other := harness.startServer("t")
+	otherServer := harness.startServer("t")
 	harness.update(harness.document(`,{"name":"moved","hostname":"h.example","path-prefix":"/once/moved/","route-kind":"unsafe","timeout-ms":10000,"target-service":"t"}`))
 	client := harness.dial()
 	// The route moves to another service, and then it is removed.
@@ -227,7 +227,7 @@
 	client.write(strings.Repeat("x", 10000))
 	resp, _ := client.readResponse()
 	require.Equal(t, 200, resp.StatusCode)
-	require.Same(t, other, harness.nextCall().server)
+	require.Same(t, otherServer, harness.nextCall().server)
 
 	harness.update(harness.document(`,{"name":"removed","hostname":"h.example","path-prefix":"/removed/","route-kind":"unsafe","timeout-ms":10000,"target-service":"t"}`))
 	client.startUpload("/removed/x")
@@ -248,9 +248,9 @@
 		client.write(postRequest("/split/x", "", ""))
 		_, _ = client.readResponse()
 	}
-	to := harness.servers[1].requestCount.Load()
-	require.InDelta(t, 300, to, 60)
-	require.EqualValues(t, 400-to, harness.servers[0].requestCount.Load())
+	toSecond := harness.servers[1].requestCount.Load()
+	require.InDelta(t, 300, toSecond, 60)
+	require.EqualValues(t, 400-toSecond, harness.servers[0].requestCount.Load())
 }
 
 func TestParsePromptSegments(t *testing.T) {
--- a/internal/fleet/gateway/response.go
+++ b/internal/fleet/gateway/response.go
@@ -12,7 +12,7 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// clientWriteTimeout is how long a client may take to read what is written to it at once.
+// clientWriteTimeout is how long one write to a client may take.
 const clientWriteTimeout = 10 * time.Second
 
 // clientResponse is the response to a client, over all attempts of its request.
@@ -20,10 +20,10 @@
 	writer        http.ResponseWriter
 	controller    *http.ResponseController
 	headerSent    bool
-	events        eventSequence     // that the client has received
-	failure       *bufferedResponse // of the latest server that failed; nil: none
-	retryAfter    time.Duration     // that a server has asked for
-	retryReserved bool              // the retry budget has counted the next send
+	events        eventSequence     // the events that the client has received
+	failure       *bufferedResponse // the latest server error that may be relayed; nil if there is none
+	retryAfter    time.Duration     // the latest Retry-After of a server; 0 if none sent one
+	retryReserved bool              // the retry budget has already counted the next attempt
 }
 
 // bufferedResponse is a complete response of a server.
@@ -33,8 +33,8 @@
 	body   []byte
 }
 
-// newClientResponse returns the response to a client that has received the event with the given ID;
-// "" if it has received none.
+// newClientResponse returns the response to a client. lastEventID is the ID of the last event that the
+// client has received, "" if it has received none.
 func newClientResponse(w http.ResponseWriter, lastEventID string) *clientResponse {
 	return &clientResponse{
 		writer:     w,
@@ -44,19 +44,19 @@
 }
 
 // writeBuffered sends a complete response of a server.
-func (c *clientResponse) writeBuffered(buffered *bufferedResponse) {
+func (c *clientResponse) writeBuffered(response *bufferedResponse) {
 	header := c.writer.Header()
-	copyEndToEndHeader(header, buffered.header)
-	length := buffered.header.Get("Content-Length")
-	if length == "" || len(buffered.body) > 0 { // else it is a response to HEAD, or empty
-		length = strconv.Itoa(len(buffered.body))
+	copyEndToEndHeader(header, response.header)
+	length := response.header.Get("Content-Length")
+	if length == "" || len(response.body) > 0 { // otherwise it is a response to HEAD, or empty
+		length = strconv.Itoa(len(response.body))
 	}
 	header.Set("Content-Length", length)
-	c.writer.WriteHeader(buffered.status)
-	_, _ = c.writer.Write(buffered.body) // a client that has left needs no error
+	c.writer.WriteHeader(response.status)
+	_, _ = c.writer.Write(response.body) // an error only means that the client has disconnected
 }
 
-// writeEvents sends events to the client, after the header of the first server if that is still due.
+// writeEvents sends events to the client. If no header was sent yet, it first sends that of the server.
 func (c *clientResponse) writeEvents(upstream *http.Response, events []byte) error {
 	if err := c.controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout)); err != nil {
 		return errors.Wrap(err, "set the write deadline of a client")
@@ -73,23 +73,23 @@
 	return c.controller.Flush()
 }
 
-// copyEndToEndHeader copies the fields that are not meant for one connection only.
+// copyEndToEndHeader copies all fields that are not hop-by-hop.
 func copyEndToEndHeader(to, from http.Header) {
 	for name, values := range http1.EndToEnd(from) {
 		to[name] = values
 	}
 }
 
-// parseLoad reads the load that a server reports: requests running, requests waiting, slots. It
-// returns nil for a field that can't be read.
+// parseLoad parses the load that a server reports: the numbers of running requests, of waiting requests and
+// of slots, separated by commas. It returns nil if the field is invalid.
 func parseLoad(field string) *balancer.Load {
-	parts := strings.Split(field, ",")
-	if len(parts) != 3 {
+	texts := strings.Split(field, ",")
+	if len(texts) != 3 {
 		return nil
 	}
 	var numbers [3]int
-	for i, part := range parts {
-		number, err := strconv.Atoi(strings.TrimSpace(part))
+	for i, text := range texts {
+		number, err := strconv.Atoi(strings.TrimSpace(text))
 		if err != nil || number < 0 {
 			return nil
 		}
--- a/internal/fleet/gateway/resume_test.go
+++ b/internal/fleet/gateway/resume_test.go
@@ -12,15 +12,15 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// quickRoutes are routes of streams on which a stalled server is replaced early.
+// quickRoutes are routes of streams with short time-outs for a server that sends nothing.
 const quickRoutes = `,{"name":"quick","hostname":"h.example","path-prefix":"/quick/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":100,"target-service":"s","max-attempts":3,"resumable":true,"gap_aim_ms":100},
  {"name":"quick-once","hostname":"h.example","path-prefix":"/quick-once/","route-kind":"streaming","timeout-ms":10000,"setpoint-ms":100,"target-service":"s","max-attempts":3,"gap_aim_ms":100}`
 
 // streamFault is a way in which a server breaks off a stream after its second event. The client has read that
-// by then, as a reset drops what has not been read.
+// event before, as a reset discards what has not been read.
 type streamFault struct {
 	breakOff  func(call *upstreamCall) bool
-	lastEvent int // the last that reaches the client
+	lastEvent int // the ID of the last event that reaches the client
 }
 
 var streamFaults = map[string]streamFault{
@@ -59,7 +59,7 @@
 // resumable reports whether the streams of a route may be resumed.
 func resumable(path string) bool { return path == "/resume/x" || path == "/quick/x" }
 
-// withoutResuming allows no retries of streams that may be resumed.
+// withoutResuming allows no retries if the streams of a route may be resumed.
 func withoutResuming(path string) settingsOption {
 	if resumable(path) {
 		return withoutRetryBudget
@@ -67,17 +67,17 @@
 	return func(*settings.Settings) {}
 }
 
-// TestBrokenStreamIsTruncated breaks off streams that may not be resumed, by their route or by the retry
-// budget: they break off for the client, too.
+// TestBrokenStreamIsTruncated has a server break off a stream that the route or the retry budget does not allow
+// to resume, and checks that the client sees a truncated stream.
 func TestBrokenStreamIsTruncated(t *testing.T) {
 	for name, fault := range streamFaults {
 		for _, path := range []string{"/stream/x", "/quick-once/x", "/resume/x", "/quick/x"} {
 			t.Run(name+path, func(t *testing.T) {
-				read := make(chan bool)
+				eventsRead := make(chan bool)
 				harness := newHarness(t, 2, func(call *upstreamCall, _ int) bool {
 					call.startStream("s")
 					call.writeEvents(1, 2)
-					<-read
+					<-eventsRead
 					return fault.breakOff(call)
 				}, withoutResuming(path))
 				harness.update(harness.document(quickRoutes))
@@ -87,7 +87,7 @@
 				require.Equal(t, 200, resp.StatusCode)
 				require.Equal(t, eventText(1), readEvent(t, resp))
 				require.Equal(t, eventText(2), readEvent(t, resp))
-				close(read)
+				close(eventsRead)
 				rest, err := io.ReadAll(resp.Body)
 				require.Error(t, err, "it must not look complete")
 				require.False(t, isTimeout(err), "the connection is still open")
@@ -102,12 +102,12 @@
 	for name, fault := range streamFaults {
 		for _, path := range []string{"/resume/x", "/quick/x"} {
 			t.Run(name+path, func(t *testing.T) {
-				read := make(chan bool)
+				eventsRead := make(chan bool)
 				harness := newHarness(t, 3, func(call *upstreamCall, n int) bool {
 					if n == 0 {
 						call.startStream("first")
 						call.writeEvents(1, 2)
-						<-read
+						<-eventsRead
 						return fault.breakOff(call)
 					}
 					return call.startStream("second") && call.writeEvents(call.resumeID()+1, 6) && call.endStream()
@@ -118,7 +118,7 @@
 				resp := client.readHead()
 				require.Equal(t, eventText(1), readEvent(t, resp))
 				require.Equal(t, eventText(2), readEvent(t, resp))
-				close(read)
+				close(eventsRead)
 				rest, err := io.ReadAll(resp.Body)
 				require.NoError(t, err)
 				require.Equal(t, eventTexts(3, 6), string(rest))
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestStreamBrokenBeforeFirstEvent breaks off streams of which the client has received nothing.
+// TestStreamBrokenBeforeFirstEvent has a server break off a stream of which the client has received nothing.
 func TestStreamBrokenBeforeFirstEvent(t *testing.T) {
 	for name, breakOff := range map[string]func(call *upstreamCall) bool{
 		"closed":         func(call *upstreamCall) bool { return false },
@@ -189,10 +189,11 @@
 	require.EqualValues(t, 3, harness.callCount.Load())
 }
 
-// TestResumeFails has the server that is to continue a stream fail: the stream breaks off, or continues at
-// a third server. Nothing of the failure gets into the stream.
+// TestResumeFails has the server fail that should continue a stream. It checks that a third server continues
+// the stream if there is one, and that the stream is truncated otherwise. In both cases the client receives
+// nothing of the failed response.
 func TestResumeFails(t *testing.T) {
-	for name, second := range map[string]func(call *upstreamCall) bool{
+	for name, failSecondCall := range map[string]func(call *upstreamCall) bool{
 		"full":      func(call *upstreamCall) bool { return call.respondNotRun() },
 		"failed":    func(call *upstreamCall) bool { return call.respond(500, "", "failed") },
 		"not found": func(call *upstreamCall) bool { return call.respond(404, "", "nothing") },
@@ -207,7 +208,7 @@
 				if n == 0 {
 					return call.startStream("s") && call.writeEvents(1, 2) && false
 				}
-				return second(call)
+				return failSecondCall(call)
 			})
 			client := harness.dial()
 			client.write(postRequest("/resume/x", "", "q"))
@@ -220,7 +221,7 @@
 				case 0:
 					return call.startStream("s") && call.writeEvents(1, 2) && false
 				case 1:
-					return second(call)
+					return failSecondCall(call)
 				}
 				return call.startStream("s") && call.writeEvents(3, 4) && call.endStream()
 			})
@@ -230,7 +231,7 @@
 	}
 }
 
-// TestClientResumesStream has a client ask for the continuation of a stream.
+// TestClientResumesStream has a client ask for the rest of a stream of which it has received the first events.
 func TestClientResumesStream(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		if n == 0 {
@@ -244,7 +245,8 @@
 	require.Equal(t, []string{"6"}, harness.nextCall().header[headerLastEventID])
 }
 
-// TestStalledServerIsReplaced has a server stall before the first event and after it.
+// TestStalledServerIsReplaced checks that another server takes over from one that stalls, before the first
+// event and after it.
 func TestStalledServerIsReplaced(t *testing.T) {
 	for _, started := range []bool{false, true} {
 		harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
@@ -266,7 +268,8 @@
 	}
 }
 
-// TestStalledServerWithoutBudget waits for a server that stalls if no other may continue the stream.
+// TestStalledServerWithoutBudget checks that the gateway waits for a stalled server if the retry budget does not
+// allow another one to continue the stream.
 func TestStalledServerWithoutBudget(t *testing.T) {
 	harness := newHarness(t, 2, func(call *upstreamCall, n int) bool {
 		call.startStream("s")
--- a/internal/fleet/gateway/retry.go
+++ b/internal/fleet/gateway/retry.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxConnectFailures is how many servers may fail to take a request before it ends. They do not
-	// count as attempts of the route: none of them was sent the request.
+	// maxConnectFailures is how many attempts of a request may end before the request was sent. They do not
+	// count against the route's limit on attempts, as no server received the request.
 	maxConnectFailures = 4
-	// minAttemptTime is the least time before the deadline in which another server could answer.
+	// minAttemptTime is how much time must be left until the deadline for another attempt.
 	minAttemptTime = 30 * time.Millisecond
 )
 
-// attemptHistory is what the attempts of one request have shown so far.
+// attemptHistory summarizes the attempts of one request so far.
 type attemptHistory struct {
-	sent            int  // attempts that reached a server
-	connectFailures int  // attempts that did not
+	sent            int  // attempts in which the request was sent to a server
+	connectFailures int  // attempts that ended before the request was sent
 	mayHaveExecuted bool // at least one server may have executed the request
 }
 
-// add takes the outcome of an attempt that has not ended the request.
+// add records the outcome of an attempt that has not ended the request.
 func (h *attemptHistory) add(o outcome) {
 	switch o {
 	case outcomeNotSent:
@@ -37,7 +37,7 @@
 }
 
 // forward sends a request to one server after the other until one has answered or no further attempt
-// is allowed. It returns false if it is certain that no server has executed it.
+// is allowed. It reports whether a server may have executed the request.
 func (g *Gateway) forward(ctx context.Context, w http.ResponseWriter, r *request) bool {
 	response := newClientResponse(w, r.lastEventID)
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
@@ -58,7 +58,7 @@
 		case outcomeAnswered:
 			return true
 		case outcomeClientDisconnected:
-			panic(http.ErrAbortHandler) // what the client has of a response must not look complete
+			panic(http.ErrAbortHandler) // a partial response must not look complete
 		}
 		history.add(result)
 		if reason, ok := g.mayRetry(ctx, response, r, &history); !ok {
@@ -71,7 +71,8 @@
 	}
 }
 
-// pick has the balancer choose a server. It reports false if there is none, or no time left.
+// pick has the balancer choose a server. It returns false if the balancer rejects the request or if its
+// deadline has passed.
 func (g *Gateway) pick(r *request) (balancer.Decision, bool) {
 	now := g.now()
 	r.TimeLeft, r.Elapsed = time.Until(r.deadline), time.Since(r.receivedAt)
@@ -88,8 +89,8 @@
 	return decision, true
 }
 
-// mayRetry reports whether another server may be tried, or the reason why not. A retry of a request
-// that was sent is counted against the retry budget.
+// mayRetry reports whether another attempt is allowed, and the reason if not. If the request was already
+// sent, the attempt counts against the retry budget.
 func (g *Gateway) mayRetry(ctx context.Context, response *clientResponse, r *request, history *attemptHistory) (reason string, ok bool) {
 	switch {
 	case history.mayHaveExecuted && !r.Route.Idempotent(),
@@ -111,8 +112,8 @@
 	return "", true
 }
 
-// reserveRetry reports whether the retry budget allows one more send of a request. The first success
-// counts; further calls before that send are free.
+// reserveRetry reports whether the retry budget allows another attempt of a request. The budget counts the
+// attempt once: after a call that returned true, further calls before that attempt are free.
 func (g *Gateway) reserveRetry(response *clientResponse, r *request) bool {
 	if !response.retryReserved {
 		g.mu.Lock()
@@ -122,8 +123,8 @@
 	return response.retryReserved
 }
 
-// finishUnanswered ends a request that no server has answered, at once. The client is told that the
-// request was not executed only if that is proven.
+// finishUnanswered ends a request that no server has answered, without waiting. The response says that the
+// request was not executed only if that is certain.
 func (g *Gateway) finishUnanswered(response *clientResponse, r *request, history *attemptHistory, retryAfter time.Duration, reason string) {
 	switch {
 	case response.headerSent:
@@ -143,8 +144,8 @@
 	}
 }
 
-// endAttempt reports the outcome of an attempt to the balancer. After a fault of the server a health check
-// may be due.
+// endAttempt reports the outcome of an attempt to the balancer. After a fault of the server it wakes the
+// health checks, as one may be due.
 func (g *Gateway) endAttempt(attempt *balancer.Attempt, reported balancer.Outcome) {
 	now := g.now()
 	g.mu.Lock()
--- a/internal/fleet/gateway/retry_test.go
+++ b/internal/fleet/gateway/retry_test.go
@@ -23,10 +23,10 @@
 func TestMaxAttempts(t *testing.T) {
 	harness := newHarness(t, 5, func(call *upstreamCall, _ int) bool { return call.respondNotRun() })
 	for path, limit := range map[string]int64{"/one/x": 1, "/once/x": 3, "/safe/x": 3} {
-		before := harness.callCount.Load()
+		callsBefore := harness.callCount.Load()
 		resp, _ := harness.roundTrip(postRequest(path, "", "q"))
 		requireRefused(t, resp)
-		require.LessOrEqual(t, harness.callCount.Load()-before, limit, path)
+		require.LessOrEqual(t, harness.callCount.Load()-callsBefore, limit, path)
 	}
 }
 
@@ -86,12 +86,12 @@
 	})
 	resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 	require.Equal(t, 200, resp.StatusCode)
-	wrong := harness.nextCall().server
+	wrongServer := harness.nextCall().server
 	for range 6 {
 		resp, _ := harness.roundTrip(postRequest("/once/x", "", "q"))
 		require.Equal(t, 200, resp.StatusCode)
 	}
-	require.EqualValues(t, 1, wrong.requestCount.Load())
+	require.EqualValues(t, 1, wrongServer.requestCount.Load())
 	require.Len(t, harness.gateway.ServerStatuses(), 1)
 }
 
@@ -102,7 +102,8 @@
 	require.EqualValues(t, 1, harness.callCount.Load())
 }
 
-// TestServerDrainsBeforeSend has a server leave the list between its choice and the send.
+// TestServerDrainsBeforeSend has a server leave the list after the balancer has chosen it and before the
+// request is sent.
 func TestServerDrainsBeforeSend(t *testing.T) {
 	harness := newHarness(t, 2, alwaysSucceed)
 	// The balancer still knows both servers, the snapshot only one.
--- a/internal/fleet/gateway/scriptedresponse_test.go
+++ b/internal/fleet/gateway/scriptedresponse_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 )
 
-// exchangeAttemptID is the attempt ID of the request of an exchange, exchangeBody its body.
+// exchangeAttemptID is the attempt ID of the request in an exchange, exchangeBody is its body.
 const exchangeAttemptID, exchangeBody = "a1", "qu"
 
-// scriptedResponse is the response of a server, and what the server made of the request.
+// scriptedResponse is the response of a server, and whether the server has executed the request.
 type scriptedResponse struct {
 	text           string
 	status         int
@@ -22,7 +22,8 @@
 	return scriptedResponse{text: text, status: status, body: body, executed: executed}
 }
 
-// framedResponse returns a success whose fields and framed body determine its length.
+// framedResponse returns a 200 response to a request that was executed. framed is the body as it is sent, in
+// the framing that fields name.
 func framedResponse(fields, framed, body string, closeDelimited bool) scriptedResponse {
 	text := fmt.Sprintf("HTTP/1.1 200 X\r\n%s: %s\r\n%s%s\r\n%s", headerAttemptID, exchangeAttemptID, sealField, fields, framed)
 	return scriptedResponse{text: text, status: 200, body: body, executed: true, closeDelimited: closeDelimited}
@@ -37,7 +38,7 @@
 	return framedResponse(headerVersions+": 3\r\nTransfer-Encoding: chunked\r\n", chunkedCodingOf(events...), eventTexts(from, to), false)
 }
 
-// chunkedCodingOf returns a chunked body.
+// chunkedCodingOf returns a body in chunked coding.
 func chunkedCodingOf(chunks ...string) string {
 	framed := ""
 	for _, chunk := range chunks {
--- a/internal/fleet/gateway/stall.go
+++ b/internal/fleet/gateway/stall.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// A server that sends nothing while another one could continue the stream is replaced after these times.
+// These constants determine how long a server may send nothing before another one takes over, if one could.
 const (
-	// firstEventTimeoutSetpoints bounds the wait for the first event, in latency targets of the route.
-	firstEventTimeoutSetpoints = 2.5
-	// eventTimeoutGaps bounds the wait for each further event, in gap targets of the route.
-	eventTimeoutGaps = 4
-	// minStallTimeout is the least time for either.
+	// firstEventTimeoutFactor is the time-out for the first event as a multiple of the route's latency target.
+	firstEventTimeoutFactor = 2.5
+	// nextEventTimeoutFactor is the time-out for each further event as a multiple of the route's target for
+	// the time between two events.
+	nextEventTimeoutFactor = 4
+	// minStallTimeout is the lower bound of both time-outs.
 	minStallTimeout = 900 * time.Millisecond
 )
 
-// stallDeadline returns until when the server may send nothing. If no other server could take over,
-// that is the deadline of the request.
+// stallDeadline returns the time by which the server has to send something. If no other server could
+// take over, that is the deadline of the request.
 func (t *attempt) stallDeadline() time.Time {
 	r := t.request
 	if !r.Route.Idempotent() || r.Route.MaxAttempts <= len(r.Tried)+1 {
 		return r.deadline
 	}
-	timeout := time.Duration(firstEventTimeoutSetpoints * float64(r.LatencyTarget))
+	timeout := time.Duration(firstEventTimeoutFactor * float64(r.LatencyTarget))
 	if t.response.headerSent {
-		timeout = eventTimeoutGaps * time.Duration(r.Route.InterTokenTargetMs) * time.Millisecond
+		timeout = nextEventTimeoutFactor * time.Duration(r.Route.InterTokenTargetMs) * time.Millisecond
 	}
 	if deadline := time.Now().Add(max(timeout, minStallTimeout)); deadline.Before(r.deadline) {
 		return deadline
@@ -32,15 +33,16 @@
 	return r.deadline
 }
 
-// awaitData waits until the server has sent something more, up to the stall deadline; and longer while
-// the server still takes the body of the request, or if the retry budget allows no other server.
+// awaitData waits until the server has sent more data, up to the stall deadline. It waits longer while the
+// body of the request is still being sent, and up to the request's deadline if the retry budget allows no
+// other attempt.
 func (t *attempt) awaitData(ctx context.Context) error {
 	conn, r := t.conn, t.request
 	deadline := t.stallDeadline()
 	for {
 		conn.SetReadDeadline(deadline)
 		if ctx.Err() != nil {
-			// The connection was closed before the deadline was set.
+			// The end of ctx closes the connection.
 			return ctx.Err()
 		}
 		if conn.reader.Buffered() == 0 {
--- a/internal/fleet/gateway/startup.go
+++ b/internal/fleet/gateway/startup.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// startupWait is how long a request waits for a process that starts. It is less than a quarter
-	// of the shortest latency target of a route, so that a refusal still comes in time.
+	// startupWait is how long a request waits for a starting process. It is less than a quarter of the
+	// shortest latency target of a route, so that a refusal still arrives in time.
 	startupWait = 90 * time.Millisecond
-	// startupPoll is how often it is looked meanwhile whether the API keys are confirmed.
-	startupPoll = 10 * time.Millisecond
-	// startupTime is how long it takes until a process can serve that was started together with all
-	// others; the core has to find itself first. A client that comes back sooner may be refused again.
+	// startupPollInterval is how often a waiting request checks whether the API keys are confirmed.
+	startupPollInterval = 10 * time.Millisecond
+	// startupTime is how long a process needs until it can serve if all processes are started together;
+	// the members of the core have to find each other first. A client that retries sooner may be refused
+	// again.
 	startupTime = 1500 * time.Millisecond
-	// startupSpread is the time over which the clients that were refused are told to come back: not all
-	// at once, when the process has just begun to serve.
+	// startupSpread is the upper bound of the random time that is added to the Retry-After of a starting
+	// process. Otherwise all refused clients would return at once when it has just begun to serve.
 	startupSpread = 700 * time.Millisecond
 )
 
@@ -31,21 +32,21 @@
 // Servable reports whether requests can be served.
 func (g *Gateway) Servable() bool { return isServable(g.snapshot.Load()) }
 
-// servableSnapshot returns the snapshot by which a request is handled that was received at a time, or the
-// reason for which it is refused. It gives a process that starts up to startupWait.
+// servableSnapshot returns the snapshot for handling a request that was received at the given time, or the
+// reason for which the request is refused. While the process is starting, it waits up to startupWait.
 func (g *Gateway) servableSnapshot(ctx context.Context, receivedAt time.Time) (snapshot *relay.Snapshot, refusal string) {
-	snapshot, refusal = g.judgeSnapshot(receivedAt)
+	snapshot, refusal = g.checkSnapshot(receivedAt)
 	if refusal == "" || !g.isStarting() {
 		return snapshot, refusal
 	}
 	g.waitStarted(ctx)
-	return g.judgeSnapshot(receivedAt)
+	return g.checkSnapshot(receivedAt)
 }
 
-// judgeSnapshot returns the newest snapshot, and why it can't be used for a request that was received at a
-// time, "" if it can.
-func (g *Gateway) judgeSnapshot(receivedAt time.Time) (snapshot *relay.Snapshot, refusal string) {
-	confirmed := g.keysConfirmed(receivedAt) // of what is loaded after it
+// checkSnapshot returns the newest snapshot, or the reason why it can't be used for a request that was
+// received at the given time. The reason is "" if it can.
+func (g *Gateway) checkSnapshot(receivedAt time.Time) (snapshot *relay.Snapshot, refusal string) {
+	confirmed := g.keysConfirmed(receivedAt) // before the snapshot is loaded
 	snapshot = g.snapshot.Load()
 	switch {
 	case !isServable(snapshot):
@@ -56,15 +57,16 @@
 	return snapshot, ""
 }
 
-// isStarting reports whether the process has not been able to serve yet.
+// isStarting reports whether the process can't serve yet: it has no servable snapshot, or its API keys have
+// never been confirmed.
 func (g *Gateway) isStarting() bool { return !g.Servable() || !g.keysEverConfirmed() }
 
-// keysEverConfirmed reports whether the API keys were confirmed since the start, if they have to be.
+// keysEverConfirmed reports whether the API keys have been confirmed since the start, or need not be.
 func (g *Gateway) keysEverConfirmed() bool {
 	return g.keyMaxAge == 0 || g.KeysFreshAsOf != nil && !g.KeysFreshAsOf().IsZero()
 }
 
-// waitStarted waits until the process can serve, for startupWait at most.
+// waitStarted waits until the process can serve, but at most for startupWait.
 func (g *Gateway) waitStarted(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, startupWait)
 	defer cancel()
@@ -72,7 +74,7 @@
 	case <-g.becameServable:
 	case <-ctx.Done():
 	}
-	poll := time.NewTicker(startupPoll)
+	poll := time.NewTicker(startupPollInterval)
 	defer poll.Stop()
 	for g.isStarting() {
 		select {
@@ -83,7 +85,8 @@
 	}
 }
 
-// startupRetryAfter is when a client should come back that was refused by a process that may be starting.
+// startupRetryAfter returns the Retry-After of a request that servableSnapshot refuses. While the process is
+// starting, it is the expected rest of the start plus a random time.
 func (g *Gateway) startupRetryAfter() time.Duration {
 	if !g.isStarting() {
 		return defaultRetryAfter
--- a/internal/fleet/gateway/startup_test.go
+++ b/internal/fleet/gateway/startup_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request that comes before the API keys were ever confirmed waits for that, as it waits for the first
-// snapshot.
+// TestRequestWaitsForTheFirstConfirmation checks that a request waits if the API keys have never been confirmed,
+// as it waits for the first snapshot.
 func TestRequestWaitsForTheFirstConfirmation(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed, withClosedRevocation)
-	var questions atomic.Int64
+	var calls atomic.Int64
 	harness.gateway.KeysFreshAsOf = func() time.Time {
-		if questions.Add(1) < 6 { // it is asked again while a request waits
+		if calls.Add(1) < 6 { // a waiting request calls it repeatedly
 			return time.Time{}
 		}
 		return time.Now()
@@ -27,7 +27,8 @@
 	require.Zero(t, harness.gateway.Counters.Unconfirmed.Load())
 }
 
-// A client that a starting process refuses is told to come back once the process will have started.
+// TestRetryAfterOfAStartingProcess checks that a client that is refused by a starting process is asked to return
+// at the time at which the process should have started.
 func TestRetryAfterOfAStartingProcess(t *testing.T) {
 	harness := newUnconfiguredHarness(t, 1, alwaysSucceed)
 	retryAfter := func() time.Duration {
@@ -41,10 +42,11 @@
 	require.Greater(t, retryAfter(), defaultRetryAfter)
 	require.LessOrEqual(t, retryAfter(), startupTime-startupWait+startupSpread)
 	harness.gateway.startedAt = time.Now().Add(-startupTime)
-	require.Less(t, retryAfter(), defaultRetryAfter+startupSpread, "it takes longer than usual")
+	require.Less(t, retryAfter(), defaultRetryAfter+startupSpread, "the start has taken longer than startupTime")
 }
 
-// Clients that a starting process refuses do not come back all at once.
+// TestRetryAfterOfAStartingProcessIsSpread checks that clients that are refused by a starting process are not
+// all asked to return at the same time.
 func TestRetryAfterOfAStartingProcessIsSpread(t *testing.T) {
 	harness := newUnconfiguredHarness(t, 1, alwaysSucceed)
 	harness.gateway.startedAt = time.Now().Add(-startupTime)
@@ -56,7 +58,8 @@
 	require.Greater(t, latest-earliest, startupSpread/2)
 }
 
-// A process that has served and whose keys can't be confirmed any more refuses at once.
+// TestNoWaitOnceStarted checks that a process refuses requests without waiting if its API keys were confirmed
+// once, but too long ago.
 func TestNoWaitOnceStarted(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed, withClosedRevocation)
 	harness.gateway.KeysFreshAsOf = func() time.Time { return time.Now().Add(-time.Hour) }
--- a/internal/fleet/gateway/stream.go
+++ b/internal/fleet/gateway/stream.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes is the largest size of one event of a stream.
 	maxEventBytes = 256 << 10
-	// streamReadBytes is how much of a stream is read at once.
+	// streamReadBytes is how much of a stream is read at once, at most.
 	streamReadBytes = 8 << 10
 )
 
-// relayStream relays the events of a response as they arrive, complete ones only. Events whose IDs are
-// not consecutive do not belong to the stream: it breaks off there, and continues at another server
-// if the route allows that.
+// relayStream relays the complete events of a response as they arrive. An event whose ID does not follow
+// the one before does not belong to the stream: relayStream stops there, and another server continues the
+// stream if the route allows that.
 func (t *attempt) relayStream(ctx context.Context, upstream *http.Response) relayResult {
 	body, err := newBodyReader(t.conn, upstream, t.request.method)
 	if err != nil {
@@ -26,9 +26,9 @@
 	}
 	version := parseVersion(upstream.Header.Get(headerVersions))
 	if !t.response.events.startServer(version, t.response.headerSent) {
-		return relayFailed(outcomeUnknown, balancer.Cancelled) // other weights are no fault of the server
+		return relayFailed(outcomeUnknown, balancer.Cancelled) // having other weights is no fault of the server
 	}
-	var pending []byte // read, not relayed
+	var pending []byte // bytes that were read and not yet relayed
 	buffer := make([]byte, streamReadBytes)
 	for {
 		n, readErr := 0, t.awaitBody(ctx, body)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// finishStream ends a stream whose body is complete; rest is what follows its last event.
+// finishStream ends a stream whose body is complete; rest is what follows its last complete event.
 func (t *attempt) finishStream(upstream *http.Response, rest []byte) relayResult {
 	if len(bytes.TrimSpace(rest)) > 0 {
 		return relayFailed(outcomeUnknown, balancer.BadResponse) // it ends within an event
@@ -92,14 +92,15 @@
 	return relayFailed(outcomeUnknown, balancer.Timeout)
 }
 
-// awaitBody waits until the server has sent more of a body, unless nothing more is due.
+// awaitBody waits until the server has sent more of a body. It returns at once if a body with a
+// Content-Length has been read completely.
 func (t *attempt) awaitBody(ctx context.Context, body io.Reader) error {
 	if delimited, ok := body.(*lengthDelimitedBody); ok && delimited.remaining == 0 {
 		return nil
 	}
 	err := t.awaitData(ctx)
 	if _, ok := body.(*closeDelimitedBody); ok && err == io.ErrUnexpectedEOF {
-		return nil // the body tells whether this is its end
+		return nil // reading the body shows whether this is its end
 	}
 	return err
 }
--- a/internal/fleet/gateway/stream_random_test.go
+++ b/internal/fleet/gateway/stream_random_test.go
@@ -15,7 +15,7 @@
 // randomFault is what a server of a randomStream does.
 type randomFault int
 
-// The faults. All but faultNotRun follow some events of the stream.
+// The faults. All but faultNotRun occur after some events of the stream.
 const (
 	faultNotRun randomFault = iota // it states that it has not executed the request
 	faultReset
@@ -26,16 +26,17 @@
 	faultRepeatedEvent
 	faultMissingEvent
 	faultMalformedChunk
-	// Two numbers for servers that send the complete stream, and perhaps more after it.
+	// Two values stand for a server without a fault, to make it more likely. It sends the complete stream,
+	// and perhaps surplus bytes after it.
 	faultNone
-	faultNoneEither
-	randomFaults
+	faultNoneDuplicate
+	randomFaultCount
 )
 
 // randomStreamEvents is the number of events of a complete stream.
 const randomStreamEvents = 12
 
-// randomStream is a stream whose servers break off after a random event, in a random way.
+// randomStream is a stream that servers break off after a random event, by a random fault.
 type randomStream struct {
 	path string
 
@@ -51,31 +52,31 @@
 	return &randomStream{path: paths[random.IntN(len(paths))], random: random}
 }
 
-// limitBudget allows no retries in one of four streams.
+// limitBudget allows no retries for one stream in four.
 func (s *randomStream) limitBudget(nodeSettings *settings.Settings) {
 	if s.random.IntN(4) == 0 {
 		withoutRetryBudget(nodeSettings)
 	}
 }
 
-// respond is the script of the servers.
+// respond is the callScript of the servers.
 func (s *randomStream) respond(call *upstreamCall, _ int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := call.resumeID() + 1
-	last := first - 1 + s.random.IntN(randomStreamEvents-first+2)
-	fault := randomFault(s.random.IntN(int(randomFaults)))
-	s.history = append(s.history, fmt.Sprintf("%d to %d, fault %d", first, last, fault))
+	firstID := call.resumeID() + 1
+	lastID := firstID - 1 + s.random.IntN(randomStreamEvents-firstID+2)
+	fault := randomFault(s.random.IntN(int(randomFaultCount)))
+	s.history = append(s.history, fmt.Sprintf("%d to %d, fault %d", firstID, lastID, fault))
 	if fault == faultNotRun {
 		return call.respondNotRun()
 	}
 	s.executions++
-	call.startStream(fmt.Sprint("from ", first))
-	s.writeInChunks(call, eventTexts(first, last))
-	if last == 0 && (fault == faultRepeatedEvent || fault == faultMissingEvent) {
+	call.startStream(fmt.Sprint("from ", firstID))
+	s.writeInChunks(call, eventTexts(firstID, lastID))
+	if lastID == 0 && (fault == faultRepeatedEvent || fault == faultMissingEvent) {
 		fault = faultClose // any ID is valid for the first event
 	}
-	return s.breakOff(call, last, fault)
+	return s.breakOff(call, lastID, fault)
 }
 
 // writeInChunks writes events in chunks of a random size.
@@ -87,9 +88,9 @@
 	}
 }
 
-// breakOff ends a stream after the given event.
-func (s *randomStream) breakOff(call *upstreamCall, last int, fault randomFault) bool {
-	partialEvent := eventText(last + 1)[:7]
+// breakOff ends a stream after the event with the ID lastID, by the given fault.
+func (s *randomStream) breakOff(call *upstreamCall, lastID int, fault randomFault) bool {
+	partialEvent := eventText(lastID + 1)[:7]
 	switch fault {
 	case faultReset:
 		return call.resetOnClose()
@@ -105,18 +106,19 @@
 		call.write("0\r\n")
 		return false
 	case faultRepeatedEvent:
-		return call.writeChunk(eventText(last)) && call.endStream()
+		return call.writeChunk(eventText(lastID)) && call.endStream()
 	case faultMissingEvent:
-		return call.writeChunk(eventText(last+2)) && call.endStream()
+		return call.writeChunk(eventText(lastID+2)) && call.endStream()
 	case faultMalformedChunk:
 		return call.write("HTTP/1.1 200 OK\r\n\r\n")
 	}
 	surplus := []string{"", "\r\n", "HTTP/1.1 200 OK\r\n"}
-	return call.writeEvents(last+1, randomStreamEvents) && call.endStream() && call.write("%s", surplus[s.random.IntN(len(surplus))])
+	return call.writeEvents(lastID+1, randomStreamEvents) && call.endStream() &&
+		call.write("%s", surplus[s.random.IntN(len(surplus))])
 }
 
-// TestStreamsUnderRandomFaults checks that clients receive the beginning of a stream in complete events,
-// which looks complete only if it is, whatever servers do to the stream.
+// TestStreamsUnderRandomFaults checks that, whatever the faults of the servers, a client receives only complete
+// events from the beginning of the stream, and a response that looks complete only if the stream is.
 func TestStreamsUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/fleet/gateway/stream_test.go
+++ b/internal/fleet/gateway/stream_test.go
@@ -13,12 +13,12 @@
 
 func TestEventsAreRelayedImmediately(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resume/x"} {
-		more := make(chan bool)
+		sendNext := make(chan bool)
 		harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 			call.startStream("s")
 			for id := 1; id <= 5; id++ {
 				call.writeChunk(eventText(id))
-				<-more
+				<-sendNext
 			}
 			return call.endStream()
 		})
@@ -30,7 +30,7 @@
 		require.Equal(t, "text/event-stream", resp.Header.Get("Content-Type"))
 		for id := 1; id <= 5; id++ {
 			require.Equal(t, eventText(id), readEvent(t, resp)) // before the server sends the next
-			more <- true
+			sendNext <- true
 		}
 		_, err := io.ReadFull(resp.Body, make([]byte, 1))
 		require.Equal(t, io.EOF, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestEventsSplitAcrossChunks has chunks and writes end anywhere in events.
+// TestEventsSplitAcrossChunks checks that events are relayed if chunks end anywhere within them.
 func TestEventsSplitAcrossChunks(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		all := eventTexts(1, 30)
@@ -72,7 +72,7 @@
 	require.Empty(t, body)
 }
 
-// TestSlowClient has a client that does not read its stream: other requests are not delayed.
+// TestSlowClient checks that a client that does not read its stream does not delay other requests.
 func TestSlowClient(t *testing.T) {
 	blocked := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
--- a/internal/fleet/gateway/surplus_test.go
+++ b/internal/fleet/gateway/surplus_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestSurplusResponseAfter checks that bytes after a response are never taken for the next one, and that their
-// connection carries no further request.
+// TestSurplusResponseAfter checks that bytes after a response are never taken for the next response, and that
+// their connection carries no further request.
 func TestSurplusResponseAfter(t *testing.T) {
 	surplus := func(attemptID string) string {
 		return fmt.Sprintf("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: 5\r\n\r\nother", headerAttemptID, attemptID, sealField)
@@ -68,17 +68,18 @@
 	})
 }
 
-// TestSurplusResponseCutAtEachByte sends each prefix of a response to another request, after one response or
-// before the next on the same connection: a client gets its own response or none.
+// TestSurplusResponseCutAtEachByte has a server send each prefix of a response to another request, after the
+// first response of a connection or before the second. It checks that a client gets its own response or none.
 func TestSurplusResponseCutAtEachByte(t *testing.T) {
 	surplus := fmt.Sprintf("HTTP/1.1 200 X\r\n%s: other\r\n%sContent-Length: 5\r\n\r\nother", headerAttemptID, sealField)
 	for length := range len(surplus) + 1 {
 		for name, script := range map[string]callScript{
-			"behind": func(call *upstreamCall, _ int) bool {
-				own := "served " + call.body
-				return call.write("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s%s", headerAttemptID, call.attemptID(), sealField, len(own), own, surplus[:length])
+			"after": func(call *upstreamCall, _ int) bool {
+				ownBody := "served " + call.body
+				return call.write("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s%s",
+					headerAttemptID, call.attemptID(), sealField, len(ownBody), ownBody, surplus[:length])
 			},
-			"ahead": func(call *upstreamCall, n int) bool {
+			"before": func(call *upstreamCall, n int) bool {
 				if n == 1 {
 					call.write("%s", surplus[:length])
 				}
@@ -93,7 +94,7 @@
 					continue
 				}
 				require.Equal(t, 502, resp.StatusCode, "%s, %d bytes", name, length)
-				require.Equal(t, "ahead", name)
+				require.Equal(t, "before", name)
 				require.EqualValues(t, 1, i)
 			}
 			require.EqualValues(t, 2, harness.callCount.Load(), "%s, %d bytes", name, length)
--- a/internal/fleet/gateway/tenant.go
+++ b/internal/fleet/gateway/tenant.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// revokeMargin is the part of the time for which API keys may be unconfirmed that is left to what
-	// is measured with two clocks, and revokeMarginDivisor gives its least share of a longer time: the
-	// clocks may run at different rates.
+	// revokeMargin and revokeMarginDivisor determine how much less KeyMaxAge is than the time allowed for a
+	// revocation: revokeMargin, or that time divided by revokeMarginDivisor if this is more. The margin is
+	// needed as two clocks are involved, which may run at different rates.
 	revokeMargin, revokeMarginDivisor = 250 * time.Millisecond, 20
-	// minKeyMaxAge is the least such time: a shorter one would refuse requests between two
-	// confirmations.
+	// minKeyMaxAge is the lower bound of KeyMaxAge: with less, requests between two confirmations would be
+	// refused.
 	minKeyMaxAge = time.Second
-	// minQuotaRetryAfter is the least Retry-After of a request over its tenant's quota.
+	// minQuotaRetryAfter is the shortest Retry-After of a request over its tenant's quota.
 	minQuotaRetryAfter = 20 * time.Millisecond
 )
 
-// KeyMaxAge is for how long API keys may be unconfirmed when a request is received that has to be refused
-// from a time after the acknowledgement of its key's removal.
+// KeyMaxAge returns how old the last confirmation of the API keys may be when a request is received. revoke
+// is the time after the acknowledgement of a key's removal from which requests with that key must be refused.
 func KeyMaxAge(revoke time.Duration) time.Duration {
 	return max(revoke-max(revokeMargin, revoke/revokeMarginDivisor), minKeyMaxAge)
 }
 
-// QuotaClient admits requests by the quota of their tenant.
+// QuotaClient decides which requests the quotas of their tenants admit.
 type QuotaClient interface {
-	// Admit asks for an amount of a tenant's quota.
+	// Admit requests an amount of a tenant's quota.
 	Admit(ctx context.Context, tenant string, amount float64) quota.Decision
-	// Return gives back an amount that was admitted and that no server has used.
+	// Return gives back an amount that was admitted for a request that no server has executed.
 	Return(tenant string, amount float64)
 }
 
-// authenticate returns the tenant of a request, nil where the route needs none and the request has
-// none. A key that is missing, unknown or sent twice opens nothing.
+// authenticate returns the tenant to whom the API key of a request belongs. A key that is missing, unknown
+// or sent more than once belongs to no tenant. A request without a tenant is an error, unless its route is
+// keyless or the configuration has no tenants.
 func authenticate(header http.Header, document *config.Document, route *config.Route) (*config.Tenant, error) {
 	if !document.HasTenants() {
 		return nil, nil
@@ -53,7 +54,8 @@
 	return tenant, nil
 }
 
-// setTenant replaces what the client sent of keys and tenants in the head for a server.
+// setTenant removes the API key and the tenant that the client sent from the header for a server, and adds
+// the name of the authenticated tenant.
 func (r *request) setTenant(header http.Header) {
 	if !r.hidesKeys {
 		return
@@ -65,9 +67,9 @@
 	}
 }
 
-// keysConfirmed reports whether a request that was received at a time may be judged by the API keys that
-// are known here: none of them was revoked longer before than may be. The snapshot has to be loaded
-// after this call.
+// keysConfirmed reports whether the API keys that this process knows are recent enough to authenticate a
+// request that was received at the given time: they were confirmed no longer than keyMaxAge before it. The
+// snapshot has to be loaded after this call.
 func (g *Gateway) keysConfirmed(receivedAt time.Time) bool {
 	if g.keyMaxAge == 0 {
 		return true
@@ -79,26 +81,26 @@
 	return !asOf.IsZero() && receivedAt.Sub(asOf) <= g.keyMaxAge
 }
 
-// stillAllowed reports whether the newest configuration allows a request as the one by which it was
-// received did: the same route, and a key that is held by the same tenant.
+// stillAllowed reports whether the newest configuration still allows a request: it has a route for it, and
+// the API key of the request belongs to the same tenant as before.
 func (g *Gateway) stillAllowed(r *request) bool {
-	newest := g.snapshot.Load().Config
-	if newest == nil || newest == r.config {
+	newestConfig := g.snapshot.Load().Config
+	if newestConfig == nil || newestConfig == r.config {
 		return true
 	}
 	path, _, _ := strings.Cut(r.target, "?")
-	route := newest.Match(r.host, path)
+	route := newestConfig.Match(r.host, path)
 	if route == nil {
 		return false
 	}
-	tenant, err := authenticate(r.header, newest, route)
+	tenant, err := authenticate(r.header, newestConfig, route)
 	if err != nil {
 		return false
 	}
 	return tenant == nil && r.tenant == nil || tenant != nil && r.tenant != nil && tenant.Name == r.tenant.Name
 }
 
-// quotaCost is what a request counts for against its tenant's quota; 0: it is not limited.
+// quotaCost returns how much a request uses of its tenant's quota, 0 if no quota applies to it.
 func (g *Gateway) quotaCost(r *request) float64 {
 	if g.Quota == nil || r.tenant == nil || !r.tenant.Limited() {
 		return 0
@@ -106,7 +108,7 @@
 	return r.tenant.Cost(r.PromptTokens, r.MaxOutputTokens)
 }
 
-// admitByQuota reports whether the quota of its tenant admits a request. Otherwise it has answered it.
+// admitByQuota reports whether the quota of its tenant admits a request. If not, it answers the request.
 func (g *Gateway) admitByQuota(ctx context.Context, w http.ResponseWriter, r *request) bool {
 	cost := g.quotaCost(r)
 	if cost == 0 {
@@ -125,13 +127,13 @@
 	}
 	g.Counters.QuotaUnavailable.Add(1)
 	if !decision.Undecided {
-		w.Header().Set("Connection", "close") // another agent may reach a holder
+		w.Header().Set("Connection", "close") // the client may find an agent that reaches a holder of the quota
 	}
 	g.refuse(w, defaultRetryAfter, reasonQuota)
 	return false
 }
 
-// returnQuota gives back what a request was admitted for that no server has executed.
+// returnQuota gives back the amount that was admitted for a request that no server has executed.
 func (g *Gateway) returnQuota(r *request) {
 	if cost := g.quotaCost(r); cost > 0 {
 		g.Quota.Return(r.tenant.Name, cost)
--- a/internal/fleet/gateway/tenant_test.go
+++ b/internal/fleet/gateway/tenant_test.go
@@ -23,34 +23,36 @@
 // withTenants returns a configuration with testTenants.
 func (h *testHarness) withTenants() *config.Document { return h.document(testTenants) }
 
-// withClosedRevocation lets keys be unconfirmed for five seconds.
+// withClosedRevocation has requests with a removed key refused from five seconds after the removal, even if the
+// gateway does not learn of the removal.
 func withClosedRevocation(nodeSettings *settings.Settings) {
 	nodeSettings.Bounds.RevocationClosed, nodeSettings.Bounds.RevokeMs = true, 5000
 }
 
-// fakeQuota gives the same decision for each request, and records what it was asked.
+// fakeQuota gives the same decision for each request, and records the amounts.
 type fakeQuota struct {
 	decision quota.Decision
 
-	mu       sync.Mutex
-	asked    []float64
-	returned []float64
+	mu               sync.Mutex // guards the fields below
+	amountsRequested []float64  // the amounts that Admit was called with
+	amountsReturned  []float64  // the amounts that Return was called with
 }
 
 func (q *fakeQuota) Admit(_ context.Context, _ string, amount float64) quota.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.asked = append(q.asked, amount)
+	q.amountsRequested = append(q.amountsRequested, amount)
 	return q.decision
 }
 
 func (q *fakeQuota) Return(_ string, amount float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.returned = append(q.returned, amount)
+	q.amountsReturned = append(q.amountsReturned, amount)
 }
 
-// The server is told the tenant that holds the key, whatever the client sends, and never sees a key.
+// TestServerSeesTenantAndNoKey checks that a server receives the name of the tenant to whom the key belongs,
+// whatever tenant the client names, and never an API key.
 func TestServerSeesTenantAndNoKey(t *testing.T) {
 	for name, test := range map[string]struct{ path, fields, tenant string }{
 		"a key":                           {"/once/x", "Api-Key: key-a\r\n", "alpha"},
@@ -83,8 +85,8 @@
 	}
 }
 
-// A key that is missing, unknown, empty or not the only one opens nothing; a path without a route is
-// answered first.
+// TestUnauthorized checks that a request is rejected if its key is missing, unknown, empty or not the only one.
+// A path without a route is rejected before the key is checked.
 func TestUnauthorized(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	harness.update(harness.withTenants())
@@ -107,7 +109,7 @@
 	require.EqualValues(t, 7, harness.gateway.Counters.Unauthorized.Load())
 }
 
-// Without tenants the fields of a client are its own.
+// TestWithoutTenantsFieldsPass checks that the client's fields reach the server if no tenants are configured.
 func TestWithoutTenantsFieldsPass(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed)
 	resp, _ := harness.roundTrip(requestHead("POST", "/once/x", "Api-Key: key-a\r\n"))
@@ -115,7 +117,8 @@
 	require.Equal(t, "key-a", harness.nextCall().header.Get(headerAPIKey))
 }
 
-// A request whose keys can't be confirmed is refused, not rejected: another agent may know better.
+// TestUnconfirmedKeys checks that a request is refused, not rejected, if the API keys were not confirmed
+// recently: another agent may have a newer configuration.
 func TestUnconfirmedKeys(t *testing.T) {
 	harness := newHarness(t, 1, alwaysSucceed, withClosedRevocation)
 	var age time.Duration
@@ -148,7 +151,7 @@
 	require.Equal(t, http.StatusOK, request("key-a"), "a configuration without tenants needs no key")
 }
 
-// A retry is sent by the newest configuration: not once the key is revoked.
+// TestRetryAfterRevocation checks that a request is not sent again once its key has been revoked.
 func TestRetryAfterRevocation(t *testing.T) {
 	var harness *testHarness
 	harness = newHarness(t, 2, func(call *upstreamCall, n int) bool {
@@ -176,8 +179,8 @@
 	require.Equal(t, 200, post("Api-Key: key-a\r\nChalkdoor-Token-Count: 1000,24\r\n").StatusCode)
 	require.Equal(t, 200, post("Api-Key: key-a\r\n").StatusCode)
 	require.Equal(t, 200, post("Api-Key: key-b\r\n").StatusCode)
-	require.Equal(t, []float64{1024, 200}, client.asked, "a tenant without a quota is not asked for")
-	require.Empty(t, client.returned)
+	require.Equal(t, []float64{1024, 200}, client.amountsRequested, "Admit is not called for a tenant without a quota")
+	require.Empty(t, client.amountsReturned)
 
 	client.decision = quota.Decision{Verdict: quota.Exhausted, RetryAfter: 1500 * time.Millisecond}
 	resp := post("Api-Key: key-a\r\n")
@@ -191,37 +194,39 @@
 	require.EqualValues(t, 3, harness.requestCount())
 }
 
-// What no server has executed is given back; what may have been is not.
+// TestQuotaIsReturned checks that the quota of a request is returned if no server has executed it, and is not
+// if one may have.
 func TestQuotaIsReturned(t *testing.T) {
 	harness := newHarness(t, 1, func(call *upstreamCall, n int) bool {
 		if n == 0 {
 			return call.respondNotRun()
 		}
-		return false // closes the connection: it may have run
+		return false // closes the connection: the request may have been executed
 	})
 	client := &fakeQuota{decision: quota.Decision{Verdict: quota.Admitted}}
 	harness.gateway.Quota = client
 	harness.update(harness.withTenants())
 	resp, _ := harness.roundTrip(requestHead("POST", "/one/x", "Api-Key: key-a\r\nChalkdoor-Token-Count: 10,5\r\n"))
 	requireRefused(t, resp)
-	require.Equal(t, []float64{15}, client.returned)
+	require.Equal(t, []float64{15}, client.amountsReturned)
 	require.Eventually(t, func() bool {
 		resp, _ := harness.roundTrip(requestHead("POST", "/one/x", "Api-Key: key-a\r\n"))
 		return resp.StatusCode == http.StatusBadGateway
-	}, testTimeout, 10*time.Millisecond, "the server is full for a moment")
-	for _, amount := range client.returned[1:] {
+	}, testTimeout, 10*time.Millisecond, "the balancer takes the server for full for a moment")
+	for _, amount := range client.amountsReturned[1:] {
 		require.EqualValues(t, 200, amount)
 	}
-	require.Equal(t, len(client.asked)-1, len(client.returned), "all but the one that may have run")
+	require.Equal(t, len(client.amountsRequested)-1, len(client.amountsReturned), "one request may have been executed")
 }
 
-// An agent whose clock runs slow by two in a hundred still refuses a removed key in time.
+// TestKeyMaxAgeAllowsForSlowClocks checks that an agent whose clock is two percent slow still refuses a removed
+// key in time.
 func TestKeyMaxAgeAllowsForSlowClocks(t *testing.T) {
 	for revoke := minKeyMaxAge + revokeMargin; revoke < 2*time.Minute; revoke += 50 * time.Millisecond {
 		age := KeyMaxAge(revoke)
 		realAge := age + age/50
 		require.Less(t, realAge, revoke-revoke/50, "revoke-ms %v", revoke)
-		require.Greater(t, age, revoke*3/4, "it is not cut short")
+		require.Greater(t, age, revoke*3/4, "the margin is too large")
 	}
 	require.Equal(t, 3750*time.Millisecond, KeyMaxAge(4*time.Second))
 }
--- a/internal/fleet/gateway/timeout_test.go
+++ b/internal/fleet/gateway/timeout_test.go
@@ -22,8 +22,8 @@
  {"name":"short-stream","hostname":"h.example","path-prefix":"/short-stream/","route-kind":"streaming","timeout-ms":400,"setpoint-ms":100,"target-service":"s","max-attempts":2,"resumable":true,"gap_aim_ms":100}`
 )
 
-// TestNoConfiguration checks that every request is refused before there is a configuration, also those that
-// no route would match.
+// TestNoConfiguration checks that every request is refused before there is a configuration, even if no route
+// would match it.
 func TestNoConfiguration(t *testing.T) {
 	harness := newUnconfiguredHarness(t, 1, nil)
 	for _, request := range []string{
@@ -40,7 +40,8 @@
 	harness.requireNoCall()
 }
 
-// readFinalResponse waits for the end of a response and checks that it comes at the route's time-out.
+// readFinalResponse waits for the end of a response and checks that it does not come long after the route's
+// time-out.
 func (c *testClient) readFinalResponse(start time.Time) (status int, err error) {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
@@ -118,9 +119,9 @@
 func TestRouteTimeoutWithSlowClient(t *testing.T) {
 	ended := make(chan time.Time, 4)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
-		long := strings.Repeat("x", 60<<10)
+		data := strings.Repeat("x", 60<<10)
 		call.startStream("s")
-		for i := 1; call.writeChunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, long)); i++ {
+		for i := 1; call.writeChunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, data)); i++ {
 		}
 		ended <- time.Now()
 		return false
@@ -137,14 +138,14 @@
 	}
 }
 
-// TestDeadlineSentToServer checks that no server is given more time than is left of the client's deadline and
-// of the route's time-out, since the head was received, at each attempt.
+// TestDeadlineSentToServer checks that no attempt gives its server more time than is left of the client's
+// deadline and of the route's time-out, both counted from the receipt of the head.
 func TestDeadlineSentToServer(t *testing.T) {
 	const pause = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		fields  string
 		limit   time.Duration
-		changes bool // the configuration, while the body arrives
+		changes bool // the configuration changes while the body arrives
 	}{
 		"no deadline":        {"", shortTimeout, false},
 		"a longer deadline":  {headerDeadline + ": 9000\r\n", shortTimeout, false},
@@ -169,12 +170,12 @@
 				harness.update(harness.document(shortRoutes))
 			}
 			client.write("q")
-			first := harness.nextCall().timeout(t)
-			require.LessOrEqual(t, first, c.limit-pause)
-			require.Positive(t, first)
-			second := harness.nextCall().timeout(t)
-			require.LessOrEqual(t, second, first-pause)
-			require.Positive(t, second)
+			firstTimeout := harness.nextCall().timeout(t)
+			require.LessOrEqual(t, firstTimeout, c.limit-pause)
+			require.Positive(t, firstTimeout)
+			secondTimeout := harness.nextCall().timeout(t)
+			require.LessOrEqual(t, secondTimeout, firstTimeout-pause)
+			require.Positive(t, secondTimeout)
 			resp, _ := client.readResponse()
 			require.Equal(t, 200, resp.StatusCode)
 		})
@@ -184,25 +185,25 @@
 // deadlineRecorder records the write deadlines that are set.
 type deadlineRecorder struct {
 	http.ResponseWriter
-	set []time.Time
+	deadlines []time.Time
 }
 
 func (d *deadlineRecorder) SetWriteDeadline(at time.Time) error {
-	d.set = append(d.set, at)
+	d.deadlines = append(d.deadlines, at)
 	return nil
 }
 
 func TestLimitWriteTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var early, late deadlineRecorder
-		by := time.Now().Add(time.Second)
-		releaseEarly, releaseLate := limitWriteTime(&early, by), limitWriteTime(&late, by)
+		deadline := time.Now().Add(time.Second)
+		releaseEarly, releaseLate := limitWriteTime(&early, deadline), limitWriteTime(&late, deadline)
 		releaseEarly()
 		timer := time.NewTimer(2 * time.Second)
 		<-timer.C
 		releaseLate()
-		require.Empty(t, early.set)
-		require.Equal(t, []time.Time{by}, late.set)
+		require.Empty(t, early.deadlines)
+		require.Equal(t, []time.Time{deadline}, late.deadlines)
 	})
 }
 
--- a/internal/fleet/gateway/upload.go
+++ b/internal/fleet/gateway/upload.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// inlineBodyBytes is how much of a body is written together with the head, before anything is read:
-// about what a connection takes without waiting for the server.
+// inlineBodyBytes is how much of a body is written together with the head, before the response is read. It
+// is about as much as a connection takes without waiting for the server.
 const inlineBodyBytes = 16 << 10
 
-// upload is the sending of the part of a request that was not written together with its head. It runs
-// while the response is read: a server may answer before it has read a long body. The zero upload is
-// complete.
+// upload writes the remainder of a body, which was not written together with the head of the request. It
+// runs while the response is read, as a server may answer before it has read a long body. The zero upload
+// is complete.
 type upload struct {
-	done chan struct{} // closed once nothing more is written; nil: all was written at once
-	err  error         // why it is incomplete; written before done is closed, read after
+	done chan struct{} // closed once nothing more is written; nil if all was written at once
+	err  error         // why the upload is incomplete, nil if it is not; set before done is closed, read after
 }
 
-// wait returns once nothing more is written. Closing the connection ends an upload, and so does its
-// write deadline.
+// wait waits until nothing more is written. An upload also ends when its connection is closed or the write
+// deadline has passed.
 func (u *upload) wait() {
 	if u.done != nil {
 		<-u.done
@@ -44,10 +44,10 @@
 // complete reports whether the request was written completely.
 func (u *upload) complete() bool { return !u.inProgress() && u.err == nil }
 
-// send writes a request: its head and the start of its body at once, the remainder of a long body in a
-// goroutine, for which pool.close waits. The error is nil if the head was written completely: from
-// then on the server may execute the request, whether or not the remainder follows. An error proves
-// that it can't, as no server executes half a head.
+// send writes a request. It writes the head and the start of the body itself, and leaves the remainder of a
+// long body to a goroutine, for which pool.close waits. The error is nil if the head was written completely:
+// from then on the server may execute the request, whether or not the remainder follows. An error proves
+// that the server does not execute the request, as its head is incomplete.
 func (c *conn) send(head, body []byte) error {
 	inline := min(len(body), inlineBodyBytes)
 	n, err := c.Write(append(head, body[:inline]...))
@@ -68,9 +68,10 @@
 	close(c.upload.done)
 }
 
-// delivered reports whether the server's host has received the complete request. Written bytes may
-// still wait behind a body that the server, which has answered early, does not read, and another
-// request would wait there, too. For a request that was written at once the response proves it.
+// delivered reports whether the server's host has received the complete request. If the server has answered
+// early and does not read the body, written bytes remain in the send buffer, and another request on the
+// connection would be stuck behind them. For a request that was written at once, the response proves the
+// delivery.
 func (c *conn) delivered() bool {
 	if !c.upload.complete() {
 		return false
@@ -78,12 +79,12 @@
 	if c.upload.done == nil {
 		return true
 	}
-	unacknowledged, err := unacknowledgedBytes(c.Conn)
-	return err == nil && unacknowledged == 0
+	byteCount, err := unacknowledgedBytes(c.Conn)
+	return err == nil && byteCount == 0
 }
 
-// unacknowledgedBytes returns how many bytes were written to a connection and are not yet acknowledged
-// by the peer's host (SIOCOUTQ, tcp(7)). It is 0 for a connection that is no socket.
+// unacknowledgedBytes returns how many of the bytes written to a connection the peer's host has not yet
+// acknowledged (SIOCOUTQ, see tcp(7)). It is 0 for a connection that is not a socket.
 func unacknowledgedBytes(netConn net.Conn) (n int, err error) {
 	socket, ok := netConn.(syscall.Conn)
 	if !ok {
--- a/internal/fleet/gateway/upload_test.go
+++ b/internal/fleet/gateway/upload_test.go
@@ -16,7 +16,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// longBodyBytes is more than the buffers of a connection hold.
+// longBodyBytes is the size of a body that does not fit into the buffers of a connection.
 const longBodyBytes = 8 << 20
 
 // longBodyDocument returns a configuration like document that allows long bodies.
@@ -29,13 +29,13 @@
 	return document
 }
 
-// pendingUpload is a request as a model server received it, before it has read the body.
+// pendingUpload is a request of which a model server has read the head and not yet the body.
 type pendingUpload struct {
 	net.Conn
 	reader   *bufio.Reader
 	header   http.Header
 	length   int // of the body
-	sequence int // number of the request at any server, from 0
+	sequence int // number of the request, counted over all servers from 0
 }
 
 // write writes bytes as they are. Tests check what the gateway makes of them, so errors are ignored.
@@ -48,7 +48,7 @@
 	u.write("HTTP/1.1 %d X\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s", status, headerAttemptID, u.header.Get(headerAttemptID), len(body), fields, body)
 }
 
-// read reads a part of the body.
+// read reads the given number of bytes of the body.
 func (u *pendingUpload) read(length int) (string, error) {
 	body := make([]byte, length)
 	n, err := io.ReadFull(u.reader, body)
@@ -91,18 +91,18 @@
 	}
 }
 
-// TestTruncatedUploadMayHaveExecuted has a server break off after the head and a part of the body: it may
-// have executed the request.
+// TestTruncatedUploadMayHaveExecuted has a server end the connection after the head and a part of the body. As
+// the server may have executed the request, only an idempotent request may be sent again.
 func TestTruncatedUploadMayHaveExecuted(t *testing.T) {
 	for name, end := range map[string]func(upload *pendingUpload){
 		"reset":  func(upload *pendingUpload) { upload.reset() },
 		"closed": func(upload *pendingUpload) { upload.Close() },
 	} {
-		for _, part := range []int{0, 1, 100 << 10, longBodyBytes - 1} {
-			t.Run(fmt.Sprintf("%s after %d", name, part), func(t *testing.T) {
+		for _, readBytes := range []int{0, 1, 100 << 10, longBodyBytes - 1} {
+			t.Run(fmt.Sprintf("%s after %d", name, readBytes), func(t *testing.T) {
 				handle := func(upload *pendingUpload) {
 					if upload.sequence == 0 {
-						_, _ = upload.read(part)
+						_, _ = upload.read(readBytes)
 						end(upload)
 						return
 					}
@@ -125,23 +125,23 @@
 	}
 }
 
-// TestUploadRejectedByServerIsRetried has a server state that it has not executed a request before it has
-// read the body.
+// TestUploadRejectedByServerIsRetried has a server respond before it has read the body that it has not executed
+// the request, and checks that another server gets the complete request.
 func TestUploadRejectedByServerIsRetried(t *testing.T) {
-	for name, first := range map[string]func(upload *pendingUpload){
+	for name, rejectUpload := range map[string]func(upload *pendingUpload){
 		"full":             func(upload *pendingUpload) { upload.respond(503, headerNotRun+": 1\r\n", "full") },
 		"another instance": func(upload *pendingUpload) { upload.respond(421, "", "") },
 	} {
-		for _, part := range []int{0, 100 << 10} {
-			t.Run(fmt.Sprintf("%s after %d", name, part), func(t *testing.T) {
+		for _, readBytes := range []int{0, 100 << 10} {
+			t.Run(fmt.Sprintf("%s after %d", name, readBytes), func(t *testing.T) {
 				harness := newUploadHarness(t, 2, func(upload *pendingUpload) {
-					_, _ = upload.read(part)
+					_, _ = upload.read(readBytes)
 					if upload.sequence == 0 {
-						first(upload)
+						rejectUpload(upload)
 						_, _ = io.Copy(io.Discard, upload.reader) // until the gateway closes the connection
 						return
 					}
-					_, _ = upload.read(upload.length - part)
+					_, _ = upload.read(upload.length - readBytes)
 					upload.respond(200, sealField, "served")
 				})
 				resp, got := harness.roundTrip(postRequest("/once/x", "", strings.Repeat("x", longBodyBytes)))
@@ -152,8 +152,9 @@
 	}
 }
 
-// TestResponseBeforeUploadEnds has a server respond before it has read the body, and read on later: it reads
-// nothing but the body, and neither the response nor another request waits for that.
+// TestResponseBeforeUploadEnds has a server respond before it has read the body. It checks that neither the
+// response nor another request waits for the upload, and that the server, if it reads on later, reads nothing
+// but the body.
 func TestResponseBeforeUploadEnds(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), longBodyBytes/16)
 	for _, size := range []int{100 << 10, 1 << 20, longBodyBytes} {
@@ -197,7 +198,7 @@
 	}
 }
 
-// TestSlowUploadIsNoStall checks that a server that still reads the body is not replaced.
+// TestSlowUploadIsNoStall checks that a server that is slow to read the body is not taken for stalled.
 func TestSlowUploadIsNoStall(t *testing.T) {
 	harness := newUploadHarness(t, 2, func(upload *pendingUpload) {
 		select {
@@ -214,7 +215,8 @@
 	require.EqualValues(t, 1, harness.requestCount())
 }
 
-// TestDelivered checks that a long body is delivered once the server's host has received it, not before.
+// TestDelivered checks that a request with a long body counts as delivered once the server's host has received
+// it, not before.
 func TestDelivered(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/fleet/gateway/upstream_test.go
+++ b/internal/fleet/gateway/upstream_test.go
@@ -35,7 +35,7 @@
 	return server
 }
 
-// addServer registers a server that listens.
+// addServer adds a listening server to the harness.
 func (h *testHarness) addServer(server *testServer, service string) {
 	server.instance = &registry.Instance{
 		ID:      fmt.Sprintf("i-%d", len(h.servers)),
@@ -89,8 +89,8 @@
 	}
 }
 
-// readCall reads one request; nil at the end of the connection. It understands no more of HTTP than the
-// protocol needs, so that it corrects nothing that the gateway sends.
+// readCall reads one request, and returns nil at the end of the connection. It parses no more of HTTP than the
+// protocol needs, so that it does not hide faults in what the gateway sends.
 func (h *testHarness) readCall(reader *bufio.Reader) *upstreamCall {
 	var head bytes.Buffer
 	for !bytes.HasSuffix(head.Bytes(), []byte("\r\n\r\n")) {
@@ -122,8 +122,8 @@
 	return call
 }
 
-// upstreamCall is one request as a model server received it, and the connection to answer it on. Its
-// methods return false where a script is to close the connection.
+// upstreamCall is one request as a model server received it, with the connection for the response. Its methods
+// return false if a script has to close the connection.
 type upstreamCall struct {
 	server       *testServer
 	conn         net.Conn
@@ -134,7 +134,7 @@
 	body         string
 }
 
-// sealField is the field that a success must have.
+// sealField is the header field that a 2xx response must have.
 const sealField = headerServerSeal + ": seal-1\r\n"
 
 func (c *upstreamCall) attemptID() string { return c.header.Get(headerAttemptID) }
@@ -168,7 +168,7 @@
 // respondNotRun responds with 503 and the statement that the request was not executed.
 func (c *upstreamCall) respondNotRun() bool { return c.respond(503, headerNotRun+": 1\r\n", "full") }
 
-// writePartialResponse writes a response without the rest of its body.
+// writePartialResponse writes a response whose body is incomplete.
 func (c *upstreamCall) writePartialResponse() bool {
 	return c.write("HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: 10\r\n\r\nbody", headerAttemptID, c.attemptID(), sealField)
 }
@@ -194,13 +194,13 @@
 // endStream writes the last chunk.
 func (c *upstreamCall) endStream() bool { return c.write("0\r\n\r\n") }
 
-// resumeID returns the ID of the event after which a stream is to continue, 0 from its beginning.
+// resumeID returns the ID of the event after which a stream has to continue, 0 if it starts from the beginning.
 func (c *upstreamCall) resumeID() int {
 	id, _ := strconv.Atoi(c.header.Get(headerLastEventID))
 	return id
 }
 
-// resetOnClose has the connection end with a reset.
+// resetOnClose has the connection end with a reset once it is closed.
 func (c *upstreamCall) resetOnClose() bool {
 	_ = c.conn.(*net.TCPConn).SetLinger(0)
 	return false
@@ -215,8 +215,7 @@
 	require.False(t, isTimeout(err), "the connection is still open")
 }
 
-// pause waits for a time in which the gateway sends nothing. It reports false if the gateway closes the
-// connection.
+// pause waits for the given time. It returns false if the gateway closes the connection or sends more meanwhile.
 func (c *upstreamCall) pause(duration time.Duration) bool {
 	_ = c.conn.SetReadDeadline(time.Now().Add(duration))
 	defer c.conn.SetReadDeadline(time.Time{})
@@ -227,7 +226,7 @@
 // eventText returns one event of a stream.
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// eventTexts returns consecutive events.
+// eventTexts returns consecutive events, including the last one.
 func eventTexts(from, to int) string {
 	var texts strings.Builder
 	for id := from; id <= to; id++ {
--- a/internal/fleet/gateway/upstreambody.go
+++ b/internal/fleet/gateway/upstreambody.go
@@ -10,11 +10,12 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// maxFailureBodyBytes bounds the body of a response that is no success or belongs to no request.
+// maxFailureBodyBytes is the largest body of a response that is not 2xx, or that belongs to another request.
 const maxFailureBodyBytes = 64 << 10
 
-// newBodyReader returns a reader of a response's body. It returns io.EOF only at the end of a complete
-// body, and io.ErrUnexpectedEOF, the error of the connection or an http1.ErrMalformed for any other.
+// newBodyReader returns a reader of a response's body. The reader returns io.EOF only at the end of a
+// complete body. For any other body it returns io.ErrUnexpectedEOF, the error of the connection or an
+// http1.ErrMalformed.
 func newBodyReader(conn *conn, upstream *http.Response, method string) (io.Reader, error) {
 	switch {
 	case hasNoBody(upstream, method):
@@ -24,7 +25,7 @@
 	case upstream.ContentLength >= 0:
 		return &lengthDelimitedBody{reader: conn.reader, remaining: upstream.ContentLength}, nil
 	case !upstream.ProtoAtLeast(1, 1):
-		// Its chunks, if it has any, would be taken for the body.
+		// net/http ignores Transfer-Encoding in HTTP/1.0: the framing of chunks would be taken for data.
 		return nil, http1.Malformed("a response without length in %s", upstream.Proto)
 	}
 	return &closeDelimitedBody{conn}, nil
@@ -41,8 +42,9 @@
 }
 
 // closeDelimitedBody is a body that ends with its connection. It is complete only if the server closed
-// the connection; a reset is an error. If the request was not sent completely the two can't be told
-// apart, as the failed write may have consumed the reset: then the body counts as truncated.
+// the connection; a reset is an error. If the request was not sent completely, a close can't be
+// distinguished from a reset, as the failed write may have consumed the reset: the body then counts as
+// truncated.
 type closeDelimitedBody struct{ conn *conn }
 
 func (b *closeDelimitedBody) Read(p []byte) (int, error) {
@@ -53,11 +55,11 @@
 	return n, err
 }
 
-// chunkedBody is a body in chunked transfer coding, trailer included.
+// chunkedBody is a body in chunked transfer coding, including its trailer.
 type chunkedBody struct {
-	chunks   io.Reader
-	reader   *bufio.Reader // below chunks
-	complete bool          // the trailer has been read
+	chunks   io.Reader     // the data of the chunks
+	reader   *bufio.Reader // the connection, from which chunks also reads
+	complete bool          // the last chunk has been read
 }
 
 func (b *chunkedBody) Read(p []byte) (int, error) {
@@ -77,10 +79,10 @@
 	return n, err
 }
 
-// lengthDelimitedBody is a body whose length the head gives.
+// lengthDelimitedBody is a body with a Content-Length.
 type lengthDelimitedBody struct {
 	reader    io.Reader
-	remaining int64 // bytes
+	remaining int64 // bytes that have not been read yet
 }
 
 func (b *lengthDelimitedBody) Read(p []byte) (int, error) {
--- a/internal/fleet/gateway/upstreambody_test.go
+++ b/internal/fleet/gateway/upstreambody_test.go
@@ -53,11 +53,11 @@
 
 // TestResetCloseDelimitedStream checks that a stream does not look complete after a reset.
 func TestResetCloseDelimitedStream(t *testing.T) {
-	read := make(chan bool)
+	eventsRead := make(chan bool)
 	harness := newHarness(t, 1, func(call *upstreamCall, _ int) bool {
 		call.write("HTTP/1.1 200 X\r\n%s: %s\r\n%s\r\n%s", headerAttemptID, call.attemptID(), sealField, eventTexts(1, 2))
 		select {
-		case <-read:
+		case <-eventsRead:
 		case <-t.Context().Done():
 		}
 		return call.resetOnClose()
@@ -67,14 +67,14 @@
 	resp := client.readHead()
 	require.Equal(t, eventText(1), readEvent(t, resp))
 	require.Equal(t, eventText(2), readEvent(t, resp))
-	close(read)
+	close(eventsRead)
 	_, err := resp.Body.Read(make([]byte, 1))
 	require.Error(t, err)
 	require.NotEqual(t, "EOF", err.Error(), "it must not look complete")
 }
 
-// TestCloseDelimitedResponseDuringUpload has a server close before it was sent the complete body: the close
-// may have truncated its response.
+// TestCloseDelimitedResponseDuringUpload has a server close the connection before it has received the complete
+// body, and checks that its response is not taken for complete: the close may have truncated it.
 func TestCloseDelimitedResponseDuringUpload(t *testing.T) {
 	harness := newUploadHarness(t, 1, func(upload *pendingUpload) {
 		upload.write("HTTP/1.1 200 X\r\n%s: %s\r\n%s\r\nbody", headerAttemptID, upload.header.Get(headerAttemptID), sealField)
--- a/internal/fleet/gateway/upstreamhead.go
+++ b/internal/fleet/gateway/upstreamhead.go
@@ -10,19 +10,19 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// headBufferBytes holds most heads of requests without growing.
+// headBufferBytes is the initial size of the buffer for a request's head; most heads fit into it.
 const headBufferBytes = 512
 
-// clientPriority stands for a priority that the client has set itself.
+// clientPriority is the priority of an attempt that keeps the Priority field of the client.
 const clientPriority = -1
 
 // upstreamFields are the header fields that the gateway sets for one attempt.
 type upstreamFields struct {
 	instanceID    string // of the server
-	priority      int    // 0, the most urgent, to 9, or clientPriority
+	priority      int    // from 0, the most urgent, to 9, or clientPriority
 	timeout       time.Duration
-	lastEventID   string // "": the stream starts from the beginning
-	expectVersion string // of the server's weights; "": any
+	lastEventID   string // the event after which a stream continues; "" to start from the beginning
+	expectVersion string // the version of the weights that the server must have; "" for any
 }
 
 // upstreamHead returns the head of a request as it is sent to a server, up to the empty line. The
@@ -38,7 +38,7 @@
 	}
 	header.Set(headerDeadline, strconv.FormatInt(max(fields.timeout.Milliseconds(), 1), 10))
 	header.Set(headerExpectInstance, fields.instanceID)
-	header.Set(headerAttemptID, r.attemptID) // even if the Connection field names it
+	header.Set(headerAttemptID, r.attemptID) // even if the client's Connection field names it
 	if fields.priority != clientPriority {
 		header.Set(headerPriority, strconv.Itoa(fields.priority))
 	}
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -501,6 +501,6 @@
 		Old: "	if c.forwarding >= maxForwarding {", New: "	if c.forwarding < 0 {",
 		Packages: in(quotaPackage), Tests: "^TestForwardingIsBounded$"},
 	{ID: "start-refused-for-keys-that-come", Category: StaleState, File: "internal/fleet/gateway/startup.go",
-		Old: "	g.waitStarted(ctx)\n	return g.judgeSnapshot(receivedAt)", New: "	g.waitStarted(ctx)\n	return snapshot, refusal",
+		Old: "	g.waitStarted(ctx)\n	return g.checkSnapshot(receivedAt)", New: "	g.waitStarted(ctx)\n	return snapshot, refusal",
 		Packages: in(gatewayPackage), Tests: "^TestStartup$|^TestRequestWaitsForTheFirstConfirmation$"},
 }
