--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -9,15 +9,15 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// acceptor is this member's vote on the view after the learned one, as it is on disk.
+// acceptor holds this member's vote on the view after the learned one, as it is on disk.
 type acceptor struct {
 	state view.AcceptorState
-	// acceptedAt is when a view was first accepted in this run of the process; zero if the vote was
-	// read at the start.
+	// acceptedAt is the time at which this run of the process first accepted a view in the instance; zero
+	// if the vote was read from the disk at the start.
 	acceptedAt time.Time
 }
 
-// record takes a vote that is on disk.
+// record stores a vote that is on disk.
 func (a *acceptor) record(vote view.AcceptorState, now time.Time) {
 	if vote.Accepted != nil && (a.state.Instance != vote.Instance || a.state.Accepted == nil) {
 		a.acceptedAt = now
@@ -25,7 +25,8 @@
 	a.state = vote
 }
 
-// undecided is the number of a view that was accepted and whose decision is not known; 0: none.
+// undecided returns the number of the view that was accepted but is not known to be decided; 0 if there is
+// none. learned is the number of the learned view.
 func (a *acceptor) undecided(learned uint64) uint64 {
 	if a.state.Accepted != nil && a.state.Instance == learned+1 {
 		return a.state.Instance
@@ -33,16 +34,17 @@
 	return 0
 }
 
-// abandoned reports whether a view has been undecided for so long that its proposer must have failed.
+// abandoned reports whether the accepted view has been undecided for so long that its proposer must have
+// failed.
 func (a *acceptor) abandoned(learned uint64, now time.Time) bool {
 	return a.undecided(learned) != 0 && now.Sub(a.acceptedAt) > stabilizationDelay
 }
 
-// voteTransition is what an acceptor does with a request: its next vote on an instance, and the answer that
-// may be given once that vote is on disk.
+// voteTransition applies a request to an acceptor's vote. It returns the next vote on the instance, and the
+// response that may be sent once that vote is on disk.
 type voteTransition func(vote view.AcceptorState, instance uint64) (view.AcceptorState, view.Response)
 
-// handlePrepare answers once the promise is on disk.
+// handlePrepare handles a prepareRequest. It responds once the promise is on disk.
 func (m *Member) handlePrepare(ctx context.Context, request *prepareRequest) (*view.Response, error) {
 	prepare := &request.Prepare
 	if prepare.Base.Number == 0 {
@@ -53,7 +55,7 @@
 	})
 }
 
-// handleAccept answers once the acceptance is on disk.
+// handleAccept handles an acceptRequest. It responds once the acceptance is on disk.
 func (m *Member) handleAccept(ctx context.Context, request *acceptRequest) (*view.Response, error) {
 	accept := &request.Accept
 	if accept.View.Number != accept.Base.Number+1 {
@@ -70,7 +72,7 @@
 	})
 }
 
-// castVote votes on the view after base. A base that is newer than the learned view is learned first.
+// castVote votes on the view after base. If base is newer than the learned view, it is learned first.
 func (m *Member) castVote(ctx context.Context, to string, base *view.View, cast voteTransition) (*view.Response, error) {
 	if to != m.self.ID {
 		return &view.Response{RejectReason: otherDiskReason(m.self.ID)}, nil
@@ -92,7 +94,7 @@
 		return &view.Response{Newer: &learned}, nil
 	}
 	if !m.views.isVoter(m.self.ID) {
-		return &view.Response{RejectReason: "no voter of this view"}, nil
+		return &view.Response{RejectReason: "not a voter of this view"}, nil
 	}
 	vote, answer := cast(m.acceptor.state, base.Number+1)
 	if !answer.OK {
@@ -119,6 +121,6 @@
 	return nil
 }
 
-// otherDiskReason refuses a request that is meant for another disk: a lost disk's promises are lost,
-// and what replaces it is another member.
+// otherDiskReason is the reason for rejecting a request that was sent to another disk. When a disk is
+// lost, its promises are lost too, so the disk that replaces it is another member.
 func otherDiskReason(id string) string { return "this disk is " + id }
--- a/internal/fleet/controlplane/announce.go
+++ b/internal/fleet/controlplane/announce.go
@@ -12,9 +12,9 @@
 const (
 	// maxAnnouncements bounds the announcements of the view that are under way at once.
 	maxAnnouncements = 16
-	// minAnnouncementDelay is the pause before an address is told the view again; it doubles up to
-	// maxAnnouncementDelay at a voter, and maxClientAnnouncementDelay at other processes, of which there
-	// are many.
+	// minAnnouncementDelay is the time between the first two announcements to an address. The delay doubles
+	// with each announcement, up to maxAnnouncementDelay if the sender is a voter, and up to
+	// maxClientAnnouncementDelay if it is another process, of which there are many.
 	minAnnouncementDelay       = 200 * time.Millisecond
 	maxAnnouncementDelay       = 2 * time.Second
 	maxClientAnnouncementDelay = 8 * time.Second
@@ -23,12 +23,12 @@
 // announcement is the state of the announcements to one address.
 type announcement struct {
 	inFlight bool
-	next     time.Time     // when the address may be told again
-	delay    time.Duration // the pause after the announcement that is due next
+	next     time.Time     // the earliest time of the next announcement
+	delay    time.Duration // the delay after the next announcement
 }
 
-// announcer decides when the view is announced to whom. Processes that ask for the view are answered
-// anyway; announcements are for those that know nobody who could answer.
+// announcer decides when the view is announced to which addresses. Processes that ask for the view get it
+// in the response; announcements are for those that know no process to ask.
 type announcer struct {
 	byAddress map[string]*announcement
 	inFlight  int
@@ -36,18 +36,18 @@
 
 func newAnnouncer() announcer { return announcer{byAddress: map[string]*announcement{}} }
 
-// due returns which of the addresses to tell the view now, those first that were due first, and
-// notes that they are being told. Addresses that are not given any more are forgotten.
+// due returns the addresses to announce the view to now, the longest due first, and records that these
+// announcements are under way. Addresses that are no longer given are forgotten.
 func (a *announcer) due(addresses []string, maxDelay time.Duration, now time.Time) []string {
 	a.retain(addresses)
 	var candidates []string
 	for _, address := range addresses {
-		known := a.byAddress[address]
-		if known == nil {
-			known = &announcement{next: now, delay: minAnnouncementDelay}
-			a.byAddress[address] = known
+		entry := a.byAddress[address]
+		if entry == nil {
+			entry = &announcement{next: now, delay: minAnnouncementDelay}
+			a.byAddress[address] = entry
 		}
-		if !known.inFlight && !now.Before(known.next) {
+		if !entry.inFlight && !now.Before(entry.next) {
 			candidates = append(candidates, address)
 		}
 	}
@@ -56,30 +56,31 @@
 	})
 	candidates = candidates[:min(len(candidates), max(0, maxAnnouncements-a.inFlight))]
 	for _, address := range candidates {
-		told := a.byAddress[address]
-		told.inFlight, told.next = true, now.Add(told.delay)
-		told.delay = min(cmp.Or(2*told.delay, minAnnouncementDelay), maxDelay)
+		entry := a.byAddress[address]
+		entry.inFlight, entry.next = true, now.Add(entry.delay)
+		entry.delay = min(cmp.Or(2*entry.delay, minAnnouncementDelay), maxDelay)
 		a.inFlight++
 	}
 	return candidates
 }
 
-// retain forgets the addresses that are not among the given ones, unless they are just being told.
+// retain forgets the addresses that are not among the given ones, unless an announcement to them is under
+// way.
 func (a *announcer) retain(addresses []string) {
-	for address, known := range a.byAddress {
-		if !known.inFlight && !slices.Contains(addresses, address) {
+	for address, entry := range a.byAddress {
+		if !entry.inFlight && !slices.Contains(addresses, address) {
 			delete(a.byAddress, address)
 		}
 	}
 }
 
-// done notes that an announcement has ended.
+// done records that the announcement to an address has ended.
 func (a *announcer) done(address string) {
 	a.byAddress[address].inFlight = false
 	a.inFlight--
 }
 
-// informUnreached tells the learned view to processes that may not know of it: see Options.Unreached.
+// informUnreached sends the learned view to processes that may not know any view: see Options.Unreached.
 func (m *Member) informUnreached() {
 	if m.options.Unreached == nil {
 		return
@@ -100,7 +101,7 @@
 	}
 }
 
-// inform tells a view to the process at an address. A later announcement follows if that fails.
+// inform sends a view to the process at an address. If the call fails, a later announcement repeats it.
 func (m *Member) inform(ctx context.Context, address string, learned *view.View) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -11,23 +11,24 @@
 // firstView is the number of the first view.
 const firstView = 1
 
-// announceRepeat is how often a seed that knows of this process is asked for the first view: in every
-// announceRepeat-th round.
-const announceRepeat = 6
+// announceRepeatRounds is the number of rounds between two announcements to a seed that has acknowledged
+// one. They ask the seed for the first view.
+const announceRepeatRounds = 6
 
-// bootstrapState is what a process knows of the first view before it is decided. Its acceptors are the
-// processes at the seeds' addresses. Their votes are in memory only: a process that is started again
-// has no seeds here, and never votes on the first view again.
+// bootstrapState is what a process knows about the bootstrap of the first view. The acceptors of that view
+// are the processes at the seeds' addresses. Their votes are in memory only: a process that was restarted
+// has no seeds here, so it never votes on the first view again.
 type bootstrapState struct {
-	seeds     []string // immutable; nil: this process takes no part
+	seeds     []string // immutable; nil if this process takes no part in the bootstrap
 	startedAt time.Time
-	// lastJoin is when a machine with a disk was last announced for the first time.
+	// lastJoin is the time at which a machine with a disk was last announced for the first time; initially
+	// the start of the process.
 	lastJoin  time.Time
 	withDisk  map[string]view.Peer // the announced machines with a disk, by ID
-	diskless  []view.Peer          // and those without
+	diskless  []view.Peer          // the announced machines without a disk
 	acceptor  view.AcceptorState
 	announced map[string]bool // seeds that have acknowledged this process's announcement
-	round     uint32          // of this process's last proposal, or a higher one that it met
+	round     uint32          // highest round that this process used or saw
 	// backoffUntil is the earliest time of the next proposal.
 	backoffUntil time.Time
 }
@@ -52,7 +53,7 @@
 	return out
 }
 
-// bootstrapBase is the base of the first view: its voters are the processes at the seeds' addresses.
+// bootstrapBase returns the base of the first view: its voters are the processes at the seeds' addresses.
 func bootstrapBase(seeds []string) view.View {
 	var base view.View
 	for _, address := range seeds {
@@ -61,13 +62,13 @@
 	return base
 }
 
-// isAcceptor reports whether this process votes on the first view with the voters of a base. It does
-// not if it was started again, or with other seeds.
+// isAcceptor reports whether this process votes on the first view with the voters of a base. It does not
+// if it was restarted or has other seeds.
 func (b *bootstrapState) isAcceptor(base *view.View) bool {
 	return b.seeds != nil && slices.Equal(bootstrapBase(b.seeds).Voters, base.Voters)
 }
 
-// join takes the announcement of a process.
+// join records an announced process.
 func (b *bootstrapState) join(peer view.Peer, now time.Time) {
 	if b.seeds == nil || peer.ID == "" || peer.Addr == "" {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// peers are all processes that were announced.
+// peers returns all processes that were announced.
 func (b *bootstrapState) peers() []view.Peer {
 	peers := slices.Clone(b.diskless)
 	for _, peer := range b.withDisk {
@@ -92,8 +93,8 @@
 	return peers
 }
 
-// beginRound starts a proposal of the seed at a rank of the list, if one is due: once it is this seed's
-// turn and no further machine with a disk has been announced for a while.
+// beginRound starts a proposal round if one is due: this seed's delay, which depends on its rank in the
+// list, has passed, and no further machine with a disk was announced within bootstrapQuietPeriod.
 func (b *bootstrapState) beginRound(rank int, now time.Time) (round uint32, due bool) {
 	delay := bootstrapMinDelay
 	if len(b.withDisk) == 0 {
@@ -107,20 +108,21 @@
 	return b.round, true
 }
 
-// contended notes that a proposal that was begun at a time was not decided. seen is the highest round
-// that was met.
-func (b *bootstrapState) contended(seen uint32, rank int, begun time.Time) {
-	b.round = max(b.round, seen)
-	b.backoffUntil = begun.Add(bootstrapRankDelay/4 + time.Duration(rank)*bootstrapRankDelay/2)
+// contended records that a proposal that started at startedAt was not decided. highestSeen is the highest
+// round in the responses.
+func (b *bootstrapState) contended(highestSeen uint32, rank int, startedAt time.Time) {
+	b.round = max(b.round, highestSeen)
+	b.backoffUntil = startedAt.Add(bootstrapRankDelay/4 + time.Duration(rank)*bootstrapRankDelay/2)
 }
 
-// bootstrapRefusalLocked is the answer of a process that is no acceptor of the first view; nil: it is one.
-func (m *Member) bootstrapRefusalLocked(to string, base *view.View) *view.Response {
+// bootstrapRejectionLocked returns the response of a process that is not an acceptor of the first view; nil
+// if it is one.
+func (m *Member) bootstrapRejectionLocked(to string, base *view.View) *view.Response {
 	if newest := m.views.newerThan(0); newest != nil {
 		return &view.Response{Newer: newest}
 	}
 	if !m.bootstrap.isAcceptor(base) || to != m.self.Addr {
-		return &view.Response{RejectReason: "no seed of a first start with these seeds"}
+		return &view.Response{RejectReason: "not a seed of a first start with these seeds"}
 	}
 	return nil
 }
@@ -129,8 +131,8 @@
 func (m *Member) prepareFirstView(request *prepareRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refusal := m.bootstrapRefusalLocked(request.To, &request.Prepare.Base); refusal != nil {
-		return refusal
+	if rejection := m.bootstrapRejectionLocked(request.To, &request.Prepare.Base); rejection != nil {
+		return rejection
 	}
 	vote, answer := m.bootstrap.acceptor.Prepare(firstView, request.Prepare.Number)
 	m.bootstrap.acceptor = vote
@@ -141,15 +143,15 @@
 func (m *Member) acceptFirstView(request *acceptRequest) *view.Response {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if refusal := m.bootstrapRefusalLocked(request.To, &request.Accept.Base); refusal != nil {
-		return refusal
+	if rejection := m.bootstrapRejectionLocked(request.To, &request.Accept.Base); rejection != nil {
+		return rejection
 	}
 	vote, answer := m.bootstrap.acceptor.Accept(firstView, request.Accept.Number, request.Accept.View)
 	m.bootstrap.acceptor = vote
 	return &answer
 }
 
-// handleAnnounce notes a process that has started, or answers with the newest view if there is one.
+// handleAnnounce records a process that has started, or responds with the newest view if there is one.
 func (m *Member) handleAnnounce(_ context.Context, request *announceRequest) (*viewResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,8 +162,8 @@
 	return &viewResponse{}, nil
 }
 
-// bootstrapFirstView announces this process to the seeds until a view is known. Where this process is
-// a seed it proposes the first view.
+// bootstrapFirstView announces this process to the seeds until a view is known. If this process is a seed,
+// it also proposes the first view.
 func (m *Member) bootstrapFirstView(ctx context.Context) {
 	if m.bootstrap.seeds == nil {
 		return
@@ -185,14 +187,14 @@
 	}
 }
 
-// announceToSeeds announces this process to the seeds. Those that know of it already are asked for the
-// view less often.
+// announceToSeeds announces this process to the seeds. Seeds that have acknowledged an announcement get
+// further ones less often, as these only ask for the view.
 func (m *Member) announceToSeeds(ctx context.Context, round int) {
 	for i, seed := range m.bootstrap.seeds {
 		m.mu.Lock()
 		announced := m.bootstrap.announced[seed]
 		m.mu.Unlock()
-		if announced && (round+i)%announceRepeat != 0 {
+		if announced && (round+i)%announceRepeatRounds != 0 {
 			continue
 		}
 		if seed == m.self.Addr {
@@ -218,7 +220,7 @@
 	_ = m.learnView(ctx, response.View) // the next announcement asks again
 }
 
-// proposeFirstView proposes the first view if it is due. rank is this process's place among the seeds.
+// proposeFirstView proposes the first view if a proposal is due. rank is this process's index among the seeds.
 func (m *Member) proposeFirstView(ctx context.Context, rank int) {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/fleet/controlplane/catchup.go
+++ b/internal/fleet/controlplane/catchup.go
@@ -9,15 +9,16 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// catchUp does what a peer's heartbeat calls for: it learns a newer view or sends one, and fetches a
-// newer committed value.
+// catchUp compares a peer's heartbeat with this member's state. It learns the view in the heartbeat or sends
+// the peer a newer one, fetches a newer committed value, and repairs a divergence.
 func (m *Member) catchUp(ctx context.Context, received *heartbeat) {
 	m.learnViewOrLog(ctx, received.NewerView)
 	m.mu.Lock()
 	learned, record := m.views.learned, m.register.record
 	fetch := m.register.lags(received)
 	diverges := m.register.diverges(received)
-	// The peer's value is this member's own: it came along the chain of the view that both are in.
+	// The peer's committed value is the one stored here: both members received it through the chain of the
+	// view that both have learned.
 	stored := fetch && record.View == learned.Number && received.View == learned.Number && record.Value.Seq == received.CommittedSeq
 	if stored {
 		m.mu.Unlock()
@@ -37,7 +38,7 @@
 	}
 }
 
-// fetchCommitted takes the newest committed value of a peer.
+// fetchCommitted fetches the newest committed value from a peer.
 func (m *Member) fetchCommitted(ctx context.Context, addr string) {
 	value, err := m.requestValue(ctx, addr)
 	if err == nil && value.Seq > 0 && value.Validate() == nil {
@@ -48,9 +49,9 @@
 	m.register.fetching = false
 }
 
-// repairDivergence replaces a value that is not what a peer holds under its sequence number, if more
-// of the voters in contact hold the peer's. Each copy on a disk has its checksum; this is for damage
-// that these don't show.
+// repairDivergence replaces the committed value by a peer's different value with the same sequence number,
+// if more of the voters in contact hold the peer's. The checksum of each copy on disk detects most damage;
+// this covers damage that it misses.
 func (m *Member) repairDivergence(ctx context.Context, received *heartbeat) {
 	now := time.Now()
 	m.mu.Lock()
@@ -69,8 +70,7 @@
 	m.replaceValue(ctx, value, received.CommittedChecksum)
 }
 
-// replaceValue puts a value in the place of the one with the same sequence number, on disk and in
-// memory.
+// replaceValue replaces the value with the same sequence number, on disk and in memory.
 func (m *Member) replaceValue(ctx context.Context, value chain.Value, checksum uint64) {
 	if m.acquireWrite(ctx) != nil {
 		return
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -10,19 +10,19 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// ErrNoCore reports that no voter is known yet.
+// ErrNoCore reports that no view, and so no voter, is known yet.
 var ErrNoCore = errors.New("no machine of the core is known: check seed-nodes, and that those machines run")
 
-// UnavailableError reports that no answer was received in time. The request may be repeated.
+// UnavailableError reports that no usable response was received in time. The request may be repeated.
 type UnavailableError struct{ Reason string }
 
 func (e *UnavailableError) Error() string {
-	return "the core gave no answer in time, send it again: " + e.Reason
+	return "the core gave no answer in time; send the request again: " + e.Reason
 }
 
-// Submit has an update carried out by the head of the chain. It returns after RequestTimeout and the time of its
-// transfer at the latest. With OutcomeUnknown the update may be committed or not: submitted again, at any process, it
-// is the same update.
+// Submit sends an update to the head of the chain and returns its result. It takes at most RequestTimeout plus the
+// transfer time of the update. After OutcomeUnknown the update may or may not be committed. It may be submitted again,
+// at any process, and then counts as the same update.
 func (m *Member) Submit(ctx context.Context, update *chain.Update) chain.Result {
 	if len(update.Body) > chain.MaxBody {
 		return chain.Result{Outcome: chain.OutcomeInvalid, Reason: "the configuration is too large"}
@@ -59,8 +59,8 @@
 	}
 }
 
-// Read is the newest acknowledged value, from the tail of the chain; Seq 0: there is none yet. It
-// returns after RequestTimeout at the latest, then with an *UnavailableError.
+// Read returns the newest acknowledged value from the tail of the chain; its Seq is 0 if there is none yet.
+// It returns an *UnavailableError if there is no usable response within RequestTimeout.
 func (m *Member) Read(ctx context.Context) (chain.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 		return chain.Value{}, &UnavailableError{Reason: response.Reason}
 	}
 	if m.IsVoter() {
-		m.advanceCommitted(response.Value) // the copy here may be older
+		m.advanceCommitted(response.Value) // this member's committed value may be older
 	}
 	return response.Value, nil
 }
@@ -92,7 +92,8 @@
 	return attemptResult[readResponse]{value: *response, final: response.OK, newer: response.Newer}
 }
 
-// handleRead answers at the tail of the newest view, once a majority of the voters has confirmed it.
+// handleRead responds with the value if this member is the tail of the newest view, once a majority of the
+// voters has confirmed that view.
 func (m *Member) handleRead(ctx context.Context, _ *empty) (*readResponse, error) {
 	m.mu.Lock()
 	replica, newest := m.replicaLocked(), m.views.newest
@@ -105,7 +106,7 @@
 	}
 	value, ok := replica.CommittedValue()
 	if !ok {
-		return &readResponse{Reason: "the head's value has not come through yet"}, nil
+		return &readResponse{Reason: "the head's value has not reached the tail yet"}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -115,9 +116,9 @@
 	return &readResponse{Value: value, OK: true}, nil
 }
 
-// Confirm is the sequence number of the newest acknowledged value, 0 if there is none: every value that
-// was acknowledged before the call has this or a lower one. It returns after RequestTimeout at the
-// latest, then with an *UnavailableError.
+// Confirm returns the sequence number of the newest acknowledged value, 0 if there is none. Every value that
+// was acknowledged before the call has this number or a lower one. Confirm returns an *UnavailableError if
+// there is no usable response within RequestTimeout.
 func (m *Member) Confirm(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.RequestTimeout)
 	defer cancel()
@@ -146,7 +147,7 @@
 	return attemptResult[confirmResponse]{value: *response, final: response.OK, newer: response.Newer}
 }
 
-// handleConfirm answers as handleRead does, without the value.
+// handleConfirm responds as handleRead does, but without the value.
 func (m *Member) handleConfirm(ctx context.Context, request *empty) (*confirmResponse, error) {
 	read, err := m.handleRead(ctx, request)
 	if err != nil {
@@ -155,10 +156,10 @@
 	return &confirmResponse{Seq: read.Value.Seq, OK: read.OK, Newer: read.Newer, Reason: read.Reason}, nil
 }
 
-// routedRequest is a request that one process of the newest view answers.
+// routedRequest is a request to the process that has a certain role in the newest view.
 type routedRequest[T any] struct {
-	role     func(view.View) view.Peer // the process that answers
-	transfer time.Duration             // that the request may take on its way, beside attemptTimeout
+	role     func(view.View) view.Peer // returns the process that has the role in a view
+	transfer time.Duration             // transfer time of the request, added to attemptTimeout
 	send     func(context.Context, view.Peer) attemptResult[T]
 }
 
@@ -166,11 +167,11 @@
 type attemptResult[T any] struct {
 	value T
 	final bool       // no further attempt is needed
-	newer *view.View // the newest view that the receiver knows, if it is not the one to ask
+	newer *view.View // the newest view that the receiver knows if it does not have the role; nil otherwise
 }
 
-// route attempts a request, by the newest view that is known at each attempt, until a result is final
-// or ctx ends. It returns the last result, or fallback if there is none.
+// route attempts a request until a result is final or ctx ends. Each attempt uses the newest view that is
+// known. route returns the last result, or fallback if there is none.
 func route[T any](ctx context.Context, m *Member, request routedRequest[T], fallback T) T {
 	last := fallback
 	for ctx.Err() == nil {
@@ -197,8 +198,8 @@
 	return last
 }
 
-// attempt makes one attempt, and asks other processes for a newer view while it takes long. It returns
-// false if the attempt is given up because a newer view names another process.
+// attempt makes one attempt, and asks other processes for a newer view at each hedgeDelay without a
+// result. It returns false if it gives up because the role has moved to another process in a newer view.
 func attempt[T any](ctx context.Context, m *Member, request routedRequest[T], current view.View) (result attemptResult[T], ended bool) {
 	receiver := request.role(current)
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+request.transfer)
@@ -230,7 +231,7 @@
 	}
 }
 
-// awaitNewerView waits until a newer view than that of a number is known, for retryDelay at most.
+// awaitNewerView waits until a view with a higher number is known, for retryDelay at most.
 func (m *Member) awaitNewerView(ctx context.Context, number uint64) {
 	m.mu.Lock()
 	newest, changed := m.views.newest.Number, m.changed.wait()
--- a/internal/fleet/controlplane/confirmation.go
+++ b/internal/fleet/controlplane/confirmation.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// confirmationOverlapDelay is how long a round of confirmation waits for the end of the one before:
-	// one voter that does not answer must not hold up all that ask later.
+	// confirmationOverlapDelay is how long a confirmation round waits for the end of the one before. It is
+	// bounded so that one voter that does not answer does not delay all later callers.
 	confirmationOverlapDelay = 25 * time.Millisecond
-	// minConfirmationInterval is the shortest time between the begin of a round and that of the next, so
-	// that many callers in a row share few rounds. A caller that comes alone does not wait.
+	// minConfirmationInterval is the shortest time between the starts of two rounds, so that many callers
+	// in a row share few rounds. A single caller does not wait.
 	minConfirmationInterval = 10 * time.Millisecond
-	// maxConfirmationCalls bounds the calls for confirmation that are under way to one voter: as many as
-	// there are rounds where none gets an answer.
+	// maxConfirmationCalls bounds the confirmation calls that are under way to one voter: it is the number
+	// of rounds that can overlap when a voter does not answer.
 	maxConfirmationCalls = int(callTimeout/confirmationOverlapDelay) + 1
 )
 
-// confirmationRound is one question to the voters of a view, for all callers that came before it was
-// asked.
+// confirmationRound is one request to each voter of a view, shared by all callers that joined before the
+// requests were sent.
 type confirmationRound struct {
-	view    view.View
-	askedAt time.Time     // when the voters were asked; set before the round is the latest one
-	err     error         // set before done is closed
-	done    chan struct{} // closed when the round has ended
+	view   view.View
+	sentAt time.Time     // when the requests were sent; set before the round becomes the latest one
+	err    error         // set before done is closed
+	done   chan struct{} // closed when the round has ended
 }
 
-// confirmations shares the rounds of confirmation among callers: a round takes a call to each voter, and
-// after a restart of the fleet every agent wants a confirmation at the same time.
+// confirmations shares confirmation rounds among callers, as a round takes a call to each voter and every
+// agent requests a confirmation at the same time after a restart of the fleet.
 type confirmations struct {
-	waiting *confirmationRound // not asked yet: callers may join it; nil: there is none
-	latest  *confirmationRound // the last one that was asked; nil: there was none
+	waiting *confirmationRound // the round that callers can still join; nil if there is none
+	latest  *confirmationRound // the last round whose requests were sent; nil if there was none
 }
 
-// confirmView asks a majority of the voters of a view whether it is in force: none of them knows a
-// newer one or has accepted one. A view that is decided later was not acted on before the answers.
+// confirmView returns nil once a majority of the voters has confirmed that a view is in force: none of
+// them knows a newer view or has accepted one. So no newer view was acted on before their answers.
 func (m *Member) confirmView(ctx context.Context, current view.View) error {
 	m.mu.Lock()
 	round := m.joinConfirmationLocked(current)
@@ -51,7 +51,7 @@
 	}
 }
 
-// joinConfirmationLocked returns a round for a view that is asked after this call.
+// joinConfirmationLocked returns a confirmation round for a view. Its requests are sent after this call.
 func (m *Member) joinConfirmationLocked(current view.View) *confirmationRound {
 	c := &m.confirmations
 	if c.waiting != nil && c.waiting.view.Number == current.Number {
@@ -64,25 +64,26 @@
 	return round
 }
 
-// runConfirmation carries out a round, once the former one has ended or takes long.
+// runConfirmation runs a round once the former one has ended or has taken confirmationOverlapDelay.
 func (m *Member) runConfirmation(ctx context.Context, round, former *confirmationRound) {
 	if former != nil {
 		wait(ctx, confirmationOverlapDelay, former.done)
-		wait(ctx, minConfirmationInterval-time.Since(former.askedAt), nil)
+		wait(ctx, minConfirmationInterval-time.Since(former.sentAt), nil)
 	}
 	m.mu.Lock()
 	if m.confirmations.waiting == round {
 		m.confirmations.waiting = nil
 	}
-	round.askedAt = time.Now()
+	round.sentAt = time.Now()
 	m.confirmations.latest = round
 	m.mu.Unlock()
 	round.err = m.requestConfirmations(ctx, &round.view)
 	close(round.done)
 }
 
-// requestConfirmations asks the voters of a view until a majority of them has confirmed it. The calls to
-// the others go on: a call that is broken off costs its connection, and the next round a new one.
+// requestConfirmations sends the requests of a round and returns nil once a majority of the voters has
+// confirmed the view. The other calls are not canceled: that would close their connections, which the next
+// round would have to open again.
 func (m *Member) requestConfirmations(ctx context.Context, current *view.View) error {
 	answers := make(chan *heartbeat, len(current.Voters))
 	for _, voter := range current.Voters {
@@ -100,7 +101,7 @@
 		case answer == nil:
 			continue
 		case answer.View > current.Number || answer.Accepted > current.Number:
-			return errors.Errorf("view %d may be over", current.Number)
+			return errors.Errorf("view %d may have been superseded", current.Number)
 		}
 		if confirmed++; confirmed >= current.Quorum() {
 			return nil
@@ -109,7 +110,8 @@
 	return errors.Errorf("no majority of the voters confirms view %d", current.Number)
 }
 
-// requestConfirmation has the state of a voter sent to answers, or nil if the voter can't be asked.
+// requestConfirmation sends a voter's state to answers, or nil if the voter can't be asked or does not
+// answer.
 func (m *Member) requestConfirmation(ctx context.Context, voter view.Peer, answers chan<- *heartbeat) {
 	if voter.ID == m.self.ID {
 		m.mu.Lock()
--- a/internal/fleet/controlplane/discovery.go
+++ b/internal/fleet/controlplane/discovery.go
@@ -7,30 +7,30 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// settingsTurn is how often addresses of the settings are asked instead of the voters: every
-// settingsTurn-th time.
-const settingsTurn = 4
+// configuredAddressPeriod is the period, in requests, at which a configured address is asked for a newer
+// view instead of a voter.
+const configuredAddressPeriod = 4
 
-// maxDiscoveryAttempts is how many addresses are asked, one after the other, until one answers. With two
-// voters lost of five or more one of them does.
-const maxDiscoveryAttempts = settingsTurn
+// maxDiscoveryAttempts is the number of addresses that are asked, one after the other, until one answers.
+// With two of five or more voters lost, one of them does.
+const maxDiscoveryAttempts = configuredAddressPeriod
 
-// viewDiscovery chooses whom to ask for a newer view.
+// viewDiscovery chooses the process to ask for a newer view.
 type viewDiscovery struct {
-	cursor      int // rotates over the addresses
+	cursor      int // the number of the last request, which rotates over the addresses
 	lastRequest time.Time
 }
 
-// next notes a request and returns its number.
+// next records a request and returns its number.
 func (d *viewDiscovery) next(now time.Time) int {
 	d.cursor++
 	d.lastRequest = now
 	return d.cursor
 }
 
-// discoveryAddress is the address that the request of a number goes to: one of the voters in turn or,
-// every settingsTurn-th time and where no voter can be asked, one of the configured addresses. It is
-// empty if there is none.
+// discoveryAddress returns the address for the request with the given number, or "" if there is none. It
+// rotates over the voters. Every request whose number is a multiple of configuredAddressPeriod, and every
+// one while no voter is usable, goes to a configured address instead.
 func discoveryAddress(number int, voters []view.Peer, configured func() []string, usable func(string) bool) string {
 	var addresses []string
 	for _, voter := range voters {
@@ -38,8 +38,8 @@
 			addresses = append(addresses, voter.Addr)
 		}
 	}
-	if number%settingsTurn == 0 || len(addresses) == 0 {
-		addresses, number = nil, number/settingsTurn
+	if number%configuredAddressPeriod == 0 || len(addresses) == 0 {
+		addresses, number = nil, number/configuredAddressPeriod
 		for _, address := range configured() {
 			if usable(address) {
 				addresses = append(addresses, address)
@@ -52,8 +52,9 @@
 	return addresses[number%len(addresses)]
 }
 
-// discoverViewOfAny asks other processes for a newer view until one answers. It is for those that ask
-// seldom: the voters that they know may all be replaced before the next time.
+// discoverViewOfAny asks other processes for a newer view until one answers or maxDiscoveryAttempts have
+// been asked. It is for processes that ask rarely: all voters that they know may be replaced before they
+// ask again.
 func (m *Member) discoverViewOfAny(ctx context.Context) {
 	for range maxDiscoveryAttempts {
 		if answered := m.discoverView(ctx, ""); answered || ctx.Err() != nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// discoverView asks one other process for a newer view, but not the one at an address that is just
-// being asked something else. It reports whether that process answered.
+// discoverView asks one other process for a newer view and reports whether it answered. It does not ask the
+// process at the address except, which is empty or has another request of this process under way.
 func (m *Member) discoverView(ctx context.Context, except string) (answered bool) {
 	m.mu.Lock()
 	number := m.discovery.next(time.Now())
@@ -86,7 +87,7 @@
 	return true
 }
 
-// configuredAddresses are the seeds, and further addresses of voters.
+// configuredAddresses returns the seeds' addresses and the further known addresses of voters.
 func (m *Member) configuredAddresses() []string {
 	addresses := append([]string(nil), m.options.Seeds()...)
 	if m.options.KnownAddresses != nil {
@@ -95,8 +96,9 @@
 	return addresses
 }
 
-// discoveryLoop bootstraps the first view where that is due. Then it discovers newer views on processes
-// that get no heartbeats, and announces the view to processes that may have nobody to ask.
+// discoveryLoop first takes part in the bootstrap of the first view on a first start. Then it asks for newer
+// views while this process does not learn them by heartbeats, and announces the view to processes that may
+// know no process to ask.
 func (m *Member) discoveryLoop(ctx context.Context) {
 	m.bootstrapFirstView(ctx)
 	for ctx.Err() == nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// nextDiscovery reports whether a newer view is to be asked for, and when to look again.
+// nextDiscovery reports whether to ask for a newer view now, and the time until the next check.
 func (m *Member) nextDiscovery() (interval time.Duration, due bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,7 +124,7 @@
 		interval = firstDiscoveryInterval
 	}
 	recent := now.Sub(m.discovery.lastRequest) < discoveryInterval
-	// A voter learns of views by heartbeats, unless all voters that it knows were replaced.
+	// A voter learns views by heartbeats, unless all voters that it knows were replaced.
 	informed := m.views.isVoter(m.self.ID) &&
 		(m.hasQuorumLocked(now) || now.Sub(m.pauses.resumedAt) < 2*peerTimeout)
 	return interval, !informed && !recent
--- a/internal/fleet/controlplane/discovery_test.go
+++ b/internal/fleet/controlplane/discovery_test.go
@@ -55,7 +55,7 @@
 			answered.Add(1)
 		}
 	})
-	for i := range int32(2 * settingsTurn) {
+	for i := range int32(2 * configuredAddressPeriod) {
 		client.member.discoverViewOfAny(context.Background())
 		require.Greater(t, answered.Load(), i, "request %d", i+1)
 	}
--- a/internal/fleet/controlplane/diskmonitor.go
+++ b/internal/fleet/controlplane/diskmonitor.go
@@ -8,13 +8,14 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-// diskMonitor decides when the disk is probed and scrubbed. At most one of both is under way.
+// diskMonitor decides when the disk is probed and scrubbed. At most one of these checks is under way.
 type diskMonitor struct {
-	// idPersisted tells that the member's ID is on disk. Until then it does not ask to become a voter.
+	// idPersisted is true if the member's ID is on disk. Until then the member does not ask to become a
+	// voter.
 	idPersisted bool
-	busy        bool
-	lastProbe   time.Time
-	lastScrub   time.Time
+	busy        bool      // a check is under way
+	lastProbe   time.Time // when the last probe started
+	lastScrub   time.Time // when the last scrub started
 }
 
 // diskCheck is a check of the disk that is due.
@@ -22,11 +23,11 @@
 
 const (
 	noDiskCheck diskCheck = iota
-	probeDisk             // an unhealthy disk, or one that was not written to since the start
-	scrubDisk             // a healthy one
+	probeDisk             // tests whether a disk that fails, or had no write since the start, takes a write
+	scrubDisk             // compares the file with memory
 )
 
-// String is the check's name.
+// String returns the name of the check.
 func (c diskCheck) String() string {
 	switch c {
 	case probeDisk:
@@ -38,7 +39,7 @@
 	}
 }
 
-// begin starts the check that is due. Without a file there is nothing to scrub.
+// begin returns the check that is due and records its start. Without a file there is nothing to scrub.
 func (d *diskMonitor) begin(health store.Health, hasFile bool, now time.Time) diskCheck {
 	if d.busy || health.OldestPending > 0 {
 		return noDiskCheck
@@ -54,7 +55,7 @@
 	return noDiskCheck
 }
 
-// checkDiskLocked starts the check of the disk that is due.
+// checkDiskLocked starts the disk check that is due, if any.
 func (m *Member) checkDiskLocked(now time.Time) {
 	switch m.diskMonitor.begin(m.disk.Health(now), m.options.StateDir != "", now) {
 	case probeDisk:
@@ -64,7 +65,7 @@
 	}
 }
 
-// probe writes to the disk: the member's ID, if it is not there yet.
+// probe probes the disk by a write: of the member's ID if it is not on disk yet, or else of no record.
 func (m *Member) probe(context.Context) {
 	m.mu.Lock()
 	idPersisted := m.diskMonitor.idPersisted
@@ -84,7 +85,7 @@
 	}
 }
 
-// scrub compares the file with memory.
+// scrub compares the file with memory, and logs if the file was rewritten or the scrub failed.
 func (m *Member) scrub(context.Context) {
 	intact, err := m.disk.Scrub()
 	m.mu.Lock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// diskUnhealthyLocked reports whether the disk fails or stalls. Outside of the chain a disk also has to
-// have taken a write since the start.
+// diskUnhealthyLocked reports whether the disk fails or stalls. The disk of a member outside the chain also
+// counts as unhealthy until a write has succeeded since the start.
 func (m *Member) diskUnhealthyLocked(now time.Time) bool {
 	health := m.disk.Health(now)
 	if health.OldestPending > diskStallLimit || health.FailingFor > 0 {
--- a/internal/fleet/controlplane/handover.go
+++ b/internal/fleet/controlplane/handover.go
@@ -8,16 +8,16 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// handoverProgress is how far a handover is.
+// handoverProgress is the state of a handover.
 type handoverProgress uint8
 
 const (
-	handoverDone    handoverProgress = iota // the others don't need this member
+	handoverDone    handoverProgress = iota // the other members don't need this one
 	handoverWaiting                         // a step is under way, or another member may take over
-	handoverBlocked                         // nothing can be done
+	handoverBlocked                         // there is no step to take or to wait for
 )
 
-// String is the progress's name.
+// String returns the name of the state.
 func (p handoverProgress) String() string {
 	switch p {
 	case handoverDone:
@@ -29,10 +29,10 @@
 	}
 }
 
-// Handover prepares the end of the process: this member is left out of the chain and its vote is given
-// to another one, as far as the others are enough. While they are too few it waits for one that is
-// joining or may return. It returns once this member is out and the others have learned that, when
-// there is nothing to wait for, or with ctx.
+// Handover prepares the shutdown of the process: it removes this member from the chain and gives its vote
+// to another process, as far as the remaining members suffice. While they are too few, it waits for a
+// process that is joining or may return. It returns once this member is removed and the others have learned
+// that, when there is nothing to wait for, or when ctx ends.
 func (m *Member) Handover(ctx context.Context) {
 	m.mu.Lock()
 	joining := m.joiningLocked()
@@ -62,8 +62,8 @@
 	}
 }
 
-// announceLeaving tells the voters that this member is shutting down, before it is left out, so that
-// none adds it again. One that misses it adds and drops it again.
+// announceLeaving notifies the voters that this member is shutting down before it is removed, so that none
+// of them adds it again. A voter that misses this may add it and remove it again.
 func (m *Member) announceLeaving(ctx context.Context, current view.View) {
 	ctx, cancel := context.WithTimeout(ctx, leavingNoticeTimeout)
 	defer cancel()
@@ -76,8 +76,8 @@
 	sent.Wait()
 }
 
-// awaitAdmission reports whether a joining process that is shutting down became a voter by a proposal
-// that was under way before the others knew.
+// awaitAdmission waits for phaseTimeout at most and reports whether this joining process became a voter. A
+// proposal that adds it may have been under way before the voters knew that it is shutting down.
 func (m *Member) awaitAdmission(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, phaseTimeout)
 	defer cancel()
@@ -97,8 +97,8 @@
 	}
 }
 
-// handoverStep proposes the next step of a handover. The channel is closed by the next change of the
-// view.
+// handoverStep proposes the next step of a handover if one is due. The returned channel is closed by the
+// next change of the views or of the committed value.
 func (m *Member) handoverStep(now time.Time) (<-chan struct{}, handoverProgress) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,9 +128,9 @@
 	return changed, handoverBlocked
 }
 
-// announceUntilLearned has the voters of the newest view learn it. Until they have, the decision may
-// be known to this process alone, and its vote would be needed to find it out. Voters that don't
-// answer are asked again, until a majority has learned it.
+// announceUntilLearned sends the learned view to its voters. Until they have learned it, the decision may
+// be known to this process alone, and its vote would be needed to recover it. Calls to voters that don't
+// answer are repeated until a majority has learned the view.
 func (m *Member) announceUntilLearned(ctx context.Context) {
 	m.mu.Lock()
 	learned := m.views.learned.Clone()
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// submission is an update that waits at the head.
+// submission is an update that is queued at the head.
 type submission struct {
 	callerContext context.Context
 	update        *chain.Update
@@ -17,16 +17,16 @@
 }
 
 // errViewNotActivated reports that the head's value has not been pushed through the chain of its view.
-var errViewNotActivated = errors.New("the head's value has not come through the chain yet")
+var errViewNotActivated = errors.New("the head's value has not been replicated through the chain yet")
 
-// outcomeUnknown is the response to an update that may be committed or not.
+// outcomeUnknown returns the response to an update that may or may not be committed.
 func outcomeUnknown(reason string) submitResponse {
 	return submitResponse{Result: chain.Result{Reason: reason}}
 }
 
 const notHeadReason = "not the head"
 
-// handleSubmit answers when the outcome of the update is known, or when its caller is gone.
+// handleSubmit handles an update. It responds when the outcome is known or when the caller has given up.
 func (m *Member) handleSubmit(ctx context.Context, update *chain.Update) (*submitResponse, error) {
 	m.mu.Lock()
 	newest := m.views.newest
@@ -43,7 +43,7 @@
 	select {
 	case m.submissions <- queued:
 	default:
-		response := outcomeUnknown("too many orders wait at the head: send it again")
+		response := outcomeUnknown("too many updates are queued at the head; send the update again")
 		return &response, nil
 	}
 	select {
@@ -93,8 +93,8 @@
 	return response
 }
 
-// activateView pushes the head's value until it came through the chain of the newest view, and returns
-// that value. It returns false if this member is not the head, and when ctx ends.
+// activateView pushes the head's value until the tail of the learned view's chain has stored it, and
+// returns that value. It returns false if this member is not the head, and when ctx ends.
 func (m *Member) activateView(ctx context.Context) (chain.Value, bool) {
 	for {
 		replica := m.replica()
@@ -111,7 +111,7 @@
 		if err == nil {
 			return replica.Record.Value, true
 		}
-		m.wakeTicker() // the failed member may be known by now
+		m.wakeTicker() // the tick may already detect the member that failed
 		wait(ctx, activationRetryDelay, changed)
 		if ctx.Err() != nil {
 			return chain.Value{}, false
@@ -121,12 +121,12 @@
 
 // appliedUpdate is the result of an update at the head's replica.
 type appliedUpdate struct {
-	view   view.View    // in which it was applied; Number 0: this member is not the head
-	next   *chain.Value // is on disk here; nil: the update is rejected, or was committed before
+	view   view.View    // the view in which the update was applied; Number is 0 if this member is not the head
+	next   *chain.Value // the new value, which is on disk here; nil if the update makes no new value
 	result chain.Result
 }
 
-// execute applies an update and has its value committed.
+// execute applies an update and pushes the new value through the chain, which commits it.
 func (m *Member) execute(ctx context.Context, queued *submission) submitResponse {
 	applied, err := m.applyActivated(ctx, queued.update)
 	switch {
@@ -138,7 +138,8 @@
 	case applied.next == nil:
 		return m.confirmResult(queued.callerContext, applied)
 	}
-	// This member may have been left out and be the head again, with a value that others made.
+	// In the meantime this member may have been removed from the chain and become the head again, with a
+	// value from other members that may lack the update.
 	if value, ok := m.activateView(ctx); ok {
 		if _, committed := value.RevisionOf(queued.update.Digest()); committed {
 			return submitResponse{Result: applied.result}
@@ -147,8 +148,8 @@
 	return m.notHead()
 }
 
-// confirmResult answers an update that makes no new value. A rejection is final, so the value on which
-// it rests must be the newest of all: a majority of the voters has to confirm the view.
+// confirmResult returns the response to an update that makes no new value. A rejection is final, so it must
+// be based on the newest value: a majority of the voters has to confirm the view first.
 func (m *Member) confirmResult(ctx context.Context, applied appliedUpdate) submitResponse {
 	if applied.result.Outcome == chain.OutcomeCommitted || applied.result.Outcome == chain.OutcomeUnknown {
 		return submitResponse{Result: applied.result}
@@ -161,7 +162,7 @@
 	return submitResponse{Result: applied.result}
 }
 
-// applyActivated is apply, after the head's value has been pushed through the chain of its view.
+// applyActivated is apply, but pushes the head's value through the chain first if apply requires it.
 func (m *Member) applyActivated(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	for {
 		applied, err := m.apply(ctx, update)
@@ -175,7 +176,7 @@
 	}
 }
 
-// apply applies an update to the head's value, and stores the next value if there is one.
+// apply applies an update to the head's value, and stores the new value if there is one.
 func (m *Member) apply(ctx context.Context, update *chain.Update) (appliedUpdate, error) {
 	if err := m.acquireWrite(ctx); err != nil {
 		return appliedUpdate{}, err
--- a/internal/fleet/controlplane/heartbeat.go
+++ b/internal/fleet/controlplane/heartbeat.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// tick does what is due, given that this tick was due an interval after the last one. It returns the
-// time to the next one.
+// tick sends heartbeats, starts disk checks and repairs the view, as far as they are due. interval is the
+// scheduled time between the last tick and this one. tick returns the time until the next one.
 func (m *Member) tick(now time.Time, interval time.Duration) time.Duration {
 	m.mu.Lock()
 	m.pauses.tick(now, interval)
@@ -58,11 +58,11 @@
 	return interval
 }
 
-// wakeTicker asks for a tick now.
+// wakeTicker requests an immediate tick.
 func (m *Member) wakeTicker() {
 	select {
 	case m.wakeups <- struct{}{}:
-	default: // it was asked for already
+	default: // already requested
 	}
 }
 
@@ -77,7 +77,7 @@
 	return m.self.Disk || m.views.learned.InMemory
 }
 
-// heartbeatIntervalLocked is the time between two heartbeats to a voter; 0: none are sent.
+// heartbeatIntervalLocked returns the time between two heartbeats to a voter; 0 if none are sent.
 func (m *Member) heartbeatIntervalLocked() time.Duration {
 	current := &m.views.learned
 	if m.views.isVoter(m.self.ID) {
@@ -93,8 +93,9 @@
 	return joiningInterval
 }
 
-// sendHeartbeatsLocked starts the heartbeats that are due. Of two voters the one with the lower ID
-// sends them, as the request tells as much as the answer; where that is not enough, both do.
+// sendHeartbeatsLocked starts the heartbeats that are due. Of two voters the one with the lower ID sends
+// them, as request and response carry the same information. The other one also sends heartbeats if it was
+// not in contact for passiveContactLimit.
 func (m *Member) sendHeartbeatsLocked(now time.Time) {
 	interval := m.heartbeatIntervalLocked()
 	if interval == 0 {
@@ -114,7 +115,7 @@
 	}
 }
 
-// exchangeHeartbeats sends a heartbeat to a voter and does what the answer calls for.
+// exchangeHeartbeats sends a heartbeat to a voter and catches up by its response.
 func (m *Member) exchangeHeartbeats(ctx context.Context, voter view.Peer, peer *peerState) {
 	answer, err := m.sendHeartbeat(ctx, voter)
 	m.mu.Lock()
@@ -131,7 +132,7 @@
 	m.catchUp(ctx, answer)
 }
 
-// sendHeartbeat sends a heartbeat to a peer and takes its answer.
+// sendHeartbeat sends a heartbeat to a peer, and records and returns its response.
 func (m *Member) sendHeartbeat(ctx context.Context, to view.Peer) (*heartbeat, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -148,7 +149,7 @@
 	return answer, nil
 }
 
-// handleHeartbeat answers with a heartbeat, and with the learned view where the sender lacks it.
+// handleHeartbeat responds with a heartbeat, which includes the learned view if the sender's is older.
 func (m *Member) handleHeartbeat(_ context.Context, request *heartbeat) (*heartbeat, error) {
 	now := time.Now()
 	m.recordHeartbeat(request, request.contactTime(now))
@@ -171,8 +172,8 @@
 	return answer, nil
 }
 
-// contactTime is when the sender was last in contact with the receiver, by its own account; zero:
-// never, or too long ago.
+// contactTime returns the time at which, according to the sender, it was last in contact with the receiver;
+// zero if it never was, or not within maxContactAge.
 func (h *heartbeat) contactTime(now time.Time) time.Time {
 	if h.ContactAgeMs < 0 || h.ContactAgeMs >= maxContactAge.Milliseconds() {
 		return time.Time{}
@@ -180,7 +181,8 @@
 	return now.Add(-time.Duration(h.ContactAgeMs) * time.Millisecond)
 }
 
-// recordHeartbeat takes a heartbeat of a peer that was in contact at a time; zero: not known.
+// recordHeartbeat records a heartbeat of a peer. contactAt is a time at which the peer was in contact with
+// this process; zero if none is known.
 func (m *Member) recordHeartbeat(received *heartbeat, contactAt time.Time) {
 	if received.Peer.ID == "" || received.Peer.Addr == "" || len(received.ConnectedTo) > maxPeers {
 		return
@@ -199,7 +201,7 @@
 	}
 }
 
-// heartbeatLocked is the heartbeat to a peer.
+// heartbeatLocked returns the heartbeat to send to a peer.
 func (m *Member) heartbeatLocked(to string, now time.Time) *heartbeat {
 	learned := &m.views.learned
 	replica := m.replicaLocked()
--- a/internal/fleet/controlplane/learn.go
+++ b/internal/fleet/controlplane/learn.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// View is the newest view that was observed here, and whether there is one.
+// View returns the newest view that this member has observed, and whether there is one.
 func (m *Member) View() (view.View, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -22,19 +22,19 @@
 	return m.views.isVoter(m.self.ID)
 }
 
-// handleView answers with the newest view if the caller has an older one.
+// handleView handles a viewRequest. It responds with the newest view if the caller has an older one.
 func (m *Member) handleView(_ context.Context, request *viewRequest) (*viewResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return &viewResponse{View: m.views.newerThan(request.Known)}, nil
 }
 
-// handleLearn answers once the view, or a newer one, is on disk.
+// handleLearn learns a decided view. It responds once that view or a newer one is on disk.
 func (m *Member) handleLearn(ctx context.Context, decided *view.View) (*empty, error) {
 	return &empty{}, m.learnView(ctx, decided)
 }
 
-// observeView notes a view that another process knows. It is not acted on before it is learned.
+// observeView records a view that another process knows. This member acts on it only once it is learned.
 func (m *Member) observeView(observed *view.View) {
 	if observed == nil || observed.Validate() != nil {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// learnView takes a decided view, which is on disk when learnView returns without an error. A nil
-// view is no error.
+// learnView learns a decided view. If it returns nil, that view or a newer one is on disk. A nil view is
+// ignored.
 func (m *Member) learnView(ctx context.Context, decided *view.View) error {
 	if decided == nil {
 		return nil
@@ -70,8 +70,8 @@
 	return m.persistView(decided)
 }
 
-// learnViewOrLog is learnView for callers that need not know: a view that the disk does not take is
-// learned by a later tick.
+// learnViewOrLog is learnView for callers that don't depend on the result. If the write fails, a later tick
+// learns the view.
 func (m *Member) learnViewOrLog(ctx context.Context, decided *view.View) {
 	err := m.learnView(ctx, decided)
 	if err == nil || ctx.Err() != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// learnNewestLocked starts to learn a newer view that was only observed. Where the disk does not take
-// it, later ticks repeat that.
+// learnNewestLocked starts to learn the newest view if it was only observed. If the write fails, later
+// ticks try again.
 func (m *Member) learnNewestLocked() {
 	if !m.views.behind() || m.views.learning {
 		return
@@ -102,7 +102,8 @@
 	})
 }
 
-// persistView writes a decided view to disk and then acts by it. The caller holds the write token.
+// persistView writes a decided view to disk and then makes it the learned view. The caller holds the write
+// token.
 func (m *Member) persistView(decided *view.View) error {
 	if decided.Number <= m.views.learned.Number { // changes only while the write token is held
 		return nil
@@ -136,8 +137,8 @@
 	return addresses
 }
 
-// logShortfallLocked logs once which of the losses to be tolerated the voters of the view can't
-// survive.
+// logShortfallLocked logs which of the tolerated losses the voters of the view would not survive. The same
+// shortfall is not logged again.
 func (m *Member) logShortfallLocked() {
 	shortfall := m.views.learned.Shortfall(m.options.Tolerance)
 	if !m.views.isVoter(m.self.ID) || shortfall == m.loggedShortfall {
--- a/internal/fleet/controlplane/member.go
+++ b/internal/fleet/controlplane/member.go
@@ -20,23 +20,23 @@
 	incarnationBytes = 4
 )
 
-// Member is one process's part of the control state. All methods are safe for concurrent use.
+// Member is this process's member of the control plane. All methods are safe for concurrent use.
 type Member struct {
 	options     Options
 	self        view.Peer
-	incarnation string // tells this run of the process from earlier ones in proposal numbers
+	incarnation string // distinguishes this run of the process from earlier ones in proposal numbers
 	disk        Disk
-	intercept   interceptor // nil, or what carries out calls between members in tests
+	intercept   interceptor // carries out the calls between members in tests; nil otherwise
 
 	writeToken  chan struct{}    // holds a token while no durable step is under way
-	submissions chan *submission // that wait at the head
-	wakeups     chan struct{}    // asks for a tick now
+	submissions chan *submission // updates waiting to be carried out by this member as the head
+	wakeups     chan struct{}    // requests an immediate tick
 
-	loops sync.WaitGroup // of Run
-	calls sync.WaitGroup // started by spawn
+	loops sync.WaitGroup // goroutines of Run
+	calls sync.WaitGroup // goroutines started by spawn
 
-	mu              sync.Mutex // guards all below
-	changed         broadcast  // of the views and of the committed value
+	mu              sync.Mutex // guards the fields below
+	changed         broadcast  // notified when the views or the committed value change
 	views           viewState
 	acceptor        acceptor
 	register        register
@@ -50,13 +50,13 @@
 	announcer       announcer
 	leaving         bool           // Handover was called
 	loggedShortfall view.Shortfall // the last shortfall that was logged
-	sendingSnapshot bool           // a joining member is being sent the value
-	stopped         bool           // Run is ending: no further calls
+	sendingSnapshot bool           // the value is being sent to a joining member
+	stopped         bool           // Run is ending: spawn starts no further calls
 	runContext      context.Context
 }
 
-// Open reads the state from the disk. A disk that is empty, or whose file is damaged, makes the
-// process a new member with a new ID. The state is closed by Run.
+// Open reads the state from the disk. If the disk is empty or its file is damaged, the process becomes
+// a new member with a new ID. Run closes the disk.
 func Open(options Options) (*Member, error) {
 	if err := options.checkAndSetDefaults(); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return m, nil
 }
 
-// openDisk opens the store in the options' folder, unless they bring a disk of their own.
+// openDisk opens the store in StateDir, or returns options.Disk if both it and StateDir are set.
 func openDisk(options *Options) (Disk, error) {
 	if options.Disk != nil && options.StateDir != "" {
 		return options.Disk, nil
@@ -114,7 +114,8 @@
 	return hex.EncodeToString(raw)
 }
 
-// Run works until ctx ends, and closes the disk. It returns when all that it started has ended.
+// Run runs the member until ctx ends, and then closes the disk. It returns when all goroutines that the
+// member started have ended.
 func (m *Member) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -129,12 +130,12 @@
 	m.stopped = true
 	m.mu.Unlock()
 	m.loops.Wait()
-	m.disk.Close() // before the calls end: some of them may wait for the disk
+	m.disk.Close() // before the calls end, as some of them may be waiting for the disk
 	m.calls.Wait()
 	return nil
 }
 
-// spawn runs a short call on a goroutine that Run waits for; its context ends with Run.
+// spawn runs a short call in a goroutine that Run waits for. The call's context ends with Run.
 func (m *Member) spawn(call func(context.Context)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,7 +154,7 @@
 	}()
 }
 
-// acquireWrite waits for the right to make a durable step; releaseWrite returns it.
+// acquireWrite waits for the write token, which permits a durable step; releaseWrite returns it.
 func (m *Member) acquireWrite(ctx context.Context) error {
 	select {
 	case <-m.writeToken:
@@ -165,7 +166,7 @@
 
 func (m *Member) releaseWrite() { m.writeToken <- struct{}{} }
 
-// replica is this member's part of the chain, as it is on disk.
+// replica returns this member's replica of the configuration and its learned view, as they are on disk.
 func (m *Member) replica() chain.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,8 +177,8 @@
 	return chain.Replica{ID: m.self.ID, View: m.views.learned, Record: m.register.record}
 }
 
-// callbackLoop calls OnView and OnCommit. Both are called from this goroutine only, so a slow one
-// delays the next but nothing else.
+// callbackLoop calls OnView and OnCommit. Both are called from this goroutine only, so a slow callback
+// delays the next one but nothing else.
 func (m *Member) callbackLoop(ctx context.Context) {
 	var number, seq uint64
 	for {
@@ -204,7 +205,7 @@
 	}
 }
 
-// wait returns after a time, with a change of the channel, or with ctx.
+// wait returns after limit, when changed is closed or when ctx ends. changed may be nil.
 func wait(ctx context.Context, limit time.Duration, changed <-chan struct{}) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -17,38 +17,39 @@
 	Addr   string
 	Zone   string
 	Region string
-	// StateDir is the folder of the state; empty: the state is in memory only.
+	// StateDir is the folder of the state. If it is empty, the state is in memory only.
 	StateDir string
-	// Disk, if not nil, stores the state instead of a store in StateDir, which is then its name.
+	// Disk, if not nil, stores the state in place of a store in StateDir, which must still be set.
 	Disk Disk
-	// HasDisk tells that the machine's state outlives its process. Without it StateDir is ignored.
+	// HasDisk is true if the machine's state outlives its process. Otherwise StateDir is ignored.
 	HasDisk bool
-	// FirstStart tells that the whole fleet starts for the first time, so that a first view is to be
-	// decided. It must never be set again for a process that took part in that.
+	// FirstStart is true if the whole fleet starts for the first time, so that a first view must be
+	// decided. It must never be set again for a process that took part in that decision.
 	FirstStart bool
 	// Seeds are the addresses of the processes that decide on the first view. It is called again
 	// whenever addresses are needed.
 	Seeds func() []string
 	// KnownAddresses are further addresses of voters; may be nil.
 	KnownAddresses func() []string
-	// Unreached returns the addresses of processes that may not know any view, to be told the learned
-	// one; may be nil.
+	// Unreached returns the addresses of processes that may not know any view. The learned view is sent
+	// to them. May be nil.
 	Unreached func() []string
-	// Tolerance is the losses that the state has to survive.
+	// Tolerance is the set of losses that the state must survive.
 	Tolerance view.Tolerance
-	// Counted tells that the loss of this machine is one of those to be tolerated.
+	// Counted is true if Tolerance applies to the loss of this machine.
 	Counted bool
-	// Pool has the connections to other processes.
+	// Pool holds the connections to other processes.
 	Pool *rpc.Pool
 	// Transition makes the next configuration from the current one and an update.
 	Transition chain.Transition
-	// OnCommit is called with the newest committed values, with rising Seq; may be nil. Values in
-	// between may be skipped.
+	// OnCommit is called with the newest committed value when it has changed, in the order of Seq. Values
+	// in between may be skipped. May be nil.
 	OnCommit func(chain.Value)
-	// OnView is called with newer views, with rising Number; may be nil. Views in between may be
-	// skipped.
+	// OnView is called with the learned view when it has changed, in the order of Number. Views in between
+	// may be skipped. May be nil.
 	OnView func(view.View)
-	// RequestTimeout bounds Submit, beside the time that its update may take on its way, and Read; 0: 900 ms.
+	// RequestTimeout bounds Read, Confirm and Submit; Submit adds the transfer time of its update. The
+	// default is 900 ms.
 	RequestTimeout time.Duration
 }
 
@@ -56,22 +57,22 @@
 type Disk interface {
 	// Get returns the record of a key, and whether there is one.
 	Get(key string) ([]byte, bool)
-	// Put returns nil once the record outlives a loss of power.
+	// Put writes a record, and returns nil once the record would survive a loss of power.
 	Put(key string, record []byte) error
 	// Probe makes a write that changes no record.
 	Probe() error
 	// Scrub compares the file with memory and rewrites it where they differ; it reports whether the
 	// file was intact.
 	Scrub() (intact bool, err error)
-	// Health returns without waiting for the disk.
+	// Health returns the health of the disk without waiting for it.
 	Health(now time.Time) store.Health
 	Close()
 }
 
-// checkAndSetDefaults reports missing options, and completes the optional ones.
+// checkAndSetDefaults reports missing options, and sets the defaults of the optional ones.
 func (o *Options) checkAndSetDefaults() error {
 	if o.Addr == "" || o.Pool == nil || o.Transition == nil || o.Seeds == nil {
-		return errors.New("core: Addr, Pool, Transition and Seeds are needed")
+		return errors.New("core: Addr, Pool, Transition and Seeds are required")
 	}
 	if o.RequestTimeout <= 0 {
 		o.RequestTimeout = defaultRequestTimeout
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// repairPolicy is the policy by which repairs of a view are planned.
+// repairPolicy returns the policy for planning repairs of a view.
 func (o *Options) repairPolicy() view.Policy {
 	return view.Policy{
 		Tolerance:    o.Tolerance,
--- a/internal/fleet/controlplane/peers.go
+++ b/internal/fleet/controlplane/peers.go
@@ -6,30 +6,32 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// peerState is what a member knows of another one.
+// peerState is what a member knows about a peer.
 type peerState struct {
-	lastHeartbeat heartbeat // the last one received, without a view
-	knownSince    time.Time
-	// lastContact is when the peer was last known to receive from this process and to be received.
+	lastHeartbeat heartbeat // the last heartbeat received from the peer, without NewerView
+	knownSince    time.Time // when the entry was created
+	// lastContact is the time of the last exchange in which messages passed in both directions; zero if
+	// there was none.
 	lastContact time.Time
-	// contactSince is since when that has gone on without a break.
+	// contactSince is the time since which the contact has had no interruption; zero if there was no contact.
 	contactSince time.Time
-	lastSent     time.Time // of the last heartbeat that was sent to it
-	inFlight     bool      // a heartbeat to it has no answer yet
-	// confirmationCalls is how many calls for confirmation to it are under way.
+	lastSent     time.Time // when the last heartbeat was sent to the peer
+	inFlight     bool      // a heartbeat to the peer awaits its response
+	// confirmationCalls is the number of confirmation calls to the peer that are under way.
 	confirmationCalls int
-	// pushFailingSince is since when pushes to it have failed, zero: they don't. lastPushFailure is
-	// when the last of them did.
+	// pushFailingSince is the start of the first of the consecutive failed pushes to the peer; zero if pushes
+	// don't fail.
 	pushFailingSince time.Time
-	lastPushFailure  time.Time
-	// refusingSince is since when its port refuses connections; zero: it does not.
+	// lastPushFailure is the time of the last failed push to the peer; zero if none failed.
+	lastPushFailure time.Time
+	// refusingSince is the time since which the peer's port has refused connections; zero if it does not.
 	refusingSince time.Time
-	// removedInView is the number of the view in which it ceased to be a voter; 0: it was none.
+	// removedInView is the number of the view in which the peer ceased to be a voter; 0 if there is none.
 	removedInView uint64
 }
 
-// sinceContact is for how long the peer has not been in contact, counted from when this process resumed at
-// the earliest.
+// sinceContact returns the time since the last contact with the peer, or since it became known or this
+// process resumed if that was later.
 func (p *peerState) sinceContact(resumedAt, now time.Time) time.Duration {
 	last := p.lastContact
 	if last.Before(p.knownSince) {
@@ -41,14 +43,14 @@
 	return max(0, now.Sub(last))
 }
 
-// processEnded reports whether the peer's machine refuses connections for so long that its process
-// must have ended.
+// processEnded reports whether the peer's port has refused connections for so long that its process must
+// have ended.
 func (p *peerState) processEnded(now time.Time) bool {
 	return !p.refusingSince.IsZero() && now.Sub(p.refusingSince) >= refusalConfirmation
 }
 
-// pushUnreachable reports whether pushes to the peer fail for so long, and so lately, that it can be no
-// successor in the chain.
+// pushUnreachable reports whether pushes to the peer have failed for so long, and so recently, that it can't
+// be a successor in the chain.
 func (p *peerState) pushUnreachable(now time.Time) bool {
 	return !p.pushFailingSince.IsZero() && now.Sub(p.pushFailingSince) >= contactTimeout &&
 		now.Sub(p.lastPushFailure) < voterReplacementDelay
@@ -58,40 +60,40 @@
 	return !p.lastContact.IsZero() && now.Sub(p.lastContact) < contactTimeout
 }
 
-// contacted notes a contact that is newer than the last one.
+// contacted records a contact that is newer than the last one.
 func (p *peerState) contacted(at, resumedAt, now time.Time) {
 	interrupted := p.lastContact.IsZero() || at.Sub(p.lastContact) > peerTimeout || p.contactSince.Before(resumedAt)
 	if interrupted {
 		p.contactSince = now
 	}
 	if interrupted || !p.refusingSince.IsZero() {
-		// The pushes failed because the peer was away: they tell nothing of the way to it now.
+		// The pushes failed because the peer was away, which says nothing about whether they reach it now.
 		p.pushFailingSince = time.Time{}
 	}
 	p.lastContact, p.refusingSince = at, time.Time{}
 }
 
-// pushed notes whether a push that was begun at a time reached the peer.
-func (p *peerState) pushed(begun, now time.Time, reached bool) {
+// pushed records whether a push that started at startedAt reached the peer.
+func (p *peerState) pushed(startedAt, now time.Time, reached bool) {
 	if reached {
 		p.pushFailingSince = time.Time{}
 		return
 	}
 	if p.pushFailingSince.IsZero() {
-		p.pushFailingSince = begun
+		p.pushFailingSince = startedAt
 	}
 	p.lastPushFailure = now
 }
 
-// refused notes that the peer's port refuses connections, if it accepted them before.
+// refused records that the peer's port refuses connections, if the peer was in contact before.
 func (p *peerState) refused(now time.Time) {
 	if !p.lastContact.IsZero() && p.refusingSince.IsZero() {
 		p.refusingSince = now
 	}
 }
 
-// peerTable is what a member knows of the others. It has an entry for each voter of the learned view
-// and for other processes that sent heartbeats, at most maxPeers.
+// peerTable holds what a member knows about its peers. It has an entry for each other voter of the learned
+// view and for other processes that sent heartbeats, at most maxPeers in all.
 type peerTable struct {
 	selfID string
 	byID   map[string]*peerState
@@ -101,8 +103,8 @@
 	return peerTable{selfID: selfID, byID: map[string]*peerState{}}
 }
 
-// entry is the entry of a peer, which is made if there is none; nil for this process itself, and
-// where the table is full.
+// entry returns the entry of a peer, and adds it if there is none. It returns nil for this process itself,
+// and if the table is full.
 func (t *peerTable) entry(peer view.Peer, current *view.View, resumedAt, now time.Time) *peerState {
 	if peer.ID == t.selfID {
 		return nil
@@ -121,7 +123,7 @@
 	return added
 }
 
-// evict removes peers that are no voters and timed out.
+// evict removes peers that are not voters and have timed out.
 func (t *peerTable) evict(current *view.View, resumedAt, now time.Time) {
 	for id, peer := range t.byID {
 		if _, voter := current.Voter(id); !voter && peer.sinceContact(resumedAt, now) > peerTimeout {
@@ -130,7 +132,7 @@
 	}
 }
 
-// votersChanged notes which peers ceased to be voters between two views, and makes entries for the new
+// votersChanged records which peers ceased to be voters between two views, and adds entries for the new
 // voters.
 func (t *peerTable) votersChanged(former, current *view.View, resumedAt, now time.Time) {
 	for _, voter := range former.Voters {
@@ -142,14 +144,14 @@
 	t.addVoters(current, resumedAt, now)
 }
 
-// addVoters makes entries for the voters of a view.
+// addVoters adds entries for the voters of a view.
 func (t *peerTable) addVoters(current *view.View, resumedAt, now time.Time) {
 	for _, voter := range current.Voters {
 		t.entry(voter, current, resumedAt, now)
 	}
 }
 
-// inContact reports whether a peer is in contact, as this process itself always is.
+// inContact reports whether a peer is in contact. This process itself always is.
 func (t *peerTable) inContact(id string, now time.Time) bool {
 	if id == t.selfID {
 		return true
@@ -171,7 +173,7 @@
 	return voter && inContact >= current.Quorum()
 }
 
-// reachable are the other voters of a view that are in contact and can be pushed to.
+// reachable returns the IDs of the other voters of a view that are in contact and can be pushed to.
 func (t *peerTable) reachable(current *view.View, now time.Time) []string {
 	var ids []string
 	for _, voter := range current.Voters {
@@ -182,8 +184,8 @@
 	return ids
 }
 
-// countChecksums counts the voters in contact whose committed value of a sequence number has one
-// checksum, and those where it has the other.
+// countChecksums counts the voters in contact whose committed value has the sequence number seq, by its
+// checksum: those with the first and those with the second one.
 func (t *peerTable) countChecksums(current *view.View, seq, first, second uint64, now time.Time) (withFirst, withSecond int) {
 	for _, voter := range current.Voters {
 		peer := t.byID[voter.ID]
@@ -200,7 +202,7 @@
 	return withFirst, withSecond
 }
 
-// health is the health of a peer as this process sees it, for the planning of a view.
+// health returns the health of a peer as this process sees it, for planning the next view.
 func (p *peerState) health(current *view.View, resumedAt, now time.Time) view.Health {
 	received := &p.lastHeartbeat
 	health := view.Health{
@@ -223,9 +225,9 @@
 	return health
 }
 
-// holdsAll reports whether a peer holds all that was acknowledged, by its last heartbeat. A member
-// that did holds it for as long as it stays in the chain, also where it has not learned the later
-// views: nothing was acknowledged in these without it.
+// holdsAll reports whether a peer holds every acknowledged update, according to its last heartbeat. A member
+// that once held every one continues to do so while it stays in the chain, even if it has not learned the
+// later views: nothing was acknowledged in them without this member.
 func holdsAll(current *view.View, received *heartbeat) bool {
 	position := current.Position(received.Peer.ID)
 	if position < 0 {
--- a/internal/fleet/controlplane/persistence.go
+++ b/internal/fleet/controlplane/persistence.go
@@ -16,23 +16,23 @@
 	keyView  = "view"
 	keyVote  = "vote"
 	keyValue = "value"
-	// foreignKeyPrefix separates the records of other parts of the process from the member's own.
+	// foreignKeyPrefix separates the records of other components of the process from the member's own.
 	foreignKeyPrefix = "x/"
 )
 
-// recordFormat is the version of the encoding of a record, which is its first byte.
+// recordFormat is the version of the records' encoding. It is the first byte of each record.
 const recordFormat = 1
 
 // State is the state of a member as it is on disk.
 type State struct {
 	ID       string
-	View     view.View          // the learned view; Number 0: none
-	Acceptor view.AcceptorState // on the view after it, if that is its instance
-	Record   chain.Record       // View 0: no value was received
-	Checksum uint64             // the checksum of the record's value, as heartbeats have it
+	View     view.View          // the learned view; its Number is 0 if there is none
+	Acceptor view.AcceptorState // the vote; it is on the view after View if its Instance is that view's number
+	Record   chain.Record       // the copy in the chain; its View is 0 if no value was received
+	Checksum uint64             // the checksum of the record's value, as in heartbeats
 }
 
-// Inspect reads the state in a folder that no process uses, and changes nothing.
+// Inspect reads the state in a folder without changing it. No process may be using the folder.
 func Inspect(dir string) (State, store.Report, error) {
 	report, err := store.Verify(dir)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return state, nil
 }
 
-// readState reads all records but computes no checksum.
+// readState reads all records without computing the checksum.
 func readState(get func(key string) ([]byte, bool)) (State, error) {
 	var state State
 	id, _ := get(keyID)
@@ -79,7 +79,7 @@
 	return state, nil
 }
 
-// loadState reads the records of earlier runs, and gives a new disk its ID.
+// loadState reads the records of earlier runs, and writes an ID to a new disk.
 func (m *Member) loadState() error {
 	state, err := readState(m.disk.Get)
 	if err != nil {
@@ -108,15 +108,15 @@
 	return nil
 }
 
-// SaveRecord writes a record of another part of the process to the member's disk, and returns once it
-// is there. It may take as long as the disk does; of the member's work only the next write waits for
-// it.
+// SaveRecord writes a record of another component of the process to the member's disk, and returns nil once
+// it is stored. It waits for the disk for as long as necessary. Of the member's own work it delays only
+// the next write.
 func (m *Member) SaveRecord(name string, record []byte) error {
 	return m.disk.Put(foreignKeyPrefix+name, record)
 }
 
-// LoadRecord is the record that was saved last under a name, by this run of the process or an earlier
-// one, and whether there is one.
+// LoadRecord returns the last record saved under a name, by this run of the process or an earlier one, and
+// whether there is one.
 func (m *Member) LoadRecord(name string) ([]byte, bool) {
 	return m.disk.Get(foreignKeyPrefix + name)
 }
--- a/internal/fleet/controlplane/proposer.go
+++ b/internal/fleet/controlplane/proposer.go
@@ -12,15 +12,15 @@
 // proposer decides when this member proposes a view, and under which proposal number. At most one
 // proposal is under way.
 type proposer struct {
-	name   string            // in proposal numbers: the member and its incarnation
-	rounds map[uint64]uint32 // highest round that was met, by the number of the proposed view
+	name   string            // the proposer in proposal numbers: the member's ID and its incarnation
+	rounds map[uint64]uint32 // highest round that was used or seen, by the number of the proposed view
 	active bool              // a proposal is under way
 	// backoffUntil is the earliest time of the next proposal.
 	backoffUntil time.Time
-	// wanted is the reason of the step that is due but delayed; empty: none. wantedSince is when it
-	// became due.
-	wanted      string
-	wantedSince time.Time
+	// pendingReason is the reason of the repair step that is delayed; empty if there is none.
+	pendingReason string
+	// pendingSince is the time at which that step was first planned.
+	pendingSince time.Time
 }
 
 func newProposer(name string) proposer {
@@ -30,21 +30,21 @@
 // ready reports whether a proposal may be started.
 func (p *proposer) ready(now time.Time) bool { return !p.active && !now.Before(p.backoffUntil) }
 
-// due reports whether a step has been wanted for long enough. rank is how many healthy members
-// propose before this one.
+// due reports whether a step has been pending for long enough. rank is the number of healthy members
+// that propose before this one.
 func (p *proposer) due(step view.Step, rank int, now time.Time) bool {
-	if step.Reason != p.wanted {
-		p.wanted, p.wantedSince = step.Reason, now
+	if step.Reason != p.pendingReason {
+		p.pendingReason, p.pendingSince = step.Reason, now
 	}
-	return now.Sub(p.wantedSince) >= step.Delay+time.Duration(rank)*proposerRankDelay
+	return now.Sub(p.pendingSince) >= step.Delay+time.Duration(rank)*proposerRankDelay
 }
 
-// nothingWanted notes that the view needs no repair.
-func (p *proposer) nothingWanted() { p.wanted = "" }
+// clearPending records that the view needs no repair.
+func (p *proposer) clearPending() { p.pendingReason = "" }
 
-// learned notes that a view was learned: steps and rounds of older views are void.
+// learned records that a view was learned, which invalidates steps and rounds of older views.
 func (p *proposer) learned(number uint64) {
-	p.wanted = ""
+	p.pendingReason = ""
 	for instance := range p.rounds {
 		if instance <= number {
 			delete(p.rounds, instance)
@@ -52,7 +52,7 @@
 	}
 }
 
-// begin starts a proposal for a view, under a number that this member has not used.
+// begin starts a proposal for the view of an instance, under a number that this member has not used.
 func (p *proposer) begin(instance uint64) view.ProposalNumber {
 	p.active = true
 	p.rounds[instance]++
@@ -62,12 +62,12 @@
 // end ends a proposal whose outcome is known.
 func (p *proposer) end() { p.active = false }
 
-// endUndecided ends a proposal that was not decided. seen is the highest round that was met, and
-// learned the number of the learned view.
-func (p *proposer) endUndecided(instance, learned uint64, seen uint32, backoffUntil time.Time) {
+// endUndecided ends a proposal that was not decided. highestSeen is the highest round in the responses,
+// and learned the number of the learned view.
+func (p *proposer) endUndecided(instance, learned uint64, highestSeen uint32, backoffUntil time.Time) {
 	p.active = false
 	if instance > learned {
-		p.rounds[instance] = max(p.rounds[instance], seen)
+		p.rounds[instance] = max(p.rounds[instance], highestSeen)
 	}
 	p.backoffUntil = backoffUntil
 }
@@ -84,7 +84,7 @@
 	})
 }
 
-// concludeProposal learns and announces what was decided, and allows the next proposal.
+// concludeProposal learns and announces the decided view, if any, and allows the next proposal.
 func (m *Member) concludeProposal(ctx context.Context, proposal *view.Proposal, outcome view.ProposalState, why string) {
 	instance := proposal.Base.Number + 1
 	switch outcome {
@@ -109,7 +109,7 @@
 	return minProposalBackoff + rand.N(maxProposalBackoff-minProposalBackoff)
 }
 
-// runProposal carries out both phases of a proposal with its voters.
+// runProposal runs both phases of a proposal with its voters.
 func (m *Member) runProposal(ctx context.Context, proposal *view.Proposal) view.ProposalState {
 	prepare := proposal.PrepareRequest()
 	outcome := m.runPhase(ctx, proposal, func(ctx context.Context, voter view.Peer) (*view.Response, error) {
@@ -137,14 +137,14 @@
 	return voter.ID == m.self.ID || voter.ID == m.self.Addr
 }
 
-// voterAnswer is a voter's answer in one phase; nil: it gave none.
+// voterAnswer is a voter's answer in one phase.
 type voterAnswer struct {
-	voter  string
-	answer *view.Response
+	voter  string         // the voter's ID
+	answer *view.Response // nil if the call failed
 }
 
 // runPhase sends the request of a phase to all voters at once, and counts their answers until the
-// outcome changes. Voters that don't answer within phaseTimeout are not waited for.
+// state of the proposal changes, or for phaseTimeout at most.
 func (m *Member) runPhase(
 	ctx context.Context,
 	proposal *view.Proposal,
@@ -167,11 +167,11 @@
 	before := proposal.State()
 	for range voters {
 		select {
-		case received := <-answers:
-			if received.answer == nil {
+		case result := <-answers:
+			if result.answer == nil {
 				continue
 			}
-			if outcome := count(received.voter, *received.answer); outcome != before {
+			if outcome := count(result.voter, *result.answer); outcome != before {
 				return outcome
 			}
 		case <-ctx.Done():
@@ -181,8 +181,8 @@
 	return proposal.State()
 }
 
-// announceView tells the voters of a decided view, and of the one before, in the background. Those
-// that miss it learn it from heartbeats.
+// announceView sends a decided view to its voters and to those of the view before it, in the background.
+// Voters that miss it learn it from heartbeats.
 func (m *Member) announceView(decided view.View, formerVoters []view.Peer) {
 	announced := map[string]bool{m.self.ID: true}
 	for _, voter := range append(append([]view.Peer(nil), decided.Voters...), formerVoters...) {
--- a/internal/fleet/controlplane/proposer_test.go
+++ b/internal/fleet/controlplane/proposer_test.go
@@ -39,8 +39,8 @@
 	require.False(t, state.due(first, 0, start))
 	require.False(t, state.due(second, 0, changed), "another step")
 	require.True(t, state.due(second, 0, changed.Add(time.Second)))
-	state.nothingWanted()
-	require.False(t, state.due(second, 0, changed.Add(time.Hour)), "nothing was wanted in between")
+	state.clearPending()
+	require.False(t, state.due(second, 0, changed.Add(time.Hour)), "no step was pending in between")
 	state.learned(7)
 	require.False(t, state.due(second, 0, changed.Add(2*time.Hour)), "a view was learned in between")
 }
--- a/internal/fleet/controlplane/register.go
+++ b/internal/fleet/controlplane/register.go
@@ -5,25 +5,27 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// register is what a process holds of the replicated configuration.
+// register holds this process's copies of the replicated configuration.
 type register struct {
-	// record is on disk: this member's copy in the chain.
+	// record is this member's copy in the chain, as it is on disk.
 	record chain.Record
-	// committed is the newest value known as committed, with its checksum; Seq 0: none is known.
+	// committed is the newest value known as committed; its Seq is 0 if none is known.
 	committed chain.Value
-	checksum  uint64
-	// previous is the committed value before that, as far as it may be the base of a difference.
+	// checksum is the checksum of committed.
+	checksum uint64
+	// previous is the committed value before committed; its Seq is 0 if there is none or if it is too large
+	// to be the base of a difference.
 	previous chain.Value
-	// successor is what the next member of the chain is known to have stored.
-	successor storedAt
-	// activatedView is the number of the view in which this member, as its head, has pushed its value
-	// through the whole chain.
+	// successor is the value that the next member of the chain is known to have stored.
+	successor successorValue
+	// activatedView is the number of the newest view in which this member, as its head, has pushed its value
+	// through the whole chain; 0 if there is none.
 	activatedView uint64
-	// fetching tells that a call for a newer committed value is under way.
+	// fetching is true while a call for a newer committed value is under way.
 	fetching bool
 }
 
-// advance takes a committed value, and reports whether it is a newer one.
+// advance replaces the committed value if the given one is newer, and reports whether it was.
 func (r *register) advance(value *chain.Value, checksum uint64) bool {
 	if value.Seq <= r.committed.Seq {
 		return false
@@ -36,24 +38,24 @@
 	return true
 }
 
-// lags reports whether a peer has a newer committed value, and no call for one is under way.
+// lags reports whether a peer has a newer committed value and no call that fetches one is under way.
 func (r *register) lags(received *heartbeat) bool {
 	return received.CommittedSeq > r.committed.Seq && !r.fetching
 }
 
-// diverges reports whether a peer has another value under the sequence number of the committed one.
+// diverges reports whether a peer has a different value with the same sequence number as the committed one.
 func (r *register) diverges(received *heartbeat) bool {
 	return received.CommittedSeq != 0 && received.CommittedSeq == r.committed.Seq && received.CommittedChecksum != r.checksum
 }
 
-// Committed is the newest value that is known here as committed, and whether there is one.
+// Committed returns the newest value that this member knows as committed, and whether there is one.
 func (m *Member) Committed() (chain.Value, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.register.committed, m.register.committed.Seq > 0
 }
 
-// advanceCommitted takes a value that the tail of the chain has stored.
+// advanceCommitted replaces the committed value by a newer one that the tail of the chain has stored.
 func (m *Member) advanceCommitted(value chain.Value) {
 	checksum := value.Checksum()
 	m.mu.Lock()
--- a/internal/fleet/controlplane/repair.go
+++ b/internal/fleet/controlplane/repair.go
@@ -8,8 +8,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// repair proposes the next step of repair for the view when it is this member's turn: at once for the
-// first healthy member of the chain, later for each further one.
+// repair proposes the next repair step of the view when it is this member's turn: the first healthy member
+// of the proposer order proposes at once, and each further one later.
 func (m *Member) repair(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -21,7 +21,7 @@
 	learned := m.views.learned
 	step, due := view.Plan(learned, health, m.options.repairPolicy())
 	if !due {
-		m.proposer.nothingWanted()
+		m.proposer.clearPending()
 		return
 	}
 	if m.proposer.due(step, proposerRank(&learned, m.self.ID, health), now) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// healthLocked is the health of all known members, by ID, for the planning of a view.
+// healthLocked returns the health of all known members, by ID, for planning the next view.
 func (m *Member) healthLocked(now time.Time) map[string]view.Health {
 	learned := &m.views.learned
 	health := make(map[string]view.Health, len(m.peers.byID)+1)
@@ -51,8 +51,7 @@
 	return health
 }
 
-// proposerRank is how many healthy members propose repairs before one: the members of the chain, head
-// first, and then the other voters.
+// proposerRank returns the number of healthy voters that propose repairs before the one with the given ID.
 func proposerRank(current *view.View, id string, health map[string]view.Health) int {
 	rank := 0
 	for _, candidate := range proposerOrder(current) {
@@ -66,7 +65,8 @@
 	return rank
 }
 
-// proposerOrder are the voters in the order in which they propose repairs.
+// proposerOrder returns the IDs of the voters in the order in which they propose repairs: the members of the
+// chain, head first, and then the other voters.
 func proposerOrder(current *view.View) []string {
 	order := make([]string, 0, len(current.Voters))
 	for _, member := range current.Chain {
@@ -80,9 +80,9 @@
 	return order
 }
 
-// sendSnapshotLocked sends the value directly to a member of the chain that is not complete, if this
-// is the first healthy member that is. The value may not come along the chain: a member in between may
-// have failed, and be dropped only once the joining one is complete.
+// sendSnapshotLocked sends the value directly to a member of the chain that is not complete, if this member
+// is the first available one that is complete. The value may be unable to reach that member through the
+// chain: a member in between may have failed, and is removed only once the joining member is complete.
 func (m *Member) sendSnapshotLocked(now time.Time, health map[string]view.Health) {
 	replica := m.replicaLocked()
 	if m.sendingSnapshot || !replica.Complete() || now.Sub(m.views.learnedAt) < snapshotDelay {
@@ -108,14 +108,15 @@
 	return health.SinceContact < peerTimeout && !health.DiskUnhealthy
 }
 
-// inViewLocked reports whether a peer has learned the view of a number and no newer one.
+// inViewLocked reports whether the view with the given number is the one that a peer has learned, according
+// to its last heartbeat.
 func (m *Member) inViewLocked(id string, number uint64) bool {
 	peer := m.peers.byID[id]
 	return peer != nil && peer.lastHeartbeat.View == number
 }
 
-// sendSnapshot pushes this member's value to another one directly. That member's heartbeats tell
-// whether it came.
+// sendSnapshot pushes this member's value directly to another member. That member's heartbeats show whether
+// the value arrived.
 func (m *Member) sendSnapshot(ctx context.Context, to view.Member, replica chain.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout+transferTime(len(replica.Record.Value.Body)))
 	defer cancel()
--- a/internal/fleet/controlplane/replication.go
+++ b/internal/fleet/controlplane/replication.go
@@ -10,7 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// handlePush stores a value, pushes it on along the chain and answers once the tail has stored it.
+// handlePush handles a pushRequest: it stores the value, pushes it on along the chain and responds once the
+// tail has stored it. The value of a direct push is only stored.
 func (m *Member) handlePush(ctx context.Context, request *pushRequest) (*pushResponse, error) {
 	push := &request.Push
 	if request.To != m.self.ID {
@@ -22,8 +23,8 @@
 	if err := push.Value.Validate(); err != nil {
 		return nil, err
 	}
-	if refusal, err := m.storePush(ctx, push); refusal != nil || err != nil {
-		return refusal, err
+	if rejection, err := m.storePush(ctx, push); rejection != nil || err != nil {
+		return rejection, err
 	}
 	if push.Direct {
 		return &pushResponse{OK: true}, nil
@@ -34,7 +35,8 @@
 	return &pushResponse{OK: true}, nil
 }
 
-// storePush writes a pushed value to disk. A response or an error refuses the push.
+// storePush writes a pushed value to disk. It returns a response or an error if the push is rejected, and
+// nil otherwise.
 func (m *Member) storePush(ctx context.Context, push *chain.Push) (*pushResponse, error) {
 	m.observeView(&push.View)
 	if err := m.acquireWrite(ctx); err != nil {
@@ -59,8 +61,8 @@
 	return nil, m.persistRecord(record)
 }
 
-// replicate pushes a value that is stored here to the next member, if there is one, and notes that it
-// is committed once the tail has stored it. It ends when the view is superseded.
+// replicate pushes a value that is stored here to the next member, if there is one, and records it as
+// committed once the tail has stored it. It fails when the view is superseded.
 func (m *Member) replicate(ctx context.Context, current view.View, value chain.Value) error {
 	if successor, ok := current.Successor(m.self.ID); ok {
 		if err := m.pushTo(ctx, successor, current, value); err != nil {
@@ -73,23 +75,23 @@
 	return nil
 }
 
-// pushTo pushes a value to the successor, which returns once the tail has stored it.
+// pushTo pushes a value to the successor, and returns nil once the tail has stored it.
 func (m *Member) pushTo(ctx context.Context, successor view.Member, current view.View, value chain.Value) error {
 	position := current.Position(m.self.ID)
 	ctx, cancel := m.withinView(ctx, current.Number, pushTimeoutAt(position, len(current.Chain), len(value.Body)))
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	response, err := m.sendPush(ctx, successor, chain.Push{View: current, Value: value})
 	if err != nil {
-		if !errors.Is(ctx.Err(), context.Canceled) { // else the view ended, not the successor
-			m.recordPush(successor.ID, begun, false)
+		if !errors.Is(ctx.Err(), context.Canceled) { // a canceled push says nothing about the successor
+			m.recordPush(successor.ID, startedAt, false)
 		}
 		return err
 	}
-	m.recordPush(successor.ID, begun, true)
+	m.recordPush(successor.ID, startedAt, true)
 	if response.Newer != nil {
 		m.observeView(response.Newer)
-		return errors.Errorf("view %d is over", current.Number)
+		return errors.Errorf("view %d was superseded", current.Number)
 	}
 	if !response.OK {
 		return errors.New(response.RejectReason)
@@ -98,24 +100,24 @@
 	return nil
 }
 
-// pushTimeoutAt is how long the member at a position of a chain waits until a value has come through it: longer than
-// the member after it, also on links that take long for the value.
+// pushTimeoutAt returns how long the member at a position of the chain waits for the response to its push of
+// size bytes. Each member waits longer than the one after it, also if the value takes long on slow links.
 func pushTimeoutAt(position, chainLength, size int) time.Duration {
 	transfers := time.Duration(chainLength - 1 - position)
 	return pushTimeout - time.Duration(position)*pushTimeoutStep + transfers*transferTime(size)
 }
 
-// recordPush notes whether a push reached the successor. Heartbeats may pass where pushes don't, so
-// one that can't be pushed to is no longer reported as reachable.
-func (m *Member) recordPush(id string, begun time.Time, reached bool) {
+// recordPush records whether a push reached the successor. Heartbeats may get through where pushes don't,
+// so a successor that pushes don't reach is no longer reported as reachable.
+func (m *Member) recordPush(id string, startedAt time.Time, reached bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if peer := m.peers.byID[id]; peer != nil {
-		peer.pushed(begun, time.Now(), reached)
+		peer.pushed(startedAt, time.Now(), reached)
 	}
 }
 
-// withinView is a context that ends when the view of a number is superseded, or after a time.
+// withinView returns a context that ends when the view with the given number is superseded, or after limit.
 func (m *Member) withinView(ctx context.Context, number uint64, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	m.mu.Lock()
--- a/internal/fleet/controlplane/status.go
+++ b/internal/fleet/controlplane/status.go
@@ -9,36 +9,36 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// Status is the state of a member as it is shown to operators. It is encoded as JSON.
+// Status is the state of a member as shown to operators. It is encoded as JSON.
 type Status struct {
 	ID           string         `json:"ID"`
 	Addr         string         `json:"Addr"`
 	StateDir     string         `json:"Dir"`
 	View         view.View      `json:"View"`
-	Position     int            `json:"Place"`   // in the chain, from 0; -1: not in it
-	Voter        bool           `json:"Voter"`   // of View
-	HasQuorum    bool           `json:"Linked"`  // in contact with a majority of the voters
-	Complete     bool           `json:"Whole"`   // holds all that was acknowledged
+	Position     int            `json:"Place"`   // the member's position in the chain, from 0; -1 if it is not in it
+	Voter        bool           `json:"Voter"`   // the member is a voter of View
+	HasQuorum    bool           `json:"Linked"`  // the member is a voter in contact with a majority of the voters
+	Complete     bool           `json:"Whole"`   // the member holds every acknowledged update
 	RecordSeq    uint64         `json:"Record"`  // sequence number of the value on disk
 	CommittedSeq uint64         `json:"Commit"`  // sequence number of the newest value known as committed
-	Shortfall    view.Shortfall `json:"Short"`   // the losses that the voters of View don't survive
-	Undecided    bool           `json:"Pending"` // a next view was accepted here and its decision is not known
+	Shortfall    view.Shortfall `json:"Short"`   // the tolerated losses that the voters of View would not survive
+	Undecided    bool           `json:"Pending"` // the member accepted a next view that is not known to be decided
 	Leaving      bool           `json:"Ending"`  // the member is shutting down
 	Disk         store.Health   `json:"Disk"`
-	Peers        []PeerStatus   `json:"Peers"` // by ID
+	Peers        []PeerStatus   `json:"Peers"` // sorted by ID
 }
 
-// PeerStatus is what a member knows of another one.
+// PeerStatus is what a member knows about a peer.
 type PeerStatus struct {
 	Peer          view.Peer     `json:"Peer"`
-	SinceContact  time.Duration `json:"Silent"` // since the last contact
-	LearnedView   uint64        `json:"View"`   // number of the view that it has learned
-	CommittedSeq  uint64        `json:"Commit"` // sequence number of the newest value that it knows as committed
-	DiskUnhealthy bool          `json:"Sick"`   // its disk is unhealthy
-	Leaving       bool          `json:"Ending"` // it is shutting down
+	SinceContact  time.Duration `json:"Silent"` // time since the last contact, in nanoseconds
+	LearnedView   uint64        `json:"View"`   // number of the view that the peer has learned
+	CommittedSeq  uint64        `json:"Commit"` // sequence number of the newest value that the peer knows as committed
+	DiskUnhealthy bool          `json:"Sick"`   // the peer's disk fails or stalls
+	Leaving       bool          `json:"Ending"` // the peer is shutting down
 }
 
-// Status returns without waiting for the disk or another process.
+// Status returns the state of the member without waiting for the disk or another process.
 func (m *Member) Status() Status {
 	now := time.Now()
 	disk := m.disk.Health(now)
@@ -65,7 +65,7 @@
 	}
 }
 
-// status is the status of all peers, by ID.
+// status returns the status of all peers, sorted by ID.
 func (t *peerTable) status(resumedAt, now time.Time) []PeerStatus {
 	var peers []PeerStatus
 	for _, peer := range t.byID {
--- a/internal/fleet/controlplane/timing.go
+++ b/internal/fleet/controlplane/timing.go
@@ -4,26 +4,26 @@
 
 // Detection of failures among the voters.
 const (
-	// heartbeatInterval is the time between two ticks: heartbeats and repair.
+	// heartbeatInterval is the time between two ticks, which send heartbeats and repair the view.
 	heartbeatInterval = 100 * time.Millisecond
 	// idleTickInterval is the time between two ticks of a process that sends no heartbeats.
 	idleTickInterval = 5 * heartbeatInterval
 	// joiningInterval is the time between two heartbeats of a process that asks to become a voter.
 	joiningInterval = 2 * heartbeatInterval
-	// standbyInterval is the time between two heartbeats of one that finds all places taken.
+	// standbyInterval is the same while all places of voters are taken.
 	standbyInterval = time.Second
-	// pauseThreshold is how late a tick may be before the process counts as having been paused.
+	// pauseThreshold is how late a tick may be; after a later tick the process counts as having been paused.
 	pauseThreshold = 200 * time.Millisecond
-	// peerTimeout is the silence after which a member is left out of the chain.
+	// peerTimeout is the silence after which a member is removed from the chain.
 	peerTimeout = 600 * time.Millisecond
 	// stabilizationDelay is how long a returning peer must stay in contact before it is relied on.
 	stabilizationDelay = 300 * time.Millisecond
 	// voterReplacementDelay is the silence after which a voter may be replaced by a joining process.
 	voterReplacementDelay = 2 * time.Second
-	// refusalConfirmation is for how long a peer's port must refuse connections before its process
-	// counts as ended.
+	// refusalConfirmation is how long a peer's port must refuse connections before its process counts as
+	// ended.
 	refusalConfirmation = 150 * time.Millisecond
-	// contactTimeout is for how long an exchange with a peer counts as contact.
+	// contactTimeout is how long after an exchange with a peer the two still count as in contact.
 	contactTimeout = 400 * time.Millisecond
 	// passiveContactLimit is how long the voter with the higher ID waits for the other's heartbeat
 	// before it sends one of its own.
@@ -36,15 +36,15 @@
 const (
 	// callTimeout bounds a small call.
 	callTimeout = 400 * time.Millisecond
-	// pushTimeout bounds the replication of a value along the whole chain, beside the time that its transfer
-	// takes. Each member waits pushTimeoutStep less than the one before it, so that the member next to a
-	// fault notices it first.
+	// pushTimeout bounds the replication of a value along the whole chain; the transfer time of the value
+	// is added. Each member waits pushTimeoutStep less than the one before it, so that the member next to
+	// a fault detects it first.
 	pushTimeout     = time.Second
 	pushTimeoutStep = 60 * time.Millisecond
 	// phaseTimeout bounds each phase of a proposal.
 	phaseTimeout = 500 * time.Millisecond
-	// minLinkRate is what a link carries at least, in bytes per second: the time-outs of calls with a value
-	// or an update are longer by its transfer at this rate.
+	// minLinkRate is the assumed minimum throughput of a link, in bytes per second. The timeouts of calls
+	// that carry a value or an update are extended by its transfer time at this rate.
 	minLinkRate = 1 << 20
 	// leavingNoticeTimeout bounds the announcement that this member is shutting down.
 	leavingNoticeTimeout = 3 * heartbeatInterval / 2
@@ -52,19 +52,20 @@
 
 // Repair of the chain.
 const (
-	// proposerRankDelay is how much later each further healthy member proposes a repair.
+	// proposerRankDelay is how much longer each healthy member waits before proposing a repair than the
+	// one before it in the proposer order.
 	proposerRankDelay = 400 * time.Millisecond
-	// snapshotDelay is how long a view is in force before its joining members are sent the value
-	// directly.
+	// snapshotDelay is how long a view must be in force before the value is sent directly to its joining
+	// members.
 	snapshotDelay = 150 * time.Millisecond
-	// Proposals that were not decided are repeated after a random delay between these two.
+	// minProposalBackoff and maxProposalBackoff bound the random delay after an undecided proposal.
 	minProposalBackoff = heartbeatInterval / 2
 	maxProposalBackoff = 2 * heartbeatInterval
 	// activationRetryDelay is the time between two attempts to push the head's value through the chain.
 	activationRetryDelay = heartbeatInterval
 	// handoverPollInterval is the time between two steps of a handover.
 	handoverPollInterval = heartbeatInterval / 2
-	// maxIdleHandoverSteps is how many steps in a row with nothing to do or to wait for end a handover.
+	// maxIdleHandoverSteps is the number of blocked steps in a row after which a handover ends.
 	maxIdleHandoverSteps = 10
 	// announceRetryDelay is the time between two announcements of the view at the end of a handover.
 	announceRetryDelay = heartbeatInterval
@@ -78,39 +79,42 @@
 	diskProbeInterval = 250 * time.Millisecond
 	// diskScrubInterval is the time between two comparisons of the file with memory.
 	diskScrubInterval = 20 * time.Second
-	// persistFailureLogInterval bounds how often a view that can't be written is logged.
+	// persistFailureLogInterval is the shortest time between two log lines about views that can't be
+	// written.
 	persistFailureLogInterval = time.Second
 )
 
 // Requests and discovery.
 const (
 	defaultRequestTimeout = 900 * time.Millisecond
-	// attemptTimeout bounds one attempt of a request: the next one may use a better connection.
+	// attemptTimeout bounds one attempt of a request, as the next one may use a better connection.
 	attemptTimeout = 500 * time.Millisecond
-	// hedgeDelay is how long an attempt may be without a response before another process is asked for
-	// a newer view, and again each time as long.
+	// hedgeDelay is the interval at which other processes are asked for a newer view while an attempt
+	// has no response.
 	hedgeDelay = 120 * time.Millisecond
 	// retryDelay is the time between two attempts.
 	retryDelay = 30 * time.Millisecond
 	// discoveryInterval is the time between two requests for a newer view.
 	discoveryInterval = 500 * time.Millisecond
-	// startupPeriod is how long after its start, or after a pause, a process looks more often for others
-	// to ask or to inform: many may have started with it.
+	// startupPeriod is how long after its start or a pause a process discovers and announces views more
+	// often, as many others may have started at the same time.
 	startupPeriod = 3 * time.Second
-	// firstDiscoveryInterval is the same while no view is known, or in startupPeriod.
+	// firstDiscoveryInterval replaces discoveryInterval while no view is known and during startupPeriod.
 	firstDiscoveryInterval = 150 * time.Millisecond
 )
 
 // Bootstrap of the first view.
 const (
 	bootstrapInterval = 100 * time.Millisecond
-	// bootstrapQuietPeriod is how long no further machine with a disk must have been announced.
+	// bootstrapQuietPeriod is the time without the announcement of another machine with a disk after
+	// which the first view may be proposed.
 	bootstrapQuietPeriod = 300 * time.Millisecond
-	// bootstrapMinDelay is the earliest time, after the start of the process, at which the first view
-	// is proposed; bootstrapDisklessDelay is the same while no machine with a disk is known.
+	// bootstrapMinDelay is the shortest time between the start of the process and a proposal of the first
+	// view; bootstrapDisklessDelay replaces it while no machine with a disk is known.
 	bootstrapMinDelay      = 700 * time.Millisecond
 	bootstrapDisklessDelay = 1500 * time.Millisecond
-	// bootstrapRankDelay is how much later each further seed of the list proposes.
+	// bootstrapRankDelay is how much longer each seed waits before proposing than the one before it in
+	// the list.
 	bootstrapRankDelay = 400 * time.Millisecond
 )
 
@@ -118,10 +122,10 @@
 const (
 	maxSubmissions    = 64
 	maxPeers          = 64
-	maxBootstrapPeers = 64 // with a disk, and as many without
+	maxBootstrapPeers = 64 // applies separately to peers with a disk and to peers without
 )
 
-// transferTime is how long a message of a size may be on its way over a slow link.
+// transferTime returns how long the transfer of size bytes may take over a link with minLinkRate.
 func transferTime(size int) time.Duration {
 	return time.Duration(size) * time.Second / minLinkRate
 }
--- a/internal/fleet/controlplane/valuediff.go
+++ b/internal/fleet/controlplane/valuediff.go
@@ -12,25 +12,25 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// Values travel as what changed since one that the receiver has, where that is shorter. A receiver that does not
-// have it says so and is sent the whole value; one that runs an earlier program does not know the call.
+// A value is sent as a difference to one that the receiver has, if that is shorter. The whole value is sent if the
+// receiver responds that it lacks the base of the difference, or runs an earlier version that does not know the call.
 
-// errUnknownBase reports a difference to a value that this process does not have.
-var errUnknownBase = errors.New("difference to a value that is not known here")
+// errUnknownBase reports a difference whose base this process does not have.
+var errUnknownBase = errors.New("the base of the difference is not known here")
 
-// valueDiff is a value as what changed since another one.
+// valueDiff is a value encoded as the difference to a base value.
 type valueDiff struct {
-	BaseSeq uint64       `msgpack:"b"` // sequence number of the other value
-	Content bindiff.Diff `msgpack:"c"` // between their encodings
+	BaseSeq uint64       `msgpack:"b"` // sequence number of the base
+	Content bindiff.Diff `msgpack:"c"` // difference between the encodings of the two values
 }
 
-// storedAt is the value that another member of the chain is known to have on its disk.
-type storedAt struct {
-	id  string // of the member's disk
-	seq uint64 // of the value
+// successorValue identifies the value that the next member of the chain is known to have on its disk.
+type successorValue struct {
+	id  string // ID of the member's disk; empty if nothing is known
+	seq uint64 // sequence number of the value
 }
 
-// diffValue returns the difference between two values, or nil where the whole value is better.
+// diffValue returns the difference from base to value, or nil if the whole value should be sent.
 func diffValue(base, value *chain.Value) *valueDiff {
 	if len(value.Body) < bindiff.MinBytes || len(base.Body) < bindiff.MinBytes {
 		return nil
@@ -50,7 +50,7 @@
 	return &valueDiff{BaseSeq: base.Seq, Content: content}
 }
 
-// apply returns the value that a difference to one of some values leads to.
+// apply returns the value that results from applying the difference to the candidate that is its base.
 func (d *valueDiff) apply(candidates ...chain.Value) (value chain.Value, err error) {
 	for i := range candidates {
 		if candidates[i].Seq == d.BaseSeq && d.BaseSeq > 0 {
@@ -73,8 +73,8 @@
 	return value, err
 }
 
-// sendPush sends a push along the chain to the successor: what changed if the successor has the value before,
-// else all.
+// sendPush sends a push along the chain to the successor: as a difference if the successor is known to have a
+// suitable base, and with the whole value otherwise.
 func (m *Member) sendPush(ctx context.Context, successor view.Member, push chain.Push) (*pushResponse, error) {
 	if diff := m.diffForSuccessor(successor.ID, &push.Value); diff != nil {
 		response, err := call[pushDiffRequest, pushResponse](ctx, m, successor.Addr, callPushDiff,
@@ -87,8 +87,8 @@
 	return call[pushRequest, pushResponse](ctx, m, successor.Addr, callPush, &pushRequest{To: successor.ID, Push: push})
 }
 
-// diffForSuccessor returns the difference between the value that the successor has and another one, nil if that
-// is not known here.
+// diffForSuccessor returns the difference from the value that the successor has to another one, or nil if the
+// successor's value is not known here or the whole value should be sent.
 func (m *Member) diffForSuccessor(id string, value *chain.Value) *valueDiff {
 	m.mu.Lock()
 	stored, committed := m.register.successor, m.register.committed
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// recordStored notes which value the successor has stored.
+// recordStored records which value the successor has stored.
 func (m *Member) recordStored(id string, seq uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.register.successor = storedAt{id, seq}
+	m.register.successor = successorValue{id, seq}
 }
 
-// handlePushDiff restores a pushed value and handles the push.
+// handlePushDiff restores the value from its difference and handles it as a push of the whole value.
 func (m *Member) handlePushDiff(ctx context.Context, request *pushDiffRequest) (*pushResponse, error) {
 	m.mu.Lock()
 	record, committed := m.register.record, m.register.committed
@@ -123,8 +123,8 @@
 	return m.handlePush(ctx, &pushRequest{To: request.To, Push: chain.Push{View: request.View, Value: value}})
 }
 
-// requestValue returns the newest value that a peer knows as committed. The peer sends only what changed if it
-// has the one that is known here.
+// requestValue returns the newest value that a peer knows as committed. The peer may send it as a difference to
+// the committed value of this member.
 func (m *Member) requestValue(ctx context.Context, addr string) (chain.Value, error) {
 	known, _ := m.Committed()
 	response, err := call[valueRequest, valueResponse](ctx, m, addr, callValue, &valueRequest{KnownSeq: known.Seq})
@@ -140,7 +140,7 @@
 	return m.requestWholeValue(ctx, addr)
 }
 
-// requestWholeValue is requestValue for a value that must not rest on the one that is known here.
+// requestWholeValue is requestValue, but never uses a difference to the committed value of this member.
 func (m *Member) requestWholeValue(ctx context.Context, addr string) (chain.Value, error) {
 	response, err := call[valueRequest, valueResponse](ctx, m, addr, callValue, &valueRequest{})
 	if err != nil {
@@ -149,7 +149,8 @@
 	return response.Value, nil
 }
 
-// handleValue answers with the newest value that is known here as committed.
+// handleValue responds with the newest value that this member knows as committed. It sends a difference if the
+// caller has the committed value before that one.
 func (m *Member) handleValue(_ context.Context, request *valueRequest) (*valueResponse, error) {
 	m.mu.Lock()
 	committed, previous := m.register.committed, m.register.previous
--- a/internal/fleet/controlplane/viewstate.go
+++ b/internal/fleet/controlplane/viewstate.go
@@ -6,19 +6,21 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// viewState is what a process knows of the views. The numbers of learned and newest never decrease.
+// viewState holds the views that a process knows. The numbers of learned and newest never decrease.
 type viewState struct {
-	// learned is on disk: the view by which the process acts.
+	// learned is the view that the process acts on. It is on disk.
 	learned view.View
-	// learnedAt is when learned was written in this run of the process; zero if it was read at the start.
+	// learnedAt is the time at which this run of the process wrote learned; zero if it was read at the start.
 	learnedAt time.Time
-	// newest is the newest view that was observed, on disk or not. Requests are forwarded by it.
+	// newest is the newest view that was observed, on disk or not. It determines where requests are
+	// forwarded.
 	newest view.View
 	// superseded is notified when learned changes.
 	superseded broadcast
-	// learning tells that a call is under way to write newest to disk.
+	// learning is true while a call that writes newest to disk is under way.
 	learning bool
-	// failureLoggedAt is when it was last logged that a view could not be written.
+	// failureLoggedAt is the time of the last log line about a view that could not be written; zero if
+	// there was none.
 	failureLoggedAt time.Time
 }
 
@@ -26,7 +28,7 @@
 	return viewState{learned: stored, newest: stored, superseded: newBroadcast()}
 }
 
-// observe takes a view that another process knows, and reports whether it is a newer one.
+// observe records a view that another process knows, if it is newer, and reports whether it is.
 func (s *viewState) observe(observed *view.View) bool {
 	if observed.Number <= s.newest.Number {
 		return false
@@ -35,7 +37,7 @@
 	return true
 }
 
-// learn takes a decided view that is on disk, newer than the learned one.
+// learn replaces the learned view by a newer one that is on disk.
 func (s *viewState) learn(decided *view.View, now time.Time) {
 	s.learned, s.learnedAt = decided.Clone(), now
 	if s.newest.Number < decided.Number {
@@ -53,7 +55,7 @@
 	return is
 }
 
-// newerThan is the newest view if its number is above the given one, else nil.
+// newerThan returns the newest view if its number is above the given one, and nil otherwise.
 func (s *viewState) newerThan(number uint64) *view.View {
 	if s.newest.Number <= number {
 		return nil
@@ -62,7 +64,8 @@
 	return &newest
 }
 
-// shouldLogFailure reports whether a failure to write a view is to be logged, and notes that it is.
+// shouldLogFailure reports whether a failure to write a view should be logged now. If so, it records now as
+// the time of the log line.
 func (s *viewState) shouldLogFailure(now time.Time) bool {
 	if now.Sub(s.failureLoggedAt) < persistFailureLogInterval {
 		return false
