--- a/internal/fleet/controlplane/acceptor_test.go
+++ b/internal/fleet/controlplane/acceptor_test.go
@@ -37,7 +37,7 @@
 	accepted := testView(4, "a")
 	var state acceptor
 	state.record(view.AcceptorState{Instance: 4}, start)
-	require.False(t, state.abandoned(3, start.Add(time.Hour)), "a promise is no acceptance")
+	require.False(t, state.abandoned(3, start.Add(time.Hour)), "a promise is not an acceptance")
 
 	state.record(view.AcceptorState{Instance: 4, Accepted: &accepted}, start)
 	require.False(t, state.abandoned(3, start.Add(stabilizationDelay)))
@@ -48,7 +48,7 @@
 	state.record(view.AcceptorState{Instance: 4, Accepted: &accepted}, later)
 	require.True(t, state.abandoned(3, later), "the first acceptance counts")
 	state.record(view.AcceptorState{Instance: 5, Accepted: &accepted}, later)
-	require.False(t, state.abandoned(4, later), "another instance counts anew")
+	require.False(t, state.abandoned(4, later), "another instance starts a new period")
 }
 
 func TestAcceptanceOfAnEarlierRunIsAbandoned(t *testing.T) {
--- a/internal/fleet/controlplane/announce_test.go
+++ b/internal/fleet/controlplane/announce_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An address is told again after a pause that doubles up to a limit, and not while it is being told.
+// Announcements to one address are repeated after a delay that doubles up to a limit. At most one is under
+// way at a time.
 func TestAnnouncementsBackOff(t *testing.T) {
 	start := time.Unix(1000, 0)
 	addresses := []string{"a"}
@@ -18,7 +19,7 @@
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(minAnnouncementDelay / 2) {
 		if due := announcer.due(addresses, maxAnnouncementDelay, now); len(due) > 0 {
 			require.Equal(t, addresses, due)
-			require.Empty(t, announcer.due(addresses, maxAnnouncementDelay, now.Add(time.Hour)), "it is being told")
+			require.Empty(t, announcer.due(addresses, maxAnnouncementDelay, now.Add(time.Hour)), "one is under way")
 			announcer.done("a")
 			at = append(at, now.Sub(start))
 		}
@@ -27,7 +28,7 @@
 		5 * time.Second, 7 * time.Second, 9 * time.Second}, at)
 }
 
-// Of many addresses all get their turn, however few are told at once.
+// Every one of many addresses gets an announcement, although few of them are announced to at once.
 func TestAnnouncementsAreBoundedAndFair(t *testing.T) {
 	now := time.Unix(1000, 0)
 	addresses := make([]string, 5*maxAnnouncements)
@@ -35,21 +36,22 @@
 		addresses[i] = fmt.Sprintf("10.0.0.%d:7300", i)
 	}
 	announcer := newAnnouncer()
-	told := map[string]int{}
+	announcements := map[string]int{}
 	for range 5 {
 		due := announcer.due(addresses, maxAnnouncementDelay, now)
 		require.Len(t, due, maxAnnouncements)
-		assert.Empty(t, announcer.due(addresses, maxAnnouncementDelay, now), "as many as may be are under way")
+		assert.Empty(t, announcer.due(addresses, maxAnnouncementDelay, now), "the limit is reached")
 		for _, address := range due {
-			told[address]++
+			announcements[address]++
 			announcer.done(address)
 		}
 		now = now.Add(2 * minAnnouncementDelay)
 	}
-	assert.Len(t, told, len(addresses))
+	assert.Len(t, announcements, len(addresses))
 }
 
-// An address that is reached is forgotten. If it is lost again it is told at once.
+// The announcer forgets an address that is no longer unreached. If it is unreached again, an announcement is due at
+// once.
 func TestReachedAddressesAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	announcer := newAnnouncer()
@@ -61,10 +63,10 @@
 	require.Equal(t, []string{"a"}, announcer.due([]string{"a"}, maxAnnouncementDelay, now))
 }
 
-// After a restart of everything a process without a disk whose seeds know nothing is told the view.
+// After a restart of the whole cluster, the view is announced to a diskless process that has no other process to ask.
 func TestViewIsToldToAProcessThatKnowsNobody(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	client.submitInTime(1, 2)
 	diskless := cluster.nodes[3]
 	for _, node := range cluster.nodes {
--- a/internal/fleet/controlplane/bench_test.go
+++ b/internal/fleet/controlplane/bench_test.go
@@ -10,8 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// BenchmarkCommit measures one update through a chain of four on loopback, with files in memory, a
-// configuration of 20 KB and as many remembered updates as a value has.
+// BenchmarkCommit measures the commit of one update by a chain of four on loopback, with files in memory and
+// a configuration of 20 KB. The value's history of applied updates is full.
 func BenchmarkCommit(b *testing.B) {
 	cluster := newTestCluster(b, 4, 1)
 	cluster.transition = func(_ []byte, update *chain.Update) ([]byte, int64, error) {
--- a/internal/fleet/controlplane/bootstrap_test.go
+++ b/internal/fleet/controlplane/bootstrap_test.go
@@ -28,10 +28,10 @@
 
 	state.join(diskless, later)
 	state.join(diskless, later)
-	require.Equal(t, start, state.lastJoin, "only machines with a disk are waited for")
+	require.Equal(t, start, state.lastJoin, "a diskless machine does not extend the quiet period")
 	state.join(withDisk, later)
 	state.join(withDisk, later.Add(time.Second))
-	require.Equal(t, later, state.lastJoin, "it is known already")
+	require.Equal(t, later, state.lastJoin, "a known machine does not extend the quiet period")
 	state.join(view.Peer{Addr: "c:1", Disk: true}, later)
 	state.join(view.Peer{ID: "c", Disk: true}, later)
 	require.ElementsMatch(t, []view.Peer{withDisk, diskless}, state.peers())
@@ -70,7 +70,7 @@
 		{name: "the first seed", withDisk: true, want: bootstrapMinDelay},
 		{name: "the third seed", withDisk: true, rank: 2, want: bootstrapMinDelay + 2*bootstrapRankDelay},
 		{name: "no machine with a disk", want: bootstrapDisklessDelay},
-		{name: "a machine came late", withDisk: true, lastJoin: time.Second, want: time.Second + bootstrapQuietPeriod},
+		{name: "a late machine", withDisk: true, lastJoin: time.Second, want: time.Second + bootstrapQuietPeriod},
 		{name: "after a proposal that was not decided", withDisk: true, backoff: 2 * time.Second, want: 2 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 	require.EqualValues(t, 3, state.round)
 	require.Equal(t, start.Add(bootstrapRankDelay/4), state.backoffUntil)
 	state.contended(5, 1, start)
-	require.EqualValues(t, 5, state.round, "the next proposal is above the round that was met")
-	require.Equal(t, start.Add(3*bootstrapRankDelay/4), state.backoffUntil, "later seeds wait for longer")
+	require.EqualValues(t, 5, state.round, "the next proposal uses a round above the highest one seen")
+	require.Equal(t, start.Add(3*bootstrapRankDelay/4), state.backoffUntil, "later seeds wait longer")
 }
 
 func TestBootstrapAcceptor(t *testing.T) {
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -19,37 +19,37 @@
 )
 
 const (
-	// waitLimit bounds each wait of a test; it is reached only where something is broken.
+	// waitLimit bounds each wait of a test; it is reached only if something is broken.
 	waitLimit = 20 * time.Second
-	// pollInterval is the time between two looks at a condition.
+	// pollInterval is the time between two checks of a condition.
 	pollInterval = 20 * time.Millisecond
-	// testRequestTimeout bounds Submit and Read, unless a node names another time.
+	// testRequestTimeout is the default of testNode.requestTimeout.
 	testRequestTimeout = 5 * time.Second
-	// maxSeeds is how many nodes of a cluster are seeds.
+	// maxSeeds is the maximum number of seeds in a cluster.
 	maxSeeds = 3
 )
 
-// testNode is one process of a cluster on loopback; its machine keeps its address and its folder.
+// testNode is one process of a cluster on loopback. It keeps its address and its state folder over restarts.
 type testNode struct {
 	tb             testing.TB
 	addr           string
 	zone           string
 	dir            string
 	requestTimeout time.Duration
-	member         *Member // nil: the process does not run
+	member         *Member // nil while the process does not run
 	disk           *faultyDisk
 	cancel         context.CancelFunc
 	done           chan struct{} // closed when the process has ended
-	changes        chan struct{} // a view or a value was learned
+	changes        chan struct{} // signaled when a view was learned or a value committed
 }
 
 // link is the direction from one address to another.
 type link struct{ from, to string }
 
-// callObserver is called with each call of a node as it is sent and as it is answered.
+// callObserver is called when a node sends a call, and again when that call has succeeded.
 type callObserver func(from, name string, answered bool)
 
-// testCluster is the nodes of a test, with the faults between them.
+// testCluster holds the nodes of a test and the faults between them.
 type testCluster struct {
 	tb         testing.TB
 	seeds      []string
@@ -58,19 +58,19 @@
 	transition chain.Transition
 
 	mu                sync.Mutex
-	partitions        map[link]bool // what is sent in this direction is lost
+	partitions        map[link]bool // messages in this direction are lost
 	partitionsChanged chan struct{} // closed when partitions change
-	unpushable        *testNode     // no push of a value reaches it
-	unreached         []string      // that all are to tell the view; immutable while nodes run
+	unpushable        *testNode     // a node that no push of a value reaches; nil if there is none
+	unreached         []string      // addresses to which all nodes announce the view; immutable while nodes run
 	observeCall       callObserver
-	unknownCall       string // that no node knows, as with an earlier program
+	unknownCall       string // name of a call that no node knows, as in an earlier version; empty if there is none
 }
 
 // addressCount counts the addresses of all tests.
 var addressCount atomic.Int32
 
-// unusedAddress is an address on a loopback IP of its own, so that no outgoing connection ever has its
-// port.
+// unusedAddress returns an address on a loopback IP that no other node uses, so that no outgoing connection
+// ever takes its port.
 func unusedAddress(t testing.TB) string {
 	t.Helper()
 	n := addressCount.Add(1)
@@ -80,7 +80,7 @@
 	return listener.Addr().String()
 }
 
-// newTestCluster makes a cluster of nodes that have a disk, and of others after them; none runs.
+// newTestCluster makes a cluster of nodes with a disk, followed by diskless ones. None of them runs yet.
 func newTestCluster(t testing.TB, withDisk, diskless int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
@@ -120,7 +120,7 @@
 	cluster.unknownCall = name
 }
 
-// setPartition makes what is sent from one node to another get lost, or arrive again.
+// setPartition makes messages from one node to another get lost, or arrive again.
 func (cluster *testCluster) setPartition(from, to *testNode, lost bool) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -129,7 +129,7 @@
 	cluster.partitionsChanged = make(chan struct{})
 }
 
-// setIsolated does the same between a node and all others, both ways or only for what it sends.
+// setIsolated is setPartition between a node and all others, both ways or only for messages that it sends.
 func (cluster *testCluster) setIsolated(node *testNode, lost, bothWays bool) {
 	for _, other := range cluster.nodes {
 		if other == node {
@@ -142,7 +142,7 @@
 	}
 }
 
-// awaitDelivery waits until what is sent from one address to another arrives.
+// awaitDelivery waits until messages from one address to another arrive.
 func (cluster *testCluster) awaitDelivery(ctx context.Context, from, to string) error {
 	for {
 		cluster.mu.Lock()
@@ -159,7 +159,7 @@
 	}
 }
 
-// interceptorOf carries out the calls of a node with the faults of the cluster.
+// interceptorOf returns the interceptor that applies the cluster's faults to the calls of a node.
 func (cluster *testCluster) interceptorOf(node *testNode) interceptor {
 	return func(ctx context.Context, to, name string, do func() error) (err error) {
 		cluster.mu.Lock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// open makes the member of a node.
+// open opens the member of a node.
 func (cluster *testCluster) open(node *testNode, pool *rpc.Pool, firstStart bool) *Member {
 	cluster.tb.Helper()
 	changes := make(chan struct{}, 1)
@@ -226,7 +226,7 @@
 	return member
 }
 
-// start starts a node; it answers calls when start returns.
+// start starts a node. Its listener accepts connections when start returns.
 func (cluster *testCluster) start(node *testNode, firstStart bool) {
 	cluster.tb.Helper()
 	listener, err := net.Listen("tcp", node.addr)
@@ -255,7 +255,7 @@
 	}
 }
 
-// kill ends a node; what it stored stays on its disk.
+// kill stops a node; its state stays on its disk.
 func (node *testNode) kill() {
 	if node.member != nil {
 		node.cancel()
@@ -264,14 +264,14 @@
 	}
 }
 
-// restart ends a node and starts it again with what is on its disk.
+// restart stops a node and starts it again with the state on its disk.
 func (cluster *testCluster) restart(node *testNode) {
 	cluster.tb.Helper()
 	node.kill()
 	cluster.start(node, false)
 }
 
-// nodeAt is the node with an address.
+// nodeAt returns the node with an address.
 func (cluster *testCluster) nodeAt(addr string) *testNode {
 	cluster.tb.Helper()
 	for _, node := range cluster.nodes {
@@ -283,14 +283,14 @@
 	return nil
 }
 
-// chainMember is the node at a position in the chain, as the last node knows it.
+// chainMember returns the node at a position in the chain that the last node knows.
 func (cluster *testCluster) chainMember(position int) *testNode {
 	cluster.tb.Helper()
 	current, _ := cluster.nodes[len(cluster.nodes)-1].member.View()
 	return cluster.nodeAt(current.Chain[position].Addr)
 }
 
-// awaitFullChain waits until a node knows a chain of all voters that it may have.
+// awaitFullChain waits until a node knows a chain of the greatest possible length.
 func (cluster *testCluster) awaitFullChain(node *testNode) {
 	cluster.tb.Helper()
 	maxLength := view.MaxChainLength(view.Tolerance{Machines: cluster.tolerance.Machines})
@@ -300,8 +300,8 @@
 	})
 }
 
-// bootstrapped is a cluster that has taken its first update, and its last node.
-func bootstrapped(t testing.TB, withDisk, diskless int) (*testCluster, *testNode) {
+// bootstrapCluster starts a cluster and commits a first update. It returns the cluster and its last node.
+func bootstrapCluster(t testing.TB, withDisk, diskless int) (*testCluster, *testNode) {
 	t.Helper()
 	cluster := newTestCluster(t, withDisk, diskless)
 	cluster.startAll(true)
@@ -314,7 +314,7 @@
 	return cluster, last
 }
 
-// waitUntil waits for something that views or values of a node bring.
+// waitUntil waits until ok returns true. It checks at each new view or value of the node, and periodically.
 func (node *testNode) waitUntil(what string, ok func() bool) {
 	node.tb.Helper()
 	limit := time.NewTimer(waitLimit)
@@ -326,12 +326,12 @@
 		case <-node.changes:
 		case <-poll.C:
 		case <-limit.C:
-			require.FailNow(node.tb, "waited in vain", "%s; %+v", what, node.member.Status())
+			require.FailNow(node.tb, "timed out waiting", "%s; %+v", what, node.member.Status())
 		}
 	}
 }
 
-// pollUntil waits for a condition or ctx.
+// pollUntil waits until ok returns true or ctx ends.
 func pollUntil(ctx context.Context, ok func() bool) {
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
@@ -344,13 +344,13 @@
 	}
 }
 
-// submitRevision submits an update of one revision that leads to another.
+// submitRevision submits an update from one revision to another until its outcome is known.
 func (node *testNode) submitRevision(ifMatch, revision int64) chain.Result {
-	return node.submitUntilClear(revisionUpdate(ifMatch, revision))
+	return node.submitUntilKnown(revisionUpdate(ifMatch, revision))
 }
 
-// submitUntilClear submits an update until it is clear what became of it.
-func (node *testNode) submitUntilClear(update *chain.Update) chain.Result {
+// submitUntilKnown submits an update until its outcome is known.
+func (node *testNode) submitUntilKnown(update *chain.Update) chain.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	for {
@@ -361,17 +361,17 @@
 	}
 }
 
-// submitInTime has an update committed, and fails the test if that takes too long.
+// submitInTime submits an update and fails the test if it is not committed within faultUpdateLimit.
 func (node *testNode) submitInTime(ifMatch, revision int64) {
 	node.tb.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	require.Equal(node.tb, chain.OutcomeCommitted, node.submitRevision(ifMatch, revision).Outcome)
-	took := time.Since(begun)
+	took := time.Since(startedAt)
 	node.tb.Logf("committed after %v", took)
 	require.Less(node.tb, took, faultUpdateLimit)
 }
 
-// read reads until there is an answer.
+// read repeats Read until it succeeds.
 func (node *testNode) read() chain.Value {
 	node.tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -397,7 +397,7 @@
 	return committed.Revision == revision
 }
 
-// chainLength is the length of the chain that a node knows.
+// chainLength returns the length of the chain that a node knows.
 func (node *testNode) chainLength() int {
 	current, _ := node.member.View()
 	return len(current.Chain)
@@ -405,7 +405,7 @@
 
 func (node *testNode) chainPosition() int { return node.member.Status().Position }
 
-// isMemberOf reports whether a node votes, in a view with a number of voters and chain members.
+// isMemberOf reports whether a node is a voter of a view with the given numbers of voters and chain members.
 func (node *testNode) isMemberOf(voters, members int) bool {
 	current, _ := node.member.View()
 	return node.member.IsVoter() && len(current.Voters) == voters && len(current.Chain) == members
@@ -413,28 +413,28 @@
 
 func (node *testNode) id() string { return node.member.self.ID }
 
-// learnedView is the view by which a node acts.
+// learnedView returns the view that a node has learned.
 func (node *testNode) learnedView() view.View { return node.member.replica().View }
 
-// storedRevision is the revision of the value on a node's disk.
+// storedRevision returns the revision of the value on a node's disk.
 func (node *testNode) storedRevision() int64 { return node.member.replica().Record.Value.Revision }
 
-// prepare asks a node, as the owner of a disk, for a promise.
+// prepare asks a node for a promise. disk is the ID of the disk that the request is for.
 func (node *testNode) prepare(ctx context.Context, disk string, base view.View, number view.ProposalNumber) (*view.Response, error) {
 	return node.member.handlePrepare(ctx, &prepareRequest{To: disk, Prepare: view.PrepareRequest{Base: base, Number: number}})
 }
 
-// accept asks a node, as the owner of a disk, to accept a view.
+// accept asks a node to accept a view. disk is the ID of the disk that the request is for.
 func (node *testNode) accept(ctx context.Context, disk string, base view.View, number view.ProposalNumber, next view.View) (*view.Response, error) {
 	return node.member.handleAccept(ctx, &acceptRequest{To: disk, Accept: view.AcceptRequest{Base: base, Number: number, View: next}})
 }
 
-// push pushes a value to a node, as the owner of a disk.
+// push pushes a value to a node. disk is the ID of the disk that the push is for.
 func (node *testNode) push(ctx context.Context, disk string, current view.View, value *chain.Value) (*pushResponse, error) {
 	return node.member.handlePush(ctx, &pushRequest{To: disk, Push: chain.Push{View: current, Value: *value}})
 }
 
-// valueAfter is the value that an update of the node's stored value leads to.
+// valueAfter returns the value that results from applying an update to the node's stored value.
 func (node *testNode) valueAfter(update *chain.Update) *chain.Value {
 	replica := node.member.replica()
 	next, _, _ := chain.Apply(&replica.Record.Value, update, applyNumber)
--- a/internal/fleet/controlplane/confirm_test.go
+++ b/internal/fleet/controlplane/confirm_test.go
@@ -11,11 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each process can confirm the newest value without reading it, and none that is cut off from a majority
-// can.
+// Every process can confirm the newest value without reading it, unless it is isolated from a majority.
 func TestConfirm(t *testing.T) {
 	t.Parallel()
-	cluster, first := bootstrapped(t, 3, 1)
+	cluster, first := bootstrapCluster(t, 3, 1)
 	seq, err := first.member.Confirm(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, first.read().Seq, seq)
@@ -34,11 +33,12 @@
 	require.ErrorAs(t, err, &unavailable)
 }
 
-// Callers share the rounds of confirmation. Their number is bounded by time, also while none of them ends.
+// Callers share confirmation rounds. The number of rounds is bounded by the elapsed time, even if no voter
+// answers.
 func TestConfirmationsShareRounds(t *testing.T) {
 	t.Parallel()
 	const callers = 500
-	cluster, _ := bootstrapped(t, 3, 1)
+	cluster, _ := bootstrapCluster(t, 3, 1)
 	tail := cluster.chainMember(2)
 	cluster.setIsolated(tail, true, true)
 	var heartbeats atomic.Int32
@@ -50,23 +50,23 @@
 	current, _ := tail.member.View()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout/2)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	var waiting sync.WaitGroup
 	for range callers {
 		waiting.Go(func() { assert.Error(t, tail.member.confirmView(ctx, current)) })
 	}
 	waiting.Wait()
-	elapsed := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	others := len(current.Voters) - 1
 	ticks := int(elapsed/heartbeatInterval) + 2
 	rounds := int(elapsed/confirmationOverlapDelay) + 2
 	require.LessOrEqual(t, int(heartbeats.Load()), others*(ticks+rounds))
 }
 
-// Whoever asks after a round has begun is not answered by it: its answers may be older than the question.
+// A caller can't join a round whose requests were already sent, as the answers may be older than its call.
 func TestConfirmationRoundIsClosedOnceItIsAsked(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 3, 1)
+	cluster, _ := bootstrapCluster(t, 3, 1)
 	member := cluster.chainMember(2).member
 	current, _ := member.View()
 	join := func() *confirmationRound {
@@ -82,21 +82,21 @@
 	require.NoError(t, second.err)
 }
 
-// A voter that does not answer has a bounded number of calls under way, however many rounds the others
-// confirm meanwhile.
+// The number of calls under way to a voter that does not answer is bounded, however many rounds the other
+// voters confirm in the meantime.
 func TestConfirmationCallsAreBounded(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 3, 1)
-	asking, silent := cluster.chainMember(0).member, cluster.chainMember(2)
-	current, _ := asking.View()
-	cluster.setPartition(cluster.chainMember(0), silent, true)
+	cluster, _ := bootstrapCluster(t, 3, 1)
+	caller, unreachable := cluster.chainMember(0).member, cluster.chainMember(2)
+	current, _ := caller.View()
+	cluster.setPartition(cluster.chainMember(0), unreachable, true)
 	callsUnderWay := func() int {
-		asking.mu.Lock()
-		defer asking.mu.Unlock()
-		return asking.peers.byID[silent.id()].confirmationCalls
+		caller.mu.Lock()
+		defer caller.mu.Unlock()
+		return caller.peers.byID[unreachable.id()].confirmationCalls
 	}
 	for range 2 * maxConfirmationCalls {
-		require.NoError(t, asking.confirmView(context.Background(), current))
+		require.NoError(t, caller.confirmView(context.Background(), current))
 		require.LessOrEqual(t, callsUnderWay(), maxConfirmationCalls)
 	}
 }
--- a/internal/fleet/controlplane/discovery_test.go
+++ b/internal/fleet/controlplane/discovery_test.go
@@ -18,7 +18,7 @@
 	for _, test := range []struct {
 		name   string
 		usable func(string) bool
-		want   []string // of the requests 1, 2, ...
+		want   []string // the addresses of requests 1, 2, ...
 	}{
 		{"all", except(""), []string{"b:1", "c:1", "a:1", "x:1", "c:1", "a:1", "b:1", "y:1"}},
 		{"all but one voter", except("b:1"), []string{"c:1", "a:1", "c:1", "x:1"}},
@@ -42,11 +42,11 @@
 	require.Equal(t, start.Add(1), state.lastRequest)
 }
 
-// A process that asks for a newer view now and then gets an answer each time, also while two of the five
-// voters that it knows are lost.
+// A process that asks for a newer view gets an answer each time, even if two of the five voters that it
+// knows are lost.
 func TestDiscoveryPassesOverLostVoters(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 5, 1)
+	cluster, client := bootstrapCluster(t, 5, 1)
 	cluster.nodes[0].kill()
 	cluster.nodes[1].kill()
 	var answered atomic.Int32
--- a/internal/fleet/controlplane/faults_test.go
+++ b/internal/fleet/controlplane/faults_test.go
@@ -11,14 +11,14 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// faultUpdateLimit is how long an update may take while one machine is faulty.
+// faultUpdateLimit is the longest time that an update may take while one machine is faulty.
 const faultUpdateLimit = 2 * time.Second
 
 func TestPartitionedHeadIsReplaced(t *testing.T) {
 	t.Parallel()
 	for name, bothWays := range map[string]bool{"both ways": true, "one way": false} {
 		t.Run(name, func(t *testing.T) {
-			cluster, client := bootstrapped(t, 4, 1)
+			cluster, client := bootstrapCluster(t, 4, 1)
 			head := cluster.chainMember(0)
 			cluster.setIsolated(head, true, bothWays)
 			client.submitInTime(1, 2)
@@ -29,7 +29,7 @@
 			require.Error(t, err)
 			cluster.setIsolated(head, false, bothWays)
 			cluster.awaitFullChain(client)
-			head.waitUntil("it learns", func() bool { return head.hasRevision(2) })
+			head.waitUntil("the former head knows the new revision", func() bool { return head.hasRevision(2) })
 			client.submitInTime(2, 3)
 		})
 	}
@@ -37,17 +37,17 @@
 
 func TestPartitionBetweenMiddleAndTail(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	cluster.setPartition(cluster.chainMember(2), cluster.chainMember(3), true)
 	cluster.setPartition(cluster.chainMember(3), cluster.chainMember(2), true)
 	client.submitInTime(1, 2)
 	require.Equal(t, int64(2), client.read().Revision)
 }
 
-// Heartbeats arrive, pushes don't.
+// A successor that receives heartbeats but no pushes is removed from the chain.
 func TestSuccessorThatReceivesNoPushesIsReplaced(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	head, next := cluster.chainMember(0), cluster.chainMember(1)
 	cluster.mu.Lock()
 	cluster.unpushable = next
@@ -61,7 +61,7 @@
 	for position := range 4 {
 		t.Run(fmt.Sprint("writes fail at position ", position), func(t *testing.T) {
 			t.Parallel()
-			cluster, client := bootstrapped(t, 4, 1)
+			cluster, client := bootstrapCluster(t, 4, 1)
 			node := cluster.chainMember(position)
 			node.disk.setFailWrites(true)
 			client.submitInTime(1, 2)
@@ -72,7 +72,7 @@
 		})
 		t.Run(fmt.Sprint("writes stall at position ", position), func(t *testing.T) {
 			t.Parallel()
-			cluster, client := bootstrapped(t, 4, 1)
+			cluster, client := bootstrapCluster(t, 4, 1)
 			node := cluster.chainMember(position)
 			node.disk.setStalled(true)
 			client.submitInTime(1, 2)
@@ -89,7 +89,7 @@
 	for position := range 4 {
 		t.Run(fmt.Sprint("the disk at position ", position), func(t *testing.T) {
 			t.Parallel()
-			cluster, client := bootstrapped(t, 4, 1)
+			cluster, client := bootstrapCluster(t, 4, 1)
 			client.submitInTime(1, 2)
 			wiped := cluster.chainMember(position)
 			for _, node := range cluster.nodes {
@@ -106,19 +106,19 @@
 
 func TestReplacementAtAnotherAddress(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	lost := cluster.chainMember(1)
 	lost.kill()
 	replacement := cluster.addNode()
-	replacement.waitUntil("it replaces the lost member", func() bool { return replacement.isMemberOf(4, 4) })
+	replacement.waitUntil("the replacement is in the chain", func() bool { return replacement.isMemberOf(4, 4) })
 	client.submitInTime(1, 2)
 	cluster.start(lost, false)
-	lost.waitUntil("the lost member joins as one more", func() bool { return lost.isMemberOf(5, 4) })
+	lost.waitUntil("the lost member joins as the fifth voter", func() bool { return lost.isMemberOf(5, 4) })
 }
 
 func TestHandoverRemovesMemberFromChain(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	for range 3 {
 		node := cluster.chainMember(0)
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -128,10 +128,10 @@
 		current, _ := node.member.View()
 		require.Negative(t, current.Position(node.id()))
 		node.kill()
-		begun := time.Now()
+		startedAt := time.Now()
 		revision := client.read().Revision
 		require.Equal(t, chain.OutcomeCommitted, client.submitRevision(revision, revision+1).Outcome)
-		require.Less(t, time.Since(begun), 400*time.Millisecond)
+		require.Less(t, time.Since(startedAt), 400*time.Millisecond)
 		cluster.start(node, false)
 		cluster.awaitFullChain(client)
 	}
@@ -153,8 +153,8 @@
 	lost.waitUntil("it joins as a new member", func() bool { return lost.isMemberOf(5, 4) })
 	require.Equal(t, int64(2), lost.read().Revision)
 	client.submitInTime(2, 3)
-	for _, node := range cluster.nodes { // one of them stands by
-		node.waitUntil("the value comes", func() bool { return node.hasRevision(3) })
+	for _, node := range cluster.nodes { // including the voter outside the chain
+		node.waitUntil("the node knows the new revision", func() bool { return node.hasRevision(3) })
 	}
 }
 
@@ -162,7 +162,7 @@
 	t.Parallel()
 	for disks := 1; disks <= 3; disks++ {
 		t.Run(fmt.Sprint(disks), func(t *testing.T) {
-			cluster, client := bootstrapped(t, disks, 3)
+			cluster, client := bootstrapCluster(t, disks, 3)
 			for _, node := range cluster.nodes {
 				node.kill()
 			}
@@ -173,7 +173,7 @@
 	}
 }
 
-// The bootstrap succeeds whichever of the seeds is lost meanwhile.
+// The bootstrap succeeds without any one of the seeds.
 func TestSeedIsLostDuringBootstrap(t *testing.T) {
 	t.Parallel()
 	for seed := range 3 {
@@ -186,8 +186,8 @@
 			}
 			require.Equal(t, chain.OutcomeCommitted, cluster.nodes[5].submitRevision(0, 1).Outcome)
 			lost := cluster.nodes[seed]
-			cluster.start(lost, false) // as a process that is started again
-			lost.waitUntil("it joins later", lost.member.IsVoter)
+			cluster.start(lost, false) // like a restarted process
+			lost.waitUntil("the lost seed becomes a voter", lost.member.IsVoter)
 		})
 	}
 }
@@ -207,20 +207,20 @@
 
 func TestDivergentValueIsRepaired(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	node := cluster.chainMember(1)
-	node.waitUntil("the value comes", func() bool { return node.hasRevision(1) })
+	node.waitUntil("the node knows the first revision", func() bool { return node.hasRevision(1) })
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	node.replaceBody(ctx, "7")
-	node.waitUntil("the others' value comes", func() bool {
+	node.waitUntil("the node has the others' value", func() bool {
 		committed, _ := node.member.Committed()
 		return string(committed.Body) == "1" && string(node.member.replica().Record.Value.Body) == "1"
 	})
 	client.submitInTime(1, 2)
 }
 
-// replaceBody damages a node's value, on disk and in memory, in a way that no checksum shows.
+// replaceBody damages a node's value on disk and in memory, in a way that the disk's checksums don't detect.
 func (node *testNode) replaceBody(ctx context.Context, body string) {
 	node.tb.Helper()
 	require.NoError(node.tb, node.member.acquireWrite(ctx))
@@ -235,7 +235,7 @@
 
 func TestInspect(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 3, 1)
+	cluster, _ := bootstrapCluster(t, 3, 1)
 	node := cluster.chainMember(2)
 	status := node.member.Status()
 	node.kill()
@@ -250,10 +250,10 @@
 	require.NoError(t, err, "an empty folder")
 }
 
-// A process that was paused counts the silence of others from when it resumed.
+// A process that was paused measures the silence of its peers from the time at which it resumed.
 func TestResumedProcessTrustsNoEarlierContact(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 4, 1)
+	cluster, _ := bootstrapCluster(t, 4, 1)
 	member := cluster.chainMember(0).member
 	now := time.Now().Add(time.Hour)
 	member.mu.Lock()
--- a/internal/fleet/controlplane/faultydisk_test.go
+++ b/internal/fleet/controlplane/faultydisk_test.go
@@ -12,14 +12,14 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-// faultyDisk is a store whose disk can be made to fail or to stall all writes.
+// faultyDisk is a store whose writes can be made to fail or stall.
 type faultyDisk struct {
 	*store.Store
 	mu           sync.Mutex
 	failWrites   bool
 	failingSince time.Time
-	unstalled    chan struct{} // writes wait until it is closed; nil: they don't
-	stalledSince time.Time     // the oldest write that waits
+	unstalled    chan struct{} // writes wait until it is closed; nil if they don't stall
+	stalledSince time.Time     // when the oldest stalled write began; zero if there is none
 }
 
 func (d *faultyDisk) Put(key string, record []byte) error {
@@ -33,7 +33,8 @@
 	return d.Store.Put(key, record)
 }
 
-// beginWrite notes a write, and reports what is to become of it.
+// beginWrite records a write. It reports whether the write should fail, and the channel that it must wait for;
+// nil if it need not wait.
 func (d *faultyDisk) beginWrite(now time.Time) (fail bool, unstalled <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +64,7 @@
 	return health
 }
 
-// hasStalledWrite reports whether a write waits.
+// hasStalledWrite reports whether a write is stalled.
 func (d *faultyDisk) hasStalledWrite() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,8 +88,8 @@
 	d.unstalled, d.stalledSince = nil, time.Time{}
 }
 
-// stateDir is a folder for a machine's state, in memory where there is such a file system: the tests
-// are about processes, and many of them share one disk.
+// stateDir returns a new folder for a machine's state. It is in memory if /dev/shm exists, as many tests would
+// otherwise share one disk.
 func stateDir(t testing.TB) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "core")
--- a/internal/fleet/controlplane/golden_test.go
+++ b/internal/fleet/controlplane/golden_test.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/goldentest"
 )
 
-// recordCodec is the encoding of records on disk.
+// recordCodec encodes records as on disk.
 var recordCodec = goldentest.Codec{Extension: ".record", Tag: "msgpack", Marshal: encode, Unmarshal: decode}
 
 func TestGoldenRecords(t *testing.T) {
--- a/internal/fleet/controlplane/handover_test.go
+++ b/internal/fleet/controlplane/handover_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// startHandover starts the handover of a node; the channel is closed when it has returned.
+// startHandover starts the handover of a node. The returned channel is closed when it has ended.
 func (node *testNode) startHandover() <-chan struct{} {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	done := make(chan struct{})
@@ -30,11 +30,11 @@
 	select {
 	case <-finished:
 	case <-time.After(waitLimit):
-		require.FailNow(node.tb, "the handover does not end")
+		require.FailNow(node.tb, "the handover did not end")
 	}
 }
 
-// addNode starts one more node with a disk, before the others of the cluster.
+// addNode starts another node with a disk, and puts it before the other nodes of the cluster.
 func (cluster *testCluster) addNode() *testNode {
 	cluster.tb.Helper()
 	added := newTestCluster(cluster.tb, 1, 0).nodes[0]
@@ -43,21 +43,22 @@
 	return added
 }
 
-// addMember starts one more node with a disk, and waits until it is a complete member of a view with a
-// number of voters and chain members.
+// addMember starts another node with a disk, and waits until it is a complete member of a view with the given
+// numbers of voters and chain members.
 func (cluster *testCluster) addMember(voters, members int) *testNode {
 	cluster.tb.Helper()
 	added := cluster.addNode()
-	added.waitUntil("it votes and is in the chain", func() bool {
+	added.waitUntil("the added node is a voter and complete", func() bool {
 		return added.isMemberOf(voters, members) && added.member.Status().Complete
 	})
 	return added
 }
 
-// A planned replacement leaves as many voters as there were: a loss right after it leaves a majority.
+// A planned replacement does not change the number of voters, so a majority remains if another one is lost
+// right after it.
 func TestLossRightAfterAPlannedReplacement(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	first, second := cluster.nodes[0], cluster.nodes[1]
 	cluster.addMember(4, 4)
 	first.awaitHandover(first.startHandover())
@@ -68,10 +69,10 @@
 	require.Equal(t, int64(2), client.read().Revision)
 }
 
-// Two replacements in a row, a loss right after each.
+// Two replacements in a row, each followed by a loss.
 func TestLossAfterReplacementsInARow(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	initial := append([]*testNode(nil), cluster.nodes[:3]...)
 	remaining := initial[2]
 	for i, node := range initial[:2] {
@@ -82,16 +83,16 @@
 		client.submitInTime(int64(i+1), int64(i+2))
 		cluster.start(remaining, false)
 		cluster.awaitFullChain(client)
-		remaining.waitUntil("it is complete", func() bool { return remaining.member.Status().Complete })
+		remaining.waitUntil("the member is complete", func() bool { return remaining.member.Status().Complete })
 	}
 	current, _ := client.member.View()
 	require.Len(t, current.Voters, 3)
 }
 
-// The joining member of a planned replacement fails before the old member ends.
+// The joining member of a planned replacement fails before the old member hands over.
 func TestJoinerOfAPlannedReplacementFails(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	first := cluster.nodes[0]
 	cluster.addMember(4, 4).kill()
 	first.awaitHandover(first.startHandover())
@@ -99,18 +100,18 @@
 	client.submitInTime(1, 2)
 }
 
-// A member without which too few replicas remain does not leave before another has joined.
+// A member does not leave while too few replicas would remain. It waits until another member has joined.
 func TestLeavingMemberWaitsForItsSuccessor(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	leaving, returning := cluster.chainMember(0), cluster.chainMember(1)
 	returning.kill()
 	client.submitInTime(1, 2)
-	client.waitUntil("the failed member is left out", func() bool { return client.chainLength() == 2 })
+	client.waitUntil("the failed member is removed", func() bool { return client.chainLength() == 2 })
 	finished := leaving.startHandover()
 	select {
 	case <-finished:
-		require.FailNow(t, "it leaves while too few replicas remain")
+		require.FailNow(t, "the member left while too few replicas remain")
 	case <-time.After(2 * peerTimeout):
 	}
 	require.GreaterOrEqual(t, leaving.chainPosition(), 0)
@@ -123,7 +124,7 @@
 	client.submitInTime(3, 4)
 }
 
-// The sole member ends while its successor is being sent the value.
+// The sole member hands over while the value is being sent to its successor.
 func TestSoleMemberHandsOver(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 1, 1)
@@ -136,7 +137,7 @@
 	initial.awaitHandover(initial.startHandover())
 	require.False(t, initial.member.Status().Voter)
 	require.True(t, successor.member.Status().Complete)
-	client.waitUntil("it knows the successor", func() bool {
+	client.waitUntil("the client knows the successor", func() bool {
 		current, _ := client.member.View()
 		return current.Head().Addr == successor.addr
 	})
@@ -145,7 +146,7 @@
 	client.submitInTime(1, 2)
 }
 
-// setPartitioned partitions two groups of nodes from each other, or joins them again.
+// setPartitioned partitions two groups of nodes from each other, or ends the partition.
 func (cluster *testCluster) setPartitioned(first, second []*testNode, lost bool) {
 	for _, a := range first {
 		for _, b := range second {
@@ -167,16 +168,16 @@
 	require.Error(t, err)
 }
 
-// Of four voters partitioned into halves neither half is a majority: no update is committed or
-// rejected, nothing is read and no view is decided, until the partition ends.
+// If four voters are partitioned into halves, neither half is a majority. Until the partition ends, no update
+// is committed or rejected, no read is answered and no view is decided.
 func TestEvenPartitionHasNoQuorum(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	before, _ := client.member.View()
 	voters := cluster.nodes[:4]
 	cluster.setPartitioned(voters[:2], voters[2:], true)
 	for _, node := range voters {
-		node.waitUntil("it knows that it has no majority", func() bool { return !node.member.HasQuorum() })
+		node.waitUntil("the node has lost its quorum", func() bool { return !node.member.HasQuorum() })
 	}
 	for i, node := range voters {
 		requireNoAnswers(t, node, revisionUpdate(1, int64(i)+2))
@@ -184,7 +185,7 @@
 		require.Equal(t, before.Number, current.Number)
 	}
 	cluster.setPartitioned(voters[:2], voters[2:], false)
-	// One of the four updates at most takes effect, before the next one or in its place.
+	// At most one of the four updates takes effect: before the next one, or instead of it.
 	result := client.submitRevision(1, 20)
 	if result.Outcome == chain.OutcomeConflict {
 		require.Contains(t, []int64{2, 3, 4, 5}, client.read().Revision)
@@ -196,20 +197,19 @@
 	}
 }
 
-// awaitCompleteOrStandby waits until each node is in contact with a majority, and complete if it is in
-// the chain.
+// awaitCompleteOrStandby waits until each node has a quorum, and is complete if it is in the chain.
 func awaitCompleteOrStandby(nodes []*testNode) {
 	for _, node := range nodes {
 		node.tb.Helper()
 		node.waitUntil("in contact with a majority", node.member.HasQuorum)
-		node.waitUntil("it is complete if it is in the chain", func() bool {
+		node.waitUntil("the node is complete or not in the chain", func() bool {
 			status := node.member.Status()
 			return len(status.View.Chain) >= 4 && (status.Position < 0 || status.Complete)
 		})
 	}
 }
 
-// chainZones are the zones of the chain that a node knows.
+// chainZones returns the zones of the chain that a node knows.
 func (node *testNode) chainZones() map[string]bool {
 	current, _ := node.member.View()
 	zones := map[string]bool{}
@@ -219,8 +219,8 @@
 	return zones
 }
 
-// Whole zones are lost one after the other, the next one as soon as the machines of the last one are
-// complete or stand by.
+// Zones are lost one after the other, each one as soon as the machines of the zone before are complete or
+// outside the chain.
 func TestSuccessiveZoneLosses(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 6, 1)
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -169,7 +169,7 @@
 		if !errors.Is(err, errViewNotActivated) {
 			return applied, err
 		}
-		// The view changed meanwhile, and this member is its head.
+		// The view has changed, and this member is the head of the new one.
 		if _, ok := m.activateView(ctx); !ok {
 			return applied, err
 		}
--- a/internal/fleet/controlplane/linearizability_test.go
+++ b/internal/fleet/controlplane/linearizability_test.go
@@ -17,32 +17,33 @@
 )
 
 const (
-	// historyLength is for how long operators send requests.
+	// historyLength is how long the operators send requests.
 	historyLength = 6 * time.Second
-	// operatorTimeout is for how long an operator waits for an answer.
+	// operatorTimeout is how long an operator waits for an answer.
 	operatorTimeout = 700 * time.Millisecond
-	// maxResubmissions is how often an operator repeats an update.
+	// maxResubmissions is how many times an operator repeats an update at most.
 	maxResubmissions = 3
 	operatorCount    = 4
-	// lostAnswerInterval is how many updates of an operator have one whose first answer it loses.
+	// lostAnswerInterval is the interval, in updates, at which an operator ignores the first answer to an
+	// update as if it had been lost.
 	lostAnswerInterval = 8
 )
 
-// registerInput is what an operator requests of the register: a read, or a compare-and-set by revision.
+// registerInput is an operator's request to the register: a read, or a compare-and-set by revision.
 type registerInput struct {
 	read              bool
 	ifMatch, revision int64
 }
 
-// registerOutput is what the operator gets; a read that was answered is OutcomeCommitted.
+// registerOutput is the answer to an operator. The outcome of an answered read is OutcomeCommitted.
 type registerOutput struct {
 	outcome  chain.Outcome
 	revision int64
 }
 
-// registerModel is the register as operators see it; its state is the revision.
+// registerModel models the register as operators see it. Its state is the revision.
 var registerModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{int64(1)} }, // that of the first update of the cluster
+	Init: func() []any { return []any{int64(1)} }, // the revision of the cluster's first update
 	Step: func(state, input, output any) []any {
 		current, in, out := state.(int64), input.(registerInput), output.(registerOutput)
 		switch {
@@ -64,20 +65,20 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history is the requests of all operators and their answers.
+// history records the requests of all operators and their answers.
 type history struct {
-	tb    testing.TB
-	begun time.Time
+	tb        testing.TB
+	startedAt time.Time
 
-	repeatedClear   atomic.Int64 // updates that were repeated after a clear answer
-	repeatedUnclear atomic.Int64 // updates that were repeated after none
+	repeatedAfterAnswer  atomic.Int64 // repeated updates whose outcome was known
+	repeatedAfterUnknown atomic.Int64 // repeated updates whose outcome was unknown
 
 	mu         sync.Mutex
-	members    []*Member // of the nodes as they run now
+	members    []*Member // the current members of the nodes
 	operations []porcupine.Operation
 }
 
-// member is the member of a node, counted round the cluster.
+// member returns the member of the node with index i modulo the number of nodes.
 func (h *history) member(i int) *Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,9 +91,9 @@
 	h.members[i] = member
 }
 
-func (h *history) now() int64 { return int64(time.Since(h.begun)) }
+func (h *history) now() int64 { return int64(time.Since(h.startedAt)) }
 
-// record adds an operation that was called at a time and has returned now.
+// record adds an operation that started at the time called and returns now.
 func (h *history) record(client int, called int64, input registerInput, output registerOutput) {
 	returned := h.now()
 	if output.outcome == chain.OutcomeUnknown {
@@ -120,8 +121,8 @@
 type operator struct {
 	*history
 	index    int
-	revision int64 // the newest that it knows
-	updates  int64 // that it has sent
+	revision int64 // newest revision that the operator knows
+	updates  int64 // number of updates that the operator has sent
 }
 
 func (o *operator) run(ctx context.Context) {
@@ -168,14 +169,14 @@
 	return o.member(i).Submit(ctx, update)
 }
 
-// resubmit repeats an update at other nodes while its outcome is unknown, and now and then once after
-// a clear answer, as if that had been lost. It returns the answer that the operator goes by.
+// resubmit repeats an update at other nodes while its outcome is unknown. At even i it repeats an update with
+// a known outcome too, as if the answer had been lost. It returns the answer that the operator acts on.
 func (o *operator) resubmit(i int, update *chain.Update, first chain.Result) chain.Result {
 	result := first
 	for attempt := 1; attempt <= maxResubmissions; attempt++ {
 		if result.Outcome == chain.OutcomeUnknown {
 			result = o.submit(i+attempt, update)
-			o.repeatedUnclear.Add(1)
+			o.repeatedAfterUnknown.Add(1)
 			continue
 		}
 		if attempt > 1 || i%2 != 0 {
@@ -185,17 +186,17 @@
 		if repeated.Outcome == chain.OutcomeUnknown {
 			continue
 		}
-		assert.Equal(o.tb, result.Outcome, repeated.Outcome, "a repeated update gets another answer")
-		if result.Outcome == chain.OutcomeCommitted { // a conflict names the newest revision
+		assert.Equal(o.tb, result.Outcome, repeated.Outcome, "a repeated update got a different outcome")
+		if result.Outcome == chain.OutcomeCommitted { // a conflict reports the newest revision, which may change
 			assert.Equal(o.tb, result.Revision, repeated.Revision)
 		}
-		o.repeatedClear.Add(1)
+		o.repeatedAfterAnswer.Add(1)
 	}
 	return result
 }
 
-// injectFaults has the head killed, isolated and its disk stalled in turn, each time until the others
-// have replaced it.
+// injectFaults restarts the head, isolates it and stalls its disk, in turn. Isolation and stalls last until the
+// head is replaced.
 func (h *history) injectFaults(ctx context.Context, cluster *testCluster) {
 	observer := cluster.nodes[len(cluster.nodes)-1]
 	awaitReplacement := func(head *testNode) {
@@ -223,29 +224,29 @@
 	}
 }
 
-// Operators send updates and reads to all nodes while the head is killed, isolated or its disk stalls,
-// and repeat updates at other nodes. The whole history is that of one register, in which an update and
-// its repetitions are one operation.
+// Operators send updates and reads to all nodes while the head is restarted, isolated or its disk stalls, and
+// repeat updates at other nodes. The history must be linearizable as that of one register, in which an update
+// and its repetitions are one operation.
 func TestHistoryIsLinearizable(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 4, 1)
+	cluster, _ := bootstrapCluster(t, 4, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), historyLength)
 	defer cancel()
-	recorded := &history{tb: t, begun: time.Now()}
+	hist := &history{tb: t, startedAt: time.Now()}
 	for _, node := range cluster.nodes {
-		recorded.members = append(recorded.members, node.member)
+		hist.members = append(hist.members, node.member)
 	}
 	var operators sync.WaitGroup
 	for index := range operatorCount {
-		o := &operator{history: recorded, index: index, revision: 1}
+		o := &operator{history: hist, index: index, revision: 1}
 		operators.Go(func() { o.run(ctx) })
 	}
-	recorded.injectFaults(ctx, cluster)
+	hist.injectFaults(ctx, cluster)
 	operators.Wait()
-	require.Greater(t, recorded.committed(), 10)
-	t.Logf("%d operations, %d updates committed, %d repeated after a clear answer and %d after none",
-		len(recorded.operations), recorded.committed(), recorded.repeatedClear.Load(), recorded.repeatedUnclear.Load())
-	require.Positive(t, recorded.repeatedClear.Load())
-	require.Positive(t, recorded.repeatedUnclear.Load())
-	require.True(t, porcupine.CheckOperations(registerModel.ToModel(), recorded.operations), "the history is not that of a register")
+	require.Greater(t, hist.committed(), 10)
+	t.Logf("%d operations, %d updates committed, %d repeated after a known outcome and %d after an unknown one",
+		len(hist.operations), hist.committed(), hist.repeatedAfterAnswer.Load(), hist.repeatedAfterUnknown.Load())
+	require.Positive(t, hist.repeatedAfterAnswer.Load())
+	require.Positive(t, hist.repeatedAfterUnknown.Load())
+	require.True(t, porcupine.CheckOperations(registerModel.ToModel(), hist.operations), "not linearizable")
 }
--- a/internal/fleet/controlplane/member_test.go
+++ b/internal/fleet/controlplane/member_test.go
@@ -13,16 +13,16 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// applyNumber accepts bodies that are positive numbers.
+// applyNumber is a chain.Transition that accepts bodies that are positive numbers, which become the revision.
 func applyNumber(_ []byte, update *chain.Update) ([]byte, int64, error) {
 	revision, err := strconv.ParseInt(string(update.Body), 10, 64)
 	if err != nil || revision <= 0 {
-		return nil, 0, errors.New("no number")
+		return nil, 0, errors.New("not a positive number")
 	}
 	return update.Body, revision, nil
 }
 
-// revisionUpdate is an update of one revision that leads to another.
+// revisionUpdate returns an update from one revision to another.
 func revisionUpdate(ifMatch, revision int64) *chain.Update {
 	return &chain.Update{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(revision, 10))}
 }
@@ -42,7 +42,7 @@
 		next := int64(10 * (i + 1))
 		committed := chain.Result{Outcome: chain.OutcomeCommitted, Revision: next}
 		require.Equal(t, committed, node.submitRevision(revision, next))
-		require.Equal(t, committed, cluster.nodes[0].submitRevision(revision, next), "the same again")
+		require.Equal(t, committed, cluster.nodes[0].submitRevision(revision, next), "a repeated update")
 		require.Equal(t, chain.OutcomeConflict, node.submitRevision(revision, next+5).Outcome)
 		revision = next
 	}
@@ -63,11 +63,11 @@
 	head.kill()
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 	require.Equal(t, int64(2), client.read().Revision)
-	client.waitUntil("the head is left out", func() bool { return client.chainLength() == 3 })
+	client.waitUntil("the head is removed from the chain", func() bool { return client.chainLength() == 3 })
 	cluster.start(head, false)
 	head.waitUntil("the chain is complete again", func() bool { return head.chainLength() == 4 })
 	require.Equal(t, chain.OutcomeCommitted, head.submitRevision(2, 3).Outcome)
-	head.waitUntil("the value comes", func() bool { return head.hasRevision(3) })
+	head.waitUntil("the head knows the new revision", func() bool { return head.hasRevision(3) })
 }
 
 func TestWipedDiskJoinsAsNewMember(t *testing.T) {
@@ -82,6 +82,6 @@
 	node.dir = stateDir(t)
 	cluster.start(node, false)
 	require.NotEqual(t, formerID, node.member.Status().ID)
-	node.waitUntil("it votes and is in the chain", func() bool { return node.isMemberOf(4, 4) })
+	node.waitUntil("the new member is in the chain", func() bool { return node.isMemberOf(4, 4) })
 	require.Equal(t, chain.OutcomeCommitted, node.submitRevision(1, 2).Outcome)
 }
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -61,8 +61,8 @@
 	Put(key string, record []byte) error
 	// Probe makes a write that changes no record.
 	Probe() error
-	// Scrub compares the file with memory and rewrites it where they differ; it reports whether the
-	// file was intact.
+	// Scrub compares the file with memory and rewrites it if they differ. It reports whether the file was
+	// intact.
 	Scrub() (intact bool, err error)
 	// Health returns the health of the disk without waiting for it.
 	Health(now time.Time) store.Health
--- a/internal/fleet/controlplane/peers_test.go
+++ b/internal/fleet/controlplane/peers_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// tableOf is the table of a member with entries for the voters of a view.
+// tableOf returns the peer table of a member, with entries for the voters of a view.
 func tableOf(selfID string, current *view.View) peerTable {
 	table := newPeerTable(selfID)
 	table.addVoters(current, start, start)
@@ -29,7 +29,7 @@
 		{"never in contact", time.Time{}, time.Time{}, 10 * time.Second},
 		{"in contact before", start.Add(7 * time.Second), time.Time{}, 3 * time.Second},
 		{"resumed since", start.Add(7 * time.Second), start.Add(9 * time.Second), time.Second},
-		{"in contact at a later moment than now", now.Add(time.Second), time.Time{}, 0},
+		{"in contact later than now", now.Add(time.Second), time.Time{}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -47,10 +47,10 @@
 	require.Equal(t, first, peer.contactSince)
 	second := first.Add(peerTimeout)
 	peer.contacted(second, start, second)
-	require.Equal(t, first, peer.contactSince, "no break")
+	require.Equal(t, first, peer.contactSince, "no interruption")
 	third := second.Add(peerTimeout + 1)
 	peer.contacted(third, start, third)
-	require.Equal(t, third, peer.contactSince, "a break")
+	require.Equal(t, third, peer.contactSince, "an interruption")
 	resumedAt := third.Add(1)
 	fourth := third.Add(2)
 	peer.contacted(fourth, resumedAt, fourth)
@@ -84,7 +84,7 @@
 	require.False(t, peer.pushUnreachable(start.Add(2*time.Second)))
 }
 
-// The pushes to a peer that was away failed for that: once it is back they don't count.
+// Pushes that failed while a peer was away don't count once it is back.
 func TestFailedPushesEndWithAnInterruption(t *testing.T) {
 	t.Parallel()
 	failedAt := start.Add(contactTimeout)
@@ -94,7 +94,7 @@
 		contactAt time.Time
 		want      bool
 	}{
-		{"it was in contact all the time", false, failedAt.Add(1), true},
+		{"the contact was not interrupted", false, failedAt.Add(1), true},
 		{"its process had ended", true, failedAt.Add(1), false},
 		{"the contact was lost", false, start.Add(peerTimeout + 1), false},
 	} {
@@ -112,7 +112,7 @@
 	}
 }
 
-// A voter that was removed counts as having missed that until it reports the view, or a later one.
+// A removed voter counts as having missed its removal until it reports the view that removed it or a later one.
 func TestRemovedVoterMissesItsRemoval(t *testing.T) {
 	t.Parallel()
 	former, current := testView(4, "a", "b", "c"), testView(5, "a", "c")
@@ -148,7 +148,7 @@
 				table.byID[id].contacted(now, start, now)
 			}
 			require.Equal(t, test.want, table.hasQuorum(&current, now))
-			require.False(t, table.hasQuorum(&current, now.Add(contactTimeout)), "the contact is over")
+			require.False(t, table.hasQuorum(&current, now.Add(contactTimeout)), "the contact is too old")
 		})
 	}
 }
@@ -174,10 +174,10 @@
 		require.NotNil(t, table.entry(joining(i), &current, start, start))
 	}
 	require.Nil(t, table.entry(joining(maxPeers), &current, start, start), "the table is full")
-	require.NotNil(t, table.entry(joining(0), &current, start, start), "it has an entry already")
+	require.NotNil(t, table.entry(joining(0), &current, start, start), "the peer already has an entry")
 	later := start.Add(peerTimeout + 1)
-	require.NotNil(t, table.entry(joining(maxPeers), &current, start, later), "those that timed out are evicted")
-	require.Contains(t, table.byID, "b", "a voter is not")
+	require.NotNil(t, table.entry(joining(maxPeers), &current, start, later), "peers that timed out are evicted")
+	require.Contains(t, table.byID, "b", "a voter is not evicted")
 	require.Len(t, table.byID, 2)
 }
 
@@ -195,7 +195,7 @@
 	}
 	withFirst, withSecond := table.countChecksums(&current, 7, 1, 2, start)
 	require.Equal(t, 1, withFirst)
-	require.Equal(t, 1, withSecond, "d has another number, e is not in contact")
+	require.Equal(t, 1, withSecond, "d has another sequence number, e is not in contact")
 }
 
 func TestPeerHealth(t *testing.T) {
--- a/internal/fleet/controlplane/proposer_test.go
+++ b/internal/fleet/controlplane/proposer_test.go
@@ -52,7 +52,7 @@
 	require.Equal(t, view.ProposalNumber{Round: 1, Proposer: "a/1"}, first)
 	state.endUndecided(4, 3, 7, start)
 	second := state.begin(4)
-	require.Equal(t, view.ProposalNumber{Round: 8, Proposer: "a/1"}, second, "above the round that was met")
+	require.Equal(t, view.ProposalNumber{Round: 8, Proposer: "a/1"}, second, "above the highest round seen")
 	state.end()
 	state.learned(4)
 	require.Empty(t, state.rounds)
@@ -105,11 +105,11 @@
 	}{
 		{"the head", "b", map[string]view.Health{"a": healthy, "c": healthy, "d": healthy}, 0},
 		{"the tail", "c", map[string]view.Health{"a": healthy, "b": healthy, "d": healthy}, 1},
-		{"a voter outside of the chain", "a", map[string]view.Health{"b": healthy, "c": healthy, "d": healthy}, 2},
+		{"a voter outside the chain", "a", map[string]view.Health{"b": healthy, "c": healthy, "d": healthy}, 2},
 		{"the last voter", "d", map[string]view.Health{"a": healthy, "b": healthy, "c": healthy}, 3},
 		{"after a member that timed out", "c", map[string]view.Health{"b": {SinceContact: peerTimeout}}, 0},
 		{"after a member with a faulty disk", "c", map[string]view.Health{"b": {DiskUnhealthy: true}}, 0},
-		{"after a member that shuts down", "c", map[string]view.Health{"b": {Leaving: true}}, 0},
+		{"after a member that is shutting down", "c", map[string]view.Health{"b": {Leaving: true}}, 0},
 		{"after a member that is not known", "c", nil, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/fleet/controlplane/register_test.go
+++ b/internal/fleet/controlplane/register_test.go
@@ -12,11 +12,11 @@
 	t.Parallel()
 	var state register
 	require.True(t, state.advance(&chain.Value{Seq: 2}, 20))
-	require.False(t, state.advance(&chain.Value{Seq: 2}, 21), "the same number")
+	require.False(t, state.advance(&chain.Value{Seq: 2}, 21), "the same sequence number")
 	require.False(t, state.advance(&chain.Value{Seq: 1}, 10), "an older value")
 	require.EqualValues(t, 2, state.committed.Seq)
 	require.EqualValues(t, 20, state.checksum)
-	require.True(t, state.advance(&chain.Value{Seq: 5}, 50), "numbers may be skipped")
+	require.True(t, state.advance(&chain.Value{Seq: 5}, 50), "sequence numbers may be skipped")
 	require.EqualValues(t, 50, state.checksum)
 }
 
@@ -33,7 +33,7 @@
 		{name: "a newer value", received: heartbeat{CommittedSeq: 3, CommittedChecksum: 30}, lags: true},
 		{name: "a newer value that is being fetched", received: heartbeat{CommittedSeq: 3, CommittedChecksum: 30}, fetching: true},
 		{name: "an older value", received: heartbeat{CommittedSeq: 1, CommittedChecksum: 10}},
-		{name: "another value under the same number", received: heartbeat{CommittedSeq: 2, CommittedChecksum: 21}, diverges: true},
+		{name: "another value with the same number", received: heartbeat{CommittedSeq: 2, CommittedChecksum: 21}, diverges: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/controlplane/replication_test.go
+++ b/internal/fleet/controlplane/replication_test.go
@@ -9,8 +9,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// Each member waits longer than the one after it by the time that a value takes to that one, so that the member next
-// to a fault notices it first.
+// Each member waits longer than the one after it, by more than the transfer time of the value between them, so that
+// the member next to a fault detects it first.
 func TestPushTimeoutsAllowForSlowLinks(t *testing.T) {
 	for _, size := range []int{0, 100, 813 << 10, chain.MaxBody} {
 		transfer := time.Duration(size) * time.Second / minLinkRate
--- a/internal/fleet/controlplane/safety_test.go
+++ b/internal/fleet/controlplane/safety_test.go
@@ -12,17 +12,17 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// Each test of this file is for one check in the code that keeps the state safe: without that check
-// the test fails within seconds.
+// Each test in this file guards one safety check in the code: without that check the test fails within
+// seconds.
 
 const (
-	// absenceWatch is how long a test watches that something does not happen.
+	// absenceWatch is how long a test checks that an event does not happen.
 	absenceWatch = 150 * time.Millisecond
-	// eventBound is how long something that has to happen may take.
+	// eventBound is how long an expected event may take.
 	eventBound = 5 * time.Second
 )
 
-// chainMembers are the nodes of the chain, head first, once a node knows a chain of a length.
+// chainMembers waits until a node knows a chain of the given length, and returns its nodes, head first.
 func (cluster *testCluster) chainMembers(client *testNode, length int) (members []*testNode) {
 	cluster.tb.Helper()
 	client.waitUntil("the chain is complete", func() bool {
@@ -36,7 +36,7 @@
 	return members
 }
 
-// suspendRepairs lets no member start a proposal, until resumeRepairs.
+// suspendRepairs prevents the members from starting proposals until resumeRepairs is called.
 func suspendRepairs(members []*testNode) { setBackoff(members, time.Now().Add(time.Hour)) }
 
 func resumeRepairs(members []*testNode) { setBackoff(members, time.Time{}) }
@@ -49,8 +49,8 @@
 	}
 }
 
-// agreeOnFullChain reports whether all members have learned one view with all of them in its chain,
-// and none can propose another.
+// agreeOnFullChain reports whether all members have learned the same view, all of them are in its chain, and
+// none can propose another view.
 func agreeOnFullChain(members []*testNode) bool {
 	number := members[0].learnedView().Number
 	for _, node := range members {
@@ -65,11 +65,11 @@
 	return true
 }
 
-// steadyCluster is a bootstrapped cluster of four members, head first, whose view stays as it is
-// however busy the machine is.
+// steadyCluster returns a bootstrapped cluster of four members, head first. Its view does not change, even
+// on a busy machine, as repairs are suspended.
 func steadyCluster(t *testing.T) (cluster *testCluster, client *testNode, members []*testNode) {
 	t.Helper()
-	cluster, client = bootstrapped(t, 4, 1)
+	cluster, client = bootstrapCluster(t, 4, 1)
 	client.waitUntil("all members agree on a view", func() bool {
 		resumeRepairs(members)
 		members = cluster.chainMembers(client, 4)
@@ -79,31 +79,31 @@
 	return cluster, client, members
 }
 
-// partitionedMember isolates the member at a position of the chain, both ways, and has the others go
-// on without it, up to revision 2. The member knows neither their view nor their value.
+// partitionedMember isolates the member at a position of the chain, both ways. The other members remove it
+// from the chain and commit revision 2. The isolated member knows neither their view nor their value.
 func partitionedMember(t *testing.T, position int) (client, node *testNode, cluster *testCluster) {
 	t.Helper()
 	cluster, client, members := steadyCluster(t)
 	node = members[position]
 	number := node.learnedView().Number
-	node.waitUntil("the value of this view", func() bool {
+	node.waitUntil("its value was stored in this view", func() bool {
 		return position == 0 || node.member.replica().Record.View == number
 	})
 	cluster.setIsolated(node, true, true)
 	resumeRepairs(members)
-	client.waitUntil("the others go on", func() bool {
+	client.waitUntil("the others remove it from the chain", func() bool {
 		current, _ := client.member.View()
 		return current.Position(node.id()) < 0
 	})
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
 	replica := node.member.replica()
-	require.EqualValues(t, 1, replica.Record.Value.Revision, "it did not learn")
-	require.Equal(t, number, replica.View.Number, "it did not learn")
+	require.EqualValues(t, 1, replica.Record.Value.Revision, "the isolated member learned the others' value")
+	require.Equal(t, number, replica.View.Number, "the isolated member learned the others' view")
 	require.Equal(t, position, replica.View.Position(node.id()))
 	return client, node, cluster
 }
 
-// contextFor is a context that ends after a time, or with the test.
+// contextFor returns a context that ends after limit or with the test.
 func contextFor(t *testing.T, limit time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -116,18 +116,18 @@
 	_, tail, _ := partitionedMember(t, 3)
 	replica := tail.member.replica()
 	_, ok := replica.CommittedValue()
-	require.True(t, ok, "it would answer")
+	require.True(t, ok, "the member has a value to answer with")
 	answer, err := tail.member.handleRead(contextFor(t, time.Second), &empty{})
 	require.NoError(t, err)
-	require.False(t, answer.OK, "an old value is read")
+	require.False(t, answer.OK, "the partitioned tail answered with an old value")
 }
 
 func TestPartitionedHeadRejectsNothing(t *testing.T) {
 	t.Parallel()
 	_, head, _ := partitionedMember(t, 0)
 	for name, update := range map[string]*chain.Update{
-		"of the newest revision": revisionUpdate(2, 3),
-		"invalid":                revisionUpdate(1, 0),
+		"from the newest revision": revisionUpdate(2, 3),
+		"invalid":                  revisionUpdate(1, 0),
 	} {
 		answer, err := head.member.handleSubmit(contextFor(t, time.Second), update)
 		if err == nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// requireDiskWriteFirst sends a request to a node whose disk stalls: neither may an answer come nor
-// the change be visible before the write is done.
+// requireDiskWriteFirst sends a request to a node whose disk stalls. Until the write has completed, the node
+// must not answer and the change must not be visible.
 func requireDiskWriteFirst(t *testing.T, node *testNode, request func() error, visible func() bool) {
 	t.Helper()
 	node.disk.setStalled(true)
@@ -159,11 +159,11 @@
 	defer watch.Stop()
 	select {
 	case err := <-answered:
-		assert.Fail(t, "answered before it is on disk", "error: %v", err)
+		assert.Fail(t, "answered before the write completed", "error: %v", err)
 		answered <- err
 	case <-watch.C:
 	}
-	assert.False(t, visible(), "visible before it is on disk")
+	assert.False(t, visible(), "visible before the write completed")
 	node.disk.setStalled(false)
 	require.NoError(t, <-answered)
 	require.True(t, visible())
@@ -193,7 +193,7 @@
 	}, func() bool { return vote().Accepted != nil })
 
 	cluster.restart(node)
-	require.Equal(t, number, vote().Promised, "the promise outlives the process")
+	require.Equal(t, number, vote().Promised, "the promise survives the restart")
 	require.NotNil(t, vote().Accepted)
 	answer, err := node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 999, Proposer: "another proposer"})
 	require.NoError(t, err)
@@ -201,7 +201,7 @@
 	answer, err = node.prepare(ctx, node.id(), base, view.ProposalNumber{Round: 1001, Proposer: "another proposer"})
 	require.NoError(t, err)
 	require.True(t, answer.OK)
-	require.NotNil(t, answer.Accepted, "a promise reports what was accepted")
+	require.NotNil(t, answer.Accepted, "a promise reports the accepted view")
 }
 
 func TestViewIsOnDiskBeforeItIsLearned(t *testing.T) {
@@ -229,12 +229,12 @@
 	require.EqualValues(t, 7, tail.storedRevision())
 }
 
-// A process in which nothing ran for a while counts from the moment at which it resumed.
+// A process that was paused sets resumedAt once it runs again.
 func TestPausedProcessDetectsItsPause(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 4, 1)
+	cluster, _ := bootstrapCluster(t, 4, 1)
 	member := cluster.chainMember(0).member
-	member.mu.Lock() // no tick passes
+	member.mu.Lock() // prevents ticks
 	before := member.pauses.resumedAt
 	pause := time.NewTimer(3 * pauseThreshold)
 	<-pause.C
@@ -247,10 +247,11 @@
 		return member.pauses.resumedAt.After(before)
 	}
 	pollUntil(ctx, resumed)
-	require.True(t, resumed(), "it trusts contacts from before the pause")
+	require.True(t, resumed(), "the member still relies on contacts from before the pause")
 }
 
-// A view that is learned while a push of the one before is answered has no push of its own yet.
+// A push in the former view does not activate a view that is learned before the push returns: the head has to
+// push its value again in the new view.
 func TestPushOfAnOlderViewActivatesNoNewerOne(t *testing.T) {
 	t.Parallel()
 	cluster, client, members := steadyCluster(t)
@@ -258,7 +259,7 @@
 	member := head.member
 	next := member.replica().View
 	next = next.RemoveMember(next.Tail().ID)
-	pushedAgain := make(chan struct{}, 1)
+	newViewPush := make(chan struct{}, 1)
 	cluster.setObserveCall(func(from, name string, answered bool) {
 		if from != head.addr || name != callPush {
 			return
@@ -270,16 +271,16 @@
 		}
 		if !answered && member.replica().View.Number == next.Number {
 			select {
-			case pushedAgain <- struct{}{}:
+			case newViewPush <- struct{}{}:
 			default:
 			}
 		}
 	})
 	go func() { _, _ = member.handleSubmit(contextFor(t, eventBound), revisionUpdate(1, 2)) }()
 	select {
-	case <-pushedAgain:
+	case <-newViewPush:
 	case <-contextFor(t, eventBound).Done():
-		require.Fail(t, "the newer view counts as activated")
+		require.Fail(t, "the newer view was activated without a push")
 	}
 	cluster.setObserveCall(nil)
 	cluster.setIsolated(head, false, false)
@@ -290,7 +291,7 @@
 func TestMinorityProposesNothing(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 4, 1)
-	cluster.tolerance.Machines = 0 // one member is enough, so that the others would be dropped
+	cluster.tolerance.Machines = 0 // one member suffices, so the isolated one would remove the others
 	cluster.startAll(true)
 	client := cluster.nodes[4]
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(0, 1).Outcome)
@@ -301,7 +302,7 @@
 	head := cluster.chainMember(0)
 	member := head.member
 	cluster.setIsolated(head, true, true)
-	head.waitUntil("it has no majority", func() bool { return !member.HasQuorum() })
+	head.waitUntil("it has lost its quorum", func() bool { return !member.HasQuorum() })
 	rounds := func() uint32 {
 		member.mu.Lock()
 		defer member.mu.Unlock()
@@ -310,7 +311,7 @@
 	before := rounds()
 	ctx := contextFor(t, 2*time.Second)
 	pollUntil(ctx, func() bool { return rounds() > before })
-	require.Equal(t, before, rounds(), "it proposes without a majority")
+	require.Equal(t, before, rounds(), "the member proposed a view without a quorum")
 }
 
 func TestRequestForAnotherDiskIsRejected(t *testing.T) {
@@ -341,7 +342,7 @@
 	answer, err := node.push(ctx, node.id(), older, node.valueAfter(revisionUpdate(1, 7)))
 	require.NoError(t, err)
 	require.False(t, answer.OK)
-	require.NotNil(t, answer.Newer, "the sender learns of it")
+	require.NotNil(t, answer.Newer, "the answer includes the newer view")
 	require.Equal(t, next.Number, answer.Newer.Number)
 	require.EqualValues(t, 1, node.storedRevision())
 }
@@ -363,10 +364,10 @@
 	require.False(t, answer.OK)
 }
 
-// A view is no more confirmed once members have accepted the next one, as that may be decided.
+// A view can no longer be confirmed once members have accepted the next one, as that may be decided.
 func TestAcceptedViewEndsTheOneBefore(t *testing.T) {
 	t.Parallel()
-	_, _, members := steadyCluster(t) // nobody finishes the undecided proposal
+	_, _, members := steadyCluster(t) // no member finishes the undecided proposal
 	base, ctx := members[0].learnedView(), contextFor(t, eventBound)
 	next := base.RemoveMember(base.Tail().ID)
 	tail := members[3]
@@ -384,7 +385,7 @@
 	_, _, members := steadyCluster(t)
 	head := members[0]
 	forged := head.learnedView().Clone()
-	forged.Chain[1].ID = "a lost disk" // its machine has another one by now, and rejects the push
+	forged.Chain[1].ID = "a lost disk" // the machine has another disk now, so it rejects the push
 	value := head.valueAfter(revisionUpdate(1, 2))
 	require.Error(t, head.member.replicate(contextFor(t, eventBound), forged, *value))
 	require.True(t, head.hasRevision(1))
@@ -420,7 +421,7 @@
 
 func TestMemberOutsideTheChainCatchesUp(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 5, 1)
+	cluster, client := bootstrapCluster(t, 5, 1)
 	current, _ := client.member.View()
 	require.Len(t, current.Chain, 4)
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(1, 2).Outcome)
@@ -431,8 +432,8 @@
 	}
 }
 
-// An update that reaches the head while the view changes waits for the first push of the new view,
-// also if it was committed before.
+// An update that reaches the head while the view changes waits for the first push in the new view, even if
+// the update was committed before.
 func TestSubmissionWaitsForActivationOfTheView(t *testing.T) {
 	t.Parallel()
 	cluster, _, members := steadyCluster(t)
@@ -444,7 +445,7 @@
 		queued[i] = &submission{callerContext: ctx, update: revisionUpdate(0, 1), response: make(chan submitResponse, 1)}
 		member.submissions <- queued[i] // has capacity
 	}
-	members[0].waitUntil("the head executes the first and waits for the write token", func() bool {
+	members[0].waitUntil("the head executes the first update and waits for the write token", func() bool {
 		return len(member.submissions) == 1
 	})
 	cluster.setIsolated(members[0], true, true)
@@ -488,7 +489,7 @@
 	require.False(t, node.member.Status().HasQuorum)
 }
 
-// A view that a member has only observed is learned by its own ticks.
+// A member's ticks learn a view that it has only observed.
 func TestObservedViewIsLearned(t *testing.T) {
 	t.Parallel()
 	client, node, _ := partitionedMember(t, 2)
@@ -499,12 +500,12 @@
 	require.True(t, learned())
 }
 
-// A tail that has observed a newer view, and has not learned it yet, refers readers to that one.
+// A tail that has observed a newer view but not learned it yet answers reads with that view.
 func TestTailAnswersWithObservedNewerView(t *testing.T) {
 	t.Parallel()
 	client, tail, _ := partitionedMember(t, 3)
 	ctx := contextFor(t, eventBound)
-	require.NoError(t, tail.member.acquireWrite(ctx)) // it learns nothing
+	require.NoError(t, tail.member.acquireWrite(ctx)) // prevents the tail from learning views
 	defer tail.member.releaseWrite()
 	next, _ := client.member.View()
 	tail.member.observeView(&next)
@@ -515,7 +516,7 @@
 	require.Equal(t, next.Number, answer.Newer.Number)
 }
 
-// A push ends with its view, also where the view was superseded before.
+// The context of a push ends when its view is superseded, and at once if it was superseded before.
 func TestPushEndsWithItsView(t *testing.T) {
 	t.Parallel()
 	_, node, _ := partitionedMember(t, 2)
@@ -529,7 +530,7 @@
 	select {
 	case <-during.Done():
 	case <-contextFor(t, eventBound).Done():
-		require.Fail(t, "the push outlives the view")
+		require.Fail(t, "the context outlives the view")
 	}
 	after, cancelAfter := member.withinView(ctx, v.Number, waitLimit)
 	defer cancelAfter()
--- a/internal/fleet/controlplane/updates_test.go
+++ b/internal/fleet/controlplane/updates_test.go
@@ -12,8 +12,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-// applyUpdates has the head store a value that is a number of updates further, as if these had been
-// committed.
+// applyUpdates applies count updates to the stored value of the head, as if they had been committed. It returns
+// the revision of the new value.
 func (node *testNode) applyUpdates(count int) (revision int64) {
 	node.tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -31,11 +31,11 @@
 	return record.Value.Revision
 }
 
-// A committed update that is repeated, at any process and after any number of others, is committed or
-// its outcome is unknown. If that is final the answer comes at once.
+// The outcome of a repeated committed update, at any process and after any number of other updates, is committed or
+// unknown. An unknown outcome that is final is returned at once.
 func TestRepeatedUpdateAfterManyUpdates(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	newest := cluster.chainMember(0).applyUpdates(chain.MaxRecentUpdates+chain.MaxOlderUpdates) + 1
 	require.Equal(t, chain.OutcomeCommitted, client.submitRevision(newest-1, newest).Outcome)
 	for _, node := range cluster.nodes {
@@ -43,40 +43,41 @@
 			require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision}, node.submitRevision(revision-1, revision))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
-		begun := time.Now()
+		startedAt := time.Now()
 		result := node.member.Submit(ctx, revisionUpdate(0, 1))
 		cancel()
 		require.Equal(t, chain.OutcomeUnknown, result.Outcome)
 		require.Contains(t, result.Reason, "read the configuration")
-		require.Less(t, time.Since(begun), node.requestTimeout, "it is not retried until the time-out")
+		require.Less(t, time.Since(startedAt), node.requestTimeout, "a final outcome is not retried until the timeout")
 		require.Equal(t, chain.Result{Outcome: chain.OutcomeConflict, Revision: newest}, node.submitRevision(newest-1, newest+1))
 	}
 	require.Equal(t, newest, client.read().Revision)
 }
 
-// Of the updates of one revision the committed one is acknowledged at each process, others conflict.
+// Of several updates from the same revision, the committed one is acknowledged at each process, and the others
+// conflict.
 func TestUpdatesOfOneRevision(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 4, 1)
+	cluster, client := bootstrapCluster(t, 4, 1)
 	for i, patch := range []bool{false, true} {
 		revision := int64(i + 1)
 		update := revisionUpdate(revision, revision+1)
 		update.Patch = patch
 		committed := chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision + 1}
 		conflict := chain.Result{Outcome: chain.OutcomeConflict, Revision: revision + 1}
-		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(update).Outcome)
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(update).Outcome)
 		for _, node := range cluster.nodes {
 			otherBody, otherMethod := *update, *update
-			otherBody.Body = append([]byte("0"), update.Body...) // the same number in other bytes
+			otherBody.Body = append([]byte("0"), update.Body...) // the same number in different bytes
 			otherMethod.Patch = !patch
-			require.Equal(t, committed, node.submitUntilClear(update))
-			require.Equal(t, conflict, node.submitUntilClear(&otherBody))
-			require.Equal(t, conflict, node.submitUntilClear(&otherMethod))
+			require.Equal(t, committed, node.submitUntilKnown(update))
+			require.Equal(t, conflict, node.submitUntilKnown(&otherBody))
+			require.Equal(t, conflict, node.submitUntilKnown(&otherMethod))
 		}
 	}
 }
 
-// olderValue is a value as it was encoded by versions that remembered recent updates only.
+// olderValue is a value as encoded by earlier versions, which remembered recent updates only.
 type olderValue struct {
 	Seq      uint64
 	Revision int64
@@ -84,14 +85,14 @@
 	Past     []chain.AppliedUpdate
 }
 
-// olderRecord is a record of these versions.
+// olderRecord is a record of those versions.
 type olderRecord struct {
 	View   uint64
 	Value  olderValue
 	Direct bool
 }
 
-// A folder that an older version wrote is read, and the updates that it remembers are remembered on.
+// A record that an earlier version wrote is read, and the updates that it remembers are still remembered.
 func TestRecordOfAnOlderVersionIsRead(t *testing.T) {
 	t.Parallel()
 	value := &chain.Value{}
--- a/internal/fleet/controlplane/valuediff_test.go
+++ b/internal/fleet/controlplane/valuediff_test.go
@@ -15,7 +15,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// longUpdate is revisionUpdate with a body that is worth a difference.
+// longUpdate is revisionUpdate with a body that is long enough for a difference.
 func longUpdate(ifMatch, revision int64) *chain.Update {
 	return &chain.Update{IfMatch: ifMatch, Body: fmt.Appendf(nil, "%0*d", 2*bindiff.MinBytes, revision)}
 }
@@ -39,7 +39,7 @@
 	return len(current.Chain)
 }
 
-// A short value is no base, so that the first long one is pushed whole.
+// A difference needs a long base and a long value, so the first long value is pushed whole.
 func TestShortValuesHaveNoDifference(t *testing.T) {
 	var short, long, longer chain.Value
 	short = nextValue(t, &short, revisionUpdate(0, 1))
@@ -50,19 +50,19 @@
 	require.NotNil(t, diffValue(&long, &longer))
 }
 
-// Long values are pushed as what changed.
+// Long values are pushed as differences.
 func TestChainPushesWhatChanged(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	var diffs atomic.Int32
 	cluster.setObserveCall(func(_, name string, answered bool) {
 		if name == callPushDiff && answered {
 			diffs.Add(1)
 		}
 	})
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(1, 2)).Outcome)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(1, 2)).Outcome)
 	for revision := int64(3); revision <= 6; revision++ {
-		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(revision-1, revision)).Outcome)
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(revision-1, revision)).Outcome)
 		require.Equal(t, revision, cluster.requireSameValue(client).Revision)
 	}
 	require.Positive(t, diffs.Load())
@@ -74,20 +74,20 @@
 	require.Nil(t, head.member.diffForSuccessor("another disk", &value))
 }
 
-// A member that runs an earlier program is pushed whole values.
+// Whole values are pushed to a member that runs an earlier version.
 func TestEarlierProgramIsPushedWholeValues(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	cluster.setUnknownCall(callPushDiff)
 	for revision := int64(2); revision <= 4; revision++ {
-		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(revision-1, revision)).Outcome)
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(revision-1, revision)).Outcome)
 		require.Equal(t, revision, cluster.requireSameValue(client).Revision)
 	}
 	head := cluster.chainMember(0)
-	for { // again if the view changes meanwhile
+	for { // repeated if the view changes in the meantime
 		replica := head.member.replica()
 		successor := replica.View.Chain[1]
-		head.member.recordStored(successor.ID, replica.Record.Value.Seq) // so that it sends a difference first
+		head.member.recordStored(successor.ID, replica.Record.Value.Seq) // makes the head send a difference first
 		response, err := head.member.sendPush(context.Background(), successor, chain.Push{View: replica.View, Value: replica.Record.Value})
 		if head.member.replica().View.Number == replica.View.Number {
 			require.NoError(t, err)
@@ -97,24 +97,24 @@
 	}
 }
 
-// A successor that does not hold the value which the head believes it to hold gets the whole next one.
+// If a successor's stored value is not the one that the head assumes, the head sends it the whole next value.
 func TestSuccessorWithAnotherBaseGetsTheWholeValue(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(1, 2)).Outcome)
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(2, 3)).Outcome)
+	cluster, client := bootstrapCluster(t, 3, 1)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(1, 2)).Outcome)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(2, 3)).Outcome)
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	cluster.chainMember(1).replaceBody(ctx, "7")
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(3, 4)).Outcome)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(3, 4)).Outcome)
 	require.Equal(t, longUpdate(3, 4).Body, cluster.requireSameValue(client).Body)
 }
 
-// A receiver without the base is sent the whole value at once.
+// If the receiver lacks the base of a difference, the whole value is sent to it at once.
 func TestUnknownBaseIsFollowedByTheWholeValue(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(1, 2)).Outcome)
+	cluster, client := bootstrapCluster(t, 3, 1)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(1, 2)).Outcome)
 	head := cluster.chainMember(0)
 	head.waitUntil("the value is committed", func() bool { return head.hasRevision(2) })
 	replica := head.member.replica()
@@ -128,7 +128,7 @@
 
 func TestPushDiffToAnUnknownBase(t *testing.T) {
 	t.Parallel()
-	cluster, _ := bootstrapped(t, 3, 1)
+	cluster, _ := bootstrapCluster(t, 3, 1)
 	tail := cluster.chainMember(2)
 	before := tail.member.replica().Record
 	for _, diff := range []valueDiff{{}, {BaseSeq: 1}, {BaseSeq: 99}} {
@@ -140,13 +140,13 @@
 	require.Equal(t, before, tail.member.replica().Record)
 }
 
-// Who has the value before the newest is sent what changed, anybody else the whole value.
+// A process that has the value before the newest one gets a difference, and any other process the whole value.
 func TestValueRequestIsAnsweredByWhatChanged(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(1, 2)).Outcome)
+	cluster, client := bootstrapCluster(t, 3, 1)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(1, 2)).Outcome)
 	former := client.read()
-	require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(2, 3)).Outcome)
+	require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(2, 3)).Outcome)
 	newest := client.read()
 	node := cluster.chainMember(0)
 	node.waitUntil("the value is committed", func() bool { return node.hasRevision(3) })
@@ -164,17 +164,18 @@
 	}
 }
 
-// A process whose value is another one than its number says asks for the whole value.
+// A process requests the whole value if the difference can't be applied to its own value, which differs from the
+// base with the same sequence number.
 func TestValueIsRequestedWholeAfterAnotherBase(t *testing.T) {
 	t.Parallel()
-	cluster, client := bootstrapped(t, 3, 1)
+	cluster, client := bootstrapCluster(t, 3, 1)
 	for revision := int64(2); revision <= 3; revision++ {
-		require.Equal(t, chain.OutcomeCommitted, client.submitUntilClear(longUpdate(revision-1, revision)).Outcome)
+		require.Equal(t, chain.OutcomeCommitted, client.submitUntilKnown(longUpdate(revision-1, revision)).Outcome)
 	}
 	newest := client.read()
 	source := cluster.chainMember(0)
 	source.waitUntil("the value is committed", func() bool { return source.hasRevision(3) })
-	member := client.member // no voter: nobody else sets its value
+	member := client.member // not a voter, so nothing else sets its committed value
 	member.mu.Lock()
 	member.register.committed = chain.Value{Seq: newest.Seq - 1, Body: make([]byte, 2*bindiff.MinBytes)}
 	member.mu.Unlock()
@@ -183,7 +184,7 @@
 	require.Equal(t, newest, value)
 }
 
-// A value is the same after it was encoded and decoded, so that both sides agree on their base.
+// A difference can be applied to a base that was encoded and decoded, as the receiver's was.
 func TestValueDiffOfAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var base chain.Value
--- a/internal/fleet/controlplane/viewstate_test.go
+++ b/internal/fleet/controlplane/viewstate_test.go
@@ -9,10 +9,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// start is the moment at which the state machines of these tests start.
+// start is the time at which the state machines of these tests start.
 var start = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// testPeers are peers with a disk, by the given IDs.
+// testPeers returns peers with a disk that have the given IDs.
 func testPeers(ids ...string) []view.Peer {
 	peers := make([]view.Peer, len(ids))
 	for i, id := range ids {
@@ -21,7 +21,7 @@
 	return peers
 }
 
-// testView is a view whose voters are all in the chain since the first view, in the order of the IDs.
+// testView returns a view whose voters have all been in the chain since the first view, in the order of the IDs.
 func testView(number uint64, ids ...string) view.View {
 	v := view.View{Number: number, Voters: testPeers(ids...)}
 	for _, voter := range v.Voters {
@@ -60,7 +60,7 @@
 	decided := testView(4, "a", "b")
 	state.learn(&decided, start)
 	require.EqualValues(t, 4, state.learned.Number)
-	require.EqualValues(t, 4, state.newest.Number, "what is learned is observed")
+	require.EqualValues(t, 4, state.newest.Number, "the learned view counts as observed")
 	require.Equal(t, start, state.learnedAt)
 	require.False(t, state.behind())
 	require.True(t, state.isVoter("b"))
@@ -90,7 +90,7 @@
 	require.Nil(t, empty.newerThan(0), "no view is known")
 }
 
-func TestViewStateLogsFailuresSeldom(t *testing.T) {
+func TestViewStateLimitsFailureLogs(t *testing.T) {
 	t.Parallel()
 	state := newViewState(testView(3, "a"))
 	require.True(t, state.shouldLogFailure(start))
@@ -108,7 +108,7 @@
 	requireClosed(t, second)
 	select {
 	case <-signal.wait():
-		require.FailNow(t, "a notification wakes those that wait later")
+		require.FailNow(t, "a notification woke a goroutine that waits later")
 	default:
 	}
 }
