--- a/internal/fleet/controlplane/acceptor.go
+++ b/internal/fleet/controlplane/acceptor.go
@@ -94,7 +94,7 @@
 		return &view.Response{Newer: &learned}, nil
 	}
 	if !m.views.isVoter(m.self.ID) {
-		return &view.Response{RejectReason: "not a voter of this view"}, nil
+		return &view.Response{RejectReason: "no voter of this view"}, nil
 	}
 	vote, answer := cast(m.acceptor.state, base.Number+1)
 	if !answer.OK {
--- a/internal/fleet/controlplane/bootstrap.go
+++ b/internal/fleet/controlplane/bootstrap.go
@@ -122,7 +122,7 @@
 		return &view.Response{Newer: newest}
 	}
 	if !m.bootstrap.isAcceptor(base) || to != m.self.Addr {
-		return &view.Response{RejectReason: "not a seed of a first start with these seeds"}
+		return &view.Response{RejectReason: "no seed of a first start with these seeds"}
 	}
 	return nil
 }
--- a/internal/fleet/controlplane/client.go
+++ b/internal/fleet/controlplane/client.go
@@ -17,7 +17,7 @@
 type UnavailableError struct{ Reason string }
 
 func (e *UnavailableError) Error() string {
-	return "the core gave no answer in time; send the request again: " + e.Reason
+	return "the core gave no answer in time, send it again: " + e.Reason
 }
 
 // Submit sends an update to the head of the chain and returns its result. It takes at most RequestTimeout plus the
@@ -106,7 +106,7 @@
 	}
 	value, ok := replica.CommittedValue()
 	if !ok {
-		return &readResponse{Reason: "the head's value has not reached the tail yet"}, nil
+		return &readResponse{Reason: "the head's value has not come through yet"}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/fleet/controlplane/confirmation.go
+++ b/internal/fleet/controlplane/confirmation.go
@@ -101,7 +101,7 @@
 		case answer == nil:
 			continue
 		case answer.View > current.Number || answer.Accepted > current.Number:
-			return errors.Errorf("view %d may have been superseded", current.Number)
+			return errors.Errorf("view %d may be over", current.Number)
 		}
 		if confirmed++; confirmed >= current.Quorum() {
 			return nil
--- a/internal/fleet/controlplane/head.go
+++ b/internal/fleet/controlplane/head.go
@@ -17,7 +17,7 @@
 }
 
 // errViewNotActivated reports that the head's value has not been pushed through the chain of its view.
-var errViewNotActivated = errors.New("the head's value has not been replicated through the chain yet")
+var errViewNotActivated = errors.New("the head's value has not come through the chain yet")
 
 // outcomeUnknown returns the response to an update that may or may not be committed.
 func outcomeUnknown(reason string) submitResponse {
@@ -43,7 +43,7 @@
 	select {
 	case m.submissions <- queued:
 	default:
-		response := outcomeUnknown("too many updates are queued at the head; send the update again")
+		response := outcomeUnknown("too many orders wait at the head: send it again")
 		return &response, nil
 	}
 	select {
--- a/internal/fleet/controlplane/replication.go
+++ b/internal/fleet/controlplane/replication.go
@@ -91,7 +91,7 @@
 	m.recordPush(successor.ID, startedAt, true)
 	if response.Newer != nil {
 		m.observeView(response.Newer)
-		return errors.Errorf("view %d was superseded", current.Number)
+		return errors.Errorf("view %d is over", current.Number)
 	}
 	if !response.OK {
 		return errors.New(response.RejectReason)
--- a/internal/fleet/controlplane/valuediff.go
+++ b/internal/fleet/controlplane/valuediff.go
@@ -16,7 +16,7 @@
 // receiver responds that it lacks the base of the difference, or runs an earlier version that does not know the call.
 
 // errUnknownBase reports a difference whose base this process does not have.
-var errUnknownBase = errors.New("the base of the difference is not known here")
+var errUnknownBase = errors.New("difference to a value that is not known here")
 
 // valueDiff is a value encoded as the difference to a base value.
 type valueDiff struct {
--- a/internal/fleet/gateway/body.go
+++ b/internal/fleet/gateway/body.go
@@ -76,7 +76,7 @@
 	case errors.As(err, &tooLarge):
 		return bodyTooLarge(limit)
 	case isTimeout(err):
-		return requestErrorf(http.StatusRequestTimeout, "the body did not arrive in time")
+		return requestErrorf(http.StatusRequestTimeout, "the body did not come in time")
 	}
 	return requestErrorf(http.StatusBadRequest, "the body can't be read")
 }
--- a/internal/fleet/gateway/request.go
+++ b/internal/fleet/gateway/request.go
@@ -55,7 +55,7 @@
 	if !req.ProtoAtLeast(1, 1) {
 		// HTTP/1.0 has no chunks: a stream would end with the connection, and a truncated one would
 		// look complete.
-		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is required")
+		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "speak HTTP/1.1")
 	}
 	target, err := originForm(req.RequestURI)
 	if err != nil {
@@ -121,7 +121,7 @@
 		target = authorityAndPath[pathStart:]
 	}
 	if !strings.HasPrefix(target, "/") {
-		return "", requestErrorf(http.StatusBadRequest, "the target is not a path")
+		return "", requestErrorf(http.StatusBadRequest, "the target is no path")
 	}
 	return target, nil
 }
@@ -130,7 +130,7 @@
 func checkFields(header http.Header) error {
 	for _, name := range uniqueFields {
 		if len(header[name]) > 1 {
-			return requestErrorf(http.StatusBadRequest, "%s is sent more than once", name)
+			return requestErrorf(http.StatusBadRequest, "%s more than once", name)
 		}
 	}
 	if header.Get(headerAttemptID) == "" {
