--- a/internal/agent/consensus/checksummedstore.go
+++ b/internal/agent/consensus/checksummedstore.go
@@ -10,23 +10,24 @@
 	"github.com/hashicorp/raft"
 )
 
-// errDamaged reports a record that differs from what was written.
+// errDamaged is the error for a record that differs from what was written.
 var errDamaged = errors.New("damaged")
 
-// raftStore is the storage that raft needs.
+// raftStore is the storage that the raft library needs.
 type raftStore interface {
 	raft.LogStore
 	raft.StableStore
 }
 
-// checksummedStore adds a checksum to each record of a store and rejects records without a valid one: the
-// library does not always detect a torn page, and a vote that is read wrongly may be given twice. The
-// checksum of a log entry is in its Extensions, which are not used otherwise; that of a value follows
-// the value.
+// checksummedStore adds a checksum to each record of a store and rejects records without a valid one. The
+// library does not always detect a torn page, and a voter that reads back a wrong vote may vote twice in one
+// term. The checksum of a log entry is stored in its Extensions field, which is not used otherwise. The
+// checksum of a value follows the value.
 type checksummedStore struct{ raftStore }
 
 const checksumSize = 8
 
+// entryChecksum returns the checksum of a log entry.
 func entryChecksum(l *raft.Log) []byte {
 	h := xxhash.New()
 	var raw [8]byte
@@ -38,6 +39,7 @@
 	return h.Sum(nil)
 }
 
+// valueChecksum returns the checksum of a key and its value.
 func valueChecksum(key, value []byte) []byte {
 	h := xxhash.New()
 	_, _ = h.Write(key)
@@ -49,7 +51,7 @@
 // StoreLog implements raft.LogStore.
 func (s checksummedStore) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs implements raft.LogStore. It leaves the entries as they are.
+// StoreLogs implements raft.LogStore. It does not modify the entries of the caller.
 func (s checksummedStore) StoreLogs(list []*raft.Log) error {
 	out := make([]*raft.Log, len(list))
 	for i, l := range list {
@@ -77,7 +79,7 @@
 	return s.raftStore.Set(key, append(append([]byte(nil), value...), valueChecksum(key, value)...))
 }
 
-// Get implements raft.StableStore. What was never set is the library's own error.
+// Get implements raft.StableStore. For a key that was never set it returns the library's error.
 func (s checksummedStore) Get(key []byte) ([]byte, error) {
 	raw, err := s.raftStore.Get(key)
 	if err != nil {
@@ -107,10 +109,11 @@
 	return binary.BigEndian.Uint64(raw), nil
 }
 
-// stableKeys are the values that raft stores besides its log.
+// stableKeys are the keys of the values that raft stores besides its log.
 var stableKeys = []string{"CurrentTerm", "LastVoteTerm", "LastVoteCand"}
 
-// verify reads all records of the store. After an error the voter must not vote.
+// verify reads all records of the store and checks their checksums. If it returns an error, the voter must not
+// vote.
 func (s checksummedStore) verify() error {
 	first, err := s.FirstIndex()
 	if err != nil {
--- a/internal/agent/consensus/checksummedstore_test.go
+++ b/internal/agent/consensus/checksummedstore_test.go
@@ -14,17 +14,17 @@
 	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
-// readLog opens a log as a voter does and reads all of it.
+// readLog opens a log as a voter does, and returns all entries and all values.
 func readLog(path string) (entries [][]byte, values [][]byte, err error) {
 	if err := snapshot.VerifyFile(path); err != nil {
 		return nil, nil, err
 	}
-	disk, err := openLog(path)
+	boltStore, err := openLog(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer disk.Close()
-	s := checksummedStore{disk}
+	defer boltStore.Close()
+	s := checksummedStore{boltStore}
 	if err := s.verify(); err != nil {
 		return nil, nil, err
 	}
@@ -49,18 +49,18 @@
 	return entries, values, nil
 }
 
-// Whatever happens to parts of a log's file, torn, blank or cut short: a voter reads what it
-// wrote, or refuses; it never reads anything else, and never dies of it.
+// If parts of a log's file are overwritten, zeroed or truncated, a voter reads what it wrote or returns an error. It
+// never reads anything else and never panics.
 func TestDamagedLogIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, logFile)
-	disk, err := openLog(path)
+	boltStore, err := openLog(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := checksummedStore{disk}
+	s := checksummedStore{boltStore}
 	if err := s.verify(); err != nil {
-		t.Errorf("an empty log: %v", err)
+		t.Errorf("empty log: %v", err)
 	}
 	for i := range uint64(40) {
 		if err := s.StoreLog(&raft.Log{Index: i + 1, Term: 2, Type: raft.LogCommand, Data: bytes.Repeat([]byte{byte(i)}, 300)}); err != nil {
@@ -76,12 +76,12 @@
 		t.Errorf("%d, %v", v, err)
 	}
 	if _, err := s.Get([]byte("nothing")); err == nil || errors.Is(err, errDamaged) {
-		t.Errorf("%v for what was never set", err)
+		t.Errorf("%v for a key that was never set", err)
 	}
-	if err := disk.Close(); err != nil {
+	if err := boltStore.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,9 +90,9 @@
 		t.Fatalf("%d entries, %v", len(entries), err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	refused, read := 0, 0
+	rejected, read := 0, 0
 	for n := range 300 {
-		image := bytes.Clone(whole)
+		image := bytes.Clone(intact)
 		for range 1 + rng.IntN(3) {
 			at := rng.IntN(len(image) / 512)
 			sector := image[at*512 : at*512+512]
@@ -110,31 +110,31 @@
 		if rng.IntN(10) == 0 {
 			image = image[:rng.IntN(len(image))]
 		}
-		torn := filepath.Join(dir, fmt.Sprint("torn-", n)) // one that panicked keeps its lock
-		if err := os.WriteFile(torn, image, 0o600); err != nil {
+		damaged := filepath.Join(dir, fmt.Sprint("torn-", n)) // a new file each time: after a panic the old one stays locked
+		if err := os.WriteFile(damaged, image, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		gotEntries, gotValues, err := readLog(torn)
+		gotEntries, gotValues, err := readLog(damaged)
 		if err != nil {
-			refused++
+			rejected++
 			continue
 		}
 		read++
-		// A meta page that is damaged is the library's own to pass over: then the last write but
-		// one holds, which a log may be cut back to by a crash as well. Nothing else may differ.
+		// If a meta page is damaged, the library falls back to the state before the last write. A crash can have
+		// the same effect. Nothing else may differ.
 		for i, e := range gotEntries {
 			if !bytes.Equal(e, entries[i]) {
-				t.Fatalf("entry %d is not what was written", i+1)
+				t.Fatalf("entry %d differs from what was written", i+1)
 			}
 		}
 		for i, v := range gotValues {
 			if !bytes.Equal(v, values[i]) {
-				t.Fatalf("value %s is not what was written", stableKeys[i])
+				t.Fatalf("value %s differs from what was written", stableKeys[i])
 			}
 		}
 	}
-	t.Logf("%d refused, %d read as written", refused, read)
-	if refused == 0 || read == 0 {
-		t.Errorf("%d refused, %d read", refused, read)
+	t.Logf("%d rejected, %d read as written", rejected, read)
+	if rejected == 0 || read == 0 {
+		t.Errorf("%d rejected, %d read, want some of each", rejected, read)
 	}
 }
--- a/internal/agent/consensus/config.go
+++ b/internal/agent/consensus/config.go
@@ -26,12 +26,12 @@
 
 // Config configures a Participant.
 type Config struct {
-	Self   string
+	Self   string // name of this agent
 	Voters []Voter
-	Bind   string // address:port to listen at and to dial from
-	Dir    string
+	Bind   string // address:port to listen on and to dial from
+	Dir    string // directory of the log and snapshots, used by this voter only
 	Zones  zonefailover.Config
-	// Heartbeat is how long a follower waits for its leader before it starts an election.
+	// Heartbeat is how long a follower waits for a message from its leader before it starts an election.
 	Heartbeat time.Duration
 }
 
@@ -42,7 +42,7 @@
 	}
 	for i, v := range c.Voters {
 		if slices.ContainsFunc(c.Voters[:i], func(o Voter) bool { return o.Name == v.Name || o.Addr == v.Addr }) {
-			return fmt.Errorf("voters: %s=%s is named twice", v.Name, v.Addr)
+			return fmt.Errorf("voters: %s=%s repeats a name or address", v.Name, v.Addr)
 		}
 	}
 	if c.Heartbeat < 100*time.Millisecond || c.Heartbeat > time.Minute {
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if c.Dir == "" {
-		return errors.New("dir: a voter needs a folder")
+		return errors.New("dir: a voter needs a directory")
 	}
 	if _, err := net.ResolveTCPAddr("tcp", c.Bind); err != nil || c.Bind == "" {
 		return fmt.Errorf("bind: %q is not ADDRESS:PORT", c.Bind)
--- a/internal/agent/consensus/fsm.go
+++ b/internal/agent/consensus/fsm.go
@@ -14,13 +14,14 @@
 	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
-// fsm is the replicated state machine of the log: the newest table.
+// fsm is the replicated state machine of the raft log. Its state is the newest decision.
 type fsm struct {
-	changed chan struct{}
+	changed chan struct{} // receives when current was replaced
 	mu      sync.Mutex
 	current Decision
 }
 
+// decision returns the newest decision.
 func (f *fsm) decision() Decision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,6 +30,7 @@
 	return d
 }
 
+// set replaces the newest decision and signals the change.
 func (f *fsm) set(d Decision) {
 	f.mu.Lock()
 	f.current = d
@@ -39,16 +41,16 @@
 	}
 }
 
-// Apply implements raft.FSM. An entry whose table does not directly follow the current one is skipped, by
-// all voters alike.
+// Apply implements raft.FSM. It skips an entry whose table is invalid or does not directly follow the current
+// table. All voters skip the same entries.
 func (f *fsm) Apply(l *raft.Log) any {
 	var t zonefailover.Table
 	err := json.Unmarshal(l.Data, &t)
 	if err == nil {
 		err = t.Validate()
 	}
-	if was := f.decision().Table.Number; err == nil && t.Number != was+1 {
-		err = fmt.Errorf("consensus: table %d does not follow %d", t.Number, was)
+	if current := f.decision().Table.Number; err == nil && t.Number != current+1 {
+		err = fmt.Errorf("consensus: table %d does not directly follow table %d", t.Number, current)
 	}
 	if err != nil {
 		slog.Warn("consensus: entry skipped", "index", l.Index, "err", err)
@@ -58,10 +60,10 @@
 	return nil
 }
 
-// Snapshot implements raft.FSM: the last decision replaces the log that led to it.
+// Snapshot implements raft.FSM. A snapshot contains only the newest decision.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) { return fsmSnapshot{f.decision()}, nil }
 
-// Restore implements raft.FSM.
+// Restore implements raft.FSM. It replaces the state by that of a snapshot.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var d Decision
@@ -75,13 +77,16 @@
 	return nil
 }
 
+// fsmSnapshot implements raft.FSMSnapshot.
 type fsmSnapshot struct{ decision Decision }
 
-func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
-	if err := json.NewEncoder(to).Encode(s.decision); err != nil {
-		return errors.Join(err, to.Cancel())
+// Persist implements raft.FSMSnapshot.
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(s.decision); err != nil {
+		return errors.Join(err, sink.Cancel())
 	}
-	return to.Close()
+	return sink.Close()
 }
 
+// Release implements raft.FSMSnapshot.
 func (fsmSnapshot) Release() {}
--- a/internal/agent/consensus/participant.go
+++ b/internal/agent/consensus/participant.go
@@ -1,16 +1,22 @@
-// Package consensus agrees on one table of zones for the whole fleet: three or five voters at different
-// sites replicate a log (hashicorp/raft), and the state machine of package zonefailover at the leader
-// proposes its entries.
+// Package consensus lets the whole fleet agree on one table of zones. Three or five voters at different sites
+// replicate a log (hashicorp/raft); the leader proposes its entries, which come from the state machine of
+// package zonefailover.
 //
-// Guaranteed: all voters apply the same tables in the same order, each directly after the one before
-// it; a table is decided only once a majority of the voters has it on disk. A leader that resumes after
-// a pause commits nothing, as its term is over. Decisions carry term and index, so that receivers can
-// drop older ones, and whether a majority has just confirmed them.
+// # Guarantees
 //
-// Not guaranteed: that anything is decided. Without a majority nothing changes, and the last decision
-// ages. A voter needs its disk: a voter whose files are lost or damaged must not return under its old
-// name; Run reports that and does not vote. Each record has a checksum, and all are read before the
-// first vote.
+// All voters apply the same tables in the same order without gaps. A table is decided only once a majority of
+// the voters has it on disk. A leader that resumes after a pause commits nothing, because its term is over.
+// Each decision carries its term and index, so that receivers can drop older ones, and whether a majority has
+// just confirmed it.
+//
+// # Limits
+//
+// Progress is not guaranteed: without a majority of the voters no new table is decided, and the age of the last
+// decision grows.
+//
+// A voter whose files are lost or damaged no longer knows for whom it has voted. It must not return under its
+// old name: Run returns an error and does not vote. To detect damage, each record has a checksum, and all records
+// are read before the first vote.
 package consensus
 
 import (
@@ -36,17 +42,18 @@
 )
 
 const (
-	// tickInterval is the time between two evaluations of the zones, verifyInterval the time between two
-	// checks of a leader that it still leads.
+	// tickInterval is the time between two evaluations of the zones. verifyInterval is the time between two
+	// checks by a leader that it still leads.
 	tickInterval, verifyInterval = 100 * time.Millisecond, time.Second
-	// applyTimeout bounds the commit of a proposal.
+	// applyTimeout bounds how long a proposal waits until raft starts to process it.
 	applyTimeout = 2 * time.Second
-	// mailboxSize bounds the queued reports; one of each agent suffices.
+	// mailboxSize bounds the queued reports. There is at most one from each agent.
 	mailboxSize = 4096
-	// trailingLogs is the number of entries that a snapshot leaves, snapshotThreshold the number that
-	// triggers one.
+	// trailingLogs is the number of log entries that stay in the log after a snapshot. snapshotThreshold is
+	// the number of new entries that triggers a snapshot.
 	trailingLogs, snapshotThreshold = 64, 256
-	// logFile and voterFile are the files of Dir: the log, and the name of the voter that owns it.
+	// logFile and voterFile are the files in Config.Dir that contain the log and the name of the voter that
+	// owns the directory.
 	logFile, voterFile = "council.db", "voter"
 )
 
@@ -55,18 +62,19 @@
 	Term  uint64             `json:"Term"`
 	Index uint64             `json:"Index"`
 	Table zonefailover.Table `json:"Table"`
-	// Confirmed tells that a majority has just confirmed the decision. One that a voter reads from its
-	// log, after its start or a pause, may be as old as the log.
+	// Confirmed is true if a majority has just confirmed that this decision is the newest one. An unconfirmed
+	// decision, which a voter has read from its log after a start or a pause, may be as old as the log.
 	Confirmed bool `json:"Vouched"`
 }
 
-// Report is an agent's report on the zones. The newest of each agent replaces older ones.
+// Report is the message that passes an agent's report on the zones to a Participant. The newest report of each
+// agent replaces older ones.
 type Report struct{ zonefailover.Report }
 
-// Overflow implements task.Message.
+// Overflow implements supervisor.Message.
 func (Report) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
-// MergeInto implements task.Merger.
+// MergeInto implements supervisor.Merger.
 func (r Report) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(Report)
 	if !ok || o.Agent != r.Agent {
@@ -78,15 +86,15 @@
 	return r, true
 }
 
-// Participant is the task of one voter. Its mailbox takes Report.
+// Participant is the task of one voter. Its mailbox accepts Report messages.
 type Participant struct {
 	config     Config
 	mailbox    *supervisor.Mailbox
 	onDecision func(Decision)
 }
 
-// New returns a participant that does nothing until Run is called. It calls onDecision with each decision
-// on the goroutine of Run.
+// New returns a participant that does nothing until Run is called. Run calls onDecision, on its own goroutine,
+// with each new decision and each time the newest decision is confirmed.
 func New(cfg Config, onDecision func(Decision)) *Participant {
 	return &Participant{config: cfg, mailbox: supervisor.NewMailbox(mailboxSize), onDecision: onDecision}
 }
@@ -94,7 +102,8 @@
 // Mailbox returns the mailbox for reports.
 func (p *Participant) Mailbox() *supervisor.Mailbox { return p.mailbox }
 
-// Run takes part in the consensus until ctx is done.
+// Run takes part in the consensus until ctx is done. It returns an error if the voter must not vote or raft can't
+// be started.
 func (p *Participant) Run(ctx context.Context) (err error) {
 	if err := p.claimDir(); err != nil {
 		return err
@@ -150,7 +159,7 @@
 	return p.runLoop(ctx, node, machine)
 }
 
-// openLog opens the library's store. It turns the panics of the library on a damaged file into errors.
+// openLog opens the library's store. If the library panics because the file is damaged, openLog returns an error.
 func openLog(path string) (disk *raftboltdb.BoltStore, err error) {
 	err = snapshot.RecoverFaults(func() error {
 		disk, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}})
@@ -169,9 +178,9 @@
 	now := func() time.Duration { return time.Since(start) }
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	// At most one proposal and one verification are in flight, each awaited by a goroutine of its own.
-	var waiting sync.WaitGroup
-	defer waiting.Wait()
+	// At most one proposal and one verification are in flight. A goroutine waits for the result of each.
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	applied, verified := make(chan error, 1), make(chan error, 1)
 	proposing, verifying := false, false
 	verifiedAt := -verifyInterval
@@ -209,7 +218,7 @@
 				p.onDecision(d)
 			}
 		case <-tick.C:
-			// Followers evaluate, too, so that the next leader knows what was reported.
+			// Followers evaluate the zones, too, so that the next leader already knows their recent health.
 			next, changed := machine.Tick(now())
 			isLeader := node.State() == raft.Leader
 			if isLeader != wasLeader {
@@ -222,33 +231,34 @@
 					return fmt.Errorf("consensus: table: %w", err)
 				}
 				proposing = true
-				awaitResult(&waiting, applied, func() error { return node.Apply(text, applyTimeout).Error() })
+				awaitResult(&calls, applied, func() error { return node.Apply(text, applyTimeout).Error() })
 			}
 			if isLeader && !verifying && now()-verifiedAt >= verifyInterval {
 				verifying, verifiedAt = true, now()
-				awaitResult(&waiting, verified, func() error { return node.VerifyLeader().Error() })
+				awaitResult(&calls, verified, func() error { return node.VerifyLeader().Error() })
 			}
 		}
 	}
 }
 
-// awaitResult runs a blocking call on a goroutine and sends its result.
-func awaitResult(all *sync.WaitGroup, to chan<- error, do func() error) {
-	all.Add(1)
+// awaitResult runs a blocking call on a new goroutine and sends its result to result.
+func awaitResult(calls *sync.WaitGroup, result chan<- error, call func() error) {
+	calls.Add(1)
 	go func() {
-		defer all.Done()
-		to <- do() // never blocks: one call is in flight at a time
+		defer calls.Done()
+		result <- call() // never blocks: one call is in flight at a time
 	}()
 }
 
-// claimDir checks that the directory belongs to this voter, and that its log is still there: a voter without
-// its log does not know for whom it has voted.
+// claimDir creates the directory at the first start and records the name of this voter in it. At later starts it
+// checks that the directory belongs to this voter and that the log is still there: a voter without its log does
+// not know for whom it has voted.
 func (p *Participant) claimDir() error {
 	if err := os.MkdirAll(p.config.Dir, 0o700); err != nil {
 		return fmt.Errorf("consensus: dir: %w", err)
 	}
 	path := filepath.Join(p.config.Dir, voterFile)
-	was, err := os.ReadFile(path)
+	owner, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if err := os.WriteFile(path, []byte(p.config.Self), 0o600); err != nil {
@@ -257,8 +267,8 @@
 		return nil
 	case err != nil:
 		return fmt.Errorf("consensus: dir: %w", err)
-	case string(was) != p.config.Self:
-		return fmt.Errorf("consensus: dir: it belongs to voter %q, this is %q", was, p.config.Self)
+	case string(owner) != p.config.Self:
+		return fmt.Errorf("consensus: dir: it belongs to voter %q, this is %q", owner, p.config.Self)
 	}
 	if info, err := os.Stat(filepath.Join(p.config.Dir, logFile)); err != nil || info.Size() == 0 {
 		return fmt.Errorf("consensus: dir: %s has voted, and its log is missing (%w): it must return under another name", p.config.Self, err)
@@ -266,7 +276,7 @@
 	return nil
 }
 
-// logWriter passes the library's log lines on.
+// logWriter writes the library's log lines to the agent's log.
 type logWriter struct{}
 
 func (logWriter) Write(p []byte) (int, error) {
--- a/internal/agent/consensus/participant_test.go
+++ b/internal/agent/consensus/participant_test.go
@@ -17,29 +17,30 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds waits; none needs more than a part of it.
-const patience = time.Minute
+// testTimeout bounds each wait. All are expected to end far sooner.
+const testTimeout = time.Minute
 
-// cluster is a council in this process, on real sockets and files.
+// cluster is a consensus group in this process, with real sockets and files.
 type cluster struct {
-	t      *testing.T
-	cfgs   []Config
-	voters []*seat
-	seq    uint64
+	t       *testing.T
+	configs []Config
+	voters  []*runningVoter // nil for a voter that is stopped
+	seq     uint64          // sequence number of the last reports
 }
 
-// seat is a voter that runs, or not.
-type seat struct {
-	c    *Participant
-	stop func()
-	err  chan error
-	mu   sync.Mutex
-	last Decision
-	vows int
+// runningVoter is a voter that runs.
+type runningVoter struct {
+	participant   *Participant
+	stop          func()
+	err           chan error // receives the result of Run
+	mu            sync.Mutex // guards the fields below
+	last          Decision
+	confirmations int // number of confirmed decisions since the last call of leader
 }
 
+// newCluster starts a cluster of three voters.
 func newCluster(t *testing.T) *cluster {
-	b := &cluster{t: t}
+	c := &cluster{t: t}
 	var all []Voter
 	for i := range 3 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,86 +50,89 @@
 		all = append(all, Voter{fmt.Sprint("v", i), ln.Addr().String()})
 		ln.Close()
 	}
-	cfg := zonefailover.Defaults()
-	cfg.EjectionTime, cfg.SlowStartStep = 100*time.Millisecond, 50*time.Millisecond
+	zones := zonefailover.Defaults()
+	zones.EjectionTime, zones.SlowStartStep = 100*time.Millisecond, 50*time.Millisecond
 	for _, v := range all {
-		b.cfgs = append(b.cfgs, Config{Self: v.Name, Voters: all, Bind: v.Addr, Dir: filepath.Join(t.TempDir(), v.Name), Zones: cfg, Heartbeat: 400 * time.Millisecond})
+		c.configs = append(c.configs, Config{Self: v.Name, Voters: all, Bind: v.Addr, Dir: filepath.Join(t.TempDir(), v.Name), Zones: zones, Heartbeat: 400 * time.Millisecond})
 	}
-	b.voters = make([]*seat, 3)
-	for i := range b.cfgs {
-		b.start(i)
+	c.voters = make([]*runningVoter, 3)
+	for i := range c.configs {
+		c.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range b.voters {
-			b.stop(i)
+		for i := range c.voters {
+			c.stop(i)
 		}
 	})
-	return b
+	return c
 }
 
-func (b *cluster) start(i int) {
-	if err := b.cfgs[i].Validate(); err != nil {
-		b.t.Fatal(err)
+// start starts a voter.
+func (c *cluster) start(i int) {
+	if err := c.configs[i].Validate(); err != nil {
+		c.t.Fatal(err)
 	}
-	s := &seat{err: make(chan error, 1)}
-	s.c = New(b.cfgs[i], func(d Decision) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.last = d
+	v := &runningVoter{err: make(chan error, 1)}
+	v.participant = New(c.configs[i], func(d Decision) {
+		v.mu.Lock()
+		defer v.mu.Unlock()
+		v.last = d
 		if d.Confirmed {
-			s.vows++
+			v.confirmations++
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	s.stop = cancel
-	go func() { s.err <- s.c.Run(ctx) }()
-	b.voters[i] = s
+	v.stop = cancel
+	go func() { v.err <- v.participant.Run(ctx) }()
+	c.voters[i] = v
 }
 
-func (b *cluster) stop(i int) {
-	if s := b.voters[i]; s != nil {
-		s.stop()
-		if err := <-s.err; err != nil {
-			b.t.Errorf("voter %d: %v", i, err)
+// stop stops a voter if it runs.
+func (c *cluster) stop(i int) {
+	if v := c.voters[i]; v != nil {
+		v.stop()
+		if err := <-v.err; err != nil {
+			c.t.Errorf("voter %d: %v", i, err)
 		}
-		b.voters[i] = nil
+		c.voters[i] = nil
 	}
 }
 
-// until reports what agents see, again and again, until something holds.
-func (b *cluster) until(what string, bad bool, done func() bool) {
-	b.t.Helper()
-	for end := time.Now().Add(patience); !done(); {
+// reportUntil sends reports of the agents of all sites to all running voters until done returns true. The reports
+// show zone b unhealthy if unhealthy is true. The test fails with what if that takes longer than testTimeout.
+func (c *cluster) reportUntil(what string, unhealthy bool, done func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(testTimeout); !done(); {
 		if time.Now().After(end) {
-			b.t.Fatalf("not %s", what)
+			c.t.Fatalf("not reached: %s", what)
 		}
-		b.seq++
-		for _, s := range b.voters {
+		c.seq++
+		for _, v := range c.voters {
 			for _, site := range []string{"a", "b", "c"} {
-				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Incarnation: 1, Seq: b.seq,
+				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Incarnation: 1, Seq: c.seq,
 					Zones: []zonefailover.ZoneReport{{Zone: "a", Weight: 1, Observed: 4}, {Zone: "b", Weight: 1, Observed: 4}, {Zone: "c", Weight: 1, Observed: 4}}}
-				if bad {
+				if unhealthy {
 					r.Zones[1].Unhealthy = 4
 				}
-				if s != nil {
-					s.c.Mailbox().Put(Report{r})
+				if v != nil {
+					v.participant.Mailbox().Put(Report{r})
 				}
 			}
 		}
-		<-time.After(20 * time.Millisecond) // the next report, not a wait for something
+		<-time.After(20 * time.Millisecond) // the interval between reports
 	}
 }
 
-// share tells whether all that run have a share for a zone.
-func (b *cluster) share(zone string, want float64) func() bool {
+// hasShare returns a condition that is true if all running voters have decided a share of a zone for site a.
+func (c *cluster) hasShare(zone string, want float64) func() bool {
 	return func() bool {
-		for _, s := range b.voters {
-			if s == nil {
+		for _, v := range c.voters {
+			if v == nil {
 				continue
 			}
-			s.mu.Lock()
-			got := s.last.Table.Share("a", zone)
-			s.mu.Unlock()
+			v.mu.Lock()
+			got := v.last.Table.Share("a", zone)
+			v.mu.Unlock()
 			if got != want {
 				return false
 			}
@@ -137,30 +141,31 @@
 	}
 }
 
-// sameTable reports whether all running voters have the same table, and one that was decided.
-func (b *cluster) sameTable() bool {
+// haveSameTable reports whether all running voters have the same decided table.
+func (c *cluster) haveSameTable() bool {
 	numbers := map[uint64]bool{}
-	for _, s := range b.voters {
-		if s == nil {
+	for _, v := range c.voters {
+		if v == nil {
 			continue
 		}
-		s.mu.Lock()
-		numbers[s.last.Table.Number] = true
-		s.mu.Unlock()
+		v.mu.Lock()
+		numbers[v.last.Table.Number] = true
+		v.mu.Unlock()
 	}
 	return len(numbers) == 1 && !numbers[0]
 }
 
-// leader is the voter that vouches; -1 if none has since the last call.
-func (b *cluster) leader() int {
-	for i, s := range b.voters {
-		if s == nil {
+// leader returns the number of a voter that has published a confirmed decision since the last call, or -1 if there
+// is none. Only a leader publishes confirmed decisions.
+func (c *cluster) leader() int {
+	for i, v := range c.voters {
+		if v == nil {
 			continue
 		}
-		s.mu.Lock()
-		n := s.vows
-		s.vows = 0
-		s.mu.Unlock()
+		v.mu.Lock()
+		n := v.confirmations
+		v.confirmations = 0
+		v.mu.Unlock()
 		if n > 0 {
 			return i
 		}
@@ -168,53 +173,53 @@
 	return -1
 }
 
-// Three voters agree that a zone is left; the next leader goes on when theirs is gone, and
-// brings it back; without a majority nothing changes; one that comes back has all of it.
+// Three voters agree to eject a zone. When their leader stops, the next leader returns the zone. A restarted voter
+// catches up. Without a majority nothing is decided; with two of three voters decisions continue.
 func TestThreeVotersAgree(t *testing.T) {
-	b := newCluster(t)
-	b.until("left", true, b.share("b", 0))
-	lead := -1
-	b.until("led", true, func() bool { lead = b.leader(); return lead >= 0 })
-	b.stop(lead)
-	b.until("returned under another leader", false, b.share("b", 1))
+	c := newCluster(t)
+	c.reportUntil("zone b is ejected", true, c.hasShare("b", 0))
+	first := -1
+	c.reportUntil("there is a leader", true, func() bool { first = c.leader(); return first >= 0 })
+	c.stop(first)
+	c.reportUntil("zone b has returned under another leader", false, c.hasShare("b", 1))
 	next := -1
-	b.until("led", false, func() bool { next = b.leader(); return next >= 0 })
-	if next == lead {
-		t.Errorf("%d leads and is gone", lead)
-	}
-	b.start(lead)
-	// Before it has caught up it has no table, in which every share is 1.
-	b.until("caught up", false, b.sameTable)
-	b.until("returned at the restarted voter", false, b.share("b", 1))
-	b.stop((lead + 1) % 3)
-	b.stop((lead + 2) % 3)
-	// The last one by itself: its leader's lease, if it had one, is over once it vouches no more.
-	b.leader()
+	c.reportUntil("there is a second leader", false, func() bool { next = c.leader(); return next >= 0 })
+	if next == first {
+		t.Errorf("voter %d leads although it is stopped", first)
+	}
+	c.start(first)
+	// Until it has caught up, the restarted voter has an empty table, in which every share is 1.
+	c.reportUntil("the restarted voter has caught up", false, c.haveSameTable)
+	c.reportUntil("zone b has returned at the restarted voter", false, c.hasShare("b", 1))
+	c.stop((first + 1) % 3)
+	c.stop((first + 2) % 3)
+	// One voter runs alone and receives reports that zone b is unhealthy.
+	c.leader()
 	for range 100 {
-		b.until("another look", true, func() bool { return b.seq%3 == 0 })
-		b.seq++
+		c.reportUntil("reports were sent", true, func() bool { return c.seq%3 == 0 })
+		c.seq++
 	}
-	if !b.share("b", 1)() {
+	if !c.hasShare("b", 1)() {
 		t.Error("decided without a majority")
 	}
-	b.start((lead + 1) % 3)
-	b.until("left again by two of three", true, b.share("b", 0))
+	c.start((first + 1) % 3)
+	c.reportUntil("zone b is ejected again by two of three voters", true, c.hasShare("b", 0))
 }
 
-// A voter whose log is gone has forgotten whom it voted for, and one in another's folder is
-// another: both refuse, and say why.
+// A voter whose log is missing does not know for whom it has voted. It does not start, and neither does a voter in the
+// directory of another one; both return the reason.
 func TestVoterWithoutItsLogDoesNotVote(t *testing.T) {
-	b := newCluster(t)
-	b.until("led", false, func() bool { return b.leader() >= 0 })
-	b.stop(0)
-	if err := os.Remove(filepath.Join(b.cfgs[0].Dir, logFile)); err != nil {
+	c := newCluster(t)
+	c.reportUntil("there is a leader", false, func() bool { return c.leader() >= 0 })
+	c.stop(0)
+	if err := os.Remove(filepath.Join(c.configs[0].Dir, logFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(b.cfgs[0], nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "its log is missing") {
+	if err := New(c.configs[0], nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "its log is missing") {
 		t.Errorf("%v", err)
 	}
-	b.stop(1)
-	other := b.cfgs[1]
+	c.stop(1)
+	other := c.configs[1]
 	other.Self = "v2"
 	if err := New(other, nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), `it belongs to voter "v1"`) {
 		t.Errorf("%v", err)
@@ -232,12 +237,12 @@
 		c := good
 		change(&c)
 		if err := c.Validate(); err == nil || !strings.HasPrefix(err.Error(), key) {
-			t.Errorf("%v, want one that names %s", err, key)
+			t.Errorf("%v, want one that begins with %s", err, key)
 		}
 	}
 	for _, text := range []string{"", "a", "a=b", "=127.0.0.1:1", "a=127.0.0.1:0", "a=x:1"} {
 		if _, err := ParseVoter(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 	if v, err := ParseVoter("a=127.0.0.1:7"); err != nil || v != (Voter{"a", "127.0.0.1:7"}) {
--- a/internal/agent/coordination/directives.go
+++ b/internal/agent/coordination/directives.go
@@ -11,8 +11,8 @@
 	"chalkdoor.example/chalkdoor/internal/agent/stalerouting"
 )
 
-// setOverrides sets the overrides that the event loop takes next. They replace earlier ones that it has not
-// taken, whose requested attempts are kept.
+// setOverrides sets the overrides that the event loop takes next. They replace all earlier ones. Attempts that
+// were requested earlier and not yet taken stay requested.
 func (c *Coordinator) setOverrides(standings []ejection.Standing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,16 +35,17 @@
 	c.wake()
 }
 
-// setZoneOverrides sets the zone overrides that the event loop takes next, and may request the list from
-// discovery.
-func (c *Coordinator) setZoneOverrides(zones []agent.ZoneOverride, ask bool) {
+// setZoneOverrides sets the zone overrides that the event loop takes next. If fetchList is true it also requests
+// one fetch of the complete list from discovery.
+func (c *Coordinator) setZoneOverrides(zones []agent.ZoneOverride, fetchList bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.zoneOverrides, c.fetchList = zones, c.fetchList || ask
+	c.zoneOverrides, c.fetchList = zones, c.fetchList || fetchList
 	c.wake()
 }
 
-// addPeerReports adds what discovery reported to peers; the newest report on a server replaces older ones.
+// addPeerReports adds entries that discovery reported to peers. The newest entry for a server replaces older
+// ones.
 func (c *Coordinator) addPeerReports(entries []stalerouting.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,6 +57,7 @@
 	c.wake()
 }
 
+// wake signals the event loop that there are new directives.
 func (c *Coordinator) wake() {
 	select {
 	case c.ready <- struct{}{}:
@@ -63,42 +65,43 @@
 	}
 }
 
-// setSnapshot stores the state of the site's task.
-func (c *Coordinator) setSnapshot(k Snapshot, now time.Duration) {
+// setSnapshot stores the state of the site task.
+func (c *Coordinator) setSnapshot(state Snapshot, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.snapshot, c.snapshotAt = k, now
+	c.snapshot, c.snapshotAt = state, now
 }
 
-// Snapshot returns the last state of the site's task, with ages as of now.
+// Snapshot returns the last state of the site task, with current ages.
 func (c *Coordinator) Snapshot() Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := Snapshot{c.snapshot.Isolated, slices.Clone(c.snapshot.Entries)}
-	for i := range k.Entries {
-		k.Entries[i].Age += max(c.now()-c.snapshotAt, 0)
+	state := Snapshot{c.snapshot.Isolated, slices.Clone(c.snapshot.Entries)}
+	for i := range state.Entries {
+		state.Entries[i].Age += max(c.now()-c.snapshotAt, 0)
 	}
-	return k
+	return state
 }
 
 // Ready returns a channel that receives when there are new directives.
 func (c *Coordinator) Ready() <-chan struct{} { return c.ready }
 
-// Directives returns the newest directives. Requested attempts and reports of peers are returned once.
-// Every TTL counts from now, as the process may have been paused since it was set.
+// Directives returns the newest directives. Requested attempts, peer reports and FetchList are returned only
+// once. Each TTL is the time that remains at this call, as the process may have been paused since the directive
+// was set.
 func (c *Coordinator) Directives() agent.Directives {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	o := agent.Directives{Overrides: slices.Clone(c.overrides), ZoneOverrides: slices.Clone(c.zoneOverrides), FetchList: c.fetchList}
-	for i := range o.Overrides {
-		o.Overrides[i].TTL = max(o.Overrides[i].TTL-now, 0)
+	directives := agent.Directives{Overrides: slices.Clone(c.overrides), ZoneOverrides: slices.Clone(c.zoneOverrides), FetchList: c.fetchList}
+	for i := range directives.Overrides {
+		directives.Overrides[i].TTL = max(directives.Overrides[i].TTL-now, 0)
 	}
-	for i := range o.ZoneOverrides {
-		o.ZoneOverrides[i].TTL = max(o.ZoneOverrides[i].TTL-now, 0)
+	for i := range directives.ZoneOverrides {
+		directives.ZoneOverrides[i].TTL = max(directives.ZoneOverrides[i].TTL-now, 0)
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.peerReports)) {
-		o.PeerReports = append(o.PeerReports, c.peerReports[id])
+		directives.PeerReports = append(directives.PeerReports, c.peerReports[id])
 	}
 	for i := range c.overrides { // each attempt is requested once
 		c.overrides[i].Trial, c.overrides[i].Probe = false, false
@@ -106,5 +109,5 @@
 	clear(c.pendingAttempts)
 	clear(c.peerReports)
 	c.fetchList = false
-	return o
+	return directives
 }
--- a/internal/agent/coordination/interleave_test.go
+++ b/internal/agent/coordination/interleave_test.go
@@ -12,125 +12,126 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// handDefect is what is done wrong on purpose in the hand-over, to see that the checker finds it.
-type handDefect string
+// defect is a deliberate defect in the exchange of directives. The test checks that the exploration detects it.
+type defect string
 
 const (
-	sound       handDefect = ""
-	takesFirst  handDefect = "the loop takes the orders before the token"
-	noWake      handDefect = "news wake nobody"
-	forgetTries handDefect = "a newer table forgets what the one before asked for"
-	askTwice    handDefect = "what is asked for stays asked for"
+	noDefect         defect = ""
+	takeBeforeSignal defect = "the event loop takes the directives before it receives the signal"
+	missingWakeup    defect = "peer reports don't wake the event loop"
+	lostAttempts     defect = "newer overrides drop the attempts that earlier ones requested"
+	repeatedFetch    defect = "a request to fetch the list is returned repeatedly"
 )
 
-// handOver plays three tasks that meet at the hand-over: the vote hands tables, the site zones,
-// calls to discovery and news, and the loop takes the token, and then the orders. At the end,
-// once no token is left, the loop has the last of each, and each try, call and piece of news
-// exactly once.
-func handOver(bad handDefect) func(*interleave.Run) error {
+// exchangeDirectives interleaves the steps of three tasks that exchange directives. The vote task sets overrides.
+// The site task sets zone overrides, requests a fetch of the list and adds peer reports. The event loop receives a
+// signal of Ready and then takes the directives. At the end, when no signal is left, the event loop has the newest
+// overrides, and it has received each attempt, fetch request and peer report exactly once.
+func exchangeDirectives(injected defect) func(*interleave.Run) error {
 	return func(r *interleave.Run) error {
-		l := bare()
+		c := newIdleCoordinator()
 		host := func(id string) outlier.Host { return outlier.Host{ID: id} }
 		vote := []func(){
-			func() { l.setOverrides([]ejection.Standing{{Host: host("a"), Until: time.Hour, Trial: true}}) },
+			func() { c.setOverrides([]ejection.Standing{{Host: host("a"), Until: time.Hour, Trial: true}}) },
 			func() {
-				if bad == forgetTries {
-					clear(l.pendingAttempts)
+				if injected == lostAttempts {
+					clear(c.pendingAttempts)
 				}
-				l.setOverrides([]ejection.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
+				c.setOverrides([]ejection.Standing{{Host: host("b"), Until: time.Hour, Probe: true}})
 			},
 		}
 		site := []func(){
-			func() { l.setZoneOverrides([]agent.ZoneOverride{{Zone: "y", TTL: time.Hour}}, true) },
-			func() { l.setZoneOverrides(nil, false) },
+			func() { c.setZoneOverrides([]agent.ZoneOverride{{Zone: "y", TTL: time.Hour}}, true) },
+			func() { c.setZoneOverrides(nil, false) },
 			func() {
-				l.addPeerReports([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
-				if bad == noWake {
+				c.addPeerReports([]stalerouting.Entry{{ID: "s", State: stalerouting.Draining}})
+				if injected == missingWakeup {
 					select {
-					case <-l.ready:
+					case <-c.ready:
 					default:
 					}
 				}
 			},
 		}
-		got := map[string]int{}
+		received := map[string]int{} // number of times that the event loop received each request or report
 		var last agent.Directives
 		take := func() {
-			last = l.Directives()
+			last = c.Directives()
 			for _, s := range last.Overrides {
 				if s.Trial {
-					got["try "+s.ID]++
+					received["trial of "+s.ID]++
 				}
 				if s.Probe {
-					got["probe "+s.ID]++
+					received["probe of "+s.ID]++
 				}
 			}
-			for _, n := range last.PeerReports {
-				got["told "+n.ID]++
+			for _, target := range last.PeerReports {
+				received["peer report on "+target.ID]++
 			}
-			if last.FetchList || bad == askTwice && got["ask"] > 0 {
-				got["ask"]++
+			if last.FetchList || injected == repeatedFetch && received["fetch request"] > 0 {
+				received["fetch request"]++
 			}
 		}
-		token := func() bool {
+		receiveSignal := func() bool {
 			select {
-			case <-l.ready:
+			case <-c.ready:
 				return true
 			default:
 				return false
 			}
 		}
-		holds := false // the loop is between the token and the orders, or the other way round
+		halfway := false // whether the event loop is between receiving the signal and taking the directives
 		for {
-			var can []func()
+			var possible []func()
 			if len(vote) > 0 {
-				can = append(can, func() { vote[0](); vote = vote[1:] })
+				possible = append(possible, func() { vote[0](); vote = vote[1:] })
 			}
 			if len(site) > 0 {
-				can = append(can, func() { site[0](); site = site[1:] })
+				possible = append(possible, func() { site[0](); site = site[1:] })
 			}
 			switch {
-			case holds && bad == takesFirst:
-				can = append(can, func() { token(); holds = false })
-			case holds:
-				can = append(can, func() { take(); holds = false })
-			case len(l.ready) > 0 && bad == takesFirst:
-				can = append(can, func() { take(); holds = true })
-			case len(l.ready) > 0:
-				can = append(can, func() { token(); holds = true })
+			case halfway && injected == takeBeforeSignal:
+				possible = append(possible, func() { receiveSignal(); halfway = false })
+			case halfway:
+				possible = append(possible, func() { take(); halfway = false })
+			case len(c.ready) > 0 && injected == takeBeforeSignal:
+				possible = append(possible, func() { take(); halfway = true })
+			case len(c.ready) > 0:
+				possible = append(possible, func() { receiveSignal(); halfway = true })
 			}
-			if len(can) == 0 {
+			if len(possible) == 0 {
 				break
 			}
-			can[r.Choose(len(can))]()
+			possible[r.Choose(len(possible))]()
 		}
-		for _, what := range []string{"try a", "probe b", "told s", "ask"} {
-			if got[what] != 1 {
-				return fmt.Errorf("%s came %d times", what, got[what])
+		for _, what := range []string{"trial of a", "probe of b", "peer report on s", "fetch request"} {
+			if received[what] != 1 {
+				return fmt.Errorf("%s was received %d times", what, received[what])
 			}
 		}
 		if len(last.ZoneOverrides) != 0 || len(last.Overrides) == 0 || last.Overrides[0].ID != "b" {
-			return fmt.Errorf("the loop goes on by %+v", last)
+			return fmt.Errorf("the event loop ends with %+v", last)
 		}
 		return nil
 	}
 }
 
-func TestAllOrdersOfTheHandOver(t *testing.T) {
-	r := interleave.Explore(100, 1_000_000, handOver(sound))
+// Every interleaving of the exchange delivers all directives, and the exploration detects each injected defect.
+func TestAllInterleavingsOfDirectives(t *testing.T) {
+	r := interleave.Explore(100, 1_000_000, exchangeDirectives(noDefect))
 	t.Log(r)
 	if r.Err != nil || !r.Exhausted {
 		t.Error(r)
 	}
-	for _, bad := range []handDefect{takesFirst, noWake, forgetTries, askTwice} {
-		r := interleave.Explore(100, 1_000_000, handOver(bad))
+	for _, injected := range []defect{takeBeforeSignal, missingWakeup, lostAttempts, repeatedFetch} {
+		r := interleave.Explore(100, 1_000_000, exchangeDirectives(injected))
 		if r.Err == nil {
-			t.Errorf("%s: not found: %v", bad, r)
+			t.Errorf("%s: not detected: %v", injected, r)
 			continue
 		}
-		t.Logf("%s: %v", bad, r)
-		if err := interleave.Replay(r.Trace, handOver(bad)); err == nil {
-			t.Errorf("%s: its trace does not replay", bad)
+		t.Logf("%s: %v", injected, r)
+		if err := interleave.Replay(r.Trace, exchangeDirectives(injected)); err == nil {
+			t.Errorf("%s: the replayed trace doesn't fail", injected)
 		}
 	}
 }
--- a/internal/agent/coordination/messages.go
+++ b/internal/agent/coordination/messages.go
@@ -13,6 +13,7 @@
 	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
+// The messages to the vote task; serverList and membersChanged also go to the site task.
 type (
 	observation struct{ outlier.Observation }
 	serverList  struct {
@@ -23,10 +24,11 @@
 	membersChanged struct{ list []membership.Peer }
 )
 
-// Of observations the new one is dropped: many like it are queued.
+// Overflow implements supervisor.Message. The new observation is dropped, because many similar ones are queued.
 func (observation) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
-// A list, a set of members and a vote message replace the older one, and displace other messages.
+// Overflow implements supervisor.Message. A server list, a vote message and a change of the members must not be
+// lost: each replaces a queued one that is older, or displaces the oldest message.
 func (serverList) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
 func (m serverList) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
@@ -54,9 +56,10 @@
 	return m, ok
 }
 
-// messageHandler dispatches the messages of peers to the tasks.
+// messageHandler implements membership.Handler. It dispatches messages from peers to the tasks.
 type messageHandler struct{ coordinator *Coordinator }
 
+// HandleMessage implements membership.Handler. It logs and drops a message that is invalid.
 func (s messageHandler) HandleMessage(kind membership.Kind, body []byte) {
 	var err error
 	switch kind {
@@ -93,15 +96,16 @@
 	}
 }
 
+// MembersChanged implements membership.Handler.
 func (s messageHandler) MembersChanged(list []membership.Peer) {
 	s.coordinator.voteMailbox.Put(membersChanged{list})
 	s.coordinator.siteMailbox.Put(membersChanged{list})
 }
 
-// LocalState implements membership.Handler: it returns the server set with ages as of now.
+// LocalState implements membership.Handler. It returns the server set with current ages.
 func (s messageHandler) LocalState() []byte {
-	k := s.coordinator.Snapshot()
-	body, err := membership.Encode(siteState{stalerouting.Version, s.coordinator.config.Membership.Name, s.coordinator.config.Membership.Zone, k.Entries})
+	current := s.coordinator.Snapshot()
+	body, err := membership.Encode(siteState{stalerouting.Version, s.coordinator.config.Membership.Name, s.coordinator.config.Membership.Zone, current.Entries})
 	if err != nil {
 		slog.Error("site: server set not sent", "err", err)
 		return nil
@@ -109,12 +113,12 @@
 	return body
 }
 
-// MergeState implements membership.Handler: it passes the server set of a peer to the site's task.
+// MergeState implements membership.Handler. It passes the server set of a peer to the site task.
 func (s messageHandler) MergeState(body []byte) {
 	var m siteState
 	err := membership.Decode(body, &m)
 	if err == nil && m.Version != stalerouting.Version {
-		err = fmt.Errorf("site: set: version: %d, this one is %d", m.Version, stalerouting.Version)
+		err = fmt.Errorf("site: server set: version %d, want %d", m.Version, stalerouting.Version)
 	}
 	if err != nil {
 		slog.Warn("site: server set rejected", "from", m.From, "err", err)
@@ -132,12 +136,12 @@
 	KindDecision   membership.Kind = 'd'
 )
 
-// decode decodes a message and validates it.
-func decode(body []byte, m any, check func() error) error {
+// decode decodes a message and calls validate.
+func decode(body []byte, m any, validate func() error) error {
 	if err := membership.Decode(body, m); err != nil {
 		return err
 	}
-	return check()
+	return validate()
 }
 
 // send sends a message to a peer.
@@ -150,26 +154,28 @@
 	c.gossip.Mailbox().Put(membership.Send{To: to, Kind: kind, Body: body})
 }
 
+// The other messages to the site task.
 type (
 	discoveryReport struct {
 		list     []stalerouting.Entry
-		complete bool
+		complete bool // list is the complete list of discovery, not only its changes
 	}
 	signalReceived struct{ signal stalerouting.Signal }
 	heartbeat      struct{ stalerouting.Heartbeat }
 	receivedState  struct{ siteState }
-	localDecision  struct{ consensus.Decision }    // of the consensus group, from the voter in this process
-	peerDecision   struct{ stalerouting.Decision } // of the consensus group, from a peer
+	localDecision  struct{ consensus.Decision }    // decision of the consensus group, from the voter in this process
+	peerDecision   struct{ stalerouting.Decision } // decision of the consensus group, from a peer
 	ping           struct {
 		From string
-		Pong bool // it answers a ping
+		Pong bool // whether this is the answer to a ping
 	}
 )
 
-// A change of the list must not be lost: it displaces queued messages.
+// Overflow implements supervisor.Message. A change of the list must not be lost, so it displaces the oldest
+// queued message.
 func (discoveryReport) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
-// The next ping or signal comes soon.
+// Overflow implements supervisor.Message. A signal may be dropped, because the next one comes soon.
 func (signalReceived) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
 func (m signalReceived) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
@@ -177,9 +183,10 @@
 	return m, ok && o == m
 }
 
-// The newest heartbeat of a member and the newest set of a peer replace older ones.
+// Overflow implements supervisor.Message. The new heartbeat displaces the oldest queued message.
 func (heartbeat) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
+// MergeInto implements supervisor.Merger. The newest heartbeat of a member replaces older ones.
 func (m heartbeat) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(heartbeat)
 	if !ok || o.From != m.From {
@@ -193,16 +200,20 @@
 
 func (receivedState) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
+// MergeInto implements supervisor.Merger. The newest state of a peer replaces older ones.
 func (m receivedState) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
 	o, ok := q.(receivedState)
 	return m, ok && o.From == m.From
 }
 
-// Only the newest decision matters, and each is repeated.
+// Overflow implements supervisor.Message. Only the newest decision matters, so it displaces the oldest queued
+// message.
 func (localDecision) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
+// Overflow implements supervisor.Message. A decision from a peer may be dropped, because it is sent repeatedly.
 func (peerDecision) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
+// Overflow implements supervisor.Message. A ping may be dropped, because the next one comes soon.
 func (ping) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
 func (m ping) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
@@ -210,16 +221,16 @@
 	return m, ok && o == m
 }
 
-// validate returns an error for an invalid ping of another process.
+// validate returns an error if a ping from another process is invalid.
 func (m *ping) validate() error {
 	if m.From == "" || len(m.From) > 128 {
-		return fmt.Errorf("ping: from: a name of %d bytes", len(m.From))
+		return fmt.Errorf("ping: from: must be 1 to 128 bytes, is %d", len(m.From))
 	}
 	return nil
 }
 
-// siteState is what two peers exchange over a stream. It is encoded as an array, so the order of the
-// fields is part of the protocol.
+// siteState is the state that two peers exchange over a stream. It is encoded as an array, so the order of
+// the fields is part of the protocol.
 type siteState struct {
 	Version int
 	From    string
--- a/internal/agent/coordination/promisestore.go
+++ b/internal/agent/coordination/promisestore.go
@@ -11,32 +11,33 @@
 	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
-// The stored record: table, key and format version. Its value is a duration in nanoseconds from when the
-// generation was saved.
 const (
+	// promiseTable, promiseKey and promiseVersion are the table, key and format version of the stored record.
+	// Its value is the time in nanoseconds for which promises may be in force after the record was saved.
 	promiseTable, promiseKey, promiseVersion = "cover", "until", 1
-	// maxPromiseSpan bounds a stored duration: twice the longest promise that any configuration allows.
-	maxPromiseSpan = time.Hour
+	// maxPromiseDuration bounds a stored duration. It is twice the longest promise that any configuration allows.
+	maxPromiseDuration = time.Hour
 )
 
-// promiseStore stores until when a voter's promises may stand. One write is in flight at a time, on a
-// goroutine of its own: a slow disk delays promises and nothing else.
+// promiseStore stores the time until which a voter's promises may be in force. One write is in flight at a
+// time, on its own goroutine, so that a slow disk delays only promises.
 type promiseStore struct {
 	store   *snapshot.Store
 	saved   chan writeResult // result of the write in flight
 	writes  sync.WaitGroup
-	writing bool
+	writing bool // whether a write is in flight
 }
 
+// writeResult is the result of a write of the time until which promises may be in force.
 type writeResult struct {
-	until time.Duration
-	err   error
+	promisesUntil time.Duration
+	err           error
 }
 
-// openPromiseStore opens a voter's directory and returns how long promises of earlier runs may still
-// stand, even if those had longer leases than the current configuration; longest if that is not known.
-// Before it returns that duration is stored again.
-func openPromiseStore(dir string, longest time.Duration) (promises *promiseStore, remaining time.Duration, err error) {
+// openPromiseStore opens a voter's directory. It returns how long promises of earlier runs may still be in
+// force, even if those runs had longer leases than the current configuration, or maxRemaining if that is not
+// known. It stores that duration again before it returns.
+func openPromiseStore(dir string, maxRemaining time.Duration) (promises *promiseStore, remaining time.Duration, err error) {
 	store, generation, problems, err := snapshot.Open(dir, snapshot.Now)
 	for _, p := range problems {
 		slog.Warn("vote: stored promises rejected", "where", p.Where, "why", p.Reason)
@@ -44,16 +45,16 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("vote: promise store: %w", err)
 	}
-	remaining = longest
+	remaining = maxRemaining
 	if generation != nil && generation.AgeKnown && generation.Complete && len(problems) == 0 {
 		if r, ok := generation.Tables[promiseTable][promiseKey]; ok && r.Version == promiseVersion && len(r.Value) == 8 {
-			if span := time.Duration(binary.BigEndian.Uint64(r.Value)); span >= 0 && span <= maxPromiseSpan {
-				remaining = max(span-generation.Age, 0)
+			if stored := time.Duration(binary.BigEndian.Uint64(r.Value)); stored >= 0 && stored <= maxPromiseDuration {
+				remaining = max(stored-generation.Age, 0)
 			}
 		}
 	}
 	promises = &promiseStore{store: store, saved: make(chan writeResult, 1)}
-	// The next run must know for how long this one abstains.
+	// If this run ends early, the next one must know how long to abstain for the same promises.
 	if err := promises.save(remaining); err != nil {
 		return nil, 0, errors.Join(fmt.Errorf("vote: promise store: %w", err), store.Close())
 	}
@@ -61,29 +62,30 @@
 	return promises, remaining, nil
 }
 
-func (c *promiseStore) save(span time.Duration) error {
-	raw := binary.BigEndian.AppendUint64(nil, uint64(span))
-	return c.store.Save(snapshot.Tables{promiseTable: {promiseKey: {Version: promiseVersion, Value: raw}}})
+// save stores that promises may be in force for the given time from now.
+func (s *promiseStore) save(remaining time.Duration) error {
+	raw := binary.BigEndian.AppendUint64(nil, uint64(remaining))
+	return s.store.Save(snapshot.Tables{promiseTable: {promiseKey: {Version: promiseVersion, Value: raw}}})
 }
 
-// persist starts to store that promises may stand until a time. It does nothing while another write is in
-// flight: the voter asks again.
-func (c *promiseStore) persist(now, until time.Duration) {
-	if c.writing {
+// persist starts a write that promises may be in force until promisesUntil. It does nothing while another write
+// is in flight, because the voter repeats its request.
+func (s *promiseStore) persist(now, promisesUntil time.Duration) {
+	if s.writing {
 		return
 	}
-	c.writing = true
-	c.writes.Add(1)
+	s.writing = true
+	s.writes.Add(1)
 	go func() {
-		defer c.writes.Done()
-		c.saved <- writeResult{until, c.save(until - now)} // never blocks: one write is in flight at a time
+		defer s.writes.Done()
+		s.saved <- writeResult{promisesUntil, s.save(promisesUntil - now)} // never blocks: one write is in flight at a time
 	}()
 }
 
 // close waits for the write in flight and closes the store.
-func (c *promiseStore) close() {
-	c.writes.Wait()
-	if err := c.store.Close(); err != nil {
+func (s *promiseStore) close() {
+	s.writes.Wait()
+	if err := s.store.Close(); err != nil {
 		slog.Warn("vote: promise store not closed", "err", err)
 	}
 }
--- a/internal/agent/coordination/promisestore_test.go
+++ b/internal/agent/coordination/promisestore_test.go
@@ -9,46 +9,46 @@
 	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
-// A voter's next life knows for how long promises may stand: all of it at the first start and
-// where the file is gone or damaged, what is left of it where it is whole.
-func TestCover(t *testing.T) {
-	const whole = 10 * time.Minute
+// A restarted voter knows for how long promises of its earlier runs may be in force: the remaining time if the file
+// is intact, the longest possible time at the first start and if the file is missing, damaged or out of bounds.
+func TestRemainingPromiseTimeAfterRestart(t *testing.T) {
+	const longest = 10 * time.Minute
 	dir := t.TempDir()
 	open := func() (*promiseStore, time.Duration) {
 		t.Helper()
-		c, left, err := openPromiseStore(dir, whole)
+		store, remaining, err := openPromiseStore(dir, longest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c, left
+		return store, remaining
 	}
-	c, left := open()
-	if left != whole {
-		t.Errorf("%v left at the first start", left)
+	store, remaining := open()
+	if remaining != longest {
+		t.Errorf("%v remain at the first start", remaining)
 	}
-	c.persist(0, 2*whole)
-	c.persist(0, whole) // while the other is under way: asked for again
-	if r := <-c.saved; r.until != 2*whole || r.err != nil {
+	store.persist(0, 2*longest)
+	store.persist(0, longest) // ignored, because the other write is in flight
+	if r := <-store.saved; r.promisesUntil != 2*longest || r.err != nil {
 		t.Errorf("%+v", r)
 	}
-	c.close()
-	c, left = open()
-	if left <= 2*whole-time.Minute || left > 2*whole {
-		t.Errorf("%v left, want nearly %v", left, 2*whole)
+	store.close()
+	store, remaining = open()
+	if remaining <= 2*longest-time.Minute || remaining > 2*longest {
+		t.Errorf("%v remain, want nearly %v", remaining, 2*longest)
 	}
-	if _, _, err := openPromiseStore(dir, whole); err == nil {
-		t.Error("one folder was opened twice")
+	if _, _, err := openPromiseStore(dir, longest); err == nil {
+		t.Error("a directory was opened twice")
 	}
-	if err := c.save(0); err != nil {
+	if err := store.save(0); err != nil {
 		t.Fatal(err)
 	}
-	c.close()
-	c, left = open()
-	c.close()
-	if left != 0 {
-		t.Errorf("%v left of nothing", left)
+	store.close()
+	store, remaining = open()
+	store.close()
+	if remaining != 0 {
+		t.Errorf("%v remain, want 0", remaining)
 	}
-	// Damage in the middle of the file, and a span that no voter of these settings wrote.
+	// The file is damaged in the middle, and then contains a time longer than any configuration allows.
 	path := filepath.Join(dir, snapshot.File)
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -60,25 +60,25 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, left = open()
-	if left != whole {
-		t.Errorf("%v left by a damaged file", left)
+	store, remaining = open()
+	if remaining != longest {
+		t.Errorf("%v remain after damage, want the longest time", remaining)
 	}
-	if err := c.save(2 * maxPromiseSpan); err != nil {
+	if err := store.save(2 * maxPromiseDuration); err != nil {
 		t.Fatal(err)
 	}
-	c.close()
-	c, left = open()
-	c.close()
-	if left != whole {
-		t.Errorf("%v left by a span that is too long", left)
+	store.close()
+	store, remaining = open()
+	store.close()
+	if remaining != longest {
+		t.Errorf("%v remain after a time that is too long, want the longest time", remaining)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	c, left = open()
-	c.close()
-	if left != whole {
-		t.Errorf("%v left where the file is gone", left)
+	store, remaining = open()
+	store.close()
+	if remaining != longest {
+		t.Errorf("%v remain without a file, want the longest time", remaining)
 	}
 }
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -14,17 +14,17 @@
 	"chalkdoor.example/chalkdoor/internal/agent/supervisor"
 )
 
-// siteMailboxSize bounds the mailbox of the site's task; most messages merge.
+// siteMailboxSize bounds the mailbox of the site task. Most messages merge with a queued one.
 const siteMailboxSize = 512
 
-// maxPeerReports bounds the servers whose reports from peers the event loop has not taken yet.
+// maxPeerReports bounds the peer reports that the event loop has not taken yet. There is one for each server.
 const maxPeerReports = stalerouting.MaxEntries
 
-// states maps the names of discovery to states.
+// states maps the state names that discovery uses to states.
 var states = map[string]stalerouting.State{"up": stalerouting.Up, "draining": stalerouting.Draining, "removed": stalerouting.Removed}
 
-// entries converts a list. A server in a state that is not known counts as draining, as it does for the
-// agent itself.
+// entries converts a server list to entries of the given age. A server in an unknown state counts as
+// draining, as it does for the agent itself. Servers without an ID are omitted.
 func entries(list []agent.Target, age time.Duration) (out []stalerouting.Entry) {
 	for _, t := range list {
 		state, ok := states[t.State]
@@ -38,8 +38,8 @@
 	return out
 }
 
-// runSite is the task that owns the server set and the uplink detection. A restart of the task continues
-// with the last snapshot, as the agent's own list has not changed by its failure.
+// runSite is the site task, which owns the server set and the uplink detection. After a failure the restarted
+// task continues from the last snapshot, because the failure has not changed the agent's own list.
 func (c *Coordinator) runSite(ctx context.Context) error {
 	config := c.config.Site
 	config.WasIsolated = config.WasIsolated || c.Snapshot().Isolated
@@ -69,22 +69,23 @@
 	}
 }
 
+// siteTask is the state of the site task.
 type siteTask struct {
-	coordinator *Coordinator
-	uplink      *stalerouting.Uplink
-	servers     *stalerouting.ServerSet
-	zones       []string // zones of the listed servers
-	phase       stalerouting.Phase
-	share       float64 // of zones outside the site
-	shareUntil  time.Duration
-	decisions   *stalerouting.DecisionCache
-	otherAgents []string // live agents except this one
-	rng         *rand.Rand
-	renewAt     time.Duration // when the zone overrides have to be renewed
+	coordinator          *Coordinator
+	uplink               *stalerouting.Uplink
+	servers              *stalerouting.ServerSet
+	zones                []string // zones of the listed servers
+	phase                stalerouting.Phase
+	remoteShare          float64       // fraction of their shares that zones outside the site get while phase is not Connected
+	remoteShareExpiresAt time.Duration // time until which remoteShare is valid
+	decisions            *stalerouting.DecisionCache
+	otherAgents          []string // live agents except this one
+	rng                  *rand.Rand
+	renewAt              time.Duration // time at which the zone overrides are renewed
 }
 
 func (s *siteTask) handleMessage(msg supervisor.Message) {
-	l, now := s.coordinator, s.coordinator.now()
+	c, now := s.coordinator, s.coordinator.now()
 	switch m := msg.(type) {
 	case serverList:
 		s.handleServerList(now, m)
@@ -101,7 +102,7 @@
 	case localDecision:
 		d := stalerouting.Decision{Version: stalerouting.Version, Term: m.Term, Index: m.Index, Table: m.Table}
 		if !m.Confirmed {
-			d.Age = stalerouting.UnknownAge // it may be as old as the log
+			d.Age = stalerouting.UnknownAge // the decision may be as old as the log
 		}
 		s.handleDecision(d, true)
 	case peerDecision:
@@ -110,7 +111,7 @@
 		if m.Pong {
 			s.uplink.Observe(now, stalerouting.PingAnswered)
 		} else {
-			l.send(m.From, KindPing, ping{From: l.config.Membership.Name, Pong: true})
+			c.send(m.From, KindPing, ping{From: c.config.Membership.Name, Pong: true})
 		}
 	case receivedState:
 		s.handlePeerState(now, m)
@@ -125,9 +126,9 @@
 		}
 	}
 	slices.Sort(s.zones)
-	// The age of the list in the configuration is not known.
+	// The entries have UnknownAge, because the list may come from the configuration, whose age is unknown.
 	if _, err := s.servers.Merge(now, list.entries); err != nil {
-		slog.Warn("site: list rejected", "err", err)
+		slog.Warn("site: server list rejected", "err", err)
 	}
 }
 
@@ -146,8 +147,8 @@
 	s.uplink.SetRemoteAgents(now, remote)
 }
 
-// handlePeerState merges the server set of a peer of the same site. While discovery can't be reached the
-// event loop is told of what changed.
+// handlePeerState merges the server set of a peer of the same site; sets from other sites are ignored. While
+// discovery can't be reached, the changes are passed to the event loop as peer reports.
 func (s *siteTask) handlePeerState(now time.Duration, state receivedState) {
 	if state.Zone != s.coordinator.config.Membership.Zone {
 		return
@@ -162,44 +163,46 @@
 	}
 }
 
-// publishSnapshot makes the task's state available to its restart, to peers and to the disk.
+// publishSnapshot stores the task's state as the coordinator's Snapshot.
 func (s *siteTask) publishSnapshot() {
 	now := s.coordinator.now()
 	s.coordinator.setSnapshot(Snapshot{Isolated: s.phase == stalerouting.Isolated, Entries: s.servers.Entries(now)}, now)
 }
 
-// applyActions carries out what the uplink asks.
-func (s *siteTask) applyActions(out *stalerouting.Actions) {
-	l := s.coordinator
-	for _, to := range out.Recipients {
-		l.send(to, KindHeartbeat, out.Heartbeat)
+// applyActions carries out the actions that the uplink requests.
+func (s *siteTask) applyActions(actions *stalerouting.Actions) {
+	c := s.coordinator
+	for _, to := range actions.Recipients {
+		c.send(to, KindHeartbeat, actions.Heartbeat)
 	}
-	for _, to := range out.Pings {
-		l.send(to, KindPing, ping{From: l.config.Membership.Name})
+	for _, to := range actions.Pings {
+		c.send(to, KindPing, ping{From: c.config.Membership.Name})
 	}
-	if out.SyncWith != "" {
-		l.gossip.Mailbox().Put(membership.Sync{With: out.SyncWith})
+	if actions.SyncWith != "" {
+		c.gossip.Mailbox().Put(membership.Sync{With: actions.SyncWith})
 	}
-	if out.Phase != s.phase {
-		s.phase = out.Phase
-		slog.Info("site: "+out.Phase.String(), "zone", l.config.Membership.Zone, "agreed", out.IsolatedMembers, "members", len(l.config.Site.Members))
-		l.trace.write(TraceLine{Kind: out.Phase.String(), Attempts: out.IsolatedMembers, RemainingMs: max(out.Until-l.now(), 0).Milliseconds()}, l.now(), l.now())
+	if actions.Phase != s.phase {
+		s.phase = actions.Phase
+		slog.Info("site: "+actions.Phase.String(), "zone", c.config.Membership.Zone, "agreed", actions.IsolatedMembers, "members", len(c.config.Site.Members))
+		c.trace.write(TraceLine{Kind: actions.Phase.String(), Attempts: actions.IsolatedMembers, RemainingMs: max(actions.Until-c.now(), 0).Milliseconds()}, c.now(), c.now())
 		s.publishSnapshot()
 	}
-	s.share, s.shareUntil = out.Share, out.Until
-	heartbeatSent := len(out.Recipients)+len(out.Pings) > 0
-	if d, valid := s.decisions.Current(l.now()); heartbeatSent && valid {
+	s.remoteShare, s.remoteShareExpiresAt = actions.Share, actions.Until
+	heartbeatSent := len(actions.Recipients)+len(actions.Pings) > 0
+	if d, valid := s.decisions.Current(c.now()); heartbeatSent && valid {
 		s.sendDecision(d, 1)
 	}
-	if out.Changed || out.QueryDiscovery || l.now() >= s.renewAt {
-		s.updateZoneOverrides(out.QueryDiscovery)
+	if actions.Changed || actions.QueryDiscovery || c.now() >= s.renewAt {
+		s.updateZoneOverrides(actions.QueryDiscovery)
 	}
 }
 
 // decisionFanout is the number of peers to which a new decision is sent at once.
 const decisionFanout = 8
 
-// handleDecision offers a decision to the cache and passes it on if it is new, or valid again.
+// handleDecision offers a decision of the consensus group to the cache. If a valid decision is new, or has
+// become valid again, it is sent to other agents and the zone overrides are updated. local is true for a
+// decision of the voter in this process.
 func (s *siteTask) handleDecision(d stalerouting.Decision, local bool) {
 	now := s.coordinator.now()
 	_, wasValid := s.decisions.Current(now)
@@ -227,18 +230,18 @@
 	s.updateZoneOverrides(false)
 }
 
-// sendDecision sends a decision with its current age to a number of random peers.
-func (s *siteTask) sendDecision(d stalerouting.Decision, to int) {
-	for _, i := range s.rng.Perm(len(s.otherAgents))[:min(to, len(s.otherAgents))] {
+// sendDecision sends a decision with its current age to up to fanout random agents.
+func (s *siteTask) sendDecision(d stalerouting.Decision, fanout int) {
+	for _, i := range s.rng.Perm(len(s.otherAgents))[:min(fanout, len(s.otherAgents))] {
 		s.coordinator.send(s.otherAgents[i], KindDecision, d)
 	}
 }
 
-// updateZoneOverrides sets the zone overrides by the group's decision while it is valid, and by the uplink for
-// zones outside the site.
+// updateZoneOverrides sets the zone overrides. They combine the consensus group's decision, while it is valid,
+// with the uplink's share for zones outside the site, while the phase is not Connected.
 func (s *siteTask) updateZoneOverrides(fetchList bool) {
-	l := s.coordinator
-	now, ownZone := l.now(), l.config.Membership.Zone
+	c := s.coordinator
+	now, ownZone := c.now(), c.config.Membership.Zone
 	decision, valid := s.decisions.Current(now)
 	var out []agent.ZoneOverride
 	s.renewAt = now + time.Hour
@@ -246,17 +249,17 @@
 		override := agent.ZoneOverride{Zone: zone, ShareFactor: 1, ReachableShare: 1, TTL: now + time.Hour}
 		if valid {
 			override.ShareFactor, override.TTL = decision.Table.Share(ownZone, zone), now+s.decisions.ValidFor(now)
-			if s.phase == stalerouting.Connected { // an isolated site has its own zone only
+			if s.phase == stalerouting.Connected { // an isolated site can use only its own zone
 				override.TrafficShare, _ = decision.Table.TrafficShare(ownZone, zone)
 			}
 		}
 		if zone != ownZone && s.phase != stalerouting.Connected {
-			override.ShareFactor, override.ReachableShare, override.TTL = override.ShareFactor*s.share, s.share, min(override.TTL, s.shareUntil)
+			override.ShareFactor, override.ReachableShare, override.TTL = override.ShareFactor*s.remoteShare, s.remoteShare, min(override.TTL, s.remoteShareExpiresAt)
 		}
 		if override.ShareFactor < 1 || override.TrafficShare > 0 || valid && len(decision.Table.TrafficShares) > 0 {
 			out = append(out, override)
 			s.renewAt = min(s.renewAt, now+(override.TTL-now)/2)
 		}
 	}
-	l.setZoneOverrides(out, fetchList)
+	c.setZoneOverrides(out, fetchList)
 }
--- a/internal/agent/coordination/trace.go
+++ b/internal/agent/coordination/trace.go
@@ -9,10 +9,15 @@
 	"time"
 )
 
-// TraceLine is a step of the vote or of the site in a trace file, a line of JSON. Times are wall-clock times
-// in Unix ms, so that traces of several agents can be compared; no decision depends on them. A step of
-// kind zones is a new decision of the consensus group: Electorate is its log index, Attempts the number
-// of zones without a share for this site, Failures those with a reduced one, RemainingMs its age.
+// TraceLine is one line of a trace file, in JSON. It describes a step of the vote task or of the site task. Times
+// are wall-clock times in Unix milliseconds, so that the traces of several agents can be compared; no decision
+// depends on them.
+//
+// Two kinds of lines use fields in another meaning than their names say. In a line of kind "zones", which is a
+// new decision of the consensus group, Electorate is the log index, Attempts the number of zones of which this
+// site's agents use nothing, Failures the number of zones that they do not use fully, and RemainingMs the
+// decision's age. In a line for a change of the site's phase, Attempts is the number of members without a
+// signal from outside.
 type TraceLine struct {
 	AtMs             int64    `json:"at_ms"`
 	Agent            string   `json:"agent"`
@@ -30,19 +35,19 @@
 
 // tracer writes a trace; a nil tracer discards it. It is safe for concurrent use.
 type tracer struct {
-	mu    sync.Mutex
-	file  *os.File
-	out   *bufio.Writer
-	agent string
-	boot  uint64
+	mu          sync.Mutex
+	file        *os.File
+	out         *bufio.Writer
+	agent       string
+	incarnation uint64 // incarnation of the agent
 }
 
-// write appends a step that happened at a time of the coordinator's clock.
+// write appends a step that happened at the time at. Both times are on the coordinator's clock.
 func (t *tracer) write(line TraceLine, at, now time.Duration) {
 	if t == nil {
 		return
 	}
-	line.Agent, line.AgentIncarnation, line.AtMs = t.agent, t.boot, time.Now().Add(at-now).UnixMilli()
+	line.Agent, line.AgentIncarnation, line.AtMs = t.agent, t.incarnation, time.Now().Add(at-now).UnixMilli()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	text, err := json.Marshal(line)
@@ -63,10 +68,11 @@
 	}
 }
 
-func openTrace(path, name string, boot uint64) (*tracer, error) {
+// openTrace opens a trace file to append to it.
+func openTrace(path, name string, incarnation uint64) (*tracer, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	return &tracer{file: f, out: bufio.NewWriter(f), agent: name, boot: boot}, nil
+	return &tracer{file: f, out: bufio.NewWriter(f), agent: name, incarnation: incarnation}, nil
 }
--- a/internal/agent/coordination/vote.go
+++ b/internal/agent/coordination/vote.go
@@ -13,8 +13,8 @@
 	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
-// runVote is the task that owns the evidence and the voter. A restart of the task begins without either,
-// like a restart of the process.
+// runVote is the vote task, which owns the evidence and the voter. After a failure the task restarts with new
+// ones, as after a restart of the process.
 func (c *Coordinator) runVote(ctx context.Context) error {
 	evidence := outlier.New(c.config.Vote.MaxEvidenceAge)
 	config := c.config.Vote
@@ -23,7 +23,7 @@
 	if c.config.PromiseDir != "" {
 		var err error
 		if promises, config.EarlierPromisesFor, err = openPromiseStore(c.config.PromiseDir, config.MaxPromise()); err != nil {
-			return err // without the store nothing may be promised: the next run would not know
+			return err // without the store the voter must not promise anything: the next run would not know of it
 		}
 		defer promises.close()
 		config.PersistsPromises, persisted = true, promises.saved
@@ -59,7 +59,7 @@
 			if r.err != nil {
 				return fmt.Errorf("vote: storing promises: %w", r.err)
 			}
-			voter.PromisesPersisted(r.until)
+			voter.PromisesPersisted(r.promisesUntil)
 		case <-tick.C:
 			actions := voter.Tick(c.now())
 			if actions.PersistPromisesUntil > 0 && promises != nil {
@@ -73,38 +73,38 @@
 	}
 }
 
-// applyVoteActions carries out what the voter asks.
+// applyVoteActions carries out the actions that the voter requests.
 func (c *Coordinator) applyVoteActions(actions *ejection.Actions) {
 	for to, m := range actions.Messages {
 		c.send(to, KindVote, m)
 	}
-	for _, n := range actions.Trace {
+	for _, event := range actions.Trace {
 		level := slog.LevelDebug
-		if n.Kind == "eject" || n.Kind == "return" {
+		if event.Kind == "eject" || event.Kind == "return" {
 			level = slog.LevelInfo
 		}
-		slog.Log(context.Background(), level, "vote: "+n.Kind, "host", n.Host.ID, "incarnation", n.Host.Incarnation, "why", n.Reason.String(),
-			"attempts", n.Attempts, "bad", n.Failures, "roll", n.Electorate, "granters", len(n.Granters))
-		c.trace.write(TraceLine{Kind: n.Kind, Host: n.Host.ID, Incarnation: n.Host.Incarnation, Reason: n.Reason.String(), Electorate: n.Electorate,
-			Attempts: n.Attempts, Failures: n.Failures, Granters: n.Granters, RemainingMs: max(n.Until-n.At, 0).Milliseconds()}, n.At, c.now())
+		slog.Log(context.Background(), level, "vote: "+event.Kind, "host", event.Host.ID, "incarnation", event.Host.Incarnation, "why", event.Reason.String(),
+			"attempts", event.Attempts, "bad", event.Failures, "roll", event.Electorate, "granters", len(event.Granters))
+		c.trace.write(TraceLine{Kind: event.Kind, Host: event.Host.ID, Incarnation: event.Host.Incarnation, Reason: event.Reason.String(), Electorate: event.Electorate,
+			Attempts: event.Attempts, Failures: event.Failures, Granters: event.Granters, RemainingMs: max(event.Until-event.At, 0).Milliseconds()}, event.At, c.now())
 	}
 	if actions.StandingsChanged {
 		c.setOverrides(actions.Standings)
 	}
 }
 
-// reportInterval is the time between two reports to the consensus group while nothing changes.
+// reportInterval is the time between two reports to the consensus group while no zone's health changes.
 const reportInterval = 4 * time.Second
 
-// lastZoneReport is the last report to the consensus group.
+// lastZoneReport describes the last report to the consensus group.
 type lastZoneReport struct {
-	seq    uint64
+	seq    uint64 // sequence number; 0 before the first report
 	sentAt time.Duration
-	health []zonefailover.Health
+	health []zonefailover.Health // health of each reported zone
 }
 
-// reportZones reports the observations of each zone to all voters of the group, at once if the health of
-// a zone changed.
+// reportZones sends the observations of each zone to all voters of the consensus group: at once if the health
+// of a zone changed, otherwise once every reportInterval.
 func (c *Coordinator) reportZones(last *lastZoneReport, zones []outlier.Zone) {
 	r := zonefailover.Report{Version: zonefailover.Version, Agent: c.config.Membership.Name, Site: c.config.Membership.Zone, Region: c.config.Membership.Region, Incarnation: c.config.Membership.Incarnation}
 	var health []zonefailover.Health
--- a/internal/agent/membership/gossip_test.go
+++ b/internal/agent/membership/gossip_test.go
@@ -16,15 +16,15 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// testTimeout bounds each wait; all are expected to end far sooner.
+// testTimeout bounds each wait. All are expected to end far sooner.
 const testTimeout = 30 * time.Second
 
 // recordingHandler records messages, states and members.
 type recordingHandler struct {
-	received chan string
-	mu       sync.Mutex
+	received chan string // messages with their kind as prefix, and states with the prefix "merged "
+	mu       sync.Mutex  // guards members
 	members  []Peer
-	changed  chan struct{}
+	changed  chan struct{} // receives when members has changed
 }
 
 func newRecordingHandler() *recordingHandler {
@@ -66,7 +66,7 @@
 	}
 }
 
-// startGossip runs a peer at a free port. Its own address is among its seeds.
+// startGossip runs a peer on a free port. Its seeds include its own address.
 func startGossip(t *testing.T, name, fleet string, seeds ...string) (p *Gossip, e *recordingHandler, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,7 +152,7 @@
 	return strings.Contains(l.buf.String(), text)
 }
 
-// A peer of another fleet is rejected with a reason in the log, and both fleets go on separately.
+// A peer of another fleet is rejected and the reason is logged. Both fleets continue separately.
 func TestPeerOfAnotherFleetIsRejected(t *testing.T) {
 	var log logBuffer
 	old := slog.Default()
@@ -160,7 +160,7 @@
 	defer slog.SetDefault(old)
 	a, ea, _ := startGossip(t, "a", "k")
 	_, eb, _ := startGossip(t, "b", "other", a.config.Bind)
-	for end := time.Now().Add(testTimeout); !log.contains(`fleet: it is of`); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !log.contains(`fleet: peer belongs to`); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no reason in the log")
 		}
@@ -181,7 +181,7 @@
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, []byte("x"), body[:len(body)-1], make([]byte, MaxState+1)} {
 		if err := Decode(bad, &form{}); err == nil {
-			t.Errorf("%d bytes were taken for a message", len(bad))
+			t.Errorf("%d invalid bytes were decoded", len(bad))
 		}
 	}
 	for key, cfg := range map[string]Config{"bind": {Bind: "nowhere"}, "advertise": {Bind: "127.0.0.1:1", Advertise: "x:1"}} {
@@ -196,7 +196,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var m nodeMeta
 		if err := Decode(body, &m); err == nil && len(fmt.Sprint(m)) > 16*MaxMessage {
-			t.Error("a message grew")
+			t.Error("the decoded metadata is much larger than a message")
 		}
 	})
 }
--- a/internal/agent/zonefailover/bench_test.go
+++ b/internal/agent/zonefailover/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkTick tells how a decision grows with the agents that report: each op is a tick in
-// which a fortieth of them have reported anew, as each does every 4 s.
+// BenchmarkTick measures how the time of a decision depends on the number of agents that report. Each iteration is
+// one tick. Before it 1/40 of the agents report, as each agent does so every 4 s and a tick every 100 ms.
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{40, 300, 3000} {
 		b.Run(fmt.Sprint(agents, " agents"), func(b *testing.B) {
--- a/internal/agent/zonefailover/config.go
+++ b/internal/agent/zonefailover/config.go
@@ -7,16 +7,17 @@
 
 // Config configures a Machine.
 type Config struct {
-	// MaxReportAge is the age up to which a report counts, UnhealthyFor is how long a majority must see a
-	// zone unhealthy, EjectionTime is how long the first ejection lasts.
+	// MaxReportAge is the age up to which a report counts. UnhealthyFor is how long a majority must see a
+	// zone unhealthy before it is ejected. EjectionTime is the duration of the first ejection.
 	MaxReportAge, UnhealthyFor, EjectionTime time.Duration
-	// MaxEjectionTime bounds the doubling of EjectionTime, EscalationWindow is how long after a return a
-	// further ejection lasts longer, SlowStartStep is the time between two steps of a slow start.
+	// MaxEjectionTime bounds the doubling of EjectionTime. EscalationWindow is the time after the last step of
+	// a return during which a further ejection lasts twice as long as the one before. SlowStartStep is the least
+	// time between two steps of a slow start.
 	MaxEjectionTime, EscalationWindow, SlowStartStep time.Duration
 	// MaxEjectedFraction is the fraction of the fleet's weight that may be ejected for remote agents at once.
 	MaxEjectedFraction float64
 	// TargetUtilization is the fraction of its weight up to which a zone is used before traffic of its site
-	// goes to other zones; 0: no traffic shares are decided.
+	// goes to other zones. If it is 0, no traffic shares are decided.
 	TargetUtilization float64
 }
 
--- a/internal/agent/zonefailover/doc.go
+++ b/internal/agent/zonefailover/doc.go
@@ -1,24 +1,25 @@
-// Package zonefailover decides for a whole fleet which zones receive traffic from whom. It is a pure
-// state machine that runs at the leader of the consensus group (package consensus); its input is the
-// time and the reports of the agents of all sites.
+// Package zonefailover decides for a whole fleet how much traffic the agents of each site send to each zone. It
+// is a pure state machine that runs at the voters of the consensus group (package consensus); the
+// leader proposes its results. Its inputs are the time and the reports of the agents of all sites.
 //
-// A zone has two tracks: Remote for the agents of other sites, moved by what those sites report, and
-// Local for the agents of its own site, moved by their own reports. So a site that is partitioned from
-// the rest but healthy inside is left by the agents outside and used by those inside.
+// A zone has two tracks: Remote applies to the agents of other sites and follows their reports, Local applies to
+// the agents of the zone's own site and follows theirs. A site that is partitioned from the others but healthy
+// inside is therefore ejected for remote agents, while its own agents continue to use it.
 //
 // # Guarantees
 //
-// A zone is ejected on a track only while a strict majority of the sites that may vote on it and have
-// reported within MaxReportAge see it unhealthy, for UnhealthyFor without a gap, and only while no more
-// than MaxEjectedFraction of the fleet's weight is ejected for remote agents. Beyond that the zone
-// stays, and each agent's own demotions are all there is. A zone returns by a slow start in steps, the
-// first one not before its EjectionTime is over, each further one not before SlowStartStep after the
-// last, and only if some site has seen it healthy since. A zone that is ejected again within
-// EscalationWindow stays out twice as long, up to MaxEjectionTime, so a flapping zone moves traffic
-// rarely.
+// A zone is ejected on a track only if a strict majority of the voting sites has seen it unhealthy for
+// UnhealthyFor without interruption. For the Remote track the voting sites are the other sites that have reported
+// within MaxReportAge; for the Local track it is the zone's own site alone. A zone is not ejected for remote agents if more than MaxEjectedFraction of the fleet's weight would
+// then be ejected for them. In that case it stays in use, and only the demotions by each agent itself apply.
+//
+// A zone returns in the steps of a slow start. The first step comes no earlier than the end of its EjectionTime.
+// Each further step comes no earlier than SlowStartStep after the step before, and only if some site has seen the
+// zone healthy since then. A zone that is ejected again within EscalationWindow stays ejected twice as long, up to
+// MaxEjectionTime, so that a flapping zone rarely moves traffic.
 //
 // # Limits
 //
-// It is not guaranteed that an unhealthy zone is ejected: without reports, or with most reporters
-// gone, nothing changes.
+// It is not guaranteed that an unhealthy zone is ejected: nothing changes without reports or while most reporters
+// are gone.
 package zonefailover
--- a/internal/agent/zonefailover/machine.go
+++ b/internal/agent/zonefailover/machine.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// slowStartShares are the fractions of its share that a returning zone gets, step by step.
+// slowStartShares are the shares of a returning zone after each step of its slow start.
 var slowStartShares = [...]float64{0.1, 0.3, 1}
 
-// Machine is the state machine that decides. It is not safe for concurrent use. Times are durations since
-// a fixed start on the monotonic clock.
+// Machine is the state machine that decides the next table. It is not safe for concurrent use. Times are
+// durations since a fixed start on the monotonic clock.
 type Machine struct {
 	config               Config
-	now                  time.Duration
-	startedAt            time.Duration
-	started              bool
-	reports              map[string]receivedReport
-	knownSites           map[string]bool // sites that have ever reported
-	table                Table
+	now                  time.Duration             // time of the latest call
+	startedAt            time.Duration             // time of the first call
+	started              bool                      // whether startedAt is set
+	reports              map[string]receivedReport // newest report by agent
+	knownSites           map[string]bool           // sites that have ever reported
+	table                Table                     // newest committed table
 	trackStates          map[trackID]*trackState
-	trafficSharesMovedAt time.Duration // when traffic shares last changed
+	trafficSharesMovedAt time.Duration // time of the last committed change of the traffic shares; 0 if there was none
 }
 
+// receivedReport is a report with the time at which it was received.
 type receivedReport struct {
 	Report
 	receivedAt time.Duration
@@ -35,15 +36,16 @@
 	local bool
 }
 
-// trackState is what the machine knows of a track besides the table. A new leader starts without it.
+// trackState is the state of a track that is not in the table. It is not replicated: each voter has its own and
+// loses it at a restart.
 type trackState struct {
-	unhealthySince time.Duration // since when a majority sees it unhealthy; -1: it does not
-	lastStep       time.Duration // time of the last change of its share
-	seenHealthy    bool          // some site has seen it healthy since
+	unhealthySince time.Duration // time since which a majority has seen the zone unhealthy; -1 if none does now
+	lastStep       time.Duration // time of the last committed change of the track; initially that of its first evaluation
+	seenHealthy    bool          // whether some site has seen the zone healthy since lastStep
 }
 
-// New returns a machine that continues from a table and has no reports. It decides nothing until it has
-// run for UnhealthyFor, as it does not know before which sites report.
+// New returns a machine without reports that continues from a table. It decides nothing until it has run for
+// UnhealthyFor, because until then it does not know which sites report.
 func New(config Config, from Table) (*Machine, error) {
 	if err := config.Validate(); err != nil {
 		return nil, fmt.Errorf("zonefailover: %w", err)
@@ -55,6 +57,7 @@
 	return &Machine{config: config, table: from, reports: map[string]receivedReport{}, knownSites: map[string]bool{}, trackStates: map[trackID]*trackState{}}, nil
 }
 
+// advanceClock sets the time of this call. The clock never goes back.
 func (m *Machine) advanceClock(now time.Duration) {
 	if !m.started {
 		m.started, m.startedAt = true, now
@@ -62,7 +65,7 @@
 	m.now = max(m.now, now)
 }
 
-// Report records the report of an agent. A stale or invalid one changes nothing and returns an error.
+// Report records a report. If the report is stale or invalid, it returns an error and changes nothing.
 func (m *Machine) Report(now time.Duration, r Report) error {
 	m.advanceClock(now)
 	if err := r.Validate(); err != nil {
@@ -71,18 +74,19 @@
 	last, ok := m.reports[r.Agent]
 	switch {
 	case ok && last.Incarnation == r.Incarnation && last.Seq >= r.Seq:
-		return fmt.Errorf("report: seq: older than the last one of %s", r.Agent)
+		return fmt.Errorf("report: seq: not newer than the last report of %s", r.Agent)
 	case !ok && len(m.reports) >= maxReports:
-		return fmt.Errorf("report: agent: %d agents report already, %s is one more", maxReports, r.Agent)
+		return fmt.Errorf("report: agent: the limit of %d agents is reached, %s is rejected", maxReports, r.Agent)
 	}
 	m.reports[r.Agent], m.knownSites[r.Site] = receivedReport{r, m.now}, true
 	return nil
 }
 
-// siteOpinions returns the health of each zone by site, as most of the site's agents with an opinion
-// see it (a tie is Unknown), and the weight of each zone. It drops reports that are too old.
+// siteOpinions returns the health of each zone in the opinion of each site, by site and zone, and the weight of
+// each zone. A site's opinion is that of most of its agents that see the zone either healthy or unhealthy; a tie
+// is Unknown. siteOpinions drops reports older than MaxReportAge.
 func (m *Machine) siteOpinions() (opinions map[string]map[string]Health, weight map[string]float64) {
-	counts := map[string]map[string][3]int{} // by site and zone, of agents by view
+	counts := map[string]map[string][3]int{} // number of agents by site, zone and Health
 	weight = map[string]float64{}
 	for name, r := range m.reports {
 		if m.now-r.receivedAt > m.config.MaxReportAge {
@@ -97,20 +101,20 @@
 		}
 		for i := range r.Zones {
 			z := &r.Zones[i]
-			counted := counts[r.Site][z.Zone]
-			counted[z.Health()]++
-			counts[r.Site][z.Zone] = counted
+			agents := counts[r.Site][z.Zone]
+			agents[z.Health()]++
+			counts[r.Site][z.Zone] = agents
 			weight[z.Zone] = max(weight[z.Zone], z.Weight)
 		}
 	}
 	opinions = map[string]map[string]Health{}
 	for site, byZone := range counts {
 		opinions[site] = map[string]Health{}
-		for zone, counted := range byZone {
+		for zone, agents := range byZone {
 			switch {
-			case counted[Unhealthy] > counted[Healthy]:
+			case agents[Unhealthy] > agents[Healthy]:
 				opinions[site][zone] = Unhealthy
-			case counted[Healthy] > counted[Unhealthy]:
+			case agents[Healthy] > agents[Unhealthy]:
 				opinions[site][zone] = Healthy
 			}
 		}
@@ -118,15 +122,15 @@
 	return opinions, weight
 }
 
-// Table returns the current decision.
+// Table returns the newest committed table.
 func (m *Machine) Table() Table {
 	t := m.table
 	t.Zones = slices.Clone(t.Zones)
 	return t
 }
 
-// Committed applies a table that was committed to the consensus log, by this leader or another. Older
-// tables are ignored.
+// Committed applies a table that this leader or another one committed to the consensus log. It ignores a table
+// that is not newer than the current one.
 func (m *Machine) Committed(t Table) {
 	if t.Number <= m.table.Number {
 		return
@@ -147,6 +151,7 @@
 	m.table = t
 }
 
+// trackState returns the state of a track, creating it if there is none.
 func (m *Machine) trackState(id trackID) *trackState {
 	state := m.trackStates[id]
 	if state == nil {
@@ -156,8 +161,9 @@
 	return state
 }
 
-// Tick reevaluates all zones and returns the next table to propose, if anything changed. A proposal takes
-// effect only by Committed; until then it is proposed again.
+// Tick reevaluates all zones. It returns the next table and whether that differs from the current one and has to
+// be proposed. A proposal takes effect only when it is passed to Committed; until then Tick proposes the change
+// again.
 func (m *Machine) Tick(now time.Duration) (next Table, changed bool) {
 	m.advanceClock(now)
 	next = m.Table()
@@ -192,13 +198,14 @@
 				healthy++
 			}
 		}
-		// A zone returns for remote agents only if its own agents, where there are any, do not see it
-		// unhealthy. Agents that are partitioned off can't report and are waited for.
-		localHealth, localMayReport := opinions[zone][zone], !m.knownSites[zone] || m.reportedSince(zone, m.trackState(trackID{zone, false}).lastStep+m.config.UnhealthyFor)
-		remoteChanged := m.stepTrack(&z.Remote, trackID{zone, false}, 2*unhealthy > voters, healthy > 0, localHealth != Unhealthy && localMayReport)
+		// A zone returns for remote agents only if its own agents don't see it unhealthy. If its agents have ever
+		// reported, one of them must also have reported more than UnhealthyFor after the ejection, because agents
+		// that are partitioned off can't report. After MaxEjectionTime stepTrack ignores both conditions.
+		localHealth, localReported := opinions[zone][zone], !m.knownSites[zone] || m.reportedSince(zone, m.trackState(trackID{zone, false}).lastStep+m.config.UnhealthyFor)
+		remoteChanged := m.stepTrack(&z.Remote, trackID{zone, false}, 2*unhealthy > voters, healthy > 0, localHealth != Unhealthy && localReported)
 		localChanged := m.stepTrack(&z.Local, trackID{zone, true}, localHealth == Unhealthy, localHealth == Healthy, true)
 		if remoteChanged && z.Remote.Share == 0 && !m.withinEjectionCap(next.Zones, weight) {
-			z.Remote = m.zone(zone).Remote // the cap is reached
+			z.Remote = m.zone(zone).Remote // the ejection would exceed the cap
 			remoteChanged = false
 		}
 		changed = changed || remoteChanged || localChanged
@@ -210,7 +217,7 @@
 	return next, changed
 }
 
-// reportedSince reports whether any agent of a site has reported since a time.
+// reportedSince reports whether any agent of a site has reported after the time since.
 func (m *Machine) reportedSince(site string, since time.Duration) bool {
 	for _, r := range m.reports {
 		if r.Site == site && r.receivedAt > since {
@@ -220,7 +227,7 @@
 	return false
 }
 
-// zone returns a zone of the current table.
+// zone returns a zone of the current table. A zone that is not listed is fully used.
 func (m *Machine) zone(zone string) Zone {
 	for _, z := range m.table.Zones {
 		if z.Name == zone {
@@ -240,8 +247,9 @@
 	return ejected <= m.config.MaxEjectedFraction*total+1e-9
 }
 
-// stepTrack moves one track by at most one step, and reports whether it did. The time of the step is
-// recorded once it is committed.
+// stepTrack moves a track by at most one step and reports whether it did. unhealthy is true if a majority sees
+// the zone unhealthy, healthy if some site sees it healthy. A return begins only if mayReturn is true or
+// MaxEjectionTime is over. Committed records the time of the step.
 func (m *Machine) stepTrack(track *Track, id trackID, unhealthy, healthy, mayReturn bool) bool {
 	state := m.trackState(id)
 	if !unhealthy {
--- a/internal/agent/zonefailover/machine_test.go
+++ b/internal/agent/zonefailover/machine_test.go
@@ -19,15 +19,16 @@
 	now            time.Duration
 	tickInterval   time.Duration // time between ticks
 	sites          []string
-	hosts          map[string]int                 // of each zone
+	hosts          map[string]int                 // number of hosts by zone
 	observedHealth func(site, zone string) Health // health of a zone as the agents of a site observe it
 	reaches        func(site string) bool         // whether the reports of a site reach the leader
 	seq            uint64
-	shareChanges   map[string][]time.Duration // when the remote share of a zone changed
-	largeChanges   []time.Duration            // when one changed by a half or more
+	shareChanges   map[string][]time.Duration // times of the changes of a zone's remote share, by zone
+	largeChanges   []time.Duration            // times of the changes of any remote share by a half or more
 	maxEjected     float64                    // largest fraction of the weight that was ejected for remote agents
 }
 
+// newFleet returns a fleet of healthy sites, each with one zone of six hosts.
 func newFleet(t *testing.T, cfg Config, sites ...string) *fleet {
 	m, err := New(cfg, Table{Version: Version})
 	if err != nil {
@@ -41,7 +42,7 @@
 	return f
 }
 
-// run advances time. A site has no observations of a zone that it does not use.
+// run advances the time by d. A site has no observations of a zone that it does not use.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += f.tickInterval {
 		for _, site := range f.sites {
@@ -67,30 +68,32 @@
 				}
 			}
 		}
-		was := f.machine.Table()
+		before := f.machine.Table()
 		if next, changed := f.machine.Tick(f.now); changed {
 			f.machine.Committed(next)
-			left, all := 0.0, 0.0
+			ejected, total := 0.0, 0.0
 			for _, z := range next.Zones {
-				if old := was.Share("nowhere", z.Name); old != z.Remote.Share {
+				if old := before.Share("nowhere", z.Name); old != z.Remote.Share {
 					f.shareChanges[z.Name] = append(f.shareChanges[z.Name], f.now)
 					if math.Abs(old-z.Remote.Share) >= 0.5 {
 						f.largeChanges = append(f.largeChanges, f.now)
 					}
 				}
-				left += float64(f.hosts[z.Name]) * (1 - z.Remote.Share)
-				all += float64(f.hosts[z.Name])
+				ejected += float64(f.hosts[z.Name]) * (1 - z.Remote.Share)
+				total += float64(f.hosts[z.Name])
 			}
-			f.maxEjected = max(f.maxEjected, left/all)
+			f.maxEjected = max(f.maxEjected, ejected/total)
 		}
 	}
 }
 
+// share returns the share of a zone that the agents of a site use.
 func (f *fleet) share(site, zone string) float64 {
 	t := f.machine.Table()
 	return t.Share(site, zone)
 }
 
+// requireShare reports an error if the share of a zone that the agents of a site use differs.
 func (f *fleet) requireShare(site, zone string, share float64) {
 	f.t.Helper()
 	if got := f.share(site, zone); got != share {
@@ -146,8 +149,8 @@
 	f.requireShare("a", "b", 1)
 }
 
-// Two of three zones, and two of four, are never ejected beyond the cap together. One site that alone
-// sees all others unhealthy, or reports nothing, changes nothing.
+// If two of three or two of four zones are unhealthy, the weight ejected for remote agents stays within the cap. A
+// single site that sees all others unhealthy changes nothing, and neither does the absence of all reports.
 func TestEjectionCap(t *testing.T) {
 	for _, n := range []int{3, 4} {
 		f := newFleet(t, Defaults(), strings.Split("abcd", "")[:n]...)
@@ -169,7 +172,7 @@
 	f.reaches = func(string) bool { return false }
 	f.run(time.Minute)
 	if f.machine.Table().Number != 0 {
-		t.Errorf("moved: %+v", f.machine.Table())
+		t.Errorf("the table changed: %+v", f.machine.Table())
 	}
 }
 
@@ -186,7 +189,7 @@
 	f.run(10 * time.Minute)
 	for i, at := range f.largeChanges {
 		if n := slices.IndexFunc(f.largeChanges[i:], func(x time.Duration) bool { return x >= at+time.Minute }); n > 2 || n < 0 && len(f.largeChanges)-i > 2 {
-			t.Errorf("moves at %v", f.largeChanges)
+			t.Errorf("large changes at %v, want at most two in a minute", f.largeChanges)
 		}
 	}
 	if z := f.machine.zone("b").Remote; z.Ejections < 3 || z.Ejections > 12 || z.EjectionTime != f.machine.config.MaxEjectionTime {
@@ -197,8 +200,8 @@
 	f.requireShare("a", "b", 1)
 }
 
-// Whatever the sites observe and whoever can report: the cap holds, and once all is healthy for long
-// enough all zones are fully used again.
+// Whatever the sites observe and whichever of them can report, the cap is never exceeded. Once everything has been
+// healthy for long enough, all zones are fully used again.
 func TestEveryZoneReturns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t, Defaults(), "a", "b", "c")
@@ -206,14 +209,14 @@
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		f.hosts["a"] = rapid.IntRange(1, 30).Draw(rt, "hosts of a")
 		for range rapid.IntRange(1, 8).Draw(rt, "spells") {
-			views, deaf := map[string]Health{}, f.sites[rng.IntN(3)]
+			observed, silent := map[string]Health{}, f.sites[rng.IntN(3)]
 			f.observedHealth = func(site, zone string) Health {
-				if _, ok := views[site+zone]; !ok {
-					views[site+zone] = Health(rng.IntN(3))
+				if _, ok := observed[site+zone]; !ok {
+					observed[site+zone] = Health(rng.IntN(3))
 				}
-				return views[site+zone]
+				return observed[site+zone]
 			}
-			f.reaches = func(site string) bool { return site != deaf }
+			f.reaches = func(site string) bool { return site != silent }
 			f.run(time.Duration(rng.IntN(15000)) * time.Millisecond)
 		}
 		if f.maxEjected > 0.5+1e-9 {
@@ -223,7 +226,7 @@
 		f.run(3 * time.Minute)
 		for _, z := range f.machine.Table().Zones {
 			if z.Local.Share != 1 || z.Remote.Share != 1 {
-				rt.Fatalf("%+v after three minutes without fault", z)
+				rt.Fatalf("%+v after three minutes in which all zones were healthy", z)
 			}
 		}
 	})
@@ -250,7 +253,7 @@
 	if got := old.Table(); got.Number != m.Table().Number || next.Number > got.Number+1 {
 		t.Errorf("%+v, %+v", got, next)
 	}
-	m.Committed(Table{Version: Version, Number: 1}) // an older one
+	m.Committed(Table{Version: Version, Number: 1}) // older than the current table
 	f.requireShare("a", "b", 0)
 }
 
@@ -286,12 +289,12 @@
 	}
 }
 
-// A zone is unhealthy by most of its hosts, or by a quarter of all attempts if half of the hosts failed
-// some. One failing host does not make a zone unhealthy, and few observations leave it unknown.
+// A zone is unhealthy if most of its hosts are, or if a quarter of all attempts failed and half of the hosts had a
+// failure. One failing host does not make a zone unhealthy. With few observations the health is unknown.
 func TestZoneHealth(t *testing.T) {
 	for _, c := range []struct {
-		s    ZoneReport
-		want Health
+		report ZoneReport
+		want   Health
 	}{
 		{ZoneReport{}, Unknown},
 		{ZoneReport{Observed: 1, Attempts: 1}, Healthy},
@@ -302,8 +305,8 @@
 		{ZoneReport{Observed: 8, Unhealthy: 1, WithFailures: 1, Attempts: 30, Failures: 9}, Unknown},
 		{ZoneReport{Observed: 8, Unhealthy: 1, Attempts: 30, Failures: 2}, Healthy},
 	} {
-		if got := c.s.Health(); got != c.want {
-			t.Errorf("%+v: %v, want %v", c.s, got, c.want)
+		if got := c.report.Health(); got != c.want {
+			t.Errorf("%+v: %v, want %v", c.report, got, c.want)
 		}
 	}
 }
--- a/internal/agent/zonefailover/table.go
+++ b/internal/agent/zonefailover/table.go
@@ -7,29 +7,29 @@
 
 // Track is the state of a zone for one group of agents.
 type Track struct {
-	Share        float64       `json:"Share"`  // fraction of its weight that they use
-	EjectionTime time.Duration `json:"Hold"`   // duration of the last ejection, doubled with each further one
+	Share        float64       `json:"Share"`  // fraction of the zone's weight that these agents use; 0 if it is ejected
+	EjectionTime time.Duration `json:"Hold"`   // duration of the last ejection; 0 before the first one
 	Ejections    int           `json:"Leaves"` // number of ejections
 }
 
 // Zone is the state of one zone in a Table.
 type Zone struct {
 	Name string `json:"Name"`
-	// Remote is for the agents of other sites, Local for those of its own.
+	// Remote applies to the agents of other sites, Local to those of the zone's own site.
 	Remote Track `json:"Out"`
 	Local  Track `json:"In"`
 }
 
-// Table is the complete decision. Of two tables the one with the higher Number is newer. Its JSON keys
+// Table is a complete decision on all zones. Of two tables the one with the higher Number is newer. The JSON keys
 // are part of the consensus log and of stored state.
 type Table struct {
 	Version       int            `json:"Version"`
 	Number        uint64         `json:"Number"`
-	Zones         []Zone         `json:"Zones"` // ordered by name; a zone that is not listed is fully used by all
-	TrafficShares []TrafficShare `json:"Parts"` // ordered by site and zone; for a site that is not listed nothing is decided
+	Zones         []Zone         `json:"Zones"` // ordered by name; a zone that is not listed is fully used by all agents
+	TrafficShares []TrafficShare `json:"Parts"` // ordered by site and zone; no shares are decided for a site that is not listed
 }
 
-// Validate returns an error that names the first invalid field of a table of another process.
+// Validate returns an error that names the first invalid field of a table from another process.
 func (t *Table) Validate() error {
 	if t.Version != Version || len(t.Zones) > MaxZones {
 		return fmt.Errorf("table: version %d with %d zones", t.Version, len(t.Zones))
@@ -37,14 +37,16 @@
 	if len(t.TrafficShares) > maxTrafficShareZones*maxTrafficShareZones {
 		return fmt.Errorf("table: parts: %d", len(t.TrafficShares))
 	}
-	for i, p := range t.TrafficShares {
-		if p.Site == "" || len(p.Site) > maxName || p.Zone == "" || len(p.Zone) > maxName || !(p.Share >= 0) || p.Share > 1+1e-9 {
-			return fmt.Errorf("table: parts[%d]: %+v", i, p)
+	for i, s := range t.TrafficShares {
+		if s.Site == "" || len(s.Site) > maxNameLength || s.Zone == "" || len(s.Zone) > maxNameLength || !(s.Share >= 0) || s.Share > 1+1e-9 {
+			return fmt.Errorf("table: parts[%d]: %+v", i, s)
 		}
 	}
 	for i, z := range t.Zones {
-		valid := func(k Track) bool { return k.Share >= 0 && k.Share <= 1 && k.EjectionTime >= 0 && k.Ejections >= 0 }
-		if z.Name == "" || len(z.Name) > maxName || !valid(z.Remote) || !valid(z.Local) {
+		valid := func(track Track) bool {
+			return track.Share >= 0 && track.Share <= 1 && track.EjectionTime >= 0 && track.Ejections >= 0
+		}
+		if z.Name == "" || len(z.Name) > maxNameLength || !valid(z.Remote) || !valid(z.Local) {
 			return fmt.Errorf("table: zones[%d]: %+v", i, z)
 		}
 	}
--- a/internal/agent/zonefailover/trafficshare.go
+++ b/internal/agent/zonefailover/trafficshare.go
@@ -14,37 +14,37 @@
 }
 
 const (
-	// maxTrafficShareZones is the number of zones up to which traffic shares are decided: a table has to fit
-	// one message.
+	// maxTrafficShareZones is the largest number of zones for which traffic shares are decided, because a table
+	// has to fit into one message.
 	maxTrafficShareZones = 5
-	// maxShareChange bounds the change of a share in one decision, minShareChange is the least difference
-	// that causes one.
+	// maxShareChange bounds the change of a share in one decision. minShareChange is the least difference of a
+	// share from its target that causes a decision.
 	maxShareChange, minShareChange = 0.25, 0.05
-	// resumeUtilization is the fraction of capacity that demand must be below for shares to be decided again
-	// after it exceeded capacity.
+	// resumeUtilization is the fraction of the capacity that demand must not exceed before shares are decided
+	// for the first time, or again after demand exceeded the capacity.
 	resumeUtilization = 0.85
 )
 
-// trafficDemand is the demand of each site, as the weight of servers that its clients keep busy, and the
-// capacity of each zone for its own site and for others.
+// trafficDemand contains the demand of each site and the capacity of each zone. Both are weights: a site's demand is
+// the weight of the servers that its clients keep busy.
 type trafficDemand struct {
 	zones          []string
-	region         map[string]string
-	demand         map[string]float64 // by site
-	localCapacity  map[string]float64 // by zone, up to the target utilization
-	remoteCapacity map[string]float64 // as localCapacity, for other sites
+	region         map[string]string  // by site
+	siteDemand     map[string]float64 // by site
+	localCapacity  map[string]float64 // by zone: capacity for its own site at the target utilization
+	remoteCapacity map[string]float64 // by zone: capacity for other sites at the target utilization
 }
 
-// distribute returns the traffic shares by site and zone: first the own zone up to its capacity, then
-// the zones of the region, then all others, in proportion to their free capacity. Demand beyond all
-// capacity is spread in proportion to capacity, so that no zone saturates before another. Cross-zone
-// traffic is minimal: only what exceeds the capacity of the own zone leaves it.
+// distribute returns the traffic shares by site and zone. A site uses its own zone up to the zone's capacity, then
+// the other zones of its region, then all others, in proportion to their free capacity. Demand beyond the total
+// capacity is spread in proportion to the capacity of each zone, so that no zone saturates before another.
+// Cross-zone traffic is minimal: only the demand that exceeds the capacity of the site's own zone leaves it.
 func (demand *trafficDemand) distribute() map[string]map[string]float64 {
 	shares, free, overflow := map[string]map[string]float64{}, map[string]float64{}, map[string]float64{}
 	for _, z := range demand.zones {
-		local := min(demand.demand[z], demand.localCapacity[z])
+		local := min(demand.siteDemand[z], demand.localCapacity[z])
 		free[z] = max(demand.remoteCapacity[z]-local, 0)
-		if d, known := demand.demand[z]; known {
+		if d, known := demand.siteDemand[z]; known {
 			shares[z] = map[string]float64{z: local}
 			overflow[z] = d - local
 		}
@@ -76,15 +76,15 @@
 			overflow[site] -= moved
 		}
 	}
-	for site, parts := range shares {
-		demand.spread(site, overflow[site], parts)
-		normalize(site, parts)
+	for site, zoneShares := range shares {
+		demand.spread(site, overflow[site], zoneShares)
+		normalize(site, zoneShares)
 	}
 	return shares
 }
 
-// spread adds the demand beyond all capacity to the zones, in proportion to the capacity of each.
-func (demand *trafficDemand) spread(site string, overflow float64, parts map[string]float64) {
+// spread adds the demand beyond the total capacity to the shares, in proportion to the capacity of each zone.
+func (demand *trafficDemand) spread(site string, overflow float64, zoneShares map[string]float64) {
 	total := 0.0
 	for _, z := range demand.zones {
 		total += demand.capacity(site, z)
@@ -93,29 +93,29 @@
 		return
 	}
 	for _, z := range demand.zones {
-		parts[z] += overflow * demand.capacity(site, z) / total
+		zoneShares[z] += overflow * demand.capacity(site, z) / total
 	}
 }
 
-// normalize makes the parts add up to one. A site without any keeps its traffic at home.
-func normalize(site string, parts map[string]float64) {
+// normalize scales a site's shares so that their sum is 1. If the sum is 0, the site's own zone gets all traffic.
+func normalize(site string, zoneShares map[string]float64) {
 	sum := 0.0
-	for _, amount := range parts {
+	for _, amount := range zoneShares {
 		sum += amount
 	}
-	for z := range parts {
+	for z := range zoneShares {
 		switch {
 		case sum > 0:
-			parts[z] /= sum
+			zoneShares[z] /= sum
 		case z == site:
-			parts[z] = 1
+			zoneShares[z] = 1
 		default:
-			parts[z] = 0
+			zoneShares[z] = 0
 		}
 	}
 }
 
-// capacity returns the weight that a zone has for a site.
+// capacity returns the capacity of a zone for the clients of a site.
 func (demand *trafficDemand) capacity(site, zone string) float64 {
 	if site == zone {
 		return demand.localCapacity[zone]
@@ -123,41 +123,42 @@
 	return demand.remoteCapacity[zone]
 }
 
-// trafficDemand sums the load that agents report, or returns nil while too little is known.
+// trafficDemand returns the demand and capacity that follow from the agents' reports. It returns nil if the reports
+// show no traffic or no utilization, or if there are fewer than 2 or more than maxTrafficShareZones zones.
 func (m *Machine) trafficDemand(zones []Zone, weight map[string]float64) *trafficDemand {
-	demand := &trafficDemand{region: map[string]string{}, demand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
-	totalRate, utilization, probes := 0.0, map[string]float64{}, map[string]float64{}
+	demand := &trafficDemand{region: map[string]string{}, siteDemand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
+	totalRate, utilizationSum, samples := 0.0, map[string]float64{}, map[string]float64{}
 	for _, r := range m.reports {
 		demand.region[r.Site] = r.Region
-		demand.demand[r.Site] += r.Rate
+		demand.siteDemand[r.Site] += r.Rate // converted to a weight below
 		totalRate += r.Rate
 		for _, z := range r.Zones {
-			utilization[z.Zone] += z.Utilization * float64(z.UtilizationSamples)
-			probes[z.Zone] += float64(z.UtilizationSamples)
+			utilizationSum[z.Zone] += z.Utilization * float64(z.UtilizationSamples)
+			samples[z.Zone] += float64(z.UtilizationSamples)
 		}
 	}
 	busyWeight := 0.0
 	for _, z := range zones {
 		if weight[z.Name] <= 0 {
-			continue // it has no listed servers now
+			continue // the zone has no listed servers now
 		}
 		demand.zones = append(demand.zones, z.Name)
-		if probes[z.Name] > 0 {
-			busyWeight += utilization[z.Name] / probes[z.Name] * weight[z.Name]
+		if samples[z.Name] > 0 {
+			busyWeight += utilizationSum[z.Name] / samples[z.Name] * weight[z.Name]
 		}
 		demand.localCapacity[z.Name], demand.remoteCapacity[z.Name] = m.config.TargetUtilization*weight[z.Name]*z.Local.Share, m.config.TargetUtilization*weight[z.Name]*z.Remote.Share
 	}
 	if len(demand.zones) < 2 || len(demand.zones) > maxTrafficShareZones || totalRate <= 0 || busyWeight <= 0 {
 		return nil
 	}
-	for site := range demand.demand {
-		demand.demand[site] *= busyWeight / totalRate // requests of all sites are assumed to cost the same
+	for site := range demand.siteDemand {
+		demand.siteDemand[site] *= busyWeight / totalRate // assumes that the requests of all sites cost the same
 	}
 	return demand
 }
 
-// moveTrafficShares moves the table's traffic shares one step towards their targets, and reports whether it
-// did.
+// moveTrafficShares moves the traffic shares of the next table by one step towards their targets. It reports
+// whether it changed them.
 func (m *Machine) moveTrafficShares(next *Table, weight map[string]float64) bool {
 	if m.config.TargetUtilization <= 0 || m.now-m.startedAt < m.config.SlowStartStep {
 		return false
@@ -166,20 +167,20 @@
 	if demand == nil {
 		return false
 	}
-	// Shares are decided only while demand is below capacity: beyond that each agent finds the little
-	// free capacity better than shares of past demand would.
+	// Shares are decided only while demand is below capacity. Beyond that, each agent finds the little free
+	// capacity better by itself than with shares that follow from past demand.
 	totalDemand, capacity := 0.0, 0.0
 	for _, z := range demand.zones {
 		capacity += demand.localCapacity[z]
 	}
-	for _, d := range demand.demand {
+	for _, d := range demand.siteDemand {
 		totalDemand += d
 	}
-	switch most := len(next.TrafficShares) > 0; {
-	case most && totalDemand > capacity:
+	switch decided := len(next.TrafficShares) > 0; {
+	case decided && totalDemand > capacity:
 		next.TrafficShares = nil
 		return true
-	case !most && totalDemand > resumeUtilization*capacity, m.now-m.trafficSharesMovedAt < m.config.SlowStartStep:
+	case !decided && totalDemand > resumeUtilization*capacity, m.now-m.trafficSharesMovedAt < m.config.SlowStartStep:
 		return false
 	}
 	total := 0.0
@@ -187,10 +188,12 @@
 		total += weight[z]
 	}
 	var shares []TrafficShare
-	most := 0.0
+	maxDifference := 0.0
 	targets := demand.distribute()
 	for _, site := range demand.zones {
-		unlimitedChange := false // a zone that was ejected or returned: its share follows at once
+		// If a zone that the site uses has lost its capacity, all shares of the site change to their targets at
+		// once, regardless of maxShareChange.
+		unlimitedChange := false
 		for _, zone := range demand.zones {
 			share, _ := m.table.TrafficShare(site, zone)
 			unlimitedChange = unlimitedChange || share > minShareChange && demand.capacity(site, zone) == 0
@@ -198,10 +201,10 @@
 		for _, zone := range demand.zones {
 			share, known := m.table.TrafficShare(site, zone)
 			if !known {
-				share = weight[zone] / total // approximately what agents use without a decision
+				share = weight[zone] / total // approximately the share that agents use without a decision
 			}
 			if target, reported := targets[site][zone], targets[site] != nil; reported {
-				most = max(most, math.Abs(target-share))
+				maxDifference = max(maxDifference, math.Abs(target-share))
 				if unlimitedChange {
 					share = target
 				}
@@ -210,14 +213,14 @@
 			shares = append(shares, TrafficShare{site, zone, share})
 		}
 	}
-	if most < minShareChange {
+	if maxDifference < minShareChange {
 		return false
 	}
 	next.TrafficShares = shares
 	return true
 }
 
-// TrafficShare returns the fraction of a site's traffic that goes to a zone, or false if none is decided.
+// TrafficShare returns the fraction of a site's traffic that goes to a zone, or false if no share is decided.
 func (t *Table) TrafficShare(site, zone string) (float64, bool) {
 	i, ok := slices.BinarySearchFunc(t.TrafficShares, TrafficShare{Site: site, Zone: zone}, func(a, b TrafficShare) int {
 		if c := strings.Compare(a.Site, b.Site); c != 0 {
--- a/internal/agent/zonefailover/trafficshare_test.go
+++ b/internal/agent/zonefailover/trafficshare_test.go
@@ -8,161 +8,163 @@
 	"pgregory.net/rapid"
 )
 
-// Only demand beyond the capacity of its own zone leaves it, whatever demand and capacity are; no zone is
-// used beyond its capacity while the total demand fits; zones of the region come first.
+// For any demand and capacity, only the demand that exceeds the capacity of a site's own zone goes to other zones. No
+// zone is used beyond its capacity as long as the total demand does not exceed the total capacity. Zones of the
+// same region are used first.
 func TestDistribute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &trafficDemand{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
-			demand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
-		demand, room, over := 0.0, 0.0, 0.0
-		for _, z := range w.zones {
-			w.localCapacity[z] = rapid.Float64Range(0, 10).Draw(t, "room of "+z)
-			w.remoteCapacity[z] = w.localCapacity[z]
-			w.demand[z] = rapid.Float64Range(0.01, 10).Draw(t, "demand of "+z)
-			demand, room, over = demand+w.demand[z], room+w.localCapacity[z], over+max(w.demand[z]-w.localCapacity[z], 0)
+		demand := &trafficDemand{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
+			siteDemand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
+		totalDemand, totalCapacity, totalOverflow := 0.0, 0.0, 0.0
+		for _, z := range demand.zones {
+			demand.localCapacity[z] = rapid.Float64Range(0, 10).Draw(t, "capacity of "+z)
+			demand.remoteCapacity[z] = demand.localCapacity[z]
+			demand.siteDemand[z] = rapid.Float64Range(0.01, 10).Draw(t, "demand of "+z)
+			totalDemand, totalCapacity, totalOverflow = totalDemand+demand.siteDemand[z], totalCapacity+demand.localCapacity[z],
+				totalOverflow+max(demand.siteDemand[z]-demand.localCapacity[z], 0)
 		}
-		crossing, filled := 0.0, map[string]float64{}
-		for site, parts := range w.distribute() {
+		crossZone, used := 0.0, map[string]float64{}
+		for site, shares := range demand.distribute() {
 			sum := 0.0
-			for z, x := range parts {
-				if !(x >= 0) || math.IsInf(x, 0) {
-					t.Fatalf("%s sends %v to %s", site, x, z)
+			for z, share := range shares {
+				if !(share >= 0) || math.IsInf(share, 0) {
+					t.Fatalf("%s sends %v to %s", site, share, z)
 				}
-				sum += x
-				filled[z] += x * w.demand[site]
+				sum += share
+				used[z] += share * demand.siteDemand[site]
 				if z != site {
-					crossing += x * w.demand[site]
+					crossZone += share * demand.siteDemand[site]
 				}
 			}
-			if room > 0 && math.Abs(sum-1) > 1e-9 {
-				t.Fatalf("the parts of %s add up to %v", site, sum)
+			if totalCapacity > 0 && math.Abs(sum-1) > 1e-9 {
+				t.Fatalf("the shares of %s add up to %v", site, sum)
 			}
 		}
-		if demand > room {
+		if totalDemand > totalCapacity {
 			return
 		}
-		if crossing > over+1e-6 {
-			t.Fatalf("%v crosses, %v has no room at home", crossing, over)
+		if crossZone > totalOverflow+1e-6 {
+			t.Fatalf("cross-zone traffic is %v, only %v exceeds the capacity of its own zone", crossZone, totalOverflow)
 		}
-		for z, x := range filled {
-			if x > w.localCapacity[z]+1e-6 {
-				t.Fatalf("%s is filled to %v of %v", z, x, w.localCapacity[z])
+		for z, x := range used {
+			if x > demand.localCapacity[z]+1e-6 {
+				t.Fatalf("%s gets %v, its capacity is %v", z, x, demand.localCapacity[z])
 			}
 		}
 	})
-	w := &trafficDemand{zones: []string{"a", "b", "c"}, region: map[string]string{"a": "r", "b": "s", "c": "r"},
-		demand: map[string]float64{"a": 6, "b": 1, "c": 1}, localCapacity: map[string]float64{"a": 4, "b": 4, "c": 2}}
-	w.remoteCapacity = w.localCapacity
-	if got := w.distribute()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 || math.Abs(got["b"]-1.0/6) > 1e-9 {
-		t.Errorf("a of a region with c: %v", got)
+	demand := &trafficDemand{zones: []string{"a", "b", "c"}, region: map[string]string{"a": "r", "b": "s", "c": "r"},
+		siteDemand: map[string]float64{"a": 6, "b": 1, "c": 1}, localCapacity: map[string]float64{"a": 4, "b": 4, "c": 2}}
+	demand.remoteCapacity = demand.localCapacity
+	if got := demand.distribute()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 || math.Abs(got["b"]-1.0/6) > 1e-9 {
+		t.Errorf("shares of a, in one region with c: %v", got)
 	}
-	w.remoteCapacity = map[string]float64{"a": 4, "b": 0, "c": 2} // b is left by others
-	if got := w.distribute()["a"]; got["b"] != 0 || math.Abs(got["a"]+got["c"]-1) > 1e-9 {
-		t.Errorf("b is left: %v", got)
+	demand.remoteCapacity = map[string]float64{"a": 4, "b": 0, "c": 2} // b is ejected for remote agents
+	if got := demand.distribute()["a"]; got["b"] != 0 || math.Abs(got["a"]+got["c"]-1) > 1e-9 {
+		t.Errorf("shares of a while b is ejected: %v", got)
 	}
 }
 
-// Shares move step by step towards their targets, with a pause between two steps, and do not move while
-// demand is steady. The shares of a site that no longer reports stay.
+// Shares move towards their targets in steps, at least SlowStartStep apart, and don't move while demand is steady. The
+// shares of a site that no longer reports stay unchanged.
 func TestTrafficSharesMoveGradually(t *testing.T) {
 	m, err := New(Defaults(), Table{Version: Version})
 	if err != nil {
 		t.Fatal(err)
 	}
-	now, seq, util, rates := time.Duration(0), uint64(0), 0.5, map[string]float64{"a": 100, "b": 100, "c": 100}
-	var moves []time.Duration
-	jumps := false // a zone is left, or back
+	now, seq, utilization, rates := time.Duration(0), uint64(0), 0.5, map[string]float64{"a": 100, "b": 100, "c": 100}
+	var changes []time.Duration // times of the decisions
+	unlimitedChange := false    // whether a share may change by more than maxShareChange, because a zone was ejected or returns
 	run := func(d time.Duration) {
 		for end := now + d; now < end; now += 100 * time.Millisecond {
 			seq++
 			for site, rate := range rates {
 				r := Report{Version: Version, Agent: site, Site: site, Incarnation: 1, Seq: seq, Rate: rate}
 				for _, z := range []string{"a", "b", "c"} {
-					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 10, Observed: 4, Utilization: util, UtilizationSamples: 3})
+					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 10, Observed: 4, Utilization: utilization, UtilizationSamples: 3})
 				}
 				if err := m.Report(now, r); err != nil {
 					t.Fatal(err)
 				}
 			}
-			was := m.Table()
+			before := m.Table()
 			if next, changed := m.Tick(now); changed {
-				for _, p := range next.TrafficShares {
-					if is, known := was.TrafficShare(p.Site, p.Zone); known && !jumps && math.Abs(is-p.Share) > maxShareChange+1e-9 {
-						t.Fatalf("%+v from %v in one step", p, is)
+				for _, s := range next.TrafficShares {
+					if old, known := before.TrafficShare(s.Site, s.Zone); known && !unlimitedChange && math.Abs(old-s.Share) > maxShareChange+1e-9 {
+						t.Fatalf("%+v from %v in one step", s, old)
 					}
 				}
-				moves = append(moves, now)
+				changes = append(changes, now)
 				m.Committed(next)
 			}
 		}
 	}
-	home := func(site string) float64 {
+	localShare := func(site string) float64 {
 		table := m.Table()
-		x, _ := table.TrafficShare(site, site)
-		return x
+		share, _ := table.TrafficShare(site, site)
+		return share
 	}
 	run(30 * time.Second)
-	if home("a") < 0.94 || home("b") < 0.94 {
-		t.Errorf("%v of a's stay at home, where there is room for all", home("a"))
+	if localShare("a") < 0.94 || localShare("b") < 0.94 {
+		t.Errorf("local share of a is %v, want nearly 1 as the capacity suffices", localShare("a"))
 	}
-	for i := range moves[1:] {
-		if moves[i+1]-moves[i] < m.config.SlowStartStep {
-			t.Errorf("moves at %v", moves)
+	for i := range changes[1:] {
+		if changes[i+1]-changes[i] < m.config.SlowStartStep {
+			t.Errorf("changes less than SlowStartStep apart: %v", changes)
 		}
 	}
-	moves = nil
+	changes = nil
 	rates["a"], rates["b"], rates["c"] = 103, 98, 101
 	run(30 * time.Second)
-	if len(moves) != 0 {
-		t.Errorf("moves in calm: %v", moves)
+	if len(changes) != 0 {
+		t.Errorf("changes while demand was steady: %v", changes)
 	}
-	rates["a"], rates["b"], rates["c"] = 200, 50, 50 // demand of 10 of weight 10, filled to 7.5
+	rates["a"], rates["b"], rates["c"] = 200, 50, 50 // a's demand is 10; its capacity is 7.5 of weight 10
 	run(30 * time.Second)
-	if x := home("a"); math.Abs(x-0.75) > 0.06 {
-		t.Errorf("%v of a's stay at home, 0.75 is its room", x)
+	if x := localShare("a"); math.Abs(x-0.75) > 0.06 {
+		t.Errorf("local share of a is %v, want about 0.75", x)
 	}
-	// Where all together want more than there is room for nothing is decided, at once, and not
-	// again before there is some to spare.
+	// When the total demand exceeds the capacity, the shares are removed at once. They are decided again only when
+	// demand is clearly below the capacity.
 	rates["a"], rates["b"], rates["c"] = 100, 100, 100
-	util = 0.8
+	utilization = 0.8
 	run(200 * time.Millisecond)
 	if n := len(m.Table().TrafficShares); n != 0 {
-		t.Errorf("%d parts while all are over their room", n)
+		t.Errorf("%d shares while demand exceeds capacity, want none", n)
 	}
-	util = 0.7
+	utilization = 0.7
 	run(10 * time.Second)
 	if n := len(m.Table().TrafficShares); n != 0 {
-		t.Errorf("%d parts again at the brim", n)
+		t.Errorf("%d shares while demand is just below capacity, want none", n)
 	}
-	util = 0.5
+	utilization = 0.5
 	run(30 * time.Second)
-	if home("b") < 0.94 {
-		t.Errorf("%v of b's stay at home when there is room again", home("b"))
+	if localShare("b") < 0.94 {
+		t.Errorf("local share of b is %v, want nearly 1 as the capacity suffices again", localShare("b"))
 	}
 	rates["a"], rates["b"], rates["c"] = 200, 50, 50
 	run(30 * time.Second)
-	// A zone that is left gets nothing at once, whatever the step.
-	jumps = true
+	// The share of a zone that is ejected drops to 0 at once, even if that exceeds maxShareChange.
+	unlimitedChange = true
 	m.table.Zones[1].Remote = Track{EjectionTime: time.Hour}
 	run(m.config.SlowStartStep + 200*time.Millisecond)
 	if table := m.Table(); true {
-		if x, _ := table.TrafficShare("a", "b"); x != 0 {
-			t.Errorf("%v of a's go to b, which is left", x)
+		if share, _ := table.TrafficShare("a", "b"); share != 0 {
+			t.Errorf("share of b in a's traffic is %v while b is ejected, want 0", share)
 		}
 	}
 	m.table.Zones[1].Remote = Track{Share: 1}
-	// The own one, too, which had more than a step.
+	// The same holds for a's own zone, whose share was larger than maxShareChange.
 	m.table.Zones[0].Local = Track{EjectionTime: time.Hour}
 	run(m.config.SlowStartStep + 200*time.Millisecond)
-	if x := home("a"); x != 0 {
-		t.Errorf("%v of a's stay in their zone, which its agents have left", x)
+	if x := localShare("a"); x != 0 {
+		t.Errorf("local share of a is %v while its zone is ejected for its own agents, want 0", x)
 	}
 	m.table.Zones[0].Local = Track{Share: 1}
 	run(30 * time.Second)
 	delete(rates, "a")
 	run(time.Minute)
-	if x := home("a"); math.Abs(x-0.75) > 0.06 {
-		t.Errorf("%v once it is not heard", x)
+	if x := localShare("a"); math.Abs(x-0.75) > 0.06 {
+		t.Errorf("local share of a is %v after it stopped reporting, want about 0.75", x)
 	}
 	if table := m.Table(); table.Validate() != nil {
 		t.Error(table.Validate())
