--- a/internal/agent/consensus/checksummedstore_test.go
+++ b/internal/agent/consensus/checksummedstore_test.go
@@ -63,7 +63,8 @@
 		t.Errorf("empty log: %v", err)
 	}
 	for i := range uint64(40) {
-		if err := s.StoreLog(&raft.Log{Index: i + 1, Term: 2, Type: raft.LogCommand, Data: bytes.Repeat([]byte{byte(i)}, 300)}); err != nil {
+		if err := s.StoreLog(&raft.Log{Index: i + 1, Term: 2, Type: raft.LogCommand,
+			Data: bytes.Repeat([]byte{byte(i)}, 300)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -110,7 +111,8 @@
 		if rng.IntN(10) == 0 {
 			image = image[:rng.IntN(len(image))]
 		}
-		damaged := filepath.Join(dir, fmt.Sprint("torn-", n)) // a new file each time: after a panic the old one stays locked
+		// Each image has its own file, because a file stays locked after a panic.
+		damaged := filepath.Join(dir, fmt.Sprint("torn-", n))
 		if err := os.WriteFile(damaged, image, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/consensus/fsm.go
+++ b/internal/agent/consensus/fsm.go
@@ -16,7 +16,7 @@
 
 // fsm is the replicated state machine of the raft log. Its state is the newest decision.
 type fsm struct {
-	changed chan struct{} // receives when current was replaced
+	changed chan struct{} // receives a value when current is replaced
 	mu      sync.Mutex
 	current Decision
 }
--- a/internal/agent/consensus/participant.go
+++ b/internal/agent/consensus/participant.go
@@ -123,7 +123,8 @@
 	if err := checksummed.verify(); err != nil {
 		return fmt.Errorf("consensus: log: %s must return under another name: %w", p.config.Self, err)
 	}
-	logger := hclog.New(&hclog.LoggerOptions{Name: "consensus", Level: hclog.Warn, Output: logWriter{}, DisableTime: true})
+	logger := hclog.New(&hclog.LoggerOptions{
+		Name: "consensus", Level: hclog.Warn, Output: logWriter{}, DisableTime: true})
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(p.config.Dir, 2, logger)
 	if err != nil {
 		return fmt.Errorf("consensus: snapshots: %w", err)
@@ -132,12 +133,14 @@
 	if err != nil {
 		return fmt.Errorf("consensus: bind: %w", err)
 	}
-	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: streams, MaxPool: 2, Timeout: 2 * p.config.Heartbeat, Logger: logger})
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream: streams, MaxPool: 2, Timeout: 2 * p.config.Heartbeat, Logger: logger})
 	defer func() { err = errors.Join(err, transport.Close()) }()
 	machine := &fsm{changed: make(chan struct{}, 1)}
 	raftConfig := raft.DefaultConfig()
 	raftConfig.LocalID, raftConfig.Logger = raft.ServerID(p.config.Self), logger
-	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout = p.config.Heartbeat, p.config.Heartbeat, p.config.Heartbeat/2
+	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout =
+		p.config.Heartbeat, p.config.Heartbeat, p.config.Heartbeat/2
 	raftConfig.CommitTimeout = min(raftConfig.CommitTimeout, p.config.Heartbeat/10)
 	raftConfig.TrailingLogs, raftConfig.SnapshotThreshold = trailingLogs, snapshotThreshold
 	if has, err := raft.HasExistingState(checksummed, checksummed, snapshots); err != nil {
@@ -145,9 +148,11 @@
 	} else if !has {
 		var servers raft.Configuration
 		for _, v := range p.config.Voters {
-			servers.Servers = append(servers.Servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(v.Name), Address: raft.ServerAddress(v.Addr)})
+			servers.Servers = append(servers.Servers,
+				raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(v.Name), Address: raft.ServerAddress(v.Addr)})
 		}
-		if err := raft.BootstrapCluster(raftConfig, checksummed, checksummed, snapshots, transport, servers); err != nil {
+		if err := raft.BootstrapCluster(
+			raftConfig, checksummed, checksummed, snapshots, transport, servers); err != nil {
 			return fmt.Errorf("consensus: first start: %w", err)
 		}
 	}
@@ -160,12 +165,13 @@
 }
 
 // openLog opens the library's store. If the library panics because the file is damaged, openLog returns an error.
-func openLog(path string) (disk *raftboltdb.BoltStore, err error) {
+func openLog(path string) (store *raftboltdb.BoltStore, err error) {
 	err = snapshot.RecoverFaults(func() error {
-		disk, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}})
+		store, err = raftboltdb.New(raftboltdb.Options{Path: path,
+			BoltOptions: &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType}})
 		return err
 	})
-	return disk, err
+	return store, err
 }
 
 // runLoop proposes tables while this voter leads, and publishes decisions.
@@ -198,7 +204,8 @@
 		case <-log.changed:
 			d := log.decision()
 			machine.Committed(d.Table)
-			slog.Info("consensus: table committed", "term", d.Term, "index", d.Index, "number", d.Table.Number, "zones", fmt.Sprintf("%+v", d.Table.Zones))
+			slog.Info("consensus: table committed", "term", d.Term, "index", d.Index, "number", d.Table.Number,
+				"zones", fmt.Sprintf("%+v", d.Table.Zones))
 			p.onDecision(d)
 		case err := <-applied:
 			proposing = false
@@ -271,7 +278,9 @@
 		return fmt.Errorf("consensus: dir: it belongs to voter %q, this is %q", owner, p.config.Self)
 	}
 	if info, err := os.Stat(filepath.Join(p.config.Dir, logFile)); err != nil || info.Size() == 0 {
-		return fmt.Errorf("consensus: dir: %s has voted, and its log is missing (%w): it must return under another name", p.config.Self, err)
+		return fmt.Errorf(
+			"consensus: dir: %s has voted, and its log is missing (%w): it must return under another name",
+			p.config.Self, err)
 	}
 	return nil
 }
--- a/internal/agent/consensus/participant_test.go
+++ b/internal/agent/consensus/participant_test.go
@@ -53,7 +53,8 @@
 	zones := zonefailover.Defaults()
 	zones.EjectionTime, zones.SlowStartStep = 100*time.Millisecond, 50*time.Millisecond
 	for _, v := range all {
-		c.configs = append(c.configs, Config{Self: v.Name, Voters: all, Bind: v.Addr, Dir: filepath.Join(t.TempDir(), v.Name), Zones: zones, Heartbeat: 400 * time.Millisecond})
+		c.configs = append(c.configs, Config{Self: v.Name, Voters: all, Bind: v.Addr,
+			Dir: filepath.Join(t.TempDir(), v.Name), Zones: zones, Heartbeat: 400 * time.Millisecond})
 	}
 	c.voters = make([]*runningVoter, 3)
 	for i := range c.configs {
@@ -109,8 +110,11 @@
 		c.seq++
 		for _, v := range c.voters {
 			for _, site := range []string{"a", "b", "c"} {
-				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site, Incarnation: 1, Seq: c.seq,
-					Zones: []zonefailover.ZoneReport{{Zone: "a", Weight: 1, Observed: 4}, {Zone: "b", Weight: 1, Observed: 4}, {Zone: "c", Weight: 1, Observed: 4}}}
+				r := zonefailover.Report{Version: zonefailover.Version, Agent: "agent-" + site, Site: site,
+					Incarnation: 1, Seq: c.seq, Zones: []zonefailover.ZoneReport{
+						{Zone: "a", Weight: 1, Observed: 4},
+						{Zone: "b", Weight: 1, Observed: 4},
+						{Zone: "c", Weight: 1, Observed: 4}}}
 				if unhealthy {
 					r.Zones[1].Unhealthy = 4
 				}
@@ -123,7 +127,8 @@
 	}
 }
 
-// hasShare returns a condition that is true if all running voters have decided a share of a zone for site a.
+// hasShare returns a condition: whether the newest table of each running voter gives the agents of site a the wanted
+// share of a zone.
 func (c *cluster) hasShare(zone string, want float64) func() bool {
 	return func() bool {
 		for _, v := range c.voters {
@@ -193,7 +198,7 @@
 	c.reportUntil("zone b has returned at the restarted voter", false, c.hasShare("b", 1))
 	c.stop((first + 1) % 3)
 	c.stop((first + 2) % 3)
-	// One voter runs alone and receives reports that zone b is unhealthy.
+	// One voter runs alone; if it was the leader, its lease expires. It receives reports that zone b is unhealthy.
 	c.leader()
 	for range 100 {
 		c.reportUntil("reports were sent", true, func() bool { return c.seq%3 == 0 })
@@ -215,25 +220,33 @@
 	if err := os.Remove(filepath.Join(c.configs[0].Dir, logFile)); err != nil {
 		t.Fatal(err)
 	}
-	if err := New(c.configs[0], nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "its log is missing") {
+	if err := New(c.configs[0], nil).Run(t.Context()); err == nil ||
+		!strings.Contains(err.Error(), "its log is missing") {
 		t.Errorf("%v", err)
 	}
 	c.stop(1)
 	other := c.configs[1]
 	other.Self = "v2"
-	if err := New(other, nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), `it belongs to voter "v1"`) {
+	if err := New(other, nil).Run(t.Context()); err == nil ||
+		!strings.Contains(err.Error(), `it belongs to voter "v1"`) {
 		t.Errorf("%v", err)
 	}
 }
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
-	good := Config{Self: "a", Voters: []Voter{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}}, Bind: "127.0.0.1:1",
-		Dir: "x", Zones: zonefailover.Defaults(), Heartbeat: time.Second}
+	good := Config{Self: "a", Voters: []Voter{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}},
+		Bind: "127.0.0.1:1", Dir: "x", Zones: zonefailover.Defaults(), Heartbeat: time.Second}
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for key, change := range map[string]func(*Config){"voters": func(c *Config) { c.Voters = c.Voters[:2] }, "voters: c": func(c *Config) { c.Voters = []Voter{c.Voters[0], c.Voters[2], c.Voters[2]} },
-		"dir": func(c *Config) { c.Dir = "" }, "bind": func(c *Config) { c.Bind = "" }, "heartbeat": func(c *Config) { c.Heartbeat = 0 }, "most": func(c *Config) { c.Zones.MaxEjectedFraction = 0 }} {
+	for key, change := range map[string]func(*Config){
+		"voters":    func(c *Config) { c.Voters = c.Voters[:2] },
+		"voters: c": func(c *Config) { c.Voters = []Voter{c.Voters[0], c.Voters[2], c.Voters[2]} },
+		"dir":       func(c *Config) { c.Dir = "" },
+		"bind":      func(c *Config) { c.Bind = "" },
+		"heartbeat": func(c *Config) { c.Heartbeat = 0 },
+		"most":      func(c *Config) { c.Zones.MaxEjectedFraction = 0 },
+	} {
 		c := good
 		change(&c)
 		if err := c.Validate(); err == nil || !strings.HasPrefix(err.Error(), key) {
--- a/internal/agent/consensus/streamlayer.go
+++ b/internal/agent/consensus/streamlayer.go
@@ -64,7 +64,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &streamLayer{Listener: ln, localAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}, openConns: map[net.Conn]bool{}}, nil
+	return &streamLayer{Listener: ln, localAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP},
+		openConns: map[net.Conn]bool{}}, nil
 }
 
 // trackedConn is a connection that a streamLayer tracks until it is closed.
--- a/internal/agent/coordination/coordinator.go
+++ b/internal/agent/coordination/coordinator.go
@@ -74,7 +74,7 @@
 	ready           chan struct{}
 	mu              sync.Mutex            // guards the fields below
 	overrides       []agent.Override      // next overrides; TTL holds the expiry time on the coordinator's clock
-	pendingAttempts map[outlier.Host]bool // attempts requested but not yet taken; true for a health check, false for a trial
+	pendingAttempts map[outlier.Host]bool // requested and not yet taken; true for a health check, false for a trial
 	zoneOverrides   []agent.ZoneOverride  // next zone overrides; TTL holds the expiry time as in overrides
 	fetchList       bool
 	peerReports     map[string]agent.Target
@@ -97,15 +97,18 @@
 	if err := cfg.Vote.Validate(); err != nil {
 		return nil, fmt.Errorf("coordination: %w", err)
 	}
-	cfg.Site.Self, cfg.Site.Members, cfg.Site.Seed = cfg.Membership.Name, cfg.Vote.Electorate.Members, cfg.Membership.Incarnation
+	cfg.Site.Self, cfg.Site.Members, cfg.Site.Seed =
+		cfg.Membership.Name, cfg.Vote.Electorate.Members, cfg.Membership.Incarnation
 	if err := cfg.Site.Validate(); err != nil {
 		return nil, fmt.Errorf("coordination: %w", err)
 	}
-	coordinator := &Coordinator{config: cfg, voteMailbox: supervisor.NewMailbox(voteMailboxSize), siteMailbox: supervisor.NewMailbox(siteMailboxSize), startedAt: time.Now(), ready: make(chan struct{}, 1),
+	coordinator := &Coordinator{config: cfg, voteMailbox: supervisor.NewMailbox(voteMailboxSize),
+		siteMailbox: supervisor.NewMailbox(siteMailboxSize), startedAt: time.Now(), ready: make(chan struct{}, 1),
 		pendingAttempts: map[outlier.Host]bool{}, peerReports: map[string]agent.Target{}, snapshot: cfg.Restored}
 	if cfg.TraceFile != "" {
 		var err error
-		if coordinator.trace, err = openTrace(cfg.TraceFile, cfg.Membership.Name, cfg.Membership.Incarnation); err != nil {
+		if coordinator.trace, err = openTrace(cfg.TraceFile, cfg.Membership.Name,
+			cfg.Membership.Incarnation); err != nil {
 			return nil, fmt.Errorf("coordination: trace: %w", err)
 		}
 	}
@@ -116,7 +119,8 @@
 			return nil, fmt.Errorf("coordination: consensus: %w", err)
 		}
 		if c.IsVoter() {
-			coordinator.consensus = consensus.New(*c, func(d consensus.Decision) { coordinator.siteMailbox.Put(localDecision{d}) })
+			coordinator.consensus = consensus.New(*c,
+				func(d consensus.Decision) { coordinator.siteMailbox.Put(localDecision{d}) })
 		}
 	}
 	coordinator.supervisor = supervisor.NewSupervisor(ctx, nil)
@@ -143,7 +147,8 @@
 	hosts := make([]outlier.ListedHost, 0, len(list))
 	for _, t := range list {
 		if t.State == "up" {
-			hosts = append(hosts, outlier.ListedHost{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)}, Zone: t.Zone, Weight: max(t.Weight, 0)})
+			hosts = append(hosts, outlier.ListedHost{Host: outlier.Host{ID: t.ID, Incarnation: int64(t.StartedMs)},
+				Zone: t.Zone, Weight: max(t.Weight, 0)})
 		}
 	}
 	m := serverList{hosts, entries(list, stalerouting.UnknownAge)}
@@ -176,8 +181,10 @@
 		c.siteMailbox.Put(signalReceived{stalerouting.RequestServed})
 	}
 	now := c.now()
-	c.voteMailbox.Put(observation{outlier.Observation{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)}, Class: s.Class, Outcome: kind,
-		LatencyRatio: s.Latency.Seconds() / c.config.LatencyTargets[s.Class].Seconds(), Sent: now - s.Latency, Ended: now, Probe: s.Probe, Utilization: s.Utilization}})
+	c.voteMailbox.Put(observation{outlier.Observation{Host: outlier.Host{ID: s.ID, Incarnation: int64(s.StartedMs)},
+		Class: s.Class, Outcome: kind,
+		LatencyRatio: s.Latency.Seconds() / c.config.LatencyTargets[s.Class].Seconds(), Sent: now - s.Latency,
+		Ended: now, Probe: s.Probe, Utilization: s.Utilization}})
 }
 
 // outcomeOf maps the status of an attempt to an outcome for its host's health. It returns false if the status
--- a/internal/agent/coordination/coordinator_test.go
+++ b/internal/agent/coordination/coordinator_test.go
@@ -19,7 +19,9 @@
 
 // newIdleCoordinator returns a coordinator whose tasks don't run.
 func newIdleCoordinator() *Coordinator {
-	return &Coordinator{startedAt: time.Now(), voteMailbox: supervisor.NewMailbox(8), siteMailbox: supervisor.NewMailbox(8), peerReports: map[string]agent.Target{}, ready: make(chan struct{}, 1), pendingAttempts: map[outlier.Host]bool{}, config: Config{LatencyTargets: []time.Duration{time.Second}}}
+	return &Coordinator{startedAt: time.Now(), voteMailbox: supervisor.NewMailbox(8),
+		siteMailbox: supervisor.NewMailbox(8), peerReports: map[string]agent.Target{}, ready: make(chan struct{}, 1),
+		pendingAttempts: map[outlier.Host]bool{}, config: Config{LatencyTargets: []time.Duration{time.Second}}}
 }
 
 // Overrides that the event loop has not taken are replaced by newer ones, but no requested attempt is lost, and
@@ -60,7 +62,8 @@
 // counts as unanswered, not as a failure.
 func TestObservations(t *testing.T) {
 	c := newIdleCoordinator()
-	for _, s := range []agent.Observation{{Status: policy.Cancelled}, {Status: policy.NotSent}, {Status: policy.OK, Class: 7}} {
+	for _, s := range []agent.Observation{{Status: policy.Cancelled}, {Status: policy.NotSent},
+		{Status: policy.OK, Class: 7}} {
 		c.AttemptEnded(s)
 	}
 	if m, ok := c.voteMailbox.Poll(); ok {
@@ -68,7 +71,8 @@
 	}
 	c.AttemptEnded(agent.Observation{ID: "a", Status: policy.ConnectFailed, Probe: true, Latency: time.Second / 2})
 	m, _ := c.voteMailbox.Poll()
-	if s, ok := m.(observation); !ok || s.Outcome != outlier.NoAnswer || !s.Probe || s.LatencyRatio != 0.5 || s.Ended-s.Sent != time.Second/2 {
+	if s, ok := m.(observation); !ok || s.Outcome != outlier.NoAnswer || !s.Probe || s.LatencyRatio != 0.5 ||
+		s.Ended-s.Sent != time.Second/2 {
 		t.Errorf("got %+v", m)
 	}
 }
@@ -77,7 +81,8 @@
 // a queued one.
 func TestMessagesMerge(t *testing.T) {
 	c := newIdleCoordinator()
-	newer, older := &ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 2}, &ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 1}
+	newer, older := &ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 2},
+		&ejection.VoteMessage{From: "a", Incarnation: 1, Sent: 1}
 	c.voteMailbox.Put(voteMessage{newer})
 	c.voteMailbox.Put(voteMessage{older})
 	c.voteMailbox.Put(voteMessage{&ejection.VoteMessage{From: "b"}})
@@ -98,7 +103,10 @@
 // The coordinator starts and stops its tasks even if gossip fails. Here its address is not an address of this
 // machine, so gossip fails and is restarted while the other tasks run.
 func TestTasksStopThoughGossipFails(t *testing.T) {
-	cfg := Config{Vote: ejection.Defaults(), Site: stalerouting.Defaults(), Membership: membership.Config{Fleet: "k", Name: "a", Bind: "192.0.2.1:7946", Seeds: []string{"192.0.2.1:7946"}}, LatencyTargets: []time.Duration{time.Second}}
+	cfg := Config{Vote: ejection.Defaults(), Site: stalerouting.Defaults(),
+		Membership: membership.Config{
+			Fleet: "k", Name: "a", Bind: "192.0.2.1:7946", Seeds: []string{"192.0.2.1:7946"}},
+		LatencyTargets: []time.Duration{time.Second}}
 	if _, err := Start(t.Context(), cfg); err == nil {
 		t.Error("started without an electorate")
 	}
--- a/internal/agent/coordination/directives.go
+++ b/internal/agent/coordination/directives.go
@@ -24,12 +24,13 @@
 			c.pendingAttempts[s.Host] = s.Probe
 		}
 		probe, pending := c.pendingAttempts[s.Host]
-		c.overrides = append(c.overrides, agent.Override{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation), ShareFactor: s.Share,
-			TTL: s.Until, Trial: pending && !probe, Probe: pending && probe})
+		c.overrides = append(c.overrides, agent.Override{ID: s.Host.ID, StartedMs: float64(s.Host.Incarnation),
+			ShareFactor: s.Share, TTL: s.Until, Trial: pending && !probe, Probe: pending && probe})
 	}
 	for h, probe := range c.pendingAttempts {
 		if !listed[h] {
-			c.overrides = append(c.overrides, agent.Override{ID: h.ID, StartedMs: float64(h.Incarnation), ShareFactor: 1, Trial: !probe, Probe: probe})
+			c.overrides = append(c.overrides, agent.Override{ID: h.ID, StartedMs: float64(h.Incarnation),
+				ShareFactor: 1, Trial: !probe, Probe: probe})
 		}
 	}
 	c.wake()
@@ -93,7 +94,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	directives := agent.Directives{Overrides: slices.Clone(c.overrides), ZoneOverrides: slices.Clone(c.zoneOverrides), FetchList: c.fetchList}
+	directives := agent.Directives{Overrides: slices.Clone(c.overrides), ZoneOverrides: slices.Clone(c.zoneOverrides),
+		FetchList: c.fetchList}
 	for i := range directives.Overrides {
 		directives.Overrides[i].TTL = max(directives.Overrides[i].TTL-now, 0)
 	}
--- a/internal/agent/coordination/messages.go
+++ b/internal/agent/coordination/messages.go
@@ -27,8 +27,8 @@
 // Overflow implements supervisor.Message. The new observation is dropped, because many similar ones are queued.
 func (observation) Overflow() supervisor.OverflowPolicy { return supervisor.DropNewest }
 
-// Overflow implements supervisor.Message. A server list, a vote message and a change of the members must not be
-// lost: each replaces a queued one that is older, or displaces the oldest message.
+// Overflow implements supervisor.Message. A server list, a vote message and a change of the members displace the
+// oldest queued message, unless MergeInto lets them replace an older one of their kind.
 func (serverList) Overflow() supervisor.OverflowPolicy { return supervisor.DropOldest }
 
 func (m serverList) MergeInto(q supervisor.Message) (supervisor.Message, bool) {
@@ -105,7 +105,8 @@
 // LocalState implements membership.Handler. It returns the server set with current ages.
 func (s messageHandler) LocalState() []byte {
 	current := s.coordinator.Snapshot()
-	body, err := membership.Encode(siteState{stalerouting.Version, s.coordinator.config.Membership.Name, s.coordinator.config.Membership.Zone, current.Entries})
+	body, err := membership.Encode(siteState{stalerouting.Version, s.coordinator.config.Membership.Name,
+		s.coordinator.config.Membership.Zone, current.Entries})
 	if err != nil {
 		slog.Error("site: server set not sent", "err", err)
 		return nil
--- a/internal/agent/coordination/promisestore.go
+++ b/internal/agent/coordination/promisestore.go
@@ -37,7 +37,9 @@
 // openPromiseStore opens a voter's directory. It returns how long promises of earlier runs may still be in
 // force, even if those runs had longer leases than the current configuration, or maxRemaining if that is not
 // known. It stores that duration again before it returns.
-func openPromiseStore(dir string, maxRemaining time.Duration) (promises *promiseStore, remaining time.Duration, err error) {
+func openPromiseStore(
+	dir string, maxRemaining time.Duration,
+) (promises *promiseStore, remaining time.Duration, err error) {
 	store, generation, problems, err := snapshot.Open(dir, snapshot.Now)
 	for _, p := range problems {
 		slog.Warn("vote: stored promises rejected", "where", p.Where, "why", p.Reason)
@@ -47,7 +49,8 @@
 	}
 	remaining = maxRemaining
 	if generation != nil && generation.AgeKnown && generation.Complete && len(problems) == 0 {
-		if r, ok := generation.Tables[promiseTable][promiseKey]; ok && r.Version == promiseVersion && len(r.Value) == 8 {
+		if r, ok := generation.Tables[promiseTable][promiseKey]; ok && r.Version == promiseVersion &&
+			len(r.Value) == 8 {
 			if stored := time.Duration(binary.BigEndian.Uint64(r.Value)); stored >= 0 && stored <= maxPromiseDuration {
 				remaining = max(stored-generation.Age, 0)
 			}
@@ -78,7 +81,8 @@
 	s.writes.Add(1)
 	go func() {
 		defer s.writes.Done()
-		s.saved <- writeResult{promisesUntil, s.save(promisesUntil - now)} // never blocks: one write is in flight at a time
+		// This never blocks, because one write is in flight at a time.
+		s.saved <- writeResult{promisesUntil, s.save(promisesUntil - now)}
 	}()
 }
 
--- a/internal/agent/coordination/site.go
+++ b/internal/agent/coordination/site.go
@@ -21,7 +21,8 @@
 const maxPeerReports = stalerouting.MaxEntries
 
 // states maps the state names that discovery uses to states.
-var states = map[string]stalerouting.State{"up": stalerouting.Up, "draining": stalerouting.Draining, "removed": stalerouting.Removed}
+var states = map[string]stalerouting.State{"up": stalerouting.Up, "draining": stalerouting.Draining,
+	"removed": stalerouting.Removed}
 
 // entries converts a server list to entries of the given age. A server in an unknown state counts as
 // draining, as it does for the agent itself. Servers without an ID are omitted.
@@ -51,7 +52,9 @@
 	if _, err := servers.Merge(c.now(), c.Snapshot().Entries); err != nil {
 		return err
 	}
-	s := &siteTask{coordinator: c, uplink: uplink, servers: servers, decisions: stalerouting.NewDecisionCache(c.config.MaxDecisionAge), rng: rand.New(rand.NewPCG(c.config.Membership.Incarnation, 5))}
+	s := &siteTask{coordinator: c, uplink: uplink, servers: servers,
+		decisions: stalerouting.NewDecisionCache(c.config.MaxDecisionAge),
+		rng:       rand.New(rand.NewPCG(c.config.Membership.Incarnation, 5))}
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -76,7 +79,7 @@
 	servers              *stalerouting.ServerSet
 	zones                []string // zones of the listed servers
 	phase                stalerouting.Phase
-	remoteShare          float64       // fraction of their shares that zones outside the site get while phase is not Connected
+	remoteShare          float64       // fraction of their shares that other zones get while phase is not Connected
 	remoteShareExpiresAt time.Duration // time until which remoteShare is valid
 	decisions            *stalerouting.DecisionCache
 	otherAgents          []string // live agents except this one
@@ -84,6 +87,7 @@
 	renewAt              time.Duration // time at which the zone overrides are renewed
 }
 
+// handleMessage handles one message of the mailbox.
 func (s *siteTask) handleMessage(msg supervisor.Message) {
 	c, now := s.coordinator, s.coordinator.now()
 	switch m := msg.(type) {
@@ -118,6 +122,7 @@
 	}
 }
 
+// handleServerList updates the zones and merges the list into the server set.
 func (s *siteTask) handleServerList(now time.Duration, list serverList) {
 	s.zones = s.zones[:0]
 	for _, host := range list.hosts {
@@ -132,6 +137,7 @@
 	}
 }
 
+// handleMembers updates the agents to which decisions are sent and the agents that the uplink pings.
 func (s *siteTask) handleMembers(now time.Duration, members membersChanged) {
 	self := &s.coordinator.config.Membership
 	var remote []string
@@ -166,7 +172,8 @@
 // publishSnapshot stores the task's state as the coordinator's Snapshot.
 func (s *siteTask) publishSnapshot() {
 	now := s.coordinator.now()
-	s.coordinator.setSnapshot(Snapshot{Isolated: s.phase == stalerouting.Isolated, Entries: s.servers.Entries(now)}, now)
+	s.coordinator.setSnapshot(
+		Snapshot{Isolated: s.phase == stalerouting.Isolated, Entries: s.servers.Entries(now)}, now)
 }
 
 // applyActions carries out the actions that the uplink requests.
@@ -183,8 +190,10 @@
 	}
 	if actions.Phase != s.phase {
 		s.phase = actions.Phase
-		slog.Info("site: "+actions.Phase.String(), "zone", c.config.Membership.Zone, "agreed", actions.IsolatedMembers, "members", len(c.config.Site.Members))
-		c.trace.write(TraceLine{Kind: actions.Phase.String(), Attempts: actions.IsolatedMembers, RemainingMs: max(actions.Until-c.now(), 0).Milliseconds()}, c.now(), c.now())
+		slog.Info("site: "+actions.Phase.String(), "zone", c.config.Membership.Zone, "agreed", actions.IsolatedMembers,
+			"members", len(c.config.Site.Members))
+		c.trace.write(TraceLine{Kind: actions.Phase.String(), Attempts: actions.IsolatedMembers,
+			RemainingMs: max(actions.Until-c.now(), 0).Milliseconds()}, c.now(), c.now())
 		s.publishSnapshot()
 	}
 	s.remoteShare, s.remoteShareExpiresAt = actions.Share, actions.Until
@@ -214,7 +223,8 @@
 	if !valid || wasValid && !changed {
 		return
 	}
-	slog.Info("site: zones decided", "term", d.Term, "index", d.Index, "age", d.Age.String(), "zones", fmt.Sprintf("%+v", d.Table.Zones))
+	slog.Info("site: zones decided", "term", d.Term, "index", d.Index, "age", d.Age.String(),
+		"zones", fmt.Sprintf("%+v", d.Table.Zones))
 	ejected, reduced := 0, 0
 	for _, z := range d.Table.Zones {
 		switch share := d.Table.Share(s.coordinator.config.Membership.Zone, z.Name); {
@@ -225,7 +235,8 @@
 			reduced++
 		}
 	}
-	s.coordinator.trace.write(TraceLine{Kind: "zones", Electorate: d.Index, Attempts: ejected, Failures: reduced, RemainingMs: d.Age.Milliseconds()}, now, now)
+	s.coordinator.trace.write(TraceLine{Kind: "zones", Electorate: d.Index, Attempts: ejected, Failures: reduced,
+		RemainingMs: d.Age.Milliseconds()}, now, now)
 	s.sendDecision(d, decisionFanout)
 	s.updateZoneOverrides(false)
 }
@@ -254,7 +265,8 @@
 			}
 		}
 		if zone != ownZone && s.phase != stalerouting.Connected {
-			override.ShareFactor, override.ReachableShare, override.TTL = override.ShareFactor*s.remoteShare, s.remoteShare, min(override.TTL, s.remoteShareExpiresAt)
+			override.ShareFactor, override.ReachableShare, override.TTL =
+				override.ShareFactor*s.remoteShare, s.remoteShare, min(override.TTL, s.remoteShareExpiresAt)
 		}
 		if override.ShareFactor < 1 || override.TrafficShare > 0 || valid && len(decision.Table.TrafficShares) > 0 {
 			out = append(out, override)
--- a/internal/agent/coordination/site_test.go
+++ b/internal/agent/coordination/site_test.go
@@ -25,9 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &siteTask{coordinator: c, uplink: uplink, servers: stalerouting.NewServerSet(), decisions: stalerouting.NewDecisionCache(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
+	s := &siteTask{coordinator: c, uplink: uplink, servers: stalerouting.NewServerSet(),
+		decisions: stalerouting.NewDecisionCache(10 * time.Second), rng: rand.New(rand.NewPCG(1, 2))}
 	s.handleMessage(serverList{hosts: []outlier.ListedHost{{Zone: "x"}, {Zone: "z"}, {Zone: "y"}, {Zone: "z"}},
-		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}}, stalerouting.UnknownAge)})
+		entries: entries([]agent.Target{{ID: "s", State: "up"}, {ID: "d", State: "paused"}, {State: "up"}},
+			stalerouting.UnknownAge)})
 	return s
 }
 
@@ -36,10 +38,12 @@
 func TestZoneOverridesOfIsolatedSite(t *testing.T) {
 	s := newIdleSiteTask(t)
 	c := s.coordinator
-	s.applyActions(&stalerouting.Actions{Phase: stalerouting.Isolated, Until: c.now() + time.Minute, Changed: true, QueryDiscovery: true})
+	s.applyActions(&stalerouting.Actions{Phase: stalerouting.Isolated, Until: c.now() + time.Minute, Changed: true,
+		QueryDiscovery: true})
 	<-c.Ready()
 	o := c.Directives()
-	if len(o.ZoneOverrides) != 2 || o.ZoneOverrides[0].Zone != "y" || o.ZoneOverrides[1].Zone != "z" || o.ZoneOverrides[0].ShareFactor != 0 || !o.FetchList ||
+	if len(o.ZoneOverrides) != 2 || o.ZoneOverrides[0].Zone != "y" || o.ZoneOverrides[1].Zone != "z" ||
+		o.ZoneOverrides[0].ShareFactor != 0 || !o.FetchList ||
 		o.ZoneOverrides[0].TTL <= 0 || o.ZoneOverrides[0].TTL > time.Minute {
 		t.Errorf("%+v", o)
 	}
@@ -50,7 +54,8 @@
 	if o := c.Directives(); o.ZoneOverrides[0].TTL != 0 || o.FetchList {
 		t.Errorf("after a pause: %+v", o)
 	}
-	s.applyActions(&stalerouting.Actions{Phase: stalerouting.Recovering, Share: 0.3, Until: c.now() + time.Minute, Changed: true})
+	s.applyActions(&stalerouting.Actions{Phase: stalerouting.Recovering, Share: 0.3, Until: c.now() + time.Minute,
+		Changed: true})
 	if o := c.Directives(); len(o.ZoneOverrides) != 2 || o.ZoneOverrides[1].ShareFactor != 0.3 {
 		t.Errorf("%+v", o)
 	}
@@ -73,8 +78,10 @@
 	if o := c.Directives(); len(o.PeerReports) != 0 {
 		t.Errorf("got %+v, want no peer reports", o.PeerReports)
 	}
-	s.handleMessage(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Draining}, stalerouting.Entry{ID: "n", Incarnation: 5}))
-	if o := c.Directives(); len(o.PeerReports) != 2 || o.PeerReports[0].ID != "n" || o.PeerReports[0].StartedMs != 5 || o.PeerReports[1].State != "draining" {
+	s.handleMessage(set("x", stalerouting.Entry{ID: "s", State: stalerouting.Draining},
+		stalerouting.Entry{ID: "n", Incarnation: 5}))
+	if o := c.Directives(); len(o.PeerReports) != 2 || o.PeerReports[0].ID != "n" || o.PeerReports[0].StartedMs != 5 ||
+		o.PeerReports[1].State != "draining" {
 		t.Errorf("peer reports %+v", o.PeerReports)
 	}
 	if o := c.Directives(); len(o.PeerReports) != 0 {
@@ -93,7 +100,8 @@
 	s := newIdleSiteTask(t)
 	c := s.coordinator
 	s.handleMessage(ping{From: "c"})
-	if m, ok := c.gossip.Mailbox().Poll(); !ok || m.(membership.Send).To != "c" || m.(membership.Send).Kind != KindPing {
+	if m, ok := c.gossip.Mailbox().Poll(); !ok || m.(membership.Send).To != "c" ||
+		m.(membership.Send).Kind != KindPing {
 		t.Errorf("%+v", m)
 	}
 	body, err := membership.Encode(ping{From: "c", Pong: true})
@@ -142,10 +150,13 @@
 	s := newIdleSiteTask(t)
 	c := s.coordinator
 	table := func(number uint64, ejected string, localShare float64) zonefailover.Table {
-		return zonefailover.Table{Version: zonefailover.Version, Number: number, Zones: []zonefailover.Zone{{Name: ejected, Local: zonefailover.Track{Share: 1}}},
-			TrafficShares: []zonefailover.TrafficShare{{Site: "x", Zone: "x", Share: localShare}, {Site: "x", Zone: "y", Share: 1 - localShare}, {Site: "x", Zone: "z"}}}
+		return zonefailover.Table{Version: zonefailover.Version, Number: number,
+			Zones: []zonefailover.Zone{{Name: ejected, Local: zonefailover.Track{Share: 1}}},
+			TrafficShares: []zonefailover.TrafficShare{{Site: "x", Zone: "x", Share: localShare},
+				{Site: "x", Zone: "y", Share: 1 - localShare}, {Site: "x", Zone: "z"}}}
 	}
-	s.handleMessage(membersChanged{[]membership.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"}, {Name: "c", Zone: "y"}}})
+	s.handleMessage(membersChanged{[]membership.Peer{{Name: "a", Zone: "x"}, {Name: "b", Zone: "x"},
+		{Name: "c", Zone: "y"}}})
 	// A decision that a voter reads from its log takes effect once a majority has confirmed it.
 	s.handleMessage(localDecision{consensus.Decision{Term: 2, Index: 7, Table: table(1, "z", 0.75)}})
 	if o := c.Directives(); len(o.ZoneOverrides) != 0 {
@@ -162,17 +173,20 @@
 		t.Errorf("the new decision was sent to %v", recipients)
 	}
 	o := c.Directives()
-	if len(o.ZoneOverrides) != 3 || o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[0].ShareFactor != 1 || o.ZoneOverrides[2].ShareFactor != 0 || o.ZoneOverrides[2].ReachableShare != 1 ||
+	if len(o.ZoneOverrides) != 3 || o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[0].ShareFactor != 1 ||
+		o.ZoneOverrides[2].ShareFactor != 0 || o.ZoneOverrides[2].ReachableShare != 1 ||
 		o.ZoneOverrides[1].TTL <= 9*time.Second || o.ZoneOverrides[1].TTL > 10*time.Second {
 		t.Errorf("%+v", o.ZoneOverrides)
 	}
-	s.handleMessage(peerDecision{stalerouting.Decision{Version: stalerouting.Version, Term: 1, Index: 9, Table: table(2, "y", 0.1)}})
+	s.handleMessage(peerDecision{stalerouting.Decision{Version: stalerouting.Version, Term: 1, Index: 9,
+		Table: table(2, "y", 0.1)}})
 	if o := c.Directives(); o.ZoneOverrides[0].TrafficShare != 0.75 || o.ZoneOverrides[2].ShareFactor != 0 {
 		t.Errorf("after an older decision: %+v", o.ZoneOverrides)
 	}
 	s.phase, s.remoteShare, s.remoteShareExpiresAt = stalerouting.Isolated, 0, c.now()+time.Second
 	s.updateZoneOverrides(false)
-	if o := c.Directives(); o.ZoneOverrides[0].TrafficShare != 0 || o.ZoneOverrides[1].ShareFactor != 0 || o.ZoneOverrides[1].ReachableShare != 0 || o.ZoneOverrides[1].TTL > time.Second {
+	if o := c.Directives(); o.ZoneOverrides[0].TrafficShare != 0 || o.ZoneOverrides[1].ShareFactor != 0 ||
+		o.ZoneOverrides[1].ReachableShare != 0 || o.ZoneOverrides[1].TTL > time.Second {
 		t.Errorf("while isolated: %+v", o.ZoneOverrides)
 	}
 	s.phase = stalerouting.Connected
@@ -201,7 +215,8 @@
 	healthy := []outlier.Zone{{Name: "x", Weight: 2, Observed: 2, Attempts: 30, Utilization: 9, UtilizationSamples: 1}}
 	c.reportZones(&last, healthy)
 	m, ok := c.consensus.Mailbox().Poll()
-	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Utilization != 1 || r.Validate() != nil || sent() != 2 {
+	if r, _ := m.(consensus.Report); !ok || r.Seq != 1 || r.Rate != 3 || r.Zones[0].Utilization != 1 ||
+		r.Validate() != nil || sent() != 2 {
 		t.Errorf("%+v", m)
 	}
 	c.reportZones(&last, healthy)
--- a/internal/agent/coordination/trace.go
+++ b/internal/agent/coordination/trace.go
@@ -13,7 +13,7 @@
 // are wall-clock times in Unix milliseconds, so that the traces of several agents can be compared; no decision
 // depends on them.
 //
-// Two kinds of lines use fields in another meaning than their names say. In a line of kind "zones", which is a
+// Two kinds of lines use fields with a different meaning than their names say. In a line of kind "zones", which is a
 // new decision of the consensus group, Electorate is the log index, Attempts the number of zones of which this
 // site's agents use nothing, Failures the number of zones that they do not use fully, and RemainingMs the
 // decision's age. In a line for a change of the site's phase, Attempts is the number of members without a
@@ -62,6 +62,7 @@
 	}
 }
 
+// close closes the trace file.
 func (t *tracer) close() {
 	if t != nil {
 		t.file.Close()
--- a/internal/agent/coordination/vote.go
+++ b/internal/agent/coordination/vote.go
@@ -22,7 +22,8 @@
 	var persisted chan writeResult
 	if c.config.PromiseDir != "" {
 		var err error
-		if promises, config.EarlierPromisesFor, err = openPromiseStore(c.config.PromiseDir, config.MaxPromise()); err != nil {
+		if promises, config.EarlierPromisesFor, err = openPromiseStore(c.config.PromiseDir,
+			config.MaxPromise()); err != nil {
 			return err // without the store the voter must not promise anything: the next run would not know of it
 		}
 		defer promises.close()
@@ -83,10 +84,14 @@
 		if event.Kind == "eject" || event.Kind == "return" {
 			level = slog.LevelInfo
 		}
-		slog.Log(context.Background(), level, "vote: "+event.Kind, "host", event.Host.ID, "incarnation", event.Host.Incarnation, "why", event.Reason.String(),
-			"attempts", event.Attempts, "bad", event.Failures, "roll", event.Electorate, "granters", len(event.Granters))
-		c.trace.write(TraceLine{Kind: event.Kind, Host: event.Host.ID, Incarnation: event.Host.Incarnation, Reason: event.Reason.String(), Electorate: event.Electorate,
-			Attempts: event.Attempts, Failures: event.Failures, Granters: event.Granters, RemainingMs: max(event.Until-event.At, 0).Milliseconds()}, event.At, c.now())
+		slog.Log(context.Background(), level, "vote: "+event.Kind,
+			"host", event.Host.ID, "incarnation", event.Host.Incarnation, "why", event.Reason.String(),
+			"attempts", event.Attempts, "bad", event.Failures, "roll", event.Electorate,
+			"granters", len(event.Granters))
+		c.trace.write(TraceLine{Kind: event.Kind, Host: event.Host.ID, Incarnation: event.Host.Incarnation,
+			Reason: event.Reason.String(), Electorate: event.Electorate,
+			Attempts: event.Attempts, Failures: event.Failures, Granters: event.Granters,
+			RemainingMs: max(event.Until-event.At, 0).Milliseconds()}, event.At, c.now())
 	}
 	if actions.StandingsChanged {
 		c.setOverrides(actions.Standings)
@@ -106,10 +111,14 @@
 // reportZones sends the observations of each zone to all voters of the consensus group: at once if the health
 // of a zone changed, otherwise once every reportInterval.
 func (c *Coordinator) reportZones(last *lastZoneReport, zones []outlier.Zone) {
-	r := zonefailover.Report{Version: zonefailover.Version, Agent: c.config.Membership.Name, Site: c.config.Membership.Zone, Region: c.config.Membership.Region, Incarnation: c.config.Membership.Incarnation}
+	r := zonefailover.Report{Version: zonefailover.Version, Agent: c.config.Membership.Name,
+		Site: c.config.Membership.Zone, Region: c.config.Membership.Region,
+		Incarnation: c.config.Membership.Incarnation}
 	var health []zonefailover.Health
 	for _, z := range zones[:min(len(zones), zonefailover.MaxZones)] {
-		s := zonefailover.ZoneReport{Zone: z.Name, Weight: z.Weight, Observed: z.Observed, Unhealthy: z.Unhealthy, WithFailures: z.WithFailures, Attempts: z.Attempts, Failures: z.Failures, Utilization: min(z.Utilization, 1), UtilizationSamples: z.UtilizationSamples}
+		s := zonefailover.ZoneReport{Zone: z.Name, Weight: z.Weight, Observed: z.Observed, Unhealthy: z.Unhealthy,
+			WithFailures: z.WithFailures, Attempts: z.Attempts, Failures: z.Failures,
+			Utilization: min(z.Utilization, 1), UtilizationSamples: z.UtilizationSamples}
 		r.Rate += float64(z.Attempts) / c.config.Vote.MaxEvidenceAge.Seconds()
 		r.Zones, health = append(r.Zones, s), append(health, s.Health())
 	}
--- a/internal/agent/membership/golden_test.go
+++ b/internal/agent/membership/golden_test.go
@@ -7,5 +7,6 @@
 )
 
 func TestGoldenMetadata(t *testing.T) {
-	goldentest.RoundTrip[nodeMeta](t, goldentest.Codec{Extension: ".message", Marshal: Encode, Unmarshal: Decode}, "metadata")
+	goldentest.RoundTrip[nodeMeta](t, goldentest.Codec{Extension: ".message", Marshal: Encode, Unmarshal: Decode},
+		"metadata")
 }
--- a/internal/agent/membership/gossip.go
+++ b/internal/agent/membership/gossip.go
@@ -84,8 +84,8 @@
 // Kind identifies the task that a message is for.
 type Kind byte
 
-// Send is a request to send a message to a peer. If the mailbox is full, the oldest request is dropped, because
-// each message carries the complete state of its kind and later ones make it stale.
+// Send is a request to send a message to a peer. If the mailbox is full, the oldest queued request is dropped,
+// because each message carries the complete state of its kind.
 type Send struct {
 	To   string // name of the peer
 	Kind Kind
@@ -144,8 +144,9 @@
 
 // New returns a Gossip that does nothing until Run is called.
 func New(config Config, handler Handler) *Gossip {
-	return &Gossip{config: config, handler: handler, mailbox: supervisor.NewMailbox(mailboxSize), receiveLimiter: rate.NewLimiter(receiveRate, receiveBurst),
-		nodes: map[string]*memberlist.Node{}, peers: map[string]Peer{}, lastLogged: map[string]time.Time{}}
+	return &Gossip{config: config, handler: handler, mailbox: supervisor.NewMailbox(mailboxSize),
+		receiveLimiter: rate.NewLimiter(receiveRate, receiveBurst),
+		nodes:          map[string]*memberlist.Node{}, peers: map[string]Peer{}, lastLogged: map[string]time.Time{}}
 }
 
 // Mailbox returns the mailbox for Send and Sync requests.
@@ -268,7 +269,8 @@
 	if node == nil || len(message.Body) >= MaxMessage {
 		return // the peer is not a member, or the message exceeds the limit, which no task's messages do
 	}
-	_ = list.SendBestEffort(node, append([]byte{byte(message.Kind)}, message.Body...)) // an error is ignored, as senders repeat messages that are still current
+	// An error is ignored, as senders repeat messages that are still current.
+	_ = list.SendBestEffort(node, append([]byte{byte(message.Kind)}, message.Body...))
 }
 
 // node returns the library's record of a peer, or nil if it is not a member.
@@ -289,7 +291,8 @@
 		return nil, err
 	}
 	logger := log.New(logWriter{}, "", 0)
-	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{bind.IP.String()}, BindPort: bind.Port, Logger: logger})
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{bind.IP.String()}, BindPort: bind.Port, Logger: logger})
 	if err != nil {
 		return nil, fmt.Errorf("membership: bind: %w", err)
 	}
@@ -370,7 +373,8 @@
 	c := &d.gossip.config
 	meta, err := Encode(nodeMeta{Version, c.Fleet, c.Zone, c.Region, c.Role, c.Incarnation})
 	if err != nil || len(meta) > limit {
-		slog.Error("membership: node metadata exceeds the limit: shorten fleet, zone, region or role", "bytes", len(meta), "most", limit, "err", err)
+		slog.Error("membership: node metadata exceeds the limit: shorten fleet, zone, region or role",
+			"bytes", len(meta), "most", limit, "err", err)
 		return nil
 	}
 	return meta
--- a/internal/agent/membership/gossip_test.go
+++ b/internal/agent/membership/gossip_test.go
@@ -24,7 +24,7 @@
 	received chan string // messages with their kind as prefix, and states with the prefix "merged "
 	mu       sync.Mutex  // guards members
 	members  []Peer
-	changed  chan struct{} // receives when members has changed
+	changed  chan struct{} // receives a value when members has changed
 }
 
 func newRecordingHandler() *recordingHandler {
@@ -76,7 +76,8 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	e = newRecordingHandler()
-	p = New(Config{Fleet: fleet, Name: name, Zone: "z-" + name, Region: "r", Role: "agent", Incarnation: 7, Bind: addr, Seeds: append(seeds, addr)}, e)
+	p = New(Config{Fleet: fleet, Name: name, Zone: "z-" + name, Region: "r", Role: "agent", Incarnation: 7, Bind: addr,
+		Seeds: append(seeds, addr)}, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
@@ -101,7 +102,8 @@
 	_, ec, _ := startGossip(t, "c", "k", a.config.Bind)
 	for _, e := range []*recordingHandler{ea, eb, ec} {
 		list := e.waitForMembers(t, 3)
-		if p := list[1]; p.Name != "b" || p.Zone != "z-b" || p.Region != "r" || p.Role != "agent" || p.Incarnation != 7 || p.Version != Version {
+		if p := list[1]; p.Name != "b" || p.Zone != "z-b" || p.Region != "r" || p.Role != "agent" ||
+			p.Incarnation != 7 || p.Version != Version {
 			t.Errorf("b is known as %+v", p)
 		}
 	}
@@ -184,7 +186,10 @@
 			t.Errorf("%d invalid bytes were decoded", len(bad))
 		}
 	}
-	for key, cfg := range map[string]Config{"bind": {Bind: "nowhere"}, "advertise": {Bind: "127.0.0.1:1", Advertise: "x:1"}} {
+	for key, cfg := range map[string]Config{
+		"bind":      {Bind: "nowhere"},
+		"advertise": {Bind: "127.0.0.1:1", Advertise: "x:1"},
+	} {
 		if err := New(cfg, newRecordingHandler()).Run(t.Context()); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%v, want one that names %s", err, key)
 		}
--- a/internal/agent/zonefailover/bench_test.go
+++ b/internal/agent/zonefailover/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkTick measures how the time of a decision depends on the number of agents that report. Each iteration is
-// one tick. Before it 1/40 of the agents report, as each agent does so every 4 s and a tick every 100 ms.
+// one tick. Before it 1/40 of the agents report, as each agent reports every 4 s and a tick comes every 100 ms.
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{40, 300, 3000} {
 		b.Run(fmt.Sprint(agents, " agents"), func(b *testing.B) {
@@ -19,9 +19,11 @@
 			now, seq := time.Duration(0), uint64(0)
 			report := func(i int) {
 				seq++
-				r := Report{Version: Version, Agent: fmt.Sprint("n", i), Site: sites[i%len(sites)], Incarnation: 1, Seq: seq, Rate: 3}
+				r := Report{Version: Version, Agent: fmt.Sprint("n", i), Site: sites[i%len(sites)], Incarnation: 1,
+					Seq: seq, Rate: 3}
 				for _, z := range sites {
-					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 40, Observed: 4, Attempts: 30, Utilization: 0.5, UtilizationSamples: 4})
+					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 40, Observed: 4, Attempts: 30,
+						Utilization: 0.5, UtilizationSamples: 4})
 				}
 				if err := m.Report(now, r); err != nil {
 					b.Fatal(err)
--- a/internal/agent/zonefailover/config.go
+++ b/internal/agent/zonefailover/config.go
@@ -25,7 +25,8 @@
 func (c *Config) Validate() error {
 	switch {
 	case c.MaxReportAge <= 0 || c.UnhealthyFor < 0 || c.SlowStartStep <= 0 || c.EscalationWindow < 0:
-		return fmt.Errorf("fresh, after, step and remember: must be above 0, are %v, %v, %v and %v", c.MaxReportAge, c.UnhealthyFor, c.SlowStartStep, c.EscalationWindow)
+		return fmt.Errorf("fresh, after, step and remember: must be above 0, are %v, %v, %v and %v",
+			c.MaxReportAge, c.UnhealthyFor, c.SlowStartStep, c.EscalationWindow)
 	case c.EjectionTime <= 0 || c.EjectionTime > c.MaxEjectionTime:
 		return fmt.Errorf("hold: must be above 0 and at most hold_most (%v), is %v", c.MaxEjectionTime, c.EjectionTime)
 	case !(c.MaxEjectedFraction > 0) || c.MaxEjectedFraction >= 1:
@@ -38,6 +39,7 @@
 
 // Defaults returns the configuration for keys that the operations file does not set.
 func Defaults() Config {
-	return Config{MaxReportAge: 12 * time.Second, UnhealthyFor: 500 * time.Millisecond, EjectionTime: 5 * time.Second, MaxEjectionTime: 2 * time.Minute,
-		EscalationWindow: 5 * time.Minute, SlowStartStep: 2 * time.Second, MaxEjectedFraction: 0.5, TargetUtilization: 0.75}
+	return Config{MaxReportAge: 12 * time.Second, UnhealthyFor: 500 * time.Millisecond, EjectionTime: 5 * time.Second,
+		MaxEjectionTime: 2 * time.Minute, EscalationWindow: 5 * time.Minute, SlowStartStep: 2 * time.Second,
+		MaxEjectedFraction: 0.5, TargetUtilization: 0.75}
 }
--- a/internal/agent/zonefailover/machine.go
+++ b/internal/agent/zonefailover/machine.go
@@ -39,8 +39,8 @@
 // trackState is the state of a track that is not in the table. It is not replicated: each voter has its own and
 // loses it at a restart.
 type trackState struct {
-	unhealthySince time.Duration // time since which a majority has seen the zone unhealthy; -1 if none does now
-	lastStep       time.Duration // time of the last committed change of the track; initially that of its first evaluation
+	unhealthySince time.Duration // time since which a majority has seen the zone unhealthy; -1 if no majority does now
+	lastStep       time.Duration // time of the track's last committed change; initially of its first evaluation
 	seenHealthy    bool          // whether some site has seen the zone healthy since lastStep
 }
 
@@ -54,7 +54,8 @@
 		return nil, fmt.Errorf("zonefailover: %w", err)
 	}
 	from.Zones = slices.Clone(from.Zones)
-	return &Machine{config: config, table: from, reports: map[string]receivedReport{}, knownSites: map[string]bool{}, trackStates: map[trackID]*trackState{}}, nil
+	return &Machine{config: config, table: from, reports: map[string]receivedReport{}, knownSites: map[string]bool{},
+		trackStates: map[trackID]*trackState{}}, nil
 }
 
 // advanceClock sets the time of this call. The clock never goes back.
@@ -177,7 +178,8 @@
 	}
 	slices.Sort(names)
 	for _, zone := range names {
-		i, ok := slices.BinarySearchFunc(next.Zones, zone, func(z Zone, name string) int { return cmp.Compare(z.Name, name) })
+		i, ok := slices.BinarySearchFunc(next.Zones, zone,
+			func(z Zone, name string) int { return cmp.Compare(z.Name, name) })
 		if !ok {
 			if len(next.Zones) >= MaxZones {
 				continue
@@ -201,9 +203,13 @@
 		// A zone returns for remote agents only if its own agents don't see it unhealthy. If its agents have ever
 		// reported, one of them must also have reported more than UnhealthyFor after the ejection, because agents
 		// that are partitioned off can't report. After MaxEjectionTime stepTrack ignores both conditions.
-		localHealth, localReported := opinions[zone][zone], !m.knownSites[zone] || m.reportedSince(zone, m.trackState(trackID{zone, false}).lastStep+m.config.UnhealthyFor)
-		remoteChanged := m.stepTrack(&z.Remote, trackID{zone, false}, 2*unhealthy > voters, healthy > 0, localHealth != Unhealthy && localReported)
-		localChanged := m.stepTrack(&z.Local, trackID{zone, true}, localHealth == Unhealthy, localHealth == Healthy, true)
+		localHealth, localReported := opinions[zone][zone],
+			!m.knownSites[zone] ||
+				m.reportedSince(zone, m.trackState(trackID{zone, false}).lastStep+m.config.UnhealthyFor)
+		remoteChanged := m.stepTrack(&z.Remote, trackID{zone, false},
+			2*unhealthy > voters, healthy > 0, localHealth != Unhealthy && localReported)
+		localChanged := m.stepTrack(&z.Local, trackID{zone, true},
+			localHealth == Unhealthy, localHealth == Healthy, true)
 		if remoteChanged && z.Remote.Share == 0 && !m.withinEjectionCap(next.Zones, weight) {
 			z.Remote = m.zone(zone).Remote // the ejection would exceed the cap
 			remoteChanged = false
@@ -268,9 +274,11 @@
 		}
 		track.Share = 0
 		track.Ejections++
-	case track.Share == 0 && !unhealthy && m.now-state.lastStep >= track.EjectionTime && (mayReturn || m.now-state.lastStep >= m.config.MaxEjectionTime):
+	case track.Share == 0 && !unhealthy && m.now-state.lastStep >= track.EjectionTime &&
+		(mayReturn || m.now-state.lastStep >= m.config.MaxEjectionTime):
 		track.Share = slowStartShares[0]
-	case track.Share > 0 && track.Share < 1 && !unhealthy && state.seenHealthy && m.now-state.lastStep >= m.config.SlowStartStep:
+	case track.Share > 0 && track.Share < 1 && !unhealthy && state.seenHealthy &&
+		m.now-state.lastStep >= m.config.SlowStartStep:
 		track.Share = slowStartShares[min(slices.Index(slowStartShares[:], track.Share)+1, len(slowStartShares)-1)]
 	default:
 		return false
--- a/internal/agent/zonefailover/machine_test.go
+++ b/internal/agent/zonefailover/machine_test.go
@@ -34,7 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, machine: m, tickInterval: 100 * time.Millisecond, sites: sites, hosts: map[string]int{}, shareChanges: map[string][]time.Duration{},
+	f := &fleet{t: t, machine: m, tickInterval: 100 * time.Millisecond, sites: sites, hosts: map[string]int{},
+		shareChanges:   map[string][]time.Duration{},
 		observedHealth: func(_, _ string) Health { return Healthy }, reaches: func(string) bool { return true }}
 	for _, s := range sites {
 		f.hosts[s] = 6
@@ -106,7 +107,9 @@
 	f := newFleet(t, Defaults(), "a", "b", "c")
 	f.run(5 * time.Second)
 	f.requireShare("a", "b", 1)
-	f.observedHealth = func(_, zone string) Health { return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"] }
+	f.observedHealth = func(_, zone string) Health {
+		return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"]
+	}
 	f.run(time.Second)
 	f.requireShare("a", "b", 0)
 	f.requireShare("c", "b", 0)
@@ -188,11 +191,15 @@
 	}
 	f.run(10 * time.Minute)
 	for i, at := range f.largeChanges {
-		if n := slices.IndexFunc(f.largeChanges[i:], func(x time.Duration) bool { return x >= at+time.Minute }); n > 2 || n < 0 && len(f.largeChanges)-i > 2 {
+		// n is the number of large changes in the minute from at, or -1 if there is none after that minute.
+		if n := slices.IndexFunc(f.largeChanges[i:], func(x time.Duration) bool {
+			return x >= at+time.Minute
+		}); n > 2 || n < 0 && len(f.largeChanges)-i > 2 {
 			t.Errorf("large changes at %v, want at most two in a minute", f.largeChanges)
 		}
 	}
-	if z := f.machine.zone("b").Remote; z.Ejections < 3 || z.Ejections > 12 || z.EjectionTime != f.machine.config.MaxEjectionTime {
+	if z := f.machine.zone("b").Remote; z.Ejections < 3 || z.Ejections > 12 ||
+		z.EjectionTime != f.machine.config.MaxEjectionTime {
 		t.Errorf("after ten minutes: %+v", z)
 	}
 	f.observedHealth = func(_, _ string) Health { return Healthy }
@@ -236,7 +243,9 @@
 // committed changes nothing.
 func TestNewLeaderContinues(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
-	f.observedHealth = func(_, zone string) Health { return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"] }
+	f.observedHealth = func(_, zone string) Health {
+		return map[bool]Health{true: Unhealthy, false: Healthy}[zone == "b"]
+	}
 	f.run(2 * time.Second)
 	f.requireShare("a", "b", 0)
 	old := f.machine
@@ -262,25 +271,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := Report{Version: Version, Agent: "x", Site: "a", Incarnation: 1, Seq: 3, Zones: []ZoneReport{{Zone: "a", Observed: 2, Unhealthy: 1}}}
+	good := Report{Version: Version, Agent: "x", Site: "a", Incarnation: 1, Seq: 3,
+		Zones: []ZoneReport{{Zone: "a", Observed: 2, Unhealthy: 1}}}
 	if err := m.Report(0, good); err != nil {
 		t.Fatal(err)
 	}
-	for name, change := range map[string]func(*Report){"version": func(r *Report) { r.Version = 9 }, "agent": func(r *Report) { r.Agent = "" },
-		"seq": func(r *Report) {}, "zones[0]": func(r *Report) { r.Zones = []ZoneReport{{Zone: "a", Observed: 1, Unhealthy: 2}} },
-		"zones:": func(r *Report) { r.Zones = make([]ZoneReport, MaxZones+1) }} {
+	for name, change := range map[string]func(*Report){
+		"version":  func(r *Report) { r.Version = 9 },
+		"agent":    func(r *Report) { r.Agent = "" },
+		"seq":      func(r *Report) {},
+		"zones[0]": func(r *Report) { r.Zones = []ZoneReport{{Zone: "a", Observed: 1, Unhealthy: 2}} },
+		"zones:":   func(r *Report) { r.Zones = make([]ZoneReport, MaxZones+1) },
+	} {
 		r := good
 		change(&r)
 		if err := m.Report(0, r); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%v, want one that names %s", err, name)
 		}
 	}
-	for _, bad := range []Table{{}, {Version: Version, Zones: []Zone{{Name: "a", Remote: Track{Share: 2}}}}, {Version: Version, Zones: make([]Zone, MaxZones+1)}} {
+	for _, bad := range []Table{{}, {Version: Version, Zones: []Zone{{Name: "a", Remote: Track{Share: 2}}}},
+		{Version: Version, Zones: make([]Zone, MaxZones+1)}} {
 		if _, err := New(Defaults(), bad); err == nil {
 			t.Errorf("%+v was accepted", bad)
 		}
 	}
-	for key, change := range map[string]func(*Config){"hold": func(c *Config) { c.EjectionTime = 0 }, "most": func(c *Config) { c.MaxEjectedFraction = 1 }, "step": func(c *Config) { c.SlowStartStep = 0 }} {
+	for key, change := range map[string]func(*Config){
+		"hold": func(c *Config) { c.EjectionTime = 0 },
+		"most": func(c *Config) { c.MaxEjectedFraction = 1 },
+		"step": func(c *Config) { c.SlowStartStep = 0 },
+	} {
 		c := Defaults()
 		change(&c)
 		if _, err := New(c, Table{Version: Version}); err == nil || !strings.Contains(err.Error(), key) {
@@ -314,7 +333,9 @@
 // Reports of agents that see all zones unhealthy are ignored, even if their sites are the majority.
 func TestObserverThatSeesAllUnhealthyIsIgnored(t *testing.T) {
 	f := newFleet(t, Defaults(), "a", "b", "c")
-	f.observedHealth = func(site, _ string) Health { return map[bool]Health{true: Healthy, false: Unhealthy}[site == "b"] }
+	f.observedHealth = func(site, _ string) Health {
+		return map[bool]Health{true: Healthy, false: Unhealthy}[site == "b"]
+	}
 	f.run(10 * time.Second)
 	if f.machine.Table().Number != 0 {
 		t.Errorf("changed by observers that see all unhealthy: %+v", f.machine.Table())
--- a/internal/agent/zonefailover/report.go
+++ b/internal/agent/zonefailover/report.go
@@ -32,9 +32,11 @@
 
 // Health returns the zone's health as the attempts show it.
 func (s *ZoneReport) Health() Health {
-	unhealthyFraction, failedFraction := float64(s.Unhealthy)/float64(max(s.Observed, 1)), float64(s.Failures)/float64(max(s.Attempts, 1))
+	unhealthyFraction, failedFraction := float64(s.Unhealthy)/float64(max(s.Observed, 1)),
+		float64(s.Failures)/float64(max(s.Attempts, 1))
 	switch {
-	case s.Observed >= minObserved && (unhealthyFraction >= unhealthyThreshold || s.Attempts >= minAttempts && failedFraction >= failureThreshold && 2*s.WithFailures >= s.Observed):
+	case s.Observed >= minObserved && (unhealthyFraction >= unhealthyThreshold ||
+		s.Attempts >= minAttempts && failedFraction >= failureThreshold && 2*s.WithFailures >= s.Observed):
 		return Unhealthy
 	case s.Observed > 0 && unhealthyFraction <= healthyThreshold && failedFraction <= maxHealthyFailures:
 		return Healthy
@@ -83,8 +85,12 @@
 		return fmt.Errorf("report: zones: %d, at most %d are allowed", len(r.Zones), MaxZones)
 	}
 	for i, z := range r.Zones {
-		if z.Zone == "" || len(z.Zone) > maxNameLength || z.Observed < 0 || z.Unhealthy < 0 || z.Unhealthy > z.Observed || z.Failures < 0 || z.Failures > z.Attempts || z.WithFailures < 0 || z.WithFailures > z.Observed || !(z.Weight >= 0) || !(z.Utilization >= 0) || z.Utilization > maxUtilization || z.UtilizationSamples < 0 || z.UtilizationSamples > maxReports {
-			return fmt.Errorf("report: zones[%d]: invalid values for %q with weight %v and %d of %d hosts unhealthy", i, z.Zone, z.Weight, z.Unhealthy, z.Observed)
+		if z.Zone == "" || len(z.Zone) > maxNameLength || z.Observed < 0 || z.Unhealthy < 0 ||
+			z.Unhealthy > z.Observed || z.Failures < 0 || z.Failures > z.Attempts || z.WithFailures < 0 ||
+			z.WithFailures > z.Observed || !(z.Weight >= 0) || !(z.Utilization >= 0) ||
+			z.Utilization > maxUtilization || z.UtilizationSamples < 0 || z.UtilizationSamples > maxReports {
+			return fmt.Errorf("report: zones[%d]: invalid values for %q with weight %v and %d of %d hosts unhealthy",
+				i, z.Zone, z.Weight, z.Unhealthy, z.Observed)
 		}
 	}
 	return nil
--- a/internal/agent/zonefailover/table.go
+++ b/internal/agent/zonefailover/table.go
@@ -7,7 +7,7 @@
 
 // Track is the state of a zone for one group of agents.
 type Track struct {
-	Share        float64       `json:"Share"`  // fraction of the zone's weight that these agents use; 0 if it is ejected
+	Share        float64       `json:"Share"`  // fraction of the zone's weight that these agents use; 0 if ejected
 	EjectionTime time.Duration `json:"Hold"`   // duration of the last ejection; 0 before the first one
 	Ejections    int           `json:"Leaves"` // number of ejections
 }
@@ -25,8 +25,8 @@
 type Table struct {
 	Version       int            `json:"Version"`
 	Number        uint64         `json:"Number"`
-	Zones         []Zone         `json:"Zones"` // ordered by name; a zone that is not listed is fully used by all agents
-	TrafficShares []TrafficShare `json:"Parts"` // ordered by site and zone; no shares are decided for a site that is not listed
+	Zones         []Zone         `json:"Zones"` // ordered by name; a zone that is not listed is fully used
+	TrafficShares []TrafficShare `json:"Parts"` // ordered by site and zone; a site that is not listed has none
 }
 
 // Validate returns an error that names the first invalid field of a table from another process.
@@ -38,7 +38,8 @@
 		return fmt.Errorf("table: parts: %d", len(t.TrafficShares))
 	}
 	for i, s := range t.TrafficShares {
-		if s.Site == "" || len(s.Site) > maxNameLength || s.Zone == "" || len(s.Zone) > maxNameLength || !(s.Share >= 0) || s.Share > 1+1e-9 {
+		if s.Site == "" || len(s.Site) > maxNameLength || s.Zone == "" || len(s.Zone) > maxNameLength ||
+			!(s.Share >= 0) || s.Share > 1+1e-9 {
 			return fmt.Errorf("table: parts[%d]: %+v", i, s)
 		}
 	}
--- a/internal/agent/zonefailover/trafficshare.go
+++ b/internal/agent/zonefailover/trafficshare.go
@@ -53,7 +53,8 @@
 		for _, site := range demand.zones {
 			available := 0.0
 			reachable := func(z string) bool {
-				return z != site && overflow[site] > 1e-12 && (!sameRegion || demand.region[site] != "" && demand.region[z] == demand.region[site])
+				return z != site && overflow[site] > 1e-12 &&
+					(!sameRegion || demand.region[site] != "" && demand.region[z] == demand.region[site])
 			}
 			for _, z := range demand.zones {
 				if reachable(z) {
@@ -126,7 +127,8 @@
 // trafficDemand returns the demand and capacity that follow from the agents' reports. It returns nil if the reports
 // show no traffic or no utilization, or if there are fewer than 2 or more than maxTrafficShareZones zones.
 func (m *Machine) trafficDemand(zones []Zone, weight map[string]float64) *trafficDemand {
-	demand := &trafficDemand{region: map[string]string{}, siteDemand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
+	demand := &trafficDemand{region: map[string]string{}, siteDemand: map[string]float64{},
+		localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
 	totalRate, utilizationSum, samples := 0.0, map[string]float64{}, map[string]float64{}
 	for _, r := range m.reports {
 		demand.region[r.Site] = r.Region
@@ -146,7 +148,9 @@
 		if samples[z.Name] > 0 {
 			busyWeight += utilizationSum[z.Name] / samples[z.Name] * weight[z.Name]
 		}
-		demand.localCapacity[z.Name], demand.remoteCapacity[z.Name] = m.config.TargetUtilization*weight[z.Name]*z.Local.Share, m.config.TargetUtilization*weight[z.Name]*z.Remote.Share
+		demand.localCapacity[z.Name], demand.remoteCapacity[z.Name] =
+			m.config.TargetUtilization*weight[z.Name]*z.Local.Share,
+			m.config.TargetUtilization*weight[z.Name]*z.Remote.Share
 	}
 	if len(demand.zones) < 2 || len(demand.zones) > maxTrafficShareZones || totalRate <= 0 || busyWeight <= 0 {
 		return nil
@@ -222,12 +226,13 @@
 
 // TrafficShare returns the fraction of a site's traffic that goes to a zone, or false if no share is decided.
 func (t *Table) TrafficShare(site, zone string) (float64, bool) {
-	i, ok := slices.BinarySearchFunc(t.TrafficShares, TrafficShare{Site: site, Zone: zone}, func(a, b TrafficShare) int {
-		if c := strings.Compare(a.Site, b.Site); c != 0 {
-			return c
-		}
-		return strings.Compare(a.Zone, b.Zone)
-	})
+	i, ok := slices.BinarySearchFunc(t.TrafficShares, TrafficShare{Site: site, Zone: zone},
+		func(a, b TrafficShare) int {
+			if c := strings.Compare(a.Site, b.Site); c != 0 {
+				return c
+			}
+			return strings.Compare(a.Zone, b.Zone)
+		})
 	if !ok {
 		return 0, false
 	}
--- a/internal/agent/zonefailover/trafficshare_test.go
+++ b/internal/agent/zonefailover/trafficshare_test.go
@@ -13,14 +13,16 @@
 // same region are used first.
 func TestDistribute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		demand := &trafficDemand{zones: []string{"a", "b", "c", "d"}, region: map[string]string{"a": "r", "b": "r", "c": "s"},
+		demand := &trafficDemand{zones: []string{"a", "b", "c", "d"},
+			region:     map[string]string{"a": "r", "b": "r", "c": "s"},
 			siteDemand: map[string]float64{}, localCapacity: map[string]float64{}, remoteCapacity: map[string]float64{}}
 		totalDemand, totalCapacity, totalOverflow := 0.0, 0.0, 0.0
 		for _, z := range demand.zones {
 			demand.localCapacity[z] = rapid.Float64Range(0, 10).Draw(t, "capacity of "+z)
 			demand.remoteCapacity[z] = demand.localCapacity[z]
 			demand.siteDemand[z] = rapid.Float64Range(0.01, 10).Draw(t, "demand of "+z)
-			totalDemand, totalCapacity, totalOverflow = totalDemand+demand.siteDemand[z], totalCapacity+demand.localCapacity[z],
+			totalDemand, totalCapacity, totalOverflow =
+				totalDemand+demand.siteDemand[z], totalCapacity+demand.localCapacity[z],
 				totalOverflow+max(demand.siteDemand[z]-demand.localCapacity[z], 0)
 		}
 		crossZone, used := 0.0, map[string]float64{}
@@ -53,9 +55,11 @@
 		}
 	})
 	demand := &trafficDemand{zones: []string{"a", "b", "c"}, region: map[string]string{"a": "r", "b": "s", "c": "r"},
-		siteDemand: map[string]float64{"a": 6, "b": 1, "c": 1}, localCapacity: map[string]float64{"a": 4, "b": 4, "c": 2}}
+		siteDemand:    map[string]float64{"a": 6, "b": 1, "c": 1},
+		localCapacity: map[string]float64{"a": 4, "b": 4, "c": 2}}
 	demand.remoteCapacity = demand.localCapacity
-	if got := demand.distribute()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 || math.Abs(got["b"]-1.0/6) > 1e-9 {
+	if got := demand.distribute()["a"]; math.Abs(got["a"]-4.0/6) > 1e-9 || math.Abs(got["c"]-1.0/6) > 1e-9 ||
+		math.Abs(got["b"]-1.0/6) > 1e-9 {
 		t.Errorf("shares of a, in one region with c: %v", got)
 	}
 	demand.remoteCapacity = map[string]float64{"a": 4, "b": 0, "c": 2} // b is ejected for remote agents
@@ -73,14 +77,15 @@
 	}
 	now, seq, utilization, rates := time.Duration(0), uint64(0), 0.5, map[string]float64{"a": 100, "b": 100, "c": 100}
 	var changes []time.Duration // times of the decisions
-	unlimitedChange := false    // whether a share may change by more than maxShareChange, because a zone was ejected or returns
+	unlimitedChange := false    // whether a zone was ejected or returns, so that shares may jump
 	run := func(d time.Duration) {
 		for end := now + d; now < end; now += 100 * time.Millisecond {
 			seq++
 			for site, rate := range rates {
 				r := Report{Version: Version, Agent: site, Site: site, Incarnation: 1, Seq: seq, Rate: rate}
 				for _, z := range []string{"a", "b", "c"} {
-					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 10, Observed: 4, Utilization: utilization, UtilizationSamples: 3})
+					r.Zones = append(r.Zones, ZoneReport{Zone: z, Weight: 10, Observed: 4, Utilization: utilization,
+						UtilizationSamples: 3})
 				}
 				if err := m.Report(now, r); err != nil {
 					t.Fatal(err)
@@ -89,7 +94,8 @@
 			before := m.Table()
 			if next, changed := m.Tick(now); changed {
 				for _, s := range next.TrafficShares {
-					if old, known := before.TrafficShare(s.Site, s.Zone); known && !unlimitedChange && math.Abs(old-s.Share) > maxShareChange+1e-9 {
+					if old, known := before.TrafficShare(s.Site, s.Zone); known && !unlimitedChange &&
+						math.Abs(old-s.Share) > maxShareChange+1e-9 {
 						t.Fatalf("%+v from %v in one step", s, old)
 					}
 				}
