--- a/internal/fleet/view/acceptor.go
+++ b/internal/fleet/view/acceptor.go
@@ -1,11 +1,11 @@
 package view
 
-// ProposalNumber orders the proposals of one instance. A proposer raises the round only after it met
-// another proposer, so the round does not grow with restarts. Proposer names one incarnation of one
-// proposer, so that no two proposals share a number.
+// ProposalNumber orders the proposals of one Paxos instance. A proposer raises the round with each
+// proposal that it makes, and starts at round 1 again after a restart, so that the round does not grow
+// with restarts.
 type ProposalNumber struct {
 	Round    uint32 `msgpack:"Round"`
-	Proposer string `msgpack:"By"`
+	Proposer string `msgpack:"By"` // identifies one incarnation of one proposer, so that numbers are unique
 }
 
 // Less reports whether n orders before other.
@@ -13,42 +13,43 @@
 	return n.Round < other.Round || n.Round == other.Round && n.Proposer < other.Proposer
 }
 
-// AcceptorState is what an acceptor has to persist. It belongs to one instance: the number of the
-// view that the acceptor votes on, which is the one after the newest that it knows. The state of an
-// older instance is void.
+// AcceptorState is the state that an acceptor has to persist. It belongs to one Paxos instance; the
+// state of an older instance is void.
 type AcceptorState struct {
-	Instance       uint64         `msgpack:"Instance"`
+	Instance       uint64         `msgpack:"Instance"` // the view that is voted on: the newest known one + 1
 	Promised       ProposalNumber `msgpack:"Promised"` // the highest number that was promised
-	AcceptedNumber ProposalNumber `msgpack:"At"`       // of Accepted
-	Accepted       *View          `msgpack:"Accepted"` // nil: nothing was accepted
+	AcceptedNumber ProposalNumber `msgpack:"At"`       // proposal number of Accepted
+	Accepted       *View          `msgpack:"Accepted"` // the accepted view; nil if none was accepted
 }
 
-// PrepareRequest asks an acceptor for a promise. The voters of Base decide; an acceptor that does not
-// know Base yet learns it from here. With Base.Number 0 the voters are the seeds, by address.
+// PrepareRequest asks an acceptor for a promise. The voters of Base decide. An acceptor that does not
+// know Base yet learns it from the request. If Base.Number is 0, the voters are the seeds, identified by
+// address.
 type PrepareRequest struct {
 	Base   View           `msgpack:"Base"`
 	Number ProposalNumber `msgpack:"Ballot"`
 }
 
-// AcceptRequest asks an acceptor to accept a view as the one after Base.
+// AcceptRequest asks an acceptor to accept View as the view that follows Base.
 type AcceptRequest struct {
 	Base   View           `msgpack:"Base"`
 	Number ProposalNumber `msgpack:"Ballot"`
 	View   View           `msgpack:"View"`
 }
 
-// Response is an acceptor's answer to both requests.
+// Response is an acceptor's response to a PrepareRequest or an AcceptRequest. If Newer or RejectReason
+// is set, the other fields are void.
 type Response struct {
-	OK             bool           `msgpack:"OK"`
-	Promised       ProposalNumber `msgpack:"Promised"` // the request's number if OK, else the higher number that prevents it
-	AcceptedNumber ProposalNumber `msgpack:"At"`       // to PrepareRequest: the number of Accepted
-	Accepted       *View          `msgpack:"Accepted"` // to PrepareRequest: the view that the acceptor accepted before
-	Newer          *View          `msgpack:"Newer"`    // the acceptor knows a newer view than Base; the other fields are void
-	RejectReason   string         `msgpack:"Refused"`  // the acceptor has no vote; the other fields are void
+	OK             bool           `msgpack:"OK"`       // the promise or the acceptance is given
+	Promised       ProposalNumber `msgpack:"Promised"` // the request's number if OK, else the promise that forbids it
+	AcceptedNumber ProposalNumber `msgpack:"At"`       // set only for PrepareRequest: proposal number of Accepted
+	Accepted       *View          `msgpack:"Accepted"` // set only for PrepareRequest: accepted earlier; nil if none was
+	Newer          *View          `msgpack:"Newer"`    // a newer view than Base, which the acceptor knows; nil if none
+	RejectReason   string         `msgpack:"Refused"`  // why the acceptor has no vote; empty if it has one
 }
 
 // Prepare handles a PrepareRequest. It returns the state to persist, and the response to send once
-// that is on disk. Each number is promised once only.
+// that state is on disk. Each number is promised only once.
 func (s AcceptorState) Prepare(instance uint64, number ProposalNumber) (AcceptorState, Response) {
 	if s.Instance != instance {
 		s = AcceptorState{Instance: instance}
@@ -61,7 +62,7 @@
 }
 
 // Accept handles an AcceptRequest. It returns the state to persist, and the response to send once that
-// is on disk.
+// state is on disk.
 func (s AcceptorState) Accept(instance uint64, number ProposalNumber, proposed View) (AcceptorState, Response) {
 	if s.Instance != instance {
 		s = AcceptorState{Instance: instance}
--- a/internal/fleet/view/acceptor_test.go
+++ b/internal/fleet/view/acceptor_test.go
@@ -21,7 +21,7 @@
 	state, response = state.Accept(2, high, view2)
 	require.True(t, response.OK)
 	_, response = state.Accept(2, high, view2)
-	require.True(t, response.OK, "the same again")
+	require.True(t, response.OK, "the same view is accepted again")
 	_, response = state.Prepare(2, ProposalNumber{Round: 2})
 	require.Equal(t, &view2, response.Accepted)
 	require.Equal(t, high, response.AcceptedNumber)
--- a/internal/fleet/view/domain.go
+++ b/internal/fleet/view/domain.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// failureDomain is a set of machines that can be lost at once: a zone or, with an empty zone, a
-// region. A zone belongs to one region.
+// failureDomain identifies a set of machines that can be lost at once: a zone of a region, or a whole
+// region if zone is empty.
 type failureDomain struct{ region, zone string }
 
 func zoneOf(peer Peer) failureDomain {
@@ -21,7 +21,7 @@
 	return counts
 }
 
-// sortedSizes returns the sizes of domains, smallest first.
+// sortedSizes returns the sizes of the domains, smallest first.
 func sortedSizes(counts map[failureDomain]int) (sizes []int) {
 	for _, size := range counts {
 		sizes = append(sizes, size)
@@ -39,9 +39,10 @@
 	return sum
 }
 
-// domainsEmptied returns how many domains at most lose all of their parts when lost parts are lost.
-func domainsEmptied(parts map[failureDomain]int, lost int) (emptied int) {
-	for _, size := range sortedSizes(parts) {
+// domainsEmptied returns the largest number of domains that can become empty when a number of their
+// elements (machines or zones) are lost. counts has the number of elements of each domain.
+func domainsEmptied(counts map[failureDomain]int, lost int) (emptied int) {
+	for _, size := range sortedSizes(counts) {
 		if lost -= size; lost < 0 {
 			break
 		}
--- a/internal/fleet/view/initial_view_test.go
+++ b/internal/fleet/view/initial_view_test.go
@@ -20,9 +20,9 @@
 	maxStates = 3_000_000
 )
 
-// bootstrap is the decision on view 1: three seeds whose acceptors are in memory, two of which propose
-// initial views of their own. A request may arrive at a seed at any moment or never, and so may its
-// response; a seed may be killed at any moment.
+// bootstrap is a state of the decision on view 1. The acceptors of the three seeds are in memory, and two
+// of the seeds propose initial views of their own. A request may arrive at any moment or never, and so
+// may its response. A seed may be killed at any moment.
 type bootstrap struct {
 	acceptors        [bootstrapSeeds]AcceptorState
 	stopped          [bootstrapSeeds]bool
@@ -31,16 +31,17 @@
 	rounds           [proposerCount]uint32
 	remainingKills   int
 	remainingRetries int
-	forgetsPromises  bool // the defect: a restarted seed votes without its promises
-	decided          *View
+	forgetsPromises  bool  // the defect: a restarted seed votes without its promises
+	decided          *View // nil until a proposer knows a decision
 }
 
-// request is one request of the phase that a proposal is in.
+// request is a request to one seed in the current phase of a proposal.
 type request struct {
 	delivered, answered bool
 	response            Response
 }
 
+// seedView is the base of the proposals: a view 0 with the seeds as its voters.
 var seedView = func() (v View) {
 	for i := range bootstrapSeeds {
 		seed := Peer{ID: fmt.Sprint("seed", i), Addr: fmt.Sprint("seed", i)}
@@ -64,7 +65,8 @@
 	return &clone
 }
 
-// firstVoterID tells the initial views of the proposers apart.
+// firstVoterID returns the ID of a view's first voter, which differs between the initial views of the
+// proposers. It returns "-" if there is none.
 func firstVoterID(v *View) string {
 	if v == nil || len(v.Voters) == 0 {
 		return "-"
@@ -72,7 +74,7 @@
 	return v.Voters[0].ID
 }
 
-// stateKey is all of a state that matters to what follows.
+// stateKey has all of a state that affects the following steps, for the hash of the state.
 type stateKey struct {
 	acceptors [bootstrapSeeds]struct {
 		promised, acceptedNumber ProposalNumber
@@ -98,14 +100,19 @@
 var hashSeed = maphash.MakeSeed()
 
 func (b *bootstrap) Hash() uint64 {
-	key := stateKey{stopped: b.stopped, rounds: b.rounds, remainingKills: b.remainingKills, remainingRetries: b.remainingRetries, decided: firstVoterID(b.decided)}
+	key := stateKey{
+		stopped: b.stopped, rounds: b.rounds, remainingKills: b.remainingKills, remainingRetries: b.remainingRetries,
+		decided: firstVoterID(b.decided),
+	}
 	for i, acceptor := range b.acceptors {
 		k := &key.acceptors[i]
-		k.promised, k.acceptedNumber, k.accepted = acceptor.Promised, acceptor.AcceptedNumber, firstVoterID(acceptor.Accepted)
+		k.promised, k.acceptedNumber, k.accepted =
+			acceptor.Promised, acceptor.AcceptedNumber, firstVoterID(acceptor.Accepted)
 	}
 	for i, p := range b.proposals {
 		if k := &key.proposals[i]; p != nil {
-			k.state, k.acceptedNumber, k.acceptedView, k.view = p.state, p.acceptedNumber, firstVoterID(p.acceptedView), firstVoterID(&p.View)
+			k.state, k.acceptedNumber, k.acceptedView, k.view =
+				p.state, p.acceptedNumber, firstVoterID(p.acceptedView), firstVoterID(&p.View)
 			k.promises, k.acceptances, k.rejections = len(p.promises), len(p.acceptances), len(p.rejections)
 		}
 		for j, r := range b.requests[i] {
@@ -117,14 +124,14 @@
 	return maphash.Comparable(hashSeed, key)
 }
 
-// The possible steps are numbered: first a start of each proposer, then a kill of each seed, then the
-// next event of each request.
+// The possible steps are numbered: first the start of a proposal by each proposer, then the kill of each
+// seed, then the next event (delivery of the request or of its response) for each request.
 const (
 	firstKill    = proposerCount
 	firstRequest = firstKill + bootstrapSeeds
 )
 
-// possibleSteps returns the steps that change something.
+// possibleSteps returns the numbers of the steps that would change the state.
 func (b *bootstrap) possibleSteps() (steps []int) {
 	for proposer := range proposerCount {
 		if b.mayPropose(proposer) {
@@ -138,7 +145,8 @@
 	}
 	for proposer, p := range b.proposals {
 		for seed, r := range b.requests[proposer] {
-			if p != nil && !r.answered && (r.delivered || !b.stopped[seed]) && (p.state == Preparing || p.state == Accepting) {
+			if p != nil && !r.answered && (r.delivered || !b.stopped[seed]) &&
+				(p.state == Preparing || p.state == Accepting) {
 				steps = append(steps, firstRequest+bootstrapSeeds*proposer+seed)
 			}
 		}
@@ -148,7 +156,8 @@
 
 func (b *bootstrap) mayPropose(proposer int) bool {
 	round, p := b.rounds[proposer], b.proposals[proposer]
-	return !b.stopped[proposer] && (round == 0 || b.remainingRetries > 0 && round < lastRound) && (p == nil || p.state != Decided)
+	return !b.stopped[proposer] && (round == 0 || b.remainingRetries > 0 && round < lastRound) &&
+		(p == nil || p.state != Decided)
 }
 
 func (b *bootstrap) Steps() int { return len(b.possibleSteps()) }
@@ -187,7 +196,7 @@
 	}
 }
 
-// advance delivers a request or its response.
+// advance delivers a proposer's request to a seed or, if that has arrived, the seed's response.
 func (b *bootstrap) advance(proposer, seed int) error {
 	p, r := b.proposals[proposer], &b.requests[proposer][seed]
 	if !r.delivered {
--- a/internal/fleet/view/placement.go
+++ b/internal/fleet/view/placement.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// InitialView returns view 1 of the discovered peers, with at most MaxVoters voters. Peers with a
-// disk are preferred, and among those the ones whose loss counts. If no peer has a disk the state is
-// kept in memory. It reports false if there are no peers.
+// InitialView selects the voters and the chain of view 1 from the discovered peers, with at most
+// MaxVoters voters. Only peers with a disk are selected; if there are none, the state is kept in memory
+// and all peers qualify. If the loss of any of these peers counts (Peer.Counted), only such peers are
+// selected. InitialView reports false if there are no peers.
 func InitialView(discovered []Peer, tolerance Tolerance) (initial View, ok bool) {
 	pool := filterPeers(discovered, func(peer Peer) bool { return peer.Disk })
 	initial = View{Number: 1, InMemory: len(pool) == 0}
@@ -27,27 +28,27 @@
 	return initial, true
 }
 
-// selectVoters selects additional voters from a pool, so that all voters together have the smallest
-// shortfall. Among sets with the same shortfall it selects the largest or the smallest one. The
-// present voters stay.
-func selectVoters(voters, pool []Peer, tolerance Tolerance, largest bool) []Peer {
-	var best []Peer
-	least := tolerance.shortfall(voters, len(voters))
+// selectVoters selects additional voters from a pool, so that they and the given voters together have
+// the smallest shortfall. Among selections with the same shortfall it returns the largest if preferLarge
+// is set, else the smallest.
+func selectVoters(voters, pool []Peer, tolerance Tolerance, preferLarge bool) []Peer {
+	var selected []Peer
+	smallestShortfall := tolerance.shortfall(voters, len(voters))
 	for _, regionsFirst := range []bool{tolerance.Regions > 0, false} {
-		order := selectSpread(voters, pool, MaxVoters-len(voters), regionsFirst)
-		for n := 1; n <= len(order); n++ {
-			all := append(slices.Clone(voters), order[:n]...)
-			shortfall := tolerance.shortfall(all, len(all))
-			if shortfall.Less(least) || largest && shortfall == least && n > len(best) {
-				best, least = order[:n], shortfall
+		candidates := selectSpread(voters, pool, MaxVoters-len(voters), regionsFirst)
+		for n := 1; n <= len(candidates); n++ {
+			allVoters := append(slices.Clone(voters), candidates[:n]...)
+			shortfall := tolerance.shortfall(allVoters, len(allVoters))
+			if shortfall.Less(smallestShortfall) || preferLarge && shortfall == smallestShortfall && n > len(selected) {
+				selected, smallestShortfall = candidates[:n], shortfall
 			}
 		}
 	}
-	return best
+	return selected
 }
 
-// selectSpread selects up to n peers of a pool, each time one of the failure domain with the fewest
-// peers that are in use already. Ties are broken by ID.
+// selectSpread selects up to n peers from a pool, one after the other. It selects the next one from the
+// failure domain with the fewest used or selected peers. Ties are broken by ID.
 func selectSpread(used, pool []Peer, n int, regionsFirst bool) (selected []Peer) {
 	used, pool = slices.Clone(used), slices.Clone(pool)
 	slices.SortFunc(pool, comparePeers)
@@ -59,8 +60,8 @@
 	return selected
 }
 
-// leastLoaded returns the index of the first peer of a pool whose failure domain has the fewest used
-// peers: its zone or, with regionsFirst, its region and then its zone.
+// leastLoaded returns the index of the first peer in a pool whose zone has the fewest used peers. With
+// regionsFirst it compares the regions first and then the zones.
 func leastLoaded(used, pool []Peer, regionsFirst bool) (best int) {
 	zones, regions := countByDomain(used, zoneOf), countByDomain(used, regionOf)
 	load := func(peer Peer) (region, zone int) {
--- a/internal/fleet/view/placement_test.go
+++ b/internal/fleet/view/placement_test.go
@@ -29,14 +29,14 @@
 	v, _ = InitialView([]Peer{testPeer("a"), uncounted}, tolerateMachines(1))
 	require.Equal(t, testPeers("a"), v.Voters)
 
-	// Of many peers, each zone has its share.
+	// Voters are spread evenly over the zones.
 	v, _ = InitialView(testPeers("a1 a2 a3 a4 a5 a6 a7 a8 b1 b2 b3 b4 b5 c1 c2 c3"), tolerateMachines(2))
 	require.Equal(t, testPeers("a1 a2 a3 b1 b2 b3 c1 c2 c3"), v.Voters)
 	s := &scenario{view: v}
-	require.Equal(t, "a1 a2 b1 b2 c1", s.chainIDs(), "also of the chain, which is as long as the tolerated losses need")
+	require.Equal(t, "a1 a2 b1 b2 c1", s.chainIDs(), "the chain is spread too, and has the maximum length for two losses")
 }
 
-// Peers are not selected where a zone or a region would have a majority with them.
+// A peer is not selected if, with its vote, the loss of its zone or region would leave no majority.
 func TestInitialViewToleratesZonesAndRegions(t *testing.T) {
 	for _, c := range []struct {
 		peers     string
@@ -48,13 +48,14 @@
 		{"r/a/1 r/a/2 r/a/3 r/b/4 r/c/5", Tolerance{Machines: 1, Zones: 1}, "1 4 5", "1 4 5"},
 		{"r/a/1 r/a/2 r/b/3 r/b/4 r/c/5 r/c/6", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5 6", "1 2 3 5"},
 		{"r/a/1 r/b/2 r/c/3 r/d/4 s/e/5 q/f/6", Tolerance{Machines: 1, Regions: 1}, "1 2 3 4 5 6", ""},
-		{"r/a/1 r/a/2 r/a/3 r/a/4 r/a/5", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5", "1 2 3 4"}, // impossible in one zone
+		// One zone can't tolerate the loss of a zone.
+		{"r/a/1 r/a/2 r/a/3 r/a/4 r/a/5", Tolerance{Machines: 1, Zones: 1}, "1 2 3 4 5", "1 2 3 4"},
 		{"r/a/1 r/a/2", Tolerance{Machines: 2}, "1 2", "1 2"},
 	} {
 		v, ok := InitialView(testPeersAt(c.peers), c.tolerance)
 		require.True(t, ok)
 		require.NoError(t, v.Validate())
-		if c.chain == "" { // regions r r r r s q: at most as many of r as leave a majority
+		if c.chain == "" { // only checks that a majority remains without the voters of region r
 			require.True(t, v.Shortfall(c.tolerance).None(), "%+v", v.Voters)
 			continue
 		}
--- a/internal/fleet/view/plan.go
+++ b/internal/fleet/view/plan.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Health is what a member knows of a peer at one moment.
+// Health is what the planning member knows about a peer at one moment. Contact means that messages pass
+// in both directions.
 type Health struct {
-	Peer          Peer          // as it describes itself
-	SinceContact  time.Duration // since messages were last known to pass in both directions
-	StableFor     time.Duration // for how long they have passed without interruption; 0: they don't
+	Peer          Peer          // as the peer describes itself
+	SinceContact  time.Duration // time since the last known contact
+	StableFor     time.Duration // time for which the contact has been uninterrupted; 0 if there is no contact
 	DiskUnhealthy bool          // its disk fails or delays operations
-	Leaving       bool          // it is shutting down and asked to be removed
-	Complete      bool          // as a member of the present chain, it has everything that was acknowledged
-	ConnectedTo   []string      // IDs of the peers that it is in contact with, as it reports
-	Uptime        time.Duration // since its start or its return from a suspension, before which it had no contact
-	Undecided     bool          // it has accepted a next view and does not know the decision
-	MissedRemoval bool          // it was removed as a voter and has not reported since that it knows that
+	Leaving       bool          // it is shutting down and has asked to be removed
+	Complete      bool          // it is a member of the current chain and has everything that was acknowledged
+	ConnectedTo   []string      // IDs of the peers that it reports to be in contact with
+	Uptime        time.Duration // time since it started or resumed from a suspension; it had no contact before
+	Undecided     bool          // it has accepted a next view and does not know whether that was decided
+	MissedRemoval bool          // it was removed as a voter, and no report since then shows that it knows that
 }
 
-// Policy is the settings of the repair of a view.
+// Policy has the settings for the repair of a view.
 type Policy struct {
-	Tolerance    Tolerance     // losses to survive
+	Tolerance    Tolerance     // the losses to survive
 	FailAfter    time.Duration // a peer without contact for this long has failed
-	StableAfter  time.Duration // a peer with contact for this long has recovered
+	StableAfter  time.Duration // a peer with uninterrupted contact for this long has recovered
 	ReplaceAfter time.Duration // a voter without contact for this long may be replaced by another peer
 }
 
-// StepKind is what a step does.
+// StepKind is the kind of change that a step makes.
 type StepKind uint8
 
 // The kinds of steps.
@@ -42,7 +43,9 @@
 
 // String returns the kind's name for logs and tests.
 func (k StepKind) String() string {
-	names := [...]string{"none", "complete undecided", "remove member", "add member", "replace voter", "add voter", "remove voter"}
+	names := [...]string{
+		"none", "complete undecided", "remove member", "add member", "replace voter", "add voter", "remove voter",
+	}
 	if int(k) < len(names) {
 		return names[k]
 	}
@@ -52,15 +55,15 @@
 // Step is a change of the view that is due.
 type Step struct {
 	Kind         StepKind
-	View         *View // the view to propose; nil: complete what was left undecided
-	Reason       string
-	Urgent       bool          // updates may be blocked until it is done
-	Delay        time.Duration // for how long it has to be due before it is proposed
-	RemovedVoter string        // ID of the voter that it removes; "": none
+	View         *View         // the view to propose; nil for CompleteUndecided
+	Reason       string        // for logs
+	Urgent       bool          // updates may be blocked until the step is done
+	Delay        time.Duration // the step is proposed once it has been due for this long
+	RemovedVoter string        // ID of the voter that the step removes; empty if it removes none
 }
 
-// Plan returns the next step of repair, if one is due. The health has an entry for each peer that
-// was ever known, by its ID, and for the planning member itself.
+// Plan returns the next step of repair, if one is due. health has an entry, by ID, for each peer that
+// was ever known and for the planning member itself.
 func Plan(view View, health map[string]Health, policy Policy) (step Step, due bool) {
 	p := newPlanner(view, health, policy)
 	if step, due := p.completeUndecided(); due {
@@ -84,8 +87,9 @@
 	return Step{}, false
 }
 
-// MayLeave reports whether a member that is shutting down need not wait any longer: it is not in the
-// chain and its vote need not be transferred, or there is no peer that could take its place.
+// MayLeave reports whether a member that is shutting down may end. Outside of the chain it may end once
+// no step to replace or remove it as a voter is due. In the chain it may end if no peer could take its
+// place.
 func MayLeave(view View, id string, health map[string]Health, policy Policy) bool {
 	p := newPlanner(view, health, policy)
 	if view.Position(id) < 0 {
@@ -96,19 +100,19 @@
 		if peerID == id || h.Leaving || h.Complete && p.isUsable(peerID) {
 			continue
 		}
-		if _, voter := view.Voter(peerID); voter || p.isEligible(h.Peer) && h.SinceContact < policy.FailAfter {
+		if _, isVoter := view.Voter(peerID); isVoter || p.isEligible(h.Peer) && h.SinceContact < policy.FailAfter {
 			return false
 		}
 	}
 	return true
 }
 
-// planner is the input of one call of Plan.
+// planner has the input of one call of Plan or MayLeave.
 type planner struct {
 	view   View
 	health map[string]Health
 	policy Policy
-	usable map[string]bool // by peer ID, as isUsable reports it
+	usable map[string]bool // by peer ID; see isUsable
 }
 
 func newPlanner(view View, health map[string]Health, policy Policy) *planner {
@@ -119,30 +123,31 @@
 	return p
 }
 
-// isUsable reports whether a peer is healthy and stays.
+// isUsable reports whether a peer is in contact, has a working disk and is not shutting down.
 func (p *planner) isUsable(id string) bool { return p.usable[id] }
 
-// isStable reports whether a peer has been usable for long enough to be given a new role.
+// isStable reports whether a peer is usable and has been in contact for long enough to get a new role.
 func (p *planner) isStable(id string) bool {
 	return p.isUsable(id) && p.health[id].StableFor >= p.policy.StableAfter
 }
 
-// lostDisk reports whether the machine of a voter has another disk by now: another peer is in contact
-// at its address.
+// lostDisk reports whether the machine of a voter now has another disk: another peer at the same address
+// had contact more recently.
 func (p *planner) lostDisk(id string) bool {
-	former, voter := p.view.Voter(id)
-	if !voter {
+	voter, isVoter := p.view.Voter(id)
+	if !isVoter {
 		return false
 	}
-	for other, h := range p.health {
-		if other != id && h.Peer.Addr == former.Addr && h.SinceContact < p.health[id].SinceContact {
+	for otherID, h := range p.health {
+		if otherID != id && h.Peer.Addr == voter.Addr && h.SinceContact < p.health[id].SinceContact {
 			return true
 		}
 	}
 	return false
 }
 
-// withRegion adds the region that a peer reports to a record of a version without regions.
+// withRegion returns a peer with its region. If the view's record was written by a version that did not
+// store regions, it takes the region that the peer reports.
 func (p *planner) withRegion(peer Peer) Peer {
 	if h, known := p.health[peer.ID]; known && peer.Region == "" {
 		peer.Region = h.Peer.Region
@@ -158,7 +163,7 @@
 	return voters
 }
 
-// members returns the members of the chain that match, with their regions.
+// members returns the members of the chain whose IDs match, with their regions.
 func (p *planner) members(matches func(id string) bool) (members []Peer) {
 	for _, member := range p.view.Chain {
 		if matches(member.ID) {
@@ -173,7 +178,8 @@
 	return p.members(func(string) bool { return true })
 }
 
-// completeUndecided is the step that completes a decision that was left open.
+// completeUndecided returns the step that completes a next view that a voter accepted, but of which no
+// decision is known.
 func (p *planner) completeUndecided() (Step, bool) {
 	for _, voter := range p.view.Voters {
 		if h, known := p.health[voter.ID]; known && h.Undecided && h.SinceContact < p.policy.FailAfter {
--- a/internal/fleet/view/plan_chain.go
+++ b/internal/fleet/view/plan_chain.go
@@ -5,36 +5,39 @@
 	"time"
 )
 
-// fault is the reason to remove a member from the chain.
-type fault struct {
-	member  string
-	cause   string
-	delay   time.Duration
-	leaving bool // the member still works
+// memberFault is a reason to remove a member from the chain.
+type memberFault struct {
+	memberID string
+	cause    string
+	delay    time.Duration // Step.Delay of the removal
+	leaving  bool          // the member is shutting down but still works
 }
 
-// findFaults returns the members that block updates, head first.
-func (p *planner) findFaults() (faults []fault) {
+// findFaults returns the faults of the members that block updates or are about to leave, head first.
+func (p *planner) findFaults() (faults []memberFault) {
 	for position, member := range p.view.Chain {
 		h, known := p.health[member.ID]
 		switch {
 		case p.lostDisk(member.ID):
-			faults = append(faults, fault{member: member.ID, cause: "its disk was lost"})
+			faults = append(faults, memberFault{memberID: member.ID, cause: "its disk was lost"})
 		case !known || h.SinceContact >= p.policy.FailAfter:
-			faults = append(faults, fault{member: member.ID, cause: "there is no contact with it"})
+			faults = append(faults, memberFault{memberID: member.ID, cause: "there is no contact with it"})
 		case h.DiskUnhealthy:
-			faults = append(faults, fault{member: member.ID, cause: "its disk is unhealthy"})
+			faults = append(faults, memberFault{memberID: member.ID, cause: "its disk is unhealthy"})
 		case h.Leaving:
-			faults = append(faults, fault{member: member.ID, cause: "it is shutting down", leaving: true})
+			faults = append(faults, memberFault{memberID: member.ID, cause: "it is shutting down", leaving: true})
 		case p.isPartitioned(position):
-			faults = append(faults, fault{member: member.ID, cause: "its predecessor can't reach it", delay: p.policy.StableAfter})
+			faults = append(faults, memberFault{
+				memberID: member.ID, cause: "its predecessor can't reach it", delay: p.policy.StableAfter,
+			})
 		}
 	}
 	return faults
 }
 
-// isPartitioned reports whether a member's predecessor has no contact with it. What a peer reports of
-// others is as old as its last message, and incomplete shortly after its start.
+// isPartitioned reports whether a member's predecessor has no contact with it. Both have to be stable,
+// and the predecessor must have run for a while: a peer's report about others is as old as its last
+// message, and incomplete shortly after its start.
 func (p *planner) isPartitioned(position int) bool {
 	if position == 0 || !p.isStable(p.view.Chain[position].ID) {
 		return false
@@ -44,40 +47,41 @@
 		!p.isConnected(predecessor, p.view.Chain[position].ID)
 }
 
-// isConnected reports whether a peer is in contact with another one, as it reports itself.
+// isConnected reports whether a peer has reported that it is in contact with another one.
 func (p *planner) isConnected(id, other string) bool {
 	return slices.Contains(p.health[id].ConnectedTo, other)
 }
 
-// removeFaultyMember is the step that removes the first faulty member without which the remaining
-// complete members still have the required spread.
-func (p *planner) removeFaultyMember(faults []fault) (Step, bool) {
-	for _, faulty := range faults {
-		next := p.view.RemoveMember(faulty.member)
+// removeFaultyMember returns the step that removes the first faulty member that can be removed: the
+// remaining complete members must have the required spread, and the next head must be complete.
+func (p *planner) removeFaultyMember(faults []memberFault) (Step, bool) {
+	for _, fault := range faults {
+		next := p.view.RemoveMember(fault.memberID)
 		if len(next.Chain) == 0 || !p.health[next.Chain[0].ID].Complete {
 			continue
 		}
 		remaining := p.members(func(id string) bool {
-			return id != faulty.member && p.isUsable(id) && p.health[id].Complete
+			return id != fault.memberID && p.isUsable(id) && p.health[id].Complete
 		})
-		if SpreadOf(remaining).Covers(p.requiredSpreadWithout(faulty)) {
-			reason := "remove " + faulty.member + " from the chain: " + faulty.cause
-			return Step{Kind: MemberRemoval, View: &next, Reason: reason, Urgent: true, Delay: faulty.delay}, true
+		if SpreadOf(remaining).Covers(p.requiredSpreadWithout(fault)) {
+			reason := "remove " + fault.memberID + " from the chain: " + fault.cause
+			return Step{Kind: MemberRemoval, View: &next, Reason: reason, Urgent: true, Delay: fault.delay}, true
 		}
 	}
 	return Step{}, false
 }
 
-// requiredSpreadWithout returns the spread that the complete replicas must have once a member is
-// removed: the required spread of the remaining voters, and more where other machines can hold
-// replicas right now. If the member still works, these include the peers that can be made voters.
-func (p *planner) requiredSpreadWithout(faulty fault) Spread {
+// requiredSpreadWithout returns the spread that the complete replicas must have once a faulty member is
+// removed. This is the required spread of the voters (without the member if it is leaving), or a larger
+// one if other machines can hold replicas now. For a leaving member, which still works, these machines
+// include the candidates that can become voters.
+func (p *planner) requiredSpreadWithout(fault memberFault) Spread {
 	tolerance := p.policy.Tolerance
-	voters := filterPeers(p.voters(), func(voter Peer) bool { return !faulty.leaving || voter.ID != faulty.member })
+	voters := filterPeers(p.voters(), func(voter Peer) bool { return !fault.leaving || voter.ID != fault.memberID })
 	required := View{Voters: voters}.RequiredSpread(tolerance)
-	replicas := p.members(func(id string) bool { return id != faulty.member && p.isUsable(id) })
+	replicas := p.members(func(id string) bool { return id != fault.memberID && p.isUsable(id) })
 	replicas = append(replicas, p.appendable()...)
-	if faulty.leaving {
+	if fault.leaving {
 		replicas = append(replicas, selectVoters(p.voters(), p.candidates(), tolerance, true)...)
 	}
 	possible := SpreadOf(replicas)
@@ -87,7 +91,7 @@
 	return required
 }
 
-// appendable returns the voters outside of the chain that are in contact with all of its healthy
+// appendable returns the stable voters outside of the chain that are in contact with all of its healthy
 // members.
 func (p *planner) appendable() []Peer {
 	return filterPeers(p.voters(), func(voter Peer) bool {
@@ -100,11 +104,12 @@
 	})
 }
 
-// appendMember is the step that adds a voter to the chain, from the region and then the zone with
-// the fewest members. One voter joins at a time: it waits until all healthy members are complete.
+// appendMember returns the step that adds a voter to the chain. It prefers the zone with the fewest
+// members or, if losses of regions are to be tolerated, the region and then the zone. Voters join one at
+// a time: the next one waits until all healthy members are complete.
 func (p *planner) appendMember(purpose string, urgent bool) (Step, bool) {
-	healthy := p.members(p.isUsable)
-	if slices.ContainsFunc(healthy, func(member Peer) bool { return !p.health[member.ID].Complete }) {
+	healthyMembers := p.members(p.isUsable)
+	if slices.ContainsFunc(healthyMembers, func(member Peer) bool { return !p.health[member.ID].Complete }) {
 		return Step{}, false
 	}
 	appendable := p.appendable()
@@ -116,8 +121,8 @@
 	return Step{Kind: MemberAddition, View: &next, Reason: "add " + id + " " + purpose, Urgent: urgent}, true
 }
 
-// chainIsShort reports whether the chain has to grow: in length, or to zones and regions in which it
-// has no member.
+// chainIsShort reports whether the chain has to grow, either in length or to a zone or region in which
+// it has no member.
 func (p *planner) chainIsShort() bool {
 	tolerance := p.policy.Tolerance
 	switch {
@@ -128,10 +133,11 @@
 	case tolerance.Zones == 0 && tolerance.Regions == 0:
 		return false
 	}
-	present := SpreadOf(p.allMembers())
-	if present.Zones > tolerance.Zones && present.Regions > tolerance.Regions {
+	current := SpreadOf(p.allMembers())
+	if current.Zones > tolerance.Zones && current.Regions > tolerance.Regions {
 		return false
 	}
 	possible := SpreadOf(append(p.members(p.isUsable), p.appendable()...))
-	return present.Zones < min(tolerance.Zones+1, possible.Zones) || present.Regions < min(tolerance.Regions+1, possible.Regions)
+	return current.Zones < min(tolerance.Zones+1, possible.Zones) ||
+		current.Regions < min(tolerance.Regions+1, possible.Regions)
 }
--- a/internal/fleet/view/plan_chain_test.go
+++ b/internal/fleet/view/plan_chain_test.go
@@ -21,13 +21,17 @@
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, "a b c d").update("a", change)
 			require.True(t, s.requireStep(t, "b c d").Urgent)
-			if name == "shutting down" { // three voters tolerate a loss, four of which one is absent don't
+			// A voter that shuts down is removed: three voters tolerate a loss, but four voters of which one
+			// is absent don't.
+			if name == "shutting down" {
 				require.Equal(t, "a", s.requireStep(t, "b c d").RemovedVoter)
 				require.Equal(t, testPeers("b c d"), s.view.Voters)
 			}
 			s.requireNoStep(t)
 			s.update("a", func(h *Health) {
-				*h = Health{Peer: testPeer("a"), StableFor: 200 * time.Millisecond, ConnectedTo: []string{"b", "c", "d"}}
+				*h = Health{
+					Peer: testPeer("a"), StableFor: 200 * time.Millisecond, ConnectedTo: []string{"b", "c", "d"},
+				}
 			})
 			s.requireNoStep(t)
 			s.update("a", func(h *Health) { h.StableFor = 300 * time.Millisecond })
@@ -42,8 +46,8 @@
 	}
 }
 
-// Enough complete members for the tolerated losses stay in the chain: before one of them is removed,
-// another one joins and becomes complete.
+// The chain keeps enough complete members for the tolerated losses. If the removal of a member would
+// leave too few, another voter has to join and become complete first.
 func TestChainKeepsRequiredSpread(t *testing.T) {
 	s := newScenario(t, "a b c d")
 	s.loseContact("c", time.Second)
@@ -73,7 +77,7 @@
 	s.regainContact("c", time.Second)
 	s.regainContact("d", time.Second)
 	s.requireStep(t, "a b c")
-	s.requireNoStep(t) // c is not complete yet: one joins at a time
+	s.requireNoStep(t) // c is not complete yet, and voters join one at a time
 	s.setComplete("c")
 	s.requireStep(t, "a b c d")
 	s.setComplete("d")
@@ -96,17 +100,17 @@
 	s := newScenario(t, "a b c d")
 	s.update("b", func(h *Health) { h.ConnectedTo = []string{"a", "d"} })
 	step, _ := s.plan(t)
-	require.Equal(t, testPolicy.StableAfter, step.Delay, "not for a short interruption")
+	require.Equal(t, testPolicy.StableAfter, step.Delay, "a short interruption does not remove it")
 	s.requireStep(t, "a b d")
-	s.requireNoStep(t) // b can't reach it
+	s.requireNoStep(t) // c does not join again while b can't reach it
 	restarted := newScenario(t, "a b c d").update("b", func(h *Health) { h.ConnectedTo, h.Uptime = nil, time.Second })
-	restarted.requireNoStep(t) // b has just started
+	restarted.requireNoStep(t) // b has just started, so its report may be incomplete
 	s.update("b", func(h *Health) { h.ConnectedTo = []string{"a", "c", "d"} })
 	s.requireStep(t, "a b d c")
 }
 
-// Beyond the length that the tolerated losses need, voters are on standby. The one of the zone with the
-// fewest members joins first.
+// Voters that would make the chain longer than MaxChainLength are on standby. When the chain gets
+// shorter, a voter of the zone with the fewest members joins first.
 func TestVotersStandBy(t *testing.T) {
 	s := &scenario{health: map[string]Health{}}
 	s.view, _ = InitialView(testPeers("a1 a2 a3 b1 b2 b3"), tolerateMachines(1))
@@ -137,7 +141,7 @@
 	require.NotNil(t, step.View)
 }
 
-// A member whose disk was lost is no complete replica, so it does not allow the removal of another.
+// A member whose disk was lost is no complete replica, so another member is not removed on account of it.
 func TestLostDiskIsNoReplica(t *testing.T) {
 	t.Parallel()
 	s := newScenario(t, "a b c").addPeerAt("x", "c")
@@ -146,7 +150,8 @@
 	require.GreaterOrEqual(t, s.plannedView(t).Position("b"), 0, "a would be the only complete replica")
 }
 
-// The only replica in a second zone stays until another machine of that zone has one.
+// A leaving member that has the only replica outside of another zone stays until a second machine of its
+// zone has a replica.
 func TestLeavingMemberHasTheOnlyReplicaOfItsZone(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/a/a2 r/b/b1 r/b/b2 r/c/c1 r/c/c2", Tolerance{Machines: 1, Zones: 1})
 	require.Equal(t, "a1 a2 b1 c1", s.chainIDs())
@@ -158,14 +163,15 @@
 	s.completeMembers().requireStep(t, "a1 a2 b2")
 }
 
-// A lost zone is removed even if all remaining replicas are in one zone.
+// The member in a lost zone is removed even if all remaining replicas are in one zone.
 func TestLostZoneDoesNotBlockUpdates(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/a/a2 r/b/b1", Tolerance{Machines: 1, Zones: 1})
 	s.loseContact("b1", testPolicy.FailAfter)
 	s.requireStep(t, "a1 a2")
 }
 
-// A zone that comes back joins beyond the maximum length of the chain, if the chain has no member there.
+// When a lost zone returns, its voter joins the chain even beyond MaxChainLength, because the chain has
+// no member in that zone.
 func TestChainIsExtendedToAnotherZone(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/a/a2 r/a/a3 r/a/a4 r/b/b1", Tolerance{Machines: 1, Zones: 1})
 	s.loseContact("b1", testPolicy.FailAfter)
@@ -180,6 +186,7 @@
 	s.requireStep(t, "a1 a2 a3 a4 b1")
 }
 
+// If losses of regions are to be tolerated, the chain is extended to a region without a member first.
 func TestRegionsAreExtendedFirst(t *testing.T) {
 	s := newZonedScenario(t, "r/a/1 r/b/2 r/c/3 s/d/4 s/e/5 q/f/6", Tolerance{Machines: 1, Regions: 1})
 	s.view.Chain = s.view.Chain[:0]
--- a/internal/fleet/view/plan_test.go
+++ b/internal/fleet/view/plan_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each step names its kind.
+// Each step has the kind of the change that it makes.
 func TestStepKinds(t *testing.T) {
 	t.Parallel()
 	s := newScenario(t, "a b c").update("b", func(h *Health) { h.Undecided = true })
--- a/internal/fleet/view/plan_voters.go
+++ b/internal/fleet/view/plan_voters.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// changeVoters is the step that adds, replaces or removes a voter.
+// changeVoters returns the step that adds, replaces or removes a voter.
 func (p *planner) changeVoters() (Step, bool) {
 	candidates := p.candidates()
 	for _, rule := range []func(candidates []Peer) (Step, bool){
@@ -17,15 +17,15 @@
 
 // isEligible reports whether a peer is not a voter and may become one.
 func (p *planner) isEligible(peer Peer) bool {
-	_, voter := p.view.Voter(peer.ID)
-	counted := slices.ContainsFunc(p.view.Voters, func(other Peer) bool { return other.Counted })
-	return !voter && (peer.Disk || p.view.InMemory) && (peer.Counted || !counted)
+	_, isVoter := p.view.Voter(peer.ID)
+	hasCountedVoter := slices.ContainsFunc(p.view.Voters, func(voter Peer) bool { return voter.Counted })
+	return !isVoter && (peer.Disk || p.view.InMemory) && (peer.Counted || !hasCountedVoter)
 }
 
-// candidates returns the eligible peers that are stable, by ID. A machine whose former disk is still
-// a member of the chain waits until that is removed. A former voter waits until it reports that it knows
-// of its removal: what it reported before may be from before it began to shut down, and its process may
-// have ended since.
+// candidates returns the eligible peers that are stable, sorted by ID. A machine is no candidate as long
+// as its former disk is a member of the chain. A former voter is no candidate until it reports that it
+// knows of its removal: its earlier reports may date from before it began to shut down, and its process
+// may have ended since.
 func (p *planner) candidates() (candidates []Peer) {
 	for id, h := range p.health {
 		inChain := slices.ContainsFunc(p.view.Chain, func(member Member) bool { return member.Addr == h.Peer.Addr })
@@ -37,7 +37,7 @@
 	return candidates
 }
 
-// replaceLostDisk replaces the voter of a lost disk by the new disk of the same machine.
+// replaceLostDisk replaces a voter whose disk was lost by the new disk of the same machine.
 func (p *planner) replaceLostDisk(candidates []Peer) (Step, bool) {
 	for _, candidate := range candidates {
 		for _, voter := range p.view.Voters {
@@ -49,7 +49,7 @@
 	return Step{}, false
 }
 
-// removeLeavingVoter replaces a voter that is shutting down by a candidate, or removes it where the
+// removeLeavingVoter replaces a voter that is shutting down by a candidate, or removes it if the
 // available voters survive more losses without it.
 func (p *planner) removeLeavingVoter(candidates []Peer) (Step, bool) {
 	for _, voter := range p.view.Voters {
@@ -57,24 +57,28 @@
 		if !known || !h.Leaving || h.SinceContact >= p.policy.FailAfter || p.view.Position(voter.ID) >= 0 {
 			continue
 		}
-		leaving := p.withRegion(voter)
-		rest := filterPeers(p.voters(), func(other Peer) bool { return other.ID != leaving.ID })
-		withoutIt := p.shortfalls(rest)
-		if candidate, found := p.bestReplacement(leaving, candidates); found && !withoutIt.less(p.shortfalls(append(slices.Clone(rest), candidate))) {
-			return p.replaceVoter(leaving.ID, candidate, "the former is shutting down"), true
+		leavingVoter := p.withRegion(voter)
+		remaining := filterPeers(p.voters(), func(other Peer) bool { return other.ID != leavingVoter.ID })
+		afterRemoval := p.shortfalls(remaining)
+		if candidate, found := p.bestReplacement(leavingVoter, candidates); found &&
+			!afterRemoval.less(p.shortfalls(append(slices.Clone(remaining), candidate))) {
+			return p.replaceVoter(leavingVoter.ID, candidate, "the replaced voter is shutting down"), true
 		}
-		if len(rest) > 0 && withoutIt.available.Less(p.shortfalls(p.voters()).available) {
-			next := p.view.RemoveVoter(leaving.ID)
-			return Step{Kind: VoterRemoval, View: &next, Reason: "remove voter " + leaving.ID + ": it is shutting down", RemovedVoter: leaving.ID}, true
+		if len(remaining) > 0 && afterRemoval.available.Less(p.shortfalls(p.voters()).available) {
+			next := p.view.RemoveVoter(leavingVoter.ID)
+			return Step{
+				Kind: VoterRemoval, View: &next, Reason: "remove voter " + leavingVoter.ID + ": it is shutting down",
+				RemovedVoter: leavingVoter.ID,
+			}, true
 		}
 	}
 	return Step{}, false
 }
 
-// shortfalls is those of a set of voters.
+// shortfalls has the shortfalls of a set of voters.
 type shortfalls struct {
-	available Shortfall // counting only the voters that are usable now
-	total     Shortfall // counting all voters
+	available Shortfall // while only the voters that are usable now are available
+	total     Shortfall // while all voters are available
 }
 
 func (s shortfalls) less(other shortfalls) bool {
@@ -90,7 +94,7 @@
 	}
 }
 
-// replaceAbsentVoter replaces a voter that has been without contact for long by a candidate.
+// replaceAbsentVoter replaces a voter that has had no contact for Policy.ReplaceAfter by a candidate.
 func (p *planner) replaceAbsentVoter(candidates []Peer) (Step, bool) {
 	for _, voter := range p.view.Voters {
 		h, known := p.health[voter.ID]
@@ -98,67 +102,71 @@
 			continue
 		}
 		if candidate, found := p.bestReplacement(p.withRegion(voter), candidates); found {
-			return p.replaceVoter(voter.ID, candidate, "the former is absent"), true
+			return p.replaceVoter(voter.ID, candidate, "the replaced voter is absent"), true
 		}
 	}
 	return Step{}, false
 }
 
-// bestReplacement returns the candidate in whose place the voters have the smallest shortfall, if
-// that is no larger than with the former voter. Of equal candidates it prefers one in the same zone,
-// then one in the zone with the fewest voters.
-func (p *planner) bestReplacement(former Peer, candidates []Peer) (best Peer, found bool) {
+// bestReplacement returns the candidate with which the voters have the smallest shortfall once it
+// replaces the former voter. Found is false if each candidate would increase the shortfall. Among equal
+// candidates it prefers one in the former voter's zone, then one in the zone with the fewest voters. If
+// losses of regions are to be tolerated, it compares the number of voters by region before that by zone.
+func (p *planner) bestReplacement(formerVoter Peer, candidates []Peer) (best Peer, found bool) {
 	if len(candidates) == 0 {
 		return Peer{}, false
 	}
 	tolerance := p.policy.Tolerance
-	all := p.voters()
-	rest := filterPeers(all, func(voter Peer) bool { return voter.ID != former.ID })
-	least := tolerance.shortfall(all, len(all))
-	var equal []Peer
+	voters := p.voters()
+	remaining := filterPeers(voters, func(voter Peer) bool { return voter.ID != formerVoter.ID })
+	smallestShortfall := tolerance.shortfall(voters, len(voters))
+	var bestCandidates []Peer
 	for _, candidate := range candidates {
-		shortfall := tolerance.shortfall(append(slices.Clone(rest), candidate), len(all))
+		shortfall := tolerance.shortfall(append(slices.Clone(remaining), candidate), len(voters))
 		switch {
-		case shortfall.Less(least):
-			equal, least = []Peer{candidate}, shortfall
-		case shortfall == least:
-			equal = append(equal, candidate)
+		case shortfall.Less(smallestShortfall):
+			bestCandidates, smallestShortfall = []Peer{candidate}, shortfall
+		case shortfall == smallestShortfall:
+			bestCandidates = append(bestCandidates, candidate)
 		}
 	}
-	if len(equal) == 0 {
+	if len(bestCandidates) == 0 {
 		return Peer{}, false
 	}
-	if i := slices.IndexFunc(equal, func(candidate Peer) bool { return zoneOf(candidate) == zoneOf(former) }); i >= 0 {
-		return equal[i], true
+	if i := slices.IndexFunc(bestCandidates, func(candidate Peer) bool {
+		return zoneOf(candidate) == zoneOf(formerVoter)
+	}); i >= 0 {
+		return bestCandidates[i], true
 	}
-	return equal[leastLoaded(rest, equal, tolerance.Regions > 0)], true
+	return bestCandidates[leastLoaded(remaining, bestCandidates, tolerance.Regions > 0)], true
 }
 
-// addVoter adds a candidate as a voter, only while all voters are available: with an absent voter it
-// would raise the quorum. A leaving voter counts as absent once it has left the chain; before that the
-// chain needs the candidate. Where zones or regions may be lost there are no more voters than that
-// takes: a candidate on standby replaces a voter of its zone.
+// addVoter adds a candidate as a voter, but only while all voters are available: while one is absent,
+// another voter would raise the quorum. A leaving voter counts as absent only after it has left the
+// chain, because the chain needs the candidate until then. If losses of zones or regions are to be
+// tolerated, there are no more voters than that takes, and the other candidates stay on standby until
+// they replace a voter. The exception is a leaving voter while no voter outside of the chain is usable.
 func (p *planner) addVoter(candidates []Peer) (Step, bool) {
 	if len(candidates) == 0 {
 		return Step{}, false
 	}
 	tolerance := p.policy.Tolerance
-	leaving, standby := false, false
+	hasLeavingVoter, hasStandby := false, false
 	for _, voter := range p.view.Voters {
 		h, known := p.health[voter.ID]
 		if !known || h.SinceContact >= p.policy.FailAfter || h.Leaving && p.view.Position(voter.ID) < 0 {
 			return Step{}, false
 		}
-		leaving = leaving || h.Leaving
-		standby = standby || p.isUsable(voter.ID) && p.view.Position(voter.ID) < 0
+		hasLeavingVoter = hasLeavingVoter || h.Leaving
+		hasStandby = hasStandby || p.isUsable(voter.ID) && p.view.Position(voter.ID) < 0
 	}
-	asManyAsPossible := tolerance.Zones == 0 && tolerance.Regions == 0 || leaving && !standby
-	additional := selectVoters(p.voters(), candidates, tolerance, asManyAsPossible)
-	if len(additional) == 0 {
+	preferLarge := tolerance.Zones == 0 && tolerance.Regions == 0 || hasLeavingVoter && !hasStandby
+	selected := selectVoters(p.voters(), candidates, tolerance, preferLarge)
+	if len(selected) == 0 {
 		return Step{}, false
 	}
-	next := p.view.AddVoter(additional[0])
-	return Step{Kind: VoterAddition, View: &next, Reason: "add " + additional[0].ID + " as a voter"}, true
+	next := p.view.AddVoter(selected[0])
+	return Step{Kind: VoterAddition, View: &next, Reason: "add " + selected[0].ID + " as a voter"}, true
 }
 
 func (p *planner) replaceVoter(id string, candidate Peer, cause string) Step {
--- a/internal/fleet/view/plan_voters_test.go
+++ b/internal/fleet/view/plan_voters_test.go
@@ -26,9 +26,9 @@
 func TestAbsentVoterIsReplaced(t *testing.T) {
 	s := newScenario(t, "a b c d").loseContact("b", time.Second)
 	s.requireStep(t, "a c d")
-	s.requireNoStep(t) // no peer can replace it, and it is never just removed
+	s.requireNoStep(t) // no peer can replace b, and a voter is not removed without a replacement
 	s.addPeer(testPeer("e"))
-	s.requireNoStep(t) // it is not absent for long enough, and no voter is added meanwhile
+	s.requireNoStep(t) // b has not been absent for long enough, and no voter is added while one is absent
 	s.loseContact("b", 2*time.Second)
 	s.requireStep(t, "a c d")
 	require.Len(t, s.view.Voters, 4)
@@ -36,12 +36,12 @@
 	s.setComplete("e")
 	s.regainContact("b", time.Second)
 	s.requireStep(t, "a c d e")
-	require.Len(t, s.view.Voters, 5, "the former one is one more")
+	require.Len(t, s.view.Voters, 5, "the replaced voter is added again")
 	s.requireNoStep(t)
 }
 
-// A former voter may have ended since it was last heard of: it is no candidate before it reports that it
-// knows of its removal.
+// A former voter is no candidate until it reports that it knows of its removal, because its process may
+// have ended since its last report.
 func TestFormerVoterIsAddedOnceItKnows(t *testing.T) {
 	s := newScenario(t, "a b c")
 	s.addPeer(testPeer("d"))
@@ -86,7 +86,8 @@
 	require.False(t, found)
 }
 
-// A voter that is a member of the chain is not replaced while it can't be removed from the chain.
+// An absent voter is not replaced as long as it is a member of the chain, also if it can't be removed
+// from the chain.
 func TestChainMemberKeepsItsVote(t *testing.T) {
 	t.Parallel()
 	s := newScenario(t, "a b")
@@ -96,7 +97,7 @@
 	require.True(t, found)
 }
 
-// A candidate does not raise the quorum while a voter is absent.
+// A candidate does not become a voter while a voter is absent, because that would raise the quorum.
 func TestNoVoterIsAddedWhileOneIsAbsent(t *testing.T) {
 	t.Parallel()
 	s := newScenario(t, "a b")
@@ -105,18 +106,19 @@
 	require.Len(t, s.plannedView(t).Voters, 2)
 }
 
-// In a planned replacement the candidate is present first, and then takes the place of the leaving voter.
+// In a planned replacement the candidate starts first, and then takes the place of the leaving voter.
 func TestLeavingVoterIsReplaced(t *testing.T) {
 	s := newScenario(t, "a b c").shutDown("a")
 	s.requireStep(t, "b c")
-	require.True(t, s.mayLeave("a"), "two voters tolerate no more than three")
+	require.True(t, s.mayLeave("a"), "two voters would tolerate no more losses than three")
 	s.addPeer(testPeer("d"))
 	require.False(t, s.mayLeave("a"))
 	require.Equal(t, "a", s.requireStep(t, "b c").RemovedVoter)
 	require.Equal(t, "b c d", joinIDs(s.view.Voters))
 	s.requireStep(t, "b c d")
 
-	// It was added before: four voters without one of them don't tolerate a loss, three do.
+	// If the candidate was already added as a voter, the leaving voter is removed: three voters tolerate
+	// a loss, but four voters of which one is absent don't.
 	s = newScenario(t, "a b c")
 	s.addPeer(testPeer("d"))
 	s.requireStep(t, "a b c")
@@ -125,7 +127,8 @@
 	require.Equal(t, "a", s.requireStep(t, "b c d").RemovedVoter)
 	require.Equal(t, "b c d", joinIDs(s.view.Voters))
 
-	// And it failed meanwhile: the two that remain are a majority of three, not of four.
+	// If the added voter then fails, the leaving voter is removed too: the two remaining voters are a
+	// majority of three, but not of four.
 	s = newScenario(t, "a b c")
 	s.addPeer(testPeer("d"))
 	s.requireStep(t, "a b c")
@@ -136,11 +139,10 @@
 
 	five := newScenario(t, "a b c d e").shutDown("a")
 	five.requireStep(t, "b c d e")
-	five.requireNoStep(t) // they tolerate a loss as they are
+	five.requireNoStep(t) // five voters tolerate a loss although one of them is absent
 }
 
-// The only machine of a control plane is replaced: its replacement is a voter and complete before it
-// may leave.
+// The only machine of a control plane may leave once its replacement is a voter and complete.
 func TestOnlyMemberIsReplaced(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a", Tolerance{}).shutDown("a")
 	s.requireNoStep(t)
@@ -167,7 +169,7 @@
 	require.Equal(t, "a1 b1 c2", joinIDs(s.view.Voters))
 }
 
-// Where the voters tolerate the loss of a zone, candidates stay on standby until a voter leaves. More
+// If the voters tolerate the loss of a zone, candidates stay on standby until a voter leaves. Additional
 // voters would only concentrate votes in a zone.
 func TestCandidatesStandByWhereZonesAreTolerated(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 1, Zones: 1})
@@ -179,7 +181,8 @@
 	require.Equal(t, "a1 b2 c1", joinIDs(s.view.Voters))
 }
 
-// A voter is added if all candidates together tolerate more, even if the first of them alone does not.
+// A candidate is added as a voter if the voters tolerate more losses together with all candidates, even
+// if they don't with this candidate alone.
 func TestVoterAdditionConsidersAllCandidates(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/b/b1 r/c/c1", Tolerance{Machines: 2, Zones: 1})
 	s.addPeer(testPeersAt("r/a/a2")[0])
--- a/internal/fleet/view/proposal.go
+++ b/internal/fleet/view/proposal.go
@@ -5,15 +5,15 @@
 // ProposalState is the progress of a proposal.
 type ProposalState uint8
 
-// The states. The last four are final; Contended, Superseded and Idle end a proposal without a
-// decision of its own.
+// The states of a proposal. The last four are final. A proposal that ends in Contended, Superseded or
+// Idle has decided nothing itself.
 const (
 	Preparing  ProposalState = iota // waiting for promises
-	Accepting                       // all voters are to be asked to accept Proposal.View
+	Accepting                       // the caller has to ask all voters to accept Proposal.View
 	Decided                         // Proposal.View is the next view
-	Contended                       // Proposal.HighestSeen prevents it: retry later with a higher round
-	Superseded                      // Proposal.View is a view that is newer than Base
-	Idle                            // there is no view to propose, and none was accepted before
+	Contended                       // promises to other proposals prevent it: retry later with a higher round
+	Superseded                      // a view newer than Base was decided, which is now Proposal.View
+	Idle                            // no acceptor reported an accepted view, and there is no initial view to propose
 )
 
 // String returns the state's name for logs and tests.
@@ -29,31 +29,31 @@
 type Proposal struct {
 	Base        View
 	Number      ProposalNumber
-	View        View           // the proposed view; from Accepting on it may be another proposer's
-	HighestSeen ProposalNumber // the highest number for which an acceptor rejected this one
+	View        View           // the view to accept, which may come from another proposer; void before Accepting
+	HighestSeen ProposalNumber // the highest promise that acceptors reported when they rejected this proposal
 
-	initial        *View // the proposer's own view, or nil
-	promises       map[string]bool
+	initial        *View           // the proposer's own view; nil if it only completes an undecided one
+	promises       map[string]bool // by voter ID, as are acceptances and rejections
 	acceptances    map[string]bool
 	rejections     map[string]bool
-	acceptedNumber ProposalNumber // of acceptedView
-	acceptedView   *View          // the one of the highest number that an acceptor reported
+	acceptedNumber ProposalNumber // proposal number of acceptedView
+	acceptedView   *View          // the accepted view with the highest number that was reported; nil if there is none
 	state          ProposalState
 }
 
-// NewProposal starts an attempt. If initial is nil it completes the attempts that others left
-// undecided.
+// NewProposal returns a new proposal. If initial is nil, it only completes a view that other proposers
+// left undecided.
 func NewProposal(base View, number ProposalNumber, initial *View) *Proposal {
 	return &Proposal{Base: base, Number: number, initial: initial,
 		promises: map[string]bool{}, acceptances: map[string]bool{}, rejections: map[string]bool{}}
 }
 
-// PrepareRequest returns the request of the first phase.
+// PrepareRequest returns the request of the first phase, to be sent to each voter.
 func (p *Proposal) PrepareRequest() PrepareRequest {
 	return PrepareRequest{Base: p.Base, Number: p.Number}
 }
 
-// AcceptRequest returns the request of the second phase.
+// AcceptRequest returns the request of the second phase, to be sent to each voter.
 func (p *Proposal) AcceptRequest() AcceptRequest {
 	return AcceptRequest{Base: p.Base, Number: p.Number, View: p.View}
 }
@@ -62,7 +62,7 @@
 func (p *Proposal) State() ProposalState { return p.state }
 
 // HandlePromise handles a voter's response to PrepareRequest. Once a quorum has promised, it selects
-// the view to propose: the one that was accepted with the highest number, or else the initial one.
+// the view to propose: the accepted view with the highest number, or the initial view if there is none.
 func (p *Proposal) HandlePromise(voter string, response Response) ProposalState {
 	if p.state != Preparing || !p.isGranted(voter, response) {
 		return p.state
@@ -97,8 +97,8 @@
 	return p.state
 }
 
-// isGranted reports whether a response of a voter grants the request. If it does not, the proposal
-// may end: by a newer view, or once too few voters are left for a quorum.
+// isGranted reports whether a voter's response grants the request. If it does not, the proposal may end:
+// as superseded by a newer view, or as contended once the remaining voters are fewer than a quorum.
 func (p *Proposal) isGranted(voter string, response Response) bool {
 	if _, found := p.Base.Voter(voter); !found {
 		return false
--- a/internal/fleet/view/tolerance.go
+++ b/internal/fleet/view/tolerance.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Tolerance is the losses that the control plane has to survive: Machines machines, or all machines
-// of Zones zones, or all machines of Regions regions at once. The kinds are alternatives, not a sum.
+// Tolerance has the losses that the control plane has to survive: a number of machines, or all machines
+// of a number of zones, or all machines of a number of regions. Only losses of one kind happen at once.
 type Tolerance struct {
 	Machines int
 	Zones    int
@@ -20,7 +20,7 @@
 	Regions  int
 }
 
-// SpreadOf returns the spread of peers, each of which is one machine.
+// SpreadOf returns the spread of peers. Each peer is one machine.
 func SpreadOf(peers []Peer) Spread {
 	return Spread{
 		Machines: len(peers),
@@ -29,13 +29,13 @@
 	}
 }
 
-// Covers reports whether s is at least required in each respect.
+// Covers reports whether each count of s is at least that of required.
 func (s Spread) Covers(required Spread) bool {
 	return s.Machines >= required.Machines && s.Zones >= required.Zones && s.Regions >= required.Regions
 }
 
-// Shortfall is by how much the voters miss a tolerance: a majority survives the loss of so many
-// fewer machines, zones or regions, whichever they are.
+// Shortfall is the difference between the losses to tolerate and those that a majority of the voters
+// survives in the worst case, as numbers of machines, zones and regions.
 type Shortfall struct {
 	Machines int `json:"Machines"`
 	Zones    int `json:"Zones"`
@@ -56,8 +56,7 @@
 	return s.Regions < other.Regions
 }
 
-// String lists the kinds of losses of which fewer are survived, as in "machines: 1 fewer, regions: 2
-// fewer".
+// String lists the kinds of losses with a shortfall, as in "machines: 1 fewer, regions: 2 fewer".
 func (s Shortfall) String() string {
 	var kinds []string
 	for _, kind := range []struct {
@@ -71,12 +70,12 @@
 	return strings.Join(kinds, ", ")
 }
 
-// Shortfall returns that of the view's voters while all of them are available.
+// Shortfall returns the shortfall of the view's voters while all of them are available.
 func (v View) Shortfall(tolerance Tolerance) Shortfall {
 	return tolerance.shortfall(v.Voters, len(v.Voters))
 }
 
-// shortfall returns that of voters of which only some are available.
+// shortfall returns the shortfall of a number of voters of which only some are available.
 func (t Tolerance) shortfall(available []Peer, voters int) Shortfall {
 	spare := len(available) - (voters/2 + 1)
 	shortfall := Shortfall{Machines: max(0, t.Machines-max(spare, -1))}
@@ -89,8 +88,9 @@
 	return shortfall
 }
 
-// survivableDomains returns how many complete domains may be lost, whichever they are, while at most
-// spare machines may be. It returns -1 if there is no majority even without a loss.
+// survivableDomains returns how many whole domains may be lost in the worst case if at most a number of
+// spare machines may be lost. It returns -1 if spare is negative: there is no majority even without a
+// loss.
 func survivableDomains(counts map[failureDomain]int, spare int) int {
 	lost := 0
 	for lost < len(counts) && sumOfLargest(counts, lost+1) <= spare {
@@ -102,9 +102,10 @@
 	return lost
 }
 
-// RequiredSpread is the least spread of the complete replicas of the chain: one machine, zone and
-// region more than may be lost, but no more than remains of the voters after any tolerated loss, so
-// that such a loss does not block updates. Of machines only as many losses count as leave a majority.
+// RequiredSpread returns the smallest spread that the complete replicas of the chain must have. For each
+// kind it is one more than the number that may be lost, but at most what remains of the voters after any
+// tolerated loss, so that such a loss does not block updates. Losses of machines count only as far as
+// they leave a majority.
 func (v View) RequiredSpread(tolerance Tolerance) Spread {
 	all := SpreadOf(v.Voters)
 	machines := min(tolerance.Machines, max(0, all.Machines-v.Quorum()))
@@ -128,9 +129,9 @@
 	}
 }
 
-// MaxChainLength is the length up to which a chain grows. Each additional member adds one more sync
-// to the latency of an update, and one more machine whose failure delays it. The voters outside of
-// the chain are on standby.
+// MaxChainLength returns the length up to which a chain grows, unless it needs a member in another zone
+// or region. Each additional member adds a disk sync to the latency of an update, and a machine whose
+// failure delays updates. The voters outside of the chain are on standby.
 func MaxChainLength(tolerance Tolerance) int {
 	return max(0, tolerance.Machines, tolerance.Zones, tolerance.Regions) + 3
 }
--- a/internal/fleet/view/transitions.go
+++ b/internal/fleet/view/transitions.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// next returns a copy with the next number.
+// next returns a copy of the view with the next number.
 func (v View) next() View {
 	next := v.Clone()
 	next.Number++
@@ -47,7 +47,8 @@
 	return next
 }
 
-// insertVoter adds a voter in the order of IDs. Only a view that is still being built may call it.
+// insertVoter adds a voter and keeps the voters sorted by ID. It may only be called on a view that is
+// still being built.
 func (v *View) insertVoter(peer Peer) {
 	v.Voters = append(v.Voters, peer)
 	slices.SortFunc(v.Voters, comparePeers)
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -10,33 +10,33 @@
 const (
 	// MaxVoters is the largest number of voters of a view.
 	MaxVoters = 9
-	// maxTextBytes is the largest length of an ID, an address, a zone or a region.
+	// maxTextBytes is the largest length of an ID, an address, a zone or a region, in bytes.
 	maxTextBytes = 128
 )
 
-// Peer is one machine of the control plane. It is identified by its disk: after a disk loss the
-// machine is another peer with the same address.
+// Peer is one machine of the control plane, identified by its disk. A machine that lost its disk
+// becomes another peer with the same address.
 type Peer struct {
 	ID      string `msgpack:"i" json:"ID"`   // random, created with the first file on the disk
 	Addr    string `msgpack:"a" json:"Addr"` // HOST:PORT of its agent
 	Zone    string `msgpack:"z" json:"Zone"`
-	Region  string `msgpack:"r,omitempty" json:"Region"`  // "" in records of versions that did not store it
-	Disk    bool   `msgpack:"d,omitempty" json:"Disk"`    // its promises outlive its process
-	Counted bool   `msgpack:"c,omitempty" json:"Counted"` // its loss counts towards the tolerated losses
+	Region  string `msgpack:"r,omitempty" json:"Region"`  // empty in records of versions that did not store it
+	Disk    bool   `msgpack:"d,omitempty" json:"Disk"`    // it has a disk, so its promises survive a restart
+	Counted bool   `msgpack:"c,omitempty" json:"Counted"` // its loss counts as one of the losses to tolerate
 }
 
 // Member is one member of the chain.
 type Member struct {
 	Peer
-	JoinedIn uint64 `msgpack:"Since" json:"Since"` // number of the view in which it joined
+	JoinedIn uint64 `msgpack:"Since" json:"Since"` // number of the view in which it joined the chain
 }
 
 // View is one configuration of the control plane. It is immutable once decided.
 type View struct {
-	Number   uint64   `msgpack:"Number" json:"Number"` // from 1; 0 is no view
-	Voters   []Peer   `msgpack:"Voters" json:"Voters"` // at most MaxVoters, in the order of their IDs
+	Number   uint64   `msgpack:"Number" json:"Number"` // counts from 1; 0 if there is no view
+	Voters   []Peer   `msgpack:"Voters" json:"Voters"` // at most MaxVoters, sorted by ID
 	Chain    []Member `msgpack:"Chain" json:"Chain"`   // head first
-	InMemory bool     `msgpack:"Memory" json:"Memory"` // no peer had a disk: the state is lost with a majority
+	InMemory bool     `msgpack:"Memory" json:"Memory"` // no peer had a disk, so losing a majority loses the state
 }
 
 // Clone returns a deep copy.
@@ -45,25 +45,25 @@
 	return v
 }
 
-// Equal reports whether two views are the same in each field.
+// Equal reports whether all fields of two views are equal.
 func (v View) Equal(other View) bool {
 	return v.Number == other.Number && v.InMemory == other.InMemory &&
 		slices.Equal(v.Voters, other.Voters) && slices.Equal(v.Chain, other.Chain)
 }
 
-// Validate returns an error for a view that can't have been decided.
+// Validate returns an error if the view is malformed, so that it can't have been decided.
 func (v View) Validate() error {
 	switch {
 	case v.Number == 0:
-		return errors.New("view without a number")
+		return errors.New("view has no number")
 	case len(v.Voters) == 0 || len(v.Voters) > MaxVoters:
-		return errors.Errorf("view %d has %d voters: 1 to %d", v.Number, len(v.Voters), MaxVoters)
+		return errors.Errorf("view %d has %d voters, want 1 to %d", v.Number, len(v.Voters), MaxVoters)
 	case len(v.Chain) == 0 || len(v.Chain) > len(v.Voters):
-		return errors.Errorf("view %d has %d voters and a chain of %d", v.Number, len(v.Voters), len(v.Chain))
+		return errors.Errorf("view %d has %d voters, but a chain of %d members", v.Number, len(v.Voters), len(v.Chain))
 	}
 	for i, voter := range v.Voters {
 		if !voter.valid() {
-			return errors.Errorf("view %d: voter %d lacks an ID or an address, or one of its fields is too long", v.Number, i)
+			return errors.Errorf("view %d: voter %d has no ID, no address, or a field that is too long", v.Number, i)
 		}
 		if i > 0 && v.Voters[i-1].ID >= voter.ID {
 			return errors.Errorf("view %d: the voters are not sorted by ID", v.Number)
@@ -85,7 +85,7 @@
 		max(len(p.ID), len(p.Addr), len(p.Zone), len(p.Region)) <= maxTextBytes
 }
 
-// Voter returns the voter with an ID.
+// Voter returns the voter with the given ID.
 func (v View) Voter(id string) (voter Peer, found bool) {
 	for _, voter := range v.Voters {
 		if voter.ID == id {
@@ -95,22 +95,22 @@
 	return Peer{}, false
 }
 
-// Quorum is how many voters have to agree: a strict majority.
+// Quorum returns the number of voters that have to agree, which is a strict majority.
 func (v View) Quorum() int { return len(v.Voters)/2 + 1 }
 
-// Position is the index of a member in the chain, or -1.
+// Position returns the index of a member in the chain, or -1 if the chain has no member with that ID.
 func (v View) Position(id string) int {
 	return slices.IndexFunc(v.Chain, func(member Member) bool { return member.ID == id })
 }
 
-// Head is the member that orders updates.
+// Head returns the member that orders updates.
 func (v View) Head() Member { return v.Chain[0] }
 
-// Tail is the member that commits updates and answers reads.
+// Tail returns the member that commits updates and answers reads.
 func (v View) Tail() Member { return v.Chain[len(v.Chain)-1] }
 
-// Successor returns the next member of the chain. It reports false for the tail and for an ID that
-// is not in the chain.
+// Successor returns the member that follows the given one in the chain. Found is false for the tail and
+// for an ID that is not in the chain.
 func (v View) Successor(id string) (successor Member, found bool) {
 	position := v.Position(id)
 	if position < 0 || position+1 >= len(v.Chain) {
