--- a/internal/fleet/view/placement_test.go
+++ b/internal/fleet/view/placement_test.go
@@ -33,7 +33,7 @@
 	v, _ = InitialView(testPeers("a1 a2 a3 a4 a5 a6 a7 a8 b1 b2 b3 b4 b5 c1 c2 c3"), tolerateMachines(2))
 	require.Equal(t, testPeers("a1 a2 a3 b1 b2 b3 c1 c2 c3"), v.Voters)
 	s := &scenario{view: v}
-	require.Equal(t, "a1 a2 b1 b2 c1", s.chainIDs(), "the chain is spread too, and has the maximum length for two losses")
+	require.Equal(t, "a1 a2 b1 b2 c1", s.chainIDs(), "the chain is spread too and has MaxChainLength")
 }
 
 // A peer is not selected if, with its vote, the loss of its zone or region would leave no majority.
--- a/internal/fleet/view/plan_voters_test.go
+++ b/internal/fleet/view/plan_voters_test.go
@@ -142,7 +142,7 @@
 	five.requireNoStep(t) // five voters tolerate a loss although one of them is absent
 }
 
-// The only machine of a control plane may leave once its replacement is a voter and complete.
+// The only machine of a control plane may leave once its replacement is complete and the only voter.
 func TestOnlyMemberIsReplaced(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a", Tolerance{}).shutDown("a")
 	s.requireNoStep(t)
--- a/internal/fleet/view/proposal_test.go
+++ b/internal/fleet/view/proposal_test.go
@@ -23,8 +23,12 @@
 	})
 	t.Run("an accepted view takes precedence", func(t *testing.T) {
 		p := NewProposal(base, number, &initial)
-		p.HandlePromise("a", Response{OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "c"}, Accepted: &other})
-		require.Equal(t, Accepting, p.HandlePromise("b", Response{OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "b"}, Accepted: &initial}))
+		p.HandlePromise("a", Response{
+			OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "c"}, Accepted: &other,
+		})
+		require.Equal(t, Accepting, p.HandlePromise("b", Response{
+			OK: true, AcceptedNumber: ProposalNumber{Round: 1, Proposer: "b"}, Accepted: &initial,
+		}))
 		require.True(t, other.Equal(p.View))
 	})
 	t.Run("contended", func(t *testing.T) {
@@ -45,7 +49,7 @@
 	})
 }
 
-// Half of the voters decide nothing, neither by promises nor by acceptances.
+// Half of the voters are no quorum, neither for promises nor for acceptances.
 func TestHalfDecidesNothing(t *testing.T) {
 	t.Parallel()
 	base, ok := InitialView(testPeers("a b c d"), Tolerance{Machines: 1})
@@ -55,11 +59,13 @@
 	p := NewProposal(base, number, &next)
 	for i, voter := range base.Voters[:3] {
 		want := []ProposalState{Preparing, Preparing, Accepting}[i]
-		require.Equal(t, want, p.HandlePromise(voter.ID, Response{OK: true, Promised: number}), fmt.Sprint(i+1, " promises"))
+		require.Equal(t, want, p.HandlePromise(voter.ID, Response{OK: true, Promised: number}),
+			fmt.Sprint(i+1, " promises"))
 	}
 	for i, voter := range base.Voters[:3] {
 		want := []ProposalState{Accepting, Accepting, Decided}[i]
-		require.Equal(t, want, p.HandleAcceptance(voter.ID, Response{OK: true, Promised: number}), fmt.Sprint(i+1, " acceptances"))
+		require.Equal(t, want, p.HandleAcceptance(voter.ID, Response{OK: true, Promised: number}),
+			fmt.Sprint(i+1, " acceptances"))
 	}
 }
 
--- a/internal/fleet/view/scenario_test.go
+++ b/internal/fleet/view/scenario_test.go
@@ -17,12 +17,12 @@
 
 func tolerateMachines(n int) Tolerance { return Tolerance{Machines: n} }
 
-// testPeer is a peer in the zone of its name's first letter.
+// testPeer returns a peer whose zone is the first letter of its name.
 func testPeer(name string) Peer {
 	return Peer{ID: name, Addr: name + ":1", Zone: name[:1], Disk: true, Counted: true}
 }
 
-// testPeers returns peers with names that are separated by blanks.
+// testPeers returns peers with the given space-separated names.
 func testPeers(names string) (peers []Peer) {
 	for _, name := range strings.Fields(names) {
 		peers = append(peers, testPeer(name))
@@ -30,7 +30,7 @@
 	return peers
 }
 
-// testPeersAt returns peers with names of the form REGION/ZONE/NAME.
+// testPeersAt returns peers for space-separated names of the form REGION/ZONE/NAME.
 func testPeersAt(names string) (peers []Peer) {
 	for _, name := range strings.Fields(names) {
 		parts := strings.Split(name, "/")
@@ -49,19 +49,20 @@
 	return strings.Join(ids, " ")
 }
 
-// scenario is a view with the health of the peers. At first all of them are healthy.
+// scenario has a view and the health of its peers, all of which are healthy at first.
 type scenario struct {
 	view      View
 	health    map[string]Health
-	tolerance *Tolerance // nil: that of testPolicy
+	tolerance *Tolerance // nil for the tolerance of testPolicy
 }
 
+// newScenario returns a scenario whose chain has all peers.
 func newScenario(t *testing.T, names string) *scenario {
 	t.Helper()
 	return newScenarioOf(t, testPeers(names), tolerateMachines(9))
 }
 
-// newZonedScenario has zones, regions and a tolerance of its own.
+// newZonedScenario returns a scenario with the given regions, zones and tolerance.
 func newZonedScenario(t *testing.T, names string, tolerance Tolerance) *scenario {
 	t.Helper()
 	s := newScenarioOf(t, testPeersAt(names), tolerance)
@@ -91,7 +92,7 @@
 	s.health[peer.ID] = added
 }
 
-// addPeerAt adds a peer with another disk at the address of a machine.
+// addPeerAt adds a peer that is the new disk of a machine.
 func (s *scenario) addPeerAt(id, machineName string) *scenario {
 	peer := testPeer(machineName)
 	peer.ID = id
@@ -126,7 +127,7 @@
 	return s.update(id, func(h *Health) { h.Leaving = true })
 }
 
-// completeMembers makes all members of the chain complete.
+// completeMembers marks all members of the chain as complete.
 func (s *scenario) completeMembers() *scenario {
 	for _, member := range s.view.Chain {
 		s.setComplete(member.ID)
@@ -157,7 +158,7 @@
 	return Plan(s.view, s.health, s.policy())
 }
 
-// plannedView is the view of the next step, or the present one if no step is due.
+// plannedView returns the view of the next step, or the current view if no step is due.
 func (s *scenario) plannedView(t *testing.T) View {
 	t.Helper()
 	step, due := s.plan(t)
@@ -168,7 +169,7 @@
 	return *step.View
 }
 
-// adopt makes the view of a step the present one.
+// adopt makes the view of a step the current view.
 func (s *scenario) adopt(t *testing.T, step Step) {
 	t.Helper()
 	require.NotNil(t, step.View)
@@ -182,7 +183,7 @@
 	s.view = *step.View
 }
 
-// requireStep adopts the step that is due, and compares the chain after it.
+// requireStep requires that a step is due, adopts it, and compares the new chain.
 func (s *scenario) requireStep(t *testing.T, chain string) Step {
 	t.Helper()
 	step, due := s.plan(t)
--- a/internal/fleet/view/simulation_faults_test.go
+++ b/internal/fleet/view/simulation_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// injectFault injects a random fault and returns at its end, from which the recovery time counts.
+// injectFault injects a random fault and returns when the fault ends, which starts the recovery time.
 func (s *simulation) injectFault() {
 	switch s.random.IntN(9) {
 	case 0, 1, 8:
@@ -25,7 +25,7 @@
 	}
 }
 
-// pickLoss returns the machines of one of the losses that the initial voters tolerate.
+// pickLoss returns the present machines of a random loss that the initial voters tolerate.
 func (s *simulation) pickLoss() (machines []*machine) {
 	losses := s.toleratedLosses()
 	isLost := losses[s.random.IntN(len(losses))]
@@ -42,19 +42,19 @@
 	return present[s.random.IntN(len(present))]
 }
 
-// randomDuration is a multiple of the tick interval.
-func (s *simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Int64N(int64((most-least)/tickInterval)+1))*tickInterval
+// randomDuration returns a random duration in a range, in steps of the tick interval.
+func (s *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(s.random.Int64N(int64((longest-shortest)/tickInterval)+1))*tickInterval
 }
 
-// awaitStop runs until a machine that is shutting down has stopped.
+// awaitStop runs the simulation until a machine that is shutting down has stopped.
 func (s *simulation) awaitStop(m *machine) {
 	for m.up && s.failure == "" {
 		s.tick()
 	}
 }
 
-// loseMachines kills the machines of a tolerated loss; some of their disks are lost.
+// loseMachines kills the machines of a tolerated loss. Some of them lose their disk.
 func (s *simulation) loseMachines() {
 	lost := s.pickLoss()
 	for _, m := range lost {
@@ -66,7 +66,7 @@
 	}
 }
 
-// partitionMachines disconnects the machines of a tolerated loss.
+// partitionMachines disconnects the machines of a tolerated loss for a while.
 func (s *simulation) partitionMachines() {
 	lost := s.pickLoss()
 	for _, m := range lost {
@@ -79,18 +79,18 @@
 	}
 }
 
-// replaceLostMachine kills a machine for good. Another one of its zone replaces it, and may be killed
-// while it is joining.
+// replaceLostMachine kills a machine that never comes back. Another machine of its zone replaces it, and
+// may be killed for a while as it joins.
 func (s *simulation) replaceLostMachine() {
 	lost := s.pickLoss()
 	if len(lost) == 0 {
 		return
 	}
-	former := lost[0]
-	s.stop(former)
-	former.decommissioned = true
+	formerMachine := lost[0]
+	s.stop(formerMachine)
+	formerMachine.decommissioned = true
 	s.run(s.randomDuration(0, 3*time.Second))
-	replacement := s.addMachine(former.peer.Zone, former.peer.Region)
+	replacement := s.addMachine(formerMachine.peer.Zone, formerMachine.peer.Region)
 	s.start(replacement, false)
 	if s.random.IntN(3) == 0 {
 		s.run(s.randomDuration(0, 3*time.Second))
@@ -100,11 +100,12 @@
 	}
 }
 
-// replaceMachinePlanned starts a machine and shuts down a former one of its zone some time later. The
-// replacement may be killed before or while the former one leaves, and come back.
+// replaceMachinePlanned starts a replacement of a machine and shuts the former machine down some time
+// later. With killReplacement the replacement is killed shortly before that, if the tolerance allows it,
+// and starts again once the former machine has stopped.
 func (s *simulation) replaceMachinePlanned(killReplacement bool) {
-	former := s.pickMachine()
-	replacement := s.addMachine(former.peer.Zone, former.peer.Region)
+	formerMachine := s.pickMachine()
+	replacement := s.addMachine(formerMachine.peer.Zone, formerMachine.peer.Region)
 	s.start(replacement, false)
 	startedAt := s.now
 	s.run(s.randomDuration(300*time.Millisecond, 6*time.Second))
@@ -113,24 +114,24 @@
 		s.stop(replacement)
 		s.run(s.randomDuration(0, time.Second))
 	}
-	s.terminate(former)
-	s.awaitStop(former)
-	former.decommissioned = true
+	s.terminate(formerMachine)
+	s.awaitStop(formerMachine)
+	formerMachine.decommissioned = true
 	if killReplacement {
 		s.start(replacement, s.random.IntN(2) == 0)
 		return
 	}
-	// The former one no longer counts once its replacement has had its time.
+	// The former machine no longer counts as a loss if the replacement has had the recovery time to join.
 	if s.now >= startedAt+recoveryTime {
-		s.run(2 * tickInterval) // the heartbeats carry the newest view
+		s.run(2 * tickInterval) // for heartbeats to propagate the newest view
 		if reason := s.missingTolerance(); reason != "" {
 			s.fail("right after a planned replacement: %s", reason)
 		}
 	}
 }
 
-// restartMachine restarts a process; other machines may be down meanwhile, which come back within the
-// grace period.
+// restartMachine restarts a process gracefully. Other machines may be down when it is terminated; they
+// start again within its shutdown grace period.
 func (s *simulation) restartMachine() {
 	restarted := s.pickMachine()
 	var lost []*machine
--- a/internal/fleet/view/simulation_machine_test.go
+++ b/internal/fleet/view/simulation_machine_test.go
@@ -9,45 +9,45 @@
 type machine struct {
 	peer           Peer
 	decommissioned bool // it never comes back
-	partitioned    bool // its process runs, but no message passes
+	partitioned    bool // its process runs, but all its messages are lost
 
-	// On disk.
+	// State on disk.
 	view      View
 	acceptor  AcceptorState
-	valueView uint64 // the view in which it received its value
-	valueSeq  int    // the newest update in its value
+	valueView uint64 // number of the view in which it received its value
+	valueSeq  int    // number of the newest update in its value
 
-	// Of its process.
+	// State of the process. Times count from the start of the simulation.
 	up             bool
 	leaving        bool
-	leaveDeadline  time.Duration
-	leaveNotBefore time.Duration // a peer that may be being added as a voter stays until then
-	idleChecks     int
-	reconnectedAt  time.Duration // when its last partition ended
+	leaveDeadline  time.Duration // a leaving process ends at this time at the latest
+	leaveNotBefore time.Duration // a process that is not a voter stays until then, as it may be about to become one
+	idleChecks     int           // consecutive checks of the shutdown without anything to do
+	reconnectedAt  time.Duration // end of its last partition
 	startedAt      time.Duration
-	acceptedAt     time.Duration
+	acceptedAt     time.Duration // when it first accepted the undecided view
 	viewLearnedAt  time.Duration
-	peers          map[string]*peerState
-	connectedTo    []string
+	peers          map[string]*peerState // by peer ID
+	connectedTo    []string              // IDs of the voters that it is in contact with
 	incarnation    int
-	round          uint32
-	proposal       *pendingProposal
-	dueReason      string
-	dueSince       time.Duration
-	retryNotBefore time.Duration
-	activatedView  uint64
+	round          uint32           // the highest round of a proposal number that it used or met
+	proposal       *pendingProposal // nil if none is under way
+	dueReason      string           // Reason of the step that is due; empty if none is
+	dueSince       time.Duration    // when that step became due
+	retryNotBefore time.Duration    // no proposal starts before this time
+	activatedView  uint64           // number of the view that it has activated as its head
 }
 
-// never is the time of a contact that did not happen.
+// never stands for the time of an event that has not happened.
 const never = time.Duration(-1)
 
-// peerState is what a machine knows of another.
+// peerState is what a machine knows about a peer.
 type peerState struct {
 	discoveredAt time.Duration
-	lastContact  time.Duration // or never
-	stableSince  time.Duration
-	report       Health
-	reportedView uint64
+	lastContact  time.Duration // never if there was no contact
+	stableSince  time.Duration // start of the uninterrupted contact
+	report       Health        // the last report of the peer
+	reportedView uint64        // number of the peer's view in that report
 }
 
 // addMachine creates a machine that is not started yet.
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("m%02d", s.lastName)
 }
 
-// start starts a machine's process, with an empty disk if it was wiped.
+// start starts a machine's process, with a new, empty disk if wiped is set.
 func (s *simulation) start(m *machine, wiped bool) {
 	if wiped {
 		m.peer.ID = s.nextName()
@@ -71,7 +71,8 @@
 	}
 	s.logf("start %s in %s/%s, wiped %v", m.peer.ID, m.peer.Region, m.peer.Zone, wiped)
 	m.up, m.leaving, m.partitioned, m.startedAt = true, false, false, s.now
-	m.peers, m.proposal, m.dueReason, m.activatedView, m.retryNotBefore, m.round = map[string]*peerState{}, nil, "", 0, 0, 0
+	m.peers, m.proposal, m.dueReason, m.activatedView, m.retryNotBefore, m.round =
+		map[string]*peerState{}, nil, "", 0, 0, 0
 	m.acceptedAt, m.viewLearnedAt = s.now, s.now
 	m.incarnation++
 }
@@ -82,7 +83,7 @@
 	s.stoppedAt[m.peer.ID] = s.now
 }
 
-// terminate starts the graceful shutdown of a machine's process.
+// terminate starts the graceful shutdown of a machine's process and announces it to the others.
 func (s *simulation) terminate(m *machine) {
 	s.logf("terminate %s", m.peer.ID)
 	m.leaving, m.idleChecks, m.leaveDeadline, m.leaveNotBefore = true, 0, s.now+shutdownGrace, s.now
@@ -117,8 +118,8 @@
 }
 
 func (m *machine) isVoter() bool {
-	_, voter := m.view.Voter(m.peer.ID)
-	return voter
+	_, found := m.view.Voter(m.peer.ID)
+	return found
 }
 
 func (m *machine) isConnected(id string, now time.Duration) bool {
@@ -126,7 +127,8 @@
 	return peer != nil && peer.lastContact >= 0 && now-peer.lastContact < contactTimeout
 }
 
-// learnView records a decided view.
+// learnView gives a decided view to a machine, which ignores it unless it is newer than its own. It fails
+// the simulation if another view was decided under the same number.
 func (s *simulation) learnView(m *machine, v View) {
 	if v.Number <= m.view.Number {
 		return
@@ -144,7 +146,8 @@
 	}
 }
 
-// stateOf returns what a machine knows of a peer, or nil for itself.
+// stateOf returns what a machine knows about a peer, with a new entry for an unknown one. It returns nil
+// for the machine itself.
 func (s *simulation) stateOf(m *machine, peer Peer) *peerState {
 	if m.peers[peer.ID] == nil && peer.ID != m.peer.ID {
 		m.peers[peer.ID] = &peerState{discoveredAt: s.now, lastContact: never, report: Health{Peer: peer}}
@@ -152,7 +155,8 @@
 	return m.peers[peer.ID]
 }
 
-// exchangeReports is a heartbeat and its response.
+// exchangeReports simulates a heartbeat and its response, with which two machines exchange their newest
+// view and their reports.
 func (s *simulation) exchangeReports(a, b *machine) {
 	if a == b || !s.reaches(a, b) || !a.up || !b.up {
 		return
@@ -182,7 +186,7 @@
 	}
 }
 
-// health is the input of a machine's plan.
+// health returns the health of all peers that a machine knows, as the input of its plan.
 func (s *simulation) health(m *machine) map[string]Health {
 	health := make(map[string]Health, len(m.peers)+1)
 	for id, state := range m.peers {
@@ -217,7 +221,8 @@
 	h.Complete = false
 	if position := m.view.Position(id); position >= 0 {
 		joinedIn := m.view.Chain[position].JoinedIn
-		h.Complete = joinedIn == 1 || state.report.Complete && state.reportedView >= joinedIn && state.reportedView <= m.view.Number
+		h.Complete = joinedIn == 1 ||
+			state.report.Complete && state.reportedView >= joinedIn && state.reportedView <= m.view.Number
 		if s.defect == discardOlderReports {
 			h.Complete = joinedIn == 1 || state.report.Complete && state.reportedView == m.view.Number
 		}
@@ -239,7 +244,8 @@
 	return connected >= m.view.Quorum()
 }
 
-// proposersBefore is how many healthy voters propose before a machine.
+// proposersBefore returns the number of healthy voters whose turn to propose is before that of a machine:
+// the members of the chain come first, head first, and then the other voters.
 func (m *machine) proposersBefore(health map[string]Health) (n int) {
 	order := make([]string, 0, len(m.view.Voters))
 	for _, member := range m.view.Chain {
--- a/internal/fleet/view/simulation_repair_test.go
+++ b/internal/fleet/view/simulation_repair_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// pendingProposal is a proposal between two of its phases.
+// pendingProposal is a proposal that is under way. Each tick executes one of its phases.
 type pendingProposal struct {
 	*Proposal
 	step      Step
-	accepting bool
+	accepting bool // the next phase is the second one
 }
 
-// plan is Plan with the defect.
+// plan returns the result of Plan, changed by the simulated defect.
 func (s *simulation) plan(m *machine, health map[string]Health) (Step, bool) {
 	if next, found := s.defectiveStep(m, health); found {
-		return Step{View: &next, Reason: "by the defect"}, true
+		return Step{View: &next, Reason: "step of the simulated defect"}, true
 	}
 	step, due := Plan(m.view, health, s.policy())
 	if due && s.defect == keepLeavingVoter && step.RemovedVoter != "" && health[step.RemovedVoter].Leaving {
@@ -25,7 +25,7 @@
 	return step, due
 }
 
-// defectiveStep is a step that Plan must not return.
+// defectiveStep returns the next view of a step that Plan must not return.
 func (s *simulation) defectiveStep(m *machine, health map[string]Health) (View, bool) {
 	switch s.defect {
 	case ignoreRequiredSpread:
@@ -36,7 +36,8 @@
 	return View{}, false
 }
 
-// removeIgnoringSpread removes a faulty member whatever remains, as long as the head is complete.
+// removeIgnoringSpread removes a faulty member without regard to the required spread. The next head is
+// still complete.
 func (s *simulation) removeIgnoringSpread(m *machine, health map[string]Health) (View, bool) {
 	for _, member := range m.view.Chain {
 		if h := health[member.ID]; h.SinceContact >= testPolicy.FailAfter || h.Leaving {
@@ -47,11 +48,12 @@
 	return View{}, false
 }
 
-// defectiveVoterChange replaces a voter that is present, or adds one while another is absent.
+// defectiveVoterChange replaces a voter that is present, or adds a voter while another one is absent.
 func (s *simulation) defectiveVoterChange(m *machine, health map[string]Health) (View, bool) {
 	var candidates []Peer
 	for id, h := range health {
-		if _, voter := m.view.Voter(id); !voter && !h.Leaving && h.SinceContact < testPolicy.FailAfter && h.StableFor >= testPolicy.StableAfter {
+		if _, isVoter := m.view.Voter(id); !isVoter && !h.Leaving &&
+			h.SinceContact < testPolicy.FailAfter && h.StableFor >= testPolicy.StableAfter {
 			candidates = append(candidates, h.Peer)
 		}
 	}
@@ -71,7 +73,8 @@
 	return View{}, false
 }
 
-// repair is a machine's part in the repair of the view, or in its own shutdown.
+// repair executes one tick of a machine's work on the repair of the view or on its own shutdown. It
+// reports whether the machine has something to do.
 func (s *simulation) repair(m *machine) (busy bool) {
 	switch {
 	case m.proposal != nil:
@@ -86,7 +89,7 @@
 	health := s.health(m)
 	before := m.proposersBefore(health)
 	if before > 0 && s.now%proposerDelay != 0 {
-		return false // it has to wait in any case
+		return false // it plans at multiples of proposerDelay only, as it has to wait anyway
 	}
 	step, due := s.plan(m, health)
 	if !due {
@@ -102,7 +105,7 @@
 	return true
 }
 
-// continueShutdown is one check of a graceful shutdown, as in controlplane.Handover.
+// continueShutdown executes one check of a graceful shutdown, as in controlplane.Handover.
 func (s *simulation) continueShutdown(m *machine) {
 	if s.now >= m.leaveDeadline || !m.isVoter() {
 		if s.now >= m.leaveNotBefore {
@@ -135,7 +138,7 @@
 	}
 }
 
-// endProcess sends the newest view to the machines in reach, and ends the process.
+// endProcess sends the machine's view to all reachable machines, and ends its process.
 func (s *simulation) endProcess(m *machine) {
 	for _, other := range s.machines {
 		if s.reaches(m, other) {
@@ -154,12 +157,11 @@
 	m.proposal = &pendingProposal{Proposal: NewProposal(m.view, number, step.View), step: step}
 }
 
-// checkStep checks the invariants of each step: a member is removed from the chain only where the
-// actual replicas that remain have the required spread, and no voter that is present is removed unless
-// it is leaving.
+// checkStep checks the invariants of a step. A member is removed from the chain only if the actual
+// remaining replicas have the required spread. No voter that is present is removed unless it is leaving.
 func (s *simulation) checkStep(m *machine, step Step) {
 	if m.view.Number != s.newest.Number {
-		return // it can't be decided any more
+		return // the step can't be decided, as the machine's view is not the newest
 	}
 	next := *step.View
 	if err := next.Validate(); err != nil {
@@ -168,7 +170,7 @@
 	for _, voter := range m.view.Voters {
 		_, stays := next.Voter(voter.ID)
 		if s.isPresent(voter.ID) && !stays {
-			s.fail("%s removes the voter %s, which is present", step.Reason, voter.ID)
+			s.fail("%s: removes the voter %s, which is present", step.Reason, voter.ID)
 		}
 	}
 	if len(next.Chain) >= len(m.view.Chain) {
@@ -185,27 +187,28 @@
 		return next.Position(voter.ID) < 0 && m.view.Position(voter.ID) >= 0 && other != nil && other.leaving
 	})
 	if required := (View{Voters: voters}).RequiredSpread(s.tolerance); !SpreadOf(replicas).Covers(required) {
-		s.fail("%s: %s leaves replicas on %v, required are %+v", m.peer.ID, step.Reason, replicas, required)
+		s.fail("%s: %s: leaves replicas on %v, but %+v is required", m.peer.ID, step.Reason, replicas, required)
 	}
 }
 
-// isPresent reports whether a peer has been in contact for long enough and stays.
+// isPresent reports whether a peer runs, has been connected for longer than FailAfter and is not leaving.
 func (s *simulation) isPresent(id string) bool {
 	m := s.machineByID(id)
-	return m != nil && m.up && !m.partitioned && s.now-max(m.startedAt, m.reconnectedAt) > testPolicy.FailAfter && !m.leaving
+	return m != nil && m.up && !m.partitioned &&
+		s.now-max(m.startedAt, m.reconnectedAt) > testPolicy.FailAfter && !m.leaving
 }
 
-// hasAcknowledged reports whether a member has all that was acknowledged, as far as others can know: a
-// machine that has stopped is not noticed at once.
+// hasAcknowledged reports whether a member has everything that was acknowledged, as far as others can
+// know. A machine that has just stopped counts as well, because the others have not noticed that yet.
 func (s *simulation) hasAcknowledged(member Member, v View) bool {
 	m := s.machineByID(member.ID)
-	if stoppedAt, ever := s.stoppedAt[member.ID]; ever && (m == nil || !m.up) {
+	if stoppedAt, everStopped := s.stoppedAt[member.ID]; everStopped && (m == nil || !m.up) {
 		return s.now-stoppedAt <= testPolicy.FailAfter+tickInterval
 	}
 	return m != nil && m.up && m.isComplete(v) && m.valueSeq >= s.ackedSeq
 }
 
-// advanceProposal executes the next phase of a proposal.
+// advanceProposal executes the next phase of a machine's proposal.
 func (s *simulation) advanceProposal(m *machine) {
 	p := m.proposal
 	for _, voter := range p.Base.Voters {
@@ -238,6 +241,7 @@
 	m.proposal = nil
 }
 
+// announceDecision sends a decided view to all reachable machines. Some of these messages are lost.
 func (s *simulation) announceDecision(m *machine, p *pendingProposal) {
 	s.decidedSteps[p.step.Kind]++
 	s.logf("%s decides view %d: %s", m.peer.ID, p.View.Number, p.step.Reason)
@@ -249,7 +253,7 @@
 	}
 }
 
-// respond is a voter's response to the request of a proposal's phase.
+// respond returns a voter's response to the request of a proposal's current phase.
 func (s *simulation) respond(voter *machine, p *pendingProposal) (response Response) {
 	s.learnView(voter, p.Base)
 	if p.Base.Number < voter.view.Number {
@@ -257,7 +261,7 @@
 		return Response{Newer: &newer}
 	}
 	if !voter.isVoter() {
-		return Response{RejectReason: "no voter"}
+		return Response{RejectReason: "not a voter"}
 	}
 	instance := p.Base.Number + 1
 	if !p.accepting {
--- a/internal/fleet/view/simulation_replication_test.go
+++ b/internal/fleet/view/simulation_replication_test.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// transferDelay is how much later a direct transfer arrives than a push along the chain.
+// transferDelay is the additional time that a direct transfer takes compared with a push along the chain.
 const transferDelay = 150 * time.Millisecond
 
-// pushValues has the heads activate their views and commit an update each.
+// pushValues makes each head activate its view, or commit one more update if it has done that.
 func (s *simulation) pushValues() {
 	for _, m := range s.machines {
 		if !m.up || m.view.Position(m.peer.ID) != 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// replicate sends a head's value along the chain. It returns whether all members have it then.
+// replicate sends a head's value along the chain. It reports whether all members have received it.
 func (s *simulation) replicate(head *machine) bool {
 	v, predecessor := head.view, head
 	for _, member := range v.Chain[1:] {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// transferValues has the first healthy complete member transfer its value directly to those that are
-// joining.
+// transferValues makes the first healthy complete member of the newest view transfer its value directly
+// to the members that are joining.
 func (s *simulation) transferValues() {
 	v := s.newest
 	from := s.firstComplete(v)
--- a/internal/fleet/view/simulation_test.go
+++ b/internal/fleet/view/simulation_test.go
@@ -13,23 +13,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The timing of the control plane (package controlplane), and of the settings.
+// The times of the control plane (package controlplane) and of its settings, and the extent of the test.
 const (
 	tickInterval   = 100 * time.Millisecond
 	contactTimeout = 400 * time.Millisecond
 	proposalPhase  = 500 * time.Millisecond
 	proposerDelay  = 400 * time.Millisecond
-	recoveryTime   = 4 * time.Second         // bounds.settle-s: a loss counts until so long after its end
+	recoveryTime   = 4 * time.Second         // bounds.settle-s: a loss counts until this long after its end
 	ackTime        = 4 * time.Second         // bounds.ack-ms
 	shutdownGrace  = 7300 * time.Millisecond // from SIGTERM to the end of a shutdown
-	maxIdleChecks  = 10                      // checks without anything to do that end a shutdown
+	maxIdleChecks  = 10                      // a shutdown ends after this many checks without anything to do
 
 	faultsPerRun  = 4
 	seedCount     = 2000
 	seedCountRace = 60
 )
 
-// defect is a fault of the plan that the simulation has to detect.
+// defect is a deliberate defect in planning that the simulation has to detect.
 type defect int
 
 const (
@@ -39,33 +39,34 @@
 	replacePresentVoter
 	addVoterWhileOneIsAbsent
 	keepLeavingVoter
-	discardOlderReports // what a member reported in an older view counts for nothing
+	discardOlderReports // reports that a member sent in an older view are ignored
 )
 
-// simulation is a control plane in simulated time. Its machines plan, vote and propose by the code of
+// simulation is a control plane in simulated time. Its machines plan, vote and propose with the code of
 // this package.
 type simulation struct {
 	random       *rand.Rand
 	defect       defect
 	tolerance    Tolerance
-	shortfall    Shortfall     // of the initial voters
-	transferTime time.Duration // until a joining member has the value
-	now          time.Duration
+	shortfall    Shortfall     // the shortfall of the initial voters
+	transferTime time.Duration // how long it takes until a joining member has the value
+	now          time.Duration // time since the start of the simulation
 	machines     []*machine
 	lastName     int
 
-	decided      map[uint64]View
-	newest       View
-	ackedSeq     int
+	decided      map[uint64]View // by number
+	newest       View            // the decided view with the highest number
+	ackedSeq     int             // number of the newest acknowledged update
 	decidedSteps map[StepKind]int
-	stoppedAt    map[string]time.Duration // when each peer stopped last
+	stoppedAt    map[string]time.Duration // when each peer last stopped, by ID
 
 	log             []string
-	failure         string
-	slowestRecovery time.Duration // from the end of a fault until all tolerated losses were tolerated again
+	failure         string        // the first violation; empty if there is none
+	slowestRecovery time.Duration // longest time from the end of a fault until all losses were tolerated again
 }
 
-// newSimulation starts a control plane of random machines, zones, regions and tolerated losses.
+// newSimulation starts a control plane with a random number of machines, zones, regions and losses to
+// tolerate.
 func newSimulation(seed uint64, defect defect) *simulation {
 	s := &simulation{
 		random:       rand.New(rand.NewPCG(seed, 22)),
@@ -80,7 +81,7 @@
 	s.transferTime = time.Duration(s.random.IntN(10)) * tickInterval
 	var discovered []Peer
 	even, machines := s.random.IntN(2) == 0, 1+s.random.IntN(9)
-	if s.random.IntN(4) == 0 { // large enough for voters on standby in each of the zones
+	if s.random.IntN(4) == 0 { // enough machines for voters on standby in each zone
 		even, machines, zones, s.tolerance.Zones = true, 6+s.random.IntN(4), 3, 1
 	}
 	for i := range machines {
@@ -97,11 +98,12 @@
 		s.start(m, false)
 		s.learnView(m, s.newest)
 	}
-	s.logf("%d machines, %+v, shortfall %+v, voters %s", len(discovered), s.tolerance, s.shortfall, joinIDs(s.newest.Voters))
+	s.logf("%d machines, %+v, shortfall %+v, voters %s",
+		len(discovered), s.tolerance, s.shortfall, joinIDs(s.newest.Voters))
 	return s
 }
 
-// fail records the first violation.
+// fail records a violation, unless there was one before.
 func (s *simulation) fail(format string, args ...any) {
 	if s.failure == "" {
 		s.failure = fmt.Sprintf(format, args...)
@@ -118,7 +120,7 @@
 	return policy
 }
 
-// tick advances the time by one interval. It reports whether any machine has something to do.
+// tick advances the simulation by one interval. It reports whether any machine has something to do.
 func (s *simulation) tick() (busy bool) {
 	s.now += tickInterval
 	for _, m := range s.machines {
@@ -146,14 +148,14 @@
 	return busy
 }
 
-// run advances the time.
+// run advances the simulation by a duration, or until the first violation.
 func (s *simulation) run(duration time.Duration) {
 	for end := s.now + duration; s.now < end && s.failure == ""; {
 		s.tick()
 	}
 }
 
-// simulate runs a seed until a violation or the end.
+// simulate runs the simulation of a seed until a violation or to its end.
 func simulate(seed uint64, defect defect) *simulation {
 	s := newSimulation(seed, defect)
 	s.run(2 * time.Second)
@@ -167,10 +169,10 @@
 	return s
 }
 
-// simulationResult is the result of a number of seeds.
+// simulationResult is the combined result of the simulations of several seeds.
 type simulationResult struct {
-	firstFailed     *simulation // the one of the lowest seed that failed, or nil
-	seed            uint64      // of firstFailed
+	firstFailed     *simulation // the failed simulation with the lowest seed; nil if none failed
+	seed            uint64      // the seed of firstFailed
 	slowestRecovery time.Duration
 	decidedSteps    map[StepKind]int
 }
@@ -185,7 +187,7 @@
 	}
 }
 
-// simulateSeeds runs a range of seeds on a few processors until one fails.
+// simulateSeeds simulates a range of seeds in a few goroutines until one fails.
 func simulateSeeds(from, seeds uint64, defect defect) *simulationResult {
 	const workers = 6
 	result := &simulationResult{decidedSteps: map[StepKind]int{}}
@@ -218,7 +220,7 @@
 	return seedCount
 }
 
-// CHALKDOOR_VIEW_SEED=N runs one seed and prints its log.
+// With CHALKDOOR_VIEW_SEED=N the test simulates only the seed N and prints its log.
 func TestPlanToleratesSimulatedLosses(t *testing.T) {
 	if seed, err := strconv.ParseUint(os.Getenv("CHALKDOOR_VIEW_SEED"), 10, 64); err == nil {
 		s := simulate(seed, noDefect)
@@ -230,12 +232,13 @@
 	if r.firstFailed != nil {
 		require.FailNow(t, r.firstFailed.failure, "seed %d\n%s", r.seed, strings.Join(r.firstFailed.log, "\n"))
 	}
-	for _, kind := range []StepKind{MemberRemoval, MemberAddition, VoterReplacement, VoterAddition, VoterRemoval, CompleteUndecided} {
+	for _, kind := range []StepKind{
+		MemberRemoval, MemberAddition, VoterReplacement, VoterAddition, VoterRemoval, CompleteUndecided,
+	} {
 		require.Positive(t, r.decidedSteps[kind], "no step was of this kind: %s", kind)
 	}
 	require.Less(t, r.slowestRecovery, recoveryTime)
-	t.Logf("%d seeds, steps %v; all tolerated losses were tolerated again %v after the end of a fault at the latest",
-		seedsToRun(), r.decidedSteps, r.slowestRecovery)
+	t.Logf("%d seeds, steps %v, slowest recovery from a fault %v", seedsToRun(), r.decidedSteps, r.slowestRecovery)
 }
 
 func TestSimulationFindsDefects(t *testing.T) {
@@ -250,7 +253,7 @@
 		t.Run(name, func(t *testing.T) {
 			from := uint64(0)
 			if defect == discardOlderReports {
-				from = 400 // few seeds show it
+				from = 400 // few seeds detect this defect
 			}
 			r := simulateSeeds(from, seedCountRace, defect)
 			require.NotNil(t, r.firstFailed)
--- a/internal/fleet/view/simulation_tolerance_test.go
+++ b/internal/fleet/view/simulation_tolerance_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// runWithLoss runs during a tolerated loss, and checks that an update is committed before ackTime has
-// passed.
+// runWithLoss runs the simulation during a tolerated loss. If the loss lasts for at least ackTime, it
+// checks that an update is committed meanwhile.
 func (s *simulation) runWithLoss(duration time.Duration) {
 	s.run(min(duration, tickInterval))
 	ackedSeq := s.ackedSeq
@@ -16,7 +16,7 @@
 	}
 }
 
-// presentMachines returns the machines that run, are connected and stay.
+// presentMachines returns the machines that run, are connected and are not leaving.
 func (s *simulation) presentMachines() (present []*machine) {
 	for _, m := range s.machines {
 		if m.up && !m.partitioned && !m.leaving {
@@ -30,9 +30,10 @@
 func zoneName(peer Peer) string    { return peer.Region + "/" + peer.Zone }
 func regionName(peer Peer) string  { return peer.Region }
 
-// toleratedLosses returns all losses that may happen at once, each as the set of its peers: of machines
-// as many as the initial voters tolerate, of zones if they tolerate all losses of machines, and of
-// regions if they tolerate those of zones as well.
+// toleratedLosses returns all losses that the control plane tolerates, each as a function that reports
+// whether a peer is lost. These are losses of as many machines as the initial voters tolerate, losses of
+// zones if the initial voters have no shortfall of machines and zones, and losses of regions if they have
+// no shortfall at all.
 func (s *simulation) toleratedLosses() (losses []func(Peer) bool) {
 	losses = append(losses, func(Peer) bool { return false })
 	losses = append(losses, s.lossesOf(machineName, s.tolerance.Machines-s.shortfall.Machines)...)
@@ -45,7 +46,7 @@
 	return losses
 }
 
-// lossesOf returns the losses of each n machines, zones or regions.
+// lossesOf returns the loss of each combination of n machines, zones or regions.
 func (s *simulation) lossesOf(nameOf func(Peer) string, n int) (losses []func(Peer) bool) {
 	var names []string
 	for _, m := range s.machines {
@@ -60,7 +61,7 @@
 	return losses
 }
 
-// subsets returns the subsets of n names, or the set of all names if there are fewer.
+// subsets returns all subsets of n names, or the set of all names if there are no more than n.
 func subsets(names []string, n int) (sets [][]string) {
 	if n == 0 {
 		return [][]string{nil}
@@ -74,8 +75,8 @@
 	return append(sets, subsets(names[1:], n)...)
 }
 
-// missingTolerance returns why a tolerated loss would leave no quorum or no complete replica now, or
-// "".
+// missingTolerance returns why some tolerated loss would leave no quorum or no complete replica now. It
+// returns "" if there is no such loss.
 func (s *simulation) missingTolerance() (reason string) {
 	v := s.newest
 	voters, replicas := []Peer{}, []Peer{}
@@ -92,7 +93,8 @@
 	for _, isLost := range s.toleratedLosses() {
 		remaining := slices.DeleteFunc(slices.Clone(voters), isLost)
 		if len(remaining) < v.Quorum() {
-			return fmt.Sprintf("view %d of %s: only %s would remain of the voters", v.Number, joinIDs(v.Voters), joinIDs(remaining))
+			return fmt.Sprintf("view %d of %s: only %s would remain of the voters",
+				v.Number, joinIDs(v.Voters), joinIDs(remaining))
 		}
 		if len(slices.DeleteFunc(slices.Clone(replicas), isLost)) == 0 {
 			return fmt.Sprintf("view %d: no replica would remain of %s", v.Number, joinIDs(replicas))
@@ -101,8 +103,8 @@
 	return ""
 }
 
-// requireRecovery runs for as long as a loss still counts, and checks that the next one is tolerated
-// then.
+// requireRecovery runs the simulation for recoveryTime, and checks that every tolerated loss is tolerated
+// again then.
 func (s *simulation) requireRecovery() {
 	begin, recoveredAfter, ackedSeq := s.now, never, 0
 	for s.now < begin+recoveryTime && s.failure == "" {
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// peerWithoutRegion, memberWithoutRegion and viewWithoutRegions are records of versions without regions.
+// peerWithoutRegion, memberWithoutRegion and viewWithoutRegions have the record format of versions that
+// did not store regions.
 type (
 	peerWithoutRegion struct {
 		ID      string `msgpack:"i"`
@@ -51,37 +52,37 @@
 	}
 )
 
-// A record of a version without regions is readable, and is the same view.
+// Records with and without regions are readable by this version and by versions that do not store regions.
 func TestFormatWithoutRegions(t *testing.T) {
 	current, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
-	former := viewWithoutRegions{Number: 1}
+	formerView := viewWithoutRegions{Number: 1}
 	for _, voter := range current.Voters {
 		peer := peerWithoutRegion{voter.ID, voter.Addr, voter.Zone, voter.Disk, voter.Counted}
-		former.Voters = append(former.Voters, peer)
-		former.Chain = append(former.Chain, memberWithoutRegion{peer, 1})
+		formerView.Voters = append(formerView.Voters, peer)
+		formerView.Chain = append(formerView.Chain, memberWithoutRegion{peer, 1})
 	}
 	raw, err := msgpack.Marshal(&current)
 	require.NoError(t, err)
-	formerRaw, err := msgpack.Marshal(&former)
+	formerRaw, err := msgpack.Marshal(&formerView)
 	require.NoError(t, err)
-	var read View
-	require.Equal(t, formerRaw, raw, "without regions the record is the same")
-	require.NoError(t, msgpack.Unmarshal(formerRaw, &read))
-	require.NoError(t, read.Validate())
-	require.True(t, current.Equal(read))
+	var decoded View
+	require.Equal(t, formerRaw, raw, "the record of a view without regions is unchanged")
+	require.NoError(t, msgpack.Unmarshal(formerRaw, &decoded))
+	require.NoError(t, decoded.Validate())
+	require.True(t, current.Equal(decoded))
 
-	// A former version reads a record with regions.
-	regional, _ := InitialView(testPeersAt("r/a/1 r/b/2 s/c/3"), tolerateMachines(1))
-	require.False(t, current.Equal(regional))
-	raw, err = msgpack.Marshal(&regional)
+	// A version that does not store regions reads a record with regions.
+	withRegions, _ := InitialView(testPeersAt("r/a/1 r/b/2 s/c/3"), tolerateMachines(1))
+	require.False(t, current.Equal(withRegions))
+	raw, err = msgpack.Marshal(&withRegions)
 	require.NoError(t, err)
-	require.NoError(t, msgpack.Unmarshal(raw, &former))
-	require.Equal(t, "c", former.Chain[2].Zone)
-	require.NoError(t, msgpack.Unmarshal(raw, &read))
-	require.True(t, regional.Equal(read))
+	require.NoError(t, msgpack.Unmarshal(raw, &formerView))
+	require.Equal(t, "c", formerView.Chain[2].Zone)
+	require.NoError(t, msgpack.Unmarshal(raw, &decoded))
+	require.True(t, withRegions.Equal(decoded))
 }
 
-// Two quorums of the same voters overlap; half of an even number is no quorum.
+// Any two quorums of the same voters overlap, so half of an even number of voters is no quorum.
 func TestQuorum(t *testing.T) {
 	t.Parallel()
 	for voters, want := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 6: 4, 7: 4, 8: 5, 9: 5} {
