--- a/internal/fleet/chain/bench_test.go
+++ b/internal/fleet/chain/bench_test.go
@@ -10,8 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
-// BenchmarkApply evaluates a change of one route at the head, by the size of the configuration, up to
-// the value that is persisted.
+// BenchmarkApply measures how long the head takes to compute the next value for a change of one route, by
+// the size of the configuration. The sum/ cases measure the checksum of a value.
 func BenchmarkApply(b *testing.B) {
 	transition := func(current []byte, update *Update) ([]byte, int64, error) {
 		return config.Apply(current, update.Patch, update.Body)
@@ -40,8 +40,8 @@
 	}
 }
 
-// valueWithFullHistory is a value of a configuration of about 20 KB with as many recorded updates as
-// there can be.
+// valueWithFullHistory returns a value with a configuration of about 20 KB and the largest number of
+// recorded updates.
 func valueWithFullHistory(b *testing.B) *Value {
 	b.Helper()
 	value := &Value{}
@@ -57,11 +57,13 @@
 	return value
 }
 
-// BenchmarkMemory measures the size of a push, the time to encode it, and what the recorded history
-// adds to an update.
+// BenchmarkMemory measures the size and the encoding time of a push, and the cost of an update, with a
+// full history.
 func BenchmarkMemory(b *testing.B) {
 	value := valueWithFullHistory(b)
-	transition := func(current []byte, update *Update) ([]byte, int64, error) { return current, update.IfMatch + 1, nil }
+	transition := func(current []byte, update *Update) ([]byte, int64, error) {
+		return current, update.IfMatch + 1, nil
+	}
 	b.Run("encode", func(b *testing.B) {
 		raw, err := msgpack.Marshal(&Push{Value: *value})
 		if err != nil {
@@ -78,7 +80,9 @@
 	b.Run("change", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if next, _, _ := Apply(value, &Update{IfMatch: value.Revision, Body: []byte("new")}, transition); next == nil {
+			if next, _, _ := Apply(
+				value, &Update{IfMatch: value.Revision, Body: []byte("new")}, transition,
+			); next == nil {
 				b.Fatal("rejected")
 			}
 		}
--- a/internal/fleet/chain/history.go
+++ b/internal/fleet/chain/history.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// MaxRecentUpdates is how many applied updates a value records with their full digests.
+	// MaxRecentUpdates is the number of newest applied updates that a value records with full digests.
 	MaxRecentUpdates = 64
-	// MaxOlderUpdates is how many applied updates before those it records with a digest prefix.
+	// MaxOlderUpdates is the number of applied updates before those, which it records with a prefix of
+	// each digest.
 	MaxOlderUpdates = 960
-	// digestPrefix is the length of that prefix in bytes. The chance that one of MaxOlderUpdates
-	// updates has the same prefix of 8 bytes as a given other update is 5e-17.
+	// digestPrefix is the length of these prefixes in bytes. The probability that one of MaxOlderUpdates
+	// updates has the same 8-byte prefix as a given other update is 5e-17.
 	digestPrefix = 8
 	// maxOlderBytes is the largest size of the encoded older updates.
 	maxOlderBytes = MaxOlderUpdates * (digestPrefix + binary.MaxVarintLen64)
 )
 
-// AppliedUpdate is an update that was applied, and the revision that it led to.
+// AppliedUpdate records an update that was applied, and the revision that it led to.
 type AppliedUpdate struct {
 	Digest   Digest `msgpack:"Digest"`
 	Revision int64  `msgpack:"Revision"`
@@ -28,14 +29,14 @@
 
 // olderUpdate is one decoded entry of Value.Older.
 type olderUpdate struct {
-	prefix   []byte // of its digest
-	revision int64  // that it led to
-	end      int    // offset of the first byte behind the entry
+	prefix   []byte // prefix of the update's digest
+	revision int64  // the revision that the update led to
+	end      int    // offset of the first byte after the entry
 }
 
-// olderUpdates iterates over the updates before those of Recent, newest first, up to the first entry
-// that is malformed. Each entry is the prefix of the update's digest and, as a variable-length
-// integer, by how much its revision is lower than that of the next update.
+// olderUpdates iterates over the updates in Older, newest first, up to the first malformed entry. Each
+// entry consists of the prefix of the update's digest and the difference between the revision of the
+// next newer update and its own, as a variable-length integer.
 func (v *Value) olderUpdates() iter.Seq[olderUpdate] {
 	return func(yield func(olderUpdate) bool) {
 		if len(v.Recent) == 0 {
@@ -57,8 +58,8 @@
 	}
 }
 
-// RevisionOf returns the revision that an update led to. Applied is false if the update was not
-// applied or is older than the recorded history.
+// RevisionOf returns the revision that an update led to. Applied is false if the update was not applied,
+// or was applied before the recorded history begins.
 func (v *Value) RevisionOf(digest Digest) (revision int64, applied bool) {
 	for _, update := range v.Recent {
 		if update.Digest == digest {
@@ -73,22 +74,22 @@
 	return 0, false
 }
 
-// mayHaveApplied reports whether an update of the given revision may have been applied before the
-// recorded history begins. An update leads to a higher revision than the one it builds on, so those
-// from before the history build on a lower revision than its oldest update led to.
+// mayHaveApplied reports whether an update that builds on the given revision may have been applied before
+// the recorded history begins. Each update leads to a higher revision than the one it builds on, so such
+// an update builds on a lower revision than the one that the oldest recorded update led to.
 func (v *Value) mayHaveApplied(ifMatch int64) bool {
 	if len(v.Recent) == 0 {
 		return v.Seq > 0
 	}
-	recorded, oldest := len(v.Recent), v.Recent[0].Revision
+	recordedUpdates, oldestRevision := len(v.Recent), v.Recent[0].Revision
 	for update := range v.olderUpdates() {
-		recorded++
-		oldest = update.revision
+		recordedUpdates++
+		oldestRevision = update.revision
 	}
-	return v.Seq > uint64(recorded) && ifMatch < oldest
+	return v.Seq > uint64(recordedUpdates) && ifMatch < oldestRevision
 }
 
-// historyWith returns the history of the value that an update of v leads to.
+// historyWith returns the history of the next value, after an update was applied to v.
 func (v *Value) historyWith(update AppliedUpdate) (recent []AppliedUpdate, older []byte) {
 	recent = append(append(recent, v.Recent...), update)
 	if len(recent) <= MaxRecentUpdates {
@@ -107,10 +108,11 @@
 	return recent[1:], append(older, v.Older[:retained]...)
 }
 
-// validateHistory returns an error for a history that no head can have recorded.
+// validateHistory returns an error if the history is malformed, so that no head can have recorded it.
 func (v *Value) validateHistory() error {
 	if len(v.Recent) > MaxRecentUpdates || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Recent) == 0) {
-		return errors.Errorf("value %d records %d recent updates and %d bytes of older ones", v.Seq, len(v.Recent), len(v.Older))
+		return errors.Errorf("value %d records %d recent updates and %d bytes of older updates",
+			v.Seq, len(v.Recent), len(v.Older))
 	}
 	entries, end := 0, 0
 	for update := range v.olderUpdates() {
@@ -118,7 +120,8 @@
 		end = update.end
 	}
 	if end != len(v.Older) || entries > MaxOlderUpdates || uint64(len(v.Recent)+entries) > v.Seq {
-		return errors.Errorf("value %d records %d recent updates and %d older ones in %d of %d bytes", v.Seq, len(v.Recent), entries, end, len(v.Older))
+		return errors.Errorf("value %d records %d recent updates, and %d older updates in the first %d of %d bytes",
+			v.Seq, len(v.Recent), entries, end, len(v.Older))
 	}
 	return nil
 }
--- a/internal/fleet/chain/history_test.go
+++ b/internal/fleet/chain/history_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// valueWithoutOlder is a value as versions of the software encode it that don't know Value.Older.
+// valueWithoutOlder has the format of values in software versions that don't know Value.Older.
 type valueWithoutOlder struct {
 	Seq      uint64
 	Revision int64
@@ -18,35 +18,35 @@
 	Past     []chain.AppliedUpdate
 }
 
-// Values of the former format are readable, and a former version reads values of this one: it reads
-// the fields that it knows and drops the older updates.
+// Values with and without Older are readable by this version and by versions that don't know Older. Those
+// versions drop the older updates.
 func TestFormatWithoutOlderUpdates(t *testing.T) {
 	t.Parallel()
 	value := applyUpdates(t, &chain.Value{}, 3*chain.MaxRecentUpdates)
 	require.NotEmpty(t, value.Older)
 	raw, err := msgpack.Marshal(value)
 	require.NoError(t, err)
-	var former valueWithoutOlder
-	require.NoError(t, msgpack.Unmarshal(raw, &former))
-	require.Len(t, former.Past, chain.MaxRecentUpdates)
-	require.Equal(t, value.Seq, former.Seq)
+	var formerValue valueWithoutOlder
+	require.NoError(t, msgpack.Unmarshal(raw, &formerValue))
+	require.Len(t, formerValue.Past, chain.MaxRecentUpdates)
+	require.Equal(t, value.Seq, formerValue.Seq)
 
-	raw, err = msgpack.Marshal(former)
+	raw, err = msgpack.Marshal(formerValue)
 	require.NoError(t, err)
-	var read chain.Value
-	require.NoError(t, msgpack.Unmarshal(raw, &read))
-	require.NoError(t, read.Validate())
-	require.Equal(t, value.Checksum(), read.Checksum(), "replicas with and without the older updates are equal")
-	require.Empty(t, read.Older)
-	dropped := read.Recent[0].Revision - revisionStep
-	_, result, _ := chain.Apply(&read, updateTo(dropped-revisionStep, dropped), parseRevision)
-	require.Equal(t, chain.OutcomeUnknown, result.Outcome, "an update that was dropped is not rejected")
+	var decoded chain.Value
+	require.NoError(t, msgpack.Unmarshal(raw, &decoded))
+	require.NoError(t, decoded.Validate())
+	require.Equal(t, value.Checksum(), decoded.Checksum(), "the checksum is the same without the older updates")
+	require.Empty(t, decoded.Older)
+	droppedRevision := decoded.Recent[0].Revision - revisionStep
+	_, result, _ := chain.Apply(&decoded, updateTo(droppedRevision-revisionStep, droppedRevision), parseRevision)
+	require.Equal(t, chain.OutcomeUnknown, result.Outcome, "a dropped update is not rejected")
 
-	read = *applyUpdates(t, &read, chain.MaxRecentUpdates+1)
-	oldest := former.Past[0].Revision
-	revision, applied := read.RevisionOf(updateTo(oldest-revisionStep, oldest).Digest())
-	require.True(t, applied, "the history grows again")
-	require.Equal(t, oldest, revision)
+	decoded = *applyUpdates(t, &decoded, chain.MaxRecentUpdates+1)
+	oldestRevision := formerValue.Past[0].Revision
+	revision, applied := decoded.RevisionOf(updateTo(oldestRevision-revisionStep, oldestRevision).Digest())
+	require.True(t, applied, "the history of older updates grows again")
+	require.Equal(t, oldestRevision, revision)
 }
 
 func TestValidateHistory(t *testing.T) {
@@ -54,13 +54,15 @@
 	value := *applyUpdates(t, &chain.Value{}, 2*chain.MaxRecentUpdates)
 	require.NoError(t, value.Validate())
 	for name, corrupt := range map[string]func(v *chain.Value){
-		"truncated":        func(v *chain.Value) { v.Older = v.Older[:len(v.Older)-1] },
-		"too many entries": func(v *chain.Value) { v.Older = bytes.Repeat(v.Older, 1+chain.MaxOlderUpdates/chain.MaxRecentUpdates) },
-		"more than Seq":    func(v *chain.Value) { v.Seq = chain.MaxRecentUpdates },
-		"not increasing":   func(v *chain.Value) { v.Older = append(bytes.Clone(v.Older[:8]), 0) },
-		"below zero":       func(v *chain.Value) { v.Recent = v.Recent[:1]; v.Recent[0].Revision = 1 },
-		"without the last": func(v *chain.Value) { v.Recent = nil },
-		"too many recent": func(v *chain.Value) {
+		"truncated": func(v *chain.Value) { v.Older = v.Older[:len(v.Older)-1] },
+		"too many entries": func(v *chain.Value) {
+			v.Older = bytes.Repeat(v.Older, 1+chain.MaxOlderUpdates/chain.MaxRecentUpdates)
+		},
+		"more updates than Seq":      func(v *chain.Value) { v.Seq = chain.MaxRecentUpdates },
+		"revision does not increase": func(v *chain.Value) { v.Older = append(bytes.Clone(v.Older[:8]), 0) },
+		"revision below zero":        func(v *chain.Value) { v.Recent = v.Recent[:1]; v.Recent[0].Revision = 1 },
+		"no recent updates":          func(v *chain.Value) { v.Recent = nil },
+		"too many recent updates": func(v *chain.Value) {
 			v.Recent = append(v.Recent[:chain.MaxRecentUpdates:chain.MaxRecentUpdates], v.Recent[0])
 		},
 	} {
--- a/internal/fleet/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// testView is view 5 with a chain of a, b and c, of which c joined in view 4.
+// testView returns view 5 with the chain a, b, c. Member c joined in view 4, the others in view 1.
 func testView() view.View {
 	v := view.View{Number: 5}
 	for i, id := range []string{"a", "b", "c"} {
@@ -28,8 +28,8 @@
 
 func TestReceive(t *testing.T) {
 	t.Parallel()
-	present := chain.Record{View: 5, Value: *applyUpdates(t, &chain.Value{}, 2)}
-	older, newer := *applyUpdates(t, &chain.Value{}, 1), *applyUpdates(t, &chain.Value{}, 3)
+	currentRecord := chain.Record{View: 5, Value: *applyUpdates(t, &chain.Value{}, 2)}
+	olderValue, newerValue := *applyUpdates(t, &chain.Value{}, 1), *applyUpdates(t, &chain.Value{}, 3)
 	v := testView()
 	for _, c := range []struct {
 		name     string
@@ -39,36 +39,39 @@
 		rejected bool
 		want     chain.Record
 	}{
-		{"a newer value", "b", present,
-			chain.Push{View: v, Value: newer}, false, chain.Record{View: 5, Value: newer}},
-		{"an older value of the same view", "b", present,
-			chain.Push{View: v, Value: older}, false, present},
-		{"an older value, the first of its view", "b", chain.Record{View: 4, Value: present.Value},
-			chain.Push{View: v, Value: older}, false, chain.Record{View: 5, Value: older}},
-		{"of an older view", "b", present,
-			chain.Push{View: testViewNumbered(4), Value: newer}, true, present},
-		{"of a newer view", "b", present,
-			chain.Push{View: testViewNumbered(6), Value: newer}, true, present},
-		{"to the head", "a", present,
-			chain.Push{View: v, Value: newer}, true, present},
-		{"to a peer outside of the chain", "d", present,
-			chain.Push{View: v, Value: newer}, true, present},
-		{"directly to a complete member", "c", present,
-			chain.Push{View: v, Value: newer, Direct: true}, false, present},
-		{"directly to an incomplete member", "c", chain.Record{View: 3},
-			chain.Push{View: v, Value: newer, Direct: true}, false, chain.Record{View: 5, Value: newer, Direct: true}},
-		{"an older one along the chain after a direct one", "c", chain.Record{View: 5, Value: newer, Direct: true},
-			chain.Push{View: v, Value: older}, false, chain.Record{View: 5, Value: older}},
+		{"a newer value", "b", currentRecord,
+			chain.Push{View: v, Value: newerValue}, false, chain.Record{View: 5, Value: newerValue}},
+		{"an older value of the same view", "b", currentRecord,
+			chain.Push{View: v, Value: olderValue}, false, currentRecord},
+		{"an older value, the first of its view", "b", chain.Record{View: 4, Value: currentRecord.Value},
+			chain.Push{View: v, Value: olderValue}, false, chain.Record{View: 5, Value: olderValue}},
+		{"a value of an older view", "b", currentRecord,
+			chain.Push{View: testViewNumbered(4), Value: newerValue}, true, currentRecord},
+		{"a value of a newer view", "b", currentRecord,
+			chain.Push{View: testViewNumbered(6), Value: newerValue}, true, currentRecord},
+		{"a push to the head", "a", currentRecord,
+			chain.Push{View: v, Value: newerValue}, true, currentRecord},
+		{"a push to a peer outside of the chain", "d", currentRecord,
+			chain.Push{View: v, Value: newerValue}, true, currentRecord},
+		{"a direct push to a complete member", "c", currentRecord,
+			chain.Push{View: v, Value: newerValue, Direct: true}, false, currentRecord},
+		{"a direct push to an incomplete member", "c", chain.Record{View: 3},
+			chain.Push{View: v, Value: newerValue, Direct: true}, false,
+			chain.Record{View: 5, Value: newerValue, Direct: true}},
+		{"an older value along the chain after a direct push", "c",
+			chain.Record{View: 5, Value: newerValue, Direct: true},
+			chain.Push{View: v, Value: olderValue}, false, chain.Record{View: 5, Value: olderValue}},
 	} {
 		replica := chain.Replica{ID: c.id, View: v, Record: c.record}
 		got, changed, err := replica.Receive(&c.push)
 		require.Equal(t, c.rejected, err != nil, c.name)
 		require.Equal(t, c.want, got, c.name)
-		require.Equal(t, !c.rejected && got.View != c.record.View || got.Value.Seq != c.record.Value.Seq, changed, c.name)
+		require.Equal(t, !c.rejected && got.View != c.record.View || got.Value.Seq != c.record.Value.Seq,
+			changed, c.name)
 	}
 }
 
-// A member is complete from the first value on that it received since it joined.
+// A member that joined after view 1 is complete once it has received a value since it joined.
 func TestComplete(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -94,8 +97,8 @@
 		want   bool
 	}{
 		{"a tail", "c", testView(), chain.Record{View: 5}, true},
-		{"a tail with a value of the view before", "c", testView(), chain.Record{View: 4}, false},
-		{"a tail with a direct value", "c", testView(), chain.Record{View: 5, Direct: true}, false},
+		{"a tail with a value of the previous view", "c", testView(), chain.Record{View: 4}, false},
+		{"a tail with a directly transferred value", "c", testView(), chain.Record{View: 5, Direct: true}, false},
 		{"a middle member", "b", testView(), chain.Record{View: 5}, false},
 		{"a single member", "a", single, chain.Record{View: 4}, true},
 	} {
--- a/internal/fleet/chain/scenario_test.go
+++ b/internal/fleet/chain/scenario_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// newScenario returns a simulation of four machines, all in view 1, in which nothing is random.
+// newScenario returns a simulation of four machines in view 1 without random events.
 func newScenario(d defect) *simulation {
 	s := newSimulation(1, d, 4)
 	s.recovering, s.inFlight = true, nil
@@ -28,7 +28,7 @@
 	return s
 }
 
-// changeView has a machine propose a view, with all available machines.
+// changeView makes a machine propose a view, and delivers all messages that this causes.
 func (s *simulation) changeView(m *machine, next view.View) {
 	m.round++
 	m.proposal = view.NewProposal(m.view, view.ProposalNumber{Round: m.round, Proposer: m.id}, &next)
@@ -42,7 +42,7 @@
 	s.deliverAll()
 }
 
-// submitUpdate has a client submit an update to a machine.
+// submitUpdate makes a client submit an update to a machine, and delivers all messages that this causes.
 func (s *simulation) submitUpdate(clientIndex int, m *machine, ifMatch, revision int64) {
 	c := s.clients[clientIndex]
 	c.update = &chain.Update{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(revision, 10))}
@@ -63,7 +63,7 @@
 	}
 }
 
-// delayedPush: a push of an older view arrives after the next view was activated.
+// delayedPush is the scenario in which a push of an older view arrives after the next view was activated.
 func delayedPush(s *simulation, a, b, _, _ *machine) {
 	s.isDelayed = isPushOfView(1)
 	s.submitUpdate(0, a, 0, 10) // its push to b is delayed
@@ -77,13 +77,14 @@
 	s.deliverAll()
 }
 
-// powerLossBetweenProposals: a majority restarts between two proposals of the same instance.
+// powerLossBetweenProposals is the scenario in which a majority loses power between two proposals of the
+// same Paxos instance.
 func powerLossBetweenProposals(s *simulation, a, b, c, d *machine) {
 	s.isDelayed = func(msg message) bool {
 		_, isView := msg.body.(viewMessage)
 		return isView || isPush(msg) || msg.toAddr == d.addr
 	}
-	s.changeView(a, a.view.RemoveMember(d.id)) // only a knows that it is decided
+	s.changeView(a, a.view.RemoveMember(d.id)) // only a learns that the view is decided
 	s.inFlight = nil
 	for _, m := range []*machine{b, c} {
 		s.powerOff(m)
@@ -93,7 +94,8 @@
 	s.changeView(d, d.view.RemoveMember(a.id))
 }
 
-// resumedTail: a tail that was suspended and removed is read.
+// resumedTail is the scenario in which a tail receives a read although it was removed while it was
+// suspended.
 func resumedTail(s *simulation, a, _, _, d *machine) {
 	d.suspended = true
 	s.changeView(a, a.view.RemoveMember(d.id))
@@ -103,7 +105,8 @@
 	s.deliverAll()
 }
 
-// resumedHead: a head that was suspended and removed rejects an update.
+// resumedHead is the scenario in which a head receives an update that it would reject, although it was
+// removed while it was suspended.
 func resumedHead(s *simulation, a, b, _, _ *machine) {
 	s.submitUpdate(0, a, 0, 10)
 	a.suspended = true
@@ -113,11 +116,12 @@
 	s.submitUpdate(2, a, 20, 30)
 }
 
-// reinstatedHead: a machine that becomes the head again has the value of another head.
+// reinstatedHead is the scenario in which a machine becomes the head again while an update that it accepted
+// earlier is still pending there. Meanwhile another head has committed a different update with the same Seq.
 func reinstatedHead(s *simulation, a, b, c, d *machine) {
 	s.isDelayed = isPush
 	s.submitUpdate(0, a, 0, 10)
-	s.inFlight, s.isDelayed = nil, nil // only a has it
+	s.inFlight, s.isDelayed = nil, nil // the push is lost, so only a has the update
 	s.changeView(b, b.view.RemoveMember(a.id))
 	s.submitUpdate(1, b, 0, 20)
 	s.changeView(b, b.view.AppendMember(a.id))
@@ -127,7 +131,8 @@
 	s.changeView(d, d.view.RemoveMember(d.id))
 }
 
-// Each rare interleaving is the reason of one rule.
+// Each scenario is a rare interleaving that violates the guarantees if one rule of the protocol is left
+// out.
 func TestRareInterleavings(t *testing.T) {
 	for _, scenario := range []struct {
 		name   string
@@ -136,9 +141,9 @@
 	}{
 		{"a delayed push of an older view", acceptOlderViews, delayedPush},
 		{"a majority loses power between two proposals", loseVotes, powerLossBetweenProposals},
-		{"a tail that resumes is read", readWithoutQuorum, resumedTail},
-		{"a head that resumes rejects an update", rejectWithoutQuorum, resumedHead},
-		{"a head that is one again has another's value", confirmBySeqOnly, reinstatedHead},
+		{"a removed tail resumes and receives a read", readWithoutQuorum, resumedTail},
+		{"a removed head resumes and receives an update", rejectWithoutQuorum, resumedHead},
+		{"a former head becomes the head again", confirmBySeqOnly, reinstatedHead},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			for _, d := range []defect{noDefect, scenario.defect} {
@@ -147,7 +152,7 @@
 				if d == noDefect {
 					require.NoError(t, s.checkHistory())
 				} else {
-					require.Error(t, s.checkHistory(), "a violation without the rule")
+					require.Error(t, s.checkHistory(), "no violation was found without the rule")
 				}
 			}
 		})
--- a/internal/fleet/chain/simulation_clients_test.go
+++ b/internal/fleet/chain/simulation_clients_test.go
@@ -9,37 +9,39 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// client submits one update after the other, each until its outcome is known.
+// client submits one update after the other. It retries each update until it knows the outcome.
 type client struct {
-	revision int64 // the newest that it knows
-	update   *chain.Update
-	minSeq   uint64 // newestSeq when the update was made
+	revision int64         // the newest revision that it knows
+	update   *chain.Update // the update without a known outcome; nil if there is none
+	minSeq   uint64        // newestSeq at the creation of the update
 }
 
-// updateOutcome is what the clients of an update were answered.
+// updateOutcome records the answers that clients got for an update.
 type updateOutcome struct{ committed, rejected bool }
 
-// confirmation asks the voters whether a view is in force, for an answer that needs a quorum.
+// confirmation is a round in which a machine asks the voters whether its view is still the newest. A read
+// and a rejection need the confirmation of a quorum before they are answered.
 type confirmation struct {
 	view        view.View
-	confirmedBy map[string]bool // nil: it is over
-	value       chain.Value
+	confirmedBy map[string]bool // IDs of voters; nil once the round has ended
+	value       chain.Value     // the value that the answer is based on
 
 	isRead bool
-	minSeq uint64 // a read must return at least this Seq
+	minSeq uint64 // a read must return a value with at least this Seq
 
-	// Of a rejected update.
+	// Set only for a rejected update.
 	client *client
 	update *chain.Update
 }
 
-// parseRevision is the transition: the body of an update is the revision that it leads to.
+// parseRevision is the Transition of the tests: the body of an update is the revision that it leads to.
 func parseRevision(_ []byte, update *chain.Update) ([]byte, int64, error) {
 	revision, err := strconv.ParseInt(string(update.Body), 10, 64)
 	return update.Body, revision, err
 }
 
-// submitAny has a random client submit its update, or a new one, to a machine.
+// submitAny makes a random client submit its update, or a new one if it has none, to a machine. The
+// machine handles the update only if it is running.
 func (s *simulation) submitAny(m *machine, running bool) {
 	c := s.clients[s.random.IntN(len(s.clients))]
 	if c.update == nil {
@@ -52,7 +54,7 @@
 	}
 }
 
-// submit has a machine handle the update of a client.
+// submit makes a machine handle the update of a client.
 func (s *simulation) submit(m *machine, c *client) {
 	replica := s.replica(m)
 	if m.view.Number == 0 || !replica.IsHead() || m.activatedView != m.view.Number || m.pendingClient != nil {
@@ -75,22 +77,24 @@
 	s.forward(m, chain.Push{View: m.view, Value: *next})
 }
 
-// answerFinal answers an update that leads to no new value. Rejections need a quorum.
+// answerFinal answers an update that leads to no new value. A rejection needs the confirmation of a quorum.
 func (s *simulation) answerFinal(m *machine, c *client, result chain.Result) {
 	switch {
 	case result.Outcome == chain.OutcomeCommitted:
 		s.confirmUpdate(c, c.update, 0)
 	case result.Outcome == chain.OutcomeUnknown && s.defect != rejectForgottenUpdates:
-		// The client reads, and abandons this update.
+		// The client abandons the update and reads the current revision.
 		s.finishRequest(c, c.update, m.record.Value.Revision)
 	case s.defect == rejectWithoutQuorum:
 		s.rejectUpdate(c, c.update, m.record.Value)
 	default:
-		s.startConfirmation(m, &confirmation{view: m.view, confirmedBy: map[string]bool{}, value: m.record.Value, client: c, update: c.update})
+		s.startConfirmation(m, &confirmation{
+			view: m.view, confirmedBy: map[string]bool{}, value: m.record.Value, client: c, update: c.update,
+		})
 	}
 }
 
-// read has a machine handle a read.
+// read makes a machine handle a read.
 func (s *simulation) read(m *machine) {
 	replica := s.replica(m)
 	if m.view.Number == 0 {
@@ -141,19 +145,20 @@
 		return
 	}
 	if c.value.Seq < c.minSeq {
-		s.fail("a read returns value %d, %d was acknowledged before", c.value.Seq, c.minSeq)
+		s.fail("a read returns value %d, but value %d was acknowledged before", c.value.Seq, c.minSeq)
 	}
 	s.recordCommit(c.value)
 	s.newestSeq = max(s.newestSeq, c.value.Seq)
 	s.reads++
 }
 
+// recordCommit records a committed value, and fails if another value was committed with the same Seq.
 func (s *simulation) recordCommit(value chain.Value) {
 	if value.Seq == 0 {
 		return
 	}
 	if earlier, known := s.committed[value.Seq]; known && earlier.Checksum() != value.Checksum() {
-		s.fail("two values %d committed", value.Seq)
+		s.fail("two different values with Seq %d are committed", value.Seq)
 	}
 	s.committed[value.Seq] = value
 }
@@ -162,7 +167,7 @@
 func (s *simulation) confirmUpdate(c *client, update *chain.Update, seq uint64) {
 	outcome := s.outcomeOf(update)
 	if outcome.rejected {
-		s.fail("an update was rejected and committed")
+		s.fail("an update is committed after it was rejected")
 	}
 	outcome.committed = true
 	s.newestSeq = max(s.newestSeq, seq)
@@ -172,23 +177,25 @@
 // rejectUpdate answers a client that its update conflicts with a value.
 func (s *simulation) rejectUpdate(c *client, update *chain.Update, current chain.Value) {
 	if c.update == update && current.Seq < c.minSeq {
-		s.fail("a rejection is based on value %d, %d was acknowledged before the update", current.Seq, c.minSeq)
+		s.fail("a rejection is based on value %d, but value %d was acknowledged before the update",
+			current.Seq, c.minSeq)
 	}
 	outcome := s.outcomeOf(update)
 	if outcome.committed {
-		s.fail("an update was committed and rejected")
+		s.fail("an update is rejected after it was committed")
 	}
 	outcome.rejected = true
 	s.finishRequest(c, update, current.Revision)
 }
 
-// finishRequest ends a client's request. With revision 0 the client goes on from its own update.
+// finishRequest ends a client's request. The client then knows the given revision or, if that is 0, the
+// one that its own update led to.
 func (s *simulation) finishRequest(c *client, update *chain.Update, revision int64) {
 	if c.update != update {
 		return
 	}
-	if own, err := strconv.ParseInt(string(update.Body), 10, 64); revision == 0 && err == nil {
-		revision = own
+	if ownRevision, err := strconv.ParseInt(string(update.Body), 10, 64); revision == 0 && err == nil {
+		revision = ownRevision
 	}
 	c.revision, c.update = revision, nil
 }
@@ -201,8 +208,8 @@
 	return s.outcomes[digest]
 }
 
-// checkHistory checks that the committed values contain each update that was acknowledged, and none
-// that was rejected.
+// checkHistory checks that the committed values contain each update that was acknowledged and no update
+// that was rejected. It also returns the first violation of the run.
 func (s *simulation) checkHistory() error {
 	applied := map[chain.Digest]bool{}
 	for _, value := range s.committed {
--- a/internal/fleet/chain/simulation_faults_test.go
+++ b/internal/fleet/chain/simulation_faults_test.go
@@ -5,7 +5,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// powerOff ends a machine's process; what is on its disk stays.
+// powerOff ends a machine's process. The state on its disk remains.
 func (s *simulation) powerOff(m *machine) {
 	m.up, m.suspended, m.incarnation = false, false, m.incarnation+1
 	m.activatedView, m.pendingClient, m.pendingUpdate, m.proposal, m.confirmations = 0, nil, nil, nil, nil
@@ -17,7 +17,7 @@
 	}
 }
 
-// changeConnection disconnects or suspends a machine, or ends that.
+// changeConnection disconnects, suspends, reconnects or resumes a machine, or does nothing.
 func (s *simulation) changeConnection(m *machine) {
 	switch s.random.IntN(s.profile.partitionOneIn) {
 	case 0:
@@ -36,7 +36,7 @@
 	}
 }
 
-// injectDisaster loses a disk or the power of all machines, or does nothing.
+// injectDisaster makes a machine lose its disk or all machines lose power, or does nothing.
 func (s *simulation) injectDisaster(m *machine) {
 	if s.random.IntN(4) == 0 {
 		s.loseDisk(m)
@@ -47,8 +47,8 @@
 	}
 }
 
-// loseDisk replaces a machine's disk by an empty one, within the losses that are tolerated at once: no
-// other lost disk may still be a voter.
+// loseDisk replaces a machine's disk by an empty one, unless that would exceed the tolerated losses (see
+// toleratesDiskLoss).
 func (s *simulation) loseDisk(m *machine) {
 	newest := s.newestView()
 	if !s.toleratesDiskLoss(newest) {
@@ -73,6 +73,9 @@
 	return newest
 }
 
+// toleratesDiskLoss reports whether the loss of one more disk is tolerated in the newest view: enough
+// members must be complete, no voter's disk may be lost, and each machine that lost its disk before must
+// have become a voter with its new one.
 func (s *simulation) toleratesDiskLoss(newest view.View) bool {
 	complete := 0
 	for _, voter := range newest.Voters {
@@ -87,7 +90,8 @@
 	if s.defect != dropBelowRequiredLength && complete <= toleratedLosses {
 		return false
 	}
-	for _, wiped := range s.wiped { // each has a vote with its new disk, so no later view has its former one
+	// A machine that is a voter with its new disk has no vote with its former disk in any later view.
+	for _, wiped := range s.wiped {
 		if _, voter := newest.Voter(wiped.id); !voter {
 			return false
 		}
--- a/internal/fleet/chain/simulation_machine_test.go
+++ b/internal/fleet/chain/simulation_machine_test.go
@@ -7,24 +7,24 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// machine is one simulated machine. What is on its disk survives a power loss.
+// machine is one simulated machine. The state on its disk survives a power loss.
 type machine struct {
 	addr        string
 	up          bool
-	incarnation int
-	inboundCut  bool // messages of other machines don't arrive; those of clients do
-	outboundCut bool // its messages don't arrive
-	suspended   bool // it will resume in the same state
+	incarnation int  // raised with each end of its process
+	inboundCut  bool // messages of other machines don't arrive at it, but those of clients do
+	outboundCut bool // its messages don't arrive at other machines
+	suspended   bool // its process is suspended, and will resume in the same state
 
-	// On disk.
+	// State on disk.
 	id       string
 	view     view.View
 	acceptor view.AcceptorState
 	record   chain.Record
 
-	// In memory.
-	activatedView uint64 // number of the view in which its value was committed, as the head
-	pendingClient *client
+	// State in memory.
+	activatedView uint64  // number of the view in which it was the head and its value was committed
+	pendingClient *client // the client whose update is not committed yet; nil if there is none
 	pendingUpdate *chain.Update
 	pendingSeq    uint64
 	proposal      *view.Proposal
@@ -32,6 +32,7 @@
 	confirmations []*confirmation
 }
 
+// peerOf returns the peer that a machine is with its current disk.
 func peerOf(m *machine) view.Peer {
 	return view.Peer{ID: m.id, Addr: m.addr, Disk: true, Counted: true}
 }
@@ -45,8 +46,8 @@
 	return chain.Replica{ID: m.id, View: m.view, Record: m.record}
 }
 
-// persist writes to a machine's disk. The machine may lose power before or after the write; it then
-// returns false.
+// persist writes to a machine's disk. It returns false if the machine loses power before or after the
+// write.
 func (s *simulation) persist(m *machine, write func()) bool {
 	if s.recovering || s.random.IntN(s.profile.powerLossOneIn) > 0 {
 		write()
@@ -59,7 +60,7 @@
 	return false
 }
 
-// handlePush persists a pushed value and forwards it.
+// handlePush persists a pushed value, and forwards it unless the push is direct.
 func (s *simulation) handlePush(m *machine, push chain.Push) {
 	if s.defect == acceptOlderViews && push.View.Number < m.view.Number && push.View.Position(m.id) > 0 {
 		if push.Value.Seq > m.record.Value.Seq {
@@ -73,7 +74,7 @@
 	}
 }
 
-// receivePush reports whether the push was accepted and persisted.
+// receivePush makes a machine receive a push. It reports whether the push was accepted and persisted.
 func (s *simulation) receivePush(m *machine, push chain.Push) bool {
 	if !s.learnView(m, push.View) {
 		return false
@@ -89,7 +90,7 @@
 	return !changed || s.persist(m, func() { m.record = record })
 }
 
-// transferValue has a complete member transfer its value directly to one that may be incomplete.
+// transferValue makes a complete member transfer its value directly to a random member of the chain.
 func (s *simulation) transferValue(m *machine) {
 	if replica := s.replica(m); m.view.Number > 0 && replica.Complete() {
 		to := m.view.Chain[s.random.IntN(len(m.view.Chain))]
@@ -97,7 +98,7 @@
 	}
 }
 
-// forward sends a value to the successor, or acknowledges it at the tail.
+// forward sends a pushed value to the successor, or acknowledges it if the machine is the tail.
 func (s *simulation) forward(m *machine, push chain.Push) {
 	if successor, found := push.View.Successor(m.id); found {
 		s.send(m, successor.Peer, pushMessage{push})
@@ -106,6 +107,8 @@
 	s.handleAck(m, push)
 }
 
+// handleAck handles the acknowledgement of a push. It sends it on towards the head, and at the head it
+// activates the view and answers the pending client.
 func (s *simulation) handleAck(m *machine, push chain.Push) {
 	position := push.View.Position(m.id)
 	if position < 0 {
@@ -127,9 +130,10 @@
 	}
 }
 
-// resendPush has a head push its value through its chain again.
+// resendPush makes a head push its value along the chain again, as long as that is not acknowledged.
 func (s *simulation) resendPush(m *machine) {
-	if replica := s.replica(m); m.view.Number > 0 && replica.IsHead() && (m.activatedView != m.view.Number || m.pendingClient != nil) {
+	if replica := s.replica(m); m.view.Number > 0 && replica.IsHead() &&
+		(m.activatedView != m.view.Number || m.pendingClient != nil) {
 		s.forward(m, chain.Push{View: m.view, Value: m.record.Value})
 	}
 }
--- a/internal/fleet/chain/simulation_network_test.go
+++ b/internal/fleet/chain/simulation_network_test.go
@@ -8,10 +8,10 @@
 // message is a message in flight.
 type message struct {
 	toAddr      string
-	toID        string // of the disk that is addressed
-	from        *machine
-	incarnation int // of from
-	body        any // one of the types below
+	toID        string   // ID of the disk that it is meant for; empty in a reply
+	from        *machine // the sender
+	incarnation int      // incarnation of the sender or, in a reply, of the machine that it is meant for
+	body        any      // one of the types below
 }
 
 type (
@@ -35,15 +35,17 @@
 )
 
 func (s *simulation) send(from *machine, to view.Peer, body any) {
-	s.inFlight = append(s.inFlight, message{toAddr: to.Addr, toID: to.ID, from: from, incarnation: from.incarnation, body: body})
+	s.inFlight = append(s.inFlight, message{
+		toAddr: to.Addr, toID: to.ID, from: from, incarnation: from.incarnation, body: body,
+	})
 }
 
-// reply answers a message. The answer reaches only the incarnation that sent the message.
+// reply answers a message. Only the incarnation that sent the message handles the answer.
 func (s *simulation) reply(from *machine, to message, body any) {
 	s.inFlight = append(s.inFlight, message{toAddr: to.from.addr, from: from, incarnation: to.incarnation, body: body})
 }
 
-// deliverAny delivers, loses or duplicates one of the messages in flight.
+// deliverAny delivers or loses a random message in flight. A duplicated message stays in flight.
 func (s *simulation) deliverAny() {
 	if len(s.inFlight) == 0 {
 		return
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// deliver has a machine handle a message.
+// deliver makes a machine handle a message, if that reaches it.
 func (s *simulation) deliver(msg message) {
 	m := s.machineAt(msg.toAddr)
 	if !m.up || m.suspended || m.inboundCut && msg.from != m {
@@ -115,7 +117,7 @@
 	}
 }
 
-// deliverAll delivers all messages in flight that a scenario does not delay.
+// deliverAll delivers all messages in flight except those that the scenario delays.
 func (s *simulation) deliverAll() {
 	for i := 0; i < len(s.inFlight); {
 		msg := s.inFlight[i]
--- a/internal/fleet/chain/simulation_test.go
+++ b/internal/fleet/chain/simulation_test.go
@@ -12,35 +12,36 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// defect leaves out one rule of the protocol, to test that the checks of the simulation detect it.
+// defect is a rule of the protocol that is left out, to test that the checks of the simulation detect
+// that.
 type defect int
 
 const (
 	noDefect                defect = iota
 	acceptOlderViews               // replicas accept pushes of views that are superseded
 	loseVotes                      // votes are not persisted
-	acknowledgeEarly               // the head acknowledges what it has persisted itself
-	readWithoutQuorum              // the tail answers without a quorum
+	acknowledgeEarly               // the head acknowledges an update as soon as it has persisted it itself
+	readWithoutQuorum              // the tail answers reads without the confirmation of a quorum
 	dropToIncompleteMembers        // a chain may be reduced to members that are not complete
 	answerFromStaleTail            // a new tail answers before the head's value has arrived
-	rejectWithoutQuorum            // a head rejects updates without a quorum
+	rejectWithoutQuorum            // a head rejects updates without the confirmation of a quorum
 	rejectForgottenUpdates         // a head rejects updates that are older than its history
-	keepIDAfterDiskLoss            // a machine that lost its disk votes on as before
+	keepIDAfterDiskLoss            // a machine that lost its disk continues to vote under its former ID
 	acceptOlderValues              // replicas accept older values of their view
 	loseViews                      // views are not persisted
-	confirmBySeqOnly               // a head that is one again takes another's value for its own
-	dropBelowRequiredLength        // the chain is reduced below the tolerated losses and one more
+	confirmBySeqOnly               // a head confirms a pending update by the Seq of the value, not by its digest
+	dropBelowRequiredLength        // the chain may be reduced below the required number of complete members
 )
 
 const (
 	toleratedLosses = 1
-	// maxRecoverySteps is how many steps a recovery may take.
+	// maxRecoverySteps is the largest number of steps that a recovery may take.
 	maxRecoverySteps = 60_000
 )
 
-// simulation executes machines of the control plane in an arbitrary order of their messages, which may
-// be lost, delayed and duplicated, with power losses at each write, disk losses within the tolerated
-// ones, and random changes of the view among those that are allowed.
+// simulation executes the machines of a control plane with random events. Messages may be reordered,
+// lost, delayed and duplicated. A machine may lose power at each write, and its disk within the tolerated
+// losses. The view changes at random, as far as the rules allow it.
 type simulation struct {
 	random     *rand.Rand
 	defect     defect
@@ -49,29 +50,30 @@
 	inFlight   []message
 	lastID     int
 	wiped      []*machine         // machines that lost their disk
-	isDelayed  func(message) bool // in scenarios
-	recovering bool               // the end of a run: no more faults
+	isDelayed  func(message) bool // set by scenarios; nil if no message is delayed
+	recovering bool               // the run is about to end, and no more faults are injected
 
-	decided   map[uint64]view.View
-	committed map[uint64]chain.Value
-	newestSeq uint64 // highest Seq that was acknowledged or read
+	decided   map[uint64]view.View   // by number
+	committed map[uint64]chain.Value // by Seq
+	newestSeq uint64                 // the highest Seq that was acknowledged or read
 	outcomes  map[chain.Digest]*updateOutcome
 	clients   []*client
-	reads     int
-	err       error // the first violation
+	reads     int   // number of reads that were answered
+	err       error // the first violation; nil if there is none
 }
 
-// profile is how frequent the events of a run are: what is rare in one run is common in another.
+// profile has the frequencies of the events of a run, so that events that are rare in one run are common
+// in another.
 type profile struct {
 	reordering        reordering
-	lossOneIn         int // one in so many messages is lost, and as many are duplicated
-	powerLossOneIn    int // one in so many writes is interrupted by a power loss
-	viewChangePercent int // of the steps
-	partitionOneIn    int // one in so many partition steps disconnects or suspends a machine
+	lossOneIn         int // one in this many messages is lost, and as many are duplicated
+	powerLossOneIn    int // one in this many writes is interrupted by a power loss
+	viewChangePercent int // percentage of the steps that propose a change of the view
+	partitionOneIn    int // one in this many partition steps disconnects or suspends a machine
 	historyLength     int // number of recent updates that a value records
 }
 
-// reordering is the order in which messages arrive.
+// reordering is the order in which messages tend to arrive.
 type reordering int
 
 const (
@@ -109,7 +111,7 @@
 	initial, _ := view.InitialView(peers, view.Tolerance{Machines: toleratedLosses})
 	s.decided[1] = initial
 	for _, m := range s.machines[:len(peers)] {
-		if s.random.IntN(4) > 0 { // the others learn it
+		if s.random.IntN(4) > 0 { // the other machines learn the view from messages
 			m.view = initial
 		}
 	}
@@ -120,7 +122,7 @@
 	return s
 }
 
-// fail records the first violation.
+// fail records a violation, unless there was one before.
 func (s *simulation) fail(format string, args ...any) {
 	if s.err == nil {
 		s.err = errors.Errorf(format, args...)
@@ -170,7 +172,7 @@
 	}
 }
 
-var errNoProgress = errors.New("the newest value is not readable though all machines are back")
+var errNoProgress = errors.New("the newest value is not readable although all machines are running again")
 
 // simulate executes a run of random events, then lets all machines recover, and returns the first
 // violation.
@@ -208,17 +210,17 @@
 		updates += len(s.committed)
 		views += len(s.decided)
 	}
-	require.Greater(t, updates, 4*seeds, "updates are committed")
-	require.Greater(t, views, 5*seeds, "views are decided")
+	require.Greater(t, updates, 4*seeds, "too few updates were committed")
+	require.Greater(t, views, 5*seeds, "too few views were decided")
 }
 
 func TestSimulationFindsDefects(t *testing.T) {
 	for d, name := range map[defect]string{
-		acknowledgeEarly:        "acknowledged before the tail",
+		acknowledgeEarly:        "an update is acknowledged before the tail has it",
 		dropToIncompleteMembers: "the chain is reduced to incomplete members",
 		answerFromStaleTail:     "a new tail answers at once",
 		rejectForgottenUpdates:  "forgotten updates are rejected",
-		keepIDAfterDiskLoss:     "a machine without its disk keeps its vote",
+		keepIDAfterDiskLoss:     "a machine that lost its disk keeps its vote",
 		acceptOlderValues:       "older values of a view are accepted",
 		loseViews:               "views are not persisted",
 		dropBelowRequiredLength: "the chain is too short",
@@ -227,7 +229,8 @@
 			t.Parallel()
 			for seed := range 20_000 {
 				_, err := simulate(uint64(seed), d, 4+seed%3, 2500)
-				// Where a value is lost with the last disk that had it, its chain makes no progress.
+				// If a value is lost with the last disk that had it, the chain makes no progress. Only
+				// dropBelowRequiredLength may be detected by that.
 				if err != nil && (err != errNoProgress || d == dropBelowRequiredLength) {
 					t.Logf("seed %d: %v", seed, err)
 					return
--- a/internal/fleet/chain/simulation_views_test.go
+++ b/internal/fleet/chain/simulation_views_test.go
@@ -6,19 +6,20 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// learnView persists a decided view. It returns false if the machine lost power meanwhile.
+// learnView makes a machine persist a decided view that is newer than its own. It returns false if the
+// machine loses power meanwhile.
 func (s *simulation) learnView(m *machine, v view.View) bool {
 	if v.Number <= m.view.Number {
 		return true
 	}
 	if decided, known := s.decided[v.Number]; known && !decided.Equal(v) {
-		s.fail("two views %d", v.Number)
+		s.fail("two different views have the number %d", v.Number)
 	}
 	s.decided[v.Number] = v
 	return s.persist(m, func() { m.view = v })
 }
 
-// handleProposal has an acceptor handle a prepareMessage or an acceptMessage.
+// handleProposal makes an acceptor handle a prepareMessage or an acceptMessage.
 func (s *simulation) handleProposal(m *machine, msg message) {
 	prepare, isPrepare := msg.body.(prepareMessage)
 	proposal := prepare.proposal
@@ -82,7 +83,8 @@
 	s.learnView(m, decided)
 }
 
-// propose proposes one of the allowed changes of the view, or completes what was left undecided.
+// propose makes a machine propose a random allowed change of its view, or only the completion of an
+// undecided view.
 func (s *simulation) propose(m *machine) {
 	if m.view.Number == 0 {
 		return
@@ -102,8 +104,8 @@
 	}
 }
 
-// randomChange returns a random next view, or nil for none. It reports false if there is nothing to
-// propose at all.
+// randomChange returns a random next view, or nil for a proposal that only completes an undecided view.
+// Possible is false if there is nothing to propose at all.
 func (s *simulation) randomChange(current view.View) (next *view.View, possible bool) {
 	switch s.random.IntN(6) {
 	case 0, 4:
@@ -123,7 +125,8 @@
 	return next, true
 }
 
-// mayReduceTo reports whether the chain may be reduced, as the repair decides it.
+// mayReduceTo reports whether the chain may be reduced, by the rule of the repair: the remaining complete
+// members must have the required spread, and the next head must be complete.
 func (s *simulation) mayReduceTo(current, reduced view.View) bool {
 	required := current.RequiredSpread(view.Tolerance{Machines: toleratedLosses}).Machines
 	if s.defect == dropBelowRequiredLength {
@@ -139,7 +142,7 @@
 		complete >= required && s.reportsComplete(current, reduced.Chain[0])
 }
 
-// randomVoterChange has a random machine replace a voter or become one more.
+// randomVoterChange returns a view in which a random machine replaces a voter or is added as a voter.
 func (s *simulation) randomVoterChange(current view.View) (next *view.View, possible bool) {
 	candidate := s.machines[s.random.IntN(len(s.machines))]
 	if _, voter := current.Voter(candidate.id); voter || !candidate.up {
--- a/internal/fleet/chain/update.go
+++ b/internal/fleet/chain/update.go
@@ -7,19 +7,19 @@
 	"github.com/go-faster/errors"
 )
 
-// Digest identifies an update.
+// Digest identifies an update. It is a truncated SHA-256 hash.
 type Digest [16]byte
 
 // Update is a conditional change of the register that a client submits.
 type Update struct {
 	Patch   bool   `msgpack:"Patch"`   // merge Body into the configuration (PATCH) instead of replacing it (PUT)
-	IfMatch int64  `msgpack:"IfMatch"` // the revision that it builds on, 0 for the first
-	Body    []byte `msgpack:"Body"`    // as received
+	IfMatch int64  `msgpack:"IfMatch"` // the revision that it builds on; 0 for the first update
+	Body    []byte `msgpack:"Body"`    // as received from the client
 }
 
-// Digest is the same for the same update: the same bytes in the body, the same revision (If-Match)
-// and the same method (PUT or PATCH). Other white space or another order of keys make another
-// update, even where the resulting configuration would be the same.
+// Digest returns the digest of the update's body, revision (If-Match) and method (PUT or PATCH). Updates
+// whose bodies differ only in white space or in the order of keys have different digests, even if they
+// would lead to the same configuration.
 func (u *Update) Digest() (d Digest) {
 	hash := sha256.New()
 	header := make([]byte, 9)
@@ -33,19 +33,19 @@
 	return d
 }
 
-// Transition computes the next body and its revision from the current body, which is nil for the
-// first update. An error means that the update is invalid, and says why. It must be deterministic
-// and must modify neither argument.
+// Transition computes the next body and its revision from the current body, which is nil for the first
+// update. It returns an error with the reason if the update is invalid. It must be deterministic and must
+// not modify its arguments.
 type Transition func(current []byte, update *Update) (next []byte, revision int64, err error)
 
-// Outcome is what became of an update.
+// Outcome is the outcome of an update.
 type Outcome uint8
 
 // The outcomes. Their numbers are part of the protocol.
 const (
-	OutcomeUnknown   Outcome = iota // the update may or may not be committed, now or later
-	OutcomeCommitted                // it is committed
-	OutcomeConflict                 // another update of the same revision was committed, or IfMatch is not current
+	OutcomeUnknown   Outcome = iota // the update may be committed already, may be committed later, or may be lost
+	OutcomeCommitted                // the update is committed
+	OutcomeConflict                 // IfMatch is not the current revision, and the update was not applied
 	OutcomeInvalid                  // the update can't be applied to the current configuration
 )
 
@@ -54,22 +54,22 @@
 	return [...]string{"unknown", "committed", "conflict", "invalid"}[o&3]
 }
 
-// Result answers an update.
+// Result is the answer to an update.
 type Result struct {
 	Outcome  Outcome `msgpack:"Kind"`
-	Revision int64   `msgpack:"Revision"` // OutcomeCommitted: the resulting revision; OutcomeConflict and OutcomeInvalid: the current one
-	Reason   string  `msgpack:"Reason"`   // OutcomeInvalid: what is wrong with the update; OutcomeUnknown: what failed
-	Final    bool    `msgpack:"Final"`    // OutcomeUnknown: every replica gives the same answer to a retry of the update
+	Revision int64   `msgpack:"Revision"` // if committed, the resulting revision; if conflict or invalid, the current
+	Reason   string  `msgpack:"Reason"`   // if invalid, what is wrong with the update; if unknown, what failed
+	Final    bool    `msgpack:"Final"`    // set only if unknown: a retry of the update gets the same answer everywhere
 }
 
-// reasonTooOld is the reason of an unknown outcome of an update that may have been committed before
-// the recorded history begins.
-const reasonTooOld = "the change builds on a revision that is older than the recorded history, so it may have been applied before: " +
+// reasonTooOld is the reason for the outcome unknown of an update that may have been committed before the
+// recorded history begins.
+const reasonTooOld = "the change builds on a revision before the recorded history and may have been applied: " +
 	"read the configuration again, and submit the change on its newest revision if it is missing there"
 
-// Apply evaluates an update against the current value. If final is true, the result is the answer to
-// the update and there is nothing to commit. Otherwise the caller has to commit next, and may give
-// the result as the answer once that is done.
+// Apply evaluates an update against the current value. If final is true, the result is the answer to the
+// update and there is nothing to commit. Otherwise the caller has to commit the value next, and may
+// answer with the result once that is committed.
 func Apply(current *Value, update *Update, transition Transition) (next *Value, result Result, final bool) {
 	digest := update.Digest()
 	if revision, applied := current.RevisionOf(digest); applied {
@@ -83,7 +83,8 @@
 	}
 	body, revision, err := transition(current.Body, update)
 	if err == nil && (len(body) > MaxBody || revision <= current.Revision) {
-		err = errors.Errorf("revision: give one above %d, and a configuration of at most %d bytes", current.Revision, MaxBody)
+		err = errors.Errorf("revision: give one above %d, and a configuration of at most %d bytes",
+			current.Revision, MaxBody)
 	}
 	if err != nil {
 		return nil, Result{Outcome: OutcomeInvalid, Revision: current.Revision, Reason: err.Error()}, true
--- a/internal/fleet/chain/update_test.go
+++ b/internal/fleet/chain/update_test.go
@@ -10,15 +10,15 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// revisionStep is how much higher the revision of each update of applyUpdates is.
+// revisionStep is the difference between the revisions of successive updates in applyUpdates.
 const revisionStep = 10
 
-// updateTo is an update that leads to a revision.
+// updateTo returns an update that leads to a revision.
 func updateTo(ifMatch, revision int64) *chain.Update {
 	return &chain.Update{IfMatch: ifMatch, Body: []byte(strconv.FormatInt(revision, 10))}
 }
 
-// applyUpdates commits n updates.
+// applyUpdates returns the value after n further updates.
 func applyUpdates(t *testing.T, value *chain.Value, n int) *chain.Value {
 	t.Helper()
 	for range n {
@@ -31,14 +31,17 @@
 	return value
 }
 
-// An update that was committed and whose answer was lost is never rejected, however many came since.
+// A client may retry a committed update because the answer was lost. The retry is never rejected, even
+// after any number of later updates.
 func TestRetriedUpdateIsNeverRejected(t *testing.T) {
 	t.Parallel()
-	const recorded = chain.MaxRecentUpdates + chain.MaxOlderUpdates
+	const maxRecorded = chain.MaxRecentUpdates + chain.MaxOlderUpdates
 	value := &chain.Value{}
-	for n := range 2 * recorded {
+	for n := range 2 * maxRecorded {
 		value = applyUpdates(t, value, 1)
-		for _, age := range []int{0, 1, chain.MaxRecentUpdates - 1, chain.MaxRecentUpdates, recorded - 1, recorded, n} {
+		for _, age := range []int{
+			0, 1, chain.MaxRecentUpdates - 1, chain.MaxRecentUpdates, maxRecorded - 1, maxRecorded, n,
+		} {
 			if age > n {
 				continue
 			}
@@ -46,41 +49,44 @@
 			next, result, final := chain.Apply(value, updateTo(revision-revisionStep, revision), parseRevision)
 			require.True(t, final)
 			require.Nil(t, next)
-			if age < recorded {
-				require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision}, result, "%d updates since", age)
+			if age < maxRecorded {
+				require.Equal(t, chain.Result{Outcome: chain.OutcomeCommitted, Revision: revision}, result,
+					"after %d later updates", age)
 				continue
 			}
-			require.Equal(t, chain.OutcomeUnknown, result.Outcome, "%d updates since", age)
+			require.Equal(t, chain.OutcomeUnknown, result.Outcome, "after %d later updates", age)
 			require.True(t, result.Final)
 			require.Contains(t, result.Reason, "read the configuration")
 		}
 	}
 }
 
-// An update that was never committed is rejected as long as the history can tell.
+// An update that was never committed is rejected as long as the recorded history shows that.
 func TestConflictWithinRecordedHistory(t *testing.T) {
 	t.Parallel()
 	value := applyUpdates(t, &chain.Value{}, 5)
 	_, result, _ := chain.Apply(value, updateTo(0, 7), parseRevision)
 	require.Equal(t, chain.Result{Outcome: chain.OutcomeConflict, Revision: 50}, result, "all updates are recorded")
 
-	const recorded = chain.MaxRecentUpdates + chain.MaxOlderUpdates
-	value = applyUpdates(t, value, recorded)
-	oldest := value.Revision - revisionStep*int64(recorded-1) // what the oldest recorded update led to
+	const maxRecorded = chain.MaxRecentUpdates + chain.MaxOlderUpdates
+	value = applyUpdates(t, value, maxRecorded)
+	// The revision that the oldest recorded update led to.
+	oldestRevision := value.Revision - revisionStep*int64(maxRecorded-1)
 	for ifMatch, want := range map[int64]chain.Outcome{
-		oldest - revisionStep: chain.OutcomeUnknown,
-		oldest - 1:            chain.OutcomeUnknown,
-		oldest:                chain.OutcomeConflict,
-		oldest + revisionStep: chain.OutcomeConflict,
-		value.Revision - 1:    chain.OutcomeConflict,
-		value.Revision + 1:    chain.OutcomeConflict,
+		oldestRevision - revisionStep: chain.OutcomeUnknown,
+		oldestRevision - 1:            chain.OutcomeUnknown,
+		oldestRevision:                chain.OutcomeConflict,
+		oldestRevision + revisionStep: chain.OutcomeConflict,
+		value.Revision - 1:            chain.OutcomeConflict,
+		value.Revision + 1:            chain.OutcomeConflict,
 	} {
 		_, result, _ := chain.Apply(value, updateTo(ifMatch, value.Revision+99), parseRevision)
-		require.Equal(t, want, result.Outcome, "of revision %d at %d", ifMatch, value.Revision)
+		require.Equal(t, want, result.Outcome, "an update of revision %d at revision %d", ifMatch, value.Revision)
 	}
 }
 
-// The same update has the same bytes, the same revision and the same method.
+// Updates with the same bytes, revision and method have the same digest. A difference in any of them
+// changes the digest.
 func TestDigestIdentifiesUpdate(t *testing.T) {
 	t.Parallel()
 	first := chain.Update{IfMatch: 3, Body: []byte(`{"revision":4,"a":1}`)}
@@ -96,8 +102,8 @@
 	}
 }
 
-// Of two updates of one revision, the one with other bytes or another method is rejected, and the
-// same one is acknowledged again.
+// Once an update of a revision is committed, a retry of it is acknowledged again. Another update of that
+// revision is rejected, also if only the bytes or the method differ.
 func TestUpdatesOfOneRevision(t *testing.T) {
 	t.Parallel()
 	toRevision20 := func(_ []byte, update *chain.Update) ([]byte, int64, error) { return update.Body, 20, nil }
@@ -111,10 +117,13 @@
 			update chain.Update
 			want   chain.Outcome
 		}{
-			{"the same", chain.Update{Patch: patch, IfMatch: 10, Body: []byte("20")}, chain.OutcomeCommitted},
+			{"the same update", chain.Update{Patch: patch, IfMatch: 10, Body: []byte("20")}, chain.OutcomeCommitted},
 			{"other bytes", chain.Update{Patch: patch, IfMatch: 10, Body: []byte("20 ")}, chain.OutcomeConflict},
 			{"the other method", chain.Update{Patch: !patch, IfMatch: 10, Body: []byte("20")}, chain.OutcomeConflict},
-			{"the same of the newest revision", chain.Update{Patch: patch, IfMatch: 20, Body: []byte("20")}, chain.OutcomeInvalid},
+			{
+				"the same body on the newest revision", chain.Update{Patch: patch, IfMatch: 20, Body: []byte("20")},
+				chain.OutcomeInvalid,
+			},
 		} {
 			_, result, final := chain.Apply(next, &c.update, toRevision20)
 			require.True(t, final)
--- a/internal/fleet/view/simulation_machine_test.go
+++ b/internal/fleet/view/simulation_machine_test.go
@@ -134,7 +134,7 @@
 		return
 	}
 	if decided, known := s.decided[v.Number]; known && !decided.Equal(v) {
-		s.fail("two views %d", v.Number)
+		s.fail("two different views have the number %d", v.Number)
 	}
 	s.decided[v.Number] = v
 	if v.Number > s.newest.Number {
