--- a/internal/fleet/chain/doc.go
+++ b/internal/fleet/chain/doc.go
@@ -20,7 +20,7 @@
 //     view replaces it.
 //   - Of two updates that build on the same revision at most one is committed. A committed update is
 //     recognised by its digest as long as it is among the last MaxRecentUpdates + MaxOlderUpdates. An
-//     update that builds on an older revision gets the outcome unknown, never a conflict.
+//     update that builds on a revision from before those gets the outcome unknown, never a conflict.
 //
 // It is not guaranteed that an update without an answer is discarded. The next head may commit it with
 // its first push. It is lost with the old head's value if no member of the next chain has it.
--- a/internal/fleet/chain/replica_test.go
+++ b/internal/fleet/chain/replica_test.go
@@ -87,8 +87,8 @@
 // A tail has a committed value once the first push of its view has arrived along the chain.
 func TestCommittedValue(t *testing.T) {
 	t.Parallel()
-	single := testView()
-	single.Chain = single.Chain[:1]
+	singleMemberView := testView()
+	singleMemberView.Chain = singleMemberView.Chain[:1]
 	for _, c := range []struct {
 		name   string
 		id     string
@@ -100,7 +100,7 @@
 		{"a tail with a value of the previous view", "c", testView(), chain.Record{View: 4}, false},
 		{"a tail with a directly transferred value", "c", testView(), chain.Record{View: 5, Direct: true}, false},
 		{"a middle member", "b", testView(), chain.Record{View: 5}, false},
-		{"a single member", "a", single, chain.Record{View: 4}, true},
+		{"a single member", "a", singleMemberView, chain.Record{View: 4}, true},
 	} {
 		_, ok := (&chain.Replica{ID: c.id, View: c.view, Record: c.record}).CommittedValue()
 		require.Equal(t, c.want, ok, c.name)
--- a/internal/fleet/chain/scenario_test.go
+++ b/internal/fleet/chain/scenario_test.go
@@ -68,10 +68,10 @@
 	s.isDelayed = isPushOfView(1)
 	s.submitUpdate(0, a, 0, 10) // its push to b is delayed
 	s.changeView(b, b.view.RemoveMember(a.id))
-	delayed := s.inFlight
+	delayedMessages := s.inFlight
 	s.inFlight, s.isDelayed = nil, isPushOfView(2)
 	s.submitUpdate(1, b, 0, 20)
-	s.inFlight = append(delayed, s.inFlight...)
+	s.inFlight = append(delayedMessages, s.inFlight...)
 	s.deliverAll()
 	s.isDelayed = nil
 	s.deliverAll()
--- a/internal/fleet/chain/simulation_network_test.go
+++ b/internal/fleet/chain/simulation_network_test.go
@@ -59,14 +59,14 @@
 			i = max(i, j)
 		}
 	}
-	chosen := s.inFlight[i]
+	msg := s.inFlight[i]
 	duplicated := !s.recovering && s.random.IntN(s.profile.lossOneIn) == 0
 	if !duplicated {
 		s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	}
-	lost := !s.recovering && (s.random.IntN(s.profile.lossOneIn) == 0 || chosen.from.outboundCut)
+	lost := !s.recovering && (s.random.IntN(s.profile.lossOneIn) == 0 || msg.from.outboundCut)
 	if !lost {
-		s.deliver(chosen)
+		s.deliver(msg)
 	}
 }
 
--- a/internal/fleet/chain/simulation_test.go
+++ b/internal/fleet/chain/simulation_test.go
@@ -187,8 +187,8 @@
 	for _, m := range s.machines {
 		m.up, m.inboundCut, m.outboundCut, m.suspended = true, false, false, false
 	}
-	before := s.reads
-	for i := 0; s.reads < before+3; i++ {
+	readsBefore := s.reads
+	for i := 0; s.reads < readsBefore+3; i++ {
 		if s.step(); s.err != nil {
 			return s, s.err
 		}
--- a/internal/fleet/chain/simulation_views_test.go
+++ b/internal/fleet/chain/simulation_views_test.go
@@ -153,14 +153,14 @@
 			return nil, false
 		}
 	}
-	former := current.Voters[s.random.IntN(len(current.Voters))]
+	formerVoter := current.Voters[s.random.IntN(len(current.Voters))]
 	for _, voter := range current.Voters {
 		if voter.Addr == candidate.addr {
-			former = voter
+			formerVoter = voter
 		}
 	}
-	if current.Position(former.ID) < 0 {
-		replaced := current.ReplaceVoter(former.ID, peerOf(candidate))
+	if current.Position(formerVoter.ID) < 0 {
+		replaced := current.ReplaceVoter(formerVoter.ID, peerOf(candidate))
 		return &replaced, true
 	}
 	if len(current.Voters) < len(s.machines) {
--- a/internal/fleet/chain/update.go
+++ b/internal/fleet/chain/update.go
@@ -57,7 +57,7 @@
 // Result is the answer to an update.
 type Result struct {
 	Outcome  Outcome `msgpack:"Kind"`
-	Revision int64   `msgpack:"Revision"` // if committed, the resulting revision; if conflict or invalid, the current
+	Revision int64   `msgpack:"Revision"` // the resulting revision if committed, the current one if conflict or invalid
 	Reason   string  `msgpack:"Reason"`   // if invalid, what is wrong with the update; if unknown, what failed
 	Final    bool    `msgpack:"Final"`    // set only if unknown: a retry of the update gets the same answer everywhere
 }
--- a/internal/fleet/chain/update_test.go
+++ b/internal/fleet/chain/update_test.go
@@ -89,16 +89,16 @@
 // changes the digest.
 func TestDigestIdentifiesUpdate(t *testing.T) {
 	t.Parallel()
-	first := chain.Update{IfMatch: 3, Body: []byte(`{"revision":4,"a":1}`)}
-	require.Equal(t, first.Digest(), (&chain.Update{IfMatch: 3, Body: bytes.Clone(first.Body)}).Digest())
-	for name, other := range map[string]chain.Update{
-		"another method":   {Patch: true, IfMatch: 3, Body: first.Body},
-		"another revision": {IfMatch: 4, Body: first.Body},
+	update := chain.Update{IfMatch: 3, Body: []byte(`{"revision":4,"a":1}`)}
+	require.Equal(t, update.Digest(), (&chain.Update{IfMatch: 3, Body: bytes.Clone(update.Body)}).Digest())
+	for name, otherUpdate := range map[string]chain.Update{
+		"another method":   {Patch: true, IfMatch: 3, Body: update.Body},
+		"another revision": {IfMatch: 4, Body: update.Body},
 		"white space":      {IfMatch: 3, Body: []byte(`{"revision":4, "a":1}`)},
 		"order of keys":    {IfMatch: 3, Body: []byte(`{"a":1,"revision":4}`)},
 		"another value":    {IfMatch: 3, Body: []byte(`{"revision":4,"a":2}`)},
 	} {
-		require.NotEqual(t, first.Digest(), other.Digest(), name)
+		require.NotEqual(t, update.Digest(), otherUpdate.Digest(), name)
 	}
 }
 
--- a/internal/fleet/view/acceptor_test.go
+++ b/internal/fleet/view/acceptor_test.go
@@ -7,25 +7,25 @@
 )
 
 func TestAcceptor(t *testing.T) {
-	low, high := ProposalNumber{Round: 1, Proposer: "a"}, ProposalNumber{Round: 1, Proposer: "b"}
+	lowNumber, highNumber := ProposalNumber{Round: 1, Proposer: "a"}, ProposalNumber{Round: 1, Proposer: "b"}
 	view2 := View{Number: 2}
-	state, response := AcceptorState{}.Prepare(2, low)
+	state, response := AcceptorState{}.Prepare(2, lowNumber)
 	require.True(t, response.OK)
-	_, response = state.Prepare(2, low)
+	_, response = state.Prepare(2, lowNumber)
 	require.False(t, response.OK, "a number is promised once")
-	state, response = state.Prepare(2, high)
+	state, response = state.Prepare(2, highNumber)
 	require.True(t, response.OK)
-	_, response = state.Accept(2, low, view2)
+	_, response = state.Accept(2, lowNumber, view2)
 	require.False(t, response.OK)
-	require.Equal(t, high, response.Promised)
-	state, response = state.Accept(2, high, view2)
+	require.Equal(t, highNumber, response.Promised)
+	state, response = state.Accept(2, highNumber, view2)
 	require.True(t, response.OK)
-	_, response = state.Accept(2, high, view2)
+	_, response = state.Accept(2, highNumber, view2)
 	require.True(t, response.OK, "the same view is accepted again")
 	_, response = state.Prepare(2, ProposalNumber{Round: 2})
 	require.Equal(t, &view2, response.Accepted)
-	require.Equal(t, high, response.AcceptedNumber)
-	_, response = state.Prepare(3, low)
+	require.Equal(t, highNumber, response.AcceptedNumber)
+	_, response = state.Prepare(3, lowNumber)
 	require.True(t, response.OK, "the next view is another instance")
 	require.Nil(t, response.Accepted)
 }
--- a/internal/fleet/view/placement_test.go
+++ b/internal/fleet/view/placement_test.go
@@ -10,9 +10,9 @@
 	_, ok := InitialView(nil, tolerateMachines(1))
 	require.False(t, ok)
 
-	diskless := testPeer("z")
-	diskless.Disk = false
-	v, ok := InitialView(append(testPeers("c a b"), diskless), tolerateMachines(1))
+	disklessPeer := testPeer("z")
+	disklessPeer.Disk = false
+	v, ok := InitialView(append(testPeers("c a b"), disklessPeer), tolerateMachines(1))
 	require.True(t, ok)
 	require.NoError(t, v.Validate())
 	require.Equal(t, testPeers("a b c"), v.Voters)
@@ -21,12 +21,12 @@
 	require.Equal(t, "a", v.Head().ID)
 	require.Equal(t, "c", v.Tail().ID)
 
-	v, _ = InitialView([]Peer{diskless}, tolerateMachines(1))
+	v, _ = InitialView([]Peer{disklessPeer}, tolerateMachines(1))
 	require.True(t, v.InMemory)
 
-	uncounted := testPeer("b")
-	uncounted.Counted = false
-	v, _ = InitialView([]Peer{testPeer("a"), uncounted}, tolerateMachines(1))
+	uncountedPeer := testPeer("b")
+	uncountedPeer.Counted = false
+	v, _ = InitialView([]Peer{testPeer("a"), uncountedPeer}, tolerateMachines(1))
 	require.Equal(t, testPeers("a"), v.Voters)
 
 	// Voters are spread evenly over the zones.
--- a/internal/fleet/view/plan.go
+++ b/internal/fleet/view/plan.go
@@ -56,7 +56,7 @@
 type Step struct {
 	Kind         StepKind
 	View         *View         // the view to propose; nil for CompleteUndecided
-	Reason       string        // for logs
+	Reason       string        // for logs, and to recognise the same step in the next plan
 	Urgent       bool          // updates may be blocked until the step is done
 	Delay        time.Duration // the step is proposed once it has been due for this long
 	RemovedVoter string        // ID of the voter that the step removes; empty if it removes none
@@ -88,8 +88,8 @@
 }
 
 // MayLeave reports whether a member that is shutting down may end. Outside of the chain it may end once
-// no step to replace or remove it as a voter is due. In the chain it may end if no peer could take its
-// place.
+// no step to replace or remove it as a voter is due. In the chain it may end if no other peer could
+// become a complete member in its place.
 func MayLeave(view View, id string, health map[string]Health, policy Policy) bool {
 	p := newPlanner(view, health, policy)
 	if view.Position(id) < 0 {
--- a/internal/fleet/view/plan_chain.go
+++ b/internal/fleet/view/plan_chain.go
@@ -8,7 +8,7 @@
 // memberFault is a reason to remove a member from the chain.
 type memberFault struct {
 	memberID string
-	cause    string
+	cause    string        // stated in Step.Reason
 	delay    time.Duration // Step.Delay of the removal
 	leaving  bool          // the member is shutting down but still works
 }
--- a/internal/fleet/view/plan_chain_test.go
+++ b/internal/fleet/view/plan_chain_test.go
@@ -103,8 +103,10 @@
 	require.Equal(t, testPolicy.StableAfter, step.Delay, "a short interruption does not remove it")
 	s.requireStep(t, "a b d")
 	s.requireNoStep(t) // c does not join again while b can't reach it
-	restarted := newScenario(t, "a b c d").update("b", func(h *Health) { h.ConnectedTo, h.Uptime = nil, time.Second })
-	restarted.requireNoStep(t) // b has just started, so its report may be incomplete
+	afterRestart := newScenario(t, "a b c d").update("b", func(h *Health) {
+		h.ConnectedTo, h.Uptime = nil, time.Second
+	})
+	afterRestart.requireNoStep(t) // b has just started, so its report may be incomplete
 	s.update("b", func(h *Health) { h.ConnectedTo = []string{"a", "c", "d"} })
 	s.requireStep(t, "a b d c")
 }
@@ -150,8 +152,8 @@
 	require.GreaterOrEqual(t, s.plannedView(t).Position("b"), 0, "a would be the only complete replica")
 }
 
-// A leaving member that has the only replica outside of another zone stays until a second machine of its
-// zone has a replica.
+// A leaving member stays until another machine of its zone has a replica, if all other replicas are in one
+// zone.
 func TestLeavingMemberHasTheOnlyReplicaOfItsZone(t *testing.T) {
 	s := newZonedScenario(t, "r/a/a1 r/a/a2 r/b/b1 r/b/b2 r/c/c1 r/c/c2", Tolerance{Machines: 1, Zones: 1})
 	require.Equal(t, "a1 a2 b1 c1", s.chainIDs())
--- a/internal/fleet/view/plan_voters_test.go
+++ b/internal/fleet/view/plan_voters_test.go
@@ -67,10 +67,10 @@
 
 func TestEligibleVoters(t *testing.T) {
 	s := newScenario(t, "a b c")
-	diskless, uncounted := testPeer("d"), testPeer("e")
-	diskless.Disk, uncounted.Counted = false, false
-	s.addPeer(diskless)
-	s.addPeer(uncounted)
+	disklessPeer, uncountedPeer := testPeer("d"), testPeer("e")
+	disklessPeer.Disk, uncountedPeer.Counted = false, false
+	s.addPeer(disklessPeer)
+	s.addPeer(uncountedPeer)
 	s.requireNoStep(t)
 	s.view.InMemory = true
 	s.requireStep(t, "a b c")
@@ -137,9 +137,9 @@
 	require.Equal(t, "a", s.requireStep(t, "b c").RemovedVoter)
 	require.Equal(t, 2, s.view.Quorum())
 
-	five := newScenario(t, "a b c d e").shutDown("a")
-	five.requireStep(t, "b c d e")
-	five.requireNoStep(t) // five voters tolerate a loss although one of them is absent
+	fiveVoters := newScenario(t, "a b c d e").shutDown("a")
+	fiveVoters.requireStep(t, "b c d e")
+	fiveVoters.requireNoStep(t) // five voters tolerate a loss although one of them is absent
 }
 
 // The only machine of a control plane may leave once its replacement is complete and the only voter.
--- a/internal/fleet/view/scenario_test.go
+++ b/internal/fleet/view/scenario_test.go
@@ -83,13 +83,13 @@
 
 // addPeer adds a healthy peer that is in contact with all others.
 func (s *scenario) addPeer(peer Peer) {
-	added := Health{Peer: peer, StableFor: time.Hour, Uptime: time.Hour, Complete: s.view.Position(peer.ID) >= 0}
+	addedHealth := Health{Peer: peer, StableFor: time.Hour, Uptime: time.Hour, Complete: s.view.Position(peer.ID) >= 0}
 	for id, h := range s.health {
 		h.ConnectedTo = append(h.ConnectedTo, peer.ID)
 		s.health[id] = h
-		added.ConnectedTo = append(added.ConnectedTo, id)
+		addedHealth.ConnectedTo = append(addedHealth.ConnectedTo, id)
 	}
-	s.health[peer.ID] = added
+	s.health[peer.ID] = addedHealth
 }
 
 // addPeerAt adds a peer that is the new disk of a machine.
@@ -187,7 +187,7 @@
 func (s *scenario) requireStep(t *testing.T, chain string) Step {
 	t.Helper()
 	step, due := s.plan(t)
-	require.True(t, due, "a step is due")
+	require.True(t, due, "no step is due")
 	s.adopt(t, step)
 	require.Equal(t, chain, s.chainIDs(), step.Reason)
 	return step
--- a/internal/fleet/view/simulation_faults_test.go
+++ b/internal/fleet/view/simulation_faults_test.go
@@ -38,8 +38,8 @@
 }
 
 func (s *simulation) pickMachine() *machine {
-	present := s.presentMachines()
-	return present[s.random.IntN(len(present))]
+	presentMachines := s.presentMachines()
+	return presentMachines[s.random.IntN(len(presentMachines))]
 }
 
 // randomDuration returns a random duration in a range, in steps of the tick interval.
@@ -56,25 +56,25 @@
 
 // loseMachines kills the machines of a tolerated loss. Some of them lose their disk.
 func (s *simulation) loseMachines() {
-	lost := s.pickLoss()
-	for _, m := range lost {
+	lostMachines := s.pickLoss()
+	for _, m := range lostMachines {
 		s.stop(m)
 	}
 	s.runWithLoss(s.randomDuration(0, 6*time.Second))
-	for _, m := range lost {
+	for _, m := range lostMachines {
 		s.start(m, s.random.IntN(2) == 0)
 	}
 }
 
 // partitionMachines disconnects the machines of a tolerated loss for a while.
 func (s *simulation) partitionMachines() {
-	lost := s.pickLoss()
-	for _, m := range lost {
+	lostMachines := s.pickLoss()
+	for _, m := range lostMachines {
 		s.logf("partition %s", m.peer.ID)
 		m.partitioned = true
 	}
 	s.runWithLoss(s.randomDuration(0, 6*time.Second))
-	for _, m := range lost {
+	for _, m := range lostMachines {
 		m.partitioned, m.reconnectedAt = false, s.now
 	}
 }
@@ -82,11 +82,11 @@
 // replaceLostMachine kills a machine that never comes back. Another machine of its zone replaces it, and
 // may be killed for a while as it joins.
 func (s *simulation) replaceLostMachine() {
-	lost := s.pickLoss()
-	if len(lost) == 0 {
+	lostMachines := s.pickLoss()
+	if len(lostMachines) == 0 {
 		return
 	}
-	formerMachine := lost[0]
+	formerMachine := lostMachines[0]
 	s.stop(formerMachine)
 	formerMachine.decommissioned = true
 	s.run(s.randomDuration(0, 3*time.Second))
@@ -133,34 +133,34 @@
 // restartMachine restarts a process gracefully. Other machines may be down when it is terminated; they
 // start again within its shutdown grace period.
 func (s *simulation) restartMachine() {
-	restarted := s.pickMachine()
-	var lost []*machine
+	restartedMachine := s.pickMachine()
+	var lostMachines []*machine
 	if s.random.IntN(2) == 0 {
-		lost = slices.DeleteFunc(s.pickLoss(), func(m *machine) bool { return m == restarted })
+		lostMachines = slices.DeleteFunc(s.pickLoss(), func(m *machine) bool { return m == restartedMachine })
 	}
-	for _, m := range lost {
+	for _, m := range lostMachines {
 		s.stop(m)
 	}
-	if len(lost) > 0 {
+	if len(lostMachines) > 0 {
 		s.run(s.randomDuration(0, 2*time.Second))
 	}
-	s.terminate(restarted)
+	s.terminate(restartedMachine)
 	s.run(s.randomDuration(0, 3*time.Second))
-	for _, m := range lost {
+	for _, m := range lostMachines {
 		s.start(m, s.random.IntN(3) == 0)
 	}
-	s.awaitStop(restarted)
+	s.awaitStop(restartedMachine)
 	s.run(s.randomDuration(0, time.Second))
-	s.start(restarted, false)
+	s.start(restartedMachine, false)
 }
 
 func (s *simulation) losePowerEverywhere() {
-	down := s.presentMachines()
-	for _, m := range down {
+	presentMachines := s.presentMachines()
+	for _, m := range presentMachines {
 		s.stop(m)
 	}
 	s.run(time.Second)
-	for _, m := range down {
+	for _, m := range presentMachines {
 		s.start(m, false)
 	}
 }
--- a/internal/fleet/view/simulation_repair_test.go
+++ b/internal/fleet/view/simulation_repair_test.go
@@ -87,8 +87,8 @@
 		return m.isVoter()
 	}
 	health := s.health(m)
-	before := m.proposersBefore(health)
-	if before > 0 && s.now%proposerDelay != 0 {
+	earlierProposers := m.proposersBefore(health)
+	if earlierProposers > 0 && s.now%proposerDelay != 0 {
 		return false // it plans at multiples of proposerDelay only, as it has to wait anyway
 	}
 	step, due := s.plan(m, health)
@@ -99,7 +99,7 @@
 	if step.Reason != m.dueReason {
 		m.dueReason, m.dueSince = step.Reason, s.now
 	}
-	if s.now-m.dueSince >= step.Delay+time.Duration(before)*proposerDelay {
+	if s.now-m.dueSince >= step.Delay+time.Duration(earlierProposers)*proposerDelay {
 		s.propose(m, step)
 	}
 	return true
--- a/internal/fleet/view/simulation_tolerance_test.go
+++ b/internal/fleet/view/simulation_tolerance_test.go
@@ -17,13 +17,13 @@
 }
 
 // presentMachines returns the machines that run, are connected and are not leaving.
-func (s *simulation) presentMachines() (present []*machine) {
+func (s *simulation) presentMachines() (machines []*machine) {
 	for _, m := range s.machines {
 		if m.up && !m.partitioned && !m.leaving {
-			present = append(present, m)
+			machines = append(machines, m)
 		}
 	}
-	return present
+	return machines
 }
 
 func machineName(peer Peer) string { return peer.ID }
--- a/internal/fleet/view/tolerance.go
+++ b/internal/fleet/view/tolerance.go
@@ -75,9 +75,9 @@
 	return tolerance.shortfall(v.Voters, len(v.Voters))
 }
 
-// shortfall returns the shortfall of a number of voters of which only some are available.
-func (t Tolerance) shortfall(available []Peer, voters int) Shortfall {
-	spare := len(available) - (voters/2 + 1)
+// shortfall returns the shortfall of a number of voters of which only the given ones are available.
+func (t Tolerance) shortfall(available []Peer, voterCount int) Shortfall {
+	spare := len(available) - (voterCount/2 + 1)
 	shortfall := Shortfall{Machines: max(0, t.Machines-max(spare, -1))}
 	if t.Zones > 0 {
 		shortfall.Zones = max(0, t.Zones-survivableDomains(countByDomain(available, zoneOf), spare))
@@ -88,9 +88,8 @@
 	return shortfall
 }
 
-// survivableDomains returns how many whole domains may be lost in the worst case if at most a number of
-// spare machines may be lost. It returns -1 if spare is negative: there is no majority even without a
-// loss.
+// survivableDomains returns how many whole domains may be lost in the worst case, if at most spare machines
+// may be lost. It returns -1 if spare is negative: there is no majority even without a loss.
 func survivableDomains(counts map[failureDomain]int, spare int) int {
 	lost := 0
 	for lost < len(counts) && sumOfLargest(counts, lost+1) <= spare {
@@ -107,23 +106,23 @@
 // tolerated loss, so that such a loss does not block updates. Losses of machines count only as far as
 // they leave a majority.
 func (v View) RequiredSpread(tolerance Tolerance) Spread {
-	all := SpreadOf(v.Voters)
-	machines := min(tolerance.Machines, max(0, all.Machines-v.Quorum()))
-	zones, regions := countByDomain(v.Voters, zoneOf), countByDomain(v.Voters, regionOf)
-	zonesOfRegion := map[failureDomain]int{}
-	for zone := range zones {
-		zonesOfRegion[failureDomain{region: zone.region}]++
+	voters := SpreadOf(v.Voters)
+	lostMachines := min(tolerance.Machines, max(0, voters.Machines-v.Quorum()))
+	machinesByZone, machinesByRegion := countByDomain(v.Voters, zoneOf), countByDomain(v.Voters, regionOf)
+	zonesByRegion := map[failureDomain]int{}
+	for zone := range machinesByZone {
+		zonesByRegion[failureDomain{region: zone.region}]++
 	}
 	remainingZones := min(
-		all.Zones-tolerance.Zones,
-		all.Zones-domainsEmptied(zones, machines),
-		all.Zones-sumOfLargest(zonesOfRegion, tolerance.Regions))
+		voters.Zones-tolerance.Zones,
+		voters.Zones-domainsEmptied(machinesByZone, lostMachines),
+		voters.Zones-sumOfLargest(zonesByRegion, tolerance.Regions))
 	remainingRegions := min(
-		all.Regions-tolerance.Regions,
-		all.Regions-domainsEmptied(regions, machines),
-		all.Regions-domainsEmptied(zonesOfRegion, tolerance.Zones))
+		voters.Regions-tolerance.Regions,
+		voters.Regions-domainsEmptied(machinesByRegion, lostMachines),
+		voters.Regions-domainsEmptied(zonesByRegion, tolerance.Zones))
 	return Spread{
-		Machines: max(1, min(tolerance.Machines+1, all.Machines-machines)),
+		Machines: max(1, min(tolerance.Machines+1, voters.Machines-lostMachines)),
 		Zones:    max(1, min(tolerance.Zones+1, remainingZones)),
 		Regions:  max(1, min(tolerance.Regions+1, remainingRegions)),
 	}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestValidate(t *testing.T) {
-	valid, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
+	validView, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
 	for name, change := range map[string]func(v *View){
 		"no number":               func(v *View) { v.Number = 0 },
 		"no voters":               func(v *View) { v.Voters = nil },
@@ -23,7 +23,7 @@
 		"no address":              func(v *View) { v.Voters[0].Addr = "" },
 		"long ID":                 func(v *View) { v.Voters[2].ID = strings.Repeat("x", 200) },
 	} {
-		v := valid.Clone()
+		v := validView.Clone()
 		require.NoError(t, v.Validate())
 		change(&v)
 		require.Error(t, v.Validate(), name)
@@ -54,14 +54,14 @@
 
 // Records with and without regions are readable by this version and by versions that do not store regions.
 func TestFormatWithoutRegions(t *testing.T) {
-	current, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
+	withoutRegions, _ := InitialView(testPeers("a b c"), tolerateMachines(1))
 	formerView := viewWithoutRegions{Number: 1}
-	for _, voter := range current.Voters {
+	for _, voter := range withoutRegions.Voters {
 		peer := peerWithoutRegion{voter.ID, voter.Addr, voter.Zone, voter.Disk, voter.Counted}
 		formerView.Voters = append(formerView.Voters, peer)
 		formerView.Chain = append(formerView.Chain, memberWithoutRegion{peer, 1})
 	}
-	raw, err := msgpack.Marshal(&current)
+	raw, err := msgpack.Marshal(&withoutRegions)
 	require.NoError(t, err)
 	formerRaw, err := msgpack.Marshal(&formerView)
 	require.NoError(t, err)
@@ -69,11 +69,11 @@
 	require.Equal(t, formerRaw, raw, "the record of a view without regions is unchanged")
 	require.NoError(t, msgpack.Unmarshal(formerRaw, &decoded))
 	require.NoError(t, decoded.Validate())
-	require.True(t, current.Equal(decoded))
+	require.True(t, withoutRegions.Equal(decoded))
 
 	// A version that does not store regions reads a record with regions.
 	withRegions, _ := InitialView(testPeersAt("r/a/1 r/b/2 s/c/3"), tolerateMachines(1))
-	require.False(t, current.Equal(withRegions))
+	require.False(t, withoutRegions.Equal(withRegions))
 	raw, err = msgpack.Marshal(&withRegions)
 	require.NoError(t, err)
 	require.NoError(t, msgpack.Unmarshal(raw, &formerView))
--- a/internal/testbed/mutation/table.go
+++ b/internal/testbed/mutation/table.go
@@ -184,7 +184,7 @@
 		Old: "	if _, found := p.Base.Voter(voter); !found {", New: "	if voter == \"\" {",
 		Packages: in(viewPackage), Tests: "^TestProposal$"},
 	{ID: "view-floor-too-low", Category: Durability, File: "internal/fleet/view/tolerance.go",
-		Old: "max(1, min(tolerance.Machines+1, all.Machines-machines))", New: "max(1, min(tolerance.Machines, all.Machines-machines))",
+		Old: "max(1, min(tolerance.Machines+1, voters.Machines-lostMachines))", New: "max(1, min(tolerance.Machines, voters.Machines-lostMachines))",
 		Packages: in(viewPackage), Tests: "^TestChainKeepsRequiredSpread$|^TestNoRemovalWithoutASecondMember$"},
 	{ID: "view-chain-below-floor", Category: Durability, File: "internal/fleet/view/plan_chain.go",
 		Old: "SpreadOf(remaining).Covers(p.requiredSpreadWithout(fault))", New: "len(remaining) >= 1",
