--- a/internal/fleet/bindiff/bindiff.go
+++ b/internal/fleet/bindiff/bindiff.go
@@ -1,8 +1,8 @@
-// Package bindiff encodes a long byte string as what changed since another one that the receiver has.
+// Package bindiff encodes a long byte string as a diff to another one, the base, which the receiver has.
 //
-// A difference is a zstd frame with the base as its dictionary, so that its size follows what changed and not
-// where: text that was inserted, removed or moved costs a few bytes. Checksums name the base and the result,
-// and Apply returns the result byte by byte or an error.
+// A diff is a zstd frame with the base as its dictionary. Its size depends on how much has changed, not on
+// where: an insertion, removal or move of text costs a few bytes, plus the text that is new. Checksums
+// identify the base and the result, so that Apply returns exactly the original result or an error.
 //
 // The package does no I/O.
 package bindiff
@@ -17,42 +17,42 @@
 )
 
 const (
-	// MinBytes is the length from which on a string is worth a difference. An encoder costs about 3 MB of
-	// memory for a moment, and a shorter string little on the wire.
+	// MinBytes is the minimum length of a base and of a result. A shorter string costs little on the wire,
+	// while an encoder takes about 3 MB of memory for a moment.
 	MinBytes = 4 << 10
-	// MaxBytes bounds bases and results, as memory for both is needed at once.
+	// MaxBytes bounds the length of bases and results, as both are held in memory at the same time.
 	MaxBytes = 2 << 20
-	// maxDataPart is the largest part of the result that a difference may be as long as, as a divisor: one
-	// that is longer shows that the strings have little in common.
-	maxDataPart = 2
+	// minSizeRatio is the minimum ratio of the result's length to the diff's length. A longer diff means that
+	// the base and the result have little in common.
+	minSizeRatio = 2
 	// dictionaryID is the ID of the base in each frame. Zstd reserves 0 for frames without a dictionary.
 	dictionaryID = 1
-	// minWindowBits is the exponent of the smallest window that zstd has.
+	// minWindowBits is the base-2 logarithm of zstd's smallest window size.
 	minWindowBits = 10
 )
 
 var (
-	// ErrOtherBase reports a difference to another base than the given one.
-	ErrOtherBase = errors.New("the difference is to another base")
-	// ErrDamaged reports a difference that does not lead to its result.
-	ErrDamaged = errors.New("the difference is damaged or its result too large")
+	// ErrOtherBase is returned for a diff that was computed from a different base.
+	ErrOtherBase = errors.New("diff has a different base")
+	// ErrDamaged is returned for a diff that does not decode to its result, or whose result exceeds MaxBytes.
+	ErrDamaged = errors.New("diff is damaged or its result is too large")
 )
 
-// Diff leads from a base to a result.
+// Diff encodes a result as its difference from a base.
 type Diff struct {
 	BaseSum   uint64 `msgpack:"b"` // Sum of the base
 	ResultSum uint64 `msgpack:"r"` // Sum of the result
 	Data      []byte `msgpack:"d"` // a zstd frame
 }
 
-// Sum is a checksum that names a byte string.
+// Sum returns the checksum that identifies a byte string: the first 8 bytes of its SHA-256 hash.
 func Sum(b []byte) uint64 {
 	sum := sha256.Sum256(b)
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Compute returns the difference between a base and a result. It returns false where the result had better
-// be sent whole: it is short or too long, or has little in common with the base.
+// Compute returns the diff from a base to a result. It returns false if the whole result should be sent
+// instead, as either of them is too short or too long, or they have little in common.
 func Compute(base, result []byte) (Diff, bool) {
 	if len(result) < MinBytes || len(base) < MinBytes || max(len(base), len(result)) > MaxBytes {
 		return Diff{}, false
@@ -63,18 +63,18 @@
 		return Diff{}, false
 	}
 	data := encoder.EncodeAll(result, nil)
-	if len(data) > len(result)/maxDataPart {
+	if len(data) > len(result)/minSizeRatio {
 		return Diff{}, false
 	}
 	return Diff{BaseSum: Sum(base), ResultSum: Sum(result), Data: data}, true
 }
 
-// windowFor returns the size of a window that spans a number of bytes: a power of two.
+// windowFor returns a window size, a power of two, that spans at least the given number of bytes.
 func windowFor(size int) int {
 	return 1 << max(minWindowBits, bits.Len(uint(size)))
 }
 
-// Apply returns the result of a difference to a base.
+// Apply returns the result of applying the diff to a base.
 func (d *Diff) Apply(base []byte) ([]byte, error) {
 	if len(base) > MaxBytes || Sum(base) != d.BaseSum {
 		return nil, ErrOtherBase
--- a/internal/fleet/deltasync/source.go
+++ b/internal/fleet/deltasync/source.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// sourceState is the items of one source, by key and by version.
+// sourceState holds the items of one source, indexed by key and by version.
 type sourceState struct {
 	version    uint64
-	items      map[string]*list.Element // of byVersion
-	byVersion  list.List                // of *Item, by rising version
-	tombstones int
-	bytes      int // of keys and data
+	items      map[string]*list.Element // elements of byVersion, by key
+	byVersion  list.List                // values of type *Item, in ascending order of versions
+	tombstones int                      // number of items that are tombstones
+	bytes      int                      // total size of keys and data
 }
 
 func newSourceState() *sourceState { return &sourceState{items: map[string]*list.Element{}} }
 
-// put stores the newest version of an item and returns it as stored: empty data becomes nil.
+// put stores the newest version of an item and returns the item as stored: empty data becomes nil.
 func (s *sourceState) put(item Item) Item {
 	if len(item.Data) == 0 {
 		item.Data = nil
@@ -38,8 +38,8 @@
 	return item
 }
 
-// itemsSince returns the items that are newer than a version, by rising version. Its cost is
-// proportional to their number.
+// itemsSince returns the items that are newer than a version, in ascending order of versions. Its running
+// time is proportional to the number of these items.
 func (s *sourceState) itemsSince(version uint64) (items []Item) {
 	for element := s.byVersion.Back(); element != nil; element = element.Prev() {
 		item := element.Value.(*Item)
--- a/internal/fleet/deltasync/store.go
+++ b/internal/fleet/deltasync/store.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// maxTombstones is how many tombstones the own source may have before it needs compaction.
+// maxTombstones is the number of tombstones above which the own source needs compaction.
 const maxTombstones = 2048
 
-// Store is all items that one agent has. It is not safe for concurrent use.
+// Store holds all items that one agent has. It is not safe for concurrent use.
 type Store struct {
 	ownSource     string
 	sources       map[string]*sourceState
-	remoteBytes   int               // of all sources but the own
-	endedVersions map[string]uint64 // sources that have ended, with the version that was present
-	endedOrder    []string          // the same sources, oldest first
+	remoteBytes   int               // total size of the items of all sources except the own one
+	endedVersions map[string]uint64 // last known version of each source that has ended
+	endedOrder    []string          // the sources that have ended, oldest first
 }
 
-// NewStore returns the store of one incarnation of an agent, whose own source has a given name.
+// NewStore returns the store of one incarnation of an agent. ownSource is the name of the agent's own source.
 func NewStore(ownSource string) *Store {
 	return &Store{
 		ownSource:     ownSource,
@@ -26,25 +26,25 @@
 	}
 }
 
-// OwnSource is the name of the own source.
+// OwnSource returns the name of the agent's own source.
 func (s *Store) OwnSource() string { return s.ownSource }
 
-// OwnVersion is the version of the own source.
+// OwnVersion returns the version of the own source.
 func (s *Store) OwnVersion() uint64 { return s.sources[s.ownSource].version }
 
-// Put sets an item of the own source and returns its version; empty data removes it. The data is
-// retained and must not be changed.
+// Put sets an item of the own source and returns its version; empty data removes the item. The store keeps
+// the data, which must not be changed.
 func (s *Store) Put(key string, data []byte) uint64 {
 	own := s.sources[s.ownSource]
 	own.put(Item{Key: key, Version: own.version + 1, Data: data})
 	return own.version
 }
 
-// StartIncarnation continues the own source under a new name, with its items in the same order but
-// without tombstones. The old name has ended.
+// StartIncarnation replaces the own source by one with a new name and the same items in the same order,
+// without tombstones. The old source has then ended.
 func (s *Store) StartIncarnation(name string) {
 	oldName, old := s.ownSource, s.sources[s.ownSource]
-	delete(s.sources, oldName) // its bytes are not counted
+	delete(s.sources, oldName) // before EndSource, as remoteBytes does not include the own source
 	s.ownSource = name
 	s.EndSource(oldName)
 	s.sources[name] = newSourceState()
@@ -55,8 +55,8 @@
 	}
 }
 
-// NeedsCompaction reports whether the own source has so many tombstones that a new incarnation should
-// be started.
+// NeedsCompaction reports whether the own source has more than maxTombstones tombstones. StartIncarnation
+// then removes them.
 func (s *Store) NeedsCompaction() bool { return s.sources[s.ownSource].tombstones > maxTombstones }
 
 // Vector returns the versions that are present.
@@ -68,7 +68,7 @@
 	return vector
 }
 
-// Version is the version of a source that is present, 0 if none is.
+// Version returns the version of a source that is present, or 0 if the store does not have the source.
 func (s *Store) Version(name string) uint64 {
 	if source := s.sources[name]; source != nil {
 		return source.version
@@ -76,7 +76,7 @@
 	return 0
 }
 
-// LastVersion is the version of a source that is present, or that was when the source ended.
+// LastVersion returns the version of a source that is present, or was present when the source ended.
 func (s *Store) LastVersion(name string) uint64 { return max(s.Version(name), s.endedVersions[name]) }
 
 // Sources returns the names of all sources, sorted.
@@ -89,7 +89,7 @@
 	return names
 }
 
-// Item returns the data of an item, nil if there is none. It must not be changed.
+// Item returns the data of an item, or nil if there is none. The data must not be changed.
 func (s *Store) Item(name, key string) []byte {
 	if source := s.sources[name]; source != nil {
 		if element := source.items[key]; element != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// DeltasSince returns what an agent with a given vector lacks, by source. The data is shared and must
-// not be changed.
+// DeltasSince returns what an agent with a given vector lacks, sorted by source. The items' data is shared
+// with the store and must not be changed.
 func (s *Store) DeltasSince(vector Vector) []Delta {
 	var deltas []Delta
 	for name, source := range s.sources {
@@ -112,9 +112,10 @@
 	return deltas
 }
 
-// Apply stores what another agent sent and returns the changes. A delta is ignored as a whole if it
-// begins after the version that is present, if it is of the own source or of one that has ended, or
-// if it is invalid or too large. Its sender will send what is lacking by the next vector.
+// Apply stores the deltas that another agent sent and returns the resulting changes. It ignores a delta
+// entirely if the delta begins after the version that is present, belongs to the own source or to a source
+// that has ended, is invalid, or exceeds a limit. The sender sends it again once it has this store's next
+// vector.
 func (s *Store) Apply(deltas []Delta) []Change {
 	var changes []Change
 	for i := range deltas {
@@ -138,7 +139,7 @@
 	return changes
 }
 
-// applyItems stores the new items of a delta and appends them to changes.
+// applyItems stores the items of a delta that are newer than the source, and appends them to changes.
 func (s *Store) applyItems(d *Delta, source *sourceState, changes []Change) []Change {
 	s.remoteBytes -= source.bytes
 	present := source.version
@@ -151,7 +152,7 @@
 	return changes
 }
 
-// hasCapacity reports whether a source may take items within the bounds.
+// hasCapacity reports whether adding items to a source keeps it within maxItems and the store within maxBytes.
 func (s *Store) hasCapacity(source *sourceState, items []Item) bool {
 	count, bytes := len(source.items), s.remoteBytes
 	for i := range items {
@@ -165,8 +166,8 @@
 	return count <= maxItems && bytes <= maxBytes
 }
 
-// EndSource drops a source for good: deltas of it are ignored from then on. The own source ends by
-// StartIncarnation only.
+// EndSource removes a source permanently: its deltas are ignored from then on. It does nothing for the own
+// source, which only StartIncarnation ends.
 func (s *Store) EndSource(name string) {
 	if name == s.ownSource {
 		return
--- a/internal/fleet/relay/changes.go
+++ b/internal/fleet/relay/changes.go
@@ -10,29 +10,28 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// The keys of the items of an agent's source: its member entry, and by prefix the servers that send
-// it heartbeats (by ID), the leases that it grants and the ends that it announces (by source).
+// Keys and key prefixes of the items in an agent's source.
 const (
-	memberKey    = "m"
-	serverPrefix = "i/"
-	leasePrefix  = "l/"
-	endPrefix    = "e/"
+	memberKey    = "m"  // the agent's member entry
+	serverPrefix = "i/" // a server that sends the agent heartbeats, by its ID
+	leasePrefix  = "l/" // a lease that the agent grants, by the holder's source
+	endPrefix    = "e/" // an end that the agent announces, by the ended source
 )
 
-// present is the data of an item of which only the key matters.
+// present is the data of items for which only the key matters.
 var present = []byte{1}
 
 // isAgentSource reports whether a source is an agent's.
 func isAgentSource(source string) bool { return source != "" && source != configSource }
 
-// publishItemLocked changes an item of the own source and replicates it; nil data removes it.
+// publishItemLocked sets an item of the own source and replicates it; nil data removes the item.
 func (n *Node) publishItemLocked(key string, data []byte) {
 	version := n.items.Put(key, data)
 	n.changeLog.Append(deltasync.Change{Source: n.items.OwnSource(), Item: deltasync.Item{Key: key, Version: version, Data: data}})
 	n.notifyWaitersLocked()
 }
 
-// applyDeltasLocked takes what a peer sent.
+// applyDeltasLocked applies the deltas that a peer sent.
 func (n *Node) applyDeltasLocked(deltas []deltasync.Delta) {
 	if len(deltas) == 0 {
 		return
@@ -68,8 +67,8 @@
 	}
 }
 
-// applyServerLocked records what another source reports of a server. The own reports the table has
-// already.
+// applyServerLocked records another source's report about a server. It ignores the own source, whose
+// reports came from the table.
 func (n *Node) applyServerLocked(now time.Duration, source, id string, data []byte) {
 	if source == n.items.OwnSource() {
 		return
@@ -87,13 +86,13 @@
 	}
 }
 
-// applyLeaseLocked records that a source grants a lease to an agent, or releases it.
+// applyLeaseLocked records that a source grants a lease to an agent, or has released it.
 func (n *Node) applyLeaseLocked(now time.Duration, source, holder string, granted bool) {
 	switch {
 	case !isAgentSource(holder):
 	case n.items.Ended(holder):
 		if granted && source != n.items.OwnSource() {
-			n.publishEndLocked(holder) // the source that granted it does not know of the end
+			n.publishEndLocked(holder) // the granting source has not received the end
 		}
 	case granted:
 		n.leases.Grant(now, holder, source)
@@ -102,7 +101,7 @@
 	}
 }
 
-// applyEndLocked ends a source that another one, or it itself, announced as ended.
+// applyEndLocked ends a source whose end was announced, by another source or by itself.
 func (n *Node) applyEndLocked(announcer, ended string) {
 	departing := announcer == n.items.OwnSource() && announcer == ended // see Depart
 	if !isAgentSource(ended) || departing {
@@ -110,6 +109,6 @@
 	}
 	n.endSourceLocked(ended)
 	if ended == announcer {
-		n.publishEndLocked(ended) // its own announcement ends with it
+		n.publishEndLocked(ended) // ending the source has deleted its own announcement
 	}
 }
--- a/internal/fleet/relay/compression.go
+++ b/internal/fleet/relay/compression.go
@@ -10,29 +10,31 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// Long deltas are compressed for peers whose hello accepts it. After a restart of the whole fleet each relay
-// sends all items and the configuration to dozens of agents within a moment; the heartbeats of the core wait
+// Large deltas are compressed for peers whose hello accepts it. After a restart of the whole fleet each relay
+// sends all items and the configuration to dozens of agents at once, and the heartbeats of the core queue
 // behind them on the same link.
 const (
-	// minCompressedBytes is the size of the items' data from which on deltas are compressed.
+	// minCompressedBytes is the minimum size of the items' data for which deltas are compressed.
 	minCompressedBytes = 1 << 10
-	// maxDecompressedBytes bounds what a peer's deltas may expand to: as much as rpc accepts uncompressed.
+	// maxDecompressedBytes bounds the decompressed size of a peer's deltas. It is as much as rpc accepts
+	// uncompressed.
 	maxDecompressedBytes = 16 << 20
-	// compressionWindow is how far back the encoder looks for repetitions, which bounds its memory.
+	// compressionWindow is the encoder's window size in bytes. It bounds the encoder's memory.
 	compressionWindow = 256 << 10
 )
 
 var errCompressedDeltas = errors.New("compressed deltas are damaged or too large")
 
-// deltaCodec compresses and decompresses the deltas of all sessions of a node. It does one message each way at a
-// time, which bounds its memory, and has no goroutines of its own. It is safe for concurrent use.
+// deltaCodec compresses and decompresses the deltas of all sessions of a node. To bound its memory, it compresses
+// one message at a time and decompresses one at a time. It has no goroutines of its own and is safe for concurrent
+// use.
 type deltaCodec struct {
-	compressing sync.Mutex // held from the encoding on, as an encoded message is long
+	compressing sync.Mutex // held during the msgpack encoding too, as an encoded message is large
 	encoder     func() *zstd.Encoder
 	decoder     func() *zstd.Decoder
 }
 
-// newDeltaCodec returns a codec that allocates its parts at their first use.
+// newDeltaCodec returns a codec that allocates its encoder and its decoder at their first use.
 func newDeltaCodec() deltaCodec {
 	return deltaCodec{encoder: sync.OnceValue(newZstdEncoder), decoder: sync.OnceValue(newZstdDecoder)}
 }
@@ -41,7 +43,7 @@
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(compressionWindow), zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		panic("relay: zstd encoder: " + err.Error()) // only constant options come here
+		panic("relay: zstd encoder: " + err.Error()) // the options are constant and valid
 	}
 	return encoder
 }
@@ -55,7 +57,7 @@
 	return decoder
 }
 
-// compress replaces the deltas of a message by their compressed form, unless they are short.
+// compress replaces the deltas of a message by their compressed form, unless they are small.
 func (c *deltaCodec) compress(m *message) {
 	if dataSize(m.Deltas) < minCompressedBytes {
 		return
@@ -66,7 +68,7 @@
 	m.Deltas = nil
 }
 
-// decompress restores the deltas of a message that were compressed.
+// decompress restores the deltas of a message if they were compressed.
 func (c *deltaCodec) decompress(m *message) error {
 	if len(m.CompressedDeltas) == 0 {
 		return nil
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// dataSize is the size of the data of all items of deltas.
+// dataSize returns the total size of the items' data in deltas.
 func dataSize(deltas []deltasync.Delta) (size int) {
 	for i := range deltas {
 		for j := range deltas[i].Items {
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -10,13 +10,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// The configuration is a source of its own, which all members of the core write alike: its versions
-// are the sequence numbers of the core's chain.
+// The configuration is a source of its own. All members of the core write the same items to it, as its
+// versions are the sequence numbers of the core's chain.
 const configSource, configKey = "config", "c"
 
 // configItem is a committed configuration as it is replicated.
 type configItem struct {
-	Seq uint64 `msgpack:"s"` // its position in the core's chain
+	Seq uint64 `msgpack:"s"` // its sequence number in the core's chain
 	Raw []byte `msgpack:"r"` // the JSON document as it was submitted
 }
 
@@ -26,7 +26,7 @@
 	document *config.Document // nil before the first
 }
 
-// revision is the operators' revision of the configuration, 0 before the first.
+// revision returns the operators' revision of the configuration, or 0 before the first one.
 func (c *configState) revision() int64 {
 	if c.document == nil {
 		return 0
@@ -34,8 +34,8 @@
 	return c.document.Revision
 }
 
-// ApplyConfig puts a configuration into force that the core has committed, and replicates it. Older
-// ones than the one in force are ignored.
+// ApplyConfig puts a configuration that the core has committed into force and replicates it. It ignores a
+// configuration that is not newer than the present one.
 func (n *Node) ApplyConfig(seq uint64, raw []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,15 +47,15 @@
 	n.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: current, To: seq, Items: []deltasync.Item{item}}})
 }
 
-// ConfigSeq returns the position of the configuration in force in the core's chain, 0 before the first.
+// ConfigSeq returns the sequence number of the configuration in force, or 0 before the first one.
 func (n *Node) ConfigSeq() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.seq
 }
 
-// CommittedConfig returns the configuration of a sequence number as it was submitted, once it is here. It reports
-// false if ctx ends before, and if there is a newer one.
+// CommittedConfig waits for the configuration with a given sequence number and returns it as it was submitted. It
+// returns false if ctx ends first, or if this node already has a newer configuration.
 func (n *Node) CommittedConfig(ctx context.Context, seq uint64) (raw []byte, found bool) {
 	for {
 		n.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// submittedConfig returns the document of an item if it has a sequence number.
+// submittedConfig returns the document in an item's data if the item has the given sequence number.
 func submittedConfig(data []byte, seq uint64) (raw []byte, found bool) {
 	var committed configItem
 	if err := msgpack.Unmarshal(data, &committed); err != nil || committed.Seq != seq {
@@ -81,8 +81,8 @@
 	return committed.Raw, true
 }
 
-// MarkConfigCurrent records that every configuration that the core had committed at the time of
-// some read since the start has been applied.
+// MarkConfigCurrent records that the core has been read since this node's start, and that this node has
+// applied every configuration that was committed at the time of the read.
 func (n *Node) MarkConfigCurrent() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/configcache.go
+++ b/internal/fleet/relay/configcache.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// minSharedBytes is the size from which on a configuration is encoded once for all sessions.
+	// minSharedBytes is the minimum size of a configuration that is encoded once for all sessions.
 	minSharedBytes = 64 << 10
 	// configCacheTTL is how long the encoded message is retained after its last use.
 	configCacheTTL = time.Second
 )
 
-// configForm is the form of the message with a configuration: what it reports of its sender, and whether it
-// is compressed.
+// configForm is what may differ between two messages with the same configuration: the status of the sender,
+// and whether the message is compressed.
 type configForm struct {
 	isCore, hasQuorum, complete bool
 	compressed                  bool
 }
 
-// configCache is the last long configuration, encoded as a message. All sessions that lack it are
-// sent the same bytes.
+// configCache holds the most recent large configuration, encoded as a message, so that the same bytes are
+// sent on all sessions that lack it.
 type configCache struct {
 	from, to uint64 // versions of the delta
 	form     configForm
-	encoded  []byte // not to be changed; empty: nothing is cached
+	encoded  []byte // must not be changed; empty if nothing is cached
 	lastUsed time.Duration
 }
 
-// extract takes a long configuration out of deltas, and returns it as an encoded message and the
-// rest. Without one it returns no message and all deltas.
+// extract removes a large configuration from deltas. It returns the configuration as an encoded message,
+// and the remaining deltas. If there is no large configuration, it returns no message and all deltas.
 func (c *configCache) extract(now time.Duration, codec *deltaCodec, form configForm, deltas []deltasync.Delta) (encoded []byte, rest []deltasync.Delta) {
 	i := slices.IndexFunc(deltas, func(delta deltasync.Delta) bool { return delta.Source == configSource })
 	if i < 0 || len(deltas[i].Items) == 0 || len(deltas[i].Items[0].Data) < minSharedBytes {
@@ -55,12 +55,12 @@
 	return encode(m)
 }
 
-// has reports whether the cached message is the one for a delta in a form.
+// has reports whether the cached message carries the given delta in the given form.
 func (c *configCache) has(delta *deltasync.Delta, form configForm) bool {
 	return len(c.encoded) > 0 && c.from == delta.From && c.to == delta.To && c.form == form
 }
 
-// expire drops the cached message when no session has needed it for a while.
+// expire drops the cached message if it has not been used for configCacheTTL.
 func (c *configCache) expire(now time.Duration) {
 	if now-c.lastUsed > configCacheTTL {
 		*c = configCache{}
--- a/internal/fleet/relay/confighistory.go
+++ b/internal/fleet/relay/confighistory.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// maxFormerConfigs is how many configurations before the newest one a member of the core retains, and
-	// maxFormerConfigBytes bounds their size.
-	maxFormerConfigs     = 16
+	// maxFormerConfigs is the number of configurations that a member of the core retains besides the newest.
+	maxFormerConfigs = 16
+	// maxFormerConfigBytes bounds their total size.
 	maxFormerConfigBytes = 2 << 20
 )
 
-// errUnknownConfigBase reports a difference to a configuration that this node does not have.
-var errUnknownConfigBase = errors.New("difference to a configuration that is not known here")
+// errUnknownConfigBase reports a diff whose base is a configuration that this node does not have.
+var errUnknownConfigBase = errors.New("base of the configuration diff is unknown")
 
-// configDiff is a configuration as what changed since one that the receiver has.
+// configDiff encodes a configuration as a diff to an earlier one that the receiver has.
 type configDiff struct {
 	From    uint64       `msgpack:"f"` // version of the base
 	To      uint64       `msgpack:"t"` // version of the result
-	Content bindiff.Diff `msgpack:"c"` // between the data of their items
+	Content bindiff.Diff `msgpack:"c"` // diff between the data of the two items
 }
 
-// configHistory is the newest configuration and those before it, so that a peer which has one of them is sent
-// only what changed. It shares the newest one's data with the items.
+// configHistory holds the newest configuration and earlier ones, so that a peer that has one of these is sent
+// only a diff. The newest one's data is shared with the item store.
 type configHistory struct {
 	configs []deltasync.Item // by rising version
-	// diffs are those to the newest configuration that were computed, by the version of their base; nil where
-	// the whole configuration is better.
+	// diffs caches the diffs to the newest configuration by the version of their base. An entry is nil if the
+	// whole configuration should be sent instead.
 	diffs map[uint64]*configDiff
 }
 
-// add takes a newer configuration. Former ones are retained only if they may be needed.
+// add adds a newer configuration. Earlier ones are dropped unless retainFormer is set.
 func (h *configHistory) add(item deltasync.Item, retainFormer bool) {
 	if !retainFormer {
 		h.configs = nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// data returns the data of the configuration of a version, nil if that is not known.
+// data returns the data of the configuration with a given version, or nil if it is not in the history.
 func (h *configHistory) data(version uint64) []byte {
 	for i := range h.configs {
 		if h.configs[i].Version == version {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// diff returns the difference between a version and the newest one, nil if the whole configuration is to be
-// sent. It must not be changed.
+// diff returns the diff from a version to the newest one, or nil if the whole configuration should be sent.
+// The result must not be changed.
 func (h *configHistory) diff(from uint64) *configDiff {
 	base := h.data(from)
 	if base == nil {
@@ -77,7 +77,8 @@
 	return diff
 }
 
-// computeConfigDiff returns the difference between a configuration and an item with another one, or nil.
+// computeConfigDiff returns the diff from a configuration to the newest one, or nil if the whole
+// configuration should be sent.
 func computeConfigDiff(from uint64, base []byte, newest deltasync.Item) *configDiff {
 	content, ok := bindiff.Compute(base, newest.Data)
 	if !ok {
@@ -86,8 +87,8 @@
 	return &configDiff{From: from, To: newest.Version, Content: content}
 }
 
-// extract takes the configuration out of deltas where the difference to what the receiver has is known, and
-// returns that and the rest.
+// extract removes the configuration from deltas if it can be sent as a diff to the receiver's version. It
+// returns the diff, or nil, and the remaining deltas.
 func (h *configHistory) extract(deltas []deltasync.Delta) (*configDiff, []deltasync.Delta) {
 	i := slices.IndexFunc(deltas, func(delta deltasync.Delta) bool { return delta.Source == configSource })
 	if i < 0 {
@@ -100,8 +101,8 @@
 	return diff, slices.Delete(deltas, i, i+1)
 }
 
-// restoreConfig puts the configuration that a message has as a difference among its deltas. After an error this
-// node asks for whole configurations, until one has come.
+// restoreConfig adds the configuration that a message carries as a diff to the message's deltas. After an error
+// this node accepts no diffs until it has received a configuration.
 func (n *Node) restoreConfig(m *message) error {
 	diff := m.ConfigDiff
 	if diff == nil {
@@ -111,7 +112,7 @@
 	n.mu.Lock()
 	present, base := n.items.Version(configSource), n.configHistory.data(diff.From)
 	n.mu.Unlock()
-	if diff.To > present { // else the delta only tells what the peer has
+	if diff.To > present { // otherwise the delta without items just shows which version the peer has
 		data, err := diff.apply(base)
 		if err != nil {
 			n.requireWholeConfig()
@@ -123,14 +124,14 @@
 	return nil
 }
 
-// requireWholeConfig has the next sessions begin with a whole configuration.
+// requireWholeConfig makes this node's next hellos decline configuration diffs.
 func (n *Node) requireWholeConfig() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.needsWholeConfig = true
 }
 
-// apply returns the data that a difference to a base leads to.
+// apply returns the data that results from applying the diff to a base.
 func (d *configDiff) apply(base []byte) ([]byte, error) {
 	if base == nil {
 		return nil, errUnknownConfigBase
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// redialInterval is the pause between two looks for peers to dial.
+	// redialInterval is the pause between two checks for peers to dial.
 	redialInterval = 150 * time.Millisecond
-	// maxRedirects bounds the addresses that are taken from one redirect.
+	// maxRedirects bounds the addresses that are used from one redirect.
 	maxRedirects = 16
 )
 
-// dialing is the set of addresses that sessions are being dialed to, or are running with.
+// dialing is the set of addresses that this node is dialing, or has a session with that it dialed.
 type dialing struct {
 	mu    sync.Mutex
 	addrs map[string]bool // guarded by mu
 }
 
-// begin adds an address and reports whether it was not there yet.
+// begin adds an address, and returns false if the set already contains it.
 func (d *dialing) begin(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,7 +40,7 @@
 	delete(d.addrs, addr)
 }
 
-// dialLoop maintains the sessions that this node begins, until ctx ends: see dialTargets.
+// dialLoop dials the peers that dialTargets returns and runs the sessions with them, until ctx ends.
 func (n *Node) dialLoop(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -68,8 +68,9 @@
 	}
 }
 
-// redialPause is the pause before the next look for peers to dial. It is short for a member of the core that
-// has just started, as the whole core may have: nobody is complete before these sessions are established.
+// redialPause returns the pause before the next check for peers to dial. It is short for a member of the core
+// that has just started: if the whole core has just started, no member becomes complete before these sessions
+// are established.
 func (n *Node) redialPause() time.Duration {
 	isMember := n.options.Core.IsMember()
 	n.mu.Lock()
@@ -80,8 +81,8 @@
 	return redialInterval
 }
 
-// dialSession begins a session with the agent at an address, and runs it until it or ctx ends. Another
-// attempt follows if it fails, so errors before the session begins are not reported.
+// dialSession dials the agent at an address and runs a session with it until the session or ctx ends. Errors
+// before the session begins are not logged, as dialLoop tries again.
 func (n *Node) dialSession(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -114,7 +115,7 @@
 	logevent.SessionEnded.Log("peer", addr, "err", err)
 }
 
-// recordRedirect records the relays that an agent named which is none itself.
+// recordRedirect records the relays named by an agent that is not a relay itself.
 func (n *Node) recordRedirect(peers []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/freshness.go
+++ b/internal/fleet/relay/freshness.go
@@ -9,61 +9,62 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// Freshness is a lease on knowledge (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism
-// for Distributed File Cache Consistency", 1989): a process knows that it has every configuration that
-// was acknowledged before some time on its own clock. That time is when it asked, not when it was
-// answered, so that no delay on the way makes it too late.
+// Freshness works like a lease (Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
+// Distributed File Cache Consistency", 1989): a process knows that it has every configuration that was
+// acknowledged before a certain time on its own clock. That time is when the process asked, not when the
+// answer arrived, so that a delay in transit never makes the configuration appear fresher than it is.
 //
-// A member of the core asks the core itself: the tail of the chain names its newest value, and a
-// majority confirms that it still is the tail. Any other agent puts the question into its messages to
-// its relay, and the relay answers once it has confirmed the configuration after the question came, in
-// or after the message that brings the agent that configuration.
+// A member of the core asks the core itself: the tail of the chain reports its newest value, and a
+// majority confirms that it is still the tail. Any other agent adds the question to its messages to its
+// relay. After the question arrives, the relay confirms the configuration with the core. It answers in
+// or after the message that carries this configuration to the agent.
 
 const (
-	// confirmInterval is the pause between two confirmations of a member of the core.
+	// confirmInterval is the time between the starts of two confirmations by a member of the core.
 	confirmInterval = 300 * time.Millisecond
-	// confirmRetryInterval is that pause after one that failed.
+	// confirmRetryInterval is the pause after a confirmation that failed.
 	confirmRetryInterval = 100 * time.Millisecond
 	// maxConfirmations bounds the confirmations in progress.
 	maxConfirmations = 4
-	// confirmTimeout bounds a confirmation and the wait for the configuration that it names.
+	// confirmTimeout bounds a confirmation, including the wait for the configuration that it names.
 	confirmTimeout = time.Second
-	// staleLogAge is from which age on a configuration that is not confirmed is logged.
+	// staleLogAge is the time without a confirmation after which the configuration is logged as unconfirmed.
 	staleLogAge = 3 * time.Second
 )
 
-// freshness is up to when this process has every configuration that was acknowledged.
+// freshness tracks how recently this process is known to have had every acknowledged configuration.
 type freshness struct {
 	enabled bool
-	// asOf is that time on the node's clock; 0: it is not known of any.
+	// asOf is a time on the node's clock, in nanoseconds: this process has every configuration that was
+	// acknowledged before it. It is zero until the first confirmation.
 	asOf atomic.Int64
-	// confirmWake, of capacity 1, has the next confirmation begin at once.
+	// confirmWake, of capacity 1, makes the next confirmation begin at once.
 	confirmWake chan struct{}
-	stale       bool // it was logged that asOf is old
+	stale       bool // whether the configuration was logged as unconfirmed and not as confirmed since
 }
 
-// renew takes a later time.
+// renew advances asOf to a given time, and never moves it back.
 func (f *freshness) renew(asOf time.Duration) {
 	f.asOf.Store(max(f.asOf.Load(), int64(asOf)))
 }
 
-// wakeConfirm has the next confirmation begin at once.
+// wakeConfirm makes the next confirmation begin at once.
 func (f *freshness) wakeConfirm() {
 	select {
 	case f.confirmWake <- struct{}{}:
-	default: // it has been woken already
+	default: // a wakeup is already pending
 	}
 }
 
-// sessionFreshness is the state of one agent's questions at its relay.
+// sessionFreshness is a relay's record of the freshness questions of one agent.
 type sessionFreshness struct {
-	question  uint64 // the newest that came
-	confirmed uint64 // the newest that came before a confirmation which succeeded began
+	question  uint64 // the newest question received; zero if there is none
+	confirmed uint64 // the newest question received before the start of a successful confirmation; zero if none
 }
 
 // ConfigFreshAsOf returns a time such that this process has every configuration that was acknowledged
-// before it; the zero time if it knows of none. A snapshot that is read later has them. It takes no
-// lock.
+// before it, or the zero time if nothing has been confirmed yet. Any snapshot that is read after the call
+// includes these configurations. It takes no lock.
 func (n *Node) ConfigFreshAsOf() time.Time {
 	asOf := time.Duration(n.freshness.asOf.Load())
 	if asOf == 0 {
@@ -72,7 +73,7 @@
 	return n.startTime.Add(asOf - clockStart)
 }
 
-// addFreshnessLocked adds a question to a message to a relay, or an answer to one to an agent.
+// addFreshnessLocked adds a freshness question to an agent's message, or an answer to a core member's message.
 func (n *Node) addFreshnessLocked(s *session, update *message) {
 	if !n.freshness.enabled {
 		return
@@ -86,8 +87,8 @@
 	}
 }
 
-// receiveFreshnessLocked records the question of an agent, or takes the answer of a relay. The
-// configuration that came with it is in force already.
+// receiveFreshnessLocked records an agent's freshness question, or processes a relay's answer. The caller
+// has already applied the configuration that came with the answer.
 func (n *Node) receiveFreshnessLocked(s *session, m *message) {
 	if !n.freshness.enabled {
 		return
@@ -105,7 +106,7 @@
 }
 
 // confirmLoop confirms the configuration with the core while this process is a member, until ctx ends. It
-// begins another confirmation while one takes long, as the core may have changed meanwhile.
+// begins further confirmations while a slow one is in progress, as the core may have changed since.
 func (n *Node) confirmLoop(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -135,12 +136,12 @@
 		select {
 		case slots <- struct{}{}:
 			running.Go(func() { confirmed <- n.confirm(ctx) })
-		default: // as many are in progress as may be
+		default: // maxConfirmations are already in progress
 		}
 	}
 }
 
-// confirm confirms the configuration with the core once, and reports whether it could be.
+// confirm confirms the configuration with the core once, and reports whether that succeeded.
 func (n *Node) confirm(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
@@ -168,8 +169,8 @@
 	return true
 }
 
-// awaitConfig waits until the configuration of a sequence number, or a newer one, is in force here, and
-// reports whether that was so before ctx ended.
+// awaitConfig waits until the configuration with a given sequence number, or a newer one, is in force on
+// this node. It returns false if ctx ends first.
 func (n *Node) awaitConfig(ctx context.Context, seq uint64) bool {
 	for {
 		n.mu.Lock()
@@ -186,7 +187,8 @@
 	}
 }
 
-// logFreshness logs when the configuration could not be confirmed for some time, and the end of that.
+// logFreshness logs when the configuration has been unconfirmed for staleLogAge, and when it is confirmed
+// again.
 func (n *Node) logFreshness() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/incarnation.go
+++ b/internal/fleet/relay/incarnation.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// endRetention is how long a node announces that a source has ended.
+	// endRetention is how long a node keeps announcing that a source has ended.
 	endRetention = 60 * time.Second
 	// incarnationBytes is the number of random bytes that distinguish the incarnations of one agent.
 	incarnationBytes = 6
 )
 
-// endAnnouncements are the sources that this node announces as ended, with the time since when.
+// endAnnouncements maps each source that this node announces as ended to the time of the announcement.
 type endAnnouncements map[string]time.Duration
 
-// takeOld removes and returns the sources that have been announced for long enough.
+// takeOld removes and returns the sources that have been announced for longer than endRetention.
 func (e endAnnouncements) takeOld(now time.Duration) (sources []string) {
 	for source, since := range e {
 		if now-since > endRetention {
@@ -29,16 +29,16 @@
 	return sources
 }
 
-// newSourceName returns the name of the source of a new incarnation of this agent.
+// newSourceName returns the source name for a new incarnation of this agent.
 func (n *Node) newSourceName() string {
 	var random [incarnationBytes]byte
 	_, _ = rand.Read(random[:]) // never fails
 	return n.options.Self.Name + "/" + hex.EncodeToString(random[:])
 }
 
-// startIncarnationLocked continues under a new source, with the servers, leases and member entry of
-// the old one. It is due when the others have ended the old one, or when that has collected too many
-// tombstones. Sessions end, as they were begun under the old name and count its versions.
+// startIncarnationLocked replaces the own source by a new one with the same servers, leases and member entry.
+// It is called when other agents have ended the old source, or when that has too many tombstones. It closes all
+// sessions, as they were started under the old name and track its versions.
 func (n *Node) startIncarnationLocked() {
 	now, old := n.now(), n.items.OwnSource()
 	logevent.OwnLeaseExpired.Log("old", old)
@@ -57,8 +57,8 @@
 	n.publishMemberLocked()
 }
 
-// endSourceLocked ends a source here. If it is the own one, the others took this agent for dead, and
-// it continues as a new incarnation unless it is departing.
+// endSourceLocked ends a source on this node. If it is the own source, the other agents consider this agent
+// dead, and this node starts a new incarnation unless it is departing.
 func (n *Node) endSourceLocked(source string) {
 	if source == n.items.OwnSource() {
 		if !n.departing {
@@ -77,7 +77,7 @@
 	n.sessions.forgetSource(source)
 }
 
-// publishEndLocked announces that a source has ended. Only members of the core do so.
+// publishEndLocked announces that a source has ended. Only members of the core announce ends.
 func (n *Node) publishEndLocked(source string) {
 	if _, announced := n.ends[source]; announced || !n.options.Self.IsCore {
 		return
@@ -86,7 +86,7 @@
 	n.publishItemLocked(endPrefix+source, present)
 }
 
-// withdrawOldEndsLocked stops announcing ends that everybody knows by now.
+// withdrawOldEndsLocked stops announcing ends that have been announced for longer than endRetention.
 func (n *Node) withdrawOldEndsLocked(now time.Duration) {
 	for _, source := range n.ends.takeOld(now) {
 		n.publishItemLocked(endPrefix+source, nil)
--- a/internal/fleet/relay/leasepoll.go
+++ b/internal/fleet/relay/leasepoll.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// leasePollTimeout is after how long a poll without a decision is begun again.
+	// leasePollTimeout is the time after which an expired lease that was not ended is polled again.
 	leasePollTimeout = 400 * time.Millisecond
-	// maxPolledLeases bounds the leases of one poll; the others wait for the next one.
+	// maxPolledLeases bounds the leases in one poll; the rest wait for the next poll.
 	maxPolledLeases = 1024
 )
 
-// A lease is ended by a majority of the core: the member that finds one expired asks the others, at that moment, who
-// of the holders has a session with them. Its own table alone may be old, however long it has been in contact with a
-// majority: what a peer publishes may be on its way, or this process may have been frozen a moment ago.
+// A lease is ended only with a majority of the core. A member that finds leases expired asks the other members which
+// of the holders currently have a session with them. Its own table is not sufficient, even after a long contact with a
+// majority: a peer's update may still be in flight, or this process may have been suspended a moment ago.
 
 // leaseQuestion asks a member of the core which agents it has a session with.
 type leaseQuestion struct {
@@ -28,21 +28,22 @@
 	Held []string `msgpack:"h,omitempty"` // the sources of the question that the sender has a session with
 }
 
-// leasePoll is the question that is under way, and the answers.
+// leasePoll is the state of this node's latest poll about expired leases.
 type leasePoll struct {
-	id       uint64
+	id       uint64 // ID of the question; zero before the first poll
 	begun    time.Duration
-	asked    map[string]bool // the sources of the question
-	sources  map[string]bool // that nobody has a session with so far; empty: no question is under way
+	asked    map[string]bool // all sources of the question
+	sources  map[string]bool // sources that no answer has reported as held; empty if no poll is in progress
 	answered map[string]bool // addresses of the members that have answered
 }
 
-// covers reports whether a source was asked about a moment ago. A member may hold a lease that is expired here for long.
+// covers reports whether the latest poll asked about a source less than leasePollTimeout ago. It prevents constant
+// polling about a lease that stays expired on this node while another member reports it as held.
 func (p *leasePoll) covers(now time.Duration, source string) bool {
 	return p.asked[source] && now-p.begun < leasePollTimeout
 }
 
-// begin begins a poll about sources.
+// begin starts a poll about up to maxPolledLeases sources.
 func (p *leasePoll) begin(now time.Duration, sources []string) {
 	p.id++
 	p.begun = now
@@ -53,10 +54,10 @@
 	}
 }
 
-// record takes the answer of the member at an address.
+// record records the answer of the member at an address.
 func (p *leasePoll) record(addr string, answer *leaseAnswer) {
 	if p.id == 0 || answer.ID != p.id {
-		return // it is to an earlier question, or to none
+		return // it answers an earlier question, or none of this node's
 	}
 	p.answered[addr] = true
 	for _, source := range answer.Held {
@@ -75,7 +76,7 @@
 	return count > len(members)/2
 }
 
-// pollLeasesLocked asks the members of the core about expired leases, unless it is asking already.
+// pollLeasesLocked starts a poll about expired leases, unless the latest poll covers all of them.
 func (n *Node) pollLeasesLocked(now time.Duration, expired []string, members []Peer) {
 	isCovered := func(source string) bool { return n.leasePoll.covers(now, source) }
 	if len(expired) == 0 || !slices.ContainsFunc(expired, func(source string) bool { return !isCovered(source) }) {
@@ -90,7 +91,7 @@
 	n.decideLeasesLocked(members)
 }
 
-// decideLeasesLocked ends the leases of the poll that nobody reported to be held, once a majority has answered.
+// decideLeasesLocked ends the polled leases that no member reported as held, once a majority has answered.
 func (n *Node) decideLeasesLocked(members []Peer) {
 	if len(n.leasePoll.sources) == 0 || !n.leasePoll.decided(n.options.Self.Addr, members) {
 		return
@@ -105,8 +106,8 @@
 	}
 }
 
-// addLeasePollLocked adds the question that is under way to a message to a member of the core, and the answer to the
-// member's own.
+// addLeasePollLocked adds this node's open lease question to a message between members of the core, and the answer to
+// the peer's own question.
 func (n *Node) addLeasePollLocked(s *session, update *message) {
 	if !update.IsCore || !s.peerIsCore {
 		return
@@ -121,7 +122,7 @@
 	update.LeaseAnswer, s.leaseAnswer = s.leaseAnswer, nil
 }
 
-// receiveLeasePollLocked answers a member's question, and takes its answer.
+// receiveLeasePollLocked processes the lease question and the lease answer in a core member's message.
 func (n *Node) receiveLeasePollLocked(s *session, m *message, isMember bool, members []Peer) {
 	if !isMember || !m.IsCore {
 		return
@@ -136,7 +137,7 @@
 	}
 }
 
-// answerLeasesLocked tells which sources this process has a session with.
+// answerLeasesLocked returns the answer to a question: which of its sources this process has a session with.
 func (n *Node) answerLeasesLocked(question *leaseQuestion) *leaseAnswer {
 	answer := &leaseAnswer{ID: question.ID}
 	connected := n.connectedSourcesLocked()
@@ -148,7 +149,7 @@
 	return answer
 }
 
-// connectedSourcesLocked returns the own source and those of all peers.
+// connectedSourcesLocked returns the own source and the sources of all peers.
 func (n *Node) connectedSourcesLocked() map[string]bool {
 	connected := n.sessions.sources()
 	connected[n.items.OwnSource()] = true
--- a/internal/fleet/relay/leases.go
+++ b/internal/fleet/relay/leases.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// leaseDuration is how long a lease lasts after its last renewal. Messages of a session renew the
-	// lease of the peer.
+	// leaseDuration is how long a lease remains valid once no member of the core grants it any more. A
+	// member grants a lease to an agent for as long as they have a session.
 	leaseDuration = 2500 * time.Millisecond
-	// sourceExpiry is how long nobody must have granted a lease to a source before an agent outside of
-	// the core drops it, and how long a relay with a quorum must have been sending messages meanwhile.
+	// sourceExpiry is how long a source must have been without a lease before an agent outside the core
+	// drops it. A relay with a quorum must have been sending the agent messages for as long.
 	sourceExpiry = 2 * leaseDuration
 )
 
@@ -21,24 +21,24 @@
 type leaseManager struct {
 	*lease.Table
 	granted       map[string]bool // sources that this node grants a lease to
-	attachedSince time.Duration   // since when a relay with a quorum has been sending messages; 0: none has
+	attachedSince time.Duration   // start of the uninterrupted contact with a relay with a quorum; 0 if there is none
 }
 
 func newLeaseManager() leaseManager {
 	return leaseManager{Table: lease.New(leaseDuration), granted: map[string]bool{}}
 }
 
-// observeAttachment records whether a relay with a quorum has been sending messages until now.
+// observeAttachment records whether this node is in contact with a relay that has a quorum.
 func (l *leaseManager) observeAttachment(now time.Duration, attached bool) {
 	updateSince(&l.attachedSince, now, attached)
 }
 
-// attachedFor reports whether such a relay has done so for longer than a duration.
+// attachedFor reports whether this node has been in contact with such a relay for longer than a duration.
 func (l *leaseManager) attachedFor(now, duration time.Duration) bool {
 	return l.attachedSince > 0 && now-l.attachedSince > duration
 }
 
-// setGranted replaces the sources that this node grants leases to, and returns the differences.
+// setGranted replaces the sources that this node grants leases to. It returns those added and those removed.
 func (l *leaseManager) setGranted(holders map[string]bool) (granted, released []string) {
 	for source := range holders {
 		if !l.granted[source] {
@@ -55,8 +55,8 @@
 	return granted, released
 }
 
-// updateGrantedLeasesLocked publishes whose leases this core member grants: those of all agents that
-// it has a session with. Its own lease the others grant, as it would outlive this node.
+// updateGrantedLeasesLocked publishes which leases this core member grants: one to each agent that it has
+// a session with. It grants none to itself, as that lease would outlive this node; the other members do.
 func (n *Node) updateGrantedLeasesLocked(isMember bool) {
 	holders := map[string]bool{}
 	for s := range n.sessions {
@@ -73,8 +73,8 @@
 	}
 }
 
-// leaseRootsLocked returns the sources whose leases are known to be of the present core: this process's own
-// and those of the relays with a quorum that it has sessions with.
+// leaseRootsLocked returns the sources that are known to be in contact with the current core: this process's
+// own source, and those of the relays with a quorum that it has sessions with.
 func (n *Node) leaseRootsLocked() map[string]bool {
 	roots := map[string]bool{n.items.OwnSource(): true}
 	for s := range n.sessions {
@@ -85,14 +85,16 @@
 	return roots
 }
 
-// expireLeasesLocked ends the sources that no core member has granted a lease to for its duration.
+// expireLeasesLocked ends the sources whose leases have expired.
 //
-// A core member ends them for everybody, once it has had its quorum for as long as a lease lasts:
-// before, it may not know of leases that others grant. It asks a majority of the core first, see
-// leasePoll. Another agent drops for itself what the core must have ended while the agent was
-// unreachable. It never accepts a dropped source again, so it allows the core as long again to end the
-// source or to renew its lease, and drops nothing while its own relay is silent: the renewal may be in
-// flight.
+// A core member ends them for the whole fleet, once it has had its quorum for longer than leaseDuration:
+// before that, it may not know of leases that others grant. It first asks a majority of the core, see
+// leasePoll.
+//
+// An agent outside the core drops, only for itself, the sources that the core must have ended while the
+// agent was unreachable. It never accepts a dropped source again. Therefore it waits for sourceExpiry, which
+// gives the core another leaseDuration to end the source or to renew its lease. It drops nothing while its
+// own relay is silent, as the renewal may be in flight.
 func (n *Node) expireLeasesLocked(now time.Duration, isMember bool, members []Peer) {
 	expired := n.leases.Expired(now)
 	connected := n.connectedSourcesLocked()
@@ -113,7 +115,7 @@
 	}
 }
 
-// expireSourceLocked ends a source whose lease has expired. A member of the core announces that.
+// expireSourceLocked ends a source whose lease has expired. A member of the core also announces the end.
 func (n *Node) expireSourceLocked(source string) {
 	logevent.LeaseExpired.Log("source", source)
 	n.publishEndLocked(source)
--- a/internal/fleet/relay/member.go
+++ b/internal/fleet/relay/member.go
@@ -11,20 +11,20 @@
 // maxMemberBytes bounds an encoded Member.
 const maxMemberBytes = 8 << 10
 
-// Member is what an agent publishes of itself.
+// Member is what an agent publishes about itself.
 type Member struct {
 	Name        string `msgpack:"n" json:"name"`
-	Addr        string `msgpack:"a" json:"addr"` // for calls of other agents
+	Addr        string `msgpack:"a" json:"addr"` // for calls from other agents
 	Zone        string `msgpack:"z" json:"zone"`
 	Region      string `msgpack:"r" json:"region"`
-	IsCore      bool   `msgpack:"c" json:"core"`    // it is a member of the core
-	Draining    bool   `msgpack:"e" json:"ending"`  // it is draining
-	ControlAddr string `msgpack:"o" json:"control"` // for calls of servers and operators
-	// QuotaDeputy: it admits requests by a part of a core member's share of the quotas.
+	IsCore      bool   `msgpack:"c" json:"core"`    // whether the agent is a member of the core
+	Draining    bool   `msgpack:"e" json:"ending"`  // whether the agent is about to end
+	ControlAddr string `msgpack:"o" json:"control"` // for calls from servers and operators
+	// QuotaDeputy reports whether the agent admits requests against a fraction of a core member's quota share.
 	QuotaDeputy bool `msgpack:"q,omitempty" json:"quota-deputy,omitempty"`
 }
 
-// publishMemberLocked publishes the own member entry.
+// publishMemberLocked publishes this node's own member entry.
 func (n *Node) publishMemberLocked() { n.publishItemLocked(memberKey, encode(&n.options.Self)) }
 
 // applyMemberLocked records the member entry of a source.
@@ -35,8 +35,8 @@
 	}
 }
 
-// OtherMembers returns the other members that are not draining, by name; with coreOnly just the
-// members of the core.
+// OtherMembers returns the other agents that are not draining, sorted by name. With coreOnly, it returns
+// only members of the core.
 func (n *Node) OtherMembers(coreOnly bool) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -50,7 +50,8 @@
 	return others
 }
 
-// knownCoreMembers returns the members of the core by the core's view, or else by their own entries.
+// knownCoreMembers returns the members of the core according to the core's view. If the view has none, it
+// returns the agents whose own entries say that they are members of the core.
 func (n *Node) knownCoreMembers() []Peer {
 	peers := n.options.Core.Members()
 	if len(peers) > 0 {
@@ -62,7 +63,7 @@
 	return peers
 }
 
-// PublishQuotaDeputy publishes whether this agent is a deputy of a member of the core for the quotas.
+// PublishQuotaDeputy publishes whether this agent is a core member's deputy for quotas.
 func (n *Node) PublishQuotaDeputy(deputy bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,8 +73,8 @@
 	}
 }
 
-// QuotaHolders returns the addresses of those who admit requests by the quotas, the members of the core
-// and their deputies, in this agent's order of preference.
+// QuotaHolders returns the addresses of the agents that admit requests against quotas, that is the members
+// of the core and their deputies, in this agent's order of preference.
 func (n *Node) QuotaHolders() []string {
 	holders := slices.Clone(n.options.Core.Members())
 	n.mu.Lock()
@@ -86,7 +87,7 @@
 	return slices.Compact(preferenceOrder(&n.options.Self, holders))
 }
 
-// AnnounceDraining publishes that this agent is about to end, so that servers are directed to others.
+// AnnounceDraining publishes that this agent is about to end, so that servers are directed to other agents.
 func (n *Node) AnnounceDraining() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,8 +95,8 @@
 	n.publishMemberLocked()
 }
 
-// Depart announces the end of this agent, and returns once another member of the core has received
-// that, or when ctx ends. The agent does not come back as a new incarnation.
+// Depart announces the end of this agent. It returns when another member of the core has received the
+// announcement, or when ctx ends. Afterwards the node starts no new incarnation.
 func (n *Node) Depart(ctx context.Context) {
 	n.mu.Lock()
 	n.departing = true
--- a/internal/fleet/relay/memberaddrs.go
+++ b/internal/fleet/relay/memberaddrs.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// memberRetention is how long the address of an agent is remembered that is no member any more.
+	// memberRetention is how long the address of an agent is remembered after the agent was last present.
 	memberRetention = 10 * time.Minute
-	// maxMemberAddrs bounds the addresses that are remembered.
+	// maxMemberAddrs bounds the remembered addresses.
 	maxMemberAddrs = 2048
 	// savedMembersFormat identifies the encoding of savedMembers.
 	savedMembersFormat = 1
 )
 
-// memberAddrs remembers the addresses of agents that are or were members. After a restart of
-// everything the core calls them by it: agents without a disk may have nobody else to learn of the core
-// from.
+// memberAddrs remembers the addresses of agents that are or recently were present. After a restart of the
+// whole fleet the core calls these agents, as those without a disk may have no other way to find the core.
 type memberAddrs struct {
-	lastSeen map[string]time.Duration // by address
-	version  uint64                   // rises when an address is added or forgotten
+	lastSeen map[string]time.Duration // when an agent with the address was last present
+	version  uint64                   // incremented when an address is added or forgotten
 }
 
-// savedMembers is the list of addresses as it is stored on disk.
+// savedMembers is the list of remembered addresses as it is stored on disk.
 type savedMembers struct {
 	Format int      `msgpack:"f"`
 	Addrs  []string `msgpack:"a"` // sorted
 }
 
-// restore adds the addresses that an earlier incarnation saved; an unknown encoding adds none.
+// restore adds the addresses that an earlier incarnation saved. Data in an unknown encoding is ignored.
 func (a *memberAddrs) restore(now time.Duration, saved []byte) {
 	var list savedMembers
 	if len(saved) == 0 || msgpack.Unmarshal(saved, &list) != nil || list.Format != savedMembersFormat {
@@ -45,7 +44,8 @@
 	}
 }
 
-// observe records which addresses members have now, and forgets those that had none for long.
+// observe records the addresses of the agents that are present now, and forgets those that have been absent
+// for longer than memberRetention.
 func (a *memberAddrs) observe(now time.Duration, present map[string]bool) {
 	for addr := range present {
 		if _, known := a.lastSeen[addr]; !known {
@@ -64,8 +64,8 @@
 	}
 }
 
-// forgetOldest forgets the address that has had no member for the longest time. It returns false if
-// all have one.
+// forgetOldest forgets the address that has been absent for the longest time. It returns false if no
+// remembered address is absent.
 func (a *memberAddrs) forgetOldest(present map[string]bool) bool {
 	oldest := ""
 	for addr, seen := range a.lastSeen {
@@ -77,18 +77,18 @@
 	return oldest != ""
 }
 
-// absent returns the remembered addresses without a member, sorted.
+// absent returns the remembered addresses that are not present, sorted.
 func (a *memberAddrs) absent(present map[string]bool) []string {
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.lastSeen)), func(addr string) bool { return present[addr] })
 }
 
-// encoded returns the stored form.
+// encoded returns the addresses in the format that is stored on disk.
 func (a *memberAddrs) encoded() []byte {
 	return encode(&savedMembers{Format: savedMembersFormat, Addrs: slices.Sorted(maps.Keys(a.lastSeen))})
 }
 
-// presentAddrsLocked returns the addresses of the agents that some relay has a session with, this one's
-// included.
+// presentAddrsLocked returns the addresses of the agents that are in contact with the core, and this node's
+// own address.
 func (n *Node) presentAddrsLocked() map[string]bool {
 	present := map[string]bool{n.options.Self.Addr: true}
 	for source, member := range n.members {
@@ -99,17 +99,17 @@
 	return present
 }
 
-// observeMemberAddrsLocked records the members' addresses on a core member; others have no use for
-// them.
+// observeMemberAddrsLocked records the present agents' addresses if this node is a core member. Other nodes
+// do not need them.
 func (n *Node) observeMemberAddrsLocked(now time.Duration, isMember bool) {
 	if isMember {
 		n.memberAddrs.observe(now, n.presentAddrsLocked())
 	}
 }
 
-// UnreachedAddrs returns the addresses of agents that should have a session with the core and have
-// none: the seeds, and on a member of the core all agents that were members. They may not know whom
-// to call. It is empty while this process itself does not reach the core, and cannot tell.
+// UnreachedAddrs returns the addresses of agents that should have a session with the core but have none,
+// perhaps because they know none of its addresses: seeds, and on a member of the core also the remembered
+// agents. It returns none while this process itself does not reach the core, as it cannot tell then.
 func (n *Node) UnreachedAddrs() []string {
 	seeds, voters := n.options.SeedAddrs(), n.options.Core.Members()
 	n.mu.Lock()
--- a/internal/fleet/relay/message.go
+++ b/internal/fleet/relay/message.go
@@ -19,19 +19,20 @@
 	errHelloTooLarge = errors.New("hello is too large")
 )
 
-// hello is the first message of either side of a session.
+// hello is the first message that each side of a session sends.
 type hello struct {
 	Source string           `msgpack:"s"`
 	Addr   string           `msgpack:"a"`
 	IsCore bool             `msgpack:"c"` // the sender is a member of the core
-	Vector deltasync.Vector `msgpack:"v"` // what the sender has
-	// AcceptsZstd: the sender understands CompressedDeltas. Programs without them leave it out.
+	Vector deltasync.Vector `msgpack:"v"` // the versions that the sender has
+	// AcceptsZstd reports whether the sender can read CompressedDeltas. Program versions that cannot omit it.
 	AcceptsZstd bool `msgpack:"z,omitempty"`
-	// AcceptsConfigDiffs: the sender understands ConfigDiff. It leaves it out after one that it could not apply.
+	// AcceptsConfigDiffs reports whether the sender accepts ConfigDiff. After a diff that it could not apply,
+	// it accepts none until it has received a configuration.
 	AcceptsConfigDiffs bool `msgpack:"d,omitempty"`
 }
 
-// validate returns an error for a hello that no sound peer sends; a nil one is invalid, too.
+// validate returns an error for a hello that no correct peer sends. A nil hello is invalid.
 func (h *hello) validate() error {
 	switch {
 	case h == nil || !isAgentSource(h.Source) || h.Addr == "":
@@ -57,28 +58,29 @@
 // message is what both sides of a session send.
 type message struct {
 	Hello    *hello            `msgpack:"h,omitempty"`
-	Redirect []Peer            `msgpack:"r,omitempty"` // the answering side is no relay: these are
+	Redirect []Peer            `msgpack:"r,omitempty"` // relays to dial; sent by an agent that is not a relay itself
 	Deltas   []deltasync.Delta `msgpack:"d,omitempty"`
-	// CompressedDeltas is the deltas in place of Deltas, encoded and compressed by zstd: see deltaCodec.
+	// CompressedDeltas replaces Deltas: it holds them encoded and compressed with zstd, see deltaCodec.
 	CompressedDeltas []byte `msgpack:"z,omitempty"`
-	// ConfigDiff is the configuration, where it is not among the deltas: see configHistory.
+	// ConfigDiff replaces the delta of the configuration by a diff, see configHistory.
 	ConfigDiff      *configDiff `msgpack:"x,omitempty"`
 	ReceivedVersion uint64      `msgpack:"g,omitempty"` // version of the receiver's own source that the sender has
 	IsCore          bool        `msgpack:"o,omitempty"` // the sender is a member of the core
-	HasQuorum       bool        `msgpack:"l,omitempty"` // the sender is one and has a quorum
+	HasQuorum       bool        `msgpack:"l,omitempty"` // the sender is a member of the core and has a quorum
 	Complete        bool        `msgpack:"f,omitempty"` // the sender is complete: see readiness
 	Notices         []notice    `msgpack:"n,omitempty"`
-	// Acknowledged is, between members of the core, the versions that the sender has.
+	// Acknowledged holds versions that the sender has applied; only members of the core send it to each other.
 	Acknowledged deltasync.Vector `msgpack:"v,omitempty"`
 	// QuorumVersion is the version of the receiver's own source that a majority of the core has.
 	QuorumVersion uint64 `msgpack:"p,omitempty"`
-	// FreshnessQuestion is when this message was sent, by the sender's clock in ms. A relay answers the
-	// newest one that came before it confirmed the configuration with the core, and FreshnessSeq is the
-	// configuration that the receiver must have for the answer to hold. See freshness.
+	// FreshnessQuestion is when an agent sent this message, in milliseconds of the agent's clock. A relay
+	// returns as FreshnessAnswer the newest question that it had received before it began to confirm the
+	// configuration with the core. The answer holds only if the receiver has the configuration with the
+	// sequence number FreshnessSeq or a newer one. See freshness.
 	FreshnessQuestion uint64 `msgpack:"q,omitempty"`
 	FreshnessAnswer   uint64 `msgpack:"t,omitempty"`
 	FreshnessSeq      uint64 `msgpack:"u,omitempty"`
-	// LeaseQuestion and LeaseAnswer are between members of the core: see leasePoll.
+	// LeaseQuestion and LeaseAnswer are sent between members of the core, see leasePoll.
 	LeaseQuestion *leaseQuestion `msgpack:"w,omitempty"`
 	LeaseAnswer   *leaseAnswer   `msgpack:"y,omitempty"`
 }
@@ -86,7 +88,7 @@
 // stream carries the messages of a session.
 type stream = rpc.Stream[message, message]
 
-// hasContent reports whether a message has something that must not wait for the next heartbeat.
+// hasContent reports whether a message carries anything that must not wait for the next heartbeat.
 func (m *message) hasContent() bool {
 	return len(m.Deltas) > 0 || m.ConfigDiff != nil || len(m.Acknowledged) > 0 || m.LeaseQuestion != nil || m.LeaseAnswer != nil
 }
--- a/internal/fleet/relay/node.go
+++ b/internal/fleet/relay/node.go
@@ -19,23 +19,24 @@
 const (
 	// tickInterval is the period at which sessions, leases and servers are checked for expiry.
 	tickInterval = 200 * time.Millisecond
-	// startCheckInterval is the period at which a node that has never been complete looks whether it may
-	// declare itself so, and which members of the core it should dial.
+	// startCheckInterval is the period at which a node that has never been complete checks whether it may
+	// declare itself complete, and which members of the core it should dial.
 	startCheckInterval = 20 * time.Millisecond
-	// startPeriod is how long after its start a node does that; later it takes its usual time.
+	// startPeriod is how long after its start a node checks at startCheckInterval; after that it checks at
+	// the regular intervals.
 	startPeriod = 3 * time.Second
 	// changeLogSize is the number of changes retained for operators.
 	changeLogSize = 256
-	// maxLoggedBytes bounds the data that is retained of each of those changes.
+	// maxLoggedBytes bounds the data that is retained with each of those changes.
 	maxLoggedBytes = 4 << 10
-	// clockStart is the time of the node's clock at its start.
+	// clockStart is the time that the node's clock shows when the node starts.
 	clockStart = time.Second
 	// sessionCall is the name of the streaming call that carries a session.
 	sessionCall = "feed.session"
 )
 
-// Core is what a node needs to know of the core. Its methods are called without the node's lock,
-// by several goroutines.
+// Core is what a node needs to know about the core. Its methods are called concurrently and without
+// the node's lock.
 type Core interface {
 	// IsMember reports whether this process is a member of the core.
 	IsMember() bool
@@ -58,43 +59,44 @@
 	// HeartbeatInterval is the period at which servers send heartbeats.
 	HeartbeatInterval time.Duration
 	Core              Core
-	// SeedAddrs returns the addresses to start from while no member of the core is known.
+	// SeedAddrs returns the addresses to dial while no member of the core is known.
 	SeedAddrs func() []string
 	// OnChange receives every new snapshot, in order. It is called with the node's lock held, so it
 	// must be short and must not call the node.
 	OnChange func(*Snapshot)
-	// SaveServers writes the server list to disk, and SavedServers is what an earlier incarnation
-	// wrote. Both are nil on a machine without a disk.
+	// SaveServers writes the server list to disk. SavedServers is the list that an earlier
+	// incarnation wrote. Both are nil on a machine without a disk.
 	SaveServers  func([]byte) error
 	SavedServers []byte
-	// SaveMembers writes the members' addresses to disk, and SavedMembers is what an earlier
-	// incarnation wrote. Both may be nil.
+	// SaveMembers writes the members' addresses to disk. SavedMembers holds the addresses that an
+	// earlier incarnation wrote. Both may be nil.
 	SaveMembers  func([]byte) error
 	SavedMembers []byte
-	// OnNotice receives the notices of other agents with their age. It is called with the node's lock
-	// held and may be nil.
+	// OnNotice receives other agents' notices and their age. It is called with the node's lock held
+	// and may be nil.
 	OnNotice func(age time.Duration, notice *balancer.PrefillNotice)
 	// LinkMbps is the capacity of the machine's network link in megabits per second.
 	LinkMbps float64
-	// OnAttached is called once there is a session with a relay that has a quorum, or this process is
-	// one, and again whenever that was lost meanwhile; lost is for how long. It is called with the
-	// node's lock held, so it must be short and must not call the node. It may be nil.
+	// OnAttached is called when this process first reaches the core: it has a session with a relay
+	// that has a quorum, or is such a relay itself. It is called again each time the core is reached
+	// after a loss; lost is how long the core was not reached. It is called with the node's lock held,
+	// so it must be short and must not call the node. It may be nil.
 	OnAttached func(lost time.Duration)
 	// ConfirmConfig returns the sequence number of the newest configuration that the core has
-	// acknowledged, confirmed with a majority after the call began. It is called by members of the
-	// core. If it is nil, this node neither asks nor answers how fresh its configuration is.
+	// acknowledged, as a majority confirmed after the call began. Only members of the core call it.
+	// If it is nil, this node sends no questions on the freshness of its configuration and answers none.
 	ConfirmConfig func(context.Context) (seq uint64, err error)
 	// Dialer opens the connections of sessions; nil means TCP.
 	Dialer rpc.Dialer
 }
 
-// Node is one process's end of the replication. Its exported methods are safe for concurrent use;
-// methods whose names end in Locked need mu to be held.
+// Node is one process's endpoint of the replication. Its exported methods are safe for concurrent use;
+// methods whose names end in Locked must be called with mu held.
 type Node struct {
 	options   Options
 	startTime time.Time
 
-	mu            sync.Mutex // guards all that follows, and the sessions
+	mu            sync.Mutex // guards all fields below, and the sessions
 	items         *deltasync.Store
 	servers       *registry.Table
 	changeLog     *eventlog.Journal[deltasync.Change]
@@ -105,23 +107,23 @@
 	attachment    attachment
 	memberAddrs   memberAddrs
 	ends          endAnnouncements
-	departing     bool // this node has announced its own end
+	departing     bool // whether this node has announced its own end
 	readiness     readiness
 	freshness     freshness
 	sessions      sessionSet
 	upstream      upstreamSelector
 	configCache   configCache
 	configHistory configHistory
-	// needsWholeConfig tells that a difference could not be applied, and no configuration has come since.
+	// needsWholeConfig is set when a configuration diff could not be applied, until a configuration arrives.
 	needsWholeConfig bool
-	codec            deltaCodec    // not guarded
-	noticeLimiter    *rate.Limiter // in bytes that notices cost each receiver
+	codec            deltaCodec    // has its own locks: mu need not be held
+	noticeLimiter    *rate.Limiter // in bytes that this node's notices cost each receiver
 	tableFullLog     rate.Sometimes
 	published        Snapshot
 	changed          chan struct{} // closed and replaced at each change
 }
 
-// New returns a node that has a new incarnation and the servers that an earlier one saved.
+// New returns a node with a new incarnation and the servers that an earlier incarnation saved.
 func New(options Options) *Node {
 	if options.Dialer == nil {
 		options.Dialer = rpc.TCPDialer{}
@@ -154,7 +156,7 @@
 	return n
 }
 
-// withoutLargeData drops the data of a change that is too large to be retained for operators.
+// withoutLargeData returns a change without its data if the data is too large to be retained for operators.
 func withoutLargeData(change deltasync.Change) deltasync.Change {
 	if len(change.Item.Data) > maxLoggedBytes {
 		change.Item.Data = nil
@@ -162,7 +164,7 @@
 	return change
 }
 
-// RegisterHandlers adds the calls that a node serves to a mux.
+// RegisterHandlers registers the handlers of the calls that a node serves.
 func (n *Node) RegisterHandlers(mux *rpc.Mux) { rpc.HandleStream(mux, sessionCall, n.serveSession) }
 
 // Run maintains the sessions, the leases and the saved server list until ctx ends. It returns nil.
@@ -189,7 +191,7 @@
 	}
 }
 
-// tick expires what has timed out, and publishes what follows from that.
+// tick expires sessions, leases and servers that have timed out, and publishes the resulting changes.
 func (n *Node) tick() {
 	isMember, hasQuorum, members := n.options.Core.IsMember(), n.options.Core.HasQuorum(), n.options.Core.Members()
 	n.mu.Lock()
@@ -214,7 +216,7 @@
 	n.publishSnapshotLocked()
 }
 
-// observeMembershipLocked publishes whether this process is a member of the core, where that has changed.
+// observeMembershipLocked publishes whether this process is a member of the core if that has changed.
 func (n *Node) observeMembershipLocked(isMember bool) {
 	if isMember != n.options.Self.IsCore {
 		n.options.Self.IsCore = isMember
@@ -222,9 +224,9 @@
 	}
 }
 
-// startLoop looks often whether this node may declare itself complete, until it is complete for the first
-// time or startPeriod is over: after a loss of all power every agent waits for the first member of the core
-// that does. Later tick sees to it.
+// startLoop checks at short intervals whether this node may declare itself complete, because after a power
+// loss of the whole fleet every agent waits for the first member of the core that does. It returns when this
+// node is complete for the first time, when startPeriod is over or when ctx ends; from then on, tick checks.
 func (n *Node) startLoop(ctx context.Context) {
 	ticker := time.NewTicker(startCheckInterval)
 	defer ticker.Stop()
@@ -237,10 +239,10 @@
 	}
 }
 
-// isStarting reports whether this node has just started.
+// isStarting reports whether this node started less than startPeriod ago.
 func (n *Node) isStarting() bool { return n.now()-clockStart < startPeriod }
 
-// checkStart declares this node complete if it may, and reports whether it has been complete.
+// checkStart declares this node complete if it may, and reports whether it has ever been complete.
 func (n *Node) checkStart() bool {
 	isMember, hasQuorum, members := n.options.Core.IsMember(), n.options.Core.HasQuorum(), n.options.Core.Members()
 	n.mu.Lock()
@@ -258,8 +260,8 @@
 	return n.readiness.synced
 }
 
-// selfStartLocked declares this node complete where no other could complete it: the whole core has
-// just started, or all of it has lost its quorum.
+// selfStartLocked declares this node complete if no other node can make it complete: the whole core has
+// just started, or all of its members have lost their quorum.
 func (n *Node) selfStartLocked(now time.Duration, members []Peer) {
 	r := &n.readiness
 	if !r.maySelfStart() {
@@ -275,16 +277,16 @@
 	n.notifyWaitersLocked()
 }
 
-// now is the time on the node's monotonic clock, above zero.
+// now returns the time on the node's monotonic clock, which is always above zero.
 func (n *Node) now() time.Duration { return time.Since(n.startTime) + clockStart }
 
-// notifyWaitersLocked wakes all who wait on changed.
+// notifyWaitersLocked wakes all goroutines that wait on changed.
 func (n *Node) notifyWaitersLocked() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// encode returns the msgpack form of one of this package's messages or items.
+// encode returns the msgpack encoding of one of this package's messages or items.
 func encode(v any) []byte {
 	encoded, err := msgpack.Marshal(v)
 	if err != nil {
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -8,35 +8,35 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/balancer"
 )
 
-// Notices inform other agents of requests that were just sent to a server, as the loads that servers
-// report are old when they arrive. A notice that is lost harms nobody, so notices are not stored,
-// not repeated, and dropped where there is no capacity. An agent sends them to its relays; a relay
-// forwards those of its agents to all its sessions, and those of other relays to its agents.
+// Notices inform other agents of requests that were just sent to a server, as the load that servers
+// report is outdated when it arrives. Losing a notice does no harm, so notices are not stored, not
+// repeated, and dropped if there is no capacity. An agent sends its notices to its relays. A relay
+// forwards the notices of its agents to all other peers, and those of other relays to its agents.
 
 const (
 	// noticeBatchDelay is how long notices are collected for one message.
 	noticeBatchDelay = 10 * time.Millisecond
-	// maxNoticeAge is the age from which on a notice is of no use.
+	// maxNoticeAge is the age beyond which a notice is useless.
 	maxNoticeAge = 500 * time.Millisecond
-	// maxPendingNotices bounds the notices that wait for a session, and those of one message.
+	// maxPendingNotices bounds the notices that wait to be sent on a session, and the notices in one message.
 	maxPendingNotices = 512
-	// noticeSize is about the bytes that a notice takes.
+	// noticeSize is the approximate size of a notice in bytes.
 	noticeSize = 48
 	// noticeBurst is how many notices an agent may send at once.
 	noticeBurst = 100
 	// maxNoticePrefixes bounds the prefixes of a prompt that a notice names.
 	maxNoticePrefixes = 64
-	// maxHops bounds how far a notice is forwarded, whoever takes whom for a relay.
+	// maxHops bounds how often a notice is forwarded, even if agents disagree on which of them are relays.
 	maxHops = 3
-	// noticeLinkFraction is the fraction of an agent's link that all notices together may take.
+	// noticeLinkFraction is the fraction of an agent's link capacity that all notices together may use.
 	noticeLinkFraction = 0.01
-	// maxNoticeRate bounds what all notices together may take, in bytes per second.
+	// maxNoticeRate bounds the rate of all notices that an agent receives, in bytes per second.
 	maxNoticeRate = 16e3
-	// maxNoticeRateLargeFleet is that bound in a fleet of more than largeFleetAgents.
+	// maxNoticeRateLargeFleet replaces maxNoticeRate in a fleet of more than largeFleetAgents agents.
 	maxNoticeRateLargeFleet = 3e3
 	largeFleetAgents        = 150
-	// minPriorityPrefill is from which estimated prefill time on a notice may use the second half of
-	// the burst.
+	// minPriorityPrefill is the minimum estimated prefill time for which a notice may use the second half
+	// of the burst.
 	minPriorityPrefill = 30 * time.Millisecond
 
 	bytesPerMegabit = 1e6 / 8
@@ -51,25 +51,25 @@
 	Prefixes       []balancer.Segment
 	PromptTokens   int
 	UncachedTokens int
-	AgeMs          int // milliseconds since the request was sent, when this was forwarded
-	Hops           int // from its agent to a relay, from that to other relays, from those to their agents
+	AgeMs          int // time from the request to the sending of this message, in milliseconds
+	Hops           int // number of times the notice was forwarded
 
-	sentAt time.Duration // when the request was sent, by the own clock
+	sentAt time.Duration // when the request was sent, on this node's clock
 }
 
-// valid reports whether a received notice is within its bounds and still of use.
+// valid reports whether a received notice is within its bounds and still useful.
 func (n *notice) valid() bool {
 	age := n.age()
 	return age >= 0 && age <= maxNoticeAge && n.PromptTokens >= 0 && n.UncachedTokens >= 0 && n.Hops >= 0 && n.Hops < maxHops &&
 		len(n.Instance) <= maxNameBytes && len(n.Prefixes) <= maxNoticePrefixes
 }
 
-// age is how long ago the request was sent when the notice was forwarded.
+// age returns how old the request was when the notice was sent or forwarded.
 func (n *notice) age() time.Duration { return time.Duration(n.AgeMs) * time.Millisecond }
 
-// BroadcastNotice informs the other agents of a request that was just sent, and that keeps its server in
-// prefill for an estimated time. A notice for which there is no capacity is dropped, those with a
-// short prefill first.
+// BroadcastNotice informs the other agents of a request that was just sent. prefill is the estimated time
+// that the server needs for the request's prefill. If there is no capacity, the notice is dropped; notices
+// with a short prefill are dropped first.
 func (n *Node) BroadcastNotice(sent balancer.PrefillNotice, prefill time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// noticeBytesPerSecond is what the notices of one agent may cost each receiver, in a fleet of so many
-// agents whose links have a capacity in megabits per second.
+// noticeBytesPerSecond returns the rate, in bytes per second, at which each agent may receive one agent's
+// notices. It depends on the number of agents and on their link capacity in megabits per second.
 func noticeBytesPerSecond(agents int, linkMbps float64) float64 {
 	agents = max(agents, 1)
 	total := min(noticeLinkFraction*linkMbps*bytesPerMegabit, maxNoticeRate)
@@ -120,7 +120,8 @@
 	}
 }
 
-// forwardNotice sends a notice on: one of a relay to the agents, one of an agent to all.
+// forwardNotice forwards a notice. One that came from a relay goes to the agents, one that came from an
+// agent goes to all other peers.
 func (set sessionSet) forwardNotice(from *session, forwarded notice) {
 	for s := range set {
 		if s != from && !(from.peerIsCore && s.peerIsCore) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// enqueueNotice has a notice sent soon, or drops it if too many are pending.
+// enqueueNotice schedules a notice to be sent, or drops it if too many are pending.
 func (s *session) enqueueNotice(pending notice) {
 	if len(s.pendingNotices) >= maxPendingNotices {
 		return
@@ -140,7 +141,7 @@
 	}
 }
 
-// dequeueNotices returns the pending notices with their present age.
+// dequeueNotices removes and returns the pending notices, with their age updated.
 func (s *session) dequeueNotices(now time.Duration) []notice {
 	notices := s.pendingNotices
 	s.pendingNotices = nil
--- a/internal/fleet/relay/quorum.go
+++ b/internal/fleet/relay/quorum.go
@@ -7,30 +7,30 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// The end of a server is acknowledged once a majority of the core has it. Core members acknowledge
-// to each other the deltas that they apply, each by the version that it then has. From those every
-// core member derives which version of a source a majority has, and reports it to the agent whose
-// source it is. A relay that is cut off, alone or with others that are no majority, receives no such
-// acknowledgements, however late it learns that it is cut off.
+// The draining or the end of a server is acknowledged once a majority of the core has received it. Core
+// members acknowledge the deltas that they apply to each other, by sending the version of the source that
+// they now have. From these acknowledgements every core member derives the version of a source that a
+// majority has, and reports it to the agent that owns the source. A relay in a minority partition receives
+// too few acknowledgements for a majority, even before it detects that it is partitioned.
 
-// ownVersion is a version of the own source of one incarnation.
+// ownVersion identifies a version of this node's own source in one incarnation.
 type ownVersion struct {
 	source  string
 	version uint64
 }
 
-// publishedLocked returns the current version of the own source.
+// publishedLocked returns the own source and its current version.
 func (n *Node) publishedLocked() ownVersion {
 	return ownVersion{n.items.OwnSource(), n.items.OwnVersion()}
 }
 
-// recordReplicationLocked records what a message of another core member proves that it has, and marks
-// the deltas that came with it to be acknowledged.
+// recordReplicationLocked records which versions another core member has, as its message proves, and marks
+// the sources of the message's deltas for acknowledgement.
 func (n *Node) recordReplicationLocked(s *session, m *message, members []Peer) {
 	for i := range m.Deltas {
 		delta := &m.Deltas[i]
 		if n.items.Version(delta.Source) < delta.To {
-			continue // it was not applied
+			continue // the delta was not applied
 		}
 		s.pendingAcks[delta.Source] = true
 		n.recordAcknowledgedLocked(s, delta.Source, delta.To, members)
@@ -40,8 +40,8 @@
 	}
 }
 
-// recordAcknowledgedLocked records the version of a source that a peer has, and wakes those who wait
-// for a majority to have it. A version that is unknown here proves nothing.
+// recordAcknowledgedLocked records the version of a source that a peer has, and wakes those who wait for
+// a majority to have it. Of a version that is newer than this node's own, only this node's counts.
 func (n *Node) recordAcknowledgedLocked(s *session, source string, version uint64, members []Peer) {
 	version = min(version, n.items.Version(source))
 	if version <= s.acknowledged[source] {
@@ -59,8 +59,8 @@
 	n.sessions.notifyQuorumAdvanced(source)
 }
 
-// takeAcknowledgementsLocked returns the versions to acknowledge to a peer: those of the sources that
-// it has sent deltas of since the last time.
+// takeAcknowledgementsLocked returns the versions to acknowledge to a peer: those of the sources whose
+// deltas the peer has sent since the last call.
 func (n *Node) takeAcknowledgementsLocked(s *session) deltasync.Vector {
 	if len(s.pendingAcks) == 0 {
 		return nil
@@ -75,8 +75,8 @@
 	return versions
 }
 
-// quorumVersionLocked is the newest version of a source that a majority of the core is known to have,
-// 0 if no core is known.
+// quorumVersionLocked returns the newest version of a source that a majority of the core is known to have,
+// or 0 if no member of the core is known.
 func (n *Node) quorumVersionLocked(source string, members []Peer) uint64 {
 	versions := make([]uint64, 0, len(members))
 	for _, member := range members {
@@ -89,8 +89,8 @@
 	return majorityVersion(versions)
 }
 
-// majorityVersion returns the newest version that more than half of the replicas have, by the version
-// that each has; 0 of none. It sorts its argument.
+// majorityVersion returns the newest version that more than half of the replicas have, given the version
+// of each replica. It returns 0 if there are no replicas. It sorts its argument.
 func majorityVersion(versions []uint64) uint64 {
 	if len(versions) == 0 {
 		return 0
@@ -99,8 +99,8 @@
 	return versions[(len(versions)-1)/2]
 }
 
-// awaitQuorum waits until a majority of the core has a version of the own source, and reports whether
-// that was so before ctx ended.
+// awaitQuorum waits until a majority of the core has a version of the own source. It returns false if ctx
+// ends first.
 func (n *Node) awaitQuorum(ctx context.Context, target ownVersion) bool {
 	return n.awaitVersion(ctx, target, func(version uint64, isMember bool, members []Peer) bool {
 		if isMember && n.quorumVersionLocked(n.items.OwnSource(), members) >= version {
@@ -115,8 +115,8 @@
 	})
 }
 
-// awaitReceived waits until another member of the core has received a version of the own source, and
-// reports whether that was so before ctx ended. A core of one member has no other.
+// awaitReceived waits until another member of the core has received a version of the own source. It
+// returns false if ctx ends first. The only member of a core does not wait, as there is no other.
 func (n *Node) awaitReceived(ctx context.Context, target ownVersion) bool {
 	return n.awaitVersion(ctx, target, func(version uint64, isMember bool, members []Peer) bool {
 		if isMember && len(members) <= 1 {
@@ -131,9 +131,10 @@
 	})
 }
 
-// awaitVersion waits until a version of the own source has arrived, which it checks at each change
-// with the lock held. A new incarnation includes all that the earlier one had published, so it waits
-// for the version that is then current.
+// awaitVersion waits until arrived returns true for a version of the own source, and returns false if ctx
+// ends first. It calls arrived after each change, with the lock held. If this node starts a new incarnation
+// meanwhile, awaitVersion waits for the new source's current version, which includes everything that the
+// earlier incarnation had published.
 func (n *Node) awaitVersion(ctx context.Context, target ownVersion, arrived func(version uint64, isMember bool, members []Peer) bool) bool {
 	for {
 		isMember, members := n.options.Core.IsMember(), n.options.Core.Members()
--- a/internal/fleet/relay/readiness.go
+++ b/internal/fleet/relay/readiness.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// selfStartDelay is how long a core member must have had a quorum before it counts on what it has
-// itself, where it has met no complete relay. Sessions take less time to be established.
+// selfStartDelay is how long a core member must have had a quorum before it may declare itself complete
+// without a complete relay. Sessions are established in less time.
 const selfStartDelay = 700 * time.Millisecond
 
-// readiness tracks whether this process has everything that a relay knows. A process that is not
-// complete may still serve, by what it has; it must not make others believe that they are complete.
+// readiness tracks whether this process is complete, that is, has everything that a relay has. A process
+// that is not complete may still serve with the state that it has, but it must not make other processes
+// consider themselves complete.
 type readiness struct {
-	synced        bool          // it has been complete once
-	stale         bool          // it has lost its quorum since, and has not been complete again
-	configCurrent bool          // the core has been read for the newest configuration
-	quorumSince   time.Duration // since when it is a core member with a quorum; 0: it is not
+	synced        bool          // whether this process has ever been complete
+	stale         bool          // whether it has lost its quorum since it was last complete
+	configCurrent bool          // whether MarkConfigCurrent has been called
+	quorumSince   time.Duration // when it became a core member with a quorum; 0 while it is not
 }
 
-// complete reports whether this process has everything, as far as it can know.
+// complete reports whether this process has everything that a relay has, as far as it can know.
 func (r *readiness) complete() bool { return r.synced && !r.stale }
 
-// markComplete records that this process has everything, and reports whether that is the first time.
+// markComplete records that this process is complete, and reports whether that is so for the first time.
 func (r *readiness) markComplete() (first bool) {
 	first = !r.synced
 	r.synced, r.stale = true, false
 	return first
 }
 
-// observeCore records this process's standing with the core at a time.
+// observeCore records whether this process is a member of the core, and whether it has a quorum.
 func (r *readiness) observeCore(now time.Duration, isMember, hasQuorum bool) {
 	updateSince(&r.quorumSince, now, isMember && hasQuorum)
 	if isMember && !hasQuorum {
@@ -33,8 +34,8 @@
 	}
 }
 
-// maySelfStart reports whether this process may declare itself complete where no relay can: it has a
-// quorum, and its configuration is not older than the core's.
+// maySelfStart reports whether this process may declare itself complete if no relay can make it complete. It
+// must have a quorum and a configuration that is not older than the core's.
 func (r *readiness) maySelfStart() bool {
 	return r.quorumSince > 0 && !r.complete() && r.configCurrent
 }
@@ -44,7 +45,7 @@
 	return r.quorumSince > 0 && now-r.quorumSince > duration
 }
 
-// updateSince maintains since when a condition holds; 0: it does not.
+// updateSince sets *since to the time when a condition began to hold, or to 0 while it does not hold.
 func updateSince(since *time.Duration, now time.Duration, holds bool) {
 	if !holds {
 		*since = 0
--- a/internal/fleet/relay/receive.go
+++ b/internal/fleet/relay/receive.go
@@ -5,8 +5,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// receiveLoop handles the messages of a session until its stream ends, and returns why it did. first
-// is a message that came already, or nil.
+// receiveLoop handles the messages of a session until its stream ends, and returns the reason. first is
+// a message that has already been read from the stream, or nil.
 func (n *Node) receiveLoop(st *stream, s *session, first *message) error {
 	if first != nil {
 		if err := n.receiveMessage(s, first); err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// receiveMessage handles a message as it came. An error ends the session.
+// receiveMessage decodes a received message and handles it. An error ends the session.
 func (n *Node) receiveMessage(s *session, m *message) error {
 	if err := n.codec.decompress(m); err != nil {
 		return err
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// handleMessage takes a message of a session.
+// handleMessage processes a decoded message of a session.
 func (n *Node) handleMessage(s *session, m *message) {
 	isMember, hasQuorum, members := n.options.Core.IsMember(), n.options.Core.HasQuorum(), n.options.Core.Members()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.sessions[s] {
-		return // it was with an earlier incarnation of this agent
+		return // the session was with an earlier incarnation of this agent
 	}
 	n.recordPeerLocked(s, m)
-	// A session that is lost again before the next tick counts too.
+	// Observed here as well as in tick, so that a session that is lost again before the next tick counts too.
 	n.observeAttachmentLocked(s.lastMessage, isMember && hasQuorum, members)
 	n.applyDeltasLocked(m.Deltas)
 	n.recordSentLocked(s, m.Deltas)
@@ -62,7 +62,7 @@
 	}
 }
 
-// recordPeerLocked records what a peer reports of itself.
+// recordPeerLocked records what a peer reports about itself.
 func (n *Node) recordPeerLocked(s *session, m *message) {
 	s.lastMessage = n.now()
 	if m.HasQuorum {
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordSentLocked records that a peer has what it sent itself, so that it is not sent back.
+// recordSentLocked records that a peer has the deltas that it sent, so that they are not sent back to it.
 func (n *Node) recordSentLocked(s *session, deltas []deltasync.Delta) {
 	for i := range deltas {
 		delta := &deltas[i]
@@ -84,8 +84,9 @@
 	}
 }
 
-// recordOwnVersionsLocked records how far the own source has been replicated, as a peer reports. Versions
-// that this node has not published yet are of an earlier incarnation, or of a faulty peer.
+// recordOwnVersionsLocked records how far this node's own source has been replicated, as a peer reports it.
+// It ignores versions that this node has not published yet: they belong to an earlier incarnation or come
+// from a faulty peer.
 func (n *Node) recordOwnVersionsLocked(s *session, m *message) {
 	published := n.items.OwnVersion()
 	if m.ReceivedVersion > s.ownReceived && m.ReceivedVersion <= published {
@@ -98,8 +99,8 @@
 	}
 }
 
-// markCompleteLocked records that a complete relay with a quorum has sent all that it has: it reports
-// that it is complete only after that (see sender).
+// markCompleteLocked records that this node is complete. A relay with a quorum has reported itself complete
+// on the session, which it does only once it has sent everything that it has (see sender).
 func (n *Node) markCompleteLocked(s *session) {
 	if first := n.readiness.markComplete(); first {
 		logevent.Synced.Log("peer", s.peerAddr, "config", n.config.seq)
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -8,33 +8,33 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Report is what this process knows, as operators see it.
+// Report is the state of this process as it is shown to operators.
 type Report struct {
-	Source    string          `json:"source"` // of this process's incarnation
+	Source    string          `json:"source"` // the source of this process's incarnation
 	Synced    bool            `json:"fresh"`  // see Snapshot
 	ConfigSeq uint64          `json:"config-seq"`
 	Revision  int64           `json:"revision"`
-	Members   []MemberReport  `json:"members"`  // by name
-	Servers   []registry.View `json:"servers"`  // by ID
-	Sessions  []SessionReport `json:"sessions"` // by address
+	Members   []MemberReport  `json:"members"`  // sorted by name
+	Servers   []registry.View `json:"servers"`  // sorted by ID
+	Sessions  []SessionReport `json:"sessions"` // sorted by address
 }
 
-// MemberReport is one member.
+// MemberReport describes one agent.
 type MemberReport struct {
 	Member
 	Source       string `json:"source"`
-	LeaseGranted bool   `json:"held"` // by some core member
-	Self         bool   `json:"self"`
+	LeaseGranted bool   `json:"held"` // whether any core member grants it a lease
+	Self         bool   `json:"self"` // whether it is this process
 }
 
-// SessionReport is one session.
+// SessionReport describes one session.
 type SessionReport struct {
 	PeerAddr         string        `json:"peer"`
-	HasQuorum        bool          `json:"linked"` // the peer
+	HasQuorum        bool          `json:"linked"` // whether the peer is a core member with a quorum
 	SinceLastMessage time.Duration `json:"age"`
 }
 
-// Report returns what this process knows.
+// Report returns the state of this process for operators.
 func (n *Node) Report() Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/savedservers.go
+++ b/internal/fleet/relay/savedservers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// saveInterval is the least time between two writes of the server list.
+	// saveInterval is the minimum time between two writes of the server list.
 	saveInterval = time.Second
 	// savedServersFormat identifies the encoding of savedServers.
 	savedServersFormat = 1
@@ -25,9 +25,10 @@
 	Servers []*registry.Instance `msgpack:"s"` // by ID
 }
 
-// restoreServersLocked lists the servers that an earlier incarnation saved until their next
-// heartbeats are due, so that requests need not wait for those after a loss of the whole fleet. A
-// request names the instance that it is meant for, so no other server at the address serves it.
+// restoreServersLocked adds the servers that an earlier incarnation saved to the table. They remain until
+// their next heartbeats are due, so that after a loss of the whole fleet requests need not wait for these
+// heartbeats. A request names the instance that it is meant for, so another server that now has the same
+// address does not serve it.
 func (n *Node) restoreServersLocked() {
 	var list savedServers
 	if len(n.options.SavedServers) == 0 || msgpack.Unmarshal(n.options.SavedServers, &list) != nil || list.Format != savedServersFormat {
@@ -44,7 +45,7 @@
 	logevent.ServersRestored.Log("servers", len(list.Servers))
 }
 
-// saveLoop writes the server list and the members' addresses to disk as they change, until ctx ends.
+// saveLoop writes the server list and the members' addresses to disk when they have changed, until ctx ends.
 func (n *Node) saveLoop(ctx context.Context) {
 	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
@@ -60,20 +61,21 @@
 	}
 }
 
-// saveServers writes the server list unless it has the version that is saved already, and returns the
-// version that is saved then. A list that is empty, or that was never complete, does not replace the
-// saved one.
+// saveServers writes the server list to disk if its version differs from saved, and returns the version that
+// is on disk afterwards. It does not replace the saved list by an empty one, nor before this node has been
+// complete.
 func (n *Node) saveServers(saved uint64) uint64 {
 	n.mu.Lock()
 	list, synced := n.servers.List(), n.readiness.synced
 	n.mu.Unlock()
 	if !synced || list.Version == saved || len(list.ByID) == 0 || n.options.SaveServers(encodeServers(list)) != nil {
-		return saved // what could not be written is written at the next tick
+		return saved // a failed write is retried at the next tick
 	}
 	return list.Version
 }
 
-// saveMembers does the same with the members' addresses.
+// saveMembers writes the members' addresses to disk if their version differs from saved, and returns the
+// version that is on disk afterwards.
 func (n *Node) saveMembers(saved uint64) uint64 {
 	if n.options.SaveMembers == nil {
 		return saved
@@ -92,7 +94,7 @@
 	return version
 }
 
-// encodeServers returns the stored form of a server list.
+// encodeServers returns a server list in the format that is stored on disk.
 func encodeServers(list *registry.List) []byte {
 	stored := savedServers{Format: savedServersFormat}
 	for _, instance := range list.ByID {
--- a/internal/fleet/relay/send.go
+++ b/internal/fleet/relay/send.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// coalesceInterval is the least time between two updates that a change causes on one session. While
-// many changes come one after the other, as after a start of all processes, one update has those of
-// this time; a change after a calm is sent at once. Each change costs an update to every agent, so
-// that a relay would otherwise do little else.
+// coalesceInterval is the minimum time between two updates that changes cause on one session. While
+// changes follow each other closely, as after a start of all processes, one update carries all changes
+// of such an interval. A change after a quiet period is sent at once. Without this bound each change
+// would cost an update to every agent, and a relay would do little else.
 const coalesceInterval = 25 * time.Millisecond
 
-// status is what a message reports of its sender, beside the deltas.
+// status is what a message reports about its sender, apart from the deltas.
 type status struct {
 	isCore, hasQuorum, complete bool
 	received                    uint64 // version of the peer's source that this node has
@@ -22,28 +22,29 @@
 	return status{isCore: m.IsCore, hasQuorum: m.HasQuorum, complete: m.Complete, received: m.ReceivedVersion, quorumVersion: m.QuorumVersion}
 }
 
-// message returns a message that reports the same.
+// message returns a message that reports this status and has no other content.
 func (s status) message() *message {
 	return &message{IsCore: s.isCore, HasQuorum: s.hasQuorum, Complete: s.complete, ReceivedVersion: s.received, QuorumVersion: s.quorumVersion}
 }
 
-// sender sends on one session what its peer lacks.
+// sender sends to the peer of one session what that peer lacks.
 type sender struct {
 	node    *Node
 	stream  *stream
 	session *session
-	// lastStatus is what the peer was last sent. It reports this node as complete only in or after
-	// the message with all that the node had when it was.
+	// lastStatus is the last status sent to the peer. It reports this node as complete only in or after
+	// the message with all items that the node had when it became complete.
 	lastStatus   status
 	heartbeatDue bool
 	lastUpdate   time.Time // when the latest update was sent
-	// answered tells that a question on freshness was answered: the first answer is sent at once, the
-	// others with the next heartbeat.
+	// answered is set once a freshness question was answered. The first answer is sent at once, later
+	// ones with the next heartbeat.
 	answered bool
 }
 
-// sendLoop sends what the peer lacks as it changes, and heartbeats between, until ctx ends or sending
-// fails. The first message has all there is; on the answering side the hello goes before it.
+// sendLoop sends what the peer lacks whenever something changes, and heartbeats in between, until ctx ends
+// or sending fails. The first message has everything that the peer lacks. The side that accepted the session
+// sends its hello before it.
 func (n *Node) sendLoop(ctx context.Context, st *stream, s *session) error {
 	if !s.outbound {
 		if err := n.sendHello(st); err != nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// sendHello answers a hello. It goes ahead of the deltas, which may take long.
+// sendHello answers the peer's hello. The answer is sent before the deltas, as those may take long.
 func (n *Node) sendHello(st *stream) error {
 	m := &message{IsCore: n.options.Core.IsMember(), HasQuorum: n.options.Core.HasQuorum()}
 	n.mu.Lock()
@@ -73,8 +74,8 @@
 	return st.Send(m)
 }
 
-// sendUpdate sends what the peer lacks, if anything, and returns a channel that is closed at the next
-// change.
+// sendUpdate sends what the peer lacks, or a due heartbeat, and returns a channel that is closed at the
+// next change.
 func (out *sender) sendUpdate() (changed <-chan struct{}, err error) {
 	update, encodedConfig, changed := out.nextUpdate()
 	if len(encodedConfig) > 0 {
@@ -98,8 +99,8 @@
 	return changed, nil
 }
 
-// nextUpdate returns the message with all that the peer lacks. A long configuration is not in it, but
-// in an encoded message that goes before it.
+// nextUpdate returns the message with everything that the peer lacks. A large configuration is not part of
+// that message: it is returned as an encoded message, which must be sent first.
 func (out *sender) nextUpdate() (update *message, encodedConfig []byte, changed <-chan struct{}) {
 	n, s := out.node, out.session
 	update = &message{IsCore: n.options.Core.IsMember(), HasQuorum: n.options.Core.HasQuorum()}
@@ -126,9 +127,9 @@
 	return update, encodedConfig, n.changed
 }
 
-// wait returns when an update may be due or ctx ends. It sends pending notices meanwhile.
+// wait returns when an update may be due or ctx ends. Until then it sends pending notices.
 func (out *sender) wait(ctx context.Context, changed <-chan struct{}, heartbeat <-chan time.Time) error {
-	var coalesced <-chan time.Time // set once there was a change
+	var coalesced <-chan time.Time // nil before the first change
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/fleet/relay/serve.go
+++ b/internal/fleet/relay/serve.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// helloTimeout is how long the first message of a session may take.
+// helloTimeout bounds the wait for the first message of a session.
 const helloTimeout = time.Second
 
 var (
@@ -19,7 +19,7 @@
 	errTooManySessions = errors.New("too many sessions at this relay: use another")
 )
 
-// serveSession serves a session that a peer began.
+// serveSession serves a session that a peer dialed.
 func (n *Node) serveSession(st *stream) error {
 	timeout := time.AfterFunc(helloTimeout, func() { _ = st.Close() })
 	first, err := st.Recv()
@@ -36,9 +36,9 @@
 	return n.runSession(st.Context(), st, first.Hello, first.Hello.Addr, nil, nil)
 }
 
-// runSession runs a session until its stream or ctx ends, and returns why it ended. peer is the hello
-// of the other side. Where this node began the session, own is its own hello and first the message
-// that the peer's hello came with; else both are nil.
+// runSession runs a session until its stream or ctx ends, and returns the reason. peer is the peer's
+// hello. If this node dialed the peer, own is this node's hello and first is the message that carried the
+// peer's hello; otherwise both are nil.
 func (n *Node) runSession(ctx context.Context, st *stream, peer *hello, peerAddr string, own *hello, first *message) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -51,7 +51,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	running.Go(func() { // cancel is called with the lock held, and Close may wait
+	running.Go(func() { // in a goroutine, as cancel is called with the lock held and Close may block
 		<-ctx.Done()
 		_ = st.Close()
 	})
@@ -64,8 +64,8 @@
 	return n.receiveLoop(st, s, first)
 }
 
-// addSession adds a session with the peer that sent a hello; own is this node's hello where it began
-// the session.
+// addSession adds a session with the peer that sent a hello. own is this node's hello if it dialed the
+// peer, otherwise nil.
 func (n *Node) addSession(st *stream, peer *hello, peerAddr string, own *hello, cancel context.CancelFunc) (*session, error) {
 	members := n.options.Core.Members()
 	n.mu.Lock()
@@ -79,7 +79,7 @@
 		return nil, errTooManySessions
 	}
 	if n.items.Ended(peer.Source) {
-		n.publishEndLocked(peer.Source) // it was unreachable when that was announced
+		n.publishEndLocked(peer.Source) // the peer was unreachable when its end was announced
 	}
 	s := newSession(n.now(), peer, peerAddr, st.Received, cancel)
 	s.outbound = own != nil
@@ -90,7 +90,7 @@
 	return s, nil
 }
 
-// removeSession removes a session that is over.
+// removeSession removes a session that has ended.
 func (n *Node) removeSession(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/servers.go
+++ b/internal/fleet/relay/servers.go
@@ -8,15 +8,17 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// tableFullLogInterval is the least time between two log lines about the full server table.
+// tableFullLogInterval is the minimum time between two log lines about a full server table.
 const tableFullLogInterval = 10 * time.Second
 
-// Heartbeat takes a heartbeat of a server and reports whether it is acknowledged; a server whose
-// heartbeat is not acknowledged should call another agent. While this agent does not reach the core no
-// heartbeat is acknowledged: it is used here, but nobody else would learn of the server. That a server
-// drains is acknowledged only once a majority of the core has it, or not at all if ctx ends before.
-// Heartbeats of invalid instances, and those of unknown servers while the table is full, are never
-// acknowledged. The instance must not be changed afterwards.
+// Heartbeat processes a heartbeat of a server and reports whether it is acknowledged. A server whose
+// heartbeat is not acknowledged should call another agent.
+//
+// While this agent does not reach the core, it uses heartbeats itself but does not acknowledge them, as no
+// other agent would learn of the server. A heartbeat that reports draining is acknowledged once a majority
+// of the core has received it, and not at all if ctx ends first. Heartbeats of invalid instances, and of
+// unknown servers while the table is full, are never acknowledged. The instance must not be changed
+// afterwards.
 func (n *Node) Heartbeat(ctx context.Context, instance *registry.Instance) bool {
 	if !instance.Valid() {
 		return false
@@ -39,8 +41,8 @@
 	return n.awaitQuorum(ctx, published)
 }
 
-// Deregister takes that a server ends, and reports whether that is acknowledged, as Heartbeat does
-// for a draining server.
+// Deregister records that a server ends, and reports whether that is acknowledged: as for a draining server,
+// a majority of the core must receive it before ctx ends.
 func (n *Node) Deregister(ctx context.Context, id string) bool {
 	if instance := (&registry.Instance{ID: id}); !instance.Valid() {
 		return false
@@ -52,8 +54,8 @@
 	return err == nil && n.awaitQuorum(ctx, published)
 }
 
-// publishServerLocked publishes what a server's call changed, if anything, and returns the version
-// of the own source that includes it.
+// publishServerLocked publishes what a server's call changed, if anything, and returns the version of the
+// own source that includes the change.
 func (n *Node) publishServerLocked(id string, update *registry.Instance, err error) ownVersion {
 	if err != nil {
 		n.logTableFullLocked(id)
@@ -65,9 +67,9 @@
 	return n.publishedLocked()
 }
 
-// expireServersLocked publishes which servers have missed their heartbeats, and withdraws what the
-// own source need not report any more. While servers are sent to other agents their silence here proves
-// nothing, so that nothing expires.
+// expireServersLocked publishes which servers have missed their heartbeats, and withdraws the servers that
+// the own source no longer needs to report. Nothing expires while suspended is set, that is while this node
+// does not reach the core: its servers then move to other agents, so their silence here proves nothing.
 func (n *Node) expireServersLocked(now time.Duration, suspended bool) {
 	updates, withdrawn := n.servers.Tick(now, suspended)
 	for _, instance := range updates {
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -11,59 +11,59 @@
 const (
 	// heartbeatInterval is the longest pause between two messages on a session.
 	heartbeatInterval = 300 * time.Millisecond
-	// sessionTimeout ends a session on which no byte has come for so long.
+	// sessionTimeout is how long a session may receive no byte before it is closed.
 	sessionTimeout = time.Second
-	// messageTimeout is how long one message may take, however steadily its bytes come: the longest
-	// that rpc accepts, 16 MB, needs 26 s at 640 KB/s.
+	// messageTimeout bounds the time for one message, even if its bytes arrive steadily. The longest
+	// message that rpc accepts, 16 MB, takes 26 s at 640 KB/s.
 	messageTimeout = 30 * time.Second
 	// maxSessions bounds the sessions of a process.
 	maxSessions = 1024
-	// timerUnset is the duration of a timer that nothing has set yet.
+	// timerUnset is the initial duration of a timer that is reset before it is needed.
 	timerUnset = time.Hour
 )
 
-// session is a session with one peer. Its fields are guarded by the node's lock, but for the
-// channel and the timer.
+// session is a session with one peer. The node's lock guards its fields, except for the channel and
+// the timer.
 type session struct {
 	peerAddr string
-	source   string // of the peer's incarnation
-	outbound bool   // this node dialed
+	source   string // the source of the peer's incarnation
+	outbound bool   // whether this node dialed the peer
 	started  time.Duration
 	cancel   context.CancelFunc
 
-	// What the peer last reported of itself.
+	// What the peer last reported about itself.
 	peerIsCore         bool
-	acceptsZstd        bool // it understands compressed deltas
-	acceptsConfigDiffs bool // it understands differences between configurations
+	acceptsZstd        bool // the peer can read compressed deltas
+	acceptsConfigDiffs bool // the peer can apply configuration diffs
 	peerHasQuorum      bool
 	peerComplete       bool          // see readiness
-	completenessKnown  bool          // it has reported whether it is complete
-	lastQuorum         time.Duration // when it last reported that it has a quorum, or the session began
-
-	// What shows that the peer is alive.
-	lastMessage   time.Duration // when the last complete message came
-	bytesReceived func() uint64
-	observedBytes uint64        // bytesReceived at the last check
-	lastProgress  time.Duration // when a check found that it had risen
-
-	// How far the replication is.
-	sent             deltasync.Vector // what the peer has, or was sent
-	acknowledged     deltasync.Vector // what the peer itself has acknowledged
-	pendingAcks      map[string]bool  // sources of which it sent deltas that are not acknowledged yet
-	ownReceived      uint64           // version of the own source that the peer has
+	completenessKnown  bool          // the peer has reported whether it is complete
+	lastQuorum         time.Duration // when the peer last reported a quorum; before it does, the session's start
+
+	// Signs that the peer is alive.
+	lastMessage   time.Duration // when the last complete message arrived
+	bytesReceived func() uint64 // returns the number of bytes received on the session
+	observedBytes uint64        // value of bytesReceived at the last check
+	lastProgress  time.Duration // when a check last found that bytesReceived had risen
+
+	// Progress of the replication.
+	sent             deltasync.Vector // versions that the peer has or was sent
+	acknowledged     deltasync.Vector // versions that the peer has acknowledged
+	pendingAcks      map[string]bool  // sources whose deltas from the peer are not acknowledged yet
+	ownReceived      uint64           // version of this node's own source that the peer has
 	ownQuorumVersion uint64           // version of the own source that a majority has, as the peer reports
-	wake             chan struct{}    // wakes the sender: something is due to this peer alone
+	wake             chan struct{}    // wakes the sender when it has something for this peer only
 
 	freshness sessionFreshness
 
-	leasePollSent uint64       // ID of the last question on leases that was sent
-	leaseAnswer   *leaseAnswer // to the peer's question, not sent yet; nil: there is none
+	leasePollSent uint64       // ID of the last lease question sent to the peer
+	leaseAnswer   *leaseAnswer // unsent answer to the peer's lease question; nil if there is none
 
 	pendingNotices []notice
-	noticeTimer    *time.Timer // fires when the pending notices are to be sent
+	noticeTimer    *time.Timer // fires when the pending notices are due to be sent
 }
 
-// newSession returns a session with the peer that sent a hello. The caller stops its noticeTimer.
+// newSession returns a session with the peer that sent a hello. The caller must stop its noticeTimer.
 func newSession(now time.Duration, peer *hello, peerAddr string, bytesReceived func() uint64, cancel context.CancelFunc) *session {
 	s := &session{
 		peerAddr:           peerAddr,
@@ -88,8 +88,8 @@
 	return s
 }
 
-// timedOut reports whether a peer is to be given up: no byte has come for too long, or one message
-// takes too long.
+// timedOut reports whether the session should be closed, because no byte has arrived for too long or
+// one message is taking too long.
 func (s *session) timedOut(now time.Duration) bool {
 	if received := s.bytesReceived(); received != s.observedBytes {
 		s.observedBytes, s.lastProgress = received, now
@@ -97,7 +97,7 @@
 	return now-max(s.lastMessage, s.lastProgress) > sessionTimeout || now-s.lastMessage > messageTimeout
 }
 
-// sessionSet is all sessions of a node.
+// sessionSet holds all sessions of a node.
 type sessionSet map[*session]bool
 
 // closeTimedOut closes the sessions with peers that have timed out.
@@ -109,7 +109,7 @@
 	}
 }
 
-// hasResponsiveRelay reports whether a relay with a quorum has been sending messages until now.
+// hasResponsiveRelay reports whether a relay with a quorum has sent a message within the session timeout.
 func (set sessionSet) hasResponsiveRelay(now time.Duration) bool {
 	for s := range set {
 		if s.peerIsCore && s.peerHasQuorum && now-s.lastMessage <= sessionTimeout {
@@ -129,10 +129,10 @@
 	return false
 }
 
-// wholeCoreIncomplete reports whether there are sessions with all other members of the core, and none
-// of them is complete: then nobody is.
+// wholeCoreIncomplete reports whether all other members of the core have reported on their sessions that
+// they are incomplete. If this node is incomplete too, no member of the core is complete.
 func (set sessionSet) wholeCoreIncomplete(selfAddr string, members []Peer) bool {
-	complete := map[string]bool{} // by address, of those that have reported it
+	complete := map[string]bool{} // by address; only of peers that have reported whether they are complete
 	for s := range set {
 		if s.completenessKnown {
 			complete[s.peerAddr] = complete[s.peerAddr] || s.peerComplete
@@ -164,7 +164,7 @@
 	return addrs
 }
 
-// forgetSource drops what is recorded of a source that has ended.
+// forgetSource deletes the records about a source that has ended.
 func (set sessionSet) forgetSource(source string) {
 	for s := range set {
 		delete(s.sent, source)
@@ -174,7 +174,7 @@
 }
 
 // acknowledgedBy returns the newest version of a source that the core member at an address has
-// acknowledged, 0 if none.
+// acknowledged, or 0 if it has acknowledged none.
 func (set sessionSet) acknowledgedBy(addr, source string) uint64 {
 	version := uint64(0)
 	for s := range set {
@@ -185,7 +185,8 @@
 	return version
 }
 
-// notifyQuorumAdvanced wakes the senders to the agent whose source a majority has a newer version of.
+// notifyQuorumAdvanced wakes the senders to the agent with the given source, because a majority now has a
+// newer version of that source.
 func (set sessionSet) notifyQuorumAdvanced(source string) {
 	for s := range set {
 		if !s.peerIsCore && s.source == source {
@@ -194,10 +195,10 @@
 	}
 }
 
-// wakeSender has the session's sender look for what its peer lacks.
+// wakeSender makes the session's sender check what its peer lacks.
 func (s *session) wakeSender() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // it has been woken already
+	default: // a wakeup is already pending
 	}
 }
--- a/internal/fleet/relay/snapshot.go
+++ b/internal/fleet/relay/snapshot.go
@@ -5,17 +5,17 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Snapshot is the state that the data plane works by. It is immutable, and consistent: all of it is
-// of the same moment.
+// Snapshot is the state that the data plane uses. It is immutable and consistent: all of its fields
+// describe the same moment.
 type Snapshot struct {
-	ConfigSeq uint64           // position of Config in the core's chain
-	Config    *config.Document // nil before the first
+	ConfigSeq uint64           // sequence number of Config; 0 before the first configuration
+	Config    *config.Document // nil before the first configuration
 	Servers   *registry.List
-	Agents    int  // number of members, at least one: this process
-	Synced    bool // this process has once had everything that a relay knows
+	Agents    int  // number of agents in the fleet, at least 1 as it counts this process
+	Synced    bool // whether this process has ever been complete, see readiness
 }
 
-// publishSnapshotLocked passes the newest state to the data plane, if it has changed.
+// publishSnapshotLocked passes the state to the data plane if it has changed.
 func (n *Node) publishSnapshotLocked() {
 	next := Snapshot{
 		ConfigSeq: n.config.seq,
--- a/internal/fleet/relay/upstream.go
+++ b/internal/fleet/relay/upstream.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// quorumLossTolerance is how long a relay may be without a quorum before its agents try others.
+	// quorumLossTolerance is how long a relay may be without a quorum before its agents try other relays.
 	quorumLossTolerance = 400 * time.Millisecond
-	// homeZoneRetryInterval is how long an agent stays with a relay of another zone before it tries
-	// those of its own, and the pause between two such attempts. Up to homeZoneRetryJitter is added, so
-	// that agents that lost the same relay do not return to it all at once.
+	// homeZoneRetryInterval is how long an agent stays with a relay of another zone before it tries the
+	// relays of its own zone, and the pause between two such attempts.
 	homeZoneRetryInterval = 2 * time.Second
-	homeZoneRetryJitter   = 4 * time.Second
-	// probationPeriod is how long a relay that ranks above the present one has to become complete.
+	// homeZoneRetryJitter is the maximum random time that is added to homeZoneRetryInterval, so that
+	// agents that lost the same relay do not all return to it at once.
+	homeZoneRetryJitter = 4 * time.Second
+	// probationPeriod is how long a relay that ranks above the preferred one has to become complete.
 	probationPeriod = 5 * time.Second
-	// seedAttemptPeriod: every so many attempts one goes to a seed or a redirect, not to a known relay.
+	// seedAttemptPeriod is the number of attempts of which the last one dials a seed or a redirect
+	// address instead of a known relay.
 	seedAttemptPeriod = 4
 	// otherZoneRank is added to the rank of relays of other zones.
 	otherZoneRank = 1 << 31
 )
 
-// upstreamSelector is what an agent has to remember to choose its relay.
+// upstreamSelector is the state by which an agent chooses its relay.
 type upstreamSelector struct {
-	redirectAddrs       []string      // relays that other agents named
-	nextHomeZoneAttempt time.Duration // when to try the relays of the own zone; 0: there is no need
+	redirectAddrs       []string      // relays named in the last redirect
+	nextHomeZoneAttempt time.Duration // when to try the relays of the agent's own zone; 0 if it needs none
 }
 
-// dialTargets returns the addresses that this node should begin a session with. A core member has
-// sessions with all others, of which the one with the lower address begins. Another agent has one,
-// with its preferred relay. attempt counts the calls since there was last nothing to dial. Sessions
-// that this node began and that it should no longer have are closed.
+// dialTargets returns the addresses that this node should dial. Core members have sessions with each
+// other, and of each two the one with the lower address dials. Any other agent has one session, with its
+// preferred relay. attempt is the number of calls since the last one that returned no address. dialTargets
+// also closes sessions that this node dialed and should no longer have.
 func (n *Node) dialTargets(attempt int) []string {
 	members, isMember := n.options.Core.Members(), n.options.Core.IsMember()
 	n.mu.Lock()
@@ -53,11 +55,11 @@
 		return nil
 	}
 	fallback := append(slices.Clone(n.options.SeedAddrs()), n.upstream.redirectAddrs...)
-	connected[n.options.Self.Addr] = true // it is no target either
+	connected[n.options.Self.Addr] = true // this node does not dial itself
 	return nextDialTarget(order, fallback, connected, attempt)
 }
 
-// coreDialTargets returns the members of the core that the one at an address should dial.
+// coreDialTargets returns the addresses that the member of the core at selfAddr should dial.
 func coreDialTargets(selfAddr string, members []Peer, connected map[string]bool) (addrs []string) {
 	for _, member := range members {
 		if member.Addr > selfAddr && !connected[member.Addr] {
@@ -67,8 +69,8 @@
 	return addrs
 }
 
-// closeFormerMembers closes the sessions that were dialed to agents which are no members of the core
-// any more. Without any known member it closes none.
+// closeFormerMembers closes the sessions that this node dialed to agents that are no longer members of the
+// core. If no member is known, it closes none.
 func (set sessionSet) closeFormerMembers(members []Peer) {
 	for s := range set {
 		isPeer := func(member Peer) bool { return member.Addr == s.peerAddr }
@@ -78,8 +80,9 @@
 	}
 }
 
-// nextDialTarget returns the one address for an agent without a relay to try: the known relays in
-// turn by order, and every so often one of the fallback addresses; only those if no relay is known.
+// nextDialTarget returns the one address that an agent without a relay should try, or none. It rotates
+// through the known relays in the given order; every seedAttemptPeriod-th attempt goes to a fallback
+// address. If no relay is known, all attempts go to fallback addresses.
 func nextDialTarget(order, fallback []string, excluded map[string]bool, attempt int) []string {
 	candidates, next := order, attempt-attempt/seedAttemptPeriod
 	if len(candidates) == 0 {
@@ -96,8 +99,8 @@
 	return nil
 }
 
-// homeZoneTargets returns the relays of the own zone, every now and then while the preferred one is
-// of another zone. The session with that one lasts until one of them is complete.
+// homeZoneTargets returns, at intervals, the relays of the agent's own zone to dial while the preferred
+// relay is in another zone. The session with the preferred relay stays open until one of them is complete.
 func (u *upstreamSelector) homeZoneTargets(preferred *session, zone string, members []Peer, connected map[string]bool, now time.Duration) (addrs []string) {
 	for _, member := range members {
 		if member.Zone != zone {
@@ -121,9 +124,9 @@
 	return addrs
 }
 
-// preferred returns the session that an agent relies on: one with a relay that has a quorum, of those
-// a complete one, of those the first by order. Without one, acceptable reports whether some relay has
-// been without a quorum only for a moment.
+// preferred returns the best session that the agent dialed to a relay with a quorum, or nil if there is
+// none. Sessions with complete relays are better, then those that come first in order. acceptable reports
+// whether any dialed relay has a quorum or lost it less than quorumLossTolerance ago.
 func (set sessionSet) preferred(order []string, now time.Duration) (best *session, acceptable bool) {
 	for s := range set {
 		if !s.outbound || !s.peerIsCore {
@@ -137,8 +140,7 @@
 	return best, acceptable
 }
 
-// preferredOver reports whether a session is preferred over another, both with relays that have a
-// quorum.
+// preferredOver reports whether a session is preferred over another one. The relays of both have a quorum.
 func (s *session) preferredOver(other *session, order []string) bool {
 	if s.peerComplete != other.peerComplete {
 		return s.peerComplete
@@ -146,7 +148,7 @@
 	return rank(order, s.peerAddr) < rank(order, other.peerAddr)
 }
 
-// closeOthers closes the dialed sessions beside the preferred one, but for those on probation.
+// closeOthers closes all dialed sessions except the preferred one and those on probation.
 func (set sessionSet) closeOthers(preferred *session, order []string, now time.Duration) {
 	for s := range set {
 		if s.outbound && s != preferred && !s.onProbation(preferred, order, now) {
@@ -155,7 +157,7 @@
 	}
 }
 
-// onProbation reports whether a session that ranks above the preferred one may still become it.
+// onProbation reports whether a session whose relay ranks above the preferred one's may still replace it.
 func (s *session) onProbation(preferred *session, order []string, now time.Duration) bool {
 	if rank(order, s.peerAddr) >= rank(order, preferred.peerAddr) {
 		return false
@@ -164,7 +166,7 @@
 	return age < helloTimeout || s.peerHasQuorum && age < probationPeriod
 }
 
-// rank is the position of an address in an order, or the one after its end.
+// rank returns the position of an address in an order, or the order's length if it is missing.
 func rank(order []string, addr string) int {
 	if i := slices.Index(order, addr); i >= 0 {
 		return i
@@ -173,13 +175,13 @@
 }
 
 // PreferredMembers returns the addresses of the members of the core in this agent's order of preference:
-// those of its zone first, each group spread over the agents by a hash.
+// members in its own zone come first. A hash orders each group, differently for each agent.
 func (n *Node) PreferredMembers() []string {
 	return preferenceOrder(&n.options.Self, n.options.Core.Members())
 }
 
-// PreferredAgents returns the addresses of the other agents in this agent's order of preference. It takes
-// time in proportion to their number.
+// PreferredAgents returns the addresses of the other agents in this agent's order of preference. Its
+// running time grows with the number of agents.
 func (n *Node) PreferredAgents() []string {
 	var agents []Peer
 	for _, member := range n.OtherMembers(false) {
@@ -188,8 +190,8 @@
 	return preferenceOrder(&n.options.Self, agents)
 }
 
-// preferenceOrder orders the addresses of relays for an agent: those of its zone first, each group
-// by a hash, so that the agents spread evenly.
+// preferenceOrder returns the addresses of members in an agent's order of preference: members in its own
+// zone come first. A hash orders each group, so that the agents' first choices are spread evenly.
 func preferenceOrder(self *Member, members []Peer) []string {
 	rankOf := func(member Peer) uint32 {
 		hash := fnv.New32a()
