--- a/internal/fleet/deltasync/source.go
+++ b/internal/fleet/deltasync/source.go
@@ -22,11 +22,11 @@
 		item.Data = nil
 	}
 	if element := s.items[item.Key]; element != nil {
-		old := element.Value.(*Item)
-		if old.Data == nil {
+		oldItem := element.Value.(*Item)
+		if oldItem.Data == nil {
 			s.tombstones--
 		}
-		s.bytes -= old.size()
+		s.bytes -= oldItem.size()
 		s.byVersion.Remove(element)
 	}
 	if item.Data == nil {
--- a/internal/fleet/deltasync/store.go
+++ b/internal/fleet/deltasync/store.go
@@ -43,12 +43,12 @@
 // StartIncarnation replaces the own source by one with a new name and the same items in the same order,
 // without tombstones. The old source has then ended.
 func (s *Store) StartIncarnation(name string) {
-	oldName, old := s.ownSource, s.sources[s.ownSource]
+	oldName, oldSource := s.ownSource, s.sources[s.ownSource]
 	delete(s.sources, oldName) // before EndSource, as remoteBytes does not include the own source
 	s.ownSource = name
 	s.EndSource(oldName)
 	s.sources[name] = newSourceState()
-	for element := old.byVersion.Front(); element != nil; element = element.Next() {
+	for element := oldSource.byVersion.Front(); element != nil; element = element.Next() {
 		if item := element.Value.(*Item); item.Data != nil {
 			s.Put(item.Key, item.Data)
 		}
@@ -104,8 +104,8 @@
 func (s *Store) DeltasSince(vector Vector) []Delta {
 	var deltas []Delta
 	for name, source := range s.sources {
-		if present := vector[name]; present < source.version {
-			deltas = append(deltas, Delta{Source: name, From: present, To: source.version, Items: source.itemsSince(present)})
+		if receiverVersion := vector[name]; receiverVersion < source.version {
+			deltas = append(deltas, Delta{Source: name, From: receiverVersion, To: source.version, Items: source.itemsSince(receiverVersion)})
 		}
 	}
 	slices.SortFunc(deltas, func(a, b Delta) int { return cmp.Compare(a.Source, b.Source) })
@@ -142,9 +142,9 @@
 // applyItems stores the items of a delta that are newer than the source, and appends them to changes.
 func (s *Store) applyItems(d *Delta, source *sourceState, changes []Change) []Change {
 	s.remoteBytes -= source.bytes
-	present := source.version
+	previousVersion := source.version
 	for _, item := range d.Items {
-		if item.Version > present {
+		if item.Version > previousVersion {
 			changes = append(changes, Change{d.Source, source.put(item)})
 		}
 	}
--- a/internal/fleet/relay/changes.go
+++ b/internal/fleet/relay/changes.go
@@ -18,8 +18,8 @@
 	endPrefix    = "e/" // an end that the agent announces, by the ended source
 )
 
-// present is the data of items for which only the key matters.
-var present = []byte{1}
+// presentData is the data of items for which only the key matters.
+var presentData = []byte{1}
 
 // isAgentSource reports whether a source is an agent's.
 func isAgentSource(source string) bool { return source != "" && source != configSource }
@@ -62,8 +62,8 @@
 		n.applyServerLocked(now, source, id, data)
 	} else if holder, ok := strings.CutPrefix(key, leasePrefix); ok {
 		n.applyLeaseLocked(now, source, holder, data != nil)
-	} else if ended, ok := strings.CutPrefix(key, endPrefix); ok && data != nil {
-		n.applyEndLocked(source, ended)
+	} else if endedSource, ok := strings.CutPrefix(key, endPrefix); ok && data != nil {
+		n.applyEndLocked(source, endedSource)
 	}
 }
 
@@ -102,13 +102,13 @@
 }
 
 // applyEndLocked ends a source whose end was announced, by another source or by itself.
-func (n *Node) applyEndLocked(announcer, ended string) {
-	departing := announcer == n.items.OwnSource() && announcer == ended // see Depart
-	if !isAgentSource(ended) || departing {
+func (n *Node) applyEndLocked(announcer, endedSource string) {
+	departing := announcer == n.items.OwnSource() && announcer == endedSource // see Depart
+	if !isAgentSource(endedSource) || departing {
 		return
 	}
-	n.endSourceLocked(ended)
-	if ended == announcer {
-		n.publishEndLocked(ended) // ending the source has deleted its own announcement
+	n.endSourceLocked(endedSource)
+	if endedSource == announcer {
+		n.publishEndLocked(endedSource) // ending the source has deleted its own announcement
 	}
 }
--- a/internal/fleet/relay/changes_test.go
+++ b/internal/fleet/relay/changes_test.go
@@ -24,10 +24,10 @@
 	odd := server("s", 1)
 	odd.State = 77
 	for name, d := range map[string]deltasync.Delta{
-		"end of nobody":                initialDelta("x/1", endPrefix, present),
-		"end of the configuration":     initialDelta("x/1", endPrefix+configSource, present),
-		"lease of nobody":              initialDelta("x/1", leasePrefix, present),
-		"lease of the configuration":   initialDelta("x/1", leasePrefix+configSource, present),
+		"end of nobody":                initialDelta("x/1", endPrefix, presentData),
+		"end of the configuration":     initialDelta("x/1", endPrefix+configSource, presentData),
+		"lease of nobody":              initialDelta("x/1", leasePrefix, presentData),
+		"lease of the configuration":   initialDelta("x/1", leasePrefix+configSource, presentData),
 		"a member that is no member":   initialDelta("x/1", memberKey, []byte("\xc1")),
 		"a huge member":                initialDelta("x/1", memberKey, &Member{Name: long}),
 		"a member as a list":           initialDelta("x/1", memberKey, []int{1, 2}),
@@ -38,12 +38,12 @@
 		"a huge text":                  initialDelta("x/1", serverPrefix+"s", big),
 		"an unknown state":             initialDelta("x/1", serverPrefix+"s", odd),
 		"nil":                          initialDelta("x/1", serverPrefix+"s", []byte{0xc0}),
-		"an unknown key":               initialDelta("x/1", "of-later", present),
+		"an unknown key":               initialDelta("x/1", "of-later", presentData),
 		"config that is no config":     initialDelta(configSource, configKey, []byte("\xc1")),
 		"config of another number":     initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
 		"config under another key":     initialDelta(configSource, "d", &configItem{Seq: 1, Raw: documentOf(1 << 30)}),
 		"a member of the config":       initialDelta(configSource, memberKey, &Member{Name: "x"}),
-		"an end by the config":         initialDelta(configSource, endPrefix+"v/1", present),
+		"an end by the config":         initialDelta(configSource, endPrefix+"v/1", presentData),
 		"a server of the config":       initialDelta(configSource, serverPrefix+"s", server("s", 1)),
 		"config that cannot be parsed": initialDelta(configSource, configKey, &configItem{Seq: 1, Raw: []byte("{")}),
 	} {
@@ -85,7 +85,7 @@
 			require.GreaterOrEqual(t, node.snapshot.ConfigSeq, configSeq, "the configuration regressed")
 			require.GreaterOrEqual(t, node.snapshot.Servers.Version, listVersion)
 			configSeq, listVersion = node.snapshot.ConfigSeq, node.snapshot.Servers.Version
-			require.LessOrEqual(t, len(peer.sent), 8)
+			require.LessOrEqual(t, len(peer.sentVersions), 8)
 			require.LessOrEqual(t, node.snapshot.Agents, 6)
 			require.NotContains(t, node.members, configSource)
 		}
@@ -155,7 +155,7 @@
 	case 4:
 		return nil
 	default:
-		return present
+		return presentData
 	}
 }
 
--- a/internal/fleet/relay/config.go
+++ b/internal/fleet/relay/config.go
@@ -39,12 +39,12 @@
 func (n *Node) ApplyConfig(seq uint64, raw []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.items.Version(configSource)
-	if seq <= current {
+	currentVersion := n.items.Version(configSource)
+	if seq <= currentVersion {
 		return
 	}
 	item := deltasync.Item{Key: configKey, Version: seq, Data: encode(&configItem{seq, raw})}
-	n.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: current, To: seq, Items: []deltasync.Item{item}}})
+	n.applyDeltasLocked([]deltasync.Delta{{Source: configSource, From: currentVersion, To: seq, Items: []deltasync.Item{item}}})
 }
 
 // ConfigSeq returns the sequence number of the configuration in force, or 0 before the first one.
@@ -74,11 +74,11 @@
 
 // submittedConfig returns the document in an item's data if the item has the given sequence number.
 func submittedConfig(data []byte, seq uint64) (raw []byte, found bool) {
-	var committed configItem
-	if err := msgpack.Unmarshal(data, &committed); err != nil || committed.Seq != seq {
+	var committedItem configItem
+	if err := msgpack.Unmarshal(data, &committedItem); err != nil || committedItem.Seq != seq {
 		return nil, false
 	}
-	return committed.Raw, true
+	return committedItem.Raw, true
 }
 
 // MarkConfigCurrent records that the core has been read since this node's start, and that this node has
@@ -92,15 +92,15 @@
 
 // applyConfigItemLocked puts a replicated configuration into force, unless it is older or invalid.
 func (n *Node) applyConfigItemLocked(item deltasync.Item) {
-	var committed configItem
-	if err := msgpack.Unmarshal(item.Data, &committed); err != nil || committed.Seq <= n.config.seq || committed.Seq != item.Version {
+	var committedItem configItem
+	if err := msgpack.Unmarshal(item.Data, &committedItem); err != nil || committedItem.Seq <= n.config.seq || committedItem.Seq != item.Version {
 		return
 	}
-	document, err := config.Parse(committed.Raw)
+	document, err := config.Parse(committedItem.Raw)
 	if err != nil {
-		logevent.ConfigUnreadable.Error(err, "seq", committed.Seq)
+		logevent.ConfigUnreadable.Error(err, "seq", committedItem.Seq)
 		return
 	}
-	n.config = configState{committed.Seq, document}
-	logevent.ConfigApplied.Log("seq", committed.Seq, "revision", document.Revision)
+	n.config = configState{committedItem.Seq, document}
+	logevent.ConfigApplied.Log("seq", committedItem.Seq, "revision", document.Revision)
 }
--- a/internal/fleet/relay/confighistory.go
+++ b/internal/fleet/relay/confighistory.go
@@ -69,8 +69,8 @@
 	if base == nil {
 		return nil
 	}
-	diff, computed := h.diffs[from]
-	if !computed {
+	diff, isCached := h.diffs[from]
+	if !isCached {
 		diff = computeConfigDiff(from, base, h.configs[len(h.configs)-1])
 		h.diffs[from] = diff
 	}
@@ -108,19 +108,19 @@
 	if diff == nil {
 		return nil
 	}
-	restored := deltasync.Delta{Source: configSource, From: diff.From, To: diff.To}
+	restoredDelta := deltasync.Delta{Source: configSource, From: diff.From, To: diff.To}
 	n.mu.Lock()
-	present, base := n.items.Version(configSource), n.configHistory.data(diff.From)
+	currentVersion, base := n.items.Version(configSource), n.configHistory.data(diff.From)
 	n.mu.Unlock()
-	if diff.To > present { // otherwise the delta without items just shows which version the peer has
+	if diff.To > currentVersion { // otherwise the delta without items just shows which version the peer has
 		data, err := diff.apply(base)
 		if err != nil {
 			n.requireWholeConfig()
 			return err
 		}
-		restored.Items = []deltasync.Item{{Key: configKey, Version: diff.To, Data: data}}
+		restoredDelta.Items = []deltasync.Item{{Key: configKey, Version: diff.To, Data: data}}
 	}
-	m.Deltas = append(m.Deltas, restored)
+	m.Deltas = append(m.Deltas, restoredDelta)
 	return nil
 }
 
--- a/internal/fleet/relay/confighistory_test.go
+++ b/internal/fleet/relay/confighistory_test.go
@@ -169,7 +169,7 @@
 	relay.ApplyConfig(1, revisedDocument(1, diffConfigBytes))
 	relay.ApplyConfig(2, revisedDocument(2, diffConfigBytes))
 	require.NoError(t, relay.receiveMessage(peer, &message{ConfigDiff: &configDiff{From: 1, To: 2}, IsCore: true}))
-	assert.Equal(t, uint64(2), peer.sent[configSource])
+	assert.Equal(t, uint64(2), peer.sentVersions[configSource])
 }
 
 // The difference to the newest configuration is computed once for all sessions.
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -16,14 +16,14 @@
 	maxRedirects = 16
 )
 
-// dialing is the set of addresses that this node is dialing, or has a session with that it dialed.
-type dialing struct {
+// dialedAddrs is the set of addresses that this node is dialedAddrs, or has a session with that it dialed.
+type dialedAddrs struct {
 	mu    sync.Mutex
 	addrs map[string]bool // guarded by mu
 }
 
 // begin adds an address, and returns false if the set already contains it.
-func (d *dialing) begin(addr string) bool {
+func (d *dialedAddrs) begin(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.addrs[addr] {
@@ -34,7 +34,7 @@
 }
 
 // end removes an address.
-func (d *dialing) end(addr string) {
+func (d *dialedAddrs) end(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.addrs, addr)
@@ -42,18 +42,18 @@
 
 // dialLoop dials the peers that dialTargets returns and runs the sessions with them, until ctx ends.
 func (n *Node) dialLoop(ctx context.Context) {
-	var running sync.WaitGroup
-	defer running.Wait()
-	active := &dialing{addrs: map[string]bool{}}
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	dialed := &dialedAddrs{addrs: map[string]bool{}}
 	attempt := 0
 	for ctx.Err() == nil {
 		targets := n.dialTargets(attempt)
 		for _, addr := range targets {
-			if !active.begin(addr) {
+			if !dialed.begin(addr) {
 				continue
 			}
-			running.Go(func() {
-				defer active.end(addr)
+			wg.Go(func() {
+				defer dialed.end(addr)
 				n.dialSession(ctx, addr)
 			})
 		}
@@ -94,24 +94,24 @@
 	defer hangUp()
 	isMember := n.options.Core.IsMember()
 	n.mu.Lock()
-	own := n.newHelloLocked(isMember)
+	ownHello := n.newHelloLocked(isMember)
 	n.mu.Unlock()
-	if st.Send(&message{Hello: own, IsCore: isMember, HasQuorum: n.options.Core.HasQuorum()}) != nil {
+	if st.Send(&message{Hello: ownHello, IsCore: isMember, HasQuorum: n.options.Core.HasQuorum()}) != nil {
 		return
 	}
-	first, err := st.Recv()
+	firstMessage, err := st.Recv()
 	if err != nil || !timeout.Stop() {
 		return
 	}
-	if first.Hello == nil {
-		n.recordRedirect(first.Redirect)
+	if firstMessage.Hello == nil {
+		n.recordRedirect(firstMessage.Redirect)
 		return
 	}
-	if first.Hello.validate() != nil {
+	if firstMessage.Hello.validate() != nil {
 		return
 	}
 	logevent.SessionStarted.Log("peer", addr)
-	err = n.runSession(ctx, st, first.Hello, addr, own, first)
+	err = n.runSession(ctx, st, firstMessage.Hello, addr, ownHello, firstMessage)
 	logevent.SessionEnded.Log("peer", addr, "err", err)
 }
 
--- a/internal/fleet/relay/freshness.go
+++ b/internal/fleet/relay/freshness.go
@@ -58,8 +58,8 @@
 
 // sessionFreshness is a relay's record of the freshness questions of one agent.
 type sessionFreshness struct {
-	question  uint64 // the newest question received; zero if there is none
-	confirmed uint64 // the newest question received before the start of a successful confirmation; zero if none
+	question          uint64 // the newest question received; zero if there is none
+	confirmedQuestion uint64 // the newest question received before the start of a successful confirmation; zero if none
 }
 
 // ConfigFreshAsOf returns a time such that this process has every configuration that was acknowledged
@@ -82,8 +82,8 @@
 		update.FreshnessQuestion = uint64(n.now().Milliseconds())
 		return
 	}
-	if s.freshness.confirmed > 0 {
-		update.FreshnessAnswer, update.FreshnessSeq = s.freshness.confirmed, n.config.seq
+	if s.freshness.confirmedQuestion > 0 {
+		update.FreshnessAnswer, update.FreshnessSeq = s.freshness.confirmedQuestion, n.config.seq
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	if m.FreshnessQuestion > s.freshness.question {
 		s.freshness.question = m.FreshnessQuestion
-		if s.freshness.confirmed == 0 {
+		if s.freshness.confirmedQuestion == 0 {
 			n.freshness.wakeConfirm()
 		}
 	}
@@ -108,17 +108,17 @@
 // confirmLoop confirms the configuration with the core while this process is a member, until ctx ends. It
 // begins further confirmations while a slow one is in progress, as the core may have changed since.
 func (n *Node) confirmLoop(ctx context.Context) {
-	var running sync.WaitGroup
-	defer running.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	slots := make(chan struct{}, maxConfirmations)
-	confirmed := make(chan bool, maxConfirmations)
+	results := make(chan bool, maxConfirmations)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case ok := <-confirmed:
+		case ok := <-results:
 			<-slots
 			if !ok {
 				timer.Reset(confirmRetryInterval)
@@ -135,7 +135,7 @@
 		}
 		select {
 		case slots <- struct{}{}:
-			running.Go(func() { confirmed <- n.confirm(ctx) })
+			wg.Go(func() { results <- n.confirm(ctx) })
 		default: // maxConfirmations are already in progress
 		}
 	}
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	n.mu.Lock()
-	begun := n.now()
+	startTime := n.now()
 	questions := make(map[*session]uint64, len(n.sessions))
 	for s := range n.sessions {
 		questions[s] = s.freshness.question
@@ -158,11 +158,11 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.freshness.renew(begun)
+	n.freshness.renew(startTime)
 	for s, question := range questions {
-		first := s.freshness.confirmed == 0 && question > 0
-		s.freshness.confirmed = max(s.freshness.confirmed, question)
-		if first {
+		isFirst := s.freshness.confirmedQuestion == 0 && question > 0
+		s.freshness.confirmedQuestion = max(s.freshness.confirmedQuestion, question)
+		if isFirst {
 			s.wakeSender()
 		}
 	}
--- a/internal/fleet/relay/incarnation.go
+++ b/internal/fleet/relay/incarnation.go
@@ -31,24 +31,24 @@
 
 // newSourceName returns the source name for a new incarnation of this agent.
 func (n *Node) newSourceName() string {
-	var random [incarnationBytes]byte
-	_, _ = rand.Read(random[:]) // never fails
-	return n.options.Self.Name + "/" + hex.EncodeToString(random[:])
+	var randomBytes [incarnationBytes]byte
+	_, _ = rand.Read(randomBytes[:]) // never fails
+	return n.options.Self.Name + "/" + hex.EncodeToString(randomBytes[:])
 }
 
 // startIncarnationLocked replaces the own source by a new one with the same servers, leases and member entry.
 // It is called when other agents have ended the old source, or when that has too many tombstones. It closes all
 // sessions, as they were started under the old name and track its versions.
 func (n *Node) startIncarnationLocked() {
-	now, old := n.now(), n.items.OwnSource()
-	logevent.OwnLeaseExpired.Log("old", old)
+	now, oldSource := n.now(), n.items.OwnSource()
+	logevent.OwnLeaseExpired.Log("old", oldSource)
 	n.items.StartIncarnation(n.newSourceName())
-	current := n.items.OwnSource()
-	n.leases.Remove(now, old)
-	delete(n.members, old)
-	n.servers.RenameOwnSource(now, current)
+	newSource := n.items.OwnSource()
+	n.leases.Remove(now, oldSource)
+	delete(n.members, oldSource)
+	n.servers.RenameOwnSource(now, newSource)
 	for source := range n.leases.granted {
-		n.leases.Grant(now, source, current)
+		n.leases.Grant(now, source, newSource)
 	}
 	for s := range n.sessions {
 		s.cancel()
@@ -83,7 +83,7 @@
 		return
 	}
 	n.ends[source] = n.now()
-	n.publishItemLocked(endPrefix+source, present)
+	n.publishItemLocked(endPrefix+source, presentData)
 }
 
 // withdrawOldEndsLocked stops announcing ends that have been announced for longer than endRetention.
--- a/internal/fleet/relay/incarnation_test.go
+++ b/internal/fleet/relay/incarnation_test.go
@@ -43,7 +43,7 @@
 		agent.Heartbeat(t.Context(), server("s", uint64(2*i+1)))
 		agent.Heartbeat(t.Context(), server(fmt.Sprint("r", i), 1))
 		agent.mu.Lock()
-		agent.publishItemLocked("gone", present) // versions that the new incarnation does not have
+		agent.publishItemLocked("gone", presentData) // versions that the new incarnation does not have
 		agent.publishItemLocked("gone", nil)
 		agent.mu.Unlock()
 	}
@@ -89,7 +89,7 @@
 	peer = relay.connect("addr of a", agent.source(), false) // it reconnects at once
 	relay.runFor(10*time.Second, relay.heartbeatFrom(peer))
 	assert.Empty(t, relay.publishedEndSources())
-	assert.Equal(t, present, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
+	assert.Equal(t, presentData, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
 	// The lease of one that does not reconnect expires.
 	relay.mu.Lock()
 	relay.startIncarnationLocked()
@@ -106,7 +106,7 @@
 	old := agent.source()
 	agent.mu.Lock()
 	for i := range 3000 {
-		agent.publishItemLocked(fmt.Sprint("x", i), present)
+		agent.publishItemLocked(fmt.Sprint("x", i), presentData)
 		agent.publishItemLocked(fmt.Sprint("x", i), nil)
 	}
 	agent.mu.Unlock()
--- a/internal/fleet/relay/leasepoll.go
+++ b/internal/fleet/relay/leasepoll.go
@@ -30,27 +30,27 @@
 
 // leasePoll is the state of this node's latest poll about expired leases.
 type leasePoll struct {
-	id       uint64 // ID of the question; zero before the first poll
-	begun    time.Duration
-	asked    map[string]bool // all sources of the question
-	sources  map[string]bool // sources that no answer has reported as held; empty if no poll is in progress
-	answered map[string]bool // addresses of the members that have answered
+	id            uint64 // ID of the question; zero before the first poll
+	startTime     time.Duration
+	polledSources map[string]bool // all sources of the question
+	unheldSources map[string]bool // sources that no answer has reported as held; empty if no poll is in progress
+	answeredAddrs map[string]bool // addresses of the members that have answered
 }
 
 // covers reports whether the latest poll asked about a source less than leasePollTimeout ago. It prevents constant
 // polling about a lease that stays expired on this node while another member reports it as held.
 func (p *leasePoll) covers(now time.Duration, source string) bool {
-	return p.asked[source] && now-p.begun < leasePollTimeout
+	return p.polledSources[source] && now-p.startTime < leasePollTimeout
 }
 
 // begin starts a poll about up to maxPolledLeases sources.
 func (p *leasePoll) begin(now time.Duration, sources []string) {
 	p.id++
-	p.begun = now
-	p.answered = map[string]bool{}
-	p.asked, p.sources = map[string]bool{}, map[string]bool{}
+	p.startTime = now
+	p.answeredAddrs = map[string]bool{}
+	p.polledSources, p.unheldSources = map[string]bool{}, map[string]bool{}
 	for _, source := range sources[:min(len(sources), maxPolledLeases)] {
-		p.asked[source], p.sources[source] = true, true
+		p.polledSources[source], p.unheldSources[source] = true, true
 	}
 }
 
@@ -59,9 +59,9 @@
 	if p.id == 0 || answer.ID != p.id {
 		return // it answers an earlier question, or none of this node's
 	}
-	p.answered[addr] = true
+	p.answeredAddrs[addr] = true
 	for _, source := range answer.Held {
-		delete(p.sources, source)
+		delete(p.unheldSources, source)
 	}
 }
 
@@ -69,7 +69,7 @@
 func (p *leasePoll) decided(selfAddr string, members []Peer) bool {
 	count := 0
 	for _, member := range members {
-		if member.Addr == selfAddr || p.answered[member.Addr] {
+		if member.Addr == selfAddr || p.answeredAddrs[member.Addr] {
 			count++
 		}
 	}
@@ -77,12 +77,12 @@
 }
 
 // pollLeasesLocked starts a poll about expired leases, unless the latest poll covers all of them.
-func (n *Node) pollLeasesLocked(now time.Duration, expired []string, members []Peer) {
+func (n *Node) pollLeasesLocked(now time.Duration, expiredSources []string, members []Peer) {
 	isCovered := func(source string) bool { return n.leasePoll.covers(now, source) }
-	if len(expired) == 0 || !slices.ContainsFunc(expired, func(source string) bool { return !isCovered(source) }) {
+	if len(expiredSources) == 0 || !slices.ContainsFunc(expiredSources, func(source string) bool { return !isCovered(source) }) {
 		return
 	}
-	n.leasePoll.begin(now, expired)
+	n.leasePoll.begin(now, expiredSources)
 	for s := range n.sessions {
 		if s.peerIsCore {
 			s.wakeSender()
@@ -93,14 +93,14 @@
 
 // decideLeasesLocked ends the polled leases that no member reported as held, once a majority has answered.
 func (n *Node) decideLeasesLocked(members []Peer) {
-	if len(n.leasePoll.sources) == 0 || !n.leasePoll.decided(n.options.Self.Addr, members) {
+	if len(n.leasePoll.unheldSources) == 0 || !n.leasePoll.decided(n.options.Self.Addr, members) {
 		return
 	}
-	sources := n.leasePoll.sources
-	n.leasePoll.sources = nil
-	connected := n.connectedSourcesLocked()
+	sources := n.leasePoll.unheldSources
+	n.leasePoll.unheldSources = nil
+	connectedSources := n.connectedSourcesLocked()
 	for source := range sources {
-		if !connected[source] {
+		if !connectedSources[source] {
 			n.expireSourceLocked(source)
 		}
 	}
@@ -112,10 +112,10 @@
 	if !update.IsCore || !s.peerIsCore {
 		return
 	}
-	if len(n.leasePoll.sources) > 0 && s.leasePollSent < n.leasePoll.id {
+	if len(n.leasePoll.unheldSources) > 0 && s.leasePollSent < n.leasePoll.id {
 		s.leasePollSent = n.leasePoll.id
 		update.LeaseQuestion = &leaseQuestion{ID: n.leasePoll.id}
-		for source := range n.leasePoll.sources {
+		for source := range n.leasePoll.unheldSources {
 			update.LeaseQuestion.Sources = append(update.LeaseQuestion.Sources, source)
 		}
 	}
@@ -140,9 +140,9 @@
 // answerLeasesLocked returns the answer to a question: which of its sources this process has a session with.
 func (n *Node) answerLeasesLocked(question *leaseQuestion) *leaseAnswer {
 	answer := &leaseAnswer{ID: question.ID}
-	connected := n.connectedSourcesLocked()
+	connectedSources := n.connectedSourcesLocked()
 	for _, source := range question.Sources {
-		if connected[source] {
+		if connectedSources[source] {
 			answer.Held = append(answer.Held, source)
 		}
 	}
@@ -151,7 +151,7 @@
 
 // connectedSourcesLocked returns the own source and the sources of all peers.
 func (n *Node) connectedSourcesLocked() map[string]bool {
-	connected := n.sessions.sources()
-	connected[n.items.OwnSource()] = true
-	return connected
+	sources := n.sessions.sources()
+	sources[n.items.OwnSource()] = true
+	return sources
 }
--- a/internal/fleet/relay/leasepoll_test.go
+++ b/internal/fleet/relay/leasepoll_test.go
@@ -73,7 +73,7 @@
 		many[i] = fmt.Sprint("a/", i)
 	}
 	relay.leasePoll.begin(relay.now(), many)
-	assert.Len(t, relay.leasePoll.sources, maxPolledLeases)
+	assert.Len(t, relay.leasePoll.unheldSources, maxPolledLeases)
 }
 
 // An answer to an earlier question may be from before a session began.
@@ -83,7 +83,7 @@
 	assert.Empty(t, relay.publishedEndSources())
 	unasked := newManualNode("m0", true, Peer{Addr: "addr of m0"}, Peer{Addr: "addr of m1"})
 	unasked.leasesAnsweredBy(unasked.connect("addr of m1", "m1/1", true))()
-	assert.Empty(t, unasked.leasePoll.answered)
+	assert.Empty(t, unasked.leasePoll.answeredAddrs)
 }
 
 // An agent that has come back meanwhile keeps its lease, whatever the others say.
--- a/internal/fleet/relay/leases.go
+++ b/internal/fleet/relay/leases.go
@@ -39,20 +39,20 @@
 }
 
 // setGranted replaces the sources that this node grants leases to. It returns those added and those removed.
-func (l *leaseManager) setGranted(holders map[string]bool) (granted, released []string) {
+func (l *leaseManager) setGranted(holders map[string]bool) (grantedSources, releasedSources []string) {
 	for source := range holders {
 		if !l.granted[source] {
 			l.granted[source] = true
-			granted = append(granted, source)
+			grantedSources = append(grantedSources, source)
 		}
 	}
 	for source := range l.granted {
 		if !holders[source] {
 			delete(l.granted, source)
-			released = append(released, source)
+			releasedSources = append(releasedSources, source)
 		}
 	}
-	return granted, released
+	return grantedSources, releasedSources
 }
 
 // updateGrantedLeasesLocked publishes which leases this core member grants: one to each agent that it has
@@ -64,11 +64,11 @@
 			holders[s.source] = true
 		}
 	}
-	granted, released := n.leases.setGranted(holders)
-	for _, source := range granted {
-		n.publishItemLocked(leasePrefix+source, present)
+	grantedSources, releasedSources := n.leases.setGranted(holders)
+	for _, source := range grantedSources {
+		n.publishItemLocked(leasePrefix+source, presentData)
 	}
-	for _, source := range released {
+	for _, source := range releasedSources {
 		n.publishItemLocked(leasePrefix+source, nil)
 	}
 }
@@ -96,19 +96,19 @@
 // gives the core another leaseDuration to end the source or to renew its lease. It drops nothing while its
 // own relay is silent, as the renewal may be in flight.
 func (n *Node) expireLeasesLocked(now time.Duration, isMember bool, members []Peer) {
-	expired := n.leases.Expired(now)
-	connected := n.connectedSourcesLocked()
-	expired = slices.DeleteFunc(expired, func(source string) bool { return connected[source] })
+	expiredSources := n.leases.Expired(now)
+	connectedSources := n.connectedSourcesLocked()
+	expiredSources = slices.DeleteFunc(expiredSources, func(source string) bool { return connectedSources[source] })
 	if isMember {
 		if n.readiness.quorumFor(now, leaseDuration) {
-			n.pollLeasesLocked(now, expired, members)
+			n.pollLeasesLocked(now, expiredSources, members)
 		}
 		return
 	}
 	if !n.leases.attachedFor(now, sourceExpiry) {
 		return
 	}
-	for _, source := range expired {
+	for _, source := range expiredSources {
 		if n.leases.UngrantedFor(now, source) > sourceExpiry {
 			n.expireSourceLocked(source)
 		}
--- a/internal/fleet/relay/leases_test.go
+++ b/internal/fleet/relay/leases_test.go
@@ -80,7 +80,7 @@
 	agent.runFor(time.Minute, nil)
 	require.Len(t, agent.members, 3, "without a relay a missing lease proves nothing")
 	peer := agent.connect("addr of h", "h/1", true) // a core of one: nobody grants its lease
-	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+leased.source(), present)}})
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+leased.source(), presentData)}})
 	agent.runFor(2*leaseDuration-time.Second, agent.heartbeatFrom(peer))
 	require.Len(t, agent.members, 4)
 	agent.runFor(2*time.Second, agent.heartbeatFrom(peer))
@@ -98,12 +98,12 @@
 	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(unreachable)
 	relay := agent.connect("addr of h", "h/1", true)
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
 	agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, unreachable.source(), "the core may not have ended it")
-	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, unreachable.source(), present)}})
+	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 3, unreachable.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(relay))
 	require.Contains(t, agent.members, unreachable.source(), "the lease was renewed")
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 4, unreachable.source(), nil)}})
@@ -116,14 +116,14 @@
 	agent, unreachable := newManualNode("a", false), newManualNode("away", false)
 	agent.syncFrom(unreachable)
 	frozen := agent.connect("addr of h", "h/1", true)
-	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), present)}})
+	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("h/1", memberKey, &Member{Name: "h"}, leasePrefix+unreachable.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(frozen))
 	agent.deliver(frozen, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{leaseDelta("h/1", 2, unreachable.source(), nil)}})
 	agent.runFor(sourceExpiry-sessionTimeout-tickInterval, agent.heartbeatFrom(frozen))
 	agent.runFor(sessionTimeout+3*tickInterval, nil)
 	require.Contains(t, agent.members, unreachable.source(), "the frozen relay cannot tell")
 	next := agent.connect("addr of o", "o/1", true)
-	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+unreachable.source(), present)}})
+	agent.deliver(next, &message{IsCore: true, HasQuorum: true, Deltas: []deltasync.Delta{initialDelta("o/1", memberKey, &Member{Name: "o"}, leasePrefix+unreachable.source(), presentData)}})
 	agent.runFor(time.Minute, agent.heartbeatFrom(next))
 	assert.Contains(t, agent.members, unreachable.source())
 }
@@ -135,8 +135,8 @@
 	survivor := relay.connect("addr of survivor", "survivor/1", false)
 	relay.deliver(survivor, &message{Deltas: []deltasync.Delta{
 		initialDelta("survivor/1", memberKey, Member{Name: "survivor", Addr: "addr of survivor"}),
-		initialDelta("former-a/1", leasePrefix+"former-b/1", present, leasePrefix+"agent/1", present, leasePrefix+"survivor/1", present),
-		initialDelta("former-b/1", leasePrefix+"former-a/1", present),
+		initialDelta("former-a/1", leasePrefix+"former-b/1", presentData, leasePrefix+"agent/1", presentData, leasePrefix+"survivor/1", presentData),
+		initialDelta("former-b/1", leasePrefix+"former-a/1", presentData),
 		initialDelta("agent/1", memberKey, Member{Name: "agent", Addr: "seed-1"}, serverPrefix+"s", server("s", 1)),
 	}})
 	relay.tick()
--- a/internal/fleet/relay/manualnode_test.go
+++ b/internal/fleet/relay/manualnode_test.go
@@ -37,7 +37,7 @@
 // connect adds a session with a peer, which sends nothing by itself.
 func (n *manualNode) connect(peerAddr, source string, core bool) *session {
 	peer := newSession(n.now(), &hello{Source: source, IsCore: core}, peerAddr, func() uint64 { return 0 }, func() {})
-	peer.started = n.now() - time.Minute
+	peer.startTime = n.now() - time.Minute
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[peer] = true
--- a/internal/fleet/relay/member.go
+++ b/internal/fleet/relay/member.go
@@ -100,8 +100,8 @@
 func (n *Node) Depart(ctx context.Context) {
 	n.mu.Lock()
 	n.departing = true
-	n.publishItemLocked(endPrefix+n.items.OwnSource(), present)
-	published := n.publishedLocked()
+	n.publishItemLocked(endPrefix+n.items.OwnSource(), presentData)
+	published := n.currentOwnVersionLocked()
 	n.mu.Unlock()
 	n.awaitReceived(ctx, published)
 }
--- a/internal/fleet/relay/memberaddrs.go
+++ b/internal/fleet/relay/memberaddrs.go
@@ -46,10 +46,10 @@
 
 // observe records the addresses of the agents that are present now, and forgets those that have been absent
 // for longer than memberRetention.
-func (a *memberAddrs) observe(now time.Duration, present map[string]bool) {
-	for addr := range present {
-		if _, known := a.lastSeen[addr]; !known {
-			if len(a.lastSeen) >= maxMemberAddrs && !a.forgetOldest(present) {
+func (a *memberAddrs) observe(now time.Duration, presentAddrs map[string]bool) {
+	for addr := range presentAddrs {
+		if _, isKnown := a.lastSeen[addr]; !isKnown {
+			if len(a.lastSeen) >= maxMemberAddrs && !a.forgetOldest(presentAddrs) {
 				continue
 			}
 			a.version++
@@ -66,20 +66,20 @@
 
 // forgetOldest forgets the address that has been absent for the longest time. It returns false if no
 // remembered address is absent.
-func (a *memberAddrs) forgetOldest(present map[string]bool) bool {
-	oldest := ""
+func (a *memberAddrs) forgetOldest(presentAddrs map[string]bool) bool {
+	oldestAddr := ""
 	for addr, seen := range a.lastSeen {
-		if !present[addr] && (oldest == "" || seen < a.lastSeen[oldest]) {
-			oldest = addr
+		if !presentAddrs[addr] && (oldestAddr == "" || seen < a.lastSeen[oldestAddr]) {
+			oldestAddr = addr
 		}
 	}
-	delete(a.lastSeen, oldest)
-	return oldest != ""
+	delete(a.lastSeen, oldestAddr)
+	return oldestAddr != ""
 }
 
 // absent returns the remembered addresses that are not present, sorted.
-func (a *memberAddrs) absent(present map[string]bool) []string {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.lastSeen)), func(addr string) bool { return present[addr] })
+func (a *memberAddrs) absent(presentAddrs map[string]bool) []string {
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.lastSeen)), func(addr string) bool { return presentAddrs[addr] })
 }
 
 // encoded returns the addresses in the format that is stored on disk.
@@ -90,13 +90,13 @@
 // presentAddrsLocked returns the addresses of the agents that are in contact with the core, and this node's
 // own address.
 func (n *Node) presentAddrsLocked() map[string]bool {
-	present := map[string]bool{n.options.Self.Addr: true}
+	addrs := map[string]bool{n.options.Self.Addr: true}
 	for source, member := range n.members {
 		if n.leases.Reachable(source) && !n.items.Ended(source) {
-			present[member.Addr] = true
+			addrs[member.Addr] = true
 		}
 	}
-	return present
+	return addrs
 }
 
 // observeMemberAddrsLocked records the present agents' addresses if this node is a core member. Other nodes
@@ -117,14 +117,14 @@
 	if !n.attachment.attached {
 		return nil
 	}
-	present := n.presentAddrsLocked()
+	presentAddrs := n.presentAddrsLocked()
 	for _, voter := range voters {
-		present[voter.Addr] = true // voters know each other by the view
+		presentAddrs[voter.Addr] = true // voters know each other by the view
 	}
-	unreached := slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return present[addr] })
+	unreachedAddrs := slices.DeleteFunc(slices.Clone(seeds), func(addr string) bool { return presentAddrs[addr] })
 	if n.options.Self.IsCore {
-		unreached = append(unreached, n.memberAddrs.absent(present)...)
+		unreachedAddrs = append(unreachedAddrs, n.memberAddrs.absent(presentAddrs)...)
 	}
-	slices.SortFunc(unreached, cmp.Compare[string])
-	return slices.Compact(unreached)
+	slices.SortFunc(unreachedAddrs, cmp.Compare[string])
+	return slices.Compact(unreachedAddrs)
 }
--- a/internal/fleet/relay/node.go
+++ b/internal/fleet/relay/node.go
@@ -115,12 +115,12 @@
 	configCache   configCache
 	configHistory configHistory
 	// needsWholeConfig is set when a configuration diff could not be applied, until a configuration arrives.
-	needsWholeConfig bool
-	codec            deltaCodec    // has its own locks: mu need not be held
-	noticeLimiter    *rate.Limiter // in bytes that this node's notices cost each receiver
-	tableFullLog     rate.Sometimes
-	published        Snapshot
-	changed          chan struct{} // closed and replaced at each change
+	needsWholeConfig  bool
+	codec             deltaCodec    // has its own locks: mu need not be held
+	noticeLimiter     *rate.Limiter // in bytes that this node's notices cost each receiver
+	tableFullLog      rate.Sometimes
+	publishedSnapshot Snapshot
+	changed           chan struct{} // closed and replaced at each change
 }
 
 // New returns a node with a new incarnation and the servers that an earlier incarnation saved.
@@ -169,15 +169,15 @@
 
 // Run maintains the sessions, the leases and the saved server list until ctx ends. It returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	var running sync.WaitGroup
-	defer running.Wait()
-	running.Go(func() { n.dialLoop(ctx) })
-	running.Go(func() { n.startLoop(ctx) })
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	wg.Go(func() { n.dialLoop(ctx) })
+	wg.Go(func() { n.startLoop(ctx) })
 	if n.options.SaveServers != nil {
-		running.Go(func() { n.saveLoop(ctx) })
+		wg.Go(func() { n.saveLoop(ctx) })
 	}
 	if n.options.ConfirmConfig != nil {
-		running.Go(func() { n.confirmLoop(ctx) })
+		wg.Go(func() { n.confirmLoop(ctx) })
 	}
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -271,7 +271,7 @@
 	if !delayOver && !n.sessions.wholeCoreIncomplete(n.options.Self.Addr, members) {
 		return
 	}
-	if first := r.markComplete(); first {
+	if isFirst := r.markComplete(); isFirst {
 		logevent.SyncedAfterFullRestart.Log("config", n.config.seq, "linked", now-r.quorumSince)
 	}
 	n.notifyWaitersLocked()
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -70,7 +70,7 @@
 // BroadcastNotice informs the other agents of a request that was just sent. prefill is the estimated time
 // that the server needs for the request's prefill. If there is no capacity, the notice is dropped; notices
 // with a short prefill are dropped first.
-func (n *Node) BroadcastNotice(sent balancer.PrefillNotice, prefill time.Duration) {
+func (n *Node) BroadcastNotice(prefillNotice balancer.PrefillNotice, prefill time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	limiter := n.noticeLimiter
@@ -81,9 +81,9 @@
 	if !limiter.AllowN(time.Now(), noticeSize) {
 		return
 	}
-	out := notice{Instance: sent.Instance, Prefixes: sent.Prefixes, PromptTokens: sent.PromptTokens, UncachedTokens: sent.UncachedTokens, sentAt: n.now()}
+	newNotice := notice{Instance: prefillNotice.Instance, Prefixes: prefillNotice.Prefixes, PromptTokens: prefillNotice.PromptTokens, UncachedTokens: prefillNotice.UncachedTokens, sentAt: n.now()}
 	for s := range n.sessions {
-		s.enqueueNotice(out)
+		s.enqueueNotice(newNotice)
 	}
 }
 
@@ -104,38 +104,38 @@
 		notices = notices[:maxPendingNotices]
 	}
 	now, isMember := n.now(), n.options.Core.IsMember()
-	for _, received := range notices {
-		if !received.valid() {
+	for _, receivedNotice := range notices {
+		if !receivedNotice.valid() {
 			continue
 		}
-		received.sentAt = now - received.age()
+		receivedNotice.sentAt = now - receivedNotice.age()
 		if n.options.OnNotice != nil {
-			n.options.OnNotice(received.age(), &balancer.PrefillNotice{Instance: received.Instance, Prefixes: received.Prefixes,
-				PromptTokens: received.PromptTokens, UncachedTokens: received.UncachedTokens})
+			n.options.OnNotice(receivedNotice.age(), &balancer.PrefillNotice{Instance: receivedNotice.Instance, Prefixes: receivedNotice.Prefixes,
+				PromptTokens: receivedNotice.PromptTokens, UncachedTokens: receivedNotice.UncachedTokens})
 		}
-		received.Hops++
-		if isMember && received.Hops < maxHops {
-			n.sessions.forwardNotice(from, received)
+		receivedNotice.Hops++
+		if isMember && receivedNotice.Hops < maxHops {
+			n.sessions.forwardNotice(from, receivedNotice)
 		}
 	}
 }
 
 // forwardNotice forwards a notice. One that came from a relay goes to the agents, one that came from an
 // agent goes to all other peers.
-func (set sessionSet) forwardNotice(from *session, forwarded notice) {
+func (set sessionSet) forwardNotice(from *session, forwardedNotice notice) {
 	for s := range set {
 		if s != from && !(from.peerIsCore && s.peerIsCore) {
-			s.enqueueNotice(forwarded)
+			s.enqueueNotice(forwardedNotice)
 		}
 	}
 }
 
 // enqueueNotice schedules a notice to be sent, or drops it if too many are pending.
-func (s *session) enqueueNotice(pending notice) {
+func (s *session) enqueueNotice(pendingNotice notice) {
 	if len(s.pendingNotices) >= maxPendingNotices {
 		return
 	}
-	s.pendingNotices = append(s.pendingNotices, pending)
+	s.pendingNotices = append(s.pendingNotices, pendingNotice)
 	if len(s.pendingNotices) == 1 {
 		s.noticeTimer.Reset(noticeBatchDelay)
 	}
--- a/internal/fleet/relay/quorum.go
+++ b/internal/fleet/relay/quorum.go
@@ -19,8 +19,8 @@
 	version uint64
 }
 
-// publishedLocked returns the own source and its current version.
-func (n *Node) publishedLocked() ownVersion {
+// currentOwnVersionLocked returns the own source and its current version.
+func (n *Node) currentOwnVersionLocked() ownVersion {
 	return ownVersion{n.items.OwnSource(), n.items.OwnVersion()}
 }
 
@@ -44,12 +44,12 @@
 // a majority to have it. Of a version that is newer than this node's own, only this node's counts.
 func (n *Node) recordAcknowledgedLocked(s *session, source string, version uint64, members []Peer) {
 	version = min(version, n.items.Version(source))
-	if version <= s.acknowledged[source] {
+	if version <= s.ackedVersions[source] {
 		return
 	}
-	before := n.quorumVersionLocked(source, members)
-	s.acknowledged[source] = version
-	if n.quorumVersionLocked(source, members) <= before {
+	previousVersion := n.quorumVersionLocked(source, members)
+	s.ackedVersions[source] = version
+	if n.quorumVersionLocked(source, members) <= previousVersion {
 		return
 	}
 	if source == n.items.OwnSource() {
@@ -123,7 +123,7 @@
 			return true
 		}
 		for s := range n.sessions {
-			if s.peerIsCore && s.ownReceived >= version {
+			if s.peerIsCore && s.ownReceivedVersion >= version {
 				return true
 			}
 		}
@@ -131,18 +131,18 @@
 	})
 }
 
-// awaitVersion waits until arrived returns true for a version of the own source, and returns false if ctx
-// ends first. It calls arrived after each change, with the lock held. If this node starts a new incarnation
-// meanwhile, awaitVersion waits for the new source's current version, which includes everything that the
-// earlier incarnation had published.
-func (n *Node) awaitVersion(ctx context.Context, target ownVersion, arrived func(version uint64, isMember bool, members []Peer) bool) bool {
+// awaitVersion waits until isReplicated returns true for a version of the own source, and returns false if
+// ctx ends first. It calls isReplicated after each change, with the lock held. If this node starts a new
+// incarnation meanwhile, awaitVersion waits for the new source's current version, which includes everything
+// that the earlier incarnation had published.
+func (n *Node) awaitVersion(ctx context.Context, target ownVersion, isReplicated func(version uint64, isMember bool, members []Peer) bool) bool {
 	for {
 		isMember, members := n.options.Core.IsMember(), n.options.Core.Members()
 		n.mu.Lock()
 		if n.items.OwnSource() != target.source {
-			target = n.publishedLocked()
+			target = n.currentOwnVersionLocked()
 		}
-		done, changed := arrived(target.version, isMember, members), n.changed
+		done, changed := isReplicated(target.version, isMember, members), n.changed
 		n.mu.Unlock()
 		if done {
 			return true
--- a/internal/fleet/relay/quorum_test.go
+++ b/internal/fleet/relay/quorum_test.go
@@ -118,14 +118,14 @@
 			}
 			relay := newManualNode("0", true, peers...)
 			relay.mu.Lock()
-			relay.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", present, "2", present, "3", present, "4", present, "5", present, "6", present, "7", present, "8", present, "9", present)})
+			relay.applyDeltasLocked([]deltasync.Delta{initialDelta("x/1", "1", presentData, "2", presentData, "3", presentData, "4", presentData, "5", presentData, "6", presentData, "7", presentData, "8", presentData, "9", presentData)})
 			relay.mu.Unlock()
 			holder := relay.connect("addr of x", "x/1", false)
 			former := relay.connect("addr of y", "y/1", true) // a former core member
 			relay.deliver(former, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": 9}})
 			for i, version := range testCase.acknowledged {
 				peer := relay.connect(fmt.Sprint("addr of ", i+1), fmt.Sprint("peer/", i), true)
-				peer.sent["x/1"] = 9 // sent, which proves nothing
+				peer.sentVersions["x/1"] = 9 // sent, which proves nothing
 				relay.deliver(peer, &message{IsCore: true, Acknowledged: deltasync.Vector{"x/1": version}})
 			}
 			relay.deliver(holder, &message{Acknowledged: deltasync.Vector{"x/1": 9}})
@@ -157,16 +157,16 @@
 		defer relay.mu.Unlock()
 		return relay.takeAcknowledgementsLocked(other)
 	}
-	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", present, "l", present)}})
+	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData, "l", presentData)}})
 	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken())
 	assert.Empty(t, taken())
-	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", present)}})
+	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("x/1", "k", presentData)}})
 	assert.Equal(t, deltasync.Vector{"x/1": 2}, taken(), "it had it already")
-	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, To: 6, Items: []deltasync.Item{{Key: "k", Version: 6, Data: present}}}}})
+	relay.deliver(other, &message{IsCore: true, Deltas: []deltasync.Delta{{Source: "y/1", From: 5, To: 6, Items: []deltasync.Item{{Key: "k", Version: 6, Data: presentData}}}}})
 	assert.Empty(t, taken(), "there is a gap before it")
-	assert.NotContains(t, other.acknowledged, "y/1")
+	assert.NotContains(t, other.ackedVersions, "y/1")
 	agent := relay.connect("addr of a", "a/1", false)
-	relay.deliver(agent, &message{Deltas: []deltasync.Delta{initialDelta("a/1", "k", present)}})
+	relay.deliver(agent, &message{Deltas: []deltasync.Delta{initialDelta("a/1", "k", presentData)}})
 	assert.Empty(t, agent.pendingAcks, "agents need no acknowledgement")
 }
 
--- a/internal/fleet/relay/readiness.go
+++ b/internal/fleet/relay/readiness.go
@@ -20,10 +20,10 @@
 func (r *readiness) complete() bool { return r.synced && !r.stale }
 
 // markComplete records that this process is complete, and reports whether that is so for the first time.
-func (r *readiness) markComplete() (first bool) {
-	first = !r.synced
+func (r *readiness) markComplete() (isFirst bool) {
+	isFirst = !r.synced
 	r.synced, r.stale = true, false
-	return first
+	return isFirst
 }
 
 // observeCore records whether this process is a member of the core, and whether it has a quorum.
--- a/internal/fleet/relay/receive.go
+++ b/internal/fleet/relay/receive.go
@@ -5,11 +5,11 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// receiveLoop handles the messages of a session until its stream ends, and returns the reason. first is
-// a message that has already been read from the stream, or nil.
-func (n *Node) receiveLoop(st *stream, s *session, first *message) error {
-	if first != nil {
-		if err := n.receiveMessage(s, first); err != nil {
+// receiveLoop handles the messages of a session until its stream ends, and returns the reason. firstMessage
+// is a message that has already been read from the stream, or nil.
+func (n *Node) receiveLoop(st *stream, s *session, firstMessage *message) error {
+	if firstMessage != nil {
+		if err := n.receiveMessage(s, firstMessage); err != nil {
 			return err
 		}
 	}
@@ -56,8 +56,8 @@
 	n.recordOwnVersionsLocked(s, m)
 	n.receiveFreshnessLocked(s, m)
 	n.receiveLeasePollLocked(s, m, isMember, members)
-	peerCompletes := s.peerIsCore && m.HasQuorum && m.Complete
-	if peerCompletes && (!isMember || hasQuorum) {
+	peerReportsComplete := s.peerIsCore && m.HasQuorum && m.Complete
+	if peerReportsComplete && (!isMember || hasQuorum) {
 		n.markCompleteLocked(s)
 	}
 }
@@ -79,7 +79,7 @@
 	for i := range deltas {
 		delta := &deltas[i]
 		if n.items.Version(delta.Source) >= delta.To {
-			s.sent[delta.Source] = max(s.sent[delta.Source], delta.To)
+			s.sentVersions[delta.Source] = max(s.sentVersions[delta.Source], delta.To)
 		}
 	}
 }
@@ -88,12 +88,12 @@
 // It ignores versions that this node has not published yet: they belong to an earlier incarnation or come
 // from a faulty peer.
 func (n *Node) recordOwnVersionsLocked(s *session, m *message) {
-	published := n.items.OwnVersion()
-	if m.ReceivedVersion > s.ownReceived && m.ReceivedVersion <= published {
-		s.ownReceived = m.ReceivedVersion
+	publishedVersion := n.items.OwnVersion()
+	if m.ReceivedVersion > s.ownReceivedVersion && m.ReceivedVersion <= publishedVersion {
+		s.ownReceivedVersion = m.ReceivedVersion
 		n.notifyWaitersLocked()
 	}
-	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= published {
+	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= publishedVersion {
 		s.ownQuorumVersion = m.QuorumVersion
 		n.notifyWaitersLocked()
 	}
@@ -102,7 +102,7 @@
 // markCompleteLocked records that this node is complete. A relay with a quorum has reported itself complete
 // on the session, which it does only once it has sent everything that it has (see sender).
 func (n *Node) markCompleteLocked(s *session) {
-	if first := n.readiness.markComplete(); first {
+	if isFirst := n.readiness.markComplete(); isFirst {
 		logevent.Synced.Log("peer", s.peerAddr, "config", n.config.seq)
 		n.publishSnapshotLocked()
 	}
--- a/internal/fleet/relay/report.go
+++ b/internal/fleet/relay/report.go
@@ -38,16 +38,16 @@
 func (n *Node) Report() Report {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	now, own := n.now(), n.items.OwnSource()
+	now, ownSource := n.now(), n.items.OwnSource()
 	report := Report{
-		Source:    own,
+		Source:    ownSource,
 		Synced:    n.readiness.synced,
 		ConfigSeq: n.config.seq,
 		Revision:  n.config.revision(),
 		Servers:   n.servers.Views(now),
 	}
 	for source, member := range n.members {
-		report.Members = append(report.Members, MemberReport{member, source, n.leases.Granted(source), source == own})
+		report.Members = append(report.Members, MemberReport{member, source, n.leases.Granted(source), source == ownSource})
 	}
 	slices.SortFunc(report.Members, func(a, b MemberReport) int { return cmp.Compare(a.Name, b.Name) })
 	for s := range n.sessions {
--- a/internal/fleet/relay/savedservers.go
+++ b/internal/fleet/relay/savedservers.go
@@ -30,11 +30,11 @@
 // heartbeats. A request names the instance that it is meant for, so another server that now has the same
 // address does not serve it.
 func (n *Node) restoreServersLocked() {
-	var list savedServers
-	if len(n.options.SavedServers) == 0 || msgpack.Unmarshal(n.options.SavedServers, &list) != nil || list.Format != savedServersFormat {
+	var savedList savedServers
+	if len(n.options.SavedServers) == 0 || msgpack.Unmarshal(n.options.SavedServers, &savedList) != nil || savedList.Format != savedServersFormat {
 		return
 	}
-	for _, instance := range list.Servers {
+	for _, instance := range savedList.Servers {
 		if instance == nil || !instance.Valid() || instance.State != registry.Ready {
 			continue
 		}
@@ -42,64 +42,64 @@
 			n.publishItemLocked(serverPrefix+instance.ID, encode(instance))
 		}
 	}
-	logevent.ServersRestored.Log("servers", len(list.Servers))
+	logevent.ServersRestored.Log("servers", len(savedList.Servers))
 }
 
 // saveLoop writes the server list and the members' addresses to disk when they have changed, until ctx ends.
 func (n *Node) saveLoop(ctx context.Context) {
 	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
-	var savedServers, savedMembers uint64
+	var serversVersion, membersVersion uint64
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		savedServers = n.saveServers(savedServers)
-		savedMembers = n.saveMembers(savedMembers)
+		serversVersion = n.saveServers(serversVersion)
+		membersVersion = n.saveMembers(membersVersion)
 	}
 }
 
-// saveServers writes the server list to disk if its version differs from saved, and returns the version that
-// is on disk afterwards. It does not replace the saved list by an empty one, nor before this node has been
-// complete.
-func (n *Node) saveServers(saved uint64) uint64 {
+// saveServers writes the server list to disk if its version differs from savedVersion, and returns the version
+// that is on disk afterwards. It writes no empty list, and none before this node has been complete, so that
+// the saved list is not lost.
+func (n *Node) saveServers(savedVersion uint64) uint64 {
 	n.mu.Lock()
 	list, synced := n.servers.List(), n.readiness.synced
 	n.mu.Unlock()
-	if !synced || list.Version == saved || len(list.ByID) == 0 || n.options.SaveServers(encodeServers(list)) != nil {
-		return saved // a failed write is retried at the next tick
+	if !synced || list.Version == savedVersion || len(list.ByID) == 0 || n.options.SaveServers(encodeServers(list)) != nil {
+		return savedVersion // a failed write is retried at the next tick
 	}
 	return list.Version
 }
 
-// saveMembers writes the members' addresses to disk if their version differs from saved, and returns the
-// version that is on disk afterwards.
-func (n *Node) saveMembers(saved uint64) uint64 {
+// saveMembers writes the members' addresses to disk if their version differs from savedVersion, and returns
+// the version that is on disk afterwards.
+func (n *Node) saveMembers(savedVersion uint64) uint64 {
 	if n.options.SaveMembers == nil {
-		return saved
+		return savedVersion
 	}
 	n.mu.Lock()
 	version := n.memberAddrs.version
-	if version == saved {
+	if version == savedVersion {
 		n.mu.Unlock()
-		return saved
+		return savedVersion
 	}
 	encoded := n.memberAddrs.encoded()
 	n.mu.Unlock()
 	if n.options.SaveMembers(encoded) != nil {
-		return saved
+		return savedVersion
 	}
 	return version
 }
 
 // encodeServers returns a server list in the format that is stored on disk.
 func encodeServers(list *registry.List) []byte {
-	stored := savedServers{Format: savedServersFormat}
+	savedList := savedServers{Format: savedServersFormat}
 	for _, instance := range list.ByID {
-		stored.Servers = append(stored.Servers, instance)
+		savedList.Servers = append(savedList.Servers, instance)
 	}
-	slices.SortFunc(stored.Servers, func(a, b *registry.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	return encode(&stored)
+	slices.SortFunc(savedList.Servers, func(a, b *registry.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return encode(&savedList)
 }
--- a/internal/fleet/relay/send.go
+++ b/internal/fleet/relay/send.go
@@ -14,17 +14,17 @@
 // status is what a message reports about its sender, apart from the deltas.
 type status struct {
 	isCore, hasQuorum, complete bool
-	received                    uint64 // version of the peer's source that this node has
+	receivedVersion             uint64 // version of the peer's source that this node has
 	quorumVersion               uint64 // version of the peer's source that a majority of the core has
 }
 
 func statusOf(m *message) status {
-	return status{isCore: m.IsCore, hasQuorum: m.HasQuorum, complete: m.Complete, received: m.ReceivedVersion, quorumVersion: m.QuorumVersion}
+	return status{isCore: m.IsCore, hasQuorum: m.HasQuorum, complete: m.Complete, receivedVersion: m.ReceivedVersion, quorumVersion: m.QuorumVersion}
 }
 
 // message returns a message that reports this status and has no other content.
 func (s status) message() *message {
-	return &message{IsCore: s.isCore, HasQuorum: s.hasQuorum, Complete: s.complete, ReceivedVersion: s.received, QuorumVersion: s.quorumVersion}
+	return &message{IsCore: s.isCore, HasQuorum: s.hasQuorum, Complete: s.complete, ReceivedVersion: s.receivedVersion, QuorumVersion: s.quorumVersion}
 }
 
 // sender sends to the peer of one session what that peer lacks.
@@ -83,9 +83,9 @@
 			return nil, err
 		}
 	}
-	next := statusOf(update)
+	nextStatus := statusOf(update)
 	firstAnswer := update.FreshnessAnswer > 0 && !out.answered
-	if !out.heartbeatDue && !update.hasContent() && next == out.lastStatus && !firstAnswer {
+	if !out.heartbeatDue && !update.hasContent() && nextStatus == out.lastStatus && !firstAnswer {
 		return changed, nil
 	}
 	if out.session.acceptsZstd {
@@ -94,7 +94,7 @@
 	if err := out.stream.Send(update); err != nil {
 		return nil, err
 	}
-	out.lastStatus, out.heartbeatDue, out.lastUpdate = next, false, time.Now()
+	out.lastStatus, out.heartbeatDue, out.lastUpdate = nextStatus, false, time.Now()
 	out.answered = out.answered || firstAnswer
 	return changed, nil
 }
@@ -107,9 +107,9 @@
 	members := n.options.Core.Members()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	update.Deltas = n.items.DeltasSince(s.sent)
+	update.Deltas = n.items.DeltasSince(s.sentVersions)
 	for _, delta := range update.Deltas {
-		s.sent[delta.Source] = delta.To
+		s.sentVersions[delta.Source] = delta.To
 	}
 	if s.acceptsConfigDiffs {
 		update.ConfigDiff, update.Deltas = n.configHistory.extract(update.Deltas)
@@ -129,7 +129,7 @@
 
 // wait returns when an update may be due or ctx ends. Until then it sends pending notices.
 func (out *sender) wait(ctx context.Context, changed <-chan struct{}, heartbeat <-chan time.Time) error {
-	var coalesced <-chan time.Time // nil before the first change
+	var coalesceTimer <-chan time.Time // nil before the first change
 	for {
 		select {
 		case <-ctx.Done():
@@ -139,8 +139,8 @@
 			if remaining <= 0 {
 				return nil
 			}
-			coalesced, changed = time.After(remaining), nil
-		case <-coalesced:
+			coalesceTimer, changed = time.After(remaining), nil
+		case <-coalesceTimer:
 			return nil
 		case <-out.session.wake:
 			return nil
--- a/internal/fleet/relay/servers.go
+++ b/internal/fleet/relay/servers.go
@@ -64,7 +64,7 @@
 		n.publishItemLocked(serverPrefix+id, encode(update))
 		n.publishSnapshotLocked()
 	}
-	return n.publishedLocked()
+	return n.currentOwnVersionLocked()
 }
 
 // expireServersLocked publishes which servers have missed their heartbeats, and withdraws the servers that
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -25,11 +25,11 @@
 // session is a session with one peer. The node's lock guards its fields, except for the channel and
 // the timer.
 type session struct {
-	peerAddr string
-	source   string // the source of the peer's incarnation
-	outbound bool   // whether this node dialed the peer
-	started  time.Duration
-	cancel   context.CancelFunc
+	peerAddr  string
+	source    string // the source of the peer's incarnation
+	outbound  bool   // whether this node dialed the peer
+	startTime time.Duration
+	cancel    context.CancelFunc
 
 	// What the peer last reported about itself.
 	peerIsCore         bool
@@ -47,12 +47,12 @@
 	lastProgress  time.Duration // when a check last found that bytesReceived had risen
 
 	// Progress of the replication.
-	sent             deltasync.Vector // versions that the peer has or was sent
-	acknowledged     deltasync.Vector // versions that the peer has acknowledged
-	pendingAcks      map[string]bool  // sources whose deltas from the peer are not acknowledged yet
-	ownReceived      uint64           // version of this node's own source that the peer has
-	ownQuorumVersion uint64           // version of the own source that a majority has, as the peer reports
-	wake             chan struct{}    // wakes the sender when it has something for this peer only
+	sentVersions       deltasync.Vector // versions that the peer has or was sent
+	ackedVersions      deltasync.Vector // versions that the peer has acknowledged
+	pendingAcks        map[string]bool  // sources whose deltas from the peer are not acknowledged yet
+	ownReceivedVersion uint64           // version of this node's own source that the peer has
+	ownQuorumVersion   uint64           // version of the own source that a majority has, as the peer reports
+	wake               chan struct{}    // wakes the sender when it has something for this peer only
 
 	freshness sessionFreshness
 
@@ -64,26 +64,26 @@
 }
 
 // newSession returns a session with the peer that sent a hello. The caller must stop its noticeTimer.
-func newSession(now time.Duration, peer *hello, peerAddr string, bytesReceived func() uint64, cancel context.CancelFunc) *session {
+func newSession(now time.Duration, peerHello *hello, peerAddr string, bytesReceived func() uint64, cancel context.CancelFunc) *session {
 	s := &session{
 		peerAddr:           peerAddr,
-		source:             peer.Source,
-		started:            now,
+		source:             peerHello.Source,
+		startTime:          now,
 		cancel:             cancel,
-		peerIsCore:         peer.IsCore,
-		acceptsZstd:        peer.AcceptsZstd,
-		acceptsConfigDiffs: peer.AcceptsConfigDiffs,
+		peerIsCore:         peerHello.IsCore,
+		acceptsZstd:        peerHello.AcceptsZstd,
+		acceptsConfigDiffs: peerHello.AcceptsConfigDiffs,
 		lastQuorum:         now,
 		lastMessage:        now,
 		bytesReceived:      bytesReceived,
-		sent:               maps.Clone(peer.Vector),
-		acknowledged:       deltasync.Vector{},
+		sentVersions:       maps.Clone(peerHello.Vector),
+		ackedVersions:      deltasync.Vector{},
 		pendingAcks:        map[string]bool{},
 		wake:               make(chan struct{}, 1),
 		noticeTimer:        time.NewTimer(timerUnset),
 	}
-	if s.sent == nil {
-		s.sent = deltasync.Vector{}
+	if s.sentVersions == nil {
+		s.sentVersions = deltasync.Vector{}
 	}
 	return s
 }
@@ -91,8 +91,8 @@
 // timedOut reports whether the session should be closed, because no byte has arrived for too long or
 // one message is taking too long.
 func (s *session) timedOut(now time.Duration) bool {
-	if received := s.bytesReceived(); received != s.observedBytes {
-		s.observedBytes, s.lastProgress = received, now
+	if receivedBytes := s.bytesReceived(); receivedBytes != s.observedBytes {
+		s.observedBytes, s.lastProgress = receivedBytes, now
 	}
 	return now-max(s.lastMessage, s.lastProgress) > sessionTimeout || now-s.lastMessage > messageTimeout
 }
@@ -132,14 +132,14 @@
 // wholeCoreIncomplete reports whether all other members of the core have reported on their sessions that
 // they are incomplete. If this node is incomplete too, no member of the core is complete.
 func (set sessionSet) wholeCoreIncomplete(selfAddr string, members []Peer) bool {
-	complete := map[string]bool{} // by address; only of peers that have reported whether they are complete
+	completeByAddr := map[string]bool{} // by address; only of peers that have reported whether they are complete
 	for s := range set {
 		if s.completenessKnown {
-			complete[s.peerAddr] = complete[s.peerAddr] || s.peerComplete
+			completeByAddr[s.peerAddr] = completeByAddr[s.peerAddr] || s.peerComplete
 		}
 	}
 	for _, member := range members {
-		if isComplete, known := complete[member.Addr]; member.Addr != selfAddr && (!known || isComplete) {
+		if isComplete, known := completeByAddr[member.Addr]; member.Addr != selfAddr && (!known || isComplete) {
 			return false
 		}
 	}
@@ -167,8 +167,8 @@
 // forgetSource deletes the records about a source that has ended.
 func (set sessionSet) forgetSource(source string) {
 	for s := range set {
-		delete(s.sent, source)
-		delete(s.acknowledged, source)
+		delete(s.sentVersions, source)
+		delete(s.ackedVersions, source)
 		delete(s.pendingAcks, source)
 	}
 }
@@ -179,7 +179,7 @@
 	version := uint64(0)
 	for s := range set {
 		if s.peerIsCore && s.peerAddr == addr {
-			version = max(version, s.acknowledged[source])
+			version = max(version, s.ackedVersions[source])
 		}
 	}
 	return version
--- a/internal/fleet/relay/snapshot.go
+++ b/internal/fleet/relay/snapshot.go
@@ -17,15 +17,15 @@
 
 // publishSnapshotLocked passes the state to the data plane if it has changed.
 func (n *Node) publishSnapshotLocked() {
-	next := Snapshot{
+	snapshot := Snapshot{
 		ConfigSeq: n.config.seq,
 		Config:    n.config.document,
 		Servers:   n.servers.List(),
 		Agents:    max(len(n.members), 1),
 		Synced:    n.readiness.synced,
 	}
-	if next != n.published {
-		n.published = next
-		n.options.OnChange(&next)
+	if snapshot != n.publishedSnapshot {
+		n.publishedSnapshot = snapshot
+		n.options.OnChange(&snapshot)
 	}
 }
--- a/internal/fleet/relay/upstream.go
+++ b/internal/fleet/relay/upstream.go
@@ -40,29 +40,29 @@
 	members, isMember := n.options.Core.Members(), n.options.Core.IsMember()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	connected := n.sessions.addrs()
+	connectedAddrs := n.sessions.addrs()
 	if isMember {
 		n.sessions.closeFormerMembers(members)
-		return coreDialTargets(n.options.Self.Addr, members, connected)
+		return coreDialTargets(n.options.Self.Addr, members, connectedAddrs)
 	}
 	order, now := preferenceOrder(&n.options.Self, members), n.now()
-	preferred, acceptable := n.sessions.preferred(order, now)
-	if preferred != nil {
-		n.sessions.closeOthers(preferred, order, now)
-		return n.upstream.homeZoneTargets(preferred, n.options.Self.Zone, members, connected, now)
+	preferredSession, hasAcceptable := n.sessions.selectPreferred(order, now)
+	if preferredSession != nil {
+		n.sessions.closeOthers(preferredSession, order, now)
+		return n.upstream.homeZoneTargets(preferredSession, n.options.Self.Zone, members, connectedAddrs, now)
 	}
-	if acceptable {
+	if hasAcceptable {
 		return nil
 	}
-	fallback := append(slices.Clone(n.options.SeedAddrs()), n.upstream.redirectAddrs...)
-	connected[n.options.Self.Addr] = true // this node does not dial itself
-	return nextDialTarget(order, fallback, connected, attempt)
+	fallbackAddrs := append(slices.Clone(n.options.SeedAddrs()), n.upstream.redirectAddrs...)
+	connectedAddrs[n.options.Self.Addr] = true // this node does not dial itself
+	return nextDialTarget(order, fallbackAddrs, connectedAddrs, attempt)
 }
 
 // coreDialTargets returns the addresses that the member of the core at selfAddr should dial.
-func coreDialTargets(selfAddr string, members []Peer, connected map[string]bool) (addrs []string) {
+func coreDialTargets(selfAddr string, members []Peer, connectedAddrs map[string]bool) (addrs []string) {
 	for _, member := range members {
-		if member.Addr > selfAddr && !connected[member.Addr] {
+		if member.Addr > selfAddr && !connectedAddrs[member.Addr] {
 			addrs = append(addrs, member.Addr)
 		}
 	}
@@ -83,61 +83,61 @@
 // nextDialTarget returns the one address that an agent without a relay should try, or none. It rotates
 // through the known relays in the given order; every seedAttemptPeriod-th attempt goes to a fallback
 // address. If no relay is known, all attempts go to fallback addresses.
-func nextDialTarget(order, fallback []string, excluded map[string]bool, attempt int) []string {
-	candidates, next := order, attempt-attempt/seedAttemptPeriod
+func nextDialTarget(order, fallbackAddrs []string, excludedAddrs map[string]bool, attempt int) []string {
+	candidates, index := order, attempt-attempt/seedAttemptPeriod
 	if len(candidates) == 0 {
-		candidates, next = fallback, attempt
-	} else if attempt%seedAttemptPeriod == seedAttemptPeriod-1 && len(fallback) > 0 {
-		candidates, next = fallback, attempt/seedAttemptPeriod
+		candidates, index = fallbackAddrs, attempt
+	} else if attempt%seedAttemptPeriod == seedAttemptPeriod-1 && len(fallbackAddrs) > 0 {
+		candidates, index = fallbackAddrs, attempt/seedAttemptPeriod
 	}
 	for range candidates {
-		if addr := candidates[next%len(candidates)]; !excluded[addr] {
+		if addr := candidates[index%len(candidates)]; !excludedAddrs[addr] {
 			return []string{addr}
 		}
-		next++
+		index++
 	}
 	return nil
 }
 
 // homeZoneTargets returns, at intervals, the relays of the agent's own zone to dial while the preferred
 // relay is in another zone. The session with the preferred relay stays open until one of them is complete.
-func (u *upstreamSelector) homeZoneTargets(preferred *session, zone string, members []Peer, connected map[string]bool, now time.Duration) (addrs []string) {
+func (u *upstreamSelector) homeZoneTargets(preferredSession *session, zone string, members []Peer, connectedAddrs map[string]bool, now time.Duration) (addrs []string) {
 	for _, member := range members {
 		if member.Zone != zone {
 			continue
 		}
-		if member.Addr == preferred.peerAddr {
+		if member.Addr == preferredSession.peerAddr {
 			u.nextHomeZoneAttempt = 0
 			return nil
 		}
-		if !connected[member.Addr] {
+		if !connectedAddrs[member.Addr] {
 			addrs = append(addrs, member.Addr)
 		}
 	}
-	due := u.nextHomeZoneAttempt > 0 && now >= u.nextHomeZoneAttempt
-	if u.nextHomeZoneAttempt == 0 || due {
+	isDue := u.nextHomeZoneAttempt > 0 && now >= u.nextHomeZoneAttempt
+	if u.nextHomeZoneAttempt == 0 || isDue {
 		u.nextHomeZoneAttempt = now + homeZoneRetryInterval + rand.N(homeZoneRetryJitter)
 	}
-	if !due {
+	if !isDue {
 		return nil
 	}
 	return addrs
 }
 
-// preferred returns the best session that the agent dialed to a relay with a quorum, or nil if there is
-// none. Sessions with complete relays are better, then those that come first in order. acceptable reports
+// selectPreferred returns the best session that the agent dialed to a relay with a quorum, or nil if there is
+// none. Sessions with complete relays are better, then those that come first in order. hasAcceptable reports
 // whether any dialed relay has a quorum or lost it less than quorumLossTolerance ago.
-func (set sessionSet) preferred(order []string, now time.Duration) (best *session, acceptable bool) {
+func (set sessionSet) selectPreferred(order []string, now time.Duration) (bestSession *session, hasAcceptable bool) {
 	for s := range set {
 		if !s.outbound || !s.peerIsCore {
 			continue
 		}
-		acceptable = acceptable || s.peerHasQuorum || now-s.lastQuorum < quorumLossTolerance
-		if s.peerHasQuorum && (best == nil || s.preferredOver(best, order)) {
-			best = s
+		hasAcceptable = hasAcceptable || s.peerHasQuorum || now-s.lastQuorum < quorumLossTolerance
+		if s.peerHasQuorum && (bestSession == nil || s.preferredOver(bestSession, order)) {
+			bestSession = s
 		}
 	}
-	return best, acceptable
+	return bestSession, hasAcceptable
 }
 
 // preferredOver reports whether a session is preferred over another one. The relays of both have a quorum.
@@ -149,20 +149,20 @@
 }
 
 // closeOthers closes all dialed sessions except the preferred one and those on probation.
-func (set sessionSet) closeOthers(preferred *session, order []string, now time.Duration) {
+func (set sessionSet) closeOthers(preferredSession *session, order []string, now time.Duration) {
 	for s := range set {
-		if s.outbound && s != preferred && !s.onProbation(preferred, order, now) {
+		if s.outbound && s != preferredSession && !s.onProbation(preferredSession, order, now) {
 			s.cancel()
 		}
 	}
 }
 
 // onProbation reports whether a session whose relay ranks above the preferred one's may still replace it.
-func (s *session) onProbation(preferred *session, order []string, now time.Duration) bool {
-	if rank(order, s.peerAddr) >= rank(order, preferred.peerAddr) {
+func (s *session) onProbation(preferredSession *session, order []string, now time.Duration) bool {
+	if rank(order, s.peerAddr) >= rank(order, preferredSession.peerAddr) {
 		return false
 	}
-	age := now - s.started
+	age := now - s.startTime
 	return age < helloTimeout || s.peerHasQuorum && age < probationPeriod
 }
 
@@ -202,10 +202,10 @@
 		}
 		return position
 	}
-	ordered := slices.Clone(members)
-	slices.SortFunc(ordered, func(a, b Peer) int { return cmp.Compare(rankOf(a), rankOf(b)) })
-	addrs := make([]string, len(ordered))
-	for i, member := range ordered {
+	sortedMembers := slices.Clone(members)
+	slices.SortFunc(sortedMembers, func(a, b Peer) int { return cmp.Compare(rankOf(a), rankOf(b)) })
+	addrs := make([]string, len(sortedMembers))
+	for i, member := range sortedMembers {
 		addrs[i] = member.Addr
 	}
 	return addrs
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -12,7 +12,7 @@
 // connectOutbound adds a session that the agent began with a relay.
 func (n *manualNode) connectOutbound(peerAddr string) (peer *session, ended *bool) {
 	peer = n.connect(peerAddr, peerAddr+"/1", true)
-	peer.outbound, peer.started = true, n.now()
+	peer.outbound, peer.startTime = true, n.now()
 	ended = new(bool)
 	peer.cancel = func() { *ended = true }
 	return peer, ended
