--- a/internal/fleet/bindiff/bindiff_test.go
+++ b/internal/fleet/bindiff/bindiff_test.go
@@ -13,18 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-// tenantList is a document of so many entries, each of which is unlike the others.
+// tenantList returns a document with the given number of entries, which have little in common with each other.
 func tenantList(revision, tenants int) []byte {
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	var document bytes.Buffer
 	fmt.Fprintf(&document, `{"revision":%d,"tenants":[`, revision)
 	for i := range tenants {
-		fmt.Fprintf(&document, `{"id":"tenant-%d","keys":["%016x%016x"],"rate":%d},`, i, random.Uint64(), random.Uint64(), random.IntN(1000))
+		fmt.Fprintf(&document, `{"id":"tenant-%d","keys":["%016x%016x"],"rate":%d},`, i, rng.Uint64(), rng.Uint64(), rng.IntN(1000))
 	}
 	document.WriteString("null]}")
 	return document.Bytes()
 }
 
+// requireApplies computes a diff, requires that it restores the result, and returns it.
 func requireApplies(t require.TestingT, base, result []byte) Diff {
 	diff, ok := Compute(base, result)
 	require.True(t, ok)
@@ -34,37 +35,38 @@
 	return diff
 }
 
-// The size of a difference follows the change, wherever it is, and hardly the document.
+// The size of a diff depends on the size of the change and not on its position, and hardly on the size of the
+// document.
 func TestSizeFollowsTheChange(t *testing.T) {
 	for _, tenants := range []int{100, 1000, 6500, 12000} {
 		base := tenantList(1, tenants)
 		middle := bytes.Index(base, fmt.Appendf(nil, "tenant-%d\"", tenants/2))
 		for name, result := range map[string][]byte{
-			"the same":       base,
-			"another number": tenantList(1002, tenants),
-			"one more":       tenantList(2, tenants+1),
-			"inserted":       slices.Insert(bytes.Clone(base), middle, []byte("tenant-0123456789abcdef")...),
-			"taken out":      slices.Delete(bytes.Clone(base), middle, middle+80),
+			"no change":      base,
+			"other revision": tenantList(1002, tenants),
+			"one more entry": tenantList(2, tenants+1),
+			"insertion":      slices.Insert(bytes.Clone(base), middle, []byte("tenant-0123456789abcdef")...),
+			"deletion":       slices.Delete(bytes.Clone(base), middle, middle+80),
 		} {
 			diff := requireApplies(t, base, result)
-			t.Logf("%d bytes, %s: %d bytes", len(base), name, len(diff.Data))
+			t.Logf("base of %d bytes, %s: diff of %d bytes", len(base), name, len(diff.Data))
 			assert.Less(t, len(diff.Data), 1<<10, "%d tenants, %s", tenants, name)
 		}
 	}
 }
 
 func TestNoDifference(t *testing.T) {
-	long := tenantList(1, 1000)
-	random := make([]byte, len(long))
+	longText := tenantList(1, 1000)
+	randomBytes := make([]byte, len(longText))
 	source := rand.NewChaCha8([32]byte{1})
-	_, _ = source.Read(random)
+	_, _ = source.Read(randomBytes)
 	for name, pair := range map[string][2][]byte{
-		"short result":      {long, []byte("short")},
-		"short base":        {[]byte("short"), long},
-		"no base":           {nil, long},
-		"nothing in common": {long, random},
-		"too long a base":   {make([]byte, MaxBytes+1), long},
-		"too long a result": {long, make([]byte, MaxBytes+1)},
+		"short result":      {longText, []byte("short")},
+		"short base":        {[]byte("short"), longText},
+		"no base":           {nil, longText},
+		"nothing in common": {longText, randomBytes},
+		"base too long":     {make([]byte, MaxBytes+1), longText},
+		"result too long":   {longText, make([]byte, MaxBytes+1)},
 	} {
 		_, ok := Compute(pair[0], pair[1])
 		assert.False(t, ok, name)
@@ -74,8 +76,8 @@
 func TestOtherBase(t *testing.T) {
 	base, result := tenantList(1, 100), tenantList(2, 101)
 	diff := requireApplies(t, base, result)
-	for _, other := range [][]byte{nil, result, base[1:], make([]byte, MaxBytes+1)} {
-		_, err := diff.Apply(other)
+	for _, otherBase := range [][]byte{nil, result, base[1:], make([]byte, MaxBytes+1)} {
+		_, err := diff.Apply(otherBase)
 		assert.ErrorIs(t, err, ErrOtherBase)
 	}
 }
@@ -84,40 +86,40 @@
 	base, result := tenantList(1, 100), tenantList(2, 101)
 	diff := requireApplies(t, base, result)
 	for i := range diff.Data {
-		damaged := diff
-		damaged.Data = bytes.Clone(diff.Data)
-		damaged.Data[i] ^= 0x55
-		if got, err := damaged.Apply(base); err == nil {
-			assert.Equal(t, result, got, "byte %d", i)
+		damagedDiff := diff
+		damagedDiff.Data = bytes.Clone(diff.Data)
+		damagedDiff.Data[i] ^= 0x55
+		if got, err := damagedDiff.Apply(base); err == nil {
+			assert.Equal(t, result, got, "byte %d is damaged", i)
 		} else {
 			assert.ErrorIs(t, err, ErrDamaged)
 		}
 	}
-	for name, data := range map[string][]byte{"none": nil, "cut short": diff.Data[:len(diff.Data)/2], "no zstd": []byte("no zstd")} {
-		damaged := diff
-		damaged.Data = data
-		_, err := damaged.Apply(base)
+	for name, data := range map[string][]byte{"no data": nil, "truncated": diff.Data[:len(diff.Data)/2], "not zstd": []byte("no zstd")} {
+		damagedDiff := diff
+		damagedDiff.Data = data
+		_, err := damagedDiff.Apply(base)
 		assert.ErrorIs(t, err, ErrDamaged, name)
 	}
-	damaged := diff
-	damaged.ResultSum++
-	_, err := damaged.Apply(base)
+	damagedDiff := diff
+	damagedDiff.ResultSum++
+	_, err := damagedDiff.Apply(base)
 	assert.ErrorIs(t, err, ErrDamaged)
 }
 
-// A peer can't have this process expand a few bytes to any size.
+// Apply bounds the size of the result, so that a peer cannot exhaust this process's memory with a small diff.
 func TestResultIsBounded(t *testing.T) {
 	base := tenantList(1, 100)
-	limit, ok := Compute(base, make([]byte, MaxBytes))
+	longest, ok := Compute(base, make([]byte, MaxBytes))
 	require.True(t, ok)
-	_, err := limit.Apply(base)
+	_, err := longest.Apply(base)
 	require.NoError(t, err)
-	beyond := encodeUnbounded(t, base, make([]byte, 16*MaxBytes))
-	_, err = beyond.Apply(base)
+	tooLong := encodeUnbounded(t, base, make([]byte, 16*MaxBytes))
+	_, err = tooLong.Apply(base)
 	assert.ErrorIs(t, err, ErrDamaged)
 }
 
-// Whatever was edited in a document, the result is what was meant, byte by byte.
+// Apply restores exactly the edited document, for arbitrary edits.
 func TestAnyEditIsRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := tenantList(1, rapid.IntRange(60, 400).Draw(t, "tenants"))
@@ -134,7 +136,7 @@
 	})
 }
 
-// encodeUnbounded is Compute without its bounds, as a faulty peer may be.
+// encodeUnbounded computes a diff without the bounds of Compute, as a faulty peer may do.
 func encodeUnbounded(t *testing.T, base, result []byte) Diff {
 	t.Helper()
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(dictionaryID, base))
@@ -142,7 +144,7 @@
 	return Diff{BaseSum: Sum(base), ResultSum: Sum(result), Data: encoder.EncodeAll(result, nil)}
 }
 
-// BenchmarkDifference reports what a change of one entry costs.
+// BenchmarkDifference measures computing and applying the diff of one additional entry.
 func BenchmarkDifference(b *testing.B) {
 	for _, tenants := range []int{100, 6500} {
 		base, result := tenantList(1, tenants), tenantList(2, tenants+1)
--- a/internal/fleet/deltasync/bench_test.go
+++ b/internal/fleet/deltasync/bench_test.go
@@ -7,10 +7,11 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/heapsize"
 )
 
-// itemBytes is about the size of a server's item.
+// itemBytes is the approximate size of a server's item.
 const itemBytes = 110
 
-// filledStore returns a store with so many sources, which have items/sources items each.
+// filledStore returns a store with the given number of sources, over which the given number of items is spread
+// evenly.
 func filledStore(sources, items int) *Store {
 	store := NewStore("self/0")
 	for i := range sources {
@@ -28,7 +29,7 @@
 	return store
 }
 
-// BenchmarkDeltasSince measures what a session costs its relay at each change, also where the peer lacks nothing.
+// BenchmarkDeltasSince measures what each session costs a relay at each change, even if the peer lacks nothing.
 func BenchmarkDeltasSince(b *testing.B) {
 	for _, sources := range []int{30, 100, 367} {
 		for _, lacks := range []int{0, 1} {
@@ -41,7 +42,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					if len(store.DeltasSince(vector)) != lacks {
-						b.Fatal("wrong")
+						b.Fatal("wrong number of deltas")
 					}
 				}
 			})
@@ -67,7 +68,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(store.Apply([]Delta{{Source: name, From: version, To: version + 1, Items: []Item{{Key: "i/i-00000000", Version: version + 1, Data: data}}}})) != 1 {
-					b.Fatal("wrong")
+					b.Fatal("the delta was not applied")
 				}
 				version++
 			}
@@ -75,7 +76,7 @@
 	}
 }
 
-// BenchmarkHeap measures the memory per source, and per item beyond its data.
+// BenchmarkHeap measures the memory per source and per item, including the item's data.
 func BenchmarkHeap(b *testing.B) {
 	var source, item float64
 	for b.Loop() {
--- a/internal/fleet/deltasync/delta_test.go
+++ b/internal/fleet/deltasync/delta_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// deltaUpTo is the delta of source "b" up to a version, one item per version.
+// deltaUpTo returns the delta of source "b" from the beginning to a version, with one item per version.
 func deltaUpTo(upto uint64) Delta {
 	d := Delta{Source: "b", To: upto}
 	for ver := uint64(1); ver <= upto; ver++ {
@@ -15,7 +15,7 @@
 	return d
 }
 
-// Of a delta that begins before the present version, only the newer items are applied.
+// If a delta begins before the version that is present, only its newer items are applied.
 func TestOverlappingDeltaYieldsOnlyNewItems(t *testing.T) {
 	t.Parallel()
 	store := NewStore("a")
@@ -24,7 +24,7 @@
 	if assert.Len(t, changes, 1) {
 		assert.EqualValues(t, 3, changes[0].Item.Version)
 	}
-	assert.Empty(t, store.Apply([]Delta{deltaUpTo(2)}), "an older one")
+	assert.Empty(t, store.Apply([]Delta{deltaUpTo(2)}), "an older delta changes nothing")
 	assert.EqualValues(t, 3, store.Version("b"))
 }
 
--- a/internal/fleet/deltasync/store_test.go
+++ b/internal/fleet/deltasync/store_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// syncSimulation is stores that replicate to each other over links that lose, reorder and repeat, and the
-// true history of their sources.
+// syncSimulation has stores that replicate to each other over links that lose, reorder and repeat messages, and
+// records the true history of their sources.
 type syncSimulation struct {
 	t            *rapid.T
 	stores       []*Store
-	history      map[string][]map[string]string // by source, its items at each version
-	ended        []map[string]bool              // by store
-	newestSeen   []Vector                       // by store: the newest version that it had of each source
+	history      map[string][]map[string]string // items of each source at each of its versions
+	ended        []map[string]bool              // sources that have ended, for each store
+	newestSeen   []Vector                       // newest version of each source that was present, for each store
 	inFlight     [][]Delta
 	incarnations int
 }
@@ -51,16 +51,16 @@
 	version := store.Put(key, []byte(data))
 	require.Equal(w.t, store.OwnVersion(), version)
 	w.history[store.OwnSource()] = append(w.history[store.OwnSource()], items)
-	require.Len(w.t, w.history[store.OwnSource()], int(version)+1, "each change is one version")
+	require.Len(w.t, w.history[store.OwnSource()], int(version)+1, "each change increments the version by one")
 }
 
 func (w *syncSimulation) startIncarnation(i int) {
 	store := w.stores[i]
-	old, items := store.OwnSource(), w.history[store.OwnSource()][store.OwnVersion()]
+	oldSource, items := store.OwnSource(), w.history[store.OwnSource()][store.OwnVersion()]
 	store.StartIncarnation(w.newSourceName())
-	w.ended[i][old] = true
-	require.LessOrEqual(w.t, int(store.OwnVersion()), len(items), "no tombstones")
-	// The versions in between have the items in the order of their last change.
+	w.ended[i][oldSource] = true
+	require.LessOrEqual(w.t, int(store.OwnVersion()), len(items), "the new incarnation has tombstones")
+	// The versions of the new incarnation add the items one by one, in the order of their last change.
 	w.history[store.OwnSource()] = make([]map[string]string, len(items)+1)
 	for v := range w.history[store.OwnSource()] {
 		at := map[string]string{}
@@ -69,11 +69,11 @@
 		}
 		w.history[store.OwnSource()][v] = at
 	}
-	require.Equal(w.t, items, w.history[store.OwnSource()][store.OwnVersion()], "a new incarnation has what the old one had")
+	require.Equal(w.t, items, w.history[store.OwnSource()][store.OwnVersion()], "the new incarnation has other items than the old one")
 }
 
-// check requires of one store that it has of each source exactly what that had at the version, and no
-// less than it had before.
+// check requires that a store has exactly the items that each source had at the store's version of it, and that no
+// version is older than at an earlier check.
 func (w *syncSimulation) check(i int) {
 	store := w.stores[i]
 	bytes := 0
@@ -108,33 +108,34 @@
 	}())
 }
 
-// Whatever links do to deltas in flight, no store regresses, has what was never published or revives
-// what has ended, and all converge once they exchange deltas by their vectors.
+// Even if messages are lost, reordered or repeated, no store regresses, has items that were never published or
+// revives a source that has ended. All stores converge once they exchange deltas according to their vectors.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := newSyncSimulation(t, rapid.IntRange(2, 4).Draw(t, "sets"))
 		which := rapid.IntRange(0, len(simulation.stores)-1)
-		var old []Vector // of any store at any time
+		var earlierVectors []Vector // earlier vectors of all stores
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				simulation.put(simulation.stores[which.Draw(t, "set")], rapid.StringMatching("[a-e]").Draw(t, "key"), rapid.StringMatching("[xyz]{0,2}").Draw(t, "data"))
 			},
 			"send": func(t *rapid.T) {
 				v := simulation.stores[which.Draw(t, "to")].Vector()
-				if len(old) > 0 && rapid.Bool().Draw(t, "old") {
-					v = rapid.SampledFrom(old).Draw(t, "vector")
+				if len(earlierVectors) > 0 && rapid.Bool().Draw(t, "old") {
+					v = rapid.SampledFrom(earlierVectors).Draw(t, "vector")
 				}
-				old = append(old, v)
+				earlierVectors = append(earlierVectors, v)
 				simulation.inFlight = append(simulation.inFlight, simulation.stores[which.Draw(t, "from")].DeltasSince(v))
 			},
-			"arrive": func(t *rapid.T) { // in any order, also twice, also at other stores; deltas that never do are lost
+			// Messages arrive in any order, at any store, repeatedly or never.
+			"arrive": func(t *rapid.T) {
 				if len(simulation.inFlight) == 0 {
 					t.Skip()
 				}
 				store := simulation.stores[which.Draw(t, "at")]
 				before := store.Vector()
 				for _, c := range store.Apply(rapid.SampledFrom(simulation.inFlight).Draw(t, "message")) {
-					require.Greater(t, c.Item.Version, before[c.Source], "an old change is returned as new")
+					require.Greater(t, c.Item.Version, before[c.Source], "a change that was present is returned as new")
 				}
 			},
 			"drop": func(t *rapid.T) {
@@ -152,7 +153,7 @@
 				}
 			},
 		})
-		for range simulation.stores { // one round syncs neighbours, so that many rounds sync all
+		for range simulation.stores { // as many rounds as stores sync all of them
 			for i, to := range simulation.stores {
 				for _, from := range simulation.stores {
 					to.Apply(from.DeltasSince(to.Vector()))
@@ -163,14 +164,14 @@
 		for i, store := range simulation.stores {
 			for j, other := range simulation.stores {
 				if !simulation.ended[i][other.OwnSource()] {
-					require.Equal(t, other.OwnVersion(), store.Version(other.OwnSource()), "store %d of the source of store %d", i, j)
+					require.Equal(t, other.OwnVersion(), store.Version(other.OwnSource()), "store %d has another version of the source of store %d", i, j)
 				}
 			}
 		}
 	})
 }
 
-// itemsAfter returns n items of rising versions after from.
+// itemsAfter returns n items with consecutive versions after from.
 func itemsAfter(from uint64, n int, key func(int) string) []Item {
 	out := make([]Item, n)
 	for i := range out {
@@ -185,7 +186,7 @@
 	return Delta{Source: source, From: from, To: from + uint64(len(items)), Items: items}
 }
 
-// Deltas that a faulty peer sends change nothing.
+// Invalid deltas of a faulty peer change nothing.
 func TestInvalidDeltasAreIgnored(t *testing.T) {
 	data := []byte("x")
 	for name, delta := range map[string]Delta{
@@ -217,13 +218,13 @@
 			assert.Empty(t, store.Apply([]Delta{delta}))
 			assert.Equal(t, vector, store.Vector())
 			assert.Equal(t, before, store.DeltasSince(nil))
-			// It does not prevent a valid one.
+			// The invalid delta does not prevent a valid one.
 			assert.Len(t, store.Apply([]Delta{{Source: "it", From: 2, To: 3, Items: []Item{{"c", 3, data}}}}), 1)
 		})
 	}
 }
 
-// The bound is on what is stored: a source all of whose items have changed can be synced.
+// The bound applies to the stored items, so that a delta that changes all items of a source is accepted.
 func TestAllItemsOfASourceMayChange(t *testing.T) {
 	store := NewStore("me")
 	require.Len(t, store.Apply([]Delta{deltaWith("it", 0, itemsAfter(0, maxItems, numberedKey))}), maxItems)
@@ -241,7 +242,7 @@
 	store.EndSource("s0")
 	assert.Zero(t, store.Version("s0"))
 	assert.Equal(t, uint64(1), store.LastVersion("s0"))
-	assert.Len(t, store.Apply([]Delta{deltaWith("late", 0, itemsAfter(0, 1, numberedKey))}), 1, "there is capacity again")
+	assert.Len(t, store.Apply([]Delta{deltaWith("late", 0, itemsAfter(0, 1, numberedKey))}), 1, "a source has ended, so there is capacity again")
 	for i := range 2 * maxSources {
 		store.EndSource(fmt.Sprint("s", i))
 	}
@@ -253,17 +254,17 @@
 
 func TestBytesAreBounded(t *testing.T) {
 	store := NewStore("me")
-	big := make([]byte, maxBytes/4)
+	bigData := make([]byte, maxBytes/4)
 	for i := range 8 {
-		store.Apply([]Delta{{Source: fmt.Sprint("s", i), To: 1, Items: []Item{{"a", 1, big}}}})
+		store.Apply([]Delta{{Source: fmt.Sprint("s", i), To: 1, Items: []Item{{"a", 1, bigData}}}})
 	}
-	assert.Len(t, store.Sources(), 1+3, "the fourth would exceed the bound by its key")
+	assert.Len(t, store.Sources(), 1+3, "the data of a fourth source fits exactly, but not its key")
 	store.EndSource("s0")
-	assert.Len(t, store.Apply([]Delta{{Source: "s9", To: 1, Items: []Item{{"a", 1, big}}}}), 1)
+	assert.Len(t, store.Apply([]Delta{{Source: "s9", To: 1, Items: []Item{{"a", 1, bigData}}}}), 1)
 	// An item that replaces another is counted once.
-	assert.Len(t, store.Apply([]Delta{{Source: "s9", From: 1, To: 2, Items: []Item{{"a", 2, big}}}}), 1)
+	assert.Len(t, store.Apply([]Delta{{Source: "s9", From: 1, To: 2, Items: []Item{{"a", 2, bigData}}}}), 1)
 	assert.Len(t, store.Apply([]Delta{{Source: "s9", From: 2, To: 3, Items: []Item{{"a", 3, nil}}}}), 1)
-	assert.Len(t, store.Apply([]Delta{{Source: "s8", To: 1, Items: []Item{{"a", 1, big}}}}), 1)
+	assert.Len(t, store.Apply([]Delta{{Source: "s8", To: 1, Items: []Item{{"a", 1, bigData}}}}), 1)
 }
 
 func TestStartIncarnation(t *testing.T) {
@@ -289,13 +290,13 @@
 	for i := range maxTombstones {
 		store.Put(numberedKey(i), []byte("x"))
 		store.Put(numberedKey(i), nil)
-		store.Put(numberedKey(i), nil) // again: counted once
+		store.Put(numberedKey(i), nil) // a repeated removal counts once
 	}
 	store.Put("back", nil)
 	require.True(t, store.NeedsCompaction())
 	store.Put("back", []byte("x"))
 	require.False(t, store.NeedsCompaction())
-	store.Put("empty", []byte{}) // is a tombstone, too: so it is at all who receive it
+	store.Put("empty", []byte{}) // empty data is a tombstone, too, as it is for all receivers
 	require.True(t, store.NeedsCompaction())
 	require.Nil(t, store.Item("one", "empty"))
 	store.StartIncarnation("two")
@@ -304,7 +305,7 @@
 	assert.Equal(t, []byte("x"), store.Item("two", "back"))
 }
 
-// Deltas that were returned do not change with the store.
+// Deltas that DeltasSince has returned do not change when the store does.
 func TestDeltasAreImmutable(t *testing.T) {
 	store := NewStore("me")
 	store.Put("a", []byte("1"))
@@ -315,7 +316,7 @@
 	assert.Equal(t, []Delta{{Source: "me", To: 2, Items: []Item{{"a", 1, []byte("1")}, {"b", 2, []byte("2")}}}}, d)
 }
 
-// The own source cannot be ended but by StartIncarnation.
+// EndSource does not end the own source.
 func TestOwnSourceCannotBeEnded(t *testing.T) {
 	store := NewStore("me")
 	store.Put("a", []byte("1"))
--- a/internal/fleet/relay/attachment_test.go
+++ b/internal/fleet/relay/attachment_test.go
@@ -9,74 +9,74 @@
 	"github.com/stretchr/testify/require"
 )
 
-// takesHeartbeat reports whether a node acknowledges a heartbeat of a ready server.
-func (n *manualNode) takesHeartbeat(id string, seq uint64) bool {
+// acknowledgesHeartbeat reports whether a node acknowledges a heartbeat of a ready server.
+func (n *manualNode) acknowledgesHeartbeat(id string, seq uint64) bool {
 	return n.Heartbeat(context.Background(), server(id, seq))
 }
 
-// An acknowledged heartbeat keeps a server from calling another agent. An agent that nobody learns
-// the server from must not acknowledge it, but may use what it was told.
+// A server whose heartbeat is acknowledged does not call another agent. Therefore an agent that cannot pass
+// the heartbeat on must not acknowledge it, but may use it itself.
 func TestHeartbeatIsNotAcknowledgedBeforeTheCoreIsReached(t *testing.T) {
 	agent := newManualNode("agent", false)
-	assert.False(t, agent.takesHeartbeat("s", 1), "it has never had a session with the core")
-	assert.Contains(t, agent.snapshot.Servers.ByID, "s", "it is listed here all the same")
+	assert.False(t, agent.acknowledgesHeartbeat("s", 1), "it has never had a session with the core")
+	assert.Contains(t, agent.snapshot.Servers.ByID, "s", "the agent itself lists the server")
 	relay := agent.connect("addr of relay", "relay/1", true)
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true})
-	assert.True(t, agent.takesHeartbeat("s", 2))
+	assert.True(t, agent.acknowledgesHeartbeat("s", 2))
 }
 
-// The core ends the lease of an agent that it does not reach, and with it drops the servers that only
-// this agent hears from.
+// The core ends the source of an agent that it does not reach, and drops the servers that only this agent
+// reports. Therefore the agent stops acknowledging heartbeats when its lease may have expired.
 func TestHeartbeatIsNotAcknowledgedOnceTheCoreIsLost(t *testing.T) {
 	agent := newManualNode("agent", false)
 	relay := agent.connect("addr of relay", "relay/1", true)
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true})
-	assert.True(t, agent.takesHeartbeat("s", 1))
+	assert.True(t, agent.acknowledgesHeartbeat("s", 1))
 	agent.removeSession(relay)
 	seq := uint64(1)
 	agent.runFor(leaseDuration/2, func() {
 		seq++
-		assert.True(t, agent.takesHeartbeat("s", seq), "a relay that is lost for a moment is no reason to send servers away")
+		assert.True(t, agent.acknowledgesHeartbeat("s", seq), "servers need not leave because the relay is lost for a moment")
 	})
 	agent.runFor(leaseDuration, nil)
-	assert.False(t, agent.takesHeartbeat("s", seq+1))
+	assert.False(t, agent.acknowledgesHeartbeat("s", seq+1))
 	agent.runFor(time.Minute, nil)
-	assert.Contains(t, agent.snapshot.Servers.ByID, "s", "that a server was sent away is no sign that it is gone")
+	assert.Contains(t, agent.snapshot.Servers.ByID, "s", "the server calls another agent now, so its silence proves nothing")
 }
 
-// A session may begin and end between two ticks. The core knows the agent from then on, as with any session.
+// A session that begins and ends between two ticks counts like any other: the core knows the agent from then on.
 func TestShortSessionCountsAsReachingTheCore(t *testing.T) {
 	agent := newManualNode("agent", false)
 	relay := agent.connect("addr of relay", "relay/1", true)
 	agent.deliver(relay, &message{IsCore: true, HasQuorum: true})
 	agent.removeSession(relay)
-	assert.True(t, agent.takesHeartbeat("s", 1))
+	assert.True(t, agent.acknowledgesHeartbeat("s", 1))
 	agent.advanceClock(leaseDuration + tickInterval)
-	assert.False(t, agent.takesHeartbeat("s", 2))
+	assert.False(t, agent.acknowledgesHeartbeat("s", 2))
 }
 
-// The servers of an agent that is cut off from the core are sent to other agents before the core
-// drops them with the agent's lease.
+// When an agent is partitioned from the core, its servers move to other agents before the core drops them
+// together with the agent.
 func TestServersOfAPartitionedAgentMoveToOthers(t *testing.T) {
 	cluster := newSyncedCluster(t, 3, 2)
-	home, other := cluster.edgeAgents[0], cluster.edgeAgents[1]
-	others := append(cluster.coreMembers[:3:3], other)
-	require.True(t, home.heartbeat(server("s", 1)))
-	cluster.eventually("all list the server", listsServer("s"))
-	home.setPartitioned(true, cluster.coreMembers...)
+	homeAgent, otherAgent := cluster.edgeAgents[0], cluster.edgeAgents[1]
+	others := append(cluster.coreMembers[:3:3], otherAgent)
+	require.True(t, homeAgent.heartbeat(server("s", 1)))
+	cluster.eventually("lists the server", listsServer("s"))
+	homeAgent.setPartitioned(true, cluster.coreMembers...)
 	seq := uint64(1)
-	cluster.eventually("the server is sent away", func(agent *testAgent) bool {
+	cluster.eventually("does not acknowledge heartbeats", func(agent *testAgent) bool {
 		seq++
 		return !agent.heartbeat(server("s", seq))
-	}, home)
-	source := home.node.items.OwnSource()
-	cluster.eventually("the agent is dropped, its server is not", func(agent *testAgent) bool {
+	}, homeAgent)
+	source := homeAgent.node.items.OwnSource()
+	cluster.eventually("has ended the agent but lists its server", func(agent *testAgent) bool {
 		seq++
-		require.True(t, other.heartbeat(server("s", seq)))
+		require.True(t, otherAgent.heartbeat(server("s", seq)))
 		assert.True(t, listsServer("s")(agent), agent.Name)
 		agent.node.mu.Lock()
 		defer agent.node.mu.Unlock()
 		return agent.node.items.Ended(source) && !agent.node.servers.ReportedBy(source, "s")
 	}, others...)
-	assert.True(t, listsServer("s")(home))
+	assert.True(t, listsServer("s")(homeAgent))
 }
--- a/internal/fleet/relay/bench_test.go
+++ b/internal/fleet/relay/bench_test.go
@@ -23,7 +23,7 @@
 		ControlAddr: fmt.Sprintf("10.0.%d.%d:8262", i/250, i%250)}
 }
 
-// fullSync is what a relay sends to an agent that has nothing.
+// fullSync returns the deltas that a relay sends to an agent that has nothing.
 func fullSync(agents, relays, servers, tenants int) []deltasync.Delta {
 	var out []deltasync.Delta
 	for i := range agents + relays {
@@ -96,7 +96,7 @@
 	return v
 }
 
-// edgeCore is the Core of a process that is no member.
+// edgeCore is the Core of a process that is not a member.
 type edgeCore struct{}
 
 func (edgeCore) IsMember() bool  { return false }
@@ -110,14 +110,14 @@
 	deltas := fullSync(agents, relays, servers, tenants)
 	raw := encode(&message{Deltas: deltas})
 	m := new(message)
-	if err := msgpack.Unmarshal(raw, m); err != nil { // as it arrives: no memory is shared
+	if err := msgpack.Unmarshal(raw, m); err != nil { // decoded as in production, so that no memory is shared
 		panic(err)
 	}
 	node.applyDeltasLocked(m.Deltas)
 	return node
 }
 
-// BenchmarkHeap measures the memory of a node, by agents, servers and tenants.
+// BenchmarkHeap measures the memory of a node for various numbers of agents, servers and tenants.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []struct{ agents, relays, servers, tenants int }{
 		{0, 0, 0, 0}, {360, 7, 0, 0}, {360, 7, 850, 0}, {360, 7, 850, 650}, {360, 7, 850, 6500},
@@ -132,7 +132,7 @@
 	}
 }
 
-// BenchmarkTick measures the check for expiry, which runs five times per second.
+// BenchmarkTick measures tick, which runs five times per second.
 func BenchmarkTick(b *testing.B) {
 	for _, agents := range []int{30, 100, 360} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -145,7 +145,8 @@
 	}
 }
 
-// BenchmarkApply measures one server's change at another agent, up to the new list.
+// BenchmarkApply measures how long an agent takes to apply another agent's change of one server, including
+// the new server list.
 func BenchmarkApply(b *testing.B) {
 	for _, servers := range []int{112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/fleet/relay/changes_test.go
+++ b/internal/fleet/relay/changes_test.go
@@ -14,33 +14,33 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Invalid items of a source change nothing but its own state.
+// Invalid items of a source change nothing but that source's stored items.
 func TestInvalidItemsAreIgnored(t *testing.T) {
-	long := strings.Repeat("x", 1<<16)
-	bad := server("s", 1)
-	bad.WarmUp = -time.Hour
-	big := server("s", 1)
-	big.Service = long
-	odd := server("s", 1)
-	odd.State = 77
+	longText := strings.Repeat("x", 1<<16)
+	negativeWarmUp := server("s", 1)
+	negativeWarmUp.WarmUp = -time.Hour
+	hugeService := server("s", 1)
+	hugeService.Service = longText
+	unknownState := server("s", 1)
+	unknownState.State = 77
 	for name, d := range map[string]deltasync.Delta{
-		"end of nobody":                initialDelta("x/1", endPrefix, presentData),
+		"end without a source":         initialDelta("x/1", endPrefix, presentData),
 		"end of the configuration":     initialDelta("x/1", endPrefix+configSource, presentData),
-		"lease of nobody":              initialDelta("x/1", leasePrefix, presentData),
+		"lease without a holder":       initialDelta("x/1", leasePrefix, presentData),
 		"lease of the configuration":   initialDelta("x/1", leasePrefix+configSource, presentData),
-		"a member that is no member":   initialDelta("x/1", memberKey, []byte("\xc1")),
-		"a huge member":                initialDelta("x/1", memberKey, &Member{Name: long}),
+		"an undecodable member":        initialDelta("x/1", memberKey, []byte("\xc1")),
+		"a huge member":                initialDelta("x/1", memberKey, &Member{Name: longText}),
 		"a member as a list":           initialDelta("x/1", memberKey, []int{1, 2}),
-		"no server":                    initialDelta("x/1", serverPrefix+"s", []byte("\xc1\xff")),
+		"an undecodable server":        initialDelta("x/1", serverPrefix+"s", []byte("\xc1\xff")),
 		"a server under another's ID":  initialDelta("x/1", serverPrefix+"r", server("s", 1)),
 		"a server without ID":          initialDelta("x/1", serverPrefix, server("", 1)),
-		"a negative time":              initialDelta("x/1", serverPrefix+"s", bad),
-		"a huge text":                  initialDelta("x/1", serverPrefix+"s", big),
-		"an unknown state":             initialDelta("x/1", serverPrefix+"s", odd),
+		"a negative time":              initialDelta("x/1", serverPrefix+"s", negativeWarmUp),
+		"a huge text":                  initialDelta("x/1", serverPrefix+"s", hugeService),
+		"an unknown state":             initialDelta("x/1", serverPrefix+"s", unknownState),
 		"nil":                          initialDelta("x/1", serverPrefix+"s", []byte{0xc0}),
 		"an unknown key":               initialDelta("x/1", "of-later", presentData),
-		"config that is no config":     initialDelta(configSource, configKey, []byte("\xc1")),
-		"config of another number":     initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
+		"an undecodable config":        initialDelta(configSource, configKey, []byte("\xc1")),
+		"config of another version":    initialDelta(configSource, configKey, &configItem{Seq: 1 << 60, Raw: documentOf(1 << 30)}),
 		"config under another key":     initialDelta(configSource, "d", &configItem{Seq: 1, Raw: documentOf(1 << 30)}),
 		"a member of the config":       initialDelta(configSource, memberKey, &Member{Name: "x"}),
 		"an end by the config":         initialDelta(configSource, endPrefix+"v/1", presentData),
@@ -52,7 +52,7 @@
 			agent.tick()
 			peer := agent.connect("addr of v", "v/1", true)
 			agent.deliver(peer, &message{IsCore: true, Deltas: []deltasync.Delta{initialDelta("v/1", memberKey, &Member{Name: "v"}, serverPrefix+"t", server("t", 1))}})
-			source, own := agent.source(), len(agent.itemsOf(agent.source()))
+			source, ownItems := agent.source(), len(agent.itemsOf(agent.source()))
 			agent.deliver(peer, &message{IsCore: true, Deltas: []deltasync.Delta{d}})
 			agent.runFor(leaseDuration+2*tickInterval, agent.heartbeatFrom(peer))
 			assert.Equal(t, source, agent.source())
@@ -61,7 +61,7 @@
 			}
 			assert.Len(t, agent.members, 2)
 			assert.Len(t, agent.snapshot.Servers.ByID, 1)
-			assert.LessOrEqual(t, len(agent.itemsOf(source)), own+3, "no more than the lease of the peer and the end of the faulty one")
+			assert.LessOrEqual(t, len(agent.itemsOf(source)), ownItems+3, "only the lease of the peer and the end of the faulty source may be added")
 			assert.Zero(t, agent.config.seq)
 			// The next configuration is still applied.
 			agent.ApplyConfig(9, documentOf(5))
@@ -71,7 +71,8 @@
 	}
 }
 
-// Whatever peers send, an agent remains a member, never regresses, and applies the next valid change.
+// After arbitrary messages of peers, an agent is still a member, its state has not regressed, and it applies
+// the next valid change.
 func TestAnyMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		node := newManualNode("a", rapid.Bool().Draw(t, "core"))
@@ -135,7 +136,7 @@
 	return delta
 }
 
-// drawSource draws the name of a source: the own one, another's, or none.
+// drawSource draws the name of a source: the node's own, the configuration's, another agent's, or none.
 func drawSource(t *rapid.T, ownSource string) string {
 	return rapid.SampledFrom([]string{"", configSource, ownSource, "x/1", "y/1", "z/1"}).Draw(t, "source")
 }
@@ -159,7 +160,7 @@
 	}
 }
 
-// The changes that are retained for operators reference no large configuration.
+// The changes that are retained for operators do not keep large configurations in memory.
 func TestChangeLogOmitsLargeData(t *testing.T) {
 	agent := newManualNode("a", false)
 	raw := fmt.Appendf(nil, `{"revision":1,"routes":[],"services":[],"note":%q}`, strings.Repeat("x", 1<<20))
--- a/internal/fleet/relay/compression_test.go
+++ b/internal/fleet/relay/compression_test.go
@@ -17,18 +17,18 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// itemsOfFleet returns what a new agent of a fleet is sent: an entry of each agent and of each server.
+// itemsOfFleet returns the deltas that a new agent of a fleet is sent: an item for each agent and each server.
 func itemsOfFleet(agents, servers int) []deltasync.Delta {
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	zones := []string{"zone-a", "zone-b", "zone-c"}
 	var deltas []deltasync.Delta
 	for i := range agents {
 		member := Member{Name: fmt.Sprint("edge-", i), Addr: fmt.Sprintf("10.1.0.%d:7420", i), Zone: zones[i%3], Region: "region", ControlAddr: fmt.Sprintf("10.1.0.%d:8262", i)}
-		delta := deltasync.Delta{Source: fmt.Sprintf("%016x/%016x", random.Uint64(), random.Uint64()), To: 1}
+		delta := deltasync.Delta{Source: fmt.Sprintf("%016x/%016x", rng.Uint64(), rng.Uint64()), To: 1}
 		delta.Items = []deltasync.Item{{Key: memberKey, Version: 1, Data: encode(&member)}}
 		for server := i; server < servers; server += agents {
 			delta.To++
-			id := fmt.Sprintf("i-%016x", random.Uint64())
+			id := fmt.Sprintf("i-%016x", rng.Uint64())
 			instance := registry.Instance{ID: id, Service: "service", Addr: fmt.Sprintf("10.2.0.%d:8080", server), Zone: zones[server%3], Revision: "v1", Slots: 64,
 				Models: []registry.Model{{Name: "m", Revision: 1}}}
 			delta.Items = append(delta.Items, deltasync.Item{Key: serverPrefix + id, Version: delta.To, Data: encode(&instance)})
@@ -42,12 +42,12 @@
 	codec := newDeltaCodec()
 	deltas := itemsOfFleet(90, 115)
 	m := &message{Deltas: deltas, IsCore: true}
-	plain := len(encode(m))
+	plainBytes := len(encode(m))
 	codec.compress(m)
 	assert.Empty(t, m.Deltas)
-	compressed := len(encode(m))
-	t.Log("bytes:", plain, "compressed:", compressed)
-	assert.Less(t, compressed, plain/3)
+	compressedBytes := len(encode(m))
+	t.Log("bytes:", plainBytes, "compressed:", compressedBytes)
+	assert.Less(t, compressedBytes, plainBytes/3)
 
 	received := new(message)
 	require.NoError(t, msgpack.Unmarshal(encode(m), received))
@@ -57,7 +57,7 @@
 	assert.True(t, received.IsCore)
 }
 
-// Short deltas stay as they are: a heartbeat's must not cost an encoder.
+// Small deltas are not compressed, as a heartbeat must not cost the allocation of an encoder.
 func TestShortDeltasAreNotCompressed(t *testing.T) {
 	codec := newDeltaCodec()
 	m := &message{Deltas: itemsOfFleet(2, 2)}
@@ -75,12 +75,12 @@
 	flipped := bytes.Clone(m.CompressedDeltas)
 	flipped[len(flipped)/2] ^= 1
 	for name, compressed := range map[string][]byte{
-		"no zstd":        []byte("no zstd"),
-		"cut short":      m.CompressedDeltas[:len(m.CompressedDeltas)/2],
-		"a bit flipped":  flipped,
-		"no deltas":      codec.encoder().EncodeAll([]byte{0xc1, 0xc1}, nil),
-		"expands far":    codec.encoder().EncodeAll(encode([]deltasync.Delta{{Source: "y/1", To: 1, Items: []deltasync.Item{{Key: "k", Version: 1, Data: make([]byte, maxDecompressedBytes)}}}}), nil),
-		"a map, no list": codec.encoder().EncodeAll(encode(map[string]int{"a": 1}), nil),
+		"not zstd":      []byte("no zstd"),
+		"truncated":     m.CompressedDeltas[:len(m.CompressedDeltas)/2],
+		"a bit flipped": flipped,
+		"not msgpack":   codec.encoder().EncodeAll([]byte{0xc1, 0xc1}, nil),
+		"too large":     codec.encoder().EncodeAll(encode([]deltasync.Delta{{Source: "y/1", To: 1, Items: []deltasync.Item{{Key: "k", Version: 1, Data: make([]byte, maxDecompressedBytes)}}}}), nil),
+		"not a list":    codec.encoder().EncodeAll(encode(map[string]int{"a": 1}), nil),
 	} {
 		received := &message{CompressedDeltas: compressed}
 		assert.ErrorIs(t, codec.decompress(received), errCompressedDeltas, name)
@@ -88,7 +88,7 @@
 	}
 }
 
-// A relay compresses for the peers that accept it, and for no others: they run an earlier program.
+// A relay sends compressed deltas only to the peers that accept them. The others run an earlier program version.
 func TestCompressionIsAgreed(t *testing.T) {
 	t.Parallel()
 	codec := newDeltaCodec()
@@ -106,10 +106,10 @@
 			m, err := st.Recv()
 			require.NoError(t, err)
 			if m.Hello != nil {
-				assert.True(t, m.Hello.AcceptsZstd, "it accepts it itself")
+				assert.True(t, m.Hello.AcceptsZstd, "the relay itself accepts compressed deltas")
 			}
 			if accepts {
-				require.Less(t, dataSize(m.Deltas), minCompressedBytes, "long deltas are compressed")
+				require.Less(t, dataSize(m.Deltas), minCompressedBytes, "large deltas are compressed")
 			} else {
 				require.Empty(t, m.CompressedDeltas)
 			}
@@ -122,7 +122,7 @@
 	}
 }
 
-// A peer whose deltas are damaged loses its session; nobody else notices.
+// A session is closed if the peer sends damaged deltas. Other sessions are not affected.
 func TestDamagedDeltasEndTheSession(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 2, 1)
@@ -137,10 +137,11 @@
 		}
 	}
 	relay.node.ApplyConfig(1, documentOf(1))
-	cluster.eventually("all continue", hasConfig(1))
+	cluster.eventually("continues to receive changes", hasConfig(1))
 }
 
-// They are not taken as a message without deltas, which would leave this node without them for good.
+// Damaged deltas are an error and not treated as a message without deltas, as the peer does not send them again
+// on this session.
 func TestDamagedDeltasAreNoEmptyMessage(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	peer := relay.connect("addr of o", "o/1", true)
@@ -148,8 +149,8 @@
 	assert.NoError(t, relay.receiveMessage(peer, &message{}))
 }
 
-// BenchmarkReturnOfManyAgents reports the most heap that the first messages of 300 sessions take while all are made
-// at once.
+// BenchmarkReturnOfManyAgents reports the peak of the heap's growth while the first messages of 300 sessions are
+// compressed concurrently.
 func BenchmarkReturnOfManyAgents(b *testing.B) {
 	const sessions = 300
 	deltas := itemsOfFleet(360, 850)
@@ -159,13 +160,13 @@
 		before := heapInUse()
 		peak := before
 		messages := make([]*message, sessions)
-		var running sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range messages {
 			messages[i] = &message{Deltas: deltas}
-			running.Go(func() { codec.compress(messages[i]) })
+			wg.Go(func() { codec.compress(messages[i]) })
 		}
 		done := make(chan struct{})
-		go func() { running.Wait(); close(done) }()
+		go func() { wg.Wait(); close(done) }()
 		for sampling := true; sampling; {
 			select {
 			case <-done:
@@ -179,14 +180,14 @@
 	}
 }
 
-// heapInUse returns the bytes of the heap that are in use or not swept yet.
+// heapInUse returns the number of bytes in heap objects that are in use or not swept yet.
 func heapInUse() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
 }
 
-// BenchmarkCompressedDeltas reports what the first deltas of a fleet and a configuration take.
+// BenchmarkCompressedDeltas measures the compression of a fleet's initial deltas and of a configuration.
 func BenchmarkCompressedDeltas(b *testing.B) {
 	codec := newDeltaCodec()
 	config := deltasync.Delta{Source: configSource, To: 1, Items: []deltasync.Item{{Key: configKey, Version: 1, Data: paddedDocument(1, 96<<10)}}}
--- a/internal/fleet/relay/configcache_test.go
+++ b/internal/fleet/relay/configcache_test.go
@@ -10,51 +10,51 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// Sessions that lack the same configuration are sent the same bytes, encoded once; what else they lack
-// is sent beside it.
+// Sessions that lack the same large configuration are sent the same bytes, which are encoded once. The other
+// deltas are sent separately.
 func TestLongConfigurationIsEncodedOnce(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
 	relay.ApplyConfig(1, paddedDocument(1, longConfigBytes))
-	take := func(form configForm) (shared []byte, rest []deltasync.Delta) {
+	take := func(form configForm) (encoded []byte, rest []deltasync.Delta) {
 		relay.mu.Lock()
 		defer relay.mu.Unlock()
 		return relay.configCache.extract(relay.now(), &relay.codec, form, relay.items.DeltasSince(nil))
 	}
-	first, rest := take(configForm{isCore: true, hasQuorum: true, complete: true})
-	require.NotEmpty(t, first)
+	firstEncoded, rest := take(configForm{isCore: true, hasQuorum: true, complete: true})
+	require.NotEmpty(t, firstEncoded)
 	require.Len(t, rest, 1, "the relay's own source")
 	assert.Equal(t, relay.source(), rest[0].Source)
-	second, _ := take(configForm{isCore: true, hasQuorum: true, complete: true})
-	assert.Same(t, &first[0], &second[0])
+	secondEncoded, _ := take(configForm{isCore: true, hasQuorum: true, complete: true})
+	assert.Same(t, &firstEncoded[0], &secondEncoded[0])
 	m := new(message)
-	require.NoError(t, msgpack.Unmarshal(first, m))
+	require.NoError(t, msgpack.Unmarshal(firstEncoded, m))
 	require.Len(t, m.Deltas, 1)
 	assert.Equal(t, configSource, m.Deltas[0].Source)
 	assert.True(t, m.IsCore && m.HasQuorum && m.Complete)
 	assert.Zero(t, m.ReceivedVersion)
 
-	// The status of the sender is part of it.
-	other, _ := take(configForm{isCore: true, hasQuorum: true})
-	assert.NotSame(t, &first[0], &other[0])
-	require.NoError(t, msgpack.Unmarshal(other, m))
-	// So is the configuration.
+	// The status of the sender is part of the encoded message.
+	incompleteEncoded, _ := take(configForm{isCore: true, hasQuorum: true})
+	assert.NotSame(t, &firstEncoded[0], &incompleteEncoded[0])
+	require.NoError(t, msgpack.Unmarshal(incompleteEncoded, m))
+	// A newer configuration replaces the cached message.
 	relay.ApplyConfig(2, paddedDocument(2, longConfigBytes))
-	newer, _ := take(configForm{isCore: true, hasQuorum: true})
-	newest := new(message)
-	require.NoError(t, msgpack.Unmarshal(newer, newest))
-	assert.Equal(t, uint64(2), newest.Deltas[0].To)
-	// It is not retained for long.
+	newerEncoded, _ := take(configForm{isCore: true, hasQuorum: true})
+	newerMessage := new(message)
+	require.NoError(t, msgpack.Unmarshal(newerEncoded, newerMessage))
+	assert.Equal(t, uint64(2), newerMessage.Deltas[0].To)
+	// The message is dropped after its last use.
 	relay.runFor(2*configCacheTTL, nil)
 	assert.Empty(t, relay.configCache.encoded)
 }
 
-// A short configuration is sent with the other deltas.
+// A small configuration is sent together with the other deltas.
 func TestShortConfigurationIsNotShared(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
 	relay.ApplyConfig(1, documentOf(1))
 	relay.mu.Lock()
 	defer relay.mu.Unlock()
-	shared, rest := relay.configCache.extract(relay.now(), &relay.codec, configForm{isCore: true}, relay.items.DeltasSince(nil))
-	assert.Empty(t, shared)
+	encoded, rest := relay.configCache.extract(relay.now(), &relay.codec, configForm{isCore: true}, relay.items.DeltasSince(nil))
+	assert.Empty(t, encoded)
 	assert.Len(t, rest, 2)
 }
--- a/internal/fleet/relay/confighistory_test.go
+++ b/internal/fleet/relay/confighistory_test.go
@@ -15,10 +15,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// diffConfigBytes is the size of the configurations of these tests.
+// diffConfigBytes is the size of the configurations in these tests.
 const diffConfigBytes = 96 << 10
 
-// revisedDocument returns the padded document of revision 1 with another revision.
+// revisedDocument returns the padded document of revision 1 with only its revision replaced.
 func revisedDocument(revision, size int) []byte {
 	return bytes.Replace(paddedDocument(1, size), []byte(`"revision":1`), fmt.Appendf(nil, `"revision":%d`, revision), 1)
 }
@@ -27,7 +27,7 @@
 	return deltasync.Item{Key: configKey, Version: version, Data: encode(&configItem{version, raw})}
 }
 
-// receiveConfig receives messages until one has a configuration, and returns that message.
+// receiveConfig receives messages until one carries a configuration, and returns that message.
 func receiveConfig(t *testing.T, st *stream) *message {
 	t.Helper()
 	codec := newDeltaCodec()
@@ -46,7 +46,7 @@
 	}
 }
 
-// A member of the core retains a bounded number of former configurations, another agent none.
+// A member of the core retains a bounded number of earlier configurations. Other agents retain none.
 func TestFormerConfigsAreBounded(t *testing.T) {
 	var history configHistory
 	for version := uint64(1); version <= 3*maxFormerConfigs; version++ {
@@ -56,20 +56,20 @@
 	}
 	assert.NotNil(t, history.data(2*maxFormerConfigs))
 	assert.Nil(t, history.data(2*maxFormerConfigs-1))
-	long := make([]byte, maxFormerConfigBytes/2+1)
+	longConfig := make([]byte, maxFormerConfigBytes/2+1)
 	for version := uint64(100); version < 104; version++ {
-		history.add(configItemOf(version, long), true)
+		history.add(configItemOf(version, longConfig), true)
 	}
 	assert.Len(t, history.configs, 2)
 	history.add(configItemOf(104, make([]byte, maxFormerConfigBytes+1)), true)
 	history.add(configItemOf(105, documentOf(1)), true)
-	assert.Len(t, history.configs, 1, "a former one is too large")
+	assert.Len(t, history.configs, 1, "the earlier configuration is too large to be retained")
 	history.add(configItemOf(106, documentOf(1)), false)
 	assert.Len(t, history.configs, 1)
 	assert.NotNil(t, history.data(106))
 }
 
-// A peer that has a former configuration is sent what changed, if it accepts that: an earlier program does not.
+// A peer that has an earlier configuration is sent a diff if it accepts diffs. Earlier program versions do not.
 func TestConfigDiffIsAgreed(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 2, 1)
@@ -82,9 +82,9 @@
 		accepts bool
 		isDiff  bool
 	}{
-		"a former one":                     {1, true, true},
-		"a former one, an earlier program": {1, false, false},
-		"none":                             {0, true, false},
+		"an earlier configuration":                   {1, true, true},
+		"an earlier configuration, accepts no diffs": {1, false, false},
+		"no configuration":                           {0, true, false},
 	} {
 		st := relay.openSession()
 		own := &hello{Source: "y/" + name, Addr: "y:1", AcceptsZstd: true, AcceptsConfigDiffs: known.accepts, Vector: deltasync.Vector{configSource: known.version}}
@@ -92,7 +92,7 @@
 		m := receiveConfig(t, st)
 		require.Equal(t, known.isDiff, m.ConfigDiff != nil, name)
 		if known.isDiff {
-			assert.Less(t, len(encode(m.ConfigDiff)), 1<<10, "what changed is short")
+			assert.Less(t, len(encode(m.ConfigDiff)), 1<<10, "the diff is small")
 			data, err := m.ConfigDiff.apply(encode(&configItem{1, first}))
 			require.NoError(t, err)
 			assert.Equal(t, encode(&configItem{2, second}), data)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Agents follow a series of changes, byte by byte.
+// Agents that are sent diffs have exactly the relays' bytes after each of a series of changes.
 func TestAgentsFollowConfigDiffs(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 3, 3)
@@ -110,47 +110,48 @@
 		for _, relay := range cluster.coreMembers {
 			relay.node.ApplyConfig(seq, document)
 		}
-		cluster.eventually("in force", hasConfig(seq))
+		cluster.eventually("has the configuration", hasConfig(seq))
 		for _, agent := range cluster.edgeAgents {
 			agent.node.mu.Lock()
-			data, whole := agent.node.configHistory.data(seq), agent.node.needsWholeConfig
+			data, needsWhole := agent.node.configHistory.data(seq), agent.node.needsWholeConfig
 			agent.node.mu.Unlock()
 			assert.Equal(t, encode(&configItem{seq, document}), data)
-			assert.False(t, whole)
+			assert.False(t, needsWhole)
 		}
 	}
 }
 
-// An agent whose former configuration is another one is sent the whole next one.
+// An agent whose earlier configuration is not the base of the diff receives the whole next configuration.
 func TestAgentWithAnotherBaseGetsTheWholeConfig(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 2, 1)
 	relay, agent := cluster.coreMembers[0], cluster.edgeAgents[0]
 	relay.node.ApplyConfig(1, revisedDocument(1, diffConfigBytes))
-	cluster.eventually("in force", hasConfig(1))
+	cluster.eventually("has the configuration", hasConfig(1))
 	agent.node.mu.Lock()
 	agent.node.configHistory.configs[0].Data = []byte("damaged")
 	agent.node.mu.Unlock()
 	relay.node.ApplyConfig(2, revisedDocument(2, diffConfigBytes))
-	cluster.eventually("in force", hasConfig(2))
+	cluster.eventually("has the configuration", hasConfig(2))
 	relay.node.ApplyConfig(3, revisedDocument(3, diffConfigBytes))
-	cluster.eventually("in force", hasConfig(3))
+	cluster.eventually("has the configuration", hasConfig(3))
 }
 
-// A difference that can't be applied ends the session, and the next one begins with the whole configuration.
+// A diff that cannot be applied is an error, which ends the session. The next hello accepts no diffs, until the
+// agent has received a whole configuration.
 func TestUnusableConfigDiff(t *testing.T) {
 	agent := newManualNode("agent", false)
 	peer := agent.connect("addr of relay", "relay/1", true)
 	agent.ApplyConfig(1, revisedDocument(1, diffConfigBytes))
-	base, next := configItemOf(1, revisedDocument(1, diffConfigBytes)), configItemOf(2, revisedDocument(2, diffConfigBytes))
-	sound := computeConfigDiff(1, base.Data, next)
-	require.NotNil(t, sound)
-	damaged := *sound
-	damaged.Content.ResultSum++
+	baseItem, nextItem := configItemOf(1, revisedDocument(1, diffConfigBytes)), configItemOf(2, revisedDocument(2, diffConfigBytes))
+	validDiff := computeConfigDiff(1, baseItem.Data, nextItem)
+	require.NotNil(t, validDiff)
+	damagedDiff := *validDiff
+	damagedDiff.Content.ResultSum++
 	for want, diff := range map[error]*configDiff{
 		errUnknownConfigBase: {From: 7, To: 9},
 		bindiff.ErrOtherBase: {From: 1, To: 2},
-		bindiff.ErrDamaged:   &damaged,
+		bindiff.ErrDamaged:   &damagedDiff,
 	} {
 		agent.needsWholeConfig = false
 		require.ErrorIs(t, agent.receiveMessage(peer, &message{ConfigDiff: diff}), want)
@@ -158,11 +159,11 @@
 		assert.False(t, agent.newHelloLocked(false).AcceptsConfigDiffs)
 	}
 	agent.ApplyConfig(2, revisedDocument(2, diffConfigBytes))
-	assert.True(t, agent.newHelloLocked(false).AcceptsConfigDiffs, "a whole one has come")
+	assert.True(t, agent.newHelloLocked(false).AcceptsConfigDiffs, "the agent has received a whole configuration")
 }
 
-// A difference to a configuration that is in force already shows that the peer has it, so that it is not sent
-// back.
+// A diff that leads to the configuration in force shows that the peer has this configuration, so that it is not
+// sent back.
 func TestKnownConfigDiffIsNotSentBack(t *testing.T) {
 	relay := newManualNode("relay", true, Peer{Addr: "addr of relay"}, Peer{Addr: "addr of other"})
 	peer := relay.connect("addr of other", "other/1", true)
@@ -172,33 +173,34 @@
 	assert.Equal(t, uint64(2), peer.sentVersions[configSource])
 }
 
-// The difference to the newest configuration is computed once for all sessions.
+// The diff to the newest configuration is computed once for all sessions.
 func TestConfigDiffIsComputedOnce(t *testing.T) {
 	var history configHistory
 	history.add(configItemOf(1, revisedDocument(1, diffConfigBytes)), true)
 	history.add(configItemOf(2, revisedDocument(2, diffConfigBytes)), true)
-	first := history.diff(1)
-	require.NotNil(t, first)
-	assert.Same(t, first, history.diff(1))
-	assert.Nil(t, history.diff(7), "it is not known")
+	firstDiff := history.diff(1)
+	require.NotNil(t, firstDiff)
+	assert.Same(t, firstDiff, history.diff(1))
+	assert.Nil(t, history.diff(7), "the base is unknown")
 	history.add(configItemOf(3, revisedDocument(3, diffConfigBytes)), true)
 	assert.Equal(t, uint64(3), history.diff(1).To)
 	assert.Equal(t, uint64(3), history.diff(2).To)
 }
 
-// tenantDocument returns a configuration of so many tenants, each with a random key.
+// tenantDocument returns a configuration with the given number of tenants, each with a random key. Two revisions
+// differ in the rate of one tenant.
 func tenantDocument(revision, tenants int) []byte {
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	var document bytes.Buffer
 	fmt.Fprintf(&document, `{"revision":%d,"routes":[],"services":[],"tenants":[`, revision)
 	for i := range tenants {
 		if i > 0 {
 			document.WriteByte(',')
 		}
-		key := fmt.Sprintf("%016x%016x%016x%016x", random.Uint64(), random.Uint64(), random.Uint64(), random.Uint64())
-		rate := 10 + random.IntN(90)
+		key := fmt.Sprintf("%016x%016x%016x%016x", rng.Uint64(), rng.Uint64(), rng.Uint64(), rng.Uint64())
+		rate := 10 + rng.IntN(90)
 		if i == tenants/2 {
-			rate += revision // what changes
+			rate += revision
 		}
 		fmt.Fprintf(&document, `{"id":"tenant-%d","keys":["%s"],"requests-per-s":%d}`, i, key, rate)
 	}
@@ -206,13 +208,14 @@
 	return document.Bytes()
 }
 
-// A configuration is read back byte by byte, once it is here and while there is no newer one.
+// CommittedConfig returns exactly the bytes that were submitted. It waits until the configuration has arrived, and
+// fails if a newer one is present.
 func TestCommittedConfig(t *testing.T) {
 	relay := newManualNode("relay", true, Peer{Addr: "addr of relay"})
-	ended, cancel := context.WithCancel(t.Context())
+	endedContext, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, found := relay.CommittedConfig(ended, 1)
-	assert.False(t, found, "it is not here yet")
+	_, found := relay.CommittedConfig(endedContext, 1)
+	assert.False(t, found, "the configuration has not arrived yet")
 	type answer struct {
 		raw   []byte
 		found bool
@@ -226,14 +229,14 @@
 	assert.Equal(t, answer{documentOf(5), true}, <-answers)
 	relay.ApplyConfig(2, []byte("no document"))
 	_, found = relay.CommittedConfig(t.Context(), 1)
-	assert.False(t, found, "there is a newer one")
+	assert.False(t, found, "there is a newer configuration")
 	raw, found := relay.CommittedConfig(t.Context(), 2)
-	assert.True(t, found, "also one that is not in force")
+	assert.True(t, found, "it is returned although it is invalid and not in force")
 	assert.Equal(t, "no document", string(raw))
 }
 
-// BenchmarkConfigChange reports what a change of one tenant costs an agent: the bytes that its session receives,
-// and the time until it is in force there, with and without differences.
+// BenchmarkConfigChange measures a change of one tenant with and without diffs: the bytes that an agent's session
+// receives, and the time until the new configuration is in force on the agent.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, tenants := range []int{170, 650, 6500} {
 		for name, accepts := range map[string]bool{"whole": false, "difference": true} {
@@ -244,7 +247,7 @@
 
 func benchmarkConfigChange(b *testing.B, tenants int, accepts bool) {
 	relay, agent := newManualNode("relay", true, Peer{Addr: "addr of relay"}), newManualNode("agent", false)
-	relay.tick() // it notices that it is a member of the core
+	relay.tick() // the relay detects that it is a member of the core
 	toAgent, fromRelay := relay.connect("addr of agent", agent.source(), false), agent.connect("addr of relay", relay.source(), true)
 	toAgent.acceptsZstd, toAgent.acceptsConfigDiffs = true, accepts
 	out := &sender{node: relay.Node, session: toAgent}
@@ -273,7 +276,7 @@
 	b.ReportMetric(float64(total)/float64(seq-1), "bytes/change")
 }
 
-// receiveEncoded has a node receive an encoded message of a session.
+// receiveEncoded lets a node receive an encoded message on a session.
 func (n *manualNode) receiveEncoded(tb testing.TB, from *session, encoded []byte) {
 	received := new(message)
 	require.NoError(tb, msgpack.Unmarshal(encoded, received))
--- a/internal/fleet/relay/fanout_bench_test.go
+++ b/internal/fleet/relay/fanout_bench_test.go
@@ -11,8 +11,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// BenchmarkFanOut measures sending one configuration of 1 MB to 100 sessions: its encoding, and all the
-// way to the readers over loopback, their reading included.
+// BenchmarkFanOut measures sending one configuration of 1 MB to 100 sessions: the encoding alone, and the
+// whole transfer over loopback including the readers.
 func BenchmarkFanOut(b *testing.B) {
 	const sessions, size = 100, 1 << 20
 	m := &message{HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{{Source: configSource, To: 1,
@@ -43,7 +43,8 @@
 	})
 }
 
-// newBroadcast returns a function that sends a message to all readers at once and waits until all have it.
+// newBroadcast returns a function that sends a message to all readers concurrently and waits until all have
+// received it.
 func newBroadcast(b *testing.B, readers int) func(func(*stream) error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -63,9 +64,9 @@
 		<-st.Context().Done()
 		return nil
 	})
-	var serving sync.WaitGroup
-	serving.Go(func() { _ = rpc.Serve(b.Context(), ln, table) })
-	b.Cleanup(serving.Wait)
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = rpc.Serve(b.Context(), ln, table) })
+	b.Cleanup(wg.Wait)
 	received := make(chan struct{}, readers)
 	for range readers {
 		st, hangUp, err := rpc.OpenStream[message, message](b.Context(), ln.Addr().String(), "bench")
@@ -74,7 +75,7 @@
 		require.NoError(b, st.Send(&message{}))
 		_, err = st.Recv()
 		require.NoError(b, err)
-		serving.Go(func() {
+		wg.Go(func() {
 			for {
 				if _, err := st.Recv(); err != nil {
 					return
@@ -85,7 +86,7 @@
 	}
 	return func(send func(*stream) error) {
 		for _, st := range streams {
-			serving.Go(func() { _ = send(st) })
+			wg.Go(func() { _ = send(st) })
 		}
 		for range readers {
 			<-received
--- a/internal/fleet/relay/freshness_test.go
+++ b/internal/fleet/relay/freshness_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// confirmCore is the core as confirmations see it.
+// confirmCore provides the results of Options.ConfirmConfig.
 type confirmCore struct {
 	seq uint64
 	err error
-	// during, if set, is called while a confirmation is under way.
+	// during, unless nil, is called during each confirmation.
 	during func()
 }
 
@@ -27,7 +27,7 @@
 	return c.seq, c.err
 }
 
-// newFreshNode returns a node that does not run and tracks freshness.
+// newFreshNode returns a manual node that tracks freshness.
 func newFreshNode(name string, member bool, core *confirmCore) *manualNode {
 	node := newManualNode(name, member, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	node.options.ConfirmConfig = core.confirm
@@ -35,14 +35,15 @@
 	return node
 }
 
-// update returns the message that a node would send now on a session, after its encoding.
+// update returns the message that a node would send now on a session.
 func (n *manualNode) update(to *session) *message {
 	out := &sender{node: n.Node, session: to, heartbeatDue: true}
 	update, _, _ := out.nextUpdate()
 	return update
 }
 
-// age is how old the newest confirmed configuration of a node may be; negative: none is confirmed.
+// age returns how long ago the node's configuration was known to be the newest, or -1 if it has never been
+// confirmed.
 func (n *manualNode) age() time.Duration {
 	asOf := n.ConfigFreshAsOf()
 	if asOf.IsZero() {
@@ -67,13 +68,13 @@
 	return p
 }
 
-// ask has the agent's question reach the relay.
+// ask delivers a message with the agent's question to the relay.
 func (p *pair) ask() { p.relay.deliver(p.atRelay, p.agent.update(p.atAgent)) }
 
-// answer has the relay's next message reach the agent.
+// answer delivers the relay's next message to the agent.
 func (p *pair) answer() { p.agent.deliver(p.atAgent, p.relay.update(p.atRelay)) }
 
-// The time that an answer proves is that of the question, however long the answer takes.
+// An answer proves freshness as of the time of the question, however long the answer takes.
 func TestFreshnessCountsFromTheQuestion(t *testing.T) {
 	p := newPair()
 	p.answer()
@@ -94,8 +95,8 @@
 	assert.Less(t, p.agent.age(), time.Second)
 }
 
-// A confirmation answers only the questions that came before it began: a change may be acknowledged
-// while it is under way.
+// A confirmation answers only the questions that arrived before it began, as a change may be acknowledged
+// while it is in progress.
 func TestConfirmationAnswersEarlierQuestions(t *testing.T) {
 	p := newPair()
 	p.core.during = p.ask
@@ -108,8 +109,8 @@
 	require.GreaterOrEqual(t, p.agent.age(), time.Duration(0))
 }
 
-// A relay that is cut off from the core, or has not the newest configuration, gives no fresher answer,
-// and its own requests end as well.
+// A relay that is partitioned from the core, or lacks the newest configuration, gives no newer answer. Its own
+// configuration is not confirmed either.
 func TestRelayThatIsCutOff(t *testing.T) {
 	p := newPair()
 	p.ask()
@@ -130,17 +131,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	p.ask()
-	require.False(t, p.relay.confirm(ctx), "configuration 7 has not come yet")
+	require.False(t, p.relay.confirm(ctx), "configuration 7 has not arrived yet")
 	p.answer()
 	assert.Greater(t, p.agent.age(), 4*time.Second)
 	p.relay.ApplyConfig(7, documentOf(7))
 	require.True(t, p.relay.confirm(context.Background()))
 	p.answer()
 	assert.Less(t, p.agent.age(), 2*time.Second)
-	assert.EqualValues(t, 7, p.agent.config.seq, "it came with the answer")
+	assert.EqualValues(t, 7, p.agent.config.seq, "the configuration arrived with the answer")
 }
 
-// An answer holds only with the configuration that it names.
+// An answer does not count before the agent has the configuration that it names.
 func TestAnswerWithoutItsConfiguration(t *testing.T) {
 	p := newPair()
 	question := p.agent.update(p.atAgent).FreshnessQuestion
@@ -148,13 +149,13 @@
 	p.agent.deliver(p.atAgent, &message{IsCore: true, HasQuorum: true, FreshnessAnswer: question, FreshnessSeq: 3})
 	require.Negative(t, p.agent.age())
 	p.agent.deliver(p.atAgent, &message{IsCore: true, HasQuorum: true, FreshnessAnswer: question + 60_000})
-	require.Negative(t, p.agent.age(), "a time to come was never asked at")
+	require.Negative(t, p.agent.age(), "no question was sent at a future time")
 	p.agent.ApplyConfig(3, documentOf(3))
 	p.agent.deliver(p.atAgent, &message{IsCore: true, HasQuorum: true, FreshnessAnswer: question, FreshnessSeq: 3})
 	require.GreaterOrEqual(t, p.agent.age(), time.Duration(0))
 }
 
-// Where nothing needs it, no message has a question or an answer.
+// If freshness is disabled, messages contain neither questions nor answers.
 func TestFreshnessIsOff(t *testing.T) {
 	relay, agent := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("a", false, Peer{Addr: "addr of h"})
 	atAgent, atRelay := agent.connect("addr of h", "h/1", true), relay.connect("addr of a", "a/1", false)
@@ -164,8 +165,8 @@
 	assert.Zero(t, relay.update(atRelay).FreshnessAnswer)
 }
 
-// Over real sessions all agents' configurations are confirmed again and again, and no longer once their
-// relays are cut off from the core.
+// Over real sessions all agents' configurations are confirmed repeatedly, and no longer once their relays have
+// lost their quorum.
 func TestFreshnessOverSessions(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, 3)
@@ -178,27 +179,26 @@
 		}
 	}
 	cluster.start().awaitSynced(6)
-	fresh := func(agent *testAgent) bool { return time.Since(agent.node.ConfigFreshAsOf()) < time.Second }
-	cluster.eventually("fresh", fresh)
+	isFresh := func(agent *testAgent) bool { return time.Since(agent.node.ConfigFreshAsOf()) < time.Second }
+	cluster.eventually("has a fresh configuration", isFresh)
 	for _, relay := range cluster.coreMembers {
 		relay.hasQuorum.Store(false)
 	}
-	cluster.eventually("not fresh", func(agent *testAgent) bool { return time.Since(agent.node.ConfigFreshAsOf()) > 2*time.Second })
+	cluster.eventually("no longer has a fresh configuration", func(agent *testAgent) bool { return time.Since(agent.node.ConfigFreshAsOf()) > 2*time.Second })
 	for _, relay := range cluster.coreMembers {
 		relay.hasQuorum.Store(true)
 	}
-	cluster.eventually("fresh again", fresh)
+	cluster.eventually("has a fresh configuration again", isFresh)
 }
 
-// A confirmation that gets no answer holds up no later one, and no more than maxConfirmations are in
-// progress.
+// A confirmation without an answer does not delay later ones, and at most maxConfirmations are in progress.
 func TestConfirmationsOverlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var inProgress, most, begun atomic.Int32
+		var inProgress, maxInProgress, started atomic.Int32
 		relay := newFreshNode("h", true, &confirmCore{})
 		relay.options.ConfirmConfig = func(ctx context.Context) (uint64, error) {
-			begun.Add(1)
-			most.Store(max(most.Load(), inProgress.Add(1)))
+			started.Add(1)
+			maxInProgress.Store(max(maxInProgress.Load(), inProgress.Add(1)))
 			defer inProgress.Add(-1)
 			<-ctx.Done()
 			return 0, ctx.Err()
@@ -206,8 +206,8 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*confirmTimeout)
 		defer cancel()
 		relay.confirmLoop(ctx)
-		require.EqualValues(t, maxConfirmations, most.Load())
-		require.Greater(t, begun.Load(), int32(2*10), "more than one began in a confirmTimeout")
+		require.EqualValues(t, maxConfirmations, maxInProgress.Load())
+		require.Greater(t, started.Load(), int32(2*10), "on average more than two began in each confirmTimeout")
 		require.Zero(t, inProgress.Load())
 	})
 }
--- a/internal/fleet/relay/incarnation_test.go
+++ b/internal/fleet/relay/incarnation_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What peers have of an earlier incarnation acknowledges nothing of the new one.
+// Versions that peers report for an earlier incarnation acknowledge nothing of the new one.
 func TestNewIncarnationIsAcknowledgedAnew(t *testing.T) {
 	agent := newManualNode("a", false)
 	peer := agent.connect("h", "h/1", true)
@@ -19,24 +19,25 @@
 	}
 	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, QuorumVersion: agent.items.OwnVersion()})
 	require.True(t, agent.Heartbeat(t.Context(), server("s0", 2)))
-	old := agent.source()
+	oldSource := agent.source()
 	agent.mu.Lock()
-	agent.endSourceLocked(old)
+	agent.endSourceLocked(oldSource)
 	agent.mu.Unlock()
-	require.NotEqual(t, old, agent.source())
-	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion() + 5, QuorumVersion: agent.items.OwnVersion() + 5}) // was in flight
-	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer has it of the new incarnation")
+	require.NotEqual(t, oldSource, agent.source())
+	// A message on the old session was in flight when the new incarnation started.
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion() + 5, QuorumVersion: agent.items.OwnVersion() + 5})
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 3)), "no peer has the new incarnation's version")
 	otherPeer := agent.connect("h", "h/1", true)
 	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion() + 5, QuorumVersion: agent.items.OwnVersion() + 5})
-	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "nobody can have what was not published yet")
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 4)), "no peer can have a version that was not published yet")
 	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, ReceivedVersion: agent.items.OwnVersion()})
-	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "one relay has it")
+	assert.False(t, agent.Heartbeat(timeoutContext(t, 50*time.Millisecond), drainingServer("s0", 5)), "only one relay has it")
 	agent.deliver(otherPeer, &message{IsCore: true, HasQuorum: true, QuorumVersion: agent.items.OwnVersion()})
 	assert.True(t, agent.Heartbeat(t.Context(), drainingServer("s0", 6)))
 }
 
-// A drain that is pending while its agent starts a new incarnation is acknowledged by what peers have
-// of that one.
+// A drain that is pending while its agent starts a new incarnation is acknowledged once a majority has the new
+// incarnation's version.
 func TestDrainWaitsAcrossIncarnations(t *testing.T) {
 	agent := newManualNode("a", false)
 	for i := range 20 {
@@ -62,19 +63,19 @@
 	assert.True(t, <-done)
 }
 
-// A session that an earlier incarnation began is rejected: the relay would grant no lease for it.
+// A session that an earlier incarnation dialed is rejected, as the relay would grant the new one no lease for it.
 func TestSessionOfEarlierIncarnationIsRejected(t *testing.T) {
 	agent := newManualNode("a", false)
-	mine := &hello{Source: agent.source(), Addr: "a"}
+	earlierHello := &hello{Source: agent.source(), Addr: "a"}
 	agent.mu.Lock()
 	agent.startIncarnationLocked()
 	agent.mu.Unlock()
-	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: "h/1", Addr: "h"}, "h", mine, &message{}))
-	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: agent.source(), Addr: "h"}, "h", nil, nil), "nor one with itself")
+	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: "h/1", Addr: "h"}, "h", earlierHello, &message{}))
+	require.Error(t, agent.runSession(t.Context(), nil, &hello{Source: agent.source(), Addr: "h"}, "h", nil, nil), "a session with itself is rejected, too")
 	assert.Empty(t, agent.sessions)
 }
 
-// A relay that starts a new incarnation retains the leases that it grants, so that it expires no agent.
+// A relay that starts a new incarnation keeps granting the same leases, so that no agent's lease expires.
 func TestNewIncarnationRetainsGrantedLeases(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
 	agent := newManualNode("a", false)
@@ -86,11 +87,11 @@
 	relay.startIncarnationLocked()
 	relay.mu.Unlock()
 	require.Empty(t, relay.sessions)
-	peer = relay.connect("addr of a", agent.source(), false) // it reconnects at once
+	peer = relay.connect("addr of a", agent.source(), false) // the agent reconnects at once
 	relay.runFor(10*time.Second, relay.heartbeatFrom(peer))
 	assert.Empty(t, relay.publishedEndSources())
 	assert.Equal(t, presentData, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
-	// The lease of one that does not reconnect expires.
+	// The lease of an agent that does not reconnect expires.
 	relay.mu.Lock()
 	relay.startIncarnationLocked()
 	relay.mu.Unlock()
@@ -100,10 +101,10 @@
 	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()])
 }
 
-// A source with too many tombstones is continued by a new incarnation without being asked.
+// A node whose source has too many tombstones starts a new incarnation by itself.
 func TestCompactionStartsNewIncarnation(t *testing.T) {
 	agent := newManualNode("a", false)
-	old := agent.source()
+	oldSource := agent.source()
 	agent.mu.Lock()
 	for i := range 3000 {
 		agent.publishItemLocked(fmt.Sprint("x", i), presentData)
@@ -111,13 +112,14 @@
 	}
 	agent.mu.Unlock()
 	agent.tick()
-	assert.NotEqual(t, old, agent.source())
+	assert.NotEqual(t, oldSource, agent.source())
 	assert.Less(t, agent.items.OwnVersion(), uint64(10))
 	assert.Contains(t, agent.members, agent.source())
-	assert.NotContains(t, agent.members, old)
+	assert.NotContains(t, agent.members, oldSource)
 }
 
-// An agent that was unreachable when its end was announced learns of it on its return, however late.
+// An agent that was unreachable when its end was announced receives the announcement when it returns, however
+// late.
 func TestEndIsPublishedAgainToReturningAgent(t *testing.T) {
 	relay, other, agent := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("o", true), newManualNode("a", false)
 	relay.tick()
@@ -128,12 +130,12 @@
 	relay.endSourceLocked(agent.source())
 	relay.mu.Unlock()
 	relay.runFor(time.Second, nil)
-	require.Empty(t, relay.publishedEndSources(), "another announced it, and has withdrawn that since")
+	require.Empty(t, relay.publishedEndSources(), "another relay announced the end and has withdrawn it since")
 	peer := relay.connect("addr of a", agent.source(), false)
 	relay.runFor(tickInterval, relay.heartbeatFrom(peer))
 	assert.Nil(t, relay.itemsOf(relay.source())[leasePrefix+agent.source()], "an ended source gets no lease")
 
-	// It learns by the lease that another relay grants, which knows nothing of the end.
+	// The end is announced again when another relay, which has not received it, grants the agent a lease.
 	otherPeer := other.connect("addr of a", agent.source(), false)
 	other.runFor(tickInterval, other.heartbeatFrom(otherPeer))
 	require.True(t, other.leases.Granted(agent.source()))
@@ -141,12 +143,12 @@
 	require.Equal(t, []string{agent.source()}, relay.publishedEndSources())
 	other.syncFrom(relay)
 	assert.NotContains(t, other.members, agent.source())
-	old := agent.source()
+	oldSource := agent.source()
 	agent.syncFrom(relay)
-	assert.NotEqual(t, old, agent.source())
+	assert.NotEqual(t, oldSource, agent.source())
 	thirdPeer := relay.connect("addr of o", other.source(), true)
 	relay.runFor(endRetention+time.Second, relay.heartbeatFrom(thirdPeer))
-	assert.Empty(t, relay.publishedEndSources(), "an announcement is withdrawn")
+	assert.Empty(t, relay.publishedEndSources(), "the announcement is withdrawn after endRetention")
 	relay.syncFrom(other)
-	assert.Empty(t, relay.publishedEndSources(), "and older items do not bring it back")
+	assert.Empty(t, relay.publishedEndSources(), "older items do not cause another announcement")
 }
--- a/internal/fleet/relay/manualnode_test.go
+++ b/internal/fleet/relay/manualnode_test.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// manualNode is a node that does not run: a test ticks it, and advances its clock.
+// manualNode is a node without goroutines of its own: the test calls tick and advances the node's clock.
 type manualNode struct {
 	*Node
 	core     *fakeCore
@@ -23,7 +23,8 @@
 	return node
 }
 
-// runFor ticks for a duration and calls each before every tick.
+// runFor advances the clock by a duration, with a tick at each tickInterval. It calls each, unless nil, before
+// every tick.
 func (n *manualNode) runFor(d time.Duration, each func()) {
 	for end := n.now() + d; n.now() < end; {
 		n.advanceClock(tickInterval)
@@ -34,7 +35,7 @@
 	}
 }
 
-// connect adds a session with a peer, which sends nothing by itself.
+// connect adds a session with a peer that sends only what the test delivers. The session is a minute old.
 func (n *manualNode) connect(peerAddr, source string, core bool) *session {
 	peer := newSession(n.now(), &hello{Source: source, IsCore: core}, peerAddr, func() uint64 { return 0 }, func() {})
 	peer.startTime = n.now() - time.Minute
@@ -44,24 +45,24 @@
 	return peer
 }
 
-// deliver has the node handle a message of a session, after a round trip through the encoding.
+// deliver encodes and decodes a message and lets the node handle it as received on a session.
 func (n *manualNode) deliver(peer *session, m *message) {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
 		panic(err)
 	}
-	copied := new(message)
-	if err := msgpack.Unmarshal(raw, copied); err != nil {
+	decoded := new(message)
+	if err := msgpack.Unmarshal(raw, decoded); err != nil {
 		panic(err)
 	}
-	n.handleMessage(peer, copied)
+	n.handleMessage(peer, decoded)
 }
 
 func (n *manualNode) heartbeatFrom(peer *session) func() {
 	return func() { n.deliver(peer, &message{IsCore: peer.peerIsCore, HasQuorum: peer.peerIsCore}) }
 }
 
-// syncFrom applies everything that another node has.
+// syncFrom applies everything that another node has and this one lacks.
 func (n *manualNode) syncFrom(from *manualNode) {
 	from.mu.Lock()
 	n.mu.Lock()
@@ -75,7 +76,7 @@
 
 func (n *manualNode) source() string { return n.items.OwnSource() }
 
-// publishedEndSources returns the sources that it announces as ended.
+// publishedEndSources returns the sources that the node announces as ended.
 func (n *manualNode) publishedEndSources() (out []string) {
 	for key, data := range n.itemsOf(n.source()) {
 		if strings.HasPrefix(key, endPrefix) && data != nil {
@@ -100,7 +101,8 @@
 	return out
 }
 
-// initialDelta is the first delta of a source, of alternating keys and data.
+// initialDelta returns the first delta of a source. Its arguments are alternately keys and data; data that is not
+// a byte slice is encoded.
 func initialDelta(source string, keysAndData ...any) deltasync.Delta {
 	delta := deltasync.Delta{Source: source}
 	for i := 0; i < len(keysAndData); i += 2 {
@@ -114,7 +116,7 @@
 	return delta
 }
 
-// leaseDelta is a later delta of a source, which grants a lease or, without data, releases it.
+// leaseDelta returns a delta of a source after version from. It grants a lease or, with nil data, releases it.
 func leaseDelta(source string, from uint64, agent string, data []byte) deltasync.Delta {
 	return deltasync.Delta{Source: source, From: from, To: from + 1, Items: []deltasync.Item{{Key: leasePrefix + agent, Version: from + 1, Data: data}}}
 }
--- a/internal/fleet/relay/memberaddrs_test.go
+++ b/internal/fleet/relay/memberaddrs_test.go
@@ -18,15 +18,15 @@
 	after.restore(time.Second, before.encoded())
 	assert.Equal(t, []string{"a", "b"}, after.absent(nil))
 	assert.Equal(t, []string{"b"}, after.absent(map[string]bool{"a": true}))
-	assert.Zero(t, after.version, "what was read from disk need not be written")
+	assert.Zero(t, after.version, "addresses that were read from disk need not be written again")
 }
 
 func TestUnreadableMemberAddrsAreIgnored(t *testing.T) {
-	for _, saved := range [][]byte{nil, {0xc1}, encode(&savedMembers{Format: savedMembersFormat + 1, Addrs: []string{"a"}}),
+	for _, savedBytes := range [][]byte{nil, {0xc1}, encode(&savedMembers{Format: savedMembersFormat + 1, Addrs: []string{"a"}}),
 		encode(&savedMembers{Format: savedMembersFormat, Addrs: []string{"", string(make([]byte, maxNameBytes+1))}})} {
 		addrs := newMemberAddrs()
-		addrs.restore(time.Second, saved)
-		assert.Empty(t, addrs.absent(nil), "%x", saved)
+		addrs.restore(time.Second, savedBytes)
+		assert.Empty(t, addrs.absent(nil), "%x", savedBytes)
 	}
 }
 
@@ -39,33 +39,33 @@
 	assert.Equal(t, version, addrs.version)
 	addrs.observe(memberRetention+2*time.Second, map[string]bool{"stays": true})
 	assert.Empty(t, addrs.absent(map[string]bool{"stays": true}))
-	assert.Greater(t, addrs.version, version, "the list on disk is to be written anew")
+	assert.Greater(t, addrs.version, version, "the list on disk must be written again")
 }
 
 func TestMemberAddrsAreBounded(t *testing.T) {
 	addrs := newMemberAddrs()
 	addrs.observe(time.Second, map[string]bool{"oldest": true})
-	present := map[string]bool{}
+	presentAddrs := map[string]bool{}
 	for i := range maxMemberAddrs - 1 {
-		present[fmt.Sprint("addr-", i)] = true
+		presentAddrs[fmt.Sprint("addr-", i)] = true
 	}
-	addrs.observe(2*time.Second, present)
+	addrs.observe(2*time.Second, presentAddrs)
 	require.Len(t, addrs.lastSeen, maxMemberAddrs)
-	present["newest"] = true
-	addrs.observe(3*time.Second, present)
+	presentAddrs["newest"] = true
+	addrs.observe(3*time.Second, presentAddrs)
 	assert.Len(t, addrs.lastSeen, maxMemberAddrs)
 	assert.NotContains(t, addrs.lastSeen, "oldest")
 	assert.Contains(t, addrs.lastSeen, "newest")
-	present["one too many"] = true
-	addrs.observe(4*time.Second, present)
+	presentAddrs["one too many"] = true
+	addrs.observe(4*time.Second, presentAddrs)
 	assert.Len(t, addrs.lastSeen, maxMemberAddrs)
 }
 
-// A relay without a quorum can't tell who is reached. One with a quorum names the seeds and all former
-// members that no relay has a session with; another agent names seeds alone.
+// A relay without a quorum cannot tell which agents are unreached. A relay with a quorum returns the seeds and the
+// remembered agents that no relay has a session with; any other agent returns only seeds.
 func TestUnreachedAddrs(t *testing.T) {
 	relay := newManualNode("relay", true, Peer{Addr: "addr of relay"}, Peer{Addr: "addr of other relay"})
-	assert.Empty(t, relay.UnreachedAddrs(), "it has not looked yet")
+	assert.Empty(t, relay.UnreachedAddrs(), "there has been no tick yet")
 	relay.tick()
 	assert.Equal(t, []string{"seed-0", "seed-1", "seed-2"}, relay.UnreachedAddrs())
 
@@ -82,7 +82,7 @@
 	relay.tick()
 	assert.Equal(t, []string{"seed-0", "seed-1", "seed-2"}, relay.UnreachedAddrs())
 	relay.options.SeedAddrs = func() []string { return nil }
-	assert.Equal(t, []string{"seed-1"}, relay.UnreachedAddrs(), "it was a member")
+	assert.Equal(t, []string{"seed-1"}, relay.UnreachedAddrs(), "its address is remembered")
 
 	agent.connect("addr of relay", relay.source(), true)
 	assert.Empty(t, agent.UnreachedAddrs(), "it has no relay with a quorum")
--- a/internal/fleet/relay/peer_test.go
+++ b/internal/fleet/relay/peer_test.go
@@ -16,7 +16,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/rpc"
 )
 
-// openSession opens a session with an agent as a faulty peer may.
+// openSession opens a stream for a session with the agent, on which a test may send any messages.
 func (a *testAgent) openSession() *rpc.Stream[message, message] {
 	st, hangUp, err := rpc.OpenStream[message, message](timeoutContext(a.t, testTimeout), *a.backendAddr.Load(), "feed.session")
 	require.NoError(a.t, err)
@@ -24,7 +24,7 @@
 	return st
 }
 
-// isRefused reports whether the other side ends a session without a message.
+// isRefused reports whether the next receive fails, as the other side has ended the session.
 func isRefused(st *rpc.Stream[message, message]) bool {
 	_, err := st.Recv()
 	return err != nil
@@ -35,20 +35,20 @@
 	t.Parallel()
 	cluster := newSyncedCluster(t, 1, 1)
 	relay := cluster.coreMembers[0]
-	huge := deltasync.Vector{}
+	hugeVector := deltasync.Vector{}
 	for i := range maxVectorEntries + 1 {
-		huge[string(rune('a'+i%26))+strings.Repeat("x", i/26)] = 1
+		hugeVector[string(rune('a'+i%26))+strings.Repeat("x", i/26)] = 1
 	}
-	long := strings.Repeat("x", maxNameBytes+1)
+	longText := strings.Repeat("x", maxNameBytes+1)
 	for name, m := range map[string]*message{
 		"no hello":               {},
 		"no source":              {Hello: &hello{Addr: "x:1"}},
 		"no address":             {Hello: &hello{Source: "x/1"}},
-		"a huge source":          {Hello: &hello{Source: long, Addr: "x:1"}},
-		"a huge address":         {Hello: &hello{Source: "x/1", Addr: long}},
+		"a huge source":          {Hello: &hello{Source: longText, Addr: "x:1"}},
+		"a huge address":         {Hello: &hello{Source: "x/1", Addr: longText}},
 		"the configuration":      {Hello: &hello{Source: configSource, Addr: "x:1"}},
 		"the relay's own source": {Hello: &hello{Source: relay.node.Report().Source, Addr: "x:1"}},
-		"a huge vector":          {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: huge}},
+		"a huge vector":          {Hello: &hello{Source: "x/1", Addr: "x:1", Vector: hugeVector}},
 	} {
 		st := relay.openSession()
 		require.NoError(t, st.Send(m), name)
@@ -57,34 +57,34 @@
 			assert.NotContains(t, relay.sessionPeers(), m.Hello.Addr, name)
 		}
 	}
-	// A peer that sends nothing is given up, and so is one that sends something else.
-	begin := time.Now()
+	// The session with a peer that sends nothing is closed, as is one with a peer that sends no valid message.
+	start := time.Now()
 	assert.True(t, isRefused(relay.openSession()))
-	assert.Less(t, time.Since(begin), testTimeout/2)
-	wrong, hangUp, err := rpc.OpenStream[[]string, message](timeoutContext(t, testTimeout), *relay.backendAddr.Load(), "feed.session")
+	assert.Less(t, time.Since(start), testTimeout/2)
+	otherStream, hangUp, err := rpc.OpenStream[[]string, message](timeoutContext(t, testTimeout), *relay.backendAddr.Load(), "feed.session")
 	require.NoError(t, err)
 	defer hangUp()
-	require.NoError(t, wrong.Send(&[]string{"what"}))
-	_, err = wrong.Recv()
+	require.NoError(t, otherStream.Send(&[]string{"what"}))
+	_, err = otherStream.Recv()
 	require.Error(t, err)
 	relay.node.ApplyConfig(1, documentOf(1))
-	cluster.eventually("all continue", hasConfig(1))
+	cluster.eventually("continues to receive changes", hasConfig(1))
 	cluster.awaitSynced(2)
 }
 
-// A faulty peer may have a session, and its messages change nothing for others.
+// Invalid messages on an established session change nothing for other agents.
 func TestFaultyPeerChangesNothing(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 1, 1)
 	relay := cluster.coreMembers[0]
 	relay.node.ApplyConfig(5, documentOf(5))
-	cluster.eventually("in force", hasConfig(5))
-	before := map[string]string{}
+	cluster.eventually("has the configuration", hasConfig(5))
+	sourcesBefore := map[string]string{}
 	for _, agent := range cluster.all() {
-		before[agent.Name] = agent.node.Report().Source
+		sourcesBefore[agent.Name] = agent.node.Report().Source
 	}
 	st := relay.openSession()
-	vector := deltasync.Vector{configSource: 1 << 60, before["relay-0"]: 1 << 60, "": 7, "y/1": 3}
+	vector := deltasync.Vector{configSource: 1 << 60, sourcesBefore["relay-0"]: 1 << 60, "": 7, "y/1": 3}
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "x/1", Addr: "x:1", IsCore: true, Vector: vector}, HasQuorum: true, Complete: true}))
 	_, err := st.Recv()
 	require.NoError(t, err)
@@ -98,12 +98,12 @@
 	for _, m := range []*message{
 		{IsCore: true, HasQuorum: true, Complete: true, ReceivedVersion: 1 << 60},
 		{Redirect: make([]Peer, 10000)},
-		{Hello: &hello{Source: before["agent-0"]}},
-		{Deltas: []deltasync.Delta{{Source: before["relay-0"], To: 100, Items: items(99, memberKey)}}},
+		{Hello: &hello{Source: sourcesBefore["agent-0"]}},
+		{Deltas: []deltasync.Delta{{Source: sourcesBefore["relay-0"], To: 100, Items: items(99, memberKey)}}},
 		{Deltas: []deltasync.Delta{{Source: configSource, From: 0, To: 1 << 50}}},
 		{Deltas: []deltasync.Delta{{Source: configSource, From: 9, To: 12, Items: items(11, configKey)}}},
-		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 0, To: 1 << 50}}},
-		{Deltas: []deltasync.Delta{{Source: before["agent-0"], From: 1 << 40, To: 1 << 50, Items: items(1<<50-1, memberKey)}}},
+		{Deltas: []deltasync.Delta{{Source: sourcesBefore["agent-0"], From: 0, To: 1 << 50}}},
+		{Deltas: []deltasync.Delta{{Source: sourcesBefore["agent-0"], From: 1 << 40, To: 1 << 50, Items: items(1<<50-1, memberKey)}}},
 		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, To: 2, Items: items(0, "", serverPrefix)}}},
 		{Deltas: []deltasync.Delta{{Source: "", From: 0, To: 1, Items: items(0, memberKey)}}},
 		{Deltas: []deltasync.Delta{{Source: "y/1", From: 0, To: 1, Items: items(0, strings.Repeat("k", 1<<16))}}},
@@ -113,16 +113,16 @@
 		require.NoError(t, st.Send(m))
 	}
 	relay.node.ApplyConfig(6, documentOf(6))
-	cluster.eventually("all continue", hasConfig(6))
+	cluster.eventually("continues to receive changes", hasConfig(6))
 	relay.startHeartbeats("s")
-	cluster.eventually("all continue", listsServer("s"))
+	cluster.eventually("continues to receive changes", listsServer("s"))
 	for _, agent := range cluster.all() {
 		report := agent.node.Report()
-		assert.Equal(t, before[agent.Name], report.Source)
+		assert.Equal(t, sourcesBefore[agent.Name], report.Source)
 		assert.Equal(t, int64(6), report.Revision)
 	}
 	st.Close()
-	cluster.eventually("it is dropped", hasMembers(2))
+	cluster.eventually("has dropped the faulty peer", hasMembers(2))
 }
 
 // A relay serves a bounded number of sessions.
@@ -148,7 +148,7 @@
 	st = relay.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
 	_, err := st.Recv()
-	assert.NoError(t, err, "there is capacity again")
+	assert.NoError(t, err, "a session has ended, so there is capacity again")
 	relay.node.mu.Lock()
 	for _, peer := range filling {
 		delete(relay.node.sessions, peer)
@@ -156,7 +156,7 @@
 	relay.node.mu.Unlock()
 }
 
-// An agent that is no relay answers a hello by a redirect, and its callers follow it.
+// An agent that is not a relay answers a hello with a redirect, which its callers follow.
 func TestRedirect(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 2, 2)
@@ -166,7 +166,7 @@
 	require.NoError(t, err)
 	assert.Nil(t, m.Hello)
 	assert.ElementsMatch(t, cluster.coreMembers[0].Members(), m.Redirect)
-	// An agent that knows only a seed, which is no relay, finds the relays by it.
+	// An agent that knows only a seed finds the relays through it, even if the seed is not a relay.
 	agent := cluster.edgeAgents[1]
 	agent.stop()
 	seed := cluster.edgeAgents[0]
@@ -174,9 +174,9 @@
 	agent.fakeCore.members.Store(&none)
 	agent.seeds = func() []string { return []string{seed.Addr} }
 	agent.start()
-	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
-	cluster.eventually("one session with a relay", func(agent *testAgent) bool { return cluster.relayOf(agent) != nil && len(agent.sessionPeers()) == 1 }, agent)
-	// Without a view an agent names the core members by their member entries.
+	cluster.eventually("is synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
+	cluster.eventually("has one session, with a relay", func(agent *testAgent) bool { return cluster.relayOf(agent) != nil && len(agent.sessionPeers()) == 1 }, agent)
+	// An agent without a view redirects to the agents whose member entries say that they are core members.
 	seed.fakeCore.members.Store(&none)
 	st = seed.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "y/1", Addr: "y:1"}}))
@@ -185,7 +185,7 @@
 	assert.ElementsMatch(t, cluster.coreMembers[0].Members(), m.Redirect)
 }
 
-// A peer that does not read delays nobody else, and its session ends.
+// A peer that does not read delays no other agent, and its session is closed.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 2, 1)
@@ -193,37 +193,37 @@
 	st := relay.openSession()
 	require.NoError(t, st.Send(&message{Hello: &hello{Source: "unread/1", Addr: "unread:1"}}))
 	cluster.eventually("has a session", hasSessionWith("unread:1"), relay)
-	// More than the kernel buffers.
+	// This is more than the kernel buffers.
 	for seq := range uint64(3) {
 		raw := append(documentOf(int(seq)+1), strings.Repeat(" ", 4<<20)...)
 		relay.node.ApplyConfig(seq+1, raw)
 	}
 	start := time.Now()
-	cluster.eventually("all others continue", hasConfig(3))
+	cluster.eventually("continues to receive changes", hasConfig(3))
 	require.True(t, relay.heartbeat(server("s", 1)))
-	cluster.eventually("all others continue", listsServer("s"))
-	cluster.eventually("its session is closed", not(hasSessionWith("unread:1")), relay)
-	t.Log("after", time.Since(start))
+	cluster.eventually("continues to receive changes", listsServer("s"))
+	cluster.eventually("has closed the session", not(hasSessionWith("unread:1")), relay)
+	t.Log("closed after", time.Since(start))
 }
 
-// A relay that accepts and sends nothing, or noise, delays its agent only briefly.
+// A relay that accepts connections but sends nothing, or sends garbage, delays its agent only briefly.
 func TestUnresponsiveRelay(t *testing.T) {
 	t.Parallel()
 	cluster := newSyncedCluster(t, 1, 1)
 	agent := cluster.edgeAgents[0]
 	agent.stop()
-	var serving sync.WaitGroup
-	t.Cleanup(serving.Wait)
+	var wg sync.WaitGroup
+	t.Cleanup(wg.Wait)
 	serve := func(greeting string) Peer {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		serving.Go(func() {
+		wg.Go(func() {
 			for {
 				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				serving.Go(func() {
+				wg.Go(func() {
 					defer conn.Close()
 					_, _ = io.WriteString(conn, greeting)
 					_, _ = io.Copy(io.Discard, conn)
@@ -236,9 +236,9 @@
 	relays := []Peer{serve(""), serve("HTTP/1.1 400 Bad Request\r\n\r\n"), serve("\x00\x01\x02\xff\xff\xff\xff\xff"), cluster.coreMembers[0].Members()[0]}
 	agent.fakeCore.members.Store(&relays)
 	agent.start()
-	cluster.eventually("synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
+	cluster.eventually("is synced", func(agent *testAgent) bool { return agent.snapshot.Load() != nil && agent.snapshot.Load().Synced }, agent)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.True(t, agent.node.Heartbeat(ctx, drainingServer("s", 1)))
-	agent.stop() // before the listeners that it dials
+	agent.stop() // before the listeners that it dials are closed
 }
--- a/internal/fleet/relay/readiness_test.go
+++ b/internal/fleet/relay/readiness_test.go
@@ -10,7 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// newPartitionedRelay returns a relay that was complete and has been without a quorum for twenty seconds.
+// newPartitionedRelay returns a relay that was complete, has then been without a quorum for 20 seconds and has
+// just regained it.
 func newPartitionedRelay(t *testing.T) *manualNode {
 	t.Helper()
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"}, Peer{Addr: "addr of p"})
@@ -22,33 +23,33 @@
 	relay.core.hasQuorum.Store(false)
 	delete(relay.sessions, other)
 	relay.runFor(20*time.Second, nil)
-	require.False(t, relay.readiness.complete(), "others may have more")
+	require.False(t, relay.readiness.complete(), "other relays may have newer state")
 	require.True(t, relay.snapshot.Synced, "it continues to serve with what it has")
 	relay.core.hasQuorum.Store(true)
 	return relay
 }
 
-// A relay that lost its quorum is not complete again before a complete one has sent it everything.
+// A relay that lost its quorum is not complete again before a complete relay has sent it everything.
 func TestReturningRelaySyncsFirst(t *testing.T) {
 	relay := newPartitionedRelay(t)
 	relay.runFor(2*tickInterval, nil)
 	require.False(t, relay.readiness.complete(), "it has just regained its quorum")
 	other := relay.connect("addr of o", "o/2", true)
 	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/2", Addr: "addr of o"}})
-	// What the other has takes long to arrive.
-	received := uint64(0)
-	other.bytesReceived = func() uint64 { return received }
-	relay.runFor(5*selfStartDelay, func() { received++ })
-	require.False(t, relay.readiness.complete(), "the initial sync is running")
-	newer := deltasync.Delta{Source: configSource, To: 9, Items: []deltasync.Item{{Key: configKey, Version: 9, Data: encode(&configItem{9, documentOf(9)})}}}
-	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newer}})
+	// The other relay's state takes long to arrive.
+	receivedBytes := uint64(0)
+	other.bytesReceived = func() uint64 { return receivedBytes }
+	relay.runFor(5*selfStartDelay, func() { receivedBytes++ })
+	require.False(t, relay.readiness.complete(), "the initial sync is in progress")
+	newerDelta := deltasync.Delta{Source: configSource, To: 9, Items: []deltasync.Item{{Key: configKey, Version: 9, Data: encode(&configItem{9, documentOf(9)})}}}
+	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{newerDelta}})
 	assert.True(t, relay.readiness.complete())
 	assert.Equal(t, uint64(9), relay.snapshot.ConfigSeq)
-	relay.ApplyConfig(7, documentOf(7)) // from its own disk, late
+	relay.ApplyConfig(7, documentOf(7)) // an older one from its own disk
 	assert.Equal(t, uint64(9), relay.snapshot.ConfigSeq)
 }
 
-// Where no complete relay can be reached, a relay that lost its quorum declares itself complete, as at a start.
+// A relay that lost its quorum and can reach no complete relay declares itself complete, as after a start.
 func TestReturningRelayWithoutPeers(t *testing.T) {
 	relay := newPartitionedRelay(t)
 	relay.MarkConfigCurrent()
@@ -56,29 +57,29 @@
 	assert.True(t, relay.readiness.complete())
 }
 
-// The same holds for one that restarts with a list from disk, during its initial sync.
+// A relay that has restarted is not complete during its initial sync.
 func TestRestartedRelayIsIncompleteDuringSync(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	relay.MarkConfigCurrent()
 	other := relay.connect("addr of o", "o/1", true)
-	received := uint64(0)
-	other.bytesReceived = func() uint64 { return received }
-	relay.runFor(5*selfStartDelay, func() { received++ })
+	receivedBytes := uint64(0)
+	other.bytesReceived = func() uint64 { return receivedBytes }
+	relay.runFor(5*selfStartDelay, func() { receivedBytes++ })
 	require.False(t, relay.readiness.complete())
 	require.False(t, relay.snapshot.Synced)
 	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Complete: true})
 	assert.True(t, relay.readiness.complete())
 }
 
-// An agent that has a newer configuration than its restarted relay sends it to the relay, and takes
-// nothing older from it.
+// An agent that has a newer configuration than its restarted relay sends it to the relay, and ignores the relay's
+// older one.
 func TestAgentRetainsNewerConfigurationThanItsRelay(t *testing.T) {
 	agent, relay := newManualNode("a", false), newManualNode("h", true, Peer{Addr: "addr of h"})
 	agent.ApplyConfig(9, documentOf(9))
 	relay.ApplyConfig(5, documentOf(5))
-	older := deltasync.Delta{Source: configSource, To: 5, Items: []deltasync.Item{{Key: configKey, Version: 5, Data: encode(&configItem{5, documentOf(5)})}}}
+	olderDelta := deltasync.Delta{Source: configSource, To: 5, Items: []deltasync.Item{{Key: configKey, Version: 5, Data: encode(&configItem{5, documentOf(5)})}}}
 	peer := agent.connect("addr of h", "h/1", true)
-	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{older}})
+	agent.deliver(peer, &message{IsCore: true, HasQuorum: true, Complete: true, Deltas: []deltasync.Delta{olderDelta}})
 	assert.Equal(t, uint64(9), agent.snapshot.ConfigSeq)
 	assert.Equal(t, int64(9), agent.snapshot.Config.Revision)
 	agent.mu.Lock()
@@ -102,7 +103,7 @@
 		want                 bool
 	}{
 		"whole core, none complete":      {true, true, true, &message{IsCore: true, HasQuorum: true}, tickInterval, true},
-		"whole core, one complete":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // it has no quorum
+		"whole core, one complete":       {true, true, true, &message{IsCore: true, Complete: true}, tickInterval, false}, // the complete one has no quorum
 		"whole core, one complete, late": {true, true, true, &message{IsCore: true, Complete: true}, selfStartDelay + 2*tickInterval, true},
 		"one is missing":                 {true, true, true, nil, selfStartDelay - tickInterval, false},
 		"one is missing, late":           {true, true, true, nil, selfStartDelay + 2*tickInterval, true},
@@ -130,8 +131,8 @@
 	}
 }
 
-// A complete peer makes an agent synced only if the peer is a core member with a quorum, and a core
-// member only if that has a quorum itself.
+// A complete peer makes an agent synced only if the peer is a core member with a quorum. If the agent is a core
+// member, it must also have a quorum itself.
 func TestSynced(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		core, linked bool
@@ -141,7 +142,7 @@
 		"an agent":                       {false, false, message{IsCore: true, HasQuorum: true, Complete: true}, true},
 		"by a relay without a quorum":    {false, false, message{IsCore: true, Complete: true}, false},
 		"by an incomplete relay":         {false, false, message{IsCore: true, HasQuorum: true}, false},
-		"by a peer that is no relay":     {false, false, message{HasQuorum: true, Complete: true}, false},
+		"by a peer outside the core":     {false, false, message{HasQuorum: true, Complete: true}, false},
 		"a core member":                  {true, true, message{IsCore: true, HasQuorum: true, Complete: true}, true},
 		"a core member without a quorum": {true, false, message{IsCore: true, HasQuorum: true, Complete: true}, false},
 	} {
--- a/internal/fleet/relay/send_test.go
+++ b/internal/fleet/relay/send_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A change that follows an update waits until coalesceInterval after it, so that those in between go with it. A
-// change after a calm is sent at once.
+// A change soon after an update is sent coalesceInterval after that update, together with the changes in between.
+// A change after a quiet period is sent at once.
 func TestChangesInARowAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := newManualNode("h", true)
@@ -25,9 +25,9 @@
 		} {
 			out := &sender{node: relay.Node, session: relay.connect("addr of a", "a/1", false)}
 			out.lastUpdate = time.Now().Add(-test.sinceUpdate)
-			begun := time.Now()
+			start := time.Now()
 			require.NoError(t, out.wait(t.Context(), changed, nil))
-			require.Equal(t, test.want, time.Since(begun), "%v after the last update", test.sinceUpdate)
+			require.Equal(t, test.want, time.Since(start), "%v after the last update", test.sinceUpdate)
 		}
 	})
 }
--- a/internal/fleet/relay/servers_test.go
+++ b/internal/fleet/relay/servers_test.go
@@ -11,12 +11,12 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// Calls with invalid instances are rejected, as other agents would ignore them.
+// Calls with invalid instances are not acknowledged, as other agents would ignore these instances.
 func TestInvalidCallsAreRejected(t *testing.T) {
 	agent := newManualNode("a", true, Peer{Addr: "addr of a"})
-	in := server("s", 1)
-	in.Slots = -1
-	assert.False(t, agent.Heartbeat(t.Context(), in))
+	invalidServer := server("s", 1)
+	invalidServer.Slots = -1
+	assert.False(t, agent.Heartbeat(t.Context(), invalidServer))
 	assert.False(t, agent.Heartbeat(t.Context(), server("", 1)))
 	assert.False(t, agent.Deregister(t.Context(), ""))
 	assert.False(t, agent.Deregister(t.Context(), strings.Repeat("x", 1<<16)))
@@ -24,19 +24,18 @@
 	assert.True(t, agent.Heartbeat(t.Context(), server("s", 1)))
 }
 
-// A relay whose table is full acknowledges no call of an unknown server, and does those of the servers
-// that it knows.
+// A relay whose server table is full acknowledges no call of an unknown server, but still those of known servers.
 func TestFullTableRejectsUnknownServers(t *testing.T) {
-	const more = 10_000 // than any table takes
+	const count = 10_000 // more servers than a table holds
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"})
 	require.True(t, relay.Heartbeat(t.Context(), server("known", 1)))
 	var items []any
-	for i := range more {
+	for i := range count {
 		items = append(items, serverPrefix+fmt.Sprint("s", i), server(fmt.Sprint("s", i), 1))
 	}
 	peer := relay.connect("addr of a", "a/1", false)
 	relay.deliver(peer, &message{Deltas: []deltasync.Delta{initialDelta("a/1", items...)}})
-	require.Less(t, len(relay.snapshot.Servers.ByID), more)
+	require.Less(t, len(relay.snapshot.Servers.ByID), count)
 	require.False(t, relay.Heartbeat(t.Context(), server("late", 1)))
 	assert.NotContains(t, relay.snapshot.Servers.ByID, "late")
 	assert.False(t, relay.Heartbeat(t.Context(), drainingServer("late", 1)))
--- a/internal/fleet/relay/start_test.go
+++ b/internal/fleet/relay/start_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where the whole core has just started, a member is complete without waiting for a tick.
+// When the whole core has just started, a member becomes complete without waiting for a tick.
 func TestWholeCoreStartsWithoutATick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := newManualNode("h", true, Peer{Addr: "addr of h"})
 		ctx, cancel := context.WithCancel(t.Context())
-		var running sync.WaitGroup
-		defer running.Wait()
+		var wg sync.WaitGroup
+		defer wg.Wait()
 		defer cancel()
-		running.Go(func() { _ = relay.Run(ctx) })
+		wg.Go(func() { _ = relay.Run(ctx) })
 		<-time.After(startCheckInterval)
 		synctest.Wait()
 		require.False(t, relay.isSynced(), "its configuration may be older than the core's")
@@ -27,30 +27,30 @@
 		<-time.After(startCheckInterval)
 		synctest.Wait()
 		assert.True(t, relay.isSynced())
-		assert.True(t, relay.snapshot.Synced, "it is published at once")
+		assert.True(t, relay.snapshot.Synced, "the snapshot is published at once")
 	})
 }
 
-// The look at the start keeps to the same conditions as a tick, and ends with the first completion.
+// checkStart uses the same conditions as tick, and does nothing once the node has been complete.
 func TestCheckStart(t *testing.T) {
 	relay := newManualNode("h", true, Peer{Addr: "addr of h"}, Peer{Addr: "addr of o"})
 	relay.MarkConfigCurrent()
-	require.False(t, relay.checkStart(), "it may be that the other is complete")
+	require.False(t, relay.checkStart(), "the other member may be complete")
 	other := relay.connect("addr of o", "o/1", true)
 	relay.deliver(other, &message{IsCore: true, HasQuorum: true, Hello: &hello{Source: "o/1", Addr: "addr of o"}})
-	require.False(t, relay.checkStart(), "a hello tells nothing of it")
+	require.False(t, relay.checkStart(), "a hello does not report completeness")
 	relay.core.hasQuorum.Store(false)
 	relay.deliver(other, &message{IsCore: true})
-	require.False(t, relay.checkStart(), "without a quorum")
+	require.False(t, relay.checkStart(), "this node has no quorum")
 	relay.core.hasQuorum.Store(true)
 	require.True(t, relay.checkStart())
 	relay.core.hasQuorum.Store(false)
 	relay.tick()
 	require.True(t, relay.checkStart())
-	assert.False(t, relay.readiness.complete(), "only tick completes it once more")
+	assert.False(t, relay.readiness.complete(), "only tick makes it complete again")
 }
 
-// Only members of the core that have not been complete dial in a hurry.
+// Only members of the core that have just started and have not been complete use the short pause.
 func TestRedialPause(t *testing.T) {
 	relay, agent := newManualNode("h", true, Peer{Addr: "addr of h"}), newManualNode("a", false)
 	assert.Equal(t, redialInterval, agent.redialPause())
--- a/internal/fleet/relay/testcluster_test.go
+++ b/internal/fleet/relay/testcluster_test.go
@@ -21,24 +21,24 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// testTimeout bounds every wait.
+// testTimeout bounds every wait of a test.
 const testTimeout = 30 * time.Second
 
-// testAgent is one process of a cluster, over all its incarnations.
+// testAgent is one agent of a cluster. It may be stopped and started again, as a new process.
 type testAgent struct {
 	*testCluster
 	Member
 	*fakeCore
-	backendAddr atomic.Pointer[string] // where it listens behind its proxy, once it has started
-	node        *Node
+	backendAddr atomic.Pointer[string] // the address on which it listens behind its proxy; nil before its first start
+	node        *Node                  // nil while the agent is stopped
 	snapshot    atomic.Pointer[Snapshot]
-	savedList   atomic.Pointer[[]byte] // the saved server list, if there is one
+	savedList   atomic.Pointer[[]byte] // the saved server list; nil if there is none
 	seeds       func() []string
 	confirm     func(context.Context) (uint64, error) // Options.ConfirmConfig
-	stop        func()                                // kills it: nothing is announced
+	stop        func()                                // stops the agent without any announcement
 }
 
-// testCluster is a core of relays and agents beside it, over loopback.
+// testCluster is a core of relays and the agents outside of it, connected over loopback.
 type testCluster struct {
 	*testNetwork
 	t                       *testing.T
@@ -47,7 +47,7 @@
 	coreMembers, edgeAgents []*testAgent
 }
 
-// newTestCluster returns a cluster in which nothing has started. Its core has a quorum.
+// newTestCluster returns a cluster in which no agent has been started. Its core has a quorum.
 func newTestCluster(t *testing.T, relays, agents int) *testCluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,7 +79,7 @@
 		if i < relays {
 			peers = append(peers, Peer{agent.Addr, agent.Zone})
 		}
-		defer cluster.serveProxy(listener, agent) // once all addresses are known
+		defer cluster.serveProxy(listener, agent) // deferred until all addresses are known
 	}
 	for i, agent := range cluster.all() {
 		agent.fakeCore = newFakeCore(i < relays, i < relays, peers...)
@@ -103,7 +103,7 @@
 	return l
 }
 
-// newSyncedCluster returns a cluster in which all agents run and are synced.
+// newSyncedCluster returns a cluster in which all agents are running and synced.
 func newSyncedCluster(t *testing.T, relays, agents int) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, relays, agents).start()
@@ -111,16 +111,16 @@
 	return cluster
 }
 
-// awaitSynced waits until all running agents are synced and know so many members.
+// awaitSynced waits until all running agents are synced and know the given number of members.
 func (l *testCluster) awaitSynced(members int) {
 	l.t.Helper()
-	l.eventually("all are synced", func(agent *testAgent) bool {
+	l.eventually("is synced and knows all members", func(agent *testAgent) bool {
 		s := agent.snapshot.Load()
 		return s != nil && s.Synced && s.Agents == members
 	})
 }
 
-// eventually waits until a condition holds for all running agents, or for the given ones.
+// eventually waits until a condition holds for each of the given agents, or by default for each running one.
 func (l *testCluster) eventually(what string, holds func(*testAgent) bool, agents ...*testAgent) {
 	l.t.Helper()
 	if len(agents) == 0 {
@@ -142,7 +142,7 @@
 	}
 }
 
-// start starts an incarnation.
+// start starts the agent as a new process.
 func (a *testAgent) start() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(a.t, err)
@@ -151,11 +151,11 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	options := Options{Self: a.Member, HeartbeatInterval: a.heartbeatInterval, Core: a.fakeCore, SeedAddrs: a.seeds, ConfirmConfig: a.confirm}
 	var last *Snapshot
-	options.OnChange = func(s *Snapshot) { // it is called in order
+	options.OnChange = func(s *Snapshot) { // called for one snapshot after the other
 		if last != nil {
 			assert.GreaterOrEqual(a.t, s.ConfigSeq, last.ConfigSeq, "%s: the configuration regressed", a.Name)
-			assert.True(a.t, s.Synced || !last.Synced, "%s: was synced", a.Name)
-			assert.GreaterOrEqual(a.t, s.Servers.Version, last.Servers.Version, "%s: the list regressed", a.Name)
+			assert.True(a.t, s.Synced || !last.Synced, "%s: was synced before and is not any more", a.Name)
+			assert.GreaterOrEqual(a.t, s.Servers.Version, last.Servers.Version, "%s: the server list regressed", a.Name)
 		}
 		assert.Positive(a.t, s.Agents)
 		last = s
@@ -181,7 +181,7 @@
 	})
 }
 
-// setPartitioned cuts the links between an agent and others, or restores them.
+// setPartitioned cuts the links between the agent and others in both directions, or restores them.
 func (a *testAgent) setPartitioned(cut bool, from ...*testAgent) {
 	for _, b := range from {
 		if a != b {
@@ -201,7 +201,7 @@
 	return in
 }
 
-// timeoutContext returns a context that ends after d, or with the test.
+// timeoutContext returns a context that ends after d, or at the end of the test.
 func timeoutContext(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
@@ -213,7 +213,7 @@
 	return a.node.Heartbeat(timeoutContext(a.t, testTimeout), in)
 }
 
-// startHeartbeats has a server send heartbeats to the agent until stop is called.
+// startHeartbeats sends the agent heartbeats of a server until stop is called.
 func (a *testAgent) startHeartbeats(id string) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -254,15 +254,15 @@
 	return func(agent *testAgent) bool { return first(agent) && second(agent) }
 }
 
-// hasOtherRelay reports whether an agent has a session with another relay than a given one.
-func hasOtherRelay(old *testAgent) func(*testAgent) bool {
+// hasOtherRelay reports whether an agent has a session with a relay other than the given one.
+func hasOtherRelay(oldRelay *testAgent) func(*testAgent) bool {
 	return func(agent *testAgent) bool {
 		relay := agent.relayOf(agent)
-		return relay != nil && relay != old
+		return relay != nil && relay != oldRelay
 	}
 }
 
-// hasSessions reports whether an agent has so many sessions.
+// hasSessions reports whether an agent has the given number of sessions.
 func hasSessions(count int) func(*testAgent) bool {
 	return func(agent *testAgent) bool { return len(agent.sessionPeers()) == count }
 }
@@ -279,12 +279,12 @@
 	}
 }
 
-// documentOf returns a configuration with a revision.
+// documentOf returns an otherwise empty configuration with the given revision.
 func documentOf(revision int) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, revision)
 }
 
-// sessionPeers returns the addresses of the peers that it has sessions with.
+// sessionPeers returns the addresses of the peers that the agent has sessions with.
 func (a *testAgent) sessionPeers() (peers []string) {
 	for _, s := range a.node.Report().Sessions {
 		peers = append(peers, s.PeerAddr)
@@ -292,7 +292,7 @@
 	return peers
 }
 
-// hasItem reports whether a source has an item here.
+// hasItem reports whether the agent's store has an item of a source.
 func (a *testAgent) hasItem(source, key string) bool {
 	a.node.mu.Lock()
 	defer a.node.mu.Unlock()
--- a/internal/fleet/relay/testnetwork_test.go
+++ b/internal/fleet/relay/testnetwork_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// fakeCore is a Core whose answers a test sets.
+// fakeCore is a Core whose answers are set by the test.
 type fakeCore struct {
 	isMember, hasQuorum atomic.Bool
 	members             atomic.Pointer[[]Peer]
@@ -30,26 +30,27 @@
 
 func (c *fakeCore) Members() []Peer { return *c.members.Load() }
 
-// testNetwork connects the agents of a cluster. Each is reached through a proxy, which knows the caller
-// by the address in its hello. A link that is cut blocks all bytes and closes no connection.
+// testNetwork connects the agents of a cluster. Each agent is reached through a proxy, which identifies the
+// caller by the address in its hello. A link that is cut holds back all bytes but closes no connection.
 type testNetwork struct {
 	ctx     context.Context
 	wg      sync.WaitGroup
 	mu      sync.Mutex
 	addrs   []string
-	cut     map[[2]string]bool          // from, to
-	rates   map[[2]string]*rate.Limiter // of slow links, in bytes a second
-	changed chan struct{}
+	cut     map[[2]string]bool          // whether a link is cut, by the addresses of its sender and receiver
+	rates   map[[2]string]*rate.Limiter // limiters of slow links in bytes per second, by the same addresses
+	changed chan struct{}               // closed and replaced when a link is cut or restored
 }
 
-// setRate bounds what a link carries, in bytes per second.
+// setRate limits the rate of a link, in bytes per second.
 func (n *testNetwork) setRate(from, to string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rates[[2]string{from, to}] = rate.NewLimiter(rate.Limit(bytesPerSecond), copyBufferBytes)
 }
 
-// throttle waits until a link has carried so many bytes. It returns false if the network is closed first.
+// throttle waits until the rate of a link allows the given number of bytes. It returns false if the network
+// is closed first.
 func (n *testNetwork) throttle(from, to string, bytes int) bool {
 	n.mu.Lock()
 	limiter := n.rates[[2]string{from, to}]
@@ -57,7 +58,7 @@
 	return limiter == nil || limiter.WaitN(n.ctx, bytes) == nil
 }
 
-// copyBufferBytes is how much a link carries at once.
+// copyBufferBytes is the maximum number of bytes that a link forwards at once.
 const copyBufferBytes = 64 << 10
 
 func (n *testNetwork) setCut(from, to string, cut bool) {
@@ -102,10 +103,10 @@
 	})
 }
 
-// proxyConn proxies one connection to an agent, by the links between the caller and the agent.
+// proxyConn proxies one connection to an agent, subject to the links between the caller and the agent.
 func (n *testNetwork) proxyConn(caller net.Conn, agent *testAgent) {
 	backendAddr := agent.backendAddr.Load()
-	if backendAddr == nil { // it has not started
+	if backendAddr == nil { // the agent has not been started
 		caller.Close()
 		return
 	}
@@ -118,14 +119,14 @@
 	defer stop()
 	callerAddr, identified := "", make(chan struct{})
 	identify := sync.OnceFunc(func() { close(identified) })
-	var received []byte
+	var receivedBytes []byte
 	var copies sync.WaitGroup
 	copies.Go(func() {
 		defer identify()
 		forwardBytes(backend, caller, func(chunk []byte) bool {
 			if callerAddr == "" {
-				received = append(received, chunk...)
-				if callerAddr = n.addrIn(received, agent.Addr); callerAddr != "" {
+				receivedBytes = append(receivedBytes, chunk...)
+				if callerAddr = n.addrIn(receivedBytes, agent.Addr); callerAddr != "" {
 					identify()
 				}
 			}
@@ -134,26 +135,26 @@
 	})
 	copies.Go(func() {
 		forwardBytes(caller, backend, func(chunk []byte) bool {
-			<-identified // the answering side sends nothing before the hello
+			<-identified // the agent sends nothing before it has received the caller's hello
 			return n.awaitOpen(agent.Addr, callerAddr) && n.throttle(agent.Addr, callerAddr, len(chunk))
 		})
 	})
 	copies.Wait()
 }
 
-// addrIn returns the address of an agent that is in received bytes, but for the one that received
-// them; empty if there is none.
-func (n *testNetwork) addrIn(received []byte, ownAddr string) (addr string) {
+// addrIn returns the address of an agent that appears in the received bytes, other than the receiver's own
+// address. It returns an empty string if there is none.
+func (n *testNetwork) addrIn(receivedBytes []byte, ownAddr string) (addr string) {
 	for _, candidate := range n.addrs {
-		if candidate != ownAddr && bytes.Contains(received, []byte(candidate)) {
+		if candidate != ownAddr && bytes.Contains(receivedBytes, []byte(candidate)) {
 			addr = candidate
 		}
 	}
 	return addr
 }
 
-// forwardBytes copies what pass allows from src to dst until either fails or pass returns false. Then
-// it closes both.
+// forwardBytes copies bytes from src to dst until either fails or pass returns false for a chunk. Then it
+// closes both.
 func forwardBytes(dst, src net.Conn, pass func([]byte) bool) {
 	defer dst.Close()
 	defer src.Close()
