--- a/internal/fleet/bindiff/bindiff.go
+++ b/internal/fleet/bindiff/bindiff.go
@@ -32,8 +32,8 @@
 )
 
 var (
-	// ErrOtherBase is returned for a diff that was computed from a different base.
-	ErrOtherBase = errors.New("diff has a different base")
+	// ErrBaseMismatch is returned for a diff that was computed from a different base.
+	ErrBaseMismatch = errors.New("diff has a different base")
 	// ErrDamaged is returned for a diff that does not decode to its result, or whose result exceeds MaxBytes.
 	ErrDamaged = errors.New("diff is damaged or its result is too large")
 )
@@ -77,7 +77,7 @@
 // Apply returns the result of applying the diff to a base.
 func (d *Diff) Apply(base []byte) ([]byte, error) {
 	if len(base) > MaxBytes || Sum(base) != d.BaseSum {
-		return nil, ErrOtherBase
+		return nil, ErrBaseMismatch
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(MaxBytes), zstd.WithDecoderDictRaw(dictionaryID, base))
--- a/internal/fleet/bindiff/bindiff_test.go
+++ b/internal/fleet/bindiff/bindiff_test.go
@@ -78,7 +78,7 @@
 	diff := requireApplies(t, base, result)
 	for _, otherBase := range [][]byte{nil, result, base[1:], make([]byte, MaxBytes+1)} {
 		_, err := diff.Apply(otherBase)
-		assert.ErrorIs(t, err, ErrOtherBase)
+		assert.ErrorIs(t, err, ErrBaseMismatch)
 	}
 }
 
--- a/internal/fleet/relay/cluster_test.go
+++ b/internal/fleet/relay/cluster_test.go
@@ -153,7 +153,7 @@
 	require.False(t, listsServer("s")(agent), "it takes effect on the agent itself at once")
 	require.True(t, listsServer("s")(cluster.coreMembers[0]))
 	cluster.coreMembers[0].setPartitioned(true, cluster.coreMembers[1])
-	require.False(t, cluster.coreMembers[0].node.Heartbeat(timeoutContext(t, 300*time.Millisecond), drainingServer("r", 1000)), "one of two relays is no majority")
+	require.False(t, cluster.coreMembers[0].node.Heartbeat(timeoutContext(t, 300*time.Millisecond), drainingServer("r", 1000)), "one of two relays is not a majority")
 	cluster.coreMembers[0].setPartitioned(false, cluster.coreMembers[1])
 	require.True(t, cluster.coreMembers[0].heartbeat(drainingServer("r", 1001)))
 	require.True(t, listsServer("r")(cluster.coreMembers[1]) == false, "it is acknowledged, so the other relay has received it")
@@ -217,7 +217,7 @@
 	partitionedRelay.setPartitioned(true, rest...)
 	cluster.eventually("has ended the partitioned relay", hasMembers(5), rest...)
 	require.True(t, hasMembers(6)(partitionedRelay))
-	// More than a lease duration later.
+	// By then, more than leaseDuration has passed since the partition began.
 	stoppedAgent := cluster.edgeAgents[0]
 	stoppedAgent.stop()
 	cluster.eventually("has ended the stopped agent", hasMembers(4), append(cluster.coreMembers[1:3:3], cluster.edgeAgents[1:]...)...)
--- a/internal/fleet/relay/confighistory_test.go
+++ b/internal/fleet/relay/confighistory_test.go
@@ -149,9 +149,9 @@
 	damagedDiff := *validDiff
 	damagedDiff.Content.ResultSum++
 	for want, diff := range map[error]*configDiff{
-		errUnknownConfigBase: {From: 7, To: 9},
-		bindiff.ErrOtherBase: {From: 1, To: 2},
-		bindiff.ErrDamaged:   &damagedDiff,
+		errUnknownConfigBase:    {From: 7, To: 9},
+		bindiff.ErrBaseMismatch: {From: 1, To: 2},
+		bindiff.ErrDamaged:      &damagedDiff,
 	} {
 		agent.needsWholeConfig = false
 		require.ErrorIs(t, agent.receiveMessage(peer, &message{ConfigDiff: diff}), want)
--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -16,7 +16,7 @@
 	maxRedirects = 16
 )
 
-// dialedAddrs is the set of addresses that this node is dialedAddrs, or has a session with that it dialed.
+// dialedAddrs is the set of addresses that this node is dialing, or has dialed and has a session with.
 type dialedAddrs struct {
 	mu    sync.Mutex
 	addrs map[string]bool // guarded by mu
--- a/internal/fleet/relay/doc.go
+++ b/internal/fleet/relay/doc.go
@@ -19,7 +19,7 @@
 //   - freshness: how recently this process is known to have had every acknowledged configuration
 //   - noticeLimiter: the rate limit of prefill notices
 //
-// These types do no I/O. All but sessions are plain values, which take the time as an argument and return
-// decisions. Times are durations on the node's monotonic clock. The clock starts above zero, so that a
-// zero time means never.
+// These types do no I/O. All but sessions are plain values: their methods take the time as an argument and
+// return decisions. Times are durations on the node's monotonic clock. The clock starts above zero, so that
+// a zero time means never.
 package relay
--- a/internal/fleet/relay/message.go
+++ b/internal/fleet/relay/message.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// message is what both sides of a session send.
+// message is the type of all messages on a session, in both directions.
 type message struct {
 	Hello    *hello            `msgpack:"h,omitempty"`
 	Redirect []Peer            `msgpack:"r,omitempty"` // relays to dial; sent by an agent that is not a relay itself
--- a/internal/fleet/relay/node.go
+++ b/internal/fleet/relay/node.go
@@ -267,8 +267,8 @@
 	if !r.maySelfStart() {
 		return
 	}
-	delayOver := now-r.quorumSince > selfStartDelay && !n.sessions.awaitingInitialSync()
-	if !delayOver && !n.sessions.wholeCoreIncomplete(n.options.Self.Addr, members) {
+	isDelayOver := now-r.quorumSince > selfStartDelay && !n.sessions.awaitingInitialSync()
+	if !isDelayOver && !n.sessions.wholeCoreIncomplete(n.options.Self.Addr, members) {
 		return
 	}
 	if isFirst := r.markComplete(); isFirst {
--- a/internal/fleet/relay/notice.go
+++ b/internal/fleet/relay/notice.go
@@ -26,7 +26,8 @@
 	noticeBurst = 100
 	// maxNoticePrefixes bounds the prefixes of a prompt that a notice names.
 	maxNoticePrefixes = 64
-	// maxHops bounds how often a notice is forwarded, even if agents disagree on which of them are relays.
+	// maxHops is the maximum number of hops of a notice: to a relay, to the other relays and to their agents.
+	// It bounds the forwarding even if agents disagree on which of them are relays.
 	maxHops = 3
 	// noticeLinkFraction is the fraction of an agent's link capacity that all notices together may use.
 	noticeLinkFraction = 0.01
@@ -52,7 +53,7 @@
 	PromptTokens   int
 	UncachedTokens int
 	AgeMs          int // time from the request to the sending of this message, in milliseconds
-	Hops           int // number of times the notice was forwarded
+	Hops           int // number of times that the notice was forwarded
 
 	sentAt time.Duration // when the request was sent, on this node's clock
 }
@@ -64,7 +65,7 @@
 		len(n.Instance) <= maxNameBytes && len(n.Prefixes) <= maxNoticePrefixes
 }
 
-// age returns how old the request was when the notice was sent or forwarded.
+// age returns how long before the message the request was sent.
 func (n *notice) age() time.Duration { return time.Duration(n.AgeMs) * time.Millisecond }
 
 // BroadcastNotice informs the other agents of a request that was just sent. prefill is the estimated time
--- a/internal/fleet/relay/serve.go
+++ b/internal/fleet/relay/serve.go
@@ -14,8 +14,8 @@
 const helloTimeout = time.Second
 
 var (
-	errSelfSession     = errors.New("session of a process with itself")
-	errEarlierSession  = errors.New("session was begun by an earlier incarnation")
+	errSelfSession     = errors.New("peer of the session is this process itself")
+	errEarlierSession  = errors.New("session was dialed by an earlier incarnation")
 	errTooManySessions = errors.New("too many sessions at this relay: use another")
 )
 
--- a/internal/fleet/relay/session.go
+++ b/internal/fleet/relay/session.go
@@ -34,7 +34,7 @@
 	// What the peer last reported about itself.
 	peerIsCore         bool
 	acceptsZstd        bool // the peer can read compressed deltas
-	acceptsConfigDiffs bool // the peer can apply configuration diffs
+	acceptsConfigDiffs bool // the peer accepts configuration diffs
 	peerHasQuorum      bool
 	peerComplete       bool          // see readiness
 	completenessKnown  bool          // the peer has reported whether it is complete
@@ -52,7 +52,7 @@
 	pendingAcks        map[string]bool  // sources whose deltas from the peer are not acknowledged yet
 	ownReceivedVersion uint64           // version of this node's own source that the peer has
 	ownQuorumVersion   uint64           // version of the own source that a majority has, as the peer reports
-	wake               chan struct{}    // wakes the sender when it has something for this peer only
+	wake               chan struct{}    // wakes the sender when there is something to send to this peer only
 
 	freshness sessionFreshness
 
--- a/internal/fleet/relay/upstream.go
+++ b/internal/fleet/relay/upstream.go
@@ -19,8 +19,8 @@
 	homeZoneRetryJitter = 4 * time.Second
 	// probationPeriod is how long a relay that ranks above the preferred one has to become complete.
 	probationPeriod = 5 * time.Second
-	// seedAttemptPeriod is the number of attempts of which the last one dials a seed or a redirect
-	// address instead of a known relay.
+	// seedAttemptPeriod is the period, in attempts, at which a seed or a redirect address is dialed instead
+	// of a known relay.
 	seedAttemptPeriod = 4
 	// otherZoneRank is added to the rank of relays of other zones.
 	otherZoneRank = 1 << 31
--- a/internal/fleet/relay/upstream_test.go
+++ b/internal/fleet/relay/upstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectOutbound adds a session that the agent dialed to a relay. *ended is set when the agent closes it.
+// connectOutbound adds a session that the agent dialed to a relay. *isClosed is set when the agent closes it.
 func (n *manualNode) connectOutbound(peerAddr string) (peer *session, isClosed *bool) {
 	peer = n.connect(peerAddr, peerAddr+"/1", true)
 	peer.outbound, peer.startTime = true, n.now()
@@ -20,7 +20,7 @@
 
 // pollDialTargets calls dialTargets at the agent's interval until there are addresses to dial, for at most a
 // duration. It returns the addresses and the time that has passed, or zero values if there were none. It calls
-// talk, unless nil, before each attempt.
+// beforeAttempt, unless nil, before each attempt.
 func (n *manualNode) pollDialTargets(d time.Duration, beforeAttempt func()) (after time.Duration, targets []string) {
 	begin := n.now()
 	for turn := 0; n.now()-begin < d; turn++ {
