--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
-// Command adapter runs many independent balancers on the simulator's protocol: batches of events on standard
-// input, a batch of actions in reply to each on standard output. It ends with status 0 when the input ends, and
-// with status 1 after an input that can't be read or a reply that can't be written.
+// Command adapter runs many independent balancers for the simulator. It reads batches of events from standard
+// input and writes a batch of actions in reply to each to standard output. It exits with status 0 when the input
+// ends, and with status 1 if the input can't be read or a reply can't be written.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// run serves batches until the input ends.
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simprotocol.NewDecoder(bufio.NewReaderSize(in, bufferSize))
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -46,14 +46,14 @@
 	}
 }
 
-// adapter holds the instances of the policy by their numbers. They share nothing but the process.
+// adapter holds the instances of the policy by number. The instances share no state.
 type adapter struct {
 	instances map[uint32]*policy.Balancer
-	reply     simprotocol.Encoder // to the current batch
+	reply     simprotocol.Encoder // reply to the current batch
 	actions   []policy.Action     // scratch space of handle
 }
 
-// handle takes one record of a batch into the reply.
+// handle applies one record of a batch and appends the resulting actions to the reply.
 func (a *adapter) handle(now float64, record *simprotocol.Record) error {
 	switch record.Kind {
 	case simprotocol.Boot:
@@ -71,7 +71,7 @@
 	default:
 		balancer := a.instances[record.Instance]
 		if balancer == nil {
-			return nil // killed, or never started: its events are void
+			return nil // killed or never started: its events are ignored
 		}
 		a.actions = balancer.Handle(now, &record.Event, a.actions[:0])
 	}
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -8,23 +8,23 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// attempt is one send of a request to a backend.
+// attempt is one attempt to get a request served by a backend.
 type attempt struct {
 	backend   *backend
-	startedMs float64 // start of the backend's process, as listed when it was sent
-	cancel    context.CancelFunc
+	startedMs float64            // listed start of the backend's process when the attempt was sent
+	cancel    context.CancelFunc // nil if the attempt was not sent
 	ended     bool
 }
 
-// violation is a breach of the contract that the loop prevents, whatever the policy decides: the number of the
-// rule and what was prevented. Both are labels of a metric.
+// violation is a breach of the contract that the loop prevents, whatever the policy decides. It consists of the
+// number of the contract's rule and a description; both are labels of a metric.
 type violation struct {
 	rule int
 	what string
 }
 
 // The rules of the contract that the loop enforces: one answer in time, no harmful retry, no attempt to a
-// backend that drains.
+// draining backend.
 const (
 	ruleOneAnswer = iota + 1
 	ruleRetries
@@ -33,33 +33,33 @@
 
 var (
 	violationBackstop         = &violation{ruleOneAnswer, "ended by the backstop"}
-	violationFinished         = &violation{ruleOneAnswer, "attempt for a request that is over"}
-	violationNoTime           = &violation{ruleOneAnswer, "attempt without time"}
+	violationRequestFinished  = &violation{ruleOneAnswer, "attempt for a request that is over"}
+	violationNoTimeLeft       = &violation{ruleOneAnswer, "attempt without time"}
 	violationHarmfulRejection = &violation{ruleRetries, "refusal after an attempt that may have run"}
-	violationParallel         = &violation{ruleRetries, "second attempt while one is out"}
-	violationTooMany          = &violation{ruleRetries, "more attempts than allowed"}
-	violationRepeat           = &violation{ruleRetries, "repeat of an unsafe request that may have run"}
-	violationUnlisted         = &violation{ruleDrains, "attempt to a backend that is not listed"}
-	violationDraining         = &violation{ruleDrains, "attempt to a backend that drains or is gone"}
+	violationParallelAttempt  = &violation{ruleRetries, "second attempt while one is out"}
+	violationTooManyAttempts  = &violation{ruleRetries, "more attempts than allowed"}
+	violationUnsafeRetry      = &violation{ruleRetries, "repeat of an unsafe request that may have run"}
+	violationUnlistedBackend  = &violation{ruleDrains, "attempt to a backend that is not listed"}
+	violationDrainingBackend  = &violation{ruleDrains, "attempt to a backend that drains or is gone"}
 )
 
-// startAttempt carries out a send. One that would violate the contract ends at once as NotSent.
+// startAttempt carries out a send action. An attempt that would violate the contract ends at once as NotSent.
 func (l *eventLoop) startAttempt(action *policy.Action) {
 	request := l.requests[action.Request]
 	if request == nil {
-		l.reportViolation(violationFinished, nil) // of which nothing is known any more
+		l.reportViolation(violationRequestFinished, nil) // the request is already dropped
 		return
 	}
 	index, backend := len(request.attempts), l.backends.byAddr[action.Server]
-	started := &attempt{backend: backend}
-	request.attempts = append(request.attempts, started)
+	sent := &attempt{backend: backend}
+	request.attempts = append(request.attempts, sent)
 	now, deadline := time.Now(), request.client.deadline.Add(-backstopMargin)
 	if action.DurationMs != 0 {
 		deadline = earliest(deadline, now.Add(milliseconds(action.DurationMs)))
 	}
 	if violation := l.checkAttempt(request, backend, now, deadline); violation != nil {
 		l.reportViolation(violation, request)
-		started.ended = true
+		sent.ended = true
 		l.pendingEvents = append(l.pendingEvents, policy.Event{Kind: policy.EventAttemptEnded, Request: request.id,
 			Attempt: index, Server: action.Server, Status: policy.NotSent, Final: request.answered})
 		return
@@ -67,12 +67,12 @@
 	if age := l.now() - backend.startedMs; backend.startedMs > 0 && age < l.config.Settings.Contract.SlowStartMs {
 		l.observer.SentToWarmingUp()
 	}
-	started.startedMs = backend.startedMs
+	sent.startedMs = backend.startedMs
 	request.inFlight++
 	request.maybeExecuted++
 	backend.inFlight++
 	ctx, cancel := context.WithCancel(l.ctx)
-	started.cancel = cancel
+	sent.cancel = cancel
 	addr := backend.addr
 	go func() {
 		result := l.sender.send(ctx, backend, addr, request.client, now, deadline)
@@ -81,40 +81,41 @@
 	}()
 }
 
-// checkAttempt returns the violation that an attempt, already counted in the request, would be, or nil.
+// checkAttempt returns the violation that an attempt would cause, or nil. The attempt is already in
+// request.attempts.
 func (l *eventLoop) checkAttempt(request *pendingRequest, backend *backend, now, deadline time.Time) *violation {
 	settings := &l.config.Settings
 	switch {
 	case request.answered:
-		return violationFinished
+		return violationRequestFinished
 	case backend == nil || backend.addr == "":
-		return violationUnlisted
+		return violationUnlistedBackend
 	case backend.unavailable.Load():
-		return violationDraining
+		return violationDrainingBackend
 	case request.inFlight > 0:
-		return violationParallel
+		return violationParallelAttempt
 	case len(request.attempts) > settings.Limits.MaxAttempts:
-		return violationTooMany
+		return violationTooManyAttempts
 	case request.maybeExecuted > 0 && settings.Classes[request.client.class].Idempotency == policy.NonIdempotent:
-		return violationRepeat
+		return violationUnsafeRetry
 	case !deadline.After(now):
-		return violationNoTime
+		return violationNoTimeLeft
 	}
 	return nil
 }
 
-// reportViolation logs and counts what the loop prevented; request may be nil.
-func (l *eventLoop) reportViolation(prevented *violation, request *pendingRequest) {
+// reportViolation logs and counts a prevented violation. request may be nil.
+func (l *eventLoop) reportViolation(v *violation, request *pendingRequest) {
 	l.counters.violations++
-	l.observer.ViolationPrevented(prevented.rule, prevented.what)
+	l.observer.ViolationPrevented(v.rule, v.what)
 	id := ""
 	if request != nil {
 		id = request.client.id
 	}
-	l.log(slog.LevelError, "contract violation prevented: "+prevented.what, "rule", prevented.rule, "request", id)
+	l.log(slog.LevelError, "contract violation prevented: "+v.what, "rule", v.rule, "request", id)
 }
 
-// cancelAttempt withdraws an attempt if it is still in flight.
+// cancelAttempt cancels an attempt that is still in flight.
 func (l *eventLoop) cancelAttempt(action *policy.Action) {
 	request := l.requests[action.Request]
 	if request == nil || action.Attempt < 0 || action.Attempt >= len(request.attempts) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// onAttemptEnded takes the end of an attempt.
+// onAttemptEnded handles the end of an attempt.
 func (l *eventLoop) onAttemptEnded(request *pendingRequest, index int, result *attemptResult) {
 	attempt := request.attempts[index]
 	backend := attempt.backend
@@ -142,13 +143,14 @@
 		request.maybeExecuted--
 	}
 	l.respondWith(request, result)
-	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: request.id, Attempt: index, Server: backend.policyAddr,
-		Status: result.status, LatencyMs: result.latencyMs, Final: request.answered, LoadReport: result.report})
+	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: request.id, Attempt: index,
+		Server: backend.policyAddr, Status: result.status, LatencyMs: result.latencyMs, Final: request.answered,
+		LoadReport: result.report})
 	l.forget(request)
 	l.backends.forget(backend)
 }
 
-// respondWith answers a request with the result of an attempt, if that is final.
+// respondWith answers a request with the result of an attempt if that result is final.
 func (l *eventLoop) respondWith(request *pendingRequest, result *attemptResult) {
 	if !request.answered && result.status == policy.OK {
 		l.respond(request, response{outcome: served, header: result.header, body: result.body,
@@ -157,7 +159,7 @@
 	}
 	l.memoryBudget.Release(result.reservedBytes)
 	if !request.answered && result.status == policy.Cancelled && result.statusCode != 0 {
-		// The backend found fault with the request: so would any other.
+		// The backend found the request invalid, and so would any other.
 		l.respond(request, response{outcome: failed, status: result.statusCode})
 	}
 }
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -7,28 +7,28 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// The states of a Target. Every other one counts as draining.
+// The states of a Target. Any other state counts as draining.
 const (
 	targetUp       = "up"
 	targetDraining = "draining"
 	targetRemoved  = "removed"
 )
 
-// backend is one listed server. Its fields belong to the loop, but for unavailable.
+// backend is one listed server. All fields except unavailable belong to the loop.
 type backend struct {
 	id         string
-	policyAddr policy.Addr // by which the policy knows it
-	addr       string      // host:port, as listed last
-	startedMs  float64     // as listed
+	policyAddr policy.Addr // identifies the backend in the policy
+	addr       string      // host:port, as last listed
+	startedMs  float64     // listed start of its process, Unix time; 0 if long ago
 	removed    bool
-	inFlight   int // attempts
-	// unavailable is set while it drains or is removed. Attempts read it just before they write.
+	inFlight   int // attempts in flight
+	// unavailable is set while the backend is draining or removed. Attempts check it just before they write.
 	unavailable atomic.Bool
 }
 
 // backendTable holds the listed backends. It belongs to the loop.
 type backendTable struct {
-	zones, machineKinds map[string]int // the policy's numbers of these names
+	zones, machineKinds map[string]int // the policy's numbers by name
 	byID                map[string]*backend
 	byAddr              map[policy.Addr]*backend
 }
@@ -50,27 +50,28 @@
 	return index
 }
 
-// findOrAdd returns the backend of an ID. Its policyAddr is a hash of the ID, not of the address: addresses
-// differ between agents, which have to agree on the order of servers for a key without communication.
+// findOrAdd returns the backend with an ID and adds it if it is new. Its policyAddr is a hash of the ID and not
+// of the address: addresses differ between agents, which must agree on the order of servers for a key without
+// communication.
 func (t *backendTable) findOrAdd(id string) *backend {
-	if known := t.byID[id]; known != nil {
-		return known
+	if b := t.byID[id]; b != nil {
+		return b
 	}
-	added := &backend{id: id}
-	for hash := hashString(id); ; hash++ { // the next free one, should two IDs have the same hash
-		for i := range added.policyAddr {
-			added.policyAddr[i] = byte(hash >> (8 * i))
+	b := &backend{id: id}
+	for hash := hashString(id); ; hash++ { // on a collision the next free hash is used
+		for i := range b.policyAddr {
+			b.policyAddr[i] = byte(hash >> (8 * i))
 		}
-		if t.byAddr[added.policyAddr] == nil {
+		if t.byAddr[b.policyAddr] == nil {
 			break
 		}
 	}
-	t.byID[id], t.byAddr[added.policyAddr] = added, added
-	return added
+	t.byID[id], t.byAddr[b.policyAddr] = b, b
+	return b
 }
 
-// apply takes a list over and returns its endpoints for the policy, the backends whose idle connections can no
-// longer be used, and the removed ones.
+// apply applies a list. It returns the list's endpoints for the policy, the backends whose idle connections can
+// no longer be used, and the removed backends. A full list removes all backends that it does not contain.
 func (t *backendTable) apply(list *TargetList, full bool) (endpoints []policy.Endpoint, stale, removed []*backend) {
 	listed := make(map[string]bool, len(list.Servers))
 	for i := range list.Servers {
@@ -79,36 +80,36 @@
 			continue
 		}
 		listed[target.ID] = true
-		known, endpoint := t.findOrAdd(target.ID), t.endpoint(target)
-		endpoint.Server = known.policyAddr
+		b, endpoint := t.findOrAdd(target.ID), t.endpoint(target)
+		endpoint.Server = b.policyAddr
 		endpoints = append(endpoints, endpoint)
-		known.startedMs = target.StartedMs
-		if target.Addr != "" && known.addr != target.Addr {
-			stale = append(stale, known)
-			known.addr = target.Addr
+		b.startedMs = target.StartedMs
+		if target.Addr != "" && b.addr != target.Addr {
+			stale = append(stale, b)
+			b.addr = target.Addr
 		}
-		known.unavailable.Store(endpoint.Status != policy.Ready)
+		b.unavailable.Store(endpoint.Status != policy.Ready)
 		if endpoint.Status != policy.Ready {
-			stale = append(stale, known)
+			stale = append(stale, b)
 		}
-		if known.removed = endpoint.Status == policy.Removed; known.removed {
-			removed = append(removed, known)
+		if b.removed = endpoint.Status == policy.Removed; b.removed {
+			removed = append(removed, b)
 		}
 	}
 	if !full {
 		return endpoints, stale, removed
 	}
-	for id, known := range t.byID {
+	for id, b := range t.byID {
 		if !listed[id] {
-			known.unavailable.Store(true)
-			known.removed = true
-			stale, removed = append(stale, known), append(removed, known)
+			b.unavailable.Store(true)
+			b.removed = true
+			stale, removed = append(stale, b), append(removed, b)
 		}
 	}
 	return endpoints, stale, removed
 }
 
-// endpoint is a target in the policy's terms, without its address.
+// endpoint converts a target for the policy, without its address.
 func (t *backendTable) endpoint(target *Target) policy.Endpoint {
 	endpoint := policy.Endpoint{Zone: len(t.zones), Kind: len(t.machineKinds), Cell: target.Cell,
 		StartedMs: target.StartedMs, Weight: target.Weight, Status: policy.Draining}
@@ -127,25 +128,25 @@
 	return endpoint
 }
 
-// forget drops a removed backend once no attempt is in flight; the policy has forgotten it by then.
-func (t *backendTable) forget(known *backend) {
-	if known.removed && known.inFlight == 0 && t.byID[known.id] == known {
-		delete(t.byID, known.id)
-		delete(t.byAddr, known.policyAddr)
+// forget drops a removed backend that has no attempt in flight. The policy has dropped it by then.
+func (t *backendTable) forget(b *backend) {
+	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
+		delete(t.byID, b.id)
+		delete(t.byAddr, b.policyAddr)
 	}
 }
 
 // hasAvailable reports whether there is a backend to send to.
 func (t *backendTable) hasAvailable() bool {
-	for _, known := range t.byID {
-		if !known.unavailable.Load() {
+	for _, b := range t.byID {
+		if !b.unavailable.Load() {
 			return true
 		}
 	}
 	return false
 }
 
-// hashString is FNV-1a, never 0. Unlike maphash it is the same at every agent.
+// hashString returns the FNV-1a hash of a string, but never 0. Unlike maphash it is the same in all agents.
 func hashString(s string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(s))
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -9,51 +9,53 @@
 	"time"
 )
 
-// newConnGrace is how long a connection may take to send a request with its body before it is closed in favor
-// of all others.
+// newConnGrace is how long a connection may take to send a complete request. After that it is closed before all
+// others.
 const newConnGrace = 250 * time.Millisecond
 
-// maxPhaseShare is the part of the limit, as a divisor, that connections of one phase may take before they are
-// closed in favor of others.
-const maxPhaseShare = 4
+// Connections of a phase without a complete request are also closed first if there are more of them than the
+// limit divided by maxPhaseDivisor.
+const maxPhaseDivisor = 4
 
-// connPhase is what a connection without an open request does.
+// connPhase is the phase of a connection without an open request.
 type connPhase int
 
 const (
-	phaseSilent  connPhase = iota // it has sent no request yet
+	phaseNew     connPhase = iota // it has not sent a request yet
 	phaseIdle                     // between requests
 	phaseReading                  // a head has arrived, its body is being read
 	phaseCount
 )
 
-// clientConns limits the clients' connections. Every client is accepted, as one that waits in the accept queue
-// gets neither a response nor a close. Near the limit connections without an open request are closed: first
-// those that have not sent a complete request within newConnGrace, or of which there are too many, then idle
-// ones, then the others, and of each the oldest. So hundreds that connect and send nothing, or half a request,
-// displace each other and not the clients that are served.
+// clientConns limits the number of client connections. Every connection is accepted, as a client that waits in
+// the accept queue gets neither a response nor a close. Beyond the limit, connections without an open request are
+// closed: first those that have not sent a complete request within newConnGrace, or that are too many in their
+// phase; then idle ones; then the others. In each group the oldest is closed first. So hundreds of connections
+// that send nothing, or half a request, displace each other and not the clients that are served.
 //
-// It acts whenever a connection changes its state. One that is being closed no longer counts and is not chosen
-// again: the server reports the close later.
+// The limit is enforced whenever a connection changes its state. A connection that is being closed no longer
+// counts and is not chosen again; the server reports its close later.
 //
-// The limit is far below the descriptors: the application has a limit of its own, and if all it may have are
-// connections of callers that made one request and stay, it can't make another. Only the application knows
-// which of them are idle for good. It is safe for concurrent use.
+// The limit is far below the number of descriptors. The client application has a connection limit of its
+// own: if all of its connections belonged to callers that made one request and stay connected, it could not make
+// another request. Only the application knows which connections are idle for good.
+//
+// A clientConns is safe for concurrent use.
 type clientConns struct {
 	softLimit int
 
 	mu      sync.Mutex
 	conns   map[net.Conn]*clientConn
-	closing int // of them
-	// withoutRequest are the connections without an open request, in each phase the oldest first.
+	closing int // number of conns that are being closed
+	// withoutRequest holds the connections without an open request by phase, the oldest first.
 	withoutRequest [phaseCount]list.List
 }
 
 // clientConn is the state of one connection.
 type clientConn struct {
-	element *list.Element // of its phase's list; nil while a request is open
+	element *list.Element // in the list of its phase; nil while a request is open
 	phase   connPhase
-	since   time.Time // of the phase
+	since   time.Time // start of the phase
 	closing bool
 }
 
@@ -64,26 +66,26 @@
 	return &clientConns{softLimit: softLimit, conns: map[net.Conn]*clientConn{}}
 }
 
-// withConn is the http.Server's ConnContext: it lets a handler find its connection.
+// withConn is the http.Server's ConnContext function. It lets a handler find its connection.
 func (c *clientConns) withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// track is the http.Server's ConnState.
+// track is the http.Server's ConnState function.
 func (c *clientConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		c.conns[conn] = &clientConn{}
-		c.enterPhaseLocked(conn, phaseSilent)
+		c.enterPhaseLocked(conn, phaseNew)
 	case http.StateActive:
 		c.enterPhaseLocked(conn, phaseReading)
 	case http.StateIdle:
 		c.enterPhaseLocked(conn, phaseIdle)
 	case http.StateClosed, http.StateHijacked:
 		c.leavePhaseLocked(conn)
-		if tracked := c.conns[conn]; tracked != nil && tracked.closing {
+		if client := c.conns[conn]; client != nil && client.closing {
 			c.closing--
 		}
 		delete(c.conns, conn)
@@ -100,21 +102,21 @@
 		c.leavePhaseLocked(conn)
 		c.conns[conn].closing = true
 		c.closing++
-		conn.Close() // the server's read fails then, and it reports the close
+		conn.Close() // the server's read fails, and the server reports the close
 	}
 }
 
-// nextToCloseLocked is the connection to close next, nil if there is none.
+// nextToCloseLocked returns the connection to close next, or nil if there is none.
 func (c *clientConns) nextToCloseLocked() net.Conn {
 	var oldest net.Conn
-	for _, phase := range []connPhase{phaseSilent, phaseReading} {
+	for _, phase := range []connPhase{phaseNew, phaseReading} {
 		first := c.withoutRequest[phase].Front()
 		if first == nil {
 			continue
 		}
 		conn := first.Value.(net.Conn)
 		since := c.conns[conn].since
-		if c.withoutRequest[phase].Len() > c.softLimit/maxPhaseShare || time.Since(since) > newConnGrace {
+		if c.withoutRequest[phase].Len() > c.softLimit/maxPhaseDivisor || time.Since(since) > newConnGrace {
 			return conn
 		}
 		if oldest == nil || since.Before(c.conns[oldest].since) {
@@ -127,8 +129,8 @@
 	return oldest
 }
 
-// requestReceived notes that a handler's connection has sent a complete request: it stays until that is
-// answered.
+// requestReceived records that a handler's connection has sent a complete request. The connection is not closed
+// until the request is answered.
 func (c *clientConns) requestReceived(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,29 +139,29 @@
 	}
 }
 
-// setReadDeadline gives the connections that have not sent a complete request a deadline for it.
+// setReadDeadline sets the deadline by which connections must have sent a complete request.
 func (c *clientConns) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, phase := range []connPhase{phaseSilent, phaseReading} {
+	for _, phase := range []connPhase{phaseNew, phaseReading} {
 		for element := c.withoutRequest[phase].Front(); element != nil; element = element.Next() {
 			element.Value.(net.Conn).SetReadDeadline(deadline)
 		}
 	}
 }
 
-// enterPhaseLocked makes a connection the youngest of a phase.
+// enterPhaseLocked puts a connection into a phase, as the youngest one.
 func (c *clientConns) enterPhaseLocked(conn net.Conn, phase connPhase) {
 	c.leavePhaseLocked(conn)
-	if tracked := c.conns[conn]; tracked != nil && !tracked.closing {
-		tracked.phase, tracked.element, tracked.since = phase, c.withoutRequest[phase].PushBack(conn), time.Now()
+	if client := c.conns[conn]; client != nil && !client.closing {
+		client.phase, client.element, client.since = phase, c.withoutRequest[phase].PushBack(conn), time.Now()
 	}
 }
 
-// leavePhaseLocked excludes a connection from those that may be closed.
+// leavePhaseLocked removes a connection from those that may be closed.
 func (c *clientConns) leavePhaseLocked(conn net.Conn) {
-	if tracked := c.conns[conn]; tracked != nil && tracked.element != nil {
-		c.withoutRequest[tracked.phase].Remove(tracked.element)
-		tracked.element = nil
+	if client := c.conns[conn]; client != nil && client.element != nil {
+		c.withoutRequest[client.phase].Remove(client.element)
+		client.element = nil
 	}
 }
--- a/internal/agent/clientrequest.go
+++ b/internal/agent/clientrequest.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	// maxTimeoutMs bounds the time-out that a client may set.
+	// maxTimeoutMs bounds the timeout that a client may set.
 	maxTimeoutMs = 60_000
-	// maxTokenLength bounds an ID and a key, in bytes.
+	// maxTokenLength bounds a request ID and an idempotency key, in bytes.
 	maxTokenLength = 128
-	// maxWorkHintUs bounds a work hint that is believed, in microseconds.
+	// maxWorkHintUs is the exclusive upper bound of a valid work hint, in microseconds.
 	maxWorkHintUs = 1e12
-	// unreservedBody is the size in bytes up to which a body is read without a reservation, so that a client
-	// that only announces a long one reserves nothing.
+	// unreservedBody is the size in bytes up to which a body is read without reserving memory, so that a client
+	// that only announces a long body reserves nothing.
 	unreservedBody = 4 << 10
 )
 
-// errBodyMemory reports that the memory budget has nothing left for a request's body.
+// errBodyMemory reports that the memory budget is too low for a request's body.
 var errBodyMemory = errors.New("no memory for a body")
 
-// singleValueHeaders are the header fields with a meaning here: one of them twice is ambiguous.
+// singleValueHeaders are the header fields that the agent interprets. Their meaning is ambiguous if they are
+// repeated.
 var singleValueHeaders = []string{"Request-Id", "Request-Class", "Tenant", "Request-Timeout-Ms", "Idempotency-Key",
 	"Client-Retry", "Work-Hint", "Request-Info"}
 
-// clientRequest is a client's request, validated.
+// clientRequest is a client's request after validation.
 type clientRequest struct {
 	id          string
 	method      string
-	target      string // as it arrived, byte for byte
+	target      string // byte for byte as received
 	host        string
 	header      http.Header
 	body        []byte
-	class       int
-	tenant      int
-	key         uint64 // for affinity; 0: none
-	workHintMs  float64
+	class       int     // index in the settings
+	tenant      int     // index in the settings
+	key         uint64  // hash for affinity; 0 if there is none
+	workHintMs  float64 // the client's estimate of the request's work
 	hasWorkHint bool
 	isRetry     bool
-	timeout     time.Duration // of the client
+	timeout     time.Duration // as set by the client
 	deadline    time.Time
-	response    chan response // of capacity one: the loop never waits for a client
+	response    chan response // has capacity 1, so that the loop never waits for a client
 }
 
-// requestError is a request that can't be used, with the HTTP status that says so. It is never a rejection:
-// that would ask the client to send the same again.
+// requestError is the error of a request that can't be used, with the HTTP status of the response. The status is
+// never that of a rejection, which would ask the client to send the same request again.
 type requestError struct {
 	status  int
 	message string
@@ -70,8 +71,9 @@
 	return requestErrorf(http.StatusBadRequest, format, args...)
 }
 
-// parseRequest validates the head of a client's request; errors are *requestError. It accepts what usual clients
-// send: a backend would reject the rest, or close on it, and be taken for a faulty one.
+// parseRequest validates the head of a client's request. Its errors are *requestError. It accepts what usual
+// clients send: a backend would reject anything else, or close the connection, and the agent would take that
+// backend for faulty.
 func (f *frontend) parseRequest(req *http.Request, now time.Time) (*clientRequest, error) {
 	if err := checkFraming(req); err != nil {
 		return nil, err
@@ -107,14 +109,14 @@
 	return request, nil
 }
 
-// checkFraming checks what does not depend on the request's class.
+// checkFraming checks what doesn't depend on the request's class.
 func checkFraming(req *http.Request) error {
 	switch {
 	case req.ProtoMajor != 1 || req.ProtoMinor != 1:
 		return requestErrorf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
 	case len(req.TransferEncoding) > 0 || len(req.Header["Transfer-Encoding"]) > 0:
-		// net/http drops a Content-Length beside it, so both can't be told from one; what follows may be a
-		// request hidden in the body, and is never read.
+		// net/http drops a Content-Length beside a Transfer-Encoding, so a request with both can't be recognized.
+		// What follows may be a request hidden in the body, and is never read.
 		return requestErrorf(http.StatusLengthRequired, "a body needs Content-Length, and no Transfer-Encoding")
 	case req.ContentLength > maxRequestBody:
 		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", maxRequestBody)
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// parseClass finds the request's class and tenant and checks what follows from the class.
+// parseClass reads the request's class and tenant and checks what depends on the class.
 func (f *frontend) parseClass(req *http.Request, request *clientRequest) error {
 	var ok bool
 	if request.class, ok = f.classes[req.Header.Get("Request-Class")]; !ok {
@@ -155,7 +157,8 @@
 	return nil
 }
 
-// parseWorkHint reads a work hint in microseconds. It is a guess of the client's: an invalid one is none.
+// parseWorkHint reads a work hint in microseconds. The hint is only the client's estimate, so an invalid one is
+// ignored.
 func parseWorkHint(text string) (workMs float64, ok bool) {
 	if text == "" {
 		return 0, false
@@ -167,8 +170,8 @@
 	return us / 1000, true
 }
 
-// readBody reads the entire body, whose size parseRequest has bounded. The caller releases the reserved bytes of
-// the memory budget, also after an error.
+// readBody reads the entire body. parseRequest has checked its size. The caller must release the reserved bytes
+// to the memory budget, even after an error.
 func (f *frontend) readBody(req *http.Request, request *clientRequest) (reserved int64, err error) {
 	size := int(req.ContentLength)
 	if size == 0 {
@@ -195,5 +198,5 @@
 	return len(s) <= maxTokenLength && httpguts.ValidHeaderFieldName(s)
 }
 
-// isInvalidTargetRune tells the characters that a request target can hold in escaped form alone.
+// isInvalidTargetRune reports whether a request target can contain a character only in escaped form.
 func isInvalidTargetRune(r rune) bool { return r <= ' ' || r > '~' || r == '#' }
--- a/internal/agent/connpool.go
+++ b/internal/agent/connpool.go
@@ -12,34 +12,36 @@
 )
 
 const (
-	// defaultConnTimeout stands for a connect time-out or keepalive of which the settings say nothing.
+	// defaultConnTimeout replaces a connect timeout or keepalive that the settings leave out.
 	defaultConnTimeout = time.Second
 	// connReadBuffer is the size in bytes of a connection's read buffer.
 	connReadBuffer = 4 << 10
 )
 
-// connPool holds the connections to backends. The backend is the key and not its address: that of a removed
-// backend may be another's by now. http.Transport is not used on purpose: it resends by itself when a reused
-// connection breaks, and does not tell whether the last byte was written, on which depends whether an attempt
-// may have been executed. It is safe for concurrent use.
+// connPool holds the connections to backends. The key is the backend and not its address, as the address of a
+// removed backend may belong to another one by now. http.Transport is deliberately not used. It resends a request
+// by itself when a reused connection breaks, and it doesn't report whether the last byte was written, which
+// decides whether an attempt may have been executed.
+//
+// A connPool is safe for concurrent use.
 type connPool struct {
 	connectTimeout time.Duration
-	keepalive      time.Duration // connections that were idle for longer are not used
-	ages           http1.ReuseStats
+	keepalive      time.Duration // a connection that was idle for as long is not used again
+	reuseStats     http1.ReuseStats
 	conns          *connpool.Pool[*backend, *backendConn]
 }
 
 // backendConn is a connection to a backend.
 type backendConn struct {
 	net.Conn
-	reader    *bufio.Reader
-	backend   *backend
-	addr      string
-	idleSince time.Time
-	idleSlot  int // how long it was idle before its current use, as a bucket of ages; 0: it is new
+	reader     *bufio.Reader
+	backend    *backend
+	addr       string
+	idleSince  time.Time
+	idleBucket int // bucket in reuseStats of the idle time before the current use; 0 if the connection is new
 }
 
-// newBackendConns returns a pool of connections without a bound of those to one backend.
+// newBackendConns returns a pool that limits the total number of connections, but not those to one backend.
 func newBackendConns(maxOpen int) *connpool.Pool[*backend, *backendConn] {
 	return connpool.New[*backend, *backendConn](maxOpen, maxOpen)
 }
@@ -47,7 +49,7 @@
 // IdleSince returns when the connection was last put into the pool.
 func (c *backendConn) IdleSince() time.Time { return c.idleSince }
 
-// newConnPool returns the pool that the limits of the settings allow.
+// newConnPool returns a pool with the limits of the configuration.
 func newConnPool(config *Config) *connPool {
 	limits := &config.Settings.Limits
 	pool := &connPool{
@@ -64,25 +66,26 @@
 	return pool
 }
 
-// maxIdleTime is how long a connection may have been idle to be used again. The backend closes it at the
-// keepalive at the latest, counted from when it sent the response: a request has to arrive before that. What
-// closes sooner is learned from resets.
+// maxIdleTime returns how long a connection may have been idle when it is used again. A backend closes a
+// connection at the latest when the keepalive time has passed since its response, and a request has to arrive
+// before that. If something closes connections sooner, reuseStats learns that from resets.
 func maxIdleTime(limits *policy.Limits) time.Duration {
 	margin := min(max(limits.KeepaliveMs/16, 2*limits.ConnectTimeoutMs), limits.KeepaliveMs/2)
 	return milliseconds(limits.KeepaliveMs - margin)
 }
 
-// get returns an idle connection that can be used, the most recently used first, or opens one by a deadline.
-// The error is connpool.ErrExhausted or that of the connect.
-func (p *connPool) get(ctx context.Context, to *backend, addr string, deadline time.Time) (*backendConn, error) {
+// get returns the most recently used idle connection that is still usable, or opens one before the deadline. The
+// error is connpool.ErrExhausted or that of the dial.
+func (p *connPool) get(ctx context.Context, b *backend, addr string, deadline time.Time) (*backendConn, error) {
 	for {
-		conn, ok := p.conns.TakeIdle(to)
+		conn, ok := p.conns.TakeIdle(b)
 		if !ok {
 			break
 		}
 		idleTime := time.Since(conn.idleSince)
-		if conn.addr == addr && idleTime < p.keepalive && p.ages.Reusable(idleTime) && http1.IsIdle(conn.Conn, conn.reader) {
-			conn.idleSlot = http1.IdleBucket(idleTime)
+		if conn.addr == addr && idleTime < p.keepalive && p.reuseStats.Reusable(idleTime) &&
+			http1.IsIdle(conn.Conn, conn.reader) {
+			conn.idleBucket = http1.IdleBucket(idleTime)
 			return conn, nil
 		}
 		p.conns.Close(conn)
@@ -96,15 +99,16 @@
 		p.conns.Release()
 		return nil, err
 	}
-	return &backendConn{Conn: conn, reader: bufio.NewReaderSize(conn, connReadBuffer), backend: to, addr: addr}, nil
+	return &backendConn{Conn: conn, reader: bufio.NewReaderSize(conn, connReadBuffer), backend: b, addr: addr}, nil
 }
 
-// put retains a connection for another attempt, unless it received more than one response: the rest would be
-// taken for the next one.
+// put retains a connection for another attempt, unless it received more than one response: the excess would be
+// taken for the next response.
 func (p *connPool) put(conn *backendConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
-	if conn.backend.unavailable.Load() || !http1.IsIdle(conn.Conn, conn.reader) || !p.conns.PutIdle(conn.backend, conn) {
+	if conn.backend.unavailable.Load() || !http1.IsIdle(conn.Conn, conn.reader) ||
+		!p.conns.PutIdle(conn.backend, conn) {
 		p.conns.Close(conn)
 	}
 }
@@ -113,15 +117,15 @@
 func (p *connPool) close(conn *backendConn) { p.conns.Close(conn) }
 
 // closeIdle closes the idle connections to a backend.
-func (p *connPool) closeIdle(to *backend) { p.conns.CloseIdle(to) }
+func (p *connPool) closeIdle(b *backend) { p.conns.CloseIdle(b) }
 
 // closeExpired closes the connections that have been idle for too long, and those of backends that became
 // unavailable while a connection was being returned.
 func (p *connPool) closeExpired() {
-	p.conns.CloseExpired(func(to *backend, conn *backendConn) bool {
-		return to.unavailable.Load() || time.Since(conn.idleSince) >= p.keepalive
+	p.conns.CloseExpired(func(b *backend, conn *backendConn) bool {
+		return b.unavailable.Load() || time.Since(conn.idleSince) >= p.keepalive
 	})
 }
 
-// count is the number of connections, and of the idle ones among them.
+// count returns the number of open connections, and of the idle ones among them.
 func (p *connPool) count() (open, idle int) { return p.conns.Count() }
--- a/internal/agent/coordinator.go
+++ b/internal/agent/coordinator.go
@@ -6,65 +6,65 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Coordinator is how an agent acts together with others. Its methods must not block. What it decides reaches the
-// policy as an event, and nothing else; but the list is continued from reports of peers while discovery can't be
-// reached here.
+// Coordinator connects an agent to other agents. Its methods must not block. Its decisions reach the policy only
+// as events. As an exception, the list of servers is updated from reports of peers while discovery can't be
+// reached from here.
 type Coordinator interface {
-	// ListChanged gets the full list of this agent after each change.
+	// ListChanged passes the full list of this agent after each change.
 	ListChanged([]Target)
-	// DiscoveryReported gets what discovery reported: changes, or the full list.
+	// DiscoveryReported passes what discovery reported: the full list, or only the changed servers.
 	DiscoveryReported(list []Target, full bool)
-	// DiscoveryResponded notes that discovery has answered a call. It must be safe for concurrent use.
+	// DiscoveryResponded reports that discovery answered a call. It must be safe for concurrent use.
 	DiscoveryResponded()
-	// AttemptEnded gets the end of an attempt or of a probe.
+	// AttemptEnded reports the end of an attempt or of a probe.
 	AttemptEnded(Observation)
-	// Ready receives when there are new directives.
+	// Ready returns a channel that receives a value when there are new directives.
 	Ready() <-chan struct{}
-	// Directives returns those that hold now.
+	// Directives returns the directives that are in force.
 	Directives() Directives
 }
 
-// Directives are what a coordinator decided for an agent; they replace earlier ones.
+// Directives are the decisions of a coordinator for an agent. They replace earlier ones.
 type Directives struct {
-	// Overrides are of servers: one that is not named has its entire share.
+	// Overrides are the overrides of servers. A server without one has its entire share.
 	Overrides []Override
-	// ZoneOverrides are of zones: one that is not named has its entire share.
+	// ZoneOverrides are the overrides of zones. A zone without one has its entire share.
 	ZoneOverrides []ZoneOverride
-	// FetchList asks for one fetch of the full list.
+	// FetchList requests one fetch of the full list.
 	FetchList bool
-	// PeerReports are what discovery reported to peers of servers: ID, State and StartedMs.
+	// PeerReports are the servers that discovery reported to peers. Only ID, State and StartedMs are set.
 	PeerReports []Target
 }
 
-// ZoneOverride is what was decided for a zone.
+// ZoneOverride is a coordinator's decision about a zone.
 type ZoneOverride struct {
 	Zone           string
-	ShareFactor    float64 // part of the shares of its servers that is used; 0: it gets no requests
-	ReachableShare float64 // part of it that can be reached; the rest takes its demand with it
-	// TrafficShare is the part of this site's traffic that is to go there, where that is decided for all
-	// zones; 0 for all: it is not.
+	ShareFactor    float64 // fraction of its servers' shares that is used; 0 if the zone gets no requests
+	ReachableShare float64 // fraction of the zone, and of the demand that it serves, that can be reached
+	// TrafficShare is the fraction of this site's traffic that is to go to the zone. It is 0 in all zones if no
+	// traffic shares were decided.
 	TrafficShare float64
-	TTL          time.Duration // for which it holds
+	TTL          time.Duration // how long the override is valid
 }
 
 // Observation is the end of an attempt or of a probe.
 type Observation struct {
-	ID          string // of the server
-	Zone        string // of an attempt
+	ID          string // ID of the server
+	Zone        string // the server's zone; empty for a probe
 	Probe       bool
-	StartedMs   float64 // start of the server's process, as listed
-	Class       int
+	StartedMs   float64 // listed start of the server's process, Unix time
+	Class       int     // index of the request's class; 0 for a probe
 	Status      policy.Status
 	Latency     time.Duration
-	Utilization float64 // of a probe, as reported; negative: not reported
+	Utilization float64 // reported by a probe; negative if the report has none; 0 for an attempt
 }
 
-// Override is what was decided for one process of a server, see policy.Override.
+// Override is a coordinator's decision about one process of a server, see policy.Override.
 type Override struct {
 	ID          string
-	StartedMs   float64 // start of the process, as listed
+	StartedMs   float64 // listed start of the process, Unix time
 	ShareFactor float64
-	TTL         time.Duration // for which it holds
+	TTL         time.Duration // how long the override is valid
 	Trial       bool
 	Probe       bool
 }
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -1,9 +1,9 @@
 package agent
 
-// counters count what became of requests, for the log line at the end. They belong to the loop.
+// counters count the outcomes of requests for the log line at the end of the process. They belong to the loop.
 type counters struct {
 	accepted, served, rejected, failed int
-	clientsGone                        int // clients that left without an answer
-	backstops                          int // requests that the backstop answered
-	violations                         int // of the contract, prevented
+	clientsGone                        int // requests whose client left before the answer
+	backstops                          int // requests answered by the backstop
+	violations                         int // prevented violations of the contract
 }
--- a/internal/agent/directives.go
+++ b/internal/agent/directives.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// minTrafficWeight is the least weight of a server, as a part of the mean, whose zone is to get none of
-	// this site's traffic: it is there when all others fail.
+	// minTrafficWeight is the least traffic weight of a server, relative to the mean. Servers of a zone that is
+	// to get none of this site's traffic have it, so that they can be used when all others fail.
 	minTrafficWeight = 0.01
-	// minAssignedTraffic is the part of a site's traffic that must have a destination by the zones' traffic
-	// shares. Where most of it was to go to zones that are lost, the little that went elsewhere tells nothing
-	// of how the rest is to be spread.
+	// minAssignedTraffic is the least fraction of a site's traffic that the traffic shares must assign to zones
+	// with servers. If most of the traffic was to go to zones that are lost, the small fraction that went
+	// elsewhere doesn't show how to distribute the rest.
 	minAssignedTraffic = 0.5
-	// minTotalWeight guards a division by the weight of all servers.
+	// minTotalWeight prevents a division by zero if no server has a weight.
 	minTotalWeight = 1e-9
 )
 
-// applyDirectives applies what the coordinator decided.
+// applyDirectives applies the coordinator's decisions.
 func (l *eventLoop) applyDirectives(directives Directives) {
 	l.applyPeerReports(directives.PeerReports)
 	if directives.FetchList {
@@ -34,24 +34,24 @@
 		ZoneWeighted: weighted})
 }
 
-// overrideList collects overrides, one for each server.
+// overrideList collects overrides, at most one for each server.
 type overrideList struct {
 	list []policy.Override
-	byID map[string]int // indices in list
+	byID map[string]int // indices in list by ID of the server
 }
 
-// serverOverrides are the overrides of single servers. One that is not listed, or is listed as another process by
-// now, has none.
+// serverOverrides returns the overrides of single servers. It skips an override if the server is not listed, or
+// is listed with another process by now.
 func (l *eventLoop) serverOverrides(overrides []Override) *overrideList {
-	collected := &overrideList{byID: map[string]int{}}
+	result := &overrideList{byID: map[string]int{}}
 	for _, override := range overrides {
-		known := l.backends.byID[override.ID]
-		if known == nil || known.startedMs != override.StartedMs {
+		b := l.backends.byID[override.ID]
+		if b == nil || b.startedMs != override.StartedMs {
 			continue
 		}
-		collected.byID[override.ID] = len(collected.list)
-		collected.list = append(collected.list, policy.Override{
-			Server:        known.policyAddr,
+		result.byID[override.ID] = len(result.list)
+		result.list = append(result.list, policy.Override{
+			Server:        b.policyAddr,
 			ShareFactor:   override.ShareFactor,
 			TrafficWeight: 1,
 			ExpiresMs:     l.expiryMs(override.TTL),
@@ -59,16 +59,16 @@
 			Probe:         override.Probe,
 		})
 	}
-	return collected
+	return result
 }
 
-// applyZones applies the overrides of zones to each of their servers, with the zones' traffic weights, and
-// returns the reachable part of the fleet.
+// applyZones applies the overrides of zones, with the zones' traffic weights, to each of their servers. It
+// returns the reachable fraction of the fleet.
 func (o *overrideList) applyZones(l *eventLoop, zones []ZoneOverride, weights map[string]float64) float64 {
 	total, reachable := 0.0, 0.0
 	for _, id := range slices.Sorted(maps.Keys(l.targets)) {
-		target, known := l.targets[id], l.backends.byID[id]
-		if known == nil || target.State != targetUp {
+		target, b := l.targets[id], l.backends.byID[id]
+		if b == nil || target.State != targetUp {
 			continue
 		}
 		total += target.Weight
@@ -83,20 +83,21 @@
 		if !overridden {
 			index = len(o.list)
 			o.list = append(o.list,
-				policy.Override{Server: known.policyAddr, ShareFactor: 1, ExpiresMs: l.expiryMs(zone.TTL)})
+				policy.Override{Server: b.policyAddr, ShareFactor: 1, ExpiresMs: l.expiryMs(zone.TTL)})
 		}
 		override := &o.list[index]
 		override.ShareFactor *= zone.ShareFactor
 		override.TrafficWeight = weights[zone.Zone]
-		override.ExpiresMs = min(override.ExpiresMs, l.expiryMs(zone.TTL)) // neither outlasts its own TTL
+		override.ExpiresMs = min(override.ExpiresMs, l.expiryMs(zone.TTL)) // the shorter TTL counts
 		override.Trial = override.Trial && zone.ShareFactor > 0
 		override.Probe = override.Probe && zone.ShareFactor > 0
 	}
 	return reachable / max(total, minTotalWeight)
 }
 
-// zoneTrafficWeights is the weight of each zone's servers by the zones' traffic shares, as a part of the mean, so
-// that all servers together weigh as much as without. Without traffic shares it is 1 for each, and false.
+// zoneTrafficWeights returns the weight of each zone's servers according to the zones' traffic shares. It is
+// relative to the mean, so that the total weight of all servers stays the same. If too little traffic is
+// assigned, all weights are 1 and weighted is false.
 func (l *eventLoop) zoneTrafficWeights(zones []ZoneOverride) (weights map[string]float64, weighted bool) {
 	weights = map[string]float64{}
 	zoneWeight, usedWeight, assigned := map[string]float64{}, 0.0, 0.0
@@ -123,11 +124,12 @@
 	return weights, true
 }
 
-// expiryMs is the time of the policy's clock at which a TTL has passed.
+// expiryMs returns when a TTL that begins now ends, on the policy's clock.
 func (l *eventLoop) expiryMs(ttl time.Duration) float64 { return l.now() + inMilliseconds(ttl) }
 
-// applyPeerReports takes over what discovery reported to peers of servers that are listed here: later processes, drains
-// and removals. Addresses may differ between agents, so nothing can be used of a server that is not listed.
+// applyPeerReports applies what discovery reported to peers about servers that are listed here: later processes,
+// drains and removals. A report about a server that is not listed here can't be used, as addresses may differ
+// between agents.
 func (l *eventLoop) applyPeerReports(reports []Target) {
 	changed := TargetList{Version: l.listVersion}
 	for _, report := range reports {
@@ -139,12 +141,13 @@
 		changed.Servers = append(changed.Servers, target)
 	}
 	if len(changed.Servers) > 0 {
-		l.log(slog.LevelInfo, "list continued from reports of peers", "servers", len(changed.Servers))
+		l.log(slog.LevelInfo, "server list updated from reports of peers", "servers", len(changed.Servers))
 		l.applyList(&changed, policy.UpdateDelta, false)
 	}
 }
 
-// supersedes reports whether a report is of a later process than a target, or of a later state of the same one.
+// supersedes reports whether a report is about a later process than a target, or about a later state of the same
+// process.
 func supersedes(report, target *Target) bool {
 	if report.StartedMs != target.StartedMs {
 		return report.StartedMs > target.StartedMs
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -14,7 +14,7 @@
 	"golang.org/x/time/rate"
 )
 
-// TargetList is an answer of discovery: the full list, or what changed.
+// TargetList is an answer of discovery: the full list, or the changes.
 type TargetList struct {
 	Version uint64   `json:"version"`
 	Full    bool     `json:"full"`
@@ -24,65 +24,67 @@
 // Target is one backend as discovery lists it.
 type Target struct {
 	ID        string  `json:"id"`
-	Addr      string  `json:"addr"` // host:port; empty: as before
+	Addr      string  `json:"addr"` // host:port; empty if unchanged
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"` // "up", "draining" or "removed"
 	Weight    float64 `json:"weight"`
-	StartedMs float64 `json:"started_ms"` // Unix time of its process's start; 0: long ago
+	StartedMs float64 `json:"started_ms"` // start of its process, Unix time; 0 if long ago
 }
 
 const (
-	// watchTimeout is how long one call of a watch may take. A longer one would only find out later that
-	// discovery does not respond.
+	// watchTimeout is the timeout of one watch call. With a longer one the agent would notice later that
+	// discovery doesn't respond.
 	watchTimeout = 10 * time.Second
-	// callSlack is what a call may take beyond its time-out: discovery drops calls that were in its queue for
-	// a second. A change that discovery does not deliver counts as known 2 s after the time-out: the next call
-	// has to be under way by then.
+	// callSlack is how long a call may take beyond its timeout: discovery drops calls that were in its queue for
+	// a second. A change that discovery doesn't deliver counts as known 2 s after the timeout, so the next call
+	// has to be in progress by then.
 	callSlack = 1200 * time.Millisecond
-	// fullListAttempts and fullListRetryDelay bound how the full list of a new discovery is fetched before the
-	// policy's own, slower, calls: the old discovery is no longer watched.
+	// fullListAttempts and fullListRetryDelay bound the first attempts to fetch the full list of a new discovery.
+	// The policy's own calls are slower, and the old discovery is no longer watched.
 	fullListAttempts, fullListRetryDelay = 3, 200 * time.Millisecond
-	// callsPerSecond and callBurst bound the calls: a discovery that answers watches at once must not be
-	// called in a tight loop. A watch outlives the gap.
+	// callsPerSecond and callBurst limit the calls: a discovery that answers watches at once must not be called
+	// in a tight loop. The limit delays a call by less than the time for which discovery keeps a watch without
+	// one.
 	callsPerSecond, callBurst = 10, 10
-	// minWatchBackoff and maxWatchBackoff bound the pause before a pushed watch that failed is opened again.
-	// What it would have delivered counts as known 2 s after its time-out.
+	// minWatchBackoff and maxWatchBackoff bound the pause before a failed pushed watch is opened again. Changes
+	// that it would have delivered count as known 2 s after its timeout.
 	minWatchBackoff, maxWatchBackoff = 50 * time.Millisecond, 800 * time.Millisecond
 	// maxBackoffDoublings keeps the doubled backoff from overflowing.
 	maxBackoffDoublings = 10
-	// maxListBytes bounds an answer of discovery.
+	// maxListBytes bounds the size of an answer of discovery.
 	maxListBytes = 8 << 20
 	// maxDiscoveryConns and maxIdleDiscoveryConns bound the connections to discovery.
 	maxDiscoveryConns, maxIdleDiscoveryConns = 4, 2
 )
 
-var errNotFullList = errors.New("discovery: not the whole list")
+var errNotFullList = errors.New("discovery: answer is not the full list")
 
-// watchBackoff is the pause after some failures in a row: exponential backoff with jitter, as agents that lost one
-// discovery must not all return at once.
+// watchBackoff returns the pause after a number of consecutive failures. It grows exponentially and has jitter,
+// as agents that lost the same discovery must not all return at once.
 func watchBackoff(failures int) time.Duration {
 	backoff := minWatchBackoff << min(max(failures-1, 0), maxBackoffDoublings)
 	backoff = min(backoff, maxWatchBackoff)
 	return backoff/2 + rand.N(backoff/2)
 }
 
-// dialer opens connections to a discovery.
+// dialer opens connections to discovery.
 type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// discoveryClient calls one discovery and reports its answers to onList. When to call again after a failure is
-// decided by its caller: a failed call ends a watch.
+// discoveryClient calls one discovery and passes its answers to onList. A failed call ends a watch; its caller
+// decides when to call again.
 type discoveryClient struct {
-	ctx     context.Context // ends when another discovery takes its place
+	ctx     context.Context // done once another discovery has replaced this one
 	cancel  context.CancelFunc
 	addr    string
 	url     string
 	client  *http.Client
 	limiter *rate.Limiter
-	// onList is called with each answer; a nil list is a failure.
+	// onList is called with each answer, or with a nil list and the error of a failed call. watch tells calls of
+	// a watch from fetches.
 	onList func(list *TargetList, watch bool, err error)
-	// onResponse, if not nil, is called at each answer, also one without changes.
+	// onResponse, if not nil, is called at each answer, even one without changes.
 	onResponse func()
 }
 
@@ -110,15 +112,15 @@
 	d.client.CloseIdleConnections()
 }
 
-// listResult is the end of a call.
+// listResult is the result of a call.
 type listResult struct {
 	list *TargetList
 	err  error
 }
 
-// watch follows the changes from a version on, until a call fails or the discovery is closed. Without a list of
-// this discovery it fetches the full one first. The next call is sent before the last answer is reported: a watch
-// lives for 200 ms without one, and a new watch loads discovery.
+// watch reports the changes since a version until a call fails or the client is closed. If needsFullList is set,
+// it fetches the full list first. The next call is sent before the last answer is reported: discovery keeps a
+// watch for 200 ms without a call, and a new watch is more work for it.
 func (d *discoveryClient) watch(version uint64, needsFullList bool) {
 	if needsFullList {
 		list, err := d.fetchFullList()
@@ -142,14 +144,14 @@
 			return
 		}
 		next = d.startWatchCall(result.list.Version)
-		// An empty answer has no changes, but the first one is the answer to the subscription.
+		// An answer without servers reports no change, but the first one answers the subscription.
 		if first || result.list.Full || len(result.list.Servers) > 0 {
 			d.onList(result.list, true, nil)
 		}
 	}
 }
 
-// startWatchCall waits, in the background, for changes after a version.
+// startWatchCall starts a call that waits for changes since a version.
 func (d *discoveryClient) startWatchCall(version uint64) <-chan listResult {
 	done := make(chan listResult, 1)
 	go func() {
@@ -168,7 +170,7 @@
 	}
 }
 
-// fetchFullList fetches the full list, again if that fails. Its error is of the last attempt.
+// fetchFullList fetches the full list, and retries if that fails. Its error is that of the last attempt.
 func (d *discoveryClient) fetchFullList() (list *TargetList, err error) {
 	for attempt := range fullListAttempts {
 		if attempt > 0 {
@@ -187,7 +189,7 @@
 	return nil, err
 }
 
-// call makes one call, within a time-out once the limiter allows it.
+// call makes one call. The timeout begins once the limiter allows the call.
 func (d *discoveryClient) call(query string, timeout time.Duration) (*TargetList, error) {
 	if err := d.limiter.Wait(d.ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -208,7 +210,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: answered %d", resp.StatusCode)
+		return nil, fmt.Errorf("discovery: response status %d", resp.StatusCode)
 	}
 	var list TargetList
 	if err := json.Unmarshal(text, &list); err != nil {
--- a/internal/agent/endpointlist.go
+++ b/internal/agent/endpointlist.go
@@ -7,8 +7,8 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// useDiscovery makes an address the discovery that is called. Late answers of another are dropped: their
-// versions are not those of this one.
+// useDiscovery makes the discovery at an address the current one. Late answers of an earlier discovery are
+// dropped, as each discovery has versions of its own.
 func (l *eventLoop) useDiscovery(addr string) {
 	client := newDiscoveryClient(l.ctx, addr, l.dialDiscovery)
 	client.onList = func(list *TargetList, watch bool, err error) {
@@ -26,8 +26,8 @@
 	l.discovery = client
 }
 
-// switchDiscovery goes over to another discovery and fetches its full list. Until that arrives the backends
-// stay as they are.
+// switchDiscovery replaces the current discovery and fetches the full list of the new one. Until that arrives the
+// backends stay as they are.
 func (l *eventLoop) switchDiscovery(addr string) {
 	if addr == l.discovery.addr {
 		return
@@ -38,8 +38,8 @@
 	go l.discovery.watch(0, true)
 }
 
-// listIsPushed reports whether the policy expects changes of the list without a subscription. On sockets that is
-// a watch, too, but the loop's own to keep open.
+// listIsPushed reports whether the policy expects list changes without asking for them. Over sockets they arrive
+// on a watch, too, but the loop itself has to keep that open.
 func (l *eventLoop) listIsPushed() bool {
 	return l.config.Settings.Membership == policy.MembershipPushed
 }
@@ -52,13 +52,13 @@
 	}
 }
 
-// retryWatch opens a pushed watch that failed after a pause.
+// retryWatch reopens a failed pushed watch after a backoff.
 func (l *eventLoop) retryWatch() {
 	l.watchFailures++
 	time.AfterFunc(watchBackoff(l.watchFailures), func() { l.post(l.startWatch) })
 }
 
-// fetchList fetches the full list unless that is under way.
+// fetchList fetches the full list unless a fetch is in progress.
 func (l *eventLoop) fetchList() {
 	if !l.fetching {
 		l.fetching = true
@@ -66,7 +66,7 @@
 	}
 }
 
-// onDiscoveryList takes an answer of discovery, or the error of a call that failed.
+// onDiscoveryList handles an answer of discovery, or the error of a failed call.
 func (l *eventLoop) onDiscoveryList(list *TargetList, watch bool, err error) {
 	switch {
 	case !watch:
@@ -80,8 +80,8 @@
 		l.onDiscoveryFailed(watch, err)
 		return
 	}
-	// A watch and a fetch may cross: the older one is dropped. A full list on the watch is how a discovery
-	// that restarted without state says so.
+	// The answers to a watch and a fetch may arrive out of order: then the older one is dropped. But a full list
+	// on the watch is valid even if its version is lower: discovery restarted without its state.
 	if list.Version < l.listVersion && !(watch && list.Full) {
 		return
 	}
@@ -107,8 +107,8 @@
 	l.handle(&policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFailed})
 }
 
-// applyList takes a list over into the backends and the policy. Of a full one the backends that it does not
-// name are removed.
+// applyList applies a list to the backends and the policy. If full is set, it removes the backends that the list
+// does not contain.
 func (l *eventLoop) applyList(list *TargetList, kind policy.UpdateKind, full bool) {
 	l.listVersion, l.needsFullList = list.Version, l.needsFullList && !full
 	l.recordTargets(list, full)
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -15,58 +15,57 @@
 const (
 	// sweepInterval is how often connections that have been idle for too long are closed.
 	sweepInterval = time.Second
-	// inboxSize is how much may be posted to the loop before post waits.
+	// inboxSize is the number of functions that the inbox holds before post blocks.
 	inboxSize = 4096
-	// logLineRate and logLineBurst bound the log lines a second, logLineBuffer those that wait for whoever
-	// reads the log: the log is bounded work on one core.
+	// logLineRate (per second) and logLineBurst limit the log lines, and logLineBuffer the lines that wait to be
+	// written: logging must take a bounded amount of work on one core.
 	logLineRate, logLineBurst, logLineBuffer = 5, 50, 64
 )
 
-// eventLoop owns the policy and all state of requests. One goroutine runs it; all others reach it through
-// post. It never blocks: what may wait runs in goroutines of its own.
+// eventLoop owns the policy and all state of requests. One goroutine runs it; all others reach it through post.
+// It never blocks: everything that may block runs in goroutines of its own.
 type eventLoop struct {
 	config       *Config
 	ctx          context.Context
 	inbox        chan func()
-	clockStart   time.Time // wall time and monotonic time of clockBaseMs
-	clockBaseMs  float64   // Unix time
+	clockStart   time.Time // when the loop was created; has a monotonic reading
+	clockBaseMs  float64   // clockStart as Unix time
 	observer     Observer
-	onReady      func() // called once and again when there are backends
+	onReady      func() // called at least once, whenever there are backends
 	sender       *sender
-	memoryBudget *semaphore.Weighted // for bodies, in bytes
+	memoryBudget *semaphore.Weighted // for bodies of requests and responses, in bytes
 	counters     counters
 
 	balancer      *policy.Balancer
 	actions       []policy.Action // scratch space of handle
-	pendingEvents []policy.Event  // that carrying out actions has raised
+	pendingEvents []policy.Event  // raised by carrying out actions
 
 	requests           map[policy.RequestID]*pendingRequest
 	requestsByClientID map[string]*pendingRequest
 	lastRequestID      policy.RequestID
-	openRequests       int // without an answer
+	openRequests       int // requests that are not answered yet
 	probesInFlight     int
 
 	backends      *backendTable
 	discovery     *discoveryClient
 	dialDiscovery dialer
 	listVersion   uint64
-	needsFullList bool // no full list of this discovery has arrived yet
-	watching      bool
-	fetching      bool
-	watchFailures int // in a row
+	needsFullList bool // after a switch of discovery, until its full list has arrived
+	watching      bool // a watch is open
+	fetching      bool // a fetch of the full list is in progress
+	watchFailures int  // consecutive failures of a pushed watch
 
-	restored     *SavedState       // of an earlier process, until the loop runs; nil: none
-	save         func(*SavedState) // nil: nothing is saved
-	saveInterval time.Duration
-	targets      map[string]Target // the list by ID, where it is saved or a coordinator follows it
-	coordinator  Coordinator       // nil: the agent acts alone
+	restoredState *SavedState       // state of an earlier process, until the loop has started; nil if there is none
+	save          func(*SavedState) // called with the state to save; nil if nothing is saved
+	saveInterval  time.Duration
+	targets       map[string]Target // the list by ID; only maintained for save and coordinator
+	coordinator   Coordinator       // nil if the agent acts alone
 
 	logLimiter *rate.Limiter
-	logLines   chan func()
+	logLines   chan func() // each function writes one log line
 }
 
-// newEventLoop returns a loop that does not run yet. onReady is called, by the loop, when there are backends
-// to send to.
+// newEventLoop returns a loop that does not run yet. The loop calls onReady when there are backends to send to.
 func newEventLoop(ctx context.Context, config *Config, onReady func()) (*eventLoop, error) {
 	balancer, err := policy.New(config.Settings, config.Seed)
 	if err != nil {
@@ -95,8 +94,8 @@
 	return l, nil
 }
 
-// post has the loop run a function. It may wait, so the loop itself never calls it; once the loop has ended
-// the function is dropped.
+// post has the loop run a function. It may block, so the loop itself never calls it. Once the loop has ended the
+// function is dropped.
 func (l *eventLoop) post(f func()) {
 	select {
 	case l.inbox <- f:
@@ -104,7 +103,7 @@
 	}
 }
 
-// run is the loop; it ends with the context.
+// run is the loop. It returns when its context is done.
 func (l *eventLoop) run() {
 	go l.writeLog()
 	l.start()
@@ -139,13 +138,13 @@
 	}
 }
 
-// start gives the policy the list that was last known, however old, and what an earlier process learned.
+// start passes the last known list, however old, and the state of an earlier process to the policy.
 func (l *eventLoop) start() {
 	l.execute(l.balancer.Start(l.now(), l.actions[:0]))
 	l.applyList(l.initialList(), policy.UpdateCached, true)
-	if l.restored != nil {
-		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.restored.Snapshot})
-		l.restored = nil
+	if l.restoredState != nil {
+		l.handle(&policy.Event{Kind: policy.EventRestore, Snapshot: l.restoredState.Snapshot})
+		l.restoredState = nil
 	}
 	if l.listIsPushed() {
 		l.startWatch()
@@ -156,17 +155,17 @@
 	}
 }
 
-// now is the policy's clock in milliseconds: Unix time, as in the list's started_ms, that only advances.
+// now returns the policy's clock: Unix time in milliseconds, like started_ms in the list, but it never goes back.
 func (l *eventLoop) now() float64 {
 	return l.clockBaseMs + inMilliseconds(time.Since(l.clockStart))
 }
 
-// handle gives the policy one event and carries out its actions.
+// handle passes one event to the policy and carries out the resulting actions.
 func (l *eventLoop) handle(event *policy.Event) {
 	l.execute(l.balancer.Handle(l.now(), event, l.actions[:0]))
 }
 
-// handlePending handles the events that carrying out actions has raised.
+// handlePending handles the events that were raised by carrying out actions.
 func (l *eventLoop) handlePending() {
 	for len(l.pendingEvents) > 0 {
 		event := l.pendingEvents[0]
@@ -176,7 +175,7 @@
 	l.pendingEvents = nil
 }
 
-// execute carries out actions in their order.
+// execute carries out actions in order.
 func (l *eventLoop) execute(actions []policy.Action) {
 	l.actions = actions
 	for i := range actions {
@@ -212,15 +211,15 @@
 	}
 }
 
-// startTimer has the policy handle a timer event after a time.
+// startTimer passes a timer event to the policy after a delay.
 func (l *eventLoop) startTimer(token uint32, after time.Duration) {
 	time.AfterFunc(after, func() {
 		l.post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
 	})
 }
 
-// milliseconds converts the policy's durations.
+// milliseconds converts a duration from the policy.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// inMilliseconds converts a duration for the policy, at the resolution of a microsecond.
+// inMilliseconds converts a duration for the policy. The result has a resolution of one microsecond.
 func inMilliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// acceptAfterSignal is how long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s,
-	// and the accept queue is to be empty then.
+	// acceptAfterSignal is how long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s, and
+	// the accept queue must be empty when the listener is closed.
 	acceptAfterSignal = 500 * time.Millisecond
-	// drainInterval is how often a shutdown looks for connections without a request.
+	// drainInterval is how often a shutdown checks the connections that are still open.
 	drainInterval = 20 * time.Millisecond
-	// drainReadShare is the part of the drain time, as a divisor, in which a request may still arrive.
-	drainReadShare = 4
+	// A request may still arrive during the drain time divided by drainReadDivisor.
+	drainReadDivisor = 4
 	// headerTimeout and readTimeout bound how long a head and a complete request may take: a client that
 	// sends neither has to get an answer within 3 s.
 	headerTimeout, readTimeout = 2 * time.Second, 2500 * time.Millisecond
-	// idleTimeout is how long a connection is retained between requests.
+	// idleTimeout is how long a connection is kept open between requests.
 	idleTimeout = 10 * time.Second
 	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 2 * time.Second
 )
 
-// frontend serves the clients.
+// frontend accepts connections of clients and serves their requests.
 type frontend struct {
 	config       *Config
 	loop         *eventLoop
@@ -40,7 +40,7 @@
 	tenants      map[string]int // indices by name
 	ready        atomic.Bool
 	conns        *clientConns
-	openRequests atomic.Int64 // connections that a request holds open
+	openRequests atomic.Int64 // connections that a request keeps open
 }
 
 func newFrontend(config *Config) *frontend {
@@ -56,7 +56,7 @@
 		Handler:           f,
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       readTimeout,
-		WriteTimeout:      readTimeout + writeTimeout, // of invalid requests; counts from the head
+		WriteTimeout:      readTimeout + writeTimeout, // for invalid requests; begins with the head
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHead,
 		ConnState:         f.conns.track,
@@ -68,7 +68,7 @@
 	return f
 }
 
-// serve accepts clients until shutdown; it returns any other reason to end.
+// serve accepts clients until shutdown, and then returns nil. If it ends for another reason it returns the error.
 func (f *frontend) serve(ln net.Listener) error {
 	err := f.server.Serve(&http1.Listener{Listener: ln, InFlight: &f.openRequests})
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -78,15 +78,15 @@
 }
 
 // shutdown ends the service without losing a request. New connections arrive for a while after the signal, and
-// closing the accept queue would reset them: so accepting goes on, with every response closing its connection,
-// before the listener is closed and pending requests are drained for a time. Connections that have sent no
-// request by then are not waited for.
+// closing the accept queue would reset them. So connections are still accepted for acceptAfterSignal, and every
+// response closes its connection. Then the listener is closed, and pending requests are drained for at most
+// drainTime. Connections that have not sent a request by then are not waited for.
 func (f *frontend) shutdown(drainTime time.Duration) error {
 	f.server.SetKeepAlivesEnabled(false)
 	time.Sleep(acceptAfterSignal)
 	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
 	defer cancel()
-	readDeadline := time.Now().Add(drainTime / drainReadShare)
+	readDeadline := time.Now().Add(drainTime / drainReadDivisor)
 	done := make(chan error, 1)
 	go func() { done <- f.server.Shutdown(ctx) }()
 	ticker := time.NewTicker(drainInterval)
@@ -94,18 +94,18 @@
 	for {
 		select {
 		case err := <-done:
-			// The server does not count a connection that it closed under a request.
+			// The server does not wait for a connection that it closed while a request was open.
 			for ctx.Err() == nil && f.openRequests.Load() > 0 {
 				<-ticker.C
 			}
 			return err
-		case <-ticker.C: // again and again, as the last connections become known only after a moment
+		case <-ticker.C: // repeated, as the last connections are tracked with a delay
 			f.conns.setReadDeadline(readDeadline)
 		}
 	}
 }
 
-// ServeHTTP answers one request; it is http.Handler's.
+// ServeHTTP answers one request. It implements http.Handler.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	now := time.Now()
 	if req.RequestURI == "/-/ready" && req.Method == http.MethodGet && req.ContentLength == 0 {
@@ -120,7 +120,7 @@
 	reserved, err := f.readBody(req, request)
 	defer f.loop.memoryBudget.Release(reserved)
 	if errors.Is(err, errBodyMemory) {
-		// Nothing was sent: a retry is harmless.
+		// Nothing was forwarded, so a retry is harmless.
 		w.Header().Set("Connection", "close")
 		f.writeResponse(w, response{outcome: rejected, retryAfterMs: f.config.Settings.Limits.MaxRetryAfterMs})
 		return
@@ -132,36 +132,37 @@
 	conn, tracked := req.Context().Value(connKey{}).(*http1.ClientConn)
 	if tracked {
 		if !conn.BeginRequest() {
-			return // it is closed; its client sends the request again, of which nothing was forwarded
+			return // closed before the request was forwarded: the client sends it again
 		}
 		defer conn.EndRequest()
 	}
 	f.conns.requestReceived(req.Context())
-	final, ok := f.forward(req.Context(), request)
+	resp, ok := f.forward(req.Context(), request)
 	if !ok {
 		return
 	}
 	if tracked && conn.CloseRequested() {
 		w.Header().Set("Connection", "close")
 	}
-	f.writeResponse(w, final)
-	f.loop.memoryBudget.Release(final.reservedBytes)
+	f.writeResponse(w, resp)
+	f.loop.memoryBudget.Release(resp.reservedBytes)
 }
 
-// forward hands a request to the loop and waits for its response; false: the client is gone.
+// forward passes a request to the loop and waits for the response. It returns false if the client is gone.
 func (f *frontend) forward(ctx context.Context, request *clientRequest) (response, bool) {
 	accepted := make(chan *pendingRequest, 1)
 	f.loop.post(func() { accepted <- f.loop.accept(request) })
 	select {
-	case final := <-request.response:
-		return final, true
+	case resp := <-request.response:
+		return resp, true
 	case <-ctx.Done():
 		f.loop.post(func() { f.loop.onClientGone(<-accepted) })
 		return response{}, false
 	}
 }
 
-// serveReady answers a readiness check, which is no request of the contract: 503 is no rejection here.
+// serveReady answers a readiness check. The check is not a request under the contract, so 503 is not a rejection
+// here.
 func (f *frontend) serveReady(w http.ResponseWriter) {
 	if !f.ready.Load() {
 		http.Error(w, "starting", http.StatusServiceUnavailable)
@@ -170,8 +171,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// writeError answers a request that can't be used, and closes: a client that sends one sends more, and what
-// follows on the connection may be part of it.
+// writeError answers a request that can't be used, and closes the connection: a client that sends one such
+// request sends more, and what follows on the connection may be a part of this one.
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var invalid *requestError
@@ -183,25 +184,25 @@
 }
 
 // writeResponse sends the final response.
-func (f *frontend) writeResponse(w http.ResponseWriter, final response) {
+func (f *frontend) writeResponse(w http.ResponseWriter, resp response) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	switch {
-	case final.outcome == served:
-		for name, values := range http1.EndToEnd(final.header) {
+	case resp.outcome == served:
+		for name, values := range http1.EndToEnd(resp.header) {
 			w.Header()[name] = values
 		}
-		w.Header().Set("Content-Length", strconv.Itoa(len(final.body)))
+		w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
 		w.WriteHeader(http.StatusOK)
-		_, _ = w.Write(final.body) // nobody to report an error to: the client is gone
-	case final.outcome == rejected:
-		if final.retryAfterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(final.retryAfterMs/1000, 'f', 3, 64))
+		_, _ = w.Write(resp.body) // an error means that the client is gone
+	case resp.outcome == rejected:
+		if resp.retryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(resp.retryAfterMs/1000, 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case final.status >= 400 && final.status < 500:
-		writeError(w, requestErrorf(final.status, "%s", http.StatusText(final.status)))
-	case final.status != 0:
-		w.WriteHeader(final.status)
+	case resp.status >= 400 && resp.status < 500:
+		writeError(w, requestErrorf(resp.status, "%s", http.StatusText(resp.status)))
+	case resp.status != 0:
+		w.WriteHeader(resp.status)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
 	}
--- a/internal/agent/loadreport.go
+++ b/internal/agent/loadreport.go
@@ -8,8 +8,8 @@
 )
 
 // parseLoadReport returns the values of a load report ("qps=3,util=0.5") in the order of the given metrics, or
-// nil if there is no valid one: with each metric once, and no value that a load can't have. Of several header
-// fields the first valid one counts.
+// nil if there is no valid report. A valid report has each of the metrics once, with a finite value of at least
+// 0. If there are several header fields, the first valid one counts.
 func parseLoadReport(fields, metrics []string) []float32 {
 	if len(metrics) == 0 {
 		return nil
@@ -42,7 +42,7 @@
 	return values, seen == 1<<len(metrics)-1
 }
 
-// reportedUtilization is the utilization in a load report; negative if it has none.
+// reportedUtilization returns the utilization in a load report, or a negative number if the report has none.
 func (l *eventLoop) reportedUtilization(report []float32) float64 {
 	if i := slices.Index(l.config.Settings.LoadReport.Metrics, "util"); i >= 0 && i < len(report) {
 		return float64(report[i])
--- a/internal/agent/looplog.go
+++ b/internal/agent/looplog.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// log writes a line to the log, unless there are too many. It never blocks.
+// log queues a line for the log. It drops the line if there are too many, and never blocks.
 func (l *eventLoop) log(level slog.Level, text string, args ...any) {
 	if !l.logLimiter.Allow() {
 		return
@@ -13,8 +13,8 @@
 	}
 }
 
-// writeLog writes the loop's log lines until the loop ends. The loop does not write itself: a log that nobody
-// reads blocks its writer, and every request with it.
+// writeLog writes the loop's log lines until the loop ends. The loop does not write them itself: if nobody reads
+// the log, a write blocks, and would block every request.
 func (l *eventLoop) writeLog() {
 	for {
 		select {
--- a/internal/agent/observer.go
+++ b/internal/agent/observer.go
@@ -8,34 +8,34 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Observer is notified of what an agent does, for reports: no decision depends on it. The loop calls it, one
-// call at a time, so its methods must not block.
+// Observer is notified of what an agent does, for reports; no decision depends on it. The loop calls the methods
+// one at a time, so they must not block.
 type Observer interface {
-	// Started hands over, once and before any other call, how to read the agent's state. read is safe for
-	// concurrent use; it fails once its context or the agent has ended.
+	// Started passes the function that reads the agent's state. It is called once, before all other methods. read
+	// is safe for concurrent use; it fails once its context is done or the agent has ended.
 	Started(read func(context.Context) (Stats, error))
-	// RequestAnswered reports a final response of an outcome: "served", "refused" or "failed".
+	// RequestAnswered reports the final response to a request. outcome is "served", "refused" or "failed".
 	RequestAnswered(class string, outcome string, took, remaining time.Duration, attempts int)
-	// AttemptEnded reports how an attempt ended.
+	// AttemptEnded reports the end of an attempt.
 	AttemptEnded(status policy.Status, took time.Duration)
 	// SentToWarmingUp reports an attempt to a backend in slow start.
 	SentToWarmingUp()
-	// ViolationPrevented reports that the loop prevented a violation of the contract, by the number of the
-	// rule and by what was prevented.
+	// ViolationPrevented reports that the loop prevented a violation of the contract: the number of the rule and
+	// a description.
 	ViolationPrevented(rule int, what string)
 }
 
-// Stats is the state of an agent at a moment.
+// Stats is the state of an agent at one moment.
 type Stats struct {
 	policy.BalancerStats
-	OpenRequests    int // without an answer
-	Connections     int // to backends
-	IdleConnections int // of those
+	OpenRequests    int // requests that are not answered yet
+	Connections     int // open connections to backends
+	IdleConnections int // idle ones among them
 	ProbesInFlight  int
 	ListVersion     uint64
 }
 
-// noopObserver is the observer of an agent that has none.
+// noopObserver is used if an agent has no observer.
 type noopObserver struct{}
 
 func (noopObserver) Started(func(context.Context) (Stats, error))                      {}
@@ -44,7 +44,7 @@
 func (noopObserver) SentToWarmingUp()                                                  {}
 func (noopObserver) ViolationPrevented(int, string)                                    {}
 
-// stats reads the loop's state from another goroutine.
+// stats returns the loop's state to another goroutine.
 func (l *eventLoop) stats(ctx context.Context) (Stats, error) {
 	answer := make(chan Stats, 1)
 	read := func() { answer <- l.currentStats() }
--- a/internal/agent/options.go
+++ b/internal/agent/options.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Options are the optional parts of an agent; the zero value has none.
+// Options are the optional parts of an agent. The zero value has none of them.
 type Options struct {
-	// ReloadSignals asks for the configuration to be read again, by ReadConfig.
+	// ReloadSignals triggers reading the configuration again, with ReadConfig. It may be nil.
 	ReloadSignals <-chan os.Signal
 	ReadConfig    func() (*Config, error)
 	// Observer may be nil.
 	Observer Observer
-	// Restore is the state that an earlier process saved; nil: none.
+	// Restore is the state that an earlier process saved, or nil.
 	Restore *SavedState
-	// Save gets the state to save, every SaveInterval and at the end. The loop calls it, so it must not
+	// Save is called with the state to save, every SaveInterval and at the end. The loop calls it, so it must not
 	// block. It may be nil.
 	Save         func(*SavedState)
 	SaveInterval time.Duration
-	// Coordinator may be nil: the agent acts alone.
+	// Coordinator may be nil: then the agent acts alone.
 	Coordinator Coordinator
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// reloadRetryInterval and maxReloadAttempts bound how an unusable file is read again: SIGHUP may arrive
-	// while it is still being written.
+	// reloadRetryInterval and maxReloadAttempts bound the retries after an unusable file was read: SIGHUP may
+	// arrive while the file is still being written.
 	reloadRetryInterval, maxReloadAttempts = 100 * time.Millisecond, 100
 )
 
-// reload reads the configuration again at each signal and calls use with the address of discovery that it names.
-// The old configuration stays in force until a new one is valid. All other differences need a restart, and are
-// only logged.
-func reload(ctx context.Context, signals <-chan os.Signal, read func() (*Config, error), old *Config, use func(discovery string)) {
+// reload reads the configuration again at each signal and calls use with its address of discovery. The old
+// configuration stays in force until a valid one is read. All other changes need a restart and are only logged.
+func reload(ctx context.Context, signals <-chan os.Signal, read func() (*Config, error), old *Config,
+	use func(discovery string)) {
 	retry := time.NewTimer(0)
 	<-retry.C
 	failures := 0
@@ -32,7 +32,7 @@
 		config, err := read()
 		if err != nil {
 			if failures++; failures == 1 || failures == maxReloadAttempts {
-				slog.Warn("configuration not used, the old one stays in force", "err", err, "attempt", failures)
+				slog.Warn("configuration not loaded, the old one stays in force", "err", err, "attempt", failures)
 			}
 			if failures < maxReloadAttempts {
 				retry.Reset(reloadRetryInterval)
@@ -41,16 +41,16 @@
 		}
 		retry.Stop()
 		logRestartNeeded(old, config)
-		slog.Info("configuration read again", "discovery", config.Discovery)
+		slog.Info("configuration reloaded", "discovery", config.Discovery)
 		use(config.Discovery)
 	}
 }
 
-// logRestartNeeded logs the fields that differ and take effect after a restart alone.
+// logRestartNeeded logs the changed fields that take effect only after a restart.
 func logRestartNeeded(old, config *Config) {
 	for _, field := range []struct {
-		name string
-		same bool
+		name      string
+		unchanged bool
 	}{
 		{"name", config.Name == old.Name},
 		{"listen", config.Listen == old.Listen},
@@ -58,8 +58,8 @@
 		{"settings", reflect.DeepEqual(config.Settings, old.Settings) &&
 			reflect.DeepEqual(config.Zones, old.Zones) && reflect.DeepEqual(config.MachineKinds, old.MachineKinds)},
 	} {
-		if !field.same {
-			slog.Warn("changed in the configuration, but used only after a restart", "field", field.name)
+		if !field.unchanged {
+			slog.Warn("changed configuration takes effect after a restart", "field", field.name)
 		}
 	}
 }
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// policyMargin is taken off the time that the policy gives a request: what it takes from the end of its
-	// last attempt to a response at the client.
+	// policyMargin is subtracted from the time that the policy has for a request. It covers the time from the end
+	// of the last attempt until the response reaches the client.
 	policyMargin = 8 * time.Millisecond
-	// backstopMargin is how long before the client's deadline the backstop answers, well after the policy
-	// should have.
+	// backstopMargin is how long before the client's deadline the backstop answers. The policy should have
+	// answered well before that.
 	backstopMargin = 4 * time.Millisecond
-	// Of a request with little time each margin takes no more than a part of it.
-	policyMarginShare, backstopMarginShare = 8, 16
+	// For a request with little time, each margin is at most the remaining time divided by its divisor.
+	policyMarginDivisor, backstopMarginDivisor = 8, 16
 )
 
-// outcome is what became of a client's request.
+// outcome is the result of a client's request.
 type outcome uint8
 
 const (
@@ -28,38 +28,39 @@
 	failed
 )
 
-// String is the outcome's name in metrics.
+// String returns the outcome's name in metrics.
 func (o outcome) String() string { return [...]string{"served", "refused", "failed"}[o] }
 
 // response is the one final response to a client's request.
 type response struct {
 	outcome       outcome
-	retryAfterMs  float64     // rejected: when the client may retry
-	status        int         // failed: of HTTP; 0 for 502
-	header        http.Header // served
-	body          []byte      // served
-	reservedBytes int64       // of the memory budget; released once the response is written
+	retryAfterMs  float64     // if rejected: when the client may retry; 0 if not known
+	status        int         // if failed: HTTP status; 0 stands for 502
+	header        http.Header // if served
+	body          []byte      // if served
+	reservedBytes int64       // bytes of the memory budget, released once the response is written
 }
 
-// pendingRequest is a client's request in the loop, until it is answered and no attempt is in flight.
+// pendingRequest is a client's request in the loop. It is kept until it is answered and no attempt is in flight.
 type pendingRequest struct {
 	id            policy.RequestID
 	client        *clientRequest
 	answered      bool
 	attempts      []*attempt
-	inFlight      int // attempts
-	maybeExecuted int // attempts that are in flight or may have been executed
-	backstop      *time.Timer
+	inFlight      int         // attempts in flight
+	maybeExecuted int         // attempts that are in flight or may have been executed
+	backstop      *time.Timer // nil if the request was answered at once
 }
 
-// accept hands a client's request to the policy. Requests beyond the limit of open ones are rejected here.
+// accept passes a client's request to the policy. It rejects requests beyond the limit of open ones.
 func (l *eventLoop) accept(client *clientRequest) *pendingRequest {
 	l.counters.accepted++
 	l.lastRequestID++
 	request := &pendingRequest{id: l.lastRequestID, client: client}
 	l.openRequests++
 	if l.requestsByClientID[client.id] != nil {
-		// Another client's, or the same one's that may still be executed: neither is touched.
+		// The ID is that of another client's request, or of an earlier one of this client that may still be
+		// executed. That request is not affected.
 		l.respond(request, response{outcome: failed, status: http.StatusConflict})
 		return request
 	}
@@ -70,10 +71,10 @@
 		return request
 	}
 	l.requests[request.id], l.requestsByClientID[client.id] = request, request
-	request.backstop = time.AfterFunc(remaining-min(backstopMargin, remaining/backstopMarginShare), func() {
+	request.backstop = time.AfterFunc(remaining-min(backstopMargin, remaining/backstopMarginDivisor), func() {
 		l.post(func() { l.onBackstop(request) })
 	})
-	remaining -= min(policyMargin, remaining/policyMarginShare)
+	remaining -= min(policyMargin, remaining/policyMarginDivisor)
 	l.handle(&policy.Event{
 		Kind:        policy.EventRequest,
 		Request:     request.id,
@@ -88,8 +89,8 @@
 	return request
 }
 
-// onBackstop answers a request that the policy should have ended before. That it did not is a defect or a
-// stall, so it is logged and counted.
+// onBackstop answers a request that the policy should have answered before. A defect or a stall must be the
+// cause, so it is logged and counted.
 func (l *eventLoop) onBackstop(request *pendingRequest) {
 	if request.answered {
 		return
@@ -118,7 +119,7 @@
 	l.abandon(request)
 }
 
-// abandon cancels the attempts of a request that ended without the policy, and notifies the policy.
+// abandon cancels the attempts of a request that was not ended by the policy, and notifies the policy.
 func (l *eventLoop) abandon(request *pendingRequest) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended && attempt.cancel != nil {
@@ -128,8 +129,8 @@
 	l.handle(&policy.Event{Kind: policy.EventClientGone, Request: request.id})
 }
 
-// reject answers that a retry is harmless. Where an attempt may have been executed that makes it harmful the
-// request has failed.
+// reject tells the client that a retry is harmless. If an attempt may have been executed, so that a retry could
+// do harm, the request fails instead.
 func (l *eventLoop) reject(request *pendingRequest, retryAfterMs float64) {
 	class := &l.config.Settings.Classes[request.client.class]
 	deduplicated := class.Idempotency == policy.Deduplicated && class.DedupScope == policy.DedupEverywhere
@@ -141,12 +142,12 @@
 	l.respond(request, response{outcome: rejected, retryAfterMs: retryAfterMs})
 }
 
-// respond gives the final response; only the first counts.
-func (l *eventLoop) respond(request *pendingRequest, final response) {
+// respond sends the final response. It does nothing if the request is already answered.
+func (l *eventLoop) respond(request *pendingRequest, resp response) {
 	if request.answered {
 		return
 	}
-	switch final.outcome {
+	switch resp.outcome {
 	case served:
 		l.counters.served++
 	case rejected:
@@ -156,9 +157,9 @@
 	}
 	client := request.client
 	remaining := time.Until(client.deadline)
-	l.observer.RequestAnswered(l.config.Settings.Classes[client.class].Name, final.outcome.String(),
+	l.observer.RequestAnswered(l.config.Settings.Classes[client.class].Name, resp.outcome.String(),
 		client.timeout-remaining, remaining, len(request.attempts))
-	client.response <- final
+	client.response <- resp
 	l.finish(request)
 }
 
@@ -174,7 +175,7 @@
 	l.forget(request)
 }
 
-// forget drops an answered request once no attempt is in flight.
+// forget drops a request that is answered and has no attempt in flight.
 func (l *eventLoop) forget(request *pendingRequest) {
 	if request.answered && request.inFlight == 0 && l.requests[request.id] == request {
 		delete(l.requests, request.id)
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -36,7 +36,7 @@
 	}
 	var left int
 	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &left); err != nil || left < 1 || left > 4000 {
-		t.Errorf("the backend got a time-out of %q ms", seen.Get("Request-Timeout-Ms"))
+		t.Errorf("the backend got a timeout of %q ms", seen.Get("Request-Timeout-Ms"))
 	}
 	if fake.count() != 1 {
 		t.Errorf("%d arrivals, want 1", fake.count())
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// maxRequestBody is the size in bytes of the largest body of a request, maxHead that of the largest head.
+	// maxRequestBody is the maximum size in bytes of the body of a request, maxHead that of a head.
 	maxRequestBody, maxHead = 64 << 10, http1.MaxHeadBytes
-	// maxResponseBody is the size in bytes of the largest body of a response. Some are larger than requests
-	// may be; the memory budget bounds what they take together.
+	// maxResponseBody is the maximum size in bytes of the body of a response. Some responses are larger than
+	// requests may be; the memory budget bounds their total.
 	maxResponseBody = 1 << 20
 )
 
 // reserveFunc reserves memory for n bytes of a body.
 type reserveFunc func(n int64) error
 
-// readResponse reads one final response with its body. Only a response whose head and framing are unambiguous
-// is returned; then no following byte of the connection was taken for part of it. Others are http1.ErrMalformed.
+// readResponse reads one final response with its body. It returns only a response whose head and framing are
+// unambiguous, so that no byte after it was taken for a part of it. For other responses the error is
+// http1.ErrMalformed.
 func readResponse(reader *bufio.Reader, reserve reserveFunc) (*http.Response, []byte, error) {
 	resp, err := http1.ReadResponseHead(reader)
 	if err != nil {
@@ -49,8 +50,8 @@
 		}
 		return body, nil
 	case size < 0:
-		// It would end with the connection, and nothing would tell a complete response from a truncated one.
-		return nil, http1.Malformed("an answer without length")
+		// The body would end with the connection, and a truncated response would look complete.
+		return nil, http1.Malformed("response without a length")
 	case size > maxResponseBody:
 		return nil, http1.Malformed("body of %d bytes", size)
 	}
@@ -62,7 +63,7 @@
 	return body, err
 }
 
-// readChunks reads a body of unknown size, and reserves its memory as it grows.
+// readChunks reads a body of unknown size and reserves memory as the body grows.
 func readChunks(chunks io.Reader, reserve reserveFunc) ([]byte, error) {
 	var body []byte
 	for {
--- a/internal/agent/response_test.go
+++ b/internal/agent/response_test.go
@@ -59,7 +59,7 @@
 			if strings.Contains(body, "good") || fake.count() != 1 {
 				t.Errorf("body %q, %d arrivals", body, fake.count())
 			}
-			if took := time.Since(from); took > 2*time.Second { // half of the request's time-out
+			if took := time.Since(from); took > 2*time.Second { // half of the request's timeout
 				t.Errorf("took %v: it waited for the rest", took)
 			}
 			select {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// minDrainTime is how long pending requests are drained at least, drainMargin what they get beyond their
-	// longest time-out.
+	// minDrainTime is the least time for which pending requests are drained. drainMargin is added to the longest
+	// client timeout.
 	minDrainTime, drainMargin = 100 * time.Millisecond, 50 * time.Millisecond
 )
 
-// Run serves until stop is done and then shuts down gracefully. It returns nil if every pending request was
-// answered, and any other reason to end. At each of the options' ReloadSignals it takes over what can change
-// without a restart from the configuration that ReadConfig returns.
+// Run serves until stop is done and then shuts down gracefully. It returns nil after the shutdown, and an error
+// if it ends for another reason. At each of the options' ReloadSignals it reads the configuration with ReadConfig
+// and applies what can change without a restart.
 func Run(stop context.Context, config *Config, ln net.Listener, options Options) error {
 	return run(stop, config, ln, func(l *eventLoop) {
 		if options.Observer != nil {
 			l.observer = options.Observer
 			l.observer.Started(l.stats)
 		}
-		l.restored, l.save, l.saveInterval = options.Restore, options.Save, options.SaveInterval
+		l.restoredState, l.save, l.saveInterval = options.Restore, options.Save, options.SaveInterval
 		l.coordinator = options.Coordinator
 		if options.ReloadSignals != nil {
 			go reload(stop, options.ReloadSignals, options.ReadConfig, config, func(discovery string) {
@@ -33,10 +33,10 @@
 	})
 }
 
-// run is Run, with a function that configures the loop before it starts.
+// run is Run with a function that configures the loop before it starts.
 func run(stop context.Context, config *Config, ln net.Listener, configure func(*eventLoop)) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel() // only after the frontend: pending requests need the loop
+	defer cancel() // after the frontend has ended: pending requests need the loop
 	front := newFrontend(config)
 	loop, err := newEventLoop(ctx, config, func() { front.ready.Store(true) })
 	if err != nil {
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// drainTime is how long pending requests are drained. SIGKILL comes no sooner than the longest deadline and 0.7 s
-// after SIGTERM: the last request has its entire time, and the end is well before that.
+// drainTime returns how long pending requests are drained. SIGKILL follows SIGTERM no sooner than after the
+// longest client timeout plus 0.7 s. So the last request has its entire time, and the agent ends well before
+// SIGKILL.
 func drainTime(config *Config) time.Duration {
 	longest := minDrainTime
 	for i := range config.Settings.Classes {
--- a/internal/agent/savedstate.go
+++ b/internal/agent/savedstate.go
@@ -8,14 +8,14 @@
 )
 
 // SavedState is what an agent saves for its next process: what it has learned, and its list. The list that the
-// platform gives to a new process may be older, and list servers as up that the agent knows to drain.
+// platform gives to a new process may be older, and may have servers as up that the agent knows to be draining.
 type SavedState struct {
 	Snapshot  *policy.Snapshot
-	Discovery string // address of the discovery whose list and version it is
+	Discovery string // address of the discovery that List comes from
 	List      TargetList
 }
 
-// savedState is the loop's current state.
+// savedState returns the loop's current state.
 func (l *eventLoop) savedState() *SavedState {
 	state := &SavedState{
 		Snapshot:  l.balancer.Snapshot(l.now()),
@@ -28,7 +28,7 @@
 	return state
 }
 
-// recordTargets records a list for saving and for the coordinator.
+// recordTargets applies a list to targets, for saving and for the coordinator.
 func (l *eventLoop) recordTargets(list *TargetList, full bool) {
 	if l.save == nil && l.coordinator == nil {
 		return
@@ -48,14 +48,14 @@
 	}
 }
 
-// initialList is the list to start with: the platform's, or the saved one if that is of the same discovery and
-// newer.
+// initialList returns the list to start with: the platform's, or the saved one if that is newer, not empty and of
+// the same discovery.
 func (l *eventLoop) initialList() *TargetList {
-	initial := &l.config.InitialList
-	saved := l.restored
-	if saved != nil && saved.Discovery == l.config.Discovery && saved.List.Version > initial.Version &&
+	platformList := &l.config.InitialList
+	saved := l.restoredState
+	if saved != nil && saved.Discovery == l.config.Discovery && saved.List.Version > platformList.Version &&
 		len(saved.List.Servers) > 0 {
 		return &saved.List
 	}
-	return initial
+	return platformList
 }
--- a/internal/agent/savedstate_test.go
+++ b/internal/agent/savedstate_test.go
@@ -30,7 +30,7 @@
 			before := old.count()
 			usable := make(chan bool, 1)
 			agent := startAgentWith(t, discovery, nil, func(l *eventLoop) {
-				l.restored = k
+				l.restoredState = k
 				// As of the start, before discovery can have answered.
 				ready := l.onReady
 				l.onReady = func() {
--- a/internal/agent/sender.go
+++ b/internal/agent/sender.go
@@ -22,19 +22,19 @@
 type attemptResult struct {
 	status        policy.Status
 	latencyMs     float64
-	report        []float32   // nil: none
-	statusCode    int         // of a complete response, 0 otherwise; so are the following
-	header        http.Header // of an attempt
-	body          []byte      // of an attempt
-	reservedBytes int64       // of the memory budget, for the body; its last owner releases them
+	report        []float32   // load report; nil if there is none
+	statusCode    int         // of a complete response; 0 without one, and the fields below are empty
+	header        http.Header // set only for an attempt
+	body          []byte      // set only for an attempt
+	reservedBytes int64       // bytes of the memory budget for body; its last owner releases them
 }
 
 // sender carries out attempts and probes. It is safe for concurrent use.
 type sender struct {
 	pool            *connPool
 	memoryBudget    *semaphore.Weighted
-	responseMetrics []string // of the load reports on responses
-	probeMetrics    []string // of the load reports that probes get
+	responseMetrics []string // in load reports on responses; nil if responses have none
+	probeMetrics    []string // in load reports that probes get; nil if they get none
 }
 
 func newSender(config *Config, memoryBudget *semaphore.Weighted) *sender {
@@ -49,12 +49,13 @@
 	return s
 }
 
-// send makes one attempt and returns how it ended. It never sends anything twice. Cancelling ctx withdraws the
+// send makes one attempt and returns its result. It never sends anything twice. Cancelling ctx cancels the
 // attempt and closes its connection.
-func (s *sender) send(ctx context.Context, to *backend, addr string, request *clientRequest, sentAt, deadline time.Time) attemptResult {
-	result := s.sendOnce(ctx, to, addr, request, deadline)
-	// A withdrawn attempt says nothing about its backend, also if a connect was withdrawn. A response that had
-	// arrived counts, and what was never written was not executed.
+func (s *sender) send(ctx context.Context, b *backend, addr string, request *clientRequest,
+	sentAt, deadline time.Time) attemptResult {
+	result := s.sendOnce(ctx, b, addr, request, deadline)
+	// A cancelled attempt says nothing about its backend, even if its connect was cancelled. But a response that
+	// had arrived counts, and what was never written was not executed.
 	if ctx.Err() != nil && result.statusCode == 0 && result.status != policy.NotSent {
 		result.status = policy.Cancelled
 	}
@@ -62,22 +63,23 @@
 	return result
 }
 
-// sendOnce gets a connection, makes the attempt, and returns the connection to the pool if it can be used
-// again.
-func (s *sender) sendOnce(ctx context.Context, to *backend, addr string, request *clientRequest, deadline time.Time) attemptResult {
+// sendOnce gets a connection, makes the attempt, and returns the connection to the pool if it is reusable.
+func (s *sender) sendOnce(ctx context.Context, b *backend, addr string, request *clientRequest,
+	deadline time.Time) attemptResult {
 	connectDeadline := time.Now().Add(s.pool.connectTimeout)
-	conn, err := s.pool.get(ctx, to, addr, earliest(deadline, connectDeadline))
+	conn, err := s.pool.get(ctx, b, addr, earliest(deadline, connectDeadline))
 	if err != nil {
-		// Nothing was sent. The backend is at fault only for what it refused, or had the time for.
+		// Nothing was sent. The backend is at fault only if it refused the connection or had the full connect
+		// timeout.
 		if isLocalFailure(err) || deadline.Before(connectDeadline) && !errors.Is(err, syscall.ECONNREFUSED) {
 			return attemptResult{status: policy.NotSent}
 		}
 		return attemptResult{status: policy.ConnectFailed}
 	}
-	// A withdrawal ends reads and writes at once.
+	// A cancellation ends reads and writes at once.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	result, reusable := s.exchange(ctx, conn, request, deadline)
-	// Once the withdrawal has begun its deadline would affect the connection's next user.
+	// Once a cancellation has begun, its deadline would affect the next user of the connection.
 	if stop() && reusable {
 		s.pool.put(conn)
 	} else {
@@ -86,9 +88,10 @@
 	return result
 }
 
-// exchange writes the request and reads its response, unless the backend drains by now: the connect may have
+// exchange writes the request and reads its response, unless the backend is draining by now: the connect may have
 // taken long. reusable reports whether the connection may carry another request.
-func (s *sender) exchange(ctx context.Context, conn *backendConn, request *clientRequest, deadline time.Time) (result attemptResult, reusable bool) {
+func (s *sender) exchange(ctx context.Context, conn *backendConn, request *clientRequest, deadline time.Time) (
+	result attemptResult, reusable bool) {
 	conn.SetDeadline(deadline)
 	if ctx.Err() != nil || conn.backend.unavailable.Load() {
 		return attemptResult{status: policy.NotSent}, true
@@ -98,7 +101,7 @@
 	buffers := net.Buffers{head, request.body}
 	if written, err := buffers.WriteTo(conn.Conn); err != nil {
 		if written < size {
-			// The last byte was never sent, and the connection is closed: it can't be executed.
+			// The last byte was never sent, and the connection is closed: the request can't be executed.
 			return attemptResult{status: policy.ConnectFailed}, false
 		}
 		return attemptResult{status: statusAfterWrite(err)}, false
@@ -131,19 +134,19 @@
 	}, !resp.Close
 }
 
-// recordReuse learns from the end of an exchange for how long idle connections can be used again.
+// recordReuse records the result of an exchange, from which the pool learns how long connections may be idle.
 func (s *sender) recordReuse(conn *backendConn, err error) {
 	reset := err != nil && !errors.Is(err, http1.ErrMalformed) && statusAfterWrite(err) == policy.Reset
-	s.pool.ages.Record(conn.idleSlot, reset)
+	s.pool.reuseStats.Record(conn.idleBucket, reset)
 }
 
-// isLocalFailure reports whether a connect failed for lack of something at this agent.
+// isLocalFailure reports whether a connect failed because this agent lacked a resource or cancelled it.
 func isLocalFailure(err error) bool {
 	return errors.Is(err, connpool.ErrExhausted) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
 }
 
-// statusAfterWrite is the status of an attempt that failed after its last byte was written: it may have been
+// statusAfterWrite returns the status of an attempt that failed after its last byte was written: it may have been
 // executed.
 func statusAfterWrite(err error) policy.Status {
 	var netErr net.Error
@@ -156,9 +159,9 @@
 	return policy.Reset
 }
 
-// responseStatus is the status of a complete response. Only the backend's explicit header proves that a request
-// was not executed: a bare 503 or 504 may come from half-way through. A 4xx is about the request, and tells
-// nothing of the backend.
+// responseStatus returns the status of a complete response. Only the backend's explicit header proves that a
+// request was not executed: a bare 503 or 504 may be sent halfway through. Most 4xx are about the request and say
+// nothing about the backend.
 func responseStatus(resp *http.Response) policy.Status {
 	code := resp.StatusCode
 	notStarted := resp.Header.Get("Not-Started") == "1"
@@ -173,8 +176,8 @@
 	return policy.Error
 }
 
-// encodeHead is the request's head for a backend, with the time that remains. The target is as the client sent
-// it: http.Request would write another form of it.
+// encodeHead returns the request's head for a backend, with the remaining time. The target is exactly as the
+// client sent it: http.Request would write it in another form.
 func (c *clientRequest) encodeHead(remaining time.Duration) []byte {
 	header := http1.EndToEnd(c.header)
 	header.Set("Request-Timeout-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
--- a/internal/agent/simprotocol/simprotocol.go
+++ b/internal/agent/simprotocol/simprotocol.go
@@ -1,5 +1,5 @@
-// Package simprotocol translates between the simulator's binary frames and the
-// policy's events and actions. It decides nothing.
+// Package simprotocol translates between the simulator's binary frames and the policy's events and actions. It
+// makes no decisions.
 package simprotocol
 
 import (
@@ -13,12 +13,12 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Record sizes of the wire.
+// Sizes of records in bytes.
 const (
 	EventSize  = 48
 	ActionSize = 24
-	entrySize  = 24
-	maxFrame   = 1 << 30 // no legal batch comes near it
+	entrySize  = 24      // of a server in a list
+	maxFrame   = 1 << 30 // much larger than any valid batch
 )
 
 // Event codes.
@@ -51,17 +51,17 @@
 	codeLog       = 91
 )
 
-// Kind tells what a record of a batch is about.
+// Kind is the kind of a record of a batch.
 type Kind uint8
 
-// The kinds of records.
+// The kinds of records, with the fields of Record that they set.
 const (
 	Boot   Kind = iota + 1 // Instance, Seed, Settings
 	Killed                 // Instance
 	Event                  // Instance, Event
 )
 
-// Record is one event record of a batch, list tables already resolved.
+// Record is one decoded event record of a batch. Numbers of server lists are already resolved.
 type Record struct {
 	Kind     Kind
 	Instance uint32
@@ -70,8 +70,7 @@
 	Event    policy.Event
 }
 
-// Decoder reads batches from a stream. It keeps the numbered lists, which
-// belong to the process and are shared, read-only, by all instances.
+// Decoder reads batches from a stream. It stores the numbered server lists, which all instances share read-only.
 type Decoder struct {
 	reader      io.Reader
 	buffer      []byte
@@ -81,8 +80,8 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
-// Next reads one batch and calls fn for each record in order, after the clock
-// is known. It returns io.EOF at a clean end of input.
+// Next reads one batch and calls fn for each record in order, with the clock of the batch. It returns io.EOF if
+// the input ends before a batch.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	var head [8]byte
 	if _, err := io.ReadFull(d.reader, head[:]); err != nil {
@@ -115,7 +114,7 @@
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if rec.Kind == 0 {
-			continue // a pool: kept, nothing to hand on
+			continue // a server list, which decode has stored
 		}
 		if err := fn(now, &rec); err != nil {
 			return err
@@ -124,8 +123,7 @@
 	return nil
 }
 
-// readBatch reads size bytes in steps, so that a false length allocates no more
-// than about twice what really arrives.
+// readBatch reads size bytes in steps, so that a false length allocates at most about twice what arrives.
 func (d *Decoder) readBatch(size int) error {
 	const step = 1 << 20
 	d.buffer = d.buffer[:0]
@@ -143,8 +141,9 @@
 	return nil
 }
 
-// span resolves an (offset, length) field, the length in units of the given size.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+// tailSlice returns the bytes of the tail that an (offset, length) field refers to. The length is in units of unit
+// bytes.
+func tailSlice(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
 		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, off, n, len(tail))
@@ -160,7 +159,7 @@
 	switch raw[0] {
 	case codeBoot:
 		rec.Kind, rec.Seed = Boot, be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
+		rec.Settings, err = tailSlice("boot: settings", raw[13:], tail, 1)
 		return err
 	case codeKilled:
 		rec.Kind = Killed
@@ -173,11 +172,11 @@
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
 		if ev.Update != policy.UpdateFailed {
-			table := be.Uint32(raw[10:])
-			if int64(table) >= int64(len(d.serverLists)) {
-				return fmt.Errorf("targets: table: %d is out of range", table)
+			list := be.Uint32(raw[10:])
+			if int64(list) >= int64(len(d.serverLists)) {
+				return fmt.Errorf("targets: table: %d is out of range", list)
 			}
-			ev.Endpoints = d.serverLists[table]
+			ev.Endpoints = d.serverLists[list]
 		}
 	case codeRequest:
 		ev.Kind, ev.Request = policy.EventRequest, policy.RequestID(be.Uint32(raw[5:]))
@@ -206,7 +205,7 @@
 		ev.Kind, ev.Token = policy.EventTimer, be.Uint32(raw[5:])
 	case codePeerMessage:
 		ev.Kind = policy.EventPeerMessage
-		_, err = span("peer_data: msg", raw[9:], tail, 1)
+		_, err = tailSlice("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
 	}
@@ -215,30 +214,30 @@
 
 func (d *Decoder) decodeServerList(raw, tail []byte) error {
 	be := binary.BigEndian
-	table := be.Uint32(raw[1:])
-	if int64(table) >= int64(len(d.serverLists)) {
-		return fmt.Errorf("pool: table: %d is out of range", table)
+	list := be.Uint32(raw[1:])
+	if int64(list) >= int64(len(d.serverLists)) {
+		return fmt.Errorf("pool: table: %d is out of range", list)
 	}
-	lines, err := span("pool: hosts", raw[5:], tail, entrySize)
+	rawEntries, err := tailSlice("pool: hosts", raw[5:], tail, entrySize)
 	if err != nil {
 		return err
 	}
-	entries := make([]policy.Endpoint, 0, len(lines)/entrySize)
-	for ; len(lines) > 0; lines = lines[entrySize:] {
-		if lines[10] > uint8(policy.Removed) {
-			return fmt.Errorf("pool: health: unknown value %d", lines[10])
+	entries := make([]policy.Endpoint, 0, len(rawEntries)/entrySize)
+	for ; len(rawEntries) > 0; rawEntries = rawEntries[entrySize:] {
+		if rawEntries[10] > uint8(policy.Removed) {
+			return fmt.Errorf("pool: health: unknown value %d", rawEntries[10])
 		}
 		entries = append(entries, policy.Endpoint{
-			Zone:      int(be.Uint16(lines)),
-			StartedMs: getF64(lines[2:]),
-			Status:    policy.ListedStatus(lines[10]),
-			Server:    policy.Addr(lines[11:17]),
-			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
-			Cell:      int(be.Uint16(lines[21:])),
-			Kind:      int(lines[23]),
+			Zone:      int(be.Uint16(rawEntries)),
+			StartedMs: getF64(rawEntries[2:]),
+			Status:    policy.ListedStatus(rawEntries[10]),
+			Server:    policy.Addr(rawEntries[11:17]),
+			Weight:    float64(math.Float32frombits(be.Uint32(rawEntries[17:]))),
+			Cell:      int(be.Uint16(rawEntries[21:])),
+			Kind:      int(rawEntries[23]),
 		})
 	}
-	d.serverLists[table] = entries // a fresh slice: events of the old list keep theirs
+	d.serverLists[list] = entries // a new slice: earlier events keep the old list
 	return nil
 }
 
@@ -256,7 +255,7 @@
 	return values, nil
 }
 
-// ParseSettings reads the JSON text of a boot record. Unknown keys are skipped.
+// ParseSettings parses the JSON text of a boot record. It ignores unknown keys.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var s policy.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -276,10 +275,10 @@
 	tail    []byte
 }
 
-// Reset forgets the reply built so far.
+// Reset discards the frame built so far.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-func (e *Encoder) record(code byte, instance uint32) []byte {
+func (e *Encoder) appendRecord(code byte, instance uint32) []byte {
 	at := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
@@ -289,49 +288,49 @@
 	return raw
 }
 
-func (e *Encoder) text(code byte, instance uint32, text string) {
-	raw := e.record(code, instance)
+func (e *Encoder) appendTextRecord(code byte, instance uint32, text string) {
+	raw := e.appendRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
 	binary.BigEndian.PutUint32(raw[9:], uint32(len(text)))
 	e.tail = append(e.tail, text...)
 }
 
-// Crash adds the statement that an instance's decision code failed.
-func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
+// Crash appends a report that the decision code of an instance failed.
+func (e *Encoder) Crash(instance uint32, text string) { e.appendTextRecord(codeCrash, instance, text) }
 
 // Add appends one action of an instance.
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
 	case policy.ActionSend:
-		raw := e.record(codeSend, instance)
+		raw := e.appendRecord(codeSend, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
 		putF64(raw[15:], a.DurationMs)
 	case policy.ActionCancel:
-		raw := e.record(codeCancel, instance)
+		raw := e.appendRecord(codeCancel, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
 	case policy.ActionReject:
-		raw := e.record(codeReject, instance)
+		raw := e.appendRecord(codeReject, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.DurationMs)
 	case policy.ActionFail:
-		be.PutUint32(e.record(codeFail, instance)[5:], uint32(a.Request))
+		be.PutUint32(e.appendRecord(codeFail, instance)[5:], uint32(a.Request))
 	case policy.ActionProbe:
-		copy(e.record(codeProbe, instance)[5:11], a.Server[:])
+		copy(e.appendRecord(codeProbe, instance)[5:11], a.Server[:])
 	case policy.ActionTimer:
-		raw := e.record(codeSetTimer, instance)
+		raw := e.appendRecord(codeSetTimer, instance)
 		putF64(raw[5:], a.DurationMs)
 		be.PutUint32(raw[13:], a.Token)
 	case policy.ActionWatch:
-		e.record(codeWatch, instance)[5] = 1
+		e.appendRecord(codeWatch, instance)[5] = 1
 	case policy.ActionFetch:
-		e.record(codeFetch, instance)
+		e.appendRecord(codeFetch, instance)
 	case policy.ActionCloseIdle:
-		copy(e.record(codeCloseIdle, instance)[5:11], a.Server[:])
+		copy(e.appendRecord(codeCloseIdle, instance)[5:11], a.Server[:])
 	case policy.ActionLog:
-		e.text(codeLog, instance, a.Text)
+		e.appendTextRecord(codeLog, instance, a.Text)
 	}
 }
 
--- a/internal/agent/supervisor/mailbox.go
+++ b/internal/agent/supervisor/mailbox.go
@@ -2,9 +2,9 @@
 // owns its sockets, files and state. Other goroutines reach it with messages through its
 // Mailbox, and a Supervisor restarts it after a failure.
 //
-// Guaranteed: a mailbox never holds more messages than its size, and Put never blocks; messages
-// of one sender that are not dropped are delivered in the order in which they were put.
-// Not guaranteed: delivery. The OverflowPolicy of a message decides what is dropped when the
+// A mailbox never holds more messages than its size, and Put never blocks. The messages of one
+// sender that are not dropped are delivered in the order in which they were put. Delivery is
+// not guaranteed: the OverflowPolicy of a message decides which message is dropped when the
 // mailbox is full.
 package supervisor
 
@@ -29,8 +29,8 @@
 	Overflow() OverflowPolicy
 }
 
-// Merger is a Message that can be merged with a queued message of its kind. It is merged
-// whether the mailbox is full or not: of several states only the newest is of use.
+// Merger is a Message that can be merged with a queued message of its kind. It is merged even
+// if the mailbox is not full: of several states only the newest is useful.
 type Merger interface {
 	Message
 	// MergeInto returns the queued message merged with this one, or false if the two cannot be
@@ -97,8 +97,8 @@
 	return msg, true
 }
 
-// Take dequeues the oldest message and blocks while there is none. It returns the error of ctx
-// once that is done.
+// Take dequeues the oldest message. It blocks while there is none, and returns the error of ctx
+// once ctx is done.
 func (m *Mailbox) Take(ctx context.Context) (Message, error) {
 	for {
 		if msg, ok := m.Poll(); ok {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Dropped returns the number of messages dropped so far, queued and new ones.
+// Dropped returns the number of messages dropped so far, both queued and new ones.
 func (m *Mailbox) Dropped() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/supervisor/supervisor.go
+++ b/internal/agent/supervisor/supervisor.go
@@ -19,12 +19,12 @@
 )
 
 // errReturnedEarly is the failure of a task that returned without an error before its context was done.
-var errReturnedEarly = errors.New("it returned before its end")
+var errReturnedEarly = errors.New("returned before its context was done")
 
 // Supervisor owns the lifetimes of tasks. A task that fails, by an error or a panic, is restarted
 // with exponential backoff; no failure ends the process. All methods are safe for concurrent use.
 type Supervisor struct {
-	ctx       context.Context // of all tasks
+	ctx       context.Context // context of all tasks
 	cancel    context.CancelFunc
 	tasks     sync.WaitGroup
 	onFailure func(name string, err error) // called on the task's goroutine
@@ -40,9 +40,9 @@
 	return &Supervisor{ctx: ctx, cancel: cancel, onFailure: onFailure}
 }
 
-// Go starts a task. run must work until its context is done and then return; an error, or a return
-// before that, is a failure. Each restart calls run again, so state that must survive a restart is
-// kept outside of it.
+// Go starts a task. run must work until its context is done and then return. An error or an earlier return is
+// a failure. Each restart calls run again, so state that must survive a restart has to be stored outside of
+// it.
 func (s *Supervisor) Go(name string, run func(ctx context.Context) error) {
 	s.tasks.Go(func() { s.restartUntilClosed(name, run) })
 }
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -14,9 +14,9 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// silentDiscovery answers calls over pipes, so that it can be used in simulated time. A call that it
+// pipeDiscovery answers calls over pipes, so that it can be used in simulated time. A call that it
 // does not answer stays open, like one whose connection was cut.
-type silentDiscovery struct {
+type pipeDiscovery struct {
 	mu             sync.Mutex
 	list           TargetList
 	unresponsive   bool      // to calls from now on
@@ -26,13 +26,13 @@
 	wakeWatches    chan struct{}
 }
 
-func newSilentDiscovery(servers ...Target) *silentDiscovery {
-	return &silentDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers},
+func newPipeDiscovery(servers ...Target) *pipeDiscovery {
+	return &pipeDiscovery{list: TargetList{Version: 1, Full: true, Servers: servers},
 		wakeWatches: make(chan struct{})}
 }
 
 // change changes the discovery and wakes its watches.
-func (q *silentDiscovery) change(do func()) {
+func (q *pipeDiscovery) change(do func()) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	do()
@@ -40,7 +40,7 @@
 	q.wakeWatches = make(chan struct{})
 }
 
-func (q *silentDiscovery) drain(id string) {
+func (q *pipeDiscovery) drain(id string) {
 	q.change(func() {
 		q.list.Version++
 		for i := range q.list.Servers {
@@ -52,7 +52,7 @@
 }
 
 // opened waits for the first call and returns when it arrived.
-func (q *silentDiscovery) opened() time.Time {
+func (q *pipeDiscovery) opened() time.Time {
 	for {
 		q.mu.Lock()
 		calls, since := q.calls, q.lastCallAt
@@ -64,7 +64,7 @@
 	}
 }
 
-func (q *silentDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *pipeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	over := time.After(time.Duration(wait) * time.Millisecond)
@@ -150,7 +150,7 @@
 	loop *eventLoop
 }
 
-func startSimulatedAgent(t *testing.T, q *silentDiscovery, known TargetList,
+func startSimulatedAgent(t *testing.T, q *pipeDiscovery, known TargetList,
 	membership policy.MembershipMode) *simulatedAgent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &simulatedAgent{t: t, net: &pipeNetwork{ctx: ctx, listeners: map[string]chan net.Conn{}}}
@@ -200,8 +200,8 @@
 
 const (
 	// What the contract says of an unresponsive discovery: a change counts as known so long after a watch
-	// became unresponsive, or so long after the end of its time-out where that is later; and after SIGHUP.
-	silenceDeadline, watchEndDeadline, reloadDeadline = 6 * time.Second, 2 * time.Second, 4 * time.Second
+	// became unresponsive, or so long after the end of its timeout where that is later; and after SIGHUP.
+	unresponsiveDeadline, watchEndDeadline, reloadDeadline = 6 * time.Second, 2 * time.Second, 4 * time.Second
 	// immediately is the time that an agent has for what it counts as knowing from the first moment.
 	immediately = 250 * time.Millisecond
 )
@@ -219,19 +219,19 @@
 	}
 	// An open watch on a responsive discovery reports at once.
 	each("responsive", func(t *testing.T, membership policy.MembershipMode) {
-		discovery := newSilentDiscovery(two()...)
+		discovery := newPipeDiscovery(two()...)
 		agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 		time.Sleep(3 * time.Second)
 		discovery.drain("s-1")
 		agent.mustStopSending("s-1", time.Now().Add(immediately))
 	})
-	// A watch becomes unresponsive at the start, in the middle or at the end of its time-out: the next one
+	// A watch becomes unresponsive at the start, in the middle or at the end of its timeout: the next one
 	// reports later changes in time, whether they came at once or late.
 	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
 		for _, change := range []time.Duration{0, 5 * time.Second} {
 			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T,
 				membership policy.MembershipMode) {
-				discovery := newSilentDiscovery(two()...)
+				discovery := newPipeDiscovery(two()...)
 				agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 				opened := discovery.opened()
 				time.Sleep(time.Until(opened.Add(into)))
@@ -240,7 +240,7 @@
 				fell := time.Now()
 				time.Sleep(change)
 				discovery.drain("s-1")
-				told := later(fell.Add(silenceDeadline), opened.Add(watchTimeout+watchEndDeadline))
+				told := later(fell.Add(unresponsiveDeadline), opened.Add(watchTimeout+watchEndDeadline))
 				agent.mustStopSending("s-1", told)
 			})
 		}
@@ -249,7 +249,7 @@
 	// however old the list that it was started with.
 	t.Run("restart", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			discovery := newSilentDiscovery(two()...)
+			discovery := newPipeDiscovery(two()...)
 			old := TargetList{Version: 1, Full: true, Servers: two()}
 			discovery.drain("s-1")
 			agent := startSimulatedAgent(t, discovery, old, "pushed")
@@ -259,7 +259,7 @@
 	// The same after an outage in which the process was started: its first call gets no answer.
 	t.Run("restart in an outage", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			discovery := newSilentDiscovery(two()...)
+			discovery := newPipeDiscovery(two()...)
 			old := TargetList{Version: 1, Full: true, Servers: two()}
 			discovery.change(func() { discovery.unresponsive = true })
 			discovery.drain("s-1")
@@ -274,7 +274,7 @@
 	// one is unresponsive, and though the new one does not answer the first call.
 	for _, outage := range []time.Duration{0, time.Second, 2500 * time.Millisecond} {
 		each("SIGHUP, unresponsive for "+outage.String(), func(t *testing.T, membership policy.MembershipMode) {
-			discovery, next := newSilentDiscovery(two()...), newSilentDiscovery(two()...)
+			discovery, next := newPipeDiscovery(two()...), newPipeDiscovery(two()...)
 			agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 			time.Sleep(time.Second)
 			discovery.change(func() { discovery.abandonedCalls = discovery.calls })
