--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,7 +11,7 @@
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// The codes of the records that the tests use, and their size in bytes.
+// Codes of the records that the tests use, and the size of an event record in bytes.
 const (
 	requestCode = 17
 	killCode    = 21
@@ -21,7 +21,7 @@
 	recordSize  = 48
 )
 
-// encodeBatch frames records, given by their first bytes, with a tail.
+// encodeBatch encodes a batch of records, given by their first bytes, and a tail.
 func encodeBatch(clock float64, tail string, records ...[]byte) []byte {
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
@@ -55,31 +55,32 @@
 
 func TestKillAndBootInOneBatch(t *testing.T) {
 	in := encodeBatch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
-	in = append(in, encodeBatch(1005, settings, killRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))...)
+	in = append(in, encodeBatch(1005, settings, killRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)),
+		requestRecord(3, 11))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	// Each instance has one pending request (there is no list) and sets one timer; the
-	// request between the two instances is void.
+	// request between the two instances is ignored.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
 		if n != want || reply[8] != timerCode {
-			t.Errorf("batch %d: %d actions, first of code %d; want %d timer", i, n, reply[8], want)
+			t.Errorf("batch %d: %d actions, first of code %d; want %d timer action", i, n, reply[8], want)
 		}
 		reply = reply[8+size:]
 	}
 }
 
 func TestBadSettingsAreReportedAsACrash(t *testing.T) {
-	bad := strings.Replace(settings, "free", "maybe", 1)
+	invalid := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(encodeBatch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
+	if err := run(bytes.NewReader(encodeBatch(1000, invalid, bootRecord(3, len(invalid)))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != crashCode || !strings.Contains(string(reply), "classes[0].effect") {
-		t.Errorf("reply %q is no crash that names the key", reply)
+		t.Errorf("reply %q does not report a crash with the invalid key", reply)
 	}
 }
 
@@ -98,6 +99,6 @@
 	}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(nil), &out); err != nil {
-		t.Errorf("a clean end of input: %v", err)
+		t.Errorf("empty input: %v", err)
 	}
 }
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The loop prevents violations of the contract whatever the policy decides.
+// The loop prevents violations of the contract, whatever the policy decides.
 func TestContractViolationsArePrevented(t *testing.T) {
 	up := func() *backend { return &backend{addr: "127.0.0.1:1"} }
 	drained := up()
@@ -13,11 +13,11 @@
 	now := time.Now()
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
 	for _, test := range []struct {
-		name  string
-		r     pendingRequest
-		b     *backend
-		until time.Time
-		want  bool
+		name     string
+		request  pendingRequest
+		backend  *backend
+		deadline time.Time
+		allowed  bool
 	}{
 		{"allowed", pendingRequest{}, up(), now.Add(time.Second), true},
 		{"draining", pendingRequest{}, drained, now.Add(time.Second), false},
@@ -28,17 +28,18 @@
 		{"fourth attempt", pendingRequest{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
 		{"no time", pendingRequest{}, up(), now, false},
 	} {
-		test.r.client = &clientRequest{class: 2}
-		if violation := l.checkAttempt(&test.r, test.b, now, test.until); (violation == nil) != test.want {
-			t.Errorf("%s: %+v", test.name, violation)
+		test.request.client = &clientRequest{class: 2}
+		if violation := l.checkAttempt(&test.request, test.backend, now,
+			test.deadline); (violation == nil) != test.allowed {
+			t.Errorf("%s: unexpected result %+v", test.name, violation)
 		}
 	}
 	// A rejection after an attempt that may have been executed becomes a failure.
-	c := &clientRequest{class: 2, response: make(chan response, 1)}
+	client := &clientRequest{class: 2, response: make(chan response, 1)}
 	done := make(chan bool)
-	l.post(func() { l.reject(&pendingRequest{id: 1 << 30, client: c, maybeExecuted: 1}, 1); close(done) })
+	l.post(func() { l.reject(&pendingRequest{id: 1 << 30, client: client, maybeExecuted: 1}, 1); close(done) })
 	<-done
-	if a := <-c.response; a.outcome != failed {
-		t.Errorf("answered %+v, want a failure", a)
+	if got := <-client.response; got.outcome != failed {
+		t.Errorf("answered %+v, want a failure", got)
 	}
 }
--- a/internal/agent/backends.go
+++ b/internal/agent/backends.go
@@ -109,7 +109,7 @@
 	return endpoints, stale, removed
 }
 
-// endpoint converts a target for the policy, without its address.
+// endpoint converts a target for the policy, except for its address.
 func (t *backendTable) endpoint(target *Target) policy.Endpoint {
 	endpoint := policy.Endpoint{Zone: len(t.zones), Kind: len(t.machineKinds), Cell: target.Cell,
 		StartedMs: target.StartedMs, Weight: target.Weight, Status: policy.Draining}
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -8,7 +8,7 @@
 	if a.policyAddr != b.policyAddr {
 		t.Error("two agents have different addresses for one backend")
 	}
-	delete(y.byID, "s-1") // its address belongs to another ID now
+	delete(y.byID, "s-1") // its address stays in byAddr, as if it were that of another ID
 	if c := y.findOrAdd("s-1"); c.policyAddr == b.policyAddr {
 		t.Error("two backends have one address")
 	}
--- a/internal/agent/clientconns.go
+++ b/internal/agent/clientconns.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// newConnGrace is how long a connection may take to send a complete request. After that it is closed before all
-// others.
+// newConnGrace is how long a connection may take to send a complete request. After that it may be closed before
+// all others.
 const newConnGrace = 250 * time.Millisecond
 
-// Connections of a phase without a complete request are also closed first if there are more of them than the
-// limit divided by maxPhaseDivisor.
+// maxPhaseDivisor bounds the connections of a phase that have not sent a complete request: if there are more than
+// the limit divided by it, the oldest are closed before all others.
 const maxPhaseDivisor = 4
 
 // connPhase is the phase of a connection without an open request.
--- a/internal/agent/clientconns_test.go
+++ b/internal/agent/clientconns_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Hundreds of silent connections do not exclude the clients that are served: an idle connection stays
-// usable and a new one is answered.
-func TestSilentClientsExcludeNobody(t *testing.T) {
+// Hundreds of connections that send nothing do not exclude other clients: an idle connection stays usable, and a
+// request on a new one is answered.
+func TestSilentClientsDoNotExcludeOthers(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
 	b := 2 * agent.loop.config.maxClientConns()
 	idleConn := agent.dial()
-	ask := func(c net.Conn) error {
+	sendRequest := func(c net.Conn) error {
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err == nil && resp.StatusCode != 200 {
@@ -24,27 +24,27 @@
 		}
 		return err
 	}
-	if err := ask(idleConn); err != nil {
+	if err := sendRequest(idleConn); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 * b {
 		agent.dial()
 	}
-	if err := ask(agent.dial()); err != nil {
+	if err := sendRequest(agent.dial()); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
-	if err := ask(idleConn); err != nil {
+	if err := sendRequest(idleConn); err != nil {
 		t.Errorf("the idle connection: %v", err)
 	}
 }
 
-// Clients that made one request and retain their connection do not use up what the application may
-// have, a third of the descriptors: the agent closes the oldest of them in time.
+// The client application may use a third of the descriptors. Clients that made one request and retain their
+// connection do not use these up: the agent closes the oldest connections in time.
 func TestOldestIdleClientsAreClosed(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
-	most := agent.loop.config.Sockets / 3
+	maxConns := agent.loop.config.Sockets / 3
 	var conns []net.Conn
-	for range most {
+	for range maxConns {
 		c := agent.dial()
 		conns = append(conns, c)
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
@@ -54,20 +54,20 @@
 		}
 	}
 	// The oldest are closed well before idleTimeout would close them all.
-	for _, c := range conns[:most/8] {
+	for _, c := range conns[:maxConns/8] {
 		c.SetDeadline(time.Now().Add(idleTimeout / 2))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Fatalf("an old connection stays: %v", err)
+			t.Fatalf("an old connection stays open: %v", err)
 		}
 	}
 }
 
-// Connections that were silent for long are closed first, then idle ones, then new ones and those
-// whose request is being read, never one with an open request; none is chosen twice while its close is
-// under way.
+// Connections that were silent for long are closed first, then idle ones, then new ones and those whose request
+// is being read. A connection with an open request is never closed, and a connection that is being closed is not
+// chosen again.
 func TestOrderOfClosingClients(t *testing.T) {
-	const most = 16
-	c := newClientConns(most)
+	const maxConns = 16
+	c := newClientConns(maxConns)
 	names := map[net.Conn]string{}
 	add := func(name string, states ...http.ConnState) net.Conn {
 		x, y := net.Pipe()
@@ -87,30 +87,30 @@
 		}
 		return got
 	}
-	quiet := add("silent")
-	c.conns[quiet].since = time.Now().Add(-2 * newConnGrace)
-	add("coming", http.StateActive)
+	silent := add("silent")
+	c.conns[silent].since = time.Now().Add(-2 * newConnGrace)
+	add("reading", http.StateActive)
 	add("idle", http.StateActive, http.StateIdle)
-	busy := func() {
+	addBusy := func() {
 		x := add("busy", http.StateActive)
 		c.requestReceived(c.withConn(t.Context(), x))
 	}
-	for range most - 4 {
-		busy()
+	for range maxConns - 4 {
+		addBusy()
 	}
 	add("new")
 	if got := closed(); len(got) != 0 {
 		t.Fatalf("closed %v below the limit", got)
 	}
-	for _, want := range []string{"silent", "idle", "coming", "new"} {
-		busy()
+	for _, want := range []string{"silent", "idle", "reading", "new"} {
+		addBusy()
 		if got := closed(); len(got) != 1 || got[0] != want {
 			t.Errorf("closed %v, want %s", got, want)
 		}
 	}
-	// With an open request on all others the new connection without one is closed.
+	// If all other connections have an open request, a new connection is closed.
 	add("last")
 	if got := closed(); len(got) != 1 || got[0] != "last" {
-		t.Errorf("closed %v, want the last", got)
+		t.Errorf("closed %v, want last", got)
 	}
 }
--- a/internal/agent/clientrequest_test.go
+++ b/internal/agent/clientrequest_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// dial connects to the agent as a client that writes raw bytes.
+// dial connects to the agent. The test writes raw bytes to the connection.
 func (a *testAgent) dial() net.Conn {
 	a.t.Helper()
 	c, err := net.Dial("tcp", a.addr)
@@ -40,7 +40,7 @@
 	return c
 }
 
-// exchange writes text on a new connection and returns what is received until it is closed.
+// exchange writes text on a new connection and returns what it receives until the connection is closed.
 func (a *testAgent) exchange(text string) string {
 	a.t.Helper()
 	c := a.dial()
@@ -59,8 +59,8 @@
 		"Request-Timeout-Ms: 4000\r\n" + lines + "\r\n" + body
 }
 
-// An invalid request gets an error and a close, and never reaches a backend: that would reject it, or
-// close, and be taken for a faulty one.
+// An invalid request gets an error and a close, and never reaches a backend: the backend would reject it, or
+// close the connection, and be taken for faulty.
 func TestInvalidRequestsAreAnsweredAndClosed(t *testing.T) {
 	agent, fake := startWithBackend(t, echo)
 	get := func(lines string) string {
@@ -79,7 +79,7 @@
 		{"a line without colon", rawOrder("/api/a1", "1", "no colon\r\n", ""), 400},
 		{"a head too large", rawOrder("/api/a1", "1", "X: "+strings.Repeat("p", 2*maxHead)+"\r\n", ""), 431},
 		{"HTTP/1.0", strings.Replace(rawOrder("/api/a1", "1", "Content-Length: 0\r\n", ""), "1.1", "1.0", 1), 505},
-		{"length and chunked, a request hidden", rawOrder("/api/a1", "1",
+		{"length and chunked, with a hidden request", rawOrder("/api/a1", "1",
 			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", len(hidden)+5),
 			"0\r\n\r\n"+hidden), 411},
 		{"chunked", rawOrder("/api/a1", "1", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+hidden), 411},
@@ -93,41 +93,41 @@
 		{"two ids", rawOrder("/api/a1", "1", "Request-Id: 2\r\n", ""), 400},
 		{"two timeouts", rawOrder("/api/a1", "1", "Request-Timeout-Ms: 5\r\n", ""), 400},
 		{"timeout with a sign", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "+480", 1), 400},
-		{"timeout a word", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "soon", 1), 400},
-		{"timeout empty", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "", 1), 400},
-		{"timeout zero", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "0", 1), 400},
-		{"timeout negative", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "-5", 1), 400},
-		{"timeout huge", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "99999999999999999999", 1), 400},
+		{"timeout not a number", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "soon", 1), 400},
+		{"empty timeout", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "", 1), 400},
+		{"zero timeout", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "0", 1), 400},
+		{"negative timeout", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "-5", 1), 400},
+		{"huge timeout", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "99999999999999999999", 1), 400},
 		{"unknown class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "orders", 1), 400},
-		{"a key that does not fit the class", rawOrder("/api/a1", "1", "Idempotency-Key: k\r\n", ""), 400},
-		{"no key", keyed(""), 400},
-		{"an empty key", keyed("Idempotency-Key: \r\n"), 400},
+		{"idempotency key with a class that has none", rawOrder("/api/a1", "1", "Idempotency-Key: k\r\n", ""), 400},
+		{"no idempotency key", keyed(""), 400},
+		{"an empty idempotency key", keyed("Idempotency-Key: \r\n"), 400},
 		{"GET with a body", get("Content-Length: 1\r\n") + "x", 400},
-		{"GET of an unsafe class", strings.Replace(get(""), "read", "order", 1), 400},
-		{"POST of a safe class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "read", 1), 400},
-		{"method", strings.Replace(get(""), "GET", "DELETE", 1), 405},
+		{"GET of a non-idempotent class", strings.Replace(get(""), "read", "order", 1), 400},
+		{"POST of an idempotent class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "read", 1), 400},
+		{"method not allowed", strings.Replace(get(""), "GET", "DELETE", 1), 405},
 		{"OPTIONS *", "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n", 405},
 		{"target with a host", rawOrder("http://x/api/a1", "1", "", ""), 400},
 		{"target beyond ASCII", rawOrder("/api/\xc3\xa9", "1", "", ""), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := agent.exchange(test.text + get("")) // what follows is never served
+			got := agent.exchange(test.text + get("")) // the second request is never served
 			want := fmt.Sprintf(" %d ", test.status)
 			if len(got) < 8 || !strings.HasPrefix(got[8:], want) || strings.Count(got, "HTTP/1.") != 1 {
-				t.Errorf("answered %.200q, want%salone", got, want)
+				t.Errorf("answered %.200q, want one response with%s", got, want)
 			}
 		})
 	}
 	if n := fake.count(); n != 0 {
-		t.Errorf("%d arrivals at the backend", n)
+		t.Errorf("%d requests reached the backend", n)
 	}
-	if f := agent.readCounters(); f.accepted != 0 {
-		t.Errorf("the policy got %d requests", f.accepted)
+	if counts := agent.readCounters(); counts.accepted != 0 {
+		t.Errorf("the policy got %d requests", counts.accepted)
 	}
 }
 
-// Endless heads and bodies, and silent connections, are closed within the 3 s in which a client has to
-// get an answer.
+// Connections that send nothing, or a head or body without an end, are closed within the 3 s in which a client
+// must get an answer.
 func TestPartialRequestsAreClosedInTime(t *testing.T) {
 	agent, fake := startWithBackend(t, echo)
 	complete := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
@@ -135,23 +135,23 @@
 	texts := []string{"", "POST /api", complete[:len(complete)-6], complete}
 	for _, text := range texts {
 		go func() {
-			from := time.Now()
+			start := time.Now()
 			agent.exchange(text)
-			took <- time.Since(from)
+			took <- time.Since(start)
 		}()
 	}
 	for range texts {
-		// The bound is tight on purpose: the time is the subject of the test.
+		// The bound is deliberately tight: the time is what the test checks.
 		if d := <-took; d > 3*time.Second {
 			t.Errorf("closed only after %v", d)
 		}
 	}
 	if n := fake.count(); n != 0 {
-		t.Errorf("%d arrivals at the backend", n)
+		t.Errorf("%d requests reached the backend", n)
 	}
 }
 
-// The ID of an open request can't be used by another request; later it can.
+// The ID of an open request can't be used by another request until the first one is answered.
 func TestOpenRequestIDConflicts(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -170,20 +170,21 @@
 	}
 	close(release)
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the first one: %v, %v", resp, err)
+		t.Errorf("the first request: %v, %v", resp, err)
 	}
 	if fake.count() != 1 {
 		t.Errorf("%d arrivals, want 1", fake.count())
 	}
-	if f := agent.readCounters(); f.failed != 1 || f.served != 1 {
-		t.Errorf("figures %+v", f)
+	if counts := agent.readCounters(); counts.failed != 1 || counts.served != 1 {
+		t.Errorf("counters %+v", counts)
 	}
 }
 
-// The target is forwarded byte for byte: another form of it is another request.
+// The target is forwarded byte for byte: in another form it would be another request.
 func TestTargetIsForwardedUnchanged(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
-	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
+	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?",
+		"/api/%41?a=b|c\"<>"} {
 		got := agent.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)),
 			"Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
@@ -192,8 +193,8 @@
 	}
 }
 
-// A body of the largest size passes; without memory it is rejected at once, with Retry-After, and
-// small ones still pass.
+// A body of the maximum size is accepted. Without memory it is rejected at once with Retry-After, and small
+// bodies are still accepted.
 func TestBodiesShareAMemoryBudget(t *testing.T) {
 	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
 		body, _ := io.ReadAll(req.Body)
@@ -205,7 +206,8 @@
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
 	budget := agent.loop.config.memoryBudget()
-	if err := agent.loop.memoryBudget.Acquire(t.Context(), budget); err != nil { // the entire budget: nothing has leaked
+	// The entire budget is available: nothing has leaked.
+	if err := agent.loop.memoryBudget.Acquire(t.Context(), budget); err != nil {
 		t.Fatal(err)
 	}
 	status, header, _ := agent.do(newRequest(agent.addr, "order", large))
@@ -220,7 +222,7 @@
 	}
 }
 
-// The check never accepts what is not for a backend, whatever the bytes.
+// The validation accepts only requests that can be forwarded to a backend, whatever the bytes.
 func FuzzRequest(f *testing.F) {
 	cfg, err := testConfig("127.0.0.1:1", "127.0.0.1:1", TargetList{})
 	if err != nil {
@@ -237,18 +239,18 @@
 		}
 		c, err := front.parseRequest(req, time.Now())
 		if err != nil {
-			var b *requestError
-			if !errors.As(err, &b) || b.status < 400 || b.status == 429 || b.status == 503 {
+			var invalid *requestError
+			if !errors.As(err, &invalid) || invalid.status < 400 || invalid.status == 429 || invalid.status == 503 {
 				t.Errorf("rejected with %v", err)
 			}
 			return
 		}
 		c.body = make([]byte, req.ContentLength)
-		// One request is forwarded, the same, with nothing behind it.
+		// Exactly the same request is forwarded, and nothing after it.
 		br := bufio.NewReader(strings.NewReader(string(c.encodeHead(time.Second)) + string(c.body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
-			t.Fatalf("passed on as %q: %v", c.encodeHead(time.Second), err)
+			t.Fatalf("forwarded as %q: %v", c.encodeHead(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
 		if err != nil || len(body) != len(c.body) || out.RequestURI != c.target ||
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -17,9 +17,9 @@
 	// minSockets is the least number of descriptors that an agent can run with. It leaves a few connections to
 	// each side beside the reserve.
 	minSockets = 64
-	// minMemoryMB is the least memory that an agent can run with.
+	// minMemoryMB is the least memory in MiB that an agent can run with.
 	minMemoryMB = 16
-	// Bodies may take the memory divided by memoryBudgetDivisor.
+	// memoryBudgetDivisor divides the memory limit; the result is the memory budget for bodies.
 	memoryBudgetDivisor = 5
 )
 
--- a/internal/agent/connpool_test.go
+++ b/internal/agent/connpool_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// An idle connection that the backend has closed must be noticed before it carries a request: a
-// non-idempotent one would end as a reset and fail.
+// An idle connection that the backend has closed must be noticed before it carries a request: a non-idempotent
+// request would end as a reset and fail.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		echo(c, req, n)
@@ -50,9 +50,9 @@
 	}
 }
 
-// A reused connection breaks on a request whose last byte was written: the request may have been
-// executed and is never sent again without the policy, not even with the key or without the body that
-// make http.Transport do so.
+// A reused connection breaks on a request whose last byte was written, so the request may have been executed. It
+// must not be sent again without the policy, not even with an idempotency key or without a body, which make
+// http.Transport resend it.
 func TestNoSilentResend(t *testing.T) {
 	agent, fake := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		return n == 0 && echo(c, req, n)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Idle clients are closed in favor of new ones, and attempts beyond the limit open no connections:
+// Idle client connections are closed in favor of new ones, and attempts beyond the limit open no connections:
 // neither side can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
@@ -75,8 +75,8 @@
 		return echo(c, req, n)
 	})
 	agent := startAgent(t, newDiscoveryServer(t, target("s-1", fake.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := agent.loop.config.maxClientConns()
-	for range 2 * most { // clients that stay connected and idle
+	maxConns := agent.loop.config.maxClientConns()
+	for range 2 * maxConns { // clients that stay connected and idle
 		c, err := net.Dial("tcp", agent.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -93,21 +93,21 @@
 	wantStatus(t, status, 200)
 
 	p, one, two := testSender(2).pool, &backend{}, &backend{}
-	end := time.Now().Add(testTimeout)
-	x, err := p.get(t.Context(), one, fake.addr, end)
+	deadline := time.Now().Add(testTimeout)
+	x, err := p.get(t.Context(), one, fake.addr, deadline)
 	if err != nil {
 		t.Fatal(err)
 	}
-	y, err := p.get(t.Context(), one, fake.addr, end)
+	y, err := p.get(t.Context(), one, fake.addr, deadline)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer y.Close()
-	if _, err := p.get(t.Context(), one, fake.addr, end); err != connpool.ErrExhausted {
-		t.Errorf("a third connection of two: %v", err)
+	if _, err := p.get(t.Context(), one, fake.addr, deadline); err != connpool.ErrExhausted {
+		t.Errorf("third connection of at most two: %v", err)
 	}
 	p.put(x)
-	z, err := p.get(t.Context(), two, newBackend(t, echo).addr, end) // the idle one is closed
+	z, err := p.get(t.Context(), two, newBackend(t, echo).addr, deadline) // closes the idle one
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,13 +120,13 @@
 // A new backend at the address of a removed one gets none of its connections.
 func TestAddressOfARemovedBackend(t *testing.T) {
 	fake := newBackend(t, echo)
-	p, old, heir := testSender(8).pool, &backend{}, &backend{}
+	p, old, successor := testSender(8).pool, &backend{}, &backend{}
 	x, err := p.get(t.Context(), old, fake.addr, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.put(x)
-	y, err := p.get(t.Context(), heir, fake.addr, time.Now().Add(testTimeout))
+	y, err := p.get(t.Context(), successor, fake.addr, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,14 +139,14 @@
 	if open, idle := p.count(); open != 1 || idle != 1 {
 		t.Errorf("%d open, %d idle, want 1 and 1", open, idle)
 	}
-	if z, ok := p.conns.TakeIdle(heir); !ok || z != y {
+	if z, ok := p.conns.TakeIdle(successor); !ok || z != y {
 		t.Error("the idle connection is not that of the new backend")
 	}
 }
 
-// Something drops connections that were idle for a while, without notice: the next request on one ends
-// as a reset. After a few the agent opens new ones instead, and still reuses those that were idle for
-// a moment only.
+// Connections that were idle for a while are dropped without notice, and the next request on one ends as a reset.
+// After a few resets the agent opens new connections instead, but still reuses those that were idle only for a
+// moment.
 func TestIdleConnectionsThatBreakAreNotUsed(t *testing.T) {
 	var mu sync.Mutex
 	last, broken := map[net.Conn]time.Time{}, 0
@@ -178,15 +178,15 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(last) > conns+1 {
-		t.Errorf("%d new connections for requests that follow at once", len(last)-conns)
+		t.Errorf("%d new connections for requests without a pause", len(last)-conns)
 	}
 	if fake.count() != 35 {
 		t.Errorf("%d arrivals, want 35", fake.count())
 	}
 }
 
-// An idle connection is used for most of the keepalive time, and never so late that the request could
-// cross the backend's close.
+// An idle connection is used for most of the keepalive time, but never so late that the request could arrive
+// after the backend's close.
 func TestMaxIdleTime(t *testing.T) {
 	for _, c := range []struct {
 		keepalive, connect float64
@@ -198,7 +198,8 @@
 		{0, 100, 0},
 	} {
 		if got := maxIdleTime(&policy.Limits{KeepaliveMs: c.keepalive, ConnectTimeoutMs: c.connect}); got != c.want {
-			t.Errorf("keepalive %v ms, connect %v ms: kept for %v, want %v", c.keepalive, c.connect, got, c.want)
+			t.Errorf("keepalive %v ms, connect timeout %v ms: used for %v, want %v", c.keepalive, c.connect,
+				got, c.want)
 		}
 	}
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -45,8 +45,8 @@
 	// The policy's own calls are slower, and the old discovery is no longer watched.
 	fullListAttempts, fullListRetryDelay = 3, 200 * time.Millisecond
 	// callsPerSecond and callBurst limit the calls: a discovery that answers watches at once must not be called
-	// in a tight loop. The limit delays a call by less than the time for which discovery keeps a watch without
-	// one.
+	// in a tight loop. Discovery keeps a watch for 200 ms without a call, which is longer than the pause between
+	// two calls.
 	callsPerSecond, callBurst = 10, 10
 	// minWatchBackoff and maxWatchBackoff bound the pause before a failed pushed watch is opened again. Changes
 	// that it would have delivered count as known 2 s after its timeout.
@@ -81,8 +81,8 @@
 	url     string
 	client  *http.Client
 	limiter *rate.Limiter
-	// onList is called with each answer, or with a nil list and the error of a failed call. watch tells calls of
-	// a watch from fetches.
+	// onList is called with each answer, or with a nil list and the error of a failed call. watch is true for a
+	// call of a watch and false for a fetch.
 	onList func(list *TargetList, watch bool, err error)
 	// onResponse, if not nil, is called at each answer, even one without changes.
 	onResponse func()
@@ -120,7 +120,7 @@
 
 // watch reports the changes since a version until a call fails or the client is closed. If needsFullList is set,
 // it fetches the full list first. The next call is sent before the last answer is reported: discovery keeps a
-// watch for 200 ms without a call, and a new watch is more work for it.
+// watch for only 200 ms without a call, and a new watch is a load on discovery.
 func (d *discoveryClient) watch(version uint64, needsFullList bool) {
 	if needsFullList {
 		list, err := d.fetchFullList()
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -14,24 +14,24 @@
 // A discovery that answers every watch at once is not called in a tight loop.
 func TestDiscoveryCallsAreLimited(t *testing.T) {
 	var calls atomic.Int64
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
-	defer busy.Close()
+	defer server.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	d := newDiscoveryClient(ctx, busy.Listener.Addr().String(), (&net.Dialer{}).DialContext)
+	d := newDiscoveryClient(ctx, server.Listener.Addr().String(), (&net.Dialer{}).DialContext)
 	d.onList = func(*TargetList, bool, error) {}
-	from := time.Now()
+	start := time.Now()
 	d.watch(1, false)
-	most := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
-	if n := calls.Load(); n < 2 || n > most {
-		t.Errorf("%d calls, want 2 to %d", n, most)
+	maxCalls := callBurst + int64(callsPerSecond*time.Since(start).Seconds()) + 1
+	if n := calls.Load(); n < 2 || n > maxCalls {
+		t.Errorf("%d calls, want 2 to %d", n, maxCalls)
 	}
 }
 
-// waitCalls waits for a number of calls, answered or not.
+// waitCalls waits until a number of calls has arrived, answered or not.
 func (d *fakeDiscovery) waitCalls(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); d.callCount() < n; time.Sleep(time.Millisecond) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// The pauses grow to a bound and differ between agents.
+// The backoff grows up to a bound and differs between agents.
 func TestWatchBackoff(t *testing.T) {
 	for _, c := range []struct {
 		failures    int
@@ -52,11 +52,11 @@
 		for range 100 {
 			p := watchBackoff(c.failures)
 			if seen[p] = true; p < c.least || p > c.most {
-				t.Errorf("pause of %v after %d failures, want %v to %v", p, c.failures, c.least, c.most)
+				t.Errorf("backoff of %v after %d failures, want %v to %v", p, c.failures, c.least, c.most)
 			}
 		}
 		if len(seen) < 50 {
-			t.Errorf("%d pauses of 100 differ after %d failures", len(seen), c.failures)
+			t.Errorf("only %d of 100 backoffs differ after %d failures", len(seen), c.failures)
 		}
 	}
 }
--- a/internal/agent/endpointlist_test.go
+++ b/internal/agent/endpointlist_test.go
@@ -12,9 +12,9 @@
 	status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	discovery.set(target("s-2", other.addr))
-	drains := target("s-1", old.addr)
-	drains.State = "draining"
-	discovery.setAndWait(t, drains)
+	draining := target("s-1", old.addr)
+	draining.State = "draining"
+	discovery.setAndWait(t, draining)
 	before := old.count()
 	for range 8 {
 		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
@@ -44,8 +44,8 @@
 	}
 }
 
-// While discovery is down the last list stays in use and the calls are few; when it is back the agent
-// learns what has changed.
+// While discovery is down, the last list stays in use and few calls are made. When it is back, the agent learns
+// what has changed.
 func TestDiscoveryOutage(t *testing.T) {
 	first, second := newBackend(t, echo), newBackend(t, echo)
 	discovery := newDiscoveryServer(t, target("s-1", first.addr))
@@ -73,15 +73,15 @@
 	}
 }
 
-// Answers of discovery that cross do not turn the list back.
+// Answers of discovery that arrive out of order do not revert the list.
 func TestOlderListIsDropped(t *testing.T) {
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
 	done := make(chan bool)
 	l.post(func() {
 		defer close(done)
-		drains := target("s-1", "127.0.0.1:1")
-		drains.State = "draining"
-		l.onDiscoveryList(&TargetList{Version: 9, Servers: []Target{drains}}, true, nil)
+		draining := target("s-1", "127.0.0.1:1")
+		draining.State = "draining"
+		l.onDiscoveryList(&TargetList{Version: 9, Servers: []Target{draining}}, true, nil)
 		l.onDiscoveryList(&TargetList{Version: 8, Full: true, Servers: []Target{target("s-1", "127.0.0.1:1")}},
 			false, nil)
 		if !l.backends.byID["s-1"].unavailable.Load() {
@@ -89,7 +89,7 @@
 		}
 		l.onDiscoveryList(&TargetList{Version: 10, Full: true}, true, nil)
 		if len(l.backends.byID) != 0 || len(l.backends.byAddr) != 0 {
-			t.Error("a removed backend is retained")
+			t.Error("a removed backend is still known")
 		}
 	})
 	<-done
@@ -97,17 +97,17 @@
 
 func pushUpdates(c *Config) { c.Settings.Membership = "pushed" }
 
-// Where changes are pushed the policy never asks for them: the agent watches by itself, and sends
-// nothing more to a backend that drains.
+// If changes are pushed, the policy never requests them: the agent opens a watch by itself, and sends nothing
+// more to a draining backend.
 func TestPushedChangesAreWatched(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	discovery := newDiscoveryServer(t, target("s-1", old.addr))
 	agent := startAgent(t, discovery, pushUpdates)
 	discovery.waitForWatch(t, 1)
 	discovery.set(target("s-2", fresh.addr))
-	drains := target("s-1", old.addr)
-	drains.State = "draining"
-	discovery.setAndWait(t, drains)
+	draining := target("s-1", old.addr)
+	draining.State = "draining"
+	discovery.setAndWait(t, draining)
 	before := old.count()
 	for range 10 {
 		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
--- a/internal/agent/eventloop.go
+++ b/internal/agent/eventloop.go
@@ -18,7 +18,7 @@
 	// inboxSize is the number of functions that the inbox holds before post blocks.
 	inboxSize = 4096
 	// logLineRate (per second) and logLineBurst limit the log lines, and logLineBuffer the lines that wait to be
-	// written: logging must take a bounded amount of work on one core.
+	// written, so that logging is a bounded amount of work for one core.
 	logLineRate, logLineBurst, logLineBuffer = 5, 50, 64
 )
 
@@ -31,7 +31,7 @@
 	clockStart   time.Time // when the loop was created; has a monotonic reading
 	clockBaseMs  float64   // clockStart as Unix time
 	observer     Observer
-	onReady      func() // called at least once, whenever there are backends
+	onReady      func() // called, repeatedly, when there are backends to send to
 	sender       *sender
 	memoryBudget *semaphore.Weighted // for bodies of requests and responses, in bytes
 	counters     counters
@@ -50,7 +50,7 @@
 	discovery     *discoveryClient
 	dialDiscovery dialer
 	listVersion   uint64
-	needsFullList bool // after a switch of discovery, until its full list has arrived
+	needsFullList bool // true after a switch of discovery until the new full list has arrived
 	watching      bool // a watch is open
 	fetching      bool // a fetch of the full list is in progress
 	watchFailures int  // consecutive failures of a pushed watch
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -40,7 +40,7 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// fakeBackend reads requests from real sockets and lets a script answer them.
+// fakeBackend reads requests from real sockets and answers them by a script.
 type fakeBackend struct {
 	t    *testing.T
 	ln   net.Listener
@@ -50,7 +50,7 @@
 
 	mu       sync.Mutex
 	arrivals int
-	conns    int // that are open
+	conns    int // open connections
 	maxConns int
 	ended    chan struct{} // one value for each connection that the agent closed
 }
@@ -132,7 +132,7 @@
 	return false
 }
 
-// fakeDiscovery has a list and answers fetches and watches.
+// fakeDiscovery holds a list and answers fetches and watches.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu          sync.Mutex
@@ -174,7 +174,7 @@
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait"))
 	d.watched <- index
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	expired := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		d.mu.Lock()
 		version, wake, down := d.list.Version, d.wakeWatches, d.down
@@ -198,7 +198,7 @@
 		}
 		select {
 		case <-wake:
-		case <-over:
+		case <-expired:
 			json.NewEncoder(w).Encode(TargetList{Version: version})
 			return
 		case <-req.Context().Done():
@@ -254,14 +254,14 @@
 // waitForWatch waits for a watch call with an index of at least version.
 func (d *fakeDiscovery) waitForWatch(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(testTimeout)
+	expired := time.After(testTimeout)
 	for {
 		select {
 		case index := <-d.watched:
 			if index >= version {
 				return
 			}
-		case <-over:
+		case <-expired:
 			t.Fatalf("no watch call with index %d", version)
 		}
 	}
@@ -280,14 +280,15 @@
 	done chan error
 }
 
-// startAgent starts an agent with the current list of the discovery.
+// startAgent starts an agent that has the current list of the discovery. change, if not nil, changes its
+// configuration.
 func startAgent(t *testing.T, d *fakeDiscovery, change func(*Config)) *testAgent {
 	t.Helper()
 	return startAgentWith(t, d, change, func(*eventLoop) {})
 }
 
-// startAgentWith is startAgent, which also configures the loop before it runs.
-func startAgentWith(t *testing.T, d *fakeDiscovery, change func(*Config), made func(*eventLoop)) *testAgent {
+// startAgentWith is startAgent with a function that configures the loop before it runs.
+func startAgentWith(t *testing.T, d *fakeDiscovery, change func(*Config), configure func(*eventLoop)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -303,7 +304,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	a := &testAgent{t: t, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
 	started := make(chan *eventLoop, 1)
-	go func() { a.done <- run(ctx, cfg, ln, func(l *eventLoop) { made(l); started <- l }) }()
+	go func() { a.done <- run(ctx, cfg, ln, func(l *eventLoop) { configure(l); started <- l }) }()
 	a.loop = <-started
 	t.Cleanup(func() {
 		stop()
@@ -317,8 +318,8 @@
 	return a
 }
 
-func testConfig(listen, discovery string, known TargetList) (*Config, error) {
-	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", InitialList: known,
+func testConfig(listen, discovery string, initialList TargetList) (*Config, error) {
+	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", InitialList: initialList,
 		Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
 	return f.validate()
@@ -344,13 +345,13 @@
 	return <-got
 }
 
-// testClient opens a connection for each request, and so never resends one.
+// testClient opens a connection for each request, so it never resends one.
 var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// testSender makes attempts over a bounded number of connections.
-func testSender(most int) *sender {
+// testSender returns a sender with a maximum number of connections.
+func testSender(maxConns int) *sender {
 	return &sender{memoryBudget: semaphore.NewWeighted(1 << 20), responseMetrics: []string{"qps", "util", "eps"},
-		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, conns: newBackendConns(most)}}
+		pool: &connPool{connectTimeout: testTimeout, keepalive: time.Minute, conns: newBackendConns(maxConns)}}
 }
 
 func testClientRequest(body []byte) *clientRequest {
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -20,7 +20,8 @@
 	acceptAfterSignal = 500 * time.Millisecond
 	// drainInterval is how often a shutdown checks the connections that are still open.
 	drainInterval = 20 * time.Millisecond
-	// A request may still arrive during the drain time divided by drainReadDivisor.
+	// drainReadDivisor bounds how long a request may still arrive during a shutdown: for the drain time divided
+	// by it.
 	drainReadDivisor = 4
 	// headerTimeout and readTimeout bound how long a head and a complete request may take: a client that
 	// sends neither has to get an answer within 3 s.
--- a/internal/agent/frontend_test.go
+++ b/internal/agent/frontend_test.go
@@ -11,8 +11,8 @@
 	"chalkdoor.example/chalkdoor/internal/http1"
 )
 
-// Scenario roll+mass: an agent that was stopped closed an idle connection just when the head of the
-// next request on it had been read. The request was forwarded, and its client sent it again.
+// Found in scenario roll+mass: an agent that was stopped closed an idle connection just after it had read the
+// head of the next request. The request was forwarded although its client sent it again.
 func TestRequestOnAClosedConnectionIsNotForwarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	f.server.ConnState = func(nc net.Conn, state http.ConnState) {
-		if state == http.StateActive { // the head is read, its handler is next
+		if state == http.StateActive { // the head is read and the handler is called next
 			nc.Close()
 		}
 		f.conns.track(nc, state)
@@ -44,7 +44,7 @@
 	if err := newRequest(ln.Addr().String(), "order", "x").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := io.ReadAll(c); len(got) > 0 { // however it ends
+	if got, _ := io.ReadAll(c); len(got) > 0 { // with or without an error
 		t.Errorf("answered %q on a closed connection", got)
 	}
 	if err := f.server.Shutdown(ctx); err != nil {
@@ -58,15 +58,15 @@
 	}
 }
 
-func TestCloseWaitsForTheAnswer(t *testing.T) {
-	near, far := net.Pipe()
-	var held atomic.Int64
-	c := http1.NewClientConn(near, &held)
-	if !c.BeginRequest() || held.Load() != 1 {
-		t.Fatal("an open connection takes no request")
+func TestCloseWaitsForTheResponse(t *testing.T) {
+	server, client := net.Pipe()
+	var inFlight atomic.Int64
+	c := http1.NewClientConn(server, &inFlight)
+	if !c.BeginRequest() || inFlight.Load() != 1 {
+		t.Fatal("an open connection accepts no request")
 	}
 	if err := c.Close(); err != nil || !c.CloseRequested() {
-		t.Fatalf("closing: %v, noted %v", err, c.CloseRequested())
+		t.Fatalf("Close: %v, CloseRequested: %v", err, c.CloseRequested())
 	}
 	wrote := make(chan error, 1)
 	go func() {
@@ -75,13 +75,13 @@
 		c.Close()
 		wrote <- err
 	}()
-	if got, err := io.ReadAll(far); err != nil || string(got) != "a" {
-		t.Errorf("the client got %q, %v; want its answer and the end", got, err)
+	if got, err := io.ReadAll(client); err != nil || string(got) != "a" {
+		t.Errorf("the client got %q, %v; want the response and the end of the connection", got, err)
 	}
 	if err := <-wrote; err != nil {
-		t.Errorf("answer on a connection to be closed: %v", err)
+		t.Errorf("response on a connection to be closed: %v", err)
 	}
-	if c.BeginRequest() || held.Load() != 0 {
-		t.Errorf("closed, but takes a request; %d held", held.Load())
+	if c.BeginRequest() || inFlight.Load() != 0 {
+		t.Errorf("the closed connection accepts a request or counts as in flight: %d", inFlight.Load())
 	}
 }
--- a/internal/agent/looplog_test.go
+++ b/internal/agent/looplog_test.go
@@ -11,10 +11,10 @@
 // A log that nobody reads does not block the loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
-	blocked, held := make(chan struct{}), make(chan struct{})
-	agent.loop.logLines <- func() { close(held); <-blocked }
-	defer close(blocked)
-	<-held
+	release, writing := make(chan struct{}), make(chan struct{})
+	agent.loop.logLines <- func() { close(writing); <-release }
+	defer close(release)
+	<-writing
 	done := make(chan struct{})
 	agent.loop.post(func() {
 		agent.loop.logLimiter.SetLimit(rate.Inf)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// requestUntilServedBy makes requests until a backend serves one; others may serve meanwhile.
+// requestUntilServedBy makes requests until a backend has served one. Other backends may serve the earlier ones.
 func requestUntilServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); b.count() == 0; {
 		if time.Now().After(end) {
-			t.Fatal("the backend is never used")
+			t.Fatal("the backend got no request")
 		}
 		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 }
 
-// With a new address the agent closes the old discovery at once and takes the full list of the new
-// one, which has versions of its own: a lower one, and a list without the old backend. Late answers of
-// the old one are dropped.
+// If the address of discovery changes, the agent stops calling the old discovery at once and fetches the full
+// list of the new one. That has versions of its own, here lower ones, and lacks the old backend. Late answers of
+// the old discovery are dropped.
 func TestReloadChangesDiscovery(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	discovery := newDiscoveryServer(t, target("s-1", old.addr))
@@ -42,16 +42,16 @@
 	if before.ctx.Err() == nil {
 		t.Error("the old discovery is still called")
 	}
-	asked, n := discovery.callCount(), old.count()
+	calls, served := discovery.callCount(), old.count()
 	before.onList(&TargetList{Version: 2000, Full: true, Servers: []Target{target("s-1", old.addr)}}, true, nil)
 	next.setAndWait(t, target("s-3", fresh.addr))
 	for range 10 {
 		status, _, _ := agent.do(newRequest(agent.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
-	if discovery.callCount() != asked || old.count() != n {
+	if discovery.callCount() != calls || old.count() != served {
 		t.Errorf("%d calls to the old discovery, %d requests to its backend, after the switch",
-			discovery.callCount()-asked, old.count()-n)
+			discovery.callCount()-calls, old.count()-served)
 	}
 	done := make(chan bool)
 	agent.loop.post(func() {
@@ -63,7 +63,7 @@
 	<-done
 }
 
-// While the new discovery is down the backends stay, and the agent reaches it later.
+// While the new discovery is down, the backends stay in use, and the agent reaches the discovery later.
 func TestReloadToADiscoveryThatIsDown(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	agent := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
@@ -79,7 +79,7 @@
 	requestUntilServedBy(t, agent, fresh)
 }
 
-// An invalid file changes nothing and is read again; signals may repeat.
+// An invalid file changes nothing and is read again until it is valid. Further signals read it again.
 func TestReloadRetriesUntilTheFileIsValid(t *testing.T) {
 	signals, used := make(chan os.Signal, 1), make(chan string, 10)
 	var reads atomic.Int64
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -15,7 +15,8 @@
 	// backstopMargin is how long before the client's deadline the backstop answers. The policy should have
 	// answered well before that.
 	backstopMargin = 4 * time.Millisecond
-	// For a request with little time, each margin is at most the remaining time divided by its divisor.
+	// policyMarginDivisor and backstopMarginDivisor reduce the margins of a request with little time: each margin
+	// is at most the remaining time divided by its divisor.
 	policyMarginDivisor, backstopMarginDivisor = 8, 16
 )
 
@@ -34,7 +35,7 @@
 // response is the one final response to a client's request.
 type response struct {
 	outcome       outcome
-	retryAfterMs  float64     // if rejected: when the client may retry; 0 if not known
+	retryAfterMs  float64     // if rejected: time before a retry; 0 for no Retry-After
 	status        int         // if failed: HTTP status; 0 stands for 502
 	header        http.Header // if served
 	body          []byte      // if served
@@ -52,7 +53,8 @@
 	backstop      *time.Timer // nil if the request was answered at once
 }
 
-// accept passes a client's request to the policy. It rejects requests beyond the limit of open ones.
+// accept passes a client's request to the policy. It rejects the request if its deadline has passed or if too
+// many requests are open.
 func (l *eventLoop) accept(client *clientRequest) *pendingRequest {
 	l.counters.accepted++
 	l.lastRequestID++
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -34,8 +34,9 @@
 	if seen.Get("Request-Id") != req.Header.Get("Request-Id") || seen.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the backend got %v", seen)
 	}
-	var left int
-	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &left); err != nil || left < 1 || left > 4000 {
+	var remaining int
+	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &remaining); err != nil || remaining < 1 ||
+		remaining > 4000 {
 		t.Errorf("the backend got a timeout of %q ms", seen.Get("Request-Timeout-Ms"))
 	}
 	if fake.count() != 1 {
@@ -43,18 +44,18 @@
 	}
 }
 
-// A backend does not respond: the request fails within its time, and the connection is closed, as the
-// late response would be taken for the next one's.
+// If a backend does not respond, the request fails in time and its connection is closed: a late response would be
+// taken for that of the next request.
 func TestUnresponsiveBackend(t *testing.T) {
 	agent, fake := startWithBackend(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
-	from := time.Now()
+	start := time.Now()
 	status, _, _ := agent.do(req)
 	if status != 502 && status != 504 {
 		t.Errorf("answered %d, want a failure", status)
 	}
-	if took := time.Since(from); took < 400*time.Millisecond {
+	if took := time.Since(start); took < 400*time.Millisecond {
 		t.Errorf("gave up after %v", took)
 	}
 	select {
@@ -67,35 +68,35 @@
 	}
 }
 
-// The backstop answers before the deadline when the policy does not.
+// The backstop answers before the deadline if the policy does not.
 func TestBackstop(t *testing.T) {
 	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")),
 		nil).loop.config, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A request that the policy does not know stands for one that it lost.
+	// The policy does not know this request, as if it had lost it.
 	c := &clientRequest{class: 2, deadline: time.Now().Add(time.Second), response: make(chan response, 1)}
 	r := &pendingRequest{id: 1, client: c}
 	l.requests[1], l.openRequests = r, 1
 	l.onBackstop(r)
-	if a := <-c.response; a.outcome != failed || a.status != 504 {
-		t.Errorf("answered %+v, want a late failure", a)
+	if got := <-c.response; got.outcome != failed || got.status != 504 {
+		t.Errorf("answered %+v, want a failure with status 504", got)
 	}
 	l.respond(r, response{outcome: served})
 	if len(c.response) != 0 || l.counters.backstops != 1 || l.openRequests != 0 || len(l.requests) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.counters, l.openRequests)
+		t.Errorf("%d further answers, counters %+v, %d open", len(c.response), l.counters, l.openRequests)
 	}
 }
 
-// The attempt of a client that leaves is cancelled.
+// If a client closes its connection, the attempt is cancelled.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	agent, fake := startWithBackend(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
 		return true
 	})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, closeClient := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
 		req := newRequest(agent.addr, "order", "x")
@@ -104,14 +105,14 @@
 		failed <- err
 	}()
 	<-arrived
-	leave()
+	closeClient()
 	<-failed
 	select {
 	case <-fake.ended:
 	case <-time.After(testTimeout):
-		t.Fatal("the attempt goes on")
+		t.Fatal("the attempt is not cancelled")
 	}
-	if f := agent.readCounters(); f.clientsGone != 1 || f.backstops != 0 {
-		t.Errorf("figures %+v", f)
+	if counts := agent.readCounters(); counts.clientsGone != 1 || counts.backstops != 0 {
+		t.Errorf("counters %+v", counts)
 	}
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -57,7 +57,7 @@
 	case <-stop.Done():
 	}
 	if err := front.shutdown(drainTime(config)); err != nil {
-		slog.Warn("shutdown", "err", err) // connections that never sent a request
+		slog.Warn("shutdown", "err", err) // only connections that never sent a request are left
 	}
 	cancel()
 	<-loopEnded
--- a/internal/agent/sender.go
+++ b/internal/agent/sender.go
@@ -23,7 +23,7 @@
 	status        policy.Status
 	latencyMs     float64
 	report        []float32   // load report; nil if there is none
-	statusCode    int         // of a complete response; 0 without one, and the fields below are empty
+	statusCode    int         // of a complete response; 0 if there is none, which leaves the fields below empty
 	header        http.Header // set only for an attempt
 	body          []byte      // set only for an attempt
 	reservedBytes int64       // bytes of the memory budget for body; its last owner releases them
@@ -134,7 +134,7 @@
 	}, !resp.Close
 }
 
-// recordReuse records the result of an exchange, from which the pool learns how long connections may be idle.
+// recordReuse records how an exchange ended: from that the pool learns after which idle time connections break.
 func (s *sender) recordReuse(conn *backendConn, err error) {
 	reset := err != nil && !errors.Is(err, http1.ErrMalformed) && statusAfterWrite(err) == policy.Reset
 	s.pool.reuseStats.Record(conn.idleBucket, reset)
--- a/internal/agent/sender_test.go
+++ b/internal/agent/sender_test.go
@@ -14,15 +14,16 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// The ends of an attempt: the response of the client, and how often the backend was sent the request.
+// For each way in which an attempt can end: the response to the client, and how often the request reaches the
+// backend.
 func TestAttemptOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool { return writeTestResponse(c, status, header, body) }
 	}
-	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
+	raw := func(text string, keepOpen bool) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool {
 			fmt.Fprint(c, text)
-			return keep
+			return keepOpen
 		}
 	}
 	for _, test := range []struct {
@@ -33,7 +34,7 @@
 		arrivals int
 	}{
 		{"500 may have been executed", "order", always(500, "", ""), 502, 1},
-		{"503 without proof may have been executed", "order", always(503, "", ""), 502, 1},
+		{"503 without Not-Started may have been executed", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have been executed", "order",
 			func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 502, 1},
 		{"close after the last byte may have been executed", "order", raw("", false), 502, 1},
@@ -44,18 +45,18 @@
 		{"a response without length may have been executed", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false),
 			502, 1},
 		{"malformed head may have been executed", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"too large body may have been executed", "order", always(200, "", strings.Repeat("x",
+		{"too large a body may have been executed", "order", always(200, "", strings.Repeat("x",
 			maxResponseBody+1)), 502, 1},
-		{"a response larger than requests may be", "order", always(200, "", strings.Repeat("x",
+		{"a response larger than a request may be", "order", always(200, "", strings.Repeat("x",
 			6*maxRequestBody)), 200, 1},
 		{"the same in chunks", "order", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 6*maxRequestBody, strings.Repeat("x", 6*maxRequestBody)), true),
 			200, 1},
-		{"a request that the backend finds invalid is not retried", "send", always(400, "", ""), 400, 1},
-		{"429 of a backend would be a rejection", "order", always(429, "", ""), 502, 1},
-		{"503 with proof was not executed", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
-		{"504 with proof was not executed", "order", always(504, "Not-Started: 1\r\n", ""), 503, 3},
-		{"an error of a deduplicated one is retried, three attempts at most", "send", always(500, "", ""), 503, 3},
+		{"400 is not retried", "send", always(400, "", ""), 400, 1},
+		{"429 must not become a rejection", "order", always(429, "", ""), 502, 1},
+		{"503 with Not-Started was not executed", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
+		{"504 with Not-Started was not executed", "order", always(504, "Not-Started: 1\r\n", ""), 503, 3},
+		{"an error of a deduplicated request is retried, at most three attempts", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			agent, fake := startWithBackend(t, test.answer)
@@ -67,8 +68,8 @@
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("rejected with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := agent.readCounters(); f.backstops+f.violations > 0 {
-				t.Errorf("a violation had to be prevented: %+v", f)
+			if counts := agent.readCounters(); counts.backstops+counts.violations > 0 {
+				t.Errorf("the loop prevented a violation or the backstop answered: %+v", counts)
 			}
 		})
 	}
@@ -103,16 +104,15 @@
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the attempt was not executed;
-// only the count of written bytes tells it from a reset.
+// If a connection breaks before the last byte is written, the attempt was not executed. Only the number of
+// written bytes distinguishes this from a reset after the last byte.
 func TestBreakBeforeTheLastByteIsNotExecuted(t *testing.T) {
-	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	listenConfig := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET,
-				syscall.SO_RCVBUF, 4096)
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
 	}}
-	ln, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	ln, err := listenConfig.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		if err != nil {
 			return
 		}
-		c.Read(make([]byte, 1)) // the request has begun, and exceeds the buffers
+		c.Read(make([]byte, 1)) // the request has begun and is larger than the buffers
 		resetConn(c)
 		c.Close()
 	}()
@@ -148,8 +148,8 @@
 	}
 }
 
-// A backend that drains by the end of a connect is sent nothing, and an attempt cancelled meanwhile
-// says nothing about its backend.
+// If a backend drains during a connect, it is sent nothing. An attempt cancelled during a connect says nothing
+// about its backend.
 func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
 	fake := newBackend(t, echo)
 	s := testSender(8)
@@ -165,7 +165,7 @@
 	if res := s.send(ctx, &backend{}, fake.addr, c, now, now.Add(testTimeout)); res.status != policy.NotSent {
 		t.Errorf("cancelled: ended as %d, want %d", res.status, policy.NotSent)
 	}
-	// One more attempt passes, after which an earlier one would have arrived, too.
+	// The next attempt succeeds. An earlier one would have arrived before it.
 	if res := s.send(t.Context(), &backend{}, fake.addr, c, now, now.Add(testTimeout)); res.status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.status, policy.OK)
 	}
@@ -174,14 +174,14 @@
 	}
 }
 
-// A local failure says nothing about the backend.
-func TestLocalFailuresAreNotTheBackends(t *testing.T) {
+// If an attempt fails for lack of a local resource, that says nothing about the backend.
+func TestLocalFailuresSayNothingAboutTheBackend(t *testing.T) {
 	fake := newBackend(t, echo)
 	now := time.Now()
 	full := testSender(0)
 	if res := full.send(t.Context(), &backend{}, fake.addr, testClientRequest(nil), now,
 		now.Add(testTimeout)); res.status != policy.NotSent {
-		t.Errorf("no descriptor: ended as %d, want %d", res.status, policy.NotSent)
+		t.Errorf("no connection allowed: ended as %d, want %d", res.status, policy.NotSent)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/agent/simprotocol/simprotocol.go
+++ b/internal/agent/simprotocol/simprotocol.go
@@ -259,9 +259,9 @@
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var s policy.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		var bad *json.UnmarshalTypeError
-		if errors.As(err, &bad) {
-			return s, fmt.Errorf("settings: %s: cannot be a %s", bad.Field, bad.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return s, fmt.Errorf("settings: %s: cannot be a %s", typeErr.Field, typeErr.Value)
 		}
 		return s, fmt.Errorf("settings: no JSON: %w", err)
 	}
--- a/internal/agent/simprotocol/simprotocol_test.go
+++ b/internal/agent/simprotocol/simprotocol_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
+// frame builds a batch from hexadecimal text. Whitespace is ignored.
 func frame(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestEventsAgainstWorkedOutBytes(t *testing.T) {
+func TestDecodeHandWrittenEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
@@ -50,16 +50,17 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
-	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EventRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
-		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.IsRetry || ask.Key != 0x91f03b7c55d20a64 {
-		t.Errorf("ask: %+v", recs[0])
+	request := recs[0].Event
+	if recs[0].Instance != 3 || request.Kind != policy.EventRequest || request.Request != 0x5d3a91c4 ||
+		request.RemainingMs != 240 ||
+		request.WorkHintMs != 12 || !request.HasWorkHint || request.IsRetry || request.Key != 0x91f03b7c55d20a64 {
+		t.Errorf("request: %+v", recs[0])
 	}
 	if e := recs[1].Event; e.Kind != policy.EventTimer || e.Token != 0x4d {
-		t.Errorf("fired: %+v", e)
+		t.Errorf("timer: %+v", e)
 	}
 	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EventClientGone || e.Request != 0x0e6f2b19 {
-		t.Errorf("dropped: %+v", recs[2])
+		t.Errorf("client gone: %+v", recs[2])
 	}
 }
 
@@ -72,17 +73,20 @@
 		t.Fatal(err)
 	}
 	v := recs[0].Event
-	if v.Kind != policy.EventAttemptEnded || v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+	if v.Kind != policy.EventAttemptEnded || v.Attempt != 2 ||
+		v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
 		v.Status != policy.OK || v.LatencyMs != 18.5 || !v.Final || len(v.LoadReport) != 2 || v.LoadReport[1] != 2 {
-		t.Errorf("verdict: %+v", v)
+		t.Errorf("attempt ended: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != policy.EventProbeEnded || p.Status != policy.OK || p.LatencyMs != 1.4 || p.LoadReport != nil {
-		t.Errorf("health: %+v", p)
+	if p := recs[1].Event; p.Kind != policy.EventProbeEnded || p.Status != policy.OK || p.LatencyMs != 1.4 ||
+		p.LoadReport != nil {
+		t.Errorf("probe ended: %+v", p)
 	}
 }
 
-// A list number may be used again within a batch: each event means the list of its moment.
-func TestPoolNumbersAreReusedInOrder(t *testing.T) {
+// A list number may be used again within a batch: each event refers to the list that had the number at that
+// point.
+func TestListNumbersAreReusedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -96,7 +100,8 @@
 		t.Fatal(err)
 	}
 	a, b := recs[0].Event, recs[1].Event
-	if a.Update != policy.UpdateCached || b.Update != policy.UpdateFull || a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
+	if a.Update != policy.UpdateCached || b.Update != policy.UpdateFull || a.Endpoints[0].Server[5] != 0xb4 ||
+		b.Endpoints[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
 	e := a.Endpoints[0]
@@ -118,7 +123,7 @@
 	}
 }
 
-func TestReplyAgainstWorkedOutBytes(t *testing.T) {
+func TestEncodeHandWrittenReply(t *testing.T) {
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
@@ -160,18 +165,22 @@
 
 func TestMalformedFramesNameTheField(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
-		"short header":   {"000000", "batch header"},
-		"short length":   {"00000000 00000004 00000000", "length"},
-		"huge length":    {"00000000 ffffffff", "length"},
-		"too many":       {"ffffffff 00000008 40c06e2000000000", "number of records"},
-		"truncated":      {"00000001 00000038 40c06e20", "truncated"},
-		"unknown code":   {"00000001 00000038 40c06e2000000000 63" + zeros(47), "code"},
-		"bad pool":       {"00000001 00000038 40c06e2000000000 13 00000010" + zeros(43), "pool: table"},
-		"pool past tail": {"00000001 00000038 40c06e2000000000 13 00000000 00000000 ffffffff" + zeros(35), "pool: hosts"},
-		"bad mode":       {"00000001 00000038 40c06e2000000000 16 00000003 09" + zeros(42), "targets: mode"},
-		"bad settings":   {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27), "boot: settings"},
-		"long report":    {"00000001 00000038 40c06e2000000000 18 00000003 0a9011f2 13b4 0064 3ff0000000000000 05" + zeros(26), "health: report"},
-		"bad ending":     {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29), "verdict: ending"},
+		"short header": {"000000", "batch header"},
+		"short length": {"00000000 00000004 00000000", "length"},
+		"huge length":  {"00000000 ffffffff", "length"},
+		"too many":     {"ffffffff 00000008 40c06e2000000000", "number of records"},
+		"truncated":    {"00000001 00000038 40c06e20", "truncated"},
+		"unknown code": {"00000001 00000038 40c06e2000000000 63" + zeros(47), "code"},
+		"bad pool":     {"00000001 00000038 40c06e2000000000 13 00000010" + zeros(43), "pool: table"},
+		"pool past tail": {"00000001 00000038 40c06e2000000000 13 00000000 00000000 ffffffff" +
+			zeros(35), "pool: hosts"},
+		"bad mode": {"00000001 00000038 40c06e2000000000 16 00000003 09" + zeros(42), "targets: mode"},
+		"bad settings": {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" +
+			zeros(27), "boot: settings"},
+		"long report": {"00000001 00000038 40c06e2000000000 18 00000003 0a9011f2 13b4 0064 3ff0000000000000 05" +
+			zeros(26), "health: report"},
+		"bad ending": {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" +
+			zeros(29), "verdict: ending"},
 	} {
 		_, _, err := decodeAll(frame(t, c.text))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
@@ -181,12 +190,13 @@
 }
 
 func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
+	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}],
+		"roundMs": 5, "strange": {}}`))
 	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyTargetMs != 5 || s.RoundMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
-		t.Error("no JSON, and no error")
+		t.Error("invalid JSON is accepted")
 	}
 	if _, err := ParseSettings([]byte(`{"roundMs": "five"}`)); err == nil || !strings.Contains(err.Error(), "roundMs") {
 		t.Errorf("error %v does not name roundMs", err)
@@ -205,7 +215,7 @@
 			}
 		}
 		if cap(d.buffer) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buffer))
+			t.Errorf("%d bytes of input, but a buffer of %d", len(data), cap(d.buffer))
 		}
 	})
 }
@@ -219,14 +229,15 @@
 	if err != nil || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if e := recs[0].Event; e.Kind != policy.EventStreamStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
+	if e := recs[0].Event; e.Kind != policy.EventStreamStarted || e.Request != 0x5d3a91c4 ||
+		e.LatencyMs != 18.5 || e.Attempt != 1 ||
 		e.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
-		t.Errorf("flowing: %+v", e)
+		t.Errorf("stream started: %+v", e)
 	}
 	if e := recs[1].Event; e.Kind != policy.EventDiscovery || e.Update != policy.UpdateFailed || e.Endpoints != nil {
-		t.Errorf("targets of a failed call: %+v", e)
+		t.Errorf("failed discovery call: %+v", e)
 	}
 	if e := recs[2].Event; e.Kind != policy.EventPeerMessage {
-		t.Errorf("peer_data: %+v", e)
+		t.Errorf("peer message: %+v", e)
 	}
 }
--- a/internal/agent/supervisor/supervisor_test.go
+++ b/internal/agent/supervisor/supervisor_test.go
@@ -13,16 +13,16 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-type newest int
-type oldest int
-type state struct{ of, n int }
+type dropNewest int
+type dropOldest int
+type state struct{ key, n int }
 
-func (newest) Overflow() OverflowPolicy { return DropNewest }
-func (oldest) Overflow() OverflowPolicy { return DropOldest }
-func (state) Overflow() OverflowPolicy  { return DropOldest }
+func (dropNewest) Overflow() OverflowPolicy { return DropNewest }
+func (dropOldest) Overflow() OverflowPolicy { return DropOldest }
+func (state) Overflow() OverflowPolicy      { return DropOldest }
 func (s state) MergeInto(q Message) (Message, bool) {
 	o, ok := q.(state)
-	return s, ok && o.of == s.of
+	return s, ok && o.key == s.key
 }
 
 func drain(m *Mailbox) (out []Message) {
@@ -42,11 +42,16 @@
 		want    []Message
 		dropped uint64
 	}{
-		{"a mailbox with free capacity", []Message{newest(1), oldest(2)}, []Message{newest(1), oldest(2)}, 0},
-		{"drops the newest", []Message{newest(1), newest(2), newest(3)}, []Message{newest(1), newest(2)}, 1},
-		{"drops the oldest", []Message{oldest(1), oldest(2), oldest(3)}, []Message{oldest(2), oldest(3)}, 1},
-		{"merges at the queued position", []Message{state{1, 1}, newest(5), state{1, 2}}, []Message{state{1, 2}, newest(5)}, 0},
-		{"merges only related messages", []Message{state{1, 1}, state{2, 1}, state{3, 1}}, []Message{state{2, 1}, state{3, 1}}, 1},
+		{"a mailbox that is not full", []Message{dropNewest(1), dropOldest(2)},
+			[]Message{dropNewest(1), dropOldest(2)}, 0},
+		{"drops the newest", []Message{dropNewest(1), dropNewest(2), dropNewest(3)},
+			[]Message{dropNewest(1), dropNewest(2)}, 1},
+		{"drops the oldest", []Message{dropOldest(1), dropOldest(2), dropOldest(3)},
+			[]Message{dropOldest(2), dropOldest(3)}, 1},
+		{"merges at the queued position", []Message{state{1, 1}, dropNewest(5), state{1, 2}},
+			[]Message{state{1, 2}, dropNewest(5)}, 0},
+		{"merges only related messages", []Message{state{1, 1}, state{2, 1}, state{3, 1}},
+			[]Message{state{2, 1}, state{3, 1}}, 1},
 	} {
 		m := NewMailbox(2)
 		for _, msg := range c.put {
@@ -65,7 +70,7 @@
 	}
 }
 
-// One receiver gets every message of several senders, those of each sender in order.
+// One receiver gets every message of several senders, and the messages of each sender in order.
 func TestMessagesArriveOnceAndInOrder(t *testing.T) {
 	m := NewMailbox(4000)
 	var senders sync.WaitGroup
@@ -74,7 +79,7 @@
 		go func() {
 			defer senders.Done()
 			for n := range 1000 {
-				m.Put(newest(sender<<16 | n))
+				m.Put(dropNewest(sender<<16 | n))
 			}
 		}()
 	}
@@ -84,7 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sender, n := int(msg.(newest))>>16, int(msg.(newest))&0xffff
+		sender, n := int(msg.(dropNewest))>>16, int(msg.(dropNewest))&0xffff
 		if n != last[sender]+1 {
 			t.Fatalf("sender %d: %d after %d", sender, n, last[sender])
 		}
@@ -94,25 +99,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := m.Take(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v from an empty mailbox whose taker ends", err)
+		t.Errorf("Take with a cancelled context from an empty mailbox: %v", err)
 	}
 }
 
-// A task that fails, by an error, a panic or an early return, is restarted after a backoff that
-// doubles up to a bound, and that starts over once the task has run for a while.
+// A task that fails, by an error, a panic or an early return, is restarted after a backoff. The
+// backoff doubles up to a bound, and starts over once the task has run for a while.
 func TestFailedTaskIsRestartedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var starts, failures []time.Time
 		runs := 0
 		s := NewSupervisor(t.Context(), func(string, error) { failures = append(failures, time.Now()) })
-		s.Go("frail", func(ctx context.Context) error {
+		s.Go("failing", func(ctx context.Context) error {
 			starts = append(starts, time.Now())
 			switch runs++; {
 			case runs == 1:
 				return errors.New("no")
 			case runs == 2:
 				panic("no")
-			case runs == 14: // a long one
+			case runs == 14: // a long run
 				time.Sleep(2 * backoffResetAfter)
 			case runs == 16:
 				<-ctx.Done()
@@ -130,7 +135,7 @@
 				want = initialBackoff << (i - 13)
 			}
 			if got := starts[i+1].Sub(d); got != want {
-				t.Errorf("pause %d: %v, want %v", i, got, want)
+				t.Errorf("backoff %d: %v, want %v", i, got, want)
 			}
 		}
 	})
@@ -139,7 +144,7 @@
 func TestCloseWaitsForTheTasks(t *testing.T) {
 	s := NewSupervisor(t.Context(), nil)
 	ended := false
-	s.Go("orderly", func(ctx context.Context) error {
+	s.Go("ends with its context", func(ctx context.Context) error {
 		<-ctx.Done()
 		ended = true
 		return nil
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -14,15 +14,15 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// pipeDiscovery answers calls over pipes, so that it can be used in simulated time. A call that it
-// does not answer stays open, like one whose connection was cut.
+// pipeDiscovery is a discovery that is called over pipes, so that it works in simulated time. A call that it does
+// not answer stays open, like one whose connection was cut.
 type pipeDiscovery struct {
 	mu             sync.Mutex
 	list           TargetList
-	unresponsive   bool      // to calls from now on
-	calls          int       // so far
-	abandonedCalls int       // of the first calls none is ever answered
-	lastCallAt     time.Time // when the last one arrived
+	unresponsive   bool      // new calls get no answer
+	calls          int       // number of calls so far
+	abandonedCalls int       // the first abandonedCalls calls never get an answer
+	lastCallAt     time.Time // arrival of the last call
 	wakeWatches    chan struct{}
 }
 
@@ -32,62 +32,62 @@
 }
 
 // change changes the discovery and wakes its watches.
-func (q *pipeDiscovery) change(do func()) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	do()
-	close(q.wakeWatches)
-	q.wakeWatches = make(chan struct{})
+func (d *pipeDiscovery) change(apply func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	apply()
+	close(d.wakeWatches)
+	d.wakeWatches = make(chan struct{})
 }
 
-func (q *pipeDiscovery) drain(id string) {
-	q.change(func() {
-		q.list.Version++
-		for i := range q.list.Servers {
-			if q.list.Servers[i].ID == id {
-				q.list.Servers[i].State = "draining"
+func (d *pipeDiscovery) drain(id string) {
+	d.change(func() {
+		d.list.Version++
+		for i := range d.list.Servers {
+			if d.list.Servers[i].ID == id {
+				d.list.Servers[i].State = "draining"
 			}
 		}
 	})
 }
 
-// opened waits for the first call and returns when it arrived.
-func (q *pipeDiscovery) opened() time.Time {
+// opened waits for the first call and returns the arrival of the last one.
+func (d *pipeDiscovery) opened() time.Time {
 	for {
-		q.mu.Lock()
-		calls, since := q.calls, q.lastCallAt
-		q.mu.Unlock()
+		d.mu.Lock()
+		calls, since := d.calls, d.lastCallAt
+		d.mu.Unlock()
 		if calls > 0 {
 			return since
 		}
-		time.Sleep(time.Millisecond) // simulated
+		time.Sleep(time.Millisecond) // simulated time
 	}
 }
 
-func (q *pipeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *pipeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	index, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	q.mu.Lock()
-	q.calls++
-	q.lastCallAt = time.Now()
-	call, deaf := q.calls, q.unresponsive
-	q.mu.Unlock()
-	if deaf {
+	expired := time.After(time.Duration(wait) * time.Millisecond)
+	d.mu.Lock()
+	d.calls++
+	d.lastCallAt = time.Now()
+	call, unresponsive := d.calls, d.unresponsive
+	d.mu.Unlock()
+	if unresponsive {
 		<-r.Context().Done()
 		return
 	}
 	for ended := err != nil; ; {
-		q.mu.Lock()
-		l, wake, silent := q.list, q.wakeWatches, call <= q.abandonedCalls
-		q.mu.Unlock()
-		if !silent && (ended || l.Version > index) {
+		d.mu.Lock()
+		l, wake, abandoned := d.list, d.wakeWatches, call <= d.abandonedCalls
+		d.mu.Unlock()
+		if !abandoned && (ended || l.Version > index) {
 			_ = json.NewEncoder(w).Encode(l)
 			return
 		}
 		select {
 		case <-wake:
-		case <-over:
+		case <-expired:
 			ended = true
 		case <-r.Context().Done():
 			return
@@ -95,9 +95,9 @@
 	}
 }
 
-// pipeNetwork is a network on which a discovery is reached by an address.
+// pipeNetwork is a simulated network in which discoveries are reached by their addresses.
 type pipeNetwork struct {
-	ctx       context.Context // of the test
+	ctx       context.Context // context of the test
 	mu        sync.Mutex
 	listeners map[string]chan net.Conn
 }
@@ -122,7 +122,7 @@
 		return near, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-p.ctx.Done(): // the transport continues a call that nobody waits for
+	case <-p.ctx.Done(): // the transport goes on dialing after its call was abandoned
 		return nil, p.ctx.Err()
 	}
 }
@@ -143,19 +143,19 @@
 func (l *pipeListener) Close() error   { return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// simulatedAgent is a loop with its discovery on pipes, in a bubble of simulated time.
+// simulatedAgent is a loop in simulated time whose discovery is reached over pipes.
 type simulatedAgent struct {
 	t    *testing.T
 	net  *pipeNetwork
 	loop *eventLoop
 }
 
-func startSimulatedAgent(t *testing.T, q *pipeDiscovery, known TargetList,
+func startSimulatedAgent(t *testing.T, d *pipeDiscovery, initialList TargetList,
 	membership policy.MembershipMode) *simulatedAgent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &simulatedAgent{t: t, net: &pipeNetwork{ctx: ctx, listeners: map[string]chan net.Conn{}}}
-	a.net.serve(ctx, "one:1", q)
-	cfg, err := testConfig("127.0.0.1:1", "one:1", known)
+	a.net.serve(ctx, "one:1", d)
+	cfg, err := testConfig("127.0.0.1:1", "one:1", initialList)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,28 +188,29 @@
 	return <-got
 }
 
-// mustStopSending fails the test unless the agent has stopped to send to a backend by a moment.
-func (a *simulatedAgent) mustStopSending(id string, by time.Time) {
+// mustStopSending waits until a time, and fails the test if the agent would still send to a backend.
+func (a *simulatedAgent) mustStopSending(id string, deadline time.Time) {
 	a.t.Helper()
-	time.Sleep(time.Until(by))
+	time.Sleep(time.Until(deadline))
 	synctest.Wait()
 	if a.sendsTo(id) {
-		a.t.Errorf("the agent still sends to %s, whose drain counts as known", id)
+		a.t.Errorf("the agent still sends to %s after its drain counts as known", id)
 	}
 }
 
 const (
-	// What the contract says of an unresponsive discovery: a change counts as known so long after a watch
-	// became unresponsive, or so long after the end of its timeout where that is later; and after SIGHUP.
+	// The times after which the contract counts a change as known. If discovery is unresponsive, the change
+	// counts as known unresponsiveDeadline after a watch became unresponsive, or watchEndDeadline after the
+	// timeout of that watch, whichever is later. After SIGHUP it counts as known after reloadDeadline.
 	unresponsiveDeadline, watchEndDeadline, reloadDeadline = 6 * time.Second, 2 * time.Second, 4 * time.Second
-	// immediately is the time that an agent has for what it counts as knowing from the first moment.
+	// immediately is the time that an agent has for a change that counts as known at once.
 	immediately = 250 * time.Millisecond
 )
 
-// Each sentence of the contract on when a change counts as known, in simulated time. Pushed and
-// requested changes have the same clock.
-func TestDiscoverySilence(t *testing.T) {
-	two := func() []Target { return []Target{target("s-1", "127.0.0.1:2"), target("s-2", "127.0.0.1:3")} }
+// Checks each sentence of the contract on when a change counts as known, in simulated time. The deadlines are the
+// same for pushed and for requested changes.
+func TestUnresponsiveDiscovery(t *testing.T) {
+	twoTargets := func() []Target { return []Target{target("s-1", "127.0.0.1:2"), target("s-2", "127.0.0.1:3")} }
 	each := func(name string, play func(t *testing.T, membership policy.MembershipMode)) {
 		for _, membership := range []policy.MembershipMode{policy.MembershipPushed, policy.MembershipOnRequest} {
 			t.Run(name+" "+string(membership), func(t *testing.T) {
@@ -219,48 +220,49 @@
 	}
 	// An open watch on a responsive discovery reports at once.
 	each("responsive", func(t *testing.T, membership policy.MembershipMode) {
-		discovery := newPipeDiscovery(two()...)
+		discovery := newPipeDiscovery(twoTargets()...)
 		agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 		time.Sleep(3 * time.Second)
 		discovery.drain("s-1")
 		agent.mustStopSending("s-1", time.Now().Add(immediately))
 	})
-	// A watch becomes unresponsive at the start, in the middle or at the end of its timeout: the next one
-	// reports later changes in time, whether they came at once or late.
+	// A watch becomes unresponsive at the start, in the middle or at the end of its timeout. The next watch
+	// reports later changes in time, whether they are made at once or late.
 	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
 		for _, change := range []time.Duration{0, 5 * time.Second} {
 			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T,
 				membership policy.MembershipMode) {
-				discovery := newPipeDiscovery(two()...)
+				discovery := newPipeDiscovery(twoTargets()...)
 				agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 				opened := discovery.opened()
 				time.Sleep(time.Until(opened.Add(into)))
 				synctest.Wait()
 				discovery.change(func() { discovery.abandonedCalls = discovery.calls })
-				fell := time.Now()
+				unresponsiveSince := time.Now()
 				time.Sleep(change)
 				discovery.drain("s-1")
-				told := later(fell.Add(unresponsiveDeadline), opened.Add(watchTimeout+watchEndDeadline))
-				agent.mustStopSending("s-1", told)
+				deadline := later(unresponsiveSince.Add(unresponsiveDeadline),
+					opened.Add(watchTimeout+watchEndDeadline))
+				agent.mustStopSending("s-1", deadline)
 			})
 		}
 	}
-	// Where changes are pushed, the current list counts as known from the first moment of a new process,
-	// however old the list that it was started with.
+	// If changes are pushed, the current list counts as known from the start of a new process, however old the
+	// list that it was started with.
 	t.Run("restart", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			discovery := newPipeDiscovery(two()...)
-			old := TargetList{Version: 1, Full: true, Servers: two()}
+			discovery := newPipeDiscovery(twoTargets()...)
+			old := TargetList{Version: 1, Full: true, Servers: twoTargets()}
 			discovery.drain("s-1")
 			agent := startSimulatedAgent(t, discovery, old, "pushed")
 			agent.mustStopSending("s-1", time.Now().Add(immediately))
 		})
 	})
-	// The same after an outage in which the process was started: its first call gets no answer.
+	// The same if the process was started during an outage: its first call gets no answer.
 	t.Run("restart in an outage", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			discovery := newPipeDiscovery(two()...)
-			old := TargetList{Version: 1, Full: true, Servers: two()}
+			discovery := newPipeDiscovery(twoTargets()...)
+			old := TargetList{Version: 1, Full: true, Servers: twoTargets()}
 			discovery.change(func() { discovery.unresponsive = true })
 			discovery.drain("s-1")
 			agent := startSimulatedAgent(t, discovery, old, "pushed")
@@ -270,11 +272,11 @@
 			agent.mustStopSending("s-1", opened.Add(watchTimeout+watchEndDeadline))
 		})
 	})
-	// After SIGHUP the list of the new discovery counts as known 4 s later, though the watch on the old
-	// one is unresponsive, and though the new one does not answer the first call.
+	// After SIGHUP the list of the new discovery counts as known 4 s later, even if the watch on the old
+	// discovery is unresponsive and the new one does not answer the first call.
 	for _, outage := range []time.Duration{0, time.Second, 2500 * time.Millisecond} {
 		each("SIGHUP, unresponsive for "+outage.String(), func(t *testing.T, membership policy.MembershipMode) {
-			discovery, next := newPipeDiscovery(two()...), newPipeDiscovery(two()...)
+			discovery, next := newPipeDiscovery(twoTargets()...), newPipeDiscovery(twoTargets()...)
 			agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 			time.Sleep(time.Second)
 			discovery.change(func() { discovery.abandonedCalls = discovery.calls })
