--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -19,8 +19,8 @@
 // violation is a breach of the contract that the loop prevents, whatever the policy decides. It consists of the
 // number of the contract's rule and a description; both are labels of a metric.
 type violation struct {
-	rule int
-	what string
+	rule        int
+	description string
 }
 
 // The rules of the contract that the loop enforces: one answer in time, no harmful retry, no attempt to a
@@ -51,15 +51,15 @@
 		return
 	}
 	index, backend := len(request.attempts), l.backends.byAddr[action.Server]
-	sent := &attempt{backend: backend}
-	request.attempts = append(request.attempts, sent)
+	newAttempt := &attempt{backend: backend}
+	request.attempts = append(request.attempts, newAttempt)
 	now, deadline := time.Now(), request.client.deadline.Add(-backstopMargin)
 	if action.DurationMs != 0 {
 		deadline = earliest(deadline, now.Add(milliseconds(action.DurationMs)))
 	}
 	if violation := l.checkAttempt(request, backend, now, deadline); violation != nil {
 		l.reportViolation(violation, request)
-		sent.ended = true
+		newAttempt.ended = true
 		l.pendingEvents = append(l.pendingEvents, policy.Event{Kind: policy.EventAttemptEnded, Request: request.id,
 			Attempt: index, Server: action.Server, Status: policy.NotSent, Final: request.answered})
 		return
@@ -67,12 +67,12 @@
 	if age := l.now() - backend.startedMs; backend.startedMs > 0 && age < l.config.Settings.Contract.SlowStartMs {
 		l.observer.SentToWarmingUp()
 	}
-	sent.startedMs = backend.startedMs
+	newAttempt.startedMs = backend.startedMs
 	request.inFlight++
 	request.maybeExecuted++
 	backend.inFlight++
 	ctx, cancel := context.WithCancel(l.ctx)
-	sent.cancel = cancel
+	newAttempt.cancel = cancel
 	addr := backend.addr
 	go func() {
 		result := l.sender.send(ctx, backend, addr, request.client, now, deadline)
@@ -107,12 +107,12 @@
 // reportViolation logs and counts a prevented violation. request may be nil.
 func (l *eventLoop) reportViolation(v *violation, request *pendingRequest) {
 	l.counters.violations++
-	l.observer.ViolationPrevented(v.rule, v.what)
+	l.observer.ViolationPrevented(v.rule, v.description)
 	id := ""
 	if request != nil {
 		id = request.client.id
 	}
-	l.log(slog.LevelError, "contract violation prevented: "+v.what, "rule", v.rule, "request", id)
+	l.log(slog.LevelError, "contract violation prevented: "+v.description, "rule", v.rule, "request", id)
 }
 
 // cancelAttempt cancels an attempt that is still in flight.
--- a/internal/agent/clientconns_test.go
+++ b/internal/agent/clientconns_test.go
@@ -14,7 +14,7 @@
 // request on a new one is answered.
 func TestSilentClientsDoNotExcludeOthers(t *testing.T) {
 	agent, _ := startWithBackend(t, echo)
-	b := 2 * agent.loop.config.maxClientConns()
+	doubleLimit := 2 * agent.loop.config.maxClientConns()
 	idleConn := agent.dial()
 	sendRequest := func(c net.Conn) error {
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
@@ -27,7 +27,7 @@
 	if err := sendRequest(idleConn); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 * b {
+	for range 2 * doubleLimit {
 		agent.dial()
 	}
 	if err := sendRequest(agent.dial()); err != nil {
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -52,7 +52,7 @@
 	arrivals int
 	conns    int // open connections
 	maxConns int
-	ended    chan struct{} // one value for each connection that the agent closed
+	ended    chan struct{} // one value for each connection that has ended
 }
 
 func newBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) *fakeBackend {
--- a/internal/agent/observer.go
+++ b/internal/agent/observer.go
@@ -22,7 +22,7 @@
 	SentToWarmingUp()
 	// ViolationPrevented reports that the loop prevented a violation of the contract: the number of the rule and
 	// a description.
-	ViolationPrevented(rule int, what string)
+	ViolationPrevented(rule int, description string)
 }
 
 // Stats is the state of an agent at one moment.
--- a/internal/agent/probes_test.go
+++ b/internal/agent/probes_test.go
@@ -68,10 +68,10 @@
 	fake := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		return n != 1 && echoWithReports(c, req, n)
 	})
-	s, to := testSender(10), &backend{}
+	s, b := testSender(10), &backend{}
 	s.probeMetrics = s.responseMetrics
 	for i := range 3 {
-		if r := s.probe(context.Background(), to, fake.addr); r.status != policy.OK {
+		if r := s.probe(context.Background(), b, fake.addr); r.status != policy.OK {
 			t.Errorf("probe %d ended with %d", i, r.status)
 		}
 	}
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -98,7 +98,7 @@
 		return
 	}
 	l.counters.backstops++
-	l.observer.ViolationPrevented(violationBackstop.rule, violationBackstop.what)
+	l.observer.ViolationPrevented(violationBackstop.rule, violationBackstop.description)
 	l.log(slog.LevelWarn, "backstop ended a request", "request", request.client.id,
 		"attempts", len(request.attempts), "in_flight", request.inFlight,
 		"late_ms", inMilliseconds(time.Since(request.client.deadline.Add(-backstopMargin))))
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -228,14 +228,14 @@
 	})
 	// A watch becomes unresponsive at the start, in the middle or at the end of its timeout. The next watch
 	// reports later changes in time, whether they are made at once or late.
-	for _, into := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
+	for _, offset := range []time.Duration{0, 4 * time.Second, watchTimeout - time.Millisecond} {
 		for _, change := range []time.Duration{0, 5 * time.Second} {
-			each("unresponsive after "+into.String()+", change after "+change.String(), func(t *testing.T,
+			each("unresponsive after "+offset.String()+", change after "+change.String(), func(t *testing.T,
 				membership policy.MembershipMode) {
 				discovery := newPipeDiscovery(twoTargets()...)
 				agent := startSimulatedAgent(t, discovery, discovery.list, membership)
 				opened := discovery.opened()
-				time.Sleep(time.Until(opened.Add(into)))
+				time.Sleep(time.Until(opened.Add(offset)))
 				synctest.Wait()
 				discovery.change(func() { discovery.abandonedCalls = discovery.calls })
 				unresponsiveSince := time.Now()
