--- a/internal/fleet/registry/bench_test.go
+++ b/internal/fleet/registry/bench_test.go
@@ -15,11 +15,11 @@
 		Zone: "zone-a", Revision: "v1", Slots: 64, Seq: 1, Models: []Model{{"model-a", 1}}}
 }
 
-// filledTable returns a table with so many servers, of which homes send their heartbeats here.
-func filledTable(servers, homes int) *Table {
+// filledTable returns a table with a number of servers, of which localServers send their heartbeats to it.
+func filledTable(servers, localServers int) *Table {
 	t := NewTable("self", benchHeartbeatInterval)
 	for i := range servers {
-		if i < homes {
+		if i < localServers {
 			_, _ = t.Heartbeat(time.Second, benchInstance(i))
 		} else {
 			t.Report(time.Second, fmt.Sprintf("edge-%d", i%360), benchInstance(i))
@@ -31,17 +31,18 @@
 // BenchmarkHeartbeat measures a heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	t := filledTable(850, 3)
-	ins := []*Instance{benchInstance(0), benchInstance(0)}
+	instances := []*Instance{benchInstance(0), benchInstance(0)}
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
-		instance := ins[n%2] // the table retains the latest one
+		instance := instances[n%2] // not the latest one, which the table retains
 		instance.Seq = n
 		if update, err := t.Heartbeat(time.Second, instance); update != nil || err != nil {
-			b.Fatal("told", update, err)
+			b.Fatal("heartbeat without a change was published or failed", update, err)
 		}
 	}
 }
 
+// BenchmarkTick measures a tick at which nothing expires.
 func BenchmarkTick(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// BenchmarkList measures the list after one server has changed.
+// BenchmarkList measures building the list after one server has changed.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{18, 112, 850} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -67,14 +68,14 @@
 				instance = next
 				t.Report(time.Second, fmt.Sprintf("edge-%d", (servers-1)%360), &next)
 				if len(t.List().ByID) != servers {
-					b.Fatal("not listed")
+					b.Fatal("a server is not listed")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkHeap measures the memory of a table and its list per server.
+// BenchmarkHeap measures the memory per server of a table and its list.
 func BenchmarkHeap(b *testing.B) {
 	const servers = 8000
 	var bytes int64
--- a/internal/fleet/registry/calls.go
+++ b/internal/fleet/registry/calls.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Heartbeat takes a heartbeat of a server, and returns what the own source has to publish: nil if the
-// heartbeat says nothing new, or comes too late to count. It returns ErrFull if the table is full and
-// the server is not in it.
+// Heartbeat records a heartbeat of a server and returns the report that the own source has to publish,
+// nil if the heartbeat changes nothing or arrives too late to count. It returns ErrFull if the table is
+// full and the server is not in it.
 func (t *Table) Heartbeat(now time.Duration, instance *Instance) (update *Instance, err error) {
 	e := t.entries[instance.ID]
 	if e == nil && len(t.entries) >= maxInstances {
@@ -31,7 +31,7 @@
 	}
 	if local.isRepeated(instance) {
 		if instance.Seq == local.latest.Seq {
-			local.lastHeartbeat = now // of an older call, the time proves nothing
+			local.lastHeartbeat = now // an older call does not show that the server is still alive
 		}
 		return nil, nil
 	}
@@ -44,26 +44,26 @@
 	return instance, nil
 }
 
-// isRepeated reports whether a call is the latest one again, or an older one that is no end.
+// isRepeated returns whether a call is the latest one or an older one, and its state is not more final.
 func (local *localInstance) isRepeated(instance *Instance) bool {
 	return local.latest != nil && instance.Seq <= local.latest.Seq && instance.State <= local.latest.State
 }
 
-// isLate reports whether a heartbeat is older than what is known, or repeats the last one before the
-// server expired. A server that does not count its calls is never late.
+// isLate returns whether a heartbeat is older than the known report, or repeats the last heartbeat of a
+// server that has expired. If the server does not number its calls, no heartbeat is late.
 func isLate(instance, known *Instance) bool {
 	return instance.Seq < known.Seq || known.State == Expired && instance.Seq == known.Seq && instance.Seq > 0
 }
 
-// samePublished reports whether two calls are alike in what other agents need. The warm-up time is
-// not compared: it passes by itself.
+// samePublished returns whether two calls agree in everything that other agents need. The warm-up time
+// is not compared, as it decreases without any change of the server.
 func samePublished(a, b *Instance) bool {
 	return a.Service == b.Service && a.Addr == b.Addr && a.Zone == b.Zone && a.State == b.State &&
 		a.Slots == b.Slots && a.Revision == b.Revision && slices.Equal(a.Models, b.Models)
 }
 
-// Deregister takes that a server ends, and returns what the own source has to publish, as Heartbeat
-// does.
+// Deregister records that a server has ended and returns the report that the own source has to publish,
+// as Heartbeat does.
 func (t *Table) Deregister(now time.Duration, id string) (update *Instance, err error) {
 	e := t.entries[id]
 	if e == nil && len(t.entries) >= maxInstances {
@@ -87,9 +87,9 @@
 	return update, nil
 }
 
-// adoptEnd has the own source report the end of an instance, too, and returns what it has to publish;
-// nil if it has published that. Only what the own source reports can be known to have reached a
-// majority of the core.
+// adoptEnd makes the own source report the end of an instance, too, and returns the report that it has
+// to publish, nil if it has published the end already. Only of its own source's reports can an agent
+// know that they have reached a majority of the core.
 func (t *Table) adoptEnd(now time.Duration, e *entry) *Instance {
 	if own, reported := e.reports[t.ownSource]; reported && own.State == Deregistered {
 		return nil
--- a/internal/fleet/registry/expiry.go
+++ b/internal/fleet/registry/expiry.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// expiryHeartbeats is after how many heartbeat intervals without one a server has expired.
+	// expiryHeartbeats is the number of heartbeat intervals without a heartbeat after which a server expires.
 	expiryHeartbeats = 3.5
-	// tombstoneRetention is how long a server that is not ready is remembered, against late calls.
+	// tombstoneRetention is how long a server that is not ready is remembered, so that late calls do not
+	// list it again.
 	tombstoneRetention = 90 * time.Second
-	// freezeThreshold is the pause between two ticks from which on the process counts as having been
-	// frozen: that no call came meanwhile proves nothing.
+	// freezeThreshold is the time between two ticks above which the process counts as having been frozen.
+	// A frozen process receives no calls, so their absence does not show that servers have failed.
 	freezeThreshold = time.Second
 )
 
-// Tick expires servers and reports. It returns the instances that the own source has to publish, and
-// the IDs of those that it has to withdraw, sorted. While suspended, no time passes for either: that
-// no call came proves nothing.
+// Tick expires servers and reports. It returns the reports that the own source has to publish, and the
+// sorted IDs of the instances whose reports it has to withdraw. While suspended is true or after a freeze,
+// the time since the last tick does not count towards expiry, as the absence of calls then does not show
+// that a server has failed.
 func (t *Table) Tick(now time.Duration, suspended bool) (updates []*Instance, withdrawn []string) {
 	frozen := time.Duration(0)
 	if t.lastTick > 0 && (suspended || now-t.lastTick > freezeThreshold) {
@@ -34,7 +36,8 @@
 	return updates, withdrawn
 }
 
-// expireLocal expires the servers whose heartbeats no longer come here, and returns those to publish.
+// expireLocal expires the servers that no longer send heartbeats to this agent, and returns the reports to
+// publish.
 func (t *Table) expireLocal(now time.Duration, wasFrozen bool) (updates []*Instance) {
 	timeout := time.Duration(expiryHeartbeats * float64(t.heartbeatInterval))
 	for id, local := range t.local {
@@ -44,7 +47,7 @@
 		case wasFrozen:
 			local.lastHeartbeat = now
 		case e.owner != t.ownSource && e.current.Seq > local.latest.Seq:
-			delete(t.local, id) // it calls another agent now
+			delete(t.local, id) // it now calls another agent
 		case now-local.lastHeartbeat > timeout:
 			delete(t.local, id)
 			if e.current.State < Draining {
@@ -58,18 +61,19 @@
 	return updates
 }
 
-// expireEntry drops the reports of an instance that have expired, and the instance once nothing is
-// left to remember. It reports whether the own source has to withdraw its report.
+// expireEntry drops the reports on an instance that have expired. It drops the instance, too, once no
+// report is left or tombstoneRetention has passed. It returns whether the own source has to withdraw its
+// report.
 func (t *Table) expireEntry(now, frozen time.Duration, id string, e *entry) (withdraw bool) {
 	t.expireOrphan(now, id, e)
 	withdraw = t.expireReports(now, frozen, e)
-	old := e.endedSince > 0 && now-e.endedSince > tombstoneRetention
-	if !old && (e.current != nil || len(e.reports) > 0) {
+	tombstoneExpired := e.tombstoneSince > 0 && now-e.tombstoneSince > tombstoneRetention
+	if !tombstoneExpired && (e.current != nil || len(e.reports) > 0) {
 		return withdraw
 	}
 	_, reported := e.reports[t.ownSource]
 	withdraw = withdraw || reported
-	if old && len(e.reports) > 1 { // other sources still report it
+	if tombstoneExpired && len(e.reports) > 1 { // other sources still report it
 		delete(e.reports, t.ownSource)
 		return withdraw
 	}
@@ -79,8 +83,8 @@
 	return withdraw
 }
 
-// expireOrphan has the own report of a server expire that calls another agent now: else it would
-// outlive that agent's.
+// expireOrphan makes the own source's report on a server that now calls another agent expire. Otherwise
+// it would outlive that agent's report.
 func (t *Table) expireOrphan(now time.Duration, id string, e *entry) {
 	own, reported := e.reports[t.ownSource]
 	if !reported || own.expiresAt != 0 || t.local[id] != nil || own.State >= Draining {
@@ -92,8 +96,8 @@
 	}
 }
 
-// expireReports drops the reports of an instance that have expired, and reports whether the own one
-// is among them. The time for which the process was frozen does not count.
+// expireReports drops the reports on an instance that have expired, and returns whether the own source's
+// report is among them. The time for which the process was frozen does not count.
 func (t *Table) expireReports(now, frozen time.Duration, e *entry) (ownExpired bool) {
 	for source, r := range e.reports {
 		switch {
--- a/internal/fleet/registry/expiry_test.go
+++ b/internal/fleet/registry/expiry_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/deltasync"
 )
 
-// A home expires a server by its own clock, after three and a half heartbeat intervals without one.
+// A home agent expires a server by its own clock, after 3.5 heartbeat intervals without a heartbeat.
 func TestExpiryByTheClockOfTheHomeAgent(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
@@ -20,7 +20,7 @@
 	require.True(t, first.lists("s"))
 	// Heartbeats that change nothing are not replicated.
 	fleet.run(time.Minute, fleet.heartbeats(first, &instance))
-	require.True(t, second.lists("s"), "a partition between agents empties no list")
+	require.True(t, second.lists("s"), "a partition between agents does not remove servers from lists")
 	fleet.run(3*heartbeatInterval, nil)
 	require.True(t, first.lists("s"))
 	fleet.run(heartbeatInterval+tickInterval, nil)
@@ -28,7 +28,7 @@
 	require.True(t, second.lists("s"))
 	second.syncFrom(fleet.now, first)
 	require.False(t, second.lists("s"))
-	// A heartbeat revives it, at whatever agent; an earlier one does not.
+	// A new heartbeat at any agent makes it ready again; an older one does not.
 	second.call(fleet.now, ready("s", instance.Seq-1))
 	require.False(t, second.lists("s"))
 	second.call(fleet.now, ready("s", instance.Seq+1))
@@ -37,8 +37,8 @@
 	require.True(t, first.lists("s"))
 }
 
-// A home that was frozen received no heartbeats, and expires nobody for that.
-func TestFrozenAgentExpiresNobody(t *testing.T) {
+// An agent receives no heartbeats while its process is frozen, and does not expire servers for that.
+func TestFrozenAgentExpiresNoServer(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
 	instance := ready("s", 0)
@@ -73,10 +73,11 @@
 	assert.False(t, second.lists("dies"))
 	state, ok := second.state("drains")
 	assert.True(t, ok && state == Draining, "a final state outlives its source")
-	assert.Empty(t, second.store.DeltasSince(deltasync.Vector{"b": 1}), "nothing but the server that called is published")
+	assert.Empty(t, second.store.DeltasSince(deltasync.Vector{"b": 1}), "only the server that called is published")
 }
 
-// A freeze does not count against orphans: their next calls may not have been received in it.
+// The time for which an agent was frozen does not count towards the expiry of the servers of an ended
+// agent, as their next calls could not be received in it.
 func TestOrphansOutliveAFreeze(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
@@ -93,7 +94,8 @@
 	assert.False(t, second.lists("s"))
 }
 
-// Two agents end; the server that both report is dropped with the later one.
+// If two agents that report the same server end, the server is dropped when the later of their reports
+// expires.
 func TestOrphansOfTwoAgents(t *testing.T) {
 	fleet := newTestFleet("a", "b", "c")
 	first, second, third := fleet.agents[0], fleet.agents[1], fleet.agents[2]
@@ -112,7 +114,8 @@
 	assert.Empty(t, third.entries)
 }
 
-// A server that moved and then crashed with its new home is not retained by the report of its old home.
+// A server that moved to another agent and then crashed together with it expires, although its former
+// home also reported it.
 func TestMovedServerExpiresWithItsNewHome(t *testing.T) {
 	fleet := newTestFleet("a", "b", "c")
 	first, second, third := fleet.agents[0], fleet.agents[1], fleet.agents[2]
@@ -127,7 +130,7 @@
 	first.endSource(fleet.now, "b")
 	third.endSource(fleet.now, "b")
 	fleet.run(2*heartbeatInterval, fleet.syncAll)
-	assert.True(t, third.lists("s"), "it may yet call another agent")
+	assert.True(t, third.lists("s"), "it may still call another agent")
 	fleet.run(20*heartbeatInterval, fleet.syncAll)
 	assert.False(t, first.lists("s"))
 	assert.False(t, third.lists("s"))
@@ -135,24 +138,24 @@
 	assert.Empty(t, third.entries)
 }
 
-// A late call makes another agent the owner briefly; the home that has received newer ones still reports
-// when the server expires.
+// A late call makes another agent the owner. The home, which has received newer calls, still reports that
+// the server has expired.
 func TestHomeAgentReportsExpiryAfterALateCall(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
 	instance := ready("s", 0)
 	fleet.run(20*heartbeatInterval, fleet.heartbeats(first, &instance))
 	fleet.syncAll()
-	second.call(fleet.now, ready("s", 3)) // late: only the first call was replicated
+	second.call(fleet.now, ready("s", 3)) // older than the latest call, but only the first one was replicated
 	fleet.syncAll()
-	fleet.agents = fleet.agents[:1] // the other agent takes no part
+	fleet.agents = fleet.agents[:1] // the other agent stops ticking
 	fleet.run(5*heartbeatInterval, nil)
 	assert.False(t, first.lists("s"))
 	second.syncFrom(fleet.now, first)
 	assert.False(t, second.lists("s"))
 }
 
-// A server that moves is listed all the time.
+// A server that moves between agents stays listed at all of them.
 func TestMovingServersStayListed(t *testing.T) {
 	fleet := newTestFleet("a", "b", "c")
 	instance := ready("s", 0)
@@ -178,7 +181,7 @@
 	assert.Equal(t, 1, homes)
 }
 
-// It is remembered for tombstoneRetention that an instance drained or ended, and not for ever.
+// A drain or an end is remembered for tombstoneRetention and then forgotten.
 func TestTombstones(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
@@ -213,7 +216,7 @@
 	}
 }
 
-// A drain is remembered from when it was reported, also of a server that had expired long before.
+// A drain is remembered for tombstoneRetention after its report, even if the server expired long before.
 func TestTombstoneOfAnExpiredServer(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
@@ -227,7 +230,7 @@
 	assert.False(t, agent.lists("s"))
 }
 
-// A server that was revived expires again.
+// A server that is ready again after it expired can expire once more.
 func TestRevivedServerExpiresAgain(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
--- a/internal/fleet/registry/final_test.go
+++ b/internal/fleet/registry/final_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A final state remains when its report is withdrawn while another source still reports an earlier state.
+// A final state stays after its report is withdrawn while another source still reports an earlier state.
 func TestFinalStateOutlivesItsReport(t *testing.T) {
 	t.Parallel()
 	now := time.Minute
@@ -28,8 +28,8 @@
 	}
 }
 
-// An agent that acknowledges an end publishes it in its own source, also if it knows of the end from
-// another agent: only what the own source has can be known to have reached a majority of the core.
+// An agent that acknowledges an end publishes it in its own source, even if another agent has reported
+// the end already. Only of its own source's reports can it know that a majority of the core has them.
 func TestRepeatedEndIsPublishedByEveryAgentThatIsCalled(t *testing.T) {
 	t.Parallel()
 	for name, repeated := range map[string]func(*Table, time.Duration) *Instance{
--- a/internal/fleet/registry/fleet_test.go
+++ b/internal/fleet/registry/fleet_test.go
@@ -14,7 +14,7 @@
 	tickInterval      = 200 * time.Millisecond
 )
 
-// testAgent is a table with the replicated items of its agent.
+// testAgent is the table of an agent and the store that replicates its reports.
 type testAgent struct {
 	*Table
 	store        *deltasync.Store
@@ -55,7 +55,7 @@
 	}
 }
 
-// syncFrom applies what another agent has.
+// syncFrom applies the deltas that another agent has and this one lacks.
 func (a *testAgent) syncFrom(now time.Duration, from *testAgent) {
 	for _, c := range a.store.Apply(from.store.DeltasSince(a.store.Vector())) {
 		if c.Item.Data == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// endSource ends the source of another agent.
+// endSource records that another agent's source has ended.
 func (a *testAgent) endSource(now time.Duration, source string) {
 	if source != a.store.OwnSource() && a.store.Version(source) > 0 {
 		a.store.EndSource(source)
@@ -78,7 +78,7 @@
 	}
 }
 
-// startIncarnation continues as a new incarnation.
+// startIncarnation continues the agent as a new incarnation.
 func (a *testAgent) startIncarnation(now time.Duration) {
 	a.incarnations++
 	a.store.StartIncarnation(fmt.Sprint(a.store.OwnSource(), ".", a.incarnations))
@@ -87,7 +87,7 @@
 
 func (a *testAgent) lists(id string) bool { return a.List().ByID[id] != nil }
 
-// state returns the state of an instance, or false if nothing is known of it.
+// state returns the state of an instance, or false if it is unknown.
 func (a *testAgent) state(id string) (State, bool) {
 	for _, v := range a.Views(1 << 40) {
 		if v.ID == id {
@@ -107,7 +107,7 @@
 	return instance
 }
 
-// testFleet is agents with a common clock.
+// testFleet is a set of agents with a common clock.
 type testFleet struct {
 	agents []*testAgent
 	now    time.Duration
@@ -134,12 +134,12 @@
 	}
 }
 
-// run ticks all agents for a duration and calls each before every tick.
-func (f *testFleet) run(d time.Duration, each func()) {
+// run ticks all agents for a duration and calls beforeTick, unless it is nil, before every tick.
+func (f *testFleet) run(d time.Duration, beforeTick func()) {
 	for end := f.now + d; f.now < end; {
 		f.now += tickInterval
-		if each != nil {
-			each()
+		if beforeTick != nil {
+			beforeTick()
 		}
 		for _, a := range f.agents {
 			a.tick(f.now)
@@ -147,7 +147,7 @@
 	}
 }
 
-// heartbeats returns a function that calls an agent whenever a heartbeat is due.
+// heartbeats returns a function that sends an agent the heartbeat of an instance if one is due.
 func (f *testFleet) heartbeats(a *testAgent, instance *Instance) func() {
 	next := f.now
 	return func() {
--- a/internal/fleet/registry/instance_test.go
+++ b/internal/fleet/registry/instance_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestValid(t *testing.T) {
-	for name, spoil := range map[string]func(*Instance){
+	for name, invalidate := range map[string]func(*Instance){
 		"no ID":            func(instance *Instance) { instance.ID = "" },
 		"huge ID":          func(instance *Instance) { instance.ID = strings.Repeat("x", 1<<20) },
 		"huge service":     func(instance *Instance) { instance.Service = strings.Repeat("x", 1<<20) },
@@ -45,10 +45,10 @@
 			instance := ready("s", 1)
 			instance.Models = []Model{{"m", 1}}
 			require.True(t, instance.Valid())
-			spoil(&instance)
+			invalidate(&instance)
 			assert.False(t, instance.Valid())
 		})
 	}
 	ended := Instance{ID: "s", State: Deregistered}
-	assert.True(t, ended.Valid(), "an end needs no more than the ID")
+	assert.True(t, ended.Valid(), "a deregistered instance needs only an ID")
 }
--- a/internal/fleet/registry/late_test.go
+++ b/internal/fleet/registry/late_test.go
@@ -11,15 +11,15 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// A server that deregisters and continues to serve and to send heartbeats: it is off the list at once
-// and remains off, at every agent, whatever calls of it come later and with what number.
+// A server that has deregistered but continues to send heartbeats leaves the list at once. It is listed
+// again at no agent, whatever later calls it sends and whatever their sequence numbers.
 func TestDeregisteredServerThatKeepsServing(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
 	first.call(fleet.now, ready("s", 5))
 	fleet.syncAll()
 	require.True(t, second.lists("s"))
-	second.call(fleet.now, Instance{ID: "s", State: Deregistered}) // at another agent than its home
+	second.call(fleet.now, Instance{ID: "s", State: Deregistered}) // to an agent that is not its home
 	require.False(t, second.lists("s"))
 	fleet.syncAll()
 	require.False(t, first.lists("s"))
@@ -40,8 +40,8 @@
 	})
 }
 
-// Heartbeats that come seconds late, with a lower number than the drain or with a higher one that was
-// assigned before, undo no drain, neither at the agent that received it nor at others.
+// Heartbeats that were sent before a drain and arrive seconds after it do not undo it at any agent, whether
+// their sequence numbers are lower or higher than the drain's.
 func TestLateHeartbeatsUndoNoDrain(t *testing.T) {
 	for _, seq := range []uint64{1, 9, 10, 11, 1000} {
 		t.Run(fmt.Sprint(seq), func(t *testing.T) {
@@ -73,17 +73,17 @@
 	}
 }
 
-// A server that crashed comes back at its address under a new ID: the new one is listed with its first
-// heartbeat, and the old one is off the list once it has missed its heartbeats.
+// A server that crashed returns at the same address under a new ID. The new ID is listed after its first
+// heartbeat, and the old one leaves the list after it has missed its heartbeats.
 func TestCrashedServerIsListedUnderItsNewID(t *testing.T) {
-	old, next := ready("s/1", 0), ready("s/2", 0)
-	fleet := newTestFleet("home of the old", "home of the new")
+	oldInstance, newInstance := ready("s/1", 0), ready("s/2", 0)
+	fleet := newTestFleet("old home", "new home")
 	first, second := fleet.agents[0], fleet.agents[1]
-	fleet.run(10*heartbeatInterval, fleet.heartbeats(first, &old))
+	fleet.run(10*heartbeatInterval, fleet.heartbeats(first, &oldInstance))
 	fleet.syncAll()
-	sendHeartbeats := fleet.heartbeats(second, &next)
+	sendHeartbeats := fleet.heartbeats(second, &newInstance)
 	sendHeartbeats()
-	require.True(t, second.lists("s/2"), "at once")
+	require.True(t, second.lists("s/2"), "listed after its first heartbeat")
 	fleet.syncAll()
 	require.True(t, first.lists("s/2"))
 	fleet.run(3*heartbeatInterval+heartbeatInterval/2+tickInterval, sendHeartbeats)
@@ -92,19 +92,19 @@
 		assert.True(t, agent.lists("s/2"), "agent %d", i)
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
 	}
-	// Its last heartbeat again, or an earlier one, seconds late, revives it nowhere.
-	first.call(fleet.now, ready("s/1", old.Seq))
-	second.call(fleet.now, ready("s/1", old.Seq-1))
+	// Its last heartbeat or an earlier one that arrives seconds late does not list it again at any agent.
+	first.call(fleet.now, ready("s/1", oldInstance.Seq))
+	second.call(fleet.now, ready("s/1", oldInstance.Seq-1))
 	fleet.syncAll()
 	for i, agent := range fleet.agents {
 		assert.False(t, agent.lists("s/1"), "agent %d", i)
 	}
-	// One that expired and sends heartbeats again is listed again.
-	second.call(fleet.now, ready("s/1", old.Seq+1))
+	// An expired server that sends a new heartbeat is listed again.
+	second.call(fleet.now, ready("s/1", oldInstance.Seq+1))
 	assert.True(t, second.lists("s/1"))
 }
 
-// A server that does not count its calls is listed again, too, when it sends heartbeats again.
+// An expired server that does not number its calls is also listed again after a heartbeat.
 func TestUnnumberedHeartbeatRevivesExpiredServer(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
@@ -115,8 +115,8 @@
 	assert.True(t, agent.lists("s"))
 }
 
-// In whatever order the calls of a server, late ones too, and the deltas between two agents arrive: an
-// agent that knows of a drain or an end never lists the server again.
+// An agent that knows of a drain or an end never lists the server again, in whatever order the calls of
+// the server and the deltas between two agents arrive.
 func TestLateCallsUndoNoFinalState(t *testing.T) {
 	for name, calls := range map[string][]Instance{
 		"drain": {ready("s", 2), ready("s", 3), draining("s", 4)},
@@ -135,7 +135,7 @@
 		defective.forgetful = true
 		return defective.play()
 	})
-	assert.Error(t, result.Err, "an agent that forgets final states is found")
+	assert.Error(t, result.Err, "agents that forget final states have to be detected")
 }
 
 // lateCalls is one order of the calls of server "s" to two agents, and of their replication.
@@ -143,7 +143,7 @@
 	run       *interleave.Run
 	fleet     *testFleet
 	remaining []addressedCall
-	syncs     []int  // by agent: how often it is still sent what the other has
+	syncs     []int  // by agent: the remaining syncs from the other agent
 	final     []bool // by agent: whether it knows of a final state
 	forgetful bool   // a seeded defect: agents forget final states
 }
@@ -176,20 +176,20 @@
 		for i, agent := range l.fleet.agents {
 			agent.tick(l.fleet.now)
 			if l.final[i] && agent.lists("s") {
-				return fmt.Errorf("agent %d lists what it knew to end", i)
+				return fmt.Errorf("agent %d lists the server after it knew of its final state", i)
 			}
 		}
 	}
 	l.fleet.syncAll()
 	for i, agent := range l.fleet.agents {
 		if agent.lists("s") {
-			return fmt.Errorf("agent %d lists it at the end", i)
+			return fmt.Errorf("agent %d lists the server after the last sync", i)
 		}
 	}
 	return nil
 }
 
-// enabledSteps returns the steps that may come next: any remaining call, and either agent's sync.
+// enabledSteps returns the possible next steps: any remaining call, and any remaining sync of an agent.
 func (l *lateCalls) enabledSteps() (steps []func()) {
 	for i := range l.remaining {
 		steps = append(steps, func() { l.deliver(i) })
@@ -223,7 +223,7 @@
 	l.syncs[to]--
 }
 
-// A late call does not renew a server that sends no heartbeats.
+// A late call does not keep a server listed that no longer sends heartbeats.
 func TestLateCallIsNoHeartbeat(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
--- a/internal/fleet/registry/reports.go
+++ b/internal/fleet/registry/reports.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// orphanHeartbeats is for how many heartbeat intervals the reports of a source that has ended are
-	// retained: its servers call another agent meanwhile.
+	// orphanHeartbeats is the number of heartbeat intervals for which the reports of an ended source are
+	// retained. Its servers call another agent meanwhile.
 	orphanHeartbeats = 4
-	// restoredHeartbeats is for how many heartbeat intervals an instance is listed that is known from
-	// disk only.
+	// restoredHeartbeats is the number of heartbeat intervals for which an instance is listed that is
+	// known from disk only.
 	restoredHeartbeats = 3
 )
 
-// Report records what a source reports of an instance. It returns false if the table is full and the
+// Report records the report of a source on an instance. It returns false if the table is full and the
 // instance is not in it.
 func (t *Table) Report(now time.Duration, source string, instance *Instance) bool {
 	e := t.entries[instance.ID]
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Withdraw removes what a source reported of an instance.
+// Withdraw removes the report of a source on an instance.
 func (t *Table) Withdraw(now time.Duration, source, id string) {
 	if e := t.entries[id]; e != nil {
 		delete(e.reports, source)
@@ -38,8 +38,9 @@
 	}
 }
 
-// Restore lists an instance that an earlier incarnation of this agent knew, until its next heartbeats
-// are due. It returns false if the instance is in the table already, or the table is full.
+// Restore lists an instance that an earlier incarnation of this agent knew. Its report expires after
+// restoredHeartbeats unless a call replaces it. Restore returns false if the instance is in the table
+// already, or the table is full.
 func (t *Table) Restore(now time.Duration, instance *Instance) bool {
 	if t.entries[instance.ID] != nil || len(t.entries) >= maxInstances {
 		return false
@@ -51,8 +52,8 @@
 	return true
 }
 
-// resolve determines the report of an instance that holds. A final state is never replaced by one
-// that is less final, whoever reports what.
+// resolve selects the report on an instance that takes precedence. A final state is never replaced by a
+// less final one, whichever source reports it.
 func (t *Table) resolve(now time.Duration, e *entry) {
 	var best *Instance
 	owner := ""
@@ -62,13 +63,13 @@
 		}
 	}
 	if e.current != nil && e.current.State >= Draining && (best == nil || best.State < e.current.State) {
-		return // final, whoever reported it
+		return // a final state stays, even if its report is withdrawn
 	}
 	switch {
 	case best == nil || best.State == Ready:
-		e.endedSince = 0
+		e.tombstoneSince = 0
 	case e.current == nil || e.current.State != best.State:
-		e.endedSince = now
+		e.tombstoneSince = now
 	}
 	if e.current != best {
 		t.listStale = true
@@ -76,8 +77,9 @@
 	e.current, e.owner = best, owner
 }
 
-// supersedes reports whether report a takes precedence over report b of the same instance: the more
-// final one, else that of the newer call. Sources break ties, so that all agents agree.
+// supersedes returns whether report a takes precedence over report b on the same instance. The more final
+// report does, or else the one from the newer call. Ties are broken by state and source, so that all
+// agents select the same report.
 func supersedes(a *Instance, aSource string, b *Instance, bSource string) bool {
 	return cmp.Or(
 		cmp.Compare(finality(a.State), finality(b.State)),
@@ -87,11 +89,11 @@
 	) > 0
 }
 
-// finality ranks a state. Ready and Expired rank alike: between those the newer call decides.
+// finality returns the rank of a state. Ready and Expired rank equally: between them the newer call decides.
 func finality(state State) State { return max(state, Expired) }
 
-// SourceEnded records that a source has ended: its reports expire, unless its servers call another
-// agent before.
+// SourceEnded records that a source has ended. Its reports expire after orphanHeartbeats; a server stays
+// listed if it has called another agent by then.
 func (t *Table) SourceEnded(now time.Duration, source string) {
 	for _, e := range t.entries {
 		if r, ok := e.reports[source]; ok && r.expiresAt == 0 {
@@ -101,13 +103,13 @@
 	}
 }
 
-// RenameOwnSource continues the reports of the own source under a new name.
+// RenameOwnSource moves the reports of the own source to a new name.
 func (t *Table) RenameOwnSource(now time.Duration, name string) {
-	old := t.ownSource
+	oldName := t.ownSource
 	t.ownSource = name
 	for _, e := range t.entries {
-		if r, ok := e.reports[old]; ok {
-			delete(e.reports, old)
+		if r, ok := e.reports[oldName]; ok {
+			delete(e.reports, oldName)
 			e.reports[name] = r
 			t.resolve(now, e)
 		}
--- a/internal/fleet/registry/reports_test.go
+++ b/internal/fleet/registry/reports_test.go
@@ -8,23 +8,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Servers from disk are listed until their next heartbeats are due, and all other reports supersede them.
+// Servers restored from disk are listed until their next heartbeats are due. Any call of theirs supersedes
+// the restored report.
 func TestRestore(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	agent := fleet.agents[0]
 	for _, s := range []string{"back", "dies", "drained"} {
 		instance := ready(s, 7)
 		require.True(t, agent.Restore(fleet.now, &instance))
-		require.False(t, agent.Restore(fleet.now, &instance), "it is known")
+		require.False(t, agent.Restore(fleet.now, &instance), "it is in the table already")
 		agent.publish(&instance)
 	}
 	agent.call(fleet.now, draining("drained", 9))
 	fleet.syncAll()
-	sendHeartbeats := ready("back", 8)
+	returned := ready("back", 8)
 	fleet.run(2*heartbeatInterval, func() { fleet.syncAll() })
-	assert.True(t, fleet.agents[1].lists("dies"), "two heartbeat intervals are a chance to call again")
-	each := fleet.heartbeats(agent, &sendHeartbeats)
-	fleet.run(2*heartbeatInterval, func() { each(); fleet.syncAll() })
+	assert.True(t, fleet.agents[1].lists("dies"), "its report expires only after restoredHeartbeats")
+	sendHeartbeat := fleet.heartbeats(agent, &returned)
+	fleet.run(2*heartbeatInterval, func() { sendHeartbeat(); fleet.syncAll() })
 	for i, agent := range fleet.agents {
 		assert.True(t, agent.lists("back"), "%d", i)
 		assert.False(t, agent.lists("dies"), "%d", i)
@@ -34,7 +35,7 @@
 	assert.False(t, fleet.agents[1].Restore(fleet.now, &instance))
 }
 
-// It expires at the same age whenever the process started.
+// A restored instance expires after the same time whatever the clock was at its restore.
 func TestRestoredInstanceExpires(t *testing.T) {
 	for _, start := range []time.Duration{1, time.Second, time.Hour} {
 		t.Run(start.String(), func(t *testing.T) {
@@ -50,7 +51,8 @@
 	}
 }
 
-// A new incarnation retains its servers, their homes and the final states that it reported.
+// A new incarnation of an agent keeps its reports, among them final states, and stays the home of its
+// servers.
 func TestRenameOwnSource(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
--- a/internal/fleet/registry/simulation_test.go
+++ b/internal/fleet/registry/simulation_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Several servers call several agents in any order, late calls too; agents replicate to each other, end,
-// start new incarnations and fall behind. A server that is known to drain or to have ended is never
-// listed again. In the end all agents list exactly the servers that send heartbeats, and forget the
-// others.
+// Several servers call several agents in any order, and some calls arrive late. Agents replicate to each
+// other, end, start new incarnations and freeze. An agent that knows a final state of a server never lists
+// it again. Finally, all agents list exactly the servers that send heartbeats, and forget the others.
 func TestTablesOfSeveralAgents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := newTableSimulation()
@@ -34,22 +33,22 @@
 		simulation.run(2*tombstoneRetention, heartbeats)
 		simulation.checkLists(t, alive)
 		for i, agent := range simulation.fleet.agents {
-			require.Len(t, agent.entries, len(alive), "agent %d retains what has ended", i)
+			require.Len(t, agent.entries, len(alive), "agent %d retains servers that have ended", i)
 			require.LessOrEqual(t, len(agent.local), len(alive))
 		}
 	})
 }
 
-// tableSimulation is a fleet of three agents and three servers that call them at random.
+// tableSimulation is a fleet of three agents, and three servers that call them at random.
 type tableSimulation struct {
 	fleet       *testFleet
 	ids         []string
-	seq         map[string]uint64
-	hasEnded    map[string]bool    // has reported that it drains or ends
-	inFlight    []Instance         // calls that may still arrive
-	finalStates []map[string]State // by agent
+	seq         map[string]uint64  // by ID: sequence number of the latest call
+	hasEnded    map[string]bool    // by ID: whether it has reported a drain or an end
+	inFlight    []Instance         // calls that may still arrive, once or several times
+	finalStates []map[string]State // by agent, then by ID
 	start       time.Duration
-	nextSync    time.Duration // after converge
+	nextSync    time.Duration // time of the next sync; used after converge
 	drawAgent   *rapid.Generator[int]
 	drawID      *rapid.Generator[string]
 }
@@ -69,7 +68,7 @@
 	}
 }
 
-// sendHeartbeat has a server send a heartbeat, which may remain in flight.
+// sendHeartbeat sends a heartbeat of a server, which may remain in flight.
 func (s *tableSimulation) sendHeartbeat(t *rapid.T) {
 	id := s.drawID.Draw(t, "server")
 	s.seq[id]++
@@ -102,7 +101,7 @@
 	require.True(t, ok && state == Deregistered, "%s at %d: %v", id, at, state)
 }
 
-// deliver has a call arrive that is in flight; it may arrive again.
+// deliver delivers a call that is in flight and keeps it, so that it may arrive again.
 func (s *tableSimulation) deliver(t *rapid.T) {
 	if len(s.inFlight) == 0 {
 		t.Skip()
@@ -123,23 +122,23 @@
 }
 
 func (s *tableSimulation) advance(t *rapid.T) {
-	if s.remembers() {
+	if s.withinRetention() {
 		s.fleet.run(time.Duration(rapid.IntRange(1, 25).Draw(t, "ticks"))*tickInterval, nil)
 	}
 }
 
 func (s *tableSimulation) freeze(*rapid.T) {
-	if s.remembers() {
+	if s.withinRetention() {
 		s.fleet.now += 3 * time.Second
 	}
 }
 
-// remembers reports whether all final states must still be remembered.
-func (s *tableSimulation) remembers() bool {
+// withinRetention returns whether agents must still remember all final states.
+func (s *tableSimulation) withinRetention() bool {
 	return s.fleet.now-s.start < tombstoneRetention-5*time.Second
 }
 
-// checkFinalStates requires that no final state was lost, at no agent.
+// checkFinalStates requires that no agent has lost a final state.
 func (s *tableSimulation) checkFinalStates(t *rapid.T) {
 	for i, agent := range s.fleet.agents {
 		for _, id := range s.ids {
@@ -158,8 +157,8 @@
 	}
 }
 
-// converge starts new incarnations of all agents, as others may have ended the old ones, ends the old
-// ones everywhere, and replicates everything.
+// converge starts a new incarnation of each agent, as other agents may have ended the old one. It ends the
+// old incarnations at all agents and replicates everything.
 func (s *tableSimulation) converge() {
 	current := map[string]bool{}
 	for _, agent := range s.fleet.agents {
@@ -177,8 +176,8 @@
 	s.nextSync = s.fleet.now
 }
 
-// startHeartbeats chooses the servers that continue to send heartbeats, of those without a final
-// state, and returns a function that sends those that are due.
+// startHeartbeats chooses, among the servers without a final state, those that continue to send heartbeats.
+// It returns a function that sends the heartbeats that are due.
 func (s *tableSimulation) startHeartbeats(t *rapid.T) (alive map[string]bool, heartbeats func()) {
 	alive = map[string]bool{}
 	var senders []func()
@@ -198,16 +197,16 @@
 
 // mostFinalState returns the most final state of a server at any agent.
 func (s *tableSimulation) mostFinalState(id string) State {
-	most := Ready
+	state := Ready
 	for _, agent := range s.fleet.agents {
-		if state, ok := agent.state(id); ok {
-			most = max(most, state)
+		if known, ok := agent.state(id); ok {
+			state = max(state, known)
 		}
 	}
-	return most
+	return state
 }
 
-// run runs the fleet for a duration and replicates everything each heartbeat interval.
+// run runs the fleet for a duration and replicates everything once per heartbeat interval.
 func (s *tableSimulation) run(d time.Duration, heartbeats func()) {
 	s.fleet.run(d, func() {
 		heartbeats()
--- a/internal/fleet/registry/table.go
+++ b/internal/fleet/registry/table.go
@@ -8,48 +8,48 @@
 	"github.com/go-faster/errors"
 )
 
-// maxInstances bounds the instances of a table.
+// maxInstances is the maximum number of instances in a table.
 const maxInstances = 8192
 
-// ErrFull is returned for calls of a server that is not in the table when the table is full.
+// ErrFull is returned for a call of a server that is not in the table while the table is full.
 var ErrFull = errors.New("the list of servers is full: call another agent, and look for servers that come again under new ids")
 
-// Table folds the heartbeats that come here and the reports of all sources into the list of ready
-// servers. It is not safe for concurrent use. Times are on a monotonic clock and above zero.
+// Table derives the list of ready servers from the heartbeats that this agent receives and from the
+// reports of all sources. It is not safe for concurrent use. Times are on a monotonic clock and above zero.
 type Table struct {
-	ownSource         string
+	ownSource         string // the source under which this agent publishes
 	heartbeatInterval time.Duration
-	entries           map[string]*entry         // by ID
-	local             map[string]*localInstance // by ID; each is in entries, too, until the next tick
-	list              *List
-	listVersion       uint64
-	listStale         bool
-	lastTick          time.Duration
+	entries           map[string]*entry         // by instance ID
+	local             map[string]*localInstance // instances whose home is this agent, by ID; all are in entries, too
+	list              *List                     // as it was last built
+	listVersion       uint64                    // version of list
+	listStale         bool                      // the table has changed since list was built
+	lastTick          time.Duration             // time of the last tick; zero before the first
 }
 
-// entry is all that is reported of an instance.
+// entry holds all reports on one instance.
 type entry struct {
-	reports    map[string]report // by source
-	current    *Instance         // the report that holds; nil: none
-	owner      string            // its source
-	endedSince time.Duration     // since when current is not ready; 0: it is
+	reports        map[string]report // by source
+	current        *Instance         // the report that takes precedence; nil if there is none
+	owner          string            // the source of current
+	tombstoneSince time.Duration     // when current entered its state; zero if that is Ready or current is nil
 }
 
-// report is what one source reports of an instance.
+// report is the report of one source on an instance.
 type report struct {
 	*Instance
-	expiresAt time.Duration // when it is dropped unless it is renewed; 0: it does not expire
+	expiresAt time.Duration // when it is dropped unless it is renewed; zero if it does not expire
 }
 
-// localInstance is an instance whose heartbeats come here: this agent is its home.
+// localInstance is an instance that sends its heartbeats to this agent, its home.
 type localInstance struct {
-	latest        *Instance // by its latest call
-	lastHeartbeat time.Duration
-	published     *Instance // as the own source reports it
+	latest        *Instance     // from its latest call
+	lastHeartbeat time.Duration // time of its last heartbeat
+	published     *Instance     // as the own source last reported it; nil if it has not
 }
 
-// NewTable returns an empty table for the agent whose own source has a given name, for servers that
-// send a heartbeat each interval.
+// NewTable returns an empty table for the agent that publishes under ownSource. Its servers send a
+// heartbeat every heartbeatInterval.
 func NewTable(ownSource string, heartbeatInterval time.Duration) *Table {
 	return &Table{
 		ownSource:         ownSource,
@@ -60,7 +60,7 @@
 	}
 }
 
-// List returns the ready servers, with a new Version if they have changed since the last call.
+// List returns the ready servers, with a higher Version if they have changed since the last call.
 func (t *Table) List() *List {
 	if !t.listStale {
 		return t.list
@@ -81,7 +81,7 @@
 	return list
 }
 
-// ReportedBy reports whether the report of a source on an instance counts.
+// ReportedBy returns whether the table has a report of a source on an instance.
 func (t *Table) ReportedBy(source, id string) bool {
 	e := t.entries[id]
 	if e == nil {
@@ -91,18 +91,18 @@
 	return reported
 }
 
-// LocalCount is the number of servers whose heartbeats come here.
+// LocalCount returns the number of servers that send their heartbeats to this agent.
 func (t *Table) LocalCount() int { return len(t.local) }
 
-// View is what is known of one instance, as operators see it.
+// View describes one instance to operators.
 type View struct {
 	*Instance
-	Owner          string        `json:"owner"`      // the source whose report holds
-	Local          bool          `json:"beats-here"` // its heartbeats come here
-	SinceHeartbeat time.Duration `json:"age"`        // since its last heartbeat, if they do
+	Owner          string        `json:"owner"`      // the source whose report takes precedence
+	Local          bool          `json:"beats-here"` // it sends its heartbeats to this agent
+	SinceHeartbeat time.Duration `json:"age"`        // time since its last heartbeat; zero if Local is false
 }
 
-// Views returns all that is known, by ID.
+// Views returns a view of each known instance, sorted by ID.
 func (t *Table) Views(now time.Duration) []View {
 	views := make([]View, 0, len(t.entries))
 	for id, e := range t.entries {
--- a/internal/fleet/registry/table_test.go
+++ b/internal/fleet/registry/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The table is bounded, whatever adds to it.
+// The number of instances is bounded for every method that adds instances.
 func TestInstancesAreBounded(t *testing.T) {
 	fleet := newTestFleet("a", "b")
 	first, second := fleet.agents[0], fleet.agents[1]
@@ -39,7 +39,7 @@
 	assert.True(t, first.lists("late"), "there is capacity again")
 }
 
-// A list is immutable and changes only with its version.
+// A list is immutable. List returns a new one, with a higher version, only after a change.
 func TestListsAreImmutable(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
@@ -68,14 +68,14 @@
 	assert.Equal(t, "s1", views[1].ID)
 }
 
-// Changes of a server are published, repetitions are not.
+// Only heartbeats that change a server's report are published.
 func TestOnlyChangesArePublished(t *testing.T) {
 	fleet := newTestFleet("a")
 	agent := fleet.agents[0]
 	instance := ready("s", 0)
 	fleet.run(time.Minute, fleet.heartbeats(agent, &instance))
 	assert.Equal(t, uint64(1), agent.store.OwnVersion())
-	instance.WarmUp = time.Second // passes by itself
+	instance.WarmUp = time.Second // not compared, as it decreases with time
 	fleet.run(heartbeatInterval, fleet.heartbeats(agent, &instance))
 	assert.Equal(t, uint64(1), agent.store.OwnVersion())
 	instance.Models = []Model{{"m", 2}}
@@ -84,7 +84,7 @@
 	assert.Equal(t, instance.Models, agent.List().ByID["s"].Models)
 }
 
-// A full table rejects calls of unknown servers, and takes those of the servers in it.
+// A full table rejects calls of unknown servers and accepts those of the servers in it.
 func TestFullTableRejectsUnknownServers(t *testing.T) {
 	agent := newTestAgent("a")
 	now := time.Second
@@ -99,7 +99,7 @@
 	_, err = agent.Heartbeat(now, &late)
 	require.ErrorIs(t, err, ErrFull)
 	_, err = agent.Heartbeat(now, &drains)
-	require.ErrorIs(t, err, ErrFull, "its end would be lost")
+	require.ErrorIs(t, err, ErrFull, "its drain could not be remembered")
 	_, err = agent.Deregister(now, "late")
 	require.ErrorIs(t, err, ErrFull)
 	require.False(t, agent.Report(now, "x", &late))
