--- a/internal/fleet/config/bench_test.go
+++ b/internal/fleet/config/bench_test.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/sampling"
 )
 
-// BenchmarkSizes measures the parsing of a configuration, and the memory that the result holds beyond its text.
+// BenchmarkSizes measures the parsing of a configuration, and the memory that the result uses beyond its text.
 func BenchmarkSizes(b *testing.B) {
 	for _, tenants := range []int{0, 650, 6500} {
 		raw := sampling.Config(1, sampling.Size{Routes: 60, Services: 6, Tenants: tenants})
@@ -23,17 +23,17 @@
 				}
 				return d
 			}
-			held := heapsize.Of(parse)
+			heapBytes := heapsize.Of(parse)
 			for b.Loop() {
 				parse()
 			}
 			b.ReportMetric(float64(len(raw)), "B/configuration")
-			b.ReportMetric(float64(held), "B/held-beyond")
+			b.ReportMetric(float64(heapBytes), "B/held-beyond")
 		})
 	}
 }
 
-// largeDocument returns a configuration of the size of a large deployment.
+// largeDocument returns a configuration with the given numbers of routes and tenants.
 func largeDocument(routes, tenants int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"revision":7,"services":[{"name":"huvo11a"}],"routes":[`)
--- a/internal/fleet/config/decode.go
+++ b/internal/fleet/config/decode.go
@@ -112,7 +112,7 @@
 	return apierror.PrefixKey(err, string(key))
 }
 
-// nameOf returns the name of an item, "" where it has none.
+// nameOf returns the name of an item, or "" if it has none.
 func nameOf(item []byte) (name string, err error) {
 	if !isObject(item) {
 		return "", nil
@@ -157,7 +157,7 @@
 	return route.Name, nil
 }
 
-// decodeField decodes a member of a route that stands for itself.
+// decodeField decodes a member of a route other than target-service and weighted-split.
 func (r *Route) decodeField(key, value []byte) error {
 	switch string(key) {
 	case "name":
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// decodeSplits decodes a weighted split. A service that is named twice gets both weights.
+// decodeSplits decodes a weighted split. The weights of a service that is named several times are added.
 func (r *Route) decodeSplits(list []byte) error {
 	if isNull(list) {
 		return nil
--- a/internal/fleet/config/document.go
+++ b/internal/fleet/config/document.go
@@ -11,12 +11,12 @@
 const (
 	// MaxBody bounds the body of one request, in bytes.
 	MaxBody = 4 << 20
-	// MaxDocument bounds the configuration that patches may grow to, in bytes.
+	// MaxDocument bounds the size that the configuration may reach by patches, in bytes.
 	MaxDocument = 2 * MaxBody
 )
 
-// Parse decodes and validates a complete configuration. The result keeps raw, which may not be
-// modified afterwards.
+// Parse decodes and validates a complete configuration. The result retains raw, which must not
+// be modified afterwards.
 func Parse(raw []byte) (*Document, error) {
 	if len(raw) > MaxDocument {
 		return nil, apierror.New(apierror.TooLarge, "", "split or shorten it",
@@ -46,8 +46,8 @@
 	return d, nil
 }
 
-// decodeMembers decodes all members of the document but its routes and services, which it returns as
-// they are.
+// decodeMembers decodes all members of the document except its routes and services, whose JSON it
+// returns.
 func (d *Document) decodeMembers() (routes, services []byte, err error) {
 	err = forEachMember(d.raw, func(key, value []byte) error {
 		switch string(key) {
@@ -74,8 +74,8 @@
 	return routes, services, err
 }
 
-// decodeList decodes a list of objects. decode returns the name of an item also where it fails: errors
-// name the item by it.
+// decodeList decodes a list of objects. decode returns the name of an item even if it returns an error,
+// so that the error's key can name the item.
 func decodeList(key string, list []byte, decode func(item []byte) (name string, err error)) error {
 	if list == nil || !isArray(list) {
 		return invalidError(key, "send the complete list", "it has to be a list")
@@ -93,23 +93,23 @@
 	return apierror.PrefixKey(err, key)
 }
 
-// indexRoutes rejects names and pairs of host and prefix that are used twice, and orders the routes of
+// indexRoutes rejects duplicate names and duplicate pairs of host and prefix, and orders the routes of
 // each host for Match.
 func (d *Document) indexRoutes() error {
-	type matcher struct{ host, prefix string }
+	type hostPrefix struct{ host, prefix string }
 	names := make(map[string]bool, len(d.Routes))
-	nameByMatcher := make(map[matcher]string, len(d.Routes))
+	nameByHostPrefix := make(map[hostPrefix]string, len(d.Routes))
 	for _, route := range d.Routes {
 		if names[route.Name] {
 			return invalidError(truncate(route.Name)+".name", "give each route its own name", "another route has it")
 		}
 		names[route.Name] = true
-		m := matcher{route.Host, route.Prefix}
-		if other, ok := nameByMatcher[m]; ok {
+		key := hostPrefix{route.Host, route.Prefix}
+		if other, ok := nameByHostPrefix[key]; ok {
 			return invalidError(truncate(route.Name)+".path-prefix", "change or remove one of them",
 				"route %q has the same host and prefix", truncate(other))
 		}
-		nameByMatcher[m] = route.Name
+		nameByHostPrefix[key] = route.Name
 		d.byHost[route.Host] = append(d.byHost[route.Host], route)
 	}
 	for _, routes := range d.byHost {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Match returns the route for a Host header and a path without its query: of the host's routes the one
-// with the longest prefix that begins the path, nil if there is none.
+// Match returns the route for a Host header and a path without its query. It is the one of the host's
+// routes with the longest prefix of the path; nil if there is none.
 func (d *Document) Match(host, path string) *Route {
 	for _, route := range d.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
--- a/internal/fleet/config/document_test.go
+++ b/internal/fleet/config/document_test.go
@@ -33,7 +33,7 @@
 	require.Len(t, d.Routes, 2)
 	assert.Equal(t, &Route{Name: "r-a", Host: "ficu95.example", Prefix: "/pufi791/", Kind: Streaming, TimeoutMs: 3000,
 		LatencyTargetMs: 500, Splits: []Split{{"huvo11a", 1}}, MaxAttempts: 2, Affinity: true, Resumable: true, InterTokenTargetMs: 300}, d.Routes[0])
-	assert.Equal(t, []Split{{"huvo11a", 100}}, d.Routes[1].Splits, "a service that is named twice gets both weights")
+	assert.Equal(t, []Split{{"huvo11a", 100}}, d.Routes[1].Splits, "the weights of one service are added")
 	assert.True(t, d.Routes[0].Idempotent())
 	assert.False(t, d.Routes[1].Idempotent())
 	assert.Equal(t, &Service{Name: "huvo11a", HealthPath: "/health", ConnLimit: 330, Engine: &Engine{Slots: 48,
@@ -62,15 +62,15 @@
 	}
 }
 
-// variant returns the example with one part replaced.
-func variant(t *testing.T, old, now string) string {
+// variant returns the example with the first occurrence of old replaced by replacement.
+func variant(t *testing.T, old, replacement string) string {
 	t.Helper()
 	require.Contains(t, example, old)
-	return strings.Replace(example, old, now, 1)
+	return strings.Replace(example, old, replacement, 1)
 }
 
 func TestParseErrorsNameKeyAndRemedy(t *testing.T) {
-	for _, c := range []struct{ name, old, now, key string }{
+	for _, c := range []struct{ name, old, replacement, key string }{
 		{"unknown service", `"target-service":"huvo11a","max`, `"target-service":"gone","max`, "routes.r-a.target-service"},
 		{"unknown service in a split", `"target-service":"huvo11a","weight":10`, `"target-service":"gone","weight":10`, "routes.r-b.weighted-split"},
 		{"unknown service beside a split", `"weighted-split"`, `"target-service":"gone","weighted-split"`, "routes.r-b.target-service"},
@@ -83,7 +83,7 @@
 		{"no route name", `"name":"r-b",`, ``, "routes.1.name"},
 		{"same service name", `"services":[`, `"services":[{"name":"huvo11a"},`, "services.huvo11a.name"},
 		{"no service name", `"services":[`, `"services":[{},`, "services.0.name"},
-		{"no weight", `"weight":90},{"target-service":"huvo11a","weight":10`, `"weight":0},{"target-service":"huvo11a"`, "routes.r-b.weighted-split"},
+		{"weights that sum to 0", `"weight":90},{"target-service":"huvo11a","weight":10`, `"weight":0},{"target-service":"huvo11a"`, "routes.r-b.weighted-split"},
 		{"weight below 0", `"weight":10`, `"weight":-10`, "routes.r-b.weighted-split.1.weight"},
 		{"weight out of range", `"weight":10`, `"weight":1e999`, "routes.r-b.weighted-split.1.weight"},
 		{"weights that sum to infinity", `"weight":90},{"target-service":"huvo11a","weight":10`, `"weight":1e308},{"target-service":"huvo11a","weight":1e308`, "routes.r-b.weighted-split"},
@@ -101,8 +101,8 @@
 		{"name of another type", `"name":"r-b"`, `"name":5`, "routes.1.name"},
 		{"route of another type", `"routes":[`, `"routes":["r",`, "routes.0"},
 		{"routes of another type", `"routes":[`, `"routes":{},"old":[`, "routes"},
-		{"no routes", `"routes":[`, `"old":[`, "routes"},
-		{"no services", `"services":[`, `"old":[`, "services"},
+		{"no list of routes", `"routes":[`, `"old":[`, "routes"},
+		{"no list of services", `"services":[`, `"old":[`, "services"},
 		{"limits of another type", `"limits":{`, `"limits":[],"old":{`, "limits"},
 		{"limit of another type", `"idle-ms":15000`, `"idle-ms":"15000"`, "limits.idle-ms"},
 		{"engine of another type", `"slots":48`, `"slots":"48"`, "services.huvo11a.inference-engine.slots"},
@@ -118,13 +118,13 @@
 		{"tenants share a key", `"k3"`, `"k1"`, "tenants.1.keys"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(variant(t, c.old, c.now)))
+			_, err := Parse([]byte(variant(t, c.old, c.replacement)))
 			require.Error(t, err)
 			assert.Equal(t, apierror.Invalid, apierror.KindOf(err))
-			var f *apierror.Error
-			require.ErrorAs(t, err, &f)
-			assert.Equal(t, c.key, f.Key, err.Error())
-			assert.NotEmpty(t, f.Remedy)
+			var apiErr *apierror.Error
+			require.ErrorAs(t, err, &apiErr)
+			assert.Equal(t, c.key, apiErr.Key, err.Error())
+			assert.NotEmpty(t, apiErr.Remedy)
 		})
 	}
 }
@@ -132,7 +132,7 @@
 func TestParseRejectsAnythingButOneObject(t *testing.T) {
 	for n := range len(example) {
 		_, err := Parse([]byte(example[:n]))
-		require.Error(t, err, "cut at %d", n)
+		require.Error(t, err, "truncated to %d bytes", n)
 		require.Equal(t, apierror.Invalid, apierror.KindOf(err))
 	}
 	for _, raw := range []string{"", " ", "null", "[]", "7", `"x"`, example + "x", example + "{}", "\xef\xbb\xbf" + example,
@@ -146,7 +146,7 @@
 }
 
 func TestParseAcceptsValidConfigurations(t *testing.T) {
-	for _, c := range []struct{ name, old, now string }{
+	for _, c := range []struct{ name, old, replacement string }{
 		{"unknown fields", `"revision":7`, `"revision":7,"x":{"a":1},"y":[1,"2",null,{"name":5},{"name":"q"}]`},
 		{"many fields", `"revision":7`, `"revision":7` + func() (s string) {
 			for i := range 60 {
@@ -156,20 +156,20 @@
 		}()},
 		{"limits null", `"limits":{`, `"limits":null,"old":{`},
 		{"no engine", `"inference-engine":{`, `"inference-engine":null,"old":{`},
-		{"no lists of items", `"limits":{`, `"others":[],"limits":{`},
+		{"empty list of items", `"limits":{`, `"others":[],"limits":{`},
 		{"timeout with a fraction", `"timeout-ms":20000`, `"timeout-ms":0.25`},
-		{"revision with a point", `"revision":7`, `"revision":7.0`},
+		{"revision with a decimal point", `"revision":7`, `"revision":7.0`},
 		{"one weight of 0", `"weight":10`, `"weight":0`},
-		{"kind of route that is new", `"route-kind":"streaming"`, `"route-kind":"bidi"`},
+		{"unknown kind of route", `"route-kind":"streaming"`, `"route-kind":"bidi"`},
 		{"no priority", `"admission-priority":0,`, ``},
-		{"limits of idle time", `"idle-ms":15000`, `"idle-ms":15000.5,"idle-max":4`},
-		{"tenant with its key twice", `["k2","k3"]`, `["k2","k2"]`},
+		{"limit with a fraction beside an unknown limit", `"idle-ms":15000`, `"idle-ms":15000.5,"idle-max":4`},
+		{"tenant that lists a key twice", `["k2","k3"]`, `["k2","k2"]`},
 		{"tenants without keys", `"api-key":"k1"`, `"api-key":""`},
 		{"same prefix on another host", `"/lohu930/"`, `"/pufi791/"`},
 		{"same host with another prefix", `"nony24.example"`, `"ficu95.example"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			raw := variant(t, c.old, c.now)
+			raw := variant(t, c.old, c.replacement)
 			assert.Equal(t, raw, string(mustParse(t, raw).Raw()))
 		})
 	}
--- a/internal/fleet/config/jsonwalk.go
+++ b/internal/fleet/config/jsonwalk.go
@@ -10,10 +10,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// The functions below walk JSON that is valid as a whole, and pass on slices of it: items keep their
-// bytes, and next to nothing is allocated for fields that nobody reads.
+// The functions below walk JSON that is known to be valid, and pass slices of it to their callbacks. Items
+// thus keep their bytes, and almost nothing is allocated for fields that are not decoded.
 
-// maxErrorText bounds what an error message quotes, in bytes.
+// maxErrorText is the maximum length of quoted text in an error message, in bytes.
 const maxErrorText = 80
 
 func invalidError(key, remedy, format string, args ...any) error {
@@ -24,7 +24,7 @@
 	return invalidError(truncate(key), "give it as the protocol shows", "it has to be %s", want)
 }
 
-// truncate bounds text for an error message.
+// truncate shortens text for an error message to maxErrorText bytes.
 func truncate[T string | []byte](text T) string {
 	if len(text) > maxErrorText {
 		return string(text[:maxErrorText]) + "..."
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// validateObject rejects everything but exactly one JSON object.
+// validateObject rejects everything except exactly one JSON object.
 func validateObject(raw []byte) error {
 	const remedy = "send one complete JSON object"
 	switch {
@@ -44,13 +44,13 @@
 		}
 		return nil
 	}
-	var discarded json.RawMessage // Unmarshal returns what is wrong, which Valid does not
+	var discarded json.RawMessage // Unmarshal returns an error that says what is wrong; Valid does not
 	return apierror.Wrap(json.Unmarshal(raw, &discarded), apierror.Invalid, "", remedy)
 }
 
 func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
-// skipSpace returns the position of the first byte from i on that is no white space.
+// skipSpace returns the position of the first byte from i on that is not white space.
 func skipSpace(raw []byte, i int) int {
 	for i < len(raw) && isSpace(raw[i]) {
 		i++
@@ -98,8 +98,8 @@
 	}
 }
 
-// forEachMember calls fn with each key, without its quotes, and value of an object. It rejects a key
-// that comes twice: no reader could tell which of its values counts.
+// forEachMember calls fn with each key, unquoted, and the text of its value. It rejects duplicate keys,
+// because a reader could not tell which value counts.
 func forEachMember(object []byte, fn func(key, value []byte) error) error {
 	var seen keySet
 	for i := skipSpace(object, 0) + 1; ; i++ {
@@ -126,30 +126,30 @@
 	}
 }
 
-// keySet is the keys of one object. The first of them need no allocation.
+// keySet is the set of keys of one object. It allocates no memory for the first keys.
 type keySet struct {
-	first [24][]byte
-	count int
-	more  map[string]bool
+	firstKeys [24][]byte
+	count     int
+	moreKeys  map[string]bool
 }
 
 // add returns false if the set has the key already.
 func (s *keySet) add(key []byte) bool {
-	for _, other := range s.first[:min(s.count, len(s.first))] {
+	for _, other := range s.firstKeys[:min(s.count, len(s.firstKeys))] {
 		if bytes.Equal(other, key) {
 			return false
 		}
 	}
-	if s.more[string(key)] {
+	if s.moreKeys[string(key)] {
 		return false
 	}
-	if s.count < len(s.first) {
-		s.first[s.count] = key
+	if s.count < len(s.firstKeys) {
+		s.firstKeys[s.count] = key
 	} else {
-		if s.more == nil {
-			s.more = map[string]bool{}
+		if s.moreKeys == nil {
+			s.moreKeys = map[string]bool{}
 		}
-		s.more[string(key)] = true
+		s.moreKeys[string(key)] = true
 	}
 	s.count++
 	return true
@@ -194,7 +194,7 @@
 func isArray(value []byte) bool  { return value[0] == '[' }
 func isString(value []byte) bool { return value[0] == '"' }
 
-// The decoders of fields treat null as an absent field and reject other types than their own.
+// The decoders below treat null like an absent field and reject values of any other type.
 
 func decodeString(to *string, key, value []byte) error {
 	if isNull(value) {
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// decodeInt also accepts fractions, which it rounds away from 0: half a millisecond is not none.
+// decodeInt also accepts fractions and rounds them away from zero, so that 0.5 ms does not become 0.
 func decodeInt[T int | int64](to *T, key, value []byte) error {
 	if number, err := strconv.ParseInt(string(value), 10, 64); err == nil {
 		*to = T(number)
--- a/internal/fleet/config/object.go
+++ b/internal/fleet/config/object.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// object is a JSON object as its members, in their order.
+// object is a JSON object as the list of its members in their order.
 type object []member
 
-// member is one member of an object, both parts as they came but for the quotes of the key.
+// member is one member of an object: its key, unquoted, and the JSON text of its value.
 type member struct{ key, value []byte }
 
 // splitObject returns the members of an object that is valid JSON.
@@ -18,7 +18,7 @@
 	return o, err
 }
 
-// find returns the member of a key, nil if there is none. It is valid until the next set.
+// find returns the member with a key, nil if there is none. The pointer is valid until the next call of set.
 func (o object) find(key []byte) *member {
 	for i := range o {
 		if bytes.Equal(o[i].key, key) {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// set gives a member a value, at its place or at the end.
+// set replaces the value of a member, or appends the member if there is none with its key.
 func (o *object) set(key, value []byte) {
 	if m := o.find(key); m != nil {
 		m.value = value
@@ -54,7 +54,7 @@
 	return append(raw, '}')
 }
 
-// mergeObjects returns the object current with the members of change set.
+// mergeObjects returns the object current after setting all members of the object change in it.
 func mergeObjects(current, change []byte) ([]byte, error) {
 	merged, err := splitObject(current)
 	if err != nil {
--- a/internal/fleet/config/patch.go
+++ b/internal/fleet/config/patch.go
@@ -7,10 +7,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// Apply applies a request to the current configuration, which is empty where there is none yet. The
-// body is a complete configuration or, with patch, a change of named items. Apply returns the
-// resulting configuration and its revision. The caller has to check that the request was made for the
-// current revision.
+// Apply applies a request to the current configuration, which is empty if there is none yet. The body is
+// a patch (a change of named items) if patch is true, otherwise a complete configuration. Apply returns
+// the resulting configuration and its revision. The caller has to check that the request was made for
+// the current revision.
 func Apply(current []byte, patch bool, body []byte) (next []byte, revision int64, err error) {
 	var document *Document
 	if len(current) > 0 {
@@ -25,8 +25,8 @@
 	return result.raw, result.Revision, nil
 }
 
-// Apply is the function Apply for a configuration that is already parsed; d is nil if there is none.
-// The result keeps body.
+// Apply does what the function Apply does, for a configuration that is already parsed. d is nil if there
+// is none. The result may retain body.
 func (d *Document) Apply(patch bool, body []byte) (*Document, error) {
 	var revision int64
 	if d != nil {
@@ -56,15 +56,16 @@
 	return next, nil
 }
 
-// The members of a patch that change lists of named items. All others replace or merge a member of
-// the document.
+// The members of a patch that change lists of named items. All other members replace the document's member
+// of the same key or are merged into it.
 const (
 	upsertKey = "upsert"
 	removeKey = "remove"
 )
 
-// applyPatch returns the text of the configuration with a patch applied. What the patch does not name
-// keeps its bytes and its order. An item that is both removed and upserted is there in its new form.
+// applyPatch returns the text of the configuration with a patch applied. Items and members that the patch
+// does not name keep their bytes and order. An item that is both removed and upserted is in the result in
+// its new form.
 func (d *Document) applyPatch(body []byte) ([]byte, error) {
 	if err := validateObject(body); err != nil {
 		return nil, err
@@ -92,7 +93,7 @@
 	return document.join(), nil
 }
 
-// setFields applies the members of a patch that stand for members of the document, such as limits.
+// setFields applies the members of a patch other than upsert and remove, such as limits.
 func (o *object) setFields(patch object) error {
 	for _, field := range patch {
 		value := field.value
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// changeLists applies upsert or remove. change returns the new form of a member, whose current form is
-// nil where there is none, or nil to leave it as it is.
+// changeLists applies the upsert or remove member of a patch, whichever key names. change returns the new
+// text of a list, or nil to leave the list unchanged. Its argument current is nil if there is no list yet.
 func (o *object) changeLists(patch object, key string, change func(current, items []byte) ([]byte, error)) error {
 	lists := patch.find([]byte(key))
 	if lists == nil || isNull(lists.value) {
@@ -124,25 +125,25 @@
 	if !isObject(lists.value) {
 		return typeError([]byte(key), "an object of lists")
 	}
-	err := forEachMember(lists.value, func(list, items []byte) error {
+	err := forEachMember(lists.value, func(name, items []byte) error {
 		var current []byte
-		if m := o.find(list); m != nil {
+		if m := o.find(name); m != nil {
 			current = m.value
 		}
 		changed, err := change(current, items)
 		if err != nil {
-			return apierror.PrefixKey(err, truncate(list))
+			return apierror.PrefixKey(err, truncate(name))
 		}
 		if changed != nil {
-			o.set(list, changed)
+			o.set(name, changed)
 		}
 		return nil
 	})
 	return apierror.PrefixKey(err, key)
 }
 
-// removeItems returns a list without the items of some names, or nil to leave it as it is. A name that
-// is not in the list is no error: the operator has what was asked for.
+// removeItems returns a list without the items that have the given names, or nil to leave it unchanged.
+// A name that is not in the list is no error, as the result is what the operator asked for.
 func removeItems(list, names []byte) ([]byte, error) {
 	if !isArray(names) {
 		return nil, typeError(nil, "a list of names")
@@ -172,8 +173,8 @@
 	return joinList(remaining), err
 }
 
-// upsertItems returns a list with items put in: in the place of the item of the same name, or at the
-// end. Where both are objects their members are merged.
+// upsertItems returns a list in which each of items replaces the item of the same name or, if there is
+// none, is appended. If both are objects, their members are merged.
 func upsertItems(list, items []byte) ([]byte, error) {
 	switch {
 	case isObject(items) && list == nil:
@@ -193,11 +194,11 @@
 	return joinList(u.items), err
 }
 
-// upsert is a list into which items are put by name.
+// upsert is a list into which items are inserted or replaced by name.
 type upsert struct {
 	items [][]byte
-	index map[string]int  // of the items that have a name
-	sent  map[string]bool // the names that were put in
+	index map[string]int  // by name: index of a current item
+	sent  map[string]bool // names of the items that the patch has put so far
 }
 
 func (u *upsert) addCurrent(_ int, item []byte) error {
@@ -209,7 +210,7 @@
 	return err
 }
 
-// put puts in item i of those that were sent.
+// put replaces the item of the same name by item i of the patch, or appends it.
 func (u *upsert) put(i int, item []byte) error {
 	name, err := nameOf(item)
 	switch j, exists := u.index[name]; {
--- a/internal/fleet/config/patch_test.go
+++ b/internal/fleet/config/patch_test.go
@@ -18,9 +18,9 @@
 	require.NoError(t, err)
 	assert.Equal(t, int64(7), rev)
 	assert.Equal(t, example, string(next))
-	for _, now := range []string{`"revision":7`, `"revision":6`, `"revision":-8`} {
-		_, _, err = Apply(next, false, []byte(variant(t, `"revision":7`, now)))
-		assert.Equal(t, apierror.Invalid, apierror.KindOf(err), now)
+	for _, replacement := range []string{`"revision":7`, `"revision":6`, `"revision":-8`} {
+		_, _, err = Apply(next, false, []byte(variant(t, `"revision":7`, replacement)))
+		assert.Equal(t, apierror.Invalid, apierror.KindOf(err), replacement)
 	}
 	next, rev, err = Apply(next, false, []byte(variant(t, `"revision":7`, `"revision":12`)))
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 		"limits":{"header-bytes":16384,"body-bytes":4194304,"header-ms":3000,"idle-ms":500},
 		"tenants":[{"name":"t2","keys":["k2","k3"]}],
 		"quotas":{"t1":5,"t2":6},"note":"kept \"as it is\"","teams":[{"name":"new"}]}`, string(next))
-	assert.Contains(t, string(next), `"link-mbps":260000.0`, "what is not named keeps its bytes")
+	assert.Contains(t, string(next), `"link-mbps":260000.0`, "members that the patch does not name keep their bytes")
 	assert.Contains(t, string(next), `"target-service":"s2" , "u":[ 1 ]}`)
 	d := mustParse(t, string(next))
 	assert.Equal(t, int64(500), d.Limits.IdleMs)
@@ -76,10 +76,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, err := Apply([]byte(example), true, []byte(c.body))
-			var f *apierror.Error
-			require.ErrorAs(t, err, &f)
-			assert.Equal(t, apierror.Invalid, f.Kind)
-			assert.Equal(t, c.key, f.Key, err.Error())
+			var apiErr *apierror.Error
+			require.ErrorAs(t, err, &apiErr)
+			assert.Equal(t, apierror.Invalid, apiErr.Kind)
+			assert.Equal(t, c.key, apiErr.Key, err.Error())
 		})
 	}
 	_, _, err := Apply(nil, true, []byte(`{"revision":8}`))
@@ -106,8 +106,8 @@
 	return raw
 }
 
-// patchItems is the reference model of a patch: a list of items after some names were removed and some
-// items were upserted.
+// patchItems is the reference model of a patch. It returns a list of items after removing the items with
+// some names and upserting others.
 func patchItems(current, upsert []map[string]any, remove []string) []any {
 	result := []any{}
 	for _, item := range current {
@@ -129,12 +129,12 @@
 	return result
 }
 
-// indexOfName returns the index of the item of a name, -1 if there is none.
+// indexOfName returns the index of the item with a name, -1 if there is none.
 func indexOfName(items []map[string]any, name string) int {
 	return slices.IndexFunc(items, func(item map[string]any) bool { return item["name"] == name })
 }
 
-// decodeAny returns a value as JSON has it.
+// decodeAny returns a value after encoding it as JSON and decoding it again.
 func decodeAny(t *rapid.T, value any) (decoded any) {
 	require.NoError(t, json.Unmarshal(marshal(t, value), &decoded))
 	return decoded
--- a/internal/fleet/config/tenant.go
+++ b/internal/fleet/config/tenant.go
@@ -9,30 +9,30 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// tenantsKey is the list whose items hold API keys.
+// tenantsKey is the key of the list of tenants, whose items have API keys.
 const tenantsKey = "tenants"
 
-// countTokens is the count-unit of tenants whose requests are counted by their tokens.
+// countTokens is the count-unit of tenants whose quota is in tokens.
 const countTokens = "token_meter"
 
-// Tenant is a customer of the fleet: those who hold one of its API keys.
+// Tenant is a customer of the fleet, who is identified by its API keys.
 type Tenant struct {
 	Name     string
-	Priority int // admission-priority: 0 is the most urgent; it ranks above that of the route
-	// CountsTokens tells that RatePerS and Burst are in tokens; otherwise they are in requests.
+	Priority int // admission-priority; 0 is the most urgent. It takes precedence over the route's
+	// CountsTokens is true if RatePerS and Burst are in tokens; otherwise they are in requests.
 	CountsTokens bool
-	// UncachedTokens is what a request without a token count counts for.
+	// UncachedTokens is the cost, in tokens, of a request for which the client states no token counts.
 	UncachedTokens float64
-	// RatePerS and Burst bound what all agents together admit: a rate per second, and what may come
-	// beyond it at once. A rate of 0 is no limit.
+	// RatePerS and Burst limit what all agents together admit: RatePerS per second, and Burst beyond it
+	// at once. A rate of zero means no limit.
 	RatePerS, Burst float64
 }
 
 // Limited returns whether the tenant has a quota.
 func (t *Tenant) Limited() bool { return t.RatePerS > 0 }
 
-// Cost returns what a request counts for against the tenant's quota. promptTokens and outputTokens
-// are those that the client has stated, 0 where it has not.
+// Cost returns the amount of the tenant's quota that a request uses. promptTokens and outputTokens are the
+// counts that the client has stated, or zero.
 func (t *Tenant) Cost(promptTokens, outputTokens int) float64 {
 	if !t.CountsTokens {
 		return 1
@@ -43,19 +43,19 @@
 	return max(t.UncachedTokens, 1)
 }
 
-// keyDigest identifies an API key without revealing it: keys are in no dump of a document's index, and
-// the time of a lookup does not depend on how much of a key is right.
+// keyDigest identifies an API key without revealing it. A dump of a document's index shows no keys, and
+// the time of a lookup does not depend on how many bytes of a key are correct.
 type keyDigest [sha256.Size]byte
 
 func digestOf(key string) keyDigest { return sha256.Sum256([]byte(key)) }
 
-// PriorityRanks is how many ranks Rank distinguishes.
+// PriorityRanks is the number of ranks that Rank distinguishes.
 const PriorityRanks = 10
 
 // Rank returns the rank of a tenant's requests on a route, from 0, the most urgent, to
-// PriorityRanks-1: the tenant's priority goes before the route's. Where the document has more pairs of
-// priorities than ranks, adjacent ones share a rank. A nil tenant, that of keyless requests, ranks as
-// the most urgent one.
+// PriorityRanks-1. The tenant's priority takes precedence over the route's. If the document has more
+// pairs of priorities than there are ranks, adjacent pairs share a rank. A nil tenant, that of a
+// keyless request, ranks like the most urgent one.
 func (d *Document) Rank(tenant *Tenant, route *Route) int {
 	tenantRank := 0
 	if tenant != nil {
@@ -69,7 +69,7 @@
 	return min(pair, PriorityRanks-1)
 }
 
-// rankOf returns how many of some sorted priorities are more urgent than one of them.
+// rankOf returns how many of the sorted priorities are more urgent than a given one.
 func rankOf(priorities []int, priority int) int {
 	rank, _ := slices.BinarySearch(priorities, priority)
 	return rank
@@ -89,8 +89,8 @@
 	}
 }
 
-// HasTenants returns whether the document has a list of tenants, be it empty: then requests need an
-// API key, unless their route is keyless.
+// HasTenants returns whether the document has a list of tenants, even an empty one. Requests then need
+// an API key, unless their route is keyless.
 func (d *Document) HasTenants() bool { return d.hasTenants }
 
 // Tenants returns all tenants, by name.
@@ -104,8 +104,8 @@
 	return d.tenantByKey[digestOf(key)]
 }
 
-// decodeTenants validates and decodes the list of tenants. Another value than a list is kept as it is:
-// it has no meaning here.
+// decodeTenants validates and decodes the list of tenants. A value that is not a list stays in the text of
+// the document, but is otherwise ignored.
 func (d *Document) decodeTenants(value []byte) error {
 	if !isArray(value) {
 		return nil
@@ -167,10 +167,10 @@
 	return nil
 }
 
-// appendAPIKeys appends one API key, or each of a list. Empty ones open nothing.
+// appendAPIKeys appends an API key or each key of a list. It skips empty keys, which give no access.
 func appendAPIKeys(keys []string, value []byte) []string {
 	if isArray(value) {
-		_ = forEachElement(value, func(_ int, key []byte) error { // was walked by validateItems
+		_ = forEachElement(value, func(_ int, key []byte) error { // the function returns no error
 			keys = appendAPIKeys(keys, key)
 			return nil
 		})
--- a/internal/fleet/config/tenant_test.go
+++ b/internal/fleet/config/tenant_test.go
@@ -38,11 +38,11 @@
 	tokens := Tenant{CountsTokens: true, UncachedTokens: 200}
 	assert.EqualValues(t, 1540, tokens.Cost(1460, 80))
 	assert.EqualValues(t, 200, tokens.Cost(0, 0))
-	assert.EqualValues(t, 1, (&Tenant{CountsTokens: true}).Cost(0, 0), "nothing is free")
+	assert.EqualValues(t, 1, (&Tenant{CountsTokens: true}).Cost(0, 0), "every request costs at least 1")
 	assert.EqualValues(t, 1, (&Tenant{}).Cost(1460, 80), "counted in requests")
 }
 
-// A list of tenants without any closes the routes; a document without the list leaves them open.
+// With an empty list of tenants, requests need an API key; without the list, they need none.
 func TestEmptyListOfTenants(t *testing.T) {
 	const routes = `"services":[{"name":"s"}],"routes":[{"name":"a","hostname":"h","path-prefix":"/","timeout-ms":1,"target-service":"s"}]`
 	assert.True(t, mustParse(t, `{"revision":1,`+routes+`,"tenants":[]}`).HasTenants())
@@ -58,23 +58,23 @@
 		_, err := Parse([]byte(strings.Replace(tenantExample, tenantExample[strings.Index(tenantExample, `"tenants":`):], `"tenants":`+tenants+"}", 1)))
 		require.Error(t, err, name)
 		assert.Contains(t, err.Error(), "tenants", name)
-		assert.NotContains(t, err.Error(), `"k"`, "no key is shown")
+		assert.NotContains(t, err.Error(), `"k"`, "an error does not show API keys")
 	}
 }
 
-// The tenant's priority goes before the route's.
+// The tenant's priority takes precedence over the route's.
 func TestRank(t *testing.T) {
 	d := mustParse(t, tenantExample)
-	urgent, other := d.Tenants()["t2"], d.Tenants()["t1"]
+	urgentTenant, otherTenant := d.Tenants()["t2"], d.Tenants()["t1"]
 	routes := map[string]*Route{"a": d.Routes[0], "b": d.Routes[1]}
-	assert.Equal(t, 0, d.Rank(urgent, routes["a"]))
-	assert.Equal(t, 1, d.Rank(urgent, routes["b"]))
-	assert.Equal(t, 2, d.Rank(other, routes["a"]))
-	assert.Equal(t, 3, d.Rank(other, routes["b"]))
-	assert.Equal(t, 0, d.Rank(nil, routes["a"]), "without a tenant")
+	assert.Equal(t, 0, d.Rank(urgentTenant, routes["a"]))
+	assert.Equal(t, 1, d.Rank(urgentTenant, routes["b"]))
+	assert.Equal(t, 2, d.Rank(otherTenant, routes["a"]))
+	assert.Equal(t, 3, d.Rank(otherTenant, routes["b"]))
+	assert.Equal(t, 0, d.Rank(nil, routes["a"]), "a request without a tenant")
 }
 
-// Where there are more pairs of priorities than ranks, the order stays.
+// If there are more pairs of priorities than ranks, ranks still follow the order of the pairs.
 func TestRankOfManyPriorities(t *testing.T) {
 	var tenants []string
 	for i := range 12 {
@@ -82,13 +82,13 @@
 	}
 	start := strings.Index(tenantExample, `"tenants":`)
 	d := mustParse(t, tenantExample[:start]+`"tenants":[`+strings.Join(tenants, ",")+"]}")
-	last := 0
+	lastRank := 0
 	for i := range 12 {
 		for _, route := range d.Routes {
 			rank := d.Rank(d.TenantOfKey(fmt.Sprintf("k%d", i)), route)
-			assert.GreaterOrEqual(t, rank, last)
-			last = rank
+			assert.GreaterOrEqual(t, rank, lastRank)
+			lastRank = rank
 		}
 	}
-	assert.Equal(t, PriorityRanks-1, last)
+	assert.Equal(t, PriorityRanks-1, lastRank)
 }
--- a/internal/fleet/config/validate.go
+++ b/internal/fleet/config/validate.go
@@ -38,14 +38,14 @@
 	return nil
 }
 
-// itemValidator checks a list whose items this package does not otherwise know.
+// itemValidator checks the items of one list for duplicate names and shared API keys.
 type itemValidator struct {
-	tenants     bool
-	names       map[string]bool
-	apiKeyOwner map[string]int // index of the item that has an API key
+	tenants     bool            // whether the items are tenants, which have API keys
+	names       map[string]bool // names of the items so far
+	apiKeyOwner map[string]int  // by API key: index of the tenant that has it
 }
 
-// validateItems rejects names that are used twice in a list, and API keys that two tenants share.
+// validateItems rejects duplicate names in a list, and API keys that two tenants share.
 func validateItems(key string, list []byte) error {
 	v := itemValidator{tenants: key == tenantsKey, names: map[string]bool{}, apiKeyOwner: map[string]int{}}
 	return forEachElement(list, v.validate)
@@ -86,7 +86,7 @@
 	return false
 }
 
-// claimAPIKeys records one API key, or each of a list, as that of tenant i.
+// claimAPIKeys records an API key or each key of a list for tenant i, and rejects those of other tenants.
 func (v *itemValidator) claimAPIKeys(i int, value []byte) error {
 	if !isArray(value) {
 		return v.claimAPIKey(i, value)
