--- a/internal/fleet/assembly/assembly.go
+++ b/internal/fleet/assembly/assembly.go
@@ -1,6 +1,6 @@
-// Package assembly connects the components of one process of the fleet to each other: the core's member, the
-// relay and the quotas know each other by small interfaces only. The daemon uses it, and so does the simulation
-// of control planes, which therefore runs what the daemon runs.
+// Package assembly connects the components of one process of the fleet: the core's member, the relay and the
+// quotas depend on each other only through small interfaces, which this package implements. The daemon and the
+// simulation of control planes both use it, so that the simulation runs the same code as the daemon.
 package assembly
 
 import (
@@ -11,7 +11,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 )
 
-// RelayCore is the core as the relay of its process sees it. It implements relay.Core.
+// RelayCore implements relay.Core: it provides the state of the core to the relay of the same process.
 type RelayCore struct{ Member *controlplane.Member }
 
 // IsMember implements relay.Core.
@@ -33,10 +33,10 @@
 	return peers
 }
 
-// QuotaCore is the core as the quotas of its process see it. It implements quota.Core.
+// QuotaCore implements quota.Core: it provides the state of the core to the quotas of the same process.
 type QuotaCore struct {
 	Member *controlplane.Member
-	// Relay returns the relay, which may be opened after the quotas.
+	// Relay returns the relay. It is a function because the relay may be created after the quotas.
 	Relay func() *relay.Node
 }
 
@@ -60,8 +60,8 @@
 // PublishDeputy implements quota.Core.
 func (c QuotaCore) PublishDeputy(deputy bool) { c.Relay().PublishQuotaDeputy(deputy) }
 
-// KnownCoreAddrs returns the addresses of the members of the core, as a relay knows them; none before it is
-// opened, as the core is opened first.
+// KnownCoreAddrs returns the addresses of the other members of the core that a relay knows and that are not
+// draining. It returns nil if node is nil: the core is opened before the relay is created.
 func KnownCoreAddrs(node *relay.Node) (addrs []string) {
 	if node == nil {
 		return nil
@@ -72,7 +72,8 @@
 	return addrs
 }
 
-// UnreachedAddrs returns the agents' addresses that should be told the view; none before the relay is opened.
+// UnreachedAddrs returns the addresses of the agents to which the core should send the view, as they may not
+// know it. It returns nil if node is nil.
 func UnreachedAddrs(node *relay.Node) []string {
 	if node == nil {
 		return nil
--- a/internal/fleet/assembly/control.go
+++ b/internal/fleet/assembly/control.go
@@ -13,18 +13,20 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 )
 
-// ControlBackend carries out the calls of servers and operators. It implements controlapi.Backend but for
-// Inspect.
+// ControlBackend handles the calls of servers and operators. It implements all methods of controlapi.Backend
+// except Inspect.
 type ControlBackend struct {
 	Member *controlplane.Member
 	Relay  *relay.Node
-	// Draining reports whether this process is about to end: servers are sent to another agent.
+	// Draining reports whether this process is shutting down. While it is, servers are directed to another agent.
 	Draining func() bool
 }
 
-// Heartbeat passes a server's heartbeat to the relay. The server has to call another agent if it is
-// not acknowledged.
-func (c *ControlBackend) Heartbeat(ctx context.Context, heartbeat *controlapi.Heartbeat) (controlapi.HeartbeatResponse, error) {
+// Heartbeat passes a server's heartbeat to the relay. If it returns an error, the server has to call another
+// agent.
+func (c *ControlBackend) Heartbeat(
+	ctx context.Context, heartbeat *controlapi.Heartbeat,
+) (controlapi.HeartbeatResponse, error) {
 	if !c.Relay.Heartbeat(ctx, instanceOf(heartbeat)) {
 		return controlapi.HeartbeatResponse{}, notAcknowledged("beat")
 	}
@@ -52,13 +54,14 @@
 	return instance
 }
 
-// notAcknowledged is the error of a call that was not replicated in time, or not accepted.
+// notAcknowledged returns the error of a call that was rejected or not replicated in time.
 func notAcknowledged(call string) error {
 	return apierror.New(apierror.Unavailable, call, "call another agent", "it was not acknowledged")
 }
 
-// nextTarget is the control address for a server's next heartbeats: that of another agent while this
-// process is draining, else empty.
+// nextTarget returns the control address to which a server should send its next heartbeats. It is the address
+// of a random other agent while this process is draining. It is empty, so that the server stays, while this
+// process is not draining or if no other agent is known.
 func (c *ControlBackend) nextTarget() string {
 	if !c.Draining() {
 		return ""
@@ -70,7 +73,7 @@
 	return others[rand.IntN(len(others))].ControlAddr
 }
 
-// Deregister passes the end of a server to the relay.
+// Deregister passes the removal of a server to the relay.
 func (c *ControlBackend) Deregister(ctx context.Context, id string, _ uint64) error {
 	if !c.Relay.Deregister(ctx, id) {
 		return notAcknowledged("leave")
@@ -84,7 +87,7 @@
 	return controlapi.SubmitResult{Outcome: outcomeOf(result.Outcome), Revision: result.Revision, Reason: result.Reason}
 }
 
-// outcomeOf returns the outcome of an update as operators see it.
+// outcomeOf converts the outcome of an update from the core's type to the one of the control API.
 func outcomeOf(outcome chain.Outcome) controlapi.Outcome {
 	switch outcome {
 	case chain.OutcomeCommitted:
--- a/internal/fleet/assembly/control_test.go
+++ b/internal/fleet/assembly/control_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// The core is opened before the relay.
+// The core asks for addresses before the relay is created, as it is opened first.
 func TestAddressesBeforeTheRelay(t *testing.T) {
 	t.Parallel()
 	assert.Empty(t, KnownCoreAddrs(nil))
--- a/internal/fleet/assembly/readconfig_test.go
+++ b/internal/fleet/assembly/readconfig_test.go
@@ -13,12 +13,12 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/chain"
 )
 
-// fakeConfigCore is a core whose answers take a time each.
+// fakeConfigCore is a ConfigSource whose answers are delayed.
 type fakeConfigCore struct {
 	value      chain.Value
-	confirmErr error
-	delay      time.Duration
-	reads      int
+	confirmErr error         // returned by Confirm
+	delay      time.Duration // of each answer
+	readCalls  int
 }
 
 func (*fakeConfigCore) IsVoter() bool { return false }
@@ -31,7 +31,7 @@
 }
 
 func (c *fakeConfigCore) Read(ctx context.Context) (chain.Value, error) {
-	c.reads++
+	c.readCalls++
 	if err := c.wait(ctx); err != nil {
 		return chain.Value{}, err
 	}
@@ -47,36 +47,57 @@
 	}
 }
 
-// fakeConfigStore has one configuration, from some time on.
+// fakeConfigStore is a ConfigStore to which one configuration is replicated.
 type fakeConfigStore struct {
 	seq   uint64
 	raw   []byte
-	after time.Duration
+	delay time.Duration // time until the configuration is replicated
 }
 
 func (s *fakeConfigStore) CommittedConfig(ctx context.Context, seq uint64) ([]byte, bool) {
 	select {
-	case <-time.After(s.after):
+	case <-time.After(s.delay):
 		return s.raw, s.seq == seq
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// A read is answered by what this process has if the core confirms its number, and by the core otherwise.
+// A read returns the configuration of this process if the core confirms that it is the newest. Otherwise it
+// returns the one that the core sends.
 func TestReadConfig(t *testing.T) {
 	for name, test := range map[string]struct {
-		core  fakeConfigCore
-		store fakeConfigStore
-		want  string
-		reads int
+		core      fakeConfigCore
+		store     fakeConfigStore
+		want      string
+		readCalls int
 	}{
-		"it is here":       {core: fakeConfigCore{value: chain.Value{Seq: 7}}, store: fakeConfigStore{seq: 7, raw: []byte("here")}, want: "here"},
-		"it comes soon":    {core: fakeConfigCore{value: chain.Value{Seq: 7}}, store: fakeConfigStore{seq: 7, raw: []byte("here"), after: localConfigWait / 2}, want: "here"},
-		"it comes late":    {core: fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("there")}}, store: fakeConfigStore{seq: 7, after: time.Hour}, want: "there", reads: 1},
-		"a newer is here":  {core: fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("there")}}, store: fakeConfigStore{seq: 8, raw: []byte("here")}, want: "there", reads: 1},
-		"an older is here": {core: fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("there")}}, store: fakeConfigStore{seq: 6, raw: []byte("here")}, want: "there", reads: 1},
-		"there is none":    {store: fakeConfigStore{}},
+		"replicated": {
+			core:  fakeConfigCore{value: chain.Value{Seq: 7}},
+			store: fakeConfigStore{seq: 7, raw: []byte("local")},
+			want:  "local",
+		},
+		"replicated within the wait": {
+			core:  fakeConfigCore{value: chain.Value{Seq: 7}},
+			store: fakeConfigStore{seq: 7, raw: []byte("local"), delay: localConfigWait / 2},
+			want:  "local",
+		},
+		"not replicated within the wait": {
+			core:  fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("core")}},
+			store: fakeConfigStore{seq: 7, delay: time.Hour},
+			want:  "core", readCalls: 1,
+		},
+		"newer configuration replicated": {
+			core:  fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("core")}},
+			store: fakeConfigStore{seq: 8, raw: []byte("local")},
+			want:  "core", readCalls: 1,
+		},
+		"older configuration replicated": {
+			core:  fakeConfigCore{value: chain.Value{Seq: 7, Body: []byte("core")}},
+			store: fakeConfigStore{seq: 6, raw: []byte("local")},
+			want:  "core", readCalls: 1,
+		},
+		"no configuration": {store: fakeConfigStore{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -84,25 +105,27 @@
 				require.NoError(t, err)
 				assert.Equal(t, test.want, string(raw))
 				assert.Equal(t, test.want != "", found)
-				assert.Equal(t, test.reads, test.core.reads)
+				assert.Equal(t, test.readCalls, test.core.readCalls)
 			})
 		})
 	}
 }
 
-// What is here is no answer without the core, and no answer takes longer than callers wait.
+// If the core does not confirm the sequence number, a read fails although this process has a configuration. A
+// read never takes longer than configAnswerTimeout.
 func TestReadConfigWithoutTheCore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &fakeConfigStore{seq: 7, raw: []byte("here")}
+		store := &fakeConfigStore{seq: 7, raw: []byte("local")}
 		unavailable := errors.New("unavailable")
-		_, found, err := readConfig(t.Context(), &fakeConfigCore{value: chain.Value{Seq: 7}, confirmErr: unavailable}, store)
+		_, found, err := readConfig(t.Context(),
+			&fakeConfigCore{value: chain.Value{Seq: 7}, confirmErr: unavailable}, store)
 		require.ErrorIs(t, err, unavailable)
 		require.False(t, found)
-		begun := time.Now()
-		slow := &fakeConfigCore{value: chain.Value{Seq: 8}, delay: configAnswerTimeout * 2 / 3}
-		_, found, err = readConfig(t.Context(), slow, store)
+		start := time.Now()
+		slowCore := &fakeConfigCore{value: chain.Value{Seq: 8}, delay: configAnswerTimeout * 2 / 3}
+		_, found, err = readConfig(t.Context(), slowCore, store)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.False(t, found)
-		require.Equal(t, configAnswerTimeout, time.Since(begun))
+		require.Equal(t, configAnswerTimeout, time.Since(start))
 	})
 }
--- a/internal/fleet/daemon/control.go
+++ b/internal/fleet/daemon/control.go
@@ -9,13 +9,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/relay"
 )
 
-// controlBackend serves the calls of servers and operators. It implements controlapi.Backend.
+// controlBackend handles the calls of servers and operators. It implements controlapi.Backend.
 type controlBackend struct {
 	assembly.ControlBackend
 	daemon *Daemon
 }
 
-// The resources that operators inspect. Their JSON objects have their keys in alphabetical order.
+// The resources that operators inspect. The keys of their JSON objects are in alphabetical order.
 type (
 	membersReport struct {
 		Members  []relay.MemberReport  `json:"members"`
@@ -42,7 +42,7 @@
 	}
 )
 
-// Inspect returns one of controlapi.Resources.
+// Inspect returns the content of one of controlapi.Resources, as a value to encode as JSON.
 func (c *controlBackend) Inspect(_ context.Context, resource string) (any, error) {
 	report := c.daemon.relay.Report()
 	switch resource {
@@ -65,17 +65,17 @@
 
 // status returns the state of this process.
 func (c *controlBackend) status(report *relay.Report) statusReport {
-	current := c.daemon.settings.Load()
+	nodeSettings := c.daemon.settings.Load()
 	return statusReport{
 		Servable:  c.daemon.gateway.Servable(),
 		ConfigSeq: report.ConfigSeq,
-		HasDisk:   current.HasDisk(),
+		HasDisk:   nodeSettings.HasDisk(),
 		Draining:  c.daemon.draining.Load(),
 		Synced:    report.Synced,
 		Members:   len(report.Members),
-		Node:      current.Name,
+		Node:      nodeSettings.Name,
 		Revision:  report.Revision,
 		Servers:   len(report.Servers),
-		Zone:      current.Zone,
+		Zone:      nodeSettings.Zone,
 	}
 }
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -32,25 +32,29 @@
 	savedServersName = "servers"
 	// savedMembersName is the name of the record with the members' addresses.
 	savedMembersName = "members"
-	// submitTimeout and readTimeout bound operators' calls: within a second they have an answer.
+	// submitTimeout and readTimeout bound operators' calls, so that each is answered within a second.
 	submitTimeout = 950 * time.Millisecond
 	readTimeout   = 900 * time.Millisecond
 
-	// supportedDiscovery and supportedEntry are the values of the settings that this process works with.
+	// supportedDiscovery and supportedEntry are the only values of discovery-source and entry-kind that
+	// this version supports.
 	supportedDiscovery, supportedEntry = "self_register", "vip"
 
 	bytesPerMB = 1 << 20
-	// memoryLimitTenths is the part of the machine's memory limit that the heap may take. Peaks above
-	// it are paid for, and a process over the machine's limit is killed.
+	// memoryLimitTenths is the fraction of limits.memory-mb, in tenths, that is set as the memory limit
+	// of the Go runtime. Peaks above that fraction are charged for, and a process that exceeds
+	// memory-mb is killed.
 	memoryLimitTenths = 6
 )
 
 // knownContracts are the values of active-contracts that this version knows.
-var knownContracts = map[string]bool{"base": true, "drain": true, "config": true, "cost": true, "retry": true, "recover": true,
+var knownContracts = map[string]bool{
+	"base": true, "drain": true, "config": true, "cost": true, "retry": true, "recover": true,
 	"health": true, "pool": true, "engine": true, "stream": true,
-	settings.ContractTenants: true, settings.ContractQuota: true}
+	settings.ContractTenants: true, settings.ContractQuota: true,
+}
 
-// Daemon is one process. Run may be called once.
+// Daemon is one process of the router fleet. Run may be called once.
 type Daemon struct {
 	settingsPath  string
 	settings      atomic.Pointer[settings.Settings]
@@ -58,81 +62,84 @@
 	core          *controlplane.Member
 	relay         *relay.Node
 	gateway       *gateway.Gateway
-	quotaBroker   *quota.Broker // nil where the contract on quotas is not active
-	quotaClient   *quota.Client // as quotaBroker
+	quotaBroker   *quota.Broker // nil unless active-contracts includes the contract on quotas
+	quotaClient   *quota.Client // nil if quotaBroker is nil
 	controlServer *controlapi.Server
 	recovery      *recoveryTracker
-	draining      atomic.Bool // set once the process has begun to shut down
+	draining      atomic.Bool // true once the process has begun to shut down
 }
 
-// New assembles a process by the settings file at a path. It opens the state of the core, if the
-// machine has a disk, and no sockets.
+// New assembles a process from the settings file at path. If the machine has a disk, New opens the
+// state of the core. It opens no sockets.
 func New(path string) (*Daemon, error) {
-	current, err := settings.Load(path)
+	nodeSettings, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	logUnsupported(current)
-	debug.SetMemoryLimit(current.Limits.MemoryMB * bytesPerMB * memoryLimitTenths / 10)
+	logUnsupported(nodeSettings)
+	debug.SetMemoryLimit(nodeSettings.Limits.MemoryMB * bytesPerMB * memoryLimitTenths / 10)
 	d := &Daemon{settingsPath: path, peerPool: rpc.NewPool(), recovery: newRecoveryTracker()}
-	d.settings.Store(current)
-	d.gateway = gateway.New(current, seedOf(current.Name))
-	if d.core, err = d.openCore(current); err != nil {
-		return nil, errors.Wrap(err, "open the control state")
+	d.settings.Store(nodeSettings)
+	d.gateway = gateway.New(nodeSettings, randomSeed(nodeSettings.Name))
+	if d.core, err = d.openCore(nodeSettings); err != nil {
+		return nil, errors.Wrap(err, "open the state of the core")
 	}
-	d.openQuotas(current)
-	d.relay = d.newRelay(current)
+	d.openQuotas(nodeSettings)
+	d.relay = d.newRelay(nodeSettings)
 	d.gateway.KeysFreshAsOf = d.relay.ConfigFreshAsOf
 	d.gateway.OnSent = d.relay.BroadcastNotice
 	d.gateway.OnFirstServed = d.recovery.requestServed
-	d.controlServer = controlapi.NewServer(d.newControlBackend(), controlapi.Options{SubmitTimeout: submitTimeout, ReadTimeout: readTimeout})
+	d.controlServer = controlapi.NewServer(d.newControlBackend(),
+		controlapi.Options{SubmitTimeout: submitTimeout, ReadTimeout: readTimeout})
 	return d, nil
 }
 
-// newControlBackend returns what carries out the calls of servers and operators. The relay must be open.
+// newControlBackend returns the backend that handles the calls of servers and operators. d.core and
+// d.relay must be set.
 func (d *Daemon) newControlBackend() *controlBackend {
-	calls := assembly.ControlBackend{Member: d.core, Relay: d.relay, Draining: d.draining.Load}
-	return &controlBackend{ControlBackend: calls, daemon: d}
+	backend := assembly.ControlBackend{Member: d.core, Relay: d.relay, Draining: d.draining.Load}
+	return &controlBackend{ControlBackend: backend, daemon: d}
 }
 
-// logUnsupported logs the settings that this version does not know.
-func logUnsupported(current *settings.Settings) {
-	for _, contract := range current.ActiveContracts {
+// logUnsupported logs the settings whose values this version does not support.
+func logUnsupported(nodeSettings *settings.Settings) {
+	for _, contract := range nodeSettings.ActiveContracts {
 		if !knownContracts[contract] {
 			logevent.UnknownContract.Log("contract", contract)
 		}
 	}
-	if current.DiscoverySource != supportedDiscovery || current.EntryKind != supportedEntry {
-		logevent.UnknownDiscovery.Log("discovery", current.DiscoverySource, "entry", current.EntryKind)
+	if nodeSettings.DiscoverySource != supportedDiscovery || nodeSettings.EntryKind != supportedEntry {
+		logevent.UnknownDiscovery.Log("discovery", nodeSettings.DiscoverySource, "entry", nodeSettings.EntryKind)
 	}
 }
 
-// seedOf returns the seed of the gateway's random choices: each node has its own.
-func seedOf(node string) uint64 {
+// randomSeed returns the seed of the gateway's random choices. It is derived from the node's name, so
+// that nodes make different choices.
+func randomSeed(nodeName string) uint64 {
 	hash := fnv.New64a()
-	hash.Write([]byte(node))
+	hash.Write([]byte(nodeName))
 	return hash.Sum64()
 }
 
-// openCore opens this process's member of the core, which is a client of the core on machines without
-// a disk.
-func (d *Daemon) openCore(current *settings.Settings) (*controlplane.Member, error) {
+// openCore opens this process's member of the core. On a machine without a disk it is only a client
+// of the core.
+func (d *Daemon) openCore(nodeSettings *settings.Settings) (*controlplane.Member, error) {
 	return controlplane.Open(controlplane.Options{
-		Addr:           peerAddr(current),
-		Zone:           current.Zone,
-		Region:         current.Region,
-		StateDir:       current.StateDir,
-		HasDisk:        current.HasDisk(),
-		FirstStart:     current.FirstStart,
+		Addr:           peerAddr(nodeSettings),
+		Zone:           nodeSettings.Zone,
+		Region:         nodeSettings.Region,
+		StateDir:       nodeSettings.StateDir,
+		HasDisk:        nodeSettings.HasDisk(),
+		FirstStart:     nodeSettings.FirstStart,
 		Seeds:          d.seedAddrs,
 		KnownAddresses: func() []string { return assembly.KnownCoreAddrs(d.relay) },
 		Unreached:      func() []string { return assembly.UnreachedAddrs(d.relay) },
 		Tolerance: view.Tolerance{
-			Machines: current.Tolerance.Machines,
-			Zones:    current.Tolerance.Zones,
-			Regions:  current.Tolerance.Regions,
+			Machines: nodeSettings.Tolerance.Machines,
+			Zones:    nodeSettings.Tolerance.Zones,
+			Regions:  nodeSettings.Tolerance.Regions,
 		},
-		Counted:    current.CountedLoss,
+		Counted:    nodeSettings.CountedLoss,
 		Pool:       d.peerPool,
 		Transition: applyUpdate,
 		OnView:     d.recovery.viewKnown,
@@ -141,32 +148,32 @@
 }
 
 // applyUpdate returns the configuration and its revision after an operator's update.
-func applyUpdate(current []byte, update *chain.Update) (next []byte, revision int64, err error) {
-	return config.Apply(current, update.Patch, update.Body)
+func applyUpdate(previousConfig []byte, update *chain.Update) (nextConfig []byte, revision int64, err error) {
+	return config.Apply(previousConfig, update.Patch, update.Body)
 }
 
-// newRelay returns the node that replicates to other agents. The core must be open.
-func (d *Daemon) newRelay(current *settings.Settings) *relay.Node {
+// newRelay returns the relay node, which replicates data between agents. d.core must be set.
+func (d *Daemon) newRelay(nodeSettings *settings.Settings) *relay.Node {
 	options := relay.Options{
 		Self: relay.Member{
-			Name:        current.Name,
-			Addr:        peerAddr(current),
-			Zone:        current.Zone,
-			Region:      current.Region,
-			ControlAddr: current.Listen.Control,
+			Name:        nodeSettings.Name,
+			Addr:        peerAddr(nodeSettings),
+			Zone:        nodeSettings.Zone,
+			Region:      nodeSettings.Region,
+			ControlAddr: nodeSettings.Listen.Control,
 		},
-		HeartbeatInterval: time.Duration(current.HeartbeatPeriodMs) * time.Millisecond,
+		HeartbeatInterval: time.Duration(nodeSettings.HeartbeatPeriodMs) * time.Millisecond,
 		Core:              assembly.RelayCore{Member: d.core},
 		SeedAddrs:         d.seedAddrs,
 		OnChange:          d.applySnapshot,
 		OnAttached:        d.recovery.coreReachable,
 		OnNotice:          d.gateway.ObserveRemotePrefill,
-		LinkMbps:          current.Limits.LinkMbps,
+		LinkMbps:          nodeSettings.Limits.LinkMbps,
 	}
-	if confirmsConfig(current) {
+	if confirmsConfig(nodeSettings) {
 		options.ConfirmConfig = d.core.Confirm
 	}
-	if current.HasDisk() {
+	if nodeSettings.HasDisk() {
 		options.SaveServers = func(list []byte) error { return d.core.SaveRecord(savedServersName, list) }
 		options.SavedServers, _ = d.core.LoadRecord(savedServersName)
 		options.SaveMembers = func(list []byte) error { return d.core.SaveRecord(savedMembersName, list) }
@@ -175,7 +182,7 @@
 	return relay.New(options)
 }
 
-// applySnapshot puts a new snapshot into force.
+// applySnapshot passes a new snapshot of the relay to the components that use it.
 func (d *Daemon) applySnapshot(snapshot *relay.Snapshot) {
 	if d.quotaBroker != nil && snapshot.Config != nil && snapshot.Config != d.gateway.Config() {
 		d.quotaBroker.Update(snapshot.Config)
@@ -184,17 +191,17 @@
 	d.recovery.snapshotChanged(snapshot)
 }
 
-// peerAddr is the address at which other agents call this one.
-func peerAddr(current *settings.Settings) string {
-	return net.JoinHostPort(current.IP, strconv.Itoa(current.PeerPort()))
+// peerAddr returns the address at which other agents call this one.
+func peerAddr(nodeSettings *settings.Settings) string {
+	return net.JoinHostPort(nodeSettings.IP, strconv.Itoa(nodeSettings.PeerPort()))
 }
 
-// seedAddrs returns the agents' addresses on the seed machines, by the settings as they are now.
+// seedAddrs returns the addresses of the agents on the seed machines in the current settings.
 func (d *Daemon) seedAddrs() []string {
-	current := d.settings.Load()
-	addrs := make([]string, len(current.Seeds))
-	for i, seed := range current.Seeds {
-		addrs[i] = current.PeerAddress(seed)
+	nodeSettings := d.settings.Load()
+	addrs := make([]string, len(nodeSettings.Seeds))
+	for i, seed := range nodeSettings.Seeds {
+		addrs[i] = nodeSettings.PeerAddress(seed)
 	}
 	return addrs
 }
--- a/internal/fleet/daemon/daemon_test.go
+++ b/internal/fleet/daemon/daemon_test.go
@@ -21,24 +21,28 @@
 	"chalkdoor.example/chalkdoor/internal/leaktest"
 )
 
-func TestMain(machine *testing.M) { leaktest.Main(machine) }
+func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// testTimeout bounds every wait of the tests; it is reached only if a test fails.
+// testTimeout bounds every wait in the tests. It expires only if a test fails.
 const testTimeout = 20 * time.Second
 
-// testMachine is one machine on a loopback address of its own.
+// testMachine is a machine with its own loopback address, settings file and state directory.
 type testMachine struct {
 	t                                               *testing.T
 	ip                                              string
 	settingsPath, stateDir                          string
 	frontPort, readinessPort, controlPort, peerPort int
-	seeds                                           string
+	seeds                                           string // value of seed-nodes in TOML
 	client                                          *http.Client
 }
 
 func newTestMachine(t *testing.T) *testMachine {
-	machine := &testMachine{t: t, settingsPath: filepath.Join(t.TempDir(), "local.toml"), stateDir: t.TempDir(),
-		ip: fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250), 1+rand.IntN(250))}
+	machine := &testMachine{
+		t:            t,
+		settingsPath: filepath.Join(t.TempDir(), "local.toml"),
+		stateDir:     t.TempDir(),
+		ip:           fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250), 1+rand.IntN(250)),
+	}
 	for _, port := range []*int{&machine.frontPort, &machine.readinessPort, &machine.controlPort, &machine.peerPort} {
 		listener, err := net.Listen("tcp", machine.ip+":0")
 		require.NoError(t, err)
@@ -51,14 +55,15 @@
 	return machine
 }
 
-// newTestMachines returns machines of one fleet: they have the same ports, and each is a seed.
+// newTestMachines returns the machines of one fleet. They use the same ports, and each is a seed.
 func newTestMachines(t *testing.T, count int) []*testMachine {
 	first := newTestMachine(t)
 	machines := []*testMachine{first}
 	seeds := []string{fmt.Sprintf("%q", net.JoinHostPort(first.ip, strconv.Itoa(first.controlPort)))}
 	for len(machines) < count {
 		machine := newTestMachine(t)
-		machine.frontPort, machine.readinessPort, machine.controlPort, machine.peerPort = first.frontPort, first.readinessPort, first.controlPort, first.peerPort
+		machine.frontPort, machine.readinessPort, machine.controlPort, machine.peerPort =
+			first.frontPort, first.readinessPort, first.controlPort, first.peerPort
 		machines = append(machines, machine)
 		seeds = append(seeds, fmt.Sprintf("%q", net.JoinHostPort(machine.ip, strconv.Itoa(machine.controlPort))))
 	}
@@ -69,8 +74,8 @@
 	return machines
 }
 
-// writeSettings writes the settings file.
-func (m *testMachine) writeSettings(first bool) {
+// writeSettings writes the settings file with firstStart as the value of first-start.
+func (m *testMachine) writeSettings(firstStart bool) {
 	text := fmt.Sprintf(`
 node-name = "edge-1"
 machine-class = "edge"
@@ -104,11 +109,12 @@
 retry-ratio = 0.2
 retry-window-s = 10
 retry-slack = 58
-`, m.ip, m.peerPort, m.peerPort, m.seeds, first, m.stateDir, m.ip, m.frontPort, m.ip, m.readinessPort, m.ip, m.controlPort)
+`, m.ip, m.peerPort, m.peerPort, m.seeds, firstStart, m.stateDir,
+		m.ip, m.frontPort, m.ip, m.readinessPort, m.ip, m.controlPort)
 	require.NoError(m.t, os.WriteFile(m.settingsPath, []byte(text), 0o600))
 }
 
-// testProcess is one run of a machine's process.
+// testProcess is a running process of a machine.
 type testProcess struct {
 	*testMachine
 	daemon    *Daemon
@@ -121,13 +127,15 @@
 	d, err := New(m.settingsPath)
 	require.NoError(m.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	process := &testProcess{testMachine: m, daemon: d, reload: make(chan struct{}), terminate: cancel, exited: make(chan error, 1)}
+	process := &testProcess{
+		testMachine: m, daemon: d, reload: make(chan struct{}), terminate: cancel, exited: make(chan error, 1),
+	}
 	go func() { process.exited <- d.Run(ctx, process.reload) }()
 	m.t.Cleanup(func() { process.terminate(); process.exited <- <-process.exited })
 	return process
 }
 
-// terminateAndWait signals the process to shut down and waits until it has.
+// terminateAndWait signals the process to shut down and waits until it has exited without an error.
 func (p *testProcess) terminateAndWait() {
 	p.terminate()
 	select {
@@ -135,20 +143,22 @@
 		require.NoError(p.t, err)
 		p.exited <- nil
 	case <-time.After(testTimeout):
-		require.FailNow(p.t, "the process does not end")
+		require.FailNow(p.t, "the process does not exit")
 	}
 }
 
-// callControl repeats a call until the response has a status, and returns the body.
-func (m *testMachine) callControl(want int, method, path, body string, fields ...string) string {
-	var got string
+// callControl repeats a call to the control address until the response has the status wantStatus, and
+// returns the body. headers are alternating names and values.
+func (m *testMachine) callControl(wantStatus int, method, path, body string, headers ...string) string {
+	var responseBody string
 	require.Eventually(m.t, func() bool {
-		req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.ip, m.controlPort, path), strings.NewReader(body))
+		req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", m.ip, m.controlPort, path),
+			strings.NewReader(body))
 		if err != nil {
 			return false
 		}
-		for i := 0; i+1 < len(fields); i += 2 {
-			req.Header.Set(fields[i], fields[i+1])
+		for i := 0; i+1 < len(headers); i += 2 {
+			req.Header.Set(headers[i], headers[i+1])
 		}
 		resp, err := m.client.Do(req)
 		if err != nil {
@@ -156,10 +166,10 @@
 		}
 		defer resp.Body.Close()
 		b, _ := io.ReadAll(resp.Body)
-		got = string(b)
-		return resp.StatusCode == want
+		responseBody = string(b)
+		return resp.StatusCode == wantStatus
 	}, testTimeout, 20*time.Millisecond, "%s %s", method, path)
-	return got
+	return responseBody
 }
 
 func (m *testMachine) isReady() bool {
@@ -178,12 +188,13 @@
 	"services":[{"name":"s","health-path":"/health","later":[1,2]}],"limits":{"body-bytes":4194304}}`, revision)
 }
 
-// testModelServer answers requests. Of a stream it sends the first event, and then those that a test
-// sends to nextEvent. It sends one heartbeat.
+// testModelServer answers requests at once. For a stream it sends event 1, and then an event for each
+// number that a test sends to nextEvent.
 type testModelServer struct {
-	nextEvent chan int // the number of the next event; 0 ends the stream
+	nextEvent chan int // number of the next event; 0, or closing the channel, ends the stream
 }
 
+// startModelServer starts a model server and sends a single heartbeat for it.
 func (m *testMachine) startModelServer(id string) *testModelServer {
 	server := &testModelServer{nextEvent: make(chan int)}
 	listener, err := net.Listen("tcp", m.ip+":0")
@@ -192,7 +203,8 @@
 	go srv.Serve(listener)
 	m.t.Cleanup(func() { srv.Close() })
 	m.callControl(200, "PUT", "/chalkdoor/instances/"+id, fmt.Sprintf(
-		`{"target-service":"s","address":%q,"zone":"z","revision":"v1","slots":8,"state":"ready","cold-ms":0,"call-seq":1}`, listener.Addr()), "Content-Type", "application/json")
+		`{"target-service":"s","address":%q,"zone":"z","revision":"v1","slots":8,"state":"ready","cold-ms":0,"call-seq":1}`,
+		listener.Addr()), "Content-Type", "application/json")
 	return server
 }
 
@@ -210,12 +222,14 @@
 	}
 }
 
-// request sends a request to the front on a connection of its own, which the caller closes.
+// request sends a request to the front on a new connection, and returns the response and a function that
+// closes the connection.
 func (m *testMachine) request(path, id string) (*http.Response, func()) {
 	conn, err := net.Dial("tcp", net.JoinHostPort(m.ip, strconv.Itoa(m.frontPort)))
 	require.NoError(m.t, err)
 	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h.example\r\nChalkdoor-Attempt-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
+	_, err = fmt.Fprintf(conn,
+		"POST %s HTTP/1.1\r\nHost: h.example\r\nChalkdoor-Attempt-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
 	require.NoError(m.t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(m.t, err)
@@ -225,7 +239,8 @@
 func TestSingleProcess(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
-	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5),
+		"If-Match", "0", "Content-Type", "application/json")
 	require.False(t, machine.isReady(), "ready without servers")
 	server := machine.startModelServer("i-1")
 	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
@@ -236,13 +251,17 @@
 	require.Equal(t, "served /a/x", string(b))
 	done()
 
-	// Another configuration takes effect soon, and is read back as it was sent.
+	// A new configuration takes effect and can be read back as it was sent. A wrong If-Match and an invalid
+	// configuration are rejected.
 	next := strings.Replace(configJSON(7), `"/a/"`, `"/c/"`, 1)
 	machine.callControl(412, "PUT", "/chalkdoor/config", next, "If-Match", "4", "Content-Type", "application/json")
-	machine.callControl(400, "PUT", "/chalkdoor/config", strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1), "If-Match", "5", "Content-Type", "application/json")
+	machine.callControl(400, "PUT", "/chalkdoor/config",
+		strings.Replace(next, `"target-service":"s"`, `"target-service":"x"`, 1),
+		"If-Match", "5", "Content-Type", "application/json")
 	machine.callControl(200, "PUT", "/chalkdoor/config", next, "If-Match", "5", "Content-Type", "application/json")
 	require.JSONEq(t, next, machine.callControl(200, "GET", "/chalkdoor/config", ""))
-	require.Eventually(t, func() bool { // the acknowledgement may come before it takes effect here
+	// The call may be acknowledged before the configuration takes effect in this process.
+	require.Eventually(t, func() bool {
 		resp, done := machine.request("/c/x", "c")
 		defer done()
 		return resp.StatusCode == 200
@@ -251,7 +270,7 @@
 	require.Equal(t, 404, resp.StatusCode)
 	done()
 
-	// The shutdown: requests in flight are completed, new ones are served, the entry sees it as not ready.
+	// During the shutdown the readiness check fails, new requests are served and those in flight are completed.
 	stream, done := machine.request("/b/x", "2")
 	defer done()
 	process.terminate()
@@ -267,7 +286,8 @@
 	require.Equal(t, "id: 1\ndata: x\n\nid: 2\ndata: x\n\n", string(b))
 	process.terminateAndWait()
 
-	// After a restart it has what was acknowledged, and the servers until their next heartbeats are due.
+	// After a restart the process has the acknowledged configuration, and it restores the listed servers from
+	// disk until their next heartbeats are due.
 	machine.writeSettings(false)
 	process = machine.start()
 	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
@@ -278,31 +298,34 @@
 	process.terminateAndWait()
 }
 
-// A process that shuts down fails readiness checks before it does anything else.
+// A process that begins to shut down fails readiness checks even while its gateway still serves requests.
 func TestDrainingProcessIsNotReady(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
-	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5),
+		"If-Match", "0", "Content-Type", "application/json")
 	machine.startModelServer("i-1")
 	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
 	process.daemon.draining.Store(true)
-	require.True(t, process.daemon.gateway.Servable(), "requests that still come are served")
+	require.True(t, process.daemon.gateway.Servable(), "requests that still arrive are served")
 	require.False(t, machine.isReady())
 	process.terminateAndWait()
 }
 
-// Machines that shut down together are taken out by the entry in time, though each still has a stream.
+// Machines that shut down at the same time all fail their readiness checks within a second, although each
+// still has a stream, and none becomes ready again before the entry has removed it.
 func TestSeveralMachinesShutDownAtOnce(t *testing.T) {
 	const (
-		answered = time.Second     // the entry checks each second, and counts two failures
-		counted  = 4 * time.Second // by then none may count as ready any more
+		checkInterval = time.Second     // interval of the entry's checks, which must fail twice
+		removalLimit  = 4 * time.Second // by this time the entry must have removed every machine
 	)
 	machines := newTestMachines(t, 3)
 	var processes []*testProcess
 	for _, machine := range machines {
 		processes = append(processes, machine.start())
 	}
-	machines[0].callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	machines[0].callControl(200, "PUT", "/chalkdoor/config", configJSON(5),
+		"If-Match", "0", "Content-Type", "application/json")
 	server := machines[0].startModelServer("i-1")
 	var streams []*http.Response
 	for _, machine := range machines {
@@ -315,14 +338,14 @@
 	anyReady := func() bool {
 		return slices.ContainsFunc(machines, (*testMachine).isReady)
 	}
-	begun := time.Now()
+	start := time.Now()
 	for _, process := range processes {
 		process.terminate()
 	}
-	require.Eventually(t, func() bool { return !anyReady() }, answered, 5*time.Millisecond)
-	require.Never(t, anyReady, counted-time.Since(begun), 50*time.Millisecond)
+	require.Eventually(t, func() bool { return !anyReady() }, checkInterval, 5*time.Millisecond)
+	require.Never(t, anyReady, removalLimit-time.Since(start), 50*time.Millisecond)
 	for _, process := range processes {
-		require.Empty(t, process.exited, "ended before its stream")
+		require.Empty(t, process.exited, "the process exited before its stream was complete")
 	}
 	close(server.nextEvent)
 	for _, stream := range streams {
@@ -335,60 +358,67 @@
 	}
 }
 
-// Streams that take longer than the grace period are broken off, and the process ends within it.
+// Streams that outlast the grace period are aborted, and the process exits within the grace period.
 func TestShutdownWithinGracePeriod(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
-	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5), "If-Match", "0", "Content-Type", "application/json")
+	machine.callControl(200, "PUT", "/chalkdoor/config", configJSON(5),
+		"If-Match", "0", "Content-Type", "application/json")
 	server := machine.startModelServer("i-1")
 	require.Eventually(t, machine.isReady, testTimeout, 20*time.Millisecond)
 	stream, done := machine.request("/b/x", "1")
 	defer done()
-	begun := time.Now()
+	start := time.Now()
 	process.terminateAndWait()
-	require.Less(t, time.Since(begun), 8*time.Second)
+	require.Less(t, time.Since(start), 8*time.Second)
 	b, err := io.ReadAll(stream.Body)
-	require.Error(t, err, "it must not look complete")
+	require.Error(t, err, "the response must not look complete")
 	require.Equal(t, "id: 1\ndata: x\n\n", string(b))
 	close(server.nextEvent)
 }
 
+// A reload applies the seeds of the settings file. An invalid or missing file changes nothing.
 func TestSettingsReload(t *testing.T) {
 	machine := newTestMachine(t)
 	process := machine.start()
-	reloadAndWait := func() { // returns once the signal before has been handled
+	reloadAndWait := func() { // the second signal is received once the first has been handled
 		for range 2 {
 			select {
 			case process.reload <- struct{}{}:
 			case <-time.After(testTimeout):
-				require.FailNow(t, "the signal is not handled")
+				require.FailNow(t, "the reload signal is not handled")
 			}
 		}
 	}
-	own := process.daemon.seedAddrs()
-	require.Len(t, own, 1)
+	initialSeeds := process.daemon.seedAddrs()
+	require.Len(t, initialSeeds, 1)
 	require.NoError(t, os.WriteFile(machine.settingsPath, []byte("node-name = "), 0o600))
 	reloadAndWait()
-	require.Equal(t, own, process.daemon.seedAddrs())
+	require.Equal(t, initialSeeds, process.daemon.seedAddrs())
 	require.NoError(t, os.Remove(machine.settingsPath))
 	reloadAndWait()
-	require.Equal(t, own, process.daemon.seedAddrs())
+	require.Equal(t, initialSeeds, process.daemon.seedAddrs())
 	machine.seeds = `["127.0.0.1:1", "127.0.0.2:1"]`
 	machine.writeSettings(false)
 	reloadAndWait()
-	require.Equal(t, []string{fmt.Sprintf("127.0.0.1:%d", machine.peerPort), fmt.Sprintf("127.0.0.2:%d", machine.peerPort)}, process.daemon.seedAddrs())
-	// Also without a signal.
+	require.Equal(t, []string{
+		fmt.Sprintf("127.0.0.1:%d", machine.peerPort), fmt.Sprintf("127.0.0.2:%d", machine.peerPort),
+	}, process.daemon.seedAddrs())
+	// A change of the file is also detected without a signal.
 	machine.seeds = `["127.0.0.3:1"]`
 	machine.writeSettings(false)
 	require.Eventually(t, func() bool { return len(process.daemon.seedAddrs()) == 1 }, testTimeout, 20*time.Millisecond)
 	process.terminateAndWait()
 }
 
-// A process that cannot listen ends with an error that names the address, and leaves nothing behind.
+// A process that cannot listen on an address exits with an error that names the address, and leaks nothing.
 func TestAddressInUse(t *testing.T) {
-	for _, what := range []string{"front", "readiness", "control", "peer"} {
+	for _, socket := range []string{"front", "readiness", "control", "peer"} {
 		machine := newTestMachine(t)
-		port := map[string]int{"front": machine.frontPort, "readiness": machine.readinessPort, "control": machine.controlPort, "peer": machine.peerPort}[what]
+		port := map[string]int{
+			"front": machine.frontPort, "readiness": machine.readinessPort,
+			"control": machine.controlPort, "peer": machine.peerPort,
+		}[socket]
 		addr := net.JoinHostPort(machine.ip, strconv.Itoa(port))
 		listener, err := net.Listen("tcp", addr)
 		require.NoError(t, err)
@@ -398,7 +428,7 @@
 			require.ErrorContains(t, err, addr)
 			process.exited <- nil
 		case <-time.After(testTimeout):
-			require.FailNow(t, "the process continues", what)
+			require.FailNow(t, "the process does not exit", socket)
 		}
 		require.NoError(t, listener.Close())
 	}
--- a/internal/fleet/daemon/recovery.go
+++ b/internal/fleet/daemon/recovery.go
@@ -9,59 +9,61 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// recoveryStep is a step on the way from the start of the process to its first served request.
+// recoveryStep is a step between the start of the process and its first served request.
 type recoveryStep int
 
 // The steps, in the order in which a process usually reaches them.
 const (
 	stepViewKnown     recoveryStep = iota // a view of the core is known
-	stepCoreReachable                     // there is a session with a relay that has a quorum
+	stepCoreReachable                     // a session with a relay that has a quorum was started
 	stepConfig                            // a configuration is in force
-	stepSynced                            // all that a relay knows has been received
-	stepServersListed                     // a server is listed
+	stepSynced                            // the initial synchronization with a relay is complete
+	stepServersListed                     // at least one server is listed
 	stepRequestServed                     // a request was served
-	recoverySteps
+	recoveryStepCount                     // number of steps
 )
 
-// recoveryTracker records when this process reached each step of its recovery, and logs it. It is
-// safe for concurrent use.
+// recoveryTracker records and logs when this process reached each step of its recovery. It is safe for
+// concurrent use.
 type recoveryTracker struct {
 	startedAt time.Time
 
-	mu      sync.Mutex                   // guards all that follows
-	reached [recoverySteps]time.Duration // since the start; 0: not yet
-	servers int                          // that were listed last
+	mu           sync.Mutex                       // guards the fields below
+	reachedAfter [recoveryStepCount]time.Duration // time from startedAt to each step; 0 if not reached yet
+	serverCount  int                              // number of servers in the latest snapshot
 }
 
 func newRecoveryTracker() *recoveryTracker { return &recoveryTracker{startedAt: time.Now()} }
 
-// reach records a step. It returns the time since the start, and whether this is the first time.
+// reach records that a step is reached. It returns the time since the start of the process, and whether
+// the step is reached for the first time.
 func (t *recoveryTracker) reach(step recoveryStep) (after time.Duration, first bool) {
 	after = time.Since(t.startedAt)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.reached[step] != 0 {
+	if t.reachedAfter[step] != 0 {
 		return after, false
 	}
-	t.reached[step] = after
+	t.reachedAfter[step] = after
 	return after, true
 }
 
-// viewKnown records that a view is known.
-func (t *recoveryTracker) viewKnown(known view.View) {
+// viewKnown records that a view of the core is known.
+func (t *recoveryTracker) viewKnown(newView view.View) {
 	if after, first := t.reach(stepViewKnown); first {
-		logevent.FirstViewKnown.Log("view", known.Number, "after", after)
+		logevent.FirstViewKnown.Log("view", newView.Number, "after", after)
 	}
 }
 
-// coreReachable records that there is a relay again, after none for a time.
+// coreReachable records that a session with a relay that has a quorum was started, or this process has
+// become such a relay. lost is how long there was neither.
 func (t *recoveryTracker) coreReachable(lost time.Duration) {
 	after, _ := t.reach(stepCoreReachable)
 	logevent.CoreReachable.Log("after", after, "lost", lost)
 }
 
-// snapshotChanged records what a snapshot shows for the first time, and when its list becomes empty
-// or is no longer.
+// snapshotChanged records the steps that a new snapshot shows as reached. It logs when the list of
+// servers becomes empty and when it is no longer empty.
 func (t *recoveryTracker) snapshotChanged(snapshot *relay.Snapshot) {
 	if snapshot.Config != nil {
 		t.reach(stepConfig)
@@ -69,32 +71,32 @@
 	if snapshot.Synced {
 		t.reach(stepSynced)
 	}
-	listed := 0
+	count := 0
 	if snapshot.Servers != nil {
-		listed = len(snapshot.Servers.ByID)
+		count = len(snapshot.Servers.ByID)
 	}
 	t.mu.Lock()
-	before := t.servers
-	t.servers = listed
+	previousCount := t.serverCount
+	t.serverCount = count
 	t.mu.Unlock()
 	switch {
-	case before == 0 && listed > 0:
+	case previousCount == 0 && count > 0:
 		after, _ := t.reach(stepServersListed)
-		logevent.FirstServersListed.Log("servers", listed, "after", after)
-	case before > 0 && listed == 0:
-		logevent.ServerListEmpty.Log("before", before)
+		logevent.FirstServersListed.Log("servers", count, "after", after)
+	case previousCount > 0 && count == 0:
+		logevent.ServerListEmpty.Log("before", previousCount)
 	}
 }
 
-// requestServed records that a request was served.
+// requestServed records that the gateway has served its first request.
 func (t *recoveryTracker) requestServed() {
 	if after, first := t.reach(stepRequestServed); first {
 		logevent.FirstRequestServed.Log("after", after)
 	}
 }
 
-// recoveryReport tells when each step was reached, in milliseconds since the start of the process;
-// -1: not yet. Its keys are in alphabetical order.
+// recoveryReport is the time at which each step was reached, in milliseconds since the start of the
+// process, or -1 if it was not reached yet. Its keys are in alphabetical order.
 type recoveryReport struct {
 	Config   int64 `json:"config-ms"`
 	Core     int64 `json:"core-ms"`
@@ -105,15 +107,15 @@
 	View     int64 `json:"view-ms"`
 }
 
-// report returns the steps that were reached so far.
+// report returns when each step was reached.
 func (t *recoveryTracker) report() recoveryReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := func(step recoveryStep) int64 {
-		if t.reached[step] == 0 {
+		if t.reachedAfter[step] == 0 {
 			return -1
 		}
-		return t.reached[step].Milliseconds()
+		return t.reachedAfter[step].Milliseconds()
 	}
 	return recoveryReport{
 		Config:   at(stepConfig),
--- a/internal/fleet/daemon/reload.go
+++ b/internal/fleet/daemon/reload.go
@@ -8,11 +8,12 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// settingsPollInterval is the period at which the settings file is read: it may change without a
+// settingsPollInterval is the interval at which the settings file is read to detect changes without a
 // signal.
 const settingsPollInterval = 2 * time.Second
 
-// watchSettings reloads the settings file on each signal and when it has changed, until ctx ends.
+// watchSettings reloads the settings file on each value from reload and when the file has changed, until
+// ctx ends.
 func (d *Daemon) watchSettings(ctx context.Context, reload <-chan struct{}) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -28,21 +29,21 @@
 	}
 }
 
-// reloadSettings reads the settings file and puts the seeds into force, if the file has changed or
-// force is set. All other settings are bound to the machine and require a restart. An invalid file
-// changes nothing.
+// reloadSettings reads the settings file and applies its seeds if the file has changed or force is set.
+// All other settings belong to the machine and take effect only after a restart. An invalid file is
+// logged and changes nothing.
 func (d *Daemon) reloadSettings(force bool) {
-	loaded, err := settings.Load(d.settingsPath)
+	fileSettings, err := settings.Load(d.settingsPath)
 	if err != nil {
 		logevent.SettingsInvalid.Error(err)
 		return
 	}
-	current := d.settings.Load()
-	if loaded.Digest == current.Digest && !force {
+	previousSettings := d.settings.Load()
+	if fileSettings.Digest == previousSettings.Digest && !force {
 		return
 	}
-	next := *current
-	next.Seeds, next.Digest = loaded.Seeds, loaded.Digest
-	d.settings.Store(&next)
-	logevent.SettingsReloaded.Log("seeds", loaded.Seeds)
+	newSettings := *previousSettings
+	newSettings.Seeds, newSettings.Digest = fileSettings.Seeds, fileSettings.Digest
+	d.settings.Store(&newSettings)
+	logevent.SettingsReloaded.Log("seeds", fileSettings.Seeds)
 }
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -14,64 +14,71 @@
 )
 
 const (
-	// acceptLinger is for how long new connections still arrive after SIGTERM: the entry checks
-	// readiness every second, and takes a process out after two failed checks.
+	// acceptLinger is how long new connections are still accepted after SIGTERM: the entry checks
+	// readiness every second, and removes a process after two failed checks.
 	acceptLinger = 2600 * time.Millisecond
-	// departureReserve is the part of the grace period that is reserved for announcing the departure
-	// and for closing the state on disk.
+	// departureReserve is the time at the end of the grace period that is reserved for announcing the
+	// departure to other agents and for closing the state on disk.
 	departureReserve = 700 * time.Millisecond
-	// maxComponents bounds the components that can fail: none of them blocks on reporting its error.
+	// maxComponents is the capacity of the channel of errors. No more components than that can fail, so
+	// none blocks when it reports its error.
 	maxComponents = 9
 )
 
-// components are the parts of a process that run beside each other. The first error of one ends all.
-type components struct {
-	running sync.WaitGroup
-	errs    chan error
+// componentGroup runs the components of a process concurrently and collects their errors.
+type componentGroup struct {
+	wg   sync.WaitGroup
+	errs chan error
 }
 
-// start starts a component; its error, if it has one, is wrapped with its name.
-func (c *components) start(name string, run func() error) {
-	c.running.Go(func() {
+// start runs a component in a goroutine. If the component fails, its error is sent to errs, wrapped
+// with the component's name.
+func (c *componentGroup) start(name string, run func() error) {
+	c.wg.Go(func() {
 		if err := run(); err != nil {
 			c.errs <- errors.Wrap(err, name)
 		}
 	})
 }
 
-// Run serves until ctx ends, then shuts down within the grace period and returns nil. It returns the
-// error of the first component that fails. Each value from reload has the settings file read again.
+// Run serves until ctx ends, then shuts down within the grace period and returns nil. If a component
+// fails, Run stops the others and returns the error of the first that failed. Each value received from
+// reload causes the settings file to be read again.
 func (d *Daemon) Run(ctx context.Context, reload <-chan struct{}) error {
-	current := d.settings.Load()
-	// The components run on while the process shuts down.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	nodeSettings := d.settings.Load()
+	// The components keep running after ctx ends, until the shutdown is complete.
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	opened, err := openListeners(ctx, current)
+	sockets, err := openListeners(ctx, nodeSettings)
 	if err != nil {
 		stop()
-		_ = d.core.Run(work) // closes the state
+		_ = d.core.Run(workCtx) // returns once it has closed the state on disk
 		return err
 	}
-	started := &components{errs: make(chan error, maxComponents)}
-	d.startComponents(work, opened, started, reload)
-	logevent.Started.Log("node", current.Name, "zone", current.Zone, "disk", current.HasDisk(), "first", current.FirstStart)
+	group := &componentGroup{errs: make(chan error, maxComponents)}
+	d.startComponents(workCtx, sockets, group, reload)
+	logevent.Started.Log("node", nodeSettings.Name, "zone", nodeSettings.Zone,
+		"disk", nodeSettings.HasDisk(), "first", nodeSettings.FirstStart)
 	select {
-	case err = <-started.errs:
+	case err = <-group.errs:
 		logevent.ComponentFailed.Error(err)
 		d.abort(ctx)
 	case <-ctx.Done():
-		d.shutdown(current)
+		d.shutdown(nodeSettings)
 	}
 	stop()
 	d.peerPool.Close()
-	started.running.Wait()
+	group.wg.Wait()
 	return err
 }
 
-// startComponents starts all components of the process; they run until ctx ends.
-func (d *Daemon) startComponents(ctx context.Context, opened *listeners, started *components, reload <-chan struct{}) {
-	if opened.readiness != nil {
-		started.start("readiness", func() error { return d.serveReadiness(ctx, opened.readiness) })
+// startComponents starts all components of the process. The gateway accepts clients until its Shutdown
+// is called; all other components run until ctx ends.
+func (d *Daemon) startComponents(
+	ctx context.Context, sockets *listeners, group *componentGroup, reload <-chan struct{},
+) {
+	if sockets.readiness != nil {
+		group.start("readiness", func() error { return d.serveReadiness(ctx, sockets.readiness) })
 	}
 	handlers := rpc.NewMux()
 	d.core.RegisterHandlers(handlers)
@@ -80,36 +87,36 @@
 		d.quotaBroker.RegisterHandlers(handlers)
 		d.quotaClient.RegisterHandlers(handlers)
 	}
-	started.start("peers", func() error { return rpc.Serve(ctx, opened.peers, handlers) })
+	group.start("peers", func() error { return rpc.Serve(ctx, sockets.peers, handlers) })
 	if d.quotaBroker != nil {
-		started.start("quotas", func() error { return d.quotaBroker.Run(ctx) })
+		group.start("quotas", func() error { return d.quotaBroker.Run(ctx) })
 	}
-	started.start("core", func() error { return d.core.Run(ctx) })
-	started.start("relay", func() error { return d.relay.Run(ctx) })
-	started.start("gateway", func() error { return d.gateway.Run(ctx) })
-	started.start("newest configuration", func() error { assembly.LoadNewestConfig(ctx, d.core, d.relay); return nil })
-	started.start("settings", func() error { d.watchSettings(ctx, reload); return nil })
-	if opened.control != nil {
-		started.start("control", func() error { return d.controlServer.Serve(ctx, opened.control) })
+	group.start("core", func() error { return d.core.Run(ctx) })
+	group.start("relay", func() error { return d.relay.Run(ctx) })
+	group.start("gateway", func() error { return d.gateway.Run(ctx) })
+	group.start("newest configuration", func() error { assembly.LoadNewestConfig(ctx, d.core, d.relay); return nil })
+	group.start("settings", func() error { d.watchSettings(ctx, reload); return nil })
+	if sockets.control != nil {
+		group.start("control", func() error { return d.controlServer.Serve(ctx, sockets.control) })
 	}
-	if opened.front != nil {
-		started.start("front", func() error { return d.gateway.Serve(opened.front) })
+	if sockets.front != nil {
+		group.start("front", func() error { return d.gateway.Serve(sockets.front) })
 	}
 }
 
-// abort breaks off all requests: a component has failed.
+// abort stops the gateway and cancels all requests in flight. It is called when a component has failed.
 func (d *Daemon) abort(ctx context.Context) {
-	canceled, cancel := context.WithCancel(ctx)
+	canceledCtx, cancel := context.WithCancel(ctx)
 	cancel()
-	d.gateway.Shutdown(canceled, 0)
+	d.gateway.Shutdown(canceledCtx, 0)
 }
 
-// shutdown drains this process: it completes the requests in flight within the grace period, hands
-// over its place in the core, and announces its departure.
-func (d *Daemon) shutdown(current *settings.Settings) {
+// shutdown drains this process: it waits for the requests in flight, hands over its place in the core,
+// and announces its departure to other agents. Requests that outlast the grace period are canceled.
+func (d *Daemon) shutdown(nodeSettings *settings.Settings) {
 	d.draining.Store(true)
-	logevent.ShutdownStarted.Log("node", current.Name)
-	deadline := time.Now().Add(current.Grace() - departureReserve)
+	logevent.ShutdownStarted.Log("node", nodeSettings.Name)
+	deadline := time.Now().Add(nodeSettings.Grace() - departureReserve)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	d.relay.AnnounceDraining()
@@ -118,8 +125,8 @@
 	handover.Go(func() { d.core.Handover(ctx) })
 	d.gateway.Shutdown(ctx, acceptLinger)
 	handover.Wait()
-	departure, cancelDeparture := context.WithTimeout(context.Background(), departureReserve/2)
-	defer cancelDeparture()
-	d.relay.Depart(departure)
-	logevent.ShutdownCompleted.Log("node", current.Name)
+	departCtx, cancelDepart := context.WithTimeout(context.Background(), departureReserve/2)
+	defer cancelDepart()
+	d.relay.Depart(departCtx)
+	logevent.ShutdownCompleted.Log("node", nodeSettings.Name)
 }
--- a/internal/fleet/daemon/tenants.go
+++ b/internal/fleet/daemon/tenants.go
@@ -9,33 +9,34 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// confirmsConfig returns whether this process has to know how fresh its configuration is.
-func confirmsConfig(current *settings.Settings) bool {
-	return current.HasContract(settings.ContractTenants) || current.HasContract(settings.ContractQuota)
+// confirmsConfig reports whether this process has to know how fresh its configuration is: the contracts
+// on tenants and on quotas require it.
+func confirmsConfig(nodeSettings *settings.Settings) bool {
+	return nodeSettings.HasContract(settings.ContractTenants) || nodeSettings.HasContract(settings.ContractQuota)
 }
 
-// savedQuotasName is the name of the record of the quotas.
+// savedQuotasName is the name of the record with the saved state of the quotas.
 const savedQuotasName = "quotas"
 
-// openQuotas assembles what admits requests by the quotas of their tenants, if the contract is active. The
-// core must be open.
-func (d *Daemon) openQuotas(current *settings.Settings) {
-	if !current.HasContract(settings.ContractQuota) {
+// openQuotas creates the broker and the client that admit requests according to the quotas of their
+// tenants, if the contract on quotas is active. d.core must be set.
+func (d *Daemon) openQuotas(nodeSettings *settings.Settings) {
+	if !nodeSettings.HasContract(settings.ContractQuota) {
 		return
 	}
-	bounds := &current.Bounds
+	bounds := &nodeSettings.Bounds
 	options := quota.Options{
 		Bounds: quota.Bounds{
 			Window:    time.Duration(bounds.QuotaWindowS * float64(time.Second)),
 			Overshoot: bounds.QuotaOvershoot,
 			Slack:     bounds.QuotaSlack,
 		},
-		SelfAddr:   peerAddr(current),
+		SelfAddr:   peerAddr(nodeSettings),
 		Core:       assembly.QuotaCore{Member: d.core, Relay: func() *relay.Node { return d.relay }},
 		Pool:       d.peerPool,
-		FirstStart: current.FirstStart,
+		FirstStart: nodeSettings.FirstStart,
 	}
-	if current.HasDisk() {
+	if nodeSettings.HasDisk() {
 		options.SaveRecord = func(record []byte) error { return d.core.SaveRecord(savedQuotasName, record) }
 		options.SavedRecord, _ = d.core.LoadRecord(savedQuotasName)
 	}
@@ -44,7 +45,7 @@
 	d.gateway.Quota = d.quotaClient
 }
 
-// quotaReport is this process's part in the quotas.
+// quotaReport returns the state of this process's quota broker. It is empty if there is none.
 func (d *Daemon) quotaReport() quota.Report {
 	if d.quotaBroker == nil {
 		return quota.Report{}
