--- a/cmd/edgectl/config.go
+++ b/cmd/edgectl/config.go
@@ -16,7 +16,7 @@
 
 type putCommand struct {
 	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `name:"if-match" help:"The revision that it was made for, 0 for the first; without it the current one is read." placeholder:"N"`
+	IfMatch *int64 `name:"if-match" help:"The revision that the configuration replaces, 0 for the first one; by default the current revision is read." placeholder:"N"`
 }
 
 // Run submits a complete configuration.
@@ -24,18 +24,20 @@
 
 type patchCommand struct {
 	File    string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
-	IfMatch *int64 `name:"if-match" help:"The revision that it was made for; without it the current one is read." placeholder:"N"`
+	IfMatch *int64 `name:"if-match" help:"The revision that the change was made for; by default the current revision is read." placeholder:"N"`
 }
 
 // Run submits a change of named items.
 func (c *patchCommand) Run(s *session) error { return s.submit(true, c.File, c.IfMatch) }
 
-// submitOutput is the form of a committed submission with --json.
+// submitOutput is the output for a committed submission with --json.
 type submitOutput struct {
 	On       int64 `json:"on"`
 	Revision int64 `json:"revision"`
 }
 
+// submit submits a configuration or, with patch, a change of named items. If ifMatch is nil, the change is made
+// for the current revision.
 func (s *session) submit(patch bool, file string, ifMatch *int64) error {
 	body, err := s.readDocument(file)
 	if err != nil {
@@ -45,21 +47,22 @@
 	if err != nil {
 		return err
 	}
-	var base int64
+	var baseRevision int64
 	if ifMatch != nil {
-		base = *ifMatch
+		baseRevision = *ifMatch
 	} else {
-		_, base, err = client.Config(s.ctx)
-		first := !patch && apierror.KindOf(err) == apierror.NotFound
-		if err != nil && !first {
+		_, baseRevision, err = client.Config(s.ctx)
+		isFirst := !patch && apierror.KindOf(err) == apierror.NotFound
+		if err != nil && !isFirst {
 			return err
 		}
 	}
-	revision, err := client.Submit(s.ctx, patch, base, body)
+	revision, err := client.Submit(s.ctx, patch, baseRevision, body)
 	if err != nil {
 		return err
 	}
-	return s.printResult(submitOutput{On: base, Revision: revision}, "revision %d is taken, on top of %d", revision, base)
+	return s.printResult(submitOutput{On: baseRevision, Revision: revision},
+		"revision %d is taken, on top of %d", revision, baseRevision)
 }
 
 type getCommand struct{}
@@ -74,6 +77,7 @@
 	return err
 }
 
+// currentConfig returns the newest configuration of the fleet, as it was submitted.
 func (s *session) currentConfig() ([]byte, error) {
 	client, err := s.client()
 	if err != nil {
@@ -86,17 +90,17 @@
 type checkCommand struct {
 	File  string `name:"file" arg:"" help:"JSON, or TOML where the name ends in .toml; - reads JSON from standard input."`
 	Patch bool   `name:"patch" help:"The file is a change of named items."`
-	On    string `name:"on" help:"File with the configuration that it changes; without it a change is validated on the agents' current one." placeholder:"FILE"`
+	On    string `name:"on" help:"File with the current configuration to validate against; by default a change is validated against the agents' current configuration." placeholder:"FILE"`
 }
 
-// checkOutput is the form of a valid configuration with --json.
+// checkOutput is the output for a valid configuration with --json.
 type checkOutput struct {
 	Revision int64 `json:"revision"`
 	Routes   int   `json:"routes"`
 	Services int   `json:"services"`
 }
 
-// Run reports that a file is valid, or the first thing that is wrong.
+// Run validates a file. It prints a summary if the file is valid, and returns the first error otherwise.
 func (c *checkCommand) Run(s *session) error {
 	body, err := s.readDocument(c.File)
 	if err != nil {
@@ -115,10 +119,12 @@
 		return err
 	}
 	output := checkOutput{Revision: revision, Routes: len(document.Routes), Services: len(document.Services)}
-	return s.printResult(output, "%s is sound: revision %d, routes: %d, services: %d", c.File, output.Revision, output.Routes, output.Services)
+	return s.printResult(output, "%s is sound: revision %d, routes: %d, services: %d",
+		c.File, output.Revision, output.Routes, output.Services)
 }
 
-// currentConfig returns the configuration that the file changes, nil if it is a complete one.
+// currentConfig returns the configuration to validate the file against: the one in the file of --on, or the
+// fleet's newest configuration for a change. It is nil for a complete configuration without --on.
 func (c *checkCommand) currentConfig(s *session) ([]byte, error) {
 	switch {
 	case c.On != "":
@@ -129,23 +135,25 @@
 	return nil, nil
 }
 
-// readDocument reads an operator's file, or standard input for "-", as JSON. JSON keeps its bytes.
+// readDocument reads an operator's file, or standard input if name is "-", and returns it as JSON. TOML is
+// converted, JSON is returned byte for byte.
 func (s *session) readDocument(name string) ([]byte, error) {
 	raw, err := s.readInput(name)
 	if err != nil || !strings.HasSuffix(name, ".toml") {
 		return raw, err
 	}
-	k := koanf.New("\x00") // a delimiter that no key has: names may have dots
+	k := koanf.New("\x00") // a delimiter that no key contains: names may contain dots
 	if err := k.Load(rawbytes.Provider(raw), toml.Parser()); err != nil {
 		return nil, apierror.Wrap(err, apierror.Invalid, name, "write it as TOML")
 	}
 	if raw, err = json.Marshal(k.Raw()); err != nil {
-		return nil, apierror.Wrap(err, apierror.Invalid, name, "use what JSON has too")
+		return nil, apierror.Wrap(err, apierror.Invalid, name, "use only values that JSON can represent")
 	}
 	return raw, nil
 }
 
-// readInput reads one byte more than a configuration may have, at most.
+// readInput reads a file, or standard input if name is "-". It reads at most one byte more than the maximum size
+// of a configuration, so that larger input is still rejected as too large.
 func (s *session) readInput(name string) ([]byte, error) {
 	input := s.stdin
 	if name != "-" {
--- a/cmd/edgectl/inspect.go
+++ b/cmd/edgectl/inspect.go
@@ -15,8 +15,8 @@
 	Each bool `name:"each" help:"Call each agent, and print the answer of each."`
 }
 
-// Run prints the resource that the command's name names: the answer of the first agent that gives one,
-// or that of each agent.
+// Run prints the resource with the name of the command: as the first agent to answer returns it or, with
+// --each, as each agent returns it.
 func (c *inspectCommand) Run(s *session, command *kong.Context) error {
 	addresses, err := s.agentAddresses()
 	if err != nil {
@@ -33,23 +33,24 @@
 	return s.printAnswer(answer)
 }
 
-// inspectEach prints the answers of all agents, also where some fail, and returns the last failure.
+// inspectEach prints the answers of all agents. For an agent that fails it prints the error, and it returns
+// the last such error.
 func (s *session) inspectEach(addresses []string, resource string) error {
-	var failure error
+	var lastErr error
 	for _, address := range addresses {
 		answer, err := controlapi.NewClient([]string{address}).Inspect(s.ctx, resource)
 		if err != nil {
-			failure = err
-			answer, _ = json.Marshal(map[string]string{"error": err.Error()}) // can always be encoded
+			lastErr = err
+			answer, _ = json.Marshal(map[string]string{"error": err.Error()}) // encoding a map of strings never fails
 		}
 		if err := s.printAnswerOf(address, resource, answer); err != nil {
 			return err
 		}
 	}
-	return failure
+	return lastErr
 }
 
-// printAnswerOf prints the answer of one of several agents; with --json on one line.
+// printAnswerOf prints the answer of one of several agents with its address. With --json it prints one line.
 func (s *session) printAnswerOf(address, resource string, answer []byte) error {
 	if s.JSON {
 		return json.NewEncoder(s.stdout).Encode(map[string]any{"agent": address, resource: json.RawMessage(answer)})
@@ -60,7 +61,7 @@
 	return s.printAnswer(answer)
 }
 
-// printAnswer prints an agent's answer, as it is with --json, or else as tables.
+// printAnswer prints an agent's answer: unchanged with --json, otherwise as tables.
 func (s *session) printAnswer(answer []byte) error {
 	if s.JSON {
 		_, err := s.stdout.Write(append(bytes.TrimSpace(answer), '\n'))
--- a/cmd/edgectl/main.go
+++ b/cmd/edgectl/main.go
@@ -20,14 +20,14 @@
 const (
 	exitOK          = 0
 	exitUsage       = 1 // wrong usage, or a file can't be read
-	exitInvalid     = 2 // the configuration is rejected as it is
-	exitConflict    = 3 // the current revision is another one
+	exitInvalid     = 2 // the configuration is rejected as invalid or too large
+	exitConflict    = 3 // the current revision is not the one that the change was made for
 	exitUnavailable = 4 // no agent gave a final answer in time
-	exitCorrupted   = 5 // the state on disk is not what was written
-	exitNotFound    = 6 // the thing does not exist, or there is no configuration yet
+	exitCorrupted   = 5 // the state on disk is corrupted
+	exitNotFound    = 6 // the requested item does not exist, or there is no configuration yet
 )
 
-// exitStatus returns the exit status of a command's error.
+// exitStatus returns the exit status of a command that returned err.
 func exitStatus(err error) int {
 	if err == nil {
 		return exitOK
@@ -51,7 +51,7 @@
 // run executes one command line and returns the exit status.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	var grammar cli
-	exitCode := -1 // set where the parser wants to exit: after help was printed
+	exitCode := -1 // set by the parser if the program should exit, which is so after it has printed help
 	parser, err := kong.New(&grammar, kong.Name("edgectl"), kong.Description(description), kong.Writers(stdout, stderr),
 		kong.Exit(func(code int) { exitCode = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -75,12 +75,13 @@
 	return exitStatus(err)
 }
 
-// errorOutput is the form of an error with --json.
+// errorOutput is the output for an error with --json.
 type errorOutput struct {
 	Error string `json:"error"`
 	Kind  string `json:"kind"`
 }
 
+// printError prints the error of a command to stderr, as JSON if asJSON is set.
 func printError(stderr io.Writer, err error, asJSON bool) {
 	if !asJSON {
 		fmt.Fprintln(stderr, "edgectl:", printable(err.Error()))
--- a/cmd/edgectl/main_test.go
+++ b/cmd/edgectl/main_test.go
@@ -29,55 +29,65 @@
 	mu                sync.Mutex
 	document          *config.Document
 	revision          int64
-	unansweredSubmits int // submissions that are committed without an answer
-	lastBody          []byte
+	unansweredSubmits int    // number of next submissions that are committed but not answered
+	lastBody          []byte // of the last committed submission
 }
 
-func (r *fakeAgent) Heartbeat(context.Context, *controlapi.Heartbeat) (controlapi.HeartbeatResponse, error) {
+func (a *fakeAgent) Heartbeat(context.Context, *controlapi.Heartbeat) (controlapi.HeartbeatResponse, error) {
 	return controlapi.HeartbeatResponse{}, nil
 }
-func (r *fakeAgent) Deregister(context.Context, string, uint64) error { return nil }
+func (a *fakeAgent) Deregister(context.Context, string, uint64) error { return nil }
 
-func (r *fakeAgent) Submit(_ context.Context, patch bool, ifMatch int64, body []byte) controlapi.SubmitResult {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if bytes.Equal(body, r.lastBody) {
-		return controlapi.SubmitResult{Outcome: controlapi.OutcomeCommitted, Revision: r.revision}
+func (a *fakeAgent) Submit(_ context.Context, patch bool, ifMatch int64, body []byte) controlapi.SubmitResult {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if bytes.Equal(body, a.lastBody) {
+		return controlapi.SubmitResult{Outcome: controlapi.OutcomeCommitted, Revision: a.revision}
 	}
-	if ifMatch != r.revision {
-		return controlapi.SubmitResult{Outcome: controlapi.OutcomeConflict, Reason: fmt.Sprint("version ", r.revision, " is current")}
+	if ifMatch != a.revision {
+		return controlapi.SubmitResult{
+			Outcome: controlapi.OutcomeConflict,
+			Reason:  fmt.Sprint("version ", a.revision, " is current"),
+		}
 	}
-	next, err := r.document.Apply(patch, body)
+	next, err := a.document.Apply(patch, body)
 	if err != nil {
 		return controlapi.SubmitResult{Outcome: controlapi.OutcomeInvalid, Reason: err.Error()}
 	}
-	r.document, r.revision, r.lastBody = next, next.Revision, body
-	if r.unansweredSubmits > 0 {
-		r.unansweredSubmits--
+	a.document, a.revision, a.lastBody = next, next.Revision, body
+	if a.unansweredSubmits > 0 {
+		a.unansweredSubmits--
 		return controlapi.SubmitResult{Reason: "no answer from the tail"}
 	}
 	return controlapi.SubmitResult{Outcome: controlapi.OutcomeCommitted, Revision: next.Revision}
 }
 
-func (r *fakeAgent) Config(context.Context) ([]byte, bool, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.document == nil {
+func (a *fakeAgent) Config(context.Context) ([]byte, bool, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.document == nil {
 		return nil, false, nil
 	}
-	return r.document.Raw(), true, nil
+	return a.document.Raw(), true, nil
 }
 
-func (r *fakeAgent) Inspect(_ context.Context, what string) (any, error) {
-	switch what {
+func (a *fakeAgent) Inspect(_ context.Context, resource string) (any, error) {
+	switch resource {
 	case "members":
-		return []map[string]any{{"name": "edge-1", "age-ms": 12}, {"name": "edge\t2\x1b", "age-ms": 3.5, "zones": []string{"a", "b"}}}, nil
+		return []map[string]any{
+			{"name": "edge-1", "age-ms": 12},
+			{"name": "edge\t2\x1b", "age-ms": 3.5, "zones": []string{"a", "b"}},
+		}, nil
 	case "view":
-		return map[string]any{"number": 3, "chain": []string{"a", "b"}, "voters": []map[string]any{{"disk": "d1"}}, "why": nil, "at": map[string]any{"age-ms": 4}}, nil
+		return map[string]any{
+			"number": 3, "chain": []string{"a", "b"}, "voters": []map[string]any{{"disk": "d1"}},
+			"why": nil, "at": map[string]any{"age-ms": 4},
+		}, nil
 	}
-	return nil, apierror.New(apierror.Unavailable, "", "", "no %s", what)
+	return nil, apierror.New(apierror.Unavailable, "", "", "no %s", resource)
 }
 
+// startAgent serves backend on a loopback port until the test ends, and returns its address.
 func startAgent(t *testing.T, backend controlapi.Backend) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,6 +102,7 @@
 	return listener.Addr().String()
 }
 
+// unreachableAddress returns an address at which nothing listens.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,6 +111,7 @@
 	return listener.Addr().String()
 }
 
+// runCommand runs one command line of edgectl and returns its exit status, standard output and standard error.
 func runCommand(t *testing.T, stdin string, args ...string) (status int, out, errs string) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -135,13 +147,15 @@
 	t.Setenv("CHALKDOOR_AGENTS", address)
 	status, _, errs := runCommand(t, "", "config", "get")
 	assert.Equal(t, exitNotFound, status, errs)
-	status, out, errs := runCommand(t, "", "--agent", unreachableAddress(t), "--agent", address, "config", "put", writeFile(t, "c.json", exampleJSON), "--if-match", "0")
+	status, out, errs := runCommand(t, "", "--agent", unreachableAddress(t), "--agent", address,
+		"config", "put", writeFile(t, "c.json", exampleJSON), "--if-match", "0")
 	require.Equal(t, exitOK, status, errs)
 	assert.Equal(t, "revision 3 is taken, on top of 0\n", out)
 	status, out, _ = runCommand(t, "", "config", "get")
 	assert.Equal(t, exitOK, status)
 	assert.Equal(t, exampleJSON+"\n", out)
-	status, out, _ = runCommand(t, `{"revision":4,"upsert":{"services":[{"name":"s2"}]}}`, "--json", "config", "patch", "-")
+	status, out, _ = runCommand(t, `{"revision":4,"upsert":{"services":[{"name":"s2"}]}}`,
+		"--json", "config", "patch", "-")
 	assert.Equal(t, exitOK, status)
 	assert.JSONEq(t, `{"revision":4,"on":3}`, out)
 
@@ -156,7 +170,8 @@
 
 func TestPutConvertsTOML(t *testing.T) {
 	agent := &fakeAgent{}
-	status, _, errs := runCommand(t, "", "--agent", startAgent(t, agent), "config", "put", writeFile(t, "c.toml", exampleTOML))
+	status, _, errs := runCommand(t, "", "--agent", startAgent(t, agent),
+		"config", "put", writeFile(t, "c.toml", exampleTOML))
 	require.Equal(t, exitOK, status, errs)
 	assert.JSONEq(t, `{"revision":3,"routes":[{"name":"r","hostname":"h.example","path-prefix":"/","timeout-ms":5,"gap_aim_ms":300,"target-service":"s"}],"services":[{"name":"s"}],"x.y":{"a.b":1.5}}`, string(agent.document.Raw()))
 	status, _, _ = runCommand(t, "", "config", "check", writeFile(t, "c.toml", "revision = ["))
@@ -168,14 +183,16 @@
 func TestUnansweredSubmitIsRetried(t *testing.T) {
 	agent := &fakeAgent{unansweredSubmits: 1}
 	address := startAgent(t, agent)
-	status, out, errs := runCommand(t, "", "--agent", address, "--agent", address, "config", "put", writeFile(t, "c.json", exampleJSON))
+	status, out, errs := runCommand(t, "", "--agent", address, "--agent", address,
+		"config", "put", writeFile(t, "c.json", exampleJSON))
 	require.Equal(t, exitOK, status, errs)
 	assert.Equal(t, "revision 3 is taken, on top of 0\n", out)
 }
 
 func TestUnreachableAgents(t *testing.T) {
 	for _, args := range [][]string{{"config", "get"}, {"config", "put", "-"}, {"members"}, {"view", "--each"}} {
-		status, _, errs := runCommand(t, exampleJSON, append([]string{"--agent", unreachableAddress(t), "--timeout", "20ms"}, args...)...)
+		status, _, errs := runCommand(t, exampleJSON,
+			append([]string{"--agent", unreachableAddress(t), "--timeout", "20ms"}, args...)...)
 		assert.Equal(t, exitUnavailable, status, args)
 		assert.Contains(t, errs, "edgectl: ")
 	}
@@ -189,7 +206,8 @@
 	status, out, _ = runCommand(t, exampleJSON, "--json", "config", "check", "-")
 	assert.Equal(t, exitOK, status)
 	assert.JSONEq(t, `{"revision":3,"routes":1,"services":1}`, out)
-	status, _, errs := runCommand(t, strings.Replace(exampleJSON, `"timeout-ms":5`, `"timeout-ms":0`, 1), "config", "check", "-")
+	status, _, errs := runCommand(t, strings.Replace(exampleJSON, `"timeout-ms":5`, `"timeout-ms":0`, 1),
+		"config", "check", "-")
 	assert.Equal(t, exitInvalid, status)
 	assert.Equal(t, "edgectl: -.routes.r.timeout-ms: it is 0; give more than 0\n", errs)
 	status, _, errs = runCommand(t, exampleJSON, "config", "check", "-", "--on", path)
@@ -217,7 +235,8 @@
 	assert.Equal(t, exitOK, status)
 	assert.JSONEq(t, `{"number":3,"chain":["a","b"],"voters":[{"disk":"d1"}],"why":null,"at":{"age-ms":4}}`, out)
 
-	status, out, _ = runCommand(t, "", "--agent", address, "--agent", unreachableAddress(t), "--timeout", "100ms", "--json", "view", "--each")
+	status, out, _ = runCommand(t, "", "--agent", address, "--agent", unreachableAddress(t),
+		"--timeout", "100ms", "--json", "view", "--each")
 	assert.Equal(t, exitUnavailable, status)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	require.Len(t, lines, 2)
@@ -247,7 +266,10 @@
 
 func TestUsageErrors(t *testing.T) {
 	t.Setenv("CHALKDOOR_NODE_FILE", writeFile(t, "none.toml", "x"))
-	for _, args := range [][]string{{}, {"config"}, {"config", "put"}, {"config", "put", "/none"}, {"--timeout", "x", "view"}, {"secrets"}, {"view"}} {
+	for _, args := range [][]string{
+		{}, {"config"}, {"config", "put"}, {"config", "put", "/none"},
+		{"--timeout", "x", "view"}, {"secrets"}, {"view"},
+	} {
 		status, _, errs := runCommand(t, "", args...)
 		assert.Equal(t, exitUsage, status, args)
 		assert.NotEmpty(t, errs)
--- a/cmd/edgectl/orderedjson.go
+++ b/cmd/edgectl/orderedjson.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// orderedObject is a JSON object whose fields are in the order of the text.
+// orderedObject is a JSON object whose fields keep the order of the decoded text.
 type orderedObject []field
 
 type field struct {
@@ -21,6 +21,7 @@
 	return decodeValue(decoder)
 }
 
+// decodeValue decodes the next value of a decoder.
 func decodeValue(decoder *json.Decoder) (any, error) {
 	token, err := decoder.Token()
 	if err != nil {
@@ -35,7 +36,7 @@
 	return token, nil
 }
 
-// decodeArray decodes what follows the opening bracket.
+// decodeArray decodes the rest of an array after its opening bracket.
 func decodeArray(decoder *json.Decoder) (any, error) {
 	list := []any{}
 	for decoder.More() {
@@ -49,7 +50,7 @@
 	return list, err
 }
 
-// decodeObject decodes what follows the opening brace.
+// decodeObject decodes the rest of an object after its opening brace.
 func decodeObject(decoder *json.Decoder) (any, error) {
 	object := orderedObject{}
 	for decoder.More() {
--- a/cmd/edgectl/render.go
+++ b/cmd/edgectl/render.go
@@ -17,7 +17,7 @@
 	return tabwriter.NewWriter(writer, 0, 0, columnPadding, ' ', 0)
 }
 
-// render prints an object as lines of key and value, and a list of objects as a table.
+// render prints an object as lines of key and value, a list as a table, and any other value on one line.
 func render(writer io.Writer, value any, indent string) error {
 	switch value := value.(type) {
 	case orderedObject:
@@ -30,7 +30,7 @@
 	}
 }
 
-// renderObject prints fields that fit a line first, then the others below their keys.
+// renderObject prints the fields that fit on one line first, then the nested ones, each below its key.
 func renderObject(writer io.Writer, object orderedObject, indent string) error {
 	table := newTable(writer)
 	for _, field := range object {
@@ -53,15 +53,16 @@
 	return nil
 }
 
+// renderList prints a list as a table with a column for each key of its objects.
 func renderList(writer io.Writer, list []any, indent string) error {
 	table := newTable(writer)
 	columns := columnsOf(list)
 	if len(columns) > 0 {
-		head := make([]string, len(columns))
+		header := make([]string, len(columns))
 		for i, key := range columns {
-			head[i] = printable(key)
+			header[i] = printable(key)
 		}
-		fmt.Fprintf(table, "%s%s\n", indent, strings.Join(head, "\t"))
+		fmt.Fprintf(table, "%s%s\n", indent, strings.Join(header, "\t"))
 	}
 	for _, element := range list {
 		object, ok := element.(orderedObject)
@@ -78,7 +79,7 @@
 	return table.Flush()
 }
 
-// columnsOf returns the keys of all objects of a list, in the order of their first occurrence.
+// columnsOf returns the keys of all objects in a list, in the order of their first occurrence.
 func columnsOf(list []any) []string {
 	var columns []string
 	for _, element := range list {
@@ -92,7 +93,8 @@
 	return columns
 }
 
-// isNested returns whether a value needs lines of its own.
+// isNested reports whether a value does not fit on the line of its key: a non-empty object, or a list that
+// contains an object.
 func isNested(value any) bool {
 	switch value := value.(type) {
 	case orderedObject:
@@ -109,23 +111,23 @@
 	case nil:
 		return "-"
 	case orderedObject:
-		parts := make([]string, len(value))
+		pairs := make([]string, len(value))
 		for i, field := range value {
-			parts[i] = printable(field.key) + "=" + formatCell(field.value)
+			pairs[i] = printable(field.key) + "=" + formatCell(field.value)
 		}
-		return strings.Join(parts, " ")
+		return strings.Join(pairs, " ")
 	case []any:
-		parts := make([]string, len(value))
+		elements := make([]string, len(value))
 		for i, element := range value {
-			parts[i] = formatCell(element)
+			elements[i] = formatCell(element)
 		}
-		return strings.Join(parts, ",")
+		return strings.Join(elements, ",")
 	}
 	return printable(fmt.Sprint(value))
 }
 
-// printable replaces control characters, so that what agents answer controls neither the terminal nor
-// the layout of a table.
+// printable replaces control characters, so that an agent's answer can change neither the state of the
+// terminal nor the layout of a table.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r >= 0x7f && r < 0xa0 {
--- a/cmd/edgectl/session.go
+++ b/cmd/edgectl/session.go
@@ -12,16 +12,16 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/settings"
 )
 
-// session is what a command runs with. ctx ends with --timeout.
+// session holds the flags, context and streams of one command.
 type session struct {
 	*cli
-	ctx    context.Context
+	ctx    context.Context // expires after --timeout
 	stdin  io.Reader
 	stdout io.Writer
 }
 
-// agentAddresses returns the control addresses to call, at least one: those of --agent, or the
-// machine's own and its seeds.
+// agentAddresses returns the control addresses to call: those given with --agent, otherwise that of the
+// machine itself and those of its seeds. It returns an error if there is none.
 func (s *session) agentAddresses() ([]string, error) {
 	if len(s.Agent) > 0 {
 		return s.Agent, nil
@@ -37,11 +37,13 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return nil, apierror.New(apierror.Internal, "--agent", "name an agent's control address", "the settings file names none")
+		return nil, apierror.New(apierror.Internal, "--agent", "name an agent's control address",
+			"the settings file names none")
 	}
 	return addresses, nil
 }
 
+// client returns a client of the agents at agentAddresses.
 func (s *session) client() (*controlapi.Client, error) {
 	addresses, err := s.agentAddresses()
 	if err != nil {
@@ -50,7 +52,7 @@
 	return controlapi.NewClient(addresses), nil
 }
 
-// printResult prints value as JSON with --json, or else the formatted text.
+// printResult prints value as JSON with --json, otherwise the formatted text.
 func (s *session) printResult(value any, format string, args ...any) error {
 	if s.JSON {
 		return json.NewEncoder(s.stdout).Encode(value)
--- a/cmd/edgectl/state.go
+++ b/cmd/edgectl/state.go
@@ -11,7 +11,8 @@
 	Dir string `name:"dir" arg:"" help:"The state-dir of the agent." type:"existingdir"`
 }
 
-// Run prints what a state file holds, and returns an error of kind Corrupted if it is damaged.
+// Run prints a report on the state in a directory, and returns an error of kind Corrupted if the state is
+// damaged.
 func (c *verifyCommand) Run(s *session) error {
 	report, err := store.Verify(c.Dir)
 	if err != nil {
@@ -25,7 +26,8 @@
 		return err
 	}
 	if report.Damaged {
-		return apierror.New(apierror.Corrupted, c.Dir, "start the agent: it sets the file aside and takes a copy from the others", "%s", report.Reason)
+		return apierror.New(apierror.Corrupted, c.Dir,
+			"start the agent: it sets the file aside and copies the state from the other members", "%s", report.Reason)
 	}
 	return nil
 }
--- a/cmd/edgectl/version.go
+++ b/cmd/edgectl/version.go
@@ -7,10 +7,10 @@
 
 type versionCommand struct{}
 
-// versionOutput is the form of the version with --json.
+// versionOutput is the output for the version with --json.
 type versionOutput struct {
 	Version  string `json:"version"`
-	Revision string `json:"revision,omitempty"` // of version control
+	Revision string `json:"revision,omitempty"` // of version control; empty if unknown
 	Go       string `json:"go"`
 }
 
--- a/cmd/edged/main.go
+++ b/cmd/edged/main.go
@@ -25,11 +25,11 @@
 // exitFailed is the exit status of a command that failed.
 const exitFailed = 1
 
-// cli is the command line.
+// cli defines the flags and commands of edged.
 type cli struct {
-	Verbosity int `short:"v" name:"verbosity" default:"0" help:"Log more: 1 events of control, 2 of single requests."`
+	Verbosity int `short:"v" name:"verbosity" default:"0" help:"Verbosity of the log: 1 adds control events, 2 also adds events of single requests."`
 
-	Run     runCommand     `name:"run" cmd:"" default:"1" help:"Serve, by the settings file that $CHALKDOOR_NODE_FILE names."`
+	Run     runCommand     `name:"run" cmd:"" default:"1" help:"Serve with the settings file that $CHALKDOOR_NODE_FILE names."`
 	Check   checkCommand   `name:"check" cmd:"" help:"Validate a settings file."`
 	Events  eventsCommand  `name:"events" cmd:"" help:"Print the catalogue of logged events."`
 	Version versionCommand `name:"version" cmd:"" help:"Print the version."`
@@ -41,7 +41,7 @@
 func (runCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not terminate the process
 	reload := reloadRequests()
 	d, err := daemon.New(settings.Path())
 	if err != nil {
@@ -50,11 +50,11 @@
 	return d.Run(ctx, reload)
 }
 
-// reloadRequests returns a channel that receives after each SIGHUP, also those that came before the
-// call; signals that arrive before the last one was received are merged.
+// reloadRequests returns a channel that receives a value after each SIGHUP, including one that arrived
+// before the call. Signals that arrive while a value is pending are merged with it.
 func reloadRequests() <-chan struct{} {
 	requests := make(chan struct{}, 1)
-	go func() { // for the lifetime of the process
+	go func() { // runs until the process exits
 		for range reloadsignal.Requests() {
 			select {
 			case requests <- struct{}{}:
@@ -69,7 +69,7 @@
 	File string `name:"file" arg:"" help:"The settings file."`
 }
 
-// Run reports that a settings file is valid, or what is wrong.
+// Run validates a settings file. It prints a summary of a valid file, and returns an error otherwise.
 func (c checkCommand) Run() error {
 	loaded, err := settings.Load(c.File)
 	if err != nil {
@@ -81,7 +81,7 @@
 
 type eventsCommand struct{}
 
-// Run prints docs/EVENTS.md.
+// Run prints the text of docs/EVENTS.md.
 func (eventsCommand) Run() error {
 	fmt.Print(logevent.Page())
 	return nil
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// configureLogging directs the log to standard error, at a verbosity.
+// configureLogging makes klog write to standard error with the given verbosity.
 func configureLogging(verbosity int) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
@@ -110,7 +110,8 @@
 
 func main() {
 	var grammar cli
-	command := kong.Parse(&grammar, kong.Name("edged"), kong.Description("One process of the router fleet."), kong.UsageOnError())
+	command := kong.Parse(&grammar, kong.Name("edged"), kong.Description("One process of the router fleet."),
+		kong.UsageOnError())
 	configureLogging(grammar.Verbosity)
 	defer klog.Flush()
 	if err := command.Run(); err != nil {
--- a/internal/fleet/apierror/apierror.go
+++ b/internal/fleet/apierror/apierror.go
@@ -1,5 +1,5 @@
-// Package apierror gives errors a kind that programs act on, and a message that operators act on: the
-// key that is wrong, what is wrong with it, and the remedy.
+// Package apierror defines errors with a kind that programs act on, and a message that operators act on:
+// the key that is wrong, what is wrong with it, and the remedy.
 package apierror
 
 import (
@@ -11,20 +11,21 @@
 // Kind classifies an error by what its caller can do.
 type Kind uint8
 
-// The kinds. Internal is also the kind of errors that have none.
+// The kinds. Internal is also the kind of an error without an *Error.
 const (
 	Internal       Kind = iota
 	Invalid             // the input is wrong, and stays wrong until it is changed
-	Conflict            // the input was right for a state that has changed: read again, then decide
-	NotFound            // the thing does not exist
-	TooLarge            // the input exceeds a bound
+	Conflict            // the state has changed since the input was made: read it again, then decide
+	NotFound            // the requested item does not exist
+	TooLarge            // the input exceeds a limit
 	Unavailable         // the call was not carried out: retry, or call another agent
 	OutcomeUnknown      // the call may have been carried out: retry without any change
-	Corrupted           // the disk holds something else than what was written
+	Corrupted           // the data on disk differ from what was written
 )
 
-// kindNames are part of the output of edgectl.
-var kindNames = [...]string{"internal", "invalid", "conflict", "not found", "too large", "unavailable", "unclear", "damaged"}
+// kindNames are the names of the kinds in the output of edgectl.
+var kindNames = [...]string{"internal", "invalid", "conflict", "not found", "too large",
+	"unavailable", "unclear", "damaged"}
 
 // String returns the kind's name as edgectl prints it.
 func (k Kind) String() string {
@@ -37,17 +38,17 @@
 // Error is an error with a kind. Its message is "KEY: what is wrong; remedy".
 type Error struct {
 	Kind   Kind
-	Key    string // of the setting, field, file or call; may be empty
-	Remedy string // may be empty
+	Key    string // name of the setting, field, file or call; may be empty
+	Remedy string // what the operator can do; may be empty
 	Cause  error  // what is wrong; never nil
 }
 
-// New returns an *Error whose cause is formatted as by fmt.Errorf.
+// New returns an *Error whose cause is fmt.Errorf(format, args...).
 func New(kind Kind, key, remedy, format string, args ...any) error {
 	return &Error{Kind: kind, Key: key, Remedy: remedy, Cause: fmt.Errorf(format, args...)}
 }
 
-// Wrap returns an *Error with the cause err, nil if err is nil.
+// Wrap returns an *Error with the cause err, or nil if err is nil.
 func Wrap(err error, kind Kind, key, remedy string) error {
 	if err == nil {
 		return nil
@@ -55,8 +56,8 @@
 	return &Error{Kind: kind, Key: key, Remedy: remedy, Cause: err}
 }
 
-// PrefixKey returns err with the key of its *Error inside an outer key, as in "routes.r.timeout-ms".
-// err itself is not modified. An error without an *Error is returned as it is.
+// PrefixKey returns a copy of the *Error in err whose key is prefixed with outer and a dot, as in
+// "routes.r.timeout-ms". err itself is not modified. An error without an *Error is returned unchanged.
 func PrefixKey(err error, outer string) error {
 	var inner *Error
 	if !errors.As(err, &inner) {
@@ -86,7 +87,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// KindOf returns the kind of the outermost *Error in err, Internal if there is none.
+// KindOf returns the kind of the outermost *Error in err, or Internal if there is none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/fleet/logevent/catalogue.go
+++ b/internal/fleet/logevent/catalogue.go
@@ -63,9 +63,10 @@
 	PeerCallFailed        ID = 430
 )
 
-// noAction is the action on events that are part of normal operation.
+// noAction is the Action of events that are part of normal operation.
 const noAction = "none"
 
+// catalogue is the list of all events, sorted by number.
 var catalogue = []Event{
 	{Started, "process started", "the process listens on all of its addresses", noAction, levelAlways},
 	{UnknownContract, "unknown contract ignored", "`active-contracts` names a contract that this version does not know; the process runs as if it were not active", "operator: check that this version suits the deployment", levelAlways},
--- a/internal/fleet/logevent/logevent_test.go
+++ b/internal/fleet/logevent/logevent_test.go
@@ -22,7 +22,8 @@
 func TestPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/EVENTS.md")
 	require.NoError(t, err)
-	require.Equal(t, Page(), string(page), "generate it: go run ./cmd/edged events > docs/EVENTS.md")
+	require.Equal(t, Page(), string(page),
+		"the page is outdated, generate it: go run ./cmd/edged events > docs/EVENTS.md")
 }
 
 func TestCatalogueIsSortedAndComplete(t *testing.T) {
@@ -34,14 +35,16 @@
 	}
 }
 
-// sourceFiles returns the files, but for tests, of the packages that edged links from this module.
+// sourceFiles returns the source files, without tests, of the packages of this module that edged imports,
+// except for logevent itself.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
-	output, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Dir}}{{end}}", "chalkdoor.example/chalkdoor/cmd/edged").Output()
+	output, err := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.Dir}}{{end}}",
+		"chalkdoor.example/chalkdoor/cmd/edged").Output()
 	require.NoError(t, err)
 	root, err := filepath.Abs("../../..")
 	require.NoError(t, err)
-	var all []string
+	var sources []string
 	for dir := range strings.FieldsSeq(string(output)) {
 		if !strings.HasPrefix(dir, root) || strings.HasSuffix(dir, "internal/fleet/logevent") {
 			continue
@@ -49,24 +52,24 @@
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		require.NoError(t, err)
 		files = slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
-		all = append(all, files...)
+		sources = append(sources, files...)
 	}
-	require.NotEmpty(t, all)
-	return all
+	require.NotEmpty(t, sources)
+	return sources
 }
 
-// No package of the daemon logs with klog itself.
+// All packages of the daemon log through logevent, not through klog, so that every line has a number.
 func TestEveryLogLineHasANumber(t *testing.T) {
-	direct := regexp.MustCompile(`klog\.(V|Info|Warning|Error|Fatal)`)
+	klogCall := regexp.MustCompile(`klog\.(V|Info|Warning|Error|Fatal)`)
 	for _, file := range sourceFiles(t) {
 		source, err := os.ReadFile(file)
 		require.NoError(t, err)
-		require.Empty(t, direct.FindAllString(string(source), -1), "%s logs without a number", file)
+		require.Empty(t, klogCall.FindAllString(string(source), -1), "%s logs without an event number", file)
 	}
 }
 
-// TestGoldenAttributeKeys compares the attribute keys of all events with their golden file: alerts are
-// built on them.
+// TestGoldenAttributeKeys compares the attribute keys of all events with the golden file, because alerts
+// match them.
 func TestGoldenAttributeKeys(t *testing.T) {
 	numbers := eventNumbers(t)
 	var lines []string
@@ -84,7 +87,7 @@
 	goldentest.File(t, "attributes.txt", []byte(strings.Join(slices.Compact(lines), "\n")+"\n"))
 }
 
-// eventNumbers returns the numbers of events by the names of their constants.
+// eventNumbers returns the number of each event, keyed by the name of its constant.
 func eventNumbers(t *testing.T) map[string]string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
@@ -102,8 +105,8 @@
 	return numbers
 }
 
-// loggedAttributes returns the event and the keys of a call such as logevent.ViewDecided.Log("view", n),
-// "" for any other node.
+// loggedAttributes returns the event number and the attribute keys of a call such as
+// logevent.ViewDecided.Log("view", n), and "" for any other node.
 func loggedAttributes(node ast.Node, numbers map[string]string) string {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
@@ -124,14 +127,16 @@
 	return fmt.Sprintf("E%s %s", numbers[event.Sel.Name], strings.Join(keys, " "))
 }
 
-func attributeKeys(arguments []ast.Expr, afterError bool) (keys []string, err error) {
-	if afterError {
+// attributeKeys returns the attribute keys in the arguments of a call of Log or Error. hasError tells that the
+// first argument is the error.
+func attributeKeys(arguments []ast.Expr, hasError bool) (keys []string, err error) {
+	if hasError {
 		arguments = arguments[1:]
 	}
 	for i := 0; i < len(arguments); i += 2 {
 		literal, ok := arguments[i].(*ast.BasicLit)
 		if !ok {
-			return nil, fmt.Errorf("attribute %d is no literal", i)
+			return nil, fmt.Errorf("the key in argument %d is not a literal", i)
 		}
 		key, err := strconv.Unquote(literal.Value)
 		if err != nil {
--- a/internal/fleet/reloadsignal/reloadsignal.go
+++ b/internal/fleet/reloadsignal/reloadsignal.go
@@ -1,6 +1,7 @@
-// Package reloadsignal receives SIGHUP, by which the platform has settings read again, from the first
-// moment of a process on: until a process asks for the signal, it ends it. Packages without further
-// imports are initialized before all that import more, so this one imports next to nothing.
+// Package reloadsignal receives SIGHUP, with which the platform requests that the settings be read again.
+// Until a process is registered for SIGHUP, the signal terminates it. The package therefore registers
+// when it is initialized, and has few imports: packages are initialized after those that they import, so
+// that one with few imports is initialized early.
 package reloadsignal
 
 import (
@@ -9,14 +10,15 @@
 	"syscall"
 )
 
-// received holds one signal: those that arrive before it was taken are merged.
+// received buffers one signal. Further signals that arrive before it is read are merged with it.
 var received = notify()
 
+// notify registers for SIGHUP and returns the channel on which the signals arrive.
 func notify() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// Requests returns the channel on which requests to reload arrive, those from before the call included.
+// Requests returns the channel on which requests to reload arrive, including one made before the call.
 func Requests() <-chan os.Signal { return received }
--- a/internal/fleet/reloadsignal/reloadsignal_test.go
+++ b/internal/fleet/reloadsignal/reloadsignal_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The signal neither ends a process that has asked for nothing yet, nor is lost.
+// A signal that arrives before Requests is called is not lost, and does not terminate the process.
 func TestSignalBeforeAnyoneListens(t *testing.T) {
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	select {
