--- a/internal/fleet/assembly/readconfig.go
+++ b/internal/fleet/assembly/readconfig.go
@@ -38,8 +38,8 @@
 	return newest.Body, newest.Seq > 0, err
 }
 
-// localConfig returns the configuration with the sequence number seq from store. It waits for localConfigWait if
-// the configuration has not been replicated yet.
+// localConfig returns the configuration with the sequence number seq from store. It waits up to localConfigWait
+// for the configuration to be replicated.
 func localConfig(ctx context.Context, store ConfigStore, seq uint64) (raw []byte, found bool) {
 	ctx, cancel := context.WithTimeout(ctx, localConfigWait)
 	defer cancel()
--- a/internal/fleet/daemon/recovery.go
+++ b/internal/fleet/daemon/recovery.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// recoveryReport is the time at which each step was reached, in milliseconds since the start of the
+// recoveryReport holds the time at which each step was reached, in milliseconds since the start of the
 // process, or -1 if it was not reached yet. Its keys are in alphabetical order.
 type recoveryReport struct {
 	Config   int64 `json:"config-ms"`
--- a/internal/fleet/daemon/run.go
+++ b/internal/fleet/daemon/run.go
@@ -72,8 +72,8 @@
 	return err
 }
 
-// startComponents starts all components of the process. The gateway accepts clients until its Shutdown
-// is called; all other components run until ctx ends.
+// startComponents starts all components of the process. The gateway accepts clients until Shutdown closes
+// its listener; all other components run until ctx ends.
 func (d *Daemon) startComponents(
 	ctx context.Context, sockets *listeners, group *componentGroup, reload <-chan struct{},
 ) {
