--- a/internal/fleet/rollout/comparison.go
+++ b/internal/fleet/rollout/comparison.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// metric is a respect in which a revision can be worse.
+// metric is a property in which one revision can be worse than the other.
 type metric int
 
 const (
@@ -13,14 +13,14 @@
 	metricRejections
 	metricLateness
 	metricStalls
-	metricLatency // ratio of times to the first token
-	metricLength  // ratio of events of a stream
+	metricLatency // ratio of the times to the first token
+	metricLength  // ratio of the numbers of events of a stream
 	metricCount
 )
 
 var metricNames = [metricCount]string{"fail", "are rejected", "are late", "stall", "slower", "length"}
 
-// String is the metric's name.
+// String returns the metric's name as it is used in reasons.
 func (m metric) String() string {
 	if m >= 0 && m < metricCount {
 		return metricNames[m]
@@ -28,25 +28,25 @@
 	return "unknown"
 }
 
-// isProportion reports whether the metric is a difference of proportions, rather than the logarithm
+// isProportion reports whether the metric is a difference of proportions. Otherwise it is the logarithm
 // of a ratio.
 func (m metric) isProportion() bool { return m < metricLatency }
 
-// minVariance is the least variance of a logarithm that is assumed: strata of a few requests know
-// little of theirs, and a tenth either way is usual.
+// minVariance is the lower bound of the variance that is assumed for a logarithm. The variance of a few
+// requests is a poor estimate, and deviations by a tenth in either direction are usual.
 const minVariance = 0.01
 
-// comparison is what the strata of a cohort came to: for each metric the sums of their weights, of
-// the weighted differences and of their variances.
+// comparison accumulates the strata of a cohort: for each metric the sums of the strata's weights, of
+// their weighted differences and of the variances of these.
 type comparison struct {
-	baseline, canary float64 // requests of the old and the new revision
+	baseline, canary float64 // numbers of requests of the old and the new revision
 	weight           [metricCount]float64
 	difference       [metricCount]float64
 	variance         [metricCount]float64
 }
 
-// fade gives what was compared before less weight.
-func (c *comparison) fade(factor float64) {
+// decay multiplies the weight of what was compared so far by a factor.
+func (c *comparison) decay(factor float64) {
 	c.baseline *= factor
 	c.canary *= factor
 	for m := range metricCount {
@@ -65,15 +65,15 @@
 	c.addProportion(metricRejections, proportion{baseline.Rejected, baseline.Attempts}, proportion{canary.Rejected, canary.Attempts})
 	c.addProportion(metricLateness, proportion{baseline.Late, baseline.CacheHits}, proportion{canary.Late, canary.CacheHits})
 	c.addProportion(metricStalls, proportion{baseline.Stalled, baseline.Answered}, proportion{canary.Stalled, canary.Answered})
-	c.addMean(metricLatency, baseline.firstTokens(), canary.firstTokens())
-	c.addMean(metricLength, baseline.events(), canary.events())
+	c.addMean(metricLatency, baseline.firstTokenMoments(), canary.firstTokenMoments())
+	c.addMean(metricLength, baseline.eventMoments(), canary.eventMoments())
 }
 
-// proportion is how many of n have a property.
+// proportion is a number of hits among n requests.
 type proportion struct{ hits, n int }
 
-// addProportion adds the difference of two proportions by the method of Mantel and Haenszel, with
-// the hypergeometric variance.
+// addProportion adds the difference of two proportions by the Mantel-Haenszel method, with the
+// hypergeometric variance.
 func (c *comparison) addProportion(m metric, baseline, canary proportion) {
 	if baseline.n == 0 || canary.n == 0 {
 		return
@@ -87,38 +87,40 @@
 	}
 }
 
-// moments are the number, the sum and the sum of squares of samples.
+// moments are the number, the sum and the sum of squares of some samples.
 type moments struct {
-	n           int
-	sum, square float64
+	n               int
+	sum, sumSquares float64
 }
 
-// spread is the sum of squared deviations from the mean.
-func (x moments) spread() float64 { return math.Max(x.square-x.sum*x.sum/float64(x.n), 0) }
+// squaredDeviations returns the sum of the squared deviations from the mean.
+func (x moments) squaredDeviations() float64 {
+	return math.Max(x.sumSquares-x.sum*x.sum/float64(x.n), 0)
+}
 
-func (c *Counts) firstTokens() moments {
+func (c *Counts) firstTokenMoments() moments {
 	return moments{c.CacheHits, c.LogFirstToken, c.LogFirstTokenSquared}
 }
 
-func (c *Counts) events() moments { return moments{c.Completed, c.LogEvents, c.LogEventsSquared} }
+func (c *Counts) eventMoments() moments { return moments{c.Completed, c.LogEvents, c.LogEventsSquared} }
 
-// addMean adds the difference of two means, weighted as the proportions are.
+// addMean adds the difference of two means, with the same weights as addProportion.
 func (c *comparison) addMean(m metric, baseline, canary moments) {
 	if baseline.n == 0 || canary.n == 0 || baseline.n+canary.n < 3 {
 		return
 	}
 	a, b := float64(canary.n), float64(baseline.n)
 	weight := a * b / (a + b)
-	spread := baseline.spread() + canary.spread()
+	squaredDeviations := baseline.squaredDeviations() + canary.squaredDeviations()
 	c.weight[m] += weight
 	c.difference[m] += weight * (canary.sum/a - baseline.sum/b)
-	c.variance[m] += weight * math.Max(spread/(a+b-2), minVariance)
+	c.variance[m] += weight * math.Max(squaredDeviations/(a+b-2), minVariance)
 }
 
-// regression is a metric in which the new revision is worse than is tolerated.
+// regression is a metric in which the new revision is worse than tolerated, with its difference.
 type regression struct {
 	metric     metric
-	difference float64 // of proportions, or the logarithm of a ratio
+	difference float64 // between proportions, or the logarithm of a ratio
 }
 
 func (r regression) String() string {
@@ -132,7 +134,7 @@
 	}
 }
 
-// tolerances are the differences that the spec tolerates.
+// tolerances returns the difference that the spec tolerates in each metric.
 func (j *JudgeSpec) tolerances() [metricCount]float64 {
 	return [metricCount]float64{
 		metricFailures:   j.MaxFailureIncrease,
@@ -144,8 +146,8 @@
 	}
 }
 
-// regression returns the first metric in which the new revision is worse than tolerated, by so many
-// standard deviations. ok is false if there is none.
+// regression returns the first metric in which the new revision is worse than tolerated by at least the
+// given number of standard deviations. ok is false if there is none.
 func (c *comparison) regression(spec *JudgeSpec, deviations float64) (found regression, ok bool) {
 	tolerances := spec.tolerances()
 	for m := range metricCount {
@@ -156,11 +158,11 @@
 		if m == metricLength {
 			difference = math.Abs(difference)
 		}
-		chance := deviations * (math.Sqrt(c.variance[m]) / c.weight[m])
-		if m.isProportion() { // the bound of Bernstein: few hits of a few requests may be chance
-			chance += deviations * deviations / (3 * c.weight[m])
+		margin := deviations * (math.Sqrt(c.variance[m]) / c.weight[m])
+		if m.isProportion() { // Bernstein's bound: a few hits among a few requests may be chance
+			margin += deviations * deviations / (3 * c.weight[m])
 		}
-		if difference-chance > tolerances[m] {
+		if difference-margin > tolerances[m] {
 			return regression{m, difference}, true
 		}
 	}
--- a/internal/fleet/rollout/controller.go
+++ b/internal/fleet/rollout/controller.go
@@ -10,52 +10,54 @@
 )
 
 const (
-	// defaultLearningPeriod is for how long a new holder only listens: it does not know yet which
-	// server holds which group.
+	// defaultLearningPeriod is the time during which a new holder starts no drain, because it does not
+	// know yet which server has which group cached.
 	defaultLearningPeriod = 30 * time.Second
-	// maxAvoided bounds the servers that are not drained again at once.
+	// maxAvoided is the maximum number of servers in Controller.avoidUntil.
 	maxAvoided = 1024
-	// minAvoidTime is the least time for which a server that was returned to service is avoided.
+	// minAvoidTime is the minimum time before a server that was returned to service may be drained
+	// again.
 	minAvoidTime = 10 * time.Second
-	// maxLaggingNamed is how many agents are named that delay a step.
+	// maxLaggingNamed is the maximum number of agents that a wait reason names.
 	maxLaggingNamed = 3
 )
 
-// Server is what the lease holder knows of one server of the rollout's service.
+// Server is what the lease holder knows about one server of the rollout's service.
 type Server struct {
 	ID, Addr, Zone, Region string
 	State                  registry.State
-	Revision               int     // of the rollout's model; negative: it does not hold the model
-	Capacity               float64 // in units common to all servers, such as slots
-	Utilization            float64 // part of Capacity in use
-	InFlight               int     // requests by its own newest report; negative: none since it was closed
+	Revision               int     // of the rollout's model; negative if the server does not hold the model
+	Capacity               float64 // in a unit common to all servers, such as slots
+	Utilization            float64 // fraction of Capacity in use
+	InFlight               int     // requests by the server's own report; negative if none came since it was closed
 	Healthy                bool    // agents forward requests to it
 }
 
 // unreplaced reports whether the server holds a known revision other than the target.
 func (s *Server) unreplaced(target int) bool { return s.Revision >= 0 && s.Revision != target }
 
-// Observation is what the lease holder knows at a moment.
+// Observation is what the lease holder knows at one time.
 type Observation struct {
-	Servers     []Server // of the service, with those that are draining or have recently been lost
-	Agents      []Agent  // the members, with those that have reported nothing
+	Servers     []Server // of the service, including those that are draining or have recently been lost
+	Agents      []Agent  // the members, including those that have reported nothing
 	Reports     *ReportAggregator
-	ConfigError error // what of the spec contradicts the configuration in force
+	ConfigError error // how the spec contradicts the configuration in force, or nil
 }
 
 // stepKey is a server at a step of its drain or ramp.
 type stepKey struct{ server, step string }
 
-// Controller takes a rollout's steps, at the lease holder. Beside the record it only knows since
-// when it has observed what: a new holder waits at least as long. It is not safe for concurrent use.
+// Controller takes a rollout's steps at the lease holder. It keeps only times and figures that it
+// observed itself; all other state is in the record. A new holder measures these times anew, and so
+// waits at least as long as its predecessor. It is not safe for concurrent use.
 type Controller struct {
 	number          uint64
 	phase           Phase
-	startedAt       time.Duration // of this holder's part in the phase
-	replacedAtStart int
+	startedAt       time.Duration // when this holder first saw the phase
+	replacedAtStart int           // Record.Replaced at startedAt
 	stepSeenAt      map[stepKey]time.Duration
-	stepBaseline    map[stepKey]Counts       // of the server's requests when the step was first seen
-	avoidUntil      map[string]time.Duration // by server: when it may be drained
+	stepBaseline    map[stepKey]Counts       // of the server's requests, when the step was first seen
+	avoidUntil      map[string]time.Duration // by server: the time from which it may be drained again
 	lastDrainAt     time.Duration
 	paused          bool               // as of the last record
 	regionLoad      map[string]float64 // the recent maximum, in units of capacity
@@ -77,9 +79,9 @@
 	}
 }
 
-// Reconcile returns the record to write on top of this one, by compare-and-set, or nil if nothing
-// changes. It is called about once a second, and whenever a report has changed. A step is
-// taken once its record is committed.
+// Reconcile returns the record to replace the given one by, with compare-and-set, or nil if nothing
+// changes. It is called about once a second and whenever a report has changed something. A step takes
+// effect once its record is committed.
 func (c *Controller) Reconcile(now time.Duration, record *Record, observation *Observation) *Record {
 	c.resetForPhase(now, record)
 	c.waitReasons, c.worstShortage = c.waitReasons[:0], Shortage{}
@@ -89,7 +91,7 @@
 	}
 	reports.pruneServerCounts(record)
 	if c.paused && !record.Paused {
-		reports.Judge = NewJudge() // the operator disagrees with the last verdict
+		reports.Judge = NewJudge() // by resuming, the operator has overruled the last verdict
 	}
 	c.paused = record.Paused
 	c.verdict = reports.Judge.Verdict(&record.Spec.Judge)
@@ -102,7 +104,7 @@
 	return r.record
 }
 
-// resetForPhase starts anew in a phase that the controller has not seen.
+// resetForPhase resets the controller if the record is in another rollout or phase than the last one.
 func (c *Controller) resetForPhase(now time.Duration, record *Record) {
 	if c.number == record.Number && c.phase == record.Phase {
 		return
@@ -114,17 +116,17 @@
 	*c = *fresh
 }
 
-// forgetFinishedSteps drops what is known of steps that are over.
+// forgetFinishedSteps drops the times and counts of steps that are over.
 func (c *Controller) forgetFinishedSteps(record *Record) {
-	current := map[stepKey]bool{}
+	currentSteps := map[stepKey]bool{}
 	for _, d := range record.Draining {
-		current[stepKey{d.ID, d.Step.String()}] = true
+		currentSteps[stepKey{d.ID, d.Step.String()}] = true
 	}
 	for _, s := range record.Ramping {
-		current[stepKey{s.ID, s.Step.String()}] = true
+		currentSteps[stepKey{s.ID, s.Step.String()}] = true
 	}
 	for key := range c.stepSeenAt {
-		if !current[key] {
+		if !currentSteps[key] {
 			delete(c.stepSeenAt, key)
 			delete(c.stepBaseline, key)
 		}
@@ -135,11 +137,11 @@
 type reconciliation struct {
 	*Controller
 	now         time.Duration
-	record      *Record // the next one
+	record      *Record // the next record
 	observation *Observation
 	servers     map[string]*Server // by ID
-	changed     bool               // record differs from the one before it
-	// Derived from record; nil after a change.
+	changed     bool               // record differs from the one that Reconcile was given
+	// replicas and rules are derived from record when needed. They are nil after a change.
 	replicas map[string]serverReplica
 	rules    *RoutingRules
 }
@@ -159,8 +161,8 @@
 	return r
 }
 
-// run takes all steps that are due. The order matters: what is admitted or returned to service
-// counts against the limit before another server is drained.
+// run takes all steps that are due. The order matters: servers that are admitted or returned to
+// service are counted against the limit before another server is drained.
 func (r *reconciliation) run() {
 	r.updateRegionLoad()
 	r.initializePhase()
@@ -173,10 +175,10 @@
 	r.pruneFullShare()
 }
 
-// markChanged notes that the record differs: what was derived from it is void.
+// markChanged notes that the record has changed, and drops what was derived from it.
 func (r *reconciliation) markChanged() { r.changed, r.replicas, r.rules = true, nil, nil }
 
-// share is the part of its requests that the server gets by the record.
+// share returns the share of its requests that the server gets by the record.
 func (r *reconciliation) share(s *Server) float64 {
 	if r.rules == nil {
 		r.rules = r.record.Rules()
@@ -184,7 +186,7 @@
 	return r.rules.Share(s.ID, s.Addr, s.Revision)
 }
 
-// stepSince is when a server was first seen at a step.
+// stepSince returns the time at which this holder first saw the server at the step.
 func (r *reconciliation) stepSince(id, step string) time.Duration {
 	key := stepKey{id, step}
 	if _, ok := r.stepSeenAt[key]; !ok {
@@ -196,7 +198,7 @@
 	return r.stepSeenAt[key]
 }
 
-// avoidServer keeps a server from being drained for some time.
+// avoidServer prevents a server from being drained again for some time.
 func (r *reconciliation) avoidServer(id string, d time.Duration) {
 	if len(r.avoidUntil) >= maxAvoided {
 		clear(r.avoidUntil)
@@ -204,28 +206,29 @@
 	r.avoidUntil[id] = r.now + d
 }
 
-// addWaitReason notes for operators why a step is not taken.
+// addWaitReason adds a reason, for operators, why a step is not taken.
 func (r *reconciliation) addWaitReason(format string, args ...any) {
 	r.waitReasons = append(r.waitReasons, fmt.Sprintf(format, args...))
 }
 
-// acknowledged reports whether all agents apply a version.
+// acknowledged reports whether all agents have acknowledged a version. It is false if no agent is known.
 func (r *reconciliation) acknowledged(version uint64) bool {
-	lagging := func(a Agent) bool { return a.AppliedVersion < version }
-	return len(r.observation.Agents) > 0 && !slices.ContainsFunc(r.observation.Agents, lagging)
+	isLagging := func(a Agent) bool { return a.AppliedVersion < version }
+	return len(r.observation.Agents) > 0 && !slices.ContainsFunc(r.observation.Agents, isLagging)
 }
 
-// laggingAgents names the agents that have not acknowledged a version.
+// laggingAgents describes the agents that have not acknowledged a version: their number and the first
+// names.
 func (r *reconciliation) laggingAgents(version uint64) string {
 	var names []string
-	lagging := 0
+	laggingCount := 0
 	for _, a := range r.observation.Agents {
 		if a.AppliedVersion >= version {
 			continue
 		}
-		if lagging++; lagging <= maxLaggingNamed {
+		if laggingCount++; laggingCount <= maxLaggingNamed {
 			names = append(names, a.Source)
 		}
 	}
-	return fmt.Sprintf("%d agents have not acknowledged it: %s", lagging, strings.Join(names, ", "))
+	return fmt.Sprintf("%d agents have not acknowledged it: %s", laggingCount, strings.Join(names, ", "))
 }
--- a/internal/fleet/rollout/group.go
+++ b/internal/fleet/rollout/group.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// buckets is the number of hash groups: prompts whose shared segments hash alike are one group.
+	// buckets is the number of hash groups. Prompt groups with the same hash form one hash group.
 	buckets = 4096
-	// replicaWindow is for how long a server that was sent requests of a group counts as a replica
-	// that has its segments cached; it passes in epochs.
+	// replicaWindow is the time for which a server that was sent requests of a group counts as a
+	// replica, that is, as having the group's segments cached. It is divided into epochs.
 	replicaWindow, epochs = 300 * time.Second, 6
 	epochDuration         = replicaWindow / epochs
-	// maxCount is the highest count of one report.
+	// maxCount is the highest count of requests in a report.
 	maxCount = 1<<16 - 1
 	// bucketShift is the position of the bucket in a packed count.
 	bucketShift = 16
 )
 
-// Group is a prompt group: all that a route is sent with the same shared segments. Key 0 stands for
-// prompts without such segments, which no server has anything cached of.
+// Group is a prompt group: all prompts of a route that have the same shared segments. Key 0 stands for
+// prompts without shared segments, of which no server has anything cached.
 type Group struct {
 	Route string `msgpack:"r"`
 	Key   uint64 `msgpack:"k"`
 }
 
-// bucket is the group's hash group.
+// bucket returns the index of the group's hash group.
 func (g Group) bucket() uint16 {
 	return uint16(inference.Mix64(g.Key^inference.HashString(g.Route)) % buckets)
 }
 
-// Sends is the part of a report on where requests were sent.
+// Sends is the part of a Report that tells which requests were sent to which servers.
 type Sends struct {
-	// Buckets has for each route and server the hash groups that were sent there, each packed with
-	// its number of requests.
+	// Buckets has, by route and server, the hash groups that were sent there, each packed with its
+	// number of requests.
 	Buckets map[string]map[string][]uint32 `msgpack:"b,omitempty"`
-	// Hot has for each server the groups that are counted by themselves.
+	// Hot has, by server, the hot groups, which are also counted individually.
 	Hot map[string][]HotGroupSends `msgpack:"h,omitempty"`
 }
 
-// HotGroupSends is a group of many requests, and how many of them went to a server.
+// HotGroupSends is a hot group and the number of its requests that were sent to a server.
 type HotGroupSends struct {
 	Group
 	Requests int `msgpack:"n"`
 }
 
-// packBucket is a bucket with its number of requests, as in Sends.
+// packBucket packs a bucket and its number of requests as in Sends.Buckets.
 func packBucket(bucket uint16, requests int) uint32 {
 	return uint32(bucket)<<bucketShift | uint32(requests)
 }
@@ -60,13 +60,13 @@
 // Shortage is a group that has fewer replicas than it needs.
 type Shortage struct {
 	Group string `json:"group"`
-	Have  int    `json:"have"`
-	Need  int    `json:"need"`
+	Have  int    `json:"have"` // number of replicas
+	Need  int    `json:"need"` // required number of replicas
 }
 
 func (s Shortage) String() string {
 	return fmt.Sprintf("group %s has %d replicas beside it, and needs %d", s.Group, s.Have, s.Need)
 }
 
-// missing is the number of replicas that the group lacks.
+// missing returns the number of replicas that the group lacks.
 func (s Shortage) missing() int { return s.Need - s.Have }
--- a/internal/fleet/rollout/judge.go
+++ b/internal/fleet/rollout/judge.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// slotDuration is for how long requests are compared with each other only: load and mix change.
+	// slotDuration is the length of a time slot. Requests are compared only within a slot, because the
+	// load and the mix of requests change over time.
 	slotDuration = 10 * time.Second
-	// comparisonDecayTime is the time constant by which what was compared fades.
+	// comparisonDecayTime is the time constant of the exponential decay of earlier comparisons.
 	comparisonDecayTime = 30 * time.Minute
-	// overallDeviations is how many standard deviations a difference must lie beyond what is
-	// tolerated: it is looked at thousands of times. cohortDeviations is that of one route, length
-	// or class among hundreds.
+	// overallDeviations is the number of standard deviations by which a difference over all requests
+	// must exceed what is tolerated; it is so high because it is tested thousands of times.
+	// cohortDeviations is the number for a single route, length or class, of which there are hundreds.
 	overallDeviations, cohortDeviations = 4.0, 5.0
-	// maxCohorts bounds what is judged by itself.
+	// maxCohorts is the maximum number of cohorts.
 	maxCohorts = 1024
-	// minCohortRequests is how many requests of each revision a cohort needs for a verdict. What
-	// fails at once does not have to be sent as many as what is fine.
+	// minCohortRequests is the number of requests of each revision that a cohort needs for RulingFail. It
+	// is lower than what RulingPass needs, so that a revision that fails from the start gets few requests.
 	minCohortRequests = 30
-	// minCohortWeight is below which a faded cohort is forgotten.
+	// minCohortWeight is the number of requests below which a decayed cohort is forgotten.
 	minCohortWeight = 0.5
 )
 
-// Ruling is what the Judge concludes of the new revision. Its number is part of the status that
+// Ruling is the Judge's conclusion about the new revision. Its number is part of the status that
 // operators read.
 type Ruling uint8
 
@@ -39,31 +40,32 @@
 
 var rulingNames = [...]string{"inconclusive", "pass", "fail"}
 
-// String is the ruling's name.
+// String returns the ruling's name.
 func (r Ruling) String() string { return rulingNames[min(int(r), len(rulingNames)-1)] }
 
-// Verdict is a ruling and what it rests on.
+// Verdict is a ruling and its grounds.
 type Verdict struct {
 	Ruling           Ruling  `json:"ruling"`
 	Reason           string  `json:"why,omitempty"`
-	BaselineRequests float64 `json:"old"` // compared, of the old revision; older ones count less
-	CanaryRequests   float64 `json:"new"` // of the new revision
-	LatencyRatio     float64 `json:"slower"`
+	BaselineRequests float64 `json:"old"`    // compared requests of the old revision; older ones count less
+	CanaryRequests   float64 `json:"new"`    // likewise of the new revision
+	LatencyRatio     float64 `json:"slower"` // time to the first token, new to old; 1 if unknown
 }
 
-// Judge compares the new revision with the old one, by strata of one route, prompt length, class of
-// groups and slot of time. It is not safe for concurrent use.
+// Judge compares the new revision with the old one by strata and time slots: requests are compared only
+// if they have the same route, class of prompt lengths, class of groups and slot. It is not safe for
+// concurrent use.
 type Judge struct {
 	slotEndsAt  time.Duration
-	counts      map[Stratum]*Counts // of the slot
+	counts      map[Stratum]*Counts // of the current slot
 	comparisons map[cohort]*comparison
 }
 
-// cohort is a set of strata that is judged by itself; the zero value is all of them.
+// cohort is a set of strata that is judged on its own. The zero value is the set of all strata.
 type cohort struct {
-	route string // "": all
-	size  int    // 1 + the class; 0: all
-	class int    // 1 + the class; 0: all
+	route string // "" for all routes
+	size  int    // 1 + the class of prompt lengths; 0 for all
+	class int    // 1 + the class of groups; 0 for all
 }
 
 func (c cohort) String() string {
@@ -82,7 +84,7 @@
 	return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.size, b.size), cmp.Compare(a.class, b.class))
 }
 
-// cohorts are those that a stratum belongs to.
+// cohorts returns the cohorts that the stratum belongs to.
 func (s *Stratum) cohorts() [4]cohort {
 	return [4]cohort{
 		{},
@@ -97,7 +99,7 @@
 	return &Judge{counts: map[Stratum]*Counts{}, comparisons: map[cohort]*comparison{}}
 }
 
-// Add takes what an agent counted. What no agent can have counted is ignored.
+// Add adds an agent's counts. Implausible ones are ignored.
 func (j *Judge) Add(strata []StratumCounts) {
 	for i := range strata[:min(len(strata), maxStrata)] {
 		s := &strata[i]
@@ -110,7 +112,7 @@
 	}
 }
 
-// Tick ends the slot when it is over.
+// Tick ends the current slot if its time is over: it compares the slot's strata.
 func (j *Judge) Tick(now time.Duration) {
 	if j.slotEndsAt == 0 {
 		j.slotEndsAt = now + slotDuration
@@ -118,9 +120,9 @@
 	if now < j.slotEndsAt {
 		return
 	}
-	j.fade(now - j.slotEndsAt + slotDuration)
+	j.decay(now - j.slotEndsAt + slotDuration)
 	j.slotEndsAt = now + slotDuration
-	for _, stratum := range j.newStrata() {
+	for _, stratum := range j.newRevisionStrata() {
 		old := stratum
 		old.New = false
 		if baseline := j.counts[old]; baseline != nil {
@@ -130,20 +132,20 @@
 	clear(j.counts)
 }
 
-// fade gives what was compared before less weight, by its age.
-func (j *Judge) fade(age time.Duration) {
+// decay reduces the weight of the earlier comparisons by the time that has passed since.
+func (j *Judge) decay(age time.Duration) {
 	factor := math.Exp(-float64(age) / float64(comparisonDecayTime))
 	for key, c := range j.comparisons {
-		c.fade(factor)
+		c.decay(factor)
 		if c.baseline+c.canary < minCohortWeight {
 			delete(j.comparisons, key)
 		}
 	}
 }
 
-// newStrata are the slot's strata of the new revision, sorted, so that every holder
-// computes the same sums.
-func (j *Judge) newStrata() []Stratum {
+// newRevisionStrata returns the slot's strata of the new revision, sorted so that every holder computes
+// the same sums.
+func (j *Judge) newRevisionStrata() []Stratum {
 	var strata []Stratum
 	for stratum := range j.counts {
 		if stratum.New {
@@ -156,7 +158,7 @@
 	return strata
 }
 
-// compare adds a stratum to the comparisons of its cohorts.
+// compare adds the counts of a stratum to the comparisons of its cohorts.
 func (j *Judge) compare(stratum *Stratum, baseline, canary *Counts) {
 	for _, key := range stratum.cohorts() {
 		c := j.comparisons[key]
@@ -171,7 +173,7 @@
 	}
 }
 
-// Verdict returns the verdict by all that was compared so far.
+// Verdict returns the verdict on all comparisons so far.
 func (j *Judge) Verdict(spec *JudgeSpec) Verdict {
 	all := j.comparisons[cohort{}]
 	if all == nil {
@@ -187,14 +189,15 @@
 			return v
 		}
 	}
-	if worst, found, ok := j.worstCohort(spec); ok {
-		v.Ruling, v.Reason = RulingFail, fmt.Sprintf("%s: %s", worst, found)
+	if failing, found, ok := j.failingCohort(spec); ok {
+		v.Ruling, v.Reason = RulingFail, fmt.Sprintf("%s: %s", failing, found)
 	}
 	return v
 }
 
-// worstCohort returns the first cohort in which the new revision is worse than tolerated.
-func (j *Judge) worstCohort(spec *JudgeSpec) (worst cohort, found regression, ok bool) {
+// failingCohort returns the first cohort, in sorted order, in which the new revision is worse than
+// tolerated.
+func (j *Judge) failingCohort(spec *JudgeSpec) (failing cohort, found regression, ok bool) {
 	keys := make([]cohort, 0, len(j.comparisons))
 	for key := range j.comparisons {
 		keys = append(keys, key)
--- a/internal/fleet/rollout/operations.go
+++ b/internal/fleet/rollout/operations.go
@@ -7,10 +7,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// This file has the writes of operators and of a new lease holder. Each returns the record to write
-// on top of r, or r itself if nothing changes: they are idempotent.
+// This file has the operations of operators and of a new lease holder. They are idempotent: each
+// returns the record to replace r by, or r itself if nothing changes.
 
-// Start begins a rollout. One that is in progress is never replaced: the error is of kind Conflict.
+// Start begins a rollout. While another rollout is in progress, it returns an error of kind Conflict.
 func (r *Record) Start(spec *Spec) (*Record, error) {
 	if r.Active() {
 		if reflect.DeepEqual(r.Spec, *spec) && r.Phase == PhaseForward {
@@ -31,8 +31,9 @@
 	}, nil
 }
 
-// Pause stops everything that has not been handed to the platform: no server is drained further,
-// none gets a larger share. A rollout that is not in progress is an error of kind NotFound.
+// Pause stops a rollout except for servers already handed to the platform: no server is drained
+// further, and none gets a larger share. If the rollout is not in progress, the error is of kind
+// NotFound.
 func (r *Record) Pause(number uint64, reason string) (*Record, error) {
 	if err := r.requireActive(number); err != nil || r.Paused {
 		return r, err
@@ -42,8 +43,9 @@
 	return c, nil
 }
 
-// Resume continues a paused rollout. The new revision is judged anew: the operator knows better. A
-// rollout that is not in progress is an error of kind NotFound.
+// Resume continues a paused rollout. The new revision is judged anew, because the operator has
+// overruled any verdict that caused the pause. If the rollout is not in progress, the error is of kind
+// NotFound.
 func (r *Record) Resume(number uint64) (*Record, error) {
 	if err := r.requireActive(number); err != nil || !r.Paused {
 		return r, err
@@ -53,8 +55,8 @@
 	return c, nil
 }
 
-// Abort rolls a rollout back. A rollback is not aborted: start another rollout after it. A rollout
-// that is not in progress is an error of kind NotFound.
+// Abort rolls a rollout back. A rollback can't be aborted: Abort does nothing then, and another rollout
+// can start only after it. If the rollout is not in progress, the error is of kind NotFound.
 func (r *Record) Abort(number uint64, reason string) (*Record, error) {
 	if err := r.requireActive(number); err != nil || r.Phase == PhaseRollback {
 		return r, err
@@ -71,8 +73,8 @@
 	return apierror.New(apierror.NotFound, "number", "see edgectl rollout status", "rollout %d is not under way; the newest is %d, %s", number, r.Number, r.Phase)
 }
 
-// Claim is a new lease holder's first write: whatever an older holder has in flight is rejected from
-// then on. A newer term in the record is an error of kind Conflict.
+// Claim is a new lease holder's first write. Once it is committed, writes that an earlier holder has in
+// flight are rejected. If the record has a newer term, the error is of kind Conflict.
 func (r *Record) Claim(term uint64, holder string) (*Record, error) {
 	switch {
 	case r.Term > term:
--- a/internal/fleet/rollout/phase.go
+++ b/internal/fleet/rollout/phase.go
@@ -2,10 +2,10 @@
 
 import "encoding/json"
 
-// Phase is how far a rollout is. Its text is part of the status that operators read.
+// Phase is the phase of a rollout. Its text is part of the status that operators read.
 type Phase uint8
 
-// The phases. PhaseIdle is that of a record without any rollout.
+// The phases. A record without any rollout is in PhaseIdle.
 const (
 	PhaseIdle Phase = iota
 	PhaseForward
@@ -16,7 +16,7 @@
 
 var phaseNames = [...]string{"idle", "forward", "back", "done", "turned back"}
 
-// String is the phase's name.
+// String returns the phase's name.
 func (p Phase) String() string { return phaseNames[min(int(p), len(phaseNames)-1)] }
 
 // MarshalJSON encodes the phase as its name.
@@ -25,58 +25,58 @@
 // The shares of its requests that a server gets while it is drained or ramped up.
 const tenthShare, thirdShare = 0.1, 0.3
 
-// DrainStep is how far a server is drained.
+// DrainStep is the progress of a server's drain.
 type DrainStep uint8
 
-// The steps of a drain. Up to DrainMigrating a server can be returned to service.
+// The steps of a drain, in order. Up to DrainMigrating a server can be returned to service.
 const (
-	// DrainThird leaves 0.3 of the requests: the server's groups get replicas elsewhere.
+	// DrainThird leaves the server 0.3 of its requests, so that its groups get replicas elsewhere.
 	DrainThird DrainStep = iota
-	// DrainTenth leaves 0.1.
+	// DrainTenth leaves it 0.1 of its requests.
 	DrainTenth
-	// DrainClosed leaves no new requests; not all agents have acknowledged that.
+	// DrainClosed leaves it no new requests, but not all agents have acknowledged that yet.
 	DrainClosed
-	// DrainFinishing: all agents have acknowledged, and streams finish.
+	// DrainFinishing begins when all agents have acknowledged DrainClosed: streams may finish.
 	DrainFinishing
-	// DrainMigrating: resumable streams are migrated, the others finish.
+	// DrainMigrating migrates resumable streams, while the others finish.
 	DrainMigrating
-	// DrainReplacing: nothing runs there. The platform drains the server and starts its next
-	// incarnation.
+	// DrainReplacing hands the server, where nothing runs any more, to the platform, which drains it
+	// and starts its next incarnation.
 	DrainReplacing
 )
 
 var drainStepNames = [...]string{"thin", "thinner", "closed", "emptying", "passing", "replacing"}
 
-// String is the step's name.
+// String returns the step's name.
 func (s DrainStep) String() string { return drainStepNames[min(int(s), len(drainStepNames)-1)] }
 
 // MarshalJSON encodes the step as its name.
 func (s DrainStep) MarshalJSON() ([]byte, error) { return json.Marshal(s.String()) }
 
-// share is the part of its requests that a server gets at the step.
+// share returns the share of its requests that a server gets at the step.
 func (s DrainStep) share() float64 { return [...]float64{thirdShare, tenthShare, 0, 0, 0, 0}[s] }
 
-// RampStep is how far a new server is ramped up.
+// RampStep is the progress of a new server's ramp.
 type RampStep uint8
 
-// The steps of a ramp; after the last a server has its full share.
+// The steps of a ramp, in order. After the last one a server has its full share.
 const (
-	// RampWarming gives 0.1 of the sessions, at a limited rate of prompts that the server has to
-	// prefill.
+	// RampWarming gives the server 0.1 of its sessions, and limits the rate of shared prompts that it
+	// has to prefill.
 	RampWarming RampStep = iota
-	// RampTenth gives 0.1 without that limit.
+	// RampTenth gives it 0.1 of its sessions without that limit.
 	RampTenth
-	// RampThird gives 0.3.
+	// RampThird gives it 0.3 of its sessions.
 	RampThird
 )
 
 var rampStepNames = [...]string{"filling", "tenth", "third"}
 
-// String is the step's name.
+// String returns the step's name.
 func (s RampStep) String() string { return rampStepNames[min(int(s), len(rampStepNames)-1)] }
 
 // MarshalJSON encodes the step as its name.
 func (s RampStep) MarshalJSON() ([]byte, error) { return json.Marshal(s.String()) }
 
-// share is the part of its sessions that a server gets at the step.
+// share returns the share of its sessions that a server gets at the step.
 func (s RampStep) share() float64 { return [...]float64{tenthShare, tenthShare, thirdShare}[s] }
--- a/internal/fleet/rollout/reconcile_drain.go
+++ b/internal/fleet/rollout/reconcile_drain.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// drainNextServer begins the drain of another server, if that is allowed now.
+// drainNextServer begins to drain another server if one may be drained now.
 func (r *reconciliation) drainNextServer() {
 	pace := &r.record.Spec.Pace
 	switch {
@@ -24,27 +24,28 @@
 	case r.lastDrainAt > 0 && r.now-r.lastDrainAt < seconds(pace.GapSeconds):
 		return
 	}
-	var blocked error
-	indispensable := map[string]float64{} // by region: the least capacity that it can't do without
+	var shortage error
+	// By region: the smallest capacity of a server that turned out to be indispensable.
+	indispensableCapacity := map[string]float64{}
 	for _, s := range r.drainOrder() {
-		if least, ok := indispensable[s.Region]; ok && s.Capacity >= least {
+		if least, ok := indispensableCapacity[s.Region]; ok && s.Capacity >= least {
 			continue
 		}
-		if blocked = r.capacityShortage(s); blocked == nil {
+		if shortage = r.capacityShortage(s); shortage == nil {
 			r.startDrain(s, DrainThird)
 			r.lastDrainAt = r.now
 			return
 		}
-		indispensable[s.Region] = s.Capacity
+		indispensableCapacity[s.Region] = s.Capacity
 	}
-	if blocked != nil {
-		r.addWaitReason("no server is drained: %v", blocked)
+	if shortage != nil {
+		r.addWaitReason("no server is drained: %v", shortage)
 	}
 }
 
-// drainOrder is the servers that may be drained next. Those of the zone that is furthest behind come
-// first, so that each zone keeps both revisions till the end, and among them the one that does
-// least.
+// drainOrder returns the servers that may be drained next, in order. The zone with the largest fraction
+// of unreplaced servers comes first, so that each zone has servers of both revisions until the end.
+// Within a zone, the server with the lowest utilization comes first.
 func (r *reconciliation) drainOrder() []*Server {
 	type zone struct{ unreplaced, all int }
 	zones := map[string]*zone{}
@@ -67,21 +68,21 @@
 			}
 		}
 	}
-	remaining := func(s *Server) float64 { z := zones[s.Zone]; return float64(z.unreplaced) / float64(z.all) }
+	unreplacedFraction := func(s *Server) float64 { z := zones[s.Zone]; return float64(z.unreplaced) / float64(z.all) }
 	slices.SortFunc(order, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(remaining(b), remaining(a)), cmp.Compare(a.Utilization, b.Utilization), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(unreplacedFraction(b), unreplacedFraction(a)), cmp.Compare(a.Utilization, b.Utilization), cmp.Compare(a.ID, b.ID))
 	})
 	return order
 }
 
-// startDrain begins to drain a server, at a step.
+// startDrain begins to drain a server at the given step.
 func (r *reconciliation) startDrain(s *Server, step DrainStep) {
 	r.markChanged()
 	r.record.Draining = append(r.record.Draining, DrainingServer{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Step: step, Since: r.record.Version})
 	slices.SortFunc(r.record.Draining, func(a, b DrainingServer) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// advanceDraining advances all drains.
+// advanceDraining advances all drains and removes those that are over.
 func (r *reconciliation) advanceDraining() {
 	var remaining []DrainingServer
 	for _, d := range r.record.Draining {
@@ -101,10 +102,10 @@
 	switch {
 	case d.Step == DrainReplacing:
 		return r.awaitReplacement(d, s, age)
-	case s == nil || s.State >= registry.Draining: // the platform, or a fault, was first
+	case s == nil || s.State >= registry.Draining: // the platform or a fault took it out of service
 		r.setDrainStep(d, DrainReplacing)
 		return true
-	case d.Step < DrainClosed && s.State != registry.Ready: // it timed out, and may come back
+	case d.Step < DrainClosed && s.State != registry.Ready: // its heartbeats timed out, and it may come back
 		r.setDrainStep(d, DrainClosed)
 		return true
 	case s.State == registry.Ready && r.isNeeded(s, d.Step):
@@ -130,8 +131,8 @@
 	d.Step, d.Since = step, r.record.Version
 }
 
-// awaitReplacement waits until the platform replaces a server that was handed to it. It returns
-// false if that did not happen.
+// awaitReplacement waits for the platform to replace a server that was handed to it. It returns false,
+// which ends the drain, if the server came back with the old revision or was not replaced in time.
 func (r *reconciliation) awaitReplacement(d *DrainingServer, s *Server, age time.Duration) (draining bool) {
 	timeout := seconds(r.record.Spec.Pace.ReplaceSeconds)
 	returned := r.returnedUnreplaced(d)
@@ -148,8 +149,8 @@
 	}
 }
 
-// returnedUnreplaced is a server of the other revision at the address of one that was handed over,
-// or nil.
+// returnedUnreplaced returns a ready server at the address of a server that was handed over, if its
+// revision is not the target; otherwise nil.
 func (r *reconciliation) returnedUnreplaced(d *DrainingServer) *Server {
 	for i := range r.observation.Servers {
 		s := &r.observation.Servers[i]
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// advanceThinning reduces a server's share until its groups have replicas elsewhere. It returns
-// false if they found none in time.
+// advanceThinning reduces a server's share, and closes the server once its groups have enough replicas
+// elsewhere and the other servers enough capacity. It returns false if that takes too long.
 func (r *reconciliation) advanceThinning(d *DrainingServer, s *Server, age time.Duration) (draining bool) {
 	pace := &r.record.Spec.Pace
 	if !r.acknowledged(d.Since) || r.record.Paused || age < seconds(pace.SpreadSeconds) {
@@ -171,15 +172,15 @@
 		r.setDrainStep(d, DrainTenth)
 		return true
 	}
-	blocked := r.replicaShortage(d.ID, false)
-	if blocked == nil {
-		blocked = r.capacityShortage(s)
+	shortage := r.replicaShortage(d.ID, false)
+	if shortage == nil {
+		shortage = r.capacityShortage(s)
 	}
-	if blocked == nil {
+	if shortage == nil {
 		r.setDrainStep(d, DrainClosed)
 		return true
 	}
-	r.addWaitReason("%s stays: %v", d.ID, blocked)
+	r.addWaitReason("%s stays: %v", d.ID, shortage)
 	if age < seconds(pace.WaitSeconds) {
 		return true
 	}
@@ -187,7 +188,8 @@
 	return false
 }
 
-// advanceFinishing hands a closed server to the platform once nothing runs there.
+// advanceFinishing hands a closed server to the platform once nothing runs there, and has its streams
+// migrated after FinishSeconds.
 func (r *reconciliation) advanceFinishing(d *DrainingServer, s *Server, age time.Duration) {
 	if !r.acknowledged(d.Since) {
 		return
@@ -200,9 +202,9 @@
 	}
 }
 
-// isEmpty reports whether nothing runs at a closed server: no agent has a request in flight there,
-// and the server reports so itself. One that reports nothing is believed to be empty after the
-// time that streams have to finish.
+// isEmpty reports whether nothing runs at a closed server: no agent has a request in flight there, and
+// the server itself reports none. A server that does not report is assumed to be empty after
+// FinishSeconds.
 func (r *reconciliation) isEmpty(s *Server, age time.Duration) bool {
 	for _, a := range r.observation.Agents {
 		if a.InFlight[s.ID] > 0 {
@@ -212,11 +214,11 @@
 	return s.InFlight == 0 || s.InFlight < 0 && age >= seconds(r.record.Spec.Pace.FinishSeconds)
 }
 
-// isNeeded reports whether a server that is not handed over yet is missed: the others can't carry
-// the load, or a group has no other replica.
+// isNeeded reports whether a draining server that is not handed over yet has to return to service,
+// because the other servers can't carry the load or, once it is closed, a group has no other replica.
 func (r *reconciliation) isNeeded(s *Server, step DrainStep) bool {
 	if r.record.Phase == PhaseRollback && s.Revision == r.record.Spec.To && r.verdict.Ruling == RulingFail {
-		return false // it is worse than nothing
+		return false // a revision that was judged worse does not return to service
 	}
 	all, _ := r.regionCapacity(s.Region, s.ID)
 	if all*r.record.Spec.Safety.UsableCapacity < r.regionLoad[s.Region] || all == 0 {
--- a/internal/fleet/rollout/reconcile_phase.go
+++ b/internal/fleet/rollout/reconcile_phase.go
@@ -8,7 +8,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// initializePhase records once per phase which servers have their full share already.
+// initializePhase records, once per phase, which servers have their full share from the start. It also
+// records the initial capacity or, in a rollback, reverses the drains and ramps in progress.
 func (r *reconciliation) initializePhase() {
 	if r.record.Initialized {
 		return
@@ -29,8 +30,8 @@
 	}
 }
 
-// reverseTransitions begins a rollback: what had not been handed over serves on, and what was
-// ramped up is drained first.
+// reverseTransitions begins a rollback: draining servers that are not handed over yet return to
+// service, and servers that were being ramped up are drained.
 func (r *reconciliation) reverseTransitions() {
 	r.record.Draining = slices.DeleteFunc(r.record.Draining, func(d DrainingServer) bool { return d.Step < DrainReplacing })
 	for _, ramping := range r.record.Ramping {
@@ -50,8 +51,8 @@
 	}
 }
 
-// applyVerdict pauses or rolls back a rollout whose new revision is worse, and pauses one that
-// contradicts the configuration.
+// applyVerdict pauses a rollout that contradicts the configuration, and pauses or rolls back one whose
+// new revision is judged worse.
 func (r *reconciliation) applyVerdict() {
 	if err := r.observation.ConfigError; err != nil && !r.record.Paused {
 		r.markChanged()
@@ -74,7 +75,8 @@
 	}
 }
 
-// finishIfComplete ends a rollout that has nothing left to move.
+// finishIfComplete ends the rollout if no server is in transition, none is left to replace, and at least
+// one with the model is ready.
 func (r *reconciliation) finishIfComplete() {
 	if len(r.record.Draining)+len(r.record.Ramping) > 0 {
 		return
@@ -101,16 +103,17 @@
 	}
 }
 
-// pruneFullShare drops servers that are not listed any more from those at their full share.
+// pruneFullShare removes servers that no longer exist from FullShare, once it is much larger than the
+// list of servers.
 func (r *reconciliation) pruneFullShare() {
 	const slack = 256
 	if len(r.record.FullShare) <= 2*len(r.observation.Servers)+slack {
 		return
 	}
-	present := map[uint64]bool{}
+	currentHashes := map[uint64]bool{}
 	for id := range r.servers {
-		present[inference.HashString(id)] = true
+		currentHashes[inference.HashString(id)] = true
 	}
-	r.record.FullShare = slices.DeleteFunc(r.record.FullShare, func(hash uint64) bool { return !present[hash] })
+	r.record.FullShare = slices.DeleteFunc(r.record.FullShare, func(hash uint64) bool { return !currentHashes[hash] })
 	r.markChanged()
 }
--- a/internal/fleet/rollout/reconcile_ramp.go
+++ b/internal/fleet/rollout/reconcile_ramp.go
@@ -11,7 +11,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// admitNewServers begins to ramp up the servers that have come up with the target revision.
+// admitNewServers begins to ramp up new servers that have the target revision.
 func (r *reconciliation) admitNewServers() {
 	for i := range r.observation.Servers {
 		s := &r.observation.Servers[i]
@@ -22,7 +22,7 @@
 			r.admitNewServer(s)
 			continue
 		}
-		// In a rollback, what the platform was replacing comes up with the revision that is left.
+		// A server that was handed over before a rollback comes up with the new revision: it is drained.
 		if r.record.Phase == PhaseRollback && s.Revision == r.record.Spec.To && r.matchReplacement(s, true) {
 			r.startDrain(s, DrainClosed)
 		}
@@ -40,8 +40,8 @@
 	r.record.Replaced++
 }
 
-// matchReplacement ends the drain of the server that s replaces: the one of its address or, unless
-// exact, one of its zone or else any. It returns false if there is none.
+// matchReplacement ends the drain of the server that s replaces: the one at its address or, unless exact
+// is set, one of its zone or else any. It returns false if there is no such drain.
 func (r *reconciliation) matchReplacement(s *Server, exact bool) bool {
 	const anywhere, sameZone, sameAddr = 1, 2, 3
 	best, bestMatch := -1, 0
@@ -69,7 +69,7 @@
 	return true
 }
 
-// advanceRamping gives new servers larger shares as they prove themselves.
+// advanceRamping advances all ramps and removes those that are over.
 func (r *reconciliation) advanceRamping() {
 	var remaining []RampingServer
 	for _, ramping := range r.record.Ramping {
@@ -88,8 +88,8 @@
 		return false
 	}
 	age := r.now - r.stepSince(ramping.ID, ramping.Step.String())
-	if blocked := r.rampBlocker(ramping, age); blocked != nil {
-		r.addWaitReason("%s stays at %s: %v", ramping.ID, ramping.Step, blocked)
+	if blocker := r.rampBlocker(ramping, age); blocker != nil {
+		r.addWaitReason("%s stays at %s: %v", ramping.ID, ramping.Step, blocker)
 		return true
 	}
 	r.markChanged()
@@ -101,7 +101,7 @@
 	return true
 }
 
-// rampBlocker returns why a server does not get its next share, or nil.
+// rampBlocker returns the reason why a server does not get its next share yet, or nil.
 func (r *reconciliation) rampBlocker(ramping *RampingServer, age time.Duration) error {
 	stage := seconds(r.record.Spec.Pace.StageSeconds)
 	switch {
@@ -114,12 +114,12 @@
 	case r.record.Phase == PhaseRollback:
 		return nil
 	}
-	if err := r.ownFailures(ramping); err != nil {
+	if err := r.checkServerRequests(ramping); err != nil {
 		return err
 	}
 	switch {
 	case r.record.Verified || ramping.Step == RampWarming:
-	case r.verdict.Ruling == RulingInconclusive: // the first server earns the trust of all
+	case r.verdict.Ruling == RulingInconclusive: // until the new revision has passed once, servers wait here
 		return errors.New(r.verdict.Reason)
 	case r.verdict.Ruling == RulingPass:
 		r.markChanged()
@@ -128,17 +128,17 @@
 	return nil
 }
 
-// ownFailures returns an error if the server has served too few requests at the step, or failed more
-// of them than three standard deviations above what is tolerated.
-func (r *reconciliation) ownFailures(ramping *RampingServer) error {
+// checkServerRequests returns an error if the server has served too few requests at its step, or if the
+// number of failed ones is more than three standard deviations above what is tolerated.
+func (r *reconciliation) checkServerRequests(ramping *RampingServer) error {
 	const deviations, slack = 3, 0.005
 	spec := &r.record.Spec.Judge
-	var current Counts
-	if counts := r.observation.Reports.serverCounts[ramping.ID]; counts != nil {
-		current = *counts
+	var counts Counts
+	if reported := r.observation.Reports.serverCounts[ramping.ID]; reported != nil {
+		counts = *reported
 	}
 	baseline := r.stepBaseline[stepKey{ramping.ID, ramping.Step.String()}]
-	served, failed := current.Attempts-baseline.Attempts, current.Failed-baseline.Failed
+	served, failed := counts.Attempts-baseline.Attempts, counts.Failed-baseline.Failed
 	if served < spec.MinServerRequests {
 		return errors.Errorf("it served %d of %d requests", served, spec.MinServerRequests)
 	}
--- a/internal/fleet/rollout/reconcile_safety.go
+++ b/internal/fleet/rollout/reconcile_safety.go
@@ -9,27 +9,28 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// loadDecayTime is the time constant by which a load fades: when servers
-// crash, their load disappears only until it moves to others.
+// loadDecayTime is the time constant by which a region's recorded load decays. A drop of the load is
+// not taken at face value at once: when servers crash, their load is missing only until it moves to
+// others.
 const loadDecayTime = time.Minute
 
-// CapacityError explains why the servers of a region can't do without one of them.
+// CapacityError explains why a region lacks the capacity to drain one of its servers.
 type CapacityError struct {
-	Server    string // the one to do without
-	Spare     int    // further servers that may fail
+	Server    string // the server to drain
+	Spare     int    // number of further servers whose failure must be tolerable
 	Region    string
-	Available float64 // in units of capacity
-	Required  float64
+	Available float64 // usable capacity without these servers
+	Required  float64 // capacity
 }
 
 func (e *CapacityError) Error() string {
 	return fmt.Sprintf("without %s and %d more, region %s has room for %.1f, and needs %.1f", e.Server, e.Spare, e.Region, e.Available, e.Required)
 }
 
-// ReplicaError names the groups that would have too few replicas without a server.
+// ReplicaError explains that groups would have too few replicas without a server.
 type ReplicaError struct {
-	Groups int
-	Worst  Shortage
+	Groups int      // number of these groups
+	Worst  Shortage // the group that lacks the most replicas
 }
 
 func (e *ReplicaError) Error() string {
@@ -39,23 +40,25 @@
 	return fmt.Sprintf("%s, and %d more groups are short", e.Worst, e.Groups-1)
 }
 
-// updateRegionLoad brings the load of each region up to date.
+// updateRegionLoad updates the load of each region: the higher of the current load and the decayed
+// earlier one.
 func (r *reconciliation) updateRegionLoad() {
-	fade := math.Exp(-float64(r.now-r.regionLoadAt) / float64(loadDecayTime))
+	decay := math.Exp(-float64(r.now-r.regionLoadAt) / float64(loadDecayTime))
 	r.regionLoadAt = r.now
-	current := map[string]float64{}
+	currentLoad := map[string]float64{}
 	for _, s := range r.observation.Servers {
 		if s.State == registry.Ready {
-			current[s.Region] += s.Utilization * s.Capacity
+			currentLoad[s.Region] += s.Utilization * s.Capacity
 		}
 	}
 	for region, load := range r.regionLoad {
-		current[region] = max(current[region], load*fade)
+		currentLoad[region] = max(currentLoad[region], load*decay)
 	}
-	r.regionLoad = current
+	r.regionLoad = currentLoad
 }
 
-// effectiveCapacity is what a server does with its share; a slower revision does less.
+// effectiveCapacity returns a server's capacity, reduced by its share and, for the new revision, by the
+// ratio of latencies if it is slower.
 func (r *reconciliation) effectiveCapacity(s *Server) float64 {
 	capacity := s.Capacity * r.share(s)
 	if s.Revision == r.record.Spec.To && r.verdict.LatencyRatio > 1 {
@@ -64,8 +67,8 @@
 	return capacity
 }
 
-// regionCapacity is the capacity of a region's servers without one of them: all together, and of the
-// largest SpareServers.
+// regionCapacity returns the effective capacity of a region's healthy servers without one of them: of
+// all of them, and of the SpareServers largest ones.
 func (r *reconciliation) regionCapacity(region, without string) (all, spare float64) {
 	var capacities []float64
 	for i := range r.observation.Servers {
@@ -84,7 +87,7 @@
 	return all, spare
 }
 
-// capacityShortage returns a *CapacityError if the servers of its region can't do without one.
+// capacityShortage returns a *CapacityError if the region's other servers lack the capacity to drain s.
 func (r *reconciliation) capacityShortage(s *Server) error {
 	all, spare := r.regionCapacity(s.Region, s.ID)
 	safety := &r.record.Spec.Safety
@@ -96,8 +99,8 @@
 	return &CapacityError{Server: s.ID, Spare: safety.SpareServers, Region: s.Region, Available: available, Required: required}
 }
 
-// replicaShortage returns a *ReplicaError if groups of a server would have too few replicas without
-// it or, with anyReplica, none at all.
+// replicaShortage returns a *ReplicaError if groups of a server would have too few replicas without it
+// or, if anyReplica is set, no replica.
 func (r *reconciliation) replicaShortage(id string, anyReplica bool) error {
 	if r.replicas == nil {
 		r.replicas = r.serverReplicas()
@@ -114,7 +117,7 @@
 	return &ReplicaError{Groups: groups, Worst: worst}
 }
 
-// serverReplicas is which servers may count as replicas, by the record.
+// serverReplicas returns, by server, what decides whether it counts as a replica.
 func (r *reconciliation) serverReplicas() map[string]serverReplica {
 	replicas := make(map[string]serverReplica, len(r.observation.Servers))
 	for i := range r.observation.Servers {
--- a/internal/fleet/rollout/record.go
+++ b/internal/fleet/rollout/record.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// maxHistory bounds the rollouts that are remembered.
+	// maxHistory is the maximum number of rollouts in Record.History.
 	maxHistory = 16
-	// maxInTransition bounds the servers that are drained, and those that are ramped up.
+	// maxInTransition is the maximum number of draining servers, and of ramping ones.
 	maxInTransition = 2 * maxAtOnce
-	// maxFullShare bounds the servers at their full share.
+	// maxFullShare is the maximum number of servers in Record.FullShare.
 	maxFullShare = 8192
-	// maxReason bounds reasons, in bytes.
+	// maxReason is the maximum length of a reason, in bytes.
 	maxReason = 512
 )
 
-// DrainingServer is a server that is drained.
+// DrainingServer is a server that is being drained.
 type DrainingServer struct {
 	ID    string    `msgpack:"i" json:"id"`
 	Addr  string    `msgpack:"a" json:"addr"`
@@ -28,20 +28,20 @@
 	Since uint64    `msgpack:"v" json:"since"` // the version that set the step
 }
 
-// String is the server and its step.
+// String returns the server's ID and its step.
 func (d DrainingServer) String() string { return fmt.Sprintf("%s %s", d.ID, d.Step) }
 
-// RampingServer is a new server that is ramped up.
+// RampingServer is a new server that is being ramped up.
 type RampingServer struct {
 	ID    string   `msgpack:"i" json:"id"`
 	Step  RampStep `msgpack:"s" json:"step"`
 	Since uint64   `msgpack:"v" json:"since"` // the version that set the step
 }
 
-// String is the server and its step.
+// String returns the server's ID and its step.
 func (s RampingServer) String() string { return fmt.Sprintf("%s %s", s.ID, s.Step) }
 
-// Summary is what is remembered of a rollout that has ended.
+// Summary describes a rollout that has ended.
 type Summary struct {
 	Number   uint64 `msgpack:"n" json:"number"`
 	Service  string `msgpack:"s" json:"service"`
@@ -50,36 +50,37 @@
 	To       int    `msgpack:"t" json:"to"`
 	Phase    Phase  `msgpack:"p" json:"end"`
 	Reason   string `msgpack:"w" json:"why,omitempty"`
-	Replaced int    `msgpack:"c" json:"moved"`
+	Replaced int    `msgpack:"c" json:"moved"` // number of new servers admitted
 }
 
-// Record is all that is agreed on. It is immutable once it was written.
+// Record is the agreed state of rollouts. It is immutable once it is written.
 type Record struct {
-	Version uint64 `msgpack:"v"` // counts the writes
-	Term    uint64 `msgpack:"d"` // of the lease holder that wrote first since it took over
-	Holder  string `msgpack:"e"` // the lease holder with its address, for operators
-	Number  uint64 `msgpack:"n"` // of the newest rollout; 0: there was none
+	Version uint64 `msgpack:"v"` // number of writes so far
+	Term    uint64 `msgpack:"d"` // term of the last lease holder that has written its Claim
+	Holder  string `msgpack:"e"` // that lease holder with its address, for operators
+	Number  uint64 `msgpack:"n"` // number of the newest rollout; 0 if there was none
 	Spec    Spec   `msgpack:"s"`
 	Phase   Phase  `msgpack:"p"`
 	Paused  bool   `msgpack:"q"`
-	Reason  string `msgpack:"w"` // of a pause or a rollback
-	// Initialized is set once the holder has set FullShare and InitialCapacity for the phase.
+	Reason  string `msgpack:"w"` // reason of a pause or a rollback
+	// Initialized is set once the holder has initialized FullShare and, in PhaseForward,
+	// InitialCapacity.
 	Initialized bool `msgpack:"b"`
-	// Verified is set once enough requests were compared and the new revision passed.
+	// Verified is set once the new revision has passed the comparison with the old one.
 	Verified        bool               `msgpack:"u"`
-	InitialCapacity map[string]float64 `msgpack:"c"` // by region, when the rollout began
-	Draining        []DrainingServer   `msgpack:"o"` // by ID
-	Ramping         []RampingServer    `msgpack:"i"` // by ID
-	FullShare       []uint64           `msgpack:"f"` // servers of the target revision at their full share, by hash; sorted
-	Replaced        int                `msgpack:"m"` // servers that came up as new ones
-	History         []Summary          `msgpack:"h"` // of the last maxHistory rollouts, oldest first
+	InitialCapacity map[string]float64 `msgpack:"c"` // by region, when the rollout was initialized
+	Draining        []DrainingServer   `msgpack:"o"` // sorted by ID
+	Ramping         []RampingServer    `msgpack:"i"` // sorted by ID
+	FullShare       []uint64           `msgpack:"f"` // target-revision servers at full share: sorted hashes of their IDs
+	Replaced        int                `msgpack:"m"` // number of new servers admitted, in rollbacks too
+	History         []Summary          `msgpack:"h"` // the last maxHistory rollouts that have ended, oldest first
 }
 
 // Active reports whether a rollout is in progress.
 func (r *Record) Active() bool { return r.Phase == PhaseForward || r.Phase == PhaseRollback }
 
-// targetRevision is the revision that servers are moved to. Until a rollback is initialized, the
-// target stays as it was.
+// targetRevision returns the revision that servers are moved to. It changes only once a rollback is
+// initialized.
 func (r *Record) targetRevision() int {
 	if r.Phase == PhaseRollback && r.Initialized {
 		return r.Spec.From
@@ -99,7 +100,7 @@
 	}
 }
 
-// draining returns the server's drain, or nil.
+// draining returns the server's drain, or nil if it is not being drained.
 func (r *Record) draining(id string) *DrainingServer {
 	if i := slices.IndexFunc(r.Draining, func(d DrainingServer) bool { return d.ID == id }); i >= 0 {
 		return &r.Draining[i]
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// ramping returns the server's ramp, or nil.
+// ramping returns the server's ramp, or nil if it is not being ramped up.
 func (r *Record) ramping(id string) *RampingServer {
 	if i := slices.IndexFunc(r.Ramping, func(s RampingServer) bool { return s.ID == id }); i >= 0 {
 		return &r.Ramping[i]
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// clone shares nothing that a step or an operation changes.
+// clone returns a copy that shares nothing that steps or operations change.
 func (r *Record) clone() *Record {
 	c := *r
 	c.Draining, c.Ramping = slices.Clone(r.Draining), slices.Clone(r.Ramping)
@@ -123,19 +124,19 @@
 	return &c
 }
 
-// nextVersion is a copy for a writer, with the next version.
+// nextVersion returns a copy with the next version, for a writer to change.
 func (r *Record) nextVersion() *Record {
 	c := r.clone()
 	c.Version++
 	return c
 }
 
-// rollBack begins to return the servers to the old revision.
+// rollBack begins a rollback to the old revision.
 func (r *Record) rollBack(reason string) {
 	r.Phase, r.Initialized, r.Paused, r.Reason = PhaseRollback, false, false, truncateReason(reason)
 }
 
-// finish ends the rollout and remembers it.
+// finish ends the rollout in a final phase and adds it to the history.
 func (r *Record) finish(phase Phase) {
 	r.Phase, r.Paused, r.Initialized, r.InitialCapacity, r.FullShare = phase, false, false, nil, nil
 	retained := r.History[max(0, len(r.History)-maxHistory+1):len(r.History):len(r.History)]
@@ -151,7 +152,7 @@
 	})
 }
 
-// truncateReason bounds a reason.
+// truncateReason shortens a reason to at most maxReason bytes.
 func truncateReason(reason string) string {
 	const ellipsis = "..."
 	if len(reason) > maxReason {
@@ -160,7 +161,7 @@
 	return reason
 }
 
-// Validate returns an error of kind Corrupted for a record that no process can have written.
+// Validate returns an error of kind Corrupted if the record violates an invariant of written records.
 func (r *Record) Validate() error {
 	switch {
 	case r.Phase > PhaseRolledBack || (r.Number == 0) != (r.Phase == PhaseIdle):
--- a/internal/fleet/rollout/record_codec.go
+++ b/internal/fleet/rollout/record_codec.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/inference"
 )
 
-// MaxRecord is the largest encoded record, in bytes.
+// MaxRecord is the maximum size of an encoded record, in bytes.
 const MaxRecord = 256 << 10
 
 // recordFormat is the first byte of an encoded record.
@@ -21,28 +21,28 @@
 	remedyOtherReplica  = "read it from another machine of the core"
 )
 
-// stablePart is the part of a record that seldom changes.
+// stablePart is the rarely changing part of a record.
 type stablePart struct {
 	FullShare []uint64  `msgpack:"f"`
 	History   []Summary `msgpack:"h"`
 }
 
-// Split encodes the record in two parts for delta sync, so that the second, which changes once per
-// server, is sent again only then.
+// Split encodes the record in two parts for delta sync. The stable part changes only when a server gets
+// its full share or a rollout ends, and is sent only then.
 func (r *Record) Split() (dynamic, stable []byte, err error) {
 	if stable, err = msgpack.Marshal(stablePart{r.FullShare, r.History}); err != nil {
 		return nil, nil, errors.Wrap(err, "encode the stable part of a rollout record")
 	}
 	c := *r
-	c.FullShare, c.History = []uint64{checksum(stable)}, nil // Join verifies it
+	c.FullShare, c.History = []uint64{checksum(stable)}, nil // Join verifies the checksum
 	if dynamic, err = encodeRecord(&c); err != nil {
 		return nil, nil, err
 	}
 	return dynamic, stable, nil
 }
 
-// Join decodes what Split made. ok is false while the parts are of two records: the record before
-// them stays in force until the other part arrives. Errors are of kind Corrupted.
+// Join decodes the two parts that Split returned. ok is false if they belong to different records: the
+// previous record then stays in force until the matching part arrives. Errors are of kind Corrupted.
 func Join(dynamic, stable []byte) (r *Record, ok bool, err error) {
 	if len(dynamic) == 0 || dynamic[0] != recordFormat || len(dynamic)+len(stable) > MaxRecord {
 		return nil, false, apierror.New(apierror.Corrupted, "rollout", remedySameVersion, "a record of %d and %d bytes", len(dynamic), len(stable))
@@ -54,17 +54,17 @@
 	if len(r.FullShare) != 1 || r.FullShare[0] != checksum(stable) {
 		return nil, false, nil
 	}
-	var rest stablePart
-	if err := msgpack.Unmarshal(stable, &rest); err != nil {
+	var part stablePart
+	if err := msgpack.Unmarshal(stable, &part); err != nil {
 		return nil, false, apierror.Wrap(err, apierror.Corrupted, "rollout", remedySameVersion)
 	}
-	r.FullShare, r.History = rest.FullShare, rest.History
+	r.FullShare, r.History = part.FullShare, part.History
 	return r, true, r.Validate()
 }
 
 func checksum(b []byte) uint64 { return inference.HashString(string(b)) }
 
-// Encode is the record as the chain stores it. A record beyond MaxRecord is an error of kind
+// Encode encodes the record for storage in the chain. If it exceeds MaxRecord, the error is of kind
 // TooLarge.
 func (r *Record) Encode() ([]byte, error) {
 	raw, err := encodeRecord(r)
@@ -83,8 +83,8 @@
 	return append([]byte{recordFormat}, raw...), nil
 }
 
-// Decode reads and validates what Encode made; no bytes are the record before the first rollout.
-// Errors are of kind Corrupted.
+// Decode decodes and validates an encoded record. Empty input stands for the record before the first
+// rollout. Errors are of kind Corrupted.
 func Decode(raw []byte) (*Record, error) {
 	r := &Record{}
 	if len(raw) == 0 {
--- a/internal/fleet/rollout/replica_map.go
+++ b/internal/fleet/rollout/replica_map.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// maxRows bounds the servers, maxHotGroups the hot groups, maxRegions the regions and
-	// maxIndexedRoutes the routes that are known by name.
+	// maxRows is the maximum number of servers, maxHotGroups of hot groups, maxRegions of regions, and
+	// maxIndexedRoutes of routes known by name.
 	maxRows, maxHotGroups, maxRegions, maxIndexedRoutes = 8192, 256, 8, 254
 	// histogramSize is the length of a ReplicaHistogram.
 	histogramSize = 8
 )
 
-// ReplicaHistogram counts hash groups by their number of replicas; the last item is for that many
-// and more.
+// ReplicaHistogram has, at each index, the number of hash groups with that many replicas. The last
+// element also counts those with more.
 type ReplicaHistogram [histogramSize]int
 
-// ReplicaMap is what the lease holder knows of where groups have replicas, by what all agents sent
-// where. It takes a byte for each bucket and server. It is not safe for concurrent use.
+// ReplicaMap tells the lease holder which servers are replicas of which groups, as derived from the
+// agents' reports of their sends. It takes a byte for each bucket and server. It is not safe for
+// concurrent use.
 type ReplicaMap struct {
 	startedAt      time.Duration
 	epochStartedAt time.Duration
-	rows           map[string]*[buckets]uint8 // by server: the epochs until it is no replica any more
+	rows           map[string]*[buckets]uint8 // by server and bucket: epochs left as a replica
 	buckets        [buckets]groupState
-	hot            map[Group]*hotGroup
+	hotGroups      map[Group]*hotGroup
 	regions        []string
 	routes         []string
 }
 
-// groupState is what a group needs.
+// groupState is the demand for a group and its requirements.
 type groupState struct {
-	requests    float32     // in the window
-	regions     uint8       // in which it is requested, as a set of indices
-	minReplicas uint8       // the highest of its routes'
-	allowed     revisionSet // what all of its routes allow
-	route       uint8       // the one that needs the most replicas: 1 + its index; 0: none
+	requests    float32     // requests in the window
+	regions     uint8       // set of the indices of regions that request it
+	minReplicas uint8       // maximum over its routes
+	allowed     revisionSet // revisions that all of its routes allow
+	route       uint8       // 1 + the index of the route that needs the most replicas; 0 if none is known
 }
 
-// hotGroup is a group that is counted by itself.
+// hotGroup is a prompt group that is also counted individually.
 type hotGroup struct {
 	groupState
-	replicas map[string]uint8 // by server: the epochs until it is no replica any more
+	replicas map[string]uint8 // by server: epochs left as a replica
 }
 
-// NewReplicaMap returns what is known before anything was reported.
+// NewReplicaMap returns an empty map.
 func NewReplicaMap() *ReplicaMap {
-	return &ReplicaMap{rows: map[string]*[buckets]uint8{}, hot: map[Group]*hotGroup{}}
+	return &ReplicaMap{rows: map[string]*[buckets]uint8{}, hotGroups: map[Group]*hotGroup{}}
 }
 
-// demand is what a report adds to a group's state.
+// demand is what one report's sends of a route add to a group's state.
 type demand struct {
-	region      int // index; negative: none
+	region      int // the region's index; negative if it has none
 	minReplicas uint8
 	allowed     revisionSet
 	route       uint8
@@ -74,12 +75,13 @@
 	s.allowed &= d.allowed
 }
 
-// requested reports whether a group is requested in a region, and often enough.
+// requested reports whether the group is requested in the region and has at least minRequests in the
+// window.
 func (s *groupState) requested(region int, minRequests float64) bool {
 	return float64(s.requests) >= minRequests && s.regions&(1<<region) != 0
 }
 
-// Add takes what an agent in a region sent where.
+// Add adds the reported sends of an agent in a region.
 func (m *ReplicaMap) Add(spec *Spec, region string, sends *Sends) {
 	regionIndex := m.regionIndex(region)
 	demandOf := func(route string) demand {
@@ -94,12 +96,12 @@
 	}
 	for server, groups := range sends.Hot {
 		for _, g := range groups {
-			m.addHot(server, g, demandOf)
+			m.addHotGroup(server, g, demandOf)
 		}
 	}
 }
 
-// addBuckets takes the buckets that were sent to a server.
+// addBuckets adds the hash groups that were sent to a server.
 func (m *ReplicaMap) addBuckets(server string, packed []uint32, d demand) {
 	row := m.rows[server]
 	if row == nil {
@@ -117,15 +119,16 @@
 	}
 }
 
-// addHot takes a hot group that was sent to a server. One too many is known by its bucket only.
-func (m *ReplicaMap) addHot(server string, sends HotGroupSends, demandOf func(route string) demand) {
-	h := m.hot[sends.Group]
+// addHotGroup adds a hot group that was sent to a server. Hot groups beyond maxHotGroups are counted only
+// by their buckets.
+func (m *ReplicaMap) addHotGroup(server string, sends HotGroupSends, demandOf func(route string) demand) {
+	h := m.hotGroups[sends.Group]
 	if h == nil {
-		if len(m.hot) >= maxHotGroups {
+		if len(m.hotGroups) >= maxHotGroups {
 			return
 		}
 		h = &hotGroup{replicas: map[string]uint8{}}
-		m.hot[sends.Group] = h
+		m.hotGroups[sends.Group] = h
 	}
 	if len(h.replicas) < maxRows {
 		h.replicas[server] = epochs
@@ -133,7 +136,7 @@
 	h.add(demandOf(sends.Route), min(max(sends.Requests, 0), maxCount))
 }
 
-// regionIndex is the region's index, negative if there are too many.
+// regionIndex returns the region's index. It is negative if there are too many regions.
 func (m *ReplicaMap) regionIndex(name string) int {
 	i := slices.Index(m.regions, name)
 	if i < 0 && len(m.regions) < maxRegions {
@@ -143,7 +146,7 @@
 	return i
 }
 
-// routeIndex is 1 + the route's index, 0 if there are too many.
+// routeIndex returns 1 + the route's index, or 0 if there are too many routes.
 func (m *ReplicaMap) routeIndex(name string) uint8 {
 	i := slices.Index(m.routes, name)
 	if i < 0 && len(m.routes) < maxIndexedRoutes {
@@ -160,14 +163,15 @@
 	return m.routes[index-1]
 }
 
-// Tick lets time pass: a server that was not sent a group for a window is no replica any more.
+// Tick advances the time. A server that was sent no request of a group for replicaWindow no longer counts
+// as a replica of it.
 func (m *ReplicaMap) Tick(now time.Duration) {
 	if m.epochStartedAt == 0 {
 		m.startedAt, m.epochStartedAt = now, now
 	}
 	for n := 0; now-m.epochStartedAt >= epochDuration; n++ {
 		m.epochStartedAt += epochDuration
-		if n < epochs { // after those all has faded
+		if n < epochs { // after so many epochs nothing is left
 			m.endEpoch()
 		}
 	}
@@ -179,7 +183,7 @@
 			delete(m.rows, id)
 		}
 	}
-	for key, h := range m.hot {
+	for key, h := range m.hotGroups {
 		for id := range h.replicas {
 			if h.replicas[id]--; h.replicas[id] == 0 {
 				delete(h.replicas, id)
@@ -187,7 +191,7 @@
 		}
 		h.requests -= h.requests / epochs
 		if len(h.replicas) == 0 {
-			delete(m.hot, key)
+			delete(m.hotGroups, key)
 		}
 	}
 	for b := range m.buckets {
@@ -195,24 +199,26 @@
 	}
 }
 
-// ageRow lets an epoch of a server's row pass. It returns false if nothing is left.
+// ageRow ends an epoch of a server's row. It returns false if the server is a replica of no group any
+// more.
 func ageRow(row *[buckets]uint8) bool {
-	var left uint8
+	var remaining uint8
 	for b := range row {
 		if row[b] > 0 {
 			row[b]--
 		}
-		left |= row[b]
+		remaining |= row[b]
 	}
-	return left > 0
+	return remaining > 0
 }
 
-// expectedRequests is how many requests a group that comes once in every has had in the window.
-func (m *ReplicaMap) expectedRequests(now, every time.Duration) float64 {
-	return float64(min(now-m.startedAt, replicaWindow)) / float64(every)
+// expectedRequests returns the number of requests in the window so far of a group that is requested once
+// per interval.
+func (m *ReplicaMap) expectedRequests(now, interval time.Duration) float64 {
+	return float64(min(now-m.startedAt, replicaWindow)) / float64(interval)
 }
 
-// Histogram counts the hash groups by their number of replicas, for operators.
+// Histogram returns the histogram of replicas, for operators.
 func (m *ReplicaMap) Histogram() (histogram ReplicaHistogram) {
 	var replicas [buckets]uint16
 	for _, row := range m.rows {
@@ -230,20 +236,20 @@
 	return histogram
 }
 
-// MemoryBytes is about the memory that the map takes.
+// MemoryBytes returns the approximate memory that the map takes.
 func (m *ReplicaMap) MemoryBytes() int {
 	const tables, hotBytes, replicaBytes = 4, 64, 32
 	bytes := (len(m.rows) + tables) * buckets
-	for _, h := range m.hot {
+	for _, h := range m.hotGroups {
 		bytes += hotBytes + replicaBytes*len(h.replicas)
 	}
 	return bytes
 }
 
-// sortedHotGroups are the hot groups in an order that is the same at each holder.
+// sortedHotGroups returns the hot groups in an order that is the same at each holder.
 func (m *ReplicaMap) sortedHotGroups() []Group {
-	groups := make([]Group, 0, len(m.hot))
-	for g := range m.hot {
+	groups := make([]Group, 0, len(m.hotGroups))
+	for g := range m.hotGroups {
 		groups = append(groups, g)
 	}
 	slices.SortFunc(groups, func(a, b Group) int { return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Key, b.Key)) })
--- a/internal/fleet/rollout/replica_map_test.go
+++ b/internal/fleet/rollout/replica_map_test.go
@@ -57,7 +57,7 @@
 		replicas.Tick(now)
 	}
 	assert.Empty(t, replicas.rows)
-	assert.Empty(t, replicas.hot)
+	assert.Empty(t, replicas.hotGroups)
 }
 
 func TestReplicaMapIsBounded(t *testing.T) {
@@ -80,7 +80,7 @@
 		excess.Buckets[fmt.Sprint(i)] = map[string][]uint32{"x": {math.MaxUint32}}
 	}
 	replicas.Add(spec, "n", &excess)
-	assert.LessOrEqual(t, len(replicas.hot), maxHotGroups)
+	assert.LessOrEqual(t, len(replicas.hotGroups), maxHotGroups)
 	assert.LessOrEqual(t, len(replicas.regions), maxRegions)
 	assert.LessOrEqual(t, len(replicas.routes), maxIndexedRoutes)
 }
--- a/internal/fleet/rollout/report_aggregator.go
+++ b/internal/fleet/rollout/report_aggregator.go
@@ -6,19 +6,19 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// ReportAggregator is the lease holder's aggregate of what agents report, for one rollout: a new
-// holder, and a new rollout, begin with nothing. It is not safe for concurrent use.
+// ReportAggregator aggregates the agents' reports on one rollout at the lease holder. A new holder and
+// a new rollout begin with an empty one. It is not safe for concurrent use.
 type ReportAggregator struct {
-	Rollout  uint64 // its number
+	Rollout  uint64 // the rollout's number
 	Replicas *ReplicaMap
 	Judge    *Judge
 
 	spec         *Spec
 	agents       map[string]*agentState
-	serverCounts map[string]*Counts // of servers that are ramped up
+	serverCounts map[string]*Counts // by server that is being ramped up
 }
 
-// NewReportAggregator returns what is known of a rollout before anything was reported.
+// NewReportAggregator returns an empty aggregator for the record's rollout.
 func NewReportAggregator(record *Record) *ReportAggregator {
 	spec := record.Spec
 	return &ReportAggregator{
@@ -31,8 +31,8 @@
 	}
 }
 
-// Add takes an agent's report. Of one for another rollout only the applied version and the requests
-// in flight count. Errors are of kind Invalid, and TooLarge beyond the agents that can be known.
+// Add adds an agent's report. From a report on another rollout, it takes only the applied version and
+// the requests in flight. Errors are of kind Invalid, or of kind TooLarge if there are too many agents.
 func (a *ReportAggregator) Add(r *Report) error {
 	if err := r.Validate(); err != nil {
 		return err
@@ -61,7 +61,7 @@
 }
 
 func (a *ReportAggregator) addServerCounts(servers map[string]*Counts) {
-	const limit = 4 * maxInTransition // some are forgotten only at the next Reconcile
+	const limit = 4 * maxInTransition // servers that have ended their ramp are forgotten only at the next Reconcile
 	for id, counts := range servers {
 		if counts == nil || !counts.plausible() {
 			continue
@@ -72,7 +72,7 @@
 	}
 }
 
-// pruneServerCounts forgets the servers that are not ramped up any more.
+// pruneServerCounts forgets the servers that are no longer being ramped up.
 func (a *ReportAggregator) pruneServerCounts(record *Record) {
 	for id := range a.serverCounts {
 		if record.ramping(id) == nil {
@@ -81,14 +81,14 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick advances the time of the replica map and the judge.
 func (a *ReportAggregator) Tick(now time.Duration) {
 	a.Replicas.Tick(now)
 	a.Judge.Tick(now)
 }
 
-// Agents is what the members reported, with those that have reported nothing. Agents that are no
-// members any more are forgotten.
+// Agents returns the state of all members, including those that have reported nothing, and forgets the
+// agents that are no longer members.
 func (a *ReportAggregator) Agents(members []string) []Agent {
 	isMember := make(map[string]bool, len(members))
 	agents := make([]Agent, 0, len(members))
--- a/internal/fleet/rollout/requesthistory/doc.go
+++ b/internal/fleet/rollout/requesthistory/doc.go
@@ -1,10 +1,10 @@
-// Package requesthistory is the set of histories that a request may have at an agent: attempts,
-// chunks of the response, and its end. The agent applies each event before it acts on it, and must
-// not do what is refused. It is pure.
+// Package requesthistory defines the valid histories of a request at an agent: its attempts, the chunks
+// of its response, and its end. The agent applies each event to the request's History before it acts on
+// the event, and must not do what the History refuses. The package does no I/O.
 //
-// A history is a sequence of attempts, each sent and then known not to have run, answered, or
-// failed with an unknown result; then one end. What may have run is sent again only if it is
-// idempotent, and once chunks were forwarded only from the chunk that follows, at the same revision
-// of the model. A request that may have run is never rejected: a rejection promises that it has not
-// run and never will.
+// A history is a sequence of attempts followed by one end. Each attempt is sent; then it is known not to
+// have run, is answered, or fails with an unknown result. A request that may have run is sent again only
+// if it is idempotent. Once chunks were forwarded, it is sent again only to resume after the last of
+// them, at the same revision of the model. A request that may have run is never rejected: a rejection
+// promises that it has not run and never will.
 package requesthistory
--- a/internal/fleet/rollout/requesthistory/errors.go
+++ b/internal/fleet/rollout/requesthistory/errors.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// The rules that a refused event breaks.
+// The errors name the rules that a refused event breaks.
 var (
 	ErrEnded               = errors.New("the request has ended")
 	ErrUnknownEvent        = errors.New("the event is unknown")
@@ -33,10 +33,10 @@
 // TransitionError is returned for an event that the history refuses.
 type TransitionError struct {
 	Event Event
-	Rule  error // the rule that it breaks: one of this package's errors
+	Rule  error // the rule that the event breaks: one of the errors above
 }
 
 func (e *TransitionError) Error() string { return fmt.Sprintf("request: %s: %v", e.Event, e.Rule) }
 
-// Unwrap returns the rule.
+// Unwrap returns the broken rule.
 func (e *TransitionError) Unwrap() error { return e.Rule }
--- a/internal/fleet/rollout/requesthistory/event.go
+++ b/internal/fleet/rollout/requesthistory/event.go
@@ -1,36 +1,39 @@
 package requesthistory
 
-// Event is one thing that happens to a request.
+// Event is an event in the history of a request.
 type Event uint8
 
 // The events.
 const (
-	// AttemptSent begins an attempt. Detail: the revision that it expects, and the ID of the chunk
-	// that it resumes after.
+	// AttemptSent begins an attempt. Its Detail has the revision that the attempt expects, and the ID
+	// of the chunk after which it resumes.
 	AttemptSent Event = iota
-	// AttemptNotRun: the attempt has not run and never will, as the server reports or as it was not
-	// sent completely.
+	// AttemptNotRun ends an attempt that has not run and never will, because the server says so or
+	// because it was not sent completely.
 	AttemptNotRun
-	// ResponseStarted is the header of a successful response. Detail: the revision that it names.
+	// ResponseStarted is the header of a successful response. Its Detail has the revision that the
+	// header names.
 	ResponseStarted
-	// ChunkForwarded is a chunk of the response that is forwarded to the client. Detail: its ID, and
-	// the revision if it names another.
+	// ChunkForwarded is a chunk of the response that is forwarded to the client. Its Detail has the
+	// chunk's ID, and a revision if the chunk names another one than the header.
 	ChunkForwarded
-	// AttemptFailed: the attempt was interrupted, and may have run.
+	// AttemptFailed ends an attempt that was interrupted and may have run.
 	AttemptFailed
-	// AttemptMigrated: the agent cancels the attempt, as the server is drained.
+	// AttemptMigrated ends an attempt that the agent cancels because the server is being drained.
 	AttemptMigrated
-	// Completed: the complete response was forwarded.
+	// Completed ends the request: the complete response was forwarded.
 	Completed
-	// ErrorForwarded: a server's complete error response was forwarded, and the request has run.
+	// ErrorForwarded ends the request: a server's complete error response was forwarded. The request
+	// has run.
 	ErrorForwarded
-	// Rejected is an answer of 408, 421, 429 or 503: the request has not run and never will.
+	// Rejected ends the request with status 408, 421, 429 or 503: it has not run and never will.
 	Rejected
-	// Failed is an answer of 502 or 504: nothing is promised.
+	// Failed ends the request with status 502 or 504, which promise nothing about whether it ran.
 	Failed
-	// Truncated ends a response that has begun so that it does not look complete.
+	// Truncated ends the request: its response has begun, and is cut off so that it does not look
+	// complete.
 	Truncated
-	// ClientLeft: the client has closed its connection.
+	// ClientLeft ends the request: the client has closed its connection.
 	ClientLeft
 
 	eventCount
@@ -39,7 +42,7 @@
 var eventNames = [eventCount]string{"attempt sent", "attempt not run", "response started", "chunk forwarded", "attempt failed",
 	"attempt migrated", "completed", "error forwarded", "rejected", "failed", "truncated", "client left"}
 
-// String is the event's name.
+// String returns the event's name.
 func (e Event) String() string {
 	if e < eventCount {
 		return eventNames[e]
@@ -47,8 +50,8 @@
 	return "unknown event"
 }
 
-// Detail comes with an event. Zero means unspecified.
+// Detail has further data of an event. A zero field is unspecified.
 type Detail struct {
-	ID      int64 // of a chunk, from 1
-	Version int   // revision of the model
+	ID       int64 // ID of a chunk, from 1
+	Revision int   // revision of the model
 }
--- a/internal/fleet/rollout/requesthistory/history.go
+++ b/internal/fleet/rollout/requesthistory/history.go
@@ -1,32 +1,32 @@
 package requesthistory
 
-// History is what has happened to one request at one agent. It is not safe for concurrent use.
+// History is the history of one request at one agent. It is not safe for concurrent use.
 type History struct {
-	Idempotent bool  // it may run more than once
-	Resumable  bool  // its stream can be resumed after a chunk's ID
-	Versioned  bool  // servers name the revision of their model: each attempt expects one
-	After      int64 // the chunk that the client has, if it resumes a stream itself; 0: none
-
-	state           state
-	mayHaveRun      bool
-	chunks          int64 // forwarded
-	nextChunk       int64 // ID; 0: unknown
-	revision        int   // of the forwarded chunks; 0: unknown
-	expectedVersion int   // of the attempt
+	Idempotent bool  // the request may run more than once
+	Resumable  bool  // the response is a stream that can be resumed after a given chunk
+	Versioned  bool  // servers name the revision of their model, and each attempt states the one it expects
+	After      int64 // ID of the last chunk that the client has, if the client itself resumes a stream; 0 if not
+
+	state            state
+	mayHaveRun       bool
+	chunks           int64 // number of forwarded chunks
+	nextChunk        int64 // ID of the next chunk; 0 if unknown
+	revision         int   // revision of the forwarded chunks; 0 if unknown
+	expectedRevision int   // revision that the attempt expects; 0 if none
 }
 
 type state uint8
 
 const (
-	stateNew        state = iota // no attempt was sent
+	stateNew        state = iota // no attempt was sent yet
 	stateSent                    // an attempt awaits its response
 	stateResponding              // a response has started
-	stateBetween                 // no attempt is in flight
+	stateBetween                 // an attempt has ended, and no other is in flight
 	stateEnded
 )
 
-// Apply takes the next event. An event that no request may have is refused with a
-// *TransitionError and changes nothing.
+// Apply adds the next event. An event that breaks a rule is refused with a *TransitionError and changes
+// nothing.
 func (h *History) Apply(event Event, detail Detail) error {
 	if err := h.transition(event, detail); err != nil {
 		return &TransitionError{Event: event, Rule: err}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Ended reports whether the request has its end.
+// Ended reports whether the request has ended.
 func (h *History) Ended() bool { return h.state == stateEnded }
 
 func (h *History) transition(event Event, detail Detail) error {
@@ -45,13 +45,13 @@
 	case AttemptSent:
 		return h.sendAttempt(detail)
 	case AttemptNotRun:
-		return h.withdrawAttempt()
+		return h.dropUnrunAttempt()
 	case ResponseStarted:
 		return h.startResponse(detail)
 	case ChunkForwarded:
 		return h.forwardChunk(detail)
 	case AttemptFailed:
-		return h.breakAttempt()
+		return h.failAttempt()
 	case AttemptMigrated:
 		return h.migrateAttempt()
 	case Completed, ErrorForwarded, Rejected, Failed, Truncated, ClientLeft:
@@ -61,7 +61,7 @@
 	}
 }
 
-// attemptInFlight reports whether an attempt was sent that has neither ended nor failed.
+// attemptInFlight reports whether an attempt was sent and has not ended.
 func (h *History) attemptInFlight() bool { return h.state == stateSent || h.state == stateResponding }
 
 func (h *History) sendAttempt(detail Detail) error {
@@ -72,29 +72,30 @@
 		return ErrRunsTwice
 	case h.chunks > 0 && !h.Resumable:
 		return ErrNotResumable
-	case !h.resumesAfter(detail.ID):
+	case !h.isResumePoint(detail.ID):
 		return ErrWrongResumePoint
-	case h.Versioned && detail.Version == 0:
+	case h.Versioned && detail.Revision == 0:
 		return ErrNoExpectedRevision
-	case h.chunks > 0 && h.revision != 0 && detail.Version != h.revision:
+	case h.chunks > 0 && h.revision != 0 && detail.Revision != h.revision:
 		return ErrOtherExpectation
 	}
 	if h.chunks == 0 && h.After > 0 {
 		h.nextChunk = h.After + 1
 	}
-	h.state, h.expectedVersion = stateSent, detail.Version
+	h.state, h.expectedRevision = stateSent, detail.Revision
 	return nil
 }
 
-// resumesAfter reports whether an attempt has to resume after the chunk; 0 is the stream's start.
-func (h *History) resumesAfter(chunk int64) bool {
+// isResumePoint reports whether a chunk is the one after which the next attempt has to resume. Chunk 0
+// stands for the stream's start.
+func (h *History) isResumePoint(chunk int64) bool {
 	if h.chunks == 0 {
 		return chunk == h.After
 	}
 	return h.nextChunk != 0 && chunk == h.nextChunk-1
 }
 
-func (h *History) withdrawAttempt() error {
+func (h *History) dropUnrunAttempt() error {
 	if h.state != stateSent {
 		return ErrNotAwaitingResponse
 	}
@@ -103,9 +104,9 @@
 }
 
 func (h *History) startResponse(detail Detail) error {
-	revision := detail.Version
+	revision := detail.Revision
 	if revision == 0 {
-		revision = h.expectedVersion // the server has checked it
+		revision = h.expectedRevision // the server accepted the attempt, and so has this revision
 	}
 	switch {
 	case h.state != stateSent:
@@ -126,11 +127,11 @@
 		return ErrNotResponding
 	case h.nextChunk != 0 && detail.ID != h.nextChunk:
 		return ErrChunkOutOfOrder
-	case differ(h.revision, detail.Version):
+	case differ(h.revision, detail.Revision):
 		return ErrChunkOtherRevision
 	}
 	if h.revision == 0 {
-		h.revision = detail.Version
+		h.revision = detail.Revision
 	}
 	h.chunks++
 	if detail.ID != 0 {
@@ -139,10 +140,10 @@
 	return nil
 }
 
-// differ reports whether both revisions are known and are not the same.
+// differ reports whether both revisions are known and differ.
 func differ(a, b int) bool { return a != 0 && b != 0 && a != b }
 
-func (h *History) breakAttempt() error {
+func (h *History) failAttempt() error {
 	if !h.attemptInFlight() {
 		return ErrNoAttempt
 	}
@@ -154,10 +155,10 @@
 	if h.attemptInFlight() && !h.Resumable && !h.Idempotent {
 		return ErrMigrationRunsTwice
 	}
-	return h.breakAttempt()
+	return h.failAttempt()
 }
 
-// end takes the event that ends the request.
+// end applies an event that ends the request.
 func (h *History) end(event Event) error {
 	if err := h.mayEnd(event); err != nil {
 		return err
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// mayEnd returns the rule that forbids the request to end by the event, or nil.
+// mayEnd returns the rule that forbids the event to end the request, or nil.
 func (h *History) mayEnd(event Event) error {
 	switch event {
 	case Completed:
--- a/internal/fleet/rollout/requesthistory/history_test.go
+++ b/internal/fleet/rollout/requesthistory/history_test.go
@@ -7,39 +7,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// transition is an event with its detail.
+// transition is an event and its detail.
 type transition struct {
 	event  Event
 	detail Detail
 }
 
-func TestServersThatDoOtherThanAskedAreNotBelieved(t *testing.T) {
+func TestUnrequestedChunksAndRevisionsAreRefused(t *testing.T) {
 	h := resumable
-	require.NoError(t, h.Apply(AttemptSent, Detail{Version: 1}))
-	require.NoError(t, h.Apply(ResponseStarted, Detail{Version: 1}))
+	require.NoError(t, h.Apply(AttemptSent, Detail{Revision: 1}))
+	require.NoError(t, h.Apply(ResponseStarted, Detail{Revision: 1}))
 	require.NoError(t, h.Apply(ChunkForwarded, Detail{ID: 1}))
 	require.ErrorIs(t, h.Apply(ChunkForwarded, Detail{ID: 3}), ErrChunkOutOfOrder)
-	require.ErrorIs(t, h.Apply(ChunkForwarded, Detail{ID: 2, Version: 2}), ErrChunkOtherRevision)
+	require.ErrorIs(t, h.Apply(ChunkForwarded, Detail{ID: 2, Revision: 2}), ErrChunkOtherRevision)
 	require.NoError(t, h.Apply(AttemptFailed, Detail{}))
-	require.NoError(t, h.Apply(AttemptSent, Detail{ID: 1, Version: 1}))
-	require.ErrorIs(t, h.Apply(ResponseStarted, Detail{Version: 2}), ErrOtherRevision)
+	require.NoError(t, h.Apply(AttemptSent, Detail{ID: 1, Revision: 1}))
+	require.ErrorIs(t, h.Apply(ResponseStarted, Detail{Revision: 2}), ErrOtherRevision)
 	require.NoError(t, h.Apply(ResponseStarted, Detail{}))
-	require.NoError(t, h.Apply(ChunkForwarded, Detail{ID: 2, Version: 1}))
+	require.NoError(t, h.Apply(ChunkForwarded, Detail{ID: 2, Revision: 1}))
 	require.NoError(t, h.Apply(Completed, Detail{}))
 }
 
 func TestMigratedStreamIsResumed(t *testing.T) {
 	h := History{Idempotent: true, Resumable: true}
 	for _, next := range []transition{
-		{AttemptSent, Detail{Version: 1}},
+		{AttemptSent, Detail{Revision: 1}},
 		{AttemptNotRun, Detail{}},
-		{AttemptSent, Detail{Version: 1}},
-		{ResponseStarted, Detail{Version: 1}},
+		{AttemptSent, Detail{Revision: 1}},
+		{ResponseStarted, Detail{Revision: 1}},
 		{ChunkForwarded, Detail{ID: 1}},
 		{ChunkForwarded, Detail{ID: 2}},
 		{AttemptMigrated, Detail{}},
-		{AttemptSent, Detail{ID: 2, Version: 1}},
-		{ResponseStarted, Detail{Version: 1}},
+		{AttemptSent, Detail{ID: 2, Revision: 1}},
+		{ResponseStarted, Detail{Revision: 1}},
 		{ChunkForwarded, Detail{ID: 3}},
 		{Completed, Detail{}},
 	} {
--- a/internal/fleet/rollout/requesthistory/model_test.go
+++ b/internal/fleet/rollout/requesthistory/model_test.go
@@ -11,34 +11,34 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// lastChunk is the number of chunks of a complete stream.
-const lastChunk = 2
+// streamChunks is the number of chunks of a complete stream.
+const streamChunks = 2
 
-// revisions are the revisions of the model that servers may have, from 1.
+// revisions is the number of revisions of the model. They are numbered from 1.
 const revisions = 2
 
-// request is a request, the servers that it meets and the client, at every moment that matters. The
-// agent does whatever its history allows; the servers do what they say.
+// request models a request with its agent, its client and the servers that it is sent to. The agent may
+// do whatever the history allows; the servers do what they announce.
 type request struct {
-	ignored      []error // rules that the agent breaks, to verify that the model checker finds it
-	history      History
-	attemptsLeft int
-	current      *attempt
-	abandoned    int // attempts that nobody awaits, and that may run yet
-	runs         int
-	forwarded    []chunk
-	end          Event
-	ended        bool
-	cause        error // the first violation of an invariant
+	ignored           []error // rules that the agent breaks, so that the model checker must find a violation
+	history           History
+	remainingAttempts int
+	current           *attempt
+	abandoned         int // number of attempts that nobody awaits and that may still run
+	runs              int // number of attempts that have run
+	forwarded         []chunk
+	end               Event
+	ended             bool
+	violation         error // of an invariant
 }
 
 type attempt struct {
-	revision int   // of the server
-	unnamed  bool  // the server does not name its revision
-	changed  bool  // the revision has changed since the server named it last
-	made     int64 // chunks, with those of earlier attempts
-	ran      bool
-	started  bool // the header was passed to the agent
+	revision  int   // the server's revision
+	unnamed   bool  // the server does not name its revision
+	changed   bool  // the server's revision has changed since the server last named it
+	lastChunk int64 // ID of the last chunk forwarded, also by earlier attempts
+	ran       bool
+	started   bool // the agent has received the header
 }
 
 type chunk struct {
@@ -46,7 +46,8 @@
 	revision int
 }
 
-// apply has the agent do something, if its history allows it or the rule that forbids it is ignored.
+// apply has the agent apply an event, if the history allows it or the rule that forbids it is ignored.
+// It reports whether the event was applied.
 func (r *request) apply(event Event, detail Detail) bool {
 	err := r.history.Apply(event, detail)
 	if err == nil {
@@ -72,12 +73,12 @@
 	return true
 }
 
-// allows reports whether the agent can do something, without doing it.
+// allows reports whether the agent can apply an event, without applying it.
 func (r *request) allows(event Event, detail Detail) bool {
 	return r.Clone().apply(event, detail)
 }
 
-// steps are all that may happen next. Their order identifies them in a trace.
+// steps returns all steps that are possible next. A trace identifies them by their order.
 func (r *request) steps() (steps []func()) {
 	if r.abandoned > 0 {
 		steps = append(steps, func() { r.abandoned--; r.run() })
@@ -92,11 +93,11 @@
 		return append(steps, r.sendSteps()...)
 	}
 	steps = append(steps, r.serverSteps()...)
-	steps = append(steps, r.breakSteps()...)
+	steps = append(steps, r.failSteps()...)
 	return append(steps, r.responseSteps()...)
 }
 
-// endSteps end the request by an event.
+// endSteps returns the step that ends the request by an event, if it is allowed.
 func (r *request) endSteps(event Event) (steps []func()) {
 	if !r.allows(event, Detail{}) {
 		return nil
@@ -110,21 +111,22 @@
 	})
 }
 
-// sendSteps send an attempt from any chunk, with any expectation, to any server.
+// sendSteps returns the steps that send an attempt, with any resume point and expected revision, to any
+// server.
 func (r *request) sendSteps() (steps []func()) {
-	if r.attemptsLeft == 0 {
+	if r.remainingAttempts == 0 {
 		return nil
 	}
 	have := int64(len(r.forwarded))
 	for _, after := range []int64{0, have, have - 1, have + 1} {
 		for expected := range revisions + 1 {
-			detail := Detail{ID: after, Version: expected}
+			detail := Detail{ID: after, Revision: expected}
 			if after < 0 || !r.allows(AttemptSent, detail) {
 				continue
 			}
 			for server := range 2 * revisions {
 				steps = append(steps, func() {
-					r.send(detail, &attempt{revision: server%revisions + 1, made: after, unnamed: server >= revisions})
+					r.send(detail, &attempt{revision: server%revisions + 1, lastChunk: after, unnamed: server >= revisions})
 				})
 			}
 		}
@@ -134,22 +136,22 @@
 
 func (r *request) send(detail Detail, a *attempt) {
 	r.apply(AttemptSent, detail)
-	r.attemptsLeft--
+	r.remainingAttempts--
 	r.current = a
-	if detail.Version != 0 && detail.Version != a.revision { // 421
+	if detail.Revision != 0 && detail.Revision != a.revision { // 421
 		r.rejectAttempt()
 	}
 }
 
-// rejectAttempt has the server say that the attempt has not run and never will.
+// rejectAttempt has the server answer that the attempt has not run and never will.
 func (r *request) rejectAttempt() {
 	r.current = nil
 	if !r.apply(AttemptNotRun, Detail{}) {
-		r.cause = fmt.Errorf("a server's word that the attempt has not run is refused")
+		r.violation = fmt.Errorf("the history refuses a server's answer that the attempt has not run")
 	}
 }
 
-// serverSteps are those of a server before the attempt runs.
+// serverSteps returns the steps of a server that has not run the attempt yet.
 func (r *request) serverSteps() (steps []func()) {
 	a := r.current
 	if a.ran {
@@ -160,8 +162,8 @@
 		func() { a.ran = true; r.run() })
 }
 
-// breakSteps break the attempt: by a reset, a time-out or the agent itself.
-func (r *request) breakSteps() (steps []func()) {
+// failSteps returns the steps that interrupt the attempt: by a reset, a time-out or the agent itself.
+func (r *request) failSteps() (steps []func()) {
 	a := r.current
 	for _, event := range []Event{AttemptFailed, AttemptMigrated} {
 		if !r.allows(event, Detail{}) {
@@ -178,22 +180,22 @@
 	return steps
 }
 
-// responseSteps pass the response on.
+// responseSteps returns the steps of the response after the attempt has run.
 func (r *request) responseSteps() (steps []func()) {
 	a := r.current
 	switch {
 	case a.ran && !a.started:
 		var detail Detail
 		if !a.unnamed {
-			detail.Version = a.revision
+			detail.Revision = a.revision
 		}
 		if r.allows(ResponseStarted, detail) {
 			steps = append(steps, func() { r.apply(ResponseStarted, detail); a.started = true })
 		}
-	case a.started && a.made < lastChunk:
-		detail := Detail{ID: a.made + 1}
+	case a.started && a.lastChunk < streamChunks:
+		detail := Detail{ID: a.lastChunk + 1}
 		if a.changed {
-			detail.Version = a.revision
+			detail.Revision = a.revision
 		}
 		if r.allows(ChunkForwarded, detail) {
 			steps = append(steps, func() { r.forward(detail) })
@@ -208,43 +210,43 @@
 
 func (r *request) forward(detail Detail) {
 	r.apply(ChunkForwarded, detail)
-	r.current.made++
+	r.current.lastChunk++
 	r.current.changed = false
 	r.forwarded = append(r.forwarded, chunk{detail.ID, r.current.revision})
 }
 
 func (r *request) run() {
 	if r.runs++; r.runs > 1 && !r.history.Idempotent {
-		r.cause = fmt.Errorf("it runs twice")
+		r.violation = fmt.Errorf("the request runs twice")
 	}
 }
 
-// check is what a client and the operators see.
+// check checks the invariants that a client and the operators rely on.
 func (r *request) check() error {
-	if r.cause != nil {
-		return r.cause
+	if r.violation != nil {
+		return r.violation
 	}
 	for i, c := range r.forwarded {
 		if c.id != int64(i)+1 {
-			return fmt.Errorf("chunk %d comes as number %d", c.id, i+1)
+			return fmt.Errorf("chunk %d is forwarded as number %d", c.id, i+1)
 		}
 		if c.revision != r.forwarded[0].revision {
-			return fmt.Errorf("chunks of two revisions are joined")
+			return fmt.Errorf("the stream has chunks of two revisions")
 		}
 	}
 	switch {
 	case !r.ended:
 	case r.end == Rejected && r.runs > 0:
-		return fmt.Errorf("it is rejected, and has run")
-	case r.end == Completed && len(r.forwarded) != lastChunk:
-		return fmt.Errorf("it is complete with %d chunks", len(r.forwarded))
+		return fmt.Errorf("the request is rejected, but has run")
+	case r.end == Completed && len(r.forwarded) != streamChunks:
+		return fmt.Errorf("the response is complete with %d chunks", len(r.forwarded))
 	case (r.end == Rejected || r.end == Failed) && len(r.forwarded) > 0:
 		return fmt.Errorf("a second response begins after %d chunks", len(r.forwarded))
 	}
 	return nil
 }
 
-// Steps is the number of steps that may be next.
+// Steps returns the number of steps that are possible next.
 func (r *request) Steps() int { return len(r.steps()) }
 
 // Do takes a step and checks the invariants.
@@ -253,7 +255,7 @@
 	return r.check()
 }
 
-// Clone shares nothing that changes.
+// Clone returns a copy that shares nothing that changes.
 func (r *request) Clone() *request {
 	c := *r
 	c.forwarded = slices.Clone(r.forwarded)
@@ -264,17 +266,17 @@
 	return &c
 }
 
-// Hash is equal for states of equal futures.
+// Hash returns a hash that is equal for states with the same possible futures.
 func (r *request) Hash() uint64 {
 	f := fnv.New64a()
-	fmt.Fprint(f, r.history, r.attemptsLeft, r.abandoned, min(r.runs, 2), r.forwarded, r.end, r.ended)
+	fmt.Fprint(f, r.history, r.remainingAttempts, r.abandoned, min(r.runs, 2), r.forwarded, r.end, r.ended)
 	if r.current != nil {
 		fmt.Fprint(f, *r.current)
 	}
 	return f.Sum64()
 }
 
-// The kinds of requests that are searched.
+// The kinds of requests for which the model checker searches all histories.
 var (
 	plain      = History{Versioned: true}
 	idempotent = History{Idempotent: true, Versioned: true}
@@ -283,17 +285,17 @@
 
 const (
 	maxAttempts = 3
-	// maxSchedules is more than any of the models has.
+	// maxSchedules is more than the number of schedules of any of the models.
 	maxSchedules = 500_000
 )
 
-// Whatever an agent does that its history allows, and whatever servers do, a request that is not
-// idempotent does not run twice, a rejected one never ran, and a stream is complete, in order and of
-// one revision.
+// Whatever servers do, and whatever an agent does that the history allows, a request that is not
+// idempotent does not run twice, a rejected request has not run, and a stream is complete, in order and
+// of one revision.
 func TestAllHistoriesKeepThePromises(t *testing.T) {
 	for name, history := range map[string]History{"plain": plain, "idempotent": idempotent, "resumable": resumable} {
 		t.Run(name, func(t *testing.T) {
-			result := interleave.Search(&request{history: history, attemptsLeft: maxAttempts}, maxSchedules)
+			result := interleave.Search(&request{history: history, remainingAttempts: maxAttempts}, maxSchedules)
 			t.Log(result)
 			if result.Err != nil || !result.Exhausted {
 				t.Error(result)
@@ -302,8 +304,8 @@
 	}
 }
 
-// Without any of the rules one of the promises breaks, and the model checker finds how. Two more
-// rules stand behind these, against servers that do not do as they were asked.
+// If the agent ignores any of these rules, the model checker finds a broken promise. Two more rules only
+// guard against servers that do not do as requested, which the model does not have.
 func TestModelCheckerFindsEachMissingRule(t *testing.T) {
 	for name, c := range map[string]struct {
 		history History
@@ -320,9 +322,9 @@
 		"chunks forwarded":     {plain, []error{ErrNotResumable, ErrChunksForwarded}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			result := interleave.Search(&request{history: c.history, attemptsLeft: maxAttempts, ignored: c.ignored}, maxSchedules)
+			result := interleave.Search(&request{history: c.history, remainingAttempts: maxAttempts, ignored: c.ignored}, maxSchedules)
 			if result.Err == nil {
-				t.Fatalf("nothing is found: %v", result)
+				t.Fatalf("no violation found: %v", result)
 			}
 			t.Log(result)
 		})
--- a/internal/fleet/rollout/samples.go
+++ b/internal/fleet/rollout/samples.go
@@ -7,62 +7,63 @@
 )
 
 const (
-	// maxStrata bounds what one report and one slot hold.
+	// maxStrata is the maximum number of strata in a report.
 	maxStrata = 2048
-	// sizeClasses and groupClasses are the numbers of classes of prompts by length and of groups by
-	// hash.
+	// sizeClasses is the number of classes of prompts, by length, and groupClasses that of prompt
+	// groups, by hash.
 	sizeClasses, groupClasses = 8, 8
-	// firstSizeBits is the length of the prompts of the first class: up to 256 tokens.
+	// firstSizeBits bounds the first class of prompts: shorter than 1<<firstSizeBits = 256 tokens.
 	firstSizeBits = 8
 	// minLatencyMs keeps logarithms of latencies finite.
 	minLatencyMs = 0.1
 )
 
-// Sample is one attempt that ended, as its agent saw it.
+// Sample is one ended attempt as its agent observed it.
 type Sample struct {
 	Group            Group
 	PromptTokens     int
 	Server           string
-	FirstToken       time.Duration // time to it; 0: none came
-	FirstTokenTarget time.Duration // 0: none is required
-	LongestGap       time.Duration // between two events
-	GapTarget        time.Duration // 0: none is required
-	Events           int
-	// CacheMiss is set if the server had to prefill shared segments that others have cached: its time
-	// to the first token is no measure of the revision.
+	FirstToken       time.Duration // time to the first token; 0 if there was none
+	FirstTokenTarget time.Duration // latency target of the first token; 0 if there is none
+	LongestGap       time.Duration // longest time between two events of the stream
+	GapTarget        time.Duration // target of the gaps; 0 if there is none
+	Events           int           // number of events of the stream
+	// CacheMiss is set if the server had to prefill shared segments that other servers have cached. The
+	// time to the first token then says nothing about the revision.
 	CacheMiss bool
-	Failed    bool // it may have run and has no complete response, unless the client left
-	Rejected  bool // the server rejected it unrun
+	Failed    bool // the attempt may have run and got no complete response, though the client stayed
+	Rejected  bool // the server rejected the attempt without running it
 }
 
-// Stratum is what is compared with its like only: attempts of one route, length and class of groups,
-// at servers of one revision.
+// Stratum identifies a set of similar attempts: those of one route, class of prompt lengths and class
+// of groups, at servers of one revision. Only strata that differ in nothing but the revision are
+// compared.
 type Stratum struct {
 	Route string `msgpack:"r"`
-	Size  uint8  `msgpack:"s"`
-	Class uint8  `msgpack:"c"`
-	New   bool   `msgpack:"n"` // of the new revision
+	Size  uint8  `msgpack:"s"` // class of the prompt's length
+	Class uint8  `msgpack:"c"` // class of the prompt's group
+	New   bool   `msgpack:"n"` // the servers have the new revision
 }
 
-// valid reports whether an agent can have counted the stratum.
+// valid reports whether the stratum is within its bounds.
 func (s *Stratum) valid() bool {
 	return s.Size < sizeClasses && s.Class < groupClasses && len(s.Route) <= maxName
 }
 
-// Counts are sums over attempts. Latencies (in ms) and events are summed as logarithms, so that
-// their means are of ratios.
+// Counts are sums over attempts. Latencies (in ms) and numbers of events are summed as logarithms, so
+// that differences of their means are logarithms of ratios.
 type Counts struct {
 	Attempts             int     `msgpack:"n"`
 	Rejected             int     `msgpack:"r"`
 	Failed               int     `msgpack:"f"`
-	Late                 int     `msgpack:"l"` // of CacheHits: the first token missed its target
-	Stalled              int     `msgpack:"p"` // of Answered: a gap missed its target
-	Answered             int     `msgpack:"a"` // with a first token
-	CacheHits            int     `msgpack:"m"` // of Answered
-	LogFirstToken        float64 `msgpack:"t"` // of CacheHits
+	Late                 int     `msgpack:"l"` // those of CacheHits whose first token missed its target
+	Stalled              int     `msgpack:"p"` // those of Answered with a gap that missed its target
+	Answered             int     `msgpack:"a"` // attempts with a first token
+	CacheHits            int     `msgpack:"m"` // those of Answered without a cache miss
+	LogFirstToken        float64 `msgpack:"t"` // sum over CacheHits
 	LogFirstTokenSquared float64 `msgpack:"u"`
-	Completed            int     `msgpack:"w"` // of Answered: did not fail
-	LogEvents            float64 `msgpack:"e"` // of Completed
+	Completed            int     `msgpack:"w"` // those of Answered that did not fail and have events
+	LogEvents            float64 `msgpack:"e"` // sum over Completed
 	LogEventsSquared     float64 `msgpack:"g"`
 }
 
@@ -120,7 +121,8 @@
 	c.LogEventsSquared += other.LogEventsSquared
 }
 
-// plausible reports whether an agent can have counted that: one bad report must not decide for all.
+// plausible reports whether the counts are consistent and bounded, so that a single bad report can't
+// determine the verdict.
 func (c *Counts) plausible() bool {
 	const maxAttempts, maxLog = 1e7, 20
 	within := func(n, limit int) bool { return n >= 0 && n <= limit }
@@ -133,20 +135,19 @@
 		math.Abs(c.LogEvents) <= logs && c.LogEventsSquared >= 0 && c.LogEventsSquared <= maxLog*logs
 }
 
-// SampleRecorder is an agent's part: what it saw of both revisions. It is not safe for concurrent
-// use.
+// SampleRecorder counts an agent's samples of both revisions. It is not safe for concurrent use.
 type SampleRecorder struct {
 	counts       map[Stratum]*Counts
-	serverCounts map[string]*Counts // of servers that are ramped up
+	serverCounts map[string]*Counts // by server that is being ramped up
 }
 
-// NewSampleRecorder returns a recorder that saw nothing.
+// NewSampleRecorder returns a recorder without samples.
 func NewSampleRecorder() *SampleRecorder {
 	return &SampleRecorder{counts: map[Stratum]*Counts{}, serverCounts: map[string]*Counts{}}
 }
 
-// Record counts an attempt that ended at a server of one revision. Attempts at a server
-// that is ramping are also counted by server.
+// Record counts an ended attempt at a server of the new or the old revision. Attempts at a ramping
+// server are also counted by server.
 func (r *SampleRecorder) Record(s *Sample, isNew, ramping bool) {
 	stratum := Stratum{Route: s.Group.Route, Size: sizeClass(s.PromptTokens), Class: uint8(s.Group.bucket() % groupClasses), New: isNew}
 	counts := boundedCounts(r.counts, stratum, maxStrata)
@@ -162,7 +163,8 @@
 	}
 }
 
-// boundedCounts returns the counts of a key, or nil if that would be one key too many.
+// boundedCounts returns the counts of a key, adding the key if need be. It returns nil if there are
+// limit other keys already.
 func boundedCounts[K comparable](counts map[K]*Counts, key K, limit int) *Counts {
 	c := counts[key]
 	if c == nil && len(counts) < limit {
@@ -172,24 +174,25 @@
 	return c
 }
 
-// sizeClass is a prompt's class by length: the first up to 256 tokens, and one for each doubling.
+// sizeClass returns a prompt's class by length: the first class is below 256 tokens, each further one
+// ends at twice the length, and the last one is unbounded.
 func sizeClass(tokens int) uint8 {
 	return uint8(min(max(bits.Len(uint(max(tokens, 0)))-firstSizeBits, 0), sizeClasses-1))
 }
 
-// SampleReport is the part of a report on the samples of both revisions.
+// SampleReport is the part of a Report that has the samples of both revisions.
 type SampleReport struct {
 	Strata  []StratumCounts    `msgpack:"c,omitempty"`
-	Servers map[string]*Counts `msgpack:"o,omitempty"` // by server that is ramped up
+	Servers map[string]*Counts `msgpack:"o,omitempty"` // by server that is being ramped up
 }
 
 // StratumCounts are the counts of one stratum.
 type StratumCounts struct {
 	Stratum
-	Counts `msgpack:"Counts,noinline"` // its keys are also some of Stratum's
+	Counts `msgpack:"Counts,noinline"` // not inlined, because some of its keys are also Stratum's
 }
 
-// Take returns what was recorded since it was last called.
+// Take returns the samples since the last call of Take.
 func (r *SampleRecorder) Take() SampleReport {
 	var report SampleReport
 	for stratum, counts := range r.counts {
--- a/internal/fleet/rollout/send_tracker.go
+++ b/internal/fleet/rollout/send_tracker.go
@@ -3,25 +3,27 @@
 import "time"
 
 const (
-	// maxReportPairs bounds the counts of groups in one report.
+	// maxReportPairs is the maximum number of pairs of a server and a bucket in a report, and of a server
+	// and a hot group.
 	maxReportPairs = 4096
-	// trackedHotGroups is the number of groups that an agent counts by themselves.
+	// trackedHotGroups is the maximum number of groups that an agent counts individually.
 	trackedHotGroups = 32
-	// minHotRequests and minHotShare are the requests of an epoch, and the part of all of them, from
-	// which a group is hot.
+	// A group is hot if it has at least minHotRequests requests in an epoch, and at least the fraction
+	// minHotShare of all requests.
 	minHotRequests, minHotShare = 20, 0.01
-	// newcomerSampling is how many requests of untracked groups pass for each one that is counted.
+	// newcomerSampling samples untracked groups: only every newcomerSampling-th request of an epoch may
+	// make its group a tracked one once trackedHotGroups are tracked.
 	newcomerSampling = 8
 )
 
-// SendTracker is an agent's part of the ReplicaMap: which groups it sent where. It is not safe for
-// concurrent use.
+// SendTracker counts, for an agent's reports, which groups the agent sent to which servers. It is not
+// safe for concurrent use.
 type SendTracker struct {
 	epochEndsAt   time.Duration
-	epochRequests int
+	epochRequests int // requests in the epoch
 	bucketSends   map[bucketSend]int
 	groupSends    map[groupSend]int
-	hotCounts     map[Group]int // of the epoch
+	hotCounts     map[Group]int // requests in the epoch, by tracked group
 }
 
 type (
@@ -35,7 +37,7 @@
 	}
 )
 
-// NewSendTracker returns a tracker that has sent nothing.
+// NewSendTracker returns a tracker without sends.
 func NewSendTracker() *SendTracker {
 	return &SendTracker{bucketSends: map[bucketSend]int{}, groupSends: map[groupSend]int{}, hotCounts: map[Group]int{}}
 }
@@ -52,22 +54,23 @@
 	}
 	t.epochRequests++
 	incrementBounded(t.bucketSends, bucketSend{g.Route, server, g.bucket()})
-	if n := t.countHot(g); n >= minHotRequests && float64(n) >= minHotShare*float64(t.epochRequests) {
+	if n := t.countTracked(g); n >= minHotRequests && float64(n) >= minHotShare*float64(t.epochRequests) {
 		incrementBounded(t.groupSends, groupSend{g, server})
 	}
 }
 
-// incrementBounded counts a key, unless that would be one key too many.
+// incrementBounded increments the count of a key, unless the key is new and there are too many.
 func incrementBounded[K comparable](counts map[K]int, key K) {
 	if n, ok := counts[key]; ok || len(counts) < maxReportPairs {
 		counts[key] = min(n+1, maxCount)
 	}
 }
 
-// countHot counts a group by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005): a
-// newcomer replaces the rarest group and takes over its count. Only some of the newcomers do: that
-// is enough to find the hot ones. It returns the group's count, 0 for a newcomer.
-func (t *SendTracker) countHot(g Group) int {
+// countTracked counts a group by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005): an
+// untracked group replaces the rarest tracked one and takes over its count. It does so only for a sample
+// of the requests, which is enough to find the hot groups. It returns the group's count, or 0 if the
+// group was untracked and the maximum number was tracked.
+func (t *SendTracker) countTracked(g Group) int {
 	n, tracked := t.hotCounts[g]
 	if tracked || len(t.hotCounts) < trackedHotGroups {
 		t.hotCounts[g] = n + 1
@@ -76,14 +79,14 @@
 	if t.epochRequests%newcomerSampling != 0 {
 		return 0
 	}
-	rarest, count := t.rarestHot()
+	rarest, count := t.rarestTracked()
 	delete(t.hotCounts, rarest)
 	t.hotCounts[g] = count + 1
-	return 0 // its bucket stands for it at first
+	return 0 // for now the group is counted only by its bucket
 }
 
-// rarestHot is the tracked group of the fewest requests.
-func (t *SendTracker) rarestHot() (rarest Group, count int) {
+// rarestTracked returns the tracked group with the fewest requests.
+func (t *SendTracker) rarestTracked() (rarest Group, count int) {
 	count = -1
 	for g, n := range t.hotCounts {
 		if count < 0 || n < count {
@@ -93,7 +96,7 @@
 	return rarest, count
 }
 
-// Take returns what was sent since it was last called.
+// Take returns the sends since the last call of Take.
 func (t *SendTracker) Take() Sends {
 	var sends Sends
 	for key, n := range t.bucketSends {
--- a/internal/fleet/rollout/shortages.go
+++ b/internal/fleet/rollout/shortages.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// serverReplica is a server as a replica of groups.
+// serverReplica is what decides whether a server counts as a replica of a group.
 type serverReplica struct {
 	region    string
-	revisions revisionSet // its revision; empty if it is neither of the rollout
-	serves    bool        // it is healthy, and its share counts
+	revisions revisionSet // the server's revision; empty if it is neither of the rollout's two
+	serves    bool        // the server is ready and healthy, not draining, and has a share of its requests
 }
 
 // shortageSearch looks for the groups of a server that would have too few replicas without it.
@@ -17,16 +17,16 @@
 	region      string
 	regionIndex int
 	minRequests float64
-	anyReplica  bool // one replica is enough
+	anyReplica  bool // a single replica is enough
 
-	groups int
-	worst  Shortage
+	groups int      // number of groups that would be short of replicas
+	worst  Shortage // the group among them that lacks the most replicas
 }
 
-// shortages finds the groups of a server that would be short of replicas without it: how many, and
-// the one that lacks most. It looks only at groups that the server was recently sent and that came
-// at least minRequests times in the window: the prefix of a rare group is computed again by its next
-// request, wherever that goes. With anyReplica only groups that would have no replica count.
+// shortages returns how many groups of a server would be short of replicas without it, and the one that
+// lacks the most. It considers only groups that the server was recently sent and that were requested at
+// least minRequests times in the window: the prefix of a rarer group is simply prefilled again by its
+// next request. If anyReplica is set, only groups without any replica are short.
 func (m *ReplicaMap) shortages(id string, servers map[string]serverReplica, minRequests float64, anyReplica bool) (groups int, worst Shortage) {
 	region := servers[id].region
 	index := slices.Index(m.regions, region)
@@ -43,23 +43,25 @@
 		anyReplica:  anyReplica,
 	}
 	if row := m.rows[id]; row != nil {
-		search.addBuckets(row)
+		search.searchBuckets(row)
 	}
-	search.addHotGroups()
+	search.searchHotGroups()
 	return search.groups, search.worst
 }
 
-// isReplica reports whether another server counts as a replica of a group that allows the revisions.
+// isReplica reports whether a server other than the searched one counts as a replica of a group that
+// allows the given revisions.
 func (s *shortageSearch) isReplica(id string, allowed revisionSet) bool {
 	r := s.servers[id]
 	return r.serves && r.region == s.region && id != s.server && r.revisions&allowed != 0
 }
 
-// isRecent reports whether a group was sent to a server within the last epoch.
-func isRecent(level uint8) bool { return level >= epochs-1 }
+// isRecent reports whether a group was sent to a server in the current or the previous epoch. epochsLeft
+// is the server's number of epochs left as a replica.
+func isRecent(epochsLeft uint8) bool { return epochsLeft >= epochs-1 }
 
-// add counts a group that has too few replicas.
-func (s *shortageSearch) add(state *groupState, have int, name func() string) {
+// addIfShort counts a group if it has too few replicas.
+func (s *shortageSearch) addIfShort(state *groupState, have int, name func() string) {
 	need := int(state.minReplicas)
 	if s.anyReplica {
 		need = min(need, 1)
@@ -72,14 +74,14 @@
 	}
 }
 
-// addBuckets looks at the hash groups of the server's row.
-func (s *shortageSearch) addBuckets(row *[buckets]uint8) {
+// searchBuckets searches the hash groups of the server's row.
+func (s *shortageSearch) searchBuckets(row *[buckets]uint8) {
 	m := s.replicas
-	var list, have [buckets]uint16 // on the stack: this runs for each server that is drained
+	var candidates, have [buckets]uint16 // on the stack, because this runs for each draining server
 	n := 0
-	for b, level := range row {
-		if isRecent(level) && m.buckets[b].requested(s.regionIndex, s.minRequests) {
-			list[n] = uint16(b)
+	for b, epochsLeft := range row {
+		if isRecent(epochsLeft) && m.buckets[b].requested(s.regionIndex, s.minRequests) {
+			candidates[n] = uint16(b)
 			n++
 		}
 	}
@@ -88,22 +90,22 @@
 			if !s.isReplica(id, revision) {
 				continue
 			}
-			for i, b := range list[:n] {
+			for i, b := range candidates[:n] {
 				if other[b] > 0 && m.buckets[b].allowed&revision != 0 {
 					have[i]++
 				}
 			}
 		}
 	}
-	for i, b := range list[:n] {
-		s.add(&m.buckets[b], int(have[i]), func() string { return m.bucketName(b) })
+	for i, b := range candidates[:n] {
+		s.addIfShort(&m.buckets[b], int(have[i]), func() string { return m.bucketName(b) })
 	}
 }
 
-// addHotGroups looks at the groups that are counted by themselves.
-func (s *shortageSearch) addHotGroups() {
+// searchHotGroups searches the groups that are counted individually.
+func (s *shortageSearch) searchHotGroups() {
 	for _, key := range s.replicas.sortedHotGroups() {
-		h := s.replicas.hot[key]
+		h := s.replicas.hotGroups[key]
 		if !isRecent(h.replicas[s.server]) || !h.requested(s.regionIndex, s.minRequests) {
 			continue
 		}
@@ -113,6 +115,6 @@
 				have++
 			}
 		}
-		s.add(&h.groupState, have, key.name)
+		s.addIfShort(&h.groupState, have, key.name)
 	}
 }
--- a/internal/fleet/rollout/spec.go
+++ b/internal/fleet/rollout/spec.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// MaxSpec is the largest operator's file, in bytes.
+	// MaxSpec is the maximum size of an operator's file, in bytes.
 	MaxSpec = 64 << 10
-	// maxRoutes bounds the routes that a file names.
+	// maxRoutes is the maximum number of routes that a file names.
 	maxRoutes = 256
-	// maxAtOnce bounds the servers that are below their full share.
+	// maxAtOnce is the upper bound of Pace.AtOnce.
 	maxAtOnce = 64
-	// maxName bounds names, in bytes.
+	// maxName is the maximum length of a name, in bytes.
 	maxName = 256
 )
 
-// The values of Spec.OnWorse: what follows on the verdict that the new revision is worse.
+// The values of Spec.OnWorse: the reaction to the verdict that the new revision is worse.
 const (
 	OnWorseRollback = "turn-back"
 	OnWorseHalt     = "halt"
 )
 
-// Spec is what the operator requests: all servers of a service are to hold another revision of a
-// model. Fields that end in Seconds are seconds.
+// Spec is the operator's request to move all servers of a service to another revision of a model.
+// Fields whose names end in Seconds are in seconds.
 type Spec struct {
 	Service string               `koanf:"service" msgpack:"s" json:"service"`
 	Model   string               `koanf:"model" msgpack:"m" json:"model"`
-	From    int                  `koanf:"from" msgpack:"f" json:"from"` // revision of the weights
-	To      int                  `koanf:"to" msgpack:"t" json:"to"`
+	From    int                  `koanf:"from" msgpack:"f" json:"from"` // revision of the weights that is replaced
+	To      int                  `koanf:"to" msgpack:"t" json:"to"`     // revision that replaces it
 	OnWorse string               `koanf:"on-worse" msgpack:"w" json:"on-worse"`
 	Pace    Pace                 `koanf:"pace" msgpack:"p" json:"pace"`
 	Safety  Safety               `koanf:"keep" msgpack:"k" json:"keep"`
@@ -36,70 +36,76 @@
 	Routes  map[string]RouteSpec `koanf:"routes" msgpack:"r" json:"routes,omitempty"`
 }
 
-// Pace is how fast the rollout goes.
+// Pace limits the speed of the rollout.
 type Pace struct {
-	// AtOnce is how many servers may be below their full share.
+	// AtOnce is the maximum number of servers below their full share.
 	AtOnce int `koanf:"at-once" msgpack:"a" json:"at-once"`
-	// GapSeconds is the least time between the drains of two servers.
+	// GapSeconds is the minimum time between the beginnings of two drains.
 	GapSeconds float64 `koanf:"gap-s" msgpack:"g" json:"gap-s"`
-	// SpreadSeconds is the least time at each share of a drain.
+	// SpreadSeconds is the minimum time at each reduced share of a drain.
 	SpreadSeconds float64 `koanf:"spread-s" msgpack:"s" json:"spread-s"`
-	// StageSeconds is the least time at each share of a ramp.
+	// StageSeconds is the minimum time at each step of a ramp.
 	StageSeconds float64 `koanf:"stage-s" msgpack:"t" json:"stage-s"`
-	// FinishSeconds is for how long streams may finish before they are migrated.
+	// FinishSeconds is the time that streams get to finish before they are migrated.
 	FinishSeconds float64 `koanf:"finish-s" msgpack:"f" json:"finish-s"`
-	// ReplaceSeconds is for how long a new incarnation is awaited.
+	// ReplaceSeconds is the maximum wait for the new incarnation of a server.
 	ReplaceSeconds float64 `koanf:"replace-s" msgpack:"r" json:"replace-s"`
-	// WaitSeconds is after how long a server whose groups find no replicas returns to service.
+	// WaitSeconds is the time after which a draining server returns to service if its groups still
+	// lack replicas elsewhere or the other servers lack capacity.
 	WaitSeconds float64 `koanf:"wait-s" msgpack:"w" json:"wait-s"`
-	// WarmupPromptsPerSecond is how many shared prompts a warming server is made to prefill.
+	// WarmupPromptsPerSecond is the maximum rate of shared prompts that a warming server prefills, for
+	// all agents together.
 	WarmupPromptsPerSecond float64 `koanf:"fill-per-s" msgpack:"l" json:"fill-per-s"`
 }
 
-// Safety is what has to hold throughout.
+// Safety has the conditions that must hold throughout the rollout.
 type Safety struct {
-	// MinReplicas is how many replicas each group needs beside a server that is drained.
+	// MinReplicas is the number of replicas that each group needs besides a server that is drained.
 	MinReplicas int `koanf:"floor" msgpack:"f" json:"floor"`
-	// LiveSeconds is how often a group must be requested for that.
+	// LiveSeconds is the longest average time between a group's requests at which it still needs these
+	// replicas.
 	LiveSeconds float64 `koanf:"live-s" msgpack:"l" json:"live-s"`
-	// PeakLoad is the load to expect, as a part of all servers.
+	// PeakLoad is the peak load to plan for, as a fraction of the capacity of all servers.
 	PeakLoad float64 `koanf:"peak" msgpack:"p" json:"peak"`
-	// UsableCapacity is the part of a server's capacity that may be planned with.
+	// UsableCapacity is the fraction of a server's capacity that planning may use.
 	UsableCapacity float64 `koanf:"usable" msgpack:"u" json:"usable"`
-	// SpareServers is how many further servers may fail.
+	// SpareServers is the number of further servers whose failure must be tolerable.
 	SpareServers int `koanf:"spare" msgpack:"s" json:"spare"`
 }
 
-// JudgeSpec is when the new revision counts as worse than the old. Increases are differences of
-// proportions of requests, ratios are of geometric means.
+// JudgeSpec defines when the new revision counts as worse than the old one. Increases are differences
+// between proportions; ratios are between geometric means.
 type JudgeSpec struct {
-	// MinSamples is the number of requests of each revision before a verdict.
+	// MinSamples is the minimum number of requests of each revision for a verdict.
 	MinSamples int `koanf:"samples" msgpack:"n" json:"samples"`
-	// MinServerRequests is the number of requests of a server before its next share.
+	// MinServerRequests is the minimum number of requests that a server serves before it gets its next
+	// share.
 	MinServerRequests int `koanf:"own" msgpack:"o" json:"own"`
-	// MaxFailureIncrease is of the requests that fail.
+	// MaxFailureIncrease is the tolerated increase of the proportion of requests that fail.
 	MaxFailureIncrease float64 `koanf:"fail-by" msgpack:"f" json:"fail-by"`
-	// MaxRejectionIncrease is of the requests that are rejected.
+	// MaxRejectionIncrease is the tolerated increase of the proportion of requests that are rejected.
 	MaxRejectionIncrease float64 `koanf:"refuse-by" msgpack:"r" json:"refuse-by"`
-	// MaxLatenessIncrease is of the requests whose first token is late.
+	// MaxLatenessIncrease is the tolerated increase of the proportion of requests whose first token is
+	// late.
 	MaxLatenessIncrease float64 `koanf:"late-by" msgpack:"l" json:"late-by"`
-	// MaxStallIncrease is of the streams with a gap that is too long.
+	// MaxStallIncrease is the tolerated increase of the proportion of streams with too long a gap.
 	MaxStallIncrease float64 `koanf:"pause-by" msgpack:"p" json:"pause-by"`
-	// MaxLatencyRatio is of times to the first token.
+	// MaxLatencyRatio is the tolerated ratio of the times to the first token.
 	MaxLatencyRatio float64 `koanf:"slower-by" msgpack:"s" json:"slower-by"`
-	// MaxLengthRatio is of events of a stream, either way; 0: not compared.
+	// MaxLengthRatio is the tolerated ratio of the numbers of events per stream, in either direction.
+	// If it is 0, they are not compared.
 	MaxLengthRatio float64 `koanf:"length-by" msgpack:"e" json:"length-by"`
 }
 
-// RouteSpec is what differs on one route.
+// RouteSpec overrides the spec for one route.
 type RouteSpec struct {
 	// MinReplicas replaces Safety.MinReplicas unless it is 0.
 	MinReplicas int `koanf:"floor" msgpack:"f" json:"floor,omitempty"`
-	// AllowedRevisions are the revisions that may serve the route; none: both.
+	// AllowedRevisions are the revisions that may serve the route; if empty, both may.
 	AllowedRevisions []int `koanf:"versions" msgpack:"v" json:"versions,omitempty"`
 }
 
-// defaultSpec is the spec of an empty file.
+// defaultSpec returns the spec that an empty file stands for.
 func defaultSpec() Spec {
 	return Spec{
 		From:    -1,
@@ -129,7 +135,7 @@
 	}
 }
 
-// minReplicas is how many replicas the groups of a route need.
+// minReplicas returns the number of replicas that the groups of a route need.
 func (s *Spec) minReplicas(route string) int {
 	if r, ok := s.Routes[route]; ok && r.MinReplicas > 0 {
 		return r.MinReplicas
@@ -145,7 +151,7 @@
 	newRevision                         // Spec.To
 )
 
-// revisionSetOf is the set of one revision; empty if it is neither.
+// revisionSetOf returns the set of one revision, or the empty set if it is neither of the two.
 func (s *Spec) revisionSetOf(revision int) revisionSet {
 	switch revision {
 	case s.From:
@@ -156,7 +162,7 @@
 	return 0
 }
 
-// allowedRevisions are those whose servers may serve a route.
+// allowedRevisions returns the revisions whose servers may serve a route.
 func (s *Spec) allowedRevisions(route string) revisionSet {
 	revisions := s.Routes[route].AllowedRevisions
 	if len(revisions) == 0 {
@@ -169,7 +175,7 @@
 	return allowed
 }
 
-// seconds is a duration of a spec, bounded so that it does not overflow.
+// seconds converts a spec's number of seconds to a duration, bounded so that it does not overflow.
 func seconds(s float64) time.Duration {
 	const limit = 1e6
 	return time.Duration(math.Min(s, limit) * float64(time.Second))
--- a/internal/fleet/rollout/spec_parse.go
+++ b/internal/fleet/rollout/spec_parse.go
@@ -16,15 +16,15 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/apierror"
 )
 
-// keyDelimiter separates koanf's keys. Names of routes may have dots, so it is none.
+// keyDelimiter separates koanf's keys. It is not a dot, because names of routes may contain dots.
 const keyDelimiter = "\x00"
 
 // fieldTag is the struct tag that names the keys of a file.
 const fieldTag = "koanf"
 
-// Parse reads an operator's file, TOML or JSON, and validates it. The error joins every reason for
-// which it is rejected, each an error of kind Invalid with its key and remedy; a file that is too
-// large is one of kind TooLarge.
+// Parse reads and validates an operator's file in TOML or JSON. The error joins one error of kind
+// Invalid, with its key and remedy, for each reason to reject the file. A file that is too large is an
+// error of kind TooLarge.
 func Parse(raw []byte) (*Spec, error) {
 	if len(raw) > MaxSpec {
 		return nil, apierror.New(apierror.TooLarge, "", "shorten it", "the file has %d bytes, at most %d are taken", len(raw), MaxSpec)
@@ -61,7 +61,7 @@
 	return toml.Parser()
 }
 
-// unmarshalFields sets the fields of a spec that a file has.
+// unmarshalFields sets the spec's fields that a file contains.
 func unmarshalFields(fields map[string]any, spec *Spec) error {
 	valid := koanf.New(keyDelimiter)
 	if err := valid.Load(mapProvider(fields), nil); err != nil {
@@ -70,13 +70,13 @@
 	return valid.UnmarshalWithConf("", spec, koanf.UnmarshalConf{Tag: fieldTag})
 }
 
-// joinSorted joins errors in the order of their messages; nil if there is none.
+// joinSorted joins errors in the order of their messages. It returns nil if there is none.
 func joinSorted(errs []error) error {
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(errs...)
 }
 
-// jsonParser parses JSON without koanf's loss of large numbers.
+// jsonParser parses JSON without the loss of large numbers that koanf's own parser has.
 type jsonParser struct{}
 
 func (jsonParser) Unmarshal(b []byte) (map[string]any, error) {
@@ -87,15 +87,15 @@
 
 func (jsonParser) Marshal(m map[string]any) ([]byte, error) { return json.Marshal(m) }
 
-// mapProvider gives koanf a map that is parsed already.
+// mapProvider passes a parsed map to koanf.
 type mapProvider map[string]any
 
 func (m mapProvider) Read() (map[string]any, error) { return m, nil }
 
 func (m mapProvider) ReadBytes() ([]byte, error) { return nil, errors.New("a map has no bytes") }
 
-// removeInvalidFields removes from a file what a struct does not have or has in another form, and
-// returns an error for each.
+// removeInvalidFields removes the fields from a file that the struct type does not have or that have
+// the wrong type, and returns an error for each. parent is the key of the table that has the fields.
 func removeInvalidFields(structType reflect.Type, fields map[string]any, parent string) (invalid []error) {
 	types := map[string]reflect.Type{}
 	var names []string
@@ -122,7 +122,8 @@
 	return invalid
 }
 
-// checkField removes what is invalid from one field. keep is false if all of it is.
+// checkField removes the invalid parts of one field's value and returns an error for each. keep is
+// false if the value as a whole is invalid.
 func checkField(fieldType reflect.Type, value any, key string) (invalid []error, keep bool) {
 	table, isTable := value.(map[string]any)
 	switch {
@@ -144,7 +145,7 @@
 	return nil, true
 }
 
-// keyOf is the key that an error is about.
+// keyOf returns the key that an error is about.
 func keyOf(err error) string {
 	var e *apierror.Error
 	if errors.As(err, &e) {
@@ -153,7 +154,7 @@
 	return ""
 }
 
-// expectedForm is the form that a field requires, in words, or "" if the value has it.
+// expectedForm describes the type of value that a field requires, or returns "" if the value has it.
 func expectedForm(fieldType reflect.Type, value any) string {
 	switch fieldType.Kind() {
 	case reflect.Int:
@@ -180,7 +181,7 @@
 	return ""
 }
 
-// number is a value's number; ok is false if it is none.
+// number converts a numeric value to a float64. ok is false if the value is not a number.
 func number(value any) (x float64, ok bool) {
 	switch n := value.(type) {
 	case float64:
--- a/internal/fleet/rollout/spec_validate.go
+++ b/internal/fleet/rollout/spec_validate.go
@@ -9,7 +9,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/config"
 )
 
-// validation collects what is wrong with a spec.
+// validation collects the errors of a spec.
 type validation struct{ errs []error }
 
 // require adds an error of kind Invalid unless the condition holds.
@@ -19,7 +19,7 @@
 	}
 }
 
-// requireWithin requires a number of a range. NaN is in none.
+// requireWithin adds an error unless least <= x <= most. NaN is in no range.
 func (v *validation) requireWithin(key string, x, least, most float64) {
 	if x >= least && x <= most {
 		return
@@ -27,7 +27,7 @@
 	v.require(false, key, "give "+formatNumber(least)+" to "+formatNumber(most), "it is %s", formatNumber(x))
 }
 
-// requireName requires a name that is not too long.
+// requireName adds an error if a name is missing or too long.
 func (v *validation) requireName(key, name, remedy string) {
 	v.require(name != "" && len(name) <= maxName, key, remedy, "it is missing or longer than %d bytes", maxName)
 }
@@ -68,7 +68,7 @@
 	v.requireWithin("pace.fill-per-s", p.WarmupPromptsPerSecond, 0.01, 1e5)
 }
 
-// maxReplicas and maxSpareServers are upper bounds of a spec.
+// maxReplicas and maxSpareServers are the upper bounds of MinReplicas and SpareServers.
 const maxReplicas, maxSpareServers = 64, 64
 
 func (s *Safety) validate(v *validation) {
@@ -110,8 +110,8 @@
 	return strconv.FormatFloat(x, 'g', significantDigits, 64)
 }
 
-// CheckConfig returns what of a spec contradicts the configuration, each an error of kind Invalid,
-// or nil.
+// CheckConfig returns an error that joins one error of kind Invalid for each contradiction between the
+// spec and the configuration, or nil if there is none.
 func (s *Spec) CheckConfig(document *config.Document) error {
 	if document == nil {
 		return apierror.New(apierror.Invalid, "service", "put a configuration first", "there is no configuration")
--- a/internal/fleet/rollout/status.go
+++ b/internal/fleet/rollout/status.go
@@ -8,13 +8,13 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// Status is the state of a rollout, for operators. The fields from TimeLeft to Verdict are known to
-// the lease holder only.
+// Status is the state of a rollout for operators. Only the lease holder sets the fields from TimeLeft to
+// Verdict.
 type Status struct {
 	Number     uint64           `json:"number"`
 	Phase      Phase            `json:"phase"`
 	Paused     bool             `json:"paused"`
-	Reason     string           `json:"why,omitempty"` // of a pause or a rollback
+	Reason     string           `json:"why,omitempty"` // reason of a pause or a rollback
 	Service    string           `json:"service,omitempty"`
 	Model      string           `json:"model,omitempty"`
 	From       int              `json:"from"`
@@ -22,15 +22,15 @@
 	Holder     string           `json:"holder,omitempty"`
 	Term       uint64           `json:"term"`
 	Version    uint64           `json:"version"`
-	OldServers int              `json:"old"` // servers that hold the old revision
-	NewServers int              `json:"new"`
-	Replaced   int              `json:"moved"`
+	OldServers int              `json:"old"`   // number of servers with the old revision
+	NewServers int              `json:"new"`   // number of servers with the new revision
+	Replaced   int              `json:"moved"` // number of new servers admitted
 	Draining   []DrainingServer `json:"out"`
 	Ramping    []RampingServer  `json:"in"`
-	Replace    []string         `json:"replace"` // servers that the platform is to drain and replace, by ID
+	Replace    []string         `json:"replace"` // IDs of the servers that the platform is to drain and replace
 
-	HoldsLease       bool             `json:"holds"` // the status is of the lease holder
-	TimeLeft         time.Duration    `json:"left"`  // negative: unknown
+	HoldsLease       bool             `json:"holds"` // the status comes from the lease holder
+	TimeLeft         time.Duration    `json:"left"`  // in nanoseconds; negative if unknown
 	WaitReasons      []string         `json:"waits,omitempty"`
 	WorstShortage    *Shortage        `json:"worst-group,omitempty"`
 	ReplicaHistogram ReplicaHistogram `json:"groups"`
@@ -38,7 +38,7 @@
 	History          []Summary        `json:"past,omitempty"`
 }
 
-// Status is the state that any agent can derive from the record and its own list of servers.
+// Status returns the state that any agent can derive from the record and its own list of servers.
 func (r *Record) Status(servers []Server) Status {
 	s := Status{
 		Number:   r.Number,
@@ -75,7 +75,7 @@
 	return s
 }
 
-// Status adds what the lease holder knows, as of its last Reconcile.
+// Status returns the record's status with what the lease holder knows as of its last Reconcile.
 func (c *Controller) Status(now time.Duration, record *Record, observation *Observation) Status {
 	s := record.Status(observation.Servers)
 	s.HoldsLease, s.WaitReasons, s.Verdict = true, slices.Clone(c.waitReasons), c.verdict
@@ -100,7 +100,7 @@
 	return s
 }
 
-// String is a line for operators.
+// String describes the status in one line.
 func (s *Status) String() string {
 	if s.Number == 0 {
 		return "there was no rollout yet"
--- a/internal/fleet/rollout/warmup_limiter.go
+++ b/internal/fleet/rollout/warmup_limiter.go
@@ -6,16 +6,17 @@
 	"golang.org/x/time/rate"
 )
 
-// WarmupLimiter limits an agent's part of the rate at which new servers prefill shared prompts. It
-// is not safe for concurrent use.
+// WarmupLimiter limits the rate of shared prompts that one agent makes new servers prefill. It is not
+// safe for concurrent use.
 type WarmupLimiter struct {
 	limits map[string]*rate.Limiter // by server
 }
 
-// NewWarmupLimiter returns a limiter that knows no server.
+// NewWarmupLimiter returns a limiter without servers.
 func NewWarmupLimiter() *WarmupLimiter { return &WarmupLimiter{limits: map[string]*rate.Limiter{}} }
 
-// Allow reports whether a warming server may prefill one more prompt of this agent, one of so many.
+// Allow reports whether a warming server may prefill one more prompt of this agent. Each of the agents
+// gets an equal share of the rate.
 func (w *WarmupLimiter) Allow(now time.Duration, rules *RoutingRules, id string, agents int) bool {
 	limit := rate.Limit(rules.WarmupPromptsPerSecond / float64(max(agents, 1)))
 	limiter := w.limits[id]
@@ -34,7 +35,7 @@
 	return limiter.AllowN(at, 1)
 }
 
-// prune forgets the servers that are not warming any more.
+// prune forgets the servers that are no longer warming.
 func (w *WarmupLimiter) prune(rules *RoutingRules) {
 	for id := range w.limits {
 		if !rules.IsWarming(id) {
