--- a/internal/fleet/rollout/arbitrary_history_test.go
+++ b/internal/fleet/rollout/arbitrary_history_test.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// arbitraryHistory plays servers, an agent, operators and lease holders that do anything.
+// arbitraryHistory simulates servers, an agent, operators and lease holders that act at random.
 type arbitraryHistory struct {
 	now        time.Duration
 	record     *Record
@@ -36,7 +36,7 @@
 	return h
 }
 
-// replaceHolder has another process take the lease.
+// replaceHolder passes the lease to another process.
 func (h *arbitraryHistory) replaceHolder() {
 	h.controller = NewController()
 	h.controller.learningPeriod = 0
@@ -56,14 +56,14 @@
 	})
 }
 
-// operate writes the record of an operation that is not refused.
+// operate stores the record of an operation, unless it was refused.
 func (h *arbitraryHistory) operate(next *Record, err error) {
 	if err == nil {
 		h.record = next
 	}
 }
 
-// event plays one event.
+// event draws an event and simulates it.
 func (h *arbitraryHistory) event(t *rapid.T) {
 	switch rapid.SampledFrom([]string{"pause", "resume", "abort", "server", "holder", "report", "report", "report", "report", "report"}).Draw(t, "event") {
 	case "pause":
@@ -83,7 +83,8 @@
 	}
 }
 
-// changeServer changes the state of a server. One that is gone comes back with any revision.
+// changeServer changes the state of a server. One that is deregistered comes back as a new server, with
+// either revision.
 func (h *arbitraryHistory) changeServer(t *rapid.T) {
 	s := &h.servers[rapid.IntRange(0, len(h.servers)-1).Draw(t, "server")]
 	s.State = rapid.SampledFrom([]registry.State{registry.Ready, registry.Expired, registry.Draining, registry.Deregistered}).Draw(t, "state")
@@ -92,7 +93,7 @@
 	}
 }
 
-// report has the agent acknowledge the record.
+// report adds a report of the agent that acknowledges the record.
 func (h *arbitraryHistory) report(t *rapid.T) {
 	h.reportSeq++
 	err := h.reports.Add(&Report{
@@ -108,7 +109,7 @@
 	}
 }
 
-// runPlatform has the platform replace any of the servers that are handed over.
+// runPlatform lets the platform replace any of the servers that are handed over.
 func (h *arbitraryHistory) runPlatform(t *rapid.T) {
 	for _, d := range h.record.Draining {
 		for i := range h.servers {
@@ -131,7 +132,7 @@
 	return observation
 }
 
-// reconcile has the lease holder take a step, and checks the record that follows.
+// reconcile lets the lease holder take a step, and checks the resulting record.
 func (h *arbitraryHistory) reconcile(t *rapid.T) {
 	observation := h.observation()
 	next := h.controller.Reconcile(h.now, h.record, observation)
@@ -155,24 +156,23 @@
 	h.record = next
 }
 
-// checkDrain checks that a drain begins only within the limit, and that no server that is ready is
-// handed over before its requests could finish.
+// checkDrain checks that a drain begins only within the limit, and that no ready server is handed over
+// before its requests had time to finish.
 func (h *arbitraryHistory) checkDrain(t *rapid.T, next *Record, d DrainingServer, servers []Server) {
 	before := h.record.draining(d.ID)
 	transitions := len(next.Draining) + len(next.Ramping)
 	if before == nil && d.Step == DrainThird && transitions > next.Spec.Pace.AtOnce {
-		t.Fatalf("%s is drained, and %d servers are below their full share", d.ID, transitions)
+		t.Fatalf("%s is drained though %d servers are below their full share", d.ID, transitions)
 	}
 	for _, s := range servers {
 		if s.ID == d.ID && s.State == registry.Ready && d.Step > DrainFinishing && (before == nil || before.Step < DrainFinishing) {
-			t.Fatalf("%s goes from %v to %s at once", d.ID, before, d.Step)
+			t.Fatalf("%s goes from %v to %s in one step", d.ID, before, d.Step)
 		}
 	}
 }
 
-// Whatever servers, agents and operators do, each record that follows is valid, on top of the one
-// before it, and with no more servers below their full share than allowed, except those that come up
-// on their own.
+// Whatever servers, agents and operators do, each new record is valid and has the next version. No more
+// servers than allowed are below their full share, except new ones that come up on their own.
 func TestArbitraryHistoryKeepsRecordsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newArbitraryHistory(t)
--- a/internal/fleet/rollout/bench_test.go
+++ b/internal/fleet/rollout/bench_test.go
@@ -8,8 +8,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// BenchmarkReconcile is what the lease holder spends in a second at the full size: 850 servers, of which 24
-// are drained or ramped up, and 360 agents.
+// BenchmarkReconcile measures the lease holder's work per second at full size: 850 servers, of which 24
+// are being drained or ramped up, and 360 agents.
 func BenchmarkReconcile(b *testing.B) {
 	spec := defaultSpec()
 	spec.Service, spec.Model, spec.From, spec.To, spec.Pace.AtOnce = "s", "m", 1, 2, 24
--- a/internal/fleet/rollout/controller.go
+++ b/internal/fleet/rollout/controller.go
@@ -29,7 +29,7 @@
 	Revision               int     // of the rollout's model; negative if the server does not hold the model
 	Capacity               float64 // in a unit common to all servers, such as slots
 	Utilization            float64 // fraction of Capacity in use
-	InFlight               int     // requests by the server's own report; negative if none came since it was closed
+	InFlight               int     // requests by its own report; negative if it has sent none since it was closed
 	Healthy                bool    // agents forward requests to it
 }
 
@@ -56,7 +56,7 @@
 	startedAt       time.Duration // when this holder first saw the phase
 	replacedAtStart int           // Record.Replaced at startedAt
 	stepSeenAt      map[stepKey]time.Duration
-	stepBaseline    map[stepKey]Counts       // of the server's requests, when the step was first seen
+	stepBaseline    map[stepKey]Counts       // counts of the server's requests when the step was first seen
 	avoidUntil      map[string]time.Duration // by server: the time from which it may be drained again
 	lastDrainAt     time.Duration
 	paused          bool               // as of the last record
--- a/internal/fleet/rollout/fleet_test.go
+++ b/internal/fleet/rollout/fleet_test.go
@@ -14,43 +14,43 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// fleetConfig is what a simulated fleet is made of. Where it is sampled, one of so many requests and
-// prompts is played, and servers have as many fewer prompts cached.
+// fleetConfig configures a simulated fleet. If sampling is set, only one of that many requests and prompts
+// is simulated, and servers cache correspondingly fewer prompts.
 type fleetConfig struct {
 	zones          []string // "region/zone"
 	servers        int
 	agents         int
-	rate           float64 // requests a second, as played
-	prompts        int     // shared prompts, as played
-	cachedPrompts  int     // of them that fit into a server's cache
-	prefillMs      float64 // of a shared prompt
-	firstTokenMs   float64 // time to the first token without that
-	requestMs      float64 // server time of a request, as played
-	streamTime     time.Duration
-	startupTime    time.Duration // of a new incarnation
+	rate           float64       // simulated requests a second
+	prompts        int           // number of simulated shared prompts
+	cachedPrompts  int           // number of simulated shared prompts that fit into a server's cache
+	prefillMs      float64       // time to prefill a shared prompt
+	firstTokenMs   float64       // time to the first token without prefilling a shared prompt
+	requestMs      float64       // server time of a simulated request
+	streamTime     time.Duration // maximum duration of a stream
+	startupTime    time.Duration // startup time of a new incarnation
 	seed           uint64
-	sampling       float64 // one of so many requests and prompts is played; 0: all
-	newSlowdown    float64 // latencies of the new revision, as a multiple
-	newFailureRate float64 // of the new revision
-	spec           func(*Spec)
+	sampling       float64     // one of so many requests and prompts is simulated; 0 for all
+	newSlowdown    float64     // factor on the latencies of the new revision, if it is more than 1
+	newFailureRate float64     // fraction of requests that fail at the new revision
+	spec           func(*Spec) // changes the default spec; may be nil
 }
 
 // The revisions of the simulated rollout.
 const simOldRevision, simNewRevision = 1, 2
 
 const (
-	// simServerCapacity is that of each simulated server.
+	// simServerCapacity is the capacity of each simulated server.
 	simServerCapacity = 10
-	// drainTime is how long the platform takes to stop a server.
+	// drainTime is the time that the platform takes to stop a server.
 	drainTime = 2 * time.Second
-	// deregisteredTime is how long a stopped server is still listed.
+	// deregisteredTime is the time for which a stopped server is still known.
 	deregisteredTime = 90 * time.Second
-	// maxPlayTime is how long playUntil plays.
+	// maxPlayTime is the simulated time after which playUntil gives up.
 	maxPlayTime = 6 * time.Hour
 )
 
-// fleet plays a controller, the routing rules, trackers and recorders of agents, and the aggregate of
-// a lease holder, with servers, a platform and traffic in simulated time, a second at a time.
+// fleet simulates a rollout in steps of a second. The lease holder's controller and aggregator and the
+// agents' rules, trackers and recorders are real; servers, platform and traffic are simulated.
 type fleet struct {
 	t          *testing.T
 	config     fleetConfig
@@ -59,47 +59,47 @@
 	now        time.Duration
 	started    time.Duration
 	record     *Record
-	rules      *RoutingRules // of record
+	rules      *RoutingRules // cached by currentRules
 	controller *Controller
 	reports    *ReportAggregator
-	hasHolder  bool
+	hasHolder  bool // a process holds the lease
 	servers    []*simServer
 	byID       map[string]*simServer
 	nextID     int
 	agents     []*simAgent
-	loadFactor float64
-	endsAt     map[time.Duration][]runningRequest
+	loadFactor float64                            // factor on the configured rate
+	endsAt     map[time.Duration][]runningRequest // by the time at which they end
 	fleetFigures
 }
 
-// fleetFigures are what came of a simulation.
+// fleetFigures are the measurements of a simulation.
 type fleetFigures struct {
 	requests, late, failed, unserved int
-	prefills, newPrefills            int // of shared prompts
-	maxPrefills, prefillsAtWindow    int // in ten seconds
+	prefills, newPrefills            int // prefills of shared prompts, by all servers and by new ones
+	maxPrefills, prefillsAtWindow    int // maximum in ten seconds, and prefills when these ten began
 	writes, recordBytes, syncedBytes int
 	lastStablePart                   string
-	maxTransitions                   int
-	minServingShare                  float64
-	rolledBackAt                     time.Duration
+	maxTransitions                   int           // maximum number of draining and ramping servers
+	minServingShare                  float64       // minimum fraction of the capacity that serves
+	rolledBackAt                     time.Duration // start of the rollback; 0 if there was none
 
-	sessionIsNew    map[uint64]bool // by session: it ran at the new revision last
-	revisionChanges int             // of sessions
+	sessionIsNew    map[uint64]bool // by session: whether its last request ran at the new revision
+	revisionChanges int             // number of requests at another revision than the session's last one
 
 	requestsByPrompt             map[uint64][]sentRequest
 	checkedServers               map[string]bool
-	checkedPrompts, shortPrompts int // requested prompts at servers that are closed, and those with too few replicas
+	checkedPrompts, shortPrompts int // live prompts of closed servers, and those of them with too few replicas
 }
 
 type simServer struct {
 	Server
 	hash      uint64
 	cache     map[uint64]uint64 // by prompt: the useCount of its last use
-	useCount  uint64
-	workMs    float64 // in this second
-	running   int
+	useCount  uint64            // number of cache lookups
+	workMs    float64           // server time of the requests of this second
+	running   int               // number of requests in flight
 	readyAt   time.Duration
-	removedAt time.Duration
+	removedAt time.Duration // when it has drained or crashed
 }
 
 type simAgent struct {
@@ -154,13 +154,13 @@
 	return f
 }
 
-// regionOf is the region of a "region/zone".
+// regionOf returns the region of a "region/zone".
 func regionOf(zone string) string {
 	region, _, _ := strings.Cut(zone, "/")
 	return region
 }
 
-// addServer adds an incarnation of the server of that index.
+// addServer adds a new incarnation of the server with an index.
 func (f *fleet) addServer(index, revision int) *simServer {
 	zone := f.config.zones[index%len(f.config.zones)]
 	f.nextID++
@@ -183,7 +183,7 @@
 	return s
 }
 
-// replaceServer starts a new incarnation of a server.
+// replaceServer starts a new incarnation of a server, which is ready after startupTime.
 func (f *fleet) replaceServer(s *simServer, revision int, startupTime time.Duration) {
 	var index int
 	_, err := fmt.Sscanf(s.ID, "s%d-", &index)
@@ -195,7 +195,7 @@
 	return s.State == registry.Ready && s.readyAt <= now
 }
 
-// start begins a rollout.
+// start starts a rollout.
 func (f *fleet) start(changes ...func(*Spec)) {
 	spec := defaultSpec()
 	spec.Service, spec.Model, spec.From, spec.To = "s", "m", simOldRevision, simNewRevision
@@ -213,12 +213,12 @@
 	f.started, f.maxPrefills, f.prefillsAtWindow = f.now, 0, f.prefills
 }
 
-// replaceHolder has another process take the lease, which knows the record and nothing else.
+// replaceHolder passes the lease to another process, which knows only the record.
 func (f *fleet) replaceHolder() {
 	f.controller, f.reports = NewController(), NewReportAggregator(f.record)
 }
 
-// commit stores a record and sends it to the agents.
+// commit stores a record, from which agents take their rules, and measures its size.
 func (f *fleet) commit(record *Record) {
 	require.Equal(f.t, f.record.Version+1, record.Version)
 	require.NoError(f.t, record.Validate())
@@ -237,7 +237,7 @@
 	}
 }
 
-// observation is what the lease holder knows.
+// observation returns what the lease holder knows.
 func (f *fleet) observation() *Observation {
 	observation := &Observation{Reports: f.reports}
 	for _, s := range f.servers {
@@ -257,7 +257,7 @@
 	return observation
 }
 
-// currentRules are the latest record's rules, which all agents share.
+// currentRules returns the latest record's rules.
 func (f *fleet) currentRules() *RoutingRules {
 	if f.rules == nil || f.rules.Version != f.record.Version {
 		f.rules = f.record.Rules()
@@ -265,7 +265,7 @@
 	return f.rules
 }
 
-// playSecond plays one second.
+// playSecond simulates one second.
 func (f *fleet) playSecond() {
 	f.now += time.Second
 	f.syncAgents()
@@ -280,7 +280,7 @@
 	}
 }
 
-// syncAgents has the agents apply the record and, during a rollout, report.
+// syncAgents lets all agents that are not partitioned apply the record and, during a rollout, report.
 func (f *fleet) syncAgents() {
 	active := f.record.Active()
 	for _, a := range f.agents {
@@ -294,7 +294,7 @@
 	}
 }
 
-// report is the agent's next report.
+// report returns the agent's next report.
 func (a *simAgent) report() *Report {
 	a.reportSeq++
 	r := &Report{
@@ -315,7 +315,7 @@
 	return r
 }
 
-// reconcile has the lease holder, if there is one, take its steps.
+// reconcile lets the lease holder, if there is one, take its steps.
 func (f *fleet) reconcile() {
 	const maxSteps = 3
 	f.reports.Tick(f.now)
@@ -332,7 +332,7 @@
 	f.maxTransitions = max(f.maxTransitions, len(f.record.Draining)+len(f.record.Ramping))
 }
 
-// runPlatform drains the servers that are handed over, and replaces those that have drained.
+// runPlatform drains servers that are handed over and replaces those that have drained.
 func (f *fleet) runPlatform() {
 	for _, d := range f.record.Draining {
 		if s := f.byID[d.ID]; s != nil && d.Step == DrainReplacing && s.State == registry.Ready {
@@ -349,16 +349,16 @@
 		}
 	}
 	f.servers = slices.DeleteFunc(f.servers, func(s *simServer) bool {
-		forgotten := s.State == registry.Deregistered && f.now-s.removedAt > deregisteredTime
-		if forgotten {
+		isOver := s.State == registry.Deregistered && f.now-s.removedAt > deregisteredTime
+		if isOver {
 			delete(f.byID, s.ID)
 		}
-		return forgotten
+		return isOver
 	})
 }
 
-// crash removes a server without notice. The platform restarts it with the revision that it had,
-// unless restartTime is 0.
+// crash removes a server without notice. Unless restartTime is 0, the platform restarts it with the same
+// revision.
 func (f *fleet) crash(s *simServer, restartTime time.Duration) {
 	s.State, s.removedAt = registry.Deregistered, f.now
 	for _, requests := range f.endsAt {
@@ -373,7 +373,7 @@
 	}
 }
 
-// checkInvariants measures what has to hold.
+// checkInvariants measures the serving capacity and, once a server is closed, the replicas of its prompts.
 func (f *fleet) checkInvariants() {
 	total, serving, rules := 0.0, 0.0, f.currentRules()
 	for _, s := range f.servers {
@@ -400,8 +400,8 @@
 	}
 }
 
-// checkReplicas counts the prompts that are requested often, and were lately at a server that is
-// closed, and those of them that fewer than two others have cached in fact.
+// checkReplicas counts the frequently requested prompts that a closed server was recently sent, and those
+// of them that fewer than two other servers actually have cached.
 func (f *fleet) checkReplicas(closed *simServer) {
 	minRequests := 1.5 * replicaWindow.Seconds() / f.record.Spec.Safety.LiveSeconds
 	for prompt, requests := range f.requestsByPrompt {
@@ -422,7 +422,8 @@
 	}
 }
 
-// replicasOf is how many servers of its region but the closed one have a prompt cached.
+// replicasOf returns the number of servers, other than the closed one, that have a prompt cached in its
+// region.
 func (f *fleet) replicasOf(prompt uint64, closed *simServer) (replicas int) {
 	for _, s := range f.servers {
 		if _, cached := s.cache[prompt]; cached && s != closed && s.isReady(f.now) && s.Region == closed.Region {
@@ -432,14 +433,14 @@
 	return replicas
 }
 
-// play plays so many seconds.
+// play simulates a number of seconds.
 func (f *fleet) play(seconds int) {
 	for range seconds {
 		f.playSecond()
 	}
 }
 
-// playUntil plays until a condition holds, and returns how long that took.
+// playUntil simulates until a condition holds, and returns the simulated time that this took.
 func (f *fleet) playUntil(condition string, holds func() bool) time.Duration {
 	begin := f.now
 	for !holds() {
@@ -455,7 +456,7 @@
 // ended reports whether the rollout has ended.
 func (f *fleet) ended() bool { return !f.record.Active() }
 
-// countRevisions counts the servers of each revision.
+// countRevisions returns the number of servers of each revision.
 func (f *fleet) countRevisions() (old, updated int) {
 	for _, s := range f.servers {
 		switch {
@@ -469,16 +470,16 @@
 	return old, updated
 }
 
-// logFigures logs what came of a simulation.
+// logFigures logs the measurements of a simulation.
 func (f *fleet) logFigures(t *testing.T, name string, took time.Duration) {
 	t.Helper()
 	t.Logf("%s: %v; %d requests, %d late, %d unserved, %d failed, %d prefills (%d by new servers); %d of %d sessions changed revision; "+
-		"least serving share %.3f, most transitions %d; %d writes, record %d bytes; %d of %d prompts short, most prefills %d",
+		"min serving share %.3f, max transitions %d; %d writes, record %d B; %d of %d prompts short, max prefills %d",
 		name, took, f.requests, f.late, f.unserved, f.failed, f.prefills, f.newPrefills, f.revisionChanges, len(f.sessionIsNew),
 		f.minServingShare, f.maxTransitions, f.writes, f.recordBytes, f.shortPrompts, f.checkedPrompts, f.maxPrefills)
 }
 
-// site18 is a small site: 18 servers in 4 zones at half of their capacity.
+// site18 configures a small site: 18 servers in 4 zones at half of their capacity.
 func site18(seed uint64) fleetConfig {
 	return fleetConfig{
 		zones:         []string{"k/a", "k/b", "k/c", "k/d"},
@@ -497,7 +498,7 @@
 	}
 }
 
-// site6 is a third of site18.
+// site6 configures a third of site18.
 func site6(seed uint64) fleetConfig {
 	config := site18(seed)
 	config.zones, config.servers, config.agents, config.rate, config.prompts = config.zones[:3], 6, 3, 25, 130
@@ -505,7 +506,7 @@
 	return config
 }
 
-// site3 is three servers in one zone with three prompts.
+// site3 configures three servers in one zone with three prompts.
 func site3(seed uint64) fleetConfig {
 	config := site6(seed)
 	config.servers, config.zones, config.rate, config.prompts = 3, []string{"k/a"}, 5, 3
--- a/internal/fleet/rollout/fleet_traffic_test.go
+++ b/internal/fleet/rollout/fleet_traffic_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// highUtilization is from which a server is avoided.
+	// highUtilization is the utilization from which a server is avoided.
 	highUtilization = 0.85
-	// ringWindow is how many servers are considered for a prompt.
+	// ringWindow is the maximum number of servers that are considered for a prompt.
 	ringWindow = 48
 	// firstTokenTarget is the latency target of all requests.
 	firstTokenTarget = 800 * time.Millisecond
-	// sessionTime is how long a session lasts.
+	// sessionTime is the duration of a session.
 	sessionTime = 10 * time.Minute
-	// rememberedRequests bounds the requests of a prompt that are remembered, and
-	// rememberedSessions the sessions.
+	// rememberedRequests is the maximum number of requests that are remembered for a prompt, and
+	// rememberedSessions the maximum number of sessions that are remembered.
 	rememberedRequests, rememberedSessions = 64, 1 << 22
 )
 
@@ -35,7 +35,7 @@
 	isNew  bool
 }
 
-// runTraffic plays a second's requests.
+// runTraffic simulates a second's requests.
 func (f *fleet) runTraffic() {
 	f.endRequests()
 	rings := f.rings()
@@ -53,7 +53,7 @@
 	}
 }
 
-// endRequests ends the requests that end in this second.
+// endRequests ends the requests that are due to end in this second.
 func (f *fleet) endRequests() {
 	for _, r := range f.endsAt[f.now] {
 		if r.server.State == registry.Deregistered {
@@ -68,7 +68,7 @@
 	delete(f.endsAt, f.now)
 }
 
-// rings are the ready servers of each region by hash, as the balancer has them.
+// rings returns the ready servers of each region, ordered by hash like the balancer's rings.
 func (f *fleet) rings() map[string][]*simServer {
 	rings := map[string][]*simServer{}
 	for _, s := range f.servers {
@@ -82,7 +82,7 @@
 	return rings
 }
 
-// playRequest plays one request from its arrival on.
+// playRequest simulates the arrival of one request, and schedules its end.
 func (f *fleet) playRequest(rings map[string][]*simServer) {
 	f.requests++
 	prompt := inference.Mix64(f.zipf.Uint64() + 1)
@@ -111,7 +111,8 @@
 	f.endsAt[sample.endsAt] = append(f.endsAt[sample.endsAt], runningRequest{agent, s, sample.Sample, isNew})
 }
 
-// agentOf is the agent that a session's client connects to, which few clients change.
+// agentOf returns the agent that a session's client connects to. It is the same one for nearly all of the
+// session's requests.
 func (f *fleet) agentOf(session uint64) *simAgent {
 	agent := f.agents[session%uint64(len(f.agents))]
 	if f.rng.Float64() < 0.02 {
@@ -120,7 +121,7 @@
 	return agent
 }
 
-// rememberRequest notes what the invariants are measured by.
+// rememberRequest records what the invariants are measured by.
 func (f *fleet) rememberRequest(s *simServer, prompt, session uint64) {
 	if f.config.sampling == 0 {
 		requests := append(f.requestsByPrompt[prompt], sentRequest{f.now, s})
@@ -135,13 +136,13 @@
 	}
 }
 
-// servedSample is a sample and when its request ends.
+// servedSample is a sample and the time at which its request ends.
 type servedSample struct {
 	Sample
 	endsAt time.Duration
 }
 
-// serve has a server serve a request of a group.
+// serve simulates a server's processing of a request.
 func (f *fleet) serve(s *simServer, group Group) servedSample {
 	slowdown, failureRate := 1.0, 0.0
 	if s.Revision == simNewRevision {
@@ -156,7 +157,7 @@
 	}
 	s.workMs += workMs
 	utilization := min(s.Utilization, 0.98)
-	firstTokenMs += f.config.firstTokenMs * utilization * utilization / (1 - utilization) / 4 // queue
+	firstTokenMs += f.config.firstTokenMs * utilization * utilization / (1 - utilization) / 4 // queueing delay
 	streamSeconds := 1 + f.rng.IntN(max(int(f.config.streamTime/time.Second), 1))
 	return servedSample{
 		Sample: Sample{
@@ -173,7 +174,7 @@
 	}
 }
 
-// useCache looks a prompt up in a server's cache, and adds it.
+// useCache looks a prompt up in a server's cache, adds it if it is missing, and records its use.
 func (f *fleet) useCache(s *simServer, prompt uint64) (miss bool) {
 	s.useCount++
 	if _, cached := s.cache[prompt]; !cached {
@@ -190,7 +191,7 @@
 	return miss
 }
 
-// evict removes the least recently used eighth of the cache, so that it is seldom done.
+// evict removes the least recently used eighth of the cache at once, so that evictions are rare.
 func (s *simServer) evict() {
 	prompts := make([]uint64, 0, len(s.cache))
 	for prompt := range s.cache {
@@ -202,12 +203,12 @@
 	}
 }
 
-// candidateList is the servers of one revision that come first for a prompt, by hash.
+// candidateList has the servers of one revision with the highest scores for a prompt, best first.
 type candidateList struct {
 	order    [4]*simServer
 	score    [4]uint64
 	n        int
-	capacity float64 // of all of the revision, by their shares
+	capacity float64 // total capacity of the revision's servers, by their shares
 }
 
 func (c *candidateList) add(s *simServer, score uint64) {
@@ -222,9 +223,9 @@
 	}
 }
 
-// pick is the balancer's pick in short: the session's revision, of that the server of the prompt's
-// window that comes first by hash and accepts the session; for a part of the requests of a server
-// that is drained, one of those that come next.
+// pick is a simplified version of the balancer's pick. It prefers the session's revision and, among the
+// servers of that revision in the prompt's window, the one with the highest score that accepts the
+// session. If that server is being drained, some of its requests go to one of the next servers.
 func (f *fleet) pick(agent *simAgent, ring []*simServer, prompt, session uint64) *simServer {
 	if len(ring) == 0 {
 		return nil
@@ -242,7 +243,7 @@
 	if agent.rules.Active && agent.affinity.PrefersNew(session, NewCapacityShare(first.capacity, other.capacity)) {
 		first, other = other, first
 	}
-	for _, list := range []*candidateList{first, other} { // the other revision is better than a queue
+	for _, list := range []*candidateList{first, other} { // rather the other revision than a queue
 		if s := f.pickAmong(agent, list); s != nil && s.Utilization < highUtilization {
 			return s
 		}
@@ -253,7 +254,7 @@
 	return f.pickAmong(agent, other)
 }
 
-// consider adds a server to the list of its revision, if it accepts the session.
+// consider adds a server to the list of its revision if it accepts the session.
 func (f *fleet) consider(agent *simAgent, s *simServer, list *candidateList, prompt, session uint64) {
 	if agent.rules.Active {
 		share := agent.rules.Share(s.ID, s.Addr, s.Revision)
@@ -277,7 +278,7 @@
 	list.add(s, score)
 }
 
-// pickAmong picks a server of one revision, or nil.
+// pickAmong returns a server of one revision, or nil.
 func (f *fleet) pickAmong(agent *simAgent, list *candidateList) *simServer {
 	if list.n == 0 {
 		return nil
--- a/internal/fleet/rollout/judge_test.go
+++ b/internal/fleet/rollout/judge_test.go
@@ -9,19 +9,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// judgedTraffic is traffic of both revisions that a judge compares.
+// judgedTraffic generates traffic of both revisions for a judge to compare.
 type judgedTraffic struct {
 	seed     uint64
 	seconds  int
-	newShare float64                                        // part of the requests at the new revision
-	change   func(s *Sample, isNew bool, random *rand.Rand) // what the revisions differ in; may be nil
+	newShare float64                                        // fraction of the requests at the new revision
+	change   func(s *Sample, isNew bool, random *rand.Rand) // makes the revisions differ; may be nil
 	inspect  func(*Judge)                                   // called once per slot; may be nil
 }
 
 // requestsPerSecond is the rate of the judged traffic.
 const requestsPerSecond = 40
 
-// play returns a judge that has compared the traffic.
+// play generates the traffic and returns a judge that has compared it.
 func (traffic *judgedTraffic) play() *Judge {
 	random := rand.New(rand.NewPCG(traffic.seed, 5))
 	judge, recorder := NewJudge(), NewSampleRecorder()
@@ -43,8 +43,8 @@
 	return judge
 }
 
-// randomSample is a request of a second. Load and mix change with time, and servers of the new
-// revision get another mix.
+// randomSample returns the sample of a request in a second. The load and the mix of requests change over
+// time, and servers of the new revision get another mix.
 func randomSample(random *rand.Rand, second int, isNew bool) *Sample {
 	const target = 300 * time.Millisecond
 	load := 1 + 0.8*math.Sin(float64(second)/200)
@@ -67,7 +67,8 @@
 	}
 }
 
-// Two equal revisions are never told apart, however often one looks and whatever load and mix do.
+// Equal revisions are never judged different, however often the verdict is read and however the load and
+// the mix of requests change.
 func TestEqualRevisionsPass(t *testing.T) {
 	spec := defaultSpec().Judge
 	seeds := uint64(60)
@@ -93,7 +94,7 @@
 	spec := defaultSpec().Judge
 	for name, c := range map[string]struct {
 		change func(s *Sample, isNew bool, random *rand.Rand)
-		reason string // "": any
+		reason string // part of the verdict's reason; "" for any
 	}{
 		"failures": {func(s *Sample, isNew bool, random *rand.Rand) {
 			s.Failed = s.Failed || isNew && random.Float64() < 0.06
--- a/internal/fleet/rollout/model_test.go
+++ b/internal/fleet/rollout/model_test.go
@@ -13,7 +13,7 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// defect is a deliberate error, to verify that the model checker finds it.
+// defect is a deliberate error in the model, to verify that the model checker finds it.
 type defect string
 
 const (
@@ -32,35 +32,35 @@
 	lostServerHandedOver   defect = "a lost server is handed over without the agents' acknowledgements"
 )
 
-// modelTime is the time of the model, which stands still: whatever may be next may be at once.
+// modelTime is the model's constant time: every step that may follow may follow immediately.
 const modelTime = time.Hour
 
-// model is a fleet of two servers and two agents during a rollout, at every moment that matters: two
-// processes that both believe to hold the lease reconcile, records reach agents, agents report,
-// requests begin and end, the platform replaces servers, an agent is partitioned and loses its lease,
-// a server is lost and comes back.
+// model is a fleet of two servers and two agents during a rollout. Its steps are: one of two processes
+// that both believe to hold the lease reconciles; a record reaches an agent; an agent sends a report, or
+// the report arrives; a request begins or ends; the platform replaces a server; an agent is partitioned
+// or loses its lease; a server is lost or comes back.
 type model struct {
 	defect         defect
 	budget         budget
 	records        []*Record // by version
 	holderVersions [2]int    // the version that each holder knows
-	reports        [2]Report // of the agents, as the holders have them
+	reports        [2]Report // the last report that the holders have received from each agent
 	agents         [2]modelAgent
 	servers        []Server
-	handedOver     []string // servers that the platform was told to replace
-	violation      error    // the first of an invariant
+	handedOver     []string // IDs of the servers that the platform is to replace
+	violation      error    // of an invariant; nil if there is none
 	aggregator     *ReportAggregator
 	recordHashes   map[*Record]uint64
 }
 
-// budget bounds what may happen in a run.
+// budget is the number of holders, and how often each kind of event may happen in a run.
 type budget struct{ requests, partitions, outages, aborts, holders, staleWrites int }
 
 type modelAgent struct {
 	appliedVersion int
 	inFlight       map[string]int
-	chosen         string  // server of a request that is not counted yet
-	report         *Report // in flight
+	chosenServer   string  // server of a picked request that is not yet in inFlight; "" if there is none
+	report         *Report // report in flight, or nil
 	seq            uint64
 	partitioned    bool
 	member         bool
@@ -75,7 +75,8 @@
 	return spec
 }
 
-// passingAggregator has compared enough requests for a verdict, and nothing else.
+// passingAggregator returns an aggregator whose judge has compared enough requests to pass the new
+// revision.
 func passingAggregator(record *Record) *ReportAggregator {
 	aggregator := NewReportAggregator(record)
 	aggregator.Judge.comparisons[cohort{}] = &comparison{baseline: 1e6, canary: 1e6}
@@ -86,7 +87,7 @@
 	spec := modelSpec()
 	record, err := (&Record{}).Start(&spec)
 	if err != nil {
-		panic(err) // of this test's own making
+		panic(err) // the test's own spec is invalid
 	}
 	m := &model{
 		defect:       defect,
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// observation is what a holder knows.
+// observation returns what a holder knows.
 func (m *model) observation() *Observation {
 	observation := &Observation{Reports: m.aggregator}
 	for i, agent := range m.agents {
@@ -144,7 +145,7 @@
 	return observation
 }
 
-// reconcile is a holder's next record on the one that it knows, or nil.
+// reconcile returns the record that a holder would write next, based on the one it knows, or nil.
 func (m *model) reconcile(holder int) *Record {
 	known := m.records[m.holderVersions[holder]]
 	if !known.Active() {
@@ -177,7 +178,7 @@
 	}
 }
 
-// commit stores a record if it was made on the latest one.
+// commit stores a record if it is based on the latest one. known is the version that it is based on.
 func (m *model) commit(next *Record, known int) {
 	if known != m.latestVersion() {
 		if m.defect != versionIgnored || m.budget.staleWrites == 0 {
@@ -192,7 +193,7 @@
 	m.records = append(m.records, next)
 }
 
-// checkCommit returns the invariant that a record breaks, or nil.
+// checkCommit returns an error if a record breaks an invariant.
 func (m *model) checkCommit(next *Record) error {
 	if err := next.Validate(); err != nil {
 		return err
@@ -203,7 +204,7 @@
 	for _, d := range m.latest().Draining {
 		later := next.draining(d.ID)
 		if d.Step == DrainReplacing && m.server(d.ID).State != registry.Deregistered && (later == nil || later.Step != DrainReplacing) {
-			return fmt.Errorf("%s was handed over, and is taken back", d.ID)
+			return fmt.Errorf("%s was handed over, but returns to service", d.ID)
 		}
 	}
 	if n := len(next.Draining) + len(next.Ramping); n > next.Spec.Pace.AtOnce && next.Phase == PhaseForward {
@@ -212,7 +213,7 @@
 	return nil
 }
 
-// handOver tells the platform of the servers that a record hands over.
+// handOver has the platform learn which servers a record hands over.
 func (m *model) handOver(r *Record) {
 	for _, d := range r.Draining {
 		if d.Step == DrainReplacing && !slices.Contains(m.handedOver, d.ID) {
@@ -221,7 +222,7 @@
 	}
 }
 
-// steps are all that may happen next. Their order identifies them in a trace.
+// steps returns all steps that are possible next. A trace identifies them by their order.
 func (m *model) steps() (steps []func()) {
 	for holder := range m.budget.holders {
 		steps = append(steps, m.holderSteps(holder)...)
@@ -245,7 +246,7 @@
 	m.commit(next, m.latestVersion())
 }
 
-// holderSteps have a holder reconcile, or read the latest record.
+// holderSteps returns the steps in which a holder reconciles or reads the latest record.
 func (m *model) holderSteps(holder int) (steps []func()) {
 	known := m.holderVersions[holder]
 	if next := m.reconcile(holder); next != nil {
@@ -265,9 +266,9 @@
 	return steps
 }
 
-// recordSteps have an agent apply a record.
+// recordSteps returns the steps in which an agent applies a record.
 func (m *model) recordSteps(agent *modelAgent) (steps []func()) {
-	if agent.appliedVersion < m.latestVersion() && !agent.partitioned && agent.chosen == "" {
+	if agent.appliedVersion < m.latestVersion() && !agent.partitioned && agent.chosenServer == "" {
 		steps = append(steps, func() { agent.appliedVersion = m.latestVersion() })
 	}
 	if m.defect == recordRevertedByAgent && agent.appliedVersion > 1 && !agent.partitioned {
@@ -276,18 +277,18 @@
 	return steps
 }
 
-// reportSteps have an agent send a report, and the holders receive it.
+// reportSteps returns the steps in which an agent sends a report or the holders receive it.
 func (m *model) reportSteps(i int, agent *modelAgent) (steps []func()) {
 	send := func() {
 		agent.seq++
 		agent.report = &Report{Source: fmt.Sprint(i), Seq: agent.seq, AppliedVersion: uint64(agent.appliedVersion), InFlight: maps.Clone(agent.inFlight)}
 	}
 	known := &m.reports[i]
-	news := known.AppliedVersion != uint64(agent.appliedVersion) || !maps.Equal(known.InFlight, agent.inFlight)
-	if agent.report == nil && !agent.partitioned && agent.chosen == "" && news {
+	hasChanged := known.AppliedVersion != uint64(agent.appliedVersion) || !maps.Equal(known.InFlight, agent.inFlight)
+	if agent.report == nil && !agent.partitioned && agent.chosenServer == "" && hasChanged {
 		steps = append(steps, send)
 	}
-	if m.defect == requestCountedLate && agent.chosen != "" && agent.report == nil {
+	if m.defect == requestCountedLate && agent.chosenServer != "" && agent.report == nil {
 		steps = append(steps, func() {
 			agent.appliedVersion = m.latestVersion()
 			send()
@@ -306,9 +307,9 @@
 	})
 }
 
-// requestSteps have an agent begin and end requests.
+// requestSteps returns the steps in which an agent begins or ends a request.
 func (m *model) requestSteps(agent *modelAgent) (steps []func()) {
-	if agent.chosen != "" {
+	if agent.chosenServer != "" {
 		steps = append(steps, func() { m.startRequest(agent) })
 	} else if m.budget.requests > 0 {
 		steps = m.pickSteps(agent)
@@ -325,7 +326,7 @@
 	return steps
 }
 
-// pickSteps have an agent pick any server that its rules allow.
+// pickSteps returns the steps in which an agent picks a server: one for each that its rules allow.
 func (m *model) pickSteps(agent *modelAgent) (steps []func()) {
 	record := m.records[agent.appliedVersion]
 	rules := record.Rules()
@@ -339,7 +340,7 @@
 			if s.Revision == 2 && record.Phase == PhaseForward && !allowed {
 				m.violation = fmt.Errorf("%s gets requests before it was admitted", s.ID)
 			}
-			agent.chosen = s.ID
+			agent.chosenServer = s.ID
 			if m.defect != requestCountedLate {
 				m.startRequest(agent)
 			}
@@ -348,17 +349,17 @@
 	return steps
 }
 
-// startRequest has an agent's request run at the server that was chosen.
+// startRequest runs an agent's request at the chosen server.
 func (m *model) startRequest(agent *modelAgent) {
-	id := agent.chosen
-	agent.chosen = ""
+	id := agent.chosenServer
+	agent.chosenServer = ""
 	if m.server(id).State == registry.Deregistered {
-		return // rejected: it has not run
+		return // the request is rejected without having run
 	}
 	agent.inFlight[id]++
 }
 
-// partitionSteps partition an agent, and end its lease after that.
+// partitionSteps returns the steps in which an agent is partitioned and then loses its lease.
 func (m *model) partitionSteps(agent *modelAgent) (steps []func()) {
 	if m.budget.partitions > 0 && !agent.partitioned {
 		steps = append(steps, func() { m.budget.partitions--; agent.partitioned = true })
@@ -369,7 +370,8 @@
 	return steps
 }
 
-// platformSteps replace servers that were handed over, and lose and return others.
+// platformSteps returns the steps in which the platform replaces a server that was handed over, or a
+// draining server is lost or comes back.
 func (m *model) platformSteps() (steps []func()) {
 	if m.defect != handedOverBeforeCommit {
 		m.handOver(m.latest())
@@ -391,7 +393,7 @@
 	return steps
 }
 
-// replace has the platform replace a server.
+// replace lets the platform replace a server.
 func (m *model) replace(s *Server) {
 	if err := m.checkReplacement(s); err != nil {
 		m.violation = err
@@ -402,12 +404,12 @@
 	m.servers = append(m.servers, next)
 }
 
-// checkReplacement returns an error if a request of a member runs at the server or may be sent
+// checkReplacement returns an error if a request of a member runs at the replaced server or may be sent
 // there, or if no other server serves.
 func (m *model) checkReplacement(s *Server) (violation error) {
 	for i, agent := range m.agents {
 		if !agent.member && m.defect == none {
-			continue // it may have lost its lease only lately: the server's own report covers it
+			continue // the server's own report covers agents that have just lost their lease
 		}
 		if agent.inFlight[s.ID] > 0 {
 			violation = fmt.Errorf("%s is replaced while agent %d has a request in flight there", s.ID, i)
@@ -421,12 +423,12 @@
 		return other.ID != s.ID && other.State == registry.Ready && rules.Share(other.ID, other.Addr, other.Revision) > 0
 	}
 	if !slices.ContainsFunc(m.servers, serves) && m.budget.outages == 0 {
-		violation = fmt.Errorf("%s is replaced, and no other server serves", s.ID)
+		violation = fmt.Errorf("%s is replaced while no other server serves", s.ID)
 	}
 	return violation
 }
 
-// Steps is the number of steps that may be next.
+// Steps returns the number of steps that are possible next.
 func (m *model) Steps() int { return len(m.steps()) }
 
 // Do takes a step and checks the invariants.
@@ -435,7 +437,7 @@
 	return m.violation
 }
 
-// Clone shares nothing that changes.
+// Clone returns a copy that shares nothing that changes.
 func (m *model) Clone() *model {
 	c := *m
 	c.records, c.servers, c.handedOver = slices.Clone(m.records), slices.Clone(m.servers), slices.Clone(m.handedOver)
@@ -445,7 +447,7 @@
 	return &c
 }
 
-// recordHash hashes a record's content.
+// recordHash returns a hash of what matters of a version's record.
 func (m *model) recordHash(version int) uint64 {
 	r := m.records[version]
 	if hash, ok := m.recordHashes[r]; ok {
@@ -463,7 +465,7 @@
 	return m.recordHashes[r]
 }
 
-// stateHash hashes a model.
+// stateHash hashes the state of a model.
 type stateHash struct {
 	model *model
 	sum   hash.Hash64
@@ -479,7 +481,7 @@
 	}
 }
 
-// putVersion hashes a version with its record.
+// putVersion adds a version and its record to the hash.
 func (h stateHash) putVersion(version int) { h.put(version, int(h.model.recordHash(version))) }
 
 func (h stateHash) putInFlight(inFlight map[string]int) {
@@ -505,10 +507,10 @@
 	if agent.member {
 		h.put('l')
 	}
-	h.sum.Write([]byte(agent.chosen))
+	h.sum.Write([]byte(agent.chosenServer))
 }
 
-// Hash is equal for states of equal futures.
+// Hash returns a hash that is equal for states with the same possible futures.
 func (m *model) Hash() uint64 {
 	h := stateHash{m, fnv.New64a()}
 	h.put(m.budget.requests, m.budget.partitions, m.budget.outages, m.budget.aborts, m.budget.staleWrites)
@@ -530,11 +532,11 @@
 	return h.sum.Sum64()
 }
 
-// Through all interleavings of two holders' steps, records, reports, requests, partitions, outages
-// and replacements no server is replaced while a member has a request in flight there or sends
-// there, and no more servers than allowed are below their full share.
+// Searches all interleavings of two holders' steps, records, reports, requests, partitions, outages and
+// replacements. No server may be replaced while a member has a request in flight there or sends requests
+// there, and no more servers than allowed may be below their full share.
 func TestAllInterleavings(t *testing.T) {
-	maxSchedules := 200_000 // more than there are
+	maxSchedules := 200_000 // more than any of the budgets allows
 	if raceEnabled {
 		maxSchedules = 2_000
 	}
@@ -555,10 +557,10 @@
 	}
 }
 
-// Without any of the rules one of the invariants breaks, and the model checker finds how.
+// With each of the defects an invariant breaks, and the model checker finds a trace that breaks it.
 func TestModelCheckerFindsEachDefect(t *testing.T) {
 	if raceEnabled {
-		t.Skip("it takes long, and has one goroutine")
+		t.Skip("slow under the race detector, and has only one goroutine")
 	}
 	const maxSchedules = 100_000
 	for defect, budget := range map[defect]budget{
@@ -578,11 +580,11 @@
 		t.Run(string(defect), func(t *testing.T) {
 			result := interleave.Search(newModel(defect, budget), maxSchedules)
 			if result.Err == nil {
-				t.Fatalf("not found: %v", result)
+				t.Fatalf("no violation found: %v", result)
 			}
 			t.Log(result)
 			if err := interleave.Walk(newModel(defect, budget), result.Trace); err == nil {
-				t.Error("its trace does not replay")
+				t.Error("replaying its trace breaks no invariant")
 			}
 		})
 	}
--- a/internal/fleet/rollout/phase.go
+++ b/internal/fleet/rollout/phase.go
@@ -22,7 +22,7 @@
 // MarshalJSON encodes the phase as its name.
 func (p Phase) MarshalJSON() ([]byte, error) { return json.Marshal(p.String()) }
 
-// The shares of its requests that a server gets while it is drained or ramped up.
+// The reduced shares of its requests that a server gets while it is being drained or ramped up.
 const tenthShare, thirdShare = 0.1, 0.3
 
 // DrainStep is the progress of a server's drain.
--- a/internal/fleet/rollout/race_test.go
+++ b/internal/fleet/rollout/race_test.go
@@ -2,6 +2,6 @@
 
 package rollout
 
-// raceEnabled reports whether the race detector is on, which makes each step cost ten times as much.
-// All tests here have one goroutine: those that would take minutes are played in part or not at all.
+// raceEnabled reports whether the race detector is on, which makes the tests about ten times slower. All
+// tests here have a single goroutine, so those that would take minutes are shortened or skipped.
 const raceEnabled = true
--- a/internal/fleet/rollout/reconcile_drain.go
+++ b/internal/fleet/rollout/reconcile_drain.go
@@ -70,7 +70,8 @@
 	}
 	unreplacedFraction := func(s *Server) float64 { z := zones[s.Zone]; return float64(z.unreplaced) / float64(z.all) }
 	slices.SortFunc(order, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(unreplacedFraction(b), unreplacedFraction(a)), cmp.Compare(a.Utilization, b.Utilization), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(unreplacedFraction(b), unreplacedFraction(a)),
+			cmp.Compare(a.Utilization, b.Utilization), cmp.Compare(a.ID, b.ID))
 	})
 	return order
 }
--- a/internal/fleet/rollout/record.go
+++ b/internal/fleet/rollout/record.go
@@ -71,7 +71,7 @@
 	InitialCapacity map[string]float64 `msgpack:"c"` // by region, when the rollout was initialized
 	Draining        []DrainingServer   `msgpack:"o"` // sorted by ID
 	Ramping         []RampingServer    `msgpack:"i"` // sorted by ID
-	FullShare       []uint64           `msgpack:"f"` // target-revision servers at full share: sorted hashes of their IDs
+	FullShare       []uint64           `msgpack:"f"` // sorted hashes of the IDs of servers at full share
 	Replaced        int                `msgpack:"m"` // number of new servers admitted, in rollbacks too
 	History         []Summary          `msgpack:"h"` // the last maxHistory rollouts that have ended, oldest first
 }
--- a/internal/fleet/rollout/record_test.go
+++ b/internal/fleet/rollout/record_test.go
@@ -34,7 +34,7 @@
 
 	repeated, err := r.Start(testSpec(t))
 	require.NoError(t, err)
-	assert.Same(t, r, repeated, "the same operation changes nothing")
+	assert.Same(t, r, repeated, "a repeated operation changes nothing")
 	other := *testSpec(t)
 	other.To = 3
 	_, err = r.Start(&other)
@@ -46,7 +46,7 @@
 	paused, err := r.Pause(1, "lunch")
 	require.NoError(t, err)
 	assert.True(t, paused.Paused)
-	assert.False(t, r.Paused, "a record that was written is immutable")
+	assert.False(t, r.Paused, "a written record is immutable")
 	repeated, err = paused.Pause(1, "")
 	require.NoError(t, err)
 	assert.Same(t, paused, repeated)
@@ -75,7 +75,7 @@
 	assert.Empty(t, next.Reason)
 }
 
-// Two operators at once: each operation is made on the record that was read, one write is committed.
+// Two operators start a rollout at the same time, based on the same record: only one write is committed.
 func TestConcurrentOperators(t *testing.T) {
 	stored := &Record{}
 	compareAndSet := func(next *Record) bool {
@@ -104,10 +104,10 @@
 	same, err := a.Claim(1, "a")
 	require.NoError(t, err)
 	assert.Same(t, a, same)
-	inFlight := a.nextVersion() // a write of a
+	inFlight := a.nextVersion() // a write of holder a
 	b, err := a.Claim(2, "b")
 	require.NoError(t, err)
-	assert.Equal(t, inFlight.Version, b.Version, "one of them is committed")
+	assert.Equal(t, inFlight.Version, b.Version, "only one of the two writes can be committed")
 	_, err = b.Claim(1, "a")
 	assert.Equal(t, apierror.Conflict, apierror.KindOf(err))
 }
@@ -187,15 +187,15 @@
 	valid.addFullShare("s2")
 	require.NoError(t, valid.Validate())
 	for name, damage := range map[string]func(*Record){
-		"unknown phase":          func(r *Record) { r.Phase = 77 },
-		"phase without a number": func(r *Record) { r.Number = 0 },
-		"step of the future":     func(r *Record) { r.Draining[0].Since = 99 },
-		"draining and ramping":   func(r *Record) { r.Ramping[0].ID = "a" },
-		"unsorted servers":       func(r *Record) { r.FullShare[0], r.FullShare[1] = r.FullShare[1], r.FullShare[0] },
-		"invalid spec":           func(r *Record) { r.Spec.To = r.Spec.From },
-		"long reason":            func(r *Record) { r.Reason = strings.Repeat("x", 600) },
-		"server twice":           func(r *Record) { r.Draining = append(r.Draining, r.Draining[0]) },
-		"long holder":            func(r *Record) { r.Holder = strings.Repeat("x", 600) },
+		"unknown phase":           func(r *Record) { r.Phase = 77 },
+		"phase without a number":  func(r *Record) { r.Number = 0 },
+		"step of a later version": func(r *Record) { r.Draining[0].Since = 99 },
+		"draining and ramping":    func(r *Record) { r.Ramping[0].ID = "a" },
+		"unsorted servers":        func(r *Record) { r.FullShare[0], r.FullShare[1] = r.FullShare[1], r.FullShare[0] },
+		"invalid spec":            func(r *Record) { r.Spec.To = r.Spec.From },
+		"long reason":             func(r *Record) { r.Reason = strings.Repeat("x", 600) },
+		"server twice":            func(r *Record) { r.Draining = append(r.Draining, r.Draining[0]) },
+		"long holder":             func(r *Record) { r.Holder = strings.Repeat("x", 600) },
 	} {
 		damaged := valid.clone()
 		damage(damaged)
@@ -226,7 +226,7 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `"phase":"forward"`)
 	assert.Contains(t, s.String(), "rollout 1 of s, model m from 1 to 2: forward")
-	f.playUntil("a server that is handed to the platform", f.firstDrainAt(DrainReplacing))
+	f.playUntil("a server handed to the platform", f.firstDrainAt(DrainReplacing))
 	s = f.record.Status(f.observation().Servers)
 	assert.Equal(t, []string{f.record.Draining[0].ID}, s.Replace)
 	assert.False(t, s.HoldsLease)
--- a/internal/fleet/rollout/replica_map_test.go
+++ b/internal/fleet/rollout/replica_map_test.go
@@ -37,12 +37,13 @@
 		"w": {"s", oldRevision, true},
 	}
 	n, worst := replicas.shortages("x", servers, minRequests, false)
-	assert.Equal(t, 2, n, "the hot group by its bucket and by itself; the others are rare or requested elsewhere")
+	// The hot group counts as a bucket and individually. Other groups are rare or requested elsewhere.
+	assert.Equal(t, 2, n, "groups short of replicas")
 	assert.Equal(t, 3, worst.Need)
 	assert.Equal(t, 1, worst.Have)
 	assert.Contains(t, worst.Group, "r.dossier/")
 	n, _ = replicas.shortages("x", servers, minRequests, true)
-	assert.Zero(t, n, "y is a replica, too")
+	assert.Zero(t, n, "y is a replica of the group as well")
 	y := servers["y"]
 	y.serves = false
 	servers["y"] = y
--- a/internal/fleet/rollout/report_test.go
+++ b/internal/fleet/rollout/report_test.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// An agent of the full size sends 19 requests a second: what it reports of them is small.
+// At full size an agent sends 19 requests a second. Its reports must stay small.
 func TestReportIsSmall(t *testing.T) {
 	const requestsPerSecond, seconds = 19, 299
 	random := rand.New(rand.NewPCG(1, 1))
@@ -47,7 +47,7 @@
 		require.NoError(t, err)
 		bytes += len(raw)
 	}
-	t.Logf("%d bytes a report", bytes/seconds)
+	t.Logf("%d bytes per report", bytes/seconds)
 	assert.Less(t, bytes/seconds, 5000)
 }
 
@@ -57,8 +57,8 @@
 		"negative":                    {Attempts: -1},
 		"more failures than attempts": {Attempts: 1, Failed: 5},
 		"infinite latency":            {Attempts: 10, LogFirstToken: math.Inf(1)},
-		"more late than cached":       {Attempts: 10, Answered: 10, CacheHits: 3, Late: 4},
-		"no number":                   {Attempts: 10, LogFirstTokenSquared: math.NaN()},
+		"more late than cache hits":   {Attempts: 10, Answered: 10, CacheHits: 3, Late: 4},
+		"not a number":                {Attempts: 10, LogFirstTokenSquared: math.NaN()},
 	} {
 		judge.Add([]StratumCounts{{Stratum{Route: "r", New: true}, counts}, {Stratum{Route: "r"}, Counts{Attempts: 100}}})
 		assert.NotContains(t, judge.counts, Stratum{Route: "r", New: true}, name)
@@ -70,7 +70,7 @@
 	aggregator := NewReportAggregator(startedRecord(t))
 	require.Error(t, aggregator.Add(&Report{}))
 	require.NoError(t, aggregator.Add(&Report{Source: "a", Seq: 2, Rollout: 1, AppliedVersion: 5}))
-	require.NoError(t, aggregator.Add(&Report{Source: "a", Seq: 1, Rollout: 1, AppliedVersion: 3}), "an older one is ignored")
+	require.NoError(t, aggregator.Add(&Report{Source: "a", Seq: 1, Rollout: 1, AppliedVersion: 3}), "older report")
 	agents := aggregator.Agents([]string{"a", "b"})
 	assert.EqualValues(t, 5, agents[0].AppliedVersion)
 	assert.Zero(t, agents[1].AppliedVersion)
--- a/internal/fleet/rollout/requesthistory/history.go
+++ b/internal/fleet/rollout/requesthistory/history.go
@@ -2,10 +2,10 @@
 
 // History is the history of one request at one agent. It is not safe for concurrent use.
 type History struct {
-	Idempotent bool  // the request may run more than once
-	Resumable  bool  // the response is a stream that can be resumed after a given chunk
-	Versioned  bool  // servers name the revision of their model, and each attempt states the one it expects
-	After      int64 // ID of the last chunk that the client has, if the client itself resumes a stream; 0 if not
+	Idempotent  bool  // the request may run more than once
+	Resumable   bool  // the response is a stream that can be resumed after a given chunk
+	Versioned   bool  // servers name the revision of their model, and each attempt states the one it expects
+	ResumeAfter int64 // ID of the last chunk that the client has, if the client itself resumes a stream; 0 if not
 
 	state            state
 	mayHaveRun       bool
@@ -79,8 +79,8 @@
 	case h.chunks > 0 && h.revision != 0 && detail.Revision != h.revision:
 		return ErrOtherExpectation
 	}
-	if h.chunks == 0 && h.After > 0 {
-		h.nextChunk = h.After + 1
+	if h.chunks == 0 && h.ResumeAfter > 0 {
+		h.nextChunk = h.ResumeAfter + 1
 	}
 	h.state, h.expectedRevision = stateSent, detail.Revision
 	return nil
@@ -90,7 +90,7 @@
 // stands for the stream's start.
 func (h *History) isResumePoint(chunk int64) bool {
 	if h.chunks == 0 {
-		return chunk == h.After
+		return chunk == h.ResumeAfter
 	}
 	return h.nextChunk != 0 && chunk == h.nextChunk-1
 }
--- a/internal/fleet/rollout/requesthistory/history_test.go
+++ b/internal/fleet/rollout/requesthistory/history_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestClientThatResumesAStream(t *testing.T) {
-	h := History{Idempotent: true, Resumable: true, After: 7}
+	h := History{Idempotent: true, Resumable: true, ResumeAfter: 7}
 	require.ErrorIs(t, h.Apply(AttemptSent, Detail{}), ErrWrongResumePoint)
 	require.NoError(t, h.Apply(AttemptSent, Detail{ID: 7}))
 	require.NoError(t, h.Apply(ResponseStarted, Detail{}))
--- a/internal/fleet/rollout/requesthistory/model_test.go
+++ b/internal/fleet/rollout/requesthistory/model_test.go
@@ -126,7 +126,11 @@
 			}
 			for server := range 2 * revisions {
 				steps = append(steps, func() {
-					r.send(detail, &attempt{revision: server%revisions + 1, lastChunk: after, unnamed: server >= revisions})
+					r.send(detail, &attempt{
+						revision:  server%revisions + 1,
+						lastChunk: after,
+						unnamed:   server >= revisions,
+					})
 				})
 			}
 		}
@@ -322,7 +326,11 @@
 		"chunks forwarded":     {plain, []error{ErrNotResumable, ErrChunksForwarded}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			result := interleave.Search(&request{history: c.history, remainingAttempts: maxAttempts, ignored: c.ignored}, maxSchedules)
+			result := interleave.Search(&request{
+				history:           c.history,
+				remainingAttempts: maxAttempts,
+				ignored:           c.ignored,
+			}, maxSchedules)
 			if result.Err == nil {
 				t.Fatalf("no violation found: %v", result)
 			}
--- a/internal/fleet/rollout/routing_rules_test.go
+++ b/internal/fleet/rollout/routing_rules_test.go
@@ -9,7 +9,7 @@
 
 func TestSharesByStep(t *testing.T) {
 	record := startedRecord(t)
-	assert.InDelta(t, 1, record.Rules().Share("any", "", 2), 0, "the phase is not initialized: nothing changes")
+	assert.InDelta(t, 1, record.Rules().Share("any", "", 2), 0, "the phase is not initialized")
 	record.Initialized = true
 	record.Draining = []DrainingServer{
 		{ID: "a", Addr: "x", Step: DrainThird},
@@ -28,7 +28,7 @@
 	assert.InDelta(t, 0.1, rules.Share("f", "", 2), 0)
 	assert.InDelta(t, 0.3, rules.Share("g", "", 2), 0)
 	assert.InDelta(t, 1, rules.Share("h", "", 2), 0)
-	assert.InDelta(t, 0, rules.Share("new", "", 2), 0, "it was not admitted")
+	assert.InDelta(t, 0, rules.Share("new", "", 2), 0, "not admitted yet")
 	assert.InDelta(t, 1, rules.Share("old", "", 1), 0)
 	assert.InDelta(t, 1, rules.Share("other", "", -1), 0)
 	assert.True(t, rules.IsWarming("f"))
@@ -37,7 +37,7 @@
 	assert.False(t, rules.ShouldMigrate("c"))
 	assert.Equal(t, 3, len(rules.ClosedServers()))
 
-	// An abort changes nothing before the holder has initialized the rollback, and then the target.
+	// An abort changes no share until the holder has initialized the rollback. Then the target changes.
 	rollback, err := record.Abort(1, "")
 	require.NoError(t, err)
 	assert.InDelta(t, 1, rollback.Rules().Share("h", "", 2), 0)
@@ -47,7 +47,7 @@
 	rollback.addFullShare("old")
 	assert.InDelta(t, 1, rollback.Rules().Share("old", "", 1), 0)
 	assert.InDelta(t, 0, rollback.Rules().Share("unknown", "", 1), 0)
-	assert.InDelta(t, 0, rollback.Rules().Share("late", "y", 2), 0, "it was handed over before the rollback, and started with the revision that is left")
+	assert.InDelta(t, 0, rollback.Rules().Share("late", "y", 2), 0, "handed over before the rollback")
 	assert.InDelta(t, 1, rollback.Rules().Share("h", "z", 2), 0)
 	rollback.finish(PhaseRolledBack)
 	assert.InDelta(t, 1, rollback.Rules().Share("late", "y", 2), 0)
--- a/internal/fleet/rollout/samples.go
+++ b/internal/fleet/rollout/samples.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxStrata is the maximum number of strata in a report.
+	// maxStrata is the maximum number of strata in a report. A slot of the Judge holds twice as many.
 	maxStrata = 2048
 	// sizeClasses is the number of classes of prompts, by length, and groupClasses that of prompt
 	// groups, by hash.
--- a/internal/fleet/rollout/session_affinity_test.go
+++ b/internal/fleet/rollout/session_affinity_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sessions is the number of sessions of a test.
+// sessions is the number of sessions in each test.
 const sessions = 5000
 
-// recordedAffinity remembers the sessions, half of them at the new revision.
+// recordedAffinity returns an affinity that has recorded the sessions, about half of them at the new
+// revision.
 func recordedAffinity(now time.Duration) *SessionAffinity {
 	affinity := &SessionAffinity{}
 	for session := range uint64(sessions) {
@@ -22,7 +23,7 @@
 // ranAtNew reports whether recordedAffinity recorded a session at the new revision.
 func ranAtNew(session uint64) bool { return sessionThreshold(session) < 0.5 }
 
-// sessionThreshold is the new revision's share from which a session that nobody remembers runs there.
+// sessionThreshold returns the new revision's share from which an unknown session runs there.
 func sessionThreshold(session uint64) float64 {
 	low, high := 0.0, 1.0
 	var affinity SessionAffinity
@@ -46,14 +47,14 @@
 			}
 		}
 	}
-	assert.LessOrEqual(t, moved, 100, "few are mistaken for others")
+	assert.LessOrEqual(t, moved, 100, "false positives of the filters must be few")
 	preferNew := 0
 	for session := range uint64(sessions) {
 		if affinity.PrefersNew(1<<40+session, 0.9) {
 			preferNew++
 		}
 	}
-	assert.InDelta(t, 0.9*sessions, preferNew, 250, "unknown sessions follow the capacity")
+	assert.InDelta(t, 0.9*sessions, preferNew, 250, "unknown sessions are distributed by capacity")
 }
 
 func TestIdleSessionsAreForgotten(t *testing.T) {
--- a/internal/fleet/rollout/simulation_test.go
+++ b/internal/fleet/rollout/simulation_test.go
@@ -14,10 +14,10 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// warmupSeconds is for how long a fleet is played before its rollout begins.
+// warmupSeconds is the time for which a fleet is simulated before its rollout begins.
 const warmupSeconds = 300
 
-// startedFleet is a fleet that is warm and whose rollout begins.
+// startedFleet returns a fleet with warm caches whose rollout has just begun.
 func startedFleet(t *testing.T, config fleetConfig, changes ...func(*Spec)) *fleet {
 	t.Helper()
 	f := newFleet(t, config)
@@ -26,7 +26,7 @@
 	return f
 }
 
-// firstDrainAt reports whether the first server that is drained is at a step.
+// firstDrainAt returns a condition: the first draining server is at a step.
 func (f *fleet) firstDrainAt(step DrainStep) func() bool {
 	return func() bool { return len(f.record.Draining) > 0 && f.record.Draining[0].Step == step }
 }
@@ -50,22 +50,23 @@
 	assert.Zero(t, f.unserved)
 	assert.LessOrEqual(t, f.late, withoutRollout.late+f.requests/1000)
 	assert.Equal(t, 1, f.maxTransitions)
-	// The fleet knows what it sent, and not what a server has evicted since.
-	assert.LessOrEqual(t, f.shortPrompts, f.checkedPrompts/50, "live prompts that had fewer replicas than required")
+	// The lease holder knows what was sent to the servers, but not what they have evicted since.
+	assert.LessOrEqual(t, f.shortPrompts, f.checkedPrompts/50, "too many live prompts had fewer replicas than required")
 	require.Len(t, f.record.History, 1)
 	assert.Equal(t, site.servers, f.record.History[0].Replaced)
 	assert.Less(t, took, 3*time.Hour)
 	assert.Less(t, f.recordBytes, 4096)
 }
 
-// The same load while all servers are replaced at once, and one by one without regard to groups.
+// Compares a rollout with two simpler procedures under the same load: replacing all servers at once, and
+// one by one without regard to groups.
 func TestBaselinesAreWorse(t *testing.T) {
-	const afternoon = 40 * 60 // seconds
+	const comparedSeconds = 40 * 60
 	if raceEnabled {
-		t.Skip("it takes long, and has one goroutine")
+		t.Skip("slow under the race detector, and has only one goroutine")
 	}
 	f := startedFleet(t, site18(1))
-	f.play(afternoon)
+	f.play(comparedSeconds)
 	missed := f.late + f.unserved
 
 	allAtOnce := newFleet(t, site18(1))
@@ -74,7 +75,7 @@
 		allAtOnce.crash(s, allAtOnce.config.startupTime)
 		allAtOnce.byID[s.ID].Revision = simOldRevision
 	}
-	allAtOnce.play(afternoon)
+	allAtOnce.play(comparedSeconds)
 
 	oneByOne := startedFleet(t, site18(1), func(s *Spec) {
 		s.Pace.SpreadSeconds, s.Pace.StageSeconds, s.Pace.GapSeconds = 0, 0, 0
@@ -83,12 +84,12 @@
 		s.Judge.MinServerRequests, s.Judge.MinSamples = 0, 10
 	})
 	took := oneByOne.playUntil("the end", oneByOne.ended)
-	oneByOne.play(max(0, afternoon-int(took/time.Second)))
+	oneByOne.play(max(0, comparedSeconds-int(took/time.Second)))
 	allAtOnce.logFigures(t, "all at once", 0)
 	oneByOne.logFigures(t, "one by one", took)
 	f.logFigures(t, "by groups", 0)
 	assert.Greater(t, allAtOnce.unserved, 1000*(missed+1)/100)
-	assert.Greater(t, oneByOne.shortPrompts+oneByOne.late, f.shortPrompts+f.late, "prompts without replicas, or late requests")
+	assert.Greater(t, oneByOne.shortPrompts+oneByOne.late, f.shortPrompts+f.late, "short prompts and late requests")
 }
 
 func TestWorseRevisionIsRolledBack(t *testing.T) {
@@ -109,7 +110,7 @@
 			assert.Zero(t, updated)
 			assert.Equal(t, 18, old)
 			assert.Zero(t, f.unserved)
-			assert.LessOrEqual(t, f.record.History[0].Replaced, 10, "few servers were replaced before that")
+			assert.LessOrEqual(t, f.record.History[0].Replaced, 10, "servers replaced before the rollback")
 			assert.Contains(t, f.record.History[0].Reason, "revision 2 is worse than 1")
 		})
 	}
@@ -127,7 +128,7 @@
 	}
 	transitions := len(f.record.Draining) + len(f.record.Ramping)
 	f.play(600)
-	assert.LessOrEqual(t, len(f.record.Draining)+len(f.record.Ramping), transitions, "no other server is drained")
+	assert.LessOrEqual(t, len(f.record.Draining)+len(f.record.Ramping), transitions, "drains after the halt")
 	aborted, err := f.record.Abort(f.record.Number, "")
 	require.NoError(t, err)
 	f.commit(aborted)
@@ -137,8 +138,8 @@
 	assert.Zero(t, updated)
 }
 
-// Lease holders crash at any moment, each next one knows only the record; for some time there is none,
-// as the core is partitioned.
+// Lease holders crash at any time, and each successor knows only the record. At times there is no
+// holder, as if the core were partitioned.
 func TestHolderChanges(t *testing.T) {
 	f := startedFleet(t, site6(3))
 	f.playUntil("the end", func() bool {
@@ -161,13 +162,13 @@
 
 func TestBurstReturnsAServerToService(t *testing.T) {
 	f := startedFleet(t, site6(4))
-	f.playUntil("a server that is nearly closed", f.firstDrainAt(DrainTenth))
+	f.playUntil("a server at a tenth of its share", f.firstDrainAt(DrainTenth))
 	id := f.record.Draining[0].ID
 	f.loadFactor = 2
-	f.playUntil("its return", func() bool { return f.record.draining(id) == nil })
+	f.playUntil("its return to service", func() bool { return f.record.draining(id) == nil })
 	assert.Equal(t, registry.Ready, f.byID[id].State)
 	f.play(60)
-	assert.Empty(t, f.record.Draining, "none is drained without spare capacity")
+	assert.Empty(t, f.record.Draining, "a server is drained without spare capacity")
 	assert.Contains(t, f.controller.waitReasons[len(f.controller.waitReasons)-1], "has room for")
 	f.loadFactor = 1
 	f.playUntil("the end", f.ended)
@@ -185,7 +186,7 @@
 	}
 	f.play(60)
 	for range 200 {
-		assert.Empty(t, f.record.Draining, "none is drained while a zone is lost")
+		assert.Empty(t, f.record.Draining, "a server is drained while a zone is lost")
 		f.playSecond()
 	}
 	f.playUntil("the end", f.ended)
@@ -203,18 +204,18 @@
 	f.start()
 	f.play(180)
 	require.NotEmpty(t, f.record.Draining)
-	assert.Equal(t, DrainThird, f.record.Draining[0].Step, "one agent has not acknowledged it")
-	// Its lease expires, and it serves on by what it knew; here it sends nothing to the server that is
-	// drained, as draining servers close its connections.
+	assert.Equal(t, DrainThird, f.record.Draining[0].Step, "one agent has not acknowledged the drain")
+	// Its lease expires, and it continues with the rules that it knows. A draining server closes the
+	// agent's connections; the simulation models this by giving the agent the current rules.
 	f.agents[0].member = false
 	f.agents[0].rules = f.record.Rules()
-	f.playUntil("a server that is replaced", func() bool { return len(f.record.Ramping) > 0 })
+	f.playUntil("a replaced server", func() bool { return len(f.record.Ramping) > 0 })
 }
 
 func TestPlatformDrainsAreAdopted(t *testing.T) {
 	f := startedFleet(t, site6(7))
 	f.playUntil("a server at a tenth of its share", f.firstDrainAt(DrainTenth))
-	// The platform drains the server that the rollout drains, and another one.
+	// The platform itself drains the server that the rollout is draining, and another one.
 	drained, other := f.byID[f.record.Draining[0].ID], f.servers[0]
 	if drained == other {
 		other = f.servers[1]
@@ -244,10 +245,12 @@
 	assert.Equal(t, PhaseDone, f.record.Phase)
 	assert.LessOrEqual(t, f.shortPrompts, f.checkedPrompts/20)
 
-	// Where groups can't have enough replicas the rollout waits, and says for which group.
+	// Where groups can't have enough replicas, the rollout waits and names the group.
 	config.servers = 2
 	f = startedFleet(t, config)
-	f.playUntil("the reason", func() bool { return f.controller.worstShortage.Group != "" && len(f.controller.waitReasons) > 0 })
+	f.playUntil("a wait reason", func() bool {
+		return f.controller.worstShortage.Group != "" && len(f.controller.waitReasons) > 0
+	})
 	f.play(60)
 	assert.Contains(t, f.controller.waitReasons[0], "replicas beside it, and needs 2")
 	_, updated := f.countRevisions()
@@ -258,7 +261,7 @@
 	config := site3(10)
 	config.spec = func(s *Spec) { s.Safety.PeakLoad, s.Safety.SpareServers, s.Safety.MinReplicas = 0.1, 0, 2 }
 	f := startedFleet(t, config)
-	f.playUntil("a server that is closed", f.firstDrainAt(DrainFinishing))
+	f.playUntil("a closed server", f.firstDrainAt(DrainFinishing))
 	id := f.record.Draining[0].ID
 	for _, s := range slices.Clone(f.servers) {
 		if s.ID != id {
@@ -266,7 +269,7 @@
 		}
 	}
 	f.play(2)
-	assert.Nil(t, f.record.draining(id), "its groups have no other replica")
+	assert.Nil(t, f.record.draining(id), "still draining, though its groups have no other replica")
 	assert.InDelta(t, 1, f.record.Rules().Share(id, f.byID[id].Addr, simOldRevision), 0)
 	f.playUntil("the end", f.ended)
 	assert.Equal(t, PhaseDone, f.record.Phase)
@@ -284,13 +287,14 @@
 	assert.Contains(t, next.Reason, "service: there is none")
 }
 
-var fullSize = flag.Bool("full", false, "play a complete rollout with 850 servers")
+var fullSize = flag.Bool("full", false, "simulate a rollout at the full size of 850 servers")
 
-// The size to design for: 850 servers in five zones of two regions, 1.6 million shared prompts, at
-// the peak load; an eighth of it without -full. One request and one prompt of forty are played.
+// Simulates a rollout at the size that the design is for: 850 servers in five zones of two regions with
+// 1.6 million shared prompts at the peak load, or an eighth of that without -full. One in forty requests
+// and prompts is simulated.
 func TestUpgradeAtFullSize(t *testing.T) {
 	if raceEnabled {
-		t.Skip("it takes long, and has one goroutine")
+		t.Skip("slow under the race detector, and has only one goroutine")
 	}
 	const sampling = 40
 	divisor := 8
@@ -315,7 +319,7 @@
 		spec: func(s *Spec) {
 			s.Pace.AtOnce, s.Pace.GapSeconds = atOnce, 2
 			s.Safety.PeakLoad = 0.8
-			s.Judge.MinSamples, s.Judge.MinServerRequests = 20, 1 // as one request of forty is played
+			s.Judge.MinSamples, s.Judge.MinServerRequests = 20, 1 // because one in forty requests is simulated
 			s.Safety.LiveSeconds *= 4
 		},
 	}
@@ -327,7 +331,7 @@
 	f.start()
 	took := f.playUntil("the end", f.ended)
 	f.logFigures(t, fmt.Sprint(config.servers, " servers"), took)
-	t.Logf("to each agent %.0f bytes a second", float64(f.syncedBytes)/took.Seconds())
+	t.Logf("%.0f bytes a second synced to each agent", float64(f.syncedBytes)/took.Seconds())
 	missRatio := func(from, to fleetFigures) float64 {
 		return float64(to.prefills-from.prefills) / float64(to.requests-from.requests)
 	}
--- a/internal/fleet/rollout/spec.go
+++ b/internal/fleet/rollout/spec.go
@@ -76,7 +76,7 @@
 // JudgeSpec defines when the new revision counts as worse than the old one. Increases are differences
 // between proportions; ratios are between geometric means.
 type JudgeSpec struct {
-	// MinSamples is the minimum number of requests of each revision for a verdict.
+	// MinSamples is the number of requests of each revision that the new revision needs to pass.
 	MinSamples int `koanf:"samples" msgpack:"n" json:"samples"`
 	// MinServerRequests is the minimum number of requests that a server serves before it gets its next
 	// share.
--- a/internal/fleet/rollout/spec_test.go
+++ b/internal/fleet/rollout/spec_test.go
@@ -41,7 +41,7 @@
 
 	j, err := Parse([]byte(`{"service":"tenant-llm","model":"m","from":1,"to":2,"pace":{"at-once":2,"stage-s":15.5},"routes":{"r.dossier":{"floor":3,"versions":[1,2]}}}`))
 	require.NoError(t, err)
-	assert.Equal(t, s, j, "JSON says the same")
+	assert.Equal(t, s, j, "the same spec as JSON")
 }
 
 func TestParseReportsEveryErrorWithKeyAndRemedy(t *testing.T) {
@@ -92,7 +92,7 @@
 		assert.Contains(t, text, want)
 	}
 	for line := range strings.SplitSeq(text, "\n") {
-		assert.Contains(t, line, "; ", "a remedy follows: %s", line)
+		assert.Contains(t, line, "; ", "the error has no remedy: %s", line)
 	}
 
 	_, err = Parse([]byte("service = "))
