--- a/internal/fleet/rollout/record_codec.go
+++ b/internal/fleet/rollout/record_codec.go
@@ -27,8 +27,8 @@
 	History   []Summary `msgpack:"h"`
 }
 
-// Split encodes the record in two parts for delta sync. The stable part changes only when a server gets
-// its full share or a rollout ends, and is sent only then.
+// Split encodes the record in two parts for delta sync. The stable part changes about once per server,
+// and is sent only when it changes.
 func (r *Record) Split() (dynamic, stable []byte, err error) {
 	if stable, err = msgpack.Marshal(stablePart{r.FullShare, r.History}); err != nil {
 		return nil, nil, errors.Wrap(err, "encode the stable part of a rollout record")
