--- a/internal/agent/snapshot/clock.go
+++ b/internal/agent/snapshot/clock.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// errReadOnlyFileSystem is the error of a read-only file system.
+// errReadOnlyFileSystem is the error of a write to a read-only file system.
 var errReadOnlyFileSystem = syscall.EROFS
 
-// Clock is a time that is comparable between processes of one boot of the machine. The wall clock is not
-// used, as it may jump between two runs.
+// Clock is a time that can be compared between processes as long as the machine is not rebooted. The wall
+// clock is not used, as it may jump between two runs.
 type Clock struct {
-	Boot   [16]byte // identifies the boot of the machine; zero if unknown
-	Uptime time.Duration
+	Boot   [16]byte      // identifies the boot of the machine; zero if unknown
+	Uptime time.Duration // time since that boot
 }
 
 // Since returns the time from an earlier clock to this one. It returns the largest duration and false if
-// that is not known: after a reboot, or if the boot of either is unknown.
+// that time is not known: after a reboot, if a boot is unknown, or if the other clock is the later one.
 func (c Clock) Since(then Clock) (time.Duration, bool) {
 	if c.Boot != then.Boot || c.Boot == [16]byte{} || then.Uptime > c.Uptime {
 		return unknownAge, false
@@ -31,7 +31,8 @@
 	return c.Uptime - then.Uptime, true
 }
 
-// Now returns the clock of this machine. It advances while the machine is suspended.
+// Now returns the clock of this machine, or the zero Clock if it can't be read. The clock advances while
+// the machine is suspended.
 func Now() Clock {
 	var c Clock
 	var t unix.Timespec
@@ -46,7 +47,7 @@
 	return c
 }
 
-// bootID returns the kernel's identifier of this boot.
+// bootID returns the kernel's identifier of the current boot.
 func bootID() (id [16]byte, err error) {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 	raw, err := hex.DecodeString(strings.ReplaceAll(strings.TrimSpace(string(text)), "-", ""))
 	if err != nil || len(raw) != len(id) {
-		return id, errors.New("snapshot: the boot has no name")
+		return id, errors.New("snapshot: invalid boot ID")
 	}
 	return [16]byte(raw), nil
 }
--- a/internal/agent/snapshot/golden_test.go
+++ b/internal/agent/snapshot/golden_test.go
@@ -17,7 +17,7 @@
 	goldentest.RoundTrip[Site](t, goldentest.JSON, "site")
 }
 
-// TestGoldenFile reads a file that an earlier version has written.
+// TestGoldenFile reads a file that an earlier version of the program wrote.
 func TestGoldenFile(t *testing.T) {
 	const golden = "testdata/state.db"
 	want := goldentest.Filled[State]()
--- a/internal/agent/snapshot/record.go
+++ b/internal/agent/snapshot/record.go
@@ -9,8 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// encodeRecord encodes a record: format, version of its table, value, and a checksum over these, its
-// table and key and its generation, so that a record in the wrong place is rejected.
+// encodeRecord encodes a record as the format version, the version of its table's encoding, its value and
+// a checksum. The checksum also covers the generation, the table and the key, so that a record in the wrong
+// place is rejected.
 func encodeRecord(seq uint64, table, key string, r Record) []byte {
 	raw := binary.BigEndian.AppendUint16(nil, formatVersion)
 	raw = binary.BigEndian.AppendUint16(raw, r.Version)
@@ -41,12 +42,13 @@
 	}
 }
 
-const reasonOtherVersion = "of another version of the program"
+// reasonOtherVersion is the reason to reject data in another formatVersion.
+const reasonOtherVersion = "written by another version of the program"
 
-// footer completes a generation. Without one a generation is invalid.
+// footer is the last entry of a generation. A generation without a footer is invalid.
 type footer struct {
-	seq, runs, count, checksum uint64
-	clock                      Clock
+	seq, runs, count, checksum uint64 // count and checksum are of the generation's records
+	clock                      Clock  // time of the save
 }
 
 func (f *footer) bytes() []byte {
@@ -58,22 +60,25 @@
 	return binary.BigEndian.AppendUint64(raw, checksum(0, "", "", raw))
 }
 
+// footerSize is the size of an encoded footer without its checksum, in bytes.
 const footerSize = 2 + 4*8 + 8 + 16
 
-func parseFooter(raw []byte) (f footer, why string) {
+// parseFooter decodes a footer, or returns the reason why it is rejected.
+func parseFooter(raw []byte) (f footer, reason string) {
 	switch {
 	case raw == nil:
-		return f, "no end"
-	case len(raw) != footerSize+8 || binary.BigEndian.Uint64(raw[footerSize:]) != checksum(0, "", "", raw[:footerSize]):
-		return f, "its end is damaged"
+		return f, "no footer"
+	case len(raw) != footerSize+8 ||
+		binary.BigEndian.Uint64(raw[footerSize:]) != checksum(0, "", "", raw[:footerSize]):
+		return f, "damaged footer"
 	case binary.BigEndian.Uint16(raw) != formatVersion:
 		return f, reasonOtherVersion
 	}
-	at := raw[2:]
+	rest := raw[2:]
 	for _, v := range []*uint64{&f.seq, &f.runs, &f.count, &f.checksum} {
-		*v, at = binary.BigEndian.Uint64(at), at[8:]
+		*v, rest = binary.BigEndian.Uint64(rest), rest[8:]
 	}
-	f.clock.Uptime, at = time.Duration(binary.BigEndian.Uint64(at)), at[8:]
-	copy(f.clock.Boot[:], at)
+	f.clock.Uptime, rest = time.Duration(binary.BigEndian.Uint64(rest)), rest[8:]
+	copy(f.clock.Boot[:], rest)
 	return f, ""
 }
--- a/internal/agent/snapshot/setaside.go
+++ b/internal/agent/snapshot/setaside.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// setAside renames a file to a name with the reason, and removes the oldest of such files.
-func setAside(path, why string) (string, error) {
+// setAside renames a file to an unused name that contains the reason, and returns that name. Of all files
+// that were set aside, it retains the maxSetAside that were modified last.
+func setAside(path, reason string) (string, error) {
 	for i := 1; ; i++ {
-		to := fmt.Sprintf("%s.%s-%d", path, why, i)
-		if _, err := os.Lstat(to); err == nil {
+		target := fmt.Sprintf("%s.%s-%d", path, reason, i)
+		if _, err := os.Lstat(target); err == nil {
 			continue
 		}
-		if err := os.Rename(path, to); err != nil {
+		if err := os.Rename(path, target); err != nil {
 			return "", fmt.Errorf("snapshot: %w", err)
 		}
-		old, err := filepath.Glob(path + ".*-*")
-		if err != nil || len(old) <= maxSetAside {
-			return to, nil
+		files, err := filepath.Glob(path + ".*-*")
+		if err != nil || len(files) <= maxSetAside {
+			return target, nil
 		}
-		slices.SortStableFunc(old, func(a, b string) int { return modificationTime(a).Compare(modificationTime(b)) })
-		for _, o := range old[:len(old)-maxSetAside] {
-			if o != to {
-				_ = os.Remove(o) // best effort: it stays if it can't be removed
+		slices.SortStableFunc(files, func(a, b string) int { return modificationTime(a).Compare(modificationTime(b)) })
+		for _, file := range files[:len(files)-maxSetAside] {
+			if file != target {
+				_ = os.Remove(file) // best effort: an error leaves the file in place
 			}
 		}
-		return to, nil
+		return target, nil
 	}
 }
 
--- a/internal/agent/snapshot/state.go
+++ b/internal/agent/snapshot/state.go
@@ -18,27 +18,27 @@
 	tableKeys, versionKeys       = "keys", 1
 	tableLoad, versionLoad       = "load", 1
 	tableList, versionList       = "list", 1
-	// tableSite was added later: a file without it is of an agent without a fleet.
+	// tableSite was added later. A file without it is read like that of an agent without a fleet.
 	tableSite, versionSite = "site", 1
 )
 
-// State is all that an agent stores: the snapshot of its policy, and the server list as discovery
-// reported it, each entry in the encoding of discovery.
+// State is everything that an agent stores: the snapshot of its policy, the server list that discovery
+// reported, and the state of its site.
 type State struct {
 	Policy    *policy.Snapshot
-	Discovery string
-	Version   uint64
-	Targets   map[string]json.RawMessage // by id
+	Discovery string                     // address of the discovery that reported the list
+	Version   uint64                     // version of the list
+	Targets   map[string]json.RawMessage // entries of the list by id, in the encoding of discovery
 	Site      *Site                      // nil for an agent without a fleet
 }
 
-// Site is what an agent knows of its site from its peers, with ages as of the save.
+// Site is what an agent knows about its site from its peers.
 type Site struct {
-	Isolated bool                 `json:"Dark"` // the site had lost its uplink
-	Entries  []stalerouting.Entry `json:"Entries"`
+	Isolated bool                 `json:"Dark"`    // true if the site had lost its uplink
+	Entries  []stalerouting.Entry `json:"Entries"` // with their ages at the time of the save
 }
 
-// listHeader is the record that the version of a list refers to.
+// listHeader is the record that describes a stored server list. Targets is the number of its entries.
 type listHeader struct {
 	Discovery string `json:"Discovery"`
 	Version   uint64 `json:"Version"`
@@ -46,18 +46,19 @@
 }
 
 const (
-	// keysPerRecord is the number of keys in one record, which bounds the loss by a damaged one.
+	// keysPerRecord is the largest number of keys in a record. A damaged record loses no more than these.
 	keysPerRecord = 256
-	// keySize is the size of a key and its count in a record, in bytes.
+	// keySize is the size of a key with its count in a record, in bytes.
 	keySize = 16
-	// maxServers bounds the number of servers that are stored.
+	// maxServers is the largest number of servers that are stored.
 	maxServers = 10_000
 )
 
-// listHeaderKey is the key of the list's header. Those of its entries start with "=".
+// listHeaderKey is the key of the list's header. The keys of the list's entries start with "=".
 const listHeaderKey = "."
 
-// loadRecord is what the policy knows about all servers together. Its JSON keys are part of stored state.
+// loadRecord is what the policy knows about all servers together. Its JSON keys are part of the stored
+// format.
 type loadRecord struct {
 	Demand            float64   `json:"Demand"`
 	PeakCapacity      float64   `json:"Peak"`
@@ -104,7 +105,9 @@
 		}
 		t[tableKeys][fmt.Sprintf("%06d", i/keysPerRecord)] = Record{versionKeys, raw}
 	}
-	text, err := json.Marshal(loadRecord{m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs})
+	text, err := json.Marshal(loadRecord{
+		m.Demand, m.PeakCapacity, m.AdmittedShare, m.BaselineLatency, m.RecentLatency, m.Responses, m.ExpectedLatencyMs,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: load: %w", err)
 	}
@@ -112,11 +115,13 @@
 	return t, nil
 }
 
-// Decode decodes the state of a generation. Invalid records are dropped and reported. Durations since an
-// event are extended by the generation's age. A list with a missing entry is dropped: its missing servers
-// would count as removed.
+// Decode decodes the state of a generation. It drops invalid records and reports them, and it adds the
+// generation's age to durations since an event. A list with a missing entry is dropped, as its missing
+// servers would count as removed.
 func Decode(g *Generation) (*State, []Problem) {
-	d := &decoder{generation: g, state: &State{Policy: &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)}}}
+	d := &decoder{generation: g, state: &State{
+		Policy: &policy.Snapshot{AgeMs: float64(g.Age) / float64(time.Millisecond)},
+	}}
 	d.decodeServers()
 	d.decodeKeys()
 	d.decodeLoad()
@@ -132,7 +137,7 @@
 	problems   []Problem
 }
 
-// reject reports a record that is dropped.
+// reject reports that a record is dropped.
 func (d *decoder) reject(table, key, format string, args ...any) {
 	d.problems = append(d.problems, Problem{fmt.Sprintf("%s %q", table, key), fmt.Sprintf(format, args...)})
 }
@@ -147,7 +152,7 @@
 		} else if err := json.Unmarshal(record.Value, &server); err != nil {
 			d.reject(tableServers, key, "%v", err)
 		} else if key != fmt.Sprintf("%x", server.Server) {
-			d.reject(tableServers, key, "of another server")
+			d.reject(tableServers, key, "belongs to another server")
 		} else {
 			server.InStateMs += d.state.Policy.AgeMs
 			d.state.Policy.Servers = append(d.state.Policy.Servers, server)
@@ -159,13 +164,15 @@
 	records := d.generation.Tables[tableKeys]
 	for _, key := range sortedKeys(records) {
 		record := records[key]
-		if record.Version != versionKeys || len(record.Value)%keySize != 0 || len(record.Value) > keySize*keysPerRecord {
+		if record.Version != versionKeys || len(record.Value)%keySize != 0 ||
+			len(record.Value) > keySize*keysPerRecord {
 			d.reject(tableKeys, key, "version %d, %d bytes", record.Version, len(record.Value))
 			continue
 		}
 		for raw := record.Value; len(raw) > 0; raw = raw[keySize:] {
 			count := math.Float64frombits(binary.BigEndian.Uint64(raw[keySize/2:]))
-			d.state.Policy.Keys = append(d.state.Policy.Keys, policy.KeyCount{Key: binary.BigEndian.Uint64(raw), Count: count})
+			d.state.Policy.Keys = append(d.state.Policy.Keys,
+				policy.KeyCount{Key: binary.BigEndian.Uint64(raw), Count: count})
 		}
 	}
 }
@@ -216,7 +223,8 @@
 	var header listHeader
 	err := json.Unmarshal(record.Value, &header)
 	if err != nil || record.Version != versionList || header.Targets != len(records)-1 {
-		d.reject(tableList, listHeaderKey, "version %d, %d of %d entries, %v", record.Version, len(records)-1, header.Targets, err)
+		d.reject(tableList, listHeaderKey, "version %d, %d of %d entries, %v",
+			record.Version, len(records)-1, header.Targets, err)
 		return
 	}
 	d.state.Discovery, d.state.Version = header.Discovery, header.Version
--- a/internal/agent/snapshot/store.go
+++ b/internal/agent/snapshot/store.go
@@ -1,14 +1,15 @@
 // Package snapshot stores on disk what an agent has learned, so that its next run need not learn it
 // again.
 //
-// Guaranteed: damaged data is never returned. What is loaded is one complete generation as it was saved,
-// or the rest of it after records with a wrong checksum were dropped, or the generation before, or
-// nothing. An unusable file never prevents the start of an agent: it is set aside under a name with the
-// reason. Not guaranteed: that the last save survives a loss of power, and that the loaded data is still
-// valid. Each generation has an age, and the caller decides.
+// Damaged data is never returned. The loaded data is the newest complete generation; if none is complete,
+// it is the newest generation without the records whose checksum is wrong, or nothing. An unusable file
+// never prevents the start of an agent: it is set aside, which means renamed to a name that contains the
+// reason. The package does not guarantee that the last save survives a power loss, or that the loaded data
+// is still valid. Each generation has an age, by which the caller decides whether to use it.
 //
-// A generation is one transaction of bbolt, which syncs it. Two are stored. Records and generations have
-// checksums of their own, as a disk may return wrong data.
+// A generation is the data of one save. It is written in one bbolt transaction, which syncs the file. The
+// file holds two generations. Records and generations have checksums of their own, as a disk may return
+// wrong data.
 package snapshot
 
 import (
@@ -29,9 +30,10 @@
 const (
 	// File is the name of the file in its directory.
 	File = "state.db"
-	// MaxFile bounds the size of a file that is opened, maxRecord that of a record, in bytes.
+	// MaxFile is the largest size of a file that is opened, and maxRecord the largest size of a record, in
+	// bytes.
 	MaxFile, maxRecord = 64 << 20, 1 << 20
-	// maxRecords bounds the records of a generation.
+	// maxRecords is the largest number of records in a generation.
 	maxRecords = 100_000
 	// maxSetAside is the number of set-aside files that are retained.
 	maxSetAside = 3
@@ -50,12 +52,12 @@
 // ErrLocked reports that another process uses the directory.
 var ErrLocked = errors.New("used by another process")
 
-// Tables are records by table and key.
+// Tables holds records by the name of their table and by their key.
 type Tables map[string]map[string]Record
 
-// Record is a value with the version of its table's encoding.
+// Record is a value in the encoding of its table.
 type Record struct {
-	Version uint16
+	Version uint16 // version of that encoding
 	Value   []byte
 }
 
@@ -70,11 +72,11 @@
 
 // Generation is the data of one save.
 type Generation struct {
-	Seq      uint64
-	Runs     uint64 // number of runs of the agent up to it
-	Age      time.Duration
-	AgeKnown bool // if false, Age is the largest duration
-	Complete bool // no record was dropped
+	Seq      uint64        // sequence number of the save, the first is 1
+	Runs     uint64        // number of runs of the agent, including the one that saved it
+	Age      time.Duration // time since the save; the largest duration if AgeKnown is false
+	AgeKnown bool
+	Complete bool // true if no record was dropped
 	Tables   Tables
 }
 
@@ -83,21 +85,21 @@
 	dir string
 	db  *bbolt.DB
 	now func() Clock
-	seq uint64
-	// Runs counts the runs of the agent, this one included.
+	seq uint64 // sequence number of the newest generation; 0 if there is none
+	// Runs is the number of runs of the agent, including the current one.
 	Runs uint64
 }
 
-// Open opens a directory, creates it if it is missing, and loads the newest valid generation, or nil if
-// there is none. The problems describe all rejected data. After an error the directory can't be used,
-// and the agent continues without one.
+// Open opens a directory, creates it if it is missing, and loads the newest complete generation, or the
+// newest one if none is complete; g is nil if there is none. The problems describe all rejected data. After
+// an error the directory can't be used, and the agent continues without it.
 func Open(dir string, now func() Clock) (s *Store, g *Generation, problems []Problem, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("snapshot: %w", err)
 	}
 	path := filepath.Join(dir, File)
-	s, g, why, err := open(dir, now, &problems, false)
-	if err != nil && why == "" {
+	s, g, reason, err := open(dir, now, &problems, false)
+	if err != nil && reason == "" {
 		return nil, nil, problems, err
 	}
 	if err == nil && len(problems) == 0 {
@@ -107,12 +109,12 @@
 	if err != nil {
 		problems = append(problems, Problem{File, err.Error()})
 	} else {
-		why = "damaged"
+		reason = "damaged"
 		if err := s.Close(); err != nil {
 			return nil, nil, problems, err
 		}
 	}
-	aside, err := setAside(path, why)
+	aside, err := setAside(path, reason)
 	if err != nil {
 		return nil, nil, problems, err
 	}
@@ -130,7 +132,7 @@
 	return fresh, g, problems, nil
 }
 
-// Inspect loads the newest valid generation without changing any file, for operators.
+// Inspect loads the same generation as Open, but changes no file. It is for operators.
 func Inspect(dir string, now func() Clock) (g *Generation, problems []Problem, err error) {
 	s, g, _, err := open(dir, now, &problems, true)
 	if err != nil {
@@ -139,8 +141,11 @@
 	return g, problems, s.Close()
 }
 
-// open is Open without the replacement of a damaged file. If a file is to be set aside, why is the reason.
-func open(dir string, now func() Clock, problems *[]Problem, readOnly bool) (s *Store, g *Generation, why string, err error) {
+// open is Open without the replacement of a damaged file. If it fails because of a file that should be set
+// aside, reason is the reason for its new name; otherwise reason is empty.
+func open(dir string, now func() Clock, problems *[]Problem, readOnly bool) (
+	s *Store, g *Generation, reason string, err error,
+) {
 	path := filepath.Join(dir, File)
 	info, err := os.Stat(path)
 	switch {
@@ -148,15 +153,17 @@
 	case err != nil:
 		return nil, nil, "", fmt.Errorf("snapshot: %w", err)
 	case !info.Mode().IsRegular():
-		return nil, nil, "", fmt.Errorf("snapshot: %s: not a file", path)
+		return nil, nil, "", fmt.Errorf("snapshot: %s: not a regular file", path)
 	case info.Size() > MaxFile:
-		return nil, nil, "too-large", fmt.Errorf("snapshot: %s: %d bytes, at most %d", path, info.Size(), MaxFile)
+		return nil, nil, "too-large",
+			fmt.Errorf("snapshot: %s: size is %d bytes, limit is %d", path, info.Size(), MaxFile)
 	}
-	// The free list is kept in the file: without it the library walks all pages at the start,
-	// on a goroutine of its own, where a damaged page ends the process.
+	// The free list is stored in the file. Without it, bbolt would read all pages when it opens the file, on
+	// a goroutine of its own, where the panic on a damaged page can't be recovered and ends the process.
 	var db *bbolt.DB
 	err = RecoverFaults(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
+		db, err = bbolt.Open(path, 0o600,
+			&bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
 		return err
 	})
 	if errors.Is(err, bolterrors.ErrTimeout) {
@@ -174,32 +181,34 @@
 			db.Close()
 		}
 	}()
-	var all []*Generation
-	newer := false
-	for _, name := range generations { // in separate transactions: one may be damaged and the other not
-		bad := RecoverFaults(func() error {
+	var loaded []*Generation
+	otherVersion := false
+	// The generations are read in separate transactions, as one may be damaged and the other not.
+	for _, name := range generations {
+		readErr := RecoverFaults(func() error {
 			return db.View(func(tx *bbolt.Tx) error {
 				b := tx.Bucket(name)
 				if b == nil {
 					return nil
 				}
-				x, found, bad := readGeneration(string(name), b, now())
-				*problems = append(*problems, bad...)
-				newer = newer || slices.ContainsFunc(bad, func(p Problem) bool { return p.Reason == reasonOtherVersion })
+				x, found, rejected := readGeneration(string(name), b, now())
+				*problems = append(*problems, rejected...)
+				otherVersion = otherVersion ||
+					slices.ContainsFunc(rejected, func(p Problem) bool { return p.Reason == reasonOtherVersion })
 				if found {
-					all = append(all, x)
+					loaded = append(loaded, x)
 				}
 				return nil
 			})
 		})
-		if bad != nil {
-			*problems = append(*problems, Problem{"generation " + string(name), bad.Error()})
+		if readErr != nil {
+			*problems = append(*problems, Problem{"generation " + string(name), readErr.Error()})
 		}
 	}
-	if newer && len(all) == 0 {
+	if otherVersion && len(loaded) == 0 {
 		return nil, nil, "newer-version", fmt.Errorf("snapshot: %s: %s", path, reasonOtherVersion)
 	}
-	for _, x := range all {
+	for _, x := range loaded {
 		s.seq, s.Runs = max(s.seq, x.Seq), max(s.Runs, x.Runs)
 		if g == nil || preferred(x, g) {
 			g = x
@@ -209,8 +218,8 @@
 	return s, g, "", nil
 }
 
-// preferred reports whether a generation is preferred to another: a complete one to an incomplete one,
-// then the newer one.
+// preferred reports whether generation x is preferred to y: a complete one is preferred to an incomplete
+// one, and otherwise the newer one.
 func preferred(x, y *Generation) bool {
 	if x.Complete != y.Complete {
 		return x.Complete
@@ -229,7 +238,7 @@
 // Save replaces the older of the two generations and returns once the new one is durable.
 func (s *Store) Save(t Tables) error { return s.save(t, s.Runs, s.now()) }
 
-// restore saves a generation again with its age.
+// restore saves a generation that was loaded from another file, and keeps its age.
 func (s *Store) restore(g *Generation) error {
 	then := Clock{}
 	if g.AgeKnown {
@@ -239,8 +248,8 @@
 	return s.save(g.Tables, g.Runs, then)
 }
 
-func (s *Store) save(t Tables, boot uint64, at Clock) error {
-	f := footer{seq: s.seq + 1, runs: boot, clock: at}
+func (s *Store) save(t Tables, runs uint64, at Clock) error {
+	f := footer{seq: s.seq + 1, runs: runs, clock: at}
 	name := generations[f.seq%2]
 	err := RecoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
@@ -251,7 +260,7 @@
 			if err != nil {
 				return err
 			}
-			b.FillPercent = 0.9 // written once, in order
+			b.FillPercent = 0.9 // the keys are written once, in order
 			sum := xxhash.New()
 			for _, table := range sortedKeys(t) {
 				sub, err := b.CreateBucket([]byte(table))
@@ -260,11 +269,11 @@
 				}
 				for _, key := range sortedKeys(t[table]) {
 					if f.count++; f.count > maxRecords {
-						return fmt.Errorf("over %d records", maxRecords)
+						return fmt.Errorf("more than %d records", maxRecords)
 					}
 					raw := encodeRecord(f.seq, table, key, t[table][key])
 					if len(raw) > maxRecord {
-						return fmt.Errorf("%s %q: over %d bytes", table, key, maxRecord)
+						return fmt.Errorf("%s %q: larger than %d bytes", table, key, maxRecord)
 					}
 					sum.Write(raw)
 					if err := sub.Put([]byte(key), raw); err != nil {
@@ -283,12 +292,12 @@
 	return nil
 }
 
-// readGeneration reads a generation and describes its rejected data. Without a valid footer there is no
-// generation: it is not known which records belong to it.
-func readGeneration(name string, b *bbolt.Bucket, now Clock) (g *Generation, found bool, bad []Problem) {
-	f, why := parseFooter(b.Get(footerKey))
-	if why != "" {
-		return nil, false, []Problem{{"generation " + name, why}}
+// readGeneration reads a generation and describes its rejected data. Without a valid footer nothing is
+// found, as it is not known which records belong to the generation.
+func readGeneration(name string, b *bbolt.Bucket, now Clock) (g *Generation, found bool, problems []Problem) {
+	f, reason := parseFooter(b.Get(footerKey))
+	if reason != "" {
+		return nil, false, []Problem{{"generation " + name, reason}}
 	}
 	g = &Generation{Seq: f.seq, Runs: f.runs, Tables: Tables{}}
 	g.Age, g.AgeKnown = now.Since(f.clock)
@@ -297,12 +306,12 @@
 		table, sub := string(k), b.Bucket(k)
 		return sub.ForEach(func(k, raw []byte) error {
 			if count++; count > maxRecords {
-				return fmt.Errorf("over %d records", maxRecords)
+				return fmt.Errorf("more than %d records", maxRecords)
 			}
 			_, _ = sum.Write(raw)
-			r, why := decodeRecord(f.seq, table, string(k), raw)
-			if why != "" {
-				bad = append(bad, Problem{fmt.Sprintf("generation %s, %s %q", name, table, k), why})
+			r, reason := decodeRecord(f.seq, table, string(k), raw)
+			if reason != "" {
+				problems = append(problems, Problem{fmt.Sprintf("generation %s, %s %q", name, table, k), reason})
 				return nil
 			}
 			if g.Tables[table] == nil {
@@ -313,13 +322,15 @@
 		})
 	})
 	if err != nil {
-		return nil, false, append(bad, Problem{"generation " + name, err.Error()})
+		return nil, false, append(problems, Problem{"generation " + name, err.Error()})
 	}
 	g.Complete = count == f.count && sum.Sum64() == f.checksum
 	if !g.Complete {
-		bad = append(bad, Problem{"generation " + name, fmt.Sprintf("%d of %d records are valid", count-uint64(len(bad)), f.count)})
+		problems = append(problems, Problem{
+			"generation " + name, fmt.Sprintf("%d of %d records are valid", count-uint64(len(problems)), f.count),
+		})
 	}
-	return g, g.Complete || len(g.Tables) > 0, bad
+	return g, g.Complete || len(g.Tables) > 0, problems
 }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -331,5 +342,5 @@
 	return keys
 }
 
-// unknownAge is the age of what cannot be dated.
+// unknownAge stands for an age that is not known.
 const unknownAge = time.Duration(math.MaxInt64)
--- a/internal/agent/snapshot/store_test.go
+++ b/internal/agent/snapshot/store_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// clockAt is a clock of one boot.
+// clockAt returns a clock that always reads the same uptime of the same boot.
 func clockAt(up time.Duration) func() Clock {
 	return func() Clock { return Clock{Boot: [16]byte{1}, Uptime: up} }
 }
 
-// tables have some records whose values tell the generation.
+// tables returns n+1 records whose values contain the number of the generation.
 func tables(gen, n int) Tables {
 	t := Tables{"x": {}, "y": {"only": {3, []byte(fmt.Sprint("only of ", gen))}}}
 	for i := range n {
@@ -36,9 +36,9 @@
 	return s, g, problems
 }
 
-func save(t *testing.T, s *Store, tt Tables) {
+func save(t *testing.T, s *Store, data Tables) {
 	t.Helper()
-	if err := s.Save(tt); err != nil {
+	if err := s.Save(data); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -50,13 +50,13 @@
 	}
 }
 
-// saved is a folder with generations of so many saves.
-func saved(t *testing.T, saves, n int) string {
+// newStoreDir returns the path of a new store after the given number of saves, each with n+1 records.
+func newStoreDir(t *testing.T, saves, n int) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
 	s, g, problems := openStore(t, dir, clockAt(time.Minute))
 	if g != nil || len(problems) > 0 || s.Runs != 1 {
-		t.Fatalf("a new folder: %+v, %v, life %d", g, problems, s.Runs)
+		t.Fatalf("a new store: generation %+v, problems %v, run %d", g, problems, s.Runs)
 	}
 	for i := range saves {
 		save(t, s, tables(i+1, n))
@@ -66,21 +66,24 @@
 }
 
 func TestLastGenerationIsRestored(t *testing.T) {
-	dir := saved(t, 3, 20)
+	dir := newStoreDir(t, 3, 20)
 	s, g, problems := openStore(t, dir, clockAt(90*time.Second))
 	defer closeStore(t, s)
 	if g == nil || !reflect.DeepEqual(g.Tables, tables(3, 20)) || len(problems) > 0 {
 		t.Fatalf("%+v, %v", g, problems)
 	}
 	if g.Seq != 3 || g.Age != 30*time.Second || !g.AgeKnown || !g.Complete || s.Runs != 2 {
-		t.Errorf("%d, %v old, dated %v, whole %v, life %d", g.Seq, g.Age, g.AgeKnown, g.Complete, s.Runs)
+		t.Errorf("generation %d, age %v, age known: %v, complete: %v, run %d",
+			g.Seq, g.Age, g.AgeKnown, g.Complete, s.Runs)
 	}
 }
 
-// After another boot, or without a clock, an age is the worst there is and not guessed young.
+// An age that is not known counts as the largest duration.
 func TestUnknownAges(t *testing.T) {
-	dir := saved(t, 1, 1)
-	for name, c := range map[string]Clock{"another boot": {[16]byte{2}, time.Hour}, "no boot": {}, "back in time": {[16]byte{1}, time.Second}} {
+	dir := newStoreDir(t, 1, 1)
+	for name, c := range map[string]Clock{
+		"another boot": {[16]byte{2}, time.Hour}, "no boot": {}, "earlier uptime": {[16]byte{1}, time.Second},
+	} {
 		s, g, _ := openStore(t, dir, func() Clock { return c })
 		if g == nil || g.AgeKnown || g.Age != unknownAge {
 			t.Errorf("%s: %+v", name, g)
@@ -90,19 +93,19 @@
 }
 
 func TestDirectoryIsLocked(t *testing.T) {
-	dir := saved(t, 1, 1)
+	dir := newStoreDir(t, 1, 1)
 	s, _, _ := openStore(t, dir, clockAt(0))
 	defer closeStore(t, s)
 	if _, _, _, err := Open(dir, clockAt(0)); !errors.Is(err, ErrLocked) {
-		t.Errorf("%v, want that it is in use", err)
+		t.Errorf("open: %v, want ErrLocked", err)
 	}
 	if _, _, err := Inspect(dir, clockAt(0)); !errors.Is(err, ErrLocked) {
-		t.Errorf("inspect: %v, want that it is in use", err)
+		t.Errorf("inspect: %v, want ErrLocked", err)
 	}
 }
 
-// edit changes a file's bytes.
-func edit(t *testing.T, dir string, change func([]byte) []byte) {
+// editFile replaces the contents of the store's file.
+func editFile(t *testing.T, dir string, change func([]byte) []byte) {
 	t.Helper()
 	path := filepath.Join(dir, File)
 	text, err := os.ReadFile(path)
@@ -115,26 +118,28 @@
 }
 
 func TestDamagedRecordIsDropped(t *testing.T) {
-	dir := saved(t, 2, 20)
-	edit(t, dir, func(raw []byte) []byte { // one value of each generation
+	dir := newStoreDir(t, 2, 20)
+	editFile(t, dir, func(raw []byte) []byte { // damages one value of each generation
 		for gen := 1; gen <= 2; gen++ {
 			raw[bytes.Index(raw, bytes.Repeat([]byte{byte(gen)}, 40))+7] ^= 1
 		}
 		return raw
 	})
 	s, g, problems := openStore(t, dir, clockAt(0))
-	if g == nil || g.Seq != 2 || g.Complete || len(g.Tables["x"]) != 19 || len(g.Tables["y"]) != 1 || len(problems) != 5 {
+	if g == nil || g.Seq != 2 || g.Complete || len(g.Tables["x"]) != 19 || len(g.Tables["y"]) != 1 ||
+		len(problems) != 5 {
 		t.Errorf("%+v, %v", g, problems)
 	}
 	closeStore(t, s)
-	if g, problems, err := Inspect(dir, clockAt(0)); err != nil || !g.Complete || len(problems) > 0 || len(g.Tables["x"]) != 19 {
-		t.Errorf("in its new file: %+v, %v, %v", g, problems, err)
+	if g, problems, err := Inspect(dir, clockAt(0)); err != nil || !g.Complete || len(problems) > 0 ||
+		len(g.Tables["x"]) != 19 {
+		t.Errorf("in the new file: %+v, %v, %v", g, problems, err)
 	}
 }
 
 func TestDamagedGenerationFallsBackToThePreviousOne(t *testing.T) {
-	dir := saved(t, 3, 20)
-	edit(t, dir, func(raw []byte) []byte {
+	dir := newStoreDir(t, 3, 20)
+	editFile(t, dir, func(raw []byte) []byte {
 		raw[bytes.LastIndex(raw, bytes.Repeat([]byte{3}, 40))+3] ^= 1
 		return raw
 	})
@@ -142,7 +147,7 @@
 	if g == nil || g.Seq != 2 || !reflect.DeepEqual(g.Tables, tables(2, 20)) || len(problems) == 0 {
 		t.Errorf("%+v, %v", g, problems)
 	}
-	save(t, s, tables(4, 20)) // over the damaged one
+	save(t, s, tables(4, 20)) // replaces the damaged generation
 	closeStore(t, s)
 	if g, problems, err := Inspect(dir, clockAt(0)); err != nil || g.Seq != 5 || len(problems) > 0 {
 		t.Errorf("after the next save: %+v, %v, %v", g, problems, err)
@@ -151,17 +156,17 @@
 
 func TestUnusableFileIsSetAside(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func([]byte) []byte
-		aside string
+		damage func([]byte) []byte
+		aside  string
 	}{
 		"noise":     {func(raw []byte) []byte { return bytes.Repeat([]byte("noise"), 4000) }, "damaged"},
 		"cut":       {func(raw []byte) []byte { return raw[:5000] }, "damaged"},
 		"too large": {func([]byte) []byte { return make([]byte, MaxFile+1) }, "too-large"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir := saved(t, 2, 20)
+			dir := newStoreDir(t, 2, 20)
 			for range 5 {
-				edit(t, dir, c.spoil)
+				editFile(t, dir, c.damage)
 				s, g, problems := openStore(t, dir, clockAt(0))
 				if g != nil || len(problems) < 2 || !strings.Contains(problems[len(problems)-1].Reason, c.aside) {
 					t.Fatalf("%+v, %v", g, problems)
@@ -169,22 +174,23 @@
 				save(t, s, tables(1, 1))
 				closeStore(t, s)
 			}
-			if left, _ := filepath.Glob(filepath.Join(dir, File+"."+c.aside+"-*")); len(left) == 0 || len(left) > maxSetAside {
-				t.Errorf("%d files set aside are kept", len(left))
+			if retained, _ := filepath.Glob(filepath.Join(dir, File+"."+c.aside+"-*")); len(retained) == 0 ||
+				len(retained) > maxSetAside {
+				t.Errorf("%d files that were set aside are retained", len(retained))
 			}
 		})
 	}
 }
 
-// A file that ends before its pages do is a fault of memory where it is read.
+// Reading beyond the end of a truncated file causes a memory fault, which must not end the process.
 func TestFilesTruncatedAtEachPage(t *testing.T) {
-	dir := saved(t, 3, 150)
-	whole, err := os.ReadFile(filepath.Join(dir, File))
+	dir := newStoreDir(t, 3, 150)
+	complete, err := os.ReadFile(filepath.Join(dir, File))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; n < len(whole); n += 4096 {
-		edit(t, dir, func([]byte) []byte { return bytes.Clone(whole[:n]) })
+	for n := 0; n < len(complete); n += 4096 {
+		editFile(t, dir, func([]byte) []byte { return bytes.Clone(complete[:n]) })
 		s, g, _ := openStore(t, dir, clockAt(0))
 		requireGeneration(t, n, g)
 		save(t, s, tables(9, 3))
@@ -198,26 +204,26 @@
 		t.Fatal(err)
 	}
 	if _, _, _, err := Open(file, clockAt(0)); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("opened a file as a directory")
 	}
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, File), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, _, err := Open(dir, clockAt(0)); err == nil {
-		t.Error("a folder was taken for a file")
+		t.Error("opened a store whose file is a directory")
 	}
 	if _, _, err := Inspect(t.TempDir(), clockAt(0)); err == nil {
-		t.Error("an empty folder was inspected")
+		t.Error("inspected an empty directory")
 	}
 }
 
-// Power loss between two saves: of the pages that the second changed, any part may be on the
-// disk, each whole or torn, whatever the order that the program wrote them in. Each such file
-// gives what was saved before, or after, or less of one of them, or nothing; never a mix.
+// After a power loss during a save, any subset of the changed pages may be on the disk, completely or torn,
+// whatever the order in which they were written. From each such file Open must load all or some records of
+// either the previous or the new generation, or nothing, but never records of both.
 func TestImagesAfterPowerLoss(t *testing.T) {
 	const page = 4096
-	dir := saved(t, 2, 150) // several leaf pages
+	dir := newStoreDir(t, 2, 150) // enough records for several leaf pages
 	path := filepath.Join(dir, File)
 	before, err := os.ReadFile(path)
 	if err != nil {
@@ -250,8 +256,9 @@
 	for n := range images {
 		image := bytes.Clone(before)
 		for k, i := range changed {
-			// All subsets of the first eight first, the rest by chance; of these some torn.
-			taken, last := n>>k&1 == 1, n == images-1 // which has them all
+			// The first 256 images have each subset of the first eight pages, and random other pages. In the
+			// later images all pages are random, and some of them torn. The last image has all pages.
+			taken, last := n>>k&1 == 1, n == images-1
 			if k < 8 && n < 256 && !taken || !last && (k >= 8 || n >= 256) && rng.IntN(2) == 0 {
 				continue
 			}
@@ -266,34 +273,35 @@
 		}
 		s, g, _, err := Open(to, clockAt(0))
 		if err != nil {
-			t.Fatalf("image %d: does not start: %v", n, err)
+			t.Fatalf("image %d: open: %v", n, err)
 		}
 		counts[requireGeneration(t, n, g)]++
-		save(t, s, tables(9, 3)) // and it goes on
+		save(t, s, tables(9, 3)) // the store must still be usable
 		closeStore(t, s)
 	}
 	if counts["2"] == 0 || counts["3"] == 0 {
-		t.Errorf("images gave %v, want both generations among them", counts)
+		t.Errorf("loaded generations: %v, want both 2 and 3", counts)
 	}
-	t.Logf("%d pages changed; images gave %v", len(changed), counts)
+	t.Logf("%d pages changed; loaded generations: %v", len(changed), counts)
 }
 
-// requireGeneration names the generation that all records are of.
+// requireGeneration fails unless all records belong to the generation and Complete is right. It returns the
+// number of the generation, "part" if it is incomplete, or "nothing" if it is nil.
 func requireGeneration(t *testing.T, n int, g *Generation) string {
 	t.Helper()
 	if g == nil {
 		return "nothing"
 	}
-	whole := tables(int(g.Seq), 150)
+	complete := tables(int(g.Seq), 150)
 	for table, records := range g.Tables {
 		for key, r := range records {
-			if !reflect.DeepEqual(whole[table][key], r) {
-				t.Fatalf("image %d: %s %s of generation %d is %v", n, table, key, g.Seq, r)
+			if !reflect.DeepEqual(complete[table][key], r) {
+				t.Fatalf("image %d: %s %s of generation %d has the value %v", n, table, key, g.Seq, r)
 			}
 		}
 	}
-	if g.Complete != reflect.DeepEqual(g.Tables, whole) {
-		t.Fatalf("image %d: generation %d counts as whole: %v", n, g.Seq, g.Complete)
+	if g.Complete != reflect.DeepEqual(g.Tables, complete) {
+		t.Fatalf("image %d: generation %d is reported as complete: %v", n, g.Seq, g.Complete)
 	}
 	if !g.Complete {
 		return "part"
@@ -301,15 +309,15 @@
 	return fmt.Sprint(g.Seq)
 }
 
-func FuzzUnseal(f *testing.F) {
+func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte{}, "k")
 	f.Add(encodeRecord(7, "t", "k", Record{1, []byte("v")}), "k")
 	f.Fuzz(func(t *testing.T, raw []byte, key string) {
 		if r, why := decodeRecord(7, "t", key, raw); why == "" && !bytes.Equal(encodeRecord(7, "t", key, r), raw) {
-			t.Errorf("%x was taken, and would not be written", raw)
+			t.Errorf("%x was decoded, but the result encodes differently", raw)
 		}
 		if _, why := parseFooter(raw); why == "" && len(raw) != footerSize+8 {
-			t.Errorf("%x was taken for an end", raw)
+			t.Errorf("%x was decoded as a footer", raw)
 		}
 	})
 }
--- a/internal/agent/snapshot/verify.go
+++ b/internal/agent/snapshot/verify.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// RecoverFaults runs a function that reads or writes the pages of a file, and turns the panics of the
-// library on a damaged file, and memory faults beyond the end of a truncated one, into errors.
+// RecoverFaults runs a function that reads or writes a bbolt file. It turns the panics of the library on a
+// damaged file, and the memory faults beyond the end of a truncated one, into errors.
 func RecoverFaults(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -21,11 +21,14 @@
 	return do()
 }
 
-// VerifyFile reads a complete bbolt file of another package, so that damage is reported as an error here:
-// later, on a goroutine of a library, it would end the process. It holds the file's lock meanwhile.
+// VerifyFile reads a complete bbolt file of another package and reports damage as an error. Without this
+// check, a later panic on a goroutine of a library would end the process. VerifyFile holds the file's lock
+// while it reads.
 func VerifyFile(path string) error {
 	err := RecoverFaults(func() error {
-		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, PreLoadFreelist: true, Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+		db, err := bbolt.Open(path, 0o600, &bbolt.Options{
+			ReadOnly: true, PreLoadFreelist: true, Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType,
+		})
 		if err != nil {
 			return err
 		}
@@ -42,7 +45,7 @@
 				if sub := b.Bucket(k); sub != nil {
 					return walk(sub)
 				}
-				return errors.New("a bucket is no bucket")
+				return errors.New("a key without a value is not a bucket")
 			})
 		}
 		return db.View(func(tx *bbolt.Tx) error {
--- a/internal/agent/snapshot/writer.go
+++ b/internal/agent/snapshot/writer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Writer saves states on a goroutine of its own, so that no request waits for the disk. Only the newest
-// pending state is saved. Its methods are safe for concurrent use.
+// Writer saves states on a goroutine of its own, so that no request waits for the disk. A state that is
+// still pending when a newer one arrives is skipped. Its methods are safe for concurrent use.
 type Writer struct {
 	store   *Store
 	pending chan *State // holds the newest state only
@@ -16,56 +16,59 @@
 	stats   Stats
 }
 
-// Stats are the counters of a Writer. They are safe for concurrent use.
+// Stats holds the counters of a Writer. They are safe for concurrent use.
 type Stats struct {
+	// Saved, Failed and Skipped are numbers of states. Bytes is the total size of the saved keys
+	// and values.
 	Saved, Failed, Bytes, Skipped atomic.Int64
 	SlowestMicros                 atomic.Int64 // duration of the slowest save, in microseconds
 }
 
-// NewWriter starts a writer to a store. Once ctx is done it saves the last pending state and closes the store.
+// NewWriter starts a Writer for a store. Once ctx is done, the Writer saves the pending state, if there is
+// one, and closes the store.
 func NewWriter(ctx context.Context, s *Store) *Writer {
-	k := &Writer{store: s, pending: make(chan *State, 1), closed: make(chan struct{})}
-	go k.run(ctx)
-	return k
+	w := &Writer{store: s, pending: make(chan *State, 1), closed: make(chan struct{})}
+	go w.run(ctx)
+	return w
 }
 
-// Save schedules a state to be saved, in place of one that is still pending. It never blocks.
-func (k *Writer) Save(m *State) {
+// Save schedules a state to be saved. It replaces a state that is still pending, and never blocks.
+func (w *Writer) Save(state *State) {
 	for {
 		select {
-		case k.pending <- m:
+		case w.pending <- state:
 			return
 		default:
 		}
 		select {
-		case <-k.pending:
-			k.stats.Skipped.Add(1)
+		case <-w.pending:
+			w.stats.Skipped.Add(1)
 		default:
 		}
 	}
 }
 
 // Stats returns the counters.
-func (k *Writer) Stats() *Stats { return &k.stats }
+func (w *Writer) Stats() *Stats { return &w.stats }
 
 // Closed returns a channel that is closed once the store has been closed.
-func (k *Writer) Closed() <-chan struct{} { return k.closed }
+func (w *Writer) Closed() <-chan struct{} { return w.closed }
 
-func (k *Writer) run(ctx context.Context) {
-	defer close(k.closed)
+func (w *Writer) run(ctx context.Context) {
+	defer close(w.closed)
 	defer func() {
-		if err := k.store.Close(); err != nil {
-			slog.Warn("state not closed", "err", err)
+		if err := w.store.Close(); err != nil {
+			slog.Warn("closing the state file failed", "err", err)
 		}
 	}()
 	for {
 		select {
-		case m := <-k.pending:
-			k.save(m)
+		case state := <-w.pending:
+			w.save(state)
 		case <-ctx.Done():
 			select {
-			case m := <-k.pending: // the last pending state
-				k.save(m)
+			case state := <-w.pending:
+				w.save(state)
 			default:
 			}
 			return
@@ -73,29 +76,29 @@
 	}
 }
 
-func (k *Writer) save(m *State) {
+func (w *Writer) save(state *State) {
 	from := time.Now()
-	t, err := Encode(m)
+	t, err := Encode(state)
 	if err == nil {
-		err = k.store.Save(t)
+		err = w.store.Save(t)
 	}
 	if err != nil {
-		// Logged once for a series of failures: a full disk would fill the log.
-		if k.stats.Failed.Add(1) == 1 {
-			slog.Warn("state not saved", "err", err)
+		// Only the first failure is logged: a full disk would fill the log.
+		if w.stats.Failed.Add(1) == 1 {
+			slog.Warn("saving the state failed", "err", err)
 		}
 		return
 	}
-	k.stats.Saved.Add(1)
+	w.stats.Saved.Add(1)
 	for _, records := range t {
 		for key, r := range records {
-			k.stats.Bytes.Add(int64(len(key) + len(r.Value)))
+			w.stats.Bytes.Add(int64(len(key) + len(r.Value)))
 		}
 	}
 	took := time.Since(from).Microseconds()
 	for {
-		old := k.stats.SlowestMicros.Load()
-		if took <= old || k.stats.SlowestMicros.CompareAndSwap(old, took) {
+		old := w.stats.SlowestMicros.Load()
+		if took <= old || w.stats.SlowestMicros.CompareAndSwap(old, took) {
 			return
 		}
 	}
