--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -120,7 +120,7 @@
 		c.PromiseDir = filepath.Join(file.State.Dir, "votes")
 	}
 	var err error
-	if c.Consensus, err = file.Council.Config(cfg.Name); err != nil {
+	if c.Consensus, err = file.Council.ConsensusConfig(cfg.Name); err != nil {
 		return nil, fmt.Errorf("operations file: council.%w", err)
 	}
 	c.MaxDecisionAge = time.Duration(file.Council.Bound)
--- a/internal/agent/metrics/golden_test.go
+++ b/internal/agent/metrics/golden_test.go
@@ -12,14 +12,17 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// TestGoldenNames compares names, types and labels of all metrics.
+// TestGoldenNames compares the names, types and labels of all metrics with the golden file.
 func TestGoldenNames(t *testing.T) {
 	m := New("n1", false)
 	m.Started(func(context.Context) (agent.Stats, error) { return agent.Stats{}, nil })
 	m.RequestAnswered("class", "served", time.Millisecond, time.Second, 1)
 	m.SentToWarmingUp()
 	m.ViolationPrevented(1, "what")
-	for _, status := range []policy.Status{policy.OK, policy.Error, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent} {
+	for _, status := range []policy.Status{
+		policy.OK, policy.Error, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset,
+		policy.Cancelled, policy.NotSent,
+	} {
 		m.AttemptEnded(status, time.Millisecond)
 	}
 	families, err := m.registry.Gather()
--- a/internal/agent/metrics/metrics_test.go
+++ b/internal/agent/metrics/metrics_test.go
@@ -25,7 +25,7 @@
 	return w.Body.String()
 }
 
-func want(t *testing.T, text string, lines ...string) {
+func requireLines(t *testing.T, text string, lines ...string) {
 	t.Helper()
 	for _, line := range lines {
 		if !strings.Contains(text, line+"\n") {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestCountsWhatTheAgentTells(t *testing.T) {
+func TestCountersAndHistograms(t *testing.T) {
 	m := New("n1", false)
 	m.RequestAnswered("full-report", "served", 30*time.Millisecond, time.Second, 2)
 	m.RequestAnswered("full-report", "refused", time.Millisecond, 1900*time.Millisecond, 0)
@@ -43,7 +43,7 @@
 	m.AttemptEnded(policy.Status(7), 20*time.Millisecond)
 	m.SentToWarmingUp()
 	m.ViolationPrevented(2, "second attempt while one is out")
-	want(t, scrape(t, m),
+	requireLines(t, scrape(t, m),
 		`chalkdoor_answers_total{agent="n1",class="full-report",verdict="served"} 1`,
 		`chalkdoor_answer_seconds_bucket{agent="n1",class="full-report",verdict="served",le="0.05"} 1`,
 		`chalkdoor_answer_left_seconds_count{agent="n1"} 2`,
@@ -54,21 +54,25 @@
 		`chalkdoor_guarded_total{agent="n1",rule="2",what="second attempt while one is out"} 1`)
 }
 
-func TestShowsTheStateWhereTheAgentTellsIt(t *testing.T) {
+func TestStateIsServedIfTheAgentAnswers(t *testing.T) {
 	m := New("n1", true)
 	if text := scrape(t, m); strings.Contains(text, "chalkdoor_servers{") || !strings.Contains(text, "go_goroutines") {
-		t.Errorf("before the agent serves: %s", text)
+		t.Errorf("before the agent has started: %s", text)
 	}
 	var err error
 	m.Started(func(context.Context) (agent.Stats, error) {
-		return agent.Stats{BalancerStats: policy.BalancerStats{States: [4]int{5, 2, 1, 3}, Admission: 0.75}, Connections: 9, IdleConnections: 4}, err
+		return agent.Stats{
+			BalancerStats: policy.BalancerStats{States: [4]int{5, 2, 1, 3}, Admission: 0.75},
+			Connections:   9, IdleConnections: 4,
+		}, err
 	})
-	want(t, scrape(t, m),
+	requireLines(t, scrape(t, m),
 		`chalkdoor_servers{agent="n1",state="connected"} 5`, `chalkdoor_servers{agent="n1",state="unhealthy"} 3`,
 		`chalkdoor_admission_ratio{agent="n1"} 0.75`, `chalkdoor_connections_idle{agent="n1"} 4`)
 	err = errors.New("stopping")
-	if text := scrape(t, m); strings.Contains(text, "chalkdoor_servers{") || !strings.Contains(text, "chalkdoor_cold_attempts_total") {
-		t.Errorf("from an agent that does not answer: %s", text)
+	if text := scrape(t, m); strings.Contains(text, "chalkdoor_servers{") ||
+		!strings.Contains(text, "chalkdoor_cold_attempts_total") {
+		t.Errorf("of an agent that does not answer: %s", text)
 	}
 }
 
--- a/internal/agent/metrics/state.go
+++ b/internal/agent/metrics/state.go
@@ -10,9 +10,9 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// stateCollector collects what the agent holds at the moment of a scrape.
+// stateCollector collects the state of the agent at the time of a scrape.
 type stateCollector struct {
-	read    atomic.Pointer[func(context.Context) (agent.Stats, error)] // nil before the agent serves
+	read    atomic.Pointer[func(context.Context) (agent.Stats, error)] // nil until the agent has started
 	servers *prometheus.Desc
 	gauges  []gauge
 }
@@ -23,26 +23,40 @@
 }
 
 func newStateCollector() *stateCollector {
-	s := &stateCollector{servers: prometheus.NewDesc("chalkdoor_servers", "Listed servers by state.", []string{"state"}, nil)}
+	s := &stateCollector{
+		servers: prometheus.NewDesc("chalkdoor_servers", "Listed servers by state.", []string{"state"}, nil),
+	}
 	add := func(name, help string, value func(*agent.Stats) float64) {
 		s.gauges = append(s.gauges, gauge{prometheus.NewDesc("chalkdoor_"+name, help, nil, nil), value})
 	}
-	add("servers_cold", "Listed servers that are not yet warm.", func(x *agent.Stats) float64 { return float64(x.WarmingUp) })
-	add("aperture_servers", "Servers that the agent keeps to.", func(x *agent.Stats) float64 { return float64(x.Aperture) })
-	add("requests_open", "Requests without a final answer.", func(x *agent.Stats) float64 { return float64(x.OpenRequests) })
-	add("requests_held", "Requests that wait for room.", func(x *agent.Stats) float64 { return float64(x.Pending) })
-	add("admission_ratio", "Part of the requests for which there is room.", func(x *agent.Stats) float64 { return x.Admission })
-	add("shed_ratio", "Part of the requests refused for being served late.", func(x *agent.Stats) float64 { return x.LoadShedding })
-	add("demand_servers", "Load were nothing refused, in warm servers of weight one.", func(x *agent.Stats) float64 { return x.Demand })
-	add("capacity_servers", "What the listed servers can do, in the same unit.", func(x *agent.Stats) float64 { return x.Capacity })
-	add("connections", "Connections to report servers.", func(x *agent.Stats) float64 { return float64(x.Connections) })
-	add("connections_idle", "Of them idle.", func(x *agent.Stats) float64 { return float64(x.IdleConnections) })
-	add("probes_open", "Probes under way.", func(x *agent.Stats) float64 { return float64(x.ProbesInFlight) })
-	add("list_version", "Version of the list of servers.", func(x *agent.Stats) float64 { return float64(x.ListVersion) })
+	add("servers_cold", "Listed servers in slow start.",
+		func(stats *agent.Stats) float64 { return float64(stats.WarmingUp) })
+	add("aperture_servers", "Servers that the agent uses.",
+		func(stats *agent.Stats) float64 { return float64(stats.Aperture) })
+	add("requests_open", "Requests without a final answer.",
+		func(stats *agent.Stats) float64 { return float64(stats.OpenRequests) })
+	add("requests_held", "Requests that wait for capacity.",
+		func(stats *agent.Stats) float64 { return float64(stats.Pending) })
+	add("admission_ratio", "Fraction of the requests for which there is capacity.",
+		func(stats *agent.Stats) float64 { return stats.Admission })
+	add("shed_ratio", "Fraction of the requests that are rejected because many are answered late.",
+		func(stats *agent.Stats) float64 { return stats.LoadShedding })
+	add("demand_servers", "Load if no request were rejected, in warm servers of weight one.",
+		func(stats *agent.Stats) float64 { return stats.Demand })
+	add("capacity_servers", "Capacity of the listed servers, in warm servers of weight one.",
+		func(stats *agent.Stats) float64 { return stats.Capacity })
+	add("connections", "Connections to servers.",
+		func(stats *agent.Stats) float64 { return float64(stats.Connections) })
+	add("connections_idle", "Idle connections to servers.",
+		func(stats *agent.Stats) float64 { return float64(stats.IdleConnections) })
+	add("probes_open", "Probes in flight.",
+		func(stats *agent.Stats) float64 { return float64(stats.ProbesInFlight) })
+	add("list_version", "Version of the server list.",
+		func(stats *agent.Stats) float64 { return float64(stats.ListVersion) })
 	return s
 }
 
-// Describe is of prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (s *stateCollector) Describe(out chan<- *prometheus.Desc) {
 	out <- s.servers
 	for _, g := range s.gauges {
@@ -50,8 +64,8 @@
 	}
 }
 
-// Collect is of prometheus.Collector. An agent that does not answer in time has no state to
-// show, and the counters are served without it.
+// Collect implements prometheus.Collector. If the agent's loop does not answer in time, it collects nothing,
+// and only the counters are served.
 func (s *stateCollector) Collect(out chan<- prometheus.Metric) {
 	read := s.read.Load()
 	if read == nil {
@@ -59,14 +73,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
-	x, err := (*read)(ctx)
+	stats, err := (*read)(ctx)
 	if err != nil {
 		return
 	}
-	for i, n := range x.States {
+	for i, n := range stats.States {
 		out <- prometheus.MustNewConstMetric(s.servers, prometheus.GaugeValue, float64(n), policy.StateNames[i])
 	}
 	for _, g := range s.gauges {
-		out <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, g.value(&x))
+		out <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, g.value(&stats))
 	}
 }
--- a/internal/agent/opsconfig/golden_test.go
+++ b/internal/agent/opsconfig/golden_test.go
@@ -7,7 +7,8 @@
 	"chalkdoor.example/chalkdoor/internal/goldentest"
 )
 
-// TestGoldenExample compares sections, keys and defaults of the example, without its comments.
+// TestGoldenExample compares the sections, keys and defaults of the example with the golden file, without
+// comments.
 func TestGoldenExample(t *testing.T) {
 	var example bytes.Buffer
 	if err := Example(&example); err != nil {
--- a/internal/agent/opsconfig/opsconfig.go
+++ b/internal/agent/opsconfig/opsconfig.go
@@ -1,9 +1,9 @@
-// Package opsconfig reads the operations file: what an operator may set about one agent beside
-// what the platform tells it. An agent without such a file does all that the platform asks.
+// Package opsconfig reads the operations file. It has the settings of one agent that an operator controls, in
+// addition to the platform's configuration. Without such a file, an agent does all that the platform requires.
 //
-// The file is TOML. It is taken whole or not at all: an unknown key, a value of the wrong
-// kind or out of its range is an error that names the file, the line where it is known, the
-// key and what was expected, and all that is wrong is told at once.
+// The file is TOML. If it has an error, none of it is used. An unknown key, a value of the wrong type and a
+// value out of range are errors. Each error names the file, the line if it is known, the key and what was
+// expected. All errors other than those of the TOML decoder are reported together.
 package opsconfig
 
 import (
@@ -28,96 +28,100 @@
 	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
-// maxFile bounds an operations file, in bytes.
+// maxFile is the largest size of an operations file, in bytes.
 const maxFile = 1 << 20
 
-// File is the whole of it. The tags say how a key is written, what it is for, and whether
-// a change is used only after a restart.
+// File is the content of an operations file. The tag toml is a key's name, doc describes it, and restart is
+// "yes" if a change has an effect only after a restart.
 type File struct {
-	Agent   Agent   `toml:"agent" doc:"What the platform tells by environment variables, where it sets none of them."`
+	Agent   Agent   `toml:"agent" doc:"Values for environment variables of the platform that are not set."`
 	Log     Log     `toml:"log" doc:"The log, on standard error."`
-	Metrics Metrics `toml:"metrics" doc:"Counters and histograms for a monitoring system, off by default."`
-	State   State   `toml:"state" doc:"What the agent has learned, kept on disk for its next life, off by default."`
-	Fleet   Fleet   `toml:"fleet" doc:"Other agents to act together with, off by default."`
-	Vote    Vote    `toml:"vote" doc:"Ejection of report servers by vote of a site's agents; off without an electorate."`
-	Council Council `toml:"council" doc:"The voters that decide for the whole fleet which zones are used; off without voters."`
-	Site    Site    `toml:"site" doc:"How a site, the agents of vote.electorate, finds out that its uplink is lost and goes on by itself."`
+	Metrics Metrics `toml:"metrics" doc:"Metrics in the Prometheus text format, off by default."`
+	State   State   `toml:"state" doc:"What the agent has learned, stored on disk for its next run, off by default."`
+	Fleet   Fleet   `toml:"fleet" doc:"Coordination with other agents, off by default."`
+	Vote    Vote    `toml:"vote" doc:"Ejection of servers by vote of a site's agents; off without an electorate."`
+	Council Council `toml:"council" doc:"Consensus group that decides for the whole fleet which zones are used; off without voters."`
+	Site    Site    `toml:"site" doc:"How a site, the agents of vote.electorate, detects that its uplink is lost and continues without it."`
 }
 
-// Agent stands in for the environment; a variable that is set wins over it.
+// Agent has values for environment variables. A variable that is set takes precedence.
 type Agent struct {
 	Config    string `toml:"config" restart:"yes" doc:"Path of the configuration that the platform writes (PROXY_CONFIG)."`
-	Name      string `toml:"name" restart:"yes" doc:"Name of the agent (PROXY_NAME); empty: as the configuration says."`
-	Listen    string `toml:"listen" restart:"yes" doc:"host:port for clients (PROXY_LISTEN); empty: as the configuration says."`
-	Discovery string `toml:"discovery" restart:"yes" doc:"host:port of discovery (PROXY_DISCOVERY); empty: as the configuration says."`
+	Name      string `toml:"name" restart:"yes" doc:"Name of the agent (PROXY_NAME); empty: the one in the configuration."`
+	Listen    string `toml:"listen" restart:"yes" doc:"host:port for clients (PROXY_LISTEN); empty: the one in the configuration."`
+	Discovery string `toml:"discovery" restart:"yes" doc:"host:port of discovery (PROXY_DISCOVERY); empty: the one in the configuration."`
 }
 
-// Log says how the log is written.
+// Log configures the log.
 type Log struct {
 	Format string `toml:"format" doc:"\"text\" or \"json\"."`
-	Level  string `toml:"level" doc:"The least that is written: \"debug\", \"info\", \"warn\" or \"error\"."`
+	Level  string `toml:"level" doc:"The lowest level that is written: \"debug\", \"info\", \"warn\" or \"error\"."`
 }
 
-// Metrics says where figures are served.
+// Metrics configures whether and where metrics are served.
 type Metrics struct {
-	Address string `toml:"address" restart:"yes" doc:"host:port that serves GET /-/metrics; empty: none."`
-	Runtime bool   `toml:"runtime" restart:"yes" doc:"Also figures of the Go runtime and of the process."`
+	Address string `toml:"address" restart:"yes" doc:"host:port that serves GET /-/metrics; empty: no metrics are served."`
+	Runtime bool   `toml:"runtime" restart:"yes" doc:"Whether metrics of the Go runtime and of the process are included."`
 }
 
-// State says where and how often what the agent has learned is kept.
+// State configures where and how often the agent saves what it has learned.
 type State struct {
-	Dir   string   `toml:"dir" restart:"yes" doc:"Folder of this agent alone; empty: nothing is kept."`
+	Dir   string   `toml:"dir" restart:"yes" doc:"Directory that no other agent uses; empty: nothing is saved."`
 	Every Duration `toml:"every" restart:"yes" doc:"Time between two saves, 100ms to 1h."`
 }
 
-// Fleet says who the other agents are and how they are reached.
+// Fleet configures how the agents of a fleet find and reach each other.
 type Fleet struct {
-	Name      string   `toml:"name" restart:"yes" doc:"Name of the fleet; agents of another are turned away. Empty: this agent acts alone."`
+	Name      string   `toml:"name" restart:"yes" doc:"Name of the fleet; agents of other fleets are rejected. Empty: this agent acts alone."`
 	Region    string   `toml:"region" restart:"yes" doc:"Region of this agent's zone."`
-	Role      string   `toml:"role" restart:"yes" doc:"What this agent is, for the others to know."`
-	Bind      string   `toml:"bind" restart:"yes" doc:"address:port for messages of other agents, UDP and TCP. What is sent to them comes from this address."`
-	Advertise string   `toml:"advertise" restart:"yes" doc:"address:port where others reach it; empty: as bind."`
-	Seeds     []string `toml:"seeds" restart:"yes" doc:"address:port of some agents that others are found through."`
-	Trace     string   `toml:"trace" restart:"yes" doc:"File that the steps of votes are added to, a line of JSON each; empty: none. It is not bounded: for the laboratory."`
+	Role      string   `toml:"role" restart:"yes" doc:"Role of this agent, which it announces to the other agents."`
+	Bind      string   `toml:"bind" restart:"yes" doc:"address:port for messages of other agents, UDP and TCP. Messages to them are sent from this address."`
+	Advertise string   `toml:"advertise" restart:"yes" doc:"address:port at which other agents reach this one; empty: the address in bind."`
+	Seeds     []string `toml:"seeds" restart:"yes" doc:"address:port of some agents, through which the others are found."`
+	Trace     string   `toml:"trace" restart:"yes" doc:"File to which the steps of votes are appended, a line of JSON each; empty: none. Its size is not limited; for tests only."`
 }
 
-// Vote says how the agents of a site eject a report server together.
+// Vote configures how the agents of a site eject a server by vote.
 type Vote struct {
-	Electorate []string `toml:"electorate" restart:"yes" doc:"Names of all agents of this agent's site, the same at each of them; empty: no votes."`
-	Roll       uint64   `toml:"roll" restart:"yes" doc:"Number of the electorate, one more with each change of it. Votes by another number do not count."`
-	Cap        float64  `toml:"cap" restart:"yes" doc:"Part of a zone's weight that may be ejected at once, at most 0.5."`
-	Lease      Duration `toml:"lease" restart:"yes" doc:"How long a first ejection lasts; each further one lasts twice as long."`
-	Longest    Duration `toml:"longest" restart:"yes" doc:"The longest that one lasts, and how long an agent that starts does not vote."`
-	Remember   Duration `toml:"remember" restart:"yes" doc:"For how long an ejection makes the next of that server longer."`
-	Age        Duration `toml:"age" restart:"yes" doc:"How old an agent's own evidence may be to vote by."`
-	Step       Duration `toml:"step" restart:"yes" doc:"How long a returning server gets each part of its share: 0.1, 0.3, then all."`
-	Trial      Duration `toml:"trial" restart:"yes" doc:"The least time between two trials of an ejected server by the site."`
-}
-
-// Council says who decides which zones the fleet uses, and how.
+	Electorate []string `toml:"electorate" restart:"yes" doc:"Names of all agents of this agent's site, with the same list at each of them; empty: no votes."`
+	Roll       uint64   `toml:"roll" restart:"yes" doc:"Number of the electorate, to be incremented with each change of it. Votes with another number do not count."`
+	Cap        float64  `toml:"cap" restart:"yes" doc:"Fraction of a zone's weight that may be ejected at once, at most 0.5."`
+	Lease      Duration `toml:"lease" restart:"yes" doc:"Duration of a server's first ejection. Each further one within remember lasts twice as long as the one before, up to longest."`
+	Longest    Duration `toml:"longest" restart:"yes" doc:"Longest duration of an ejection, and how long an agent does not vote after its start."`
+	Remember   Duration `toml:"remember" restart:"yes" doc:"How long after an ejection a further one of the same server lasts longer."`
+	Age        Duration `toml:"age" restart:"yes" doc:"Age up to which an agent's own evidence counts for its vote."`
+	Step       Duration `toml:"step" restart:"yes" doc:"Duration of each step of a returning server's slow start: 0.1 of its share, 0.3, then all."`
+	Trial      Duration `toml:"trial" restart:"yes" doc:"Shortest time between two trial requests of the site to an ejected server."`
+}
+
+// Council configures the consensus group that decides which zones the fleet uses.
 type Council struct {
-	Voters    []string `toml:"voters" restart:"yes" doc:"name=address:port of three or five agents, spread over sites, the same at all agents of the fleet; empty: no council."`
-	Bind      string   `toml:"bind" restart:"yes" doc:"address:port of a voter's log, TCP. What is sent to other voters comes from this address."`
-	Dir       string   `toml:"dir" restart:"yes" doc:"Folder of a voter's log, of this agent alone."`
-	Heartbeat Duration `toml:"heartbeat" restart:"yes" doc:"How long a voter waits for its leader before it stands for election."`
-	Bound     Duration `toml:"bound" restart:"yes" doc:"How old the council's last word may be to be acted on."`
-	After     Duration `toml:"after" restart:"yes" doc:"For how long a majority of the sites must see a zone bad before it is left."`
-	Hold      Duration `toml:"hold" restart:"yes" doc:"How long a zone stays out the first time; twice as long each further time."`
-	HoldMost  Duration `toml:"hold_most" restart:"yes" doc:"The longest that it stays out."`
-	Step      Duration `toml:"step" restart:"yes" doc:"The least time between two steps back: 0.1, 0.3, then all of its share."`
-	Target    float64  `toml:"target" restart:"yes" doc:"Part of its weight that a zone is filled to before traffic of its site leaves it; 0: each agent seeks its own way."`
-	Most      float64  `toml:"most" restart:"yes" doc:"Part of the fleet's weight that other sites may leave at once."`
-}
-
-// Config is the same as its package has it; nil without voters. The error names the key.
-func (c *Council) Config(self string) (*consensus.Config, error) {
+	Voters    []string `toml:"voters" restart:"yes" doc:"name=address:port of three or five agents, spread over sites, with the same list at all agents of the fleet; empty: no council."`
+	Bind      string   `toml:"bind" restart:"yes" doc:"address:port for messages of other voters, TCP. Messages to them are sent from this address."`
+	Dir       string   `toml:"dir" restart:"yes" doc:"Directory of a voter's log, which no other agent uses."`
+	Heartbeat Duration `toml:"heartbeat" restart:"yes" doc:"How long a voter waits for its leader before it starts an election."`
+	Bound     Duration `toml:"bound" restart:"yes" doc:"Age up to which the council's last decision is valid."`
+	After     Duration `toml:"after" restart:"yes" doc:"How long a majority of the sites must see a zone unhealthy before it is ejected."`
+	Hold      Duration `toml:"hold" restart:"yes" doc:"Duration of a zone's first ejection. Each further one lasts twice as long as the one before, up to hold_most."`
+	HoldMost  Duration `toml:"hold_most" restart:"yes" doc:"Longest duration of a zone's ejection."`
+	Step      Duration `toml:"step" restart:"yes" doc:"Shortest time between two steps of a returning zone's slow start: 0.1 of its share, 0.3, then all."`
+	Target    float64  `toml:"target" restart:"yes" doc:"Fraction of its weight up to which a zone is used before traffic of its site goes to other zones; 0: each agent decides by itself."`
+	Most      float64  `toml:"most" restart:"yes" doc:"Fraction of the fleet's weight that may be ejected at once for agents of other sites."`
+}
+
+// ConsensusConfig returns the configuration for package consensus, or nil if there are no voters. An error
+// begins with the key within the section.
+func (c *Council) ConsensusConfig(self string) (*consensus.Config, error) {
 	if len(c.Voters) == 0 {
 		return nil, nil
 	}
 	z := zonefailover.Defaults()
-	z.UnhealthyFor, z.EjectionTime, z.MaxEjectionTime, z.SlowStartStep, z.MaxEjectedFraction = time.Duration(c.After), time.Duration(c.Hold), time.Duration(c.HoldMost), time.Duration(c.Step), c.Most
+	z.UnhealthyFor, z.EjectionTime, z.MaxEjectionTime, z.SlowStartStep, z.MaxEjectedFraction =
+		time.Duration(c.After), time.Duration(c.Hold), time.Duration(c.HoldMost), time.Duration(c.Step), c.Most
 	z.TargetUtilization = c.Target
-	out := &consensus.Config{Self: self, Bind: c.Bind, Dir: c.Dir, Zones: z, Heartbeat: time.Duration(c.Heartbeat)}
+	out := &consensus.Config{
+		Self: self, Bind: c.Bind, Dir: c.Dir, Zones: z, Heartbeat: time.Duration(c.Heartbeat),
+	}
 	for i, text := range c.Voters {
 		v, err := consensus.ParseVoter(text)
 		if err != nil {
@@ -126,70 +130,89 @@
 		out.Voters = append(out.Voters, v)
 	}
 	if b := time.Duration(c.Bound); b < time.Second || b > time.Hour {
-		return nil, fmt.Errorf("bound: %v is not 1s to 1h", b)
+		return nil, fmt.Errorf("bound: must be 1s to 1h, is %v", b)
 	}
 	return out, out.Validate()
 }
 
-// Site says when a site counts as cut off from all that lies outside.
+// Site configures when a site counts as isolated, that is cut off from everything outside.
 type Site struct {
-	Quiet Duration `toml:"quiet" restart:"yes" doc:"For how long nothing from outside (discovery, other sites' agents and servers) must have been heard."`
-	Beat  Duration `toml:"beat" restart:"yes" doc:"Time between two words to the other agents of the site, and between two pings to other sites."`
-	Step  Duration `toml:"step" restart:"yes" doc:"How long other zones get each part of their share when the uplink is back: 0.1, 0.3, then all."`
-	Hold  Duration `toml:"hold" restart:"yes" doc:"How long the site stays by itself after the last majority for it, where nothing from outside is heard."`
+	Quiet Duration `toml:"quiet" restart:"yes" doc:"How long nothing must have been received from outside (discovery, agents and servers of other sites) before the site counts as isolated."`
+	Beat  Duration `toml:"beat" restart:"yes" doc:"Time between two heartbeats to the other agents of the site, and between two pings to other sites."`
+	Step  Duration `toml:"step" restart:"yes" doc:"Duration of each step in which traffic to other zones resumes when the uplink is back: 0.1 of their share, 0.3, then all."`
+	Hold  Duration `toml:"hold" restart:"yes" doc:"How long the site stays isolated after a majority of its agents last agreed on it, while nothing is received from outside."`
 }
 
-// UplinkConfig is the same as its package has it, but for who the members are.
+// UplinkConfig returns the configuration for package stalerouting, without Self and Members.
 func (s *Site) UplinkConfig() stalerouting.Config {
-	return stalerouting.Config{IsolationTimeout: time.Duration(s.Quiet), HeartbeatInterval: time.Duration(s.Beat), SlowStartStep: time.Duration(s.Step), MaxIsolation: time.Duration(s.Hold)}
+	return stalerouting.Config{
+		IsolationTimeout: time.Duration(s.Quiet), HeartbeatInterval: time.Duration(s.Beat),
+		SlowStartStep: time.Duration(s.Step), MaxIsolation: time.Duration(s.Hold),
+	}
 }
 
-// Duration is written as "1.5s" in a file.
+// Duration is a time.Duration that is written like "1.5s" in the file.
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
 	return err
 }
 
-// GoString is the duration as a file has it.
+// GoString returns the duration as it is written in the file, with quotes.
 func (d Duration) GoString() string { return strconv.Quote(time.Duration(d).String()) }
 
-// The words that keys of the log may have.
+// Formats and Levels are the valid values of log.format and log.level.
 var (
 	Formats = []string{"text", "json"}
 	Levels  = []string{"debug", "info", "warn", "error"}
 )
 
-// Default is the file that says nothing.
+// Default returns the content of an empty file.
 func Default() File {
 	v, s, z := ejection.Defaults(), stalerouting.Defaults(), zonefailover.Defaults()
-	return File{Log: Log{Format: "text", Level: "info"}, State: State{Every: Duration(time.Second)},
-		Fleet: Fleet{Role: "agent", Seeds: []string{}}, Vote: Vote{Electorate: []string{}, Roll: 1, Cap: v.MaxEjectedFraction, Lease: Duration(v.Lease), Longest: Duration(v.MaxLease),
-			Remember: Duration(v.EscalationWindow), Age: Duration(v.MaxEvidenceAge), Step: Duration(v.SlowStartStep), Trial: Duration(v.TrialInterval)},
-		Council: Council{Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second), After: Duration(z.UnhealthyFor),
-			Hold: Duration(z.EjectionTime), HoldMost: Duration(z.MaxEjectionTime), Step: Duration(z.SlowStartStep), Most: z.MaxEjectedFraction, Target: z.TargetUtilization},
-		Site: Site{Quiet: Duration(s.IsolationTimeout), Beat: Duration(s.HeartbeatInterval), Step: Duration(s.SlowStartStep), Hold: Duration(s.MaxIsolation)}}
-}
-
-// EjectionConfig is the vote of one agent as its package has it.
+	return File{
+		Log:   Log{Format: "text", Level: "info"},
+		State: State{Every: Duration(time.Second)},
+		Fleet: Fleet{Role: "agent", Seeds: []string{}},
+		Vote: Vote{
+			Electorate: []string{}, Roll: 1, Cap: v.MaxEjectedFraction, Lease: Duration(v.Lease),
+			Longest: Duration(v.MaxLease), Remember: Duration(v.EscalationWindow), Age: Duration(v.MaxEvidenceAge),
+			Step: Duration(v.SlowStartStep), Trial: Duration(v.TrialInterval),
+		},
+		Council: Council{
+			Voters: []string{}, Heartbeat: Duration(time.Second), Bound: Duration(15 * time.Second),
+			After: Duration(z.UnhealthyFor), Hold: Duration(z.EjectionTime), HoldMost: Duration(z.MaxEjectionTime),
+			Step: Duration(z.SlowStartStep), Most: z.MaxEjectedFraction, Target: z.TargetUtilization,
+		},
+		Site: Site{
+			Quiet: Duration(s.IsolationTimeout), Beat: Duration(s.HeartbeatInterval), Step: Duration(s.SlowStartStep),
+			Hold: Duration(s.MaxIsolation),
+		},
+	}
+}
+
+// EjectionConfig returns the configuration of one agent for package ejection.
 func (v *Vote) EjectionConfig(self string) ejection.Config {
-	return ejection.Config{Self: self, Electorate: ejection.Electorate{Number: v.Roll, Members: v.Electorate}, MaxEjectedFraction: v.Cap, Lease: time.Duration(v.Lease),
-		MaxLease: time.Duration(v.Longest), EscalationWindow: time.Duration(v.Remember), MaxEvidenceAge: time.Duration(v.Age), SlowStartStep: time.Duration(v.Step),
-		TrialInterval: time.Duration(v.Trial), EarlierPromisesFor: -1}
+	return ejection.Config{
+		Self: self, Electorate: ejection.Electorate{Number: v.Roll, Members: v.Electorate}, MaxEjectedFraction: v.Cap,
+		Lease: time.Duration(v.Lease), MaxLease: time.Duration(v.Longest), EscalationWindow: time.Duration(v.Remember),
+		MaxEvidenceAge: time.Duration(v.Age), SlowStartStep: time.Duration(v.Step),
+		TrialInterval: time.Duration(v.Trial), EarlierPromisesFor: -1,
+	}
 }
 
-// Error is one thing that is wrong with an operations file.
+// Error is one error in an operations file.
 type Error struct {
 	File string
-	Line int // 0: not known
-	Key  string
-	Text string // what was expected
+	Line int    // 0 if not known
+	Key  string // empty if the error concerns no key
+	Text string // describes the error or what was expected
 }
 
-// Error implements error: file, line, key and what was expected.
+// Error returns the file, the line and the key if they are known, and the text.
 func (e *Error) Error() string {
 	at := e.File
 	if e.Line > 0 {
@@ -201,11 +224,11 @@
 	return at + ": " + e.Text
 }
 
-// typeErrorPattern takes apart what the library says of a value of the wrong kind: its error for
-// that has no fields.
+// typeErrorPattern matches the library's error for a value of the wrong type, which has no fields for the line
+// and the key.
 var typeErrorPattern = regexp.MustCompile(`^toml: (?:line (\d+) )?\(last key "(.*?)"\): (.*)$`)
 
-// Load reads and checks a file. The error joins an Error for each thing that is wrong.
+// Load reads and checks a file. If the content is invalid, the error is an Error or joins several of them.
 func Load(path string) (File, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -217,12 +240,12 @@
 		return File{}, fmt.Errorf("operations file: %w", err)
 	}
 	if len(text) > maxFile {
-		return File{}, &Error{File: path, Text: fmt.Sprintf("over %d bytes", maxFile)}
+		return File{}, &Error{File: path, Text: fmt.Sprintf("larger than %d bytes", maxFile)}
 	}
 	return Parse(path, string(text))
 }
 
-// Parse checks the text of a file; its name is for messages.
+// Parse decodes and checks the text of a file. Its name is only used in errors.
 func Parse(name, text string) (File, error) {
 	f := Default()
 	meta, err := toml.Decode(text, &f)
@@ -233,42 +256,42 @@
 		}
 		e := &Error{File: name, Text: err.Error()}
 		if m := typeErrorPattern.FindStringSubmatch(err.Error()); m != nil {
-			e.Line, _ = strconv.Atoi(m[1]) // digits, by the expression
+			e.Line, _ = strconv.Atoi(m[1]) // the pattern allows only digits
 			e.Key, e.Text = m[2], m[3]
 		}
 		return File{}, e
 	}
-	var wrong []error
+	var errs []error
 	known := Keys()
-	unknown := meta.Undecoded()
-	for i, key := range unknown {
-		if i+1 < len(unknown) && strings.HasPrefix(unknown[i+1].String(), key.String()+".") {
-			continue // a table, named by its keys
+	unknownKeys := meta.Undecoded()
+	for i, key := range unknownKeys {
+		if i+1 < len(unknownKeys) && strings.HasPrefix(unknownKeys[i+1].String(), key.String()+".") {
+			continue // a table: its keys are reported instead
 		}
 		e := &Error{File: name, Key: key.String(), Text: "unknown key"}
-		if near := Nearest(key.String(), known); near != "" {
-			e.Text += fmt.Sprintf(", did you mean %s?", near)
+		if suggestion := Nearest(key.String(), known); suggestion != "" {
+			e.Text += fmt.Sprintf(", did you mean %s?", suggestion)
 		}
-		wrong = append(wrong, e)
+		errs = append(errs, e)
 	}
 	for _, e := range f.validate() {
 		e.File = name
-		wrong = append(wrong, e)
+		errs = append(errs, e)
 	}
-	if len(wrong) > 0 {
-		return File{}, errors.Join(wrong...)
+	if len(errs) > 0 {
+		return File{}, errors.Join(errs...)
 	}
 	return f, nil
 }
 
-// problems collects what is wrong with a file.
+// problems collects the errors in a file.
 type problems []*Error
 
 func (p *problems) add(key, format string, args ...any) {
 	*p = append(*p, &Error{Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// addInSection adds an error whose text begins with its key within a section.
+// addInSection adds an error whose text begins with the key within the section. A nil error is ignored.
 func (p *problems) addInSection(section string, err error) {
 	if err == nil {
 		return
@@ -277,84 +300,84 @@
 	p.add(section+"."+key, "%s", text)
 }
 
-// requireOneOf wants a value to be one of the given words.
+// requireOneOf adds an error unless the value is one of the given words.
 func (p *problems) requireOneOf(key, value string, words []string) {
 	if !slices.Contains(words, value) {
-		p.add(key, "%q is none of %s", value, strings.Join(words, ", "))
+		p.add(key, "%q is not one of %s", value, strings.Join(words, ", "))
 	}
 }
 
-// requireHostPort wants a host and a port, or nothing. Port 0 is allowed for metrics only.
+// requireHostPort adds an error unless the value is empty or host:port. Port 0 is allowed for metrics only.
 func (p *problems) requireHostPort(key, value string) {
 	if value == "" {
 		return
 	}
 	_, port, err := net.SplitHostPort(value)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || key != "metrics.address" && n == 0 {
-		p.add(key, "%q is no host:port", value)
+		p.add(key, "%q is not host:port", value)
 	}
 }
 
-// validate returns all that is wrong with the values of a file, in the order of its sections.
+// validate returns all errors in the values of a file.
 func (f *File) validate() []*Error {
-	var wrong problems
-	wrong.requireHostPort("agent.listen", f.Agent.Listen)
-	wrong.requireHostPort("agent.discovery", f.Agent.Discovery)
-	wrong.requireHostPort("metrics.address", f.Metrics.Address)
+	var errs problems
+	errs.requireHostPort("agent.listen", f.Agent.Listen)
+	errs.requireHostPort("agent.discovery", f.Agent.Discovery)
+	errs.requireHostPort("metrics.address", f.Metrics.Address)
 	if every := time.Duration(f.State.Every); every < 100*time.Millisecond || every > time.Hour {
-		wrong.add("state.every", "%v is not 100ms to 1h", every)
+		errs.add("state.every", "must be 100ms to 1h, is %v", every)
 	}
-	f.validateFleet(&wrong)
-	f.validateVote(&wrong)
-	_, err := f.Council.Config(f.Agent.Name)
-	wrong.addInSection("council", err)
+	f.validateFleet(&errs)
+	f.validateVote(&errs)
+	_, err := f.Council.ConsensusConfig(f.Agent.Name)
+	errs.addInSection("council", err)
 	if len(f.Council.Voters) > 0 && len(f.Vote.Electorate) == 0 {
-		wrong.add("council.voters", "there is no council without vote.electorate")
+		errs.add("council.voters", "requires vote.electorate")
 	}
 	site := f.Site.UplinkConfig()
 	site.Members = []string{site.Self}
-	wrong.addInSection("site", site.Validate())
-	wrong.requireOneOf("log.format", f.Log.Format, Formats)
-	wrong.requireOneOf("log.level", f.Log.Level, Levels)
-	return wrong
+	errs.addInSection("site", site.Validate())
+	errs.requireOneOf("log.format", f.Log.Format, Formats)
+	errs.requireOneOf("log.level", f.Log.Level, Levels)
+	return errs
 }
 
-func (f *File) validateFleet(wrong *problems) {
+func (f *File) validateFleet(errs *problems) {
 	for _, address := range append([]string{f.Fleet.Bind, f.Fleet.Advertise}, f.Fleet.Seeds...) {
 		if _, err := netip.ParseAddrPort(address); err != nil && address != "" {
-			wrong.add(f.Fleet.keyOf(address), "%q is no address:port", address)
+			errs.add(f.Fleet.keyOf(address), "%q is not address:port", address)
 		}
 	}
 	if f.Fleet.Name == "" {
 		return
 	}
 	if f.Fleet.Bind == "" {
-		wrong.add("fleet.bind", "needed by a fleet that has a name")
+		errs.add("fleet.bind", "required if fleet.name is set")
 	}
 	if len(f.Fleet.Seeds) == 0 {
-		wrong.add("fleet.seeds", "needed by a fleet that has a name")
+		errs.add("fleet.seeds", "required if fleet.name is set")
 	}
 }
 
-func (f *File) validateVote(wrong *problems) {
+func (f *File) validateVote(errs *problems) {
 	if len(f.Vote.Electorate) == 0 {
 		return
 	}
 	if f.Fleet.Name == "" {
-		wrong.add("vote.electorate", "there are no votes without fleet.name")
+		errs.add("vote.electorate", "requires fleet.name")
 	}
 	self := f.Agent.Name
 	if self == "" {
 		self = f.Vote.Electorate[0]
 	}
 	if !slices.Contains(f.Vote.Electorate, self) {
-		wrong.add("vote.electorate", "%q, this agent, is not in it", self)
+		errs.add("vote.electorate", "%q, this agent, is not in it", self)
 	}
 	config := f.Vote.EjectionConfig(self)
-	wrong.addInSection("vote", config.Validate())
+	errs.addInSection("vote", config.Validate())
 }
 
-// keyOf is the key that an address stands at.
+// keyOf returns the key that has an address as its value.
 func (f *Fleet) keyOf(addr string) string {
 	switch addr {
 	case f.Bind:
@@ -365,19 +388,20 @@
 	return "fleet.seeds"
 }
 
-// Getenv is the environment with what the file says where a variable is not set.
+// Getenv returns a function that looks up environment variables with getenv. If a variable is empty, the
+// function returns the value in the file.
 func (f *File) Getenv(getenv func(string) string) func(string) string {
-	ours := map[string]string{"PROXY_CONFIG": f.Agent.Config, "PROXY_NAME": f.Agent.Name,
+	values := map[string]string{"PROXY_CONFIG": f.Agent.Config, "PROXY_NAME": f.Agent.Name,
 		"PROXY_LISTEN": f.Agent.Listen, "PROXY_DISCOVERY": f.Agent.Discovery}
 	return func(name string) string {
 		if v := getenv(name); v != "" {
 			return v
 		}
-		return ours[name]
+		return values[name]
 	}
 }
 
-// Keys names all keys, in the order of the file.
+// Keys returns the names of all keys, in the order of the example file.
 func Keys() (keys []string) {
 	walk(reflect.ValueOf(File{}), func(key string, _ reflect.StructField, _ reflect.Value) {
 		keys = append(keys, key)
@@ -385,19 +409,21 @@
 	return keys
 }
 
-// NeedRestart names the keys that differ and are used only after a restart.
+// NeedRestart returns the names of the keys that differ and whose change has an effect only after a restart.
 func NeedRestart(old, new *File) (keys []string) {
-	was := map[string]any{}
-	walk(reflect.ValueOf(*old), func(key string, _ reflect.StructField, v reflect.Value) { was[key] = v.Interface() })
+	oldValues := map[string]any{}
+	walk(reflect.ValueOf(*old), func(key string, _ reflect.StructField, v reflect.Value) {
+		oldValues[key] = v.Interface()
+	})
 	walk(reflect.ValueOf(*new), func(key string, f reflect.StructField, v reflect.Value) {
-		if f.Tag.Get("restart") == "yes" && !reflect.DeepEqual(was[key], v.Interface()) {
+		if f.Tag.Get("restart") == "yes" && !reflect.DeepEqual(oldValues[key], v.Interface()) {
 			keys = append(keys, key)
 		}
 	})
 	return keys
 }
 
-// Example writes the file that says what holds without one, each key with what it is for.
+// Example writes a file with the default of each key and with comments that describe the keys.
 func Example(w io.Writer) error {
 	f := Default()
 	v := reflect.ValueOf(f)
@@ -408,9 +434,9 @@
 		}
 		for j := range v.Field(i).NumField() {
 			key := section.Type.Field(j)
-			note := key.Tag.Get("doc")
+			description := key.Tag.Get("doc")
 			if key.Tag.Get("restart") == "yes" {
-				note += " A change needs a restart."
+				description += " A change needs a restart."
 			}
 			value := fmt.Sprintf("%#v", v.Field(i).Field(j).Interface())
 			switch key.Type.Kind() {
@@ -419,7 +445,7 @@
 			case reflect.Uint64:
 				value = fmt.Sprint(v.Field(i).Field(j).Uint())
 			}
-			if _, err := fmt.Fprintf(w, "# %s\n%s = %s\n", note, key.Tag.Get("toml"), value); err != nil {
+			if _, err := fmt.Fprintf(w, "# %s\n%s = %s\n", description, key.Tag.Get("toml"), value); err != nil {
 				return err
 			}
 		}
@@ -430,7 +456,7 @@
 	return nil
 }
 
-// walk visits every key of a section.
+// walk calls visit for every key of a file.
 func walk(file reflect.Value, visit func(key string, f reflect.StructField, v reflect.Value)) {
 	for i := range file.NumField() {
 		section := file.Type().Field(i)
@@ -441,7 +467,7 @@
 	}
 }
 
-// Nearest is the known name that the least edits make of a word; "" if none is close.
+// Nearest returns the known name with the smallest edit distance to a word, or "" if none is similar.
 func Nearest(word string, known []string) string {
 	best, least := "", len(word)/2+1
 	for _, k := range known {
@@ -452,22 +478,22 @@
 	return best
 }
 
-// distance is Levenshtein's: letters put in, taken out or changed.
+// distance returns the Levenshtein distance in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		before := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := before
+			change := diagonal
 			if a[i] != b[j] {
 				change++
 			}
-			before = row[j+1]
-			row[j+1] = min(change, before+1, row[j]+1)
+			diagonal = row[j+1]
+			row[j+1] = min(change, diagonal+1, row[j]+1)
 		}
 	}
 	return row[len(b)]
