--- a/cmd/chalkdoor/command_test.go
+++ b/cmd/chalkdoor/command_test.go
@@ -26,7 +26,7 @@
 	for _, c := range []struct {
 		args   string
 		status int
-		want   string // in what is printed, on either
+		want   string // part of the standard output or error
 	}{
 		{"--help", 0, "Usage: chalkdoor <command>"},
 		{"check --help", 0, "Usage: chalkdoor check <file>"},
@@ -37,26 +37,28 @@
 		{"check", 2, "<file>"},
 		{"agent --opps x", 2, "unknown flag --opps"},
 		{"check " + write("good.toml", "[log]\nlevel = \"debug\""), 0, "a sound operations file"},
-		{"check " + write("bad.toml", "[log]\nlevle = \"debug\""), 1, "log.levle: unknown key, did you mean log.level?"},
+		{"check " + write("bad.toml", "[log]\nlevle = \"debug\""), 1,
+			"log.levle: unknown key, did you mean log.level?"},
 		{"check " + write("good.json", sound), 0, "a sound configuration of agent n7"},
 		{"check " + write("bad.json", strings.Replace(sound, "single_shot", "twice", 1)), 1, "classes[0].effect"},
 		{"check " + filepath.Join(dir, "none.toml"), 1, "no such file"},
 	} {
 		var out strings.Builder
-		if status := command(strings.Fields(c.args), &out, &out); status != c.status || !strings.Contains(out.String(), c.want) {
+		if status := command(strings.Fields(c.args), &out, &out); status != c.status ||
+			!strings.Contains(out.String(), c.want) {
 			t.Errorf("%s: status %d and %q, want %d and %q", c.args, status, out.String(), c.status, c.want)
 		}
 	}
 }
 
-// With an operations file the program logs as that says, serves its figures, and takes over
-// at SIGHUP what can change; a bad file leaves the old one in force.
+// An agent with an operations file uses its log format and serves metrics. At SIGHUP it applies changes that
+// need no restart; an invalid file changes nothing.
 func TestAgentWithAnOperationsFile(t *testing.T) {
 	dir := t.TempDir()
 	config, opsFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "ops.toml")
 	write := func(path, text string) {
 		t.Helper()
-		// In one step: the program may be reading.
+		// The file is replaced atomically, as the program may be reading it.
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -68,9 +70,9 @@
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":`+settings+`}`)
 	ops := "[agent]\nconfig = \"" + config + "\"\n[metrics]\naddress = \"127.0.0.1:0\"\n[log]\nformat = \"json\"\n"
 	write(opsFile, ops)
-	l := start(t, opsFile)
-	cmd, log := l.cmd, l.log
-	// next is the next line with the message; lines of failed discovery calls come between.
+	process := startAgent(t, opsFile)
+	cmd, log := process.cmd, process.log
+	// next returns the next line with the message. It skips others, such as those of failed discovery calls.
 	next := func(msg string) (line map[string]any) {
 		t.Helper()
 		for {
@@ -95,29 +97,31 @@
 	body, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil || !strings.Contains(string(body), `chalkdoor_requests_open{agent="n7"} 0`) {
-		t.Errorf("figures: %v, %s", err, body)
+		t.Errorf("metrics: %v, %s", err, body)
 	}
-	hangUp := func(text string) {
+	reload := func(text string) {
 		t.Helper()
 		write(opsFile, text)
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hangUp(ops + "colour = \"red\"\n")
-	if line := next("operations file not used, the old one holds"); !strings.Contains(line["err"].(string), "log.colour: unknown key") {
+	reload(ops + "colour = \"red\"\n")
+	if line := next("operations file not used, the previous one stays in force"); !strings.Contains(
+		line["err"].(string), "log.colour: unknown key") {
 		t.Errorf("%v does not name the key", line)
 	}
-	hangUp(strings.Replace(ops, "127.0.0.1:0", "127.0.0.1:1", 1))
-	if line := next("changed in the operations file, but used only after a restart"); line["keys"] != "metrics.address" {
+	reload(strings.Replace(ops, "127.0.0.1:0", "127.0.0.1:1", 1))
+	if line := next("changed in the operations file, but used only after a restart"); line["keys"] !=
+		"metrics.address" {
 		t.Errorf("%v does not name the key", line)
 	}
-	if line := next("operations file read again"); line["format"] != "json" {
-		t.Errorf("%v, want JSON", line)
+	if line := next("operations file reloaded"); line["format"] != "json" {
+		t.Errorf("log line %v, want JSON", line)
 	}
-	hangUp(strings.Replace(ops, `"json"`, `"text"`, 1))
-	if line := next("operations file read again"); line["text"] == nil {
-		t.Errorf("%v, want text", line)
+	reload(strings.Replace(ops, `"json"`, `"text"`, 1))
+	if line := next("operations file reloaded"); line["text"] == nil {
+		t.Errorf("log line %v, want text", line)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -126,6 +130,6 @@
 		t.Error(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("at SIGTERM: %v", err)
+		t.Errorf("the program ended after SIGTERM with %v", err)
 	}
 }
--- a/cmd/chalkdoor/main_test.go
+++ b/cmd/chalkdoor/main_test.go
@@ -19,9 +19,10 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+// timeout bounds each wait of a test.
+const timeout = 20 * time.Second
 
-// The test binary is the program itself when it is started with this variable.
+// TestMain runs the program instead of the tests if CHALKDOOR_AS_PROGRAM is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("CHALKDOOR_AS_PROGRAM") == "1" {
 		main()
@@ -30,7 +31,8 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) *exec.Cmd {
+// newProgram returns a command, not yet started, that runs the program with a configuration.
+func newProgram(t *testing.T, config string) *exec.Cmd {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -41,13 +43,14 @@
 	return cmd
 }
 
+// settings is a valid value of the configuration's key settings.
 const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
 "contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":1,
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":3,"maxRetryAfterMs":600},
 "membershipMode":"on_request","objectiveMix":{"whole":1},"roundMs":5}`
 
 func TestBadConfigEndsTheProgramWithOneLine(t *testing.T) {
-	cmd := program(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+	cmd := newProgram(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":`+settings+`}`, "single_shot", "twice", 1))
 	var stderr strings.Builder
 	cmd.Stderr = &stderr
@@ -60,22 +63,22 @@
 	}
 }
 
-// SIGTERM under traffic: connections go on coming for a while and those there are
-// go on being used; each request on an accepted connection has its answer, and
-// the program ends by itself, without error, well before it would be killed.
+// After SIGTERM, clients open new connections for a while and continue to use the existing ones. Each request
+// on an accepted connection must get an answer, and the program must end without an error well before the
+// platform would kill it.
 func TestSIGTERMUnderTraffic(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/long" {
-			time.Sleep(time.Second) // held beyond the time in which connections still come
+			time.Sleep(time.Second) // longer than the time in which new connections arrive
 		}
-		time.Sleep(20 * time.Millisecond) // work, so that requests are held at the signal
+		time.Sleep(20 * time.Millisecond) // so that requests are pending at the signal
 		fmt.Fprint(w, "done")
 	}))
 	defer backend.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
-		case <-time.After(patience):
+		case <-time.After(timeout):
 		}
 	}))
 	defer discovery.Close()
@@ -89,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := program(t, string(config))
+	cmd := newProgram(t, string(config))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -123,20 +126,20 @@
 			}
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
-				return // no longer accepted: nothing is taken
+				return // the program no longer accepts connections
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(timeout))
 			br := bufio.NewReader(c)
 			for first := true; ; first = false {
-				late := signalled.Load()
+				signalledBefore := signalled.Load()
 				_, err := c.Write([]byte(request("/api/a1")))
 				var resp *http.Response
 				if err == nil {
 					resp, err = http.ReadResponse(br, nil)
 				}
 				if err != nil {
-					// A kept connection may be closed between requests; the first
-					// request on a new one is owed an answer.
+					// The program may close a kept-alive connection between requests, but
+					// it must answer the first request on a new one.
 					if first {
 						lost.Add(1)
 					}
@@ -144,7 +147,7 @@
 				}
 				resp.Body.Close()
 				answered.Add(1)
-				if late {
+				if signalledBefore {
 					afterSignal.Add(1)
 				}
 				if resp.Close {
@@ -162,7 +165,7 @@
 			worker()
 		}()
 	}
-	for end := time.Now().Add(patience); answered.Load() < 50 && time.Now().Before(end); {
+	for end := time.Now().Add(timeout); answered.Load() < 50 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	signalled.Store(true)
@@ -170,12 +173,12 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	long := make(chan error, 1)
+	longResult := make(chan error, 1)
 	go func() {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(timeout))
 			_, err = fmt.Fprint(c, request("/api/long"))
 		}
 		if err == nil {
@@ -184,9 +187,9 @@
 				err = fmt.Errorf("answered %d", resp.StatusCode)
 			}
 		}
-		long <- err
+		longResult <- err
 	}()
-	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections cease before 0.4 s
+	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections arrive for less than 0.4 s
 	for err == nil {
 		_, err = log.ReadString('\n')
 	}
@@ -195,24 +198,25 @@
 	}
 	took := time.Since(from)
 	workers.Wait()
-	if err := <-long; err != nil {
-		t.Errorf("a request held at the end: %v", err)
+	if err := <-longResult; err != nil {
+		t.Errorf("the request that was pending at the end: %v", err)
 	}
 	if lost.Load() > 0 || afterSignal.Load() == 0 {
-		t.Errorf("%d requests lost; %d answered, %d of them asked after the signal", lost.Load(), answered.Load(), afterSignal.Load())
+		t.Errorf("%d requests lost; %d answered, %d of them sent after the signal",
+			lost.Load(), answered.Load(), afterSignal.Load())
 	}
 	if took > 3700*time.Millisecond {
-		t.Errorf("ended %v after SIGTERM", took)
+		t.Errorf("the program ended %v after SIGTERM", took)
 	}
 }
 
-// SIGHUP never ends the program, whatever the file holds then, and the discovery that
-// the file comes to name is asked although the environment named another at the start.
+// SIGHUP never ends the program, whatever the configuration file contains. After a reload the program uses the
+// discovery in the file, even if the environment named another one at the start.
 func TestSIGHUPChangesDiscovery(t *testing.T) {
-	discovery := func(asked chan struct{}) string {
+	discovery := func(requested chan struct{}) string {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case asked <- struct{}{}:
+			case requested <- struct{}{}:
 			default:
 			}
 			if r.URL.Query().Has("index") {
@@ -227,14 +231,15 @@
 		})
 		return d.Listener.Addr().String()
 	}
-	before, after := make(chan struct{}, 1), make(chan struct{}, 1)
-	old, next := discovery(before), discovery(after)
+	oldRequested, newRequested := make(chan struct{}, 1), make(chan struct{}, 1)
+	oldAddr, newAddr := discovery(oldRequested), discovery(newRequested)
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
-"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settings)
+"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[]},"settings":%s}`,
+			discovery, settings)
 	}
-	cmd := program(t, config(old))
-	cmd.Env = append(cmd.Env, "PROXY_DISCOVERY="+old)
+	cmd := newProgram(t, config(oldAddr))
+	cmd.Env = append(cmd.Env, "PROXY_DISCOVERY="+oldAddr)
 	path := ""
 	for _, v := range cmd.Env {
 		if value, ok := strings.CutPrefix(v, "PROXY_CONFIG="); ok {
@@ -260,7 +265,7 @@
 		t.Helper()
 		select {
 		case <-got:
-		case <-time.After(patience):
+		case <-time.After(timeout):
 			t.Fatal(what)
 		}
 	}
@@ -275,13 +280,13 @@
 				if strings.Contains(line, text) {
 					return
 				}
-			case <-time.After(patience):
-				t.Fatalf("no %q in the log", text)
+			case <-time.After(timeout):
+				t.Fatalf("no %q in the log within the timeout", text)
 			}
 		}
 	}
-	wait("the first discovery is not asked", before)
-	for _, text := range []string{"", config(next)[:200], config(next)} {
+	wait("no request to the first discovery", oldRequested)
+	for _, text := range []string{"", config(newAddr)[:200], config(newAddr)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -290,16 +295,16 @@
 				t.Fatal(err)
 			}
 		}
-		if text != config(next) {
+		if text != config(newAddr) {
 			logged("not used")
 		}
 	}
-	wait("the new discovery is not asked", after)
+	wait("no request to the new discovery", newRequested)
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
 	logged("stopped")
-	for range lines { // to the end, before Wait closes the pipe
+	for range lines { // reads the log to its end before Wait closes the pipe
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
--- a/cmd/chalkdoor/serve.go
+++ b/cmd/chalkdoor/serve.go
@@ -27,9 +27,9 @@
 	"chalkdoor.example/chalkdoor/internal/agent/snapshot"
 )
 
-// serve runs the agent until SIGTERM, with the operations file if one is named.
+// serve runs the agent until SIGTERM. The path of the operations file is empty if there is none.
 func serve(opsPath string) error {
-	// From the first moment on: its default is to end the program.
+	// SIGHUP is caught from the start, as by default it would end the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	log := logging.New(os.Stderr)
@@ -50,9 +50,9 @@
 		return err
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	// The heap is small: to collect at twice its size costs little, and keeps what the
-	// agent holds even. Long before the memory limit, over which it would be killed,
-	// collecting goes before all.
+	// The heap is small, so collecting garbage whenever it has doubled costs little and keeps memory use even.
+	// The process would be killed beyond its memory limit, so the runtime's limit, near which it collects as
+	// often as it must, is 3/4 of that.
 	debug.SetGCPercent(100)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -62,10 +62,13 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Addr().String())
-	opt := agent.Options{ReloadSignals: reload, ReadConfig: func() (*agent.Config, error) { return agent.ReloadConfig(getenv) }}
+	opt := agent.Options{
+		ReloadSignals: reload,
+		ReadConfig:    func() (*agent.Config, error) { return agent.ReloadConfig(getenv) },
+	}
 	if opsPath != "" {
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancelServices := context.WithCancel(context.Background())
+		defer cancelServices()
 		if file.Metrics.Address != "" {
 			m, err := serveMetrics(ctx, cfg.Name, &file)
 			if err != nil {
@@ -73,40 +76,42 @@
 			}
 			opt.Observer = m
 		}
-		var keeper *snapshot.Writer
-		var recall coordination.Snapshot
+		var writer *snapshot.Writer
+		var restored coordination.Snapshot
 		if file.State.Dir != "" {
-			if keeper, recall = openState(ctx, &file, &opt); keeper != nil {
+			if writer, restored = openState(ctx, &file, &opt); writer != nil {
 				defer func() {
-					end()
-					<-keeper.Closed()
+					cancelServices()
+					<-writer.Closed()
 				}()
 			}
 		}
-		var l *coordination.Coordinator
+		var coordinator *coordination.Coordinator
 		if file.Fleet.Name != "" && len(file.Vote.Electorate) > 0 {
-			if l, err = actTogether(ctx, cfg, &file, recall); err != nil {
+			if coordinator, err = startCoordinator(ctx, cfg, &file, restored); err != nil {
 				return err
 			}
-			opt.Coordinator = l
+			opt.Coordinator = coordinator
 			defer func() {
-				end()
-				l.Close()
+				cancelServices()
+				coordinator.Close()
 			}()
 		}
-		if keeper != nil {
+		if writer != nil {
 			opt.SaveInterval = time.Duration(file.State.Every)
-			opt.Save = func(kept *agent.SavedState) { keeper.Save(remembered(kept, l)) }
+			opt.Save = func(saved *agent.SavedState) { writer.Save(toStoredState(saved, coordinator)) }
 		}
-		again := make(chan os.Signal, 1)
-		signal.Notify(again, syscall.SIGHUP)
-		go rereadOps(ctx, again, opsPath, file, log)
+		opsReload := make(chan os.Signal, 1)
+		signal.Notify(opsReload, syscall.SIGHUP)
+		go reloadOps(ctx, opsReload, opsPath, file, log)
 	}
 	return agent.Run(stop, cfg, ln, opt)
 }
 
-// actTogether starts the layer by which this agent acts with others.
-func actTogether(ctx context.Context, cfg *agent.Config, file *opsconfig.File, recall coordination.Snapshot) (*coordination.Coordinator, error) {
+// startCoordinator starts the tasks by which this agent acts together with others.
+func startCoordinator(
+	ctx context.Context, cfg *agent.Config, file *opsconfig.File, restored coordination.Snapshot,
+) (*coordination.Coordinator, error) {
 	if !slices.Contains(file.Vote.Electorate, cfg.Name) {
 		return nil, fmt.Errorf("operations file: vote.electorate: %q, this agent, is not in it", cfg.Name)
 	}
@@ -114,8 +119,15 @@
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 		zone = cfg.Zones[z]
 	}
-	c := coordination.Config{Vote: file.Vote.EjectionConfig(cfg.Name), Site: file.Site.UplinkConfig(), Restored: recall, TraceFile: file.Fleet.Trace, Membership: membership.Config{Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone,
-		Region: file.Fleet.Region, Role: file.Fleet.Role, Incarnation: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise, Seeds: file.Fleet.Seeds}}
+	c := coordination.Config{
+		Vote: file.Vote.EjectionConfig(cfg.Name), Site: file.Site.UplinkConfig(), Restored: restored,
+		TraceFile: file.Fleet.Trace,
+		Membership: membership.Config{
+			Fleet: file.Fleet.Name, Name: cfg.Name, Zone: zone, Region: file.Fleet.Region, Role: file.Fleet.Role,
+			Incarnation: rand.Uint64(), Bind: file.Fleet.Bind, Advertise: file.Fleet.Advertise,
+			Seeds: file.Fleet.Seeds,
+		},
+	}
 	if file.State.Dir != "" {
 		c.PromiseDir = filepath.Join(file.State.Dir, "votes")
 	}
@@ -130,7 +142,7 @@
 	return coordination.Start(ctx, c)
 }
 
-// serveMetrics opens the operations address and serves figures there until ctx is done.
+// serveMetrics listens on metrics.address and serves the metrics there until ctx is done.
 func serveMetrics(ctx context.Context, name string, file *opsconfig.File) (*metrics.Metrics, error) {
 	ln, err := net.Listen("tcp", file.Metrics.Address)
 	if err != nil {
@@ -140,49 +152,55 @@
 	m := metrics.New(name, file.Metrics.Runtime)
 	go func() {
 		if err := m.Serve(ctx, ln); err != nil {
-			slog.Error("no metrics any more", "err", err)
+			slog.Error("serving metrics failed", "err", err)
 		}
 	}()
 	return m, nil
 }
 
-// openState opens the folder of what the agent learns, and gives it and its layer what an
-// earlier life had learned. A folder that can't be used is reported, and the agent serves
-// without: nil.
-func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (k *snapshot.Writer, site coordination.Snapshot) {
+// openState opens the directory of the state and restores the state of the last run: that of the agent into
+// opt, and that of its site as a result. It starts a Writer for the state of this run. If the directory can't
+// be used, it logs that and returns no Writer, and the agent runs without stored state.
+func openState(ctx context.Context, file *opsconfig.File, opt *agent.Options) (
+	writer *snapshot.Writer, site coordination.Snapshot,
+) {
 	store, g, problems, err := snapshot.Open(file.State.Dir, snapshot.Now)
 	for _, p := range problems {
-		slog.Warn("state not believed", "where", p.Where, "why", p.Reason)
+		slog.Warn("stored state rejected", "where", p.Where, "why", p.Reason)
 	}
 	if err != nil {
-		slog.Error("state not used, nothing is kept", "dir", file.State.Dir, "err", err)
+		slog.Error("state directory not usable, no state is saved", "dir", file.State.Dir, "err", err)
 		return nil, site
 	}
 	if g != nil {
-		st, dropped := snapshot.Decode(g)
+		state, dropped := snapshot.Decode(g)
 		for _, p := range dropped {
-			slog.Warn("state not believed", "where", p.Where, "why", p.Reason)
+			slog.Warn("stored state rejected", "where", p.Where, "why", p.Reason)
 		}
-		opt.Restore = recalled(st)
-		site = recalledSite(st, g, time.Duration(file.Site.Hold))
-		m := st.Policy
-		slog.Info("state recalled", "generation", g.Seq, "age", g.Age.String(), "dated", g.AgeKnown, "servers", len(m.Servers), "keys", len(m.Keys), "boot", store.Runs)
+		opt.Restore = fromStoredState(state)
+		site = restoredSite(state, g, time.Duration(file.Site.Hold))
+		policyState := state.Policy
+		slog.Info("state restored", "generation", g.Seq, "age", g.Age.String(), "dated", g.AgeKnown,
+			"servers", len(policyState.Servers), "keys", len(policyState.Keys), "boot", store.Runs)
 	} else {
-		slog.Info("no state to recall", "dir", file.State.Dir, "boot", store.Runs)
+		slog.Info("no state to restore", "dir", file.State.Dir, "boot", store.Runs)
 	}
 	return snapshot.NewWriter(ctx, store), site
 }
 
-// remembered and recalled take what is kept to its form on the disk, and back; l may be nil.
-func remembered(kept *agent.SavedState, l *coordination.Coordinator) *snapshot.State {
-	s := &snapshot.State{Policy: kept.Snapshot, Discovery: kept.Discovery, Version: kept.List.Version, Targets: map[string]json.RawMessage{}}
-	if l != nil {
-		k := l.Snapshot()
-		s.Site = &snapshot.Site{Isolated: k.Isolated, Entries: k.Entries}
-	}
-	for _, t := range kept.List.Servers {
+// toStoredState converts the state of the agent and of its coordinator, which may be nil, to its stored form.
+func toStoredState(saved *agent.SavedState, coordinator *coordination.Coordinator) *snapshot.State {
+	s := &snapshot.State{
+		Policy: saved.Snapshot, Discovery: saved.Discovery, Version: saved.List.Version,
+		Targets: map[string]json.RawMessage{},
+	}
+	if coordinator != nil {
+		site := coordinator.Snapshot()
+		s.Site = &snapshot.Site{Isolated: site.Isolated, Entries: site.Entries}
+	}
+	for _, t := range saved.List.Servers {
 		text, err := json.Marshal(t)
-		if err != nil { // a number that has no form in JSON: no list is better than half of one
+		if err != nil { // a number that JSON can't express: no list is better than an incomplete one
 			s.Targets = nil
 			return s
 		}
@@ -191,32 +209,38 @@
 	return s
 }
 
-// recalledSite is what an earlier life knew of its site; that the uplink was lost is believed
-// for as long as a site holds to it.
-func recalledSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (k coordination.Snapshot) {
+// restoredSite returns the stored state of the site. A site that was isolated counts as isolated only if the
+// age of the state is known and at most hold.
+func restoredSite(s *snapshot.State, g *snapshot.Generation, hold time.Duration) (site coordination.Snapshot) {
 	if s.Site != nil {
-		k = coordination.Snapshot{Isolated: s.Site.Isolated && g.AgeKnown && g.Age <= hold, Entries: s.Site.Entries}
+		site = coordination.Snapshot{Isolated: s.Site.Isolated && g.AgeKnown && g.Age <= hold, Entries: s.Site.Entries}
 	}
-	return k
+	return site
 }
 
-func recalled(s *snapshot.State) *agent.SavedState {
-	kept := &agent.SavedState{Snapshot: s.Policy, Discovery: s.Discovery, List: agent.TargetList{Version: s.Version, Full: true}}
+// fromStoredState converts a stored state back to the state of the agent. If an entry of the server list is
+// invalid, the list is empty.
+func fromStoredState(s *snapshot.State) *agent.SavedState {
+	saved := &agent.SavedState{
+		Snapshot: s.Policy, Discovery: s.Discovery, List: agent.TargetList{Version: s.Version, Full: true},
+	}
 	for id, text := range s.Targets {
 		var t agent.Target
 		if err := json.Unmarshal(text, &t); err != nil || t.ID != id {
-			slog.Warn("state not believed", "where", "list "+id, "why", err)
-			kept.List.Servers = nil
-			return kept
+			slog.Warn("stored state rejected", "where", "list "+id, "why", err)
+			saved.List.Servers = nil
+			return saved
 		}
-		kept.List.Servers = append(kept.List.Servers, t)
+		saved.List.Servers = append(saved.List.Servers, t)
 	}
-	return kept
+	return saved
 }
 
-// rereadOps takes over from the operations file, at each signal, what can change, and names
-// what needs a restart. A file that can't be used leaves all as it is.
-func rereadOps(ctx context.Context, signals <-chan os.Signal, path string, old opsconfig.File, log *logging.Handler) {
+// reloadOps reloads the operations file at each signal until ctx is done. It applies the settings of the log
+// and logs the changed keys that need a restart. An invalid file changes nothing.
+func reloadOps(
+	ctx context.Context, signals <-chan os.Signal, path string, initial opsconfig.File, log *logging.Handler,
+) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -228,13 +252,13 @@
 			err = log.Set(file.Log)
 		}
 		if err != nil {
-			slog.Warn("operations file not used, the old one holds", "err", err)
+			slog.Warn("operations file not used, the previous one stays in force", "err", err)
 			continue
 		}
-		// Against what the process started with: that is what is in force.
-		if keys := opsconfig.NeedRestart(&old, &file); len(keys) > 0 {
+		// The keys that need a restart still have the values that the process started with.
+		if keys := opsconfig.NeedRestart(&initial, &file); len(keys) > 0 {
 			slog.Warn("changed in the operations file, but used only after a restart", "keys", strings.Join(keys, " "))
 		}
-		slog.Info("operations file read again", "file", path, "level", file.Log.Level, "format", file.Log.Format)
+		slog.Info("operations file reloaded", "file", path, "level", file.Log.Level, "format", file.Log.Format)
 	}
 }
--- a/cmd/chalkdoor/state.go
+++ b/cmd/chalkdoor/state.go
@@ -13,28 +13,30 @@
 )
 
 type stateCmd struct {
-	Verify stateVerify `name:"verify" cmd:"" help:"Say whether all that is kept is sound, and what is not."`
-	Show   stateShow   `name:"show" cmd:"" help:"Show what would be believed, as a table."`
-	Export stateExport `name:"export" cmd:"" help:"Print what would be believed, as JSON."`
-	Repair stateRepair `name:"repair" cmd:"" help:"Set aside what can't be used and keep what can; no agent may use the folder."`
+	Verify stateVerify `name:"verify" cmd:"" help:"Check the stored state and report all errors in it."`
+	Show   stateShow   `name:"show" cmd:"" help:"Show the state that an agent would restore, as a table."`
+	Export stateExport `name:"export" cmd:"" help:"Print the state that an agent would restore, as JSON."`
+	Repair stateRepair `name:"repair" cmd:"" help:"Move valid records to a new file and set the damaged file aside; no agent may use the directory meanwhile."`
 }
 
 type stateDir struct {
-	Dir string `name:"dir" arg:"" help:"The folder." type:"path"`
+	Dir string `name:"dir" arg:"" help:"The directory of the state." type:"path"`
 }
 
-var errUnsound = errors.New("not all that is kept is sound")
+var errInvalidState = errors.New("some of the stored state is invalid")
 
-// inspect loads the folder and what of it is not believed.
+// inspect loads and decodes the generation that an agent would restore. The problems describe all rejected
+// data. The generation is nil if there is none.
 func (d *stateDir) inspect() (*snapshot.Generation, *policy.Snapshot, []snapshot.Problem, error) {
 	g, problems, err := snapshot.Inspect(d.Dir, snapshot.Now)
 	if err != nil || g == nil {
 		return nil, nil, problems, err
 	}
-	st, dropped := snapshot.Decode(g)
-	return g, st.Policy, append(problems, dropped...), nil
+	state, dropped := snapshot.Decode(g)
+	return g, state.Policy, append(problems, dropped...), nil
 }
 
+// age returns the age of a generation for the output.
 func age(g *snapshot.Generation) string {
 	if !g.AgeKnown {
 		return "of an age that cannot be told"
@@ -44,9 +46,9 @@
 
 type stateVerify struct{ stateDir }
 
-// Run names all that is not sound.
+// Run prints all problems and a summary of the generation. It fails if there is a problem.
 func (c *stateVerify) Run(out io.Writer) error {
-	g, m, problems, err := c.inspect()
+	g, policyState, problems, err := c.inspect()
 	if err != nil {
 		return err
 	}
@@ -56,19 +58,20 @@
 	if g == nil {
 		fmt.Fprintln(out, "no generation")
 	} else {
-		fmt.Fprintf(out, "generation %d of life %d, %s: %d servers, %d keys\n", g.Seq, g.Runs, age(g), len(m.Servers), len(m.Keys))
+		fmt.Fprintf(out, "generation %d of life %d, %s: %d servers, %d keys\n",
+			g.Seq, g.Runs, age(g), len(policyState.Servers), len(policyState.Keys))
 	}
 	if len(problems) > 0 {
-		return errUnsound
+		return errInvalidState
 	}
 	return nil
 }
 
 type stateShow struct{ stateDir }
 
-// Run prints a line for each server.
+// Run prints a summary and a line for each server.
 func (c *stateShow) Run(out io.Writer) error {
-	g, m, _, err := c.inspect()
+	g, policyState, _, err := c.inspect()
 	if err != nil {
 		return err
 	}
@@ -76,16 +79,18 @@
 		_, err := fmt.Fprintln(out, "nothing is kept")
 		return err
 	}
-	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n", g.Seq, g.Runs, age(g), m.Demand, m.PeakCapacity,
-		m.AdmittedShare, m.BaselineLatency, len(m.Keys))
+	fmt.Fprintf(out, "generation %d of life %d, %s\ndemand %.1f of %.1f, let in %.2f, calm %.3f, %d keys\n\n",
+		g.Seq, g.Runs, age(g), policyState.Demand, policyState.PeakCapacity,
+		policyState.AdmittedShare, policyState.BaselineLatency, len(policyState.Keys))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "server\tstate\tfor\tstrikes\tfailing\tanswer\twindow")
-	for _, s := range m.Servers {
+	for _, s := range policyState.Servers {
 		state := "none"
 		if int(s.State) < len(policy.StateNames) {
 			state = policy.StateNames[s.State]
 		}
-		fmt.Fprintf(w, "%x\t%s\t%s\t%d\t%.2f\t%.1f ms\t%.1f\n", s.Server, state, time.Duration(s.InStateMs*1e6).Round(time.Millisecond), s.Ejections,
+		fmt.Fprintf(w, "%x\t%s\t%s\t%d\t%.2f\t%.1f ms\t%.1f\n",
+			s.Server, state, time.Duration(s.InStateMs*1e6).Round(time.Millisecond), s.Ejections,
 			s.FailureRate, s.MeanLatencyMs, s.ConcurrencyLimit)
 	}
 	return w.Flush()
@@ -93,9 +98,9 @@
 
 type stateExport struct{ stateDir }
 
-// Run prints JSON.
+// Run prints the generation as JSON.
 func (c *stateExport) Run(out io.Writer) error {
-	g, m, _, err := c.inspect()
+	g, policyState, _, err := c.inspect()
 	if err != nil {
 		return err
 	}
@@ -104,12 +109,15 @@
 	}
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
-	return enc.Encode(map[string]any{"generation": g.Seq, "life": g.Runs, "dated": g.AgeKnown, "memory": m})
+	return enc.Encode(map[string]any{
+		"generation": g.Seq, "life": g.Runs, "dated": g.AgeKnown, "memory": policyState,
+	})
 }
 
 type stateRepair struct{ stateDir }
 
-// Run moves what can be believed to a new file, and sets the old one aside.
+// Run opens the directory like an agent, which moves the valid records of a damaged file to a new one and sets
+// the damaged file aside.
 func (c *stateRepair) Run(out io.Writer) error {
 	store, g, problems, err := snapshot.Open(c.Dir, snapshot.Now)
 	for _, p := range problems {
--- a/internal/agent/opsconfig/opsconfig.go
+++ b/internal/agent/opsconfig/opsconfig.go
@@ -170,7 +170,7 @@
 	Levels  = []string{"debug", "info", "warn", "error"}
 )
 
-// Default returns the content of an empty file.
+// Default returns the settings of an empty file, which are the defaults of all keys.
 func Default() File {
 	v, s, z := ejection.Defaults(), stalerouting.Defaults(), zonefailover.Defaults()
 	return File{
@@ -250,9 +250,9 @@
 	f := Default()
 	meta, err := toml.Decode(text, &f)
 	if err != nil {
-		var bad toml.ParseError
-		if errors.As(err, &bad) {
-			return File{}, &Error{File: name, Line: bad.Position.Line, Key: bad.LastKey, Text: bad.Message}
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) {
+			return File{}, &Error{File: name, Line: parseErr.Position.Line, Key: parseErr.LastKey, Text: parseErr.Message}
 		}
 		e := &Error{File: name, Text: err.Error()}
 		if m := typeErrorPattern.FindStringSubmatch(err.Error()); m != nil {
@@ -313,7 +313,7 @@
 		return
 	}
 	_, port, err := net.SplitHostPort(value)
-	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || key != "metrics.address" && n == 0 {
+	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil || key != "metrics.address" && n == 0 {
 		p.add(key, "%q is not host:port", value)
 	}
 }
@@ -389,7 +389,7 @@
 }
 
 // Getenv returns a function that looks up environment variables with getenv. If a variable is empty, the
-// function returns the value in the file.
+// function returns its value in the file, if there is one.
 func (f *File) Getenv(getenv func(string) string) func(string) string {
 	values := map[string]string{"PROXY_CONFIG": f.Agent.Config, "PROXY_NAME": f.Agent.Name,
 		"PROXY_LISTEN": f.Agent.Listen, "PROXY_DISCOVERY": f.Agent.Discovery}
--- a/internal/agent/snapshot/store.go
+++ b/internal/agent/snapshot/store.go
@@ -119,17 +119,17 @@
 		return nil, nil, problems, err
 	}
 	problems = append(problems, Problem{File, "set aside as " + filepath.Base(aside)})
-	fresh, _, _, err := open(dir, now, new([]Problem), false)
+	newStore, _, _, err := open(dir, now, new([]Problem), false)
 	if err != nil {
 		return nil, nil, problems, err
 	}
 	if g != nil {
-		fresh.seq, fresh.Runs = s.seq, s.Runs
-		if err := fresh.restore(g); err != nil {
-			return nil, nil, problems, errors.Join(err, fresh.Close())
+		newStore.seq, newStore.Runs = s.seq, s.Runs
+		if err := newStore.restore(g); err != nil {
+			return nil, nil, problems, errors.Join(err, newStore.Close())
 		}
 	}
-	return fresh, g, problems, nil
+	return newStore, g, problems, nil
 }
 
 // Inspect loads the same generation as Open, but changes no file. It is for operators.
