--- a/internal/agent/outlier/outlier.go
+++ b/internal/agent/outlier/outlier.go
@@ -3,8 +3,8 @@
 // never enter it.
 //
 // It is a pure state machine: callers pass the time, as a duration since a fixed start on the
-// monotonic clock. Memory is bounded by the hosts passed to SetHosts. An attempt counts only for the
-// incarnation that it was sent to: a restarted process is a different host.
+// monotonic clock. Memory is bounded by the number of hosts passed to SetHosts. An attempt counts only
+// for the incarnation that it was sent to: a restarted process is a different host.
 package outlier
 
 import (
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// Host names one process of a report server.
+// Host identifies one process of a report server.
 type Host struct {
 	ID string
-	// Incarnation is its start time by discovery, in Unix ms. It is used as a label and never
-	// compared with a clock; 0 if the host has run for long.
+	// Incarnation is the start time of the process as discovery reports it, in Unix ms; 0 if it has
+	// been running for long. It only identifies the process and is never compared with a clock.
 	Incarnation int64
 }
 
-// Outcome is how an attempt ended, as far as it tells of the health of its host.
+// Outcome is the result of an attempt, as evidence of the health of its host.
 type Outcome uint8
 
-// The outcomes. Overloaded, a rejection for lack of capacity or an attempt with too short a
-// deadline, counts neither for nor against the host: a busy host is not unhealthy.
+// The outcomes. Overloaded stands for a rejection for lack of capacity and for an attempt with too short
+// a deadline. It counts neither for nor against the host, as a busy host is not unhealthy.
 const (
 	Success Outcome = iota
 	Failure
@@ -35,23 +35,24 @@
 )
 
 // String returns the name used in logs and metrics.
-func (k Outcome) String() string { return [...]string{"good", "failed", "silent", "slow", "full"}[k] }
+func (o Outcome) String() string { return [...]string{"good", "failed", "silent", "slow", "full"}[o] }
 
 // isFailure reports whether the outcome counts against its host.
-func (k Outcome) isFailure() bool { return k == Failure || k == NoAnswer || k == Slow }
+func (o Outcome) isFailure() bool { return o == Failure || o == NoAnswer || o == Slow }
 
 const (
-	// buckets is the number of buckets of the window, which is the resolution of its sliding.
+	// buckets is the number of buckets of the window, which slides by one bucket at a time.
 	buckets = 10
-	// slowFactor and minSlowRatio define a slow answer: it takes slowFactor times the usual latency
-	// and at least minSlowRatio of its latency target.
+	// slowFactor and minSlowRatio define a slow answer: its latency is more than slowFactor times the
+	// usual latency and more than minSlowRatio times its latency target.
 	slowFactor, minSlowRatio = 3.0, 0.5
-	// noAnswerFactor is how many times the usual latency, up to the latency target, an attempt must
-	// have waited to count as unanswered: near their deadline clients leave less time.
+	// noAnswerFactor times the usual latency, or the latency target if that is less, is how long an
+	// attempt must have waited to count as unanswered. Clients close to their deadline wait for less.
 	noAnswerFactor = 4.0
-	// minSlowDuration is how long all answers must have been slow; short pauses of a host are shorter.
+	// minSlowDuration is how long all answers of a host must have been slow for it to count as unhealthy.
+	// It is longer than the short pauses that hosts have.
 	minSlowDuration = time.Second
-	// latencySmoothing is the weight of one answer in the usual latency.
+	// latencySmoothing is the weight of a new answer in the moving average that is the usual latency.
 	latencySmoothing = 0.02
 )
 
@@ -64,7 +65,7 @@
 	LastFailureSent  time.Duration // when that attempt was sent
 	FirstFailureSent time.Duration // when the first failed attempt since the last success was sent
 	LastProbeSent    time.Duration // when the last answered health check was sent
-	LastSuccessSent  time.Duration // when the last successful attempt was sent; the constant never if there was none
+	LastSuccessSent  time.Duration // when the last successful attempt was sent; never if there was none
 }
 
 // Log holds the attempts of one agent. It is not safe for concurrent use.
@@ -72,14 +73,15 @@
 	window          time.Duration
 	hosts           map[string]*hostHistory
 	zoneUtilization map[string]*utilization // by zone
-	usualLatency    map[int]float64         // by class: latency as a fraction of the latency target, smoothed
+	usualLatency    map[int]float64         // by class: moving average of the latency as a fraction of its target
 }
 
+// hostHistory holds the attempts at a host in the window.
 type hostHistory struct {
 	host             Host
 	weight           float64
 	zone             string
-	bucketStart      [buckets]time.Duration // start of the time that each bucket covers
+	bucketStart      [buckets]time.Duration // start of the interval that each bucket covers
 	attempts         [buckets]int
 	failures         [buckets]int
 	lastFailure      Outcome
@@ -90,24 +92,26 @@
 	lastSuccessSent  time.Duration
 }
 
-// utilization is the running mean of the utilization that a zone's hosts reported in health checks.
+// utilization is the moving average of the utilization that a zone's hosts report in health checks.
 type utilization struct {
 	mean  float64
-	count int
-	at    time.Duration
+	count int           // number of health checks in mean, at most utilizationSamples
+	at    time.Duration // time of the last one
 }
 
-// utilizationSamples is the number of health checks that the mean covers.
+// utilizationSamples is the number of health checks over which the mean is taken: each further one has a
+// weight of 1/utilizationSamples.
 const utilizationSamples = 8
 
-func (l *Log) addUtilization(zone string, x float64, at time.Duration) {
+// addUtilization adds a report to the mean of a zone. A mean older than the window is restarted.
+func (l *Log) addUtilization(zone string, value float64, at time.Duration) {
 	u := l.zoneUtilization[zone]
 	if u == nil || at-u.at > l.window {
 		u = &utilization{}
 		l.zoneUtilization[zone] = u
 	}
 	u.count = min(u.count+1, utilizationSamples)
-	u.mean += (x - u.mean) / float64(u.count)
+	u.mean += (value - u.mean) / float64(u.count)
 	u.at = at
 }
 
@@ -119,8 +123,8 @@
 	return &Log{window: window, hosts: map[string]*hostHistory{}, zoneUtilization: map[string]*utilization{}, usualLatency: map[int]float64{}}
 }
 
-// SetHosts replaces the set of hosts; the history of all others is dropped. A host in a new
-// incarnation starts with an empty history.
+// SetHosts replaces the set of hosts and deletes the history of hosts that are no longer in it. A host
+// with a new incarnation starts with an empty history.
 func (l *Log) SetHosts(hosts []ListedHost) {
 	listed := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -146,20 +150,20 @@
 	Weight float64
 }
 
-// Observation is the end of one attempt of the agent.
+// Observation is the result of one attempt of the agent.
 type Observation struct {
 	Host    Host
 	Class   int
 	Outcome Outcome
-	// LatencyRatio is the latency of a successful answer as a fraction of the latency target of its
-	// class; a high one turns Success into Slow.
+	// LatencyRatio is the latency of the attempt as a fraction of the latency target of its class. A
+	// high ratio turns Success into Slow, and a low one NoAnswer into Overloaded.
 	LatencyRatio float64
 	// Sent is when the attempt was sent, Ended when it ended.
 	Sent, Ended time.Duration
-	// Probe marks a health check. Its success shows only that the process runs; its time-out
+	// Probe marks a health check. Its success shows only that the process is running; its failure
 	// counts like that of a request.
 	Probe bool
-	// Utilization is the utilization that the host reported in a health check; negative if it did not.
+	// Utilization is the utilization that the host reported in a health check; negative if it reported none.
 	Utilization float64
 }
 
@@ -186,7 +190,7 @@
 		if !known {
 			usual = observation.LatencyRatio
 		}
-		// Slow answers count too, or the usual latency would never follow a fleet that became slow.
+		// Slow answers are included: otherwise the usual latency would never follow a fleet that became slow.
 		l.usualLatency[observation.Class] = usual + latencySmoothing*(observation.LatencyRatio-usual)
 	}
 	if history == nil || history.host != observation.Host || observation.Outcome == Overloaded {
@@ -205,8 +209,8 @@
 		}
 		history.lastFailure, history.lastFailureAt, history.lastFailureSent = observation.Outcome, max(history.lastFailureAt, observation.Ended), max(history.lastFailureSent, observation.Sent)
 	} else {
-		// A success proves the health of the host when the attempt was sent, not when it ended: an
-		// attempt sent before a failure says nothing of the time after it.
+		// A success counts from when the attempt was sent, not from when it ended: an attempt that was
+		// sent before a failure does not show that the host recovered after it.
 		history.lastSuccessSent = max(history.lastSuccessSent, observation.Sent)
 	}
 	return observation.Outcome
@@ -221,18 +225,19 @@
 	return history.record(now, l.window), true
 }
 
-func (t *hostHistory) record(now, window time.Duration) Record {
-	r := Record{LastFailure: t.lastFailure, LastFailureAt: t.lastFailureAt, LastFailureSent: t.lastFailureSent, FirstFailureSent: t.firstFailureSent, LastProbeSent: t.lastProbeSent, LastSuccessSent: t.lastSuccessSent}
+func (h *hostHistory) record(now, window time.Duration) Record {
+	r := Record{LastFailure: h.lastFailure, LastFailureAt: h.lastFailureAt, LastFailureSent: h.lastFailureSent,
+		FirstFailureSent: h.firstFailureSent, LastProbeSent: h.lastProbeSent, LastSuccessSent: h.lastSuccessSent}
 	for i := range buckets {
-		if t.bucketStart[i]+window/buckets > now-window {
-			r.Attempts += t.attempts[i]
-			r.Failures += t.failures[i]
+		if h.bucketStart[i]+window/buckets > now-window {
+			r.Attempts += h.attempts[i]
+			r.Failures += h.failures[i]
 		}
 	}
 	return r
 }
 
-// Incarnation returns the listed incarnation of a host, or false if the host is not listed.
+// Incarnation returns the process that is listed under a host ID, or false if there is none.
 func (l *Log) Incarnation(id string) (Host, bool) {
 	history := l.hosts[id]
 	if history == nil {
@@ -241,16 +246,17 @@
 	return history.host, true
 }
 
-// Weight returns the fraction of its zone's weight that a host has, and its zone.
+// Weight returns the fraction that a host has of the weight of its zone, and the zone. The fraction is 0
+// if that incarnation is not listed.
 func (l *Log) Weight(h Host) (fraction float64, zone string) {
 	history := l.hosts[h.ID]
 	if history == nil || history.host != h {
 		return 0, ""
 	}
 	total := 0.0
-	for _, o := range l.hosts {
-		if o.zone == history.zone {
-			total += o.weight
+	for _, other := range l.hosts {
+		if other.zone == history.zone {
+			total += other.weight
 		}
 	}
 	if total <= 0 {
@@ -263,7 +269,7 @@
 type Zone struct {
 	Name                string
 	Weight              float64 // total weight of its hosts
-	Observed, Unhealthy int     // hosts with attempts in the window, and how many of them are unhealthy
+	Observed, Unhealthy int     // hosts with attempts in the window, and the unhealthy ones of them
 	WithFailures        int     // observed hosts with at least one failed attempt
 	Attempts            int
 	Failures            int     // failed attempts
@@ -273,16 +279,19 @@
 
 // Zones returns a summary of each zone with a listed host, ordered by name.
 func (l *Log) Zones(now time.Duration) (out []Zone) {
-	for _, t := range l.hosts {
-		i, ok := slices.BinarySearchFunc(out, t.zone, func(z Zone, name string) int { return cmp.Compare(z.Name, name) })
+	for _, history := range l.hosts {
+		i, ok := slices.BinarySearchFunc(out, history.zone, func(z Zone,
+			name string) int {
+			return cmp.Compare(z.Name, name)
+		})
 		if !ok {
-			out = slices.Insert(out, i, Zone{Name: t.zone})
+			out = slices.Insert(out, i, Zone{Name: history.zone})
 		}
-		out[i].Weight += t.weight
-		if u := l.zoneUtilization[t.zone]; u != nil && now-u.at <= l.window {
+		out[i].Weight += history.weight
+		if u := l.zoneUtilization[history.zone]; u != nil && now-u.at <= l.window {
 			out[i].Utilization, out[i].UtilizationSamples = u.mean, u.count
 		}
-		if r := t.record(now, l.window); r.Attempts > 0 {
+		if r := history.record(now, l.window); r.Attempts > 0 {
 			out[i].Observed++
 			out[i].Attempts += r.Attempts
 			out[i].Failures += r.Failures
@@ -297,13 +306,12 @@
 	return out
 }
 
-// UnhealthyFraction returns the fraction of the hosts with attempts in the window that are
-// unhealthy, and the number of those hosts. An observer to which most hosts look unhealthy is more
-// likely to be at fault itself.
+// UnhealthyFraction returns the unhealthy fraction of the hosts with attempts in the window, and the
+// number of those hosts. An observer to which most hosts look unhealthy is more likely to be at fault itself.
 func (l *Log) UnhealthyFraction(now time.Duration) (fraction float64, observed int) {
 	unhealthy := 0
-	for _, t := range l.hosts {
-		r := t.record(now, l.window)
+	for _, history := range l.hosts {
+		r := history.record(now, l.window)
 		if r.Attempts == 0 {
 			continue
 		}
@@ -318,11 +326,13 @@
 	return float64(unhealthy) / float64(observed), observed
 }
 
-// Unhealthy reports whether the last attempt at the host failed, no longer than maxAge ago. One
-// failure is weak evidence for one agent, as connections break at any host, but a majority of agents
-// does not see one at the same time by chance, and waiting for a second failure at each would cost
-// as many requests again. A short pause of a host looks slow to many agents at once, though, so
-// slowness counts only once it has lasted for minSlowDuration; waiting for that costs no request.
+// Unhealthy reports whether the last attempt at the host failed, no longer than maxAge ago.
+//
+// One failure suffices. To a single agent it is weak evidence, as connections break at any host, but a
+// majority of agents does not see one at the same time by chance, and waiting for a second failure at each
+// agent would double the number of failed requests. Slowness counts only once it has lasted for
+// minSlowDuration, because a short pause of a host looks slow to many agents at once. Waiting for that
+// costs no request, as slow answers are successful.
 func (r Record) Unhealthy(now, maxAge time.Duration) bool {
 	sustained := r.LastFailure != Slow || r.LastFailureAt-r.FirstFailureSent >= minSlowDuration
 	return r.Failures > 0 && sustained && r.LastFailureAt > r.LastSuccessSent && now-r.LastFailureAt <= maxAge
@@ -334,10 +344,10 @@
 }
 
 // Suspects returns the unhealthy hosts, ordered by ID.
-func (l *Log) Suspects(now, age time.Duration) (out []Host) {
-	for _, t := range l.hosts {
-		if t.record(now, l.window).Unhealthy(now, age) {
-			out = append(out, t.host)
+func (l *Log) Suspects(now, maxAge time.Duration) (out []Host) {
+	for _, history := range l.hosts {
+		if history.record(now, l.window).Unhealthy(now, maxAge) {
+			out = append(out, history.host)
 		}
 	}
 	slices.SortFunc(out, func(a, b Host) int {
--- a/internal/agent/outlier/outlier_test.go
+++ b/internal/agent/outlier/outlier_test.go
@@ -17,73 +17,77 @@
 }
 
 func TestRecordVerdicts(t *testing.T) {
-	type at struct {
-		kind Outcome
-		sec  float64
+	type attempt struct {
+		outcome Outcome
+		sec     float64
 	}
 	for _, c := range []struct {
-		name    string
-		seen    []at
-		now     float64
-		against bool
-		healthy bool
+		name      string
+		attempts  []attempt
+		now       float64
+		unhealthy bool
+		healthy   bool
 	}{
 		{"nothing", nil, 1, false, false},
-		{"one failure and nothing else", []at{{Failure, 1}}, 2, true, false},
-		{"one failure after several successes", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
-		{"two failures in a row after several successes", []at{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}, {NoAnswer, 5}}, 6, true, false},
-		{"a success after failures", []at{{Failure, 1}, {Failure, 2}, {Success, 3}}, 4, false, true},
-		{"overload", []at{{Overloaded, 1}, {Overloaded, 2}}, 3, false, false},
-		{"failures outside the window", []at{{Failure, 1}, {Failure, 2}}, 13, false, false},
-		{"a success outside the window", []at{{Success, 1}}, 12, false, false},
-		{"alternating outcomes", []at{{Success, 1}, {Failure, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
+		{"one failure and nothing else", []attempt{{Failure, 1}}, 2, true, false},
+		{"one failure after several successes", []attempt{{Success, 1}, {Success, 2}, {Success, 3}, {Failure, 4}}, 5,
+			true, false},
+		{"two failures in a row after several successes", []attempt{{Success, 1}, {Success, 2}, {Success, 3},
+			{Failure, 4}, {NoAnswer, 5}}, 6, true, false},
+		{"a success after failures", []attempt{{Failure, 1}, {Failure, 2}, {Success, 3}}, 4, false, true},
+		{"overload", []attempt{{Overloaded, 1}, {Overloaded, 2}}, 3, false, false},
+		{"failures outside the window", []attempt{{Failure, 1}, {Failure, 2}}, 13, false, false},
+		{"a success outside the window", []attempt{{Success, 1}}, 12, false, false},
+		{"alternating outcomes", []attempt{{Success, 1}, {Failure, 2}, {Success, 3}, {Failure, 4}}, 5, true, false},
 	} {
 		l := newLog()
-		for _, s := range c.seen {
-			end := time.Duration(s.sec * float64(time.Second))
-			l.Observe(Observation{Host: hostOne, Outcome: s.kind, LatencyRatio: 1, Sent: end - time.Millisecond, Ended: end})
+		for _, a := range c.attempts {
+			end := time.Duration(a.sec * float64(time.Second))
+			l.Observe(Observation{Host: hostOne, Outcome: a.outcome, LatencyRatio: 1, Sent: end - time.Millisecond,
+				Ended: end})
 		}
 		now := time.Duration(c.now * float64(time.Second))
 		r, _ := l.Record(hostOne, now)
-		if r.Unhealthy(now, window) != c.against || r.Healthy(now, window) != c.healthy {
+		if r.Unhealthy(now, window) != c.unhealthy || r.Healthy(now, window) != c.healthy {
 			t.Errorf("%s: unhealthy %v, healthy %v: %+v", c.name, r.Unhealthy(now, window), r.Healthy(now, window), r)
 		}
-		if got := len(l.Suspects(now, window)); (got > 0) != c.against {
+		if got := len(l.Suspects(now, window)); (got > 0) != c.unhealthy {
 			t.Errorf("%s: %d suspects", c.name, got)
 		}
 	}
 }
 
-// A short pause of a host makes all its answers of that time slow and is ignored; slowness that lasts is not.
+// Slow answers do not count against a host during a short pause, but they do once the slowness lasts.
 func TestShortSlownessIsIgnored(t *testing.T) {
 	l := newLog()
-	at := func(ms int, ofAim float64) {
+	observe := func(ms int, latencyRatio float64) {
 		end := time.Duration(ms) * time.Millisecond
-		l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: ofAim, Sent: end - 10*time.Millisecond, Ended: end})
+		l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: latencyRatio,
+			Sent: end - 10*time.Millisecond, Ended: end})
 	}
 	for i := range 20 {
-		at(i, 0.1)
+		observe(i, 0.1)
 	}
 	for _, c := range []struct {
-		ms      int
-		ofAim   float64
-		against bool
+		ms           int
+		latencyRatio float64
+		unhealthy    bool
 	}{{1000, 0.8, false}, {1100, 0.9, false}, {1900, 0.8, false}, {2100, 0.8, true}, {2200, 0.1, false}, {2300, 0.8, false}} {
-		at(c.ms, c.ofAim)
+		observe(c.ms, c.latencyRatio)
 		now := time.Duration(c.ms) * time.Millisecond
-		if r, _ := l.Record(hostOne, now); r.Unhealthy(now, window) != c.against {
-			t.Errorf("at %d ms: against %v: %+v", c.ms, !c.against, r)
+		if r, _ := l.Record(hostOne, now); r.Unhealthy(now, window) != c.unhealthy {
+			t.Errorf("at %d ms: unhealthy %v: %+v", c.ms, !c.unhealthy, r)
 		}
 	}
 }
 
-// A success of an attempt that was sent before a failure does not show that the host recovered.
+// The success of an attempt that was sent before a failure does not show that the host recovered.
 func TestLateSuccessDoesNotClearAFailure(t *testing.T) {
 	l := newLog()
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2 * time.Second, Ended: 2 * time.Second})
 	l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: 0.1, Sent: time.Second, Ended: 3 * time.Second})
 	if r, _ := l.Record(hostOne, 4*time.Second); r.Healthy(4*time.Second, window) {
-		t.Errorf("%+v speaks for the host", r)
+		t.Errorf("the host counts as healthy: %+v", r)
 	}
 }
 
@@ -91,38 +95,39 @@
 func TestIncarnationsHaveSeparateHistories(t *testing.T) {
 	l := newLog()
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 1, Ended: 1})
-	again := Host{ID: "s-1", Incarnation: 9}
-	l.SetHosts([]ListedHost{{again, "a", 1}})
-	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2, Ended: 2}) // of the old process, late
-	if r, ok := l.Record(again, 3); !ok || r.Attempts != 0 {
-		t.Errorf("%+v, %v", r, ok)
+	restarted := Host{ID: "s-1", Incarnation: 9}
+	l.SetHosts([]ListedHost{{restarted, "a", 1}})
+	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2, Ended: 2}) // a late result of the old process
+	if r, ok := l.Record(restarted, 3); !ok || r.Attempts != 0 {
+		t.Errorf("record of the new process: %+v, %v", r, ok)
 	}
 	for _, h := range []Host{hostOne, hostTwo} {
 		if _, ok := l.Record(h, 3); ok {
-			t.Errorf("%v is still known", h)
+			t.Errorf("%v still has a record", h)
 		}
 	}
 }
 
-// An answer is slow if it takes several times the usual latency and a large part of its target. A
-// time-out of a client with hardly any time left counts neither way.
+// An answer is slow if it takes several times the usual latency and a large fraction of its target. A
+// time-out of a client with hardly any time left counts neither for nor against the host.
 func TestClassificationOfSlowAndUnanswered(t *testing.T) {
 	l := newLog()
 	for i := range 50 {
 		l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.2, Sent: time.Duration(i), Ended: time.Duration(i)})
 	}
 	for _, c := range []struct {
-		kind  Outcome
-		ofAim float64
-		want  Outcome
+		outcome      Outcome
+		latencyRatio float64
+		want         Outcome
 	}{{Success, 0.3, Success}, {Success, 0.55, Success}, {Success, 0.7, Slow}, {NoAnswer, 0.1, Overloaded}, {NoAnswer, 0.9, NoAnswer}, {NoAnswer, 1, NoAnswer}} {
-		if got := l.Observe(Observation{Host: hostOne, Outcome: c.kind, LatencyRatio: c.ofAim, Sent: 100, Ended: 100}); got != c.want {
-			t.Errorf("%v after %.2f of the aim is %v, want %v", c.kind, c.ofAim, got, c.want)
+		if got := l.Observe(Observation{Host: hostOne, Outcome: c.outcome, LatencyRatio: c.latencyRatio, Sent: 100,
+			Ended: 100}); got != c.want {
+			t.Errorf("%v after %.2f of the latency target is %v, want %v", c.outcome, c.latencyRatio, got, c.want)
 		}
 	}
-	fresh := newLog()
-	if got := fresh.Observe(Observation{Host: hostOne, Outcome: NoAnswer, LatencyRatio: 0.9}); got != Overloaded {
-		t.Errorf("before anything is usual a time-out under the aim is %v", got)
+	empty := newLog()
+	if got := empty.Observe(Observation{Host: hostOne, Outcome: NoAnswer, LatencyRatio: 0.9}); got != Overloaded {
+		t.Errorf("without a usual latency, a time-out before the latency target is %v", got)
 	}
 }
 
@@ -131,11 +136,12 @@
 	l := newLog()
 	slow := 0
 	for i := range 600 {
-		ofAim := 0.2
+		latencyRatio := 0.2
 		if i >= 50 {
-			ofAim = 0.9
+			latencyRatio = 0.9
 		}
-		if l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: ofAim, Sent: time.Duration(i), Ended: time.Duration(i)}) == Slow {
+		if l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: latencyRatio, Sent: time.Duration(i),
+			Ended: time.Duration(i)}) == Slow {
 			slow++
 		}
 	}
@@ -146,13 +152,13 @@
 
 func TestWeightsAndUnhealthyFraction(t *testing.T) {
 	l := newLog()
-	if part, zone := l.Weight(hostTwo); part != 0.75 || zone != "a" {
-		t.Errorf("%v of %s", part, zone)
+	if fraction, zone := l.Weight(hostTwo); fraction != 0.75 || zone != "a" {
+		t.Errorf("weight %v of zone %s", fraction, zone)
 	}
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 1, Ended: 1})
 	l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.1, Sent: 1, Ended: 1})
-	if part, met := l.UnhealthyFraction(2); part != 0.5 || met != 2 {
-		t.Errorf("%v of %d met", part, met)
+	if fraction, observed := l.UnhealthyFraction(2); fraction != 0.5 || observed != 2 {
+		t.Errorf("fraction %v of %d observed hosts", fraction, observed)
 	}
 }
 
@@ -166,8 +172,9 @@
 	l.SetHosts(hosts)
 	l.Observe(Observation{Host: hosts[0].Host, Outcome: Failure, Sent: time.Second, Ended: time.Second})
 	l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Sent: time.Second, Ended: time.Second})
-	for i, x := range []float64{0.25, 0.75, -1} { // the last tells nothing
-		l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Probe: true, Utilization: x, Sent: time.Second, Ended: time.Second + time.Duration(i)})
+	for i, utilization := range []float64{0.25, 0.75, -1} { // the last reports none
+		l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Probe: true, Utilization: utilization,
+			Sent: time.Second, Ended: time.Second + time.Duration(i)})
 	}
 	want := []Zone{{Name: "a", Weight: 2}, {Name: "b", Weight: 8, Observed: 2, Unhealthy: 1, WithFailures: 1, Attempts: 2, Failures: 1, Utilization: 0.5, UtilizationSamples: 2}}
 	if got := l.Zones(2 * time.Second); !slices.Equal(got, want) {
