--- a/internal/agent/ejection/config.go
+++ b/internal/agent/ejection/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Electorate is the set of agents of a site that vote. Votes of different electorates are not
+// Electorate is the set of agents of a site that vote. Votes of different electorates are never
 // counted together.
 type Electorate struct {
 	Number  uint64
@@ -24,24 +24,24 @@
 // Config configures a Voter.
 type Config struct {
 	Self        string
-	Incarnation uint64 // identifies this run of the process; no other run may have the same
+	Incarnation uint64 // identifies this run of the process; unique among all runs
 	Electorate  Electorate
 	// MaxEjectedFraction is the fraction of a zone's weight that may be ejected at once, at most 0.5.
-	// The documentation calls it the cap.
+	// It is also called the cap.
 	MaxEjectedFraction float64
 	// Lease is how long the first ejection of a host lasts. Each further one within EscalationWindow
 	// lasts twice as long as the one before, up to MaxLease.
 	Lease, MaxLease, EscalationWindow time.Duration
-	// MaxEvidenceAge is the age up to which evidence counts for a vote.
+	// MaxEvidenceAge is the maximum age of the evidence for a vote.
 	MaxEvidenceAge time.Duration
 	// SlowStartStep is the duration of each step of the slow start of a returning host.
 	SlowStartStep time.Duration
 	// TrialInterval is the time between two trial requests to an ejected host.
 	TrialInterval time.Duration
-	// EarlierPromisesFor is how long after the start promises of earlier runs may still stand;
-	// negative if that is unknown.
+	// EarlierPromisesFor is how long after its start the voter abstains because promises of earlier runs
+	// may still stand. A negative value means that this is unknown: the voter abstains for MaxPromise.
 	EarlierPromisesFor time.Duration
-	// PersistsPromises tells that the caller stores the time until which promises may stand; see
+	// PersistsPromises is true if the caller stores the time until which promises may stand; see
 	// PromisesPersisted.
 	PersistsPromises bool
 }
--- a/internal/agent/ejection/ejection.go
+++ b/internal/agent/ejection/ejection.go
@@ -6,20 +6,20 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// ejection is the state of a host that is ejected, or that is in its slow start after it was.
+// ejection is the state of a host that is ejected or in the slow start after its ejection.
 type ejection struct {
-	ejected         bool
+	ejected         bool          // false during the slow start
 	since           time.Duration // start of the ejection or of the slow start
-	until           time.Duration
+	expiresAt       time.Duration // when the ejection expires
 	lease           time.Duration // length of the last lease
 	trialRound      int64         // number of the current round of trials
 	trialRoundBegan time.Duration // when that round began
 }
 
-// updateEjection counts the live grants for a host and ejects it, keeps it ejected or lets it return.
+// updateEjection counts the live grants for a host and ejects it, extends its ejection or ends it.
 func (v *Voter) updateEjection(host outlier.Host) {
-	names, until := v.liveGrants(host)
-	ejected := len(names) >= v.config.Electorate.Quorum()
+	granters, expiresAt := v.liveGrants(host)
+	ejected := len(granters) >= v.config.Electorate.Quorum()
 	state := v.ejections[host]
 	if state == nil {
 		if !ejected {
@@ -28,29 +28,32 @@
 		state = &ejection{}
 		v.ejections[host] = state
 	}
-	if ejected && state.ejected && until > state.until {
-		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "hold", Host: host, Electorate: v.config.Electorate.Number, Granters: names, Until: until})
+	if ejected && state.ejected && expiresAt > state.expiresAt {
+		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "hold", Host: host,
+			Electorate: v.config.Electorate.Number, Granters: granters, Until: expiresAt})
 	}
-	if ejected && until > state.until {
-		state.lease = until - v.now
+	if ejected && expiresAt > state.expiresAt {
+		state.lease = expiresAt - v.now
 	}
-	state.until = until
+	state.expiresAt = expiresAt
 	switch {
 	case ejected && !state.ejected:
 		state.ejected, state.since, state.trialRoundBegan = true, v.now, v.now
-		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "eject", Host: host, Electorate: v.config.Electorate.Number, Granters: names, Until: until})
+		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "eject", Host: host,
+			Electorate: v.config.Electorate.Number, Granters: granters, Until: expiresAt})
 	case !ejected && state.ejected:
 		state.ejected, state.since = false, v.now
-		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "return", Host: host, Electorate: v.config.Electorate.Number, Granters: names})
+		v.actions.Trace = append(v.actions.Trace, TraceEvent{At: v.now, Kind: "return", Host: host,
+			Electorate: v.config.Electorate.Number, Granters: granters})
 	case !ejected && v.now-state.since < v.slowStartDuration():
-		// The slow start does not advance while the last attempt of this member failed.
+		// The slow start starts over while this member suspects the host.
 		if m := v.own[host]; m != nil && m.vote == Suspect {
 			state.since = v.now
 		}
 	}
 }
 
-// expire drops votes and ejections that no longer matter to any member.
+// expire deletes votes and ejections that no longer affect any member.
 func (v *Voter) expire() {
 	for host, own := range v.own {
 		_, listed := v.evidence.Incarnation(host.ID)
@@ -69,23 +72,24 @@
 	}
 	for _, p := range v.peers {
 		for host, vote := range p.votes {
-			if vote.until <= v.now {
+			if vote.expiresAt <= v.now {
 				delete(p.votes, host)
 			}
 		}
 	}
 }
 
-// slowStartDuration is the time until a returned host has its full share again.
+// slowStartDuration returns how long after its return a host gets its full share again.
 func (v *Voter) slowStartDuration() time.Duration {
 	return time.Duration(len(slowStartShares)-1) * v.config.SlowStartStep
 }
 
-// currentStandings returns what the agent has to do with each host that is not treated as usual.
+// currentStandings returns the standing of each host that is not treated as usual.
 func (v *Voter) currentStandings() (out []Standing) {
 	for _, host := range v.knownHosts() {
 		if state := v.ejections[host]; state != nil && state.ejected {
-			out = append(out, v.withRequestedAttempt(Standing{Host: host, Until: state.until}, v.trialDue(host, state)))
+			out = append(out, v.withRequestedAttempt(Standing{Host: host, Until: state.expiresAt}, v.trialDue(host,
+				state)))
 			continue
 		} else if state != nil && v.now-state.since < v.slowStartDuration() {
 			out = append(out, Standing{Host: host, Share: slowStartShares[(v.now-state.since)/v.config.SlowStartStep], Until: state.since + v.slowStartDuration()})
--- a/internal/agent/ejection/grant.go
+++ b/internal/agent/ejection/grant.go
@@ -8,41 +8,43 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// liveGrants returns the members whose grants for a host have not expired, and the time at which so
-// many will have expired that no majority is left.
-func (v *Voter) liveGrants(host outlier.Host) (names []string, until time.Duration) {
+// liveGrants returns the members whose grants for a host have not expired, and the time at which they
+// are no longer a majority because grants expired; 0 if they are no majority now.
+func (v *Voter) liveGrants(host outlier.Host) (granters []string, majorityExpiry time.Duration) {
 	var expiries []time.Duration
 	for _, name := range v.config.Electorate.Members {
 		expiry, live := time.Duration(0), false
 		if p := v.peers[name]; p != nil {
 			vote, ok := p.votes[host]
-			expiry, live = vote.until, ok && vote.vote == Grant
+			expiry, live = vote.expiresAt, ok && vote.vote == Grant
 		} else if m := v.own[host]; m != nil {
-			expiry, live = m.until, m.vote == Grant
+			expiry, live = m.grantExpiry, m.vote == Grant
 		}
 		if live && expiry > v.now {
-			names, expiries = append(names, name), append(expiries, expiry)
+			granters, expiries = append(granters, name), append(expiries, expiry)
 		}
 	}
 	if quorum := v.config.Electorate.Quorum(); len(expiries) >= quorum {
 		slices.Sort(expiries)
-		until = expiries[len(expiries)-quorum]
+		majorityExpiry = expiries[len(expiries)-quorum]
 	}
-	return names, until
+	return granters, majorityExpiry
 }
 
-// grantCandidates returns the hosts that this member may grant or renew now, those with most votes
-// first: voters that are close to the cap then spend it on the same hosts.
+// grantCandidates returns the hosts for which this member may make or renew a grant now. Those with the
+// most votes come first, so that voters that are close to the cap grant the same hosts.
 func (v *Voter) grantCandidates() []outlier.Host {
 	var out []outlier.Host
 	votesFor := map[outlier.Host]int{}
 	for h, own := range v.own {
-		// A renewal needs own evidence that is not too old, and evidence of any voter that is newer
-		// than the grant. So one failed trial keeps a host ejected, where otherwise each member
+		// A renewal needs evidence of this member that is not too old, and evidence of any voter that
+		// is newer than the grant. So one failed trial keeps a host ejected; otherwise each member
 		// would need one.
 		record := own.record
 		unhealthy := record.LastFailureAt > record.LastSuccessSent && v.now-record.LastFailureAt <= renewalAgeFactor*v.config.MaxLease
-		renewalDue := own.vote == Grant && own.until > v.now && own.until-v.now < (own.until-own.grantedAt)/2 && unhealthy && v.newestEvidence(h) > own.grantedAt
+		renewalDue := own.vote == Grant && own.grantExpiry > v.now &&
+			own.grantExpiry-v.now < (own.grantExpiry-own.grantedAt)/2 && unhealthy &&
+			v.newestEvidence(h) > own.grantedAt
 		if own.vote != Suspect && !renewalDue {
 			continue
 		}
@@ -52,19 +54,21 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b outlier.Host) int {
-		return cmp.Or(cmp.Compare(votesFor[b], votesFor[a]), cmp.Compare(hash(a, 0, ""), hash(b, 0, "")), compare(a, b))
+		return cmp.Or(cmp.Compare(votesFor[b], votesFor[a]), cmp.Compare(hash(a, 0, ""), hash(b, 0, "")),
+			compareHosts(a, b))
 	})
 	return out
 }
 
-// newestEvidence returns when the newest failure of any voter at a host was seen.
+// newestEvidence returns the time of the newest failure that any voter reports of a host; negative if
+// there is none.
 func (v *Voter) newestEvidence(h outlier.Host) time.Duration {
 	at := time.Duration(-1)
 	if m := v.own[h]; m != nil {
 		at = m.record.LastFailureSent
 	}
 	for _, p := range v.peers {
-		if vote, ok := p.votes[h]; ok && vote.vote >= Suspect && vote.until > v.now {
+		if vote, ok := p.votes[h]; ok && vote.vote >= Suspect && vote.expiresAt > v.now {
 			at = max(at, vote.evidenceAt)
 		}
 	}
@@ -76,7 +80,7 @@
 	return min(v.config.Lease<<min(m.grants, 16), v.config.MaxLease)
 }
 
-// grantWithinCap grants or renews the ejection of a host if the cap and the persisted promises allow.
+// grantWithinCap makes or renews the grant for a host if the cap and the persisted promises allow it.
 func (v *Voter) grantWithinCap(host outlier.Host) {
 	own := v.own[host]
 	weight, zone := v.evidence.Weight(host)
@@ -95,7 +99,8 @@
 		return
 	}
 	if v.config.PersistsPromises && v.now+v.config.MaxPromise() > v.persistedUntil {
-		v.actions.PersistPromisesUntil = v.now + 2*v.config.MaxPromise() // twice the need, so that the next grants need not wait
+		// Twice what is needed, so that the next grants do not wait.
+		v.actions.PersistPromisesUntil = v.now + 2*v.config.MaxPromise()
 		if v.now+time.Duration(float64(v.nextLease(own))*(1+2*clockDrift)) > v.persistedUntil {
 			return
 		}
@@ -106,8 +111,8 @@
 	}
 	own.grants++
 	own.vote, own.reason = Grant, reasonFor(own.record.LastFailure)
-	own.grantedAt, own.until = v.now, v.now+lease
-	// Listed weights change; a promise counts with the largest weight that it had.
+	own.grantedAt, own.grantExpiry = v.now, v.now+lease
+	// The listed weight may change: a promise counts with the largest weight that it had.
 	if own.promisedUntil <= v.now || own.zone != zone {
 		own.weight = 0
 	}
--- a/internal/agent/ejection/message.go
+++ b/internal/agent/ejection/message.go
@@ -12,16 +12,17 @@
 // Vote is the position of a voter on the ejection of a host.
 type Vote uint8
 
-// The votes. Suspect and Grant are for the ejection, Deny is against it; an abstention has a Reason.
+// The votes. Suspect and Grant are for the ejection, Deny is against it. The Reason of an Abstain vote is
+// why the voter abstains.
 const (
 	Abstain Vote = iota
-	Deny         // the last attempt at the host succeeded
-	Suspect      // the last attempt at it failed; nothing is promised
-	Grant        // as Suspect, with a promise that counts against the cap until it expires
+	Deny         // the voter's last attempt at the host succeeded
+	Suspect      // its last attempt failed; nothing is promised
+	Grant        // like Suspect, with a promise that counts against the cap until it expires
 )
 
 // String returns the name used in logs and traces.
-func (a Vote) String() string { return [...]string{"abstain", "deny", "suspect", "grant"}[a] }
+func (v Vote) String() string { return [...]string{"abstain", "deny", "suspect", "grant"}[v] }
 
 // Reason explains a vote.
 type Reason uint8
@@ -40,35 +41,36 @@
 )
 
 // String returns the name used in logs and traces.
-func (w Reason) String() string {
-	return [...]string{"failures", "silence", "slowness", "success", "no_evidence", "over_cap", "panic", "quarantine", "not_in_roll"}[w]
+func (r Reason) String() string {
+	return [...]string{"failures", "silence", "slowness", "success", "no_evidence", "over_cap", "panic",
+		"quarantine", "not_in_roll"}[r]
 }
 
-// Entry is a voter's vote on one host. It is valid for ValidFor from when the message was sent.
+// Entry is a voter's vote on one host.
 type Entry struct {
 	Host               outlier.Host
 	Vote               Vote
 	Reason             Reason
 	Attempts, Failures int
 	EvidenceAge        time.Duration // age of the newest evidence against the host
-	ValidFor           time.Duration
+	ValidFor           time.Duration // how long the vote is valid from when the message was sent
 }
 
 const (
-	// Version is the version of the protocol. Messages of another one are rejected.
+	// Version is the version of the protocol. Messages of other versions are rejected.
 	Version = 1
-	// maxEntries bounds a message, and with it the hosts that a voter votes on at once.
+	// maxEntries bounds the entries of a message, and thus the hosts that a voter can vote on at once.
 	maxEntries = 24
-	// maxName bounds the names of members and hosts.
+	// maxName bounds the names of members and hosts, in bytes.
 	maxName = 128
 )
 
-// VoteMessage carries all votes of one voter to one other. Each message holds the complete state, so
-// that the newest one replaces all earlier ones and any may be lost, repeated or delayed.
+// VoteMessage carries all votes of one voter to one other. Each message holds the complete state: the
+// newest one replaces all earlier ones, so any message may be lost, repeated or delayed.
 //
-// Sent is a time on the sender's clock. Echo is the newest Sent that the sender had received from the
-// addressee, of the run EchoIncarnation, and EchoAge is how long before it had received that. So the
-// addressee knows, by its own clock alone, a time before which the message was not sent: Echo + EchoAge.
+// Sent is the send time on the sender's clock. Echo is the newest Sent that the sender has received from
+// the run EchoIncarnation of the recipient, and EchoAge is the time since it received that. So the recipient
+// knows, from its own clock alone, that the message was not sent before Echo + EchoAge.
 //
 // It is encoded as an array, so the order of the fields is part of the protocol.
 type VoteMessage struct {
@@ -83,45 +85,48 @@
 	Entries         []Entry
 }
 
-// Validate returns an error that names the first invalid field of a message of another process.
+// Validate returns an error that names the first invalid field of a message from another process.
 func (message *VoteMessage) Validate() error {
 	switch {
 	case message.Version != Version:
-		return fmt.Errorf("vote message: version: %d, this one is %d", message.Version, Version)
+		return fmt.Errorf("vote message: version: %d, want %d", message.Version, Version)
 	case message.From == "" || len(message.From) > maxName:
-		return fmt.Errorf("vote message: from: a name of %d bytes", len(message.From))
+		return fmt.Errorf("vote message: from: invalid name length %d", len(message.From))
 	case len(message.Entries) > maxEntries:
 		return fmt.Errorf("vote message: entries: %d, at most %d are allowed", len(message.Entries), maxEntries)
 	case message.Sent < 0 || message.Echo < 0 || message.EchoAge < 0:
-		return fmt.Errorf("vote message: sent, echo and kept must not be negative, are %v, %v and %v", message.Sent, message.Echo, message.EchoAge)
+		return fmt.Errorf("vote message: sent, echo and echo age must not be negative, are %v, %v and %v",
+			message.Sent, message.Echo, message.EchoAge)
 	}
 	for i, e := range message.Entries {
 		switch {
 		case e.Host.ID == "" || len(e.Host.ID) > maxName:
-			return fmt.Errorf("vote message: entries[%d].host: a name of %d bytes", i, len(e.Host.ID))
+			return fmt.Errorf("vote message: entries[%d].host: invalid name length %d", i, len(e.Host.ID))
 		case e.Vote > Grant || e.Reason > ReasonNotInElectorate:
-			return fmt.Errorf("vote message: entries[%d]: unknown answer %d or reason %d", i, e.Vote, e.Reason)
+			return fmt.Errorf("vote message: entries[%d]: unknown vote %d or reason %d", i, e.Vote, e.Reason)
 		case e.Attempts < 0 || e.Failures < 0 || e.Failures > e.Attempts:
-			return fmt.Errorf("vote message: entries[%d].bad: %d of %d attempts", i, e.Failures, e.Attempts)
+			return fmt.Errorf("vote message: entries[%d].failures: %d of %d attempts", i, e.Failures, e.Attempts)
 		case e.ValidFor < 0 || e.ValidFor > maxLease || e.EvidenceAge < 0 || e.EvidenceAge > maxLease:
-			return fmt.Errorf("vote message: entries[%d].left and seen: must be 0 to %v, are %v and %v", i, maxLease, e.ValidFor, e.EvidenceAge)
+			return fmt.Errorf("vote message: entries[%d].valid-for and evidence age: must be 0 to %v, are %v and %v",
+				i, maxLease, e.ValidFor, e.EvidenceAge)
 		case slices.ContainsFunc(message.Entries[:i], func(o Entry) bool { return o.Host == e.Host }):
-			return fmt.Errorf("vote message: entries[%d].host: %s is named twice", i, e.Host.ID)
+			return fmt.Errorf("vote message: entries[%d].host: %s is listed twice", i, e.Host.ID)
 		}
 	}
 	return nil
 }
 
-// announcedVote is a vote as it is sent, without the fields that change with the clock.
+// announcedVote holds what is sent of a vote, except for the fields that change with time. A change of
+// any of them is sent at once.
 type announcedVote struct {
-	host   outlier.Host
-	vote   Vote
-	reason Reason
-	until  time.Duration
+	host        outlier.Host
+	vote        Vote
+	reason      Reason
+	grantExpiry time.Duration // 0 if vote is not Grant
 }
 
-// announcedVotes returns the votes to send, the strongest first. Votes on hosts that no member wants
-// ejected are left out.
+// announcedVotes returns the votes to send: grants first, then votes of Suspect, Deny and Abstain. Votes on
+// hosts that no member votes to eject are omitted.
 func (v *Voter) announcedVotes() (out []announcedVote) {
 	for host, own := range v.own {
 		if in, _ := v.tally(host); in == 0 {
@@ -129,12 +134,12 @@
 		}
 		announced := announcedVote{host, own.vote, own.reason, 0}
 		if own.vote == Grant {
-			announced.until = own.until
+			announced.grantExpiry = own.grantExpiry
 		}
 		out = append(out, announced)
 	}
 	slices.SortFunc(out, func(a, b announcedVote) int {
-		return cmp.Or(cmp.Compare(b.vote, a.vote), compare(a.host, b.host))
+		return cmp.Or(cmp.Compare(b.vote, a.vote), compareHosts(a.host, b.host))
 	})
 	return out[:min(len(out), maxEntries)]
 }
@@ -147,7 +152,7 @@
 		entry := Entry{Host: announced.host, Vote: own.vote, Reason: own.reason, Attempts: own.record.Attempts, Failures: own.record.Failures, ValidFor: v.config.MaxEvidenceAge}
 		switch own.vote {
 		case Grant:
-			entry.ValidFor = max(own.until-v.now, 0)
+			entry.ValidFor = max(own.grantExpiry-v.now, 0)
 		case Suspect:
 			entry.ValidFor = max(v.config.MaxEvidenceAge-(v.now-own.record.LastFailureAt), 0)
 		case Deny:
@@ -169,7 +174,8 @@
 	}
 }
 
-// repeatState repeats the votes: to all members at repeatDelays after a change, else to one in turn.
+// repeatState sends the votes again: to all members at each of repeatDelays after a change, and otherwise
+// to one member at a time, in turn.
 func (v *Voter) repeatState() {
 	if v.repeats < len(repeatDelays) && v.now-v.changedAt >= repeatDelays[v.repeats] {
 		v.repeats++
@@ -178,7 +184,7 @@
 	}
 	members := len(v.config.Electorate.Members)
 	if interval := time.Second / time.Duration(min(heartbeatsPerSecond, members)); v.now-v.lastHeartbeat >= interval {
-		v.lastHeartbeat = v.now // not advanced by the interval: a pause must not be followed by a burst
+		v.lastHeartbeat = v.now // not advanced by the interval, which would cause a burst after a pause
 		v.queueMessages(v.config.Electorate.Members[v.nextHeartbeatPeer : v.nextHeartbeatPeer+1])
 		v.nextHeartbeatPeer = (v.nextHeartbeatPeer + 1) % members
 	}
--- a/internal/agent/ejection/own_vote.go
+++ b/internal/agent/ejection/own_vote.go
@@ -6,27 +6,27 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// ownVote is this member's vote on a host, with the promises and attempts that follow from it.
+// ownVote is this member's vote on a host, with the promise and the requested attempts that belong to it.
 type ownVote struct {
 	vote             Vote
 	reason           Reason
-	until            time.Duration // expiry of a grant, as other members count it
-	promisedUntil    time.Duration // until when the weight counts against the cap; 0: never
-	weight           float64       // fraction of the zone's weight when it was granted
+	grantExpiry      time.Duration // when the grant expires; other members may count it as expired earlier
+	promisedUntil    time.Duration // when weight stops counting against the cap; 0 if nothing was promised
+	weight           float64       // promised fraction of the zone's weight
 	zone             string
-	grantedAt        time.Duration // time of the last grant; older evidence does not count again
-	grants           int           // number of recent grants; each lasts longer than the one before
+	grantedAt        time.Duration // time of the last grant, -1 if there was none; older evidence does not count
+	grants           int           // number of recent grants; the next lease is longer the more there were
 	record           outlier.Record
-	owedSince        time.Duration // since when others vote without evidence of this member; 0: they do not
+	owedSince        time.Duration // when others began to vote while this member has no evidence; 0 if they do not
 	attemptRequested bool          // the owed attempt or health check has been requested
 	probeAnswered    bool          // the requested health check has been answered
 }
 
-// tally counts the members that vote for the ejection of a host and those that vote against it, by
-// the last vote of each.
+// tally counts the members whose last vote is for the ejection of a host and those whose last vote is
+// against it.
 func (v *Voter) tally(host outlier.Host) (inFavour, against int) {
-	add := func(a Vote) {
-		switch a {
+	add := func(vote Vote) {
+		switch vote {
 		case Suspect, Grant:
 			inFavour++
 		case Deny:
@@ -37,7 +37,7 @@
 		add(m.vote)
 	}
 	for _, p := range v.peers {
-		if vote, ok := p.votes[host]; ok && vote.until > v.now {
+		if vote, ok := p.votes[host]; ok && vote.expiresAt > v.now {
 			add(vote.vote)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 	own.record = record
 	before := own.vote
-	granted := own.vote == Grant && own.until > v.now
+	granted := own.vote == Grant && own.grantExpiry > v.now
 	switch {
 	case !v.isMember:
 		own.vote, own.reason = Abstain, ReasonNotInElectorate
@@ -72,7 +72,7 @@
 		own.vote, own.reason = Deny, ReasonSuccess
 	case granted: // the promise stands; grantWithinCap renews it
 	case record.Unhealthy(v.now, v.config.MaxEvidenceAge) && (own.grantedAt < 0 || record.LastFailureSent > own.grantedAt):
-		if own.vote != Suspect { // keeps ReasonEjectionCap, which still holds
+		if own.vote != Suspect { // an earlier Suspect keeps its reason, which may be ReasonEjectionCap
 			own.reason = reasonFor(record.LastFailure)
 		}
 		own.vote = Suspect
@@ -83,15 +83,17 @@
 		v.trace(own.vote.String(), host, own)
 	}
 	if record.LastProbeSent > record.LastFailureAt && own.attemptRequested && own.owedSince > 0 && record.LastProbeSent > own.owedSince && !own.probeAnswered {
-		own.attemptRequested, own.probeAnswered = false, true // a running process is no evidence of health: request one attempt
+		own.attemptRequested, own.probeAnswered = false,
+			true // a running process is not evidence of health: request one attempt
 	}
 	if record.Attempts > 0 && (record.Healthy(v.now, v.config.MaxEvidenceAge) || record.Unhealthy(v.now, v.config.MaxEvidenceAge)) {
 		own.owedSince, own.attemptRequested, own.probeAnswered = 0, false, false
 	}
 }
 
-func reasonFor(k outlier.Outcome) Reason {
-	switch k {
+// reasonFor returns the reason for a vote to eject a host whose last failure was of the given kind.
+func reasonFor(failure outlier.Outcome) Reason {
+	switch failure {
 	case outlier.NoAnswer:
 		return ReasonNoAnswer
 	case outlier.Slow:
--- a/internal/agent/ejection/sim_test.go
+++ b/internal/agent/ejection/sim_test.go
@@ -10,8 +10,8 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// sim simulates a site in virtual time: members with clocks of their own, messages that are delayed,
-// lost and duplicated, members that are paused or killed, hosts that become unhealthy. Members make
+// sim simulates a site in virtual time: members with clocks of different rates, messages that are delayed,
+// lost and duplicated, members that are paused or killed, and hosts that become unhealthy. Members make
 // attempts at random hosts as far as the standings allow.
 type sim struct {
 	t                 testing.TB
@@ -23,17 +23,17 @@
 	outcomes          map[outlier.Host]outlier.Outcome
 	inTransit         []messageInTransit
 	lossRate          float64
-	maxDelay          time.Duration // of a message
+	maxDelay          time.Duration // maximum delay of a message
 	partitioned       func(from, to string) bool
-	attemptsPerSecond float64 // of each member
-	falsify           func(m *member, l *VoteMessage)
-	trace             []TraceEvent // of all members, At in simulated time
-	tracedBy          []string
-	starts            uint64
-	sent              int
-	failed            int
-	probes            int
-	everEjected       map[outlier.Host]bool // by any member, ever
+	attemptsPerSecond float64 // by each member
+	falsify           func(m *member, message *VoteMessage)
+	trace             []TraceEvent          // of all members; At in simulated time, Until as time left
+	tracedBy          []string              // name of the member of each event of trace
+	starts            uint64                // number of member starts
+	sent              int                   // number of messages sent
+	failed            int                   // number of failed attempts
+	probes            int                   // number of health checks
+	everEjected       map[outlier.Host]bool // hosts that any member has ejected at any time
 }
 
 type member struct {
@@ -41,11 +41,11 @@
 	voter       *Voter
 	evidence    *outlier.Log
 	startedAt   time.Duration
-	clockRate   float64 // relative rate of its clock
+	clockRate   float64 // rate of its clock relative to simulated time
 	pausedUntil time.Duration
 	inbox       []*VoteMessage // messages received while it was paused
 	standings   map[outlier.Host]Standing
-	attemptsDue float64
+	attemptsDue float64 // attempts to make, accumulated from attemptsPerSecond
 }
 
 type messageInTransit struct {
@@ -75,18 +75,18 @@
 	return s
 }
 
-// start restarts a member without its earlier state.
+// start starts or restarts a member without earlier state.
 func (s *sim) start(m *member) {
 	s.starts++
 	cfg := s.config
 	cfg.Self, cfg.Incarnation = m.name, s.starts
 	m.evidence = outlier.New(cfg.MaxEvidenceAge)
 	m.evidence.SetHosts(s.hosts)
-	core, err := New(cfg, m.evidence)
+	voter, err := New(cfg, m.evidence)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	m.voter, m.startedAt, m.inbox, m.standings = core, s.now, nil, map[outlier.Host]Standing{}
+	m.voter, m.startedAt, m.inbox, m.standings = voter, s.now, nil, map[outlier.Host]Standing{}
 }
 
 // localTime returns the time on a member's own clock.
@@ -99,25 +99,25 @@
 	for end := s.now + d; s.now < end; {
 		s.now += tick
 		for i := 0; i < len(s.inTransit); {
-			x := s.inTransit[i]
-			if x.deliverAt > s.now {
+			next := s.inTransit[i]
+			if next.deliverAt > s.now {
 				i++
 				continue
 			}
 			s.inTransit = slices.Delete(s.inTransit, i, i+1)
-			m := s.memberByName(x.to)
+			m := s.memberByName(next.to)
 			if m.pausedUntil > s.now {
-				m.inbox = append(m.inbox, x.message)
+				m.inbox = append(m.inbox, next.message)
 				continue
 			}
-			_ = m.voter.Receive(s.localTime(m), x.message) // the tests of Receive check its errors
+			_ = m.voter.Receive(s.localTime(m), next.message) // tests of Receive check its errors
 		}
 		for _, m := range s.members {
 			if m.pausedUntil > s.now {
 				continue
 			}
-			for _, l := range m.inbox {
-				_ = m.voter.Receive(s.localTime(m), l)
+			for _, message := range m.inbox {
+				_ = m.voter.Receive(s.localTime(m), message)
 			}
 			m.inbox = nil
 			s.attemptAtRandom(m)
@@ -132,30 +132,31 @@
 }
 
 func (s *sim) applyActions(m *member, out *Actions) {
-	for to, l := range out.Messages {
+	for to, message := range out.Messages {
 		if s.falsify != nil {
-			c := *l
-			c.Entries = slices.Clone(l.Entries)
-			s.falsify(m, &c)
-			l = &c
+			falsified := *message
+			falsified.Entries = slices.Clone(message.Entries)
+			s.falsify(m, &falsified)
+			message = &falsified
 		}
 		if s.sent++; s.partitioned(m.name, to) || s.rng.Float64() < s.lossRate {
 			continue
 		}
-		n := 1
+		copies := 1
 		if s.rng.Float64() < s.lossRate/4 {
-			n = 2
+			copies = 2
 		}
-		for range n {
-			s.inTransit = append(s.inTransit, messageInTransit{s.now + time.Duration(s.rng.Float64()*float64(s.maxDelay)), to, l})
+		for range copies {
+			s.inTransit = append(s.inTransit,
+				messageInTransit{s.now + time.Duration(s.rng.Float64()*float64(s.maxDelay)), to, message})
 		}
 	}
-	for _, n := range out.Trace {
-		n.At, n.Until = s.now, max(n.Until-s.localTime(m), 0) // the rest of the lease
-		s.trace = append(s.trace, n)
+	for _, event := range out.Trace {
+		event.At, event.Until = s.now, max(event.Until-s.localTime(m), 0) // remaining lease
+		s.trace = append(s.trace, event)
 		s.tracedBy = append(s.tracedBy, m.name)
-		if n.Kind == "eject" {
-			s.everEjected[n.Host] = true
+		if event.Kind == "eject" {
+			s.everEjected[event.Host] = true
 		}
 	}
 	if out.StandingsChanged {
@@ -165,12 +166,13 @@
 			case st.Trial:
 				s.attempt(m, st.Host)
 			case st.Probe:
-				now, kind := s.localTime(m), outlier.Success
+				now, outcome := s.localTime(m), outlier.Success
 				if s.outcomes[st.Host] == outlier.NoAnswer {
-					kind = outlier.NoAnswer
+					outcome = outlier.NoAnswer
 				}
 				s.probes++
-				m.evidence.Observe(outlier.Observation{Host: st.Host, Outcome: kind, Sent: now - time.Millisecond, Ended: now, Probe: true})
+				m.evidence.Observe(outlier.Observation{Host: st.Host, Outcome: outcome, Sent: now - time.Millisecond,
+					Ended: now, Probe: true})
 			}
 		}
 	}
@@ -183,7 +185,7 @@
 		if named && s.localTime(m) < st.Until && s.rng.Float64() >= st.Share {
 			continue
 		}
-		// The agent's own demotion: after a failure it avoids the host for a while.
+		// Like the agent's own demotion: after a failure the member avoids the host for a while.
 		if r, ok := m.evidence.Record(h, s.localTime(m)); ok && r.LastFailureAt > r.LastSuccessSent && s.localTime(m)-r.LastFailureAt < 500*time.Millisecond {
 			continue
 		}
@@ -192,51 +194,53 @@
 }
 
 func (s *sim) attempt(m *member, h outlier.Host) {
-	kind := s.outcomes[h]
-	if kind != outlier.Success {
+	outcome := s.outcomes[h]
+	if outcome != outlier.Success {
 		s.failed++
 	}
-	now, ofAim := s.localTime(m), 0.1
-	if kind == outlier.NoAnswer {
-		ofAim = 1
+	now, latencyRatio := s.localTime(m), 0.1
+	if outcome == outlier.NoAnswer {
+		latencyRatio = 1
 	}
-	m.evidence.Observe(outlier.Observation{Host: h, Outcome: kind, LatencyRatio: ofAim, Sent: now - time.Millisecond, Ended: now})
+	m.evidence.Observe(outlier.Observation{Host: h, Outcome: outcome, LatencyRatio: latencyRatio,
+		Sent: now - time.Millisecond, Ended: now})
 }
 
-// requireCap checks that all hosts that any member holds ejected stay within the cap together.
+// requireCap checks that the hosts that running members hold ejected are together within the cap.
 func (s *sim) requireCap() {
-	union := map[string]float64{}
-	seen := map[outlier.Host]bool{}
+	ejectedWeight := map[string]float64{}
+	counted := map[outlier.Host]bool{}
 	for _, m := range s.members {
 		for h, st := range m.standings {
-			if st.Share > 0 || st.Until <= s.localTime(m) || seen[h] || m.pausedUntil > s.now {
+			if st.Share > 0 || st.Until <= s.localTime(m) || counted[h] || m.pausedUntil > s.now {
 				continue
 			}
-			seen[h] = true
-			for _, l := range s.hosts {
-				if l.Host == h {
-					union[l.Zone]++
+			counted[h] = true
+			for _, listed := range s.hosts {
+				if listed.Host == h {
+					ejectedWeight[listed.Zone]++
 				}
 			}
 		}
 	}
-	for zone, n := range union {
-		all := 0.0
-		for _, l := range s.hosts {
-			if l.Zone == zone {
-				all += l.Weight
+	for zone, weight := range ejectedWeight {
+		total := 0.0
+		for _, listed := range s.hosts {
+			if listed.Zone == zone {
+				total += listed.Weight
 			}
 		}
-		if n/all > s.config.MaxEjectedFraction+1e-9 {
-			s.t.Fatalf("at %v: %.0f of %.0f of zone %s are ejected, the cap is %v", s.now, n, all, zone, s.config.MaxEjectedFraction)
+		if weight/total > s.config.MaxEjectedFraction+1e-9 {
+			s.t.Fatalf("at %v: weight %.0f of %.0f in zone %s is ejected, the cap is %v", s.now, weight, total, zone,
+				s.config.MaxEjectedFraction)
 		}
 	}
 }
 
 // countEvents returns the number of traced events of a kind, of one host or of all.
 func (s *sim) countEvents(kind string, h *outlier.Host) (n int) {
-	for _, x := range s.trace {
-		if x.Kind == kind && (h == nil || x.Host == *h) {
+	for _, event := range s.trace {
+		if event.Kind == kind && (h == nil || event.Host == *h) {
 			n++
 		}
 	}
--- a/internal/agent/ejection/trial.go
+++ b/internal/agent/ejection/trial.go
@@ -9,9 +9,9 @@
 	"chalkdoor.example/chalkdoor/internal/agent/outlier"
 )
 
-// withRequestedAttempt requests an attempt at a host, or a health check if voters report that it does not
-// answer: no client's request is lost to find that out. Once it answers health checks an attempt is
-// requested.
+// withRequestedAttempt requests an attempt at the host in its standing if one is due. If the evidence is that
+// the host does not answer, it requests a health check instead, so that no client's request is lost, and an
+// attempt only once the host answers health checks.
 func (v *Voter) withRequestedAttempt(standing Standing, attemptDue bool) Standing {
 	if !attemptDue {
 		return standing
@@ -19,7 +19,7 @@
 	unanswered := false
 	for _, p := range v.peers {
 		vote, ok := p.votes[standing.Host]
-		unanswered = unanswered || ok && vote.vote >= Suspect && vote.reason == ReasonNoAnswer && vote.until > v.now
+		unanswered = unanswered || ok && vote.vote >= Suspect && vote.reason == ReasonNoAnswer && vote.expiresAt > v.now
 	}
 	own := v.own[standing.Host]
 	if own != nil && own.vote >= Suspect {
@@ -30,9 +30,10 @@
 	return standing
 }
 
-// trialDue reports whether this member is to make a trial attempt at an ejected host now. Each round
-// draws one member, trialRoundsPerLease rounds in a lease. Once a third of the members vote against the
-// ejection, a majority makes an attempt within two rounds; fewer votes may come from faulty voters.
+// trialDue reports whether this member should make a trial attempt at an ejected host now. There are
+// trialRoundsPerLease rounds per lease, and each selects one member. Once a third of the members vote
+// against the ejection, rounds are TrialInterval apart and each selects half of a quorum, so that a majority
+// can vote soon. A smaller number of such votes may come from faulty voters alone.
 func (v *Voter) trialDue(host outlier.Host, state *ejection) bool {
 	interval, voters := max(v.config.TrialInterval, state.lease/trialRoundsPerLease), 1
 	if _, against := v.tally(host); 3*against >= len(v.config.Electorate.Members) {
@@ -45,9 +46,9 @@
 	return v.rank(host, state.trialRound) < voters
 }
 
-// owesAttempt reports whether this member, which has no evidence of its own, is to make an attempt at a
-// host that others vote to eject. Members do so one after the other, until a majority has voted for the
-// ejection or enough have voted against it.
+// owesAttempt reports whether this member should make an attempt at a host that others vote to eject and
+// on which it has no evidence of its own. Members make such attempts one after the other, until a majority
+// has voted for the ejection or enough members have voted against it.
 func (v *Voter) owesAttempt(host outlier.Host) bool {
 	own := v.own[host]
 	if own == nil || own.attemptRequested || own.vote != Abstain || own.reason != ReasonNoEvidence {
@@ -80,6 +81,7 @@
 	return rank
 }
 
+// hash returns a hash that determines the order of members in a round of trials at a host.
 func hash(h outlier.Host, round int64, name string) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%d\x00%s", h.ID, h.Incarnation, round, name))
 }
--- a/internal/agent/ejection/voter_test.go
+++ b/internal/agent/ejection/voter_test.go
@@ -15,7 +15,7 @@
 	s := newSim(t, seed, members, hosts, 1)
 	s.run(s.config.MaxLease + time.Second)
 	if len(s.everEjected) > 0 {
-		t.Fatalf("ejected without a fault: %v", s.everEjected)
+		t.Fatalf("ejected although all hosts are healthy: %v", s.everEjected)
 	}
 	return s
 }
@@ -28,7 +28,7 @@
 			s.outcomes[h] = outlier.Failure
 			s.run(2 * time.Second)
 			if got := s.ejectedAt(h); got != n {
-				t.Fatalf("%d of %d hold it ejected, notes %v", got, n, s.trace)
+				t.Fatalf("%d of %d hold the host ejected, trace %v", got, n, s.trace)
 			}
 			if len(s.everEjected) != 1 {
 				t.Errorf("also ejected: %v", s.everEjected)
@@ -36,15 +36,15 @@
 			delete(s.outcomes, h)
 			s.run(s.config.MaxLease + 2*time.Second)
 			if got := s.ejectedAt(h); got != 0 {
-				t.Errorf("%d of %d still hold it ejected after it has recovered", got, n)
+				t.Errorf("%d of %d still hold the host ejected after it recovered", got, n)
 			}
-			// Each member has seen all steps of its slow start.
+			// The host has returned at each member, and its slow start has ended.
 			if got := s.countEvents("return", &h); got < n {
-				t.Errorf("%d returns at %d members", got, n)
+				t.Errorf("%d return events at %d members", got, n)
 			}
 			for _, m := range s.members {
 				if st, ok := m.standings[h]; ok && st.Share != 1 {
-					t.Errorf("%s gives it %v", m.name, st.Share)
+					t.Errorf("%s gives the host a share of %v", m.name, st.Share)
 				}
 			}
 		})
@@ -59,29 +59,30 @@
 		s.run(tick)
 	}
 	delete(s.outcomes, h)
-	var parts []float64
+	var shares []float64
 	for range 400 {
 		s.run(tick)
 		st, ok := s.members[0].standings[h]
-		part := 1.0
+		share := 1.0
 		if ok && !st.Trial || ok && st.Share < 1 {
-			part = st.Share
+			share = st.Share
 		}
-		if len(parts) == 0 || parts[len(parts)-1] != part {
-			parts = append(parts, part)
+		if len(shares) == 0 || shares[len(shares)-1] != share {
+			shares = append(shares, share)
 		}
 	}
-	for i, p := range parts[1:] { // upwards by one step at a time, downwards by any number
-		if at := slices.Index(slowStartShares[:], parts[i]); p > parts[i] && (at+1 >= len(slowStartShares) || p != slowStartShares[at+1]) {
-			t.Errorf("parts %v", parts)
+	for i, share := range shares[1:] { // up by one step at a time, down by any number of steps
+		if at := slices.Index(slowStartShares[:], shares[i]); share > shares[i] && (at+1 >= len(slowStartShares) ||
+			share != slowStartShares[at+1]) {
+			t.Errorf("shares %v: a step up was skipped", shares)
 		}
 	}
-	if parts[0] != 0 || parts[len(parts)-1] != 1 {
-		t.Errorf("parts %v, want from 0 to 1", parts)
+	if shares[0] != 0 || shares[len(shares)-1] != 1 {
+		t.Errorf("shares %v, want from 0 to 1", shares)
 	}
 }
 
-// Each further ejection of a host lasts longer than the one before, and attempts at it stay few.
+// Each further ejection of a host lasts longer than the one before, so that few attempts fail.
 func TestRepeatedEjectionsLastLonger(t *testing.T) {
 	s := newConvergedSim(t, 3, 3, 12)
 	h := s.hosts[0].Host
@@ -91,14 +92,14 @@
 		delete(s.outcomes, h)
 		s.run(5 * time.Second)
 	}
-	var lengths []time.Duration
-	for i, n := range s.trace {
-		if (n.Kind == "grant" || n.Kind == "renew") && s.tracedBy[i] == "n0" {
-			lengths = append(lengths, n.Until)
+	var leases []time.Duration
+	for i, event := range s.trace {
+		if (event.Kind == "grant" || event.Kind == "renew") && s.tracedBy[i] == "n0" {
+			leases = append(leases, event.Until)
 		}
 	}
-	if first, last := lengths[0], lengths[len(lengths)-1]; first != s.config.Lease || last != s.config.MaxLease {
-		t.Errorf("lengths of the grants: %v", lengths)
+	if first, last := leases[0], leases[len(leases)-1]; first != s.config.Lease || last != s.config.MaxLease {
+		t.Errorf("leases of the grants: %v", leases)
 	}
 	if s.failed > 60 {
 		t.Errorf("%d attempts failed", s.failed)
@@ -113,45 +114,46 @@
 	s.run(time.Second)
 	before := s.failed
 	s.run(10 * time.Second)
-	// Some in each lease, and those between the expiry of a lease and the next majority.
+	// Some trials fail in each lease, and some requests between the expiry of a lease and the next majority.
 	if got := s.failed - before; got < 4 || got > 20 {
 		t.Errorf("%d attempts failed in 10 s", got)
 	}
-	held := 0
+	heldTicks := 0
 	for range 200 {
 		s.run(tick)
 		if s.ejectedAt(h) == 5 {
-			held++
+			heldTicks++
 		}
 	}
-	if held < 120 {
-		t.Errorf("all held it ejected in %d of 200 ticks", held)
+	if heldTicks < 120 {
+		t.Errorf("all members held the host ejected in %d of 200 ticks", heldTicks)
 	}
 }
 
-// A host that does not answer gets health checks in place of trials, so no request is lost to it.
+// A host that does not answer gets health checks instead of trials, so that no request is lost.
 func TestUnansweringHostIsProbed(t *testing.T) {
 	s := newConvergedSim(t, 4, 5, 12)
 	h := s.hosts[0].Host
 	s.outcomes[h] = outlier.NoAnswer
 	s.run(2 * time.Second)
 	if s.ejectedAt(h) != 5 || s.failed > 8 {
-		t.Errorf("%d of 5 hold it ejected after %d lost requests", s.ejectedAt(h), s.failed)
+		t.Errorf("%d of 5 hold the host ejected after %d lost requests", s.ejectedAt(h), s.failed)
 	}
 	before := s.failed
 	s.run(10 * time.Second)
 	if s.failed > before || s.probes < 5 || s.ejectedAt(h) != 5 {
-		t.Errorf("%d requests lost to trials, %d probes, %d of 5 hold it ejected", s.failed-before, s.probes, s.ejectedAt(h))
+		t.Errorf("%d requests lost to trials, %d probes, %d of 5 hold the host ejected", s.failed-before, s.probes,
+			s.ejectedAt(h))
 	}
 	delete(s.outcomes, h)
 	s.run(s.config.MaxLease + 2*time.Second)
 	if s.ejectedAt(h) != 0 {
-		t.Errorf("%d of 5 hold it ejected after it is back", s.ejectedAt(h))
+		t.Errorf("%d of 5 hold the host ejected after it recovered", s.ejectedAt(h))
 	}
 }
 
-// With many unhealthy hosts no more than the cap is ejected (checked at each step), and once most hosts
-// look unhealthy to an observer, it abstains.
+// If many hosts are unhealthy, no more than the cap is ejected, which the simulation checks at each step. If
+// most hosts look unhealthy to a voter, it abstains.
 func TestEjectionCapAndPanicThreshold(t *testing.T) {
 	s := newConvergedSim(t, 5, 7, 12)
 	for _, h := range s.hosts[:8] {
@@ -160,7 +162,7 @@
 	s.run(3 * time.Second)
 	for _, h := range s.hosts {
 		if got := s.ejectedAt(h.Host); got > 0 {
-			t.Errorf("%d members hold %v ejected in a panic", got, h.Host)
+			t.Errorf("%d members hold %v ejected although most hosts look unhealthy", got, h.Host)
 		}
 	}
 	s = newConvergedSim(t, 5, 7, 12)
@@ -168,23 +170,23 @@
 		s.outcomes[h.Host] = outlier.Failure
 	}
 	s.run(3 * time.Second)
-	out := 0
+	ejected := 0
 	for _, h := range s.hosts {
 		if s.ejectedAt(h.Host) == 7 {
-			out++
+			ejected++
 		}
 	}
-	// A voter that has reached the cap traces it once for each host, not at each tick.
+	// A voter that has reached the cap traces that once per host, not at each tick.
 	if got := s.countEvents("over_cap", nil); got == 0 || got > 7*5*2 {
 		t.Errorf("%d over_cap events of seven voters on five hosts", got)
 	}
-	// Seven voters may promise 0.5*4/7 of 12 each: three hosts, which need not be the same.
-	if out < 3 || out > 6 {
-		t.Errorf("%d hosts are ejected by all, want 3 to 6", out)
+	// Each of the seven voters may promise 0.5*4/7 of 12 hosts: three, not necessarily the same ones.
+	if ejected < 3 || ejected > 6 {
+		t.Errorf("%d hosts are ejected by all, want 3 to 6", ejected)
 	}
 }
 
-// A bad link of three agents of thirteen makes every server look unhealthy to them; nobody is ejected.
+// To three of thirteen agents all hosts look unhealthy because of a bad link; no host is ejected.
 func TestObserverWithMostHostsUnhealthyAbstains(t *testing.T) {
 	s := newConvergedSim(t, 6, 13, 12)
 	for range 80 {
@@ -201,83 +203,87 @@
 	}
 }
 
-// Faulty voters short of a majority eject nobody; less than a third of the voters do not prevent an ejection.
+// Fewer faulty voters than a majority eject no host, and fewer than a third do not prevent an ejection.
 func TestFaultyVoters(t *testing.T) {
-	for _, c := range []struct{ members, liars int }{{3, 1}, {9, 2}, {13, 4}, {13, 6}} {
+	for _, c := range []struct{ members, faulty int }{{3, 1}, {9, 2}, {13, 4}, {13, 6}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			s := newConvergedSim(t, 7, c.members, 12)
 			healthy, unhealthy := s.hosts[0].Host, s.hosts[1].Host
-			s.falsify = func(m *member, l *VoteMessage) {
-				if !slices.Contains(s.config.Electorate.Members[:c.liars], m.name) {
+			s.falsify = func(m *member, message *VoteMessage) {
+				if !slices.Contains(s.config.Electorate.Members[:c.faulty], m.name) {
 					return
 				}
-				l.Entries = []Entry{{Host: healthy, Vote: Grant, Attempts: 9, Failures: 9, ValidFor: s.config.Lease}, {Host: unhealthy, Vote: Deny, Attempts: 9, ValidFor: s.config.MaxEvidenceAge}}
+				message.Entries = []Entry{
+					{Host: healthy, Vote: Grant, Attempts: 9, Failures: 9, ValidFor: s.config.Lease},
+					{Host: unhealthy, Vote: Deny, Attempts: 9, ValidFor: s.config.MaxEvidenceAge}}
 			}
 			s.run(3 * time.Second)
 			s.outcomes[unhealthy] = outlier.Failure
 			s.run(6 * time.Second)
 			if s.everEjected[healthy] {
-				t.Errorf("a healthy host was ejected by %d faulty voters of %d", c.liars, c.members)
+				t.Errorf("a healthy host was ejected by %d faulty voters of %d", c.faulty, c.members)
 			}
-			if 3*c.liars < c.members && s.ejectedAt(unhealthy) < c.members-c.liars {
-				t.Errorf("%d of %d hold the unhealthy host ejected, %d are faulty", s.ejectedAt(unhealthy), c.members, c.liars)
+			if 3*c.faulty < c.members && s.ejectedAt(unhealthy) < c.members-c.faulty {
+				t.Errorf("%d of %d hold the unhealthy host ejected, %d are faulty", s.ejectedAt(unhealthy),
+					c.members, c.faulty)
 			}
 		})
 	}
 }
 
-// In a site that is partitioned in two or three, a partition without a majority ejects nothing. After
-// the partition heals all members agree within one round of heartbeats.
+// If a site is split into two or three partitions, a partition without a majority ejects nothing. After the
+// partitions heal, all members agree within one round of heartbeats.
 func TestPartitionedElectorate(t *testing.T) {
-	for _, parts := range []int{2, 3} {
+	for _, partitions := range []int{2, 3} {
 		s := newConvergedSim(t, 8, 9, 12)
-		part := func(name string) int { // 5 and 4, or 3 each
+		partitionOf := func(name string) int { // with 5 and 4 members, or 3 each
 			i := slices.Index(s.config.Electorate.Members, name)
-			return min(i*parts/9, parts-1)
+			return min(i*partitions/9, partitions-1)
 		}
-		s.partitioned = func(a, b string) bool { return part(a) != part(b) }
+		s.partitioned = func(a, b string) bool { return partitionOf(a) != partitionOf(b) }
 		h := s.hosts[0].Host
 		s.outcomes[h] = outlier.Failure
 		s.run(3 * time.Second)
 		for _, m := range s.members {
-			in := 0
+			size := 0
 			for _, o := range s.members {
-				if part(o.name) == part(m.name) {
-					in++
+				if partitionOf(o.name) == partitionOf(m.name) {
+					size++
 				}
 			}
 			st, named := m.standings[h]
 			ejected := named && st.Share == 0 && st.Until > s.localTime(m)
-			if ejected != (in >= s.config.Electorate.Quorum()) {
-				t.Errorf("%d parts: %s, one of %d, holds it ejected: %v", parts, m.name, in, ejected)
+			if ejected != (size >= s.config.Electorate.Quorum()) {
+				t.Errorf("%d partitions: %s, in a partition of %d members, holds the host ejected: %v", partitions,
+					m.name, size, ejected)
 			}
 		}
 		s.partitioned = func(string, string) bool { return false }
 		s.run(2 * time.Second)
 		if got := s.ejectedAt(h); got != 9 {
-			t.Errorf("%d parts: %d of 9 hold it ejected after the partition healed", parts, got)
+			t.Errorf("%d partitions: %d of 9 hold the host ejected after the partitions healed", partitions, got)
 		}
 	}
 }
 
-// A host that restarted during the vote is a different host.
+// A host that restarts during the vote is a different host.
 func TestNewIncarnationIsNotEjected(t *testing.T) {
 	s := newConvergedSim(t, 9, 5, 12)
-	old := s.hosts[0].Host
-	s.outcomes[old] = outlier.Failure
+	host := s.hosts[0].Host
+	s.outcomes[host] = outlier.Failure
 	s.run(100 * time.Millisecond)
 	s.hosts[0].Incarnation = 7
-	fresh := s.hosts[0].Host
+	restarted := s.hosts[0].Host
 	for _, m := range s.members {
 		m.evidence.SetHosts(s.hosts)
 	}
 	s.run(3 * time.Second)
-	if s.everEjected[fresh] {
-		t.Error("the new process was ejected for what the old one did")
+	if s.everEjected[restarted] {
+		t.Error("the new process was ejected because of failures of the old one")
 	}
 }
 
-// A voter that resumes after a pause of 10 s with messages of that time counts no expired grant.
+// A voter that resumes after 10 s and then receives the messages of that time does not count expired grants.
 func TestPausedMemberIgnoresExpiredGrants(t *testing.T) {
 	s := newConvergedSim(t, 10, 3, 12)
 	h := s.hosts[0].Host
@@ -287,17 +293,17 @@
 	m.pausedUntil = s.now + 10*time.Second
 	s.run(time.Second)
 	for _, o := range s.members[:2] {
-		o.pausedUntil = s.now + 20*time.Second // the others send nothing newer
+		o.pausedUntil = s.now + 20*time.Second // so that they send nothing newer
 	}
 	delete(s.outcomes, h)
 	s.run(9*time.Second + tick)
 	if st, ok := m.standings[h]; ok && st.Share == 0 && st.Until > s.localTime(m) {
-		t.Errorf("awake at %v it holds the host ejected until %v", s.localTime(m), st.Until)
+		t.Errorf("after its pause, at %v, the member holds the host ejected until %v", s.localTime(m), st.Until)
 	}
 }
 
-// Whatever is lost, duplicated, delayed, paused, killed or partitioned: the cap holds over all members
-// together at each step.
+// The cap holds over all members together at each step while messages are lost, duplicated and delayed and
+// members are paused, killed and partitioned.
 func TestCapHoldsUnderRandomFaults(t *testing.T) {
 	ejected, returned := 0, 0
 	for seed := range uint64(60) {
@@ -327,37 +333,44 @@
 		returned += s.countEvents("return", nil)
 	}
 	if ejected < 50 || returned < 50 {
-		t.Errorf("%d ejections, %d returns: too few to tell", ejected, returned)
+		t.Errorf("%d ejections, %d returns, want at least 50 of each", ejected, returned)
 	}
 	t.Logf("%d ejections, %d returns", ejected, returned)
 }
 
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	s := newConvergedSim(t, 11, 3, 4)
-	c := s.members[0].voter
-	good := VoteMessage{Version: Version, From: "n1", Incarnation: 9, Electorate: 1, Sent: time.Hour}
+	voter := s.members[0].voter
+	valid := VoteMessage{Version: Version, From: "n1", Incarnation: 9, Electorate: 1, Sent: time.Hour}
 	for want, change := range map[string]func(*VoteMessage){
-		"version: 2":                       func(l *VoteMessage) { l.Version = 2 },
-		"from: a name of 0 bytes":          func(l *VoteMessage) { l.From = "" },
-		"from: z is not in the electorate": func(l *VoteMessage) { l.From = "z" },
-		"votes in electorate 4, this is 1": func(l *VoteMessage) { l.Electorate = 4 },
-		"entries: 25":                      func(l *VoteMessage) { l.Entries = make([]Entry, 25) },
-		"entries[0].host: a name":          func(l *VoteMessage) { l.Entries = make([]Entry, 1) },
-		"unknown answer 9":                 func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Vote: 9}} },
-		"entries[0].bad: 2 of 1":           func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Attempts: 1, Failures: 2}} },
-		"entries[0].left":                  func(l *VoteMessage) { l.Entries = []Entry{{Host: outlier.Host{ID: "s"}, ValidFor: time.Hour}} },
-		"s is named twice": func(l *VoteMessage) {
-			l.Entries = []Entry{{Host: outlier.Host{ID: "s"}}, {Host: outlier.Host{ID: "s"}}}
+		"version: 2":                             func(message *VoteMessage) { message.Version = 2 },
+		"from: invalid name length 0":            func(message *VoteMessage) { message.From = "" },
+		"from: z is not in the electorate":       func(message *VoteMessage) { message.From = "z" },
+		"votes in electorate 4, this voter in 1": func(message *VoteMessage) { message.Electorate = 4 },
+		"entries: 25":                            func(message *VoteMessage) { message.Entries = make([]Entry, 25) },
+		"entries[0].host: invalid name length":   func(message *VoteMessage) { message.Entries = make([]Entry, 1) },
+		"unknown vote 9": func(message *VoteMessage) {
+			message.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Vote: 9}}
 		},
-		"must not be negative": func(l *VoteMessage) { l.EchoAge = -1 },
+		"entries[0].failures: 2 of 1": func(message *VoteMessage) {
+			message.Entries = []Entry{{Host: outlier.Host{ID: "s"}, Attempts: 1, Failures: 2}}
+		},
+		"entries[0].valid-for": func(message *VoteMessage) {
+			message.Entries = []Entry{{Host: outlier.Host{ID: "s"}, ValidFor: time.Hour}}
+		},
+		"s is listed twice": func(message *VoteMessage) {
+			message.Entries = []Entry{{Host: outlier.Host{ID: "s"}}, {Host: outlier.Host{ID: "s"}}}
+		},
+		"must not be negative": func(message *VoteMessage) { message.EchoAge = -1 },
 	} {
-		l := good
-		change(&l)
-		if err := c.Receive(s.localTime(s.members[0]), &l); err == nil || !strings.Contains(err.Error(), want) {
+		message := valid
+		change(&message)
+		if err := voter.Receive(s.localTime(s.members[0]), &message); err == nil || !strings.Contains(err.Error(),
+			want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
-	if err := c.Receive(s.localTime(s.members[0]), &good); err != nil {
+	if err := voter.Receive(s.localTime(s.members[0]), &valid); err != nil {
 		t.Error(err)
 	}
 }
@@ -380,8 +393,8 @@
 	}
 }
 
-// Voters with a disk grant nothing beyond the stored time, and ask for a later one before it is
-// reached. A voter whose earlier promises have expired votes at once.
+// Voters with a disk grant nothing beyond the stored time and request a later one in advance. A voter whose
+// earlier promises have expired votes at once.
 func TestNoPromiseBeyondPersistedTime(t *testing.T) {
 	s := newConvergedSim(t, 1, 3, 12)
 	for _, m := range s.members {
@@ -391,32 +404,32 @@
 	s.outcomes[h] = outlier.Failure
 	s.run(3 * time.Second)
 	if got := s.ejectedAt(h); got != 0 || s.countEvents("grant", &h) != 0 {
-		t.Fatalf("%d hold it ejected without a stored promise", got)
+		t.Fatalf("%d hold the host ejected although no promise time is stored", got)
 	}
 	for _, m := range s.members {
-		asked := m.voter.actions.PersistPromisesUntil
-		if asked < m.voter.now+s.config.MaxPromise() {
-			t.Fatalf("%s asks to store promises until %v at %v", m.name, asked, m.voter.now)
+		until := m.voter.actions.PersistPromisesUntil
+		if until < m.voter.now+s.config.MaxPromise() {
+			t.Fatalf("%s requests to store promises until %v at %v", m.name, until, m.voter.now)
 		}
-		m.voter.PromisesPersisted(asked)
+		m.voter.PromisesPersisted(until)
 	}
 	s.run(2 * time.Second)
 	if got := s.ejectedAt(h); got != 3 {
-		t.Errorf("%d of 3 hold it ejected with a stored promise", got)
+		t.Errorf("%d of 3 hold the host ejected after the promise time was stored", got)
 	}
-	for _, n := range s.trace {
-		if n.Kind == "grant" && n.Until > n.At+s.config.MaxLease {
-			t.Errorf("granted until %v at %v", n.Until, n.At)
+	for _, event := range s.trace {
+		if event.Kind == "grant" && event.Until > event.At+s.config.MaxLease {
+			t.Errorf("granted until %v at %v", event.Until, event.At)
 		}
 	}
 	cfg := s.config
 	cfg.Self, cfg.EarlierPromisesFor = "x", 0
 	cfg.Electorate.Members = []string{"x"}
-	c, err := New(cfg, outlier.New(cfg.MaxEvidenceAge))
+	voter, err := New(cfg, outlier.New(cfg.MaxEvidenceAge))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.advanceClock(time.Second); c.quarantined() {
-		t.Error("quarantined though no promise stands")
+	if voter.advanceClock(time.Second); voter.quarantined() {
+		t.Error("quarantined although no earlier promise stands")
 	}
 }
