--- a/internal/agent/stalerouting/bench_test.go
+++ b/internal/agent/stalerouting/bench_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// BenchmarkUplink tells how finding out grows with a site: for each member, words a second in
-// calm and in the worst second of a loss, and how long until all know it, in simulated time. Each
-// op is a loss and a return.
+// BenchmarkUplink measures how the detection of a lost uplink scales with the size of a site. It reports the
+// heartbeats per member and second while connected, the maximum after the loss, and the simulated time until
+// all members are isolated. Each iteration simulates 10 s with the uplink and 10 s without.
 func BenchmarkUplink(b *testing.B) {
 	for _, n := range []int{3, 40, 100, 300} {
 		b.Run(fmt.Sprint(n, " members"), func(b *testing.B) {
-			calm, most, knows := 0.0, 0.0, time.Duration(0)
+			idle, maxHeartbeats, detection := 0.0, 0.0, time.Duration(0)
 			for b.Loop() {
 				up := true
 				members := make([]*Uplink, n)
@@ -32,19 +32,19 @@
 					u.SetRemoteAgents(0, []string{"x", "y"})
 					members[i] = u
 				}
-				sent, second, worst, all := 0, 0, 0, time.Duration(0)
+				sent, sentThisSecond, worstSecond, detected := 0, 0, 0, time.Duration(0)
 				index := map[string]int{}
 				for i, name := range names {
 					index[name] = i
 				}
 				for now := time.Duration(0); now < 20*time.Second; now += 50 * time.Millisecond {
 					if now == 10*time.Second {
-						up, calm = false, float64(sent)/10/float64(n)
+						up, idle = false, float64(sent)/10/float64(n)
 					}
 					if now%time.Second == 0 {
-						worst, second = max(worst, second), 0
+						worstSecond, sentThisSecond = max(worstSecond, sentThisSecond), 0
 					}
-					dark := 0
+					isolated := 0
 					for _, i := range rng.Perm(n) {
 						out := members[i].Tick(now, 1)
 						if up && (len(out.Pings) > 0 || out.QueryDiscovery) {
@@ -52,22 +52,22 @@
 						}
 						for _, to := range out.Recipients {
 							sent++
-							second++
+							sentThisSecond++
 							_ = members[index[to]].Receive(now, out.Heartbeat)
 						}
 						if out.Phase == Isolated {
-							dark++
+							isolated++
 						}
 					}
-					if dark == n && all == 0 {
-						all = now - 10*time.Second
+					if isolated == n && detected == 0 {
+						detected = now - 10*time.Second
 					}
 				}
-				most, knows = float64(worst)/float64(n), all
+				maxHeartbeats, detection = float64(worstSecond)/float64(n), detected
 			}
-			b.ReportMetric(calm, "words/s-calm")
-			b.ReportMetric(most, "words/s-most")
-			b.ReportMetric(float64(knows.Milliseconds()), "ms-to-know")
+			b.ReportMetric(idle, "idle-heartbeats/s")
+			b.ReportMetric(maxHeartbeats, "max-heartbeats/s")
+			b.ReportMetric(float64(detection.Milliseconds()), "sim-ms-to-detect")
 		})
 	}
 }
--- a/internal/agent/stalerouting/config.go
+++ b/internal/agent/stalerouting/config.go
@@ -10,16 +10,16 @@
 type Config struct {
 	Self    string
 	Members []string // the members of the site, this one included
-	// IsolationTimeout is how long there must have been no signal from outside.
+	// IsolationTimeout is how long a member must have had no signal from outside to report the site as isolated.
 	IsolationTimeout time.Duration
-	// HeartbeatInterval is the time between two heartbeats to each member, and between two pings.
+	// HeartbeatInterval is the time between two heartbeats, which are sent together with pings to other sites.
 	HeartbeatInterval time.Duration
-	// SlowStartStep is the duration of each step in which traffic to the outside resumes.
+	// SlowStartStep is the duration of each step of the slow start of traffic to the outside.
 	SlowStartStep time.Duration
-	// MaxIsolation is how long a site stays isolated after the last majority for it while no member has a
-	// signal from outside: the other members may have failed.
+	// MaxIsolation limits how long a site stays isolated after a majority last had no signal from outside. If
+	// there is neither a majority without a signal nor one with a signal, other members may have failed.
 	MaxIsolation time.Duration
-	// WasIsolated tells that an earlier run, not long ago, was isolated. It holds until the first signal.
+	// WasIsolated is true if an earlier run, not long ago, was isolated. It applies until the first signal.
 	WasIsolated bool
 	// Seed seeds the random choices.
 	Seed uint64
@@ -44,15 +44,16 @@
 
 // Defaults returns the configuration for keys that the operations file does not set.
 func Defaults() Config {
-	return Config{IsolationTimeout: 2 * time.Second, HeartbeatInterval: 500 * time.Millisecond, SlowStartStep: time.Second, MaxIsolation: 10 * time.Minute}
+	return Config{IsolationTimeout: 2 * time.Second, HeartbeatInterval: 500 * time.Millisecond,
+		SlowStartStep: time.Second, MaxIsolation: 10 * time.Minute}
 }
 
-// pingsPerHeartbeat is the number of agents of other sites that are pinged with each heartbeat,
-// idleHeartbeatFanout the number of members that get a heartbeat while nothing changes, maxLinkDelay the
-// assumed bound of the delay of a message, which is added to its age, and heartbeatsValid the number of
-// heartbeat intervals for which a heartbeat is valid.
 const (
+	// pingsPerHeartbeat is the number of agents of other sites that are pinged with each heartbeat, and
+	// idleHeartbeatFanout the number of members that a member sends its heartbeat to while it is not isolated.
 	pingsPerHeartbeat, idleHeartbeatFanout = 2, 2
-	maxLinkDelay                           = 250 * time.Millisecond
-	heartbeatsValid                        = 4
+	// maxLinkDelay is the assumed maximum delay of a message; it is added to the age of what is received.
+	maxLinkDelay = 250 * time.Millisecond
+	// heartbeatsValid is the number of heartbeat intervals for which a heartbeat is valid.
+	heartbeatsValid = 4
 )
--- a/internal/agent/stalerouting/decisioncache.go
+++ b/internal/agent/stalerouting/decisioncache.go
@@ -8,29 +8,28 @@
 	"chalkdoor.example/chalkdoor/internal/agent/zonefailover"
 )
 
-// Decision is a decision of the consensus group as agents exchange it: the complete table, its position
-// in the log, and how long ago a majority last confirmed that it is the newest. It is encoded as an
-// array, so the order of the fields is part of the protocol.
+// Decision is a decision of the consensus group as agents exchange it. It is encoded as an array, so the
+// order of the fields is part of the protocol.
 type Decision struct {
 	Version int
-	Term    uint64
-	Index   uint64
-	Age     time.Duration
-	Table   zonefailover.Table
+	Term    uint64             // Term and Index are the position of the decision in the log
+	Index   uint64             // 0 if there is no decision
+	Age     time.Duration      // how long ago a majority last confirmed that the decision is the newest
+	Table   zonefailover.Table // the complete table
 }
 
-// Validate returns an error that names the invalid fields of a decision of another process.
+// Validate returns an error if a decision from another process is invalid.
 func (d *Decision) Validate() error {
 	if d.Version != Version || d.Age < 0 || d.Index == 0 {
-		return fmt.Errorf("decision: version %d, index %d, age %v", d.Version, d.Index, d.Age)
+		return fmt.Errorf("decision: invalid version %d, index %d or age %v", d.Version, d.Index, d.Age)
 	}
 	return d.Table.Validate()
 }
 
 // DecisionCache holds the newest decision of the consensus group that an agent knows. The decision is
-// valid up to a maximum age; after that the agent acts as without one. An older decision never replaces
-// a newer one, whoever sends it, and an age only grows as it is passed on. It is not safe for concurrent
-// use.
+// valid up to a maximum age; after that the agent acts as if there were none. An older decision never
+// replaces a newer one, whoever sends it, and passing a decision on never lowers its age. It is not safe
+// for concurrent use.
 type DecisionCache struct {
 	maxAge      time.Duration
 	newest      Decision
@@ -40,9 +39,9 @@
 // NewDecisionCache returns an empty cache.
 func NewDecisionCache(maxAge time.Duration) *DecisionCache { return &DecisionCache{maxAge: maxAge} }
 
-// Offer takes a decision from another process, or from the consensus group in this process (local), and
-// reports whether it replaced the cached one. A stale or invalid decision returns an error.
-func (p *DecisionCache) Offer(now time.Duration, d Decision, local bool) (changed bool, err error) {
+// Offer processes a decision from another process, or from the consensus group in this process (local), and
+// reports whether it replaced the cached one. If the decision is stale or invalid, Offer returns an error.
+func (c *DecisionCache) Offer(now time.Duration, d Decision, local bool) (changed bool, err error) {
 	if err := d.Validate(); err != nil {
 		return false, err
 	}
@@ -50,25 +49,26 @@
 	if !local {
 		confirmedAt -= maxLinkDelay
 	}
-	switch c := cmp.Or(cmp.Compare(d.Term, p.newest.Term), cmp.Compare(d.Index, p.newest.Index)); {
-	case c < 0:
-		return false, fmt.Errorf("decision: index: %d of term %d is older than %d of term %d", d.Index, d.Term, p.newest.Index, p.newest.Term)
-	case c == 0:
-		p.confirmedAt = max(p.confirmedAt, confirmedAt)
+	switch order := cmp.Or(cmp.Compare(d.Term, c.newest.Term), cmp.Compare(d.Index, c.newest.Index)); {
+	case order < 0:
+		return false, fmt.Errorf("decision: index %d of term %d is older than index %d of term %d", d.Index, d.Term,
+			c.newest.Index, c.newest.Term)
+	case order == 0:
+		c.confirmedAt = max(c.confirmedAt, confirmedAt)
 		return false, nil
 	}
-	p.newest, p.confirmedAt = d, confirmedAt
+	c.newest, c.confirmedAt = d, confirmedAt
 	return true, nil
 }
 
 // Current returns the cached decision with its current age, and whether it is still valid.
-func (p *DecisionCache) Current(now time.Duration) (d Decision, valid bool) {
-	d = p.newest
-	d.Age = now - p.confirmedAt
-	return d, d.Index > 0 && d.Age <= p.maxAge
+func (c *DecisionCache) Current(now time.Duration) (d Decision, valid bool) {
+	d = c.newest
+	d.Age = now - c.confirmedAt
+	return d, d.Index > 0 && d.Age <= c.maxAge
 }
 
 // ValidFor returns how long the cached decision remains valid.
-func (p *DecisionCache) ValidFor(now time.Duration) time.Duration {
-	return max(p.confirmedAt+p.maxAge-now, 0)
+func (c *DecisionCache) ValidFor(now time.Duration) time.Duration {
+	return max(c.confirmedAt+c.maxAge-now, 0)
 }
--- a/internal/agent/stalerouting/heartbeat.go
+++ b/internal/agent/stalerouting/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Version is the version of heartbeats and exchanged sets. Other versions are rejected.
+// Version is the version of heartbeats, decisions and exchanged sets. Other versions are rejected.
 const Version = 1
 
 // Heartbeat is the complete state that a member sends to the others of its site. The newest one replaces
@@ -17,20 +17,21 @@
 	Incarnation uint64 // identifies the run of the sender's process
 	Seq         uint64 // incremented with each heartbeat of the incarnation
 	Isolated    bool   // the sender has no signal from outside
-	Digest      uint64 // of the sender's ServerSet
+	Digest      uint64 // digest of the sender's ServerSet
 }
 
-// Validate returns an error that names the first invalid field of a heartbeat of another process.
-func (w *Heartbeat) Validate() error {
+// Validate returns an error that names the first invalid field of a heartbeat from another process.
+func (h *Heartbeat) Validate() error {
 	switch {
-	case w.Version != Version:
-		return fmt.Errorf("heartbeat: version: %d, this one is %d", w.Version, Version)
-	case w.From == "" || len(w.From) > maxName:
-		return fmt.Errorf("heartbeat: from: a name of %d bytes", len(w.From))
+	case h.Version != Version:
+		return fmt.Errorf("heartbeat: version: %d, want %d", h.Version, Version)
+	case h.From == "" || len(h.From) > maxName:
+		return fmt.Errorf("heartbeat: from: invalid name length %d", len(h.From))
 	}
 	return nil
 }
 
+// receivedHeartbeat is the last heartbeat of another member.
 type receivedHeartbeat struct {
 	Heartbeat
 	sentAt time.Duration // lower bound of the time at which it was sent
--- a/internal/agent/stalerouting/interleave_test.go
+++ b/internal/agent/stalerouting/interleave_test.go
@@ -12,309 +12,320 @@
 	"chalkdoor.example/chalkdoor/internal/interleave"
 )
 
-// defect is what is done wrong on purpose, to see that the checker finds it.
+// defect is a fault that a test injects, to show that the model checker finds it.
 type defect string
 
 const (
-	none         defect = ""
-	wordsForever defect = "a word holds for ever"
-	olderWord    defect = "an older word takes the place of a newer one"
-	halfIsEnough defect = "half of the members are enough"
-	deafToSelf   defect = "a member goes dark though it hears something"
-	endlessShare defect = "a share has no end"
-	oldForNew    defect = "an older telling of a server takes the place of a newer one"
-	lostTelling  defect = "what a neighbour was told is forgotten at a restart"
+	none              defect = ""
+	endlessHeartbeats defect = "a heartbeat does not expire"
+	olderHeartbeat    defect = "an older heartbeat replaces a newer one"
+	oneIsEnough       defect = "one isolated member is enough"
+	ignoredSignal     defect = "a member is isolated although it has a signal"
+	endlessShare      defect = "a share is valid for too long"
+	olderReport       defect = "an older report on a server replaces a newer one"
+	lostEntries       defect = "a restart loses entries that have to be kept"
 )
 
-const beat = 50 * time.Millisecond
-
-// dark3 is a site of three at every moment that matters: members tick or are paused, words come
-// or are lost, beats pass, uplinks go and come back. A word that has been on its way for longer
-// than links may take is lost. What a member says depends on what it hears from outside alone, so
-// words to the first member are enough: the others decide as it does.
-type dark3 struct {
-	bad    defect
-	now    time.Duration
-	up     [3]*Uplink
-	hears  [3]bool            // its uplink is there
-	quiet  [3][]time.Duration // when it found at a tick that it hears nothing
-	at     int                // in the beat
-	mail   [3][3]*Heartbeat
-	sent   [3][3]time.Duration
-	old    [3]Heartbeat // the last that came from each
-	phase  [3]Phase
-	until  [3]time.Duration
-	wrong  error
-	beats  int // that may pass
-	losses int // of uplinks that may happen
-	heals  int
-	pauses int // of a member, a beat each
+const interval = 50 * time.Millisecond
+
+// siteModel is the state of a site of three members. Members tick or are paused, heartbeats are delivered or
+// lost, heartbeat intervals pass, and uplinks fail and recover. A heartbeat that has been in transit for more
+// than two intervals is lost. What a member sends depends only on its own signals, so it is enough to deliver
+// heartbeats to the first member: the others decide in the same way.
+type siteModel struct {
+	defect              defect
+	now                 time.Duration
+	uplinks             [3]*Uplink
+	hasSignal           [3]bool             // whether the uplink works for each member
+	isolatedAt          [3][]time.Duration  // times at which each member was isolated at a tick
+	event               int                 // index of the next event in the interval
+	inTransit           [3][3]*Heartbeat    // by sender and recipient
+	sentAt              [3][3]time.Duration // when the heartbeat in transit was sent
+	lastReceived        [3]Heartbeat        // by sender
+	phase               [3]Phase            // of each member at its last tick
+	validUntil          [3]time.Duration    // end of the validity of that phase and its share
+	err                 error               // a violation of an invariant
+	intervalsRemaining  int                 // heartbeat intervals that may still pass
+	lossesRemaining     int                 // failures of uplinks that may still happen
+	recoveriesRemaining int                 // recoveries of uplinks that may still happen
+	pausesRemaining     int                 // ticks of members that may still be left out
 }
 
-// run3 is what may happen in a run.
-type run3 struct{ beats, losses, heals, pauses int }
+// runLimits are the numbers of events that may happen in a run.
+type runLimits struct{ intervals, losses, recoveries, pauses int }
 
-func newDark3(bad defect, may run3) *dark3 {
-	s := &dark3{bad: bad, beats: may.beats, losses: may.losses, heals: may.heals, pauses: may.pauses, now: time.Minute}
-	for i := range s.up {
-		cfg := Config{Self: fmt.Sprint(i), Members: []string{"0", "1", "2"}, HeartbeatInterval: beat, IsolationTimeout: 3 * beat, SlowStartStep: beat, MaxIsolation: time.Minute}
+func newSiteModel(injected defect, limits runLimits) *siteModel {
+	s := &siteModel{defect: injected, intervalsRemaining: limits.intervals, lossesRemaining: limits.losses,
+		recoveriesRemaining: limits.recoveries, pausesRemaining: limits.pauses, now: time.Minute}
+	for i := range s.uplinks {
+		cfg := Config{Self: fmt.Sprint(i), Members: []string{"0", "1", "2"}, HeartbeatInterval: interval,
+			IsolationTimeout: 3 * interval, SlowStartStep: interval, MaxIsolation: time.Minute}
 		u, err := NewUplink(cfg, 1)
 		if err != nil {
-			panic(err) // of this test's own making
+			panic(err) // the configuration above is valid
 		}
 		u.Observe(s.now, DiscoveryAnswered)
-		s.up[i], s.hears[i] = u, true
+		s.uplinks[i], s.hasSignal[i] = u, true
 	}
 	return s
 }
 
-func (s *dark3) tick(i int) {
-	u := s.up[i]
-	if s.hears[i] {
+func (s *siteModel) tick(i int) {
+	u := s.uplinks[i]
+	if s.hasSignal[i] {
 		u.Observe(s.now, PingAnswered)
 	}
-	if s.bad == deafToSelf && !s.hears[(i+1)%3] {
-		u.lastSignal -= u.config.IsolationTimeout // it goes by another's ears
+	if s.defect == ignoredSignal && !s.hasSignal[(i+1)%3] {
+		u.lastSignal -= u.config.IsolationTimeout // it takes the lost uplink of another member for its own
 	}
-	if s.bad == wordsForever {
-		for from, w := range u.heartbeats {
-			w.sentAt = s.now
-			u.heartbeats[from] = w
+	if s.defect == endlessHeartbeats {
+		for from, heartbeat := range u.heartbeats {
+			heartbeat.sentAt = s.now
+			u.heartbeats[from] = heartbeat
 		}
 	}
-	if s.bad == halfIsEnough {
+	if s.defect == oneIsEnough {
 		u.config.Members = u.config.Members[:1]
 	}
 	out := u.Tick(s.now, 0)
 	u.config.Members = u.config.Members[:3]
 	if u.isolated() {
-		s.quiet[i] = append(s.quiet[i], s.now)
+		s.isolatedAt[i] = append(s.isolatedAt[i], s.now)
 	}
 	if out.Phase == Isolated && s.phase[i] != Isolated {
-		s.wrong = s.entered(i)
+		s.err = s.checkIsolated(i)
 	}
-	s.phase[i], s.until[i] = out.Phase, out.Until
-	if s.bad == endlessShare {
-		s.until[i] += time.Minute
+	s.phase[i], s.validUntil[i] = out.Phase, out.Until
+	if s.defect == endlessShare {
+		s.validUntil[i] += time.Minute
 	}
-	if out.Phase != Connected && s.until[i] > s.now+heartbeatsValid*beat && s.wrong == nil {
-		s.wrong = fmt.Errorf("%d holds a share for %v", i, s.until[i]-s.now)
+	if out.Phase != Connected && s.validUntil[i] > s.now+heartbeatsValid*interval && s.err == nil {
+		s.err = fmt.Errorf("member %d has a share that is valid for %v", i, s.validUntil[i]-s.now)
 	}
 	for _, to := range out.Recipients {
 		j := int(to[0] - '0')
-		if w := s.mail[i][j]; j == 0 && (w == nil || w.Isolated != out.Heartbeat.Isolated) { // what says the same again may as well be lost
-			s.mail[i][j], s.sent[i][j] = &out.Heartbeat, s.now
+		// Repeated heartbeats are dropped: their loss makes no difference.
+		if heartbeat := s.inTransit[i][j]; j == 0 && (heartbeat == nil ||
+			heartbeat.Isolated != out.Heartbeat.Isolated) {
+			s.inTransit[i][j], s.sentAt[i][j] = &out.Heartbeat, s.now
 		}
 	}
 }
 
-// entered is the invariant of a member that goes dark: a strict majority, in truth and not
-// longer ago than words hold and links take, heard nothing; it itself hears nothing now.
-func (s *dark3) entered(i int) error {
+// checkIsolated returns an error if a member entered Isolated although no majority was without a signal
+// within the time for which a heartbeat is valid, or although the member itself has a signal.
+func (s *siteModel) checkIsolated(i int) error {
 	n := 0
 	for k := range 3 {
-		if slices.ContainsFunc(s.quiet[k], func(at time.Duration) bool { return s.now-at <= heartbeatsValid*beat }) {
+		if slices.ContainsFunc(s.isolatedAt[k],
+			func(at time.Duration) bool { return s.now-at <= heartbeatsValid*interval }) {
 			n++
 		}
 	}
 	switch {
 	case n < 2:
-		return fmt.Errorf("%d goes dark, and %d of 3 hear nothing", i, n)
-	case s.hears[i]:
-		return fmt.Errorf("%d goes dark, and hears what lies outside", i)
+		return fmt.Errorf("member %d is isolated, but %d of 3 members had no signal", i, n)
+	case s.hasSignal[i]:
+		return fmt.Errorf("member %d is isolated, but has a signal", i)
 	}
 	return nil
 }
 
-// The order within a beat is one of those that differ in what follows: first uplinks go and
-// come back, then words come, then members tick. A word that is to come after a tick comes in
-// the next beat, dated as it was sent. Each of these may happen or not; at is the next of them.
+// The events of an interval have a fixed order: first uplinks fail or recover, then heartbeats are delivered,
+// then members tick. A heartbeat that arrives after a tick is delivered in the next interval with its original
+// send time, so other orders make no difference. Each event may happen or not.
 const (
-	toggles = 3
-	words   = 2
-	ticks   = 3
+	uplinkEvents = 3
+	deliveries   = 2
+	ticks        = 3
 )
 
-// next moves on to the first thing that may happen, or to the next beat; nil: the run is over.
-func (s *dark3) next() (do func()) {
+// nextEvent moves on to the next event that may happen and returns it, or nil if the run is over.
+func (s *siteModel) nextEvent() (do func()) {
 	for {
-		switch k := s.at; {
-		case k < toggles:
-			if s.hears[k] && s.losses > 0 {
-				return func() { s.hears[k] = false; s.losses-- }
-			} else if !s.hears[k] && s.heals > 0 {
-				return func() { s.hears[k] = true; s.heals-- }
+		switch k := s.event; {
+		case k < uplinkEvents:
+			if s.hasSignal[k] && s.lossesRemaining > 0 {
+				return func() { s.hasSignal[k] = false; s.lossesRemaining-- }
+			} else if !s.hasSignal[k] && s.recoveriesRemaining > 0 {
+				return func() { s.hasSignal[k] = true; s.recoveriesRemaining-- }
 			}
-		case k < toggles+words:
-			i := k - toggles + 1
-			if w := s.mail[i][0]; w != nil {
-				return func() { s.deliver(i, 0, *w) }
+		case k < uplinkEvents+deliveries:
+			i := k - uplinkEvents + 1
+			if heartbeat := s.inTransit[i][0]; heartbeat != nil {
+				return func() { s.deliver(i, 0, *heartbeat) }
 			}
-		case k < toggles+words+ticks:
-			if s.pauses == 0 {
-				s.tick(k - toggles - words) // all run
+		case k < uplinkEvents+deliveries+ticks:
+			if s.pausesRemaining == 0 {
+				s.tick(k - uplinkEvents - deliveries) // no member is paused
 				break
 			}
-			return func() { s.tick(k - toggles - words) }
-		case s.beats == 0:
+			return func() { s.tick(k - uplinkEvents - deliveries) }
+		case s.intervalsRemaining == 0:
 			return nil
 		default:
-			s.pass()
+			s.advance()
 			continue
 		}
-		s.at++
+		s.event++
 	}
 }
 
-func (s *dark3) steps() []func() {
-	do := s.next()
+func (s *siteModel) steps() []func() {
+	do := s.nextEvent()
 	if do == nil {
 		return nil
 	}
-	if s.at >= toggles+words { // not to tick is a pause
-		return []func(){func() { s.at++; do() }, func() { s.at++; s.pauses-- }}
+	if s.event >= uplinkEvents+deliveries { // without the tick the member is paused
+		return []func(){func() { s.event++; do() }, func() { s.event++; s.pausesRemaining-- }}
 	}
-	return []func(){func() { s.at++; do() }, func() { s.at++ }}
+	return []func(){func() { s.event++; do() }, func() { s.event++ }}
 }
 
-func (s *dark3) deliver(i, j int, w Heartbeat) {
-	s.mail[i][j] = nil
-	u := s.up[j]
-	_ = u.Receive(s.now, w) // what is stale is dropped
-	if old := s.old[i]; s.bad == olderWord && old.Seq > 0 {
-		r := u.heartbeats[w.From]
+func (s *siteModel) deliver(i, j int, heartbeat Heartbeat) {
+	s.inTransit[i][j] = nil
+	u := s.uplinks[j]
+	_ = u.Receive(s.now, heartbeat) // Receive rejects stale heartbeats
+	if old := s.lastReceived[i]; s.defect == olderHeartbeat && old.Seq > 0 {
+		r := u.heartbeats[heartbeat.From]
 		r.Seq = 0
-		u.heartbeats[w.From] = r
+		u.heartbeats[heartbeat.From] = r
 		_ = u.Receive(s.now, old)
 	}
-	s.old[i] = w
-	if r, ok := u.heartbeats[w.From]; ok {
-		r.sentAt = s.sent[i][j] // the stated bound of links is longer than this run: as known exactly
-		u.heartbeats[w.From] = r
+	s.lastReceived[i] = heartbeat
+	if r, ok := u.heartbeats[heartbeat.From]; ok {
+		r.sentAt = s.sentAt[i][j] // the exact time: an estimate by maxLinkDelay would be several intervals off
+		u.heartbeats[heartbeat.From] = r
 	}
 }
 
-func (s *dark3) pass() {
-	s.now += beat
-	s.beats--
-	s.at = 0
+func (s *siteModel) advance() {
+	s.now += interval
+	s.intervalsRemaining--
+	s.event = 0
 	for i := range 3 {
 		for j := range 3 {
-			if s.mail[i][j] != nil && s.now-s.sent[i][j] > 2*beat {
-				s.mail[i][j] = nil // longer than links take
+			if s.inTransit[i][j] != nil && s.now-s.sentAt[i][j] > 2*interval {
+				s.inTransit[i][j] = nil // lost
 			}
 		}
 	}
 }
 
-// Steps, Do, Clone and Hash make it a state to search.
+// Steps, Do, Clone and Hash implement interleave.State.
 
-func (s *dark3) Steps() int { return len(s.steps()) }
+func (s *siteModel) Steps() int { return len(s.steps()) }
 
-func (s *dark3) Do(i int) error {
+func (s *siteModel) Do(i int) error {
 	s.steps()[i]()
-	return s.wrong
+	return s.err
 }
 
-func (s *dark3) Clone() *dark3 {
+func (s *siteModel) Clone() *siteModel {
 	c := *s
-	for i, u := range s.up {
+	for i, u := range s.uplinks {
 		x := *u
-		x.heartbeats, x.rng = maps.Clone(u.heartbeats), rand.New(rand.NewPCG(1, 1)) // draws matter for whom a word goes to: here to all
-		c.up[i], c.quiet[i] = &x, slices.Clone(s.quiet[i])
+		// Random numbers only select the recipients, and here that is every other member.
+		x.heartbeats, x.rng = maps.Clone(u.heartbeats), rand.New(rand.NewPCG(1, 1))
+		c.uplinks[i], c.isolatedAt[i] = &x, slices.Clone(s.isolatedAt[i])
 	}
 	return &c
 }
 
-// Hash is of what matters to what follows: times as ages, no longer than what they are compared
-// with.
-func (s *dark3) Hash() uint64 {
+// Hash returns a hash of everything that can affect the rest of a run. Times are hashed as ages, limited to
+// the largest age that makes a difference.
+func (s *siteModel) Hash() uint64 {
 	f := fnv.New64a()
-	age := func(at, most time.Duration) int { return int(min(s.now-at, most) / beat) }
-	fmt.Fprint(f, s.beats, s.at, s.hears, s.phase, s.losses, s.heals, s.pauses)
-	for i, u := range s.up {
-		fmt.Fprint(f, age(u.lastSignal, 4*beat), age(u.signalsSince, 7*beat), u.anySignal, age(u.lastTick, 9*beat), u.announcedIsolated, age(u.phaseBegan, 3*beat), "/")
+	age := func(at, limit time.Duration) int { return int(min(s.now-at, limit) / interval) }
+	fmt.Fprint(f, s.intervalsRemaining, s.event, s.hasSignal, s.phase, s.lossesRemaining, s.recoveriesRemaining,
+		s.pausesRemaining)
+	for i, u := range s.uplinks {
+		fmt.Fprint(f, age(u.lastSignal, 4*interval), age(u.signalsSince, 7*interval), u.anySignal, age(u.lastTick,
+			9*interval), u.announcedIsolated, age(u.phaseBegan, 3*interval), "/")
 		for j, m := range u.config.Members {
-			if w, ok := u.heartbeats[m]; ok && age(w.sentAt, 9*beat) <= heartbeatsValid {
-				fmt.Fprint(f, m, w.Isolated, age(w.sentAt, 9*beat))
+			if heartbeat, ok := u.heartbeats[m]; ok && age(heartbeat.sentAt, 9*interval) <= heartbeatsValid {
+				fmt.Fprint(f, m, heartbeat.Isolated, age(heartbeat.sentAt, 9*interval))
 			}
-			if w := s.mail[i][j]; w != nil {
-				fmt.Fprint(f, "m", j, w.Isolated, age(s.sent[i][j], 9*beat))
+			if heartbeat := s.inTransit[i][j]; heartbeat != nil {
+				fmt.Fprint(f, "m", j, heartbeat.Isolated, age(s.sentAt[i][j], 9*interval))
 			}
 		}
-		if n := len(s.quiet[i]); n > 0 { // the last tells
-			fmt.Fprint(f, "q", s.old[i].Isolated, age(s.quiet[i][n-1], 9*beat))
+		if n := len(s.isolatedAt[i]); n > 0 { // only the last one matters
+			fmt.Fprint(f, "q", s.lastReceived[i].Isolated, age(s.isolatedAt[i][n-1], 9*interval))
 		}
 	}
 	return f.Sum64()
 }
 
-// Through all orders of ticks, words, losses of words, pauses and uplinks that go and come
-// back nobody goes dark without a majority that hears nothing; each defect is found.
+// In all interleavings of ticks, pauses, delivered and lost heartbeats, and failures and recoveries of uplinks,
+// no member enters Isolated without a majority that has no signal. The model checker finds each defect.
 func TestInterleavingsOfAnIsolatedSite(t *testing.T) {
-	for _, c := range []run3{{5, 3, 0, 0}, {5, 2, 1, 0}, {4, 2, 0, 1}} {
-		r := interleave.Search(newDark3(none, c), 1_000_000)
+	for _, c := range []runLimits{{5, 3, 0, 0}, {5, 2, 1, 0}, {4, 2, 0, 1}} {
+		r := interleave.Search(newSiteModel(none, c), 1_000_000)
 		t.Logf("%+v: %v", c, r)
 		if r.Err != nil || !r.Exhausted {
 			t.Errorf("%+v: %v", c, r)
 		}
 	}
-	for bad, c := range map[defect]run3{wordsForever: {10, 2, 1, 0}, halfIsEnough: {5, 1, 0, 0}, deafToSelf: {5, 2, 0, 0}, olderWord: {10, 2, 1, 0}, endlessShare: {5, 2, 0, 0}} {
-		r := interleave.Search(newDark3(bad, c), 1_000_000)
+	for injected, c := range map[defect]runLimits{endlessHeartbeats: {10, 2, 1, 0}, oneIsEnough: {5, 1, 0, 0},
+		ignoredSignal: {5, 2, 0, 0}, olderHeartbeat: {10, 2, 1, 0}, endlessShare: {5, 2, 0, 0}} {
+		r := interleave.Search(newSiteModel(injected, c), 1_000_000)
 		if r.Err == nil {
-			t.Errorf("%s: not found: %v", bad, r)
+			t.Errorf("%s: not found: %v", injected, r)
 			continue
 		}
-		t.Logf("%s: %v", bad, r)
-		if err := interleave.Walk(newDark3(bad, c), r.Trace); err == nil {
-			t.Errorf("%s: its trace does not replay", bad)
+		t.Logf("%s: %v", injected, r)
+		if err := interleave.Walk(newSiteModel(injected, c), r.Trace); err == nil {
+			t.Errorf("%s: replaying the trace returns no error", injected)
 		}
 	}
 }
 
-// sets3 is the sets of three neighbours: one hears discovery, which moves a server through its
-// states and its next process; each may hand its set to another at any moment, and one may
-// start again with nothing.
-type sets3 struct {
-	bad      defect
-	set      [3]*ServerSet
-	told     int // of tellings
-	floor    [3]record
-	restarts int
-	wrong    error
+// setModel is the state of the server sets of three members. The first member receives the reports of
+// discovery, which move a server through its states and on to its next process. Any member may send its set to
+// another at any time, and the third may restart with an empty set.
+type setModel struct {
+	defect    defect
+	sets      [3]*ServerSet
+	reported  int       // number of reports that discovery has made
+	lastKnown [3]record // record of the server in each set after the last step
+	restarts  int       // restarts that may still happen
+	err       error     // violation of an invariant
 }
 
-var tellings = []Entry{{"s", 1, Up, 0}, {"s", 1, Draining, 0}, {"s", 1, Removed, 0}, {"s", 2, Up, 0}, {"s", 2, Draining, 0}}
+// reports are what discovery reports in turn.
+var reports = []Entry{{"s", 1, Up, 0}, {"s", 1, Draining, 0}, {"s", 1, Removed, 0}, {"s", 2, Up, 0}, {"s", 2,
+	Draining, 0}}
 
-func newSets3(bad defect) *sets3 {
-	s := &sets3{bad: bad, restarts: 1}
-	for i := range s.set {
-		s.set[i] = NewServerSet()
+func newSetModel(injected defect) *setModel {
+	s := &setModel{defect: injected, restarts: 1}
+	for i := range s.sets {
+		s.sets[i] = NewServerSet()
 	}
 	return s
 }
 
-func (s *sets3) steps() (steps []func()) {
-	if s.told < len(tellings) {
+func (s *setModel) steps() (steps []func()) {
+	if s.reported < len(reports) {
 		steps = append(steps, func() {
-			s.set[0].ApplyDiscovery(0, tellings[s.told:s.told+1], false)
-			s.told++
+			s.sets[0].ApplyDiscovery(0, reports[s.reported:s.reported+1], false)
+			s.reported++
 			s.check()
 		})
 	}
 	for i := range 3 {
 		for j := range 3 {
 			if i != j {
-				steps = append(steps, func() { s.hand(i, j) })
+				steps = append(steps, func() { s.send(i, j) })
 			}
 		}
 	}
 	if s.restarts > 0 {
 		steps = append(steps, func() {
 			s.restarts--
-			s.set[2], s.floor[2] = NewServerSet(), record{}
-			if s.bad == lostTelling {
-				s.floor[2] = s.floor[1] // it is taken to know what it does not
+			s.sets[2], s.lastKnown[2] = NewServerSet(), record{}
+			if s.defect == lostEntries {
+				s.lastKnown[2] = s.lastKnown[1] // it should have kept what the second member knows
 			}
 			s.check()
 		})
@@ -322,72 +333,72 @@
 	return steps
 }
 
-func (s *sets3) hand(i, j int) {
-	if s.bad == oldForNew {
-		for id, k := range s.set[i].servers {
-			s.set[j].servers[id] = k
+func (s *setModel) send(i, j int) {
+	if s.defect == olderReport {
+		for id, k := range s.sets[i].servers {
+			s.sets[j].servers[id] = k
 		}
-	} else if _, err := s.set[j].Merge(0, s.set[i].Entries(0)); err != nil {
-		s.wrong = err
+	} else if _, err := s.sets[j].Merge(0, s.sets[i].Entries(0)); err != nil {
+		s.err = err
 	}
 	s.check()
 }
 
-// check is the invariant: what one knows only moves forward in its life, and never past what
-// discovery has told.
-func (s *sets3) check() {
-	for i, set := range s.set {
+// check sets err if a record moved back without a restart of its member, or if it is newer than the last
+// report of discovery.
+func (s *setModel) check() {
+	for i, set := range s.sets {
 		k := set.servers["s"]
-		if s.floor[i].newerThan(k) {
-			s.wrong = fmt.Errorf("%d moved back to %+v from %+v", i, k, s.floor[i])
+		if s.lastKnown[i].newerThan(k) {
+			s.err = fmt.Errorf("member %d moved back to %+v from %+v", i, k, s.lastKnown[i])
 		}
-		s.floor[i] = k
+		s.lastKnown[i] = k
 		last := record{}
-		if s.told > 0 {
-			e := tellings[s.told-1]
+		if s.reported > 0 {
+			e := reports[s.reported-1]
 			last = record{e.Incarnation, e.State, 0}
 		}
 		if k.newerThan(last) {
-			s.wrong = fmt.Errorf("%d knows %+v, which nobody was told", i, k)
+			s.err = fmt.Errorf("member %d has %+v, which discovery has not reported", i, k)
 		}
 	}
 }
 
-func (s *sets3) Steps() int { return len(s.steps()) }
+func (s *setModel) Steps() int { return len(s.steps()) }
 
-func (s *sets3) Do(i int) error {
+func (s *setModel) Do(i int) error {
 	s.steps()[i]()
-	return s.wrong
+	return s.err
 }
 
-func (s *sets3) Clone() *sets3 {
+func (s *setModel) Clone() *setModel {
 	c := *s
-	for i, x := range s.set {
-		c.set[i] = &ServerSet{maps.Clone(x.servers), x.digest}
+	for i, x := range s.sets {
+		c.sets[i] = &ServerSet{maps.Clone(x.servers), x.digest}
 	}
 	return &c
 }
 
-func (s *sets3) Hash() uint64 {
+func (s *setModel) Hash() uint64 {
 	f := fnv.New64a()
-	fmt.Fprint(f, s.told, s.restarts, s.floor)
-	for _, x := range s.set {
+	fmt.Fprint(f, s.reported, s.restarts, s.lastKnown)
+	for _, x := range s.sets {
 		fmt.Fprint(f, x.servers["s"])
 	}
 	return f.Sum64()
 }
 
 func TestInterleavingsOfThreeServerSets(t *testing.T) {
-	r := interleave.Search(newSets3(none), 100_000)
+	r := interleave.Search(newSetModel(none), 100_000)
 	t.Log(r)
 	if r.Err != nil || !r.Exhausted {
 		t.Error(r)
 	}
-	for _, bad := range []defect{oldForNew, lostTelling} {
-		if r := interleave.Search(newSets3(bad), 100_000); r.Err == nil {
-			t.Errorf("%s: not found: %v", bad, r)
+	for _, injected := range []defect{olderReport, lostEntries} {
+		if r := interleave.Search(newSetModel(injected), 100_000); r.Err == nil {
+			t.Errorf("%s: not found: %v", injected, r)
 		} else {
-			t.Logf("%s: %v", bad, r)
+			t.Logf("%s: %v", injected, r)
 		}
 	}
 }
--- a/internal/agent/stalerouting/uplink_test.go
+++ b/internal/agent/stalerouting/uplink_test.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// site is a few members in simulated time, with links between them and an uplink.
+// site simulates a site of some members, with links between them and an uplink, in virtual time.
 type site struct {
 	t       *testing.T
 	now     time.Duration
 	members []*Uplink
-	down    []bool
-	uplink  func(i int) bool // whether a member hears what lies outside
-	links   func(from, to int) bool
-	loss    float64
+	down    []bool                  // members that have stopped
+	uplink  func(i int) bool        // whether the uplink works for a member
+	links   func(from, to int) bool // whether the link between two members works
+	loss    float64                 // fraction of the heartbeats that is lost
 	rng     *rand.Rand
-	last    []*Actions
-	asks    [][]time.Duration
-	boots   uint64
+	last    []*Actions        // of the last tick of each member
+	queries [][]time.Duration // times at which each member queried discovery
+	starts  uint64            // number of member starts
 }
 
 func newSite(t *testing.T, n int, change func(*Config)) *site {
-	s := &site{t: t, uplink: func(int) bool { return true }, links: func(int, int) bool { return true }, rng: rand.New(rand.NewPCG(1, 2)),
-		down: make([]bool, n), last: make([]*Actions, n), asks: make([][]time.Duration, n), members: make([]*Uplink, n)}
+	s := &site{t: t, uplink: func(int) bool { return true }, links: func(int, int) bool { return true },
+		rng:  rand.New(rand.NewPCG(1, 2)),
+		down: make([]bool, n), last: make([]*Actions, n), queries: make([][]time.Duration, n),
+		members: make([]*Uplink, n)}
 	for i := range n {
 		s.start(i, change)
 	}
@@ -41,8 +43,8 @@
 	if change != nil {
 		change(&cfg)
 	}
-	s.boots++
-	u, err := NewUplink(cfg, s.boots)
+	s.starts++
+	u, err := NewUplink(cfg, s.starts)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -50,7 +52,7 @@
 	s.members[i], s.down[i] = u, false
 }
 
-// run lets time pass; discovery answers what it is asked where the uplink is there.
+// run advances the simulation. Discovery and agents of other sites answer members whose uplink works.
 func (s *site) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += 50 * time.Millisecond {
 		for i, u := range s.members {
@@ -60,7 +62,7 @@
 			out := u.Tick(s.now, 7)
 			s.last[i] = out
 			if out.QueryDiscovery {
-				s.asks[i] = append(s.asks[i], s.now)
+				s.queries[i] = append(s.queries[i], s.now)
 				if s.uplink(i) {
 					u.Observe(s.now, DiscoveryAnswered)
 				}
@@ -92,13 +94,13 @@
 	s.t.Helper()
 	for i, p := range s.phases() {
 		if p != want {
-			s.t.Errorf("at %v member %d is %v, want %v (%v)", s.now, i, p, want, s.phases())
+			s.t.Errorf("at %v member %d is %v, want %v (all: %v)", s.now, i, p, want, s.phases())
 		}
 	}
 }
 
-// A site whose uplink is lost finds out together within the bound, also where every fifth word
-// is lost, and comes back by steps, asking discovery at different moments.
+// All members of a site detect the loss of its uplink within 3 s, even if a fifth of the heartbeats is lost.
+// After the uplink is back they recover by a slow start and query discovery at different times.
 func TestIsolatedSiteIsDetectedByMajority(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 40} {
 		s := newSite(t, n, nil)
@@ -115,8 +117,8 @@
 		}
 		s.run(time.Minute)
 		s.requirePhase(Isolated)
-		for i := range s.asks {
-			s.asks[i] = nil
+		for i := range s.queries {
+			s.queries[i] = nil
 		}
 		s.uplink = func(int) bool { return true }
 		s.run(time.Second)
@@ -133,25 +135,26 @@
 		}
 		s.requirePhase(Connected)
 		at := map[time.Duration]int{}
-		for i := range s.asks {
-			if len(s.asks[i]) == 0 || len(s.asks[i]) > 2 {
-				t.Errorf("%d members: %d asked discovery %d times at the return", n, i, len(s.asks[i]))
+		for i := range s.queries {
+			if len(s.queries[i]) == 0 || len(s.queries[i]) > 2 {
+				t.Errorf("%d members: member %d queried discovery %d times during the recovery", n, i,
+					len(s.queries[i]))
 				continue
 			}
-			at[s.asks[i][0]]++
+			at[s.queries[i][0]]++
 		}
 		if n == 40 {
 			for when, k := range at {
 				if k > n/2 {
-					t.Errorf("%d of %d asked at %v", k, n, when)
+					t.Errorf("%d of %d members queried discovery at %v", k, n, when)
 				}
 			}
 		}
 	}
 }
 
-// One that is cut off alone, from outside and from its site, is no site; nor is one that hears
-// its site, which does hear what lies outside.
+// A single member without the uplink does not treat the site as isolated, whether or not it is also
+// partitioned off from the other members.
 func TestSinglePartitionedAgentIsNoIsolatedSite(t *testing.T) {
 	s := newSite(t, 5, nil)
 	s.run(5 * time.Second)
@@ -161,7 +164,7 @@
 	s.links = func(from, to int) bool { return from != 2 && to != 2 }
 	s.run(10 * time.Second)
 	s.requirePhase(Connected)
-	// Two parts of a dark site: only the larger one may know it.
+	// In two partitions of an isolated site only the larger one has a majority to detect it.
 	s.uplink = func(int) bool { return false }
 	s.links = func(from, to int) bool { return (from < 2) == (to < 2) }
 	s.run(10 * time.Second)
@@ -170,7 +173,7 @@
 	}
 }
 
-// A member that hears something outside while the others do not goes on sending there.
+// A member with signals from outside stays connected while the others are isolated.
 func TestAgentWithSignalsIsNotIsolated(t *testing.T) {
 	s := newSite(t, 5, nil)
 	s.run(5 * time.Second)
@@ -179,15 +182,15 @@
 	if got := s.phases(); !slices.Equal(got, []Phase{Connected, Isolated, Isolated, Isolated, Isolated}) {
 		t.Errorf("%v", got)
 	}
-	s.uplink = func(i int) bool { return i <= 1 } // another one finds its way out
+	s.uplink = func(i int) bool { return i <= 1 } // a second member has an uplink again
 	s.run(10 * time.Second)
 	if got := s.phases(); !slices.Equal(got, []Phase{Connected, Connected, Isolated, Isolated, Isolated}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// One that starts again during the loss takes the site's word as soon as it hears it; a whole
-// site that does goes on at once if it kept that it was dark, and finds out anew if not.
+// A member that restarts while its site is isolated adopts that state from the heartbeats of the others. If
+// all members restart, the site stays isolated if they stored that state, and detects it again otherwise.
 func TestRestartsWhileIsolated(t *testing.T) {
 	s := newSite(t, 5, nil)
 	s.run(5 * time.Second)
@@ -196,13 +199,13 @@
 	s.start(3, nil)
 	s.run(time.Second)
 	s.requirePhase(Isolated)
-	for _, kept := range []bool{true, false} {
+	for _, stored := range []bool{true, false} {
 		for i := range s.members {
-			s.start(i, func(c *Config) { c.WasIsolated = kept })
+			s.start(i, func(c *Config) { c.WasIsolated = stored })
 		}
 		s.run(time.Second)
-		if want := map[bool]Phase{true: Isolated, false: Connected}[kept]; s.last[0].Phase != want {
-			t.Errorf("kept %v: %v a second after all started", kept, s.phases())
+		if want := map[bool]Phase{true: Isolated, false: Connected}[stored]; s.last[0].Phase != want {
+			t.Errorf("stored %v: %v one second after all members restarted", stored, s.phases())
 		}
 		s.run(3 * time.Second)
 		s.requirePhase(Isolated)
@@ -212,14 +215,14 @@
 	s.requirePhase(Connected)
 }
 
-// Members that were paused, all of a site or one of it, do not take their sleep for silence;
-// an uplink that was lost meanwhile is found out all the same.
-func TestPauseOfTheProcessIsNoSilence(t *testing.T) {
+// Members that were paused do not count the pause as a time without signals. If the uplink was lost during
+// the pause, they detect that afterwards.
+func TestPauseIsNotCountedAsIsolation(t *testing.T) {
 	for _, n := range []int{1, 3} {
 		s := newSite(t, n, nil)
 		s.run(5 * time.Second)
 		for _, lost := range []bool{false, true} {
-			s.now += 10 * time.Second // nobody ticks
+			s.now += 10 * time.Second // all members are paused
 			s.uplink = func(int) bool { return !lost }
 			s.run(50 * time.Millisecond)
 			s.requirePhase(Connected)
@@ -229,16 +232,16 @@
 	}
 }
 
-// What a member holds lapses by itself. Those that are left of a dark site stay dark while they
-// hear nothing, for Hold, and come back by what they hear themselves.
+// The share of a member expires by itself. If most members of an isolated site fail, the remaining ones stay
+// isolated until MaxIsolation has passed or they have signals from outside themselves.
 func TestLastMembersOfAnIsolatedSite(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		s := newSite(t, 5, func(c *Config) { c.MaxIsolation = time.Minute })
 		s.run(5 * time.Second)
 		s.uplink = func(int) bool { return false }
 		s.run(5 * time.Second)
-		if most := s.now + heartbeatsValid*500*time.Millisecond; s.last[4].Until > most {
-			t.Errorf("holds until %v, at most until %v", s.last[4].Until, most)
+		if limit := s.now + heartbeatsValid*500*time.Millisecond; s.last[4].Until > limit {
+			t.Errorf("share valid until %v, want at most until %v", s.last[4].Until, limit)
 		}
 		s.down[0], s.down[1], s.down[2] = true, true, true
 		s.run(50 * time.Second)
@@ -254,30 +257,32 @@
 func TestInvalidHeartbeatsAreRejected(t *testing.T) {
 	s := newSite(t, 3, nil)
 	u := s.members[0]
-	good := Heartbeat{Version: Version, From: "1", Incarnation: 4, Seq: 5, Isolated: true}
-	if err := u.Receive(0, good); err != nil {
+	valid := Heartbeat{Version: Version, From: "1", Incarnation: 4, Seq: 5, Isolated: true}
+	if err := u.Receive(0, valid); err != nil {
 		t.Fatal(err)
 	}
-	for _, change := range []func(*Heartbeat){func(w *Heartbeat) { w.Version = 9 }, func(w *Heartbeat) { w.From = "" }, func(w *Heartbeat) { w.From = "9" },
-		func(w *Heartbeat) { w.From = "0" }, func(w *Heartbeat) { w.Seq = 5 }, func(w *Heartbeat) { w.Seq = 4 }} {
-		w := good
-		change(&w)
-		if err := u.Receive(0, w); err == nil {
-			t.Errorf("%+v was taken", w)
+	for _, change := range []func(*Heartbeat){func(h *Heartbeat) { h.Version = 9 },
+		func(h *Heartbeat) { h.From = "" }, func(h *Heartbeat) { h.From = "9" },
+		func(h *Heartbeat) { h.From = "0" }, func(h *Heartbeat) { h.Seq = 5 }, func(h *Heartbeat) { h.Seq = 4 }} {
+		h := valid
+		change(&h)
+		if err := u.Receive(0, h); err == nil {
+			t.Errorf("%+v was accepted", h)
 		}
 	}
-	w := good
-	w.Incarnation, w.Seq = 9, 1 // another life
-	if err := u.Receive(0, w); err != nil {
+	h := valid
+	h.Incarnation, h.Seq = 9, 1 // of a new run
+	if err := u.Receive(0, h); err != nil {
 		t.Error(err)
 	}
-	for key, change := range map[string]func(*Config){"beat": func(c *Config) { c.HeartbeatInterval = 0 }, "quiet": func(c *Config) { c.IsolationTimeout = c.HeartbeatInterval },
-		"step": func(c *Config) { c.SlowStartStep = 0 }, "site": func(c *Config) { c.Members = nil }} {
+	for key, change := range map[string]func(*Config){"beat": func(c *Config) { c.HeartbeatInterval = 0 },
+		"quiet": func(c *Config) { c.IsolationTimeout = c.HeartbeatInterval },
+		"step":  func(c *Config) { c.SlowStartStep = 0 }, "site": func(c *Config) { c.Members = nil }} {
 		c := Defaults()
 		c.Self, c.Members = "a", []string{"a"}
 		change(&c)
 		if _, err := NewUplink(c, 1); err == nil {
-			t.Errorf("%s was taken", key)
+			t.Errorf("an invalid value of %s was accepted", key)
 		}
 	}
 }
