--- a/internal/agent/ejection/config.go
+++ b/internal/agent/ejection/config.go
@@ -58,7 +58,8 @@
 	case c.MaxEvidenceAge < 100*time.Millisecond || c.MaxEvidenceAge > c.MaxLease:
 		return fmt.Errorf("age: must be 100ms to longest (%v), is %v", c.MaxLease, c.MaxEvidenceAge)
 	case c.EscalationWindow < 0 || c.SlowStartStep <= 0 || c.TrialInterval <= 0:
-		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", c.EscalationWindow, c.SlowStartStep, c.TrialInterval)
+		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", c.EscalationWindow,
+			c.SlowStartStep, c.TrialInterval)
 	case len(c.Electorate.Members) == 0:
 		return fmt.Errorf("electorate: it has no members")
 	}
@@ -72,6 +73,7 @@
 
 // Defaults returns the configuration for keys that the operations file does not set.
 func Defaults() Config {
-	return Config{MaxEjectedFraction: 0.4, Lease: 8 * time.Second, MaxLease: time.Minute, EscalationWindow: 2 * time.Minute,
-		MaxEvidenceAge: 10 * time.Second, SlowStartStep: time.Second, TrialInterval: time.Second, EarlierPromisesFor: -1}
+	return Config{MaxEjectedFraction: 0.4, Lease: 8 * time.Second, MaxLease: time.Minute,
+		EscalationWindow: 2 * time.Minute, MaxEvidenceAge: 10 * time.Second, SlowStartStep: time.Second,
+		TrialInterval: time.Second, EarlierPromisesFor: -1}
 }
--- a/internal/agent/ejection/ejection.go
+++ b/internal/agent/ejection/ejection.go
@@ -88,11 +88,13 @@
 func (v *Voter) currentStandings() (out []Standing) {
 	for _, host := range v.knownHosts() {
 		if state := v.ejections[host]; state != nil && state.ejected {
-			out = append(out, v.withRequestedAttempt(Standing{Host: host, Until: state.expiresAt}, v.trialDue(host,
-				state)))
+			out = append(out, v.withRequestedAttempt(Standing{Host: host, Until: state.expiresAt},
+				v.trialDue(host, state)))
 			continue
 		} else if state != nil && v.now-state.since < v.slowStartDuration() {
-			out = append(out, Standing{Host: host, Share: slowStartShares[(v.now-state.since)/v.config.SlowStartStep], Until: state.since + v.slowStartDuration()})
+			out = append(out, Standing{Host: host,
+				Share: slowStartShares[(v.now-state.since)/v.config.SlowStartStep],
+				Until: state.since + v.slowStartDuration()})
 			continue
 		}
 		if v.owesAttempt(host) {
--- a/internal/agent/ejection/grant.go
+++ b/internal/agent/ejection/grant.go
@@ -41,7 +41,8 @@
 		// is newer than the grant. So one failed trial keeps a host ejected; otherwise each member
 		// would need one.
 		record := own.record
-		unhealthy := record.LastFailureAt > record.LastSuccessSent && v.now-record.LastFailureAt <= renewalAgeFactor*v.config.MaxLease
+		unhealthy := record.LastFailureAt > record.LastSuccessSent &&
+			v.now-record.LastFailureAt <= renewalAgeFactor*v.config.MaxLease
 		renewalDue := own.vote == Grant && own.grantExpiry > v.now &&
 			own.grantExpiry-v.now < (own.grantExpiry-own.grantedAt)/2 && unhealthy &&
 			v.newestEvidence(h) > own.grantedAt
--- a/internal/agent/ejection/interleave_test.go
+++ b/internal/agent/ejection/interleave_test.go
@@ -62,7 +62,8 @@
 func (s *voteModel) config(i int, incarnation uint64) Config {
 	c := Config{Self: fmt.Sprint("v", i), Incarnation: incarnation, Electorate: Electorate{Number: 1,
 		Members: []string{"v0", "v1", "v2"}}, MaxEjectedFraction: 0.5, Lease: 2 * time.Second,
-		MaxLease: 2 * time.Second, MaxEvidenceAge: 2 * time.Second, EscalationWindow: 0, SlowStartStep: time.Second, TrialInterval: time.Second, EarlierPromisesFor: -1}
+		MaxLease: 2 * time.Second, MaxEvidenceAge: 2 * time.Second, EscalationWindow: 0, SlowStartStep: time.Second,
+		TrialInterval: time.Second, EarlierPromisesFor: -1}
 	if s.defect == uncappedPromises {
 		c.MaxEjectedFraction = 0.5 * 3 / 2 * 2
 	}
--- a/internal/agent/ejection/message.go
+++ b/internal/agent/ejection/message.go
@@ -149,7 +149,8 @@
 	var entries []Entry
 	for _, announced := range v.announcedVotes() {
 		own := v.own[announced.host]
-		entry := Entry{Host: announced.host, Vote: own.vote, Reason: own.reason, Attempts: own.record.Attempts, Failures: own.record.Failures, ValidFor: v.config.MaxEvidenceAge}
+		entry := Entry{Host: announced.host, Vote: own.vote, Reason: own.reason, Attempts: own.record.Attempts,
+			Failures: own.record.Failures, ValidFor: v.config.MaxEvidenceAge}
 		switch own.vote {
 		case Grant:
 			entry.ValidFor = max(own.grantExpiry-v.now, 0)
@@ -166,9 +167,11 @@
 		if p == nil {
 			continue
 		}
-		message := &VoteMessage{Version: Version, From: v.config.Self, Incarnation: v.config.Incarnation, Electorate: v.config.Electorate.Number, Sent: v.now, Entries: entries}
+		message := &VoteMessage{Version: Version, From: v.config.Self, Incarnation: v.config.Incarnation,
+			Electorate: v.config.Electorate.Number, Sent: v.now, Entries: entries}
 		if p.incarnation != 0 {
-			message.EchoIncarnation, message.Echo, message.EchoAge = p.incarnation, p.newestSent, v.now-p.newestSentReceivedAt
+			message.EchoIncarnation, message.Echo, message.EchoAge = p.incarnation, p.newestSent,
+				v.now-p.newestSentReceivedAt
 		}
 		v.actions.Messages[name] = message
 	}
--- a/internal/agent/ejection/own_vote.go
+++ b/internal/agent/ejection/own_vote.go
@@ -15,9 +15,9 @@
 	weight           float64       // promised fraction of the zone's weight
 	zone             string
 	grantedAt        time.Duration // time of the last grant, -1 if there was none; older evidence does not count
-	grants           int           // number of recent grants; the next lease is longer the more there were
+	grants           int           // number of recent grants; each doubles the next lease, up to MaxLease
 	record           outlier.Record
-	owedSince        time.Duration // when others began to vote while this member has no evidence; 0 if they do not
+	owedSince        time.Duration // when the votes of others first called for an attempt; 0 if none is owed
 	attemptRequested bool          // the owed attempt or health check has been requested
 	probeAnswered    bool          // the requested health check has been answered
 }
@@ -68,10 +68,12 @@
 		own.vote, own.reason = Abstain, ReasonPanic
 	case !listed:
 		own.vote, own.reason = Abstain, ReasonNoEvidence
-	case record.Healthy(v.now, v.config.MaxEvidenceAge) && (own.grantedAt < 0 || record.LastSuccessSent > own.grantedAt):
+	case record.Healthy(v.now, v.config.MaxEvidenceAge) &&
+		(own.grantedAt < 0 || record.LastSuccessSent > own.grantedAt):
 		own.vote, own.reason = Deny, ReasonSuccess
 	case granted: // the promise stands; grantWithinCap renews it
-	case record.Unhealthy(v.now, v.config.MaxEvidenceAge) && (own.grantedAt < 0 || record.LastFailureSent > own.grantedAt):
+	case record.Unhealthy(v.now, v.config.MaxEvidenceAge) &&
+		(own.grantedAt < 0 || record.LastFailureSent > own.grantedAt):
 		if own.vote != Suspect { // an earlier Suspect keeps its reason, which may be ReasonEjectionCap
 			own.reason = reasonFor(record.LastFailure)
 		}
@@ -82,11 +84,13 @@
 	if own.vote != before && own.vote != Abstain {
 		v.trace(own.vote.String(), host, own)
 	}
-	if record.LastProbeSent > record.LastFailureAt && own.attemptRequested && own.owedSince > 0 && record.LastProbeSent > own.owedSince && !own.probeAnswered {
-		own.attemptRequested, own.probeAnswered = false,
-			true // a running process is not evidence of health: request one attempt
+	if record.LastProbeSent > record.LastFailureAt && own.attemptRequested && own.owedSince > 0 &&
+		record.LastProbeSent > own.owedSince && !own.probeAnswered {
+		// A running process is not evidence of health: request one attempt.
+		own.attemptRequested, own.probeAnswered = false, true
 	}
-	if record.Attempts > 0 && (record.Healthy(v.now, v.config.MaxEvidenceAge) || record.Unhealthy(v.now, v.config.MaxEvidenceAge)) {
+	if record.Attempts > 0 && (record.Healthy(v.now, v.config.MaxEvidenceAge) ||
+		record.Unhealthy(v.now, v.config.MaxEvidenceAge)) {
 		own.owedSince, own.attemptRequested, own.probeAnswered = 0, false, false
 	}
 }
--- a/internal/agent/ejection/sim_test.go
+++ b/internal/agent/ejection/sim_test.go
@@ -57,15 +57,18 @@
 const tick = 25 * time.Millisecond
 
 func newSim(t testing.TB, seed uint64, members, hosts int, zones int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), outcomes: map[outlier.Host]outlier.Outcome{}, maxDelay: 10 * time.Millisecond,
-		attemptsPerSecond: 20, everEjected: map[outlier.Host]bool{}, partitioned: func(string, string) bool { return false }}
-	s.config = Config{Electorate: Electorate{Number: 1}, MaxEjectedFraction: 0.5, Lease: 2 * time.Second, MaxLease: 4 * time.Second, EscalationWindow: 20 * time.Second,
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 3)), outcomes: map[outlier.Host]outlier.Outcome{},
+		maxDelay: 10 * time.Millisecond, attemptsPerSecond: 20, everEjected: map[outlier.Host]bool{},
+		partitioned: func(string, string) bool { return false }}
+	s.config = Config{Electorate: Electorate{Number: 1}, MaxEjectedFraction: 0.5, Lease: 2 * time.Second,
+		MaxLease: 4 * time.Second, EscalationWindow: 20 * time.Second,
 		MaxEvidenceAge: 3 * time.Second, SlowStartStep: 500 * time.Millisecond, TrialInterval: 250 * time.Millisecond}
 	for i := range members {
 		s.config.Electorate.Members = append(s.config.Electorate.Members, fmt.Sprintf("n%d", i))
 	}
 	for i := range hosts {
-		s.hosts = append(s.hosts, outlier.ListedHost{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)}, Zone: fmt.Sprint(i % zones), Weight: 1})
+		s.hosts = append(s.hosts, outlier.ListedHost{Host: outlier.Host{ID: fmt.Sprintf("s-%d", i)},
+			Zone: fmt.Sprint(i % zones), Weight: 1})
 	}
 	for _, name := range s.config.Electorate.Members {
 		m := &member{name: name, clockRate: 1 + clockDrift/4*(2*s.rng.Float64()-1)}
@@ -186,7 +189,8 @@
 			continue
 		}
 		// Like the agent's own demotion: after a failure the member avoids the host for a while.
-		if r, ok := m.evidence.Record(h, s.localTime(m)); ok && r.LastFailureAt > r.LastSuccessSent && s.localTime(m)-r.LastFailureAt < 500*time.Millisecond {
+		if r, ok := m.evidence.Record(h, s.localTime(m)); ok && r.LastFailureAt > r.LastSuccessSent &&
+			s.localTime(m)-r.LastFailureAt < 500*time.Millisecond {
 			continue
 		}
 		s.attempt(m, h)
--- a/internal/agent/ejection/trial.go
+++ b/internal/agent/ejection/trial.go
@@ -25,7 +25,8 @@
 	if own != nil && own.vote >= Suspect {
 		unanswered = own.record.LastFailure == outlier.NoAnswer
 	}
-	standing.Probe = unanswered && (own == nil || own.record.LastProbeSent <= own.record.LastFailureAt || v.now-own.record.LastProbeSent > v.config.MaxEvidenceAge)
+	standing.Probe = unanswered && (own == nil || own.record.LastProbeSent <= own.record.LastFailureAt ||
+		v.now-own.record.LastProbeSent > v.config.MaxEvidenceAge)
 	standing.Trial = !standing.Probe
 	return standing
 }
--- a/internal/agent/ejection/voter.go
+++ b/internal/agent/ejection/voter.go
@@ -116,7 +116,8 @@
 	if err := config.Validate(); err != nil {
 		return nil, fmt.Errorf("ejection: %w", err)
 	}
-	voter := &Voter{config: config, evidence: evidence, peers: map[string]*peer{}, own: map[outlier.Host]*ownVote{}, ejections: map[outlier.Host]*ejection{}}
+	voter := &Voter{config: config, evidence: evidence, peers: map[string]*peer{}, own: map[outlier.Host]*ownVote{},
+		ejections: map[outlier.Host]*ejection{}}
 	for _, member := range config.Electorate.Members {
 		if member == config.Self {
 			voter.isMember = true
@@ -248,7 +249,8 @@
 
 // trace adds an event about this member's vote on a host.
 func (v *Voter) trace(kind string, host outlier.Host, own *ownVote) {
-	event := TraceEvent{At: v.now, Kind: kind, Host: host, Reason: own.reason, Electorate: v.config.Electorate.Number, Attempts: own.record.Attempts, Failures: own.record.Failures}
+	event := TraceEvent{At: v.now, Kind: kind, Host: host, Reason: own.reason,
+		Electorate: v.config.Electorate.Number, Attempts: own.record.Attempts, Failures: own.record.Failures}
 	if own.vote == Grant {
 		event.Until = own.grantExpiry
 	}
--- a/internal/agent/ejection/voter_test.go
+++ b/internal/agent/ejection/voter_test.go
@@ -72,8 +72,8 @@
 		}
 	}
 	for i, share := range shares[1:] { // up by one step at a time, down by any number of steps
-		if at := slices.Index(slowStartShares[:], shares[i]); share > shares[i] && (at+1 >= len(slowStartShares) ||
-			share != slowStartShares[at+1]) {
+		if at := slices.Index(slowStartShares[:], shares[i]); share > shares[i] &&
+			(at+1 >= len(slowStartShares) || share != slowStartShares[at+1]) {
 			t.Errorf("shares %v: a step up was skipped", shares)
 		}
 	}
@@ -193,7 +193,8 @@
 		for _, m := range s.members[:3] {
 			for _, h := range s.hosts {
 				now := s.localTime(m)
-				m.evidence.Observe(outlier.Observation{Host: h.Host, Outcome: outlier.NoAnswer, LatencyRatio: 1, Sent: now, Ended: now})
+				m.evidence.Observe(outlier.Observation{Host: h.Host, Outcome: outlier.NoAnswer, LatencyRatio: 1,
+					Sent: now, Ended: now})
 			}
 		}
 		s.run(2 * tick)
--- a/internal/agent/outlier/outlier.go
+++ b/internal/agent/outlier/outlier.go
@@ -120,7 +120,8 @@
 
 // New returns an empty log with a window of the given length.
 func New(window time.Duration) *Log {
-	return &Log{window: window, hosts: map[string]*hostHistory{}, zoneUtilization: map[string]*utilization{}, usualLatency: map[int]float64{}}
+	return &Log{window: window, hosts: map[string]*hostHistory{}, zoneUtilization: map[string]*utilization{},
+		usualLatency: map[int]float64{}}
 }
 
 // SetHosts replaces the set of hosts and deletes the history of hosts that are no longer in it. A host
@@ -131,7 +132,8 @@
 		listed[h.ID] = true
 		history := l.hosts[h.ID]
 		if history == nil || history.host != h.Host {
-			history = &hostHistory{host: h.Host, lastFailureAt: never, lastFailureSent: never, lastProbeSent: never, lastSuccessSent: never}
+			history = &hostHistory{host: h.Host, lastFailureAt: never, lastFailureSent: never, lastProbeSent: never,
+				lastSuccessSent: never}
 			l.hosts[h.ID] = history
 		}
 		history.weight, history.zone = h.Weight, h.Zone
@@ -180,7 +182,8 @@
 		return observation.Outcome
 	}
 	usual, known := l.usualLatency[observation.Class]
-	if observation.Outcome == NoAnswer && !observation.Probe && observation.LatencyRatio < 1 && (!known || observation.LatencyRatio < noAnswerFactor*usual) {
+	if observation.Outcome == NoAnswer && !observation.Probe && observation.LatencyRatio < 1 &&
+		(!known || observation.LatencyRatio < noAnswerFactor*usual) {
 		return Overloaded
 	}
 	if observation.Outcome == Success {
@@ -207,7 +210,8 @@
 		if history.lastFailureAt <= history.lastSuccessSent {
 			history.firstFailureSent = observation.Sent
 		}
-		history.lastFailure, history.lastFailureAt, history.lastFailureSent = observation.Outcome, max(history.lastFailureAt, observation.Ended), max(history.lastFailureSent, observation.Sent)
+		history.lastFailure, history.lastFailureAt, history.lastFailureSent = observation.Outcome,
+			max(history.lastFailureAt, observation.Ended), max(history.lastFailureSent, observation.Sent)
 	} else {
 		// A success counts from when the attempt was sent, not from when it ended: an attempt that was
 		// sent before a failure does not show that the host recovered after it.
--- a/internal/agent/outlier/outlier_test.go
+++ b/internal/agent/outlier/outlier_test.go
@@ -72,7 +72,8 @@
 		ms           int
 		latencyRatio float64
 		unhealthy    bool
-	}{{1000, 0.8, false}, {1100, 0.9, false}, {1900, 0.8, false}, {2100, 0.8, true}, {2200, 0.1, false}, {2300, 0.8, false}} {
+	}{{1000, 0.8, false}, {1100, 0.9, false}, {1900, 0.8, false}, {2100, 0.8, true},
+		{2200, 0.1, false}, {2300, 0.8, false}} {
 		observe(c.ms, c.latencyRatio)
 		now := time.Duration(c.ms) * time.Millisecond
 		if r, _ := l.Record(hostOne, now); r.Unhealthy(now, window) != c.unhealthy {
@@ -85,7 +86,8 @@
 func TestLateSuccessDoesNotClearAFailure(t *testing.T) {
 	l := newLog()
 	l.Observe(Observation{Host: hostOne, Outcome: Failure, Sent: 2 * time.Second, Ended: 2 * time.Second})
-	l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: 0.1, Sent: time.Second, Ended: 3 * time.Second})
+	l.Observe(Observation{Host: hostOne, Outcome: Success, LatencyRatio: 0.1, Sent: time.Second,
+		Ended: 3 * time.Second})
 	if r, _ := l.Record(hostOne, 4*time.Second); r.Healthy(4*time.Second, window) {
 		t.Errorf("the host counts as healthy: %+v", r)
 	}
@@ -113,13 +115,15 @@
 func TestClassificationOfSlowAndUnanswered(t *testing.T) {
 	l := newLog()
 	for i := range 50 {
-		l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.2, Sent: time.Duration(i), Ended: time.Duration(i)})
+		l.Observe(Observation{Host: hostTwo, Outcome: Success, LatencyRatio: 0.2, Sent: time.Duration(i),
+			Ended: time.Duration(i)})
 	}
 	for _, c := range []struct {
 		outcome      Outcome
 		latencyRatio float64
 		want         Outcome
-	}{{Success, 0.3, Success}, {Success, 0.55, Success}, {Success, 0.7, Slow}, {NoAnswer, 0.1, Overloaded}, {NoAnswer, 0.9, NoAnswer}, {NoAnswer, 1, NoAnswer}} {
+	}{{Success, 0.3, Success}, {Success, 0.55, Success}, {Success, 0.7, Slow}, {NoAnswer, 0.1, Overloaded},
+		{NoAnswer, 0.9, NoAnswer}, {NoAnswer, 1, NoAnswer}} {
 		if got := l.Observe(Observation{Host: hostOne, Outcome: c.outcome, LatencyRatio: c.latencyRatio, Sent: 100,
 			Ended: 100}); got != c.want {
 			t.Errorf("%v after %.2f of the latency target is %v, want %v", c.outcome, c.latencyRatio, got, c.want)
@@ -176,7 +180,8 @@
 		l.Observe(Observation{Host: hosts[2].Host, Outcome: Success, Probe: true, Utilization: utilization,
 			Sent: time.Second, Ended: time.Second + time.Duration(i)})
 	}
-	want := []Zone{{Name: "a", Weight: 2}, {Name: "b", Weight: 8, Observed: 2, Unhealthy: 1, WithFailures: 1, Attempts: 2, Failures: 1, Utilization: 0.5, UtilizationSamples: 2}}
+	want := []Zone{{Name: "a", Weight: 2}, {Name: "b", Weight: 8, Observed: 2, Unhealthy: 1, WithFailures: 1,
+		Attempts: 2, Failures: 1, Utilization: 0.5, UtilizationSamples: 2}}
 	if got := l.Zones(2 * time.Second); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
