--- a/internal/agent/ejection/config.go
+++ b/internal/agent/ejection/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Electorate is the set of agents of a site that vote. Votes of different electorates are not
+// Electorate is the set of agents of a site that vote. Votes of different electorates are never
 // counted together.
 type Electorate struct {
 	Number  uint64
@@ -24,24 +24,24 @@
 // Config configures a Voter.
 type Config struct {
 	Self        string
-	Incarnation uint64 // identifies this run of the process; no other run may have the same
+	Incarnation uint64 // identifies this run of the process; unique among all runs
 	Electorate  Electorate
 	// MaxEjectedFraction is the fraction of a zone's weight that may be ejected at once, at most 0.5.
-	// The documentation calls it the cap.
+	// It is also called the cap.
 	MaxEjectedFraction float64
 	// Lease is how long the first ejection of a host lasts. Each further one within EscalationWindow
 	// lasts twice as long as the one before, up to MaxLease.
 	Lease, MaxLease, EscalationWindow time.Duration
-	// MaxEvidenceAge is the age up to which evidence counts for a vote.
+	// MaxEvidenceAge is the maximum age of the evidence for a vote.
 	MaxEvidenceAge time.Duration
 	// SlowStartStep is the duration of each step of the slow start of a returning host.
 	SlowStartStep time.Duration
 	// TrialInterval is the time between two trial requests to an ejected host.
 	TrialInterval time.Duration
-	// EarlierPromisesFor is how long after the start promises of earlier runs may still stand;
-	// negative if that is unknown.
+	// EarlierPromisesFor is how long after its start the voter abstains because promises of earlier runs
+	// may still stand. A negative value means that this is unknown: the voter abstains for MaxPromise.
 	EarlierPromisesFor time.Duration
-	// PersistsPromises tells that the caller stores the time until which promises may stand; see
+	// PersistsPromises is true if the caller stores the time until which promises may stand; see
 	// PromisesPersisted.
 	PersistsPromises bool
 }
@@ -58,7 +58,8 @@
 	case c.MaxEvidenceAge < 100*time.Millisecond || c.MaxEvidenceAge > c.MaxLease:
 		return fmt.Errorf("age: must be 100ms to longest (%v), is %v", c.MaxLease, c.MaxEvidenceAge)
 	case c.EscalationWindow < 0 || c.SlowStartStep <= 0 || c.TrialInterval <= 0:
-		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", c.EscalationWindow, c.SlowStartStep, c.TrialInterval)
+		return fmt.Errorf("remember, step and trial: must be above 0, are %v, %v and %v", c.EscalationWindow,
+			c.SlowStartStep, c.TrialInterval)
 	case len(c.Electorate.Members) == 0:
 		return fmt.Errorf("electorate: it has no members")
 	}
@@ -72,6 +73,7 @@
 
 // Defaults returns the configuration for keys that the operations file does not set.
 func Defaults() Config {
-	return Config{MaxEjectedFraction: 0.4, Lease: 8 * time.Second, MaxLease: time.Minute, EscalationWindow: 2 * time.Minute,
-		MaxEvidenceAge: 10 * time.Second, SlowStartStep: time.Second, TrialInterval: time.Second, EarlierPromisesFor: -1}
+	return Config{MaxEjectedFraction: 0.4, Lease: 8 * time.Second, MaxLease: time.Minute,
+		EscalationWindow: 2 * time.Minute, MaxEvidenceAge: 10 * time.Second, SlowStartStep: time.Second,
+		TrialInterval: time.Second, EarlierPromisesFor: -1}
 }
