--- a/internal/agent/metrics/metrics.go
+++ b/internal/agent/metrics/metrics.go
@@ -69,21 +69,21 @@
 		reg.MustRegister(h)
 		return h
 	}
-	m.answers = counter("answers_total", "Final answers to clients.", "class", "verdict")
-	m.latency = histogram("answer_seconds", "Time from the header of a request to its final answer.",
+	m.answers = counter("answers_total", "Final answers to the client.", "class", "verdict")
+	m.latency = histogram("answer_seconds", "Time from a request's head to its final answer.",
 		durationBuckets, "class", "verdict")
 	m.deadlineSlack = histogram("answer_left_seconds",
-		"Time between the final answer and the client's deadline (rule 1 of the contract).",
+		"Time that was left to the client's deadline at the final answer (rule 1).",
 		append([]float64{0}, durationBuckets...)).WithLabelValues()
-	m.attemptsPerRequest = histogram("request_attempts", "Number of attempts per request, counted at its final answer.",
+	m.attemptsPerRequest = histogram("request_attempts", "Attempts of a request by its final answer.",
 		[]float64{0, 1, 2, 3, 5}).WithLabelValues()
-	m.attempts = counter("attempts_total", "Request attempts, by outcome.", "outcome")
-	m.attemptLatency = histogram("attempt_seconds", "Duration of a request attempt, by outcome.",
+	m.attempts = counter("attempts_total", "Attempts at report servers by their outcome.", "outcome")
+	m.attemptLatency = histogram("attempt_seconds", "Time of an attempt by its outcome.",
 		durationBuckets, "outcome")
 	m.warmingUpAttempts = counter("cold_attempts_total",
-		"Request attempts at servers in slow start (rule 4 of the contract).").WithLabelValues()
+		"Attempts at servers that are not yet warm by the list (rule 4).").WithLabelValues()
 	m.violationsPrevented = counter("guarded_total",
-		"Violations of the contract that were prevented, by rule.", "rule", "what")
+		"What would have broken one of the four rules and was stopped.", "rule", "what")
 	m.state = newStateCollector()
 	reg.MustRegister(m.state)
 	if runtime {
--- a/internal/agent/metrics/state.go
+++ b/internal/agent/metrics/state.go
@@ -29,29 +29,29 @@
 	add := func(name, help string, value func(*agent.Stats) float64) {
 		s.gauges = append(s.gauges, gauge{prometheus.NewDesc("chalkdoor_"+name, help, nil, nil), value})
 	}
-	add("servers_cold", "Listed servers in slow start.",
+	add("servers_cold", "Listed servers that are not yet warm.",
 		func(stats *agent.Stats) float64 { return float64(stats.WarmingUp) })
-	add("aperture_servers", "Servers that the agent uses.",
+	add("aperture_servers", "Servers that the agent keeps to.",
 		func(stats *agent.Stats) float64 { return float64(stats.Aperture) })
 	add("requests_open", "Requests without a final answer.",
 		func(stats *agent.Stats) float64 { return float64(stats.OpenRequests) })
-	add("requests_held", "Requests that wait for capacity.",
+	add("requests_held", "Requests that wait for room.",
 		func(stats *agent.Stats) float64 { return float64(stats.Pending) })
-	add("admission_ratio", "Fraction of the requests for which there is capacity.",
+	add("admission_ratio", "Part of the requests for which there is room.",
 		func(stats *agent.Stats) float64 { return stats.Admission })
-	add("shed_ratio", "Fraction of the requests that are rejected because many are answered late.",
+	add("shed_ratio", "Part of the requests refused for being served late.",
 		func(stats *agent.Stats) float64 { return stats.LoadShedding })
-	add("demand_servers", "Load if no request were rejected, in warm servers of weight one.",
+	add("demand_servers", "Load were nothing refused, in warm servers of weight one.",
 		func(stats *agent.Stats) float64 { return stats.Demand })
-	add("capacity_servers", "Capacity of the listed servers, in warm servers of weight one.",
+	add("capacity_servers", "What the listed servers can do, in the same unit.",
 		func(stats *agent.Stats) float64 { return stats.Capacity })
-	add("connections", "Connections to servers.",
+	add("connections", "Connections to report servers.",
 		func(stats *agent.Stats) float64 { return float64(stats.Connections) })
-	add("connections_idle", "Idle connections to servers.",
+	add("connections_idle", "Of them idle.",
 		func(stats *agent.Stats) float64 { return float64(stats.IdleConnections) })
-	add("probes_open", "Probes in flight.",
+	add("probes_open", "Probes under way.",
 		func(stats *agent.Stats) float64 { return float64(stats.ProbesInFlight) })
-	add("list_version", "Version of the server list.",
+	add("list_version", "Version of the list of servers.",
 		func(stats *agent.Stats) float64 { return float64(stats.ListVersion) })
 	return s
 }
--- a/internal/fleet/bindiff/bindiff.go
+++ b/internal/fleet/bindiff/bindiff.go
@@ -33,9 +33,9 @@
 
 var (
 	// ErrBaseMismatch is returned for a diff that was computed from a different base.
-	ErrBaseMismatch = errors.New("diff has a different base")
+	ErrBaseMismatch = errors.New("the difference is to another base")
 	// ErrDamaged is returned for a diff that does not decode to its result, or whose result exceeds MaxBytes.
-	ErrDamaged = errors.New("diff is damaged or its result is too large")
+	ErrDamaged = errors.New("the difference is damaged or its result too large")
 )
 
 // Diff encodes a result as its difference from a base.
--- a/internal/fleet/chain/history.go
+++ b/internal/fleet/chain/history.go
@@ -111,7 +111,7 @@
 // validateHistory returns an error if the history is malformed, so that no head can have recorded it.
 func (v *Value) validateHistory() error {
 	if len(v.Recent) > MaxRecentUpdates || len(v.Older) > maxOlderBytes || (v.Seq == 0) != (len(v.Recent) == 0) {
-		return errors.Errorf("value %d records %d recent updates and %d bytes of older updates",
+		return errors.Errorf("value %d records %d recent updates and %d bytes of older ones",
 			v.Seq, len(v.Recent), len(v.Older))
 	}
 	entries, end := 0, 0
@@ -120,7 +120,7 @@
 		end = update.end
 	}
 	if end != len(v.Older) || entries > MaxOlderUpdates || uint64(len(v.Recent)+entries) > v.Seq {
-		return errors.Errorf("value %d records %d recent updates, and %d older updates in the first %d of %d bytes",
+		return errors.Errorf("value %d records %d recent updates and %d older ones in %d of %d bytes",
 			v.Seq, len(v.Recent), entries, end, len(v.Older))
 	}
 	return nil
--- a/internal/fleet/chain/replica.go
+++ b/internal/fleet/chain/replica.go
@@ -44,9 +44,9 @@
 func (r *Replica) Receive(push *Push) (record Record, changed bool, err error) {
 	switch position := r.View.Position(r.ID); {
 	case push.View.Number != r.View.Number:
-		return r.Record, false, errors.Errorf("push of view %d received in view %d", push.View.Number, r.View.Number)
+		return r.Record, false, errors.Errorf("push of view %d in view %d", push.View.Number, r.View.Number)
 	case position <= 0:
-		return r.Record, false, errors.Errorf("push received at position %d of the chain", position)
+		return r.Record, false, errors.Errorf("push to position %d of the chain", position)
 	case push.Direct:
 		changed = !r.Complete()
 	default:
--- a/internal/fleet/chain/update.go
+++ b/internal/fleet/chain/update.go
@@ -64,7 +64,7 @@
 
 // reasonTooOld is the reason for the outcome unknown of an update that may have been committed before the
 // recorded history begins.
-const reasonTooOld = "the change builds on a revision before the recorded history and may have been applied: " +
+const reasonTooOld = "the change builds on a revision that is older than the recorded history, so it may have been applied before: " +
 	"read the configuration again, and submit the change on its newest revision if it is missing there"
 
 // Apply evaluates an update against the current value. If final is true, the result is the answer to the
--- a/internal/fleet/relay/confighistory.go
+++ b/internal/fleet/relay/confighistory.go
@@ -17,7 +17,7 @@
 )
 
 // errUnknownConfigBase reports a diff whose base is a configuration that this node does not have.
-var errUnknownConfigBase = errors.New("base of the configuration diff is unknown")
+var errUnknownConfigBase = errors.New("difference to a configuration that is not known here")
 
 // configDiff encodes a configuration as a diff to an earlier one that the receiver has.
 type configDiff struct {
--- a/internal/fleet/relay/serve.go
+++ b/internal/fleet/relay/serve.go
@@ -14,7 +14,7 @@
 const helloTimeout = time.Second
 
 var (
-	errSelfSession     = errors.New("peer of the session is this process itself")
+	errSelfSession     = errors.New("session of a process with itself")
 	errEarlierSession  = errors.New("session was dialed by an earlier incarnation")
 	errTooManySessions = errors.New("too many sessions at this relay: use another")
 )
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -55,15 +55,15 @@
 func (v View) Validate() error {
 	switch {
 	case v.Number == 0:
-		return errors.New("view has no number")
+		return errors.New("view without a number")
 	case len(v.Voters) == 0 || len(v.Voters) > MaxVoters:
-		return errors.Errorf("view %d has %d voters, want 1 to %d", v.Number, len(v.Voters), MaxVoters)
+		return errors.Errorf("view %d has %d voters: 1 to %d", v.Number, len(v.Voters), MaxVoters)
 	case len(v.Chain) == 0 || len(v.Chain) > len(v.Voters):
-		return errors.Errorf("view %d has %d voters, but a chain of %d members", v.Number, len(v.Voters), len(v.Chain))
+		return errors.Errorf("view %d has %d voters and a chain of %d", v.Number, len(v.Voters), len(v.Chain))
 	}
 	for i, voter := range v.Voters {
 		if !voter.valid() {
-			return errors.Errorf("view %d: voter %d has no ID, no address, or a field that is too long", v.Number, i)
+			return errors.Errorf("view %d: voter %d lacks an ID or an address, or one of its fields is too long", v.Number, i)
 		}
 		if i > 0 && v.Voters[i-1].ID >= voter.ID {
 			return errors.Errorf("view %d: the voters are not sorted by ID", v.Number)
