--- a/internal/testbed/fleetlab/agents.go
+++ b/internal/testbed/fleetlab/agents.go
@@ -27,33 +27,33 @@
 	serverPort    = 8080
 )
 
-// maxLoggedRejections bounds the bytes of rejections.
+// maxLoggedRejections bounds the log lines that Agent.rejections returns, in bytes.
 const maxLoggedRejections = 4000
 
-// Agent is one machine of the fleet with its process. Its methods may be called concurrently.
+// Agent is a machine of the fleet and the daemon process on it. Its methods may be called concurrently.
 type Agent struct {
 	Name, IP, Zone string
-	Core           bool
+	Core           bool // it belongs to the core and has a disk
 
 	fleet    *Fleet
 	dir      string
 	mu       sync.Mutex
 	process  *process.Proc
-	endFault func() // ends the fault in progress; nil: none
-	stopping bool   // its end is expected
+	endFault func() // records the end of the fault in progress; nil if there is none
+	stopping bool   // the process is expected to exit
 }
 
-// Endpoint is the agent as the load balancer finds it.
+// Endpoint returns the agent's name, zone and addresses for the load balancer.
 func (a *Agent) Endpoint() Endpoint {
 	return Endpoint{Name: a.Name, IP: a.IP, Zone: a.Zone, Front: hostPort(a.IP, frontPort), Readiness: hostPort(a.IP, readinessPort)}
 }
 
-// ControlAddr is the address at which servers and the operator find the agent.
+// ControlAddr returns the address that servers and the operator call.
 func (a *Agent) ControlAddr() string { return hostPort(a.IP, controlPort) }
 
 func (a *Agent) logPath() string { return filepath.Join(a.dir, "log") }
 
-// start starts the process, ends the fault in progress, and watches for an unexpected exit.
+// start starts the process, ends the fault in progress, and records an exit that is not expected.
 func (a *Agent) start(first bool) error {
 	path, err := a.writeSettings(first)
 	if err != nil {
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// isRunning reports whether the process runs and nothing ends it.
+// isRunning reports whether the process runs, no fault is in progress, and it is not being stopped.
 func (a *Agent) isRunning() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.stopping && a.endFault == nil
 }
 
-// logTail is the end of the process's log.
+// logTail returns the end of the process's log.
 func (a *Agent) logTail() string {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -100,7 +100,7 @@
 	return string(text[max(len(text)-1500, 0):])
 }
 
-// rejections are the lines of the process's log about requests that it rejected, the first ones.
+// rejections returns the first lines of the process's log about rejected requests (event E320).
 func (a *Agent) rejections() string {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -115,7 +115,7 @@
 	return string(lines)
 }
 
-// dataRace is the report of the race detector in the process's log; "" if there is none.
+// dataRace returns the first report of the race detector in the process's log; empty if there is none.
 func (a *Agent) dataRace() string {
 	text, err := os.ReadFile(a.logPath())
 	if err != nil {
@@ -128,33 +128,34 @@
 	return string(text[i:min(i+4000, len(text))])
 }
 
-// beginOutage records a fault that ends the process and lasts until its next start.
-func (a *Agent) beginOutage(t Fault) *process.Proc {
+// beginOutage records a fault that ends the process and lasts until its next start. It returns the process.
+func (a *Agent) beginOutage(fault Fault) *process.Proc {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t.Agent, t.Core = a.IP, a.Core
+	fault.Agent, fault.Core = a.IP, a.Core
 	a.stopping = true
 	if a.endFault != nil {
-		a.endFault() // this one takes its place
+		a.endFault() // the new fault replaces it
 	}
-	a.endFault = a.fleet.recorder.beginFault(t, a.fleet.Now)
+	a.endFault = a.fleet.recorder.beginFault(fault, a.fleet.Now)
 	return a.process
 }
 
 // Kill kills the process.
 func (a *Agent) Kill() { a.beginOutage(Fault{}).Kill() }
 
-// Terminate shuts the process down gracefully. A process that takes longer than the grace is killed, which is an error.
+// Terminate shuts the process down gracefully. If that takes longer than Bounds.Grace, it kills the process and returns
+// an error.
 func (a *Agent) Terminate(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, a.fleet.cfg.Bounds.Grace)
 	defer cancel()
 	return a.beginOutage(Fault{Graceful: true}).Terminate(ctx)
 }
 
-// Restart starts the process again, with its disk.
+// Restart starts the process again, with the present content of its disk.
 func (a *Agent) Restart() error { return a.start(false) }
 
-// WipeDisk empties the disk of a machine whose process has ended.
+// WipeDisk deletes the state on the disk of a machine whose process has ended.
 func (a *Agent) WipeDisk() error {
 	state := filepath.Join(a.dir, "state")
 	if err := os.RemoveAll(state); err != nil {
@@ -163,13 +164,13 @@
 	return nil
 }
 
-// TearWrite leaves the start of a record at the end of the state file of a machine whose process has ended, as a write
-// does that a loss of power interrupts.
+// TearWrite appends the start of a record to the state file of a machine whose process has ended, as if a power loss
+// had interrupted a write.
 func (a *Agent) TearWrite(bytes int) error {
 	path := filepath.Join(a.dir, "state", store.FileName)
 	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) || bytes == 0 || len(content) < bytes {
-		return nil // nothing was written yet, or the disk was wiped
+		return nil // no write to interrupt: the file is missing or shorter, or bytes is 0
 	}
 	if err != nil {
 		return errors.Wrap(err, a.Name)
--- a/internal/testbed/fleetlab/check_config.go
+++ b/internal/testbed/fleetlab/check_config.go
@@ -9,8 +9,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// checkChanges checks the acknowledged changes (CONFIG): they are valid, at most one is based on a revision, and the
-// configuration that was read back is not older.
+// checkChanges checks the acknowledged changes (CONFIG): they are valid, no two are based on the same revision, and the
+// configuration that was read back is not older than any of them.
 func (c *checker) checkChanges() {
 	var newest *ConfigChange
 	for i, change := range c.Changes {
@@ -18,11 +18,11 @@
 			continue
 		}
 		if !change.Valid {
-			c.addViolation("CONFIG", change.AckedAt, "an invalid configuration (%d) was acknowledged", change.Doc.Revision)
+			c.addViolation("CONFIG", change.AckedAt, "the invalid configuration %d was acknowledged", change.Doc.Revision)
 		}
 		for _, o := range c.Changes[:i] {
 			if o.AckedAt > 0 && o.BaseRevision == change.BaseRevision && o.Doc.Revision != change.Doc.Revision {
-				c.addViolation("CONFIG", change.AckedAt, "%d and %d were both acknowledged on top of %d", o.Doc.Revision, change.Doc.Revision, change.BaseRevision)
+				c.addViolation("CONFIG", change.AckedAt, "configurations %d and %d were both acknowledged on revision %d", o.Doc.Revision, change.Doc.Revision, change.BaseRevision)
 			}
 		}
 		if newest == nil || change.Doc.Revision > newest.Doc.Revision {
@@ -33,7 +33,7 @@
 		return
 	}
 	if c.ReadErr != nil {
-		c.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, and cannot be read back: %v", newest.Doc.Revision, c.ReadErr)
+		c.addViolation("CONFIG", newest.AckedAt, "configuration %d was acknowledged but cannot be read back: %v", newest.Doc.Revision, c.ReadErr)
 		return
 	}
 	rev, err := revisionOf(c.ReadBack)
@@ -42,50 +42,53 @@
 		return
 	}
 	if rev < newest.Doc.Revision {
-		c.addViolation("CONFIG", newest.AckedAt, "%d was acknowledged, %d is read back", newest.Doc.Revision, rev)
+		c.addViolation("CONFIG", newest.AckedAt, "configuration %d was acknowledged, but the older %d was read back",
+			newest.Doc.Revision, rev)
 		return
 	}
-	var why error
+	var mismatch error
 	for _, change := range c.Changes {
 		if change.Doc.Revision != rev {
 			continue
 		}
 		if change.isRejected() {
-			why = fmt.Errorf("it was refused")
-		} else if why = change.Doc.matchesJSON(c.ReadBack); why == nil {
+			mismatch = fmt.Errorf("it was rejected")
+		} else if mismatch = change.Doc.matchesJSON(c.ReadBack); mismatch == nil {
 			return
 		}
 	}
-	c.addViolation("CONFIG", newest.AckedAt, "%d is read back, which is not what was sent: %v", rev, why)
+	c.addViolation("CONFIG", newest.AckedAt, "configuration %d was read back, but differs from the one sent: %v",
+		rev, mismatch)
 }
 
-// appliedRevision is a revision that an agent had applied at a time.
+// appliedRevision is the lowest revision that an agent may have applied at a time.
 type appliedRevision struct {
 	revision int
 	at       time.Duration
 }
 
-// checkAppliedConfig checks by the handling of requests which configuration agents apply (CONFIG): one that is not
-// older than what was acknowledged long enough before, and within an incarnation never an older one than before.
+// checkAppliedConfig derives from the handling of requests which configuration an agent had applied, and checks it
+// (CONFIG): it is not older than a revision that was acknowledged long enough before, and within an incarnation it
+// never becomes older.
 func (c *checker) checkAppliedConfig() {
-	applied := map[string][]appliedRevision{} // by agent, each higher than the one before within an incarnation
+	applied := map[string][]appliedRevision{} // by agent; revisions increase within an incarnation
 	for _, h := range c.handlings() {
 		agent := h.attempt.Agent
 		lowest, newest, byRejected := c.explain(&h)
 		if newest == nil {
 			if byRejected {
-				c.addViolation("CONFIG", h.at, "%s by %s: %v, as only a refused configuration has it", h.attempt.ID, agent, &h)
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, which only a rejected configuration allows", h.attempt.ID, agent, &h)
 			}
-			continue // else there was no configuration yet, or it is a violation of ROUTE
+			continue // if no rejected change explains it, there was no configuration yet or it is a violation of ROUTE
 		}
 		if acked := c.ackedLongBefore(h.attempt.StartedAt); newest.Doc.Revision < acked && c.isInContact(agent, h.at) {
-			c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, sent after %d was in force for long enough", h.attempt.ID, agent, &h, newest.Doc.Revision, acked)
+			c.addViolation("CONFIG", h.at, "%s by %s: %v, which only configurations up to %d allow, but %d was acknowledged long before", h.attempt.ID, agent, &h, newest.Doc.Revision, acked)
 		}
 		incarnation := c.incarnationStart(agent, h.at)
 		for _, a := range applied[agent] {
 			longBefore := a.at >= incarnation && a.at+c.rules.RevertSlack+c.rules.Slack < h.attempt.StartedAt
 			if longBefore && newest.Doc.Revision < a.revision && c.isInContact(agent, h.at) {
-				c.addViolation("CONFIG", h.at, "%s by %s: %v, as %d has it, after it acted by %d", h.attempt.ID, agent, &h, newest.Doc.Revision, a.revision)
+				c.addViolation("CONFIG", h.at, "%s by %s: %v, which only configurations up to %d allow, but the agent had applied %d before", h.attempt.ID, agent, &h, newest.Doc.Revision, a.revision)
 				break
 			}
 		}
@@ -96,7 +99,7 @@
 	}
 }
 
-// handlings are the executed and the not found requests, ordered by time.
+// handlings returns the requests that were executed or answered with 404, ordered by time.
 func (c *checker) handlings() (all []handling) {
 	for _, attempt := range c.Attempts {
 		for _, run := range c.runs[attempt.ID] {
@@ -110,8 +113,8 @@
 	return all
 }
 
-// explain returns the lowest and the newest revision that lead to a handling, nil if there is none, and whether a
-// rejected change leads to it.
+// explain returns the changes with the lowest and the highest revision that allow a handling, nil if there is none, and
+// whether a rejected change allows it.
 func (c *checker) explain(h *handling) (lowest, newest *ConfigChange, byRejected bool) {
 	for _, change := range c.Changes {
 		switch {
@@ -130,8 +133,8 @@
 	return lowest, newest, byRejected
 }
 
-// ackedLongBefore is the highest revision that was acknowledged so long before a time that all agents in contact have
-// applied it; 0 if there is none.
+// ackedLongBefore returns the highest revision that was acknowledged so long before a time that all agents in contact
+// must have applied it; 0 if there is none.
 func (c *checker) ackedLongBefore(at time.Duration) (revision int) {
 	for _, change := range c.Changes {
 		if change.AckedAt > 0 && change.AckedAt+c.rules.Converge+c.rules.Slack < at {
@@ -141,8 +144,8 @@
 	return revision
 }
 
-// checkDenied checks that agents in contact don't reject requests that every configuration in force allows (DENIED).
-// A few are tolerated.
+// checkDenied checks that agents in contact don't deny requests that all configurations sent so far allow, not counting
+// rejected ones (DENIED). A few denials are tolerated.
 func (c *checker) checkDenied() {
 	var denied []*Attempt
 	for _, attempt := range c.Attempts {
@@ -150,9 +153,9 @@
 			continue
 		}
 		if slices.ContainsFunc(c.Records, func(record modelserver.Record) bool {
-			return record.Kind == modelserver.Unrunnable && record.Attempt == attempt.ID
+			return record.Kind == modelserver.InvalidRequest && record.Attempt == attempt.ID
 		}) {
-			continue // by the server
+			continue // the server rejected it
 		}
 		allowed, hasConfig := true, false
 		for _, change := range c.Changes {
@@ -166,28 +169,28 @@
 		}
 	}
 	if len(denied) > 5+len(c.Attempts)/500 {
-		c.addViolation("DENIED", denied[0].EndedAt, "%d proper requests of %d, the first with %d: %s", len(denied), len(c.Attempts), denied[0].Status, denied[0].ID)
+		c.addViolation("DENIED", denied[0].EndedAt, "%d of %d requests were denied although they are valid, the first with status %d: %s", len(denied), len(c.Attempts), denied[0].Status, denied[0].ID)
 	}
 }
 
-// incarnationStart is the start of the incarnation in which an agent's process is at a time.
-func (c *checker) incarnationStart(agent string, at time.Duration) (from time.Duration) {
+// incarnationStart returns when the process of an agent that ran at a time was started.
+func (c *checker) incarnationStart(agent string, at time.Duration) (start time.Duration) {
 	for _, fault := range c.Faults {
 		if fault.ProcessStart && fault.Agent == agent && fault.Begin <= at {
-			from = max(from, fault.Begin)
+			start = max(start, fault.Begin)
 		}
 	}
-	return from
+	return start
 }
 
-// handling is how an agent handled a request, from which follows the configuration that it had applied.
+// handling is how an agent handled a request. It shows which configurations the agent can have applied.
 type handling struct {
 	attempt *Attempt
 	at      time.Duration
-	service string // that executed it; "": status 404
+	service string // service that executed the request; empty if it was answered with 404
 }
 
-// matches tells whether a configuration leads to this handling.
+// matches reports whether a configuration allows the handling.
 func (h *handling) matches(d *Document) bool {
 	if h.service == "" {
 		return d.route(h.attempt.Host, h.attempt.Target) == nil
@@ -195,10 +198,10 @@
 	return slices.Contains(d.services(h.attempt.Host, h.attempt.Target), h.service)
 }
 
-// String describes the handling in a violation.
+// String describes the handling for the text of a violation.
 func (h *handling) String() string {
 	if h.service == "" {
-		return "answered 404"
+		return "answered with 404"
 	}
-	return "run by " + h.service
+	return "executed by " + h.service
 }
--- a/internal/testbed/fleetlab/check_requests.go
+++ b/internal/testbed/fleetlab/check_requests.go
@@ -11,13 +11,13 @@
 // (ORDER).
 func (c *checker) checkResponse(attempt *Attempt) {
 	if attempt.ExtraBytes {
-		c.addViolation("MIXED", attempt.EndedAt, "%s: bytes after the answer", attempt.ID)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: bytes after the response", attempt.ID)
 	}
 	if attempt.ProtocolError != "" && !c.serverFailed(attempt) {
-		c.addViolation("MIXED", attempt.EndedAt, "%s: no answer in the protocol: %s", attempt.ID, attempt.ProtocolError)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: malformed response: %s", attempt.ID, attempt.ProtocolError)
 	}
 	if attempt.AttemptHeader != "" && attempt.AttemptHeader != attempt.ID {
-		c.addViolation("MIXED", attempt.EndedAt, "%s: the answer belongs to %s", attempt.ID, attempt.AttemptHeader)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: the response belongs to %s", attempt.ID, attempt.AttemptHeader)
 	}
 	if attempt.Status/100 != 2 {
 		return
@@ -28,45 +28,45 @@
 		c.addViolation("MIXED", attempt.EndedAt, "%s: status %d without a seal", attempt.ID, attempt.Status)
 		return
 	case headRun == nil:
-		c.addViolation("MIXED", attempt.EndedAt, "%s: the seal %s is no server's", attempt.ID, attempt.Seal)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: no server produced the seal %s", attempt.ID, attempt.Seal)
 		return
 	case headRun.Attempt != attempt.ID:
-		c.addViolation("MIXED", attempt.EndedAt, "%s: the seal %s is of %s", attempt.ID, attempt.Seal, headRun.Attempt)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: seal %s belongs to %s", attempt.ID, attempt.Seal, headRun.Attempt)
 		return
 	case attempt.Encoded:
-		c.addViolation("MIXED", attempt.EndedAt, "%s: an encoding that no server made", attempt.ID)
+		c.addViolation("MIXED", attempt.EndedAt, "%s: content encoding, which servers don't use", attempt.ID)
 	}
 	next, seal := attempt.AfterEvent+1, ""
 	for _, event := range attempt.Events {
 		if event.N != next {
-			c.addViolation("ORDER", event.ReceivedAt, "%s: event %d where %d is due", attempt.ID, event.N, next)
+			c.addViolation("ORDER", event.ReceivedAt, "%s: event %d instead of %d", attempt.ID, event.N, next)
 			return
 		}
-		if event.Text != attempt.Prompt.Text(event.N) {
-			c.addViolation("MIXED", event.ReceivedAt, "%s: event %d says what no server made", attempt.ID, event.N)
+		if event.Text != attempt.Prompt.EventText(event.N) {
+			c.addViolation("MIXED", event.ReceivedAt, "%s: event %d has an unknown text", attempt.ID, event.N)
 			return
 		}
 		if event.Seal != seal {
 			run := c.runsBySeal[event.Seal]
 			switch {
 			case run == nil || run.Attempt != attempt.ID:
-				c.addViolation("MIXED", event.ReceivedAt, "%s: event %d is of another request's run %s", attempt.ID, event.N, event.Seal)
+				c.addViolation("MIXED", event.ReceivedAt, "%s: event %d comes from the run %s of another request", attempt.ID, event.N, event.Seal)
 				return
 			case seal == "" && event.Seal != attempt.Seal:
-				c.addViolation("MIXED", event.ReceivedAt, "%s: its head is of %s, its first event of %s", attempt.ID, attempt.Seal, event.Seal)
-			case seal != "" && (!attempt.Resumable || run.First != event.N):
-				c.addViolation("ORDER", event.ReceivedAt, "%s: event %d of run %s joined to those of %s", attempt.ID, event.N, event.Seal, seal)
+				c.addViolation("MIXED", event.ReceivedAt, "%s: header of run %s, but first event of run %s", attempt.ID, attempt.Seal, event.Seal)
+			case seal != "" && (!attempt.Resumable || run.FirstEvent != event.N):
+				c.addViolation("ORDER", event.ReceivedAt, "%s: event %d of run %s must not follow events of run %s", attempt.ID, event.N, event.Seal, seal)
 				return
 			}
 			seal = event.Seal
 		}
-		if last := attempt.Prompt.Pieces(c.rules.Stride); event.Last != (event.N == last) {
+		if last := attempt.Prompt.EventCount(c.rules.Stride); event.Last != (event.N == last) {
 			c.addViolation("ORDER", event.ReceivedAt, "%s: event %d of %d marked as last: %v", attempt.ID, event.N, last, event.Last)
 		}
 		next++
 	}
 	if attempt.Complete && (len(attempt.Events) == 0 || !attempt.Events[len(attempt.Events)-1].Last) {
-		c.addViolation("ORDER", attempt.EndedAt, "%s: ends as complete after event %d of %d", attempt.ID, next-1, attempt.Prompt.Pieces(c.rules.Stride))
+		c.addViolation("ORDER", attempt.EndedAt, "%s: complete response ends after event %d of %d", attempt.ID, next-1, attempt.Prompt.EventCount(c.rules.Stride))
 	}
 }
 
@@ -78,17 +78,18 @@
 		return
 	}
 	if len(runs) > 1 {
-		c.addViolation("TWICE", runs[1].At, "%s ran by %s and by %s", attempt.ID, runs[0].Instance, runs[1].Instance)
+		c.addViolation("TWICE", runs[1].At, "%s was executed by %s and %s",
+			attempt.ID, runs[0].Instance, runs[1].Instance)
 	}
 	switch attempt.Status {
 	case 503, 429, 408, 421:
 		if len(runs) > 0 {
-			c.addViolation("REFUSED", attempt.EndedAt, "%s: answered %d, but %s ran it", attempt.ID, attempt.Status, runs[0].Instance)
+			c.addViolation("REFUSED", attempt.EndedAt, "%s: rejected with status %d, but %s executed it", attempt.ID, attempt.Status, runs[0].Instance)
 		}
 	}
 }
 
-// checkLosses checks that the graceful shutdown of an agent breaks no request off (LOST).
+// checkLosses checks that the graceful shutdown of an agent cuts off no request (LOST).
 func (c *checker) checkLosses(attempt *Attempt) {
 	if attempt.SentAt == 0 || attempt.Complete || attempt.EndReason != Closed || attempt.EndedAt >= attempt.Deadline || attempt.Timeout > 0 && attempt.EndedAt >= attempt.SentAt+attempt.Timeout {
 		return
@@ -102,7 +103,7 @@
 		}) || c.serverFailed(attempt) {
 			return
 		}
-		// A request that is still executed in the second half of the grace was too long.
+		// A request that is still being executed in the second half of the grace period may be cut off there.
 		executing := slices.ContainsFunc(c.runs[attempt.ID], func(run *serverRun) bool { return run.ended == 0 || run.ended >= fault.Begin+c.rules.Grace/2 })
 		if executing && attempt.EndedAt >= fault.Begin+c.rules.Grace/2 {
 			return
@@ -111,13 +112,13 @@
 			return record.Kind == modelserver.Arrived && record.Attempt == attempt.ID
 		})
 		if forwarded || attempt.EndedAt > attempt.SentAt+c.rules.LossSlack+c.rules.Slack {
-			c.addViolation("LOST", attempt.EndedAt, "%s: cut %v after the SIGTERM of %s, with %d events", attempt.ID, attempt.EndedAt-fault.Begin, attempt.Agent, len(attempt.Events))
+			c.addViolation("LOST", attempt.EndedAt, "%s: cut off %v after the SIGTERM to %s, after %d events", attempt.ID, attempt.EndedAt-fault.Begin, attempt.Agent, len(attempt.Events))
 			return
 		}
 	}
 }
 
-// serverFailed tells whether a server itself broke off an execution of the attempt.
+// serverFailed reports whether a server cut off a run of the attempt by itself, by a crash or at the deadline.
 func (c *checker) serverFailed(attempt *Attempt) bool {
 	return slices.ContainsFunc(c.runs[attempt.ID], func(run *serverRun) bool {
 		return run.serverCrashed || run.ended > 0 && !run.complete && run.ended >= attempt.Deadline
--- a/internal/testbed/fleetlab/checker.go
+++ b/internal/testbed/fleetlab/checker.go
@@ -13,80 +13,80 @@
 // Rules are the parameters of the checks.
 type Rules struct {
 	Stride      int           // tokens per event
-	Contact     time.Duration // an agent without faults for this long is in contact
-	Drain       time.Duration
-	Converge    time.Duration
-	RevertSlack time.Duration
-	LossSlack   time.Duration
-	Grace       time.Duration
-	RetryRatio  float64
+	Contact     time.Duration // an agent is in contact after this time without faults
+	Drain       time.Duration // maximum time until agents stop sending requests to a draining server
+	Converge    time.Duration // maximum time until agents in contact apply an acknowledged change
+	RevertSlack time.Duration // time after which an agent must not act on an older revision than before
+	LossSlack   time.Duration // a graceful shutdown may cut off unforwarded requests that are not older than this
+	Grace       time.Duration // maximum duration of a graceful shutdown
+	RetryRatio  float64       // maximum number of repeats per request within RetryWindow
 	RetryWindow time.Duration
-	RetrySlack  float64
-	Slack       time.Duration // added to each of these durations, for sockets and a busy machine
+	RetrySlack  float64       // number of repeats that are allowed in addition to RetryRatio
+	Slack       time.Duration // added to Drain, Converge, RevertSlack and LossSlack, for delays of a busy machine
 }
 
-// Violation is a violated rule.
+// Violation is an observed violation of a rule.
 type Violation struct {
 	Rule string        `json:"rule"`
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"text"`
 }
 
-// String is the violation as it is printed.
+// String returns the violation as it is printed.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3f s: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// checker is the state of a Check.
+// checker holds the state of one call of Check.
 type checker struct {
 	*Observations
 	rules      Rules
 	attempts   map[string]*Attempt
-	runs       map[string][]*serverRun // by the id of the attempt
+	runs       map[string][]*serverRun // by attempt id
 	runsBySeal map[string]*serverRun
 	violations []Violation
 }
 
 // serverRun is one run of a request by a server.
 type serverRun struct {
-	modelserver.Record               // of its start
-	events             int           // events produced
-	ended              time.Duration // 0: not observed
-	complete           bool
-	serverCrashed      bool // its server crashed before the end
+	modelserver.Record               // record of the start of the run
+	events             int           // number of the last event produced
+	ended              time.Duration // zero if no end was observed
+	complete           bool          // the last event of the stream was produced
+	serverCrashed      bool          // the server crashed before the run ended
 }
 
 // Check checks observations against the guarantees of the protocol and returns the violations, ordered by time. The
-// observations have to be ordered by time, too.
+// observations have to be ordered by time.
 func Check(s *Observations, rules Rules) []Violation {
-	j := &checker{Observations: s, rules: rules, attempts: map[string]*Attempt{}, runs: map[string][]*serverRun{}, runsBySeal: map[string]*serverRun{}}
+	c := &checker{Observations: s, rules: rules, attempts: map[string]*Attempt{}, runs: map[string][]*serverRun{}, runsBySeal: map[string]*serverRun{}}
 	for _, t := range s.Attempts {
-		j.attempts[t.ID] = t
+		c.attempts[t.ID] = t
 	}
-	j.readRecords()
+	c.readRecords()
 	for _, t := range s.Attempts {
-		j.checkResponse(t)
-		j.checkExecutions(t)
-		j.checkLosses(t)
+		c.checkResponse(t)
+		c.checkExecutions(t)
+		c.checkLosses(t)
 	}
-	j.checkDrains()
-	j.checkRetryBudget()
-	j.checkChanges()
-	j.checkAppliedConfig()
-	j.checkDenied()
+	c.checkDrains()
+	c.checkRetryBudget()
+	c.checkChanges()
+	c.checkAppliedConfig()
+	c.checkDenied()
 	for _, e := range s.UnexpectedExits {
-		j.addViolation("FAULT", 0, "%s", e)
+		c.addViolation("FAULT", 0, "%s", e)
 	}
-	slices.SortStableFunc(j.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.violations
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return c.violations
 }
 
 func (c *checker) addViolation(rule string, at time.Duration, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// isInContact tells whether an agent had no fault, and the core no change of faults, for Rules.Contact before a time.
-// Some guarantees hold only then.
+// isInContact reports whether, for Rules.Contact before a time, the agent had no fault and no fault of a core machine
+// began or ended. Some guarantees hold only then.
 func (c *checker) isInContact(agent string, at time.Duration) bool {
 	for _, fault := range c.Faults {
 		near := func(changed time.Duration) bool { return changed <= at && changed+c.rules.Contact > at }
@@ -99,6 +99,7 @@
 	return true
 }
 
+// ipOf returns the IP of an address with a port.
 func ipOf(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/testbed/fleetlab/checker_test.go
+++ b/internal/testbed/fleetlab/checker_test.go
@@ -23,7 +23,7 @@
 // observationBuilder builds the observations of a run.
 type observationBuilder struct {
 	Observations
-	runs int
+	runs int // number of runs so far
 }
 
 const (
@@ -31,8 +31,8 @@
 	narrativePath  = "/narrative/gen?n=1"
 )
 
-// newObservationBuilder starts with a configuration in force: requests for /narrative/ go to llm-a and are not
-// idempotent, those for /verdict/ go to llm-b and are.
+// newObservationBuilder starts with an acknowledged configuration. Requests for /narrative/ go to llm-a and are not
+// idempotent. Requests for /verdict/ go to llm-b and are idempotent.
 func newObservationBuilder() *observationBuilder {
 	s := &observationBuilder{}
 	s.Changes = []*ConfigChange{{Doc: testDocument(3), Valid: true, SentAt: 1 * ms, AckedAt: 10 * ms, AckedBy: agent1}}
@@ -49,7 +49,7 @@
 // addAttempt adds an attempt that took 100 ms, without a response yet.
 func (s *observationBuilder) addAttempt(at time.Duration, id, agent, target string, resumable bool) *Attempt {
 	attempt := &Attempt{ID: id, Agent: agent, Method: "POST", Host: hostname, Target: target, Idempotent: resumable, Resumable: resumable,
-		Prompt: modelserver.Prompt{Model: "m", Tokens: "100,24", Prefix: "a:100", Body: 7}, StartedAt: at, SentAt: at + ms, EndedAt: at + 100*ms, Deadline: at + 10*time.Second, Timeout: 10 * time.Second}
+		Prompt: modelserver.Prompt{Model: "m", Tokens: "100,24", Prefix: "a:100", BodyHash: 7}, StartedAt: at, SentAt: at + ms, EndedAt: at + 100*ms, Deadline: at + 10*time.Second, Timeout: 10 * time.Second}
 	s.Attempts = append(s.Attempts, attempt)
 	return attempt
 }
@@ -57,25 +57,25 @@
 // addRun adds the arrival of an attempt at a server, and its run with the events first to last.
 func (s *observationBuilder) addRun(attempt *Attempt, at time.Duration, service, instance string, first, last int) string {
 	s.runs++
-	record := modelserver.Record{At: at, Service: service, Instance: instance, Attempt: attempt.ID, Method: attempt.Method, Host: attempt.Host, Target: attempt.Target, Body: attempt.Prompt.Body}
+	record := modelserver.Record{At: at, Service: service, Instance: instance, Attempt: attempt.ID, Method: attempt.Method, Host: attempt.Host, Target: attempt.Target, BodyHash: attempt.Prompt.BodyHash}
 	record.Kind = modelserver.Arrived
 	s.Records = append(s.Records, record)
-	record.Kind, record.Seal, record.First = modelserver.Started, fmt.Sprintf("seal%d", s.runs), first
+	record.Kind, record.Seal, record.FirstEvent = modelserver.Started, fmt.Sprintf("seal%d", s.runs), first
 	s.Records = append(s.Records, record)
-	record.Kind, record.At, record.Pieces, record.Whole = modelserver.Ended, at+90*ms, last, last == attempt.Prompt.Pieces(4)
+	record.Kind, record.At, record.LastEvent, record.Complete = modelserver.Ended, at+90*ms, last, last == attempt.Prompt.EventCount(4)
 	s.Records = append(s.Records, record)
 	return record.Seal
 }
 
-// addEvents gives a try the events of a run.
+// addEvents adds the events of a run to an attempt.
 func (a *Attempt) addEvents(seal string, first, last int) {
 	a.Status, a.AttemptHeader = 200, a.ID
 	if a.Seal == "" {
 		a.Seal = seal
 	}
-	events := a.Prompt.Pieces(4)
+	events := a.Prompt.EventCount(4)
 	for n := first; n <= last; n++ {
-		a.Events = append(a.Events, ReceivedEvent{modelserver.Event{N: n, Text: a.Prompt.Text(n), Seal: seal, Last: n == events}, a.StartedAt + time.Duration(n)*10*ms})
+		a.Events = append(a.Events, ReceivedEvent{modelserver.Event{N: n, Text: a.Prompt.EventText(n), Seal: seal, Last: n == events}, a.StartedAt + time.Duration(n)*10*ms})
 	}
 	a.Complete = last == events
 	if !a.Complete {
@@ -86,7 +86,7 @@
 // addServed adds an attempt that is served completely.
 func (s *observationBuilder) addServed(at time.Duration, id, agent, target string, resumable bool, service string) *Attempt {
 	attempt := s.addAttempt(at, id, agent, target, resumable)
-	last := attempt.Prompt.Pieces(4)
+	last := attempt.Prompt.EventCount(4)
 	attempt.addEvents(s.addRun(attempt, at+5*ms, service, "i-"+service, 1, last), 1, last)
 	return attempt
 }
@@ -95,162 +95,163 @@
 
 // Check finds each kind of violation, and reports none in correct observations.
 func TestCheckFindsViolations(t *testing.T) {
-	pieces := (&observationBuilder{}).addAttempt(0, "x", agent1, narrativePath, false).Prompt.Pieces(4)
-	require.Greater(t, pieces, 2)
+	eventCount := (&observationBuilder{}).addAttempt(0, "x", agent1, narrativePath, false).Prompt.EventCount(4)
+	require.Greater(t, eventCount, 2)
 	for _, c := range []struct {
 		name   string
 		breaks func(s *observationBuilder)
-		want   string // the violated rule; "": none
+		want   string // the violated rules; empty if none
 	}{
-		{"all is well", func(s *observationBuilder) {}, ""},
-		{"run by two servers", func(s *observationBuilder) {
+		{"no violation", func(s *observationBuilder) {}, ""},
+		{"executed by two servers", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			s.addRun(x, 20*sec+20*ms, "llm-a", "i-other", 1, 1)
 		}, "TWICE"},
-		{"a repeat of what may be repeated", func(s *observationBuilder) {
+		{"idempotent request executed twice", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, "/verdict/gen", true, "llm-b")
 			s.addRun(x, 20*sec+20*ms, "llm-b", "i-other", 1, 1)
 		}, ""},
-		{"refused, and it ran", func(s *observationBuilder) {
+		{"rejected although executed", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 1)
 			x.Status, x.Complete = 503, true
 		}, "REFUSED"},
-		{"refused, and it runs later", func(s *observationBuilder) {
+		{"rejected, executed later", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.Status, x.Complete = 429, true
 			s.addRun(x, 25*sec, "llm-a", "i-1", 1, 1)
 		}, "REFUSED"},
-		{"refused, and turned away by a server", func(s *observationBuilder) {
+		{"rejected by agent and server", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.Status, x.Complete = 503, true
-			s.Records = append(s.Records, modelserver.Record{At: 20*sec + 5*ms, Kind: modelserver.Arrived, Service: "llm-a", Attempt: "a"}, modelserver.Record{At: 20*sec + 6*ms, Kind: modelserver.TurnedAway, Status: 503, Attempt: "a"})
+			s.Records = append(s.Records, modelserver.Record{At: 20*sec + 5*ms, Kind: modelserver.Arrived, Service: "llm-a", Attempt: "a"}, modelserver.Record{At: 20*sec + 6*ms, Kind: modelserver.Rejected, Status: 503, Attempt: "a"})
 		}, ""},
-		{"failed after it ran", func(s *observationBuilder) {
+		{"failed after execution", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 1)
 			x.Status, x.Complete = 502, true
 		}, ""},
-		{"a success without a seal", func(s *observationBuilder) { s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Seal = "" }, "MIXED"},
-		{"a seal that no server made", func(s *observationBuilder) {
+		{"success without a seal", func(s *observationBuilder) { s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Seal = "" }, "MIXED"},
+		{"unknown seal", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Seal = "made-up"
 		}, "MIXED"},
-		{"the answer of another request", func(s *observationBuilder) {
+		{"response of another request", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			y := s.addServed(20*sec, "b", agent1, narrativePath, false, "llm-a")
 			x.Seal, x.Events = y.Seal, y.Events
 		}, "MIXED"},
-		{"the echo of another request", func(s *observationBuilder) {
+		{"attempt id of another request", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").AttemptHeader = "b"
 		}, "MIXED"},
-		{"other words", func(s *observationBuilder) {
+		{"wrong event text", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Events[1].Text = "ff"
 		}, "MIXED"},
-		{"an encoding", func(s *observationBuilder) {
+		{"content encoding", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Encoded = true
 		}, "MIXED"},
-		{"bytes after the answer", func(s *observationBuilder) {
+		{"bytes after the response", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").ExtraBytes = true
 		}, "MIXED"},
-		{"no answer in the protocol", func(s *observationBuilder) {
+		{"malformed response", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			x.ProtocolError, x.EndReason, x.Complete, x.Status = "HTTP/9", Malformed, false, 0
 		}, "MIXED"},
-		{"half an event of a server that crashed", func(s *observationBuilder) {
+		{"incomplete event of a crashed server", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.ProtocolError, x.EndReason = "half an event", Malformed
 			s.Records = append(s.Records, modelserver.Record{At: 20*sec + 95*ms, Kind: modelserver.Crashed, Instance: "i-1"})
 		}, ""},
-		{"an event missing", func(s *observationBuilder) {
+		{"missing event", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			x.Events = append(x.Events[:1:1], x.Events[2:]...)
 		}, "ORDER"},
-		{"an event twice", func(s *observationBuilder) {
+		{"repeated event", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			x.Events = append(x.Events[:1:1], x.Events...)
 		}, "ORDER"},
-		{"complete before its end", func(s *observationBuilder) {
+		{"complete response without its last events", func(s *observationBuilder) {
 			x := s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a")
 			x.Events = x.Events[:2]
 		}, "ORDER"},
-		{"complete with nothing in it", func(s *observationBuilder) {
+		{"complete response without events", func(s *observationBuilder) {
 			s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-a").Events = nil
 		}, "ORDER"},
-		{"cut before its end, and it shows", func(s *observationBuilder) {
+		{"incomplete response", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 		}, ""},
-		{"two runs joined that may not be", func(s *observationBuilder) {
+		{"stream resumed that is not resumable", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
-			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-a", "i-2", 3, pieces), 3, pieces)
+			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-a", "i-2", 3, eventCount), 3, eventCount)
 		}, "ORDER TWICE"},
-		{"a stream taken up that may be", func(s *observationBuilder) {
+		{"resumable stream resumed", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, "/verdict/gen", true)
 			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 1, 2), 1, 2)
-			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-b", "i-2", 3, pieces), 3, pieces)
+			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-b", "i-2", 3, eventCount), 3, eventCount)
 			x.EndReason = Completed
 		}, ""},
-		{"a stream taken up with events of a run from the start", func(s *observationBuilder) {
+		{"stream resumed with events of a run from the first event", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, "/verdict/gen", true)
 			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 1, 2), 1, 2)
-			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-b", "i-2", 1, pieces), 3, pieces)
+			x.addEvents(s.addRun(x, 20*sec+50*ms, "llm-b", "i-2", 1, eventCount), 3, eventCount)
 		}, "ORDER"},
-		{"a client's own resumption", func(s *observationBuilder) {
+		{"stream resumed by the client", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, "/verdict/gen", true)
 			x.AfterEvent = 2
-			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 3, pieces), 3, pieces)
+			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 3, eventCount), 3, eventCount)
 		}, ""},
-		{"a client's own resumption from the start", func(s *observationBuilder) {
+		{"stream resumed by the client, answered from the first event", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, "/verdict/gen", true)
 			x.AfterEvent = 2
-			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 1, pieces), 1, pieces)
+			x.addEvents(s.addRun(x, 20*sec+5*ms, "llm-b", "i-1", 1, eventCount), 1, eventCount)
 		}, "ORDER"},
-		{"an id that nobody sent", func(s *observationBuilder) {
+		{"unknown attempt id", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 1)
 			s.Attempts = nil
 		}, "UNASKED"},
-		{"another path", func(s *observationBuilder) {
+		{"different path", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 1)
 			x.Target = "/narrative/gen?n=2"
 		}, "UNASKED"},
-		{"another body", func(s *observationBuilder) {
+		{"different body", func(s *observationBuilder) {
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			s.addRun(x, 20*sec+5*ms, "llm-a", "i-1", 1, 1)
-			x.Prompt.Body = 8
+			x.Prompt.BodyHash = 8
 		}, "UNASKED"},
-		{"a request without an id", func(s *observationBuilder) {
-			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Unrunnable, Method: "GET"})
+		{"request without an attempt id", func(s *observationBuilder) {
+			s.Records = append(s.Records, modelserver.Record{
+				At: 20 * sec, Kind: modelserver.InvalidRequest, Method: "GET"})
 		}, "UNASKED"},
-		{"another service", func(s *observationBuilder) { s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-b") }, "ROUTE"},
-		{"sent to a server that drains, too late", func(s *observationBuilder) {
+		{"wrong service", func(s *observationBuilder) { s.addServed(20*sec, "a", agent1, narrativePath, false, "llm-b") }, "ROUTE"},
+		{"sent to a draining server after the drain time", func(s *observationBuilder) {
 			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.addServed(22*sec+100*ms, "a", agent1, narrativePath, false, "llm-a")
 		}, "DRAIN"},
-		{"sent to a server that drains, in time", func(s *observationBuilder) {
+		{"sent to a draining server within the drain time", func(s *observationBuilder) {
 			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.addServed(21*sec, "a", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"sent to a server that drains, where its acknowledgement was by an agent in trouble", func(s *observationBuilder) {
+		{"sent to a draining server, drain acknowledged by an agent after a fault", func(s *observationBuilder) {
 			s.Faults = []Fault{{Agent: agent2, Begin: 18 * sec, End: 19 * sec}}
 			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Draining, Instance: "i-llm-a", Agent: agent2 + ":8262"})
 			s.addServed(23*sec, "a", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"sent to a server that is gone", func(s *observationBuilder) {
-			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
+		{"sent to a deregistered server", func(s *observationBuilder) {
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Deregistered, Instance: "i-1", Agent: agent2 + ":8262"},
 				modelserver.Record{At: 23 * sec, Kind: modelserver.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"})
 			s.addAttempt(23*sec-5*ms, "a", agent1, narrativePath, false)
 		}, "DRAIN"},
-		{"sent to a server that is gone, and answered 421 there", func(s *observationBuilder) {
-			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Gone, Instance: "i-1", Agent: agent2 + ":8262"},
+		{"sent to a deregistered server, answered with 421", func(s *observationBuilder) {
+			s.Records = append(s.Records, modelserver.Record{At: 20 * sec, Kind: modelserver.Deregistered, Instance: "i-1", Agent: agent2 + ":8262"},
 				modelserver.Record{At: 23 * sec, Kind: modelserver.Arrived, Service: "llm-a", Instance: "i-1", Attempt: "a"},
-				modelserver.Record{At: 23 * sec, Kind: modelserver.TurnedAway, Status: 421, Service: "llm-a", Instance: "i-1", Attempt: "a"})
+				modelserver.Record{At: 23 * sec, Kind: modelserver.Rejected, Status: 421, Service: "llm-a", Instance: "i-1", Attempt: "a"})
 			s.addAttempt(23*sec-5*ms, "a", agent1, narrativePath, false)
 		}, ""},
-		{"more repeats than the budget has", func(s *observationBuilder) {
+		{"more repeats than the budget allows", func(s *observationBuilder) {
 			for i := range 10 { // 2 + 0.2 * 10 = 4 are allowed
 				x := s.addServed(20*sec+time.Duration(i)*100*ms, fmt.Sprint("a", i), agent1, "/verdict/gen", true, "llm-b")
 				if i >= 5 {
@@ -258,7 +259,7 @@
 				}
 			}
 		}, "BUDGET"},
-		{"as many repeats as the budget has", func(s *observationBuilder) {
+		{"as many repeats as the budget allows", func(s *observationBuilder) {
 			for i := range 10 {
 				x := s.addServed(20*sec+time.Duration(i)*100*ms, fmt.Sprint("a", i), agent1, "/verdict/gen", true, "llm-b")
 				if i >= 6 {
@@ -266,144 +267,144 @@
 				}
 			}
 		}, ""},
-		{"a repeat of each of few requests", func(s *observationBuilder) {
+		{"each of few requests repeated", func(s *observationBuilder) {
 			for i := range 10 {
 				x := s.addServed(20*sec+time.Duration(i)*4*sec, fmt.Sprint("a", i), agent1, "/verdict/gen", true, "llm-b")
 				s.addRun(x, x.StartedAt+20*ms, "llm-b", "i-2", 1, 1)
 			}
 		}, "BUDGET"},
-		{"an old configuration, too long after a new one was acknowledged", func(s *observationBuilder) {
+		{"old configuration too long after a new one was acknowledged", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addServed(22*sec+200*ms, "a", agent1, narrativePath, false, "llm-a")
 		}, "CONFIG"},
-		{"an old configuration, soon after", func(s *observationBuilder) {
+		{"old configuration shortly after a new one was acknowledged", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addServed(21*sec, "a", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"an old configuration at an agent in trouble", func(s *observationBuilder) {
+		{"old configuration at an agent after a fault", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Faults = []Fault{{Agent: agent1, Begin: 20 * sec, End: 20 * sec}}
 			s.addServed(22*sec+200*ms, "a", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"an old configuration while the core is in trouble", func(s *observationBuilder) {
+		{"old configuration shortly after a core fault began", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Faults = []Fault{{Agent: agent2, Core: true, Begin: 20 * sec, Active: true}}
 			s.addServed(22*sec+200*ms, "a", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"an old configuration long after a core machine went", func(s *observationBuilder) {
+		{"old configuration long after a core fault began", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Faults = []Fault{{Agent: agent2, Core: true, Begin: 20 * sec, Active: true}}
 			s.addServed(24*sec, "a", agent1, narrativePath, false, "llm-a")
 		}, "CONFIG"},
-		{"a route that is new is not there", func(s *observationBuilder) {
+		{"acknowledged new route answered with 404", func(s *observationBuilder) {
 			d := testDocument(5)
 			d.Routes = append(d.Routes, Route{Name: "new", Host: hostname, Prefix: "/new/", Service: "llm-a"})
 			s.Changes = append(s.Changes, &ConfigChange{BaseRevision: 3, Doc: d, Valid: true, SentAt: 20*sec - 10*ms, AckedAt: 20 * sec, AckedBy: agent1})
 			x := s.addAttempt(23*sec, "a", agent1, "/new/x", false)
 			x.Status, x.Complete = 404, true
 		}, "CONFIG"},
-		{"a route that never was is not there", func(s *observationBuilder) {
+		{"unknown route answered with 404", func(s *observationBuilder) {
 			x := s.addAttempt(23*sec, "a", agent1, "/never/x", false)
 			x.Status, x.Complete = 404, true
 		}, ""},
-		{"back to an old configuration", func(s *observationBuilder) {
+		{"agent reverts to an old configuration", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addServed(20*sec+100*ms, "a", agent1, narrativePath, false, "llm-b")
 			s.addServed(20*sec+600*ms, "b", agent1, narrativePath, false, "llm-a")
 		}, "CONFIG"},
-		{"another agent has the old configuration still", func(s *observationBuilder) {
+		{"another agent still has the old configuration", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addServed(20*sec+100*ms, "a", agent1, narrativePath, false, "llm-b")
 			s.addServed(20*sec+600*ms, "b", agent2, narrativePath, false, "llm-a")
 		}, ""},
-		{"back to an old configuration in a new life", func(s *observationBuilder) {
+		{"agent has an old configuration after a restart", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addServed(20*sec+100*ms, "a", agent1, narrativePath, false, "llm-b")
 			s.Faults = []Fault{{Agent: agent1, ProcessStart: true, Begin: 20*sec + 500*ms, End: 20*sec + 500*ms}}
 			s.addServed(20*sec+600*ms, "b", agent1, narrativePath, false, "llm-a")
 		}, ""},
-		{"a refused configuration in force", func(s *observationBuilder) {
+		{"rejected configuration applied", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Changes[1].AckedAt, s.Changes[1].RejectStatus = 0, 412
 			s.addServed(21*sec, "a", agent1, narrativePath, false, "llm-b")
 		}, "CONFIG"},
-		{"a configuration without a clear answer in force", func(s *observationBuilder) {
+		{"configuration with an unknown outcome applied", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Changes[1].AckedAt = 0
 			s.addServed(21*sec, "a", agent1, narrativePath, false, "llm-b")
 		}, ""},
-		{"an invalid configuration acknowledged", func(s *observationBuilder) {
+		{"invalid configuration acknowledged", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Changes[1].Valid = false
 		}, "CONFIG"},
-		{"two acknowledged on one version", func(s *observationBuilder) {
+		{"two changes acknowledged on the same revision", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.addChange(6, 20*sec, "llm-a")
 		}, "CONFIG"},
-		{"read back as sent, in another order", func(s *observationBuilder) {
+		{"read back with another order of routes", func(s *observationBuilder) {
 			d := testDocument(3)
 			d.Routes[0], d.Routes[1] = d.Routes[1], d.Routes[0]
 			s.ReadBack = encode(d)
 		}, ""},
-		{"read back older", func(s *observationBuilder) {
+		{"older configuration read back", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.ReadBack = encode(testDocument(3))
 		}, "CONFIG"},
-		{"read back without a field that nobody knows", func(s *observationBuilder) {
+		{"read back without an unknown field", func(s *observationBuilder) {
 			d := testDocument(3)
 			d.Routes[1].Comment = ""
 			s.ReadBack = encode(d)
 		}, "CONFIG"},
-		{"read back a change without a clear answer", func(s *observationBuilder) {
+		{"configuration with an unknown outcome read back", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Changes[1].AckedAt = 0
 			s.ReadBack = encode(s.Changes[1].Doc)
 		}, ""},
-		{"read back a refused one", func(s *observationBuilder) {
+		{"rejected configuration read back", func(s *observationBuilder) {
 			s.addChange(5, 20*sec, "llm-b")
 			s.Changes[1].AckedAt, s.Changes[1].RejectStatus = 0, 412
 			s.ReadBack = encode(s.Changes[1].Doc)
 		}, "CONFIG"},
-		{"not read back", func(s *observationBuilder) { s.ReadErr = assert.AnError }, "CONFIG"},
-		{"cut around an ordered end", func(s *observationBuilder) {
+		{"reading back fails", func(s *observationBuilder) { s.ReadErr = assert.AnError }, "CONFIG"},
+		{"cut off during a graceful shutdown", func(s *observationBuilder) {
 			s.Faults = []Fault{{Agent: agent1, Graceful: true, Begin: 20 * sec, End: 24 * sec}}
 			x := s.addAttempt(19*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 19*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.EndedAt = 21 * sec
 		}, "LOST"},
-		{"cut around an ordered end by the server", func(s *observationBuilder) {
+		{"cut off by the server during a graceful shutdown", func(s *observationBuilder) {
 			s.Faults = []Fault{{Agent: agent1, Graceful: true, Begin: 20 * sec, End: 24 * sec}}
 			x := s.addAttempt(19*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 19*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.EndedAt = 21 * sec
 			s.Records = append(s.Records, modelserver.Record{At: 19*sec + 95*ms, Kind: modelserver.Crashed, Instance: "i-1"})
 		}, ""},
-		{"cut by a kill", func(s *observationBuilder) {
+		{"cut off by a kill", func(s *observationBuilder) {
 			s.Faults = []Fault{{Agent: agent1, Begin: 20 * sec, End: 24 * sec}}
 			x := s.addAttempt(19*sec, "a", agent1, narrativePath, false)
 			x.addEvents(s.addRun(x, 19*sec+5*ms, "llm-a", "i-1", 1, 2), 1, 2)
 			x.EndedAt = 20 * sec
 		}, ""},
-		{"not read before an ordered end", func(s *observationBuilder) {
+		{"cut off by a graceful shutdown before it was forwarded", func(s *observationBuilder) {
 			s.Faults = []Fault{{Agent: agent1, Graceful: true, Begin: 20 * sec, End: 24 * sec}}
 			x := s.addAttempt(20*sec, "a", agent1, narrativePath, false)
 			x.EndReason, x.EndedAt = Closed, x.SentAt+20*ms
 		}, ""},
-		{"proper requests denied", func(s *observationBuilder) {
+		{"valid requests denied", func(s *observationBuilder) {
 			for i := range 6 {
 				x := s.addAttempt(20*sec, fmt.Sprint("a", i), agent1, narrativePath, false)
 				x.Status, x.Complete = 400, true
 			}
 		}, "DENIED"},
-		{"a process that ended by itself", func(s *observationBuilder) { s.UnexpectedExits = []string{"edge-1"} }, "FAULT"},
+		{"unexpected exit of a process", func(s *observationBuilder) { s.UnexpectedExits = []string{"edge-1"} }, "FAULT"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newObservationBuilder()
 			s.addServed(10*sec, "before", agent1, narrativePath, false, "llm-a")
 			c.breaks(s)
 			got := ""
-			broken := Check((&recorder{Observations: s.Observations}).snapshot(), testRules())
-			for _, v := range broken {
+			violations := Check((&recorder{Observations: s.Observations}).snapshot(), testRules())
+			for _, v := range violations {
 				if got != "" && got != v.Rule {
 					got += " "
 				}
@@ -411,16 +412,16 @@
 					got += v.Rule
 				}
 			}
-			if c.name == "an id that nobody sent" { // it replaces the attempt before
+			if c.name == "unknown attempt id" { // it removes all attempts, so the earlier run is reported, too
 				assert.Contains(t, got, c.want)
 				return
 			}
-			assert.Equal(t, c.want, got, "%v", broken)
+			assert.Equal(t, c.want, got, "%v", violations)
 		})
 	}
 }
 
-// addChange has a change sent and acknowledged that moves /narrative/ to a service.
+// addChange adds an acknowledged change that moves /narrative/ to a service.
 func (s *observationBuilder) addChange(revision int, at time.Duration, to string) {
 	d := testDocument(revision)
 	d.Routes[0].Service = to
@@ -440,7 +441,7 @@
 	p := d.withPatch(&Patch{Revision: 8, Upsert: Upsert{Routes: []Route{{Name: "n", Host: hostname, Prefix: "/narrative/", Service: "llm-b"}, {Name: "new", Host: "x", Prefix: "/"}}},
 		Remove: Remove{Services: []string{"llm-a"}}})
 	assert.Equal(t, 8, p.Revision)
-	assert.Equal(t, "llm-a", d.Routes[0].Service, "the old one stays as it is")
+	assert.Equal(t, "llm-a", d.Routes[0].Service, "the original document is unchanged")
 	assert.Equal(t, []string{"llm-b"}, p.services(hostname, "/narrative/x"))
 	assert.Equal(t, "kept", p.route(hostname, "/verdict/").Comment)
 	assert.NotNil(t, p.route("x", "/anything?q"))
--- a/internal/testbed/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -21,68 +21,69 @@
 type Class struct {
 	Name             string
 	Host             string
-	Path             string // the route's path prefix
-	Share            float64
+	Path             string        // the route's path prefix
+	Share            float64       // weight of the class among all requests
 	FirstEventTarget time.Duration // latency target of the first event
-	EventGapTarget   time.Duration // between events
-	Deadline         time.Duration
-	Timeout          time.Duration // of its route
-	Resumable        bool
+	EventGapTarget   time.Duration // target of the longest time between two events
+	Deadline         time.Duration // how long a client waits, over all attempts
+	Timeout          time.Duration // timeout of the route
+	Resumable        bool          // requests are idempotent, and another server may resume a stream
 	MaxRetries       int
-	SharedTokens     int // of the prompt prefix that the requests of one key share
-	OwnTokens        int // mean, of the rest of the prompt
-	MaxOutputTokens  int // of the response
-	BodyBytes        int // mean
+	SharedTokens     int // length of the prompt prefix that requests with the same key share
+	OwnTokens        int // mean length of the rest of the prompt
+	MaxOutputTokens  int // maximum length of the response
+	BodyBytes        int // mean length of the request's body
 }
 
 // commonPrefixTokens is the length of the prompt prefix that all requests of a class share.
 const commonPrefixTokens = 128
 
 const (
-	// connectTimeout bounds a connect.
+	// connectTimeout bounds the establishment of a connection.
 	connectTimeout = time.Second
 	// idleConnTimeout is how long a client keeps an idle connection. The agents' limit is longer.
 	idleConnTimeout = 4 * time.Second
-	// defaultRetryDelay is the pause before a retry without Retry-After.
+	// defaultRetryDelay is the delay before a retry if the response has no Retry-After header.
 	defaultRetryDelay = 60 * time.Millisecond
-	// maxErrorBody bounds the bytes that are read of an error response.
+	// maxErrorBody is the maximum number of bytes that are read from the body of an error response.
 	maxErrorBody = 64 << 10
-	// forwardTarget is the latency target of an event from its server to the client.
+	// forwardTarget is the target of the time that an event takes from the server to the client.
 	forwardTarget = 120 * time.Millisecond
 )
 
-// idleTimeout is how long a client waits for the next event.
+// idleTimeout returns how long a client waits for the next event.
 func (c *Class) idleTimeout() time.Duration {
 	return max(2*time.Second, 4*c.FirstEventTarget, 8*c.EventGapTarget)
 }
 
-// Verdict is the outcome of a request over all its attempts. Up to Late it was served.
+// Verdict is the result of a request over all its attempts. Served and Late requests were served completely.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Served   Verdict = iota // completely, within the latency targets
-	Late                    // completely, beyond a latency target
-	Rejected                // by status 503, 429, 408 or 421: the agent guarantees that it was not executed
-	Failed
+	Served   Verdict = iota // served completely, within the latency targets
+	Late                    // served completely, but a latency target was missed
+	Rejected                // rejected with status 503, 429, 408 or 421, which guarantees that it was not executed
+	Failed                  // not served for any other reason
 )
 
-// String is the verdict in lower case.
+// String returns the verdict as it appears in reports.
 func (v Verdict) String() string { return [...]string{"served", "late", "refused", "failed"}[v] }
 
 // Outcome is the outcome of a request.
 type Outcome struct {
 	Class          *Class
-	StartedAt      time.Duration // of the first attempt
+	StartedAt      time.Duration // start of the first attempt
 	Verdict        Verdict
-	FailureReason  string // "" if served
+	FailureReason  string // empty if the request was served
 	Attempts       int
-	FirstEvent     time.Duration // from the first attempt to the first event; 0: no event
-	LongestGap     time.Duration // between two events
-	LongestForward time.Duration // from the server to the client, of one event
+	FirstEvent     time.Duration // time from the start to the first event; zero if there was no event
+	LongestGap     time.Duration // longest time between two events
+	LongestForward time.Duration // longest time that an event took from the server to the client
 }
 
-// Clients send requests. Some reuse connections. Its methods may be called concurrently.
+// Clients sends the requests of several clients, some of which reuse connections. Its methods may be called
+// concurrently.
 type Clients struct {
 	classes  []*Class
 	balancer *LoadBalancer
@@ -90,20 +91,20 @@
 	recorder *recorder
 	seed     uint64
 	zones    []string
-	idPrefix string // of the ids of the attempts
+	idPrefix string // prefix of the attempt ids
 
 	mu   sync.Mutex
-	idle map[int][]*conn // by the number of the client
+	idle map[int][]*conn // by the client's number
 
 	inProgress sync.WaitGroup
 }
 
 // newClients creates clients that are distributed over zones.
-func newClients(classes []*Class, e *LoadBalancer, now func() time.Duration, s *recorder, seed uint64, zones []string, tag string) *Clients {
-	return &Clients{classes: classes, balancer: e, now: now, recorder: s, seed: seed, zones: zones, idPrefix: tag, idle: map[int][]*conn{}}
+func newClients(classes []*Class, balancer *LoadBalancer, now func() time.Duration, recorder *recorder, seed uint64, zones []string, idPrefix string) *Clients {
+	return &Clients{classes: classes, balancer: balancer, now: now, recorder: recorder, seed: seed, zones: zones, idPrefix: idPrefix, idle: map[int][]*conn{}}
 }
 
-// request is what a client sends, possibly in several attempts.
+// request is a client's request, which is sent in one or more attempts.
 type request struct {
 	class  *Class
 	client int
@@ -112,7 +113,8 @@
 	body   string
 }
 
-// newRequest draws the details of a planned request: they follow from the seed and the request's number.
+// newRequest draws the details of a planned request. The random choices depend only on the seed and the request's
+// number.
 func (c *Clients) newRequest(planned *loadgen.Ask) *request {
 	class := c.classes[planned.Class]
 	random := rand.New(rand.NewPCG(c.seed, uint64(planned.Number)))
@@ -120,8 +122,9 @@
 	body := strings.Repeat("x", class.BodyBytes/2+random.IntN(class.BodyBytes+1)) + strconv.Itoa(planned.Number)
 	return &request{class: class, client: planned.Agent, number: planned.Number, body: body, prompt: modelserver.Prompt{Model: "m",
 		Tokens: fmt.Sprintf("%d,%d", commonPrefixTokens+class.SharedTokens+ownTokens, class.MaxOutputTokens),
-		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", modelserver.Sum(class.Name)>>32, commonPrefixTokens, modelserver.Sum(class.Name, strconv.Itoa(planned.Key))>>32, class.SharedTokens,
-			modelserver.Sum(c.idPrefix, strconv.Itoa(planned.Number))>>32, ownTokens), Body: modelserver.Sum(body)}}
+		Prefix: fmt.Sprintf("%x:%d,%x:%d,%x:%d", modelserver.Hash(class.Name)>>32, commonPrefixTokens, modelserver.Hash(class.Name, strconv.Itoa(planned.Key))>>32, class.SharedTokens,
+			modelserver.Hash(c.idPrefix, strconv.Itoa(planned.Number))>>32, ownTokens),
+		BodyHash: modelserver.Hash(body)}}
 }
 
 // Run sends the requests of a plan at their times and passes each outcome to done, concurrently. It returns after the
@@ -144,14 +147,14 @@
 	c.inProgress.Wait()
 }
 
-// Close closes the idle connections, and checks once more that nothing has arrived on them.
+// Close closes the idle connections, after a last check for unexpected bytes on them.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, list := range c.idle {
-		for _, k := range list {
-			c.isQuiet(k)
-			k.Close()
+		for _, conn := range list {
+			c.isQuiet(conn)
+			conn.Close()
 		}
 	}
 	c.idle = map[int][]*conn{}
@@ -163,19 +166,19 @@
 	startedAt := c.now()
 	deadline := startedAt + class.Deadline
 	outcome := Outcome{Class: class, StartedAt: startedAt}
-	var got []ReceivedEvent // of all attempts: a stream may be resumed
+	var received []ReceivedEvent // the events of all attempts, as a stream may be resumed
 	for {
 		outcome.Attempts++
 		after := 0
-		if class.Resumable && len(got) > 0 {
-			after = got[len(got)-1].N
+		if class.Resumable && len(received) > 0 {
+			after = received[len(received)-1].N
 		}
 		attempt := c.attempt(ctx, request, outcome.Attempts, after, deadline)
 		c.recorder.attemptEnded(attempt)
 		if attempt.Status/100 == 2 {
-			got = append(got, attempt.Events...)
+			received = append(received, attempt.Events...)
 		}
-		outcome.update(attempt, got, startedAt)
+		outcome.update(attempt, received, startedAt)
 		notExecuted := attempt.Status == 503 || attempt.Status == 429 || attempt.Status == 408 || attempt.Status == 421
 		mayRetry := notExecuted || attempt.EndReason == NoConnect || class.Resumable && (attempt.Status == 0 || attempt.Status >= 500 || attempt.Status/100 == 2 && !attempt.Complete)
 		if outcome.Verdict <= Late || !mayRetry || outcome.Attempts > class.MaxRetries || ctx.Err() != nil {
@@ -199,35 +202,35 @@
 }
 
 // update derives the outcome from the last attempt and the events of all attempts.
-func (o *Outcome) update(t *Attempt, got []ReceivedEvent, began time.Duration) {
+func (o *Outcome) update(last *Attempt, received []ReceivedEvent, startedAt time.Duration) {
 	o.FirstEvent, o.LongestGap, o.LongestForward, o.FailureReason = 0, 0, 0, ""
-	for i, e := range got {
+	for i, e := range received {
 		if i == 0 {
-			o.FirstEvent = e.ReceivedAt - began
+			o.FirstEvent = e.ReceivedAt - startedAt
 		} else {
-			o.LongestGap = max(o.LongestGap, e.ReceivedAt-got[i-1].ReceivedAt)
+			o.LongestGap = max(o.LongestGap, e.ReceivedAt-received[i-1].ReceivedAt)
 		}
 		o.LongestForward = max(o.LongestForward, e.ReceivedAt-e.At)
 	}
 	switch {
-	case t.Status/100 == 2 && t.Complete:
+	case last.Status/100 == 2 && last.Complete:
 		o.Verdict = Served
 		if o.FirstEvent > o.Class.FirstEventTarget || o.LongestGap > o.Class.EventGapTarget || o.LongestForward > forwardTarget {
 			o.Verdict = Late
 		}
-	case t.Status == 503 || t.Status == 429 || t.Status == 408 || t.Status == 421:
-		o.Verdict, o.FailureReason = Rejected, strconv.Itoa(t.Status)
-	case t.Status/100 == 2:
-		o.Verdict, o.FailureReason = Failed, t.EndReason.String()+" midway"
-	case t.Status != 0:
-		o.Verdict, o.FailureReason = Failed, strconv.Itoa(t.Status)
+	case last.Status == 503 || last.Status == 429 || last.Status == 408 || last.Status == 421:
+		o.Verdict, o.FailureReason = Rejected, strconv.Itoa(last.Status)
+	case last.Status/100 == 2:
+		o.Verdict, o.FailureReason = Failed, last.EndReason.String()+" midway"
+	case last.Status != 0:
+		o.Verdict, o.FailureReason = Failed, strconv.Itoa(last.Status)
 	default:
-		o.Verdict, o.FailureReason = Failed, t.EndReason.String()
+		o.Verdict, o.FailureReason = Failed, last.EndReason.String()
 	}
 }
 
-// acquireConn returns an idle connection of the client for a first attempt if there is one, else a new one, and the IP
-// of its agent.
+// acquireConn returns a connection and the IP of its agent. For a first attempt it is an idle connection of the client
+// if there is one, otherwise a new one.
 func (c *Clients) acquireConn(ctx context.Context, client, attempt int) (*conn, string, error) {
 	for attempt == 1 {
 		c.mu.Lock()
@@ -251,7 +254,7 @@
 	return dial(ctx, endpoint)
 }
 
-// isQuiet tells whether an idle connection is open and nothing has arrived on it. It records unexpected bytes.
+// isQuiet reports whether an idle connection is open and nothing has arrived on it. It records unexpected bytes.
 func (c *Clients) isQuiet(conn *conn) bool {
 	if conn.reader.Buffered() > 0 {
 		c.recordExtraBytes(conn)
@@ -275,7 +278,7 @@
 	return errors.Is(recvErr, unix.EAGAIN)
 }
 
-// recordExtraBytes records bytes that arrived after the last response of a connection.
+// recordExtraBytes records that bytes arrived after the last response of a connection.
 func (c *Clients) recordExtraBytes(conn *conn) {
 	c.recorder.mu.Lock()
 	defer c.recorder.mu.Unlock()
@@ -284,7 +287,7 @@
 	}
 }
 
-// releaseConn makes a connection available to the next request of the client.
+// releaseConn makes a connection available for the next request of the client.
 func (c *Clients) releaseConn(client int, conn *conn, attempt *Attempt) {
 	conn.lastAttempt, conn.idleSince = attempt, c.now()
 	c.mu.Lock()
@@ -292,12 +295,12 @@
 	c.idle[client] = append(c.idle[client], conn)
 }
 
-// attempt sends a request once, under an id of its own.
-func (c *Clients) attempt(ctx context.Context, request *request, n, after int, end time.Duration) *Attempt {
+// attempt sends a request once, as attempt n, with its own attempt id. A resumable stream continues after an event.
+func (c *Clients) attempt(ctx context.Context, request *request, n, after int, deadline time.Duration) *Attempt {
 	class := request.class
 	attempt := &Attempt{ID: fmt.Sprintf("%s%06x-%d", c.idPrefix, request.number, n), Class: class.Name, Method: http.MethodPost, Host: class.Host,
 		Target: class.Path + "gen?n=" + strconv.Itoa(request.number), Prompt: request.prompt, Idempotent: class.Resumable, Resumable: class.Resumable,
-		AfterEvent: after, Deadline: end, Timeout: class.Timeout}
+		AfterEvent: after, Deadline: deadline, Timeout: class.Timeout}
 	attempt.StartedAt = c.now()
 	conn, agent, err := c.acquireConn(ctx, request.client, n)
 	attempt.Agent = agent
--- a/internal/testbed/fleetlab/client_conn.go
+++ b/internal/testbed/fleetlab/client_conn.go
@@ -23,18 +23,18 @@
 type conn struct {
 	*net.TCPConn
 	reader      *bufio.Reader
-	agent       string        // IP
-	lastAttempt *Attempt      // nil: none yet
-	idleSince   time.Duration // by the clock of the fleet
+	agent       string        // IP of the agent
+	lastAttempt *Attempt      // last attempt on the connection; nil if there is none yet
+	idleSince   time.Duration // when the last response ended, on the clock of Fleet.Now
 }
 
-// exchange sends a request and reads its response into the attempt. It tells whether the connection can be reused.
-// Without keep the client asks the agent to close it.
+// exchange sends a request and reads its response into the attempt. It reports whether the connection can be reused.
+// Without keep the request asks the agent to close the connection.
 func (c *conn) exchange(ctx context.Context, now func() time.Duration, attempt *Attempt, body string, keep bool, idleTimeout time.Duration) (reusable bool) {
 	defer func() { attempt.EndedAt = now() }()
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	extendDeadline := func() { // by idleTimeout, at most to the deadline of the attempt
+	extendDeadline := func() { // to idleTimeout from now, or to the attempt's deadline if that is earlier
 		if ctx.Err() == nil {
 			_ = c.SetDeadline(time.Now().Add(min(idleTimeout, attempt.Deadline-now())))
 		}
@@ -42,7 +42,7 @@
 	extendDeadline()
 	if _, err := io.WriteString(c, attempt.encode(body, keep, attempt.Deadline-now())); err == nil {
 		attempt.SentAt = now()
-	} // else there may be a response already
+	} // after an error there may still be a response to read
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		attempt.recordFailure(err)
@@ -63,7 +63,8 @@
 	return keep && !response.Close
 }
 
-// encode is the request as it is sent, for a client that waits for a duration. Every third body is sent in chunks.
+// encode returns the bytes of the request. timeLeft is the time until the client's deadline. About a third of the
+// bodies, chosen by their hash, is sent in chunks.
 func (a *Attempt) encode(body string, keep bool, timeLeft time.Duration) string {
 	text := "POST " + a.Target + " HTTP/1.1\r\nHost: " + a.Host + "\r\n" + modelserver.HeaderAttempt + ": " + a.ID + "\r\n" +
 		modelserver.HeaderModel + ": " + a.Prompt.Model + "\r\n" + modelserver.HeaderTokens + ": " + a.Prompt.Tokens + "\r\n" +
@@ -75,7 +76,7 @@
 	if !keep {
 		text += "Connection: close\r\n"
 	}
-	if a.Prompt.Body%3 != 0 {
+	if a.Prompt.BodyHash%3 != 0 {
 		return text + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 	}
 	text += "Transfer-Encoding: chunked\r\n\r\n"
@@ -99,7 +100,7 @@
 	}
 }
 
-// dial connects to an agent. It returns the agent's IP also with an error.
+// dial connects to an agent. It returns the agent's IP even if it returns an error.
 func dial(ctx context.Context, a *Endpoint) (*conn, string, error) {
 	d := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	n, err := d.DialContext(ctx, "tcp", a.Front)
@@ -109,8 +110,8 @@
 	return &conn{TCPConn: n.(*net.TCPConn), reader: bufio.NewReaderSize(n, 4<<10), agent: a.IP}, a.IP, nil
 }
 
-// readEvents reads the events of a stream to the end of its body, and calls received after each.
-func (a *Attempt) readEvents(body io.Reader, now func() time.Duration, received func()) error {
+// readEvents reads the events of a stream to the end of its body, and calls onEvent after each.
+func (a *Attempt) readEvents(body io.Reader, now func() time.Duration, onEvent func()) error {
 	in := bufio.NewReader(body)
 	var lines []string
 	for {
@@ -126,7 +127,7 @@
 		}
 		if line = strings.TrimRight(line, "\r\n"); line != "" {
 			if lines = append(lines, line); len(lines) > maxEventLines {
-				return errors.Errorf("an event of over %d lines", maxEventLines)
+				return errors.Errorf("event with more than %d lines", maxEventLines)
 			}
 			continue
 		}
@@ -135,11 +136,11 @@
 			return err
 		}
 		a.Events, lines = append(a.Events, ReceivedEvent{event, now()}), nil
-		received()
+		onEvent()
 	}
 }
 
-// recordFailure records why a response is incomplete.
+// recordFailure records the reason of an incomplete response.
 func (a *Attempt) recordFailure(err error) {
 	var timeout net.Error
 	var op *net.OpError
--- a/internal/testbed/fleetlab/client_test.go
+++ b/internal/testbed/fleetlab/client_test.go
@@ -20,7 +20,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// clientTest is a test of clients with one fake agent and model servers, in one process.
+// clientTest runs clients, one fake agent and model servers in the test's process.
 type clientTest struct {
 	*recorder
 	now      func() time.Duration
@@ -30,7 +30,7 @@
 	servers  []*modelserver.Server
 }
 
-// fakeAgent handles a connection of a client in place of an agent.
+// fakeAgent is the handler of a client's connection that replaces an agent.
 type fakeAgent func(b *clientTest, c net.Conn)
 
 func newClientTest(t *testing.T, servers int, handle fakeAgent) *clientTest {
@@ -39,7 +39,7 @@
 	b := &clientTest{recorder: &recorder{}, now: func() time.Duration { return time.Since(startedAt) }, classes: DefaultConfig(1, 1, 2).Classes}
 	engine := modelserver.EngineConfig{Slots: 8, Queue: 8, StepMs: 2, SlotMs: 0.01, PrefillPerMs: 1000, Chunk: 8000, KVTokens: 100000, Stride: 4}
 	for range servers {
-		s, err := modelserver.Start(modelserver.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", Weights: 1, Engine: engine, Now: b.now, Seen: b.record})
+		s, err := modelserver.Start(modelserver.Config{Addr: "127.0.0.1:0", Service: serviceA, Model: "m", ModelRevision: 1, Engine: engine, Now: b.now, OnRecord: b.record})
 		require.NoError(t, err)
 		t.Cleanup(s.Close)
 		b.servers = append(b.servers, s)
@@ -84,7 +84,7 @@
 	return b
 }
 
-// violatedRules are the rules that are violated so far.
+// violatedRules returns the rules that were violated so far.
 func (b *clientTest) violatedRules() (rules []string) {
 	r := testRules()
 	for _, v := range Check(b.snapshot(), r) {
@@ -93,7 +93,7 @@
 	return rules
 }
 
-// send makes a client send a request of a class.
+// send makes a client send a request of a class, and returns the outcome.
 func (b *clientTest) send(class, client, number int) Outcome {
 	return b.clients.send(context.Background(), b.clients.newRequest(&loadgen.Ask{Class: class, Agent: client, Number: number}))
 }
@@ -103,7 +103,7 @@
 	return all.Attempts[len(all.Attempts)-1]
 }
 
-// readRequest reads a request of a client; nil at the end of the connection.
+// readRequest reads a client's request and its body. The request is nil at the end of the connection.
 func readRequest(in *bufio.Reader) (*http.Request, []byte) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -116,9 +116,9 @@
 	return r, body
 }
 
-// forward forwards a request to a server as an agent does, and copies the response as it is on the wire, line by line
-// through change. It tells whether the response is complete.
-func forward(s *modelserver.Server, r *http.Request, body []byte, c net.Conn, change func(line string) string, more ...string) bool {
+// forward forwards a request to a server as an agent does, with additional headers. It copies the raw response line by
+// line, each one modified by change, and reports whether the response is complete.
+func forward(s *modelserver.Server, r *http.Request, body []byte, c net.Conn, change func(line string) string, headers ...string) bool {
 	up, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n")
@@ -131,8 +131,8 @@
 	}
 	req.Host, req.Header = r.Host, r.Header.Clone()
 	req.Header.Set(modelserver.HeaderExpect, s.ID())
-	for i := 0; i+1 < len(more); i += 2 {
-		req.Header.Set(more[i], more[i+1])
+	for i := 0; i+1 < len(headers); i += 2 {
+		req.Header.Set(headers[i], headers[i+1])
 	}
 	req.Close = true
 	if err := req.Write(up); err != nil {
@@ -180,7 +180,7 @@
 		assert.Positive(t, o.FirstEvent)
 	}
 	assert.Empty(t, b.violatedRules())
-	assert.Positive(t, b.servers[0].Figures().Saved, "prompts share parts")
+	assert.Positive(t, b.servers[0].Stats().TokensSaved, "cached prompt parts are reused")
 }
 
 // Each protocol violation of an agent is reported as the rule that it violates.
@@ -196,9 +196,9 @@
 		}
 	}
 	for _, c := range []struct {
-		name string
-		door fakeAgent
-		want string
+		name  string
+		agent fakeAgent
+		want  string // the violated rule; empty if none
 	}{
 		{"no seal", rewrite(func(l string) string {
 			if strings.HasPrefix(l, modelserver.HeaderSeal) {
@@ -206,20 +206,20 @@
 			}
 			return l
 		}), "MIXED"},
-		{"no answer", func(b *clientTest, c net.Conn) {
+		{"malformed response", func(b *clientTest, c net.Conn) {
 			readRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, "what?\r\n\r\n")
 		}, "MIXED"},
-		{"more after the answer", func(b *clientTest, c net.Conn) {
+		{"bytes after the response", func(b *clientTest, c net.Conn) {
 			in := bufio.NewReader(c)
 			r, body := readRequest(in)
 			var whole bytes.Buffer
 			forward(b.servers[0], r, body, tee{c, &whole}, nil)
 			whole.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			_, _ = c.Write(whole.Bytes())
-			readRequest(in) // until the client notices
+			readRequest(in) // waits until the client closes the connection
 		}, "MIXED"},
-		{"ends as complete before its end", func(b *clientTest, c net.Conn) {
+		{"response cut off within a chunk", func(b *clientTest, c net.Conn) {
 			r, body := readRequest(bufio.NewReader(c))
 			over := false
 			forward(b.servers[0], r, body, c, func(l string) string {
@@ -227,35 +227,35 @@
 				case over:
 					return ""
 				case strings.HasPrefix(l, "id: 3"):
-					over = true // instead of the data of a chunk
+					over = true // the data of the chunk is missing
 				}
 				return l
 			})
-		}, ""}, // half a chunk: the response is visibly incomplete
-		{"an own body that looks complete", func(b *clientTest, c net.Conn) {
+		}, ""}, // the client sees that the response is incomplete
+		{"empty response with a valid seal", func(b *clientTest, c net.Conn) {
 			r, body := readRequest(bufio.NewReader(c))
 			var head bytes.Buffer
 			forward(b.servers[0], r, body, tee{c, &head}, nil)
 			seal := strings.TrimSpace(strings.SplitN(strings.SplitN(head.String(), modelserver.HeaderSeal+":", 2)[1], "\r\n", 2)[0])
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"+modelserver.HeaderSeal+": "+seal+"\r\n\r\n")
 		}, "ORDER"},
-		{"refused after it ran", func(b *clientTest, c net.Conn) {
+		{"rejected after execution", func(b *clientTest, c net.Conn) {
 			r, body := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, body, tee{c, io.Discard}, nil)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		}, "REFUSED"},
-		{"run twice", func(b *clientTest, c net.Conn) {
+		{"executed twice", func(b *clientTest, c net.Conn) {
 			r, body := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, body, tee{c, io.Discard}, nil)
 			forward(b.servers[0], r, body, c, nil)
 		}, "TWICE"},
-		{"another body", func(b *clientTest, c net.Conn) {
+		{"different body", func(b *clientTest, c net.Conn) {
 			r, _ := readRequest(bufio.NewReader(c))
 			forward(b.servers[0], r, []byte("other"), c, nil)
 		}, "UNASKED"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newClientTest(t, 1, c.door)
+			b := newClientTest(t, 1, c.agent)
 			b.classes[0].MaxRetries = 0
 			b.send(0, 0, 1)
 			b.clients.Close()
@@ -269,7 +269,7 @@
 	}
 }
 
-// tee writes elsewhere what would go to a client.
+// tee is a connection whose writes go to another writer.
 type tee struct {
 	net.Conn
 	to io.Writer
@@ -277,7 +277,8 @@
 
 func (t tee) Write(p []byte) (int, error) { return t.to.Write(p) }
 
-// rejectFirst answers the first attempt of each request with a status, and forwards the others.
+// rejectFirst answers the first attempt of each request with a response header, or closes the connection if head is
+// empty. It forwards the other attempts.
 func rejectFirst(head string) fakeAgent {
 	return func(b *clientTest, c net.Conn) {
 		in := bufio.NewReader(c)
@@ -299,30 +300,30 @@
 func TestClientRetries(t *testing.T) {
 	const unsafe, resumable = 0, 1
 	for _, c := range []struct {
-		name  string
-		head  string
-		class int
-		tries int
-		want  Verdict
+		name     string
+		head     string
+		class    int
+		attempts int
+		want     Verdict
 	}{
-		{"told when", "HTTP/1.1 503 x\r\nRetry-After: 0.2", unsafe, 2, Served},
-		{"a promise", "HTTP/1.1 429 x", unsafe, 2, Served},
-		{"no promise", "HTTP/1.1 502 x", unsafe, 1, Failed},
-		{"no promise, but may run again", "HTTP/1.1 502 x", resumable, 2, Served},
+		{"Retry-After", "HTTP/1.1 503 x\r\nRetry-After: 0.2", unsafe, 2, Served},
+		{"certainly not executed", "HTTP/1.1 429 x", unsafe, 2, Served},
+		{"possibly executed", "HTTP/1.1 502 x", unsafe, 1, Failed},
+		{"possibly executed, idempotent", "HTTP/1.1 502 x", resumable, 2, Served},
 		{"closed", "", unsafe, 1, Failed},
-		{"closed, but may run again", "", resumable, 2, Served},
-		{"not there", "HTTP/1.1 404 x", resumable, 1, Failed},
+		{"closed, idempotent", "", resumable, 2, Served},
+		{"not found", "HTTP/1.1 404 x", resumable, 1, Failed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newClientTest(t, 1, rejectFirst(c.head))
-			b.classes[c.class].FirstEventTarget, b.classes[c.class].EventGapTarget = time.Minute, time.Minute // a busy machine must not matter
+			b.classes[c.class].FirstEventTarget, b.classes[c.class].EventGapTarget = time.Minute, time.Minute // tolerates a busy machine
 			o := b.send(c.class, 1, 1)
-			assert.Equal(t, c.tries, o.Attempts)
+			assert.Equal(t, c.attempts, o.Attempts)
 			if o.Verdict == Late { // a slow event
 				o.Verdict = Served
 			}
 			assert.Equal(t, c.want, o.Verdict)
-			if c.name == "told when" {
+			if c.name == "Retry-After" {
 				all := b.snapshot().Attempts
 				require.Len(t, all, 2)
 				assert.GreaterOrEqual(t, all[1].StartedAt-all[0].EndedAt, 200*time.Millisecond)
@@ -370,17 +371,17 @@
 	assert.Empty(t, b.violatedRules())
 }
 
-// truncatingWriter fails from the id of the third event on.
+// truncatingWriter fails from the id line of the third event on.
 type truncatingWriter struct {
-	to   io.Writer
-	over bool
+	to     io.Writer
+	failed bool
 }
 
 func (s *truncatingWriter) Write(p []byte) (int, error) {
 	if strings.HasPrefix(string(p), "id: 3") {
-		s.over = true
+		s.failed = true
 	}
-	if s.over {
+	if s.failed {
 		return 0, io.ErrClosedPipe
 	}
 	return s.to.Write(p)
@@ -392,9 +393,10 @@
 		if r == nil {
 			return
 		}
-		// The first server's head and two events, then the second server's from the third on.
+		// The response consists of the first server's header and two events, and the second server's events from the
+		// third on.
 		chunk := ""
-		forward(b.servers[0], r, body, tee{c, &truncatingWriter{to: c}}, func(l string) string { // the size belongs to the data that follows
+		forward(b.servers[0], r, body, tee{c, &truncatingWriter{to: c}}, func(l string) string { // delays the size of a chunk until its data arrives
 			if !strings.HasPrefix(l, "id: ") && len(strings.TrimSpace(l)) <= 3 && strings.HasSuffix(l, "\r\n") && strings.TrimSpace(l) != "" {
 				chunk = l
 				return ""
@@ -423,16 +425,16 @@
 
 func TestLoadBalancerRemovesAgentAfterTwoMissedProbes(t *testing.T) {
 	var mu sync.Mutex
-	answers, asked := []int{200, 200, 503, 503, 200}, 0
+	statuses, probes := []int{200, 200, 503, 503, 200}, 0
 	round := make(chan int, 100)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		status := 200
-		if asked < len(answers) {
-			status = answers[asked]
+		if probes < len(statuses) {
+			status = statuses[probes]
 		}
-		asked++
+		probes++
 		w.WriteHeader(status)
 		select {
 		case round <- status:
@@ -441,25 +443,25 @@
 	})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var owner sync.WaitGroup
-	owner.Go(func() { _ = srv.Serve(ln) })
-	defer owner.Wait()
+	var background sync.WaitGroup
+	background.Go(func() { _ = srv.Serve(ln) })
+	defer background.Wait()
 	defer srv.Close()
 	e := newLoadBalancer([]Endpoint{{IP: "1", Zone: "z", Readiness: ln.Addr().String()}}, 20*time.Millisecond)
 	defer e.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	in := func(n int) func(map[string]bool) bool { return func(m map[string]bool) bool { return len(m) == n } }
-	require.NoError(t, e.WaitReady(ctx, in(1)))
-	require.NoError(t, e.WaitReady(ctx, in(0)))
-	require.NoError(t, e.WaitReady(ctx, in(1)))
+	readyCount := func(n int) func(map[string]bool) bool { return func(m map[string]bool) bool { return len(m) == n } }
+	require.NoError(t, e.WaitReady(ctx, readyCount(1)))
+	require.NoError(t, e.WaitReady(ctx, readyCount(0)))
+	require.NoError(t, e.WaitReady(ctx, readyCount(1)))
 }
 
 func TestLoadBalancerPicks(t *testing.T) {
 	e := &LoadBalancer{endpoints: []Endpoint{{Name: "a1", IP: "a1", Zone: "a"}, {Name: "a2", IP: "a2", Zone: "a"}, {Name: "a3", IP: "a3", Zone: "a"}, {Name: "b1", IP: "b1", Zone: "b"}}, isReady: []bool{true, true, true, true}}
 	first := e.Pick("a", 7, 1)
 	assert.Equal(t, first, e.Pick("a", 7, 1))
-	assert.NotEqual(t, first, e.Pick("a", 7, 2), "a later try lands on another")
+	assert.NotEqual(t, first, e.Pick("a", 7, 2), "a retry gets another agent")
 	used := map[string]bool{}
 	for client := range 50 {
 		used[e.Pick("a", client, 1).IP] = true
@@ -469,18 +471,17 @@
 	for client := range 50 {
 		assert.NotEqual(t, "a1", e.Pick("a", client, 1).IP)
 	}
-	e.isReady = []bool{false, false, true, true} // fewer than half of the zone: the whole zone
+	e.isReady = []bool{false, false, true, true} // fewer than half of the zone are ready: all of the zone are used
 	clear(used)
 	for client := range 50 {
 		used[e.Pick("a", client, 1).IP] = true
 	}
 	assert.Len(t, used, 3)
-	e.isReady = []bool{false, false, false, true} // none of the zone: another zone
+	e.isReady = []bool{false, false, false, true} // none of the zone is ready: another zone is used
 	assert.Equal(t, "b1", e.Pick("a", 1, 1).IP)
 }
 
-// TestPicksDoNotDependOnTheSubnet shows that the tests of small fleets play the same traffic on each subnet, and that
-// each of their agents gets a part of it.
+// Tests of small fleets have the same traffic on each subnet, and each agent gets some of it.
 func TestPicksDoNotDependOnTheSubnet(t *testing.T) {
 	const zones, fleetRate, length = 2, 30, 2 * time.Second
 	for agents := 3; agents <= 6; agents++ {
--- a/internal/testbed/fleetlab/config_document.go
+++ b/internal/testbed/fleetlab/config_document.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Document is an operator's configuration, as it is sent. It is independent of package config on purpose, so that
-// each checks the other.
+// Document is a configuration as an operator sends it. It deliberately does not use package config, so that mistakes
+// in either are found.
 type Document struct {
 	Revision int       `json:"revision"`
 	Routes   []Route   `json:"routes"`
@@ -37,7 +37,7 @@
 	Comment          string  `json:"x-note,omitempty"` // an unknown field, which has to be preserved
 }
 
-// Split is a service's weight in the traffic of a route.
+// Split is the weight of a service within the traffic of a route.
 type Split struct {
 	Service string  `json:"target-service"`
 	Weight  float64 `json:"weight"`
@@ -76,7 +76,7 @@
 	IdleMs      int `json:"idle-ms"`
 }
 
-// Patch changes named items of a configuration.
+// Patch is a change of some items of a configuration.
 type Patch struct {
 	Revision int    `json:"revision"`
 	Upsert   Upsert `json:"upsert"`
@@ -95,14 +95,14 @@
 	Services []string `json:"services,omitempty"`
 }
 
-// clone is a copy with lists of its own.
+// clone returns a copy that shares no list with the original.
 func (d *Document) clone() *Document {
 	c := *d
 	c.Routes, c.Services = slices.Clone(d.Routes), slices.Clone(d.Services)
 	return &c
 }
 
-// withPatch is a copy with a patch applied.
+// withPatch returns a copy with a patch applied.
 func (d *Document) withPatch(p *Patch) *Document {
 	c := d.clone()
 	c.Revision = p.Revision
@@ -125,7 +125,7 @@
 	return c
 }
 
-// route is the route with the longest prefix that matches a request; nil if none does.
+// route returns the route with the longest prefix that matches a request; nil if none matches.
 func (d *Document) route(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	var best *Route
@@ -138,7 +138,7 @@
 	return best
 }
 
-// services are the services that may serve a request.
+// services returns the services that may serve a request.
 func (d *Document) services(host, target string) []string {
 	r := d.route(host, target)
 	if r == nil {
@@ -156,7 +156,8 @@
 	return out
 }
 
-// matchesJSON returns an error unless a text is the configuration. The order of named items does not matter.
+// matchesJSON returns an error if the JSON text is a different configuration. The order of routes and services does not
+// matter.
 func (d *Document) matchesJSON(text []byte) error {
 	want, err := json.Marshal(d)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// decodeByName decodes a configuration, with its lists as maps by name.
+// decodeByName decodes a configuration and turns its lists of routes and services into maps by name.
 func decodeByName(text []byte) (map[string]any, error) {
 	var m map[string]any
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -188,13 +189,13 @@
 	for _, list := range []string{"routes", "services"} {
 		items, _ := m[list].([]any)
 		named := map[string]any{}
-		for _, it := range items {
-			o, _ := it.(map[string]any)
+		for _, item := range items {
+			o, _ := item.(map[string]any)
 			name, _ := o["name"].(string)
 			if named[name] != nil {
-				return nil, errors.Errorf("configuration read back: %s %q twice", list, name)
+				return nil, errors.Errorf("configuration read back: %s contains %q twice", list, name)
 			}
-			named[name] = it
+			named[name] = item
 		}
 		m[list] = named
 	}
--- a/internal/testbed/fleetlab/fleet.go
+++ b/internal/testbed/fleetlab/fleet.go
@@ -2,8 +2,8 @@
 // load balancer, clients, an operator and faults. A checker checks what clients, servers and the operator observe
 // against the guarantees of the protocol.
 //
-// Each machine has a loopback address of its own, so that its ports are the same on all machines. The laboratory ends
-// only processes that it has started.
+// Each machine has its own loopback address, so that the ports are the same on all machines. The package ends only
+// processes that it has started.
 package fleetlab
 
 import (
@@ -25,33 +25,33 @@
 
 // Config describes a fleet and its workload.
 type Config struct {
-	Program       string // path of the daemon's program
-	Dir           string // for settings, state and logs; a folder of each agent is created in it
+	Program       string // path of the daemon's executable
+	Dir           string // existing folder for settings, state and logs; each agent creates a folder in it
 	Agents        int
-	Core          int // the number of agents, the first ones, that have a disk
+	Core          int // number of agents in the core: the first ones, which have a disk
 	Servers       int
 	Zones         int
 	Clients       int
 	Seed          uint64
-	MemoryMB      int
-	Verbosity     int // of the agents' logs
+	MemoryMB      int // memory limit in the agents' settings
+	Verbosity     int // verbosity of the agents' logs
 	Bounds        Bounds
 	Engine        modelserver.EngineConfig
 	Classes       []*Class
-	ProbeInterval time.Duration // of the load balancer
+	ProbeInterval time.Duration // interval of the load balancer's readiness probes
 }
 
 // hostname is the host of all routes.
 const hostname = "desk.example"
 
-// The services. Most servers belong to the first.
+// The services. Most servers belong to the first one.
 const (
 	serviceA = "llm-a"
 	serviceB = "llm-b"
 )
 
-// DefaultConfig describes a fleet with two classes of requests: long ones that must not be executed twice, and short
-// urgent ones whose streams may be resumed elsewhere.
+// DefaultConfig returns the configuration of a fleet with two classes of requests: long ones that must not be executed
+// twice, and short urgent ones whose streams may be resumed elsewhere.
 func DefaultConfig(agents, core, servers int) Config {
 	return Config{Agents: agents, Core: core, Servers: servers, Zones: min(3, agents), Clients: 4 * agents, Seed: 1, MemoryMB: 284, Bounds: DefaultBounds(),
 		Engine:        modelserver.EngineConfig{Slots: 32, Queue: 64, StepMs: 4, SlotMs: 0.05, PrefillPerMs: 64, Chunk: 2048, KVTokens: 200_000, Stride: 4},
@@ -79,31 +79,31 @@
 
 	probeCount atomic.Int64
 
-	mu             sync.Mutex // guards all that follows
-	seeds          []string   // control addresses
+	mu             sync.Mutex // guards the fields below
+	seeds          []string   // control addresses of the agents that the settings name as seeds
 	servers        []*modelserver.Server
 	stoppedServers []*modelserver.Server
 }
 
-// Now is the time since the start of the fleet: the clock of all observations.
+// Now returns the time since the start of the fleet. All observed times are given on this clock.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // Start starts all processes at once, sends the initial configuration, starts the model servers and waits until every
-// agent is ready and serves each route, or ctx ends. The caller closes the fleet.
+// agent is ready and serves each route, or ctx ends. The caller has to close the fleet.
 func Start(ctx context.Context, cfg Config) (*Fleet, error) {
 	if cfg.Agents < 1 || cfg.Core < 1 || cfg.Core > cfg.Agents || cfg.Agents > 80 || cfg.Servers < 2 || cfg.Servers > 80 || cfg.Zones < 1 || cfg.Clients < 1 {
-		return nil, errors.Errorf("%d agents, %d of the core, %d servers, %d zones, %d clients: give 1 to 80 agents, some of the core, 2 to 80 servers", cfg.Agents, cfg.Core, cfg.Servers, cfg.Zones, cfg.Clients)
+		return nil, errors.Errorf("%d agents, %d in the core, %d servers, %d zones, %d clients: give 1 to 80 agents, 1 or more in the core, 2 to 80 servers, 1 or more zones and clients", cfg.Agents, cfg.Core, cfg.Servers, cfg.Zones, cfg.Clients)
 	}
 	net, err := claimSubnet()
 	if err != nil {
 		return nil, err
 	}
-	l := &Fleet{cfg: cfg, startedAt: time.Now(), subnet: net, processes: process.NewGroup(), recorder: &recorder{}}
-	if err := l.start(ctx); err != nil {
-		l.Close()
+	f := &Fleet{cfg: cfg, startedAt: time.Now(), subnet: net, processes: process.NewGroup(), recorder: &recorder{}}
+	if err := f.start(ctx); err != nil {
+		f.Close()
 		return nil, err
 	}
-	return l, nil
+	return f, nil
 }
 
 func (f *Fleet) start(ctx context.Context) error {
@@ -114,8 +114,8 @@
 	for i := range cfg.Agents {
 		a := &Agent{Name: fmt.Sprintf("edge-%d", i+1), IP: f.subnet.ip(10 + i), Zone: f.zones[i%cfg.Zones], Core: i < cfg.Core, fleet: f}
 		a.dir = filepath.Join(cfg.Dir, a.Name)
-		if err := os.Mkdir(a.dir, 0o755); err != nil { // it must not exist: the disks are empty at a first start
-			return errors.Wrap(err, "create the folder of an agent: give an empty folder that exists")
+		if err := os.Mkdir(a.dir, 0o755); err != nil { // it must not exist yet, as disks are empty at a first start
+			return errors.Wrap(err, "create the folder of an agent: Config.Dir has to be an existing, empty folder")
 		}
 		f.Agents = append(f.Agents, a)
 	}
@@ -129,11 +129,11 @@
 			return err
 		}
 	}
-	var doors []Endpoint
+	var endpoints []Endpoint
 	for _, a := range f.Agents {
-		doors = append(doors, a.Endpoint())
+		endpoints = append(endpoints, a.Endpoint())
 	}
-	f.LoadBalancer = newLoadBalancer(doors, cfg.ProbeInterval)
+	f.LoadBalancer = newLoadBalancer(endpoints, cfg.ProbeInterval)
 	for i := range cfg.Servers {
 		if err := f.startServer(i); err != nil {
 			return err
@@ -142,12 +142,12 @@
 	if status, err := f.Operator.Put(ctx, 0, f.initialDocument()); err != nil {
 		return err
 	} else if status != 200 {
-		return errors.Errorf("the first configuration was refused with %d", status)
+		return errors.Errorf("the first configuration was rejected with status %d", status)
 	}
 	return f.WaitServing(ctx)
 }
 
-// initialDocument is the configuration that a fleet starts with.
+// initialDocument returns the configuration that a fleet starts with.
 func (f *Fleet) initialDocument() *Document {
 	d := &Document{Revision: 3, Limits: Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderMs: 3000, IdleMs: 15000}}
 	for i, c := range f.cfg.Classes {
@@ -155,7 +155,7 @@
 			Priority: len(f.cfg.Classes) - 1 - i, MaxAttempts: 2, Affinity: true, Resumable: c.Resumable, EventGapTargetMs: int(c.EventGapTarget.Milliseconds()), Comment: "of " + c.Name}
 		if i == 0 {
 			r.Service = serviceA
-		} else { // a service may be named twice
+		} else { // the same service may occur twice in a split
 			r.Split = []Split{{serviceA, 50}, {serviceB, 30}, {serviceA, 20}}
 		}
 		d.Routes = append(d.Routes, r)
@@ -175,7 +175,7 @@
 	return list
 }
 
-// Check checks what was observed so far. The fleet keeps running.
+// Check checks all observations so far. The fleet keeps running.
 func (f *Fleet) Check() []Violation {
 	s := f.recorder.snapshot()
 	for _, a := range f.Agents {
@@ -188,7 +188,7 @@
 		Grace: b.Grace, RetryRatio: b.RetryRatio, RetryWindow: b.RetryWindow, RetrySlack: b.RetrySlack, Slack: 50 * time.Millisecond})
 }
 
-// ReadBack reads the configuration, for Check.
+// ReadBack reads the configuration from the fleet, so that Check can compare it with the changes.
 func (f *Fleet) ReadBack(ctx context.Context) {
 	text, err := f.Operator.ReadBack(ctx)
 	f.recorder.mu.Lock()
@@ -196,7 +196,7 @@
 	f.recorder.ReadBack, f.recorder.ReadErr = text, err
 }
 
-// Close ends servers, processes and goroutines, and releases the subnet.
+// Close ends all servers, processes and goroutines, and releases the subnet.
 func (f *Fleet) Close() {
 	if f.LoadBalancer != nil {
 		f.LoadBalancer.Close()
--- a/internal/testbed/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -21,39 +21,40 @@
 // fleetSlots bounds the fleets that run at once, so that each has enough CPU time.
 var fleetSlots = make(chan struct{}, 2)
 
-// startFleet starts a small fleet, with shorter bounds than those of a deployment.
-func startFleet(t *testing.T, agents, core, servers int, with func(*Config)) (context.Context, *Fleet) {
+// startFleet starts a small fleet with shorter bounds than those of a deployment. configure may change its
+// configuration.
+func startFleet(t *testing.T, agents, core, servers int, configure func(*Config)) (context.Context, *Fleet) {
 	t.Helper()
 	t.Parallel()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
 	cfg := DefaultConfig(agents, core, servers)
 	cfg.Program, cfg.Dir, cfg.Zones = daemonProgram, t.TempDir(), 2
-	cfg.Verbosity = 2 // tells why a request was rejected
+	cfg.Verbosity = 2 // logs the reasons of rejections
 	b := &cfg.Bounds
 	b.Contact, b.Drain, b.HeartbeatInterval, b.Stabilization = 1500*time.Millisecond, 1200*time.Millisecond, 200*time.Millisecond, 2*time.Second
 	for _, c := range cfg.Classes { // latency on a busy machine is not tested here
 		c.FirstEventTarget, c.EventGapTarget = 4*time.Second, 2*time.Second
 	}
-	if with != nil {
-		with(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	t.Cleanup(cancel)
-	l, err := Start(ctx, cfg)
+	fleet, err := Start(ctx, cfg)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		l.Close()
+		fleet.Close()
 		if t.Failed() {
-			for _, a := range l.Agents {
+			for _, a := range fleet.Agents {
 				t.Logf("%s (%s): rejected:\n%s\nlog: %s", a.Name, a.IP, a.rejections(), a.logTail())
 			}
 		}
 	})
-	return ctx, l
+	return ctx, fleet
 }
 
-// startTraffic starts clients. wait waits for their last request and returns the outcomes.
+// startTraffic starts clients. The returned function waits for their last request and returns the outcomes.
 func (f *Fleet) startTraffic(ctx context.Context, t *testing.T, rate float64, length time.Duration) (wait func() []Outcome) {
 	t.Helper()
 	clients, plan, err := f.NewWorkload(rate, length)
@@ -73,11 +74,11 @@
 }
 
 // requireNoViolations reads the configuration back and checks all observations.
-func requireNoViolations(ctx context.Context, t *testing.T, l *Fleet) {
+func requireNoViolations(ctx context.Context, t *testing.T, fleet *Fleet) {
 	t.Helper()
-	l.ReadBack(ctx)
-	for _, v := range l.Check() {
-		assert.Fail(t, "a rule is broken", "%v", v)
+	fleet.ReadBack(ctx)
+	for _, v := range fleet.Check() {
+		assert.Fail(t, "rule violated", "%v", v)
 	}
 }
 
@@ -85,64 +86,64 @@
 func notServed(all []Outcome) (out []string) {
 	for _, o := range all {
 		if o.Verdict > Late {
-			out = append(out, fmt.Sprintf("%s %v (%s) after %d tries", o.Class.Name, o.Verdict, o.FailureReason, o.Attempts))
+			out = append(out, fmt.Sprintf("%s %v (%s) after %d attempts", o.Class.Name, o.Verdict, o.FailureReason, o.Attempts))
 		}
 	}
 	return out
 }
 
 func TestFleetWithoutFaultsServesAll(t *testing.T) {
-	ctx, l := startFleet(t, 5, 3, 4, nil)
-	all := l.startTraffic(ctx, t, 50, 2*time.Second)()
+	ctx, fleet := startFleet(t, 5, 3, 4, nil)
+	all := fleet.startTraffic(ctx, t, 50, 2*time.Second)()
 	assert.Empty(t, notServed(all))
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestConfigurationPropagatesToAllAgents(t *testing.T) {
-	ctx, l := startFleet(t, 5, 3, 4, nil)
-	wait := l.startTraffic(ctx, t, 30, 4*time.Second)
-	first := l.Operator.Current()
+	ctx, fleet := startFleet(t, 5, 3, 4, nil)
+	wait := fleet.startTraffic(ctx, t, 30, 4*time.Second)
+	first := fleet.Operator.Current()
 
 	// A rejected change has no effect, whatever the reason.
 	bad := first.clone()
 	bad.Revision += 1
 	bad.Routes = append(bad.Routes, Route{Name: "bad", Host: hostname, Prefix: "/bad/", Kind: "safe", TimeoutMs: 1000, Service: "nowhere", MaxAttempts: 1})
-	status, err := l.Operator.PutInvalid(ctx, first.Revision, bad)
+	status, err := fleet.Operator.PutInvalid(ctx, first.Revision, bad)
 	require.NoError(t, err)
 	assert.Equal(t, 400, status/100*100)
 
-	// One route is moved, one added, one removed.
+	// One route is moved to another service and one is added.
 	moved := first.Routes[0]
 	moved.Service = serviceB
 	added := first.Routes[1]
 	added.Name, added.Prefix, added.Split, added.Service = "r-added", "/added/", nil, serviceB
-	status, err = l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{moved, added}}})
+	status, err = fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{moved, added}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	acked := l.Now()
-	class := *l.cfg.Classes[1]
+	acked := fleet.Now()
+	class := *fleet.cfg.Classes[1]
 	class.Name, class.Path = "added", "/added/"
-	for _, a := range l.Agents {
-		require.NoError(t, l.waitServing(ctx, a, &class))
+	for _, a := range fleet.Agents {
+		require.NoError(t, fleet.waitServing(ctx, a, &class))
 	}
-	assert.Less(t, l.Now()-acked, l.cfg.Bounds.Converge+testTimeout/10)
+	assert.Less(t, fleet.Now()-acked, fleet.cfg.Bounds.Converge+testTimeout/10)
 
-	// A retried update has the same outcome; another one on the old revision conflicts.
-	d := l.Operator.Current()
+	// Another change that is based on the old revision conflicts.
+	d := fleet.Operator.Current()
 	other := d.clone()
 	other.Revision += 5
-	status, err = l.Operator.Put(ctx, first.Revision, other)
+	status, err = fleet.Operator.Put(ctx, first.Revision, other)
 	require.NoError(t, err)
 	assert.Equal(t, 412, status)
 
-	status, err = l.Operator.Patch(ctx, Patch{Remove: Remove{Routes: []string{"r-added"}}})
+	status, err = fleet.Operator.Patch(ctx, Patch{Remove: Remove{Routes: []string{"r-added"}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	for _, a := range l.Agents {
-		l.requireNotFound(ctx, t, a, &class)
+	for _, a := range fleet.Agents {
+		fleet.requireNotFound(ctx, t, a, &class)
 	}
 	assert.Empty(t, notServed(wait()))
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 // requireNotFound sends requests of a class to an agent until it answers 404.
@@ -153,59 +154,59 @@
 			return
 		}
 	}
-	require.FailNow(t, "the route is still there", a.Name)
+	require.FailNow(t, "the route still exists", a.Name)
 }
 
 func TestConcurrentOperators(t *testing.T) {
-	ctx, l := startFleet(t, 3, 3, 2, nil)
-	first := l.Operator.Current()
-	type answer struct {
+	ctx, fleet := startFleet(t, 3, 3, 2, nil)
+	first := fleet.Operator.Current()
+	type result struct {
 		status int
 		err    error
 	}
-	answers := make(chan answer, 2)
+	results := make(chan result, 2)
 	for i := range 2 {
-		op := newOperator(l.controlAddrs, l.Now, l.recorder, uint64(i)+7)
+		op := newOperator(fleet.controlAddrs, fleet.Now, fleet.recorder, uint64(i)+7)
 		t.Cleanup(op.close)
 		d := first.clone()
 		d.Revision += 1 + i
 		d.Routes[0].TimeoutMs -= 1 + i
 		go func() {
 			status, err := op.Put(ctx, first.Revision, d)
-			answers <- answer{status, err}
+			results <- result{status, err}
 		}()
 	}
 	var got []int
 	for range 2 {
-		a := <-answers
+		a := <-results
 		require.NoError(t, a.err)
 		got = append(got, a.status)
 	}
 	slices.Sort(got)
 	assert.Equal(t, []int{200, 412}, got)
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestAgentShutsDownGracefullyUnderStreams(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) { c.Classes[0].MaxOutputTokens = 600 }) // streams of seconds
-	wait := l.startTraffic(ctx, t, 30, 5*time.Second)
-	agent := l.awaitBusyAgent(ctx, t, 3)
-	require.NoError(t, agent.Terminate(ctx), "in order, within its grace")
+	ctx, fleet := startFleet(t, 4, 3, 4, func(c *Config) { c.Classes[0].MaxOutputTokens = 600 }) // long streams
+	wait := fleet.startTraffic(ctx, t, 30, 5*time.Second)
+	agent := fleet.awaitBusyAgent(ctx, t, 3)
+	require.NoError(t, agent.Terminate(ctx), "graceful shutdown within the grace period")
 	require.NoError(t, agent.Restart())
-	require.NoError(t, l.WaitAllReady(ctx))
+	require.NoError(t, fleet.WaitAllReady(ctx))
 	assert.Empty(t, notServed(wait()))
-	for _, x := range l.recorder.snapshot().Attempts {
-		assert.False(t, x.Agent == agent.IP && x.Status == 200 && !x.Complete, "%s was cut", x.ID)
+	for _, x := range fleet.recorder.snapshot().Attempts {
+		assert.False(t, x.Agent == agent.IP && x.Status == 200 && !x.Complete, "%s was cut off", x.ID)
 	}
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
-// awaitBusyAgent waits until an agent has a number of streams in progress for some time, and returns the last such
-// agent. Which one it is depends on the addresses, over which rendezvous hashing distributes the clients.
+// awaitBusyAgent waits until an agent has a number of streams that have been in progress for some time, and returns the
+// last such agent. Which one that is depends on how rendezvous hashing distributes the clients.
 func (f *Fleet) awaitBusyAgent(ctx context.Context, t *testing.T, streams int) *Agent {
 	t.Helper()
 	for {
-		list, more := f.recorder.streams()
+		list, changed := f.recorder.streams()
 		count := map[string]int{}
 		for _, s := range list {
 			if f.isOld(s) {
@@ -218,163 +219,164 @@
 			}
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-ctx.Done():
 			require.FailNow(t, "no agent has enough streams", "%v", count)
 		}
 	}
 }
 
-// isOld tells whether a stream has been in progress for some time, so that it has events.
+// isOld reports whether a stream has been in progress long enough to have events.
 func (f *Fleet) isOld(s Stream) bool { return f.Now()-s.At > 100*time.Millisecond }
 
 func TestCoreMachineIsKilled(t *testing.T) {
-	// A new process has no share of the retry budget before its first window has passed. In a longer window a
-	// request whose server is full just after the start is refused, as the budget wants.
-	ctx, l := startFleet(t, 5, 3, 4, func(c *Config) { c.Bounds.RetryWindow = 500 * time.Millisecond })
-	wait := l.startTraffic(ctx, t, 40, 6*time.Second)
-	core := l.Agents[0]
-	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == core.IP && l.isOld(s) }))
+	// A new process has no share of the retry budget until its first window has passed. With a longer window, a request
+	// whose server is full shortly after the start would be rejected, as the budget requires.
+	ctx, fleet := startFleet(t, 5, 3, 4, func(c *Config) { c.Bounds.RetryWindow = 500 * time.Millisecond })
+	wait := fleet.startTraffic(ctx, t, 40, 6*time.Second)
+	core := fleet.Agents[0]
+	require.NoError(t, fleet.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == core.IP && fleet.isOld(s) }))
 	core.Kill()
-	// The core works without it: a change is acknowledged and applied.
-	r := l.Operator.Current().Routes[0]
+	// The core works without the killed machine: a change is acknowledged and applied.
+	r := fleet.Operator.Current().Routes[0]
 	r.TimeoutMs -= 500
-	sent := l.Now()
-	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	sent := fleet.Now()
+	status, err := fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	assert.Less(t, l.Now()-sent, l.cfg.Bounds.Ack+l.cfg.Bounds.Contact)
+	assert.Less(t, fleet.Now()-sent, fleet.cfg.Bounds.Ack+fleet.cfg.Bounds.Contact)
 	require.NoError(t, core.Restart())
-	require.NoError(t, l.WaitServing(ctx))
+	require.NoError(t, fleet.WaitServing(ctx))
 	all := wait()
-	// Idempotent requests are served; others are lost if they ran through the machine.
+	// Idempotent requests are served; others may be lost if they were forwarded by the killed machine.
 	for _, o := range all {
 		if o.Class.Resumable {
 			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s", o.Verdict, o.FailureReason)
 		}
 	}
 	assert.Less(t, len(notServed(all)), len(all)/10)
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestAllMachinesAreKilled(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 2, nil)
-	r := l.Operator.Current().Routes[0]
+	ctx, fleet := startFleet(t, 4, 3, 2, nil)
+	r := fleet.Operator.Current().Routes[0]
 	r.TimeoutMs -= 500
-	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	status, err := fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	for _, a := range l.Agents {
+	for _, a := range fleet.Agents {
 		a.Kill()
 	}
-	for _, a := range l.Agents {
+	for _, a := range fleet.Agents {
 		require.NoError(t, a.Restart())
 	}
-	require.NoError(t, l.WaitServing(ctx))
-	assert.Empty(t, notServed(l.startTraffic(ctx, t, 30, time.Second)()))
-	requireNoViolations(ctx, t, l)
+	require.NoError(t, fleet.WaitServing(ctx))
+	assert.Empty(t, notServed(fleet.startTraffic(ctx, t, 30, time.Second)()))
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestCoreMachineLosesItsDiskAfterAcknowledgement(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 2, nil)
-	r := l.Operator.Current().Routes[0]
+	ctx, fleet := startFleet(t, 4, 3, 2, nil)
+	r := fleet.Operator.Current().Routes[0]
 	r.TimeoutMs -= 500
-	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	status, err := fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	lost := l.Agents[0]
-	for _, a := range l.Agents[:l.cfg.Core] { // the one that acknowledged the change, if it has a disk
-		if changes := l.recorder.snapshot().Changes; a.IP == changes[len(changes)-1].AckedBy {
+	lost := fleet.Agents[0]
+	for _, a := range fleet.Agents[:fleet.cfg.Core] { // the one that acknowledged the change, if it has a disk
+		if changes := fleet.recorder.snapshot().Changes; a.IP == changes[len(changes)-1].AckedBy {
 			lost = a
 		}
 	}
 	lost.Kill()
 	require.NoError(t, lost.WipeDisk())
-	l.ReadBack(ctx)
-	assert.Empty(t, l.Check())
+	fleet.ReadBack(ctx)
+	assert.Empty(t, fleet.Check())
 	require.NoError(t, lost.Restart())
-	require.NoError(t, l.WaitServing(ctx))
+	require.NoError(t, fleet.WaitServing(ctx))
 	r.TimeoutMs -= 500
-	status, err = l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	status, err = fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	assert.Equal(t, 200, status)
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestPausedAgentResumes(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 3, nil)
-	wait := l.startTraffic(ctx, t, 30, 5*time.Second)
-	frozen := l.Agents[3]
-	require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == frozen.IP }))
-	require.NoError(t, frozen.Pause())
-	require.NoError(t, l.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return !ready[frozen.IP] }))
-	// The configuration that it missed must not be reverted.
-	r := l.Operator.Current().Routes[0]
+	ctx, fleet := startFleet(t, 4, 3, 3, nil)
+	wait := fleet.startTraffic(ctx, t, 30, 5*time.Second)
+	paused := fleet.Agents[3]
+	require.NoError(t, fleet.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == paused.IP }))
+	require.NoError(t, paused.Pause())
+	require.NoError(t, fleet.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return !ready[paused.IP] }))
+	// The change that the paused agent misses must not be reverted.
+	r := fleet.Operator.Current().Routes[0]
 	r.Service = serviceB
-	status, err := l.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
+	status, err := fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{r}}})
 	require.NoError(t, err)
 	require.Equal(t, 200, status)
-	require.NoError(t, frozen.Resume())
-	require.NoError(t, l.WaitAllReady(ctx))
+	require.NoError(t, paused.Resume())
+	require.NoError(t, fleet.WaitAllReady(ctx))
 	all := wait()
 	assert.Less(t, len(notServed(all)), len(all)/10, "%v", notServed(all))
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestReloadBreaksNoStream(t *testing.T) {
-	ctx, l := startFleet(t, 3, 3, 3, nil)
-	wait := l.startTraffic(ctx, t, 30, 2*time.Second)
-	for _, a := range l.Agents {
-		require.NoError(t, l.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == a.IP && l.isOld(s) }))
+	ctx, fleet := startFleet(t, 3, 3, 3, nil)
+	wait := fleet.startTraffic(ctx, t, 30, 2*time.Second)
+	for _, a := range fleet.Agents {
+		require.NoError(t, fleet.WaitStreams(ctx, 1, func(s Stream) bool { return s.Agent == a.IP && fleet.isOld(s) }))
 		require.NoError(t, a.Reload())
 	}
 	assert.Empty(t, notServed(wait()))
-	requireNoViolations(ctx, t, l)
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestServerDrainsUnderTraffic(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 4, nil)
-	wait := l.startTraffic(ctx, t, 40, 6*time.Second)
-	leaves := l.Server(0)
-	require.NoError(t, leaves.Leave(ctx))
-	require.NoError(t, l.RestartServer(ctx, 0))
+	ctx, fleet := startFleet(t, 4, 3, 4, nil)
+	wait := fleet.startTraffic(ctx, t, 40, 6*time.Second)
+	leaving := fleet.Server(0)
+	require.NoError(t, leaving.Leave(ctx))
+	require.NoError(t, fleet.RestartServer(ctx, 0))
 	assert.Empty(t, notServed(wait()))
 	acked := false
-	for _, r := range l.recorder.snapshot().Records {
-		acked = acked || r.Kind == modelserver.Draining && r.Instance == leaves.ID()
+	for _, r := range fleet.recorder.snapshot().Records {
+		acked = acked || r.Kind == modelserver.Draining && r.Instance == leaving.ID()
 	}
-	assert.True(t, acked, "its draining was acknowledged")
-	requireNoViolations(ctx, t, l)
+	assert.True(t, acked, "the drain was acknowledged")
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestServerCrashesUnderStreams(t *testing.T) {
-	ctx, l := startFleet(t, 4, 3, 4, func(c *Config) {
+	ctx, fleet := startFleet(t, 4, 3, 4, func(c *Config) {
 		c.Classes[1].MaxOutputTokens, c.Classes[1].Deadline, c.Classes[1].Timeout = 300, 10*time.Second, 10*time.Second // long resumable streams
-		c.Bounds.RetryWindow = 500 * time.Millisecond                                                                   // a new process has no share of the budget before
+		// A new process has no share of the retry budget until its first window has passed.
+		c.Bounds.RetryWindow = 500 * time.Millisecond
 	})
-	wait := l.startTraffic(ctx, t, 40, 4*time.Second)
-	path := l.cfg.Classes[1].Path
-	require.NoError(t, l.WaitStreams(ctx, 3, func(s Stream) bool {
-		return s.Instance == l.Server(0).ID() && strings.HasPrefix(s.Target, path) && l.isOld(s)
+	wait := fleet.startTraffic(ctx, t, 40, 4*time.Second)
+	path := fleet.cfg.Classes[1].Path
+	require.NoError(t, fleet.WaitStreams(ctx, 3, func(s Stream) bool {
+		return s.Instance == fleet.Server(0).ID() && strings.HasPrefix(s.Target, path) && fleet.isOld(s)
 	}))
-	l.Server(0).Crash()
-	require.NoError(t, l.RestartServer(ctx, 0))
+	fleet.Server(0).Crash()
+	require.NoError(t, fleet.RestartServer(ctx, 0))
 	all := wait()
 	for _, o := range all {
 		if o.Class.Resumable {
-			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s after %d tries", o.Verdict, o.FailureReason, o.Attempts)
+			assert.LessOrEqual(t, o.Verdict, Late, "%s: %s after %d attempts", o.Verdict, o.FailureReason, o.Attempts)
 		}
 	}
-	taken := 0
-	for _, x := range l.recorder.snapshot().Attempts {
+	resumed := 0
+	for _, x := range fleet.recorder.snapshot().Attempts {
 		for i := range x.Events {
 			if i > 0 && x.Events[i].Seal != x.Events[i-1].Seal {
-				taken++
+				resumed++
 			}
 		}
 	}
-	assert.Positive(t, taken, "streams were taken up inside one answer")
-	requireNoViolations(ctx, t, l)
+	assert.Positive(t, resumed, "streams were resumed within one response")
+	requireNoViolations(ctx, t, fleet)
 }
 
 func TestRunPrintsItsReport(t *testing.T) {
@@ -405,12 +407,12 @@
 
 func TestWorkloadFollowsFromSeed(t *testing.T) {
 	cfg := DefaultConfig(2, 1, 2)
-	l := &Fleet{cfg: cfg, zones: []string{"z"}, recorder: &recorder{}}
-	a, plan, err := l.NewWorkload(50, 2*time.Second)
+	fleet := &Fleet{cfg: cfg, zones: []string{"z"}, recorder: &recorder{}}
+	a, plan, err := fleet.NewWorkload(50, 2*time.Second)
 	require.NoError(t, err)
-	b, again, err := l.NewWorkload(50, 2*time.Second)
+	b, samePlan, err := fleet.NewWorkload(50, 2*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, plan, again)
+	assert.Equal(t, plan, samePlan)
 	require.NotEmpty(t, plan)
 	for i := range plan {
 		x, y := a.newRequest(&plan[i]), b.newRequest(&loadgen.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
--- a/internal/testbed/fleetlab/load_balancer.go
+++ b/internal/testbed/fleetlab/load_balancer.go
@@ -17,14 +17,14 @@
 // maxMissedProbes is the number of consecutive failed probes after which an agent gets no connections.
 const maxMissedProbes = 2
 
-// Endpoint is an agent as the load balancer knows it.
+// Endpoint holds an agent's name, zone and addresses for the load balancer.
 type Endpoint struct {
 	Name, IP, Zone   string
 	Front, Readiness string
 }
 
-// LoadBalancer stands for the platform's: it probes the readiness of the agents and assigns one to each client. Its
-// methods may be called concurrently.
+// LoadBalancer simulates the load balancer of the platform: it probes the readiness of the agents and assigns one to
+// each client. Its methods may be called concurrently.
 type LoadBalancer struct {
 	endpoints     []Endpoint
 	probeInterval time.Duration
@@ -33,20 +33,20 @@
 	cancel        context.CancelFunc
 
 	mu           sync.Mutex
-	isReady      []bool
-	missedProbes []int
-	changed      chan struct{}
+	isReady      []bool        // by index in endpoints
+	missedProbes []int         // consecutive failed probes, by index in endpoints
+	changed      chan struct{} // closed after the next probe
 }
 
-// newLoadBalancer starts to probe the agents, at once and then periodically.
+// newLoadBalancer creates a load balancer, which probes the agents at once and then periodically.
 func newLoadBalancer(endpoints []Endpoint, probeInterval time.Duration) *LoadBalancer {
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &LoadBalancer{endpoints: endpoints, probeInterval: probeInterval, cancel: cancel, isReady: make([]bool, len(endpoints)), missedProbes: make([]int, len(endpoints)), changed: make(chan struct{}),
+	b := &LoadBalancer{endpoints: endpoints, probeInterval: probeInterval, cancel: cancel, isReady: make([]bool, len(endpoints)), missedProbes: make([]int, len(endpoints)), changed: make(chan struct{}),
 		client: &http.Client{Timeout: probeInterval, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: probeInterval, KeepAlive: -1}).DialContext}}}
 	for i := range endpoints {
-		e.probing.Go(func() { e.probeLoop(ctx, i) })
+		b.probing.Go(func() { b.probeLoop(ctx, i) })
 	}
-	return e
+	return b
 }
 
 // Close stops the probes and waits for them.
@@ -99,26 +99,26 @@
 	b.changed = make(chan struct{})
 }
 
-// Ready returns the agents that get new connections, by IP.
+// Ready returns the IPs of the agents that get new connections.
 func (b *LoadBalancer) Ready() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	m := map[string]bool{}
-	for i, d := range b.endpoints {
+	ready := map[string]bool{}
+	for i, endpoint := range b.endpoints {
 		if b.isReady[i] {
-			m[d.IP] = true
+			ready[endpoint.IP] = true
 		}
 	}
-	return m
+	return ready
 }
 
-// WaitReady waits until the ready agents satisfy a condition. The error is that of ctx.
-func (b *LoadBalancer) WaitReady(ctx context.Context, want func(ready map[string]bool) bool) error {
+// WaitReady waits until the ready agents satisfy a condition. It returns the error of ctx if ctx ends first.
+func (b *LoadBalancer) WaitReady(ctx context.Context, condition func(ready map[string]bool) bool) error {
 	for {
 		b.mu.Lock()
 		changed := b.changed
 		b.mu.Unlock()
-		if want(b.Ready()) {
+		if condition(b.Ready()) {
 			return nil
 		}
 		select {
@@ -129,10 +129,11 @@
 	}
 }
 
-// Pick assigns an agent to a client of a zone by rendezvous hashing: the same one while the ready agents stay the same,
-// and another one for each retry. It hashes names, as the addresses differ with each fleet's subnet, and on some
-// subnets an agent would get no client at all. It prefers ready agents of the zone; if fewer than half of the zone are ready it
-// distrusts the probes and uses the whole zone. Nil if there is no agent at all.
+// Pick assigns an agent to a client of a zone by rendezvous hashing: the same one as long as the ready agents stay the
+// same, and another one for each retry. It hashes the agents' names, as their addresses depend on the subnet, and on
+// some subnets an agent would get no client at all. It prefers ready agents of the zone. If fewer than half of the
+// zone's agents are ready it distrusts the probes and uses all of them; if none is, it uses the ready agents of other
+// zones. It returns nil if there is no agent at all.
 func (b *LoadBalancer) Pick(zone string, client, attempt int) *Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -163,7 +164,8 @@
 		return nil
 	}
 	slices.SortFunc(candidates, func(a, b *Endpoint) int {
-		return cmp.Compare(modelserver.Sum(a.Name, strconv.Itoa(client)), modelserver.Sum(b.Name, strconv.Itoa(client)))
+		return cmp.Compare(modelserver.Hash(a.Name, strconv.Itoa(client)),
+			modelserver.Hash(b.Name, strconv.Itoa(client)))
 	})
 	return candidates[(attempt-1)%len(candidates)]
 }
--- a/internal/testbed/fleetlab/main_test.go
+++ b/internal/testbed/fleetlab/main_test.go
@@ -21,7 +21,7 @@
 	}
 	daemonProgram = filepath.Join(dir, "edged")
 	args := []string{"build", "-o", daemonProgram}
-	if raceEnabled { // finds races in the daemon, too
+	if raceEnabled { // detects data races in the daemon, too
 		args = append(args, "-race")
 	}
 	if text, err := exec.Command("go", append(args, "chalkdoor.example/chalkdoor/cmd/edged")...).CombinedOutput(); err != nil {
--- a/internal/testbed/fleetlab/model_servers.go
+++ b/internal/testbed/fleetlab/model_servers.go
@@ -7,7 +7,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/modelserver"
 )
 
-// startServer starts server i, as a new incarnation if there was one.
+// startServer starts server i. If there was one before, the new one is its next incarnation.
 func (f *Fleet) startServer(i int) error {
 	service := serviceA
 	if i%3 == 2 || i == f.cfg.Servers-1 && i < 3 {
@@ -15,9 +15,9 @@
 	}
 	engine := f.cfg.Engine
 	engine.Speed = 1 + 0.1*float64(i%3)
-	s, err := modelserver.Start(modelserver.Config{Addr: hostPort(f.subnet.ip(110+i), serverPort), Service: service, Zone: f.zones[i%len(f.zones)], Revision: "v1", Model: "m", Weights: 1,
-		Engine: engine, ConnLimit: connLimit, HealthPath: "/health", ReportLag: 230 * time.Millisecond, Now: f.Now, Seen: f.recorder.record,
-		Beats: &modelserver.BeatConfig{Control: f.controlAddrs, Period: f.cfg.Bounds.HeartbeatInterval, Drain: f.cfg.Bounds.Drain, Linger: 2 * time.Second}})
+	s, err := modelserver.Start(modelserver.Config{Addr: hostPort(f.subnet.ip(110+i), serverPort), Service: service, Zone: f.zones[i%len(f.zones)], Revision: "v1", Model: "m", ModelRevision: 1,
+		Engine: engine, ConnLimit: connLimit, HealthPath: "/health", ReportLag: 230 * time.Millisecond, Now: f.Now, OnRecord: f.recorder.record,
+		Heartbeats: &modelserver.HeartbeatConfig{ControlAddrs: f.controlAddrs, Interval: f.cfg.Bounds.HeartbeatInterval, Drain: f.cfg.Bounds.Drain, Linger: 2 * time.Second}})
 	if err != nil {
 		return err
 	}
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// Server is the current incarnation of server i.
+// Server returns the current incarnation of server i.
 func (f *Fleet) Server(i int) *modelserver.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[i]
 }
 
-// addressReuseDelay is how long the address of a stopped server is not reused.
+// addressReuseDelay is how long the address of a stopped server must not be reused.
 const addressReuseDelay = 2 * time.Second
 
 // RestartServer starts server i again after its end, as soon as its address may be reused, and waits until it is
--- a/internal/testbed/fleetlab/observations.go
+++ b/internal/testbed/fleetlab/observations.go
@@ -12,7 +12,7 @@
 // Attempt is one request of a client, as the client observed it. Times are those of Fleet.Now.
 type Attempt struct {
 	ID         string
-	Agent      string // IP of the agent that the client is connected with
+	Agent      string // IP of the agent that the client is connected to
 	Class      string
 	Method     string
 	Host       string
@@ -20,33 +20,33 @@
 	Prompt     modelserver.Prompt
 	Idempotent bool
 	Resumable  bool
-	AfterEvent int // resume after this event; 0: from the start
+	AfterEvent int // number of the event after which the stream is to be resumed; zero for a new stream
 
-	StartedAt time.Duration // the client began to connect
-	SentAt    time.Duration // its last byte was written; 0: never
-	Deadline  time.Duration // the client waits no longer
-	Timeout   time.Duration // of its route
+	StartedAt time.Duration // when the client began to connect
+	SentAt    time.Duration // when the last byte of the request was written; zero if it never was
+	Deadline  time.Duration // when the client gives up
+	Timeout   time.Duration // timeout of the route
 	EndedAt   time.Duration
 
-	Status        int       // 0: no response header arrived
-	Seal          string    // of the response: it identifies the run of a server
+	Status        int       // status of the response; zero if no header arrived
+	Seal          string    // seal of the response, which identifies the run of a server
 	AttemptHeader string    // attempt id in the response
 	Encoded       bool      // the response has a Content-Encoding
 	Complete      bool      // the end of the body arrived
-	EndReason     EndReason // why it ended; Completed if Complete
-	ProtocolError string    // what the agent sent instead of a response; "": nothing
+	EndReason     EndReason // Completed if Complete
+	ProtocolError string    // what is malformed in the response; empty if nothing is
 	ExtraBytes    bool      // bytes arrived after the response
 	Events        []ReceivedEvent
-	RetryAfter    time.Duration // of the response's Retry-After header; 0: none
+	RetryAfter    time.Duration // value of the Retry-After header; zero if there is none
 }
 
-// ReceivedEvent is an event of a stream and when the client received it.
+// ReceivedEvent is an event of a stream and the time when the client received it.
 type ReceivedEvent struct {
 	modelserver.Event
 	ReceivedAt time.Duration
 }
 
-// EndReason is why an attempt ended.
+// EndReason is the reason why an attempt ended.
 type EndReason uint8
 
 // The reasons.
@@ -54,7 +54,7 @@
 	Completed EndReason = iota
 	NoConnect           // no connection was established
 	Closed              // the agent ended the connection
-	TimedOut            // the client closed it after its deadline or its idle timeout
+	TimedOut            // the client gave up at its deadline or after its idle timeout
 	Malformed           // the response violates the protocol
 )
 
@@ -64,26 +64,26 @@
 
 // ConfigChange is one change of the configuration, as the operator sent it.
 type ConfigChange struct {
-	BaseRevision int       // revision that it is based on
-	Doc          *Document // the configuration that it leads to
-	Valid        bool
+	BaseRevision int       // revision that the change is based on
+	Doc          *Document // configuration that results from the change
+	Valid        bool      // false if agents have to reject the configuration
 	SentAt       time.Duration
-	AckedAt      time.Duration // 0: not acknowledged
+	AckedAt      time.Duration // zero if it was not acknowledged
 	AckedBy      string        // IP of the agent that acknowledged it
-	RejectStatus int           // status of a definite rejection; 0: none
+	RejectStatus int           // status of a definite rejection; zero if it was not rejected
 }
 
-// isRejected tells whether no agent may ever apply the change.
+// isRejected reports whether no agent may ever apply the change.
 func (c *ConfigChange) isRejected() bool { return c.RejectStatus != 0 || !c.Valid }
 
 // Fault is a fault that was injected into an agent, or a start of its process.
 type Fault struct {
-	Agent        string // IP
-	Core         bool
-	Graceful     bool // by SIGTERM
-	ProcessStart bool // a start: a new incarnation
+	Agent        string // IP of the agent
+	Core         bool   // the agent belongs to the core
+	Graceful     bool   // the process was ended by SIGTERM
+	ProcessStart bool   // not a fault but the start of a new incarnation
 	Begin, End   time.Duration
-	Active       bool // it has not ended
+	Active       bool // the fault has not ended
 }
 
 // Observations are what clients, servers and the operator observed in a run.
@@ -92,17 +92,17 @@
 	Records         []modelserver.Record
 	Changes         []*ConfigChange
 	Faults          []Fault
-	UnexpectedExits []string // processes that ended without a fault, and how
-	ReadBack        []byte   // configuration at the end; nil: not read
-	ReadErr         error
+	UnexpectedExits []string // descriptions of exits of processes without a fault, and of data races
+	ReadBack        []byte   // configuration read at the end; nil if it was not read
+	ReadErr         error    // error of reading it
 }
 
 // recorder collects observations. Its methods may be called concurrently.
 type recorder struct {
 	mu sync.Mutex
 	Observations
-	inProgress map[string]string // IP of the agent, by the id of the attempt
-	changed    chan struct{}     // closed at the next record of a server; nil while nobody waits
+	inProgress map[string]string // attempts in progress: IP of the agent by attempt id
+	changed    chan struct{}     // closed at the next record of a server; nil if no goroutine waits for one
 }
 
 // attemptStarted records that an attempt is in progress at an agent.
@@ -116,11 +116,11 @@
 }
 
 // attemptEnded records an attempt that has ended.
-func (r *recorder) attemptEnded(t *Attempt) {
+func (r *recorder) attemptEnded(attempt *Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Attempts = append(r.Attempts, t)
-	delete(r.inProgress, t.ID)
+	r.Attempts = append(r.Attempts, attempt)
+	delete(r.inProgress, attempt.ID)
 }
 
 func (r *recorder) record(record modelserver.Record) {
@@ -135,12 +135,12 @@
 
 // Stream is a stream that a server is producing.
 type Stream struct {
-	modelserver.Record        // of its start
-	Agent              string // IP of the agent that its client is connected with
+	modelserver.Record        // record of the start of the run
+	Agent              string // IP of the agent that the client is connected to
 }
 
 // streams returns the streams in progress, and a channel that is closed when they may have changed.
-func (r *recorder) streams() (list []Stream, more <-chan struct{}) {
+func (r *recorder) streams() (list []Stream, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	open := map[string]modelserver.Record{}
@@ -163,18 +163,18 @@
 	return list, r.changed
 }
 
-func (r *recorder) processExited(how string) {
+func (r *recorder) processExited(description string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.UnexpectedExits = append(r.UnexpectedExits, how)
+	r.UnexpectedExits = append(r.UnexpectedExits, description)
 }
 
-// beginFault records the begin of a fault. The function that it returns ends it.
-func (r *recorder) beginFault(t Fault, now func() time.Duration) func() {
+// beginFault records the beginning of a fault. The returned function records its end.
+func (r *recorder) beginFault(fault Fault, now func() time.Duration) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.Begin, t.Active = now(), true
-	r.Faults = append(r.Faults, t)
+	fault.Begin, fault.Active = now(), true
+	r.Faults = append(r.Faults, fault)
 	i := len(r.Faults) - 1
 	return func() {
 		r.mu.Lock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// snapshot is a copy, with attempts and records ordered by time.
+// snapshot returns a copy of the observations, with attempts and records ordered by time.
 func (r *recorder) snapshot() *Observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/fleetlab/operator.go
+++ b/internal/testbed/fleetlab/operator.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	operatorTimeout = time.Second            // of one call
-	minBackoff      = 50 * time.Millisecond  // pause after a failure; it doubles
-	maxBackoff      = 400 * time.Millisecond // bounds the pause
-	maxConfigRead   = 16 << 20
+	operatorTimeout = time.Second            // timeout of one call
+	minBackoff      = 50 * time.Millisecond  // delay after the first failure; it doubles with each further one
+	maxBackoff      = 400 * time.Millisecond // maximum delay
+	maxConfigRead   = 16 << 20               // maximum size of a response
 	maxRedirects    = 2
 )
 
-// Operator changes the configuration through the agents and records what becomes of it. Its methods may be called
-// concurrently.
+// Operator changes the configuration through the agents and records the outcome of each change. Its methods may be
+// called concurrently.
 type Operator struct {
-	control  func() []string // control addresses of the agents
-	now      func() time.Duration
-	recorder *recorder
-	client   *http.Client
+	controlAddrs func() []string // returns the agents' control addresses
+	now          func() time.Duration
+	recorder     *recorder
+	client       *http.Client
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	current *Document // newest acknowledged configuration; nil: none
+	current *Document // newest acknowledged configuration; nil if there is none
 }
 
-func newOperator(control func() []string, now func() time.Duration, s *recorder, seed uint64) *Operator {
-	return &Operator{control: control, now: now, recorder: s, random: rand.New(rand.NewPCG(seed, 3)),
+func newOperator(controlAddrs func() []string, now func() time.Duration, recorder *recorder, seed uint64) *Operator {
+	return &Operator{controlAddrs: controlAddrs, now: now, recorder: recorder, random: rand.New(rand.NewPCG(seed, 3)),
 		client: &http.Client{Timeout: operatorTimeout, Transport: &http.Transport{IdleConnTimeout: 5 * time.Second}, CheckRedirect: func(r *http.Request, via []*http.Request) error {
 			if len(via) > maxRedirects {
 				return errors.New("redirected too often")
@@ -45,20 +45,20 @@
 		}}}
 }
 
-// Current is the newest configuration that was acknowledged to this operator; nil if none was.
+// Current returns the newest configuration that was acknowledged to this operator; nil if there is none.
 func (o *Operator) Current() *Document {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.current
 }
 
-// Put replaces the configuration of a revision. It retries until the outcome is known or ctx ends, and returns the
-// status.
+// Put replaces the configuration whose revision is base. It retries until the outcome is known or ctx ends, and returns
+// the status.
 func (o *Operator) Put(ctx context.Context, base int, d *Document) (int, error) {
 	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d, Valid: true}, d)
 }
 
-// Patch changes items of the newest configuration. Without a revision it draws a higher one.
+// Patch changes items of the newest configuration. If the revision of the patch is 0, it chooses a random higher one.
 func (o *Operator) Patch(ctx context.Context, p Patch) (int, error) {
 	cur := o.Current()
 	if cur == nil {
@@ -70,7 +70,7 @@
 	return o.submit(ctx, http.MethodPatch, &ConfigChange{BaseRevision: cur.Revision, Doc: cur.withPatch(&p), Valid: true}, p)
 }
 
-// PutInvalid sends a configuration that has to be rejected.
+// PutInvalid sends a configuration that agents have to reject.
 func (o *Operator) PutInvalid(ctx context.Context, base int, d *Document) (int, error) {
 	return o.submit(ctx, http.MethodPut, &ConfigChange{BaseRevision: base, Doc: d}, d)
 }
@@ -112,7 +112,7 @@
 	return status, nil
 }
 
-// ReadBack reads the newest configuration, as JSON.
+// ReadBack reads the newest configuration as JSON.
 func (o *Operator) ReadBack(ctx context.Context) ([]byte, error) {
 	status, _, text, err := o.callUntilAnswered(ctx, http.MethodGet, "", nil)
 	if err != nil {
@@ -124,13 +124,13 @@
 	return text, nil
 }
 
-// callUntilAnswered calls random agents until one gives a definite answer. Other client errors count as definite when
-// they come for the third time.
+// callUntilAnswered calls random agents until one gives a definite answer: success, or a status that a retry cannot
+// change. Other 4xx statuses except 408 and 429 count as definite from the third one on.
 func (o *Operator) callUntilAnswered(ctx context.Context, method, match string, body []byte) (status int, by string, text []byte, err error) {
-	pause, odd := minBackoff, 0
+	backoff, unexpected := minBackoff, 0
 	last := errors.New("no agent to call")
 	for {
-		list := o.control()
+		list := o.controlAddrs()
 		if len(list) > 0 {
 			status, by, text, err = o.call(ctx, list[o.randomIntN(len(list))], method, match, body)
 			switch {
@@ -139,26 +139,26 @@
 			case status/100 == 2, status == 400, status == 409, status == 412, status == 413, status == 422:
 				return status, by, text, nil
 			case status/100 == 4 && status != 408 && status != 429:
-				if odd++; odd == 3 {
+				if unexpected++; unexpected == 3 {
 					return status, by, text, nil
 				}
-				last = errors.Errorf("status %d of %s", status, by)
+				last = errors.Errorf("status %d from %s", status, by)
 			default:
-				last = errors.Errorf("status %d of %s", status, by)
+				last = errors.Errorf("status %d from %s", status, by)
 			}
 		}
-		t := time.NewTimer(pause)
-		pause = min(pause*2, maxBackoff)
+		timer := time.NewTimer(backoff)
+		backoff = min(backoff*2, maxBackoff)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
-			return 0, "", nil, errors.Wrap(last, "no clear answer")
+			timer.Stop()
+			return 0, "", nil, errors.Wrap(last, "no definite answer")
 		}
 	}
 }
 
-// call makes one call, and follows redirects. It returns the IP of the agent that answered.
+// call makes one call and follows redirects. It returns the status, the IP of the agent that answered, and the body.
 func (o *Operator) call(ctx context.Context, addr, method, match string, body []byte) (int, string, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/chalkdoor/config", bytes.NewReader(body))
 	if err != nil {
@@ -182,7 +182,7 @@
 
 func (o *Operator) close() { o.client.CloseIdleConnections() }
 
-// revisionOf is the revision of a configuration as JSON.
+// revisionOf returns the revision of a configuration in JSON.
 func revisionOf(text []byte) (int, error) {
 	var d struct {
 		Revision int `json:"revision"`
--- a/internal/testbed/fleetlab/report.go
+++ b/internal/testbed/fleetlab/report.go
@@ -22,19 +22,19 @@
 	Fault         string         `json:"fault"`
 	Seconds       float64        `json:"seconds"`
 	Requests      int            `json:"asked"`
-	Served        int            `json:"served"`  // completely, in time or late
-	InTime        int            `json:"in_time"` // of the served
+	Served        int            `json:"served"`  // requests that were served completely, in time or late
+	InTime        int            `json:"in_time"` // served requests that met their latency targets
 	Late          int            `json:"late"`
 	Rejected      int            `json:"refused"`
-	Failed        map[string]int `json:"failed"` // by reason
+	Failed        map[string]int `json:"failed"` // number of failed requests by reason
 	Classes       []ClassReport  `json:"classes"`
 	ClientRetries int            `json:"client_retries"`
-	Repeats       int            `json:"repeats"`        // arrivals at servers after the first of each attempt
-	Changes       int            `json:"config_changes"` // acknowledged
-	ConfigAckMs   float64        `json:"config_ack_ms"`  // of the slowest change
+	Repeats       int            `json:"repeats"`        // arrivals of an attempt at a server after its first arrival
+	Changes       int            `json:"config_changes"` // acknowledged changes
+	ConfigAckMs   float64        `json:"config_ack_ms"`  // longest time until a change was acknowledged
 	Model         ServerStats    `json:"model"`
 	Violations    []Violation    `json:"broken"`
-	SetupSeconds  float64        `json:"setup_seconds"` // until all agents served
+	SetupSeconds  float64        `json:"setup_seconds"` // time until all agents served requests
 }
 
 // ClassReport is the result of one class.
@@ -45,7 +45,7 @@
 	Served          int     `json:"served"`
 	FirstEventP50Ms float64 `json:"first_event_p50_ms"`
 	FirstEventP95Ms float64 `json:"first_event_p95_ms"`
-	LongestGapP50Ms float64 `json:"pause_p50_ms"` // of the longest gap of each stream
+	LongestGapP50Ms float64 `json:"pause_p50_ms"` // percentile over the longest gap of each stream
 	LongestGapP95Ms float64 `json:"pause_p95_ms"`
 	ForwardP95Ms    float64 `json:"pass_p95_ms"` // of the slowest event of each stream, from server to client
 }
@@ -81,9 +81,9 @@
 	for _, k := range slices.Sorted(maps.Keys(r.Failed)) {
 		fmt.Fprintf(w, "  failed (%s) %d", k, r.Failed[k])
 	}
-	fmt.Fprintf(w, "\nclients' retries %d  repeats at servers %d  configurations taken %d, slowest in %.0f ms\n", r.ClientRetries, r.Repeats, r.Changes, r.ConfigAckMs)
+	fmt.Fprintf(w, "\nclients' retries %d  repeats at servers %d  configuration changes acknowledged %d, slowest in %.0f ms\n", r.ClientRetries, r.Repeats, r.Changes, r.ConfigAckMs)
 	for _, c := range r.Classes {
-		fmt.Fprintf(w, "%-10s asked %5d  in time %5d  first event p50 %6.1f p95 %6.1f ms  longest pause p50 %6.1f p95 %6.1f ms  passed on p95 %5.1f ms\n",
+		fmt.Fprintf(w, "%-10s asked %5d  in time %5d  first event p50 %6.1f p95 %6.1f ms  longest gap p50 %6.1f p95 %6.1f ms  forwarding p95 %5.1f ms\n",
 			c.Name, c.Requests, c.InTime, c.FirstEventP50Ms, c.FirstEventP95Ms, c.LongestGapP50Ms, c.LongestGapP95Ms, c.ForwardP95Ms)
 	}
 	m := r.Model
@@ -95,7 +95,7 @@
 	}
 }
 
-// report summarizes the outcomes and the observations.
+// report checks the observations and summarizes them with the outcomes.
 func (f *Fleet) report(log *outcomeLog) *Report {
 	r := &Report{Agents: f.cfg.Agents, Core: f.cfg.Core, Servers: f.cfg.Servers, Seed: f.cfg.Seed, Failed: map[string]int{}, Violations: []Violation{}}
 	log.mu.Lock()
@@ -107,7 +107,7 @@
 	servers := slices.Concat(f.servers, f.stoppedServers)
 	f.mu.Unlock()
 	for _, server := range servers {
-		r.Model.add(server.Figures())
+		r.Model.add(server.Stats())
 	}
 	r.addObservations(f.recorder.snapshot())
 	r.Violations = append(r.Violations, f.Check()...)
@@ -172,27 +172,27 @@
 	}
 }
 
-// add adds the figures of one server.
-func (s *ServerStats) add(figures modelserver.Figures) {
-	s.Ran += figures.Ran
-	s.Rejected += figures.TurnedAway
-	s.PromptTokensRead += figures.Read
-	s.PromptTokensSaved += figures.Saved
-	s.Preempted += figures.Preempted
-	s.Conns += figures.Conns
-	s.Health += figures.Health
-	s.Reports += figures.Reports
+// add adds the totals of one server.
+func (s *ServerStats) add(stats modelserver.Stats) {
+	s.Ran += stats.Executed
+	s.Rejected += stats.Rejected
+	s.PromptTokensRead += stats.TokensRead
+	s.PromptTokensSaved += stats.TokensSaved
+	s.Preempted += stats.Preempted
+	s.Conns += stats.Conns
+	s.Health += stats.HealthChecks
+	s.Reports += stats.Reports
 }
 
-// newHistogram counts durations from 1 µs to 60 s.
+// newHistogram returns a histogram of durations from 1 µs to 60 s.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
 // recordDuration records a duration in a histogram of microseconds.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(d.Microseconds(), 1))
-} // all are under a minute
+	_ = h.RecordValue(max(d.Microseconds(), 1)) // no error: all durations are shorter than a minute
+}
 
-// percentileMs is a percentile in milliseconds; 0 of an empty histogram.
+// percentileMs returns a percentile in milliseconds; 0 if the histogram is empty.
 func percentileMs(h *hdrhistogram.Histogram, q float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/testbed/fleetlab/restart.go
+++ b/internal/testbed/fleetlab/restart.go
@@ -6,18 +6,17 @@
 	"github.com/go-faster/errors"
 )
 
-// maxSeeds is the number of machines that the settings name as seeds.
+// maxSeeds is the maximum number of agents that the settings name as seeds.
 const maxSeeds = 3
 
-// seedAddrs returns the control addresses of the present seeds.
+// seedAddrs returns the control addresses of the current seeds.
 func (f *Fleet) seedAddrs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seeds
 }
 
-// ExchangeSeeds makes other agents the seeds of all settings files, and has every running process
-// reload its file.
+// ExchangeSeeds replaces the seeds in all settings files and makes every running process reload its file.
 func (f *Fleet) ExchangeSeeds(seeds ...*Agent) error {
 	addrs := make([]string, len(seeds))
 	for i, seed := range seeds {
@@ -44,7 +43,7 @@
 	}
 }
 
-// RestartAll starts all processes again, with their disks, in the order of the agents.
+// RestartAll starts all processes again, with the present content of their disks, in the order of the agents.
 func (f *Fleet) RestartAll() error {
 	for _, agent := range f.Agents {
 		if err := agent.Restart(); err != nil {
--- a/internal/testbed/fleetlab/restart_test.go
+++ b/internal/testbed/fleetlab/restart_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After a restart of everything an agent without a disk knows its seeds alone. It finds the core also
-// where the seeds have no disk, were restarted with it, and name each other.
+// After a restart of all machines, an agent without a disk knows only its seeds. It has to find the core even if the
+// seeds have no disk, were restarted, too, and name only each other as seeds.
 func TestServiceRecoversWhereNoSeedHasADisk(t *testing.T) {
 	ctx, fleet := startFleet(t, 6, 3, 4, nil)
 	require.NoError(t, fleet.ExchangeSeeds(fleet.Agents[3:]...))
--- a/internal/testbed/fleetlab/run.go
+++ b/internal/testbed/fleetlab/run.go
@@ -16,28 +16,28 @@
 var FaultNames = []string{"none", "kill-core", "term", "freeze", "crash-server", "drain"}
 
 const (
-	// downtime is how long a process stays down, or paused.
+	// downtime is how long a process stays down or paused.
 	downtime = 2 * time.Second
-	// recoveryTimeout bounds the recovery and the reading back after the workload.
+	// recoveryTimeout bounds the recovery after the workload, including the reading of the configuration.
 	recoveryTimeout = 30 * time.Second
 )
 
 // Options are the options of a run.
 type Options struct {
 	Duration time.Duration
-	Rate     float64 // requests per second; 0: in proportion to the agents
+	Rate     float64 // requests per second; zero means 12 for each agent
 	Fault    string  // one of FaultNames; it is injected after a third of Duration
 }
 
-// Run starts a fleet, runs clients, an operator and a fault, and checks the observations. It passes what happens to
-// progress, if that isn't nil. Violations are in the report; an error is one of the laboratory itself, or a fleet that
-// does not start or recover.
+// Run starts a fleet, runs clients, an operator and a fault, and checks the observations. It passes progress messages
+// to progress if that isn't nil. Violations are in the report. An error means that the test environment failed, or that
+// the fleet did not start or recover.
 func Run(ctx context.Context, cfg Config, opt Options, progress func(string)) (*Report, error) {
 	if !slices.Contains(FaultNames, opt.Fault) {
 		return nil, errors.Errorf("unknown fault %q: give one of %v", opt.Fault, FaultNames)
 	}
 	if opt.Duration < time.Second || opt.Duration > time.Hour {
-		return nil, errors.Errorf("a play of %v: give 1s to 1h", opt.Duration)
+		return nil, errors.Errorf("duration %v: give 1s to 1h", opt.Duration)
 	}
 	if opt.Rate <= 0 {
 		opt.Rate = 12 * float64(cfg.Agents)
@@ -47,27 +47,27 @@
 	}
 	start, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	l, err := Start(start, cfg)
+	fleet, err := Start(start, cfg)
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
-	setup := l.Now()
-	progress(fmt.Sprintf("%d agents and %d servers serve after %.1f s", cfg.Agents, cfg.Servers, setup.Seconds()))
+	defer fleet.Close()
+	setup := fleet.Now()
+	progress(fmt.Sprintf("%d agents and %d servers ready after %.1f s", cfg.Agents, cfg.Servers, setup.Seconds()))
 
-	clients, plan, err := l.NewWorkload(opt.Rate, opt.Duration)
+	clients, plan, err := fleet.NewWorkload(opt.Rate, opt.Duration)
 	if err != nil {
 		return nil, err
 	}
-	var t outcomeLog
-	var beside sync.WaitGroup
+	var outcomes outcomeLog
+	var background sync.WaitGroup
 	errs := make(chan error, 2)
-	beside.Go(func() { errs <- l.changeConfig(ctx, opt.Duration) })
-	beside.Go(func() { errs <- l.injectFault(ctx, opt, progress) })
-	began := l.Now()
-	clients.Run(ctx, plan, t.add)
-	took := l.Now() - began
-	beside.Wait()
+	background.Go(func() { errs <- fleet.changeConfig(ctx, opt.Duration) })
+	background.Go(func() { errs <- fleet.injectFault(ctx, opt, progress) })
+	startedAt := fleet.Now()
+	clients.Run(ctx, plan, outcomes.add)
+	took := fleet.Now() - startedAt
+	background.Wait()
 	clients.Close()
 	for range 2 {
 		if err := <-errs; err != nil {
@@ -76,16 +76,16 @@
 	}
 	end, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	if err := l.WaitAllReady(end); err != nil {
-		return nil, errors.Wrap(err, "after the traffic")
+	if err := fleet.WaitAllReady(end); err != nil {
+		return nil, errors.Wrap(err, "recovery after the workload")
 	}
-	l.ReadBack(end)
-	r := l.report(&t)
-	r.Fault, r.Seconds, r.SetupSeconds = opt.Fault, took.Seconds(), setup.Seconds()
-	return r, nil
+	fleet.ReadBack(end)
+	report := fleet.report(&outcomes)
+	report.Fault, report.Seconds, report.SetupSeconds = opt.Fault, took.Seconds(), setup.Seconds()
+	return report, nil
 }
 
-// NewWorkload plans the requests of clients: they follow from the seed.
+// NewWorkload creates clients and plans their requests from the fleet's seed.
 func (f *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
 	cfg := &loadgen.Config{Seed: f.cfg.Seed, Agents: f.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
 	for _, c := range f.cfg.Classes {
@@ -110,7 +110,8 @@
 	}
 }
 
-// changeConfig changes the configuration twice: a timeout after a fifth of the run, then a split.
+// changeConfig changes the configuration twice: a route's timeout after a fifth of the run, and a split after another
+// half of it.
 func (f *Fleet) changeConfig(ctx context.Context, length time.Duration) error {
 	if !sleep(ctx, length/5) {
 		return nil
@@ -141,34 +142,34 @@
 		core.Kill()
 		progress(core.Name + " of the core was killed")
 		sleep(ctx, down)
-		progress(core.Name + " starts again")
+		progress(core.Name + " restarts")
 		return core.Restart()
 	case "term":
-		progress(other.Name + " is asked to end")
+		progress(other.Name + " is shutting down")
 		if err := other.Terminate(ctx); err != nil {
 			return err
 		}
-		progress(other.Name + " has ended in order")
+		progress(other.Name + " has shut down gracefully")
 		sleep(ctx, down)
 		return other.Restart()
 	case "freeze":
 		if err := other.Pause(); err != nil {
 			return err
 		}
-		progress(other.Name + " is frozen")
+		progress(other.Name + " is paused")
 		sleep(ctx, down)
-		progress(other.Name + " wakes")
+		progress(other.Name + " resumes")
 		return other.Resume()
 	case "crash-server":
 		f.Server(0).Crash()
-		progress("a server crashed: " + f.Server(0).ID() + "; another is to start in its place")
+		progress("model server crashed: " + f.Server(0).ID() + "; starting its replacement")
 		return f.RestartServer(ctx, 0)
 	case "drain":
-		progress("a server leaves: " + f.Server(0).ID())
+		progress("model server drains: " + f.Server(0).ID())
 		if err := f.Server(0).Leave(ctx); err != nil {
 			return err
 		}
-		progress("it has ended; another is to start in its place")
+		progress("the model server has shut down; starting its replacement")
 		return f.RestartServer(ctx, 0)
 	}
 	return nil
--- a/internal/testbed/fleetlab/settings_file.go
+++ b/internal/testbed/fleetlab/settings_file.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Bounds are the time bounds and limits in the agents' settings, by which the checker checks, too.
+// Bounds are the time bounds and limits in the agents' settings. The checker checks against the same values.
 type Bounds struct {
 	Contact, Ack, Drain, Converge, RevertSlack, LossSlack, Stretch time.Duration
 	Stabilization, Grace, Recovery, HeartbeatInterval              time.Duration
@@ -19,14 +19,15 @@
 	RetrySlack                                                     float64
 }
 
-// DefaultBounds are the bounds of a small deployment.
+// DefaultBounds returns the bounds of a small deployment.
 func DefaultBounds() Bounds {
 	return Bounds{Contact: 3 * time.Second, Ack: 4 * time.Second, Drain: 2 * time.Second, Converge: 2 * time.Second,
 		RevertSlack: 250 * time.Millisecond, LossSlack: 200 * time.Millisecond, Stretch: 5 * time.Second, Stabilization: 4 * time.Second,
 		Grace: 8 * time.Second, Recovery: 12 * time.Second, HeartbeatInterval: 500 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30}
 }
 
-// writeSettings writes the machine's settings file and returns its path.
+// writeSettings writes the agent's settings file and returns its path. first is the value
+// of first-start: true at the first start of the fleet.
 func (a *Agent) writeSettings(first bool) (string, error) {
 	var b strings.Builder
 	fleet, bounds := a.fleet, a.fleet.cfg.Bounds
@@ -60,7 +61,7 @@
 	return path, nil
 }
 
-// replaceFile replaces a file as a whole: a process that starts meanwhile reads the former content or the new one.
+// replaceFile replaces a file atomically: a process that reads it meanwhile gets the complete old or new content.
 func replaceFile(path string, content []byte) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, content, 0o644); err != nil {
--- a/internal/testbed/fleetlab/settings_file_test.go
+++ b/internal/testbed/fleetlab/settings_file_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that starts while its settings are written reads all of the former ones or all of the new ones.
+// A process that starts while its settings are written reads either the old file or the new one, and no mixture.
 func TestReplaceFileIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	contents := []string{string(make([]byte, 4<<10)), string(make([]byte, 8<<10))}
--- a/internal/testbed/fleetlab/soak.go
+++ b/internal/testbed/fleetlab/soak.go
@@ -15,38 +15,38 @@
 const (
 	// soakConfigTimeout bounds one change of the configuration with all its retries.
 	soakConfigTimeout = 15 * time.Second
-	// soakServerTimeout bounds the end and the return of one server. It is longer than a fleet may take to recover.
+	// soakServerTimeout bounds the shutdown and the restart of one server. It is longer than a fleet may take to
+	// recover.
 	soakServerTimeout = time.Minute
-	// soakTail is the length of the traffic after the recovery that is checked.
+	// soakTail is the length of the traffic after the recovery, which has to be served.
 	soakTail = 3 * time.Second
-	// soakReadInterval is the pause between two reads of the configuration from one agent after the
-	// closing.
+	// soakReadInterval is the interval at which the configuration is read from each agent after the closing.
 	soakReadInterval = 200 * time.Millisecond
 )
 
-// soak is a soak in progress.
+// soak is a soak test in progress.
 type soak struct {
 	fleet   *Fleet
 	plan    *SoakPlan
 	options *SoakOptions
-	startAt time.Duration // of the series, on the fleet's clock
+	startAt time.Duration // start of the series, on the clock of Fleet.Now
 
 	agentFaults sync.WaitGroup // injections into agents; they end with the series
-	others      sync.WaitGroup // injections into servers and of the operator
+	others      sync.WaitGroup // injections into servers, and changes by the operator
 	levels      levels
-	startedAt   []time.Duration // of each agent's last process, once the closing is over
+	startedAt   []time.Duration // when each agent was restarted after the closing; zero if it survived the closing
 
-	mu         sync.Mutex // guards all that follows
+	mu         sync.Mutex // guards the fields below
 	timeline   *os.File
 	violations []Violation
 }
 
-// Soak starts a fleet, injects the series of its seed while clients send requests, closes with the end
-// of all processes, and checks that the fleet recovers. Violations are in the report; an error is one
-// of the laboratory itself, or a fleet that does not start.
+// Soak runs a soak test: it starts a fleet, injects the series of faults of its seed while clients send requests, ends
+// the processes in the closing and restarts them, and checks that the fleet recovers. Violations are in the report. An
+// error means that the test environment failed or that the fleet did not start.
 func Soak(ctx context.Context, cfg *Config, options *SoakOptions) (*SoakReport, error) {
 	if cfg.Core < 3 {
-		return nil, errors.Errorf("core of %d machines: give 3 or more, as the soak loses one at a time", cfg.Core)
+		return nil, errors.Errorf("core of %d machines: give 3 or more, as one is down at a time", cfg.Core)
 	}
 	plan, err := NewSoakPlan(cfg, options)
 	if err != nil {
@@ -68,11 +68,11 @@
 	return s.run(ctx)
 }
 
-// run plays the series, the closing and the recovery beside the clients' requests.
+// run runs the series, the closing and the recovery while clients send requests.
 func (s *soak) run(ctx context.Context) (*SoakReport, error) {
 	bounds := &s.fleet.cfg.Bounds
 	traffic := s.plan.ClosingAt + lastReturn + bounds.Recovery + soakTail
-	clients, asks, err := s.fleet.NewWorkload(s.options.Rate, traffic)
+	clients, requests, err := s.fleet.NewWorkload(s.options.Rate, traffic)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		clients.Run(ctx, asks, outcomes.add)
+		clients.Run(ctx, requests, outcomes.add)
 	}()
 	watching, endWatch := context.WithCancel(ctx)
 	var watch sync.WaitGroup
@@ -99,8 +99,8 @@
 	return s.report(ctx, &outcomes), ctx.Err()
 }
 
-// injectSeries injects all entries of the series at their times. It returns at the time of the closing,
-// once no injection starts or ends a process any more.
+// injectSeries makes the injections of the series at their times. It returns at the time of the closing, when all
+// injections into agents have ended.
 func (s *soak) injectSeries(ctx context.Context) {
 	series, cancel := context.WithCancel(ctx)
 	defer s.agentFaults.Wait()
@@ -114,17 +114,17 @@
 		if injection.Agent >= 0 || len(injection.Seeds) > 0 {
 			s.agentFaults.Go(func() { s.reportError(injection, s.injectIntoAgents(series, injection)) })
 		} else {
-			s.others.Go(func() { s.reportError(injection, s.injectBeside(ctx, injection)) })
+			s.others.Go(func() { s.reportError(injection, s.injectElsewhere(ctx, injection)) })
 		}
 	}
 	sleep(ctx, s.startAt+s.plan.ClosingAt-s.fleet.Now())
 	for _, agent := range s.closedAgents() {
-		agent.beginOutage(Fault{}) // before a shutdown in progress is cut short
+		agent.beginOutage(Fault{}) // recorded before graceful shutdowns in progress are aborted
 	}
 }
 
-// closedAgents returns the agents that the closing ends: all but a survivor. One that is down or
-// shutting down at that moment survives nothing.
+// closedAgents returns the agents that the closing ends: all except the survivor of the plan. A survivor that is down
+// or shutting down at that moment is ended, too.
 func (s *soak) closedAgents() []*Agent {
 	if s.plan.Survivor < 0 || !s.fleet.Agents[s.plan.Survivor].isRunning() {
 		return s.fleet.Agents
@@ -132,14 +132,14 @@
 	return slices.Delete(slices.Clone(s.fleet.Agents), s.plan.Survivor, s.plan.Survivor+1)
 }
 
-// reportError records the error of an injection, which is one of the fleet.
+// reportError records the error of an injection as a violation.
 func (s *soak) reportError(injection *Injection, err error) {
 	if err != nil {
 		s.violate("FAULT", "%v: %v", injection, err)
 	}
 }
 
-// injectIntoAgents injects a fault of agents and ends it, or leaves the process as it is if ctx ends.
+// injectIntoAgents injects a fault into agents and ends it. If ctx ends first, a process that is down stays down.
 func (s *soak) injectIntoAgents(ctx context.Context, injection *Injection) error {
 	if injection.Fault == SoakExchangeSeeds {
 		seeds := make([]*Agent, len(injection.Seeds))
@@ -152,7 +152,7 @@
 	switch injection.Fault {
 	case SoakTerminate:
 		if err := agent.Terminate(ctx); err != nil && ctx.Err() == nil {
-			return err // it took longer than the grace
+			return err // the shutdown took longer than Bounds.Grace
 		}
 		return s.restartLater(ctx, agent, injection.Length)
 	case SoakKill:
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// injectBeside injects what servers and operators do.
-func (s *soak) injectBeside(ctx context.Context, injection *Injection) error {
+// injectElsewhere makes an injection into a server, or changes the configuration.
+func (s *soak) injectElsewhere(ctx context.Context, injection *Injection) error {
 	switch injection.Fault {
 	case SoakChangeConfig:
 		s.changeConfig(ctx, 1)
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// replaceServer ends a server and starts it again.
+// replaceServer drains or crashes a server and starts its next incarnation.
 func (s *soak) replaceServer(ctx context.Context, injection *Injection) error {
 	ctx, cancel := context.WithTimeout(ctx, soakServerTimeout)
 	defer cancel()
@@ -202,7 +202,7 @@
 	return s.fleet.RestartServer(ctx, injection.Server)
 }
 
-// ignoreEnded drops the error of a signal to a process that has ended.
+// ignoreEnded returns err, or nil if err means that the process has ended.
 func ignoreEnded(err error) error {
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
@@ -210,7 +210,7 @@
 	return err
 }
 
-// restartLater starts an agent again after a time, unless ctx ends before.
+// restartLater starts an agent again after a delay, unless ctx ends first.
 func (s *soak) restartLater(ctx context.Context, agent *Agent, after time.Duration) error {
 	if !sleep(ctx, after) {
 		return nil
@@ -218,7 +218,7 @@
 	return agent.Restart()
 }
 
-// pause suspends an agent for a time, or until ctx ends.
+// pause suspends an agent for a duration, or until ctx ends.
 func (s *soak) pause(ctx context.Context, agent *Agent, length time.Duration) error {
 	if err := agent.Pause(); err != nil {
 		return ignoreEnded(err)
@@ -227,8 +227,8 @@
 	return ignoreEnded(agent.Resume())
 }
 
-// changeConfig sends so many changes on the present revision at once. Each is sent until its outcome
-// is clear; one of them wins.
+// changeConfig sends a number of changes that are based on the current revision, concurrently. Each is sent until its
+// outcome is known. At most one of them can be acknowledged.
 func (s *soak) changeConfig(ctx context.Context, count int) {
 	ctx, cancel := context.WithTimeout(ctx, soakConfigTimeout)
 	defer cancel()
@@ -238,13 +238,13 @@
 		route.TimeoutMs += 1 + i
 		changes.Go(func() {
 			status, err := s.fleet.Operator.Patch(ctx, Patch{Upsert: Upsert{Routes: []Route{route}}})
-			s.log("a change ended with status %d, %v", status, err)
+			s.log("configuration change: status %d, error %v", status, err)
 		})
 	}
 	changes.Wait()
 }
 
-// close ends all processes as the plan says and starts them again.
+// close ends the processes as the plan's closing says, and starts them again at the times of the plan.
 func (s *soak) close(ctx context.Context) error {
 	s.log("closing %s", s.plan.Closing)
 	if s.plan.Closing == CloseCoreFirst {
@@ -267,7 +267,7 @@
 			return err
 		}
 	}
-	began := s.fleet.Now()
+	closedAt := s.fleet.Now()
 	s.startedAt = make([]time.Duration, len(s.fleet.Agents))
 	order := make([]int, len(s.fleet.Agents))
 	for i := range order {
@@ -278,7 +278,7 @@
 		if !slices.Contains(closed, s.fleet.Agents[i]) {
 			continue
 		}
-		if !sleep(ctx, began+s.plan.Returns[i]-s.fleet.Now()) {
+		if !sleep(ctx, closedAt+s.plan.Returns[i]-s.fleet.Now()) {
 			return ctx.Err()
 		}
 		if err := s.fleet.Agents[i].Restart(); err != nil {
@@ -290,8 +290,8 @@
 	return nil
 }
 
-// readEverywhere reads the configuration from every agent again and again. Each may answer that it
-// can't be sure, and never with an older one than the newest acknowledged.
+// readEverywhere reads the configuration from every agent repeatedly for a duration. An agent may answer 503 while it
+// cannot be sure, but never with a configuration older than the newest acknowledged one.
 func (s *soak) readEverywhere(ctx context.Context, acknowledged *Document, length time.Duration) {
 	end := s.fleet.Now() + length
 	var reads sync.WaitGroup
@@ -308,16 +308,16 @@
 	reads.Wait()
 }
 
-// readConfig reads the configuration from one agent.
-func (s *soak) readConfig(ctx context.Context, agent *Agent, least int) {
+// readConfig reads the configuration from one agent, whose revision must be at least minRevision.
+func (s *soak) readConfig(ctx context.Context, agent *Agent, minRevision int) {
 	status, _, text, err := s.fleet.Operator.call(ctx, agent.ControlAddr(), "GET", "", nil)
 	switch {
 	case err != nil || status == 503:
 	case status != 200:
-		s.violate("CONFIG", "%s answers a read with %d", agent.Name, status)
+		s.violate("CONFIG", "%s answers a read with status %d", agent.Name, status)
 	default:
-		if revision, err := revisionOf(text); err != nil || revision < least {
-			s.violate("CONFIG", "%s answers a read with %d (%v) after %d was acknowledged", agent.Name, revision, err, least)
+		if revision, err := revisionOf(text); err != nil || revision < minRevision {
+			s.violate("CONFIG", "%s answers a read with revision %d (error %v) after %d was acknowledged", agent.Name, revision, err, minRevision)
 		}
 	}
 }
--- a/internal/testbed/fleetlab/soak_levels.go
+++ b/internal/testbed/fleetlab/soak_levels.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// levelInterval is the pause between two looks at what the processes hold.
+	// levelInterval is the interval at which the resource usage of the processes is sampled.
 	levelInterval = time.Second
-	// minLevelSeries is the shortest series in which levels are compared: a process needs some time to
-	// reach its level.
+	// minLevelSeries is the shortest series in which levels are compared, as a process needs some time until its
+	// resource usage is stable.
 	minLevelSeries = 3 * time.Minute
-	// maxMemoryGrowth and maxDescriptorGrowth bound by how much more the processes may hold at the most in the
-	// last third of a series than in the second one, beside a tenth.
+	// maxMemoryGrowth and maxDescriptorGrowth bound how much higher the maximum of any process may be in the last third
+	// of a series than in the second third, in addition to a tenth of the latter.
 	maxMemoryGrowth     = 8 << 20
 	maxDescriptorGrowth = 32
-	// levelGrowthDivisor is that tenth.
+	// levelGrowthDivisor is the divisor for that tenth.
 	levelGrowthDivisor = 10
 )
 
-// Level is the most that any agent's process held in one third of a series.
+// Level is the maximum resource usage of any agent's process in one third of a series.
 type Level struct {
-	Memory      int64 `json:"memory_bytes"` // resident
+	Memory      int64 `json:"memory_bytes"` // resident set size
 	Descriptors int   `json:"descriptors"`
 	Threads     int   `json:"threads"`
 }
 
-// levels records what the agents' processes hold, by thirds of the series.
+// levels records the resource usage of the agents' processes, by thirds of the series.
 type levels struct {
 	mu     sync.Mutex
 	thirds [3]Level
 }
 
-// watch looks at all agents until ctx ends.
+// watch samples the resource usage of all agents until ctx ends.
 func (l *levels) watch(ctx context.Context, fleet *Fleet, startAt, series time.Duration) {
 	for sleep(ctx, levelInterval) {
 		third := min(int(3*(fleet.Now()-startAt)/series), len(l.thirds)-1)
@@ -52,13 +52,14 @@
 func (l *levels) record(third int, level Level) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := &l.thirds[third]
-	most.Memory = max(most.Memory, level.Memory)
-	most.Descriptors = max(most.Descriptors, level.Descriptors)
-	most.Threads = max(most.Threads, level.Threads)
+	highest := &l.thirds[third]
+	highest.Memory = max(highest.Memory, level.Memory)
+	highest.Descriptors = max(highest.Descriptors, level.Descriptors)
+	highest.Threads = max(highest.Threads, level.Threads)
 }
 
-// growth describes by what the last third exceeds the second one more than is allowed; "" if by nothing.
+// growth describes a resource whose usage grew more than is allowed from the second third to the last one. It returns
+// the empty string if there is none.
 func (l *levels) growth() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,14 +73,14 @@
 	return ""
 }
 
-// pid is the id of the agent's last process.
+// pid returns the process id of the agent's last process.
 func (a *Agent) pid() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.process.Pid
 }
 
-// readLevel reads what a process holds; false if it has ended.
+// readLevel reads the resource usage of a process. It returns false if the process has ended.
 func readLevel(pid int) (level Level, ok bool) {
 	folder := "/proc/" + strconv.Itoa(pid)
 	statm, err := os.ReadFile(folder + "/statm")
--- a/internal/testbed/fleetlab/soak_levels_test.go
+++ b/internal/testbed/fleetlab/soak_levels_test.go
@@ -12,7 +12,8 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/store"
 )
 
-// What the processes hold in the last third of a series is compared with the second one: the first one is a start.
+// The resource usage in the last third of a series is compared with the second third. The first third is ignored, as
+// the processes are starting then.
 func TestGrowthOfLevels(t *testing.T) {
 	level := Level{Memory: 40 << 20, Descriptors: 100, Threads: 9}
 	var steady levels
@@ -40,11 +41,11 @@
 	assert.False(t, ok)
 }
 
-// An interrupted write leaves less than a record, which the store notices and cuts off.
+// An interrupted write leaves an incomplete record, which the store detects and removes.
 func TestTearWrite(t *testing.T) {
 	agent := &Agent{Name: "edge-1", dir: t.TempDir()}
 	state := filepath.Join(agent.dir, "state")
-	require.NoError(t, agent.TearWrite(maxTornBytes), "there is no disk")
+	require.NoError(t, agent.TearWrite(maxTornBytes), "the machine has no disk")
 	require.NoError(t, os.Mkdir(state, 0o755))
 	require.NoError(t, agent.TearWrite(maxTornBytes), "nothing was written yet")
 	disk, _, err := store.Open(state)
@@ -66,7 +67,7 @@
 	}
 }
 
-// Some ends of machines of the core interrupt a write, and no others do.
+// Some kills of core machines interrupt a write; other kills never do.
 func TestTornWritesOfPlans(t *testing.T) {
 	torn, whole, closings := 0, 0, 0
 	for seed := range uint64(50) {
--- a/internal/testbed/fleetlab/soak_plan.go
+++ b/internal/testbed/fleetlab/soak_plan.go
@@ -11,35 +11,35 @@
 	"github.com/go-faster/errors"
 )
 
-// SoakFault is a kind of fault, change or operation that a soak injects.
+// SoakFault is a kind of injection of a soak test: a fault, a configuration change or another operation.
 type SoakFault string
 
-// The faults of agents come first, then what servers and operators do.
+// The kinds of injections: first those into agents, then configuration changes and those into servers.
 const (
-	SoakTerminate     SoakFault = "terminate"      // SIGTERM, and a start some time after the end
-	SoakKill          SoakFault = "kill"           // SIGKILL, perhaps in the middle of a write, and a start some time later
+	SoakTerminate     SoakFault = "terminate"      // SIGTERM, and a restart some time after the process has ended
+	SoakKill          SoakFault = "kill"           // SIGKILL, possibly in the middle of a write, and a restart some time later
 	SoakPause         SoakFault = "pause"          // SIGSTOP, and SIGCONT some time later
-	SoakWipe          SoakFault = "wipe"           // SIGKILL, and a start with an empty disk
-	SoakReload        SoakFault = "reload"         // SIGHUP
-	SoakExchangeSeeds SoakFault = "exchange-seeds" // other agents become the seeds of all settings
+	SoakWipe          SoakFault = "wipe"           // SIGKILL, and a restart with an empty disk some time later
+	SoakReload        SoakFault = "reload"         // SIGHUP, which makes the process reload its settings
+	SoakExchangeSeeds SoakFault = "exchange-seeds" // other agents become the seeds in all settings
 	SoakChangeConfig  SoakFault = "change-config"
-	SoakRaceConfig    SoakFault = "race-config" // two changes on one revision at once
+	SoakRaceConfig    SoakFault = "race-config" // two concurrent changes that are based on the same revision
 	SoakDrainServer   SoakFault = "drain-server"
 	SoakCrashServer   SoakFault = "crash-server"
 )
 
-// SoakClosing is how a soak ends: all agents are down, and return in any order.
+// SoakClosing is how the series of a soak test ends: the processes are ended, and restart in a random order.
 type SoakClosing string
 
 // The closings.
 const (
 	CloseKillAll   SoakClosing = "kill-all"   // all processes at once
-	CloseCoreFirst SoakClosing = "core-first" // the core, and all others a moment later
-	CloseWipeOne   SoakClosing = "wipe-one"   // all at once, and the disk of a machine of the core is lost
-	CloseSurvivor  SoakClosing = "survivor"   // all at once but an agent outside of the core, which remembers
+	CloseCoreFirst SoakClosing = "core-first" // the core first, and all others a moment later
+	CloseWipeOne   SoakClosing = "wipe-one"   // all processes at once, and one core machine loses its disk
+	CloseSurvivor  SoakClosing = "survivor"   // all at once, except one outside of the core, which keeps its memory
 )
 
-// soakWeights are how often the kinds are drawn.
+// soakWeights holds the relative frequencies of the kinds of injections.
 var soakWeights = []struct {
 	fault  SoakFault
 	weight int
@@ -48,21 +48,22 @@
 	{SoakRaceConfig, 1}, {SoakDrainServer, 2}, {SoakCrashServer, 1},
 }
 
-// SoakClosings are all closings.
+// SoakClosings lists all closings.
 var SoakClosings = []SoakClosing{CloseKillAll, CloseCoreFirst, CloseWipeOne, CloseSurvivor}
 
 const (
-	// minInjectionGap and maxInjectionGap are between two injections.
+	// minInjectionGap and maxInjectionGap bound the time between two injections.
 	minInjectionGap = 100 * time.Millisecond
 	maxInjectionGap = 900 * time.Millisecond
-	// maxFaultLength bounds how long an agent stays down, or paused.
+	// maxFaultLength bounds how long an agent stays down or paused.
 	maxFaultLength = 2500 * time.Millisecond
-	// firstReturn and lastReturn are when the machines start again after the closing.
+	// firstReturn and lastReturn bound the time from the closing to the restart of each agent.
 	firstReturn = 300 * time.Millisecond
 	lastReturn  = 2 * time.Second
-	// maxTornBytes is the longest part of a record that an interrupted write leaves: less than any complete one.
+	// maxTornBytes bounds the part of a record that an interrupted write leaves. It is shorter than any complete
+	// record.
 	maxTornBytes = 40
-	// coreFirstLead is how much earlier than all others the core goes down.
+	// coreFirstLead is the time from the end of the core to the end of all others in CloseCoreFirst.
 	coreFirstLead = 400 * time.Millisecond
 )
 
@@ -71,11 +72,11 @@
 	Number int
 	At     time.Duration // since the start of the series
 	Fault  SoakFault
-	Agent  int           // index of the agent; -1: none
-	Server int           // index of the model server; -1: none
+	Agent  int           // index of the agent; -1 if the injection concerns none
+	Server int           // index of the model server; -1 if the injection concerns none
 	Length time.Duration // how long the agent is down or paused
-	Seeds  []int         // indices of the new seeds
-	Torn   int           // bytes of a write that the end of the process interrupts; 0: it interrupts none
+	Seeds  []int         // indices of the agents that become seeds; nil for other injections
+	Torn   int           // bytes that a write interrupted by the kill leaves; zero if none is interrupted
 }
 
 // String describes the injection for the timeline.
@@ -96,26 +97,27 @@
 	return text
 }
 
-// SoakPlan is all that a soak injects: it follows from the seed and the options.
+// SoakPlan is the series and the closing of a soak test. It depends only on the configuration, its seed and the
+// options.
 type SoakPlan struct {
 	Injections []Injection
 	Closing    SoakClosing
 	ClosingAt  time.Duration
-	Wiped      int             // index of the agent whose disk the closing loses; -1: none
-	Survivor   int             // index of the agent that the closing spares; -1: none
-	Returns    []time.Duration // when each agent starts again, after the closing
-	Torn       []int           // as in Injection, of each machine of the core at the closing
+	Wiped      int             // index of the agent that loses its disk in the closing; -1 if there is none
+	Survivor   int             // index of the agent that the closing does not end; -1 if there is none
+	Returns    []time.Duration // time from the closing to the restart of each agent
+	Torn       []int           // like Injection.Torn, for each core machine at the closing
 }
 
-// SoakOptions are the size of a soak and what is left out of its series.
+// SoakOptions are the length and the rate of a soak test, and the injections to leave out.
 type SoakOptions struct {
 	Series  time.Duration // length of the series
-	Until   time.Duration // the closing comes at this time; 0: at the end of the series
-	Without []int         // numbers of the injections that are left out
+	Until   time.Duration // time of the closing; zero means the end of the series
+	Without []int         // numbers of the injections to leave out
 	Rate    float64       // requests per second
 }
 
-// validate reports options outside of their bounds.
+// validate returns an error if an option is out of its bounds.
 func (o *SoakOptions) validate() error {
 	switch {
 	case o.Series < time.Second || o.Series > 10*time.Minute:
@@ -128,19 +130,19 @@
 	return nil
 }
 
-// soakPlanner draws a plan. No two faults of one agent overlap, and of the core one machine at a time
-// is in trouble: the settings tolerate no more.
+// soakPlanner draws a plan. Faults of the same agent do not overlap, and neither do faults of core machines, as the
+// settings tolerate the loss of only one machine.
 type soakPlanner struct {
 	random        *rand.Rand
 	cfg           *Config
-	agentFreeAt   []time.Duration
-	serverFreeAt  []time.Duration
-	coreFreeAt    time.Duration
-	configFreeAt  time.Duration
-	serversBusyAt time.Duration
+	agentFreeAt   []time.Duration // when the next fault of each agent may begin
+	serverFreeAt  []time.Duration // when each server may be ended again
+	coreFreeAt    time.Duration   // when the next fault of a core machine may begin
+	configFreeAt  time.Duration   // when the next configuration change may begin
+	serversFreeAt time.Duration   // when the next server may be ended
 }
 
-// NewSoakPlan draws the plan of a seed.
+// NewSoakPlan draws the plan from the seed of cfg.
 func NewSoakPlan(cfg *Config, options *SoakOptions) (*SoakPlan, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -172,8 +174,8 @@
 	return plan, nil
 }
 
-// drawTorn draws which ends of processes interrupt a write. Its random numbers are its own, so that the rest of a
-// seed's plan does not depend on them.
+// drawTorn draws which kills interrupt a write. It uses a separate random generator, so that it does not influence the
+// rest of the plan.
 func (p *SoakPlan) drawTorn(cfg *Config) {
 	random := rand.New(rand.NewPCG(cfg.Seed, 12))
 	draw := func() int { return max(random.IntN(2*maxTornBytes+1)-maxTornBytes, 0) }
@@ -192,7 +194,7 @@
 	return (from + time.Duration(p.random.Int64N(int64(to-from)))).Round(time.Millisecond)
 }
 
-// drawFault draws a kind by its weight.
+// drawFault draws the kind of an injection according to soakWeights.
 func (p *soakPlanner) drawFault() SoakFault {
 	total := 0
 	for _, w := range soakWeights {
@@ -207,7 +209,8 @@
 	return SoakReload
 }
 
-// draw draws what is injected at a time; false: what was drawn would lose more than is tolerated.
+// draw draws an injection at a time. It returns false if the drawn injection is not allowed then, because it would
+// overlap with another one or exceed the tolerated losses.
 func (p *soakPlanner) draw(at time.Duration) (Injection, bool) {
 	drawn := Injection{At: at, Fault: p.drawFault(), Agent: -1, Server: -1}
 	switch drawn.Fault {
@@ -229,8 +232,8 @@
 	return drawn, false
 }
 
-// drawSeeds draws new seeds: of all agents or, as often, of those without a disk, which know nothing of
-// the core after a restart.
+// drawSeeds draws new seeds, with equal probability from all agents or from those without a disk, which do not know the
+// core after a restart.
 func (p *soakPlanner) drawSeeds() []int {
 	first := p.random.IntN(2) * p.cfg.Core
 	if first >= p.cfg.Agents {
@@ -243,44 +246,45 @@
 	return seeds[:min(maxSeeds, len(seeds))]
 }
 
-// drawAgent draws the agent of a fault and for how long.
+// drawAgent draws the agent and the length of a fault. It returns false if a fault is not allowed there yet.
 func (p *soakPlanner) drawAgent(drawn *Injection) bool {
 	drawn.Agent = p.random.IntN(p.cfg.Agents)
 	if drawn.Fault == SoakWipe {
 		drawn.Agent = p.random.IntN(p.cfg.Core)
 	}
 	drawn.Length = p.between(0, maxFaultLength)
-	over := drawn.At + drawn.Length
+	freeAt := drawn.At + drawn.Length
 	if drawn.Fault == SoakTerminate {
-		over += p.cfg.Bounds.Grace // its end may take so long
+		freeAt += p.cfg.Bounds.Grace // the shutdown may take that long
 	}
-	over += p.cfg.Bounds.Stabilization
+	freeAt += p.cfg.Bounds.Stabilization
 	isCore := drawn.Agent < p.cfg.Core
 	if p.agentFreeAt[drawn.Agent] > drawn.At || isCore && p.coreFreeAt > drawn.At {
 		return false
 	}
-	p.agentFreeAt[drawn.Agent] = over
+	p.agentFreeAt[drawn.Agent] = freeAt
 	if isCore {
-		p.coreFreeAt = over
+		p.coreFreeAt = freeAt
 	}
 	return true
 }
 
-// serverRestart is how long a server that drains or crashes is away at the most.
+// serverRestart is the longest time from the drain or crash of a server until its next incarnation is registered.
 const serverRestart = 12 * time.Second
 
-// drawServer draws a server that is not away. Of each service most stay.
+// drawServer draws the server of an injection. It returns false if that server is still restarting, or if the last
+// injection into any server was too recent: most servers of each service have to stay available.
 func (p *soakPlanner) drawServer(drawn *Injection) bool {
 	drawn.Server = p.random.IntN(p.cfg.Servers)
-	if p.serverFreeAt[drawn.Server] > drawn.At || p.serversBusyAt > drawn.At {
+	if p.serverFreeAt[drawn.Server] > drawn.At || p.serversFreeAt > drawn.At {
 		return false
 	}
 	p.serverFreeAt[drawn.Server] = drawn.At + serverRestart
-	p.serversBusyAt = drawn.At + serverRestart/4
+	p.serversFreeAt = drawn.At + serverRestart/4
 	return true
 }
 
-// String lists the plan.
+// String lists the injections and the closing.
 func (p *SoakPlan) String() string {
 	var text strings.Builder
 	for i := range p.Injections {
--- a/internal/testbed/fleetlab/soak_report.go
+++ b/internal/testbed/fleetlab/soak_report.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// minRecoveredShare is the least part of the requests to be served once the fleet must have
-	// recovered.
+	// minRecoveredShare is the minimum fraction of requests that have to be served once the recovery time is over.
 	minRecoveredShare = 0.95
-	// soakReadTimeout bounds the reads at the end of a soak.
+	// soakReadTimeout bounds the time in which the report reads the recovery times and the configuration from the
+	// agents.
 	soakReadTimeout = 20 * time.Second
-	// maxRecoveryBytes bounds an agent's account of its recovery.
+	// maxRecoveryBytes bounds an agent's response about its recovery.
 	maxRecoveryBytes = 64 << 10
 )
 
-// numberedEvent matches the log lines that have an event number.
+// numberedEvent matches log lines with an event number.
 var numberedEvent = regexp.MustCompile(`^[IWEF]\d{4} .*\] (".*" err=|)"E\d{3} `)
 
-// SoakReport is the result of a soak.
+// SoakReport is the result of a soak test.
 type SoakReport struct {
 	*Report
 	Closing       SoakClosing       `json:"closing"`
-	AfterRecovery int               `json:"asked_after_recovery"`
-	ServedAfter   int               `json:"served_after_recovery"`
-	Recovery      []RecoveryMoments `json:"recovery"` // the first agent that reached each step, and the last
-	Levels        [3]Level          `json:"levels"`   // in each third of the series
+	AfterRecovery int               `json:"asked_after_recovery"`  // number of requests after the recovery time
+	ServedAfter   int               `json:"served_after_recovery"` // number of those that were served
+	Recovery      []RecoveryMoments `json:"recovery"`              // one entry for each step
+	Levels        [3]Level          `json:"levels"`                // maximum resource usage in each third of the series
 }
 
-// RecoveryMoments are when the first and the last agent reached a step of the recovery, since the last
-// machine of the core was started.
+// RecoveryMoments are the times when the first and the last agent reached a step of the recovery, measured from the
+// restart of the last core machine.
 type RecoveryMoments struct {
 	Step  string        `json:"step"`
 	First time.Duration `json:"first_ns"`
 	Last  time.Duration `json:"last_ns"`
-	Never int           `json:"never"` // agents that did not reach it
+	Never int           `json:"never"` // number of agents that did not reach the step
 }
 
-// recoverySteps are the steps as agents report them, in their order.
+// recoverySteps lists the steps of the recovery in their order, with the names that agents report.
 var recoverySteps = []string{"view", "core", "config", "synced", "servers", "served"}
 
 // report checks the fleet after its recovery and summarizes the soak.
@@ -69,7 +69,7 @@
 	return result
 }
 
-// checkRecovery checks that what clients ask for after the recovery is served.
+// checkRecovery checks that requests are served that clients send after the recovery time (RECOVER).
 func (s *soak) checkRecovery(result *SoakReport, outcomes *outcomeLog) {
 	from := slices.Max(s.startedAt) + s.fleet.cfg.Bounds.Recovery
 	outcomes.mu.Lock()
@@ -85,13 +85,13 @@
 		}
 	}
 	if float64(result.ServedAfter) < minRecoveredShare*float64(result.AfterRecovery) || result.AfterRecovery == 0 {
-		s.violate("RECOVER", "%d of %d requests were served that were sent %v after the last machine was back", result.ServedAfter,
+		s.violate("RECOVER", "%d of %d requests were served that were sent later than %v after the restart of the last machine", result.ServedAfter,
 			result.AfterRecovery, s.fleet.cfg.Bounds.Recovery)
 	}
 }
 
-// checkSteps checks that every agent reached every step of its recovery in time, but for the service of
-// requests, which clients decide on.
+// checkSteps checks that every agent reached every step of its recovery in time (RECOVER), except the first served
+// request, whose time depends on the clients.
 func (s *soak) checkSteps(result *SoakReport) {
 	limit := slices.Max(s.startedAt) - slices.Max(s.startedAt[:s.fleet.cfg.Core]) + s.fleet.cfg.Bounds.Recovery
 	for _, moments := range result.Recovery {
@@ -107,7 +107,7 @@
 	}
 }
 
-// checkLevels checks that no process holds more and more.
+// checkLevels checks that the resource usage of the processes does not keep growing (LEVEL).
 func (s *soak) checkLevels(result *SoakReport) {
 	result.Levels = s.levels.thirds
 	if growth := s.levels.growth(); growth != "" && s.plan.ClosingAt >= minLevelSeries {
@@ -115,7 +115,7 @@
 	}
 }
 
-// checkLogs checks that every line that an agent logged has an event number.
+// checkLogs checks that every log line of the agents has an event number (LOG).
 func (s *soak) checkLogs() {
 	for _, agent := range s.fleet.Agents {
 		file, err := os.Open(agent.logPath())
@@ -130,11 +130,11 @@
 				break
 			}
 		}
-		_ = file.Close() // it was only read
+		_ = file.Close() // no error matters: the file was only read
 	}
 }
 
-// recoveryMoments asks all agents when they reached the steps of their recovery.
+// recoveryMoments reads from all agents when they reached the steps of their recovery.
 func (s *soak) recoveryMoments(ctx context.Context) []RecoveryMoments {
 	coreBack := slices.Max(s.startedAt[:s.fleet.cfg.Core])
 	moments := make([]RecoveryMoments, len(recoverySteps))
@@ -143,11 +143,11 @@
 	}
 	for i, agent := range s.fleet.Agents {
 		if s.startedAt[i] == 0 {
-			continue // it survived
+			continue // it survived the closing
 		}
 		steps, err := s.recoveryOf(ctx, agent)
 		if err != nil {
-			s.violate("FAULT", "%s does not tell of its recovery: %v", agent.Name, err)
+			s.violate("FAULT", "%s: cannot read its recovery times: %v", agent.Name, err)
 			continue
 		}
 		for k := range moments {
@@ -163,7 +163,8 @@
 	return moments
 }
 
-// recoveryOf reads an agent's account of its recovery.
+// recoveryOf reads an agent's recovery times, in milliseconds since its start by the name of the step with the suffix
+// "-ms".
 func (s *soak) recoveryOf(ctx context.Context, agent *Agent) (map[string]int64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+agent.ControlAddr()+"/chalkdoor/ops/recovery", nil)
 	if err != nil {
@@ -185,7 +186,7 @@
 	return steps, nil
 }
 
-// Line is the result in one line.
+// Line returns a summary in one line.
 func (r *SoakReport) Line() string {
 	text := fmt.Sprintf("seed %d %s: served %d of %d, after recovery %d of %d", r.Seed, r.Closing, r.Served, r.Requests, r.ServedAfter, r.AfterRecovery)
 	for _, step := range r.Recovery {
--- a/internal/testbed/fleetlab/soak_test.go
+++ b/internal/testbed/fleetlab/soak_test.go
@@ -12,9 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soakTestSeeds are played in CI: one with each closing, and in each the last seeds are agents without a
-// disk, which know no core after a restart (docs/incidents/2026-12-02-recover.md). None of them sends a
-// SIGHUP to a process that has just started, which would end it: that fault is open, see docs/ROADMAP.md.
+// soakTestSeeds are the seeds that CI runs, one for each closing. In each of their plans the agents that are seeds at
+// the end have no disk and do not know the core after a restart (docs/incidents/2026-12-02-recover.md). None of them
+// sends a SIGHUP to a process that has just started, because that ends the process: see docs/ROADMAP.md for this open
+// fault.
 var soakTestSeeds = []uint64{10, 12, 47, 51}
 
 func soakConfig(seed uint64) *Config {
@@ -60,16 +61,16 @@
 func TestSoakPlanFollowsFromSeed(t *testing.T) {
 	first, err := NewSoakPlan(soakConfig(3), soakOptions())
 	require.NoError(t, err)
-	again, err := NewSoakPlan(soakConfig(3), soakOptions())
+	same, err := NewSoakPlan(soakConfig(3), soakOptions())
 	require.NoError(t, err)
-	assert.Equal(t, first, again)
+	assert.Equal(t, first, same)
 	other, err := NewSoakPlan(soakConfig(4), soakOptions())
 	require.NoError(t, err)
 	assert.NotEqual(t, first.String(), other.String())
 	assert.Contains(t, first.String(), "closing "+string(first.Closing))
 }
 
-// A finding is narrowed by an earlier end and by leaving injections out; all others stay as they were.
+// An earlier closing and omitted injections, with which a finding is narrowed down, do not change the rest of the plan.
 func TestSoakPlanIsNarrowed(t *testing.T) {
 	complete, err := NewSoakPlan(soakConfig(3), soakOptions())
 	require.NoError(t, err)
@@ -86,8 +87,8 @@
 	assert.Equal(t, complete.Returns, narrowed.Returns)
 }
 
-// No plan loses more than the settings tolerate: of the core one machine at a time is in trouble, and
-// no agent has two faults at once. All kinds are drawn, seeds outside of the core among them.
+// No plan loses more than the settings tolerate: at most one core machine has a fault at a time, and no agent has two
+// faults at once. All kinds of injections and closings are drawn, also new seeds that are all outside of the core.
 func TestSoakPlansLoseNoMoreThanIsTolerated(t *testing.T) {
 	drawn := map[SoakFault]int{}
 	closings := map[SoakClosing]int{}
@@ -115,11 +116,11 @@
 				continue
 			}
 			require.GreaterOrEqual(t, injection.At, freeAt[injection.Agent], "seed %d, %v", seed, &injection)
-			over := injection.At + injection.Length + cfg.Bounds.Stabilization
-			freeAt[injection.Agent] = over
+			end := injection.At + injection.Length + cfg.Bounds.Stabilization
+			freeAt[injection.Agent] = end
 			if injection.Agent < cfg.Core {
 				require.GreaterOrEqual(t, injection.At, coreFreeAt, "seed %d, %v", seed, &injection)
-				coreFreeAt = over
+				coreFreeAt = end
 			}
 			assert.True(t, injection.Fault != SoakWipe || injection.Agent < cfg.Core)
 		}
