--- a/internal/testbed/fleetlab/subnet.go
+++ b/internal/testbed/fleetlab/subnet.go
@@ -8,13 +8,13 @@
 	"github.com/go-faster/errors"
 )
 
-// subnet is a loopback network of addresses. Its lock, a listening port, keeps other laboratories away from it.
+// subnet is a range of loopback addresses. Its lock, a listening port, keeps other fleets from using it.
 type subnet struct {
-	prefix string
+	prefix string // first three octets, with the dot after them
 	lock   net.Listener
 }
 
-// ip is the address of host n, 1 to 254.
+// ip returns the address of host n, 1 to 254.
 func (s *subnet) ip(n int) string { return s.prefix + fmt.Sprint(n) }
 
 // claimSubnet finds and locks a free subnet.
@@ -27,7 +27,7 @@
 			return &subnet{prefix, ln}, nil
 		}
 	}
-	return nil, errors.New("no free subnet on loopback: end other laboratories")
+	return nil, errors.New("no free subnet on loopback: end other fleets")
 }
 
 // hostPort joins an address and a port.
--- a/internal/testbed/fleetlab/waiting.go
+++ b/internal/testbed/fleetlab/waiting.go
@@ -10,7 +10,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/loadgen"
 )
 
-// WaitAllReady waits until the load balancer finds all agents ready.
+// WaitAllReady waits until all agents are ready according to the load balancer.
 func (f *Fleet) WaitAllReady(ctx context.Context) error {
 	if err := f.LoadBalancer.WaitReady(ctx, func(ready map[string]bool) bool { return len(ready) == len(f.Agents) }); err != nil {
 		return errors.Wrapf(err, "%d of %d agents are ready", len(f.LoadBalancer.Ready()), len(f.Agents))
@@ -24,7 +24,7 @@
 		select {
 		case <-f.Server(i).Registered():
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "server %d: no heartbeat was acknowledged", i+1)
+			return errors.Wrapf(ctx.Err(), "server %d is not registered: no heartbeat was acknowledged", i+1)
 		}
 	}
 	if err := f.WaitAllReady(ctx); err != nil {
@@ -47,8 +47,8 @@
 // waitServing sends requests of a class to an agent until it serves one.
 func (f *Fleet) waitServing(ctx context.Context, a *Agent, c *Class) error {
 	for {
-		t := f.Probe(ctx, a, c)
-		if t.Status == 200 && t.Complete {
+		attempt := f.Probe(ctx, a, c)
+		if attempt.Status == 200 && attempt.Complete {
 			return nil
 		}
 		timer := time.NewTimer(defaultRetryDelay)
@@ -56,28 +56,28 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return errors.Wrapf(ctx.Err(), "%s does not serve %s: status %d, %v %s", a.Name, c.Name, t.Status, t.EndReason, t.ProtocolError)
+			return errors.Wrapf(ctx.Err(), "%s does not serve %s: status %d, %v %s", a.Name, c.Name, attempt.Status, attempt.EndReason, attempt.ProtocolError)
 		}
 	}
 }
 
 // WaitStreams waits until n of the streams in progress satisfy a condition.
-func (f *Fleet) WaitStreams(ctx context.Context, n int, want func(Stream) bool) error {
+func (f *Fleet) WaitStreams(ctx context.Context, n int, condition func(Stream) bool) error {
 	for {
-		list, more := f.recorder.streams()
-		got := 0
+		list, changed := f.recorder.streams()
+		matching := 0
 		for _, s := range list {
-			if want(s) {
-				got++
+			if condition(s) {
+				matching++
 			}
 		}
-		if got >= n {
+		if matching >= n {
 			return nil
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "%d of %d streams", got, n)
+			return errors.Wrapf(ctx.Err(), "%d of %d streams match", matching, n)
 		}
 	}
 }
@@ -86,18 +86,18 @@
 func (f *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
 	n := int(f.probeCount.Add(1))
 	clients := newClients([]*Class{c}, nil, f.Now, f.recorder, f.cfg.Seed, f.zones, "p")
-	of := clients.newRequest(&loadgen.Ask{Number: n})
-	d := a.Endpoint()
-	t := &Attempt{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
-		Prompt: of.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: f.Now(), Timeout: c.Timeout}
-	t.Deadline = t.StartedAt + c.Deadline
-	k, _, err := dial(ctx, &d)
+	request := clients.newRequest(&loadgen.Ask{Number: n})
+	endpoint := a.Endpoint()
+	attempt := &Attempt{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
+		Prompt: request.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: f.Now(), Timeout: c.Timeout}
+	attempt.Deadline = attempt.StartedAt + c.Deadline
+	conn, _, err := dial(ctx, &endpoint)
 	if err != nil {
-		t.EndReason, t.EndedAt = NoConnect, f.Now()
+		attempt.EndReason, attempt.EndedAt = NoConnect, f.Now()
 	} else {
-		k.exchange(ctx, f.Now, t, of.body, false, c.idleTimeout())
-		k.Close()
+		conn.exchange(ctx, f.Now, attempt, request.body, false, c.idleTimeout())
+		conn.Close()
 	}
-	f.recorder.attemptEnded(t)
-	return t
+	f.recorder.attemptEnded(attempt)
+	return attempt
 }
--- a/internal/testbed/modelserver/beat.go
+++ b/internal/testbed/modelserver/beat.go
@@ -15,60 +15,62 @@
 )
 
 const (
-	// callFor is how long an acknowledgement may take, maxAnswer how large it may be.
-	callFor   = time.Second
-	maxAnswer = 4 << 10
-	// unheardFor is how long a leaving server asks for an acknowledgement before it ends anyway.
-	unheardFor = 5 * time.Second
-	// maxHops is how many redirects a caller of the control address follows.
-	maxHops = 2
+	// callTimeout bounds one call to an agent.
+	callTimeout = time.Second
+	// maxResponseBytes bounds the body of an agent's response.
+	maxResponseBytes = 4 << 10
+	// ackTimeout is how long a leaving server waits for an acknowledgement before it continues without.
+	ackTimeout = 5 * time.Second
+	// maxRedirects bounds the redirects of one call.
+	maxRedirects = 2
 )
 
-// BeatConfig is how a server tells of itself.
-type BeatConfig struct {
-	Control func() []string // the agents' control addresses, as the caller's list has them now
-	Period  time.Duration
-	Drain   time.Duration // for which it serves on after its draining was acknowledged
-	Linger  time.Duration // how much longer, at most, while requests run
+// HeartbeatConfig configures how a server registers with the agents.
+type HeartbeatConfig struct {
+	ControlAddrs func() []string // returns the agents' present control addresses
+	Interval     time.Duration   // time between heartbeats
+	Drain        time.Duration   // how long a leaving server keeps serving after its draining was acknowledged
+	Linger       time.Duration   // maximum additional time for requests that still wait or run
 }
 
-// beater tells agents of its server. The goroutine of run makes all calls, one at a time.
-type beater struct {
-	s          *Server
-	cfg        BeatConfig
-	http       *http.Client
-	registered chan struct{}
-	once       sync.Once
-	leave      chan struct{}
-	leaving    sync.Once
-	left       chan struct{}
+// heartbeater sends a server's heartbeats to agents. The goroutine of run makes all calls, one at a time.
+type heartbeater struct {
+	s              *Server
+	cfg            HeartbeatConfig
+	http           *http.Client
+	registered     chan struct{} // closed when the first heartbeat has been acknowledged
+	registeredOnce sync.Once
+	leave          chan struct{} // closed when the server shall leave
+	leaveOnce      sync.Once
+	left           chan struct{} // closed when draining and deregistration are over
 
-	seq    uint64
-	target string // of the next call
-	rest   []string
+	seq        uint64   // call-seq of the last call
+	target     string   // address of the next call; empty if the next candidate is to be used
+	candidates []string // addresses to try next
 }
 
-func newBeater(s *Server, cfg BeatConfig) *beater {
-	dialer := net.Dialer{Timeout: callFor}
-	return &beater{s: s, cfg: cfg, registered: make(chan struct{}), leave: make(chan struct{}), left: make(chan struct{}),
-		http: &http.Client{Timeout: callFor, Transport: &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: 5 * time.Second},
+func newHeartbeater(s *Server, cfg HeartbeatConfig) *heartbeater {
+	dialer := net.Dialer{Timeout: callTimeout}
+	return &heartbeater{s: s, cfg: cfg, registered: make(chan struct{}), leave: make(chan struct{}), left: make(chan struct{}),
+		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{DialContext: dialer.DialContext, IdleConnTimeout: 5 * time.Second},
 			CheckRedirect: func(r *http.Request, via []*http.Request) error {
-				if len(via) > maxHops {
+				if len(via) > maxRedirects {
 					return errors.New("redirected too often")
 				}
 				return nil
 			}}}
 }
 
-// Leave ends the server in order: it reports that it drains, serves on for as long as it has
-// to, says that it goes, and ends. It returns when it has ended, or with ctx.
+// Leave shuts the server down gracefully: it announces that it drains, keeps serving for HeartbeatConfig.Drain and
+// until its requests have ended, at most HeartbeatConfig.Linger longer, deregisters, and ends. It returns when the
+// server has ended, or with an error when ctx ends.
 func (s *Server) Leave(ctx context.Context) error {
-	if s.beats == nil {
-		return errors.New("a server without beats cannot leave in order: close it")
+	if s.heartbeats == nil {
+		return errors.New("a server without heartbeats cannot leave gracefully: close it")
 	}
-	s.beats.leaving.Do(func() { close(s.beats.leave) })
+	s.heartbeats.leaveOnce.Do(func() { close(s.heartbeats.leave) })
 	select {
-	case <-s.beats.left:
+	case <-s.heartbeats.left:
 	case <-s.ctx.Done():
 		return errors.New("the server ended while it was leaving")
 	case <-ctx.Done():
@@ -78,110 +80,113 @@
 	return nil
 }
 
-func (b *beater) run() {
-	defer b.http.CloseIdleConnections()
+func (h *heartbeater) run() {
+	defer h.http.CloseIdleConnections()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-b.s.ctx.Done():
+		case <-h.s.ctx.Done():
 			return
-		case <-b.leave:
-			b.goAway()
-			close(b.left)
+		case <-h.leave:
+			h.drainAndDeregister()
+			close(h.left)
 			return
 		case <-timer.C:
-			if _, ok := b.call(http.MethodPut, "ready"); ok {
-				b.once.Do(func() { close(b.registered) })
+			if _, ok := h.call(http.MethodPut, "ready"); ok {
+				h.registeredOnce.Do(func() { close(h.registered) })
 			}
-			timer.Reset(b.cfg.Period)
+			timer.Reset(h.cfg.Interval)
 		}
 	}
 }
 
-// goAway drains and leaves.
-func (b *beater) goAway() {
-	b.s.draining.Store(true)
-	if by, ok := b.insist(http.MethodPut, "draining"); ok {
-		b.s.record(Record{Kind: Draining, Agent: by})
+// drainAndDeregister announces that the server drains, lets its requests end, and deregisters it.
+func (h *heartbeater) drainAndDeregister() {
+	h.s.draining.Store(true)
+	if by, ok := h.callUntilAcked(http.MethodPut, "draining"); ok {
+		h.s.record(Record{Kind: Draining, Agent: by})
 	}
-	if !b.sleep(b.cfg.Drain + 100*time.Millisecond) {
+	if !h.sleep(h.cfg.Drain + 100*time.Millisecond) {
 		return
 	}
-	for end := time.Now().Add(b.cfg.Linger); time.Now().Before(end); {
-		if l := b.s.Figures().Load; l.Running+l.Waiting == 0 {
+	for end := time.Now().Add(h.cfg.Linger); time.Now().Before(end); {
+		if l := h.s.Stats().Load; l.Running+l.Waiting == 0 {
 			break
 		}
-		if !b.sleep(20 * time.Millisecond) {
+		if !h.sleep(20 * time.Millisecond) {
 			return
 		}
 	}
-	if by, ok := b.insist(http.MethodDelete, ""); ok {
-		b.s.record(Record{Kind: Gone, Agent: by})
+	if by, ok := h.callUntilAcked(http.MethodDelete, ""); ok {
+		h.s.record(Record{Kind: Deregistered, Agent: by})
 	}
 }
 
-func (b *beater) sleep(d time.Duration) bool {
+// sleep waits for a duration. It returns false if the server ends first.
+func (h *heartbeater) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-b.s.ctx.Done():
+	case <-h.s.ctx.Done():
 		return false
 	}
 }
 
-// insist calls until somebody acknowledges, or long enough.
-func (b *beater) insist(method, state string) (string, bool) {
-	for end := time.Now().Add(unheardFor); time.Now().Before(end); {
-		if by, ok := b.call(method, state); ok {
+// callUntilAcked calls agents until one acknowledges or ackTimeout has passed. It returns the address of that agent.
+func (h *heartbeater) callUntilAcked(method, state string) (string, bool) {
+	for end := time.Now().Add(ackTimeout); time.Now().Before(end); {
+		if by, ok := h.call(method, state); ok {
 			return by, true
 		}
-		if !b.sleep(50 * time.Millisecond) {
+		if !h.sleep(50 * time.Millisecond) {
 			break
 		}
 	}
 	return "", false
 }
 
-// call makes one call to an agent, and to the next ones if it fails, up to a handful.
-func (b *beater) call(method, state string) (by string, ok bool) {
+// call calls an agent, and if that fails the next ones, four at most. It returns the address of the agent that
+// acknowledged the call.
+func (h *heartbeater) call(method, state string) (by string, ok bool) {
 	for range 4 {
-		if b.target == "" {
-			if len(b.rest) == 0 {
-				b.rest = b.s.shuffled(b.cfg.Control())
+		if h.target == "" {
+			if len(h.candidates) == 0 {
+				h.candidates = h.s.shuffled(h.cfg.ControlAddrs())
 			}
-			if len(b.rest) == 0 {
+			if len(h.candidates) == 0 {
 				return "", false
 			}
-			b.target, b.rest = b.rest[0], b.rest[1:]
+			h.target, h.candidates = h.candidates[0], h.candidates[1:]
 		}
-		by, next, err := b.ask(b.target, method, state)
+		by, next, err := h.callAgent(h.target, method, state)
 		if err == nil {
 			if next != "" {
-				b.target = next
+				h.target = next
 			}
 			return by, true
 		}
-		b.target = ""
-		if b.s.ctx.Err() != nil {
+		h.target = ""
+		if h.s.ctx.Err() != nil {
 			return "", false
 		}
 	}
 	return "", false
 }
 
-// ask makes one call to one agent. It tells who answered and where later beats may go.
-func (b *beater) ask(addr, method, state string) (by, next string, err error) {
-	ctx, cancel := context.WithTimeout(b.s.ctx, callFor)
+// callAgent makes one call to one agent. It returns the address of the agent that answered, after redirects, and the
+// address that later heartbeats should go to; empty if it stays the same.
+func (h *heartbeater) callAgent(addr, method, state string) (by, next string, err error) {
+	ctx, cancel := context.WithTimeout(h.s.ctx, callTimeout)
 	defer cancel()
-	b.seq++
-	s := b.s
+	h.seq++
+	s := h.s
 	body, err := json.Marshal(map[string]any{"target-service": s.cfg.Service, "address": s.cfg.Addr, "zone": s.cfg.Zone, "revision": s.cfg.Revision,
-		"slots": s.cfg.Engine.Slots, "state": state, "cold-ms": 0, "phase": phase, "models": s.models(), "call-seq": b.seq})
+		"slots": s.cfg.Engine.Slots, "state": state, "cold-ms": 0, "phase": phase, "models": s.models(), "call-seq": h.seq})
 	if err != nil {
-		return "", "", errors.Wrap(err, "beat")
+		return "", "", errors.Wrap(err, "heartbeat")
 	}
 	if method == http.MethodDelete {
 		body = nil
@@ -189,30 +194,30 @@
 	to := url.URL{Scheme: "http", Host: addr, Path: "/chalkdoor/instances/" + s.id}
 	req, err := http.NewRequestWithContext(ctx, method, to.String(), bytes.NewReader(body))
 	if err != nil {
-		return "", "", errors.Wrap(err, "beat")
+		return "", "", errors.Wrap(err, "heartbeat")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := b.http.Do(req)
+	resp, err := h.http.Do(req)
 	if err != nil {
-		return "", "", errors.Wrap(err, "beat")
+		return "", "", errors.Wrap(err, "heartbeat")
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
-		return "", "", errors.Wrap(err, "beat")
+		return "", "", errors.Wrap(err, "heartbeat")
 	case resp.StatusCode/100 != 2:
-		return "", "", errors.Errorf("beat: status %d", resp.StatusCode)
-	case len(text) > maxAnswer:
-		return "", "", errors.Errorf("beat: an answer of over %d bytes", maxAnswer)
+		return "", "", errors.Errorf("heartbeat: status %d", resp.StatusCode)
+	case len(text) > maxResponseBytes:
+		return "", "", errors.Errorf("heartbeat: response larger than %d bytes", maxResponseBytes)
 	}
-	var answer struct {
+	var response struct {
 		Target string `json:"beat-target"`
 	}
 	if len(text) > 0 {
-		if err := json.Unmarshal(text, &answer); err != nil {
-			return "", "", errors.Wrap(err, "beat")
+		if err := json.Unmarshal(text, &response); err != nil {
+			return "", "", errors.Wrap(err, "heartbeat")
 		}
 	}
-	return resp.Request.URL.Host, answer.Target, nil
+	return resp.Request.URL.Host, response.Target, nil
 }
--- a/internal/testbed/modelserver/engine.go
+++ b/internal/testbed/modelserver/engine.go
@@ -1,8 +1,8 @@
-// Package modelserver is a language model's server as the laboratory has it: requests run in batches,
-// prompts are read chunk by chunk between the tokens of others, and a KV memory keeps parts of
-// prompts. The Engine is a state machine without I/O; a Server puts one on real sockets.
+// Package modelserver simulates a server of a language model for tests: requests run in batches, prompts are prefilled
+// in chunks while other requests produce tokens, and a KV cache keeps parts of prompts. The Engine is a state machine
+// without I/O; a Server serves one over HTTP.
 //
-// It is a model by the published figures of such servers, and not a measurement of them.
+// The simulation is based on published figures of such servers, not on measurements.
 package modelserver
 
 import (
@@ -13,118 +13,119 @@
 	"time"
 )
 
-// EngineConfig is an engine's make.
+// EngineConfig holds the capacity and the speed of an engine.
 type EngineConfig struct {
-	Slots        int     // requests in the batch at most
-	Queue        int     // requests that may wait; beyond them it is full
-	StepMs       float64 // what a step takes with nothing in it
-	SlotMs       float64 // more for each request whose token it makes
-	PrefillPerMs float64 // prompt tokens that are read in a ms
-	Chunk        int     // prompt tokens that one step reads at most
-	KVTokens     int     // memory, shared by running requests and kept parts
-	Stride       int     // tokens to an event of the stream
-	Speed        float64 // times faster than its make; 0: 1
+	Slots        int     // maximum number of requests in the batch
+	Queue        int     // maximum number of waiting requests
+	StepMs       float64 // duration of an empty step, in milliseconds
+	SlotMs       float64 // additional milliseconds for each request that produces a token in the step
+	PrefillPerMs float64 // prompt tokens read per millisecond
+	Chunk        int     // maximum number of prompt tokens read in one step
+	KVTokens     int     // size of the KV cache in tokens, for running requests and cached prompt parts together
+	Stride       int     // tokens per event of the stream
+	Speed        float64 // factor by which steps are faster than the durations above; zero means 1
 }
 
-// Part is a piece of a prompt. Parts with equal IDs behind equal parts are the same.
+// Part is a section of a prompt. Two parts share cache entries if their IDs and lengths and all the parts before them
+// are equal.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Job is one request of an engine.
+// Job is one request to an engine.
 type Job struct {
-	ID       uint64
-	Model    string
-	Parts    []Part // at least one
-	Out      int    // tokens that it puts out
-	Made     int    // of them that exist already, where a stream is taken up: they are read
-	Priority int    // 0 goes first
-	Deadline time.Duration
+	ID           uint64
+	Model        string
+	Parts        []Part        // at least one
+	OutputTokens int           // number of tokens of the complete output
+	PriorTokens  int           // output tokens that exist already when a stream is resumed; they are read, not produced
+	Priority     int           // 0 is the most urgent
+	Deadline     time.Duration // time on the engine's clock; zero if there is none
 }
 
-// tokens is the memory that a job holds at its end.
+// tokens returns the number of KV cache tokens that the job occupies when its output is complete.
 func (j *Job) tokens() int {
-	n := j.Out
+	n := j.OutputTokens
 	for _, p := range j.Parts {
 		n += p.Tokens
 	}
 	return n
 }
 
-// OutputKind is what became of a job.
+// OutputKind is the kind of an Output.
 type OutputKind uint8
 
 // The kinds of outputs.
 const (
-	Ran     OutputKind = iota // its first token is made: from here on it has run
-	Piece                     // an event of its stream
-	Expired                   // its deadline passed; the engine has dropped it
+	FirstToken  OutputKind = iota // the job produced its first token; from now on it counts as executed
+	StreamEvent                   // the job produced an event of its stream
+	Expired                       // the deadline of the job passed and the engine dropped it
 )
 
-// Output is what a step brought about. At is when it happened.
+// Output is something that a job did at the end of a step.
 type Output struct {
-	Job  uint64
-	Kind OutputKind
-	N    int  // of a Piece: its number in the whole stream, from 1
-	Last bool // of a Piece
-	Ran  bool // of an Expired: whether it had run
-	At   time.Duration
+	Job      uint64
+	Kind     OutputKind
+	N        int  // number of a StreamEvent within the whole stream, from 1
+	Last     bool // the StreamEvent is the last one of the stream
+	Executed bool // the Expired job had produced a token
+	At       time.Duration
 }
 
-// Load is what an engine holds.
+// Load is the present load of an engine, with totals since its start.
 type Load struct {
 	Running, Waiting, Slots int
-	KVUsed                  int // held by what runs: it cannot give way
-	KVKept                  int // held by parts that nothing uses
-	KVTotal                 int
-	Read                    int // prompt tokens read so far
-	Saved                   int // prompt tokens that were kept already
-	Preempted               int
+	KVUsed                  int // cache tokens of running jobs, which cannot be evicted
+	KVCached                int // cache tokens of parts that no job uses
+	KVTotal                 int // size of the cache in tokens
+	TokensRead              int // total of prompt tokens and, after a preemption or resumption, output tokens read
+	TokensSaved             int // total of prompt tokens that were found in the cache
+	Preempted               int // total of preemptions
 }
 
 // Engine runs jobs step by step. It is not safe for concurrent use.
 type Engine struct {
-	cfg     EngineConfig
-	next    uint64 // order of arrival
-	waiting []*seq
-	batch   []*seq
-	jobs    map[uint64]*seq
-	nodes   map[string]*node
-	unused  *list.List // of *node, longest unused first
-	used    int        // tokens of memory: nodes and what the batch has made
-
-	stepping bool
-	ends     time.Duration // of the step
-	makers   []*seq        // whose token the step makes
-
-	read, saved, preempted int
+	cfg        EngineConfig
+	lastOrder  uint64 // order of the job that arrived last
+	waiting    []*seq // sorted by compareUrgency
+	batch      []*seq
+	jobs       map[uint64]*seq  // waiting and running jobs by ID
+	nodes      map[string]*node // the cache, by key
+	unused     *list.List       // nodes that no job uses, least recently used first
+	usedTokens int              // occupied cache tokens: those of all nodes and the output tokens of the batch
+
+	stepping  bool          // a step is in progress
+	stepEnd   time.Duration // end of the step in progress
+	producers []*seq        // jobs that produce a token in the step in progress
+
+	tokensRead, tokensSaved, preempted int
 }
 
-// seq is a job under way.
+// seq is a job that waits or runs.
 type seq struct {
 	Job
-	order uint64
-	nodes []*node // held while in the batch
-	at    int     // nodes read
-	made  int     // tokens put out
-	again int     // of them read since it came into the batch
-	ran   bool
-	in    bool // in the batch
-	makes bool // the step under way makes its next token, whose memory is taken
-	gone  bool
+	order      uint64  // order of arrival
+	nodes      []*node // the cache nodes of its parts while it is in the batch
+	nodesRead  int     // number of nodes that are read completely
+	produced   int     // output tokens so far, including PriorTokens
+	outputRead int     // output tokens that were read or produced since the job joined the batch
+	executed   bool    // it has produced a token
+	inBatch    bool
+	producing  bool // the step in progress produces its next token, for which a cache token is reserved
+	dropped    bool
 }
 
-// node is a part behind the parts before it.
+// node is the cache entry of a prompt part that follows certain other parts.
 type node struct {
 	key    string
-	tokens int
-	read   int
-	users  int
-	unused *list.Element
+	tokens int           // length of the part
+	read   int           // tokens read so far
+	users  int           // jobs in the batch that use it
+	unused *list.Element // entry in Engine.unused; nil while the node is used
 }
 
-// NewEngine returns an idle engine with an empty memory.
+// NewEngine returns an idle engine with an empty cache.
 func NewEngine(cfg EngineConfig) *Engine {
 	if cfg.Speed <= 0 {
 		cfg.Speed = 1
@@ -133,92 +134,94 @@
 	return &Engine{cfg: cfg, jobs: map[uint64]*seq{}, nodes: map[string]*node{}, unused: list.New()}
 }
 
-// Submit takes a job in. It tells whether it does: one that is turned away never runs.
+// Submit adds a job. It returns false if it rejects the job, which then never runs.
 func (e *Engine) Submit(now time.Duration, j Job) bool {
-	if j.tokens() > e.cfg.KVTokens || len(j.Parts) == 0 || j.Out <= j.Made || e.jobs[j.ID] != nil {
+	if j.tokens() > e.cfg.KVTokens || len(j.Parts) == 0 || j.OutputTokens <= j.PriorTokens || e.jobs[j.ID] != nil {
 		return false
 	}
 	if len(e.jobs) >= e.cfg.Slots+e.cfg.Queue {
 		return false
 	}
-	e.next++
-	s := &seq{Job: j, order: e.next, made: j.Made}
+	e.lastOrder++
+	s := &seq{Job: j, order: e.lastOrder, produced: j.PriorTokens}
 	e.jobs[j.ID] = s
-	e.wait(s)
+	e.enqueue(s)
 	if !e.stepping {
-		e.plan(now)
+		e.startStep(now)
 	}
 	return true
 }
 
-// wait puts a job among those that wait, the urgent and the older first.
-func (e *Engine) wait(s *seq) {
-	i, _ := slices.BinarySearchFunc(e.waiting, s, before)
+// enqueue adds a job to the queue, which is ordered by priority and then by arrival.
+func (e *Engine) enqueue(s *seq) {
+	i, _ := slices.BinarySearchFunc(e.waiting, s, compareUrgency)
 	e.waiting = slices.Insert(e.waiting, i, s)
 }
 
-func anyone(*seq) bool { return true }
+func anySeq(*seq) bool { return true }
 
-func before(a, b *seq) int {
+// compareUrgency orders jobs by priority and then by arrival.
+func compareUrgency(a, b *seq) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.order, b.order))
 }
 
-// Cancel drops a job. It tells whether it was there, and whether it had run.
-func (e *Engine) Cancel(id uint64) (there, ran bool) {
+// Cancel drops a job. It reports whether the job existed and whether it had produced a token.
+func (e *Engine) Cancel(id uint64) (found, executed bool) {
 	s := e.jobs[id]
 	if s == nil {
 		return false, false
 	}
 	e.drop(s)
-	return true, s.ran
+	return true, s.executed
 }
 
-// Next is when the step under way ends; false while idle.
-func (e *Engine) Next() (time.Duration, bool) { return e.ends, e.stepping }
+// StepEnd returns the end of the step in progress. It returns false if the engine is idle.
+func (e *Engine) StepEnd() (time.Duration, bool) { return e.stepEnd, e.stepping }
 
-// Advance ends all steps that are over by now and begins the next one.
+// Advance ends all steps whose end has been reached, starts the next one, and returns out with their
+// outputs appended.
 func (e *Engine) Advance(now time.Duration, out []Output) []Output {
-	for e.stepping && e.ends <= now {
-		at := e.ends
-		for _, s := range e.makers {
-			if s.makes {
-				out = e.token(s, at, out)
+	for e.stepping && e.stepEnd <= now {
+		at := e.stepEnd
+		for _, s := range e.producers {
+			if s.producing {
+				out = e.produceToken(s, at, out)
 			}
 		}
-		out = e.expire(at, out)
-		e.plan(at)
+		out = e.dropExpired(at, out)
+		e.startStep(at)
 	}
 	return out
 }
 
-// expire drops the jobs whose deadline has passed, in the order in which they came.
-func (e *Engine) expire(at time.Duration, out []Output) []Output {
-	var over []*seq
+// dropExpired drops the jobs whose deadline has passed, ordered by urgency.
+func (e *Engine) dropExpired(at time.Duration, out []Output) []Output {
+	var expired []*seq
 	for _, s := range e.jobs {
 		if s.Deadline > 0 && s.Deadline <= at {
-			over = append(over, s)
+			expired = append(expired, s)
 		}
 	}
-	slices.SortFunc(over, before)
-	for _, s := range over {
-		out = append(out, Output{Job: s.ID, Kind: Expired, Ran: s.ran, At: at})
+	slices.SortFunc(expired, compareUrgency)
+	for _, s := range expired {
+		out = append(out, Output{Job: s.ID, Kind: Expired, Executed: s.executed, At: at})
 		e.drop(s)
 	}
 	return out
 }
 
-// token makes one token of a job.
-func (e *Engine) token(s *seq, at time.Duration, out []Output) []Output {
-	s.makes = false
-	s.made++
-	s.again++
-	if !s.ran {
-		s.ran = true
-		out = append(out, Output{Job: s.ID, Kind: Ran, At: at})
+// produceToken produces one token of a job.
+func (e *Engine) produceToken(s *seq, at time.Duration, out []Output) []Output {
+	s.producing = false
+	s.produced++
+	s.outputRead++
+	if !s.executed {
+		s.executed = true
+		out = append(out, Output{Job: s.ID, Kind: FirstToken, At: at})
 	}
-	last := s.made == s.Out
-	if last || s.made%e.cfg.Stride == 0 {
-		out = append(out, Output{Job: s.ID, Kind: Piece, N: (s.made + e.cfg.Stride - 1) / e.cfg.Stride, Last: last, At: at})
+	last := s.produced == s.OutputTokens
+	if last || s.produced%e.cfg.Stride == 0 {
+		out = append(out, Output{Job: s.ID, Kind: StreamEvent, N: (s.produced + e.cfg.Stride - 1) / e.cfg.Stride, Last: last, At: at})
 	}
 	if last {
 		e.drop(s)
@@ -226,82 +229,83 @@
 	return out
 }
 
-// plan begins a step at a time: it lets jobs in, gives them memory, and shares out what is read.
-func (e *Engine) plan(now time.Duration) {
+// startStep starts a step: it admits jobs to the batch, distributes the chunk of tokens to read over them, and reserves
+// cache tokens for those that produce a token.
+func (e *Engine) startStep(now time.Duration) {
 	e.admit()
-	e.makers = e.makers[:0]
-	slices.SortFunc(e.batch, before)
+	e.producers = e.producers[:0]
+	slices.SortFunc(e.batch, compareUrgency)
 	budget := e.cfg.Chunk
 	for _, s := range slices.Clone(e.batch) {
-		if !s.in { // preempted below
+		if !s.inBatch { // an earlier iteration preempted it
 			continue
 		}
-		budget = e.readOn(s, budget)
-		if s.at < len(s.nodes) || s.again < s.made {
+		budget = e.prefill(s, budget)
+		if s.nodesRead < len(s.nodes) || s.outputRead < s.produced {
 			continue
 		}
-		for s.in && !e.room(1, nil) {
-			e.preempt(e.newest(anyone)) // it may be this job itself
+		for s.inBatch && !e.makeRoom(1, nil) {
+			e.preempt(e.leastUrgent(anySeq)) // may be s itself
 		}
-		if s.in {
-			s.makes = true
-			e.used++
-			e.makers = append(e.makers, s)
+		if s.inBatch {
+			s.producing = true
+			e.usedTokens++
+			e.producers = append(e.producers, s)
 		}
 	}
-	// A job that was preempted after its token was planned makes none.
-	e.makers = slices.DeleteFunc(e.makers, func(s *seq) bool { return !s.makes })
+	// A job that was preempted after it was added to the producers produces no token.
+	e.producers = slices.DeleteFunc(e.producers, func(s *seq) bool { return !s.producing })
 	if e.stepping = len(e.batch) > 0; !e.stepping {
 		return
 	}
 	read := e.cfg.Chunk - budget
-	ms := (e.cfg.StepMs + e.cfg.SlotMs*float64(len(e.makers)) + float64(read)/e.cfg.PrefillPerMs) / e.cfg.Speed
-	e.ends = now + max(time.Duration(ms*float64(time.Millisecond)), time.Microsecond)
+	ms := (e.cfg.StepMs + e.cfg.SlotMs*float64(len(e.producers)) + float64(read)/e.cfg.PrefillPerMs) / e.cfg.Speed
+	e.stepEnd = now + max(time.Duration(ms*float64(time.Millisecond)), time.Microsecond)
 }
 
-// readOn reads a job's prompt, and what it had put out before it was preempted, within a
-// budget. What it reads is there for others that share it.
-func (e *Engine) readOn(s *seq, budget int) int {
-	for s.at < len(s.nodes) && budget > 0 {
-		n := s.nodes[s.at]
+// prefill reads the prompt of a job, and then the output that existed before the job joined the batch, up to budget
+// tokens. It returns the remaining budget. Nodes that it reads are available to all jobs that share them.
+func (e *Engine) prefill(s *seq, budget int) int {
+	for s.nodesRead < len(s.nodes) && budget > 0 {
+		n := s.nodes[s.nodesRead]
 		x := min(n.tokens-n.read, budget)
 		n.read += x
 		budget -= x
-		e.read += x
+		e.tokensRead += x
 		if n.read < n.tokens {
 			return budget
 		}
-		s.at++
+		s.nodesRead++
 	}
-	if s.at == len(s.nodes) && s.again < s.made {
-		x := min(s.made-s.again, budget)
-		s.again += x
+	if s.nodesRead == len(s.nodes) && s.outputRead < s.produced {
+		x := min(s.produced-s.outputRead, budget)
+		s.outputRead += x
 		budget -= x
-		e.read += x
+		e.tokensRead += x
 	}
 	return budget
 }
 
-// admit lets waiting jobs into the batch in their order. An urgent one preempts others of
-// their place and memory.
+// admit moves waiting jobs into the batch in their order. A job that lacks a slot or cache tokens preempts less urgent
+// ones.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
 		s := e.waiting[0]
-		less := func(o *seq) bool { return o.Priority > s.Priority }
-		for len(e.batch) >= e.cfg.Slots || !e.fits(s) {
-			v := e.newest(less)
-			if v == nil {
+		lessUrgent := func(o *seq) bool { return o.Priority > s.Priority }
+		for len(e.batch) >= e.cfg.Slots || !e.makeRoomFor(s) {
+			victim := e.leastUrgent(lessUrgent)
+			if victim == nil {
 				return
 			}
-			e.preempt(v)
+			e.preempt(victim)
 		}
 		e.waiting = slices.Delete(e.waiting, 0, 1)
-		e.enter(s)
+		e.joinBatch(s)
 	}
 }
 
-// keys are the names of a job's parts behind the parts before them.
-func (s *seq) keys() []string {
+// nodeKeys returns the cache keys of the job's parts. Each key contains the model and all the parts before it.
+func (s *seq) nodeKeys() []string {
 	keys, key := make([]string, len(s.Parts)), s.Model
 	for i, p := range s.Parts {
 		key += "/" + p.ID + ":" + strconv.Itoa(p.Tokens)
@@ -310,51 +314,54 @@
 	return keys
 }
 
-// fits makes room for what a job lacks. The parts that it finds do not give way for it.
-func (e *Engine) fits(s *seq) bool {
-	need, kept := s.made+1, map[*node]bool{}
-	for i, key := range s.keys() {
+// makeRoomFor evicts unused nodes until the job fits into the cache, and reports whether it does. It evicts none of the
+// nodes that the job itself uses.
+func (e *Engine) makeRoomFor(s *seq) bool {
+	need, shared := s.produced+1, map[*node]bool{}
+	for i, key := range s.nodeKeys() {
 		if n := e.nodes[key]; n != nil {
-			kept[n] = true
+			shared[n] = true
 		} else {
 			need += s.Parts[i].Tokens
 		}
 	}
-	return e.room(need, kept)
+	return e.makeRoom(need, shared)
 }
 
-// room makes room for so many tokens: unused parts give way, the longest unused first.
-func (e *Engine) room(tokens int, kept map[*node]bool) bool {
-	for el := e.unused.Front(); el != nil && e.used+tokens > e.cfg.KVTokens; {
+// makeRoom evicts unused nodes, least recently used first, until the given number of tokens is free, and reports
+// whether it is. It doesn't evict nodes in keep.
+func (e *Engine) makeRoom(tokens int, keep map[*node]bool) bool {
+	for el := e.unused.Front(); el != nil && e.usedTokens+tokens > e.cfg.KVTokens; {
 		n := el.Value.(*node)
 		el = el.Next()
-		if !kept[n] {
-			e.forget(n)
+		if !keep[n] {
+			e.evict(n)
 		}
 	}
-	return e.used+tokens <= e.cfg.KVTokens
+	return e.usedTokens+tokens <= e.cfg.KVTokens
 }
 
-func (e *Engine) forget(n *node) {
+// evict removes a node from the cache.
+func (e *Engine) evict(n *node) {
 	if n.unused != nil {
 		e.unused.Remove(n.unused)
 	}
-	e.used -= n.tokens
+	e.usedTokens -= n.tokens
 	delete(e.nodes, n.key)
 }
 
-// enter puts a job in the batch, with the memory that fits found.
-func (e *Engine) enter(s *seq) {
-	s.in, s.at, s.again = true, 0, 0
+// joinBatch moves a job into the batch. The caller has made room for it in the cache.
+func (e *Engine) joinBatch(s *seq) {
+	s.inBatch, s.nodesRead, s.outputRead = true, 0, 0
 	s.nodes = s.nodes[:0]
-	for i, key := range s.keys() {
+	for i, key := range s.nodeKeys() {
 		n := e.nodes[key]
 		if n == nil {
 			n = &node{key: key, tokens: s.Parts[i].Tokens}
 			e.nodes[key] = n
-			e.used += n.tokens
+			e.usedTokens += n.tokens
 		}
-		e.saved += n.read
+		e.tokensSaved += n.read
 		if n.unused != nil {
 			e.unused.Remove(n.unused)
 			n.unused = nil
@@ -362,43 +369,44 @@
 		n.users++
 		s.nodes = append(s.nodes, n)
 	}
-	e.used += s.made
+	e.usedTokens += s.produced
 	e.batch = append(e.batch, s)
 }
 
-// newest is the newest among the least urgent jobs of the batch that may be preempted.
-func (e *Engine) newest(may func(*seq) bool) (v *seq) {
+// leastUrgent returns the least urgent job of the batch that satisfies a condition, the newest one if several have the
+// same priority; nil if there is none.
+func (e *Engine) leastUrgent(condition func(*seq) bool) (found *seq) {
 	for _, s := range e.batch {
-		if may(s) && (v == nil || before(v, s) < 0) {
-			v = s
+		if condition(s) && (found == nil || compareUrgency(found, s) < 0) {
+			found = s
 		}
 	}
-	return v
+	return found
 }
 
-// preempt puts a job back among those that wait. It will be read anew.
+// preempt moves a job from the batch back to the queue. Its output so far is read again when it rejoins the batch.
 func (e *Engine) preempt(s *seq) {
 	e.preempted++
-	e.leave(s)
-	e.wait(s)
+	e.leaveBatch(s)
+	e.enqueue(s)
 }
 
-// leave takes a job out of the batch. Its whole parts are kept, until they give way.
-func (e *Engine) leave(s *seq) {
-	s.in = false
+// leaveBatch removes a job from the batch. The parts that it has read completely stay cached until they are evicted.
+func (e *Engine) leaveBatch(s *seq) {
+	s.inBatch = false
 	e.batch = slices.DeleteFunc(e.batch, func(o *seq) bool { return o == s })
-	e.used -= s.made
-	if s.makes {
-		s.makes = false
-		e.used--
+	e.usedTokens -= s.produced
+	if s.producing {
+		s.producing = false
+		e.usedTokens--
 	}
-	// From the last to the first: what stands behind others gives way before them.
+	// From the last to the first, so that a part is evicted before the parts that precede it in the prompt.
 	for _, n := range slices.Backward(s.nodes) {
 		if n.users--; n.users > 0 {
 			continue
 		}
 		if n.read < n.tokens {
-			e.forget(n)
+			e.evict(n)
 			continue
 		}
 		n.unused = e.unused.PushBack(n)
@@ -406,27 +414,27 @@
 	s.nodes = s.nodes[:0]
 }
 
-// drop ends a job.
+// drop removes a job, whether it waits or runs.
 func (e *Engine) drop(s *seq) {
-	if s.gone {
+	if s.dropped {
 		return
 	}
-	s.gone = true
+	s.dropped = true
 	delete(e.jobs, s.ID)
-	if s.in {
-		e.leave(s)
+	if s.inBatch {
+		e.leaveBatch(s)
 		return
 	}
 	e.waiting = slices.DeleteFunc(e.waiting, func(o *seq) bool { return o == s })
 }
 
-// Load is what it holds now.
+// Load returns the present load and the totals.
 func (e *Engine) Load() Load {
 	l := Load{Running: len(e.batch), Waiting: len(e.waiting), Slots: e.cfg.Slots, KVTotal: e.cfg.KVTokens,
-		Read: e.read, Saved: e.saved, Preempted: e.preempted}
+		TokensRead: e.tokensRead, TokensSaved: e.tokensSaved, Preempted: e.preempted}
 	for el := e.unused.Front(); el != nil; el = el.Next() {
-		l.KVKept += el.Value.(*node).tokens
+		l.KVCached += el.Value.(*node).tokens
 	}
-	l.KVUsed = e.used - l.KVKept
+	l.KVUsed = e.usedTokens - l.KVCached
 	return l
 }
--- a/internal/testbed/modelserver/server.go
+++ b/internal/testbed/modelserver/server.go
@@ -17,110 +17,110 @@
 )
 
 const (
-	// maxBody bounds the body of a request.
-	maxBody = 8 << 20
-	// idleFor is how long an idle connection is kept; Keep-Alive tells it.
-	idleFor = 20 * time.Second
-	// reportStep is how often the report is brought up to date.
-	reportStep = 50 * time.Millisecond
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 8 << 20
+	// idleTimeout is how long an idle connection is kept open. The Keep-Alive header announces it.
+	idleTimeout = 20 * time.Second
+	// reportInterval is the interval at which the load for reports is sampled.
+	reportInterval = 50 * time.Millisecond
 )
 
-// Config is how a server is made.
+// Config configures a server.
 type Config struct {
-	Addr       string // where it listens; port 0 for any
-	Service    string
-	Zone       string
-	Revision   string // of its software
-	Model      string
-	Weights    int // revision of the model
-	Engine     EngineConfig
-	ConnLimit  int
-	HealthPath string
-	ReportLag  time.Duration // how old a report is
-	Seed       uint64
-
-	// Now is the clock of records, of the laboratory's own. It has to be steady.
+	Addr          string // address to listen on; port 0 chooses a free port
+	Service       string
+	Zone          string
+	Revision      string // revision of the server's software
+	Model         string
+	ModelRevision int
+	Engine        EngineConfig
+	ConnLimit     int           // maximum number of open connections; zero if there is no limit
+	HealthPath    string        // "/health" if empty
+	ReportLag     time.Duration // age of the load in reports
+	Seed          uint64        // not used
+
+	// Now returns the time of records. It must be monotonic. If it is nil, times count from the start of the server.
 	Now func() time.Duration
-	// Seen is told what the server did, from many goroutines. It must not block.
-	Seen func(Record)
+	// OnRecord is called for each record, concurrently. It must not block.
+	OnRecord func(Record)
 
-	Beats *BeatConfig // nil: it tells nobody of itself
+	Heartbeats *HeartbeatConfig // nil if the server does not register with agents
 }
 
-// RecordKind is what a server did.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	Arrived    RecordKind = iota // a whole request
-	TurnedAway                   // the answer was that it has not run: Status
-	Started                      // it began to run
-	Ended                        // Pieces: the last event's number; Whole: the stream's end was sent
-	Unrunnable                   // what came has no id or cannot be read; it was not run
-	Draining                     // its draining was acknowledged, by Agent
-	Gone                         // its leaving was acknowledged, by Agent
-	Crashed                      // it broke off all that it did
+	Arrived        RecordKind = iota // a request was received completely
+	Rejected                         // the request was answered with Status and not executed
+	Started                          // the run of the request produced its first token
+	Ended                            // the run ended
+	InvalidRequest                   // the request has no attempt id or cannot be parsed; it was not executed
+	Draining                         // Agent acknowledged that the server drains
+	Deregistered                     // Agent acknowledged the deregistration of the server
+	Crashed                          // the server crashed and cut off all requests
 )
 
-// Record is one thing that a server did.
+// Record is an event in the life of a server or of one of its requests.
 type Record struct {
-	At       time.Duration
-	Kind     RecordKind
-	Service  string
-	Instance string
-	Seal     string // of the run
-	Attempt  string
-	Method   string
-	Target   string // path and query
-	Host     string
-	Body     uint64 // its Sum
-	Status   int
-	First    int // of Started: the number of the first event that it makes
-	Pieces   int
-	Whole    bool
-	Agent    string
+	At         time.Duration
+	Kind       RecordKind
+	Service    string
+	Instance   string
+	Seal       string // identifies the run; the response and its events carry it
+	Attempt    string // attempt id of the request
+	Method     string
+	Target     string // path and query
+	Host       string
+	BodyHash   uint64 // Hash of the request's body
+	Status     int
+	FirstEvent int    // number of the first event that the run produces
+	LastEvent  int    // number of the last event that the run produced
+	Complete   bool   // the run produced the last event of the stream
+	Agent      string // address of the agent, for Draining and Deregistered
 }
 
-// Figures are counts over a server's life.
-type Figures struct {
+// Stats holds a server's load and its totals since the start.
+type Stats struct {
 	Load
-	Arrived, Ran, TurnedAway, Conns, ConnsReset int
-	Health, Reports                             int
+	Arrived, Executed, Rejected, Conns, ConnsReset int
+	HealthChecks, Reports                          int
 }
 
-// Server is one incarnation of a model server on a socket. Start starts it; Leave, Crash or
-// Close ends it.
+// Server is one incarnation of a model server that listens on a socket. Start starts it; Leave, Crash or Close ends it.
 type Server struct {
 	cfg  Config
 	id   string
 	ln   net.Listener
 	http *http.Server
 
-	ctx      context.Context
-	cancel   context.CancelFunc
-	owner    sync.WaitGroup
-	ending   sync.Once
-	draining atomic.Bool
-	beats    *beater
-
-	arrived, ran, turned, accepted, reset, health, reports atomic.Int64
-
-	mu     sync.Mutex // guards what follows; held for no I/O
-	engine *Engine
-	epoch  time.Time
-	lastID uint64
-	sinks  map[uint64]chan Output
-	past   []snapshot
-	wake   chan struct{}
-	conns  map[net.Conn]bool
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	endOnce    sync.Once
+	draining   atomic.Bool
+	heartbeats *heartbeater // nil if the server does not register with agents
+
+	arrived, executed, rejected, accepted, reset, healthChecks, reports atomic.Int64
+
+	mu          sync.Mutex // guards the fields below; not held during I/O
+	engine      *Engine
+	startedAt   time.Time
+	lastJobID   uint64
+	outputs     map[uint64]chan Output // by job ID
+	loadHistory []loadSample           // the first one is the load that reports contain
+	jobAdded    chan struct{}
+	conns       map[net.Conn]bool
 }
 
-type snapshot struct {
+// loadSample is the engine's load at a time.
+type loadSample struct {
 	at   time.Duration
 	load Load
 }
 
-// Start starts a server. It listens when Start returns, and its first beat is under way.
+// Start starts a server. The server listens when Start returns, and sends its first heartbeat at once.
 func Start(cfg Config) (*Server, error) {
 	ln, err := net.Listen("tcp", cfg.Addr)
 	if err != nil {
@@ -130,67 +130,75 @@
 	if cfg.HealthPath == "" {
 		cfg.HealthPath = "/health"
 	}
-	if cfg.Seen == nil {
-		cfg.Seen = func(Record) {}
+	if cfg.OnRecord == nil {
+		cfg.OnRecord = func(Record) {}
 	}
-	s := &Server{cfg: cfg, id: "i-" + strconv.FormatUint(rand.Uint64(), 16), engine: NewEngine(cfg.Engine), epoch: time.Now(),
-		sinks: map[uint64]chan Output{}, wake: make(chan struct{}, 1), conns: map[net.Conn]bool{}}
-	s.past = []snapshot{{load: s.engine.Load()}} // what a report tells until its lag has passed
+	s := &Server{cfg: cfg, id: "i-" + strconv.FormatUint(rand.Uint64(), 16), engine: NewEngine(cfg.Engine), startedAt: time.Now(),
+		outputs: map[uint64]chan Output{}, jobAdded: make(chan struct{}, 1), conns: map[net.Conn]bool{}}
+	s.loadHistory = []loadSample{{load: s.engine.Load()}} // reports contain the idle load until ReportLag has passed
 	if cfg.Now == nil {
-		s.cfg.Now = func() time.Duration { return time.Since(s.epoch) }
+		s.cfg.Now = func() time.Duration { return time.Since(s.startedAt) }
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.ln = &limited{Listener: ln, s: s}
-	s.http = &http.Server{Handler: http.HandlerFunc(s.serve), IdleTimeout: idleFor, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second,
+	s.ln = &limitedListener{Listener: ln, s: s}
+	s.http = &http.Server{Handler: http.HandlerFunc(s.serve), IdleTimeout: idleTimeout, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 10 * time.Second,
 		ConnState: s.connState, BaseContext: func(net.Listener) context.Context { return s.ctx }}
-	s.owner.Go(func() { _ = s.http.Serve(s.ln) }) // it ends by Close
-	s.owner.Go(s.run)
-	if cfg.Beats != nil {
-		s.beats = newBeater(s, *cfg.Beats)
-		s.owner.Go(s.beats.run)
+	s.goroutines.Go(func() { _ = s.http.Serve(s.ln) }) // returns when the listener is closed
+	s.goroutines.Go(s.runEngine)
+	if cfg.Heartbeats != nil {
+		s.heartbeats = newHeartbeater(s, *cfg.Heartbeats)
+		s.goroutines.Go(s.heartbeats.run)
 	}
 	return s, nil
 }
 
-// ID is the incarnation's, Addr where it listens, Service whose it is.
-func (s *Server) ID() string      { return s.id }
-func (s *Server) Addr() string    { return s.cfg.Addr }
+// ID returns the instance id, which is different for each incarnation.
+func (s *Server) ID() string { return s.id }
+
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.cfg.Addr }
+
+// Service returns the service that the server belongs to.
 func (s *Server) Service() string { return s.cfg.Service }
 
-// Registered is closed when the first beat has been acknowledged; nil without beats.
+// Registered returns a channel that is closed when an agent has acknowledged the first heartbeat; nil if the server
+// sends no heartbeats.
 func (s *Server) Registered() <-chan struct{} {
-	if s.beats == nil {
+	if s.heartbeats == nil {
 		return nil
 	}
-	return s.beats.registered
+	return s.heartbeats.registered
 }
 
-// Figures is what it did so far.
-func (s *Server) Figures() Figures {
+// Stats returns the present load and the totals.
+func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	l := s.engine.Load()
 	s.mu.Unlock()
-	return Figures{Load: l, Arrived: int(s.arrived.Load()), Ran: int(s.ran.Load()), TurnedAway: int(s.turned.Load()),
-		Conns: int(s.accepted.Load()), ConnsReset: int(s.reset.Load()), Health: int(s.health.Load()), Reports: int(s.reports.Load())}
+	return Stats{Load: l, Arrived: int(s.arrived.Load()), Executed: int(s.executed.Load()),
+		Rejected: int(s.rejected.Load()), Conns: int(s.accepted.Load()), ConnsReset: int(s.reset.Load()),
+		HealthChecks: int(s.healthChecks.Load()), Reports: int(s.reports.Load())}
 }
 
-// Crash ends it as a crash does: all connections are reset, and nobody is told.
+// Crash ends the server as a crash does: it resets all connections and does not deregister.
 func (s *Server) Crash() {
 	s.record(Record{Kind: Crashed})
 	s.end(true)
 }
 
-// Close ends it for the laboratory's own end.
+// Close ends the server at the end of a test, like Crash but without a record.
 func (s *Server) Close() { s.end(true) }
 
-func (s *Server) end(hard bool) {
-	s.ending.Do(func() {
+// end closes the listener and all connections, and waits for the server's goroutines. With reset, connections are reset
+// instead of closed.
+func (s *Server) end(reset bool) {
+	s.endOnce.Do(func() {
 		s.ln.Close()
-		if hard {
+		if reset {
 			s.mu.Lock()
 			for c := range s.conns {
 				if t, ok := c.(*net.TCPConn); ok {
-					_ = t.SetLinger(0) // the kernel resets it
+					_ = t.SetLinger(0) // the kernel resets the connection on close
 				}
 			}
 			s.mu.Unlock()
@@ -198,21 +206,21 @@
 		s.cancel()
 		s.http.Close()
 	})
-	s.owner.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) record(r Record) {
 	r.At, r.Service, r.Instance = s.cfg.Now(), s.cfg.Service, s.id
-	s.cfg.Seen(r)
+	s.cfg.OnRecord(r)
 }
 
-// limited resets connections beyond the limit.
-type limited struct {
+// limitedListener resets connections beyond the connection limit.
+type limitedListener struct {
 	net.Listener
 	s *Server
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
@@ -242,40 +250,40 @@
 	}
 }
 
-// clock is the engine's.
-func (s *Server) clock() time.Duration { return time.Since(s.epoch) }
+// engineTime returns the time on the engine's clock.
+func (s *Server) engineTime() time.Duration { return time.Since(s.startedAt) }
 
-// run drives the engine: the one goroutine by which its time goes on.
-func (s *Server) run() {
+// runEngine advances the engine and passes its outputs on. It is the only goroutine that does so.
+func (s *Server) runEngine() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	report := time.NewTicker(reportStep)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	var out []Output
 	for {
 		s.mu.Lock()
-		out = s.engine.Advance(s.clock(), out[:0])
+		out = s.engine.Advance(s.engineTime(), out[:0])
 		for _, o := range out {
-			if c := s.sinks[o.Job]; c != nil {
-				c <- o // it has room for all outputs of its job
+			if c := s.outputs[o.Job]; c != nil {
+				c <- o // never blocks: the buffer holds all outputs of the job
 			}
 		}
-		at, busy := s.engine.Next()
+		at, busy := s.engine.StepEnd()
 		s.mu.Unlock()
 		if busy {
-			timer.Reset(at - s.clock())
+			timer.Reset(at - s.engineTime())
 		} else {
 			timer.Stop()
 		}
 		select {
 		case <-timer.C:
-		case <-s.wake:
+		case <-s.jobAdded:
 		case <-report.C:
 			s.mu.Lock()
-			now := s.clock()
-			s.past = append(s.past, snapshot{now, s.engine.Load()})
-			for len(s.past) > 1 && s.past[1].at <= now-s.cfg.ReportLag {
-				s.past = s.past[1:]
+			now := s.engineTime()
+			s.loadHistory = append(s.loadHistory, loadSample{now, s.engine.Load()})
+			for len(s.loadHistory) > 1 && s.loadHistory[1].at <= now-s.cfg.ReportLag {
+				s.loadHistory = s.loadHistory[1:]
 			}
 			s.mu.Unlock()
 		case <-s.ctx.Done():
@@ -284,72 +292,74 @@
 	}
 }
 
-// submit hands the engine a job and returns where its outputs come.
+// submit adds a job to the engine. It returns the job's ID and the channel of its outputs, or false if the engine
+// rejects the job.
 func (s *Server) submit(j Job) (uint64, <-chan Output, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastID++
-	j.ID = s.lastID
+	s.lastJobID++
+	j.ID = s.lastJobID
 	if j.Deadline > 0 {
-		j.Deadline += s.clock()
+		j.Deadline += s.engineTime()
 	}
-	// A start, each event, and the deadline.
-	sink := make(chan Output, (j.Out-j.Made)/max(s.cfg.Engine.Stride, 1)+3)
-	if !s.engine.Submit(s.clock(), j) {
+	// Outputs are the first token, each event and the expiry.
+	outputs := make(chan Output, (j.OutputTokens-j.PriorTokens)/max(s.cfg.Engine.Stride, 1)+3)
+	if !s.engine.Submit(s.engineTime(), j) {
 		return 0, nil, false
 	}
-	s.sinks[j.ID] = sink
+	s.outputs[j.ID] = outputs
 	select {
-	case s.wake <- struct{}{}:
+	case s.jobAdded <- struct{}{}:
 	default:
 	}
-	return j.ID, sink, true
+	return j.ID, outputs, true
 }
 
-func (s *Server) forget(id uint64) {
+// cancelJob cancels a job that may have ended, and drops its outputs.
+func (s *Server) cancelJob(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engine.Cancel(id)
-	delete(s.sinks, id)
+	delete(s.outputs, id)
 }
 
-// serve answers one request.
+// serve handles reports, health checks and requests to the model.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Set(HeaderInstance, s.id)
-	h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(idleFor/time.Second)))
+	h.Set("Keep-Alive", "timeout="+strconv.Itoa(int(idleTimeout/time.Second)))
 	if s.draining.Load() {
 		h.Set("Connection", "close")
 	}
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == ReportPath:
 		s.reports.Add(1)
-		s.report(w)
+		s.writeReport(w)
 	case r.Method == http.MethodGet && r.URL.Path == s.cfg.HealthPath:
-		s.health.Add(1)
-		s.healthy(w, r)
+		s.healthChecks.Add(1)
+		s.checkHealth(w, r)
 	default:
-		s.request(w, r)
+		s.handleRequest(w, r)
 	}
 }
 
-// load tells what it holds in the header that some servers send.
-func (s *Server) load(h http.Header) {
+// setLoadHeader sets the header with the present load: running jobs, waiting jobs and slots.
+func (s *Server) setLoadHeader(h http.Header) {
 	s.mu.Lock()
 	l := s.engine.Load()
 	s.mu.Unlock()
 	h.Set(HeaderLoad, strconv.Itoa(l.Running)+","+strconv.Itoa(l.Waiting)+","+strconv.Itoa(l.Slots))
 }
 
-func (s *Server) report(w http.ResponseWriter) {
+func (s *Server) writeReport(w http.ResponseWriter) {
 	s.mu.Lock()
 	l := Load{Slots: s.cfg.Engine.Slots, KVTotal: s.cfg.Engine.KVTokens}
-	if len(s.past) > 0 {
-		l = s.past[0].load
+	if len(s.loadHistory) > 0 {
+		l = s.loadHistory[0].load
 	}
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(struct { // or the asker has gone
+	_ = json.NewEncoder(w).Encode(struct { // an error means that the caller has disconnected
 		Phase     string  `json:"phase"`
 		Models    []Model `json:"models"`
 		Saturated bool    `json:"saturated"`
@@ -362,36 +372,36 @@
 	}{Phase: phase, Models: s.models(), Queued: l.Waiting, InFlight: l.Running, KVUsed: l.KVUsed, KVTotal: l.KVTotal})
 }
 
-// phase is the only one there is: servers that read prompts and put out tokens.
+// phase is the phase in heartbeats and reports: the server does both prefill and decoding.
 const phase = "both_paths"
 
-// Model is one that a server holds.
+// Model describes a model in heartbeats and reports.
 type Model struct {
 	Name     string   `json:"name"`
 	Revision int      `json:"revision"`
 	Adapters []string `json:"adapters"`
 }
 
-func (s *Server) models() []Model { return []Model{{s.cfg.Model, s.cfg.Weights, []string{}}} }
+func (s *Server) models() []Model { return []Model{{s.cfg.Model, s.cfg.ModelRevision, []string{}}} }
 
-// healthy answers a health check, which takes a place like a request.
-func (s *Server) healthy(w http.ResponseWriter, r *http.Request) {
-	s.load(w.Header())
+// checkHealth answers a health check, which takes a slot of the engine like a request.
+func (s *Server) checkHealth(w http.ResponseWriter, r *http.Request) {
+	s.setLoadHeader(w.Header())
 	if s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	id, sink, ok := s.submit(Job{Model: "health", Parts: []Part{{ID: "health", Tokens: 1}}, Out: 1})
+	id, outputs, ok := s.submit(Job{Model: "health", Parts: []Part{{ID: "health", Tokens: 1}}, OutputTokens: 1})
 	if !ok {
 		w.Header().Set(HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.forget(id)
+	defer s.cancelJob(id)
 	for {
 		select {
-		case o := <-sink:
-			if o.Kind == Piece {
+		case o := <-outputs:
+			if o.Kind == StreamEvent {
 				return
 			}
 		case <-r.Context().Done():
@@ -400,61 +410,61 @@
 	}
 }
 
-// request runs one request of the model.
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-	if err != nil || len(body) > maxBody {
-		panic(http.ErrAbortHandler) // its sender has gone, or is none of ours
+// handleRequest handles a request to the model.
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
+		panic(http.ErrAbortHandler) // the connection broke or the body is too large
 	}
-	rec := Record{Attempt: r.Header.Get(HeaderAttempt), Method: r.Method, Target: r.URL.RequestURI(), Host: r.Host, Body: Sum(string(body))}
-	note := func(k RecordKind) { rec.Kind = k; s.record(rec) }
-	away := func(status int, notRun bool) {
-		s.turned.Add(1)
+	rec := Record{Attempt: r.Header.Get(HeaderAttempt), Method: r.Method, Target: r.URL.RequestURI(), Host: r.Host, BodyHash: Hash(string(body))}
+	record := func(k RecordKind) { rec.Kind = k; s.record(rec) }
+	reject := func(status int, notRun bool) {
+		s.rejected.Add(1)
 		rec.Status = status
-		note(TurnedAway)
+		record(Rejected)
 		if notRun {
 			w.Header().Set(HeaderNotRun, "1")
 		}
-		s.load(w.Header())
+		s.setLoadHeader(w.Header())
 		w.WriteHeader(status)
 	}
 	if rec.Attempt == "" {
-		note(Unrunnable)
+		record(InvalidRequest)
 		w.Header().Set(HeaderNotRun, "1")
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	w.Header().Set(HeaderAttempt, rec.Attempt)
 	s.arrived.Add(1)
-	note(Arrived)
+	record(Arrived)
 	if x := r.Header.Get(HeaderExpect); x != "" && x != s.id {
-		away(http.StatusMisdirectedRequest, false)
+		reject(http.StatusMisdirectedRequest, false)
 		return
 	}
-	if x := r.Header.Get(HeaderVersion); x != "" && x != strconv.Itoa(s.cfg.Weights) {
-		away(http.StatusMisdirectedRequest, false)
+	if x := r.Header.Get(HeaderVersion); x != "" && x != strconv.Itoa(s.cfg.ModelRevision) {
+		reject(http.StatusMisdirectedRequest, false)
 		return
 	}
-	prompt := PromptOf(r.Header, rec.Body)
+	prompt := PromptOf(r.Header, rec.BodyHash)
 	j, err := s.job(prompt, r.Header)
 	if err != nil {
-		note(Unrunnable)
+		record(InvalidRequest)
 		w.Header().Set(HeaderNotRun, "1")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	id, sink, ok := s.submit(j)
+	id, outputs, ok := s.submit(j)
 	if !ok {
-		away(http.StatusServiceUnavailable, true)
+		reject(http.StatusServiceUnavailable, true)
 		return
 	}
-	defer s.forget(id)
-	s.stream(w, r, prompt, sink, rec, away)
+	defer s.cancelJob(id)
+	s.stream(w, r, prompt, outputs, rec, reject)
 }
 
-// job is what the engine has to do for a prompt.
+// job returns the engine's job for a prompt and the headers of its request.
 func (s *Server) job(p Prompt, h http.Header) (j Job, err error) {
-	j = Job{Model: p.Model, Out: p.Out(), Priority: 5}
+	j = Job{Model: p.Model, OutputTokens: p.OutputTokens(), Priority: 5}
 	if j.Parts, _, err = p.parse(); err != nil {
 		return j, err
 	}
@@ -472,53 +482,53 @@
 	}
 	if x := h.Get(HeaderLastID); x != "" {
 		n, err := strconv.Atoi(x)
-		if err != nil || n < 0 || n >= p.Pieces(max(s.cfg.Engine.Stride, 1)) {
+		if err != nil || n < 0 || n >= p.EventCount(max(s.cfg.Engine.Stride, 1)) {
 			return j, errors.Errorf("%s %q: give the number of an event before the last", HeaderLastID, x)
 		}
-		j.Made = n * max(s.cfg.Engine.Stride, 1)
+		j.PriorTokens = n * max(s.cfg.Engine.Stride, 1)
 	}
 	return j, nil
 }
 
-// stream passes on what the engine puts out.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, p Prompt, sink <-chan Output, rec Record, away func(int, bool)) {
+// stream writes the response of a job from its outputs.
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, p Prompt, outputs <-chan Output, rec Record, reject func(int, bool)) {
 	out := http.NewResponseController(w)
-	rec.First, rec.Pieces = 0, 0
-	note := func(k RecordKind) { rec.Kind = k; s.record(rec) }
+	rec.FirstEvent, rec.LastEvent = 0, 0
+	record := func(k RecordKind) { rec.Kind = k; s.record(rec) }
 	for {
 		var o Output
 		select {
-		case o = <-sink:
+		case o = <-outputs:
 		case <-r.Context().Done():
 			if rec.Seal != "" {
-				note(Ended)
+				record(Ended)
 			}
-			panic(http.ErrAbortHandler) // the asker has gone, or the server ends
+			panic(http.ErrAbortHandler) // the client disconnected, or the server ends
 		}
 		switch o.Kind {
-		case Ran:
-			rec.Seal = s.id[2:] + "." + strconv.FormatInt(s.ran.Add(1), 10) + "." + strconv.FormatUint(Sum(rec.Attempt)>>32, 16)
-			rec.First = 1
+		case FirstToken:
+			rec.Seal = s.id[2:] + "." + strconv.FormatInt(s.executed.Add(1), 10) + "." + strconv.FormatUint(Hash(rec.Attempt)>>32, 16)
+			rec.FirstEvent = 1
 			if x := r.Header.Get(HeaderLastID); x != "" {
-				n, _ := strconv.Atoi(x) // job has read it
-				rec.First = n + 1
+				n, _ := strconv.Atoi(x) // job has validated it
+				rec.FirstEvent = n + 1
 			}
-			note(Started)
-			rec.Pieces = rec.First - 1
-		case Piece:
-			if rec.Pieces == rec.First-1 {
+			record(Started)
+			rec.LastEvent = rec.FirstEvent - 1
+		case StreamEvent:
+			if rec.LastEvent == rec.FirstEvent-1 {
 				h := w.Header()
 				h.Set("Content-Type", "text/event-stream")
 				h.Set("Cache-Control", "no-store")
 				h.Set(HeaderSeal, rec.Seal)
-				h.Set(HeaderVersions, strconv.Itoa(s.cfg.Weights))
-				s.load(h)
+				h.Set(HeaderVersions, strconv.Itoa(s.cfg.ModelRevision))
+				s.setLoadHeader(h)
 				rec.Status = http.StatusOK
 			}
-			// What is noted as made may be on its way before the note, or be lost after it.
-			rec.Pieces, rec.Whole = o.N, o.Last
+			// The event counts as produced before it is written: it may still be lost on its way to the client.
+			rec.LastEvent, rec.Complete = o.N, o.Last
 			if o.Last {
-				note(Ended)
+				record(Ended)
 			}
 			_, err := w.Write(p.event(o.N, rec.Seal, s.cfg.Now(), o.Last))
 			if err == nil {
@@ -528,27 +538,27 @@
 				return
 			}
 			if err != nil {
-				note(Ended)
+				record(Ended)
 				panic(http.ErrAbortHandler)
 			}
 		case Expired:
 			switch {
-			case !o.Ran:
-				away(http.StatusServiceUnavailable, true)
+			case !o.Executed:
+				reject(http.StatusServiceUnavailable, true)
 			case rec.Status == 0:
 				rec.Status = http.StatusGatewayTimeout
-				note(Ended)
+				record(Ended)
 				w.WriteHeader(http.StatusGatewayTimeout)
 			default:
-				note(Ended)
-				panic(http.ErrAbortHandler) // cut short: it does not look complete
+				record(Ended)
+				panic(http.ErrAbortHandler) // aborts the response, so that it does not look complete
 			}
 			return
 		}
 	}
 }
 
-// shuffled is a list in an order drawn for this server.
+// shuffled returns a copy of a list in random order.
 func (s *Server) shuffled(list []string) []string {
 	out := append([]string(nil), list...)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/internal/testbed/modelserver/server_test.go
+++ b/internal/testbed/modelserver/server_test.go
@@ -18,16 +18,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quick is an engine that answers within milliseconds.
-func quick() EngineConfig {
+// fastEngineConfig configures an engine that responds within milliseconds.
+func fastEngineConfig() EngineConfig {
 	return EngineConfig{Slots: 4, Queue: 2, StepMs: 1, SlotMs: 0.01, PrefillPerMs: 100, Chunk: 500, KVTokens: 20000, Stride: 4}
 }
 
 // records collects what a server did.
 type records struct {
-	mu   sync.Mutex
-	list []Record
-	more chan struct{}
+	mu    sync.Mutex
+	list  []Record
+	added chan struct{}
 }
 
 func (r *records) add(x Record) {
@@ -35,53 +35,53 @@
 	defer r.mu.Unlock()
 	r.list = append(r.list, x)
 	select {
-	case r.more <- struct{}{}:
+	case r.added <- struct{}{}:
 	default:
 	}
 }
 
-// await waits until so many records are of a kind.
+// await waits until there are n records of a kind and returns them.
 func (r *records) await(t *testing.T, k RecordKind, n int) []Record {
 	t.Helper()
 	end := time.After(20 * time.Second)
 	for {
-		var of []Record
+		var found []Record
 		r.mu.Lock()
 		for _, x := range r.list {
 			if x.Kind == k {
-				of = append(of, x)
+				found = append(found, x)
 			}
 		}
 		r.mu.Unlock()
-		if len(of) >= n {
-			return of
+		if len(found) >= n {
+			return found
 		}
 		select {
-		case <-r.more:
+		case <-r.added:
 		case <-end:
-			require.FailNow(t, "no such record", "kind %d: %d of %d", k, len(of), n)
+			require.FailNow(t, "records are missing", "kind %d: %d of %d", k, len(found), n)
 		}
 	}
 }
 
 func start(t *testing.T, cfg Config) (*Server, *records) {
 	t.Helper()
-	r := &records{more: make(chan struct{}, 1)}
+	r := &records{added: make(chan struct{}, 1)}
 	if cfg.Addr == "" {
 		cfg.Addr = "127.0.0.1:0"
 	}
 	if cfg.Engine.Slots == 0 {
-		cfg.Engine = quick()
+		cfg.Engine = fastEngineConfig()
 	}
-	cfg.Service, cfg.Zone, cfg.Model, cfg.Weights, cfg.Seen = "svc", "z", "m", 1, r.add
+	cfg.Service, cfg.Zone, cfg.Model, cfg.ModelRevision, cfg.OnRecord = "svc", "z", "m", 1, r.add
 	s, err := Start(cfg)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	return s, r
 }
 
-// ask sends one request on a connection of its own.
-func ask(t *testing.T, s *Server, id string, headers ...string) *http.Response {
+// sendRequest sends one request on its own connection.
+func sendRequest(t *testing.T, s *Server, id string, headers ...string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.Addr()+"/a/b?c=d", strings.NewReader("body"))
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 	return resp
 }
 
-// events reads a stream; err is that of its body.
-func events(t *testing.T, body io.Reader) (list []Event, err error) {
+// readEvents reads the events of a stream. It returns the error of reading the body.
+func readEvents(t *testing.T, body io.Reader) (list []Event, err error) {
 	t.Helper()
 	in := bufio.NewReader(body)
 	var lines []string
@@ -125,46 +125,47 @@
 	}
 }
 
-func TestServerStreamsItsAnswer(t *testing.T) {
+func TestServerStreamsItsResponse(t *testing.T) {
 	s, r := start(t, Config{})
-	resp := ask(t, s, "a1", HeaderExpect, s.ID(), HeaderDeadline, "20000")
+	resp := sendRequest(t, s, "a1", HeaderExpect, s.ID(), HeaderDeadline, "20000")
 	require.Equal(t, 200, resp.StatusCode)
 	assert.Equal(t, "a1", resp.Header.Get(HeaderAttempt))
 	assert.Equal(t, "text/event-stream", resp.Header.Get("Content-Type"))
 	assert.Equal(t, "1", resp.Header.Get(HeaderVersions))
 	assert.Regexp(t, `^\d+,\d+,4$`, resp.Header.Get(HeaderLoad))
-	list, err := events(t, resp.Body)
+	list, err := readEvents(t, resp.Body)
 	require.NoError(t, err)
-	p := Prompt{"m", "300,40", "aa:200,bb:100", Sum("body")}
-	require.Len(t, list, p.Pieces(4))
+	p := Prompt{"m", "300,40", "aa:200,bb:100", Hash("body")}
+	require.Len(t, list, p.EventCount(4))
 	for i, e := range list {
 		assert.Equal(t, i+1, e.N)
-		assert.Equal(t, p.Text(i+1), e.Text)
+		assert.Equal(t, p.EventText(i+1), e.Text)
 		assert.Equal(t, resp.Header.Get(HeaderSeal), e.Seal)
 		assert.Equal(t, i == len(list)-1, e.Last)
 	}
 	arrived, ended := r.await(t, Arrived, 1)[0], r.await(t, Ended, 1)[0]
-	assert.Equal(t, []any{"POST", "/a/b?c=d", "h.example", Sum("body"), "svc", s.ID()},
-		[]any{arrived.Method, arrived.Target, arrived.Host, arrived.Body, arrived.Service, arrived.Instance})
-	assert.Equal(t, []any{true, len(list), resp.Header.Get(HeaderSeal)}, []any{ended.Whole, ended.Pieces, ended.Seal})
+	assert.Equal(t, []any{"POST", "/a/b?c=d", "h.example", Hash("body"), "svc", s.ID()},
+		[]any{arrived.Method, arrived.Target, arrived.Host, arrived.BodyHash, arrived.Service, arrived.Instance})
+	assert.Equal(t, []any{true, len(list), resp.Header.Get(HeaderSeal)},
+		[]any{ended.Complete, ended.LastEvent, ended.Seal})
 }
 
-func TestAnotherServerGoesOnWithTheStream(t *testing.T) {
+func TestAnotherServerResumesTheStream(t *testing.T) {
 	s, _ := start(t, Config{})
-	whole, err := events(t, ask(t, s, "a1").Body)
+	whole, err := readEvents(t, sendRequest(t, s, "a1").Body)
 	require.NoError(t, err)
 	other, r := start(t, Config{})
-	rest, err := events(t, ask(t, other, "a1", HeaderLastID, "2").Body)
+	rest, err := readEvents(t, sendRequest(t, other, "a1", HeaderLastID, "2").Body)
 	require.NoError(t, err)
 	require.Len(t, rest, len(whole)-2)
 	for i, e := range rest {
 		assert.Equal(t, whole[i+2].N, e.N)
 		assert.Equal(t, whole[i+2].Text, e.Text)
 	}
-	assert.Equal(t, 3, r.await(t, Started, 1)[0].First)
+	assert.Equal(t, 3, r.await(t, Started, 1)[0].FirstEvent)
 }
 
-func TestServerTellsWhatItDidNotRun(t *testing.T) {
+func TestServerReportsRequestsThatItDidNotExecute(t *testing.T) {
 	s, r := start(t, Config{})
 	for _, c := range []struct {
 		name    string
@@ -176,60 +177,60 @@
 		{"another instance", "a", []string{HeaderExpect, "i-other"}, 421, false},
 		{"another version", "b", []string{HeaderVersion, "2"}, 421, false},
 		{"no id", "", nil, 400, true},
-		{"more than its memory", "c", []string{HeaderPrefix, "aa:30000"}, 503, true},
+		{"larger than the cache", "c", []string{HeaderPrefix, "aa:30000"}, 503, true},
 		{"no token count", "d", []string{HeaderTokens, "x"}, 400, true},
 	} {
-		resp := ask(t, s, c.id, c.headers...)
+		resp := sendRequest(t, s, c.id, c.headers...)
 		assert.Equal(t, c.status, resp.StatusCode, c.name)
 		assert.Equal(t, c.notRun, resp.Header.Get(HeaderNotRun) != "", c.name)
 		assert.Empty(t, resp.Header.Get(HeaderSeal), c.name)
 	}
-	assert.Zero(t, s.Figures().Ran)
-	assert.Len(t, r.await(t, TurnedAway, 3), 3)
+	assert.Zero(t, s.Stats().Executed)
+	assert.Len(t, r.await(t, Rejected, 3), 3)
 }
 
 func TestFullServerAndDeadlines(t *testing.T) {
-	slow := quick()
+	slow := fastEngineConfig()
 	slow.Slots, slow.Queue, slow.StepMs = 1, 1, 20
 	s, r := start(t, Config{Engine: slow})
-	first := ask(t, s, "a", HeaderTokens, "300,4000") // its head comes with its first event
+	first := sendRequest(t, s, "a", HeaderTokens, "300,4000") // the response header is sent with the first event
 	require.Equal(t, 200, first.StatusCode)
-	waits := make(chan *http.Response, 1)
-	go func() { waits <- ask(t, s, "b", HeaderDeadline, "300") }()
-	require.Eventually(t, func() bool { return s.Figures().Waiting == 1 }, 20*time.Second, time.Millisecond)
-	full := ask(t, s, "c")
+	waiting := make(chan *http.Response, 1)
+	go func() { waiting <- sendRequest(t, s, "b", HeaderDeadline, "300") }()
+	require.Eventually(t, func() bool { return s.Stats().Waiting == 1 }, 20*time.Second, time.Millisecond)
+	full := sendRequest(t, s, "c")
 	assert.Equal(t, 503, full.StatusCode)
 	assert.NotEmpty(t, full.Header.Get(HeaderNotRun))
-	late := <-waits
+	late := <-waiting
 	assert.Equal(t, 503, late.StatusCode, "its deadline passed in the queue")
 	assert.NotEmpty(t, late.Header.Get(HeaderNotRun))
-	// A client that goes is not worked for any longer.
+	// When a client disconnects, its run ends.
 	first.Body.Close()
 	ended := r.await(t, Ended, 1)
-	assert.False(t, ended[0].Whole)
-	assert.Equal(t, 1, s.Figures().Ran)
+	assert.False(t, ended[0].Complete)
+	assert.Equal(t, 1, s.Stats().Executed)
 }
 
-func TestStreamIsCutAtItsDeadline(t *testing.T) {
-	slow := quick()
+func TestStreamIsAbortedAtItsDeadline(t *testing.T) {
+	slow := fastEngineConfig()
 	slow.StepMs = 10
 	s, r := start(t, Config{Engine: slow})
-	resp := ask(t, s, "a", HeaderTokens, "300,4000", HeaderDeadline, "400")
+	resp := sendRequest(t, s, "a", HeaderTokens, "300,4000", HeaderDeadline, "400")
 	require.Equal(t, 200, resp.StatusCode)
-	list, err := events(t, resp.Body)
-	require.Error(t, err, "it must not look complete")
+	list, err := readEvents(t, resp.Body)
+	require.Error(t, err, "the response must not look complete")
 	assert.NotEmpty(t, list)
-	assert.False(t, r.await(t, Ended, 1)[0].Whole)
+	assert.False(t, r.await(t, Ended, 1)[0].Complete)
 }
 
 func TestCrashResetsConnections(t *testing.T) {
-	slow := quick()
+	slow := fastEngineConfig()
 	slow.StepMs = 10
 	s, _ := start(t, Config{Engine: slow})
-	resp := ask(t, s, "a", HeaderTokens, "300,4000")
+	resp := sendRequest(t, s, "a", HeaderTokens, "300,4000")
 	require.Equal(t, 200, resp.StatusCode)
 	s.Crash()
-	_, err := events(t, resp.Body)
+	_, err := readEvents(t, resp.Body)
 	require.Error(t, err)
 	_, err = net.Dial("tcp", s.Addr())
 	require.Error(t, err)
@@ -251,30 +252,30 @@
 		assert.Equal(t, "timeout=20", resp.Header.Get("Keep-Alive"))
 		open = append(open, c)
 	}
-	if c, err := net.Dial("tcp", s.Addr()); err == nil { // else it was reset before it was up
+	if c, err := net.Dial("tcp", s.Addr()); err == nil { // otherwise it was reset while being established
 		defer c.Close()
-		_, _ = io.WriteString(c, "GET /health HTTP/1.1\r\nHost: h\r\n\r\n") // it may be reset already
+		_, _ = io.WriteString(c, "GET /health HTTP/1.1\r\nHost: h\r\n\r\n") // fails if the connection is reset already
 		_, err = http.ReadResponse(bufio.NewReader(c), nil)
 		require.Error(t, err)
 	}
-	assert.Equal(t, 1, s.Figures().ConnsReset)
+	assert.Equal(t, 1, s.Stats().ConnsReset)
 	open[0].Close()
 }
 
-func TestReportIsOld(t *testing.T) { checkOldReport(t, quick()) }
+func TestReportLag(t *testing.T) { checkReportLag(t, fastEngineConfig()) }
 
-// The report is as old while a request runs for many of its steps, also the first one.
-func TestReportIsOldWhileARequestRuns(t *testing.T) {
-	slow := quick()
+// The load in a report is as old if a request runs for many report intervals.
+func TestReportLagWhileARequestRuns(t *testing.T) {
+	slow := fastEngineConfig()
 	slow.StepMs = 20
-	checkOldReport(t, slow)
+	checkReportLag(t, slow)
 }
 
-// checkOldReport checks that a report with a long lag tells the load from before the first request.
-func checkOldReport(t *testing.T, engine EngineConfig) {
+// checkReportLag checks that a report with a long lag contains the load from before the first request.
+func checkReportLag(t *testing.T, engine EngineConfig) {
 	t.Helper()
 	s, _ := start(t, Config{ReportLag: time.Hour, Engine: engine})
-	_, err := events(t, ask(t, s, "a").Body)
+	_, err := readEvents(t, sendRequest(t, s, "a").Body)
 	require.NoError(t, err)
 	resp, err := http.Get("http://" + s.Addr() + ReportPath)
 	require.NoError(t, err)
@@ -293,14 +294,14 @@
 	assert.Zero(t, got.KVUsed)
 }
 
-// control is an agent's side of the calls of servers.
-type control struct {
+// fakeControl is a fake control endpoint of an agent, which records the calls of servers.
+type fakeControl struct {
 	*httptest.Server
 	mu     sync.Mutex
 	calls  []call
-	status int
-	target string
-	more   chan struct{}
+	status int    // status of the responses
+	target string // beat-target of the responses; empty if they contain none
+	called chan struct{}
 }
 
 type call struct {
@@ -308,26 +309,26 @@
 	seq                 float64
 }
 
-func newControl(t *testing.T, status int) *control {
-	c := &control{status: status, more: make(chan struct{}, 1)}
+func newFakeControl(t *testing.T, status int) *fakeControl {
+	c := &fakeControl{status: status, called: make(chan struct{}, 1)}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body map[string]any
-		_ = json.NewDecoder(r.Body).Decode(&body) // a leave has none
+		_ = json.NewDecoder(r.Body).Decode(&body) // a deregistration has no body
 		x := call{method: r.Method, path: r.URL.Path}
 		x.state, _ = body["state"].(string)
 		x.seq, _ = body["call-seq"].(float64)
 		c.mu.Lock()
 		c.calls = append(c.calls, x)
-		answer := map[string]string{}
+		response := map[string]string{}
 		if c.target != "" {
-			answer["beat-target"] = c.target
+			response["beat-target"] = c.target
 		}
 		status := c.status
 		c.mu.Unlock()
 		w.WriteHeader(status)
-		_ = json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(response)
 		select {
-		case c.more <- struct{}{}:
+		case c.called <- struct{}{}:
 		default:
 		}
 	}))
@@ -335,10 +336,10 @@
 	return c
 }
 
-func (c *control) addr() string { return strings.TrimPrefix(c.URL, "http://") }
+func (c *fakeControl) addr() string { return strings.TrimPrefix(c.URL, "http://") }
 
-// await waits for so many calls.
-func (c *control) await(t *testing.T, n int) []call {
+// await waits until there are n calls and returns all calls.
+func (c *fakeControl) await(t *testing.T, n int) []call {
 	t.Helper()
 	end := time.After(20 * time.Second)
 	for {
@@ -349,21 +350,22 @@
 			return got
 		}
 		select {
-		case <-c.more:
+		case <-c.called:
 		case <-end:
-			require.FailNow(t, "calls missing", "%d of %d", len(got), n)
+			require.FailNow(t, "calls are missing", "%d of %d", len(got), n)
 		}
 	}
 }
 
-func TestBeatsGoWhereTheyAreTaken(t *testing.T) {
-	broken, good, far := newControl(t, 503), newControl(t, 200), newControl(t, 200)
-	good.target = far.addr()
-	list := []string{broken.addr(), good.addr()}
-	s, _ := start(t, Config{Beats: &BeatConfig{Control: func() []string { return list }, Period: 5 * time.Millisecond}})
+func TestHeartbeatsFollowTheirTarget(t *testing.T) {
+	broken, first, next := newFakeControl(t, 503), newFakeControl(t, 200), newFakeControl(t, 200)
+	first.target = next.addr()
+	list := []string{broken.addr(), first.addr()}
+	s, _ := start(t, Config{Heartbeats: &HeartbeatConfig{
+		ControlAddrs: func() []string { return list }, Interval: 5 * time.Millisecond}})
 	<-s.Registered()
-	calls := far.await(t, 3)
-	assert.Len(t, good.await(t, 1), 1, "later beats go where the answer says")
+	calls := next.await(t, 3)
+	assert.Len(t, first.await(t, 1), 1, "later heartbeats go to the target of the response")
 	for i, c := range calls {
 		assert.Equal(t, "PUT", c.method)
 		assert.Equal(t, "/chalkdoor/instances/"+s.ID(), c.path)
@@ -372,37 +374,37 @@
 			assert.Greater(t, c.seq, calls[i-1].seq)
 		}
 	}
-	// A beat that fails goes to the list again.
-	good.mu.Lock()
-	before := len(good.calls)
-	good.target = ""
-	good.mu.Unlock()
-	far.mu.Lock()
-	far.status = 500
-	far.mu.Unlock()
-	good.await(t, before+2)
+	// After a failed heartbeat the server tries the addresses of the list again.
+	first.mu.Lock()
+	before := len(first.calls)
+	first.target = ""
+	first.mu.Unlock()
+	next.mu.Lock()
+	next.status = 500
+	next.mu.Unlock()
+	first.await(t, before+2)
 }
 
-func TestServerLeavesInOrder(t *testing.T) {
-	c := newControl(t, 200)
+func TestServerShutsDownGracefully(t *testing.T) {
+	c := newFakeControl(t, 200)
 	drain := 200 * time.Millisecond
-	s, r := start(t, Config{Beats: &BeatConfig{Control: func() []string { return []string{c.addr()} }, Period: time.Hour, Drain: drain, Linger: time.Second}})
+	s, r := start(t, Config{Heartbeats: &HeartbeatConfig{ControlAddrs: func() []string { return []string{c.addr()} }, Interval: time.Hour, Drain: drain, Linger: time.Second}})
 	<-s.Registered()
 	done := make(chan error, 1)
 	go func() { done <- s.Leave(context.Background()) }()
 	acked := r.await(t, Draining, 1)[0]
 	assert.Equal(t, c.addr(), acked.Agent)
-	resp := ask(t, s, "a")
-	assert.Equal(t, 200, resp.StatusCode, "it serves on")
+	resp := sendRequest(t, s, "a")
+	assert.Equal(t, 200, resp.StatusCode, "a draining server keeps serving")
 	assert.True(t, resp.Close)
-	_, err := events(t, resp.Body)
+	_, err := readEvents(t, resp.Body)
 	require.NoError(t, err)
 	health, err := http.Get("http://" + s.Addr() + "/health")
 	require.NoError(t, err)
 	health.Body.Close()
 	assert.Equal(t, 503, health.StatusCode)
 	require.NoError(t, <-done)
-	gone := r.await(t, Gone, 1)[0]
+	gone := r.await(t, Deregistered, 1)[0]
 	assert.GreaterOrEqual(t, gone.At-acked.At, drain)
 	calls := c.await(t, 3)
 	assert.Equal(t, []string{"PUT ready", "PUT draining", "DELETE "}, []string{calls[0].method + " " + calls[0].state,
@@ -411,10 +413,10 @@
 	require.Error(t, err)
 }
 
-func TestEveryAnswerHasOneOfItsLengths(t *testing.T) {
+func TestOutputTokensAreBounded(t *testing.T) {
 	for n := range 200 {
 		p := Prompt{Model: "m", Tokens: strconv.Itoa(n+1) + ",40"}
-		assert.GreaterOrEqual(t, p.Out(), 20)
-		assert.LessOrEqual(t, p.Out(), 40)
+		assert.GreaterOrEqual(t, p.OutputTokens(), 20)
+		assert.LessOrEqual(t, p.OutputTokens(), 40)
 	}
 }
--- a/internal/testbed/modelserver/wire.go
+++ b/internal/testbed/modelserver/wire.go
@@ -29,53 +29,54 @@
 	ReportPath     = "/chalkdoor/report"
 )
 
-// maxParts bounds the parts of a prompt, maxTokens each of its counts.
 const (
-	maxParts  = 64
+	// maxParts bounds the parts of a prompt.
+	maxParts = 64
+	// maxTokens bounds each token count of a request.
 	maxTokens = 1 << 20
 )
 
-// Prompt is what a request asks of a model. Equal prompts get equal answers of every server,
-// so that pieces of different runs can be compared.
+// Prompt is the input of a request to a model. Every server gives the same response to equal prompts, so that events of
+// different runs can be compared.
 type Prompt struct {
-	Model  string
-	Tokens string // Chalkdoor-Token-Count as it came
-	Prefix string // Chalkdoor-Prompt-Prefix as it came
-	Body   uint64 // the body's Sum
+	Model    string
+	Tokens   string // value of the Chalkdoor-Token-Count header: PROMPT,MAXIMUM
+	Prefix   string // value of the Chalkdoor-Prompt-Prefix header; empty if no part of the prompt is shared
+	BodyHash uint64 // Hash of the request's body
 }
 
-// PromptOf is the prompt of a request with a body of that sum.
-func PromptOf(h http.Header, body uint64) Prompt {
-	return Prompt{h.Get(HeaderModel), h.Get(HeaderTokens), h.Get(HeaderPrefix), body}
+// PromptOf returns the prompt of a request from its headers and the Hash of its body.
+func PromptOf(h http.Header, bodyHash uint64) Prompt {
+	return Prompt{h.Get(HeaderModel), h.Get(HeaderTokens), h.Get(HeaderPrefix), bodyHash}
 }
 
-// Sum tells one text from another.
-func Sum(text ...string) uint64 {
+// Hash returns a hash of texts.
+func Hash(text ...string) uint64 {
 	f := fnv.New64a()
 	for _, t := range text {
 		f.Write([]byte(t))
 		f.Write([]byte{0})
 	}
-	x := f.Sum64() // whose high bits hardly hang on the last byte
+	x := f.Sum64() // FNV's high bits hardly depend on the last byte, so they are mixed below
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
 }
 
-func (p Prompt) sum() uint64 {
-	return Sum(p.Model, p.Tokens, p.Prefix, strconv.FormatUint(p.Body, 16))
+func (p Prompt) hash() uint64 {
+	return Hash(p.Model, p.Tokens, p.Prefix, strconv.FormatUint(p.BodyHash, 16))
 }
 
-// parse gives the prompt's parts and the most tokens that are wanted.
-func (p Prompt) parse() (parts []Part, most int, err error) {
+// parse returns the prompt's parts and the maximum number of output tokens.
+func (p Prompt) parse() (parts []Part, maxOutput int, err error) {
 	in, out, ok := strings.Cut(p.Tokens, ",")
 	tokens, err1 := strconv.Atoi(strings.TrimSpace(in))
-	most, err2 := strconv.Atoi(strings.TrimSpace(out))
-	if !ok || err1 != nil || err2 != nil || tokens < 1 || most < 1 || tokens > maxTokens || most > maxTokens {
+	maxOutput, err2 := strconv.Atoi(strings.TrimSpace(out))
+	if !ok || err1 != nil || err2 != nil || tokens < 1 || maxOutput < 1 || tokens > maxTokens || maxOutput > maxTokens {
 		return nil, 0, errors.Errorf("%s %q: give PROMPT,MOST", HeaderTokens, p.Tokens)
 	}
-	if p.Prefix == "" { // nobody shares it
-		return []Part{{strconv.FormatUint(p.sum(), 16), tokens}}, most, nil
+	if p.Prefix == "" { // no other prompt shares a part of it
+		return []Part{{strconv.FormatUint(p.hash(), 16), tokens}}, maxOutput, nil
 	}
 	for _, f := range strings.Split(p.Prefix, ",") {
 		id, n, ok := strings.Cut(strings.TrimSpace(f), ":")
@@ -85,69 +86,70 @@
 		}
 		parts = append(parts, Part{id, tokens})
 	}
-	return parts, most, nil
+	return parts, maxOutput, nil
 }
 
-// Out is how many tokens the answer has: up to the most, at least half of it.
-func (p Prompt) Out() int {
-	_, most, err := p.parse()
+// OutputTokens returns the length of the response in tokens: between half of the maximum and the maximum; 0 if the
+// prompt is invalid.
+func (p Prompt) OutputTokens() int {
+	_, maxOutput, err := p.parse()
 	if err != nil {
 		return 0
 	}
-	return most - int(p.sum()%uint64(most/2+1))
+	return maxOutput - int(p.hash()%uint64(maxOutput/2+1))
 }
 
-// Pieces is how many events the answer has with so many tokens to one.
-func (p Prompt) Pieces(stride int) int { return (p.Out() + stride - 1) / stride }
+// EventCount returns the number of events of the response, with stride tokens per event.
+func (p Prompt) EventCount(stride int) int { return (p.OutputTokens() + stride - 1) / stride }
 
-// Text is what event n says, whichever server makes it.
-func (p Prompt) Text(n int) string {
-	return strconv.FormatUint(Sum(strconv.FormatUint(p.sum(), 16), strconv.Itoa(n)), 16)
+// EventText returns the text of event n, which is the same on every server.
+func (p Prompt) EventText(n int) string {
+	return strconv.FormatUint(Hash(strconv.FormatUint(p.hash(), 16), strconv.Itoa(n)), 16)
 }
 
-// event is one event on the wire. It names the run that made it by its seal, and when.
+// event encodes an event for the stream, with the seal of the run that produced it and the time.
 func (p Prompt) event(n int, seal string, at time.Duration, last bool) []byte {
-	b := []byte("id: " + strconv.Itoa(n) + "\ndata: " + p.Text(n) + " " + seal + " " + strconv.FormatInt(at.Microseconds(), 10))
+	b := []byte("id: " + strconv.Itoa(n) + "\ndata: " + p.EventText(n) + " " + seal + " " + strconv.FormatInt(at.Microseconds(), 10))
 	if last {
 		b = append(b, " last"...)
 	}
 	return append(b, "\n\n"...)
 }
 
-// Event is one event of a stream as a client reads it.
+// Event is one event of a stream as a client receives it.
 type Event struct {
-	N    int
+	N    int // number of the event, from 1
 	Text string
-	Seal string        // of the run that made it
-	At   time.Duration // when it was made, by the servers' clock, in whole microseconds
-	Last bool
+	Seal string        // identifies the run that produced the event
+	At   time.Duration // when the server produced it (Config.Now), in whole microseconds
+	Last bool          // it is the last event of the stream
 }
 
-// ParseEvent reads the lines of one event, as they stand before its empty line.
+// ParseEvent parses the lines of one event, without the empty line that ends it.
 func ParseEvent(lines []string) (e Event, err error) {
 	for _, l := range lines {
 		key, value, ok := strings.Cut(l, ":")
 		value = strings.TrimPrefix(value, " ")
 		switch {
 		case !ok:
-			return e, errors.Errorf("line %q of an event has no name", l)
+			return e, errors.Errorf("line %q of an event has no field name", l)
 		case key == "id":
 			if e.N, err = strconv.Atoi(value); err != nil {
-				return e, errors.Errorf("event id %q is no number", value)
+				return e, errors.Errorf("event id %q is not a number", value)
 			}
 		case key == "data":
 			f := strings.Fields(value)
 			if len(f) < 3 || len(f) > 4 || len(f) == 4 && f[3] != "last" {
-				return e, errors.Errorf("event data %q is no server's", value)
+				return e, errors.Errorf("event data %q does not have the format of a model server", value)
 			}
 			us, err := strconv.ParseInt(f[2], 10, 64)
 			if err != nil {
-				return e, errors.Errorf("event data %q is no server's", value)
+				return e, errors.Errorf("event data %q does not have the format of a model server", value)
 			}
 			e.Text, e.Seal, e.At, e.Last = f[0], f[1], time.Duration(us)*time.Microsecond, len(f) == 4
 		case strings.EqualFold(key, HeaderVersions):
 		default:
-			return e, errors.Errorf("line %q of an event is no server's", l)
+			return e, errors.Errorf("line %q of an event has a field that servers don't send", l)
 		}
 	}
 	if e.N < 1 || e.Seal == "" {
