--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,5 @@
-// Command fleetlab runs a complete router fleet on loopback: processes of edged, model servers, clients, an operator and
-// a fault. It exits with status 1 if a rule is violated.
+// Command fleetlab runs a complete router fleet on loopback: processes of edged, model servers, clients, an operator
+// and a fault. It exits with status 1 if a rule is violated.
 package main
 
 import (
@@ -21,40 +21,40 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/fleetlab"
 )
 
-// daemon is the package of the daemon.
+// daemon is the import path of the daemon.
 const daemon = "chalkdoor.example/chalkdoor/cmd/edged"
 
-// errViolated is returned after the report of a run with violations.
+// errViolated is returned after a report with violations was printed.
 var errViolated = errors.New("rules are violated")
 
 const (
-	// kongParseError is the exit status that kong gives to a command line that it cannot parse.
+	// kongParseError is kong's exit status for a command line that it cannot parse.
 	kongParseError = 80
-	// usageError is the usual exit status of such a command line.
+	// usageError is the conventional exit status for such a command line.
 	usageError = 2
 )
 
 type cli struct {
-	Play playCmd `name:"play" cmd:"" help:"Start a fleet, play clients, an operator and a fault, and print what came of it."`
-	Soak soakCmd `name:"soak" cmd:"" help:"Play series of overlapping faults drawn from seeds; each ends with a restart of everything and a check of the recovery."`
+	Play playCmd `name:"play" cmd:"" help:"Run a fleet with clients, an operator and a fault, and print a report."`
+	Soak soakCmd `name:"soak" cmd:"" help:"Run soak tests: series of overlapping faults drawn from seeds, each followed by a restart of all processes and a check of the recovery."`
 }
 
 type playCmd struct {
-	Agents  int           `name:"agents" default:"5" help:"Machines that run edged."`
-	Core    int           `name:"core" default:"3" help:"Of them with a disk."`
-	Servers int           `name:"servers" default:"6" help:"Model servers."`
-	For     time.Duration `name:"for" default:"20s" help:"Length of the traffic."`
-	Rate    float64       `name:"rate" help:"Requests a second. 0: 12 for each agent."`
-	Seed    uint64        `name:"seed" default:"1" help:"Of all that is drawn."`
-	Fault   string        `name:"fault" default:"kill-core" enum:"${faults}" help:"What goes wrong: ${enum}."`
-	Dir     string        `name:"dir" help:"Folder for settings, state and logs, which are kept. Without it they go when the play ends."`
-	Edged   string        `name:"edged" help:"The daemon's program. Without it: edged beside this program, or built by go build."`
-	JSON    bool          `name:"json" help:"Print the figures as JSON."`
+	Agents  int           `name:"agents" default:"5" help:"Number of machines that run edged."`
+	Core    int           `name:"core" default:"3" help:"Number of these machines that form the core and have a disk."`
+	Servers int           `name:"servers" default:"6" help:"Number of model servers."`
+	For     time.Duration `name:"for" default:"20s" help:"Duration of the traffic."`
+	Rate    float64       `name:"rate" help:"Requests per second. 0 means 12 for each agent."`
+	Seed    uint64        `name:"seed" default:"1" help:"Seed of all random choices."`
+	Fault   string        `name:"fault" default:"kill-core" enum:"${faults}" help:"Fault to inject: ${enum}."`
+	Dir     string        `name:"dir" help:"Folder for settings, state and logs, which is kept. Without it a temporary folder is used and removed at the end."`
+	Edged   string        `name:"edged" help:"Path of the daemon's executable. Without it, edged in the folder of this program is used, or else built with go build."`
+	JSON    bool          `name:"json" help:"Print the report as JSON."`
 }
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("fleetlab"), kong.Description("The laboratory of the router fleet, on loopback."),
+	ctx := kong.Parse(&c, kong.Name("fleetlab"), kong.Description("Runs and checks a router fleet on loopback."),
 		kong.Vars{"faults": strings.Join(fleetlab.FaultNames, ",")}, kong.UsageOnError(), kong.Exit(func(code int) {
 			if code == kongParseError {
 				code = usageError
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run runs a fleet once and prints the report.
+// Run runs a fleet and prints the report.
 func (p *playCmd) Run(out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// openDir creates the folder of a run, and returns its absolute path, as processes write below it. Without
-// a name it is a temporary one, which remove removes.
+// openDir creates the folder of a run and returns its absolute path. If name is empty the folder is a temporary one,
+// which remove deletes; otherwise remove does nothing.
 func openDir(name string) (dir string, remove func(), err error) {
 	remove = func() {}
 	if name == "" {
@@ -122,11 +122,11 @@
 	return dir, remove, nil
 }
 
-// daemonProgram returns the path of the daemon's program: the given one, the one beside this program, or a new
-// build in a folder.
-func daemonProgram(ctx context.Context, given, dir string) (string, error) {
-	if given != "" {
-		return filepath.Abs(given)
+// daemonProgram returns the path of the daemon's executable: path if it is not empty, or edged in the folder of this
+// program if it exists, or a new build in dir.
+func daemonProgram(ctx context.Context, path, dir string) (string, error) {
+	if path != "" {
+		return filepath.Abs(path)
 	}
 	if self, err := os.Executable(); err == nil {
 		sibling := filepath.Join(filepath.Dir(self), "edged")
@@ -136,7 +136,7 @@
 	}
 	bin := filepath.Join(dir, "edged")
 	if text, err := exec.CommandContext(ctx, "go", "build", "-o", bin, daemon).CombinedOutput(); err != nil {
-		return "", errors.Wrapf(err, "build edged, or name it with --edged: %s", text)
+		return "", errors.Wrapf(err, "build edged (--edged names an existing executable): %s", text)
 	}
 	return filepath.Abs(bin)
 }
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -19,34 +19,35 @@
 )
 
 const (
-	// maxSoakSeeds bounds the seeds of one command, maxSoakJobs the fleets that run at once, and
-	// maxSoakProcesses their processes together.
-	maxSoakSeeds     = 1000
-	maxSoakJobs      = 16
+	// maxSoakSeeds bounds the number of seeds of one command.
+	maxSoakSeeds = 1000
+	// maxSoakJobs bounds the number of fleets that run at once.
+	maxSoakJobs = 16
+	// maxSoakProcesses bounds the total number of agents of these fleets.
 	maxSoakProcesses = 240
-	// soakRecovery is how long a fleet of the soak may take to recover. It is stricter than what the
-	// settings of a deployment allow.
+	// soakRecovery is how long a fleet may take to recover. It is stricter than what the settings of a deployment
+	// allow.
 	soakRecovery = 5 * time.Second
-	// requestsPerAgent is the default rate per agent and second.
+	// requestsPerAgent is the default request rate per agent, in requests per second.
 	requestsPerAgent = 12
 )
 
 type soakCmd struct {
 	First   uint64        `name:"first" default:"1" help:"The first seed."`
-	Seeds   int           `name:"seeds" default:"1" help:"How many seeds to play, 1 to 1000."`
-	Jobs    int           `name:"jobs" default:"1" help:"Fleets that run at once, 1 to 16, of 240 processes together at most."`
-	Agents  int           `name:"agents" default:"5" help:"Machines that run edged."`
-	Core    int           `name:"core" default:"3" help:"Of them with a disk."`
-	Servers int           `name:"servers" default:"6" help:"Model servers."`
-	Series  time.Duration `name:"series" default:"20s" help:"Length of the series of faults."`
-	Until   time.Duration `name:"until" help:"Close at this time, to narrow a finding. 0: at the end of the series."`
-	Without []int         `name:"without" help:"Leave out the injections of these numbers, to narrow a finding."`
-	Rate    float64       `name:"rate" help:"Requests a second. 0: 12 for each agent."`
-	Dir     string        `name:"dir" help:"Folder for settings, state, logs and the timeline of each seed, which are kept where something was broken."`
-	Edged   string        `name:"edged" help:"The daemon's program. Without it: edged beside this program, or built by go build."`
+	Seeds   int           `name:"seeds" default:"1" help:"Number of seeds to run, 1 to 1000."`
+	Jobs    int           `name:"jobs" default:"1" help:"Number of fleets that run at once, 1 to 16, with at most 240 agents in total."`
+	Agents  int           `name:"agents" default:"5" help:"Number of machines that run edged."`
+	Core    int           `name:"core" default:"3" help:"Number of these machines that form the core and have a disk."`
+	Servers int           `name:"servers" default:"6" help:"Number of model servers."`
+	Series  time.Duration `name:"series" default:"20s" help:"Duration of the series of faults."`
+	Until   time.Duration `name:"until" help:"End the series at this time, to narrow a finding down. 0 means no limit."`
+	Without []int         `name:"without" help:"Numbers of injections to leave out, to narrow a finding down."`
+	Rate    float64       `name:"rate" help:"Requests per second. 0 means 12 for each agent."`
+	Dir     string        `name:"dir" help:"Folder for settings, state, logs and the timeline of each seed, which are kept for seeds with violations."`
+	Edged   string        `name:"edged" help:"Path of the daemon's executable. Without it, edged in the folder of this program is used, or else built with go build."`
 }
 
-// validate reports values outside of their bounds.
+// validate returns an error if a value is out of its bounds.
 func (s *soakCmd) validate() error {
 	switch {
 	case s.Seeds < 1 || s.Seeds > maxSoakSeeds:
@@ -54,7 +55,7 @@
 	case s.Jobs < 1 || s.Jobs > maxSoakJobs:
 		return errors.Errorf("--jobs %d: give 1 to %d", s.Jobs, maxSoakJobs)
 	case s.Jobs*s.Agents > maxSoakProcesses:
-		return errors.Errorf("--jobs %d of --agents %d: give %d processes together at most", s.Jobs, s.Agents, maxSoakProcesses)
+		return errors.Errorf("--jobs %d with --agents %d: give at most %d agents in total", s.Jobs, s.Agents, maxSoakProcesses)
 	}
 	return nil
 }
@@ -63,13 +64,13 @@
 type soakResults struct {
 	out io.Writer
 
-	mu      sync.Mutex // guards all that follows, and writes to out
-	reports []*fleetlab.SoakReport
-	broken  []uint64
-	failed  []uint64
+	mu       sync.Mutex // guards the fields below and the output to out
+	reports  []*fleetlab.SoakReport
+	violated []uint64 // seeds with violations
+	failed   []uint64 // seeds whose soak test could not be run
 }
 
-// Run plays all seeds and prints a line for each, and a summary.
+// Run runs the soak tests of all seeds and prints a line for each, and a summary.
 func (s *soakCmd) Run(out io.Writer) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -91,7 +92,7 @@
 	for range s.Jobs {
 		jobs.Go(func() {
 			for seed := range seeds {
-				s.play(ctx, program, dir, seed, results)
+				s.runSeed(ctx, program, dir, seed, results)
 			}
 		})
 	}
@@ -106,8 +107,8 @@
 	return results.summarize(ctx)
 }
 
-// play plays one seed in a folder of its own, which is kept if something was broken.
-func (s *soakCmd) play(ctx context.Context, program, dir string, seed uint64, results *soakResults) {
+// runSeed runs the soak test of one seed in its own folder, which is kept if there are violations.
+func (s *soakCmd) runSeed(ctx context.Context, program, dir string, seed uint64, results *soakResults) {
 	cfg := fleetlab.DefaultConfig(s.Agents, s.Core, s.Servers)
 	cfg.Program, cfg.Seed, cfg.Dir = program, seed, filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
 	cfg.Bounds.Recovery = soakRecovery
@@ -115,36 +116,36 @@
 	if options.Rate == 0 {
 		options.Rate = requestsPerAgent * float64(s.Agents)
 	}
-	report, err := s.playIn(ctx, &cfg, &options)
+	report, err := s.runIn(ctx, &cfg, &options)
 	results.mu.Lock()
 	defer results.mu.Unlock()
 	if err != nil {
 		results.failed = append(results.failed, seed)
-		fmt.Fprintf(results.out, "seed %d was not played: %v\n", seed, err)
+		fmt.Fprintf(results.out, "seed %d could not be run: %v\n", seed, err)
 		return
 	}
 	results.reports = append(results.reports, report)
 	fmt.Fprintln(results.out, report.Line())
 	if len(report.Violations) == 0 {
-		_ = os.RemoveAll(cfg.Dir) // it would only take room
+		_ = os.RemoveAll(cfg.Dir) // without violations the files only occupy disk space
 		return
 	}
-	results.broken = append(results.broken, seed)
+	results.violated = append(results.violated, seed)
 	for _, violation := range report.Violations {
 		fmt.Fprintf(results.out, "  %v\n", violation)
 	}
-	fmt.Fprintf(results.out, "  again: %s\n  kept in %s\n", s.command(seed), cfg.Dir)
+	fmt.Fprintf(results.out, "  repeat: %s\n  files: %s\n", s.command(seed), cfg.Dir)
 }
 
-// playIn plays a soak in the folder of its configuration, which must not exist yet.
-func (s *soakCmd) playIn(ctx context.Context, cfg *fleetlab.Config, options *fleetlab.SoakOptions) (*fleetlab.SoakReport, error) {
+// runIn runs a soak test in the folder of its configuration, which must not exist yet.
+func (s *soakCmd) runIn(ctx context.Context, cfg *fleetlab.Config, options *fleetlab.SoakOptions) (*fleetlab.SoakReport, error) {
 	if err := os.Mkdir(cfg.Dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "create the folder of a seed: give an empty --dir")
 	}
 	return fleetlab.Soak(ctx, cfg, options)
 }
 
-// command is the command that plays a seed again.
+// command returns the command that runs the soak test of a seed again.
 func (s *soakCmd) command(seed uint64) string {
 	text := fmt.Sprintf("go run ./cmd/fleetlab soak --first %d --agents %d --core %d --servers %d --series %v --dir DIR", seed, s.Agents, s.Core, s.Servers, s.Series)
 	if s.Until > 0 {
@@ -159,25 +160,25 @@
 	return text
 }
 
-// summarize prints how long the steps of the recovery took, and which seeds broke something.
+// summarize prints how long the steps of the recovery took, and which seeds had violations.
 func (r *soakResults) summarize(ctx context.Context) error {
 	if len(r.reports) > 0 {
-		fmt.Fprintln(r.out, "the last agent at each step, in seconds after the last machine of the core was started: median, 99 in 100, worst")
+		fmt.Fprintln(r.out, "time of the last agent at each step, in seconds after the start of the last core machine: median, 99th percentile, maximum")
 		for i := range r.reports[0].Recovery {
 			r.summarizeStep(i)
 		}
 	}
-	fmt.Fprintf(r.out, "%d seeds played, %d broke something %v, %d not played %v\n", len(r.reports), len(r.broken), r.broken, len(r.failed), r.failed)
+	fmt.Fprintf(r.out, "%d seeds run, %d with violations %v, %d could not be run %v\n", len(r.reports), len(r.violated), r.violated, len(r.failed), r.failed)
 	switch {
-	case len(r.broken) > 0:
+	case len(r.violated) > 0:
 		return errViolated
 	case len(r.failed) > 0:
-		return errors.Errorf("%d seeds were not played", len(r.failed))
+		return errors.Errorf("%d seeds could not be run", len(r.failed))
 	}
 	return ctx.Err()
 }
 
-// summarizeStep prints the times of one step, for all closings and for each.
+// summarizeStep prints the times of one step, over all closings and for each of them.
 func (r *soakResults) summarizeStep(step int) {
 	byClosing := map[string][]time.Duration{}
 	never := 0
