--- a/internal/testbed/backend/discovery.go
+++ b/internal/testbed/backend/discovery.go
@@ -14,7 +14,7 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// Target is one entry of discovery's list, in the protocol's form.
+// Target is an entry of discovery's list of servers, in the protocol's format.
 type Target struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -33,138 +33,141 @@
 	Removed  = "removed"
 )
 
-// List is an answer of discovery.
+// List is a response of discovery.
 type List struct {
 	Version uint64   `json:"version"`
-	Full    bool     `json:"full"`
+	Full    bool     `json:"full"` // whether it is the whole list, and not only the changes
 	Servers []Target `json:"servers"`
 }
 
-// maxWait is the longest wait of a watch.
+// maxWait is the maximum time that a watch may wait for a change.
 const maxWait = 60 * time.Second
 
-// View is discovery as one agent sees it, at an address of the agent's own. Views of
-// different agents may be late, stand still or differ. It is safe for concurrent use.
+// View is a discovery server for a single agent. Different agents' views may be delayed, frozen, silent or
+// different. It is safe for concurrent use.
 type View struct {
-	agent string
-	addr  string
-	log   *referee.Log
-	http  *http.Server
-	owner sync.WaitGroup
-
-	mu      sync.Mutex
-	version uint64
-	entries map[string]entry
-	changed chan struct{} // closed at each change
-	silent  bool
-	before  List // while it is silent: the list as the agent's platform last had it
-	frozen  bool
-	late    []Target // what has come while it stood still
-	busy    time.Duration
-	calls   int
-}
-
-type entry struct {
+	agent   string
+	addr    string
+	log     *referee.Log
+	http    *http.Server
+	serving sync.WaitGroup
+
+	mu            sync.Mutex
+	version       uint64
+	entries       map[string]versionedTarget
+	changed       chan struct{} // closed and replaced at each change
+	silent        bool          // whether it answers no calls
+	beforeSilence List          // the list from before it became silent
+	frozen        bool          // whether it holds back changes
+	held          []Target      // changes that came while it was frozen
+	listDelay     time.Duration // how long each full list takes
+	calls         int           // number of calls
+}
+
+// versionedTarget is a target with the version of the list in which it last changed.
+type versionedTarget struct {
 	Target
 	version uint64
 }
 
-// NewView returns an agent's view of a list, served on the listener until Close.
+// NewView returns an agent's view with an initial list. It is served on the listener until Close.
 func NewView(agent string, log *referee.Log, list []Target, ln net.Listener) *View {
-	v := &View{agent: agent, addr: ln.Addr().String(), log: log, version: 1, entries: map[string]entry{}, changed: make(chan struct{})}
+	v := &View{agent: agent, addr: ln.Addr().String(), log: log, version: 1, entries: map[string]versionedTarget{}, changed: make(chan struct{})}
 	for _, t := range list {
-		v.entries[t.ID] = entry{t, 1}
+		v.entries[t.ID] = versionedTarget{t, 1}
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/targets", v.serve)
-	v.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTime}
-	v.owner.Add(1)
+	v.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout}
+	v.serving.Add(1)
 	go func() {
-		defer v.owner.Done()
+		defer v.serving.Done()
 		if err := v.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			panic(fmt.Sprintf("emu: discovery of %s: %v", agent, err)) // a bug of the emulator
+			panic(fmt.Sprintf("emu: discovery of %s: %v", agent, err)) // a bug of the testbed
 		}
 	}()
 	return v
 }
 
-// Addr is where it is served.
+// Addr returns the address that the view is served at.
 func (v *View) Addr() string { return v.addr }
 
-// Close ends it.
+// Close stops serving the view.
 func (v *View) Close() {
 	v.http.Close()
-	v.owner.Wait()
+	v.serving.Wait()
 }
 
-// Known is the whole list as an agent is given it at its start: as of now, or as of when the
-// view fell silent.
+// Known returns the full list that an agent gets in its configuration: the current one, or the one from
+// before the view became silent.
 func (v *View) Known() List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.silent {
-		return v.before
+		return v.beforeSilence
 	}
 	return v.list(0)
 }
 
-// Calls counts the calls.
+// Calls returns the number of calls so far.
 func (v *View) Calls() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.calls
 }
 
-// Tell changes entries; a view that stands still tells them when it goes on.
-func (v *View) Tell(changed ...Target) {
+// Announce changes entries of the list. A frozen view holds the changes back until it is unfrozen.
+func (v *View) Announce(changed ...Target) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.frozen {
-		v.late = append(v.late, changed...)
+		v.held = append(v.held, changed...)
 		return
 	}
 	v.apply(changed)
 }
 
+// apply changes entries and wakes the watches. It is called with mu held.
 func (v *View) apply(changed []Target) {
 	v.version++
 	for _, t := range changed {
-		v.entries[t.ID] = entry{t, v.version}
+		v.entries[t.ID] = versionedTarget{t, v.version}
 	}
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Freeze lets the view stand still, or go on.
+// Freeze makes the view hold back changes, or announce them again.
 func (v *View) Freeze(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.frozen = on; !on && len(v.late) > 0 {
-		v.apply(v.late)
-		v.late = nil
+	if v.frozen = on; !on && len(v.held) > 0 {
+		v.apply(v.held)
+		v.held = nil
 	}
 }
 
-// Silence lets it answer nothing, or answer again.
+// Silence makes the view answer no calls, or answer them again.
 func (v *View) Silence(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if on && !v.silent {
-		v.before = v.list(0)
+		v.beforeSilence = v.list(0)
 	}
 	v.silent = on
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Busy makes each whole list take so long, as of a discovery that is asked too much.
-func (v *View) Busy(d time.Duration) {
+// SetListDelay sets how long each full list takes, which emulates an overloaded discovery service.
+func (v *View) SetListDelay(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.busy = d
+	v.listDelay = d
 }
 
-// list is the answer to a call: what changed after a version, or all for 0.
+// list returns the entries that changed after a version; for 0 it returns the full list. It is called with
+// mu held.
 func (v *View) list(after uint64) List {
 	l := List{Version: v.version, Full: after == 0, Servers: []Target{}}
 	for _, e := range v.entries {
@@ -175,60 +178,62 @@
 	return l
 }
 
+// serve answers a call for the full list, or a watch for changes.
 func (v *View) serve(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	after, err := strconv.ParseUint(q.Get("index"), 10, 64)
-	wait, bad := strconv.ParseUint(q.Get("wait"), 10, 32)
+	after, indexErr := strconv.ParseUint(q.Get("index"), 10, 64)
+	wait, waitErr := strconv.ParseUint(q.Get("wait"), 10, 32)
 	watch := q.Has("index") || q.Has("wait")
-	if watch && (err != nil || bad != nil) {
+	if watch && (indexErr != nil || waitErr != nil) {
 		http.Error(w, "index and wait are whole numbers", http.StatusBadRequest)
 		return
 	}
 	v.mu.Lock()
 	v.calls++
-	busy := v.busy
+	delay := v.listDelay
 	v.mu.Unlock()
 	if !watch || after == 0 {
 		after = 0
-		if !sleep(r.Context(), busy) {
+		if !sleep(r.Context(), delay) {
 			return
 		}
 	}
-	until := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
-	defer until.Stop()
-	for over := !watch; ; {
+	timeout := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWait))
+	defer timeout.Stop()
+	for timedOut := !watch; ; {
 		v.mu.Lock()
 		l, changed, silent := v.list(after), v.changed, v.silent
 		v.mu.Unlock()
-		if !silent && (over || l.Full || l.Version > after) {
-			v.answer(w, l)
+		if !silent && (timedOut || l.Full || l.Version > after) {
+			v.respond(w, l)
 			return
 		}
 		select {
 		case <-changed:
-		case <-until.C:
-			over = true
+		case <-timeout.C:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// answer writes a list, and notes what the agent has been told by it.
-func (v *View) answer(w http.ResponseWriter, l List) {
+// respond writes a list, and logs the states that the agent was notified of by it.
+func (v *View) respond(w http.ResponseWriter, l List) {
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // cannot happen: plain data
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(text); err != nil {
-		return // not told
+		return // the agent was not notified
 	}
 	for _, t := range l.Servers {
-		v.log.Add(referee.Event{Kind: referee.Told, Agent: v.agent, Server: t.ID, State: t.State})
+		v.log.Add(referee.Event{Kind: referee.Notified, Agent: v.agent, Server: t.ID, State: t.State})
 	}
 }
 
+// sleep waits for d and reports whether it did so before the context ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/testbed/backend/emu_test.go
+++ b/internal/testbed/backend/emu_test.go
@@ -14,19 +14,20 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-const patience = 20 * time.Second
+const waitLimit = 20 * time.Second
 
-var client = &http.Client{Timeout: patience}
+var client = &http.Client{Timeout: waitLimit}
 
-// rig is a server of one core, with room for one that waits, whose requests take so long.
-type rig struct {
-	t   *testing.T
-	s   *Server
-	log *referee.Log
-	url string
+// serverRig is a server with one core and a queue for one request.
+type serverRig struct {
+	t      *testing.T
+	server *Server
+	log    *referee.Log
+	url    string
 }
 
-func newRig(t *testing.T, workMs float64, change func(*ServerConfig)) *rig {
+// newRig starts a server whose requests take workMs of work each.
+func newRig(t *testing.T, workMs float64, change func(*ServerConfig)) *serverRig {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,9 +39,9 @@
 		change(&cfg)
 	}
 	work := func(id string) (float64, referee.Effect, bool) {
-		effect := referee.Once
+		effect := referee.NonIdempotent
 		if strings.HasPrefix(id, "k") {
-			effect = referee.Keyed
+			effect = referee.Deduplicated
 		}
 		return workMs, effect, id != "stranger"
 	}
@@ -50,10 +51,10 @@
 		s.Close()
 		ln.Close()
 	})
-	return &rig{t, s, log, "http://" + ln.Addr().String()}
+	return &serverRig{t, s, log, "http://" + ln.Addr().String()}
 }
 
-func (r *rig) ask(id, key string) (*http.Response, string, error) {
+func (r *serverRig) ask(id, key string) (*http.Response, string, error) {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, r.url+"/api/orders/7", strings.NewReader("{}"))
 	if err != nil {
@@ -74,7 +75,7 @@
 	return resp, string(text), err
 }
 
-func (r *rig) status(id string) int {
+func (r *serverRig) status(id string) int {
 	r.t.Helper()
 	resp, _, err := r.ask(id, "")
 	if err != nil {
@@ -83,7 +84,7 @@
 	return resp.StatusCode
 }
 
-func (r *rig) count(k referee.Kind) (n int) {
+func (r *serverRig) count(k referee.Kind) (n int) {
 	for _, e := range r.log.Events() {
 		if e.Kind == k {
 			n++
@@ -92,27 +93,27 @@
 	return n
 }
 
-func TestServesWhatClientsSent(t *testing.T) {
+func TestServesRequestsOfClients(t *testing.T) {
 	r := newRig(t, 5, nil)
 	resp, text, err := r.ask("1", "")
 	if err != nil || resp.StatusCode != http.StatusOK || text != Answer("1") {
 		t.Errorf("%v, %q, %v", resp, text, err)
 	}
 	if got := []int{r.status("stranger"), r.status("")}; got[0] != 400 || got[1] != 404 {
-		t.Errorf("a stranger's request: %d, one without id: %d", got[0], got[1])
+		t.Errorf("status %d for an unknown id, %d without an id", got[0], got[1])
 	}
 	if r.count(referee.Ran) != 1 || r.count(referee.Ended) != 1 || r.count(referee.Attempted) != 1 {
-		t.Errorf("seen: %v", r.log.Events())
+		t.Errorf("events: %v", r.log.Events())
 	}
 }
 
-// With one at work and one that waits a third is turned away, unseen.
-func TestTurnsAwayWhatItHasNoRoomFor(t *testing.T) {
+// While one request runs and one waits, a third is rejected and does not run.
+func TestRejectsRequestsWhenFull(t *testing.T) {
 	r := newRig(t, 1e7, nil)
 	for i := range 2 {
-		go func() { _, _, _ = r.ask(fmt.Sprint(i), "") }() // ended by the server's end
+		go func() { _, _, _ = r.ask(fmt.Sprint(i), "") }() // ends when the server is closed
 	}
-	for end := time.Now().Add(patience); r.s.Truth().Inflight < 2 || r.count(referee.Ran) < 2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitLimit); r.server.Truth().Inflight < 2 || r.count(referee.Ran) < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never full")
 		}
@@ -126,7 +127,7 @@
 	}
 }
 
-func TestARepeatedKeyHasOneEffect(t *testing.T) {
+func TestRepeatedKeyHasOneEffect(t *testing.T) {
 	r := newRig(t, 1, nil)
 	for i := range 3 {
 		if resp, _, err := r.ask(fmt.Sprintf("k%d", i), "key"); err != nil || resp.StatusCode != 200 {
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestEffectsAreForgottenAfterTheirWindow(t *testing.T) {
+func TestEffectsExpireAfterTheWindow(t *testing.T) {
 	e := NewEffects(time.Second)
 	for _, c := range []struct {
 		at    time.Duration
@@ -151,32 +152,32 @@
 	for i := range 100 {
 		e.First(fmt.Sprint(i), time.Minute+2*time.Second*time.Duration(i))
 	}
-	if len(e.at) > 3 {
-		t.Errorf("%d keys remembered", len(e.at))
+	if len(e.lastEffect) > 3 {
+		t.Errorf("%d keys remembered", len(e.lastEffect))
 	}
 }
 
 func TestFaults(t *testing.T) {
 	r := newRig(t, 1, nil)
 	for name, c := range map[string]struct {
-		f  Faults
-		ok func(resp *http.Response, text string, err error) bool
+		faults Faults
+		ok     func(resp *http.Response, text string, err error) bool
 	}{
 		"errors": {Faults{Errors: 1}, func(resp *http.Response, _ string, err error) bool { return err == nil && resp.StatusCode == 500 }},
-		"spoilt": {Faults{Spoilt: 1}, func(_ *http.Response, _ string, err error) bool {
+		"spoilt": {Faults{Malformed: 1}, func(_ *http.Response, _ string, err error) bool {
 			return err != nil && strings.Contains(err.Error(), "malformed")
 		}},
 		"lost": {Faults{Lost: 1}, func(_ *http.Response, _ string, err error) bool { return err != nil }},
 		"none": {Faults{}, func(resp *http.Response, text string, err error) bool { return err == nil && text == Answer("x") }},
 	} {
-		r.s.Fault(c.f)
+		r.server.SetFaults(c.faults)
 		if resp, text, err := r.ask("x", ""); !c.ok(resp, text, err) {
 			t.Errorf("%s: %v, %q, %v", name, resp, text, err)
 		}
 	}
 }
 
-func TestProbesTellTheLoad(t *testing.T) {
+func TestProbesReportTheLoad(t *testing.T) {
 	r := newRig(t, 1, func(c *ServerConfig) { c.Noise = 0.1 })
 	resp, err := client.Get(r.url + "/-/load")
 	if err != nil {
@@ -187,30 +188,29 @@
 	if err != nil || !strings.HasPrefix(string(text), "inflight=0,util=0.000,latency_ms=") {
 		t.Errorf("%q, %v", text, err)
 	}
-	if n := r.s.Stats().Probes; n != 1 {
+	if n := r.server.Stats().Probes; n != 1 {
 		t.Errorf("%d probes counted", n)
 	}
 }
 
-// A server's next life is cold and knows nothing of what the old one held.
+// A restarted server is cold, and serves.
 func TestRestartIsCold(t *testing.T) {
 	r := newRig(t, 1, func(c *ServerConfig) { c.Model.ColdFrom, c.Model.ColdMs = 0.25, 1e9 })
-	warm := r.s.Truth().Capacity
-	r.s.Restart()
-	if cold := r.s.Truth().Capacity; cold > 0.26*warm {
-		t.Errorf("capacity %v after the start, %v before", cold, warm)
+	warm := r.server.Truth().Capacity
+	r.server.Restart()
+	if cold := r.server.Truth().Capacity; cold > 0.26*warm {
+		t.Errorf("capacity %v after the restart, %v before", cold, warm)
 	}
 	if r.status("1") != 200 {
-		t.Error("does not serve")
+		t.Error("the restarted server does not serve")
 	}
 }
 
-// ---- discovery ----
-
+// viewRig is a view of two servers.
 type viewRig struct {
-	t   *testing.T
-	v   *View
-	log *referee.Log
+	t    *testing.T
+	view *View
+	log  *referee.Log
 }
 
 func newView(t *testing.T) *viewRig {
@@ -227,7 +227,7 @@
 
 func (r *viewRig) get(query string) (l List, status int) {
 	r.t.Helper()
-	resp, err := client.Get("http://" + r.v.Addr() + "/api/targets" + query)
+	resp, err := client.Get("http://" + r.view.Addr() + "/api/targets" + query)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -243,53 +243,53 @@
 func TestListAndWatch(t *testing.T) {
 	r := newView(t)
 	if l, _ := r.get(""); !l.Full || l.Version != 1 || len(l.Servers) != 2 {
-		t.Errorf("whole list: %+v", l)
+		t.Errorf("full list: %+v", l)
 	}
 	got := make(chan List, 1)
 	go func() {
 		l, _ := r.get("?index=1&wait=20000")
 		got <- l
 	}()
-	for r.v.Calls() < 2 {
-		time.Sleep(time.Millisecond) // until the watch is there
+	for r.view.Calls() < 2 {
+		time.Sleep(time.Millisecond) // until the watch has arrived
 	}
-	r.v.Tell(Target{ID: "s-2", State: Draining})
+	r.view.Announce(Target{ID: "s-2", State: Draining})
 	if l := <-got; l.Full || l.Version != 2 || len(l.Servers) != 1 || l.Servers[0].State != Draining {
-		t.Errorf("the change: %+v", l)
+		t.Errorf("after the change: %+v", l)
 	}
 	if l, _ := r.get("?index=2&wait=1"); l.Full || len(l.Servers) != 0 || l.Version != 2 {
-		t.Errorf("no change: %+v", l)
+		t.Errorf("without a change: %+v", l)
 	}
-	r.v.Tell(Target{ID: "s-2", State: Removed})
+	r.view.Announce(Target{ID: "s-2", State: Removed})
 	if l, _ := r.get(""); len(l.Servers) != 1 {
-		t.Errorf("what was removed is listed: %+v", l)
+		t.Errorf("a removed server is listed: %+v", l)
 	}
 	if _, status := r.get("?index=x&wait=1"); status != 400 {
 		t.Errorf("status %d for a bad index", status)
 	}
-	told := 0
+	notified := 0
 	for _, e := range r.log.Events() {
-		if e.Kind == referee.Told && e.Server == "s-2" && e.State == Draining {
-			told++
+		if e.Kind == referee.Notified && e.Server == "s-2" && e.State == Draining {
+			notified++
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times that s-2 drains", told)
+	if notified != 1 {
+		t.Errorf("%d notifications that s-2 drains, want 1", notified)
 	}
 }
 
 func TestFrozenAndSilentViews(t *testing.T) {
 	r := newView(t)
-	r.v.Freeze(true)
-	r.v.Tell(Target{ID: "s-1", State: Draining})
+	r.view.Freeze(true)
+	r.view.Announce(Target{ID: "s-1", State: Draining})
 	if l, _ := r.get(""); l.Version != 1 || l.Servers[0].State != Up || l.Servers[1].State != Up {
 		t.Errorf("while frozen: %+v", l)
 	}
-	r.v.Freeze(false)
+	r.view.Freeze(false)
 	if l, _ := r.get("?index=1&wait=1"); len(l.Servers) != 1 || l.Servers[0].State != Draining {
-		t.Errorf("after: %+v", l)
+		t.Errorf("after it was unfrozen: %+v", l)
 	}
-	r.v.Silence(true)
+	r.view.Silence(true)
 	got := make(chan List, 1)
 	go func() {
 		l, _ := r.get("")
@@ -300,40 +300,39 @@
 		t.Errorf("answered while silent: %+v", l)
 	case <-time.After(50 * time.Millisecond):
 	}
-	r.v.Silence(false)
+	r.view.Silence(false)
 	if l := <-got; len(l.Servers) != 2 {
 		t.Errorf("after silence: %+v", l)
 	}
 }
 
-// A connection on which nothing is asked takes no place in the queue of a server whose
-// handshakes are no work.
-func TestAnIdleConnectionTakesNoPlace(t *testing.T) {
+// An idle connection takes no place in the queue of a server whose handshakes cost no work.
+func TestIdleConnectionIsNotQueued(t *testing.T) {
 	r := newRig(t, 1e7, nil)
-	until := func(what string, done func() bool) {
+	waitFor := func(what string, done func() bool) {
 		t.Helper()
-		for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitLimit); !done(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("never %s", what)
 			}
 		}
 	}
-	go func() { _, _, _ = r.ask("0", "") }() // ended by the server's end
-	until("at work", func() bool { return r.s.Truth().Inflight == 1 })
-	made := r.s.Stats().Connections
+	go func() { _, _, _ = r.ask("0", "") }() // ends when the server is closed
+	waitFor("in flight", func() bool { return r.server.Truth().Inflight == 1 })
+	before := r.server.Stats().Connections
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	until("connected", func() bool { return r.s.Stats().Connections > made })
-	if got := r.s.Truth().Inflight; got != 1 {
-		t.Errorf("%d in flight by a connection that asks nothing", got)
+	waitFor("connected", func() bool { return r.server.Stats().Connections > before })
+	if got := r.server.Truth().Inflight; got != 1 {
+		t.Errorf("%d requests in flight with an idle connection, want 1", got)
 	}
 }
 
-// Who starts while discovery is silent is given the list as it was before.
-func TestTheListOfASilentView(t *testing.T) {
+// An agent that starts while discovery is silent gets the list from before the silence.
+func TestKnownListOfSilentView(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -341,12 +340,12 @@
 	v := NewView("n1", referee.NewLog(), []Target{{ID: "s-1", State: Up}}, ln)
 	defer v.Close()
 	v.Silence(true)
-	v.Tell(Target{ID: "s-1", State: Draining})
+	v.Announce(Target{ID: "s-1", State: Draining})
 	if l := v.Known(); l.Servers[0].State != Up {
-		t.Errorf("known while silent: %+v", l)
+		t.Errorf("list while silent: %+v", l)
 	}
 	v.Silence(false)
 	if l := v.Known(); l.Servers[0].State != Draining {
-		t.Errorf("known after it: %+v", l)
+		t.Errorf("list after the silence: %+v", l)
 	}
 }
--- a/internal/testbed/backend/server.go
+++ b/internal/testbed/backend/server.go
@@ -1,6 +1,6 @@
-// Package backend emulates on real sockets what agents of the program meet: report servers and
-// discovery, as PROTOCOL and WIRE describe them. What a server does with its time is the
-// model's (internal/testbed/backendmodel); this package gives it a clock, connections and faults.
+// Package backend emulates the services that agents use, report servers and discovery, on real sockets, as
+// PROTOCOL and WIRE describe them. The queue and the processing of a server are simulated by package
+// backendmodel; this package adds a real clock, connections and faults.
 package backend
 
 import (
@@ -22,198 +22,202 @@
 )
 
 const (
-	// maxBody bounds a request's body, as the protocol does.
+	// maxBody is the maximum size of a request's body, as the protocol says.
 	maxBody = 64 << 10
-	// headTime bounds how long a head may take to come.
-	headTime = 5 * time.Second
+	// headTimeout is the time limit for reading a request's head.
+	headTimeout = 5 * time.Second
 )
 
-// Work tells what a request takes; false for an id that no client sent.
+// Work returns the work and the effect of a request by its id; false for an id that no client sent.
 type Work func(requestID string) (workMs float64, effect referee.Effect, ok bool)
 
-// ServerConfig is one report server.
+// ServerConfig configures a report server.
 type ServerConfig struct {
 	ID, Zone    string
 	Seed        uint64
 	Model       backendmodel.Config
-	HandshakeMs float64 // work for a new connection
-	ProbeMs     float64 // and for a probe
-	MaxConns    int     // 0: no bound
-	IdleFor     time.Duration
-	Noise       float64 // of load reports: up to so much more or less
+	HandshakeMs float64       // work in ms for a new connection
+	ProbeMs     float64       // work in ms for a probe
+	MaxConns    int           // 0 means no limit
+	IdleTimeout time.Duration // idle timeout of connections
+	Noise       float64       // maximum relative error of reported loads
 }
 
-// Faults are what a server does wrong at a moment.
+// Faults are the faults that are injected into a server.
 type Faults struct {
-	Slow   float64 // times slower; 0 and 1 are its make
-	Errors float64 // part of the requests that fail quickly
-	Spoilt float64 // part of the answers that can't be read
-	Lost   float64 // part of the answers that never come, but a reset
+	Slowdown  float64 // factor by which the server is slower; 0 and 1 mean its normal speed
+	Errors    float64 // fraction of requests that fail immediately
+	Malformed float64 // fraction of answers that are malformed
+	Lost      float64 // fraction of answers instead of which the connection is closed
 }
 
-// Effects remembers when each key had its effect, for all report servers together: they drop
-// the repeats of a key for a time. It is safe for concurrent use and bounded by that time.
+// Effects remembers, for all report servers together, when each idempotency key had its effect. The servers
+// drop repeats of a key within the window, and keys are forgotten after it. It is safe for concurrent use.
 type Effects struct {
-	mu     sync.Mutex
-	window time.Duration
-	at     map[string]time.Duration
-	swept  time.Duration
+	mu         sync.Mutex
+	window     time.Duration
+	lastEffect map[string]time.Duration // by key, the time of its effect
+	sweptAt    time.Duration            // when expired keys were last removed
 }
 
-// NewEffects returns the memory of a fleet.
+// NewEffects returns an empty Effects for a fleet.
 func NewEffects(window time.Duration) *Effects {
-	return &Effects{window: window, at: map[string]time.Duration{}}
+	return &Effects{window: window, lastEffect: map[string]time.Duration{}}
 }
 
-// First tells whether a key has its effect now, and is not a repeat that is dropped.
+// First reports whether a request with a key takes effect now; false if it is a repeat that is dropped.
 func (e *Effects) First(key string, now time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now-e.swept > e.window {
-		for k, at := range e.at {
+	if now-e.sweptAt > e.window {
+		for k, at := range e.lastEffect {
 			if now-at > e.window {
-				delete(e.at, k)
+				delete(e.lastEffect, k)
 			}
 		}
-		e.swept = now
+		e.sweptAt = now
 	}
-	if at, ok := e.at[key]; ok && now-at <= e.window {
+	if at, ok := e.lastEffect[key]; ok && now-at <= e.window {
 		return false
 	}
-	e.at[key] = now
+	e.lastEffect[key] = now
 	return true
 }
 
-// Server is one report server, over several lives of its process. It is safe for concurrent
-// use.
+// Server is a report server, which can be restarted. It is safe for concurrent use.
 type Server struct {
 	cfg     ServerConfig
 	work    Work
 	log     *referee.Log
 	effects *Effects
 	http    *http.Server
-	owner   sync.WaitGroup
+	serving sync.WaitGroup
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	model   *backendmodel.Server
-	life    int
+	life    int // number of restarts
 	faults  Faults
-	conns   int
+	conns   int // number of open connections
 	nextJob uint64
-	jobs    map[uint64]chan struct{}
-	timer   *time.Timer
-	done    []backendmodel.Done
-	toppled bool
+	jobs    map[uint64]chan struct{} // by job id; closed when the job is done
+	timer   *time.Timer              // fires at the model's next event
+	done    []backendmodel.Done      // buffer for settle
+	toppled bool                     // whether Toppled was logged since the last start
 	stats   Stats
 }
 
-// Stats are counted over a server's whole run.
+// Stats are counted over all lives of a server.
 type Stats struct {
-	Connections, Probes, Ran, TurnedAway int
-	KeysKnown, KeysMet                   int
-	Pressed                              float64 // the most a cold life was offered, as a part of what topples it
-	Toppled                              bool
+	Connections, Probes, Ran, Rejected int
+	KeysKnown, KeysSeen                int // requests whose key was cached, and all requests with a key
+	// Pressed is the maximum load on the server while cold, as a fraction of the load that topples it.
+	Pressed float64
+	Toppled bool
 }
 
-// near is what a connection knows of the party that opened it: who it is, and when it sent the
+// peerInfo is implemented by connections that know the party that opened them: its name, and when it sent the
 // first byte of its last message.
-type near interface {
+type peerInfo interface {
 	From() string
 	Sent() time.Time
 }
 
-type nearKey struct{}
+// peerInfoKey is the context key of a connection's peerInfo.
+type peerInfoKey struct{}
 
-// NewServer returns a server that has been up for long.
+// NewServer returns a server that is warm, as if it had been running for a long time.
 func NewServer(cfg ServerConfig, work Work, log *referee.Log, effects *Effects) *Server {
 	s := &Server{cfg: cfg, work: work, log: log, effects: effects, rng: rand.New(rand.NewPCG(cfg.Seed, 3)),
 		jobs: map[uint64]chan struct{}{}, model: backendmodel.New(cfg.Model, 0)}
 	s.timer = time.AfterFunc(time.Hour, s.advance)
-	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTime, IdleTimeout: cfg.IdleFor, ConnState: s.track,
+	s.http = &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: cfg.IdleTimeout, ConnState: s.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			if n, ok := c.(near); ok {
-				return context.WithValue(ctx, nearKey{}, n)
+			if n, ok := c.(peerInfo); ok {
+				return context.WithValue(ctx, peerInfoKey{}, n)
 			}
 			return ctx
 		}, ErrorLog: nil}
 	return s
 }
 
-// Serve takes the connections of a listener until it is closed.
+// Serve accepts the connections of a listener in the background until the listener is closed.
 func (s *Server) Serve(ln net.Listener) {
-	s.owner.Add(1)
+	s.serving.Add(1)
 	go func() {
-		defer s.owner.Done()
+		defer s.serving.Done()
 		if err := s.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			panic(fmt.Sprintf("emu: %s: %v", s.cfg.ID, err)) // a bug of the emulator
+			panic(fmt.Sprintf("emu: %s: %v", s.cfg.ID, err)) // a bug of the testbed
 		}
 	}()
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() {
 	s.http.Close()
-	s.owner.Wait()
+	s.serving.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer.Stop()
 }
 
-// ID and Zone name it.
-func (s *Server) ID() string   { return s.cfg.ID }
+// ID returns the server's id.
+func (s *Server) ID() string { return s.cfg.ID }
+
+// Zone returns the server's zone.
 func (s *Server) Zone() string { return s.cfg.Zone }
 
-// ms is the log's clock as the model counts it; the model's 0 is long ago.
+// ms converts a time of the log's clock to ms of the model's clock, whose 0 is long before the log's.
 func ms(t time.Duration) float64 { return 1e6 + float64(t.Microseconds())/1000 }
 
+// now returns the current time of the model's clock.
 func (s *Server) now() float64 { return ms(s.log.Now()) }
 
-// Restart begins a new life, cold: what its old one held is gone.
+// Restart restarts the server, which is cold then and has lost the requests that it held.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count()
+	s.collectStats()
 	s.life++
-	s.jobs = map[uint64]chan struct{}{} // nobody will tell those who wait; their connections go
+	s.jobs = map[uint64]chan struct{}{} // requests that wait for these jobs end with their connections
 	s.toppled = false
 	s.model = backendmodel.New(s.cfg.Model, s.now())
-	s.model.Slow(max(s.faults.Slow, 1))
+	s.model.Slow(max(s.faults.Slowdown, 1))
 }
 
-// Fault changes what it does wrong.
-func (s *Server) Fault(f Faults) {
+// SetFaults replaces the faults that are injected into the server.
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.model.Slow(max(f.Slow, 1))
+	s.model.Slow(max(f.Slowdown, 1))
 }
 
-// count takes over the figures of the life at hand.
-func (s *Server) count() {
-	known, met := s.model.Keys()
+// collectStats adds the figures of the current model to the stats. It is called with mu held.
+func (s *Server) collectStats() {
+	known, seen := s.model.Keys()
 	s.stats.KeysKnown += known
-	s.stats.KeysMet += met
+	s.stats.KeysSeen += seen
 	s.stats.Pressed = max(s.stats.Pressed, s.model.Pressed())
 	s.stats.Toppled = s.stats.Toppled || s.model.Down()
 }
 
-// Stats returns the figures of all its lives.
+// Stats returns the figures of all lives so far.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count()
+	s.collectStats()
 	return s.stats
 }
 
-// Truth is a server's true state, as no agent can see it.
+// Truth is a server's true state, which agents can't see.
 type Truth struct {
-	Inflight int
-	Capacity float64 // work in ms that it can do in a ms
-	Good     float64 // part of its answers that are good
+	Inflight    int     // number of requests that it holds
+	Capacity    float64 // work in ms, of a core of speed 1, that it does in a ms; 0 if it has toppled
+	SuccessRate float64 // fraction of its answers that are good
 }
 
-// Truth tells its state of now.
+// Truth returns the server's current state.
 func (s *Server) Truth() Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,10 +226,10 @@
 		return Truth{}
 	}
 	return Truth{Inflight: s.model.Load(now).Inflight, Capacity: s.model.Capacity(now),
-		Good: (1 - s.faults.Errors) * (1 - s.faults.Spoilt) * (1 - s.faults.Lost)}
+		SuccessRate: (1 - s.faults.Errors) * (1 - s.faults.Malformed) * (1 - s.faults.Lost)}
 }
 
-// track counts connections; a new one is work.
+// track counts connections. A new connection costs the server work.
 func (s *Server) track(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -236,7 +240,7 @@
 			go c.Close()
 			return
 		}
-		if s.cfg.HandshakeMs > 0 { // no work takes no place in the queue
+		if s.cfg.HandshakeMs > 0 { // without work it takes no place in the queue
 			s.model.Offer(s.now(), backendmodel.Job{WorkMs: s.cfg.HandshakeMs})
 			s.arm()
 		}
@@ -247,13 +251,14 @@
 	}
 }
 
-// advance ends what is done by now.
+// advance completes the jobs that are done by now.
 func (s *Server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settle()
 }
 
+// settle completes the jobs that are done by now. It is called with mu held.
 func (s *Server) settle() {
 	s.done = s.model.Advance(s.now(), s.done[:0])
 	for _, d := range s.done {
@@ -265,18 +270,19 @@
 	s.arm()
 }
 
+// arm sets the timer to the model's next event. It is called with mu held.
 func (s *Server) arm() {
-	if at, some := s.model.Next(); some {
+	if at, found := s.model.Next(); found {
 		s.timer.Reset(time.Duration(max(at-s.now(), 0) * float64(time.Millisecond)))
 	}
 }
 
-// ServeHTTP answers one request, as the protocol says.
+// ServeHTTP answers a probe or a request, as the protocol says.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	agent, onWay := "", time.Duration(0)
-	if n, ok := r.Context().Value(nearKey{}).(near); ok {
+	agent, delay := "", time.Duration(0) // the sender, and the time since its first byte
+	if n, ok := r.Context().Value(peerInfoKey{}).(peerInfo); ok {
 		agent, _, _ = strings.Cut(n.From(), "@")
-		onWay = time.Since(n.Sent())
+		delay = time.Since(n.Sent())
 	}
 	if r.Method == http.MethodGet && (r.URL.Path == "/-/load" || r.URL.Path == "/-/healthy") {
 		s.probe(w, r.URL.Path == "/-/load")
@@ -294,53 +300,54 @@
 	}
 	e := referee.Event{Kind: referee.Attempted, Agent: agent, Server: s.cfg.ID, Request: id, Effect: effect,
 		Key: r.Header.Get("Idempotency-Key")}
-	if onWay > 0 {
-		e.Sent = max(s.log.Now()-onWay, 1)
+	if delay > 0 {
+		e.SentAt = max(s.log.Now()-delay, 1)
 	}
 	s.log.Add(e)
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
-		return // it never came whole, so it never ran
+		return // the request did not arrive completely, so it does not run
 	}
 	answer := s.run(r.Context(), e, keyOf(r.URL.EscapedPath()), work)
 	switch answer {
 	case served:
 		w.Header().Set("Content-Type", "text/plain")
-		_, _ = io.WriteString(w, Answer(id)) // to a client that has gone nothing more is owed
+		_, _ = io.WriteString(w, Answer(id)) // the client may have disconnected
 	case failed:
 		w.WriteHeader(http.StatusInternalServerError)
-	case turnedAway:
+	case rejected:
 		w.Header().Set("Not-Started", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case spoilt, lost:
+	case malformed, lost:
 		c, buf, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		if answer == spoilt {
+		if answer == malformed {
 			_, _ = buf.WriteString("HTTP/1.1 2OO what\r\nContent-Length: -7\r\n\r\n\x00\x01")
 			_ = buf.Flush()
 		}
 		c.Close()
-	case gone:
-		panic(http.ErrAbortHandler) // the process that held it has died
+	case aborted:
+		panic(http.ErrAbortHandler) // the server was restarted or the request was canceled
 	}
 }
 
-// Answer is the body that a report server makes for a request.
+// Answer returns the body that a report server makes for a request.
 func Answer(requestID string) string { return "report of " + requestID }
 
+// answer is how a request is answered.
 type answer uint8
 
 const (
-	served answer = iota
-	failed
-	turnedAway
-	spoilt
-	lost
-	gone
+	served    answer = iota
+	failed           // status 500
+	rejected         // status 503: it was not started
+	malformed        // a malformed response
+	lost             // the connection is closed without a response
+	aborted          // the server was restarted or the request was canceled
 )
 
-// run does the work of a request and tells how it is answered.
+// run processes a request and returns how it is answered.
 func (s *Server) run(ctx context.Context, e referee.Event, key uint64, work float64) answer {
 	s.mu.Lock()
 	note := func(k referee.Kind) {
@@ -357,13 +364,13 @@
 	s.nextJob++
 	id, done, life := s.nextJob, make(chan struct{}), s.life
 	if !s.model.Offer(s.now(), backendmodel.Job{ID: id, Key: key, WorkMs: work}) {
-		s.stats.TurnedAway++
+		s.stats.Rejected++
 		if s.model.Down() && !s.toppled {
 			s.toppled = true
 			defer s.log.Add(referee.Event{Kind: referee.Toppled, Server: s.cfg.ID})
 		}
 		s.mu.Unlock()
-		return turnedAway
+		return rejected
 	}
 	s.jobs[id] = done
 	s.stats.Ran++
@@ -371,7 +378,7 @@
 	s.mu.Unlock()
 	note(referee.Arrived)
 	defer note(referee.Ended)
-	if e.Effect != referee.Keyed || s.effects.First(e.Key, s.log.Now()) {
+	if e.Effect != referee.Deduplicated || s.effects.First(e.Key, s.log.Now()) {
 		note(referee.Ran)
 	}
 	select {
@@ -383,22 +390,22 @@
 			delete(s.jobs, id)
 			s.model.Cancel(s.now(), id)
 		}
-		return gone
+		return aborted
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch x := s.rng.Float64(); {
 	case s.life != life:
-		return gone
-	case x < s.faults.Spoilt:
-		return spoilt
-	case x < s.faults.Spoilt+s.faults.Lost:
+		return aborted
+	case x < s.faults.Malformed:
+		return malformed
+	case x < s.faults.Malformed+s.faults.Lost:
 		return lost
 	}
 	return served
 }
 
-// probe answers with the load, a little noisy.
+// probe answers a probe, with the server's load and some noise if load is set.
 func (s *Server) probe(w http.ResponseWriter, load bool) {
 	s.mu.Lock()
 	s.stats.Probes++
@@ -420,7 +427,7 @@
 	}
 }
 
-// keyOf is what a request is about: the last part of its path.
+// keyOf returns the hash of the last element of a request's path, which identifies the object of the request.
 func keyOf(p string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(path.Base(p)))
--- a/internal/testbed/experiment/evidence.go
+++ b/internal/testbed/experiment/evidence.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxExplained is how many violations of a play come with evidence.
-	maxExplained = 5
-	// maxLogLines and maxLogBytes bound how much of the end of an agent's log is evidence.
+	// maxEvidence is the maximum number of violations of a play that are reported with evidence.
+	maxEvidence = 5
+	// maxLogLines and maxLogBytes bound the part at the end of an agent's log that evidence includes.
 	maxLogLines, maxLogBytes = 30, 16 << 10
 )
 
-// evidence tells what else is known of a violation: when the load began, when its agents were killed or
-// paused, and the end of their logs.
+// evidence returns the context of a violation: when the load started, when the agents involved were killed
+// or paused, and the ends of their logs.
 func (w *world) evidence(v referee.Violation, events []referee.Event) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "  the load began at %.3f s", w.start.Seconds())
+	fmt.Fprintf(&text, "  the load began at %.3f s", w.loadStart.Seconds())
 	for _, name := range agentsOf(v) {
 		for _, e := range events {
 			if e.Kind == referee.Killed && e.Agent == name {
@@ -40,7 +40,7 @@
 	return text.String()
 }
 
-// agentsOf returns the agents that a violation's events name, each once.
+// agentsOf returns the names of the agents in a violation's events, without duplicates.
 func agentsOf(v referee.Violation) (names []string) {
 	for _, e := range v.Events {
 		if e.Agent != "" && !slices.Contains(names, e.Agent) {
@@ -50,7 +50,7 @@
 	return names
 }
 
-// lastLines returns the end of a file.
+// lastLines returns the last lines of a file, at most maxLogLines from its last maxLogBytes.
 func lastLines(path string) ([]string, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/testbed/experiment/evidence_test.go
+++ b/internal/testbed/experiment/evidence_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestEvidenceOfAViolation(t *testing.T) {
-	w := &world{dir: t.TempDir(), start: 200 * time.Millisecond}
+	w := &world{dir: t.TempDir(), loadStart: 200 * time.Millisecond}
 	var log strings.Builder
 	for i := range maxLogBytes {
 		fmt.Fprintln(&log, "line", i)
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// listLate is how late discovery tells a change.
-	listLate = 500 * time.Millisecond
-	// killedFor is how long an agent that was killed stays down, and grace what it may take
-	// to end in order.
-	killedFor, grace = 300 * time.Millisecond, 8 * time.Second
+	// announceDelay is the delay with which discovery announces a change.
+	announceDelay = 500 * time.Millisecond
+	// downtime is the time between an agent's kill and its restart, and shutdownTimeout is the limit for a
+	// graceful shutdown.
+	downtime, shutdownTimeout = 300 * time.Millisecond, 8 * time.Second
 )
 
-// kinds do a fault to a world and return what ends it, or nil. They are drawn from the
-// world's own seed, so equal runs befall the same.
-var kinds = map[string]func(ctx context.Context, w *world, f *Fault) (end func() error, err error){
-	// Agents are killed, and start again from nothing but the list.
+// faultKinds has a function for each kind of fault. It injects the fault and returns a function that ends
+// it, or nil if nothing has to be ended. Random choices are drawn from the world's seed, so that runs
+// with the same seed get the same faults.
+var faultKinds = map[string]func(ctx context.Context, w *world, f *Fault) (end func() error, err error){
+	// Kills agents, and starts them again after the downtime.
 	"kill-agents": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		w.beginOutages(hit)
 		for _, a := range hit {
-			w.mean(a.proc)
+			w.expectExit(a.proc)
 			a.proc.Kill()
 		}
-		later(ctx, w, killedFor, func() error {
+		schedule(ctx, w, downtime, func() error {
 			for _, a := range hit {
 				if err := w.restart(a); err != nil {
 					return err
@@ -44,35 +45,36 @@
 		})
 		return nil, nil
 	},
-	// Agents are paused, and go on.
+	// Pauses agents (SIGSTOP), and resumes them at the end.
 	"pause-agents": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.pause(w.someAgents(f))
+		return w.pause(w.sampleAgents(f))
 	},
-	// The same with voters of the council.
+	// Pauses voters of the council.
 	"pause-voters": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		of := w.agents[:min(voters, len(w.agents))] // the same where they act alone
+		// The same agents are paused in plays without a council, so that all plays get the same fault.
+		of := w.agents[:min(councilSize, len(w.agents))]
 		var hit []*agent
-		for _, i := range w.some(len(of), f.Part) {
+		for _, i := range w.sample(len(of), f.Fraction) {
 			hit = append(hit, of[i])
 		}
 		return w.pause(hit)
 	},
-	// Agents end in order, one step after the other over For, and start again.
+	// Restarts agents gracefully, in Steps batches that are spread over Duration.
 	"roll-agents": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
 		steps := max(f.Steps, 1)
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		for i := range steps {
-			part := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
-			later(ctx, w, time.Duration(f.For)*time.Duration(i)/time.Duration(steps), func() error {
-				for _, a := range part {
-					w.mean(a.proc)
+			batch := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
+			schedule(ctx, w, time.Duration(f.Duration)*time.Duration(i)/time.Duration(steps), func() error {
+				for _, a := range batch {
+					w.expectExit(a.proc)
 					go func() {
-						ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
+						ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 						defer cancel()
 						if err := a.proc.Terminate(ctx); err != nil {
-							w.died(fmt.Sprintf("%s at SIGTERM: %v", a.name, err))
+							w.recordCrash(fmt.Sprintf("%s at SIGTERM: %v", a.name, err))
 						}
-						w.later(func() error { return w.restart(a) })
+						w.enqueue(func() error { return w.restart(a) })
 					}()
 				}
 				return nil
@@ -80,57 +82,57 @@
 		}
 		return nil, nil
 	},
-	// Servers die and come back cold.
+	// Kills servers, and starts them again, cold, at the end.
 	"kill-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someServers(f)
-		w.down(hit)
-		return func() error { return w.up(hit) }, nil
+		hit := w.sampleServers(f)
+		w.stopServers(hit)
+		return func() error { return w.startServers(hit) }, nil
 	},
-	// All servers of a zone fall silent and come back cold.
+	// Removes all servers of a zone from the list and cuts their links. At the end they come back cold.
 	"lose-zone": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		var hit []*server
 		for _, s := range w.servers {
 			if s.Zone() == f.Zone && s.target.State != backend.Removed {
 				hit = append(hit, s)
-				w.enter(s, backend.Removed)
+				w.setState(s, backend.Removed)
 			}
 		}
-		w.tell(listLate, hit...)
-		heal, err := w.cut(func(_ *agent, s *server) (bool, bool) { return s.Zone() == f.Zone, s.Zone() == f.Zone })
+		w.announce(announceDelay, hit...)
+		heal, err := w.cutLinks(func(_ *agent, s *server) (bool, bool) { return s.Zone() == f.Zone, s.Zone() == f.Zone })
 		return func() error {
 			for _, s := range hit {
 				for _, l := range s.links {
 					l.Reset()
 				}
 				s.Restart()
-				w.enter(s, backend.Up)
+				w.setState(s, backend.Up)
 			}
-			w.tell(listLate, hit...)
+			w.announce(announceDelay, hit...)
 			return heal()
 		}, err
 	},
-	// A zone is cut off from the others: agents and servers within reach each other only. The
-	// list tells nothing.
+	// Cuts the links between a zone's agents and the other zones' servers, and the reverse. The zone's
+	// agents still reach its servers. Discovery announces nothing.
 	"cut-zone": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.cut(func(a *agent, s *server) (bool, bool) {
+		return w.cutLinks(func(a *agent, s *server) (bool, bool) {
 			across := (a.zone == f.Zone) != (s.Zone() == f.Zone)
 			return across, across
 		})
 	},
-	// What servers send to agents of other zones is lost, not what they are sent.
+	// Drops what a zone's servers send to agents of other zones. Traffic in the other direction arrives.
 	"cut-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.cut(func(a *agent, s *server) (bool, bool) { return false, s.Zone() == f.Zone && a.zone != f.Zone })
+		return w.cutLinks(func(a *agent, s *server) (bool, bool) { return false, s.Zone() == f.Zone && a.zone != f.Zone })
 	},
-	// A site's uplink is lost: its agents reach neither discovery nor other sites' agents and
-	// servers, and the other way round. Within the site all is well.
+	// Cuts a site's uplink. Its agents reach neither discovery nor the agents and servers of other
+	// sites, and other sites' agents reach nothing of it. Traffic within the site is not affected.
 	"uplink": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		loss := &referee.Loss{Zone: f.Zone, From: w.log.Now(), To: -1}
-		w.losses = append(w.losses, loss)
+		w.uplinkLosses = append(w.uplinkLosses, loss)
 		inside := map[string]bool{}
 		for _, name := range w.electorate(f.Zone) {
 			inside[name] = true
 		}
-		reached, err := w.cutPeers(func(from, to string) bool { return inside[from] != inside[to] })
+		healPeers, err := w.cutPeers(func(from, to string) bool { return inside[from] != inside[to] })
 		if err != nil {
 			return nil, err
 		}
@@ -142,123 +144,129 @@
 			}
 		}
 		silence(true)
-		heal, err := w.cut(func(a *agent, s *server) (bool, bool) {
+		heal, err := w.cutLinks(func(a *agent, s *server) (bool, bool) {
 			across := (a.zone == f.Zone) != (s.Zone() == f.Zone)
 			return across, across
 		})
 		return func() error {
 			loss.To = w.log.Now()
 			silence(false)
-			if reached != nil {
-				if err := reached(); err != nil {
+			if healPeers != nil {
+				if err := healPeers(); err != nil {
 					return err
 				}
 			}
 			return heal()
 		}, err
 	},
-	// Servers drain, as discovery tells late, and are gone when it ends.
+	// Drains servers, which discovery announces with a delay, and removes them at the end.
 	"drain-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someServers(f)
+		hit := w.sampleServers(f)
 		for _, s := range hit {
-			w.enter(s, backend.Draining)
+			w.setState(s, backend.Draining)
 		}
-		w.tell(listLate, hit...)
+		w.announce(announceDelay, hit...)
 		return func() error {
-			w.down(hit)
+			w.stopServers(hit)
 			return nil
 		}, nil
 	},
+	// Slows servers down by Factor.
 	"slow-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, backend.Faults{Slow: f.Times})
+		return w.applyFault(f, backend.Faults{Slowdown: f.Factor})
 	},
-	// Servers are slow, and fail a share of what they get.
+	// Slows servers down, and makes them fail a share of their requests.
 	"grey-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, backend.Faults{Slow: f.Times, Errors: f.Share})
+		return w.applyFault(f, backend.Faults{Slowdown: f.Factor, Errors: f.Share})
 	},
+	// Makes servers fail a share of their requests.
 	"error-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, backend.Faults{Errors: f.Share})
+		return w.applyFault(f, backend.Faults{Errors: f.Share})
 	},
-	// The agents of a zone are cut off from each other, in so many parts; all else is well.
+	// Partitions the agents of a zone into Steps groups that can't reach each other. Nothing else is
+	// affected.
 	"split-site": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		part, members := map[string]int{}, w.electorate(f.Zone)
+		group, members := map[string]int{}, w.electorate(f.Zone) // groups count from 1; 0 for other zones' agents
 		for i, at := range w.rng.Perm(len(members)) {
-			part[members[at]] = 1 + i*max(f.Steps, 2)/len(members)
+			group[members[at]] = 1 + i*max(f.Steps, 2)/len(members)
 		}
 		return w.cutPeers(func(from, to string) bool {
-			return part[from] > 0 && part[to] > 0 && part[from] != part[to]
+			return group[from] > 0 && group[to] > 0 && group[from] != group[to]
 		})
 	},
-	// Some agents hear others, and are not heard.
+	// Drops what some agents send to other agents. They still receive.
 	"mute-agents": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		mute := map[string]bool{}
-		for _, a := range w.someAgents(f) {
+		for _, a := range w.sampleAgents(f) {
 			mute[a.name] = true
 		}
 		return w.cutPeers(func(from, _ string) bool { return mute[from] })
 	},
-	// Servers fall silent to all, and the list tells nothing.
+	// Cuts the links of servers to all agents. Discovery announces nothing.
 	"silence-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someServers(f)
-		w.befall(hit)
-		return w.cut(func(_ *agent, s *server) (bool, bool) { return slices.Contains(hit, s), slices.Contains(hit, s) })
+		hit := w.sampleServers(f)
+		w.recordFaultStart(hit)
+		return w.cutLinks(func(_ *agent, s *server) (bool, bool) { return slices.Contains(hit, s), slices.Contains(hit, s) })
 	},
+	// Makes servers corrupt a share of their answers.
 	"spoil-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, backend.Faults{Spoilt: f.Share})
+		return w.applyFault(f, backend.Faults{Malformed: f.Share})
 	},
+	// Makes servers close the connection instead of sending a share of their answers.
 	"lose-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.fault(f, backend.Faults{Lost: f.Share})
+		return w.applyFault(f, backend.Faults{Lost: f.Share})
 	},
-	// The network of some agents is bad: a share of their messages is held up.
+	// Delays a share of the messages between some agents and the servers.
 	"stall-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		set := func(q faultlink.Quality) error {
 			for _, a := range hit {
 				a.quality = q
 			}
-			return w.relink()
+			return w.updateLinks()
 		}
 		return func() error { return set(faultlink.Quality{}) },
 			set(faultlink.Quality{Stall: f.Share, Stalled: time.Duration(f.Delay)})
 	},
-	// All open connections to servers are reset, once.
+	// Resets all open connections to servers, once.
 	"reset-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		for _, s := range w.someServers(f) {
+		for _, s := range w.sampleServers(f) {
 			for _, l := range s.links {
 				l.Reset()
 			}
 		}
 		return nil, nil
 	},
-	// Servers are replaced by new ones, in steps over For: the new are listed, cold, then the
-	// old drain, and go when they have had their time.
+	// Replaces servers by new ones, in Steps batches over Duration. In each batch new, cold servers are
+	// listed and the old ones start to drain. The old ones are removed after the drain grace.
 	"replace-servers": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
-		hit, steps := w.someServers(f), max(f.Steps, 1)
+		hit, steps := w.sampleServers(f), max(f.Steps, 1)
 		drain := time.Duration(w.set.Contract.DrainGraceMs)*time.Millisecond + 500*time.Millisecond
 		for i := range steps {
-			part := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
-			at := time.Duration(f.For) * time.Duration(i) / time.Duration(steps)
-			later(ctx, w, at, func() error {
-				fresh := make([]*server, len(part))
-				for i, old := range part {
-					w.enter(old, backend.Draining)
+			batch := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
+			at := time.Duration(f.Duration) * time.Duration(i) / time.Duration(steps)
+			schedule(ctx, w, at, func() error {
+				fresh := make([]*server, len(batch))
+				for i, old := range batch {
+					w.setState(old, backend.Draining)
 					var err error
 					if fresh[i], err = w.addServer(unixMs()); err != nil {
 						return err
 					}
 				}
-				w.tell(listLate, append(fresh, part...)...)
+				w.announce(announceDelay, append(fresh, batch...)...)
 				return nil
 			})
-			later(ctx, w, at+listLate+drain, func() error {
-				w.down(part)
+			schedule(ctx, w, at+announceDelay+drain, func() error {
+				w.stopServers(batch)
 				return nil
 			})
 		}
 		return nil, nil
 	},
+	// Holds back all changes that discovery announces to some agents.
 	"freeze-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		for _, a := range hit {
 			a.view.Freeze(true)
 		}
@@ -269,8 +277,9 @@
 			return nil
 		}, nil
 	},
+	// Makes discovery answer none of some agents' calls.
 	"silence-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		for _, a := range hit {
 			a.view.Silence(true)
 		}
@@ -281,14 +290,15 @@
 			return nil
 		}, nil
 	},
+	// Makes discovery take Delay for each full list that it sends to some agents.
 	"busy-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.someAgents(f)
+		hit := w.sampleAgents(f)
 		for _, a := range hit {
-			a.view.Busy(time.Duration(f.Delay))
+			a.view.SetListDelay(time.Duration(f.Delay))
 		}
 		return func() error {
 			for _, a := range hit {
-				a.view.Busy(0)
+				a.view.SetListDelay(0)
 			}
 			return nil
 		}, nil
@@ -297,7 +307,7 @@
 
 func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// pause stops agents and returns what lets them go on.
+// pause suspends agents and returns a function that resumes them.
 func (w *world) pause(hit []*agent) (func() error, error) {
 	from := w.log.Now()
 	for _, a := range hit {
@@ -310,24 +320,25 @@
 			if err := a.proc.Continue(); err != nil {
 				return err
 			}
-			// What a paused process holds or is sent it cannot answer in time.
+			// A paused process can't answer in time the requests that it holds or is sent meanwhile.
 			w.log.Add(referee.Event{At: from, Kind: referee.Killed, Agent: a.name, Deadline: w.log.Now()})
 		}
 		return nil
 	}, nil
 }
 
-// later does something on the run's goroutine after a time, unless the run is over by then.
-func later(ctx context.Context, w *world, after time.Duration, do func() error) {
-	time.AfterFunc(after, func() {
+// schedule runs a task on the run's goroutine after a delay, unless the run has ended by then.
+func schedule(ctx context.Context, w *world, delay time.Duration, task func() error) {
+	time.AfterFunc(delay, func() {
 		if ctx.Err() == nil {
-			w.later(do)
+			w.enqueue(task)
 		}
 	})
 }
 
-// enter gives a server another state in the list; one that is up has started now.
-func (w *world) enter(s *server, state string) {
+// setState sets a server's state in discovery's list. A server that comes up has its start time set to
+// now.
+func (w *world) setState(s *server, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s.target.State = state; state == backend.Up {
@@ -335,66 +346,68 @@
 	}
 }
 
-// some draws a part of n things, in a drawn order; a part of 0 is all.
-func (w *world) some(n int, part float64) []int {
+// sample draws a fraction of the indices below n, in random order. A fraction of 0 means all of them.
+func (w *world) sample(n int, part float64) []int {
 	if part == 0 {
 		part = 1
 	}
 	return w.rng.Perm(n)[:int(math.Round(part*float64(n)))]
 }
 
-func (w *world) someAgents(f *Fault) (hit []*agent) {
+func (w *world) sampleAgents(f *Fault) (hit []*agent) {
 	var of []*agent
 	for _, a := range w.agents {
 		if f.Zone == "" || a.zone == f.Zone {
 			of = append(of, a)
 		}
 	}
-	for _, i := range w.some(len(of), f.Part) {
+	for _, i := range w.sample(len(of), f.Fraction) {
 		hit = append(hit, of[i])
 	}
 	return hit
 }
 
-func (w *world) someServers(f *Fault) (hit []*server) {
+func (w *world) sampleServers(f *Fault) (hit []*server) {
 	var of []*server
 	for _, s := range w.servers {
-		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) && !slices.Contains(w.spared, s.ID()) {
+		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) && !slices.Contains(w.sparedServers, s.ID()) {
 			of = append(of, s)
 		}
 	}
-	for _, i := range w.some(len(of), f.Part) {
+	for _, i := range w.sample(len(of), f.Fraction) {
 		hit = append(hit, of[i])
 	}
 	return hit
 }
 
-// fault does to some servers, and ends with their being as made.
-func (w *world) fault(f *Fault, what backend.Faults) (func() error, error) {
-	hit := w.someServers(f)
-	w.befall(hit)
+// applyFault injects faults into the servers that a fault selects, and returns a function that clears
+// them.
+func (w *world) applyFault(f *Fault, faults backend.Faults) (func() error, error) {
+	hit := w.sampleServers(f)
+	w.recordFaultStart(hit)
 	for _, s := range hit {
-		s.Fault(what)
+		s.SetFaults(faults)
 	}
 	return func() error {
 		for _, s := range hit {
-			s.Fault(backend.Faults{})
+			s.SetFaults(backend.Faults{})
 		}
 		return nil
 	}, nil
 }
 
-// befall notes when servers first turned bad.
-func (w *world) befall(hit []*server) {
+// recordFaultStart records the time at which a fault first affected each server.
+func (w *world) recordFaultStart(hit []*server) {
 	for _, s := range hit {
-		if _, ok := w.fell[s.ID()]; !ok {
-			w.fell[s.ID()] = w.log.Now()
+		if _, ok := w.firstFaultAt[s.ID()]; !ok {
+			w.firstFaultAt[s.ID()] = w.log.Now()
 		}
 	}
 }
 
-// cut cuts links and returns what heals them.
-func (w *world) cut(which func(*agent, *server) (to, from bool)) (heal func() error, err error) {
+// cutLinks cuts links between agents and servers, in the directions that which returns, and returns a
+// function that heals them.
+func (w *world) cutLinks(which func(*agent, *server) (to, from bool)) (heal func() error, err error) {
 	w.mu.Lock()
 	w.cuts = append(w.cuts, which)
 	at := len(w.cuts) - 1
@@ -403,44 +416,45 @@
 		w.mu.Lock()
 		w.cuts[at] = func(*agent, *server) (bool, bool) { return false, false }
 		w.mu.Unlock()
-		return w.relink()
-	}, w.relink()
+		return w.updateLinks()
+	}, w.updateLinks()
 }
 
-// down is the death of servers, up their next start.
-func (w *world) down(hit []*server) {
+// stopServers stops servers. Discovery announces their removal with a delay.
+func (w *world) stopServers(hit []*server) {
 	for _, s := range hit {
-		w.enter(s, backend.Removed)
+		w.setState(s, backend.Removed)
 		for _, l := range s.links {
 			l.Down()
 		}
 	}
-	w.tell(listLate, hit...)
+	w.announce(announceDelay, hit...)
 }
 
-func (w *world) up(hit []*server) error {
+// startServers starts servers again, cold.
+func (w *world) startServers(hit []*server) error {
 	for _, s := range hit {
 		s.Restart()
-		w.enter(s, backend.Up)
+		w.setState(s, backend.Up)
 		for _, l := range s.links {
 			if err := l.Up(); err != nil {
 				return err
 			}
 		}
 	}
-	w.tell(listLate, hit...)
+	w.announce(announceDelay, hit...)
 	return nil
 }
 
-// died notes the end of a process that should not have ended so.
-func (w *world) died(what string) {
+// recordCrash records an agent process that ended unexpectedly or did not shut down gracefully.
+func (w *world) recordCrash(description string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaths = append(w.deaths, what)
+	w.crashes = append(w.crashes, description)
 }
 
-// ready tells whether the agent at an address says that it is.
-func ready(ctx context.Context, addr string) (bool, error) {
+// isReady reports whether the agent at an address reports that it is ready.
+func isReady(ctx context.Context, addr string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/-/ready", nil)
--- a/internal/testbed/experiment/figures.go
+++ b/internal/testbed/experiment/figures.go
@@ -11,19 +11,20 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
-// figures are what claims may be made of, each over a part of a play.
+// figures are the figures that can be computed over any interval of a play.
 var figures = map[string]func(*sums) float64{
 	"served_worth": func(s *sums) float64 { return s.earned / max(s.worth, 1e-9) },
-	"served":       func(s *sums) float64 { return part(s.n[loadgen.Served], s.asked) },
-	"late":         func(s *sums) float64 { return part(s.n[loadgen.Late], s.asked) },
-	"refused":      func(s *sums) float64 { return part(s.n[loadgen.Refused], s.asked) },
-	"failed":       func(s *sums) float64 { return part(s.n[loadgen.Failed], s.asked) },
+	"served":       func(s *sums) float64 { return ratio(s.verdicts[loadgen.Served], s.requests) },
+	"late":         func(s *sums) float64 { return ratio(s.verdicts[loadgen.Late], s.requests) },
+	"refused":      func(s *sums) float64 { return ratio(s.verdicts[loadgen.Refused], s.requests) },
+	"failed":       func(s *sums) float64 { return ratio(s.verdicts[loadgen.Failed], s.requests) },
 	"p50_ms":       func(s *sums) float64 { return s.quantile(50) },
 	"p99_ms":       func(s *sums) float64 { return s.quantile(99) },
 	"p999_ms":      func(s *sums) float64 { return s.quantile(99.9) },
-	"attempts":     func(s *sums) float64 { return part(s.attempts, s.asked) },
-	"cross_zone":   func(s *sums) float64 { return part(s.cross, s.attempts) },
-	// worst_zone is the part of the worth served to the clients of the zone served worst.
+	"attempts":     func(s *sums) float64 { return ratio(s.attempts, s.requests) },
+	"cross_zone":   func(s *sums) float64 { return ratio(s.crossZone, s.attempts) },
+	// worst_zone is the minimum over all zones of the fraction of the worth that is served to the
+	// zone's clients.
 	"worst_zone": func(s *sums) float64 {
 		worst := 1.0
 		for _, z := range s.zones {
@@ -33,59 +34,68 @@
 		}
 		return worst
 	},
-	// first_zone is the part of the worth served to the clients of the first zone.
+	// first_zone is the fraction of the worth that is served to the clients of the first zone.
 	"first_zone":   func(s *sums) float64 { return s.zones[0].earned / max(s.zones[0].worth, 1e-9) },
-	"worst_second": func(s *sums) float64 { return s.worst },
-	// lost_worth is the worth not served, in requests of the mean worth.
-	"lost_worth": func(s *sums) float64 { return (s.worth - s.earned) / max(s.worth/float64(max(s.asked, 1)), 1e-9) },
+	"worst_second": func(s *sums) float64 { return s.worstSecond },
+	// lost_worth is the worth that is not served, divided by the mean worth of a request.
+	"lost_worth": func(s *sums) float64 { return (s.worth - s.earned) / max(s.worth/float64(max(s.requests, 1)), 1e-9) },
 }
 
-// whole are figures of a whole play only, which are counted elsewhere: failed_attempts is the
-// attempts that failed, ejections those that any agent saw,
-// wrong_ejections those of them that befell servers which liars want out and no fault befalls, eject_ms the mean time from a fault
-// of servers to their ejection by all agents of a zone, peer_bytes_s what an agent was sent by
-// others, dark_ms and light_ms the mean times from the loss of an uplink, and from its return,
-// to when an agent of the site knows it, decisions the council's, zone_moves how often
-// zones got or lost their whole share by them, left_ms the time from the first
-// fault to when all agents of a site knew one by which a zone is left, zones_age_ms the age of the oldest
-// that was news to an agent.
-var whole = []string{"connections", "probes", "list_calls", "warm_keys", "pressed", "agent_cpu_ms",
+// wholePlayFigures are the names of the figures that exist for a whole play only. They are computed
+// elsewhere:
+//   - connections, probes, agent_cpu_ms: connections to servers, probes of servers and CPU time of the
+//     agents, each per request of the load
+//   - list_calls: calls to discovery
+//   - warm_keys: the fraction of requests whose key the server had cached
+//   - pressed: the maximum load on a cold server, as a fraction of the load that makes it fail
+//   - failed_attempts: attempts that failed, as the agents count them
+//   - ejections: ejections of servers, counted once for each agent that acts on them
+//   - wrong_ejections: ejections of servers that faulty voters vote against and that no fault affects
+//   - eject_ms: the mean time from a server's first fault to its ejection by all agents of a zone
+//   - peer_bytes_s: bytes a second that other agents send to an agent, the mean over all agents
+//   - dark_ms, light_ms: the mean times from the loss and from the return of an uplink until an agent of
+//     the site detects it
+//   - decisions, zone_moves, left_ms, zones_age_ms: see councilFigures
+var wholePlayFigures = []string{"connections", "probes", "list_calls", "warm_keys", "pressed", "agent_cpu_ms",
 	"failed_attempts", "ejections", "wrong_ejections", "eject_ms", "peer_bytes_s", "dark_ms", "light_ms", "decisions", "zone_moves", "left_ms", "zones_age_ms"}
 
-// FigureNames are the figures that claims may be made of.
+// FigureNames returns the names of all figures that a claim can use.
 func FigureNames() (names []string) {
 	for name := range figures {
 		names = append(names, name)
 	}
-	return append(names, whole...)
+	return append(names, wholePlayFigures...)
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+// ratio returns n/total, and 0 if total is 0.
+func ratio(n, total int) float64 { return float64(n) / float64(max(total, 1)) }
 
-// sums are counted over a part of a play.
+// sums has the counts and latencies of an interval of a play.
 type sums struct {
-	asked, attempts, cross int
-	n                      [5]int // by verdict
-	worth, earned          float64
-	zones                  []zoneSums
-	worst                  float64 // the least part of the worth served in a second
-	times                  *hdrhistogram.Histogram
+	requests, attempts, crossZone int
+	verdicts                      [5]int // indexed by loadgen.Verdict
+	worth, earned                 float64
+	zones                         []zoneSums
+	worstSecond                   float64 // minimum over all seconds of the fraction of the worth that is served in time
+	latencies                     *hdrhistogram.Histogram
 }
 
-// zoneSums are of the clients of one zone.
+// zoneSums has the worth that the clients of one zone asked for, and the worth that they were served.
 type zoneSums struct{ worth, earned float64 }
 
 func newSums(zones int) *sums {
-	return &sums{worst: 1, zones: make([]zoneSums, zones), times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	return &sums{worstSecond: 1, zones: make([]zoneSums, zones), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
-func (s *sums) quantile(q float64) float64 { return float64(s.times.ValueAtQuantile(q)) / 1000 }
+// quantile returns a percentile of the latencies in ms.
+func (s *sums) quantile(q float64) float64 { return float64(s.latencies.ValueAtQuantile(q)) / 1000 }
 
+// add counts an outcome of a client in the zone with the given index.
 func (s *sums) add(cfg *loadgen.Config, o *loadgen.Outcome, zone int) {
-	s.asked++
-	s.n[o.Verdict]++
-	c := &cfg.Classes[o.Ask.Class]
-	if o.Verdict == loadgen.Gone { // who left wants nothing
+	s.requests++
+	s.verdicts[o.Verdict]++
+	c := &cfg.Classes[o.Request.Class]
+	if o.Verdict == loadgen.Gone { // the client left early, so nothing was lost
 		return
 	}
 	earned := 0.0
@@ -93,52 +103,55 @@
 	case loadgen.Served:
 		earned = c.Worth
 	case loadgen.Late:
-		earned = c.Worth * c.LateFor
+		earned = c.Worth * c.LateShare
 	}
 	s.worth += c.Worth
 	s.earned += earned
 	s.zones[zone].worth += c.Worth
 	s.zones[zone].earned += earned
 	if o.Verdict <= loadgen.Late {
-		_ = s.times.RecordValue(min(o.Took.Microseconds(), s.times.HighestTrackableValue())) // within its range
+		// Cannot fail: the value is in the histogram's range.
+		_ = s.latencies.RecordValue(min(o.Latency.Microseconds(), s.latencies.HighestTrackableValue()))
 	}
 }
 
-// tally is a whole play in numbers.
+// tally has the outcomes and attempts of a play.
 type tally struct {
-	cfg      *loadgen.Config
-	zones    int
-	outcomes []loadgen.Outcome
-	attempts []attempt // in the order of time
-	behind   *hdrhistogram.Histogram
+	cfg        *loadgen.Config
+	zones      int
+	outcomes   []loadgen.Outcome
+	attempts   []attempt               // in order of time
+	sendDelays *hdrhistogram.Histogram // delays with which the testbed sent requests, in µs
 }
 
+// attempt is an attempt of an agent at a server.
 type attempt struct {
-	at    time.Duration // since the start of the load
-	cross bool
+	at        time.Duration // since the start of the load
+	crossZone bool          // whether the agent and the server are in different zones
 }
 
-// over counts what was meant to be sent in [from, to).
-func (t *tally) over(from, to time.Duration) *sums {
+// sumsOver returns the sums of the requests that were planned for [from, to), and of the attempts in that
+// interval.
+func (t *tally) sumsOver(from, to time.Duration) *sums {
 	s := newSums(t.zones)
 	for i := range t.outcomes {
-		if o := &t.outcomes[i]; o.Ask.At >= from && o.Ask.At < to {
-			s.add(t.cfg, o, o.Ask.Agent%t.zones)
+		if o := &t.outcomes[i]; o.Request.At >= from && o.Request.At < to {
+			s.add(t.cfg, o, o.Request.Agent%t.zones)
 		}
 	}
 	for _, a := range t.attempts {
 		if a.at >= from && a.at < to {
 			s.attempts++
-			if a.cross {
-				s.cross++
+			if a.crossZone {
+				s.crossZone++
 			}
 		}
 	}
 	for at := from; at+time.Second <= to; at += time.Second {
 		worth, earned := 0.0, 0.0
 		for i := range t.outcomes {
-			if o := &t.outcomes[i]; o.Ask.At >= at && o.Ask.At < at+time.Second && o.Verdict != loadgen.Gone {
-				w := t.cfg.Classes[o.Ask.Class].Worth
+			if o := &t.outcomes[i]; o.Request.At >= at && o.Request.At < at+time.Second && o.Verdict != loadgen.Gone {
+				w := t.cfg.Classes[o.Request.Class].Worth
 				worth += w
 				if o.Verdict == loadgen.Served {
 					earned += w
@@ -146,34 +159,34 @@
 			}
 		}
 		if worth > 0 {
-			s.worst = min(s.worst, earned/worth)
+			s.worstSecond = min(s.worstSecond, earned/worth)
 		}
 	}
 	return s
 }
 
-// figure is a figure over a part of the play; false for one that is of whole plays only.
+// figure returns a figure over an interval of the play; false for a figure that exists for whole plays only.
 func (t *tally) figure(name string, from, to time.Duration) (float64, bool) {
 	f, ok := figures[name]
 	if !ok {
 		return 0, false
 	}
-	return f(t.over(from, to)), true
+	return f(t.sumsOver(from, to)), true
 }
 
-// seconds counts each second of the play.
+// seconds returns the counts of each second of the play.
 func (t *tally) seconds() (out []report.Second) {
 	n := int(math.Ceil(t.cfg.For.Seconds()))
 	for i := range n {
-		s := t.over(time.Duration(i)*time.Second, time.Duration(i+1)*time.Second)
-		out = append(out, report.Second{Asked: s.asked, Served: s.n[loadgen.Served], Late: s.n[loadgen.Late], Refused: s.n[loadgen.Refused],
-			Failed: s.n[loadgen.Failed], Gone: s.n[loadgen.Gone], Worth: s.worth, Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
-			P99: s.quantile(99), P999: s.quantile(99.9), Tries: s.attempts, Cross: s.cross})
+		s := t.sumsOver(time.Duration(i)*time.Second, time.Duration(i+1)*time.Second)
+		out = append(out, report.Second{Asked: s.requests, Served: s.verdicts[loadgen.Served], Late: s.verdicts[loadgen.Late], Refused: s.verdicts[loadgen.Refused],
+			Failed: s.verdicts[loadgen.Failed], Gone: s.verdicts[loadgen.Gone], Worth: s.worth, Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
+			P99: s.quantile(99), P999: s.quantile(99.9), Attempts: s.attempts, CrossZone: s.crossZone})
 	}
 	return out
 }
 
-// attemptsOf takes the attempts out of what was seen.
+// attemptsOf returns the attempts among the events.
 func attemptsOf(events []referee.Event, w *world) (out []attempt) {
 	zones := map[string]string{}
 	for _, a := range w.agents {
@@ -184,7 +197,7 @@
 	}
 	for _, e := range events {
 		if e.Kind == referee.Attempted {
-			out = append(out, attempt{e.At - w.start, zones[e.Agent] != zones[e.Server]})
+			out = append(out, attempt{e.At - w.loadStart, zones[e.Agent] != zones[e.Server]})
 		}
 	}
 	return out
--- a/internal/testbed/experiment/files_test.go
+++ b/internal/testbed/experiment/files_test.go
@@ -6,7 +6,7 @@
 	"chalkdoor.example/chalkdoor/experiments"
 )
 
-// Every experiment that the laboratory brings is sound, in full and in its short form.
+// All embedded experiments are valid, in full and in their short form.
 func TestEmbeddedExperiments(t *testing.T) {
 	names, err := List(experiments.Files)
 	if err != nil || len(names) < 9 {
@@ -18,8 +18,8 @@
 			t.Error(err)
 			continue
 		}
-		if _, ld := f.Short(); f.About == "" || len(f.Claim) == 0 || ld.For >= f.Load.For {
-			t.Errorf("%s: %d claims, short form of %v", name, len(f.Claim), ld.For)
+		if _, ld := f.Short(); f.About == "" || len(f.Claim) == 0 || ld.Duration >= f.Load.Duration {
+			t.Errorf("%s: %d claims, short form of %v", name, len(f.Claim), ld.Duration)
 		}
 	}
 }
--- a/internal/testbed/experiment/layer_test.go
+++ b/internal/testbed/experiment/layer_test.go
@@ -8,8 +8,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
-// together is three agents of one site that vote, with leases short enough for a test.
-const together = `
+// votingFleet is an experiment with three agents of one site that vote, and with leases short enough for a test.
+const votingFleet = `
 name = "together"
 [fleet]
 agents = 3
@@ -29,7 +29,7 @@
 keys = 20
 `
 
-func file(t *testing.T, text string) *File {
+func parseVotingFleet(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := Parse("together.toml", text)
 	if err != nil {
@@ -38,20 +38,20 @@
 	return f
 }
 
-func playedTogether(t *testing.T, text string) *report.Report {
+func runVotingFleet(t *testing.T, text string) *report.Report {
 	t.Helper()
-	r, err := Run(context.Background(), file(t, text), Options{Seed: 1, Bin: bin, Dir: t.TempDir()})
+	r, err := Run(context.Background(), parseVotingFleet(t, text), Options{Seed: 1, Bin: agentBinary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sound(t, r)
+	requireSound(t, r)
 	return r
 }
 
-// A server that fails all it gets is ejected by all agents of its site, by real processes that
-// talk over links; the invariants of the votes are kept.
+// Agents that run as real processes vote over emulated links. All of them eject a server that fails all requests,
+// and the invariants of the votes are kept.
 func TestAgentsEjectTogether(t *testing.T) {
-	r := playedTogether(t, together+`
+	r := runVotingFleet(t, votingFleet+`
 [[fault]]
 kind = "error-servers"
 at = "3s"
@@ -64,9 +64,9 @@
 	}
 }
 
-// A site that is cut in three parts has no majority and ejects nothing.
+// A site that is partitioned into three parts has no majority and ejects nothing.
 func TestASplitSiteEjectsNothing(t *testing.T) {
-	r := playedTogether(t, together+`
+	r := runVotingFleet(t, votingFleet+`
 [[fault]]
 kind = "split-site"
 at = "100ms"
@@ -85,11 +85,11 @@
 	}
 }
 
-// A site that loses its uplink finds out, and all its agents are killed meanwhile: they start
-// again by what is on their disks, know it at once, and come back when it does. The sites that
-// have their uplink never count it as lost, and no rule is broken.
+// A site detects the loss of its uplink. All its agents are killed during the loss; they restart from their state
+// on disk, still know of the loss, and return to normal when the uplink is back. Agents of the other site never
+// consider their uplink lost, and no rule is broken.
 func TestASiteLosesItsUplink(t *testing.T) {
-	text := strings.Replace(together, `agents = 3
+	text := strings.Replace(votingFleet, `agents = 3
 servers = 4
 zones = ["a"]
 layer = true`, `agents = 6
@@ -97,7 +97,7 @@
 zones = ["a", "b"]
 state = true
 layer = true`, 1)
-	r := playedTogether(t, strings.Replace(text, `for = "9s"`, `for = "11s"`, 1)+`
+	r := runVotingFleet(t, strings.Replace(text, `for = "9s"`, `for = "11s"`, 1)+`
 [[fault]]
 kind = "uplink"
 at = "1500ms"
@@ -118,21 +118,22 @@
 `)
 	f := r.Plays[0].Figures
 	if f["dark_ms"] <= 0 || f["light_ms"] <= 0 {
-		t.Errorf("known after %v ms, over after %v ms", f["dark_ms"], f["light_ms"])
+		t.Errorf("loss detected after %v ms, return after %v ms", f["dark_ms"], f["light_ms"])
 	}
-	if f["dark agents"] != 6 { // three, in two lives each
-		t.Errorf("%v lives of agents knew it, want 6", f["dark agents"])
+	if f["dark agents"] != 6 { // three agents, with two processes each
+		t.Errorf("%v agent processes detected the loss, want 6", f["dark agents"])
 	}
 }
 
-// together3 is three sites with an agent and three servers each, and a council of all three.
-var together3 = strings.NewReplacer("servers = 4", "servers = 9", `zones = ["a"]`, `zones = ["a", "b", "c"]`, "layer = true", "layer = true\ncouncil = true",
-	`for = "9s"`, `for = "10s"`).Replace(together)
+// councilFleet is an experiment with three sites, which have one agent and three servers each, and a council of all
+// three agents.
+var councilFleet = strings.NewReplacer("servers = 4", "servers = 9", `zones = ["a"]`, `zones = ["a", "b", "c"]`, "layer = true", "layer = true\ncouncil = true",
+	`for = "9s"`, `for = "10s"`).Replace(votingFleet)
 
-// A zone whose servers fail all they get is left by a decision of the council, which reaches
-// every agent, while agents and votes go on.
+// When the servers of a zone fail all requests, the council decides that the zone gets no share, and the decision
+// reaches all agents of a site.
 func TestAZoneIsLeftInCommon(t *testing.T) {
-	r := playedTogether(t, together3+`
+	r := runVotingFleet(t, councilFleet+`
 [[fault]]
 kind = "error-servers"
 at = "2s"
@@ -141,14 +142,13 @@
 share = 1.0
 `)
 	if f := r.Plays[0].Figures; f["decisions"] < 1 || f["left_ms"] <= 0 {
-		t.Errorf("%v decisions, all agents knew after %v ms", f["decisions"], f["left_ms"])
+		t.Errorf("%v decisions, known to all agents of a site after %v ms", f["decisions"], f["left_ms"])
 	}
 }
 
-// Two of three voters stand still: nothing is decided meanwhile, and what they decide when they
-// wake is one log's.
+// While two of three voters are paused, nothing is decided.
 func TestACouncilWithoutAMajority(t *testing.T) {
-	r := playedTogether(t, together3+`
+	r := runVotingFleet(t, councilFleet+`
 [[fault]]
 kind = "pause-voters"
 at = "2s"
@@ -161,16 +161,16 @@
 zone = "b"
 share = 1.0
 `)
-	// Parts may have been decided before.
+	// Zones' shares may have been decided before the pause.
 	if left := r.Plays[0].Figures["left_ms"]; left > 0 && left < 4500 {
-		t.Errorf("the zone was left after %v ms, while the majority stood still", left)
+		t.Errorf("the zone was left after %v ms, while the majority was paused", left)
 	}
 }
 
-// With a council's parts traffic stays at home where there is room for it; alone half of it
-// crosses zones.
+// With the shares that a council decides, traffic stays in its zone if there is capacity. Without a council half of
+// it crosses zones.
 func TestTrafficStaysNear(t *testing.T) {
-	r := playedTogether(t, strings.Replace(together3, `for = "10s"`, `for = "13s"`, 1)+`
+	r := runVotingFleet(t, strings.Replace(councilFleet, `for = "10s"`, `for = "13s"`, 1)+`
 [[claim]]
 figure = "cross_zone"
 from = "10s"
--- a/internal/testbed/experiment/outage.go
+++ b/internal/testbed/experiment/outage.go
@@ -7,8 +7,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// beginOutages notes that agents are being killed. Until each is back, what it is sent is owed nothing: its old
-// connections may still be written to.
+// beginOutages records that agents are being killed. Until an agent is ready again, requests that are sent to it
+// need no answer: clients may still write to its old connections.
 func (w *world) beginOutages(killed []*agent) {
 	from := w.log.Now()
 	w.mu.Lock()
@@ -18,16 +18,16 @@
 	}
 }
 
-// awaitReturn ends the outage of an agent once its new process is ready. A process that ends before, and was
-// not meant to, is a crash.
+// awaitReturn ends the outage of an agent when its new process is ready. A process that fails to become ready
+// is recorded as a crash unless it was expected to end.
 func (w *world) awaitReturn(ctx context.Context, a *agent, started *process.Proc) {
-	if err := w.awaitReady(ctx, a); err != nil && ctx.Err() == nil && !w.isMeant(started) {
-		w.died(err.Error())
+	if err := w.awaitReady(ctx, a); err != nil && ctx.Err() == nil && !w.exitExpected(started) {
+		w.recordCrash(err.Error())
 	}
 	w.endOutage(a)
 }
 
-// endOutage tells the referee of an outage that is over.
+// endOutage logs an agent's outage for the referee, if there is one, and ends it.
 func (w *world) endOutage(a *agent) {
 	w.mu.Lock()
 	from, found := w.outages[a]
@@ -38,14 +38,14 @@
 	}
 }
 
-// endOutages ends those that last until the end of the play.
+// endOutages ends the outages that last until the end of the play.
 func (w *world) endOutages() {
 	for _, a := range w.agents {
 		w.endOutage(a)
 	}
 }
 
-// isDown reports whether an agent was killed and is not back yet.
+// isDown reports whether an agent was killed and is not ready again yet.
 func (w *world) isDown(a *agent) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -53,9 +53,9 @@
 	return found
 }
 
-// isMeant reports whether a process was to end.
-func (w *world) isMeant(p *process.Proc) bool {
+// exitExpected reports whether a process was ended on purpose.
+func (w *world) exitExpected(p *process.Proc) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.meant[p]
+	return w.expectedExits[p]
 }
--- a/internal/testbed/experiment/outage_test.go
+++ b/internal/testbed/experiment/outage_test.go
@@ -10,15 +10,15 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// A play that ends while agents are down, or not ready again, has no crash.
+// A play that ends while agents are down, or not ready again, reports no crash.
 func TestPlayEndsWhileAgentsAreDown(t *testing.T) {
-	alone := strings.Replace(small, `baselines = ["random"]`, "", 1)
-	r := played(t, alone+"[[fault]]\nkind = \"kill-agents\"\nat = \"1990ms\"\npart = 1.0\n")
+	agentsOnly := strings.Replace(smallFleet, `baselines = ["random"]`, "", 1)
+	r := runSmall(t, agentsOnly+"[[fault]]\nkind = \"kill-agents\"\nat = \"1990ms\"\npart = 1.0\n")
 	require.Empty(t, r.Crashes)
 	require.Empty(t, r.Violations)
 }
 
-// The referee is told of each outage once, when the agent is back or the play ends.
+// Each outage is logged once, when the agent is ready again or the play ends.
 func TestOutages(t *testing.T) {
 	back, down := &agent{name: "n1"}, &agent{name: "n2"}
 	w := &world{log: referee.NewLog(), agents: []*agent{back, down}, outages: map[*agent]time.Duration{}}
--- a/internal/testbed/experiment/run_test.go
+++ b/internal/testbed/experiment/run_test.go
@@ -14,8 +14,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
-// bin is the agent's program, built once for all tests of processes.
-var bin string
+// agentBinary is the path of the agent's binary, which is built once for all tests.
+var agentBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "chalkdoor")
@@ -23,8 +23,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	bin = filepath.Join(dir, "chalkdoor")
-	if text, err := exec.Command("go", "build", "-o", bin, "chalkdoor.example/chalkdoor/cmd/chalkdoor").CombinedOutput(); err != nil {
+	agentBinary = filepath.Join(dir, "chalkdoor")
+	if text, err := exec.Command("go", "build", "-o", agentBinary, "chalkdoor.example/chalkdoor/cmd/chalkdoor").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "building the agent: %v\n%s", err, text)
 		os.Exit(1)
 	}
@@ -33,7 +33,7 @@
 	os.Exit(status)
 }
 
-const small = `
+const smallFleet = `
 name = "small"
 baselines = ["random"]
 [fleet]
@@ -47,7 +47,7 @@
 keys = 20
 `
 
-func parse(t *testing.T, text string) *File {
+func parseSmall(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := Parse("small.toml", text)
 	if err != nil {
@@ -56,18 +56,18 @@
 	return f
 }
 
-func played(t *testing.T, text string) *report.Report {
+func runSmall(t *testing.T, text string) *report.Report {
 	t.Helper()
-	r, err := Run(context.Background(), parse(t, text), Options{Seed: 1, Bin: bin, Dir: t.TempDir()})
+	r, err := Run(context.Background(), parseSmall(t, text), Options{Seed: 1, Bin: agentBinary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// sound fails the test if a rule was broken or an agent crashed. That an answer is late by
-// some time is a matter of the machine that the test runs on, and not judged here.
-func sound(t *testing.T, r *report.Report) {
+// requireSound fails the test if a rule was broken, an agent crashed or too few requests were served. Answers after
+// their deadline don't count, since they depend on the machine that the test runs on.
+func requireSound(t *testing.T, r *report.Report) {
 	t.Helper()
 	for _, v := range r.Violations {
 		if !strings.Contains(v, "after the deadline") {
@@ -83,32 +83,32 @@
 			asked += s.Asked
 			served += s.Served + s.Late
 			if sum := s.Served + s.Late + s.Refused + s.Failed + s.Gone; sum != s.Asked {
-				t.Errorf("%s: %d of %d asked have an outcome", p.Name, sum, s.Asked)
+				t.Errorf("%s: %d of %d requests have an outcome", p.Name, sum, s.Asked)
 			}
 		}
 		if asked < 30 || served < asked/3 {
-			t.Errorf("%s: %d of %d served", p.Name, served, asked)
+			t.Errorf("%s: %d of %d requests served", p.Name, served, asked)
 		}
 	}
 }
 
 func TestAgentsAndABaselineServe(t *testing.T) {
-	r := played(t, small+"[[claim]]\nfigure = \"served\"\nmin = 2.0\n[[claim]]\nfigure = \"served\"\nmax = 3.0\nof = \"random\"\n")
-	sound(t, r)
+	r := runSmall(t, smallFleet+"[[claim]]\nfigure = \"served\"\nmin = 2.0\n[[claim]]\nfigure = \"served\"\nmax = 3.0\nof = \"random\"\n")
+	requireSound(t, r)
 	if len(r.Plays) != 2 || len(r.Claims) != 2 || r.Claims[0].Kept || !r.Claims[1].Kept || r.Ceiling < 10 {
 		t.Errorf("%d plays, claims %+v, ceiling %.0f", len(r.Plays), r.Claims, r.Ceiling)
 	}
 	if r.Failed() == "" {
-		t.Error("passed with a claim that cannot hold")
+		t.Error("passed despite a claim that cannot hold")
 	}
 	if a, b := r.Plays[0].Seconds, r.Plays[1].Seconds; len(a) != 2 || a[0].Asked != b[0].Asked || a[1].Asked != b[1].Asked {
-		t.Errorf("the agents and the baseline were not asked the same: %+v, %+v", a, b)
+		t.Errorf("the agents and the baseline got different requests: %+v, %+v", a, b)
 	}
 }
 
-// Whatever is done to the processes and their network, the rules are kept.
+// The rules are kept under faults of the processes and of their network.
 func TestRulesAreKeptUnderFaults(t *testing.T) {
-	sound(t, played(t, small+`
+	requireSound(t, runSmall(t, smallFleet+`
 [[fault]]
 kind = "kill-agents"
 at = "500ms"
@@ -142,29 +142,30 @@
 func TestInterruptedRunEndsItsProcesses(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	dir := t.TempDir()
-	// As soon as the load has begun.
+	// Canceled as soon as the load has started.
 	stop := func(string, float64) { cancel() }
-	_, err := Run(ctx, parse(t, small), Options{Seed: 1, Bin: bin, Dir: dir, Progress: stop})
+	_, err := Run(ctx, parseSmall(t, smallFleet), Options{Seed: 1, Bin: agentBinary, Dir: dir, Progress: stop})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("%v, want that it was interrupted", err)
+		t.Errorf("%v, want context.Canceled", err)
 	}
-	// The processes are known by the configuration that they were started with.
+	// The processes are identified by the configuration in their environment.
 	envs, err := filepath.Glob("/proc/[0-9]*/environ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range envs {
-		if text, _ := os.ReadFile(e); strings.Contains(string(text), "PROXY_CONFIG="+dir) { // or it has ended
+		// The file can't be read if the process has ended.
+		if text, _ := os.ReadFile(e); strings.Contains(string(text), "PROXY_CONFIG="+dir) {
 			t.Errorf("%s still runs", e)
 		}
 	}
 }
 
 func TestSameSeedSameLoadAndFaults(t *testing.T) {
-	f := parse(t, small)
+	f := parseSmall(t, smallFleet)
 	worlds := map[uint64]string{}
 	for _, seed := range []uint64{1, 1, 2} {
-		w, err := build(context.Background(), f.Fleet, false, settings(), nil, seed, bin, t.TempDir(), false)
+		w, err := build(context.Background(), f.Fleet, false, settings(), nil, seed, agentBinary, t.TempDir(), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,32 +174,32 @@
 			text += fmt.Sprintf("%s %.6f;", s.ID(), s.Truth().Capacity)
 		}
 		for range 5 {
-			text += fmt.Sprint(w.some(4, 0.5))
+			text += fmt.Sprint(w.sample(4, 0.5))
 		}
 		w.close()
-		if was, ok := worlds[seed]; ok && was != text {
-			t.Errorf("seed %d: %s and %s", seed, was, text)
+		if earlier, ok := worlds[seed]; ok && earlier != text {
+			t.Errorf("seed %d: %s and %s", seed, earlier, text)
 		}
 		worlds[seed] = text
 	}
 	if worlds[1] == worlds[2] {
-		t.Error("two seeds make one world")
+		t.Error("two seeds make the same world")
 	}
 }
 
-func TestWhatIsWrongWithAFileIsToldByKey(t *testing.T) {
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{strings.Replace(small, "agents = 3", "agents = 0", 1), "small.toml: fleet.agents: must be 1 to 200, is 0"},
-		{strings.Replace(small, "use = 0.15", "use = nan", 1), "small.toml: load.use: must be above 0"},
-		{strings.Replace(small, "keys", "keyz", 1), "small.toml: load.keyz: unknown key"},
-		{strings.Replace(small, `"random"`, `"luck"`, 1), `small.toml: baselines[0]: "luck" is none of random`},
-		{small + "[[fault]]\nkind = \"flood\"", `small.toml: fault[0].kind: "flood" is none of busy-discovery`},
-		{small + "[[fault]]\nkind = \"cut-zone\"\nzone = \"z\"", `small.toml: fault[0].zone: "z" is none of the fleet's`},
-		{small + "[[claim]]\nfigure = \"serve\"\nmin = 1", `small.toml: claim[0].figure: unknown figure "serve", did you mean "served"?`},
-		{small + "[[claim]]\nfigure = \"served\"", `small.toml: claim[0].min: neither min nor max is given`},
-		{small + "[[claim]]\nfigure = \"served\"\nmin = 1\nof = \"clairvoyant\"", `small.toml: claim[0].of: "clairvoyant" is none of the baselines`},
-		{strings.Replace(small, `"2s"`, `"-2s"`, 1), "small.toml: "},
-		{strings.Replace(small, `"small"`, `"big"`, 1), `small.toml: name: "big" is not the file's`},
+		{strings.Replace(smallFleet, "agents = 3", "agents = 0", 1), "small.toml: fleet.agents: must be 1 to 200, is 0"},
+		{strings.Replace(smallFleet, "use = 0.15", "use = nan", 1), "small.toml: load.use: must be above 0"},
+		{strings.Replace(smallFleet, "keys", "keyz", 1), "small.toml: load.keyz: unknown key"},
+		{strings.Replace(smallFleet, `"random"`, `"luck"`, 1), `small.toml: baselines[0]: "luck" is none of random`},
+		{smallFleet + "[[fault]]\nkind = \"flood\"", `small.toml: fault[0].kind: "flood" is none of busy-discovery`},
+		{smallFleet + "[[fault]]\nkind = \"cut-zone\"\nzone = \"z\"", `small.toml: fault[0].zone: "z" is none of the fleet's`},
+		{smallFleet + "[[claim]]\nfigure = \"serve\"\nmin = 1", `small.toml: claim[0].figure: unknown figure "serve", did you mean "served"?`},
+		{smallFleet + "[[claim]]\nfigure = \"served\"", `small.toml: claim[0].min: neither min nor max is given`},
+		{smallFleet + "[[claim]]\nfigure = \"served\"\nmin = 1\nof = \"clairvoyant\"", `small.toml: claim[0].of: "clairvoyant" is none of the baselines`},
+		{strings.Replace(smallFleet, `"2s"`, `"-2s"`, 1), "small.toml: "},
+		{strings.Replace(smallFleet, `"small"`, `"big"`, 1), `small.toml: name: "big" is not the file's`},
 	} {
 		if _, err := Parse("small.toml", c.text); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %s", err, c.want)
@@ -206,8 +207,8 @@
 	}
 }
 
-func TestFiguresOverAPart(t *testing.T) {
-	cfg := loadOf(ptr(settings()), Fleet{Agents: 1, Servers: 1}, Load{Use: 1, For: Duration(4 * time.Second)}, 1)
+func TestFiguresOverAnInterval(t *testing.T) {
+	cfg := loadConfig(ptr(settings()), Fleet{Agents: 1, Servers: 1}, Load{Utilization: 1, Duration: Duration(4 * time.Second)}, 1)
 	t0 := tallyOf(cfg, 4)
 	for name, want := range map[string]float64{"served": 0.5, "refused": 0.25, "failed": 0.25, "served_worth": 0.5, "worst_second": 0, "worst_zone": 0.5, "p50_ms": 10, "attempts": 0.75} {
 		got, ok := t0.figure(name, 0, 4*time.Second)
@@ -222,6 +223,6 @@
 		t.Errorf("served to the worst zone in the second half: %v", got)
 	}
 	if _, ok := t0.figure("probes", 0, time.Second); ok {
-		t.Error("a figure of whole plays was given for a part")
+		t.Error("a figure of whole plays was returned for an interval")
 	}
 }
--- a/internal/testbed/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -25,56 +25,62 @@
 )
 
 const (
-	// firstPort is where agents listen, each on an address of its own, unless somebody on this
-	// machine listens there on all addresses; portTries is how many further ports are tried.
-	firstPort, portTries = 8000, 16
-	// agentMemory and agentSockets are an agent's limits, as small as on the platform.
-	agentMemory, agentSockets = 64, 512
-	// readyWithin bounds the start of all agents.
-	readyWithin = 30 * time.Second
-	// slowest and quickest are the speeds of servers' cores, drawn evenly.
-	slowest, quickest = 0.51, 1.1
+	// firstPort is the port that agents listen on, each at an address of its own. If a process on
+	// this machine listens on that port on all addresses, the next ports are tried; maxPorts is
+	// the number of ports that are tried in all.
+	firstPort, maxPorts = 8000, 16
+	// agentMemoryMB and maxAgentSockets are the limits in an agent's configuration, the same as on
+	// the target platform.
+	agentMemoryMB, maxAgentSockets = 64, 512
+	// readyTimeout is the time limit for an agent to become ready, and for scraping all metrics.
+	readyTimeout = 30 * time.Second
+	// minSpeed and maxSpeed bound the speeds of servers' cores, which are drawn uniformly.
+	minSpeed, maxSpeed = 0.51, 1.1
 )
 
-// network is a block of loopback addresses that belongs to this run alone: 127.N.x.y.
+// network is a block of loopback addresses, 127.N.x.y, that no other run uses.
 type network struct {
-	n    byte
-	port int          // of the agents
-	held net.Listener // keeps the block from other runs
+	block       byte         // the second byte of the block's addresses
+	port        int          // the port that agents listen on
+	reservation net.Listener // reserves the block while it is open
 }
 
-// claimNetwork finds a block that no other run holds, and a port that is free there.
-func claimNetwork() (*network, error) {
-	var last error
-	for port := firstPort; port < firstPort+portTries; port++ {
+// reserveNetwork reserves a block of addresses that no other run holds, with a port that is free there.
+func reserveNetwork() (*network, error) {
+	var lastErr error
+	for port := firstPort; port < firstPort+maxPorts; port++ {
 		for n := byte(64); n < 250; n++ {
 			ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, port))
 			if err == nil {
 				return &network{n, port, ln}, nil
 			}
-			last = err
+			lastErr = err
 		}
 	}
-	return nil, fmt.Errorf("experiment: no block of loopback addresses is free: %w", last)
+	return nil, fmt.Errorf("experiment: no block of loopback addresses is free: %w", lastErr)
 }
 
-// address is where an agent listens.
+// address returns the address and port that an agent listens on for clients.
 func (n *network) address(i int) string {
-	return net.JoinHostPort(n.agent(i).String(), strconv.Itoa(n.port))
+	return net.JoinHostPort(n.agentIP(i).String(), strconv.Itoa(n.port))
 }
 
-// agent is the address that an agent listens on, view the one where it reaches the others.
-func (n *network) agent(i int) net.IP { return net.IPv4(127, n.n, byte(1+i/250), byte(1+i%250)) }
-func (n *network) view(i int) net.IP  { return net.IPv4(127, n.n, byte(101+i/250), byte(1+i%250)) }
+// agentIP returns the address that an agent listens on.
+func (n *network) agentIP(i int) net.IP { return net.IPv4(127, n.block, byte(1+i/250), byte(1+i%250)) }
 
-// relay is the address where other agents reach it.
-func (n *network) relay(i int) net.IP { return net.IPv4(127, n.n, byte(201+i/250), byte(1+i%250)) }
+// viewIP returns the address at which an agent reaches its view of discovery and its links to the servers.
+func (n *network) viewIP(i int) net.IP { return net.IPv4(127, n.block, byte(101+i/250), byte(1+i%250)) }
 
-// server is a report server of the fleet and the links to it.
+// relayIP returns the address at which other agents reach an agent.
+func (n *network) relayIP(i int) net.IP {
+	return net.IPv4(127, n.block, byte(201+i/250), byte(1+i%250))
+}
+
+// server is a report server of the fleet with the links to it.
 type server struct {
 	*backend.Server
-	target backend.Target    // changed under the world's mu
-	links  []*faultlink.Link // by agent
+	target backend.Target    // guarded by world.mu
+	links  []*faultlink.Link // indexed by agent
 }
 
 // agent is one agent: its process, its view of discovery and its client.
@@ -82,65 +88,67 @@
 	index   int
 	name    string
 	zone    string
-	peers   string // where others reach it
-	council string // and its log, if it is of the council
+	peers   string // address at which other agents reach it
+	council string // address at which others reach its council log; empty if it is not a council member
 	proc    *process.Proc
 	view    *backend.View
 	client  *loadgen.Client
-	quality faultlink.Quality // of its links, beside distance
+	quality faultlink.Quality // quality of its links to servers, in addition to the delay between zones
 }
 
-// world is a whole emulated fleet. The run's goroutine alone uses it, but for what says so.
+// world is an emulated fleet. Its fields are only used by the run's goroutine, except where stated.
 type world struct {
-	fleet    Fleet
-	seed     uint64
-	rng      *rand.Rand
-	dir      string
-	bin      string
-	log      *referee.Log
-	tries    *loadgen.Tries
-	effects  *backend.Effects
-	net      *network
-	group    *process.Group
-	set      policy.Settings
-	mesh     *mesh.Mesh                   // between agents; nil: none
-	peerCuts []func(from, to string) bool // nil: healed
-	liars    []*faultyvoter.Liar
-	spared   []string                 // servers that liars want out, and no fault befalls
-	scraped  bool                     // the agents serve their metrics
-	fell     map[string]time.Duration // by server: when a fault first befell it
-	losses   []*referee.Loss          // of uplinks
-	first    time.Duration            // when the first fault began; 0: not yet
-	start    time.Duration            // of the load
+	fleet          Fleet
+	seed           uint64
+	rng            *rand.Rand
+	dir            string
+	bin            string
+	log            *referee.Log
+	tries          *loadgen.Tries
+	effects        *backend.Effects
+	net            *network
+	group          *process.Group
+	set            policy.Settings
+	mesh           *mesh.Mesh                   // network between agents; nil without coordination
+	peerCuts       []func(from, to string) bool // cuts between agents; an element is nil once it is healed
+	faultyVoters   []*faultyvoter.Voter
+	sparedServers  []string                 // ids of servers that faulty voters vote against, and that no fault affects
+	metricsEnabled bool                     // whether agents serve metrics that the run scrapes
+	firstFaultAt   map[string]time.Duration // by server id, the time at which a fault first affected the server
+	uplinkLosses   []*referee.Loss          // losses of sites' uplinks
+	firstFault     time.Duration            // start of the first fault; 0 before it
+	loadStart      time.Duration            // start of the load
 
-	todo chan func() error // what the run's goroutine does next
-	over chan struct{}     // closed when it takes no more
+	tasks  chan func() error // tasks for the run's goroutine
+	closed chan struct{}     // closed when the run's goroutine takes no more tasks
 
-	agents  []*agent
-	servers []*server // all there ever were; changed under mu
-	made    int
+	agents         []*agent
+	servers        []*server // all servers, including removed ones; written under mu
+	serversCreated int       // number of servers that were created
 
-	mu     sync.Mutex // of:
-	cuts   []func(a *agent, s *server) (to, from bool)
-	deaths []string // of agents that nobody killed
-	meant  map[*process.Proc]bool
-	// outages has the time at which each agent was killed that is not back yet.
+	mu            sync.Mutex // guards the fields below
+	cuts          []func(a *agent, s *server) (to, from bool)
+	crashes       []string               // unexpected ends of agent processes
+	expectedExits map[*process.Proc]bool // processes that are expected to end
+	// outages has the time at which an agent was killed, for the agents that are not ready again yet.
 	outages map[*agent]time.Duration
 }
 
-// build makes a fleet; with agents it starts their processes and waits until they are ready.
-func build(ctx context.Context, fl Fleet, scraped bool, set policy.Settings, cfg *loadgen.Config, seed uint64, bin, dir string, agents bool) (w *world, err error) {
+// build creates a fleet. If startAgents is set it also starts the agents' processes and waits until they are ready.
+func build(ctx context.Context, fl Fleet, metricsEnabled bool, set policy.Settings, cfg *loadgen.Config, seed uint64,
+	bin, dir string, startAgents bool) (w *world, err error) {
 	w = &world{fleet: fl, seed: seed, rng: rand.New(rand.NewPCG(seed, 21)), dir: dir, bin: bin, log: referee.NewLog(),
-		tries: loadgen.NewTries(), group: process.NewGroup(), set: set, meant: map[*process.Proc]bool{}, outages: map[*agent]time.Duration{}, scraped: scraped,
-		todo: make(chan func() error), over: make(chan struct{}), fell: map[string]time.Duration{}}
+		tries: loadgen.NewTries(), group: process.NewGroup(), set: set, expectedExits: map[*process.Proc]bool{},
+		outages: map[*agent]time.Duration{}, metricsEnabled: metricsEnabled,
+		tasks: make(chan func() error), closed: make(chan struct{}), firstFaultAt: map[string]time.Duration{}}
 	defer func() {
 		if err != nil {
 			w.close()
 		}
 	}()
 	w.effects = backend.NewEffects(w.effectsWindow())
-	for _, of := range []string{"*.state", "*.trace", "*.council"} { // of this play alone
-		old, err := filepath.Glob(filepath.Join(dir, of))
+	for _, pattern := range []string{"*.state", "*.trace", "*.council"} { // left by an earlier run
+		old, err := filepath.Glob(filepath.Join(dir, pattern))
 		if err != nil {
 			return nil, fmt.Errorf("experiment: %w", err)
 		}
@@ -150,7 +158,7 @@
 			}
 		}
 	}
-	if w.net, err = claimNetwork(); err != nil {
+	if w.net, err = reserveNetwork(); err != nil {
 		return nil, err
 	}
 	for i := range fl.Agents {
@@ -161,26 +169,27 @@
 			return nil, err
 		}
 	}
-	// Liars want a third of the servers out, and no fault befalls those, in any play.
+	// Faulty voters vote against a third of the servers. Faults spare those servers in all plays, so that
+	// all plays get the same faults.
 	for i, s := range w.servers {
-		if fl.Liars > 0 && i%3 == 0 {
-			w.spared = append(w.spared, s.ID())
+		if fl.FaultyVoters > 0 && i%3 == 0 {
+			w.sparedServers = append(w.sparedServers, s.ID())
 		}
 	}
-	if !agents {
+	if !startAgents {
 		return w, nil
 	}
-	if fl.Layer {
-		if err := w.joinMesh(); err != nil {
+	if fl.Coordination {
+		if err := w.createMesh(); err != nil {
 			return nil, err
 		}
 	}
 	for _, a := range w.agents {
-		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: w.net.view(a.index)})
+		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: w.net.viewIP(a.index)})
 		if err != nil {
 			return nil, fmt.Errorf("experiment: discovery: %w", err)
 		}
-		a.view = backend.NewView(a.name, w.log, w.list(a), ln)
+		a.view = backend.NewView(a.name, w.log, w.targetsFor(a), ln)
 		if err := w.startAgent(a, ln.Addr().String()); err != nil {
 			return nil, err
 		}
@@ -191,34 +200,35 @@
 		}
 	}
 	if w.mesh != nil {
-		if err := w.lie(); err != nil {
+		if err := w.startFaultyVoters(); err != nil {
 			return nil, err
 		}
 	}
 	return w, nil
 }
 
-// later hands the run's goroutine something to do; once that has ended it is dropped.
-func (w *world) later(do func() error) {
+// enqueue gives the run's goroutine a task. The task is dropped if the run has ended.
+func (w *world) enqueue(task func() error) {
 	select {
-	case w.todo <- do:
-	case <-w.over:
+	case w.tasks <- task:
+	case <-w.closed:
 	}
 }
 
-// effectsWindow is for how long report servers drop the repeats of a key.
+// effectsWindow returns how long report servers drop repeated idempotency keys.
 func (w *world) effectsWindow() time.Duration {
 	return time.Duration(w.set.Classes[len(w.set.Classes)-1].DedupWindowMs) * time.Millisecond
 }
 
-// endAgents ends all agents in order, those that are paused, too.
+// endAgents stops all agents gracefully, including paused ones. Agents that are starting again are
+// killed.
 func (w *world) endAgents() {
-	ctx, cancel := context.WithTimeout(context.Background(), grace)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, a := range w.agents {
-		w.mean(a.proc)
-		if w.isDown(a) { // it may not heed SIGTERM yet
+		w.expectExit(a.proc)
+		if w.isDown(a) { // a starting process may not handle SIGTERM yet
 			a.proc.Kill()
 			continue
 		}
@@ -226,19 +236,19 @@
 		go func() {
 			defer wg.Done()
 			if err := a.proc.Terminate(ctx); err != nil {
-				w.died(fmt.Sprintf("%s at the end: %v", a.name, err))
+				w.recordCrash(fmt.Sprintf("%s at the end: %v", a.name, err))
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// close ends all of it.
+// close stops the run's processes and everything that is emulated.
 func (w *world) close() {
-	close(w.over)
+	close(w.closed)
 	w.group.Close()
-	for _, l := range w.liars {
-		l.Close()
+	for _, v := range w.faultyVoters {
+		v.Close()
 	}
 	if w.mesh != nil {
 		w.mesh.Close()
@@ -258,28 +268,28 @@
 		s.Close()
 	}
 	if w.net != nil {
-		w.net.held.Close()
+		w.net.reservation.Close()
 	}
 }
 
-// addServer adds a server that started at a time in Unix ms, 0 for long ago.
+// addServer adds a server that started at a time in Unix ms. With 0 it started long ago and is warm.
 func (w *world) addServer(started float64) (*server, error) {
-	i := w.made
-	w.made++
+	i := w.serversCreated
+	w.serversCreated++
 	id := fmt.Sprintf("s-%03d", i)
 	cfg := fleetsim.Server()
-	cfg.Speed = slowest + (quickest-slowest)*w.rng.Float64()
+	cfg.Speed = minSpeed + (maxSpeed-minSpeed)*w.rng.Float64()
 	cfg.StallAtMs = w.rng.Float64() * cfg.StallEveryMs
 	zone := w.fleet.Zones[i%len(w.fleet.Zones)]
 	s := &server{Server: backend.NewServer(backend.ServerConfig{ID: id, Zone: zone, Seed: w.rng.Uint64(), Model: cfg, HandshakeMs: 3,
-		ProbeMs: 0.1, IdleFor: time.Duration(w.set.Limits.KeepaliveMs) * time.Millisecond, Noise: 0.1}, w.tries.Work, w.log, w.effects),
+		ProbeMs: 0.1, IdleTimeout: time.Duration(w.set.Limits.KeepaliveMs) * time.Millisecond, Noise: 0.1}, w.tries.Work, w.log, w.effects),
 		target: backend.Target{ID: id, Zone: zone, Kind: "standard", Cell: i % len(w.fleet.Zones), State: backend.Up,
 			Weight: float64(cfg.Cores), StartedMs: started}}
 	if started > 0 {
 		s.Restart()
 	}
 	for _, a := range w.agents {
-		l, err := faultlink.New(faultlink.Config{IP: w.net.view(a.index), Near: a.name + "@" + a.zone, Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
+		l, err := faultlink.New(faultlink.Config{IP: w.net.viewIP(a.index), Near: a.name + "@" + a.zone, Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
 		if err != nil {
 			return nil, err
 		}
@@ -289,9 +299,10 @@
 	w.mu.Lock()
 	w.servers = append(w.servers, s)
 	w.mu.Unlock()
-	return s, w.relink()
+	return s, w.updateLinks()
 }
 
+// oneWay returns the one-way delay between an agent and a server.
 func (w *world) oneWay(a *agent, s *server) time.Duration {
 	if a.zone == s.Zone() {
 		return time.Duration(w.fleet.Near)
@@ -299,8 +310,8 @@
 	return time.Duration(w.fleet.Far)
 }
 
-// relink sets every link as distance, faults and cuts say.
-func (w *world) relink() error {
+// updateLinks sets the quality of every link from its delay, its agent's faults and the cuts.
+func (w *world) updateLinks() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var wg sync.WaitGroup
@@ -315,7 +326,7 @@
 				q.CutTo, q.CutFrom = q.CutTo || to, q.CutFrom || from
 			}
 			wg.Add(1)
-			go func() { // a cut takes a moment
+			go func() { // setting a cut takes some time
 				defer wg.Done()
 				if err := l.Set(q); err != nil && !errors.Is(err, net.ErrClosed) {
 					select {
@@ -335,38 +346,39 @@
 	}
 }
 
-// list is what discovery lists for an agent now.
-func (w *world) list(a *agent) (list []backend.Target) {
+// targetsFor returns discovery's current list of servers for an agent.
+func (w *world) targetsFor(a *agent) (list []backend.Target) {
 	for _, s := range w.servers {
 		if s.target.State != backend.Removed {
-			list = append(list, s.entry(a))
+			list = append(list, s.targetFor(a))
 		}
 	}
 	return list
 }
 
-// entry is the server's entry for an agent: addresses are the agent's own.
-func (s *server) entry(a *agent) backend.Target {
+// targetFor returns the server's entry in an agent's list. Each agent reaches a server at an address of its
+// own.
+func (s *server) targetFor(a *agent) backend.Target {
 	t := s.target
 	t.Addr = s.links[a.index].Addr().String()
 	return t
 }
 
-// tell lets discovery tell of changed servers, late.
-func (w *world) tell(late time.Duration, changed ...*server) {
+// announce makes discovery announce changed servers to all agents after a delay.
+func (w *world) announce(delay time.Duration, changed ...*server) {
 	for _, a := range w.agents {
 		if a.view == nil {
 			continue
 		}
 		var list []backend.Target
 		for _, s := range changed {
-			list = append(list, s.entry(a))
+			list = append(list, s.targetFor(a))
 		}
-		time.AfterFunc(late, func() { a.view.Tell(list...) })
+		time.AfterFunc(delay, func() { a.view.Announce(list...) })
 	}
 }
 
-// startAgent starts an agent's process.
+// startAgent writes an agent's configuration and starts its process.
 func (w *world) startAgent(a *agent, discovery string) error {
 	set := w.set
 	set.AgentIndex, set.AgentCount = a.index, len(w.agents)
@@ -387,7 +399,7 @@
 	addr := w.net.address(a.index)
 	text, err := json.Marshal(map[string]any{"name": a.name, "listen": addr, "discovery": discovery,
 		"seed":   fmt.Sprintf("%016x", w.rng.Uint64()),
-		"limits": map[string]any{"cores": 1, "memory_mb": agentMemory, "sockets": agentSockets},
+		"limits": map[string]any{"cores": 1, "memory_mb": agentMemoryMB, "sockets": maxAgentSockets},
 		"known":  a.view.Known(), "settings": settings})
 	if err != nil {
 		return fmt.Errorf("experiment: configuration: %w", err)
@@ -396,7 +408,7 @@
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return fmt.Errorf("experiment: configuration: %w", err)
 	}
-	args, err := w.operations(a)
+	args, err := w.writeOperationsFile(a)
 	if err != nil {
 		return err
 	}
@@ -410,30 +422,32 @@
 		<-p.Ended()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !w.meant[p] {
-			w.deaths = append(w.deaths, fmt.Sprintf("%s: %v", a.name, p.Err()))
+		if !w.expectedExits[p] {
+			w.crashes = append(w.crashes, fmt.Sprintf("%s: %v", a.name, p.Err()))
 		}
 	}()
 	return nil
 }
 
-// restart starts an agent again, from nothing but the list.
+// restart starts a new process for an agent. The process gets the list of its view of discovery, and finds
+// its state directory if the fleet has one.
 func (w *world) restart(a *agent) error {
 	return w.startAgent(a, a.view.Addr())
 }
 
-// mean notes that a process is to end: its end is no crash.
-func (w *world) mean(p *process.Proc) {
+// expectExit marks a process that is being ended on purpose, so that its end does not count as a crash.
+func (w *world) expectExit(p *process.Proc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.meant[p] = true
+	w.expectedExits[p] = true
 }
 
+// awaitReady waits until an agent reports that it is ready.
 func (w *world) awaitReady(ctx context.Context, a *agent) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		ok, err := ready(ctx, w.net.address(a.index))
+		ok, err := isReady(ctx, w.net.address(a.index))
 		if ok {
 			return nil
 		}
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -18,63 +18,65 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// Verdict is what came of an ask, its retry included.
+// Verdict is the final result of a planned request, including its retry.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Served Verdict = iota // in time
-	Late
-	Refused
-	Failed
-	Gone // the client left first, on its own
+	Served  Verdict = iota // answered in time
+	Late                   // answered after the class's target latency
+	Refused                // answered with status 429 or 503
+	Failed                 // any other answer, an error or a timeout
+	Gone                   // the client left early, before an answer
 )
 
 func (v Verdict) String() string {
 	return [...]string{"served", "late", "refused", "failed", "gone"}[v]
 }
 
-// Outcome is the end of an ask.
+// Outcome is the result of a planned request.
 type Outcome struct {
-	Ask     *Ask
-	Verdict Verdict
-	Took    time.Duration // from when it was meant to be sent to its last answer
-	Behind  time.Duration // how late the laboratory itself sent it
-	Tries   int
+	Request   *Ask
+	Verdict   Verdict
+	Latency   time.Duration // time from when it was planned to be sent to its last answer
+	SendDelay time.Duration // delay with which the testbed sent it
+	Tries     int           // number of times that it was sent, 1 or 2
 }
 
-// Client sends what one agent is asked for, over connections that it keeps.
+// Client sends the requests of one agent's clients, over persistent connections.
 type Client struct {
-	cfg    *Config
-	agent  string
-	addr   string
-	url    string
-	log    *referee.Log
-	start  time.Duration // of the load, on the log's clock
-	http   *http.Client
-	fresh  *http.Client // uses no connection twice
-	tries  *Tries
-	wanted sync.WaitGroup
+	cfg       *Config
+	agent     string
+	addr      string
+	url       string
+	log       *referee.Log
+	loadStart time.Duration // start of the load, on the log's clock
+	pooled    *http.Client
+	unpooled  *http.Client // uses a new connection for each request
+	tries     *Tries
+	inFlight  sync.WaitGroup // requests in flight
 
-	socketReads atomic.Int64 // for dropped requests
+	socketReads atomic.Int64 // number of dropped requests for which the agent's sockets were to be read
 }
 
-// Tries knows, for report servers, what each request takes by its id. It is safe for
-// concurrent use, and keeps what is under way only.
+// Tries is a registry, for the report servers, of the work and the effect of each try by its request id.
+// It only keeps tries in flight and those that ended in the last registrationLinger. It is safe for concurrent
+// use.
 type Tries struct {
 	mu    sync.Mutex
 	tries map[string]try
 }
 
+// try describes one send of a request.
 type try struct {
-	work   float64
+	work   float64 // in ms of a core of speed 1
 	effect referee.Effect
 }
 
 // NewTries returns an empty registry.
 func NewTries() *Tries { return &Tries{tries: map[string]try{}} }
 
-// Work is of emu.Work.
+// Work implements backend.Work.
 func (t *Tries) Work(id string) (float64, referee.Effect, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,48 +84,50 @@
 	return x.work, x.effect, ok
 }
 
+// add registers a try.
 func (t *Tries) add(id string, work float64, effect referee.Effect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tries[id] = try{work, effect}
 }
 
-// linger is how long a request's id stays known after its end: attempts may still arrive.
-const linger = 10 * time.Second
+// registrationLinger is how long a request id stays registered after the request's end, since attempts may still
+// arrive.
+const registrationLinger = 10 * time.Second
 
-func (t *Tries) drop(id string) {
-	time.AfterFunc(linger, func() {
+// removeLater removes a request id after registrationLinger.
+func (t *Tries) removeLater(id string) {
+	time.AfterFunc(registrationLinger, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(t.tries, id)
 	})
 }
 
-// maxConns bounds the connections of a client: a third of an agent's descriptors, as the
-// protocol says. Beyond it requests wait, on their own time.
+// maxConns is the maximum number of connections of a client: a third of an agent's file descriptors, as the
+// protocol says. More requests wait for a connection, which counts towards their latency.
 const maxConns = 170
 
-// NewClient returns the client of an agent at an address. The load starts at a time of the
-// log's clock.
+// NewClient returns a client of the agent at an address. The start of the load is on the log's clock.
 func NewClient(cfg *Config, agent, addr string, start time.Duration, log *referee.Log, tries *Tries) *Client {
 	dialer := net.Dialer{Timeout: 2 * time.Second, KeepAlive: -1}
-	return &Client{cfg: cfg, agent: agent, addr: addr, url: "http://" + addr, log: log, start: start, tries: tries,
-		http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxConns,
+	return &Client{cfg: cfg, agent: agent, addr: addr, url: "http://" + addr, log: log, loadStart: start, tries: tries,
+		pooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxConns,
 			MaxConnsPerHost: maxConns, IdleConnTimeout: 8 * time.Second, DisableCompression: true}},
-		fresh: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
+		unpooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// Close ends its connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+// Close closes the client's idle connections.
+func (c *Client) Close() { c.pooled.CloseIdleConnections() }
 
-// Run sends the asks of a plan that are its agent's at their times and calls done with each
-// outcome, from many goroutines; it returns when all are out.
+// Run sends the requests of a plan at their times and calls done with each outcome, from many goroutines.
+// It returns when all of them have an outcome.
 func (c *Client) Run(ctx context.Context, plan []*Ask, done func(Outcome)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	<-timer.C
 	for _, a := range plan {
-		if wait := c.start + a.At - c.log.Now(); wait > 0 {
+		if wait := c.loadStart + a.At - c.log.Now(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -133,35 +137,35 @@
 		if ctx.Err() != nil {
 			break
 		}
-		c.wanted.Add(1)
+		c.inFlight.Add(1)
 		go func() {
-			defer c.wanted.Done()
-			done(c.ask(ctx, a))
+			defer c.inFlight.Done()
+			done(c.send(ctx, a))
 		}()
 	}
-	c.wanted.Wait()
+	c.inFlight.Wait()
 }
 
-// ask sends a request, and once more where its client does.
-func (c *Client) ask(ctx context.Context, a *Ask) Outcome {
-	meant := c.start + a.At
+// send sends a planned request, and retries it once if the configuration and its class allow it.
+func (c *Client) send(ctx context.Context, a *Ask) Outcome {
+	plannedAt := c.loadStart + a.At
 	class := &c.cfg.Classes[a.Class]
-	o := Outcome{Ask: a, Behind: c.log.Now() - meant}
-	end := meant + class.GiveUp
+	o := Outcome{Request: a, SendDelay: c.log.Now() - plannedAt}
+	end := plannedAt + class.Timeout
 	for {
 		o.Tries++
-		v, after := c.try(ctx, a, o.Tries, end)
-		o.Verdict, o.Took = v, c.log.Now()-meant
-		if v == Served && o.Took > class.Aim {
+		v, retryAfter := c.try(ctx, a, o.Tries, end)
+		o.Verdict, o.Latency = v, c.log.Now()-plannedAt
+		if v == Served && o.Latency > class.TargetLatency {
 			o.Verdict = Late
 		}
-		again := v == Refused || v == Failed && class.Effect != referee.Once
-		if !again || !c.cfg.Retry.Once || o.Tries > 1 || ctx.Err() != nil {
+		retry := v == Refused || v == Failed && class.Effect != referee.NonIdempotent
+		if !retry || !c.cfg.Retry.Enabled || o.Tries > 1 || ctx.Err() != nil {
 			return o
 		}
-		wait := c.cfg.Retry.After
-		if c.cfg.Retry.Heed {
-			wait = max(wait, after)
+		wait := c.cfg.Retry.MinDelay
+		if c.cfg.Retry.HonorRetryAfter {
+			wait = max(wait, retryAfter)
 		}
 		if c.log.Now()+wait+time.Millisecond >= end {
 			return o
@@ -174,27 +178,27 @@
 	}
 }
 
-// try is one request on the wire, with an id of its own.
-func (c *Client) try(ctx context.Context, a *Ask, n int, end time.Duration) (v Verdict, after time.Duration) {
+// try sends a request once, with a request id of its own. It returns the Retry-After of a refusal; 0 if there is none.
+func (c *Client) try(ctx context.Context, a *Ask, n int, end time.Duration) (v Verdict, retryAfter time.Duration) {
 	class := &c.cfg.Classes[a.Class]
 	id := fmt.Sprintf("%06x-%d", a.Number, n)
 	left := end - c.log.Now()
-	// The client waits a little longer for the answer than it says, as its time starts when
-	// the agent has the request.
+	// The client waits a little longer for the answer than the timeout in its request, since the agent
+	// counts that from when it has received the request.
 	ctx, cancel := context.WithTimeout(ctx, left+time.Second)
 	defer cancel()
-	leaves := a.Leaves > 0 && a.Leaves < left
+	leaves := a.LeavesAfter > 0 && a.LeavesAfter < left
 	if leaves {
-		ctx, cancel = context.WithTimeout(ctx, a.Leaves)
+		ctx, cancel = context.WithTimeout(ctx, a.LeavesAfter)
 		defer cancel()
 	}
 	method, body := http.MethodPost, io.Reader(strings.NewReader("{}"))
-	if class.Effect == referee.Repeat {
+	if class.Effect == referee.Idempotent {
 		method, body = http.MethodGet, nil
 	}
 	req, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("%s/api/orders/%d", c.url, a.Key), body)
 	if err != nil {
-		panic(err) // made of numbers
+		panic(err) // cannot happen: the URL is made of numbers
 	}
 	h := req.Header
 	h.Set("Request-Id", id)
@@ -203,11 +207,11 @@
 		h.Set("Tenant", c.cfg.Tenants[a.Tenant].Name)
 	}
 	h.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	// A connection that is kept may be closed as a request is written to it: the protocol has
-	// the client send that once more on a new one.
+	// A persistent connection may be closed while a request is written to it. The protocol asks the
+	// client to send that request again, on a new connection.
 	var reused atomic.Bool
 	key := ""
-	if class.Effect == referee.Keyed {
+	if class.Effect == referee.Deduplicated {
 		key = fmt.Sprintf("key-%06x", a.Number)
 		h.Set("Idempotency-Key", key)
 	}
@@ -215,30 +219,30 @@
 		h.Set("Client-Retry", "1")
 	}
 	c.tries.add(id, a.Work, class.Effect)
-	defer c.tries.drop(id)
-	seen := referee.Event{Agent: c.agent, Request: id, Effect: class.Effect, Key: key, Deadline: end}
+	defer c.tries.removeLater(id)
+	event := referee.Event{Agent: c.agent, Request: id, Effect: class.Effect, Key: key, Deadline: end}
 	note := func(k referee.Kind) {
-		seen.Kind, seen.At = k, 0
-		c.log.Add(seen)
+		event.Kind, event.At = k, 0
+		c.log.Add(event)
 	}
 	var asked atomic.Bool
-	var connected atomic.Int64 // when it got its last connection, on the log's clock
+	var connected atomic.Int64 // when the request got its last connection, on the log's clock
 	req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(g httptrace.GotConnInfo) {
 			reused.Store(g.Reused)
 			connected.Store(int64(c.log.Now()))
 		},
 		WroteRequest: func(w httptrace.WroteRequestInfo) {
-			if w.Err == nil && !asked.Swap(true) { // it may be written again
+			if w.Err == nil && !asked.Swap(true) { // the request may be written twice
 				note(referee.Asked)
 			}
 		}}))
-	resp, err := c.http.Do(req)
+	resp, err := c.pooled.Do(req)
 	if err != nil && reused.Load() && ctx.Err() == nil {
 		if req.GetBody != nil {
-			req.Body, _ = req.GetBody() // of a string
+			req.Body, _ = req.GetBody() // cannot fail: the body is a string
 		}
-		resp, err = c.fresh.Do(req)
+		resp, err = c.unpooled.Do(req)
 	}
 	var text []byte
 	if err == nil {
@@ -246,30 +250,30 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		var refused *net.OpError
+		var opErr *net.OpError
 		switch {
 		case leaves && errors.Is(ctx.Err(), context.DeadlineExceeded):
 			note(referee.Left)
 			return Gone, 0
-		case !asked.Load() && errors.As(err, &refused) && refused.Op == "dial":
-			return Failed, 0 // not taken: nobody is there
-		case ctx.Err() != nil: // waited for longer than its time: the referee tells by what is missing
+		case !asked.Load() && errors.As(err, &opErr) && opErr.Op == "dial":
+			return Failed, 0 // not accepted: the connection failed
+		case ctx.Err() != nil: // no answer in time: the referee detects this by the missing event
 			return Failed, 0
 		}
-		seen.Connected, seen.Detail = time.Duration(connected.Load()), c.dropDetail(err)
+		event.ConnectedAt, event.Detail = time.Duration(connected.Load()), c.dropDetail(err)
 		note(referee.Dropped)
 		return Failed, 0
 	}
-	seen.Status, seen.Whole = resp.StatusCode, string(text) == backend.Answer(id)
+	event.Status, event.Valid = resp.StatusCode, string(text) == backend.Answer(id)
 	note(referee.Answered)
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return Served, 0
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			after = time.Duration(s * float64(time.Second))
+			retryAfter = time.Duration(s * float64(time.Second))
 		}
-		return Refused, after
+		return Refused, retryAfter
 	}
 	return Failed, 0
 }
--- a/internal/testbed/loadgen/client_test.go
+++ b/internal/testbed/loadgen/client_test.go
@@ -11,8 +11,8 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// killedAgent accepts connections and ends each at once, as the kernel does with those of a process that is
-// killed: some end before their client has written anything.
+// killedAgent starts a server that closes each connection at once, as the kernel closes those of a killed process.
+// Some are closed before the client has written anything.
 func killedAgent(t *testing.T) (addr string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,12 +35,12 @@
 	return ln.Addr().String()
 }
 
-// A request of which the killed agent got nothing is owed nothing, as is one that it got. Where nobody killed
-// the agent each of them is a loss.
+// Drops by a killed agent are no violations, whether or not it received the request. If the agent was not
+// killed, each drop is a violation.
 func TestDropsOfAKilledAgent(t *testing.T) {
 	const requests = 300
 	cfg := config()
-	cfg.Retry.Once = false
+	cfg.Retry.Enabled = false
 	log := referee.NewLog()
 	client := NewClient(cfg, "n1", killedAgent(t), 0, log, NewTries())
 	defer client.Close()
@@ -66,21 +66,21 @@
 			if strings.Contains(e.Detail, client.addr+" to 0.0.0.0:0 LISTEN") {
 				withSockets++
 			}
-			if e.Connected < killedAt || e.Connected > e.At || e.Detail == "" {
-				t.Errorf("connected at %v: %v", e.Connected, e)
+			if e.ConnectedAt < killedAt || e.ConnectedAt > e.At || e.Detail == "" {
+				t.Errorf("connected at %v: %v", e.ConnectedAt, e)
 			}
 		}
 	}
-	t.Logf("%d of %d connections ended with nothing written", unwritten, requests)
+	t.Logf("%d of %d connections ended before anything was written", unwritten, requests)
 	if withSockets != maxSocketReads {
-		t.Errorf("the agent's sockets were noted %d times, want %d", withSockets, maxSocketReads)
+		t.Errorf("the agent's sockets were read %d times, want %d", withSockets, maxSocketReads)
 	}
 	rules, end := referee.Rules{Slack: time.Second}, log.Now()
 	if broken := referee.Check(events, rules, end); len(broken) != requests {
-		t.Errorf("%d violations where nobody killed the agent, want %d", len(broken), requests)
+		t.Errorf("%d violations without a kill, want %d", len(broken), requests)
 	}
 	killed := append(events, referee.Event{At: killedAt, Kind: referee.Killed, Agent: "n1", Deadline: end})
 	if broken := referee.Check(killed, rules, end); len(broken) > 0 {
-		t.Errorf("%d violations though the agent was killed, the first: %v", len(broken), broken[0])
+		t.Errorf("%d violations although the agent was killed, the first: %v", len(broken), broken[0])
 	}
 }
--- a/internal/testbed/loadgen/drop.go
+++ b/internal/testbed/loadgen/drop.go
@@ -7,11 +7,12 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/tcpstate"
 )
 
-// maxSocketReads bounds for how many dropped requests a client reads the sockets of its agent: that takes
-// time, and the first ones tell the most.
+// maxSocketReads is the number of dropped requests for which a client reads the state of its agent's sockets.
+// Reading takes time, and the first drops are the most informative.
 const maxSocketReads = 16
 
-// dropDetail tells what a client saw of a dropped request: its error, and how the agent's sockets are.
+// dropDetail describes a dropped request: the client's error and, for the first drops, the state of the agent's
+// sockets.
 func (c *Client) dropDetail(err error) string {
 	if c.socketReads.Add(1) > maxSocketReads {
 		return err.Error()
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -1,7 +1,6 @@
-// Package loadgen is what clients want of a fleet: requests that come whether or not earlier
-// ones are answered, drawn ahead from one seed, so that a slow fleet is asked as much as a
-// quick one. Times count from when a request was meant to be sent, so that waiting is not
-// hidden.
+// Package loadgen generates an open-loop load for a fleet: requests are planned in advance from a seed
+// and sent whether or not earlier ones are answered, so that a slow fleet gets as many as a fast one.
+// Latencies count from the time for which a request was planned, so that they include all waiting.
 package loadgen
 
 import (
@@ -15,68 +14,68 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/referee"
 )
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
-	Name    string
-	Effect  referee.Effect
-	Share   float64 // of the requests
-	WorkMs  float64 // on the mean, at a core of speed one
-	Aim     time.Duration
-	GiveUp  time.Duration
-	Worth   float64
-	LateFor float64 // part of the worth of a late answer
+	Name          string
+	Effect        referee.Effect
+	Share         float64       // fraction of the requests, relative to the sum of all shares
+	WorkMs        float64       // mean, in ms of a core of speed 1
+	TargetLatency time.Duration // latency up to which an answer is in time
+	Timeout       time.Duration // client timeout
+	Worth         float64       // value of an answer in time
+	LateShare     float64       // fraction of Worth that a late answer has
 }
 
-// Tenant has a share of the requests.
+// Tenant is a tenant with its share of the requests.
 type Tenant struct {
 	Name  string
 	Share float64
 }
 
-// Config is the load of a whole fleet.
+// Config configures the load of a whole fleet.
 type Config struct {
-	Seed    uint64
-	Agents  int
-	Rate    float64 // requests a second of all clients together
-	Spread  float64 // of the agents' rates: sigma of a lognormal draw
-	For     time.Duration
-	Classes []Class
-	Tenants []Tenant
-	Keys    int // distinct keys, by Zipf with exponent Skew
-	Skew    float64
-	Bursts  []Burst
-	Retry   Retry
-	Early   float64 // part of the clients that leave after a quarter of their time
+	Seed         uint64
+	Agents       int
+	Rate         float64       // requests a second of all clients together
+	Spread       float64       // sigma of the lognormal distribution of the agents' rates
+	For          time.Duration // duration of the load
+	Classes      []Class
+	Tenants      []Tenant
+	Keys         int     // number of distinct keys, which are drawn by a Zipf distribution
+	Skew         float64 // exponent of the Zipf distribution
+	Bursts       []Burst
+	Retry        Retry
+	EarlyLeavers float64 // fraction of requests whose client leaves after a quarter of its timeout
 }
 
-// Burst is more load for a while.
+// Burst multiplies the load during a period.
 type Burst struct {
-	From, For time.Duration
-	Times     float64
-	Agents    []int // whose clients want more; empty: all
+	From, Duration time.Duration
+	Factor         float64
+	Agents         []int // whose clients send more; empty for all
 }
 
-// Retry is what clients do about requests that were refused or failed.
+// Retry configures the retries of requests that were refused or failed.
 type Retry struct {
-	Once  bool
-	After time.Duration // at the least
-	Heed  bool          // wait for as long as Retry-After says
+	Enabled         bool          // whether clients retry, at most once for each request
+	MinDelay        time.Duration // minimum delay before the retry
+	HonorRetryAfter bool          // whether clients also wait as long as Retry-After says
 }
 
-// Ask is one thing that a client wants.
+// Ask is a planned request of a client.
 type Ask struct {
-	Number int
-	Agent  int
-	At     time.Duration // since the start of the load
-	Class  int
-	Tenant int
-	Key    int
-	Work   float64       // ms at a core of speed one
-	Leaves time.Duration // after which it leaves early; 0: it does not
+	Number      int           // index in the plan
+	Agent       int           // index of the agent that it's sent to
+	At          time.Duration // time since the start of the load
+	Class       int           // index in Config.Classes
+	Tenant      int           // index in Config.Tenants
+	Key         int
+	Work        float64       // in ms of a core of speed 1
+	LeavesAfter time.Duration // time after which the client leaves early; 0 if it doesn't
 }
 
-// Plan draws all that clients will want, in the order of time; equal configurations give
-// equal plans.
+// Plan returns all requests that clients will send, in order of time. Equal configurations give equal
+// plans.
 func Plan(cfg *Config) ([]Ask, error) {
 	switch {
 	case cfg.Agents < 1 || !(cfg.Rate > 0) || cfg.For <= 0:
@@ -96,28 +95,28 @@
 	keys := zipf(cfg.Keys, cfg.Skew)
 	classes := cumulate(len(cfg.Classes), func(i int) float64 { return cfg.Classes[i].Share })
 	tenants := cumulate(len(cfg.Tenants), func(i int) float64 { return cfg.Tenants[i].Share })
-	most := 1.0
+	maxFactor := 1.0
 	for _, b := range cfg.Bursts {
-		most = max(most, b.Times)
+		maxFactor = max(maxFactor, b.Factor)
 	}
 	var plan []Ask
 	for agent, share := range shares {
-		rate := cfg.Rate * share / total * most // thinned below where there is no burst
+		rate := cfg.Rate * share / total * maxFactor // the excess outside bursts is dropped below
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / rate
 			when := time.Duration(at * float64(time.Second))
 			if when >= cfg.For {
 				break
 			}
-			// All draws of a request are made whether or not it is taken, so that when a
-			// burst comes moves no other.
+			// All random values of a request are drawn whether or not it's included, so that the time of
+			// a burst does not change other requests.
 			a := Ask{Agent: agent, At: when, Class: draw(rng, classes), Tenant: draw(rng, tenants), Key: draw(rng, keys)}
 			a.Work = cfg.Classes[a.Class].WorkMs * rng.ExpFloat64()
-			early, taken := rng.Float64() < cfg.Early, rng.Float64() < cfg.times(agent, when)/most
+			early, included := rng.Float64() < cfg.EarlyLeavers, rng.Float64() < cfg.burstFactor(agent, when)/maxFactor
 			if early {
-				a.Leaves = cfg.Classes[a.Class].GiveUp / 4
+				a.LeavesAfter = cfg.Classes[a.Class].Timeout / 4
 			}
-			if taken {
+			if included {
 				plan = append(plan, a)
 			}
 		}
@@ -129,22 +128,23 @@
 	return plan, nil
 }
 
-// times is how much more than usual comes to an agent at a time.
-func (c *Config) times(agent int, at time.Duration) float64 {
+// burstFactor returns the factor by which bursts multiply an agent's load at a time.
+func (c *Config) burstFactor(agent int, at time.Duration) float64 {
 	x := 1.0
 	for _, b := range c.Bursts {
-		if at >= b.From && at < b.From+b.For && (len(b.Agents) == 0 || slices.Contains(b.Agents, agent)) {
-			x *= b.Times
+		if at >= b.From && at < b.From+b.Duration && (len(b.Agents) == 0 || slices.Contains(b.Agents, agent)) {
+			x *= b.Factor
 		}
 	}
 	return x
 }
 
-// zipf is the sum of the shares of the most popular keys.
+// zipf returns the cumulative sums of the keys' shares, the most popular key first.
 func zipf(n int, skew float64) []float64 {
 	return cumulate(n, func(i int) float64 { return math.Pow(float64(i+1), -skew) })
 }
 
+// cumulate returns the cumulative sums of n shares.
 func cumulate(n int, share func(int) float64) []float64 {
 	sums, sum := make([]float64, n), 0.0
 	for i := range sums {
@@ -154,7 +154,8 @@
 	return sums
 }
 
-// draw is an index by the shares whose sums are given; 0 for none.
+// draw returns a random index, distributed by the shares whose cumulative sums are given. Without shares it
+// returns 0.
 func draw(rng *rand.Rand, sums []float64) int {
 	x := rng.Float64()
 	if len(sums) == 0 {
--- a/internal/testbed/loadgen/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -11,8 +11,8 @@
 
 func config() *Config {
 	return &Config{Seed: 1, Agents: 10, Rate: 400, Spread: 0.5, For: 30 * time.Second, Keys: 100, Skew: 1,
-		Classes: []Class{{Name: "a", Share: 3, WorkMs: 10, GiveUp: time.Second}, {Name: "b", Effect: referee.Keyed, Share: 1, WorkMs: 20, GiveUp: time.Second}},
-		Tenants: []Tenant{{"x", 0.7}, {"y", 0.3}}, Early: 0.1}
+		Classes: []Class{{Name: "a", Share: 3, WorkMs: 10, Timeout: time.Second}, {Name: "b", Effect: referee.Deduplicated, Share: 1, WorkMs: 20, Timeout: time.Second}},
+		Tenants: []Tenant{{"x", 0.7}, {"y", 0.3}}, EarlyLeavers: 0.1}
 }
 
 func plan(t *testing.T, c *Config) []Ask {
@@ -24,19 +24,19 @@
 	return p
 }
 
-func TestPlanIsOfItsSeed(t *testing.T) {
+func TestPlanIsReproducible(t *testing.T) {
 	a, b := plan(t, config()), plan(t, config())
 	if !reflect.DeepEqual(a, b) {
-		t.Error("two plans of one seed differ")
+		t.Error("two plans with the same seed differ")
 	}
 	c := config()
 	c.Seed = 2
 	if reflect.DeepEqual(a, plan(t, c)) {
-		t.Error("another seed plans the same")
+		t.Error("two plans with different seeds are equal")
 	}
 }
 
-func TestPlanHasTheSharesItIsAskedFor(t *testing.T) {
+func TestPlanHasConfiguredShares(t *testing.T) {
 	p := plan(t, config())
 	near := func(what string, got, want float64) {
 		if math.Abs(got-want) > 0.08*want {
@@ -45,61 +45,61 @@
 	}
 	n := float64(len(p))
 	near("requests", n, 400*30)
-	var b, x, early, top, work float64
+	var classB, tenantX, early, topKey, work float64
 	for i, a := range p {
 		if i > 0 && a.At < p[i-1].At || a.Number != i {
-			t.Fatal("not in the order of time")
+			t.Fatal("not in order of time")
 		}
 		if a.Class == 1 {
-			b++
+			classB++
 			work += a.Work
 		}
 		if a.Tenant == 0 {
-			x++
+			tenantX++
 		}
 		if a.Key == 0 {
-			top++
+			topKey++
 		}
-		if a.Leaves > 0 {
+		if a.LeavesAfter > 0 {
 			early++
 		}
 	}
-	near("class b", b/n, 0.25)
-	near("its work", work/b, 20)
-	near("tenant x", x/n, 0.7)
-	near("early leavers", early/n, 0.1)
-	near("the top key", top/n, 1/5.187) // 1 over the sum of 1/i up to 100
+	near("class b", classB/n, 0.25)
+	near("work of class b", work/classB, 20)
+	near("tenant x", tenantX/n, 0.7)
+	near("clients that leave early", early/n, 0.1)
+	near("the top key", topKey/n, 1/5.187) // 5.187 is the sum of 1/i for i up to 100
 }
 
-// A burst adds requests in its time, and leaves those that would have come.
+// A burst multiplies the number of requests during its period.
 func TestBurst(t *testing.T) {
 	c := config()
-	c.Bursts = []Burst{{From: 10 * time.Second, For: 5 * time.Second, Times: 3}}
-	in := 0
+	c.Bursts = []Burst{{From: 10 * time.Second, Duration: 5 * time.Second, Factor: 3}}
+	inBurst := 0
 	for _, a := range plan(t, c) {
 		if a.At >= 10*time.Second && a.At < 15*time.Second {
-			in++
+			inBurst++
 		}
 	}
-	if in < 5500 || in > 6500 {
-		t.Errorf("%d requests in the burst, want about 6000", in)
+	if inBurst < 5500 || inBurst > 6500 {
+		t.Errorf("%d requests in the burst, want about 6000", inBurst)
 	}
 }
 
-func TestPlansThatMakeNoSense(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+func TestInvalidConfig(t *testing.T) {
+	for name, change := range map[string]func(*Config){
 		"no agent": func(c *Config) { c.Agents = 0 }, "no rate": func(c *Config) { c.Rate = math.NaN() },
-		"no class": func(c *Config) { c.Classes = nil }, "too much": func(c *Config) { c.Rate = 1e7 },
+		"no class": func(c *Config) { c.Classes = nil }, "too many requests": func(c *Config) { c.Rate = 1e7 },
 	} {
 		c := config()
-		spoil(c)
+		change(c)
 		if _, err := Plan(c); err == nil {
-			t.Errorf("%s: planned", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// A burst of some agents' clients leaves the others' as they are.
+// A burst of one agent's clients does not change the requests of other agents' clients.
 func TestBurstOfSomeAgents(t *testing.T) {
 	count := func(c *Config) (n [10]int) {
 		for _, a := range plan(t, c) {
@@ -108,11 +108,11 @@
 		return n
 	}
 	c := config()
-	c.Bursts = []Burst{{For: c.For, Times: 3}}
+	c.Bursts = []Burst{{Duration: c.For, Factor: 3}}
 	all := count(c)
 	c.Bursts[0].Agents = []int{2}
 	some := count(c)
 	if some[2] != all[2] || float64(some[3]) > 0.5*float64(all[3]) {
-		t.Errorf("%v of agent 2's alone, %v of all", some, all)
+		t.Errorf("requests by agent: %v with a burst at agent 2, %v with a burst at all", some, all)
 	}
 }
--- a/internal/testbed/referee/referee.go
+++ b/internal/testbed/referee/referee.go
@@ -1,10 +1,13 @@
-// Package referee judges what was seen of a fleet by the four rules of the protocol. It knows
-// nothing of agents: it is handed what clients, report servers and discovery saw, with times of
-// one clock, and tells each violation with the events that led to it.
+// Package referee checks the events of a fleet's run against the four rules of the protocol. It
+// does not depend on how agents work: it gets what clients, report servers and discovery observed,
+// with times of one clock, and reports each violation with the events that led to it.
 //
-// Its rules: each request that was taken gets one final answer in time (1); effects are never
-// duplicated (2); nothing new goes to a server that drains or is gone, later than the grace
-// after its agent was told (3); no cold server is toppled by all agents together (4).
+// The rules:
+//  1. Each request that was accepted gets exactly one final answer in time.
+//  2. Effects are never duplicated.
+//  3. After a grace period, an agent that was notified that a server drains or is removed sends it
+//     no new requests.
+//  4. The agents together don't overload a cold server so that it topples, which means that it fails.
 package referee
 
 import (
@@ -16,34 +19,35 @@
 	"time"
 )
 
-// Kind is what was seen.
+// Kind is the kind of an event.
 type Kind uint8
 
-// What may be seen, by whom.
+// The kinds of events.
 const (
-	// Asked is the last byte of a request on a connection of its agent. Deadline counts.
+	// Asked means that a client has written a whole request to a connection to its agent. Deadline is set.
 	Asked Kind = iota + 1
-	// Answered is a whole final answer at the client: Status, and whether what was Served is
-	// what a report server made for this request.
+	// Answered means that the client received a complete final answer. Status is set, and Valid tells
+	// whether the body is the one that a report server makes for this request.
 	Answered
-	// Dropped is a connection that the agent ended under a request, with no whole answer. It may have
-	// ended before anything was written: then the request was never Asked. Of those that the agent
-	// sent nothing on for, one request in droppedMost is no loss.
+	// Dropped means that the agent closed a request's connection without a complete answer. If that was
+	// before the request was written, there is no Asked event. Dropped requests without an attempt are
+	// tolerated for up to one request in requestsPerDrop.
 	Dropped
-	// Left is a client that went away: it is owed nothing more.
+	// Left means that the client disconnected early, and needs no answer.
 	Left
-	// Killed is an agent that was killed or paused on purpose, from At until Deadline: what it
-	// held then, or was sent, is owed nothing.
+	// Killed means that an agent was killed or paused on purpose, from At until Deadline. Requests that
+	// it held or was sent in that time need no answer.
 	Killed
-	// Attempted is the first byte of an attempt at a report server; Arrived its last, and Ran
-	// the start of its effect. Ended is when the server no longer holds it.
+	// Attempted means that the head of an attempt reached a report server, Arrived that the server
+	// accepted the whole request, Ran that the request took effect, and Ended that the server no
+	// longer holds it.
 	Attempted
 	Arrived
 	Ran
 	Ended
-	// Told is what discovery has written to an agent of a server: State.
-	Told
-	// Toppled is a cold server that fell.
+	// Notified means that discovery notified an agent of a server's State.
+	Notified
+	// Toppled means that a cold server failed because it was overloaded.
 	Toppled
 )
 
@@ -51,34 +55,34 @@
 	return [...]string{"?", "asked", "answered", "dropped", "left", "killed", "attempted", "arrived", "ran", "ended", "told", "toppled"}[k]
 }
 
-// Effect tells how often a request of a class may run.
+// Effect says how often a request of a class may run.
 type Effect uint8
 
-// The effects.
+// The effects of requests.
 const (
-	Once   Effect = iota // never twice
-	Keyed                // repeats of a key are dropped for a time
-	Repeat               // as often as it likes
+	NonIdempotent Effect = iota // at most once
+	Deduplicated                // report servers drop repeats of its idempotency key for a time
+	Idempotent                  // any number of times
 )
 
-// Event is one thing seen. Fields that a kind does not use are empty.
+// Event is one observation. Fields that a kind doesn't use are empty.
 type Event struct {
 	At       time.Duration // since the start of the run
 	Kind     Kind
 	Agent    string
 	Server   string
-	Request  string // its id, new with each try
+	Request  string // request id, which differs for each try of a client
 	Key      string // idempotency key
 	Effect   Effect
-	Deadline time.Duration // at which the client stops waiting
-	Sent     time.Duration // attempted: when its first byte was, where a link held it since; 0: At
+	Deadline time.Duration // when the client stops waiting; for Killed the end of the outage
+	SentAt   time.Duration // for Attempted: when the agent sent its first byte; 0 if that is not known, then At counts
 	Status   int
-	Whole    bool   // the answer is what a report server made for the request
+	Valid    bool   // whether the answer is the one that a report server makes for the request
 	State    string // "up", "draining" or "removed"
-	// Connected is when the client of a dropped request got the connection that ended, Detail what that
-	// client saw.
-	Connected time.Duration
-	Detail    string
+	// ConnectedAt is when the client of a dropped request got its connection; 0 if it is not known.
+	// Detail describes the error that the client got, and the agent's sockets.
+	ConnectedAt time.Duration
+	Detail      string
 }
 
 func (e Event) String() string {
@@ -90,10 +94,10 @@
 		}
 	}
 	if e.Status != 0 {
-		fmt.Fprintf(&b, " status=%d whole=%v", e.Status, e.Whole)
+		fmt.Fprintf(&b, " status=%d valid=%v", e.Status, e.Valid)
 	}
-	if e.Connected > 0 {
-		fmt.Fprintf(&b, " connected=%.3f s", e.Connected.Seconds())
+	if e.ConnectedAt > 0 {
+		fmt.Fprintf(&b, " connected=%.3f s", e.ConnectedAt.Seconds())
 	}
 	if e.Detail != "" {
 		fmt.Fprintf(&b, " (%s)", e.Detail)
@@ -101,27 +105,27 @@
 	return b.String()
 }
 
-// sentAt is when an attempt was sent, however long it was on its way.
-func sentAt(e Event) time.Duration {
-	if e.Sent > 0 {
-		return e.Sent
+// sentTime returns when an attempt was sent, or else when it reached the server.
+func sentTime(e Event) time.Duration {
+	if e.SentAt > 0 {
+		return e.SentAt
 	}
 	return e.At
 }
 
-// Rules are the figures of the four rules.
+// Rules has the limits of the four rules.
 type Rules struct {
-	AnswerSlack   time.Duration // after the deadline
-	DrainGrace    time.Duration // after the telling
-	KeyWindow     time.Duration // in which report servers drop the repeats of a key
-	Slack         time.Duration // that sockets add to each limit
-	ParallelTries bool          // whether two attempts of a request may be out at once
+	AnswerSlack      time.Duration // how long after its deadline an answer is still in time
+	DrainGrace       time.Duration // how long after its notification an agent may still send to a server that drains
+	KeyWindow        time.Duration // how long report servers drop repeats of a key
+	Slack            time.Duration // added to each time limit, for delays of real sockets
+	ParallelAttempts bool          // whether a request may have two attempts in flight at the same time
 }
 
-// droppedMost is of how many requests one may be dropped before anything was sent on for it.
-const droppedMost = 200
+// requestsPerDrop is the number of requests among which one may be dropped without an attempt.
+const requestsPerDrop = 200
 
-// Violation is a broken rule and what led to it.
+// Violation is a broken rule with the events that led to it.
 type Violation struct {
 	Rule   int
 	Text   string
@@ -136,7 +140,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Log collects events from many goroutines.
+// Log collects events. It is safe for concurrent use.
 type Log struct {
 	mu     sync.Mutex
 	start  time.Time
@@ -146,13 +150,13 @@
 // NewLog returns a log whose clock starts now.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Began is when it started, by the clock of day.
+// Began returns the wall-clock time at which the log's clock started.
 func (l *Log) Began() time.Time { return l.start }
 
-// Now is the log's clock.
+// Now returns the time since the log's clock started.
 func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// Add notes an event as of now, unless its time is set.
+// Add adds an event. If its time is 0 it is set to now.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +166,7 @@
 	l.events = append(l.events, e)
 }
 
-// Events returns what was seen, in the order of time.
+// Events returns all events in order of time.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,43 +175,44 @@
 	return out
 }
 
-// request is what was seen of one try of a client.
+// request has the events of one try of a client.
 type request struct {
-	asked    Event
+	asked    Event // the Asked event; its Kind is 0 if there is none
 	events   []Event
-	final    int
-	excused  bool // the client left
-	attempts int  // that ran, or may yet
-	out      int
+	finals   int  // number of final answers and drops
+	excused  bool // whether the client left
+	attempts int  // number of attempts that arrived at a server
+	inFlight int  // number of attempts that a server holds
 }
 
-// sentTo returns the agent that a request was sent to, and since when. One whose connection ended as
-// nothing was written yet counts from when its client got that connection.
+// sentTo returns the agent that a request was sent to, and the time since which the agent is responsible
+// for it: when it was written or, if nothing was written, when its client got the connection.
 func (r *request) sentTo(last Event) (agent string, since time.Duration) {
 	switch {
 	case r.asked.Kind == Asked:
 		return r.asked.Agent, r.asked.At
-	case last.Connected > 0:
-		return last.Agent, last.Connected
+	case last.ConnectedAt > 0:
+		return last.Agent, last.ConnectedAt
 	}
 	return last.Agent, last.At
 }
 
-// Check judges a run that ended at a time; events must be in the order of time.
+// Check checks the events of a run that ended at the given time. The events must be in order of time.
 func Check(events []Event, rules Rules, end time.Duration) (broken []Violation) {
 	requests := map[string]*request{}
 	var order []string
-	told := map[[2]string]Event{} // agent and server: when it was told to drain or gone
-	effects := map[string]Event{} // key: the last effect
-	var dropped []Violation
-	kills := map[string][]Event{}
+	// notified has, by agent and server, the agent's first notification that the server drains or is removed.
+	notified := map[[2]string]Event{}
+	effects := map[string]Event{} // by idempotency key, its first effect
+	var dropped []Violation       // dropped requests without an attempt
+	kills := map[string][]Event{} // by agent
 	for _, e := range events {
 		if e.Kind == Killed {
 			kills[e.Agent] = append(kills[e.Agent], e)
 		}
 	}
-	// excused tells whether the client left, or the agent was down while it held the request until
-	// the last event.
+	// excused reports whether a request needs no answer: its client left, or the agent was down at some
+	// time between receiving it and the last event.
 	excused := func(r *request, last Event) bool {
 		agent, since := r.sentTo(last)
 		return r.excused || slices.ContainsFunc(kills[agent], func(k Event) bool {
@@ -236,39 +241,39 @@
 		case Asked:
 			r.asked = e
 		case Answered:
-			switch r.final++; {
-			case r.final > 1:
+			switch r.finals++; {
+			case r.finals > 1:
 				add(1, "more than one final answer", r.events...)
 			case e.At > r.asked.Deadline+rules.AnswerSlack+rules.Slack && !excused(r, e):
 				add(1, fmt.Sprintf("answered %v after the deadline", e.At-r.asked.Deadline), r.events...)
-			case e.Status == 200 && !e.Whole:
-				add(1, "served with what no report server made for it", r.events...)
-			case (e.Status == 429 || e.Status == 503) && r.attempts > 0 && r.asked.Effect == Once:
-				add(2, "refused though it may have run", r.events...)
+			case e.Status == 200 && !e.Valid:
+				add(1, "served an answer that no report server made for it", r.events...)
+			case (e.Status == 429 || e.Status == 503) && r.attempts > 0 && r.asked.Effect == NonIdempotent:
+				add(2, "refused although it may have run", r.events...)
 			}
 		case Dropped:
-			if r.final == 0 && !excused(r, e) {
-				v := Violation{1, "its connection was ended with no answer", r.events}
+			if r.finals == 0 && !excused(r, e) {
+				v := Violation{1, "its connection was closed with no answer", r.events}
 				if slices.ContainsFunc(r.events, func(x Event) bool { return x.Kind == Attempted }) {
 					broken = append(broken, v)
 				} else {
 					dropped = append(dropped, v)
 				}
 			}
-			r.final++
+			r.finals++
 		case Left:
 			r.excused = true
 		case Attempted:
-			if t, ok := told[[2]string{e.Agent, e.Server}]; ok && sentAt(e) > t.At+rules.DrainGrace+rules.Slack {
-				add(3, fmt.Sprintf("sent to a server that was told as %s %v before", t.State, e.At-t.At), append(r.events, t)...)
+			if t, ok := notified[[2]string{e.Agent, e.Server}]; ok && sentTime(e) > t.At+rules.DrainGrace+rules.Slack {
+				add(3, fmt.Sprintf("sent to a server that the agent knew as %s for %v", t.State, e.At-t.At), append(r.events, t)...)
 			}
 		case Arrived:
 			r.attempts++
-			if r.out++; r.out > 1 && !rules.ParallelTries && !excused(r, e) {
-				add(2, "a second copy while one was out", r.events...)
+			if r.inFlight++; r.inFlight > 1 && !rules.ParallelAttempts && !excused(r, e) {
+				add(2, "a second attempt arrived while another was in flight", r.events...)
 			}
 		case Ended:
-			r.out--
+			r.inFlight--
 		case Ran:
 			ran := 0
 			for _, x := range r.events {
@@ -276,34 +281,34 @@
 					ran++
 				}
 			}
-			if e.Effect == Once && ran > 1 {
+			if e.Effect == NonIdempotent && ran > 1 {
 				add(2, "ran twice", r.events...)
 			}
-			if e.Effect == Keyed {
-				if last, ok := effects[e.Key]; ok && e.At-last.At > rules.KeyWindow+rules.Slack && last.Request == e.Request {
-					add(2, fmt.Sprintf("ran again %v after, past the window of its key", e.At-last.At), r.events...)
+			if e.Effect == Deduplicated {
+				if first, ok := effects[e.Key]; ok && e.At-first.At > rules.KeyWindow+rules.Slack && first.Request == e.Request {
+					add(2, fmt.Sprintf("ran again %v later, past the window of its key", e.At-first.At), r.events...)
 				}
 				if _, ok := effects[e.Key]; !ok {
 					effects[e.Key] = e
 				}
 			}
-		case Told:
+		case Notified:
 			at := [2]string{e.Agent, e.Server}
-			if _, ok := told[at]; e.State == "up" {
-				delete(told, at)
+			if _, ok := notified[at]; e.State == "up" {
+				delete(notified, at)
 			} else if !ok {
-				told[at] = e
+				notified[at] = e
 			}
 		case Toppled:
 			add(4, "a cold server was toppled", e)
 		}
 	}
-	if len(dropped)*droppedMost > len(order) {
+	if len(dropped)*requestsPerDrop > len(order) {
 		broken = append(broken, dropped...)
 	}
 	for _, id := range order {
 		r := requests[id]
-		if r.asked.Kind == Asked && r.final == 0 && !excused(r, Event{At: r.asked.Deadline}) && end > r.asked.Deadline+rules.AnswerSlack+rules.Slack {
+		if r.asked.Kind == Asked && r.finals == 0 && !excused(r, Event{At: r.asked.Deadline}) && end > r.asked.Deadline+rules.AnswerSlack+rules.Slack {
 			add(1, "no final answer", r.events...)
 		}
 	}
--- a/internal/testbed/referee/sites.go
+++ b/internal/testbed/referee/sites.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Loss is the loss of a site's uplink; To is negative while it lasts.
+// Loss is a period in which a site's uplink is lost. To is negative while it lasts.
 type Loss struct {
 	Zone     string
 	From, To time.Duration
 }
 
-// darkSlack is for how long after its uplink is back a site may still find out that it is
-// lost: what members then know is as old as their silence.
+// darkSlack is how long after the return of its uplink a site may still detect the loss: what its members
+// know of the other sites is then as old as the silence was long.
 const darkSlack = 3 * time.Second
 
-// CheckSites judges what agents noted of their uplinks ("dark", "returning", "light"; zone
-// names the site of each): none is dark that has its uplink. It returns the mean times from a
-// loss, and from its end, to when an agent of the site knew it.
+// CheckSites checks the steps that agents recorded about their uplinks ("dark": the agent considers its
+// uplink lost, "returning": it detects that the uplink is back). Zone has the zone of each agent. It
+// returns a text for each agent that considered its uplink lost while it was not. The mean times from a
+// loss (dark_ms) and from its end (light_ms) to its detection are taken over the agents of the site.
 func CheckSites(steps []VoteStep, zone map[string]string, losses []*Loss) (broken []string, mean map[string]time.Duration) {
-	type one struct {
+	type detection struct {
 		loss  *Loss
 		agent string
 	}
-	sum, n := map[string]time.Duration{}, map[string]time.Duration{}
-	seen := map[string]map[one]bool{"dark_ms": {}, "light_ms": {}}
-	took := func(figure string, at one, d time.Duration) {
-		if !seen[figure][at] {
-			seen[figure][at] = true
+	sum, count := map[string]time.Duration{}, map[string]time.Duration{}
+	seen := map[string]map[detection]bool{"dark_ms": {}, "light_ms": {}}
+	record := func(figure string, detected detection, d time.Duration) {
+		if !seen[figure][detected] {
+			seen[figure][detected] = true
 			sum[figure] += d
-			n[figure]++
+			count[figure]++
 		}
 	}
 	for _, s := range steps {
@@ -50,16 +51,16 @@
 		}
 		switch {
 		case s.Kind == "dark" && during == nil:
-			broken = append(broken, fmt.Sprintf("sites: at %v %s of %s counts its uplink as lost, which it is not", s.At, s.Agent, zone[s.Agent]))
+			broken = append(broken, fmt.Sprintf("sites: at %v %s of %s considers its uplink lost, which it is not", s.At, s.Agent, zone[s.Agent]))
 		case s.Kind == "dark":
-			took("dark_ms", one{during, s.Agent}, s.At-during.From)
+			record("dark_ms", detection{during, s.Agent}, s.At-during.From)
 		case after != nil:
-			took("light_ms", one{after, s.Agent}, s.At-after.To)
+			record("light_ms", detection{after, s.Agent}, s.At-after.To)
 		}
 	}
 	mean = map[string]time.Duration{}
 	for figure := range sum {
-		mean[figure] = sum[figure] / n[figure]
+		mean[figure] = sum[figure] / count[figure]
 	}
 	return broken, mean
 }
--- a/internal/testbed/referee/sites_test.go
+++ b/internal/testbed/referee/sites_test.go
@@ -8,7 +8,7 @@
 func TestCheckSites(t *testing.T) {
 	zone := map[string]string{"a": "z", "b": "z", "c": "y"}
 	losses := []*Loss{{Zone: "z", From: 10 * time.Second, To: 20 * time.Second}}
-	at := func(s float64, agent, kind string) VoteStep {
+	step := func(s float64, agent, kind string) VoteStep {
 		return VoteStep{At: time.Duration(s * float64(time.Second)), Agent: agent, Kind: kind}
 	}
 	for _, c := range []struct {
@@ -18,12 +18,12 @@
 		dark   time.Duration
 		light  time.Duration
 	}{
-		{"all know it", []VoteStep{at(12, "a", "dark"), at(14, "b", "dark"), at(21, "a", "returning"), at(24, "a", "light"), at(22, "b", "returning")}, 0, 3 * time.Second, 1500 * time.Millisecond},
-		{"one restarts", []VoteStep{at(12, "a", "dark"), at(15, "a", "dark"), at(21, "a", "returning")}, 0, 2 * time.Second, time.Second},
-		{"a little late", []VoteStep{at(22, "a", "dark")}, 0, 12 * time.Second, 0},
-		{"another zone", []VoteStep{at(12, "c", "dark")}, 1, 0, 0},
-		{"before", []VoteStep{at(9, "a", "dark")}, 1, 0, 0},
-		{"long after", []VoteStep{at(24, "a", "dark")}, 1, 0, 0},
+		{"all detect it", []VoteStep{step(12, "a", "dark"), step(14, "b", "dark"), step(21, "a", "returning"), step(24, "a", "light"), step(22, "b", "returning")}, 0, 3 * time.Second, 1500 * time.Millisecond},
+		{"a restarted agent counts once", []VoteStep{step(12, "a", "dark"), step(15, "a", "dark"), step(21, "a", "returning")}, 0, 2 * time.Second, time.Second},
+		{"detected just after its end", []VoteStep{step(22, "a", "dark")}, 0, 12 * time.Second, 0},
+		{"in another zone", []VoteStep{step(12, "c", "dark")}, 1, 0, 0},
+		{"before the loss", []VoteStep{step(9, "a", "dark")}, 1, 0, 0},
+		{"long after its end", []VoteStep{step(24, "a", "dark")}, 1, 0, 0},
 	} {
 		broken, mean := CheckSites(c.steps, zone, losses)
 		if len(broken) != c.broken || mean["dark_ms"] != c.dark || mean["light_ms"] != c.light {
@@ -31,7 +31,7 @@
 		}
 	}
 	losses[0].To = -1
-	if broken, _ := CheckSites([]VoteStep{at(90, "a", "dark")}, zone, losses); len(broken) != 0 {
+	if broken, _ := CheckSites([]VoteStep{step(90, "a", "dark")}, zone, losses); len(broken) != 0 {
 		t.Errorf("a loss that lasts: %v", broken)
 	}
 }
--- a/internal/testbed/report/plots.go
+++ b/internal/testbed/report/plots.go
@@ -12,34 +12,34 @@
 )
 
 var (
-	shade = color.NRGBA{R: 200, G: 60, B: 60, A: 40}
-	lines = []color.Color{color.RGBA{R: 0x1b, G: 0x7a, B: 0x3d, A: 255}, color.RGBA{R: 0xd9, G: 0x82, B: 0x1a, A: 255},
+	faultColor = color.NRGBA{R: 200, G: 60, B: 60, A: 40}
+	lineColors = []color.Color{color.RGBA{R: 0x1b, G: 0x7a, B: 0x3d, A: 255}, color.RGBA{R: 0xd9, G: 0x82, B: 0x1a, A: 255},
 		color.RGBA{R: 0x1f, G: 0x5f, B: 0xb4, A: 255}, color.RGBA{R: 0xb0, G: 0x2a, B: 0x2a, A: 255}, color.RGBA{R: 0x6b, G: 0x4c, B: 0x9a, A: 255}}
 )
 
-// curve is one line of a plot, over seconds.
+// curve is one line of a plot, with a value for each second.
 type curve struct {
 	name string
 	at   func(*Second) float64
 }
 
-// plots writes the plots of the agents' play and names their files.
+// plots writes the plots of the agents' play into a directory and returns their file names.
 func (r *Report) plots(dir string) (names []string, err error) {
-	part := func(n func(*Second) int) func(*Second) float64 {
-		return func(s *Second) float64 { return 100 * float64(n(s)) / float64(max(s.Asked, 1)) }
+	percent := func(count func(*Second) int) func(*Second) float64 {
+		return func(s *Second) float64 { return 100 * float64(count(s)) / float64(max(s.Asked, 1)) }
 	}
 	for _, p := range []struct {
 		file, title, y string
 		curves         []curve
 	}{
 		{"outcomes.svg", "What came of the requests", "% of those asked", []curve{
-			{"served in time", part(func(s *Second) int { return s.Served })}, {"late", part(func(s *Second) int { return s.Late })},
-			{"refused", part(func(s *Second) int { return s.Refused })}, {"failed", part(func(s *Second) int { return s.Failed })}}},
+			{"served in time", percent(func(s *Second) int { return s.Served })}, {"late", percent(func(s *Second) int { return s.Late })},
+			{"refused", percent(func(s *Second) int { return s.Refused })}, {"failed", percent(func(s *Second) int { return s.Failed })}}},
 		{"latency.svg", "Time from when a request was meant to be sent", "ms", []curve{
 			{"p50", func(s *Second) float64 { return s.P50 }}, {"p90", func(s *Second) float64 { return s.P90 }},
 			{"p99", func(s *Second) float64 { return s.P99 }}, {"p99.9", func(s *Second) float64 { return s.P999 }}}},
 		{"crossing.svg", "Attempts that cross zones", "% of attempts", []curve{
-			{"cross zones", func(s *Second) float64 { return 100 * float64(s.Cross) / float64(max(s.Tries, 1)) }}}},
+			{"cross zones", func(s *Second) float64 { return 100 * float64(s.CrossZone) / float64(max(s.Attempts, 1)) }}}},
 	} {
 		if err := r.plot(filepath.Join(dir, p.file), p.title, p.y, p.curves); err != nil {
 			return nil, err
@@ -49,12 +49,13 @@
 	return names, nil
 }
 
+// plot writes one plot to a file.
 func (r *Report) plot(path, title, y string, curves []curve) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = r.Name+": "+title, "s", y
 	p.Legend.Top = true
 	p.Y.Min, p.X.Min, p.X.Max = 0, 0, float64(len(r.Plays[0].Seconds))
-	top := 1.0
+	highest := 1.0
 	drawn := make([]plotter.XYs, len(curves))
 	for i, c := range curves {
 		for j := range r.Plays[0].Seconds {
@@ -62,12 +63,12 @@
 			if math.IsNaN(v) || math.IsInf(v, 0) {
 				v = 0
 			}
-			top = max(top, v)
+			highest = max(highest, v)
 			drawn[i] = append(drawn[i], plotter.XY{X: float64(j) + 0.5, Y: v})
 		}
 	}
-	// Behind the lines: the grid, and when faults held.
-	p.Y.Max = top * 1.4 // with room for the legend
+	// The grid and the periods of faults are drawn behind the lines.
+	p.Y.Max = highest * 1.4 // leaves room for the legend
 	p.Add(plotter.NewGrid())
 	for _, f := range r.Faults {
 		from, to := f.From.Seconds(), max(f.To.Seconds(), f.From.Seconds()+0.2)
@@ -75,7 +76,7 @@
 		if err != nil {
 			return fmt.Errorf("report: %s: %w", path, err)
 		}
-		box.Color, box.LineStyle.Width = shade, 0
+		box.Color, box.LineStyle.Width = faultColor, 0
 		p.Add(box)
 	}
 	for i, c := range curves {
@@ -83,7 +84,7 @@
 		if err != nil {
 			return fmt.Errorf("report: %s: %w", path, err)
 		}
-		l.Color, l.Width = lines[i%len(lines)], vg.Points(1.5)
+		l.Color, l.Width = lineColors[i%len(lineColors)], vg.Points(1.5)
 		p.Add(l)
 		p.Legend.Add(c.name, l)
 	}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report is what came of an experiment: its figures second by second, as JSON for
-// programs, as Markdown and plots for people, and two of them side by side.
+// Package report holds the result of an experiment. It writes it as JSON for programs and as Markdown and
+// plots for people, and compares groups of reports. A play is one run of the experiment's load.
 package report
 
 import (
@@ -15,46 +15,47 @@
 	"time"
 )
 
-// Version is that of the form; a report of another is not read.
+// Version is the version of the JSON format. A report of another version is not read.
 const Version = 1
 
-// maxReport bounds a report that is read, in bytes.
+// maxReport is the maximum size in bytes of a report that is read.
 const maxReport = 64 << 20
 
-// Second is what came of the requests that were meant to be sent in one second.
+// Second has the results of the requests that were planned for one second.
 type Second struct {
 	Asked   int     `json:"asked"`
 	Served  int     `json:"served"`
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	Gone    int     `json:"gone"`
-	Worth   float64 `json:"worth"`
-	Earned  float64 `json:"earned"`
-	// Of all answers that served, in ms from when the request was meant to be sent.
-	P50   float64 `json:"p50_ms"`
-	P90   float64 `json:"p90_ms"`
-	P99   float64 `json:"p99_ms"`
-	P999  float64 `json:"p999_ms"`
-	Tries int     `json:"attempts"` // at report servers, and of them
-	Cross int     `json:"cross_zone"`
+	Gone    int     `json:"gone"`   // number of requests whose client left early
+	Worth   float64 `json:"worth"`  // total value of the requests, without those whose client left
+	Earned  float64 `json:"earned"` // the part of Worth that was served
+	// P50 to P999 are percentiles of the latency in ms of all served and late answers, from the planned
+	// time of the request.
+	P50       float64 `json:"p50_ms"`
+	P90       float64 `json:"p90_ms"`
+	P99       float64 `json:"p99_ms"`
+	P999      float64 `json:"p999_ms"`
+	Attempts  int     `json:"attempts"`   // number of attempts at report servers
+	CrossZone int     `json:"cross_zone"` // number of those attempts that cross zones
 }
 
-// Play is one play of the load: by the agents, or by a baseline in their place.
+// Play is one run of the load, either through the agents or through a baseline.
 type Play struct {
 	Name    string             `json:"name"`
 	Seconds []Second           `json:"seconds"`
 	Figures map[string]float64 `json:"figures"`
 }
 
-// Span is when a fault held.
+// Span is the period of a fault, in time since the start of the load.
 type Span struct {
 	Kind string        `json:"kind"`
 	From time.Duration `json:"from_ns"`
 	To   time.Duration `json:"to_ns"`
 }
 
-// Claim is one claim and what came of it.
+// Claim is a claim about a figure with its result.
 type Claim struct {
 	Text  string  `json:"text"`
 	Value float64 `json:"value"`
@@ -62,7 +63,7 @@
 	Kept  bool    `json:"kept"`
 }
 
-// Report is a whole experiment.
+// Report is the result of a whole experiment.
 type Report struct {
 	Version    int           `json:"version"`
 	Name       string        `json:"name"`
@@ -74,19 +75,21 @@
 	Zones      []string      `json:"zones"`
 	Rate       float64       `json:"rate_per_s"`
 	Warmup     time.Duration `json:"warmup_ns"`
-	Plays      []Play        `json:"plays"` // the first is the agents'
+	Plays      []Play        `json:"plays"` // the first one is through the agents
 	Faults     []Span        `json:"faults"`
 	Violations []string      `json:"violations"`
 	Crashes    []string      `json:"crashes"`
 	Claims     []Claim       `json:"claims"`
-	// Ceiling is the requests a second that the laboratory itself carries, and Behind how
-	// late it sent them: the 99th percentile in ms. Void says why the play does not count.
+	// Ceiling is the number of requests a second that the testbed carries without agents. Behind is the
+	// 99th percentile in ms of the delay with which it sent requests. Void says why the result is
+	// invalid; empty if it is valid.
 	Ceiling float64 `json:"ceiling_per_s"`
 	Behind  float64 `json:"behind_p99_ms"`
 	Void    string  `json:"void"`
 }
 
-// Failed names the first claim or rule that was not kept; "" if all were.
+// Failed describes the first reason why the experiment failed, in this order: a void result, a broken rule,
+// a crash, a claim that does not hold. It returns "" if the experiment passed.
 func (r *Report) Failed() string {
 	switch {
 	case r.Void != "":
@@ -104,7 +107,7 @@
 	return ""
 }
 
-// Write writes report.json, report.md and the plots into a folder.
+// Write writes report.json, report.md and the plots into a directory.
 func (r *Report) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// Read reads the report of a folder, or a report.json itself.
+// Read reads a report, from a directory that contains report.json or from the path of a JSON file.
 func Read(path string) (*Report, error) {
 	if !strings.HasSuffix(path, ".json") {
 		path = filepath.Join(path, "report.json")
@@ -151,7 +154,7 @@
 	return &r, nil
 }
 
-// Markdown writes the report for a person.
+// Markdown writes the report as Markdown, without plots.
 func (r *Report) Markdown(w io.Writer) {
 	form := "in full"
 	if r.Quick {
@@ -221,7 +224,7 @@
 	return "**no**"
 }
 
-// number is a figure with as many digits as tell something.
+// number formats a figure with a precision that suits its magnitude.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case v == math.Trunc(v) && a < 1e9:
@@ -234,8 +237,8 @@
 	return fmt.Sprintf("%.4f", v)
 }
 
-// Compare sets two groups of reports side by side: their means, the difference, and how
-// much of it is noise by the spread within the groups.
+// Compare writes a table that compares two groups of reports: the mean of each figure in each group, the
+// difference, and its noise, which is twice the standard error of the difference.
 func Compare(w io.Writer, a, b []*Report) error {
 	if len(a) == 0 || len(b) == 0 {
 		return fmt.Errorf("report: nothing to compare")
@@ -253,32 +256,32 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		ma, sa := spread(a, name)
-		mb, sb := spread(b, name)
-		noise, word := "?", ""
+		ma, sa := meanAndDeviation(a, name)
+		mb, sb := meanAndDeviation(b, name)
+		noise, verdict := "?", ""
 		if len(a) > 1 && len(b) > 1 {
-			n := 2 * math.Sqrt(sa*sa/float64(len(a))+sb*sb/float64(len(b)))
-			noise = number(n)
-			if math.Abs(mb-ma) > n {
-				word = "differs"
+			bound := 2 * math.Sqrt(sa*sa/float64(len(a))+sb*sb/float64(len(b)))
+			noise = number(bound)
+			if math.Abs(mb-ma) > bound {
+				verdict = "differs"
 			}
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t\n", name, number(ma), number(mb), number(mb-ma), noise, word)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t\n", name, number(ma), number(mb), number(mb-ma), noise, verdict)
 	}
 	return t.Flush()
 }
 
-// spread is the mean of a figure over reports, and its standard deviation.
-func spread(of []*Report, name string) (mean, sd float64) {
-	for _, r := range of {
-		mean += r.Plays[0].Figures[name] / float64(len(of))
+// meanAndDeviation returns the mean and the standard deviation of a figure over reports.
+func meanAndDeviation(reports []*Report, name string) (mean, sd float64) {
+	for _, r := range reports {
+		mean += r.Plays[0].Figures[name] / float64(len(reports))
 	}
-	if len(of) < 2 {
+	if len(reports) < 2 {
 		return mean, 0
 	}
-	for _, r := range of {
+	for _, r := range reports {
 		d := r.Plays[0].Figures[name] - mean
-		sd += d * d / float64(len(of)-1)
+		sd += d * d / float64(len(reports)-1)
 	}
 	return mean, math.Sqrt(sd)
 }
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-func sample(served float64) *Report {
+func sampleReport(served float64) *Report {
 	return &Report{Version: Version, Name: "steady", About: "Nothing goes wrong.", Seed: 3, Quick: true, Agents: 2, Servers: 3, Zones: []string{"a"},
-		Rate: 100, Plays: []Play{{Name: "agents", Seconds: []Second{{Asked: 10, Served: 9, Failed: 1, P50: 20, P99: 90, Tries: 10, Cross: 4}, {}},
+		Rate: 100, Plays: []Play{{Name: "agents", Seconds: []Second{{Asked: 10, Served: 9, Failed: 1, P50: 20, P99: 90, Attempts: 10, CrossZone: 4}, {}},
 			Figures: map[string]float64{"served": served, "p99_ms": 90.5}}, {Name: "random", Figures: map[string]float64{"served": 0.5}}},
 		Faults: []Span{{"cut-zone", time.Second, 2 * time.Second}}, Claims: []Claim{{"served, at least 0.8", served, 0.8, served >= 0.8}}, Ceiling: 5000}
 }
 
 func TestWriteAndRead(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "steady")
-	r := sample(0.9)
+	r := sampleReport(0.9)
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(dir)
-	if err != nil || !reflect.DeepEqual(back, r) {
-		t.Errorf("%+v, %v, want %+v", back, err, r)
+	got, err := Read(dir)
+	if err != nil || !reflect.DeepEqual(got, r) {
+		t.Errorf("%+v, %v, want %+v", got, err, r)
 	}
 	md, err := os.ReadFile(filepath.Join(dir, "report.md"))
 	if err != nil {
@@ -55,37 +55,37 @@
 	}
 }
 
-func TestFailedNamesTheFirstCause(t *testing.T) {
-	for want, spoil := range map[string]func(*Report){
+func TestFailedReturnsTheFirstCause(t *testing.T) {
+	for want, change := range map[string]func(*Report){
 		"": func(*Report) {}, "served, at least 0.8": func(r *Report) { r.Claims[0].Kept = false },
 		"a rule was broken, rule 2: ran twice": func(r *Report) { r.Violations = []string{"rule 2: ran twice\n  then"}; r.Claims[0].Kept = false },
 		"an agent crashed, n1: signal":         func(r *Report) { r.Crashes = []string{"n1: signal"} },
 		"void, late":                           func(r *Report) { r.Void = "late"; r.Crashes = []string{"n1"} },
 	} {
-		r := sample(0.9)
-		spoil(r)
+		r := sampleReport(0.9)
+		change(r)
 		if got := r.Failed(); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
 }
 
-func TestCompareTellsNoiseFromDifference(t *testing.T) {
+func TestCompareSeparatesNoiseFromDifferences(t *testing.T) {
 	var out strings.Builder
-	a := []*Report{sample(0.80), sample(0.81), sample(0.79)}
-	if err := Compare(&out, a, []*Report{sample(0.90), sample(0.91), sample(0.89)}); err != nil {
+	a := []*Report{sampleReport(0.80), sampleReport(0.81), sampleReport(0.79)}
+	if err := Compare(&out, a, []*Report{sampleReport(0.90), sampleReport(0.91), sampleReport(0.89)}); err != nil {
 		t.Fatal(err)
 	}
 	if text := out.String(); !strings.Contains(text, "differs") || strings.Count(text, "differs") != 1 {
 		t.Errorf("%s", text)
 	}
 	out.Reset()
-	if err := Compare(&out, a, []*Report{sample(0.805), sample(0.795)}); err != nil || strings.Contains(out.String(), "differs") {
+	if err := Compare(&out, a, []*Report{sampleReport(0.805), sampleReport(0.795)}); err != nil || strings.Contains(out.String(), "differs") {
 		t.Errorf("%s, %v", out.String(), err)
 	}
-	other := sample(0.8)
+	other := sampleReport(0.8)
 	other.Name = "herd"
 	if err := Compare(&out, a, []*Report{other}); err == nil {
-		t.Error("two experiments were compared")
+		t.Error("reports of different experiments were compared")
 	}
 }
