--- a/internal/testbed/backend/discovery.go
+++ b/internal/testbed/backend/discovery.go
@@ -43,7 +43,7 @@
 // maxWait is the maximum time that a watch may wait for a change.
 const maxWait = 60 * time.Second
 
-// View is a discovery server for a single agent. Different agents' views may be delayed, frozen, silent or
+// View is a discovery server for a single agent. Different agents' views may be delayed, frozen, unresponsive or
 // different. It is safe for concurrent use.
 type View struct {
 	agent   string
@@ -52,16 +52,16 @@
 	http    *http.Server
 	serving sync.WaitGroup
 
-	mu            sync.Mutex
-	version       uint64
-	entries       map[string]versionedTarget
-	changed       chan struct{} // closed and replaced at each change
-	silent        bool          // whether it answers no calls
-	beforeSilence List          // the list from before it became silent
-	frozen        bool          // whether it holds back changes
-	held          []Target      // changes that came while it was frozen
-	listDelay     time.Duration // how long each full list takes
-	calls         int           // number of calls
+	mu           sync.Mutex
+	version      uint64
+	entries      map[string]versionedTarget
+	changed      chan struct{} // closed and replaced at each change
+	unresponsive bool          // whether it answers no calls
+	listBefore   List          // the list from before it became unresponsive
+	frozen       bool          // whether it holds back changes
+	pending      []Target      // changes that came while it is frozen
+	listDelay    time.Duration // how long each full list takes
+	calls        int           // number of calls
 }
 
 // versionedTarget is a target with the version of the list in which it last changed.
@@ -72,7 +72,8 @@
 
 // NewView returns an agent's view with an initial list. It is served on the listener until Close.
 func NewView(agent string, log *referee.Log, list []Target, ln net.Listener) *View {
-	v := &View{agent: agent, addr: ln.Addr().String(), log: log, version: 1, entries: map[string]versionedTarget{}, changed: make(chan struct{})}
+	v := &View{agent: agent, addr: ln.Addr().String(), log: log, version: 1, entries: map[string]versionedTarget{},
+		changed: make(chan struct{})}
 	for _, t := range list {
 		v.entries[t.ID] = versionedTarget{t, 1}
 	}
@@ -82,7 +83,8 @@
 	v.serving.Add(1)
 	go func() {
 		defer v.serving.Done()
-		if err := v.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		if err := v.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) &&
+			!errors.Is(err, net.ErrClosed) {
 			panic(fmt.Sprintf("emu: discovery of %s: %v", agent, err)) // a bug of the testbed
 		}
 	}()
@@ -99,12 +101,12 @@
 }
 
 // Known returns the full list that an agent gets in its configuration: the current one, or the one from
-// before the view became silent.
+// before the view became unresponsive.
 func (v *View) Known() List {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.silent {
-		return v.beforeSilence
+	if v.unresponsive {
+		return v.listBefore
 	}
 	return v.list(0)
 }
@@ -121,7 +123,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.frozen {
-		v.held = append(v.held, changed...)
+		v.pending = append(v.pending, changed...)
 		return
 	}
 	v.apply(changed)
@@ -137,24 +139,24 @@
 	v.changed = make(chan struct{})
 }
 
-// Freeze makes the view hold back changes, or announce them again.
-func (v *View) Freeze(on bool) {
+// SetFrozen makes the view hold back changes, or announce them again.
+func (v *View) SetFrozen(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.frozen = on; !on && len(v.held) > 0 {
-		v.apply(v.held)
-		v.held = nil
+	if v.frozen = on; !on && len(v.pending) > 0 {
+		v.apply(v.pending)
+		v.pending = nil
 	}
 }
 
-// Silence makes the view answer no calls, or answer them again.
-func (v *View) Silence(on bool) {
+// SetUnresponsive makes the view answer no calls, or answer them again.
+func (v *View) SetUnresponsive(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if on && !v.silent {
-		v.beforeSilence = v.list(0)
+	if on && !v.unresponsive {
+		v.listBefore = v.list(0)
 	}
-	v.silent = on
+	v.unresponsive = on
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -202,7 +204,7 @@
 	defer timeout.Stop()
 	for timedOut := !watch; ; {
 		v.mu.Lock()
-		l, changed, silent := v.list(after), v.changed, v.silent
+		l, changed, silent := v.list(after), v.changed, v.unresponsive
 		v.mu.Unlock()
 		if !silent && (timedOut || l.Full || l.Version > after) {
 			v.respond(w, l)
--- a/internal/testbed/backend/emu_test.go
+++ b/internal/testbed/backend/emu_test.go
@@ -278,18 +278,18 @@
 	}
 }
 
-func TestFrozenAndSilentViews(t *testing.T) {
+func TestFrozenAndUnresponsiveViews(t *testing.T) {
 	r := newView(t)
-	r.view.Freeze(true)
+	r.view.SetFrozen(true)
 	r.view.Announce(Target{ID: "s-1", State: Draining})
 	if l, _ := r.get(""); l.Version != 1 || l.Servers[0].State != Up || l.Servers[1].State != Up {
 		t.Errorf("while frozen: %+v", l)
 	}
-	r.view.Freeze(false)
+	r.view.SetFrozen(false)
 	if l, _ := r.get("?index=1&wait=1"); len(l.Servers) != 1 || l.Servers[0].State != Draining {
 		t.Errorf("after it was unfrozen: %+v", l)
 	}
-	r.view.Silence(true)
+	r.view.SetUnresponsive(true)
 	got := make(chan List, 1)
 	go func() {
 		l, _ := r.get("")
@@ -297,12 +297,12 @@
 	}()
 	select {
 	case l := <-got:
-		t.Errorf("answered while silent: %+v", l)
+		t.Errorf("answered while unresponsive: %+v", l)
 	case <-time.After(50 * time.Millisecond):
 	}
-	r.view.Silence(false)
+	r.view.SetUnresponsive(false)
 	if l := <-got; len(l.Servers) != 2 {
-		t.Errorf("after silence: %+v", l)
+		t.Errorf("after it responds again: %+v", l)
 	}
 }
 
@@ -331,21 +331,21 @@
 	}
 }
 
-// An agent that starts while discovery is silent gets the list from before the silence.
-func TestKnownListOfSilentView(t *testing.T) {
+// An agent that starts while discovery is unresponsive gets the list from before that.
+func TestKnownListOfUnresponsiveView(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := NewView("n1", referee.NewLog(), []Target{{ID: "s-1", State: Up}}, ln)
 	defer v.Close()
-	v.Silence(true)
+	v.SetUnresponsive(true)
 	v.Announce(Target{ID: "s-1", State: Draining})
 	if l := v.Known(); l.Servers[0].State != Up {
-		t.Errorf("list while silent: %+v", l)
+		t.Errorf("list while unresponsive: %+v", l)
 	}
-	v.Silence(false)
+	v.SetUnresponsive(false)
 	if l := v.Known(); l.Servers[0].State != Draining {
-		t.Errorf("list after the silence: %+v", l)
+		t.Errorf("list after it responds again: %+v", l)
 	}
 }
--- a/internal/testbed/backend/server.go
+++ b/internal/testbed/backend/server.go
@@ -93,18 +93,18 @@
 	http    *http.Server
 	serving sync.WaitGroup
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	model   *backendmodel.Server
-	life    int // number of restarts
-	faults  Faults
-	conns   int // number of open connections
-	nextJob uint64
-	jobs    map[uint64]chan struct{} // by job id; closed when the job is done
-	timer   *time.Timer              // fires at the model's next event
-	done    []backendmodel.Done      // buffer for settle
-	toppled bool                     // whether Toppled was logged since the last start
-	stats   Stats
+	mu          sync.Mutex
+	rng         *rand.Rand
+	model       *backendmodel.Server
+	incarnation int // number of restarts
+	faults      Faults
+	conns       int // number of open connections
+	nextJob     uint64
+	jobs        map[uint64]chan struct{} // by job id; closed when the job is done
+	timer       *time.Timer              // fires at the model's next event
+	done        []backendmodel.Done      // buffer for completeJobs
+	toppled     bool                     // whether Toppled was logged since the last start
+	stats       Stats
 }
 
 // Stats are counted over all lives of a server.
@@ -146,7 +146,8 @@
 	s.serving.Add(1)
 	go func() {
 		defer s.serving.Done()
-		if err := s.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		if err := s.http.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) &&
+			!errors.Is(err, net.ErrClosed) {
 			panic(fmt.Sprintf("emu: %s: %v", s.cfg.ID, err)) // a bug of the testbed
 		}
 	}()
@@ -178,7 +179,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.collectStats()
-	s.life++
+	s.incarnation++
 	s.jobs = map[uint64]chan struct{}{} // requests that wait for these jobs end with their connections
 	s.toppled = false
 	s.model = backendmodel.New(s.cfg.Model, s.now())
@@ -255,11 +256,11 @@
 func (s *Server) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle()
+	s.completeJobs()
 }
 
-// settle completes the jobs that are done by now. It is called with mu held.
-func (s *Server) settle() {
+// completeJobs completes the jobs that are done by now. It is called with mu held.
+func (s *Server) completeJobs() {
 	s.done = s.model.Advance(s.now(), s.done[:0])
 	for _, d := range s.done {
 		if c := s.jobs[d.ID]; c != nil {
@@ -360,9 +361,9 @@
 		note(referee.Ended)
 		return failed
 	}
-	s.settle()
+	s.completeJobs()
 	s.nextJob++
-	id, done, life := s.nextJob, make(chan struct{}), s.life
+	id, done, life := s.nextJob, make(chan struct{}), s.incarnation
 	if !s.model.Offer(s.now(), backendmodel.Job{ID: id, Key: key, WorkMs: work}) {
 		s.stats.Rejected++
 		if s.model.Down() && !s.toppled {
@@ -386,7 +387,7 @@
 	case <-ctx.Done():
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.life == life {
+		if s.incarnation == life {
 			delete(s.jobs, id)
 			s.model.Cancel(s.now(), id)
 		}
@@ -395,7 +396,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch x := s.rng.Float64(); {
-	case s.life != life:
+	case s.incarnation != life:
 		return aborted
 	case x < s.faults.Malformed:
 		return malformed
@@ -415,7 +416,8 @@
 	}
 	l := s.model.Load(s.now())
 	noise := func(x float64) float64 { return x * (1 + s.cfg.Noise*(2*s.rng.Float64()-1)) }
-	text := fmt.Sprintf("inflight=%d,util=%.3f,latency_ms=%.1f,qps=%.1f", l.Inflight, min(noise(l.Util), 1), noise(l.LatencyMs), noise(l.QPS))
+	text := fmt.Sprintf("inflight=%d,util=%.3f,latency_ms=%.1f,qps=%.1f", l.Inflight, min(noise(l.Util), 1),
+		noise(l.LatencyMs), noise(l.QPS))
 	down := s.model.Down()
 	s.mu.Unlock()
 	if down {
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -98,7 +98,9 @@
 			}
 		}
 		w.announce(announceDelay, hit...)
-		heal, err := w.cutLinks(func(_ *agent, s *server) (bool, bool) { return s.Zone() == f.Zone, s.Zone() == f.Zone })
+		heal, err := w.cutLinks(func(_ *agent, s *server) (bool, bool) {
+			return s.Zone() == f.Zone, s.Zone() == f.Zone
+		})
 		return func() error {
 			for _, s := range hit {
 				for _, l := range s.links {
@@ -121,7 +123,9 @@
 	},
 	// Drops what a zone's servers send to agents of other zones. Traffic in the other direction arrives.
 	"cut-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		return w.cutLinks(func(a *agent, s *server) (bool, bool) { return false, s.Zone() == f.Zone && a.zone != f.Zone })
+		return w.cutLinks(func(a *agent, s *server) (bool, bool) {
+			return false, s.Zone() == f.Zone && a.zone != f.Zone
+		})
 	},
 	// Cuts a site's uplink. Its agents reach neither discovery nor the agents and servers of other
 	// sites, and other sites' agents reach nothing of it. Traffic within the site is not affected.
@@ -139,7 +143,7 @@
 		silence := func(on bool) {
 			for _, a := range w.agents {
 				if inside[a.name] && a.view != nil {
-					a.view.Silence(on)
+					a.view.SetUnresponsive(on)
 				}
 			}
 		}
@@ -206,7 +210,9 @@
 	"silence-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		hit := w.sampleServers(f)
 		w.recordFaultStart(hit)
-		return w.cutLinks(func(_ *agent, s *server) (bool, bool) { return slices.Contains(hit, s), slices.Contains(hit, s) })
+		return w.cutLinks(func(_ *agent, s *server) (bool, bool) {
+			return slices.Contains(hit, s), slices.Contains(hit, s)
+		})
 	},
 	// Makes servers corrupt a share of their answers.
 	"spoil-answers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
@@ -268,11 +274,11 @@
 	"freeze-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		hit := w.sampleAgents(f)
 		for _, a := range hit {
-			a.view.Freeze(true)
+			a.view.SetFrozen(true)
 		}
 		return func() error {
 			for _, a := range hit {
-				a.view.Freeze(false)
+				a.view.SetFrozen(false)
 			}
 			return nil
 		}, nil
@@ -281,11 +287,11 @@
 	"silence-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		hit := w.sampleAgents(f)
 		for _, a := range hit {
-			a.view.Silence(true)
+			a.view.SetUnresponsive(true)
 		}
 		return func() error {
 			for _, a := range hit {
-				a.view.Silence(false)
+				a.view.SetUnresponsive(false)
 			}
 			return nil
 		}, nil
@@ -370,7 +376,8 @@
 func (w *world) sampleServers(f *Fault) (hit []*server) {
 	var of []*server
 	for _, s := range w.servers {
-		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) && !slices.Contains(w.sparedServers, s.ID()) {
+		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) &&
+			!slices.Contains(w.sparedServers, s.ID()) {
 			of = append(of, s)
 		}
 	}
--- a/internal/testbed/experiment/figures.go
+++ b/internal/testbed/experiment/figures.go
@@ -38,7 +38,9 @@
 	"first_zone":   func(s *sums) float64 { return s.zones[0].earned / max(s.zones[0].worth, 1e-9) },
 	"worst_second": func(s *sums) float64 { return s.worstSecond },
 	// lost_worth is the worth that is not served, divided by the mean worth of a request.
-	"lost_worth": func(s *sums) float64 { return (s.worth - s.earned) / max(s.worth/float64(max(s.requests, 1)), 1e-9) },
+	"lost_worth": func(s *sums) float64 {
+		return (s.worth - s.earned) / max(s.worth/float64(max(s.requests, 1)), 1e-9)
+	},
 }
 
 // wholePlayFigures are the names of the figures that exist for a whole play only. They are computed
@@ -57,7 +59,8 @@
 //     the site detects it
 //   - decisions, zone_moves, left_ms, zones_age_ms: see councilFigures
 var wholePlayFigures = []string{"connections", "probes", "list_calls", "warm_keys", "pressed", "agent_cpu_ms",
-	"failed_attempts", "ejections", "wrong_ejections", "eject_ms", "peer_bytes_s", "dark_ms", "light_ms", "decisions", "zone_moves", "left_ms", "zones_age_ms"}
+	"failed_attempts", "ejections", "wrong_ejections", "eject_ms", "peer_bytes_s", "dark_ms", "light_ms",
+	"decisions", "zone_moves", "left_ms", "zones_age_ms"}
 
 // FigureNames returns the names of all figures that a claim can use.
 func FigureNames() (names []string) {
@@ -76,7 +79,7 @@
 	verdicts                      [5]int // indexed by loadgen.Verdict
 	worth, earned                 float64
 	zones                         []zoneSums
-	worstSecond                   float64 // minimum over all seconds of the fraction of the worth that is served in time
+	worstSecond                   float64 // minimum over all seconds of the fraction of worth served in time
 	latencies                     *hdrhistogram.Histogram
 }
 
@@ -84,7 +87,8 @@
 type zoneSums struct{ worth, earned float64 }
 
 func newSums(zones int) *sums {
-	return &sums{worstSecond: 1, zones: make([]zoneSums, zones), latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	return &sums{worstSecond: 1, zones: make([]zoneSums, zones),
+		latencies: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
 // quantile returns a percentile of the latencies in ms.
@@ -179,8 +183,10 @@
 	n := int(math.Ceil(t.cfg.For.Seconds()))
 	for i := range n {
 		s := t.sumsOver(time.Duration(i)*time.Second, time.Duration(i+1)*time.Second)
-		out = append(out, report.Second{Asked: s.requests, Served: s.verdicts[loadgen.Served], Late: s.verdicts[loadgen.Late], Refused: s.verdicts[loadgen.Refused],
-			Failed: s.verdicts[loadgen.Failed], Gone: s.verdicts[loadgen.Gone], Worth: s.worth, Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
+		out = append(out, report.Second{Asked: s.requests, Served: s.verdicts[loadgen.Served],
+			Late: s.verdicts[loadgen.Late], Refused: s.verdicts[loadgen.Refused],
+			Failed: s.verdicts[loadgen.Failed], Gone: s.verdicts[loadgen.Gone], Worth: s.worth,
+			Earned: s.earned, P50: s.quantile(50), P90: s.quantile(90),
 			P99: s.quantile(99), P999: s.quantile(99.9), Attempts: s.attempts, CrossZone: s.crossZone})
 	}
 	return out
--- a/internal/testbed/experiment/file.go
+++ b/internal/testbed/experiment/file.go
@@ -250,7 +250,8 @@
 	for i, c := range f.Claim {
 		at := fmt.Sprintf("claim[%d].", i)
 		if !slices.Contains(FigureNames(), c.Figure) {
-			addError(at+"figure", "unknown figure %q, did you mean %q?", c.Figure, opsconfig.Nearest(c.Figure, FigureNames()))
+			addError(at+"figure", "unknown figure %q, did you mean %q?", c.Figure,
+				opsconfig.Nearest(c.Figure, FigureNames()))
 		}
 		if c.Min == nil && c.Max == nil {
 			addError(at+"min", "neither min nor max is given")
--- a/internal/testbed/experiment/layer.go
+++ b/internal/testbed/experiment/layer.go
@@ -85,9 +85,12 @@
 		if err != nil {
 			return err
 		}
-		w.faultyVoters = append(w.faultyVoters, faultyvoter.Start(context.Background(), faultyvoter.Config{Against: against, Electorate: ejection.Electorate{Number: 1, Members: w.electorate(zone)},
-			Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent", Incarnation: uint64(1 + i), Bind: own, Advertise: addr,
-				Seeds: []string{w.agents[0].peers}}}))
+		w.faultyVoters = append(w.faultyVoters, faultyvoter.Start(context.Background(),
+			faultyvoter.Config{Against: against,
+				Electorate: ejection.Electorate{Number: 1, Members: w.electorate(zone)},
+				Peers: membership.Config{Fleet: fleetName, Name: name, Zone: zone, Role: "agent",
+					Incarnation: uint64(1 + i), Bind: own, Advertise: addr,
+					Seeds: []string{w.agents[0].peers}}}))
 	}
 	return nil
 }
@@ -160,7 +163,8 @@
 	for _, x := range []struct {
 		to *opsconfig.Duration
 		v  Duration
-	}{{&v.Lease, f.Vote.Lease}, {&v.Longest, f.Vote.Longest}, {&v.Age, f.Vote.Age}, {&v.Step, f.Vote.Step}, {&v.Trial, f.Vote.Trial}} {
+	}{{&v.Lease, f.Vote.Lease}, {&v.Longest, f.Vote.Longest}, {&v.Age, f.Vote.Age}, {&v.Step, f.Vote.Step},
+		{&v.Trial, f.Vote.Trial}} {
 		override(x.to, opsconfig.Duration(x.v))
 	}
 	return v
@@ -186,10 +190,13 @@
 	if w.mesh != nil {
 		v := w.fleet.voteConfig()
 		seeds := w.seedsOf(a)
-		table("fleet", map[string]any{"name": fleetName, "bind": net.JoinHostPort(ip, strconv.Itoa(peersPort)), "advertise": a.peers,
-			"seeds": seeds, "trace": w.tracePath(a)})
-		table("vote", map[string]any{"electorate": w.electorate(a.zone), "cap": v.Cap, "lease": time.Duration(v.Lease).String(),
-			"longest": time.Duration(v.Longest).String(), "age": time.Duration(v.Age).String(), "step": time.Duration(v.Step).String(),
+		table("fleet", map[string]any{"name": fleetName, "bind": net.JoinHostPort(ip, strconv.Itoa(peersPort)),
+			"advertise": a.peers,
+			"seeds":     seeds, "trace": w.tracePath(a)})
+		table("vote", map[string]any{"electorate": w.electorate(a.zone), "cap": v.Cap,
+			"lease":   time.Duration(v.Lease).String(),
+			"longest": time.Duration(v.Longest).String(), "age": time.Duration(v.Age).String(),
+			"step":  time.Duration(v.Step).String(),
 			"trial": time.Duration(v.Trial).String()})
 	}
 	if w.mesh != nil && w.fleet.Council {
@@ -201,7 +208,8 @@
 		}
 		keys := map[string]any{"voters": all}
 		if a.council != "" {
-			keys["bind"], keys["dir"] = net.JoinHostPort(ip, strconv.Itoa(councilPort)), filepath.Join(w.dir, a.name+".council")
+			keys["bind"], keys["dir"] = net.JoinHostPort(ip, strconv.Itoa(councilPort)),
+				filepath.Join(w.dir, a.name+".council")
 		}
 		table("council", keys)
 	}
@@ -268,7 +276,8 @@
 		if reached[zone] == nil {
 			reached[zone] = map[string]bool{}
 		}
-		if reached[zone][l.Agent] = true; len(reached[zone]) >= len(w.electorate(zone)) && fig["left_ms"] == 0 && w.firstFault > 0 {
+		if reached[zone][l.Agent] = true; len(reached[zone]) >= len(w.electorate(zone)) && fig["left_ms"] == 0 &&
+			w.firstFault > 0 {
 			fig["left_ms"] = float64(l.AtMs-began) - float64(w.firstFault.Milliseconds())
 		}
 	}
@@ -300,7 +309,8 @@
 		}
 		for _, m := range families["chalkdoor_attempts_total"].GetMetric() {
 			i := slices.IndexFunc(m.GetLabel(), func(l *dto.LabelPair) bool {
-				return l.GetName() == "outcome" && slices.Contains([]string{"error", "timeout", "connect_failed", "reset"}, l.GetValue())
+				return l.GetName() == "outcome" &&
+					slices.Contains([]string{"error", "timeout", "connect_failed", "reset"}, l.GetValue())
 			})
 			if i >= 0 {
 				fig["failed_attempts"] += m.GetCounter().GetValue()
@@ -343,7 +353,8 @@
 		return err
 	}
 	v := p.fleet.voteConfig()
-	electorate := referee.Electorate{Zone: map[string]string{}, Members: map[string][]string{}, Cap: v.Cap, Weight: map[string]float64{}, HostZone: map[string]string{}}
+	electorate := referee.Electorate{Zone: map[string]string{}, Members: map[string][]string{}, Cap: v.Cap,
+		Weight: map[string]float64{}, HostZone: map[string]string{}}
 	for _, a := range w.agents {
 		electorate.Zone[a.name] = a.zone
 		electorate.Members[a.zone] = w.electorate(a.zone)
@@ -357,8 +368,10 @@
 	var steps []referee.VoteStep
 	for _, l := range lines {
 		at := time.Duration(l.AtMs)*time.Millisecond - time.Duration(w.log.Began().UnixMilli())*time.Millisecond
-		steps = append(steps, referee.VoteStep{At: at, Agent: l.Agent, AgentIncarnation: l.AgentIncarnation, Kind: l.Kind, Host: l.Host, Incarnation: l.Incarnation,
-			Electorate: l.Electorate, Failures: l.Failures, Granters: l.Granters, ValidFor: time.Duration(l.RemainingMs) * time.Millisecond})
+		steps = append(steps, referee.VoteStep{At: at, Agent: l.Agent, AgentIncarnation: l.AgentIncarnation,
+			Kind: l.Kind, Host: l.Host, Incarnation: l.Incarnation,
+			Electorate: l.Electorate, Failures: l.Failures, Granters: l.Granters,
+			ValidFor: time.Duration(l.RemainingMs) * time.Millisecond})
 	}
 	r.Violations = append(r.Violations, referee.CheckVotes(steps, electorate)...)
 	broken, meanTimes := referee.CheckSites(steps, electorate.Zone, w.uplinkLosses)
@@ -391,7 +404,8 @@
 		if seen[key][s.Agent] {
 			continue
 		}
-		if seen[key][s.Agent] = true; len(seen[key]) == len(electorate.Members[electorate.Zone[s.Agent]])-w.faultyVotersOf(electorate.Zone[s.Agent]) {
+		if seen[key][s.Agent] = true; len(seen[key]) ==
+			len(electorate.Members[electorate.Zone[s.Agent]])-w.faultyVotersOf(electorate.Zone[s.Agent]) {
 			if began, ok := w.firstFaultAt[s.Host]; ok && s.At > began {
 				complete++
 				totalMs += (s.At - began).Seconds() * 1000
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -90,7 +90,8 @@
 	}
 	switch {
 	case cfg.Rate > maxCeilingUse*r.Ceiling:
-		r.Void = fmt.Sprintf("%.0f requests a second are over %.0f%% of the laboratory's own ceiling of %.0f", cfg.Rate, 100*maxCeilingUse, r.Ceiling)
+		r.Void = fmt.Sprintf("%.0f requests a second are over %.0f%% of the laboratory's own ceiling of %.0f",
+			cfg.Rate, 100*maxCeilingUse, r.Ceiling)
 	case r.Behind > float64(maxSendDelay.Milliseconds()):
 		r.Void = fmt.Sprintf("the laboratory ran late by %.0f ms, %v is allowed", r.Behind, maxSendDelay)
 	}
@@ -101,14 +102,19 @@
 // loadConfig returns the configuration of the load, whose rate is a fraction of the capacity of all
 // servers.
 func loadConfig(set *policy.Settings, fl Fleet, ld Load, seed uint64) *loadgen.Config {
-	cfg := &loadgen.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, For: time.Duration(ld.Duration), Keys: ld.Keys, Skew: ld.Skew,
-		EarlyLeavers: ld.EarlyLeavers, Retry: loadgen.Retry{Enabled: !ld.NoRetry, MinDelay: 200 * time.Millisecond, HonorRetryAfter: !ld.IgnoreRetryAfter}}
+	cfg := &loadgen.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, For: time.Duration(ld.Duration),
+		Keys: ld.Keys, Skew: ld.Skew, EarlyLeavers: ld.EarlyLeavers,
+		Retry: loadgen.Retry{Enabled: !ld.NoRetry, MinDelay: 200 * time.Millisecond,
+			HonorRetryAfter: !ld.IgnoreRetryAfter}}
 	shares, workMs := []float64{0.6, 0.4}, []float64{36, 62} // the shares and mean work that the protocol publishes
 	meanWorkMs := 0.0
 	for i, c := range set.Classes {
-		effect := map[policy.Idempotency]referee.Effect{policy.NonIdempotent: referee.NonIdempotent, policy.Deduplicated: referee.Deduplicated, policy.Idempotent: referee.Idempotent}[c.Idempotency]
-		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Effect: effect, Share: shares[i], WorkMs: workMs[i], Worth: c.Value,
-			LateShare: c.LateValueShare, TargetLatency: time.Duration(c.LatencyTargetMs) * time.Millisecond, Timeout: time.Duration(c.ClientTimeoutMs) * time.Millisecond})
+		effect := map[policy.Idempotency]referee.Effect{policy.NonIdempotent: referee.NonIdempotent,
+			policy.Deduplicated: referee.Deduplicated, policy.Idempotent: referee.Idempotent}[c.Idempotency]
+		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Effect: effect, Share: shares[i],
+			WorkMs: workMs[i], Worth: c.Value,
+			LateShare: c.LateValueShare, TargetLatency: time.Duration(c.LatencyTargetMs) * time.Millisecond,
+			Timeout: time.Duration(c.ClientTimeoutMs) * time.Millisecond})
 		meanWorkMs += shares[i] * workMs[i]
 	}
 	for _, t := range set.Tenants {
@@ -129,7 +135,8 @@
 }
 
 // evaluateClaims compares the figures of the plays with the file's claims.
-func evaluateClaims(f *File, r *report.Report, tallies map[string]*tally, warmup, end time.Duration) (out []report.Claim) {
+func evaluateClaims(f *File, r *report.Report, tallies map[string]*tally,
+	warmup, end time.Duration) (out []report.Claim) {
 	value := func(play string, c *Claim) float64 {
 		from, to := time.Duration(c.From), time.Duration(c.To)
 		if from == 0 {
@@ -195,7 +202,8 @@
 	}
 	defer w.close()
 	w.loadStart = w.log.Now() + startDelay
-	t := &tally{cfg: p.cfg, zones: len(p.fleet.Zones), sendDelays: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	t := &tally{cfg: p.cfg, zones: len(p.fleet.Zones),
+		sendDelays: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	outcomes := make(chan loadgen.Outcome, 1024)
 	var clients sync.WaitGroup
 	for _, a := range w.agents {
@@ -234,7 +242,8 @@
 			if open = ok; ok {
 				t.outcomes = append(t.outcomes, o)
 				// Cannot fail: the value is in the histogram's range.
-				_ = t.sendDelays.RecordValue(min(max(o.SendDelay.Microseconds(), 1), t.sendDelays.HighestTrackableValue()))
+				_ = t.sendDelays.RecordValue(min(max(o.SendDelay.Microseconds(), 1),
+					t.sendDelays.HighestTrackableValue()))
 			}
 		case task := <-w.tasks:
 			if err := task(); err != nil && ctx.Err() == nil {
@@ -261,7 +270,8 @@
 	for i := range p.file.Fault {
 		f := &p.file.Fault[i]
 		if p.name == "agents" {
-			r.Faults = append(r.Faults, report.Span{Kind: f.Kind, From: time.Duration(f.At), To: time.Duration(f.At + f.Duration)})
+			r.Faults = append(r.Faults, report.Span{Kind: f.Kind, From: time.Duration(f.At),
+				To: time.Duration(f.At + f.Duration)})
 		} else if agents {
 			// A baseline that runs agents gets all faults, which the report lists only once.
 		} else if strings.HasSuffix(f.Kind, "-agents") || strings.HasSuffix(f.Kind, "-discovery") {
@@ -362,8 +372,10 @@
 	}
 	inflight := map[*server]int{}
 	var mu sync.Mutex
-	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true, IdleConnTimeout: time.Duration(w.set.Limits.KeepaliveMs/2) * time.Millisecond,
-		DialContext: (&net.Dialer{Timeout: time.Duration(w.set.Limits.ConnectTimeoutMs) * time.Millisecond}).DialContext}
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true,
+		IdleConnTimeout: time.Duration(w.set.Limits.KeepaliveMs/2) * time.Millisecond,
+		DialContext: (&net.Dialer{
+			Timeout: time.Duration(w.set.Limits.ConnectTimeoutMs) * time.Millisecond}).DialContext}
 	handle := func(rw http.ResponseWriter, req *http.Request) {
 		mu.Lock()
 		w.mu.Lock()
@@ -376,7 +388,8 @@
 		}
 		candidates := make([]baseline.Server, len(list))
 		for i, s := range list {
-			candidates[i] = baseline.Server{Index: i, Out: inflight[s], Expected: func() float64 { return w.expected(a, s) }}
+			candidates[i] = baseline.Server{Index: i, Out: inflight[s],
+				Expected: func() float64 { return w.expected(a, s) }}
 		}
 		s := list[p.Pick(candidates)]
 		inflight[s]++
@@ -427,7 +440,8 @@
 	for _, c := range []struct{ share, work float64 }{{0.6, 36}, {0.4, 62}} {
 		meanWorkMs += c.share * c.work
 	}
-	return (float64(t.Inflight)+1)*meanWorkMs/t.Capacity + float64(2*w.oneWay(a, s).Microseconds())/1000 + 2000*(1-t.SuccessRate)
+	return (float64(t.Inflight)+1)*meanWorkMs/t.Capacity + float64(2*w.oneWay(a, s).Microseconds())/1000 +
+		2000*(1-t.SuccessRate)
 }
 
 // ceiling measures how many requests a second the testbed can carry without agents: its clients
@@ -440,10 +454,12 @@
 	defer l.Close()
 	log, tries := referee.NewLog(), loadgen.NewTries()
 	model := backendmodel.Config{Cores: 1024, Speed: 1, Queue: 1024}
-	s := backend.NewServer(backend.ServerConfig{ID: "s", Zone: "lab", Model: model}, tries.Work, log, backend.NewEffects(time.Second))
+	s := backend.NewServer(backend.ServerConfig{ID: "s", Zone: "lab", Model: model}, tries.Work, log,
+		backend.NewEffects(time.Second))
 	defer s.Close()
 	s.Serve(l)
-	cfg := &loadgen.Config{Classes: []loadgen.Class{{Name: "c", Timeout: 10 * time.Second, TargetLatency: 10 * time.Second}}}
+	cfg := &loadgen.Config{Classes: []loadgen.Class{
+		{Name: "c", Timeout: 10 * time.Second, TargetLatency: 10 * time.Second}}}
 	ctx, cancel := context.WithTimeout(ctx, ceilingDuration)
 	defer cancel()
 	var served atomic.Int64
--- a/internal/testbed/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -281,15 +281,17 @@
 	cfg.Speed = minSpeed + (maxSpeed-minSpeed)*w.rng.Float64()
 	cfg.StallAtMs = w.rng.Float64() * cfg.StallEveryMs
 	zone := w.fleet.Zones[i%len(w.fleet.Zones)]
-	s := &server{Server: backend.NewServer(backend.ServerConfig{ID: id, Zone: zone, Seed: w.rng.Uint64(), Model: cfg, HandshakeMs: 3,
-		ProbeMs: 0.1, IdleTimeout: time.Duration(w.set.Limits.KeepaliveMs) * time.Millisecond, Noise: 0.1}, w.tries.Work, w.log, w.effects),
+	s := &server{Server: backend.NewServer(backend.ServerConfig{ID: id, Zone: zone, Seed: w.rng.Uint64(), Model: cfg,
+		HandshakeMs: 3, ProbeMs: 0.1, IdleTimeout: time.Duration(w.set.Limits.KeepaliveMs) * time.Millisecond,
+		Noise: 0.1}, w.tries.Work, w.log, w.effects),
 		target: backend.Target{ID: id, Zone: zone, Kind: "standard", Cell: i % len(w.fleet.Zones), State: backend.Up,
 			Weight: float64(cfg.Cores), StartedMs: started}}
 	if started > 0 {
 		s.Restart()
 	}
 	for _, a := range w.agents {
-		l, err := faultlink.New(faultlink.Config{IP: w.net.viewIP(a.index), Near: a.name + "@" + a.zone, Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
+		l, err := faultlink.New(faultlink.Config{IP: w.net.viewIP(a.index), Near: a.name + "@" + a.zone,
+			Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
 		if err != nil {
 			return nil, err
 		}
@@ -412,8 +414,9 @@
 	if err != nil {
 		return err
 	}
-	p, err := w.group.Start(process.Spec{Name: a.name, Path: w.bin, Args: args, Env: []string{"PROXY_CONFIG=" + path, "PROXY_NAME=" + a.name,
-		"PROXY_LISTEN=" + addr, "PROXY_DISCOVERY=" + discovery}, Log: filepath.Join(w.dir, a.name+".log")})
+	p, err := w.group.Start(process.Spec{Name: a.name, Path: w.bin, Args: args,
+		Env: []string{"PROXY_CONFIG=" + path, "PROXY_NAME=" + a.name, "PROXY_LISTEN=" + addr,
+			"PROXY_DISCOVERY=" + discovery}, Log: filepath.Join(w.dir, a.name+".log")})
 	if err != nil {
 		return err
 	}
@@ -453,7 +456,8 @@
 		}
 		select {
 		case <-a.proc.Ended():
-			return fmt.Errorf("experiment: %s ended at its start (%v), see %s", a.name, a.proc.Err(), filepath.Join(w.dir, a.name+".log"))
+			return fmt.Errorf("experiment: %s ended at its start (%v), see %s", a.name, a.proc.Err(),
+				filepath.Join(w.dir, a.name+".log"))
 		case <-ctx.Done():
 			return fmt.Errorf("experiment: %s is not ready: %w", a.name, errors.Join(ctx.Err(), err))
 		case <-time.After(5 * time.Millisecond):
--- a/internal/testbed/faultyvoter/liar.go
+++ b/internal/testbed/faultyvoter/liar.go
@@ -110,10 +110,12 @@
 	defer v.mu.Unlock()
 	var entries []ejection.Entry
 	for _, h := range v.cfg.Against[:min(len(v.cfg.Against), maxHosts)] {
-		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Grant, Attempts: 9, Failures: 9, ValidFor: validFor})
+		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Grant, Attempts: 9, Failures: 9,
+			ValidFor: validFor})
 	}
 	for h := range v.deny {
-		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Deny, Reason: ejection.ReasonSuccess, Attempts: 9, ValidFor: validFor})
+		entries = append(entries, ejection.Entry{Host: h, Vote: ejection.Deny, Reason: ejection.ReasonSuccess,
+			Attempts: 9, ValidFor: validFor})
 	}
 	slices.SortFunc(entries, func(a, b ejection.Entry) int { return strings.Compare(a.Host.ID, b.Host.ID) })
 	now := time.Since(v.start)
@@ -121,7 +123,8 @@
 		if name == v.cfg.Peers.Name {
 			continue
 		}
-		m := ejection.VoteMessage{Version: ejection.Version, From: v.cfg.Peers.Name, Incarnation: v.cfg.Peers.Incarnation, Electorate: v.cfg.Electorate.Number, Sent: now, Entries: entries}
+		m := ejection.VoteMessage{Version: ejection.Version, From: v.cfg.Peers.Name,
+			Incarnation: v.cfg.Peers.Incarnation, Electorate: v.cfg.Electorate.Number, Sent: now, Entries: entries}
 		if h, ok := v.lastMessages[name]; ok {
 			m.EchoIncarnation, m.Echo, m.EchoAge = h.incarnation, h.sentAt, now-h.receivedAt
 		}
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -63,8 +63,8 @@
 // It only keeps tries in flight and those that ended in the last registrationLinger. It is safe for concurrent
 // use.
 type Tries struct {
-	mu    sync.Mutex
-	tries map[string]try
+	mu   sync.Mutex
+	byID map[string]try
 }
 
 // try describes one send of a request.
@@ -74,13 +74,13 @@
 }
 
 // NewTries returns an empty registry.
-func NewTries() *Tries { return &Tries{tries: map[string]try{}} }
+func NewTries() *Tries { return &Tries{byID: map[string]try{}} }
 
 // Work implements backend.Work.
 func (t *Tries) Work(id string) (float64, referee.Effect, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x, ok := t.tries[id]
+	x, ok := t.byID[id]
 	return x.work, x.effect, ok
 }
 
@@ -88,7 +88,7 @@
 func (t *Tries) add(id string, work float64, effect referee.Effect) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tries[id] = try{work, effect}
+	t.byID[id] = try{work, effect}
 }
 
 // registrationLinger is how long a request id stays registered after the request's end, since attempts may still
@@ -100,7 +100,7 @@
 	time.AfterFunc(registrationLinger, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.tries, id)
+		delete(t.byID, id)
 	})
 }
 
@@ -114,7 +114,8 @@
 	return &Client{cfg: cfg, agent: agent, addr: addr, url: "http://" + addr, log: log, loadStart: start, tries: tries,
 		pooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxConns,
 			MaxConnsPerHost: maxConns, IdleConnTimeout: 8 * time.Second, DisableCompression: true}},
-		unpooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
+		unpooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true,
+			DisableCompression: true}}}
 }
 
 // Close closes the client's idle connections.
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -79,7 +79,8 @@
 func Plan(cfg *Config) ([]Ask, error) {
 	switch {
 	case cfg.Agents < 1 || !(cfg.Rate > 0) || cfg.For <= 0:
-		return nil, fmt.Errorf("load: %d agents, %v requests a second for %v: all must be above 0", cfg.Agents, cfg.Rate, cfg.For)
+		return nil, fmt.Errorf("load: %d agents, %v requests a second for %v: all must be above 0", cfg.Agents,
+			cfg.Rate, cfg.For)
 	case cfg.Rate*cfg.For.Seconds() > 5e6:
 		return nil, fmt.Errorf("load: %.0f requests are more than the 5 million of a run", cfg.Rate*cfg.For.Seconds())
 	case len(cfg.Classes) == 0:
@@ -110,7 +111,8 @@
 			}
 			// All random values of a request are drawn whether or not it's included, so that the time of
 			// a burst does not change other requests.
-			a := Ask{Agent: agent, At: when, Class: draw(rng, classes), Tenant: draw(rng, tenants), Key: draw(rng, keys)}
+			a := Ask{Agent: agent, At: when, Class: draw(rng, classes), Tenant: draw(rng, tenants),
+				Key: draw(rng, keys)}
 			a.Work = cfg.Classes[a.Class].WorkMs * rng.ExpFloat64()
 			early, included := rng.Float64() < cfg.EarlyLeavers, rng.Float64() < cfg.burstFactor(agent, when)/maxFactor
 			if early {
--- a/internal/testbed/referee/referee.go
+++ b/internal/testbed/referee/referee.go
@@ -52,7 +52,8 @@
 )
 
 func (k Kind) String() string {
-	return [...]string{"?", "asked", "answered", "dropped", "left", "killed", "attempted", "arrived", "ran", "ended", "told", "toppled"}[k]
+	return [...]string{"?", "asked", "answered", "dropped", "left", "killed", "attempted", "arrived", "ran", "ended",
+		"told", "toppled"}[k]
 }
 
 // Effect says how often a request of a class may run.
@@ -88,7 +89,8 @@
 func (e Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%9.3f s %s", e.At.Seconds(), e.Kind)
-	for _, f := range []struct{ name, value string }{{"request", e.Request}, {"key", e.Key}, {"agent", e.Agent}, {"server", e.Server}, {"state", e.State}} {
+	for _, f := range []struct{ name, value string }{{"request", e.Request}, {"key", e.Key}, {"agent", e.Agent},
+		{"server", e.Server}, {"state", e.State}} {
 		if f.value != "" {
 			fmt.Fprintf(&b, " %s=%s", f.name, f.value)
 		}
@@ -265,7 +267,8 @@
 			r.excused = true
 		case Attempted:
 			if t, ok := notified[[2]string{e.Agent, e.Server}]; ok && sentTime(e) > t.At+rules.DrainGrace+rules.Slack {
-				add(3, fmt.Sprintf("sent to a server that the agent knew as %s for %v", t.State, e.At-t.At), append(r.events, t)...)
+				add(3, fmt.Sprintf("sent to a server that the agent knew as %s for %v", t.State, e.At-t.At),
+					append(r.events, t)...)
 			}
 		case Arrived:
 			r.attempts++
@@ -285,7 +288,8 @@
 				add(2, "ran twice", r.events...)
 			}
 			if e.Effect == Deduplicated {
-				if first, ok := effects[e.Key]; ok && e.At-first.At > rules.KeyWindow+rules.Slack && first.Request == e.Request {
+				if first, ok := effects[e.Key]; ok && e.At-first.At > rules.KeyWindow+rules.Slack &&
+					first.Request == e.Request {
 					add(2, fmt.Sprintf("ran again %v later, past the window of its key", e.At-first.At), r.events...)
 				}
 				if _, ok := effects[e.Key]; !ok {
@@ -308,7 +312,8 @@
 	}
 	for _, id := range order {
 		r := requests[id]
-		if r.asked.Kind == Asked && r.finals == 0 && !excused(r, Event{At: r.asked.Deadline}) && end > r.asked.Deadline+rules.AnswerSlack+rules.Slack {
+		if r.asked.Kind == Asked && r.finals == 0 && !excused(r, Event{At: r.asked.Deadline}) &&
+			end > r.asked.Deadline+rules.AnswerSlack+rules.Slack {
 			add(1, "no final answer", r.events...)
 		}
 	}
--- a/internal/testbed/referee/sites.go
+++ b/internal/testbed/referee/sites.go
@@ -11,15 +11,16 @@
 	From, To time.Duration
 }
 
-// darkSlack is how long after the return of its uplink a site may still detect the loss: what its members
+// detectionSlack is how long after the return of its uplink a site may still detect the loss: what its members
 // know of the other sites is then as old as the silence was long.
-const darkSlack = 3 * time.Second
+const detectionSlack = 3 * time.Second
 
 // CheckSites checks the steps that agents recorded about their uplinks ("dark": the agent considers its
 // uplink lost, "returning": it detects that the uplink is back). Zone has the zone of each agent. It
 // returns a text for each agent that considered its uplink lost while it was not. The mean times from a
 // loss (dark_ms) and from its end (light_ms) to its detection are taken over the agents of the site.
-func CheckSites(steps []VoteStep, zone map[string]string, losses []*Loss) (broken []string, mean map[string]time.Duration) {
+func CheckSites(steps []VoteStep, zone map[string]string, losses []*Loss) (
+	broken []string, mean map[string]time.Duration) {
 	type detection struct {
 		loss  *Loss
 		agent string
@@ -42,7 +43,7 @@
 			if l.Zone != zone[s.Agent] || s.At < l.From {
 				continue
 			}
-			if l.To < 0 || s.At <= l.To+darkSlack {
+			if l.To < 0 || s.At <= l.To+detectionSlack {
 				during = l
 			}
 			if l.To >= 0 && s.At >= l.To {
@@ -51,7 +52,8 @@
 		}
 		switch {
 		case s.Kind == "dark" && during == nil:
-			broken = append(broken, fmt.Sprintf("sites: at %v %s of %s considers its uplink lost, which it is not", s.At, s.Agent, zone[s.Agent]))
+			broken = append(broken, fmt.Sprintf("sites: at %v %s of %s considers its uplink lost, which it is not",
+				s.At, s.Agent, zone[s.Agent]))
 		case s.Kind == "dark":
 			record("dark_ms", detection{during, s.Agent}, s.At-during.From)
 		case after != nil:
--- a/internal/testbed/referee/votes.go
+++ b/internal/testbed/referee/votes.go
@@ -61,7 +61,8 @@
 	open := map[ejector]*ejection{}
 	var ejections []*ejection
 	add := func(s VoteStep, format string, args ...any) {
-		broken = append(broken, fmt.Sprintf("votes: at %v %s, %s of %s: %s", s.At, s.Agent, s.Kind, s.Host, fmt.Sprintf(format, args...)))
+		broken = append(broken, fmt.Sprintf("votes: at %v %s, %s of %s: %s", s.At, s.Agent, s.Kind, s.Host,
+			fmt.Sprintf(format, args...)))
 	}
 	for _, s := range steps {
 		if s.Kind == "grant" || s.Kind == "renew" {
@@ -83,9 +84,10 @@
 			members := of.Members[site]
 			var valid []string // granters whose grants are unexpired
 			for _, g := range s.Granters {
-				if slices.Contains(members, g) && !slices.Contains(valid, g) && (slices.Contains(of.FaultyVoters, g) || slices.ContainsFunc(grants[g][h], func(x grant) bool {
-					return x.from <= s.At+traceSlack && s.At <= x.to+traceSlack
-				})) {
+				if slices.Contains(members, g) && !slices.Contains(valid, g) &&
+					(slices.Contains(of.FaultyVoters, g) || slices.ContainsFunc(grants[g][h], func(x grant) bool {
+						return x.from <= s.At+traceSlack && s.At <= x.to+traceSlack
+					})) {
 					valid = append(valid, g)
 				}
 			}
@@ -124,7 +126,8 @@
 			sum += of.Weight[h.id]
 		}
 		if sum > of.Cap*zoneWeight[zone]+1e-9 {
-			broken = append(broken, fmt.Sprintf("votes: at %v the site %s has %.1f of %.1f of zone %s ejected, the cap is %v", x.from, x.site, sum, zoneWeight[zone], zone, of.Cap))
+			broken = append(broken, fmt.Sprintf("votes: at %v the site %s has %.1f of %.1f of zone %s ejected, the cap is %v",
+				x.from, x.site, sum, zoneWeight[zone], zone, of.Cap))
 		}
 	}
 	return broken
--- a/internal/testbed/report/plots.go
+++ b/internal/testbed/report/plots.go
@@ -13,8 +13,9 @@
 
 var (
 	faultColor = color.NRGBA{R: 200, G: 60, B: 60, A: 40}
-	lineColors = []color.Color{color.RGBA{R: 0x1b, G: 0x7a, B: 0x3d, A: 255}, color.RGBA{R: 0xd9, G: 0x82, B: 0x1a, A: 255},
-		color.RGBA{R: 0x1f, G: 0x5f, B: 0xb4, A: 255}, color.RGBA{R: 0xb0, G: 0x2a, B: 0x2a, A: 255}, color.RGBA{R: 0x6b, G: 0x4c, B: 0x9a, A: 255}}
+	lineColors = []color.Color{color.RGBA{R: 0x1b, G: 0x7a, B: 0x3d, A: 255},
+		color.RGBA{R: 0xd9, G: 0x82, B: 0x1a, A: 255}, color.RGBA{R: 0x1f, G: 0x5f, B: 0xb4, A: 255},
+		color.RGBA{R: 0xb0, G: 0x2a, B: 0x2a, A: 255}, color.RGBA{R: 0x6b, G: 0x4c, B: 0x9a, A: 255}}
 )
 
 // curve is one line of a plot, with a value for each second.
@@ -33,13 +34,17 @@
 		curves         []curve
 	}{
 		{"outcomes.svg", "What came of the requests", "% of those asked", []curve{
-			{"served in time", percent(func(s *Second) int { return s.Served })}, {"late", percent(func(s *Second) int { return s.Late })},
-			{"refused", percent(func(s *Second) int { return s.Refused })}, {"failed", percent(func(s *Second) int { return s.Failed })}}},
+			{"served in time", percent(func(s *Second) int { return s.Served })},
+			{"late", percent(func(s *Second) int { return s.Late })},
+			{"refused", percent(func(s *Second) int { return s.Refused })},
+			{"failed", percent(func(s *Second) int { return s.Failed })}}},
 		{"latency.svg", "Time from when a request was meant to be sent", "ms", []curve{
 			{"p50", func(s *Second) float64 { return s.P50 }}, {"p90", func(s *Second) float64 { return s.P90 }},
 			{"p99", func(s *Second) float64 { return s.P99 }}, {"p99.9", func(s *Second) float64 { return s.P999 }}}},
 		{"crossing.svg", "Attempts that cross zones", "% of attempts", []curve{
-			{"cross zones", func(s *Second) float64 { return 100 * float64(s.CrossZone) / float64(max(s.Attempts, 1)) }}}},
+			{"cross zones", func(s *Second) float64 {
+				return 100 * float64(s.CrossZone) / float64(max(s.Attempts, 1))
+			}}}},
 	} {
 		if err := r.plot(filepath.Join(dir, p.file), p.title, p.y, p.curves); err != nil {
 			return nil, err
@@ -72,7 +77,8 @@
 	p.Add(plotter.NewGrid())
 	for _, f := range r.Faults {
 		from, to := f.From.Seconds(), max(f.To.Seconds(), f.From.Seconds()+0.2)
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0},
+			{X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}})
 		if err != nil {
 			return fmt.Errorf("report: %s: %w", path, err)
 		}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -161,19 +161,23 @@
 		form = "in short form"
 	}
 	fmt.Fprintf(w, "# %s\n\n%s\n\n", r.Name, r.About)
-	fmt.Fprintf(w, "Played %s with seed %d: %d agents, %d report servers in %d zones, %.0f requests a second.\n", form, r.Seed,
+	fmt.Fprintf(w, "Played %s with seed %d: %d agents, %d report servers in %d zones, %.0f requests a second.\n",
+		form, r.Seed,
 		r.Agents, r.Servers, len(r.Zones), r.Rate)
-	fmt.Fprintf(w, "The laboratory carries %.0f requests a second by itself and sent 99 of 100 within %.1f ms of their time.\n", r.Ceiling, r.Behind)
+	fmt.Fprintf(w, "The laboratory carries %.0f requests a second by itself and sent 99 of 100 within %.1f ms of their time.\n",
+		r.Ceiling, r.Behind)
 	if r.Void != "" {
 		fmt.Fprintf(w, "\n**Void: %s.**\n", r.Void)
 	}
 	fmt.Fprintf(w, "\n## Claims\n\n| claim | figure | kept |\n| --- | --- | --- |\n")
-	fmt.Fprintf(w, "| the four rules are kept | %d broken | %s |\n| no agent crashes | %d crashed | %s |\n", len(r.Violations),
+	fmt.Fprintf(w, "| the four rules are kept | %d broken | %s |\n| no agent crashes | %d crashed | %s |\n",
+		len(r.Violations),
 		yes(len(r.Violations) == 0), len(r.Crashes), yes(len(r.Crashes) == 0))
 	for _, c := range r.Claims {
 		fmt.Fprintf(w, "| %s | %s | %s |\n", c.Text, number(c.Value), yes(c.Kept))
 	}
-	fmt.Fprintf(w, "\n## Figures\n\nAfter the first %v; times in ms from when a request was meant to be sent.\n\n| figure |", r.Warmup)
+	fmt.Fprintf(w, "\n## Figures\n\nAfter the first %v; times in ms from when a request was meant to be sent.\n\n| figure |",
+		r.Warmup)
 	var names []string
 	for _, p := range r.Plays {
 		fmt.Fprintf(w, " %s |", p.Name)
