--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -28,14 +28,14 @@
 var faultKinds = map[string]func(ctx context.Context, w *world, f *Fault) (end func() error, err error){
 	// Kills agents, and starts them again after the downtime.
 	"kill-agents": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleAgents(f)
-		w.beginOutages(hit)
-		for _, a := range hit {
+		affected := w.sampleAgents(f)
+		w.beginOutages(affected)
+		for _, a := range affected {
 			w.expectExit(a.proc)
 			a.proc.Kill()
 		}
 		schedule(ctx, w, downtime, func() error {
-			for _, a := range hit {
+			for _, a := range affected {
 				if err := w.restart(a); err != nil {
 					return err
 				}
@@ -53,18 +53,18 @@
 	"pause-voters": func(_ context.Context, w *world, f *Fault) (func() error, error) {
 		// The same agents are paused in plays without a council, so that all plays get the same fault.
 		of := w.agents[:min(councilSize, len(w.agents))]
-		var hit []*agent
+		var affected []*agent
 		for _, i := range w.sample(len(of), f.Fraction) {
-			hit = append(hit, of[i])
+			affected = append(affected, of[i])
 		}
-		return w.pause(hit)
+		return w.pause(affected)
 	},
 	// Restarts agents gracefully, in Steps batches that are spread over Duration.
 	"roll-agents": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
 		steps := max(f.Steps, 1)
-		hit := w.sampleAgents(f)
+		affected := w.sampleAgents(f)
 		for i := range steps {
-			batch := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
+			batch := affected[len(affected)*i/steps : len(affected)*(i+1)/steps]
 			schedule(ctx, w, time.Duration(f.Duration)*time.Duration(i)/time.Duration(steps), func() error {
 				for _, a := range batch {
 					w.expectExit(a.proc)
@@ -84,32 +84,32 @@
 	},
 	// Kills servers, and starts them again, cold, at the end.
 	"kill-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleServers(f)
-		w.stopServers(hit)
-		return func() error { return w.startServers(hit) }, nil
+		affected := w.sampleServers(f)
+		w.stopServers(affected)
+		return func() error { return w.startServers(affected) }, nil
 	},
 	// Removes all servers of a zone from the list and cuts their links. At the end they come back cold.
 	"lose-zone": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		var hit []*server
+		var affected []*server
 		for _, s := range w.servers {
 			if s.Zone() == f.Zone && s.target.State != backend.Removed {
-				hit = append(hit, s)
+				affected = append(affected, s)
 				w.setState(s, backend.Removed)
 			}
 		}
-		w.announce(announceDelay, hit...)
+		w.announce(announceDelay, affected...)
 		heal, err := w.cutLinks(func(_ *agent, s *server) (bool, bool) {
 			return s.Zone() == f.Zone, s.Zone() == f.Zone
 		})
 		return func() error {
-			for _, s := range hit {
+			for _, s := range affected {
 				for _, l := range s.links {
 					l.Reset()
 				}
 				s.Restart()
 				w.setState(s, backend.Up)
 			}
-			w.announce(announceDelay, hit...)
+			w.announce(announceDelay, affected...)
 			return heal()
 		}, err
 	},
@@ -140,21 +140,21 @@
 		if err != nil {
 			return nil, err
 		}
-		silence := func(on bool) {
+		setUnresponsive := func(on bool) {
 			for _, a := range w.agents {
 				if inside[a.name] && a.view != nil {
 					a.view.SetUnresponsive(on)
 				}
 			}
 		}
-		silence(true)
+		setUnresponsive(true)
 		heal, err := w.cutLinks(func(a *agent, s *server) (bool, bool) {
 			across := (a.zone == f.Zone) != (s.Zone() == f.Zone)
 			return across, across
 		})
 		return func() error {
 			loss.To = w.log.Now()
-			silence(false)
+			setUnresponsive(false)
 			if healPeers != nil {
 				if err := healPeers(); err != nil {
 					return err
@@ -165,13 +165,13 @@
 	},
 	// Drains servers, which discovery announces with a delay, and removes them at the end.
 	"drain-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleServers(f)
-		for _, s := range hit {
+		affected := w.sampleServers(f)
+		for _, s := range affected {
 			w.setState(s, backend.Draining)
 		}
-		w.announce(announceDelay, hit...)
+		w.announce(announceDelay, affected...)
 		return func() error {
-			w.stopServers(hit)
+			w.stopServers(affected)
 			return nil
 		}, nil
 	},
@@ -190,7 +190,8 @@
 	// Partitions the agents of a zone into Steps groups that can't reach each other. Nothing else is
 	// affected.
 	"split-site": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		group, members := map[string]int{}, w.electorate(f.Zone) // groups count from 1; 0 for other zones' agents
+		// group has the number of each agent's group, from 1; 0 for agents of other zones.
+		group, members := map[string]int{}, w.electorate(f.Zone)
 		for i, at := range w.rng.Perm(len(members)) {
 			group[members[at]] = 1 + i*max(f.Steps, 2)/len(members)
 		}
@@ -208,10 +209,10 @@
 	},
 	// Cuts the links of servers to all agents. Discovery announces nothing.
 	"silence-servers": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleServers(f)
-		w.recordFaultStart(hit)
+		affected := w.sampleServers(f)
+		w.recordFaultStart(affected)
 		return w.cutLinks(func(_ *agent, s *server) (bool, bool) {
-			return slices.Contains(hit, s), slices.Contains(hit, s)
+			return slices.Contains(affected, s), slices.Contains(affected, s)
 		})
 	},
 	// Makes servers corrupt a share of their answers.
@@ -224,9 +225,9 @@
 	},
 	// Delays a share of the messages between some agents and the servers.
 	"stall-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleAgents(f)
+		affected := w.sampleAgents(f)
 		set := func(q faultlink.Quality) error {
-			for _, a := range hit {
+			for _, a := range affected {
 				a.quality = q
 			}
 			return w.updateLinks()
@@ -246,10 +247,10 @@
 	// Replaces servers by new ones, in Steps batches over Duration. In each batch new, cold servers are
 	// listed and the old ones start to drain. The old ones are removed after the drain grace.
 	"replace-servers": func(ctx context.Context, w *world, f *Fault) (func() error, error) {
-		hit, steps := w.sampleServers(f), max(f.Steps, 1)
+		affected, steps := w.sampleServers(f), max(f.Steps, 1)
 		drain := time.Duration(w.set.Contract.DrainGraceMs)*time.Millisecond + 500*time.Millisecond
 		for i := range steps {
-			batch := hit[len(hit)*i/steps : len(hit)*(i+1)/steps]
+			batch := affected[len(affected)*i/steps : len(affected)*(i+1)/steps]
 			at := time.Duration(f.Duration) * time.Duration(i) / time.Duration(steps)
 			schedule(ctx, w, at, func() error {
 				fresh := make([]*server, len(batch))
@@ -272,12 +273,12 @@
 	},
 	// Holds back all changes that discovery announces to some agents.
 	"freeze-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleAgents(f)
-		for _, a := range hit {
+		affected := w.sampleAgents(f)
+		for _, a := range affected {
 			a.view.SetFrozen(true)
 		}
 		return func() error {
-			for _, a := range hit {
+			for _, a := range affected {
 				a.view.SetFrozen(false)
 			}
 			return nil
@@ -285,12 +286,12 @@
 	},
 	// Makes discovery answer none of some agents' calls.
 	"silence-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleAgents(f)
-		for _, a := range hit {
+		affected := w.sampleAgents(f)
+		for _, a := range affected {
 			a.view.SetUnresponsive(true)
 		}
 		return func() error {
-			for _, a := range hit {
+			for _, a := range affected {
 				a.view.SetUnresponsive(false)
 			}
 			return nil
@@ -298,12 +299,12 @@
 	},
 	// Makes discovery take Delay for each full list that it sends to some agents.
 	"busy-discovery": func(_ context.Context, w *world, f *Fault) (func() error, error) {
-		hit := w.sampleAgents(f)
-		for _, a := range hit {
+		affected := w.sampleAgents(f)
+		for _, a := range affected {
 			a.view.SetListDelay(time.Duration(f.Delay))
 		}
 		return func() error {
-			for _, a := range hit {
+			for _, a := range affected {
 				a.view.SetListDelay(0)
 			}
 			return nil
@@ -311,18 +312,19 @@
 	},
 }
 
+// unixMs returns the current time in Unix ms.
 func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // pause suspends agents and returns a function that resumes them.
-func (w *world) pause(hit []*agent) (func() error, error) {
+func (w *world) pause(affected []*agent) (func() error, error) {
 	from := w.log.Now()
-	for _, a := range hit {
+	for _, a := range affected {
 		if err := a.proc.Stop(); err != nil {
 			return nil, err
 		}
 	}
 	return func() error {
-		for _, a := range hit {
+		for _, a := range affected {
 			if err := a.proc.Continue(); err != nil {
 				return err
 			}
@@ -353,14 +355,15 @@
 }
 
 // sample draws a fraction of the indices below n, in random order. A fraction of 0 means all of them.
-func (w *world) sample(n int, part float64) []int {
-	if part == 0 {
-		part = 1
+func (w *world) sample(n int, fraction float64) []int {
+	if fraction == 0 {
+		fraction = 1
 	}
-	return w.rng.Perm(n)[:int(math.Round(part*float64(n)))]
+	return w.rng.Perm(n)[:int(math.Round(fraction*float64(n)))]
 }
 
-func (w *world) sampleAgents(f *Fault) (hit []*agent) {
+// sampleAgents draws the agents that a fault affects.
+func (w *world) sampleAgents(f *Fault) (affected []*agent) {
 	var of []*agent
 	for _, a := range w.agents {
 		if f.Zone == "" || a.zone == f.Zone {
@@ -368,12 +371,13 @@
 		}
 	}
 	for _, i := range w.sample(len(of), f.Fraction) {
-		hit = append(hit, of[i])
+		affected = append(affected, of[i])
 	}
-	return hit
+	return affected
 }
 
-func (w *world) sampleServers(f *Fault) (hit []*server) {
+// sampleServers draws the servers that a fault affects, from those that are listed and not spared.
+func (w *world) sampleServers(f *Fault) (affected []*server) {
 	var of []*server
 	for _, s := range w.servers {
 		if s.target.State != backend.Removed && (f.Zone == "" || s.Zone() == f.Zone) &&
@@ -382,21 +386,21 @@
 		}
 	}
 	for _, i := range w.sample(len(of), f.Fraction) {
-		hit = append(hit, of[i])
+		affected = append(affected, of[i])
 	}
-	return hit
+	return affected
 }
 
 // applyFault injects faults into the servers that a fault selects, and returns a function that clears
 // them.
 func (w *world) applyFault(f *Fault, faults backend.Faults) (func() error, error) {
-	hit := w.sampleServers(f)
-	w.recordFaultStart(hit)
-	for _, s := range hit {
+	affected := w.sampleServers(f)
+	w.recordFaultStart(affected)
+	for _, s := range affected {
 		s.SetFaults(faults)
 	}
 	return func() error {
-		for _, s := range hit {
+		for _, s := range affected {
 			s.SetFaults(backend.Faults{})
 		}
 		return nil
@@ -404,8 +408,8 @@
 }
 
 // recordFaultStart records the time at which a fault first affected each server.
-func (w *world) recordFaultStart(hit []*server) {
-	for _, s := range hit {
+func (w *world) recordFaultStart(affected []*server) {
+	for _, s := range affected {
 		if _, ok := w.firstFaultAt[s.ID()]; !ok {
 			w.firstFaultAt[s.ID()] = w.log.Now()
 		}
@@ -428,19 +432,19 @@
 }
 
 // stopServers stops servers. Discovery announces their removal with a delay.
-func (w *world) stopServers(hit []*server) {
-	for _, s := range hit {
+func (w *world) stopServers(affected []*server) {
+	for _, s := range affected {
 		w.setState(s, backend.Removed)
 		for _, l := range s.links {
 			l.Down()
 		}
 	}
-	w.announce(announceDelay, hit...)
+	w.announce(announceDelay, affected...)
 }
 
 // startServers starts servers again, cold.
-func (w *world) startServers(hit []*server) error {
-	for _, s := range hit {
+func (w *world) startServers(affected []*server) error {
+	for _, s := range affected {
 		s.Restart()
 		w.setState(s, backend.Up)
 		for _, l := range s.links {
@@ -449,7 +453,7 @@
 			}
 		}
 	}
-	w.announce(announceDelay, hit...)
+	w.announce(announceDelay, affected...)
 	return nil
 }
 
--- a/internal/testbed/experiment/layer_test.go
+++ b/internal/testbed/experiment/layer_test.go
@@ -29,6 +29,7 @@
 keys = 20
 `
 
+// parseVotingFleet parses the text of an experiment with the name "together".
 func parseVotingFleet(t *testing.T, text string) *File {
 	t.Helper()
 	f, err := Parse("together.toml", text)
@@ -38,6 +39,7 @@
 	return f
 }
 
+// runVotingFleet runs an experiment and checks its report with requireSound.
 func runVotingFleet(t *testing.T, text string) *report.Report {
 	t.Helper()
 	r, err := Run(context.Background(), parseVotingFleet(t, text), Options{Seed: 1, Bin: agentBinary, Dir: t.TempDir()})
@@ -131,7 +133,7 @@
 	`for = "9s"`, `for = "10s"`).Replace(votingFleet)
 
 // When the servers of a zone fail all requests, the council decides that the zone gets no share, and the decision
-// reaches all agents of a site.
+// reaches all agents of a site. Agents and votes go on meanwhile.
 func TestAZoneIsLeftInCommon(t *testing.T) {
 	r := runVotingFleet(t, councilFleet+`
 [[fault]]
@@ -146,7 +148,7 @@
 	}
 }
 
-// While two of three voters are paused, nothing is decided.
+// While two of three voters are paused, nothing is decided. The council decides again after they resume.
 func TestACouncilWithoutAMajority(t *testing.T) {
 	r := runVotingFleet(t, councilFleet+`
 [[fault]]
--- a/internal/testbed/experiment/run_test.go
+++ b/internal/testbed/experiment/run_test.go
@@ -33,6 +33,7 @@
 	os.Exit(status)
 }
 
+// smallFleet is an experiment of two seconds without faults, with a baseline.
 const smallFleet = `
 name = "small"
 baselines = ["random"]
--- a/internal/testbed/referee/sites.go
+++ b/internal/testbed/referee/sites.go
@@ -11,8 +11,8 @@
 	From, To time.Duration
 }
 
-// detectionSlack is how long after the return of its uplink a site may still detect the loss: what its members
-// know of the other sites is then as old as the silence was long.
+// detectionSlack is how long after the return of its uplink a site may still detect the loss, since what its
+// members know of the other sites is then as old as the loss.
 const detectionSlack = 3 * time.Second
 
 // CheckSites checks the steps that agents recorded about their uplinks ("dark": the agent considers its
--- a/internal/testbed/referee/votes.go
+++ b/internal/testbed/referee/votes.go
@@ -41,16 +41,16 @@
 //   - A host is ejected only with unexpired grants of a strict majority of the site's members.
 //   - A member grants an ejection only on evidence of its own.
 //   - A site, over the views of all its agents, never ejects more than the cap of a zone's weight.
-func CheckVotes(steps []VoteStep, of Electorate) (broken []string) {
+func CheckVotes(steps []VoteStep, electorate Electorate) (broken []string) {
 	type host struct {
 		id          string
 		incarnation int64
 	}
 	type grant struct{ from, to time.Duration }
 	type ejector struct { // an agent's process and a host that it ejected
-		agent string
-		boot  uint64
-		host  host
+		agent            string
+		agentIncarnation uint64
+		host             host
 	}
 	type ejection struct {
 		site     string
@@ -58,7 +58,7 @@
 		from, to time.Duration
 	}
 	grants := map[string]map[host][]grant{} // by agent
-	open := map[ejector]*ejection{}
+	open := map[ejector]*ejection{}         // ejections without a return yet
 	var ejections []*ejection
 	add := func(s VoteStep, format string, args ...any) {
 		broken = append(broken, fmt.Sprintf("votes: at %v %s, %s of %s: %s", s.At, s.Agent, s.Kind, s.Host,
@@ -77,17 +77,18 @@
 		}
 	}
 	for _, s := range steps {
-		h, site := host{s.Host, s.Incarnation}, of.Zone[s.Agent]
+		h, site := host{s.Host, s.Incarnation}, electorate.Zone[s.Agent]
 		by := ejector{s.Agent, s.AgentIncarnation, h}
 		switch s.Kind {
 		case "eject", "hold":
-			members := of.Members[site]
+			members := electorate.Members[site]
 			var valid []string // granters whose grants are unexpired
 			for _, g := range s.Granters {
 				if slices.Contains(members, g) && !slices.Contains(valid, g) &&
-					(slices.Contains(of.FaultyVoters, g) || slices.ContainsFunc(grants[g][h], func(x grant) bool {
-						return x.from <= s.At+traceSlack && s.At <= x.to+traceSlack
-					})) {
+					(slices.Contains(electorate.FaultyVoters, g) ||
+						slices.ContainsFunc(grants[g][h], func(x grant) bool {
+							return x.from <= s.At+traceSlack && s.At <= x.to+traceSlack
+						})) {
 					valid = append(valid, g)
 				}
 			}
@@ -109,25 +110,26 @@
 		}
 	}
 	zoneWeight := map[string]float64{}
-	for id, zone := range of.HostZone {
-		zoneWeight[zone] += of.Weight[id]
+	for id, zone := range electorate.HostZone {
+		zoneWeight[zone] += electorate.Weight[id]
 	}
 	// The ejected weight only grows when an ejection starts, so it's enough to check it at these times.
 	slices.SortFunc(ejections, func(a, b *ejection) int { return cmp.Compare(a.from, b.from) })
 	for _, x := range ejections {
-		zone, out := of.HostZone[x.host.id], map[host]bool{}
+		zone, out := electorate.HostZone[x.host.id], map[host]bool{}
 		for _, y := range ejections {
-			if y.site == x.site && of.HostZone[y.host.id] == zone && y.from <= x.from && y.to > x.from+traceSlack {
+			if y.site == x.site && electorate.HostZone[y.host.id] == zone && y.from <= x.from &&
+				y.to > x.from+traceSlack {
 				out[y.host] = true
 			}
 		}
 		sum := 0.0
 		for h := range out {
-			sum += of.Weight[h.id]
+			sum += electorate.Weight[h.id]
 		}
-		if sum > of.Cap*zoneWeight[zone]+1e-9 {
+		if sum > electorate.Cap*zoneWeight[zone]+1e-9 {
 			broken = append(broken, fmt.Sprintf("votes: at %v the site %s has %.1f of %.1f of zone %s ejected, the cap is %v",
-				x.from, x.site, sum, zoneWeight[zone], zone, of.Cap))
+				x.from, x.site, sum, zoneWeight[zone], zone, electorate.Cap))
 		}
 	}
 	return broken
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -249,7 +249,7 @@
 	}
 	for _, r := range append(slices.Clone(a), b...) {
 		if r.Name != a[0].Name || r.Quick != a[0].Quick {
-			return fmt.Errorf("report: %s and %s were not played alike", a[0].Name, r.Name)
+			return fmt.Errorf("report: %s and %s differ in experiment or form", a[0].Name, r.Name)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
