--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,5 +1,5 @@
-// Package experiments holds the experiments of the laboratory, so that its command needs no
-// file beside it.
+// Package experiments embeds the experiments of the laboratory, so that its command needs no other
+// files.
 package experiments
 
 import "embed"
--- a/internal/testbed/baseline/picker.go
+++ b/internal/testbed/baseline/picker.go
@@ -1,6 +1,7 @@
-// Package baseline holds plain ways to choose a server, to read an experiment against. Each is
-// one client's, sends once, and knows the list of servers and its own requests only, but for
-// the clairvoyant, which sees the true state of all servers.
+// Package baseline has simple policies for choosing a server, with which the results of an
+// experiment are compared. Each picker belongs to one client, which sends each request once. It
+// knows only the list of servers and the client's own requests, except for the clairvoyant, which
+// sees the true state of all servers.
 package baseline
 
 import (
@@ -9,19 +10,20 @@
 	"slices"
 )
 
-// Server is what a picker may look at.
+// Server is what a picker knows of a server.
 type Server struct {
 	Index    int
-	Out      int            // requests of this client that are out there
-	Expected func() float64 // the clairvoyant's: how long an answer would take, or failed ones cost
+	Out      int            // number of this client's requests in flight
+	Expected func() float64 // expected time of an answer, with a penalty for failures; for the clairvoyant only
 }
 
-// Picker chooses one of at least one server.
+// Picker chooses a server from a list that is not empty, and returns its position in the list.
 type Picker interface {
 	Pick(servers []Server) int
 }
 
-var makers = map[string]func(*rand.Rand) Picker{
+// constructors are the constructors of pickers by name.
+var constructors = map[string]func(*rand.Rand) Picker{
 	"random":        func(r *rand.Rand) Picker { return random{r} },
 	"round-robin":   func(r *rand.Rand) Picker { return &roundRobin{next: r.IntN(1 << 20)} },
 	"two-choices":   func(r *rand.Rand) Picker { return twoChoices{r} },
@@ -29,17 +31,17 @@
 	"clairvoyant":   func(*rand.Rand) Picker { return clairvoyant{} },
 }
 
-// Names are the pickers there are.
+// Names returns the names of all pickers.
 func Names() []string {
 	return []string{"random", "round-robin", "two-choices", "least-request", "clairvoyant"}
 }
 
-// New makes a picker by its name.
+// New returns a new picker of the given name.
 func New(name string, seed uint64) (Picker, error) {
-	if makers[name] == nil {
+	if constructors[name] == nil {
 		return nil, fmt.Errorf("picker: %q is none of %v", name, Names())
 	}
-	return makers[name](rand.New(rand.NewPCG(seed, 5))), nil
+	return constructors[name](rand.New(rand.NewPCG(seed, 5))), nil
 }
 
 type random struct{ rng *rand.Rand }
@@ -53,7 +55,7 @@
 	return p.next % len(s)
 }
 
-// twoChoices is the less loaded of two random ones.
+// twoChoices picks two servers at random and chooses the one with fewer requests in flight.
 type twoChoices struct{ rng *rand.Rand }
 
 func (p twoChoices) Pick(s []Server) int {
@@ -64,7 +66,7 @@
 	return i
 }
 
-// leastRequest is the one with the fewest of its own requests out, of equals a random one.
+// leastRequest chooses a server with the fewest requests in flight, at random if there are several.
 type leastRequest struct{ rng *rand.Rand }
 
 func (p leastRequest) Pick(s []Server) int {
@@ -82,7 +84,7 @@
 	return best
 }
 
-// clairvoyant is the one from which an answer would come soonest.
+// clairvoyant chooses the server whose expected time of an answer is the shortest.
 type clairvoyant struct{}
 
 func (clairvoyant) Pick(s []Server) int {
--- a/internal/testbed/baseline/picker_test.go
+++ b/internal/testbed/baseline/picker_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-func servers(out ...int) (s []Server) {
-	for i, n := range out {
+// servers returns servers with the given numbers of requests in flight.
+func servers(inFlight ...int) (s []Server) {
+	for i, n := range inFlight {
 		s = append(s, Server{Index: i, Out: n, Expected: func() float64 { return float64(10 - n) }})
 	}
 	return s
 }
 
-// counts is how often each of the servers is picked in 4,000 picks.
+// counts returns how often each of the servers is picked in 4,000 picks.
 func counts(t *testing.T, name string, s []Server) []int {
 	t.Helper()
 	p, err := New(name, 1)
@@ -25,8 +26,8 @@
 
 func TestPickers(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		least, most []int // of 4,000 picks among servers with 0, 2, 5 and 0 requests out
+		name               string
+		minPicks, maxPicks []int // of 4,000 picks among servers with 0, 2, 5 and 0 requests in flight
 	}{
 		{"random", []int{900, 900, 900, 900}, []int{1100, 1100, 1100, 1100}},
 		{"round-robin", []int{1000, 1000, 1000, 1000}, []int{1000, 1000, 1000, 1000}},
@@ -35,19 +36,19 @@
 		{"clairvoyant", []int{0, 0, 4000, 0}, []int{0, 0, 4000, 0}},
 	} {
 		for i, n := range counts(t, c.name, servers(0, 2, 5, 0)) {
-			if n < c.least[i] || n > c.most[i] {
-				t.Errorf("%s: server %d picked %d times, want %d to %d", c.name, i, n, c.least[i], c.most[i])
+			if n < c.minPicks[i] || n > c.maxPicks[i] {
+				t.Errorf("%s: server %d picked %d times, want %d to %d", c.name, i, n, c.minPicks[i], c.maxPicks[i])
 			}
 		}
 	}
 	if _, err := New("best", 1); err == nil {
-		t.Error("an unknown picker was made")
+		t.Error("New returned a picker of an unknown name")
 	}
 }
 
-func TestNamesAreAllMade(t *testing.T) {
-	if len(Names()) != len(makers) {
-		t.Errorf("%d names for %d pickers", len(Names()), len(makers))
+func TestEachNameHasAPicker(t *testing.T) {
+	if len(Names()) != len(constructors) {
+		t.Errorf("%d names for %d pickers", len(Names()), len(constructors))
 	}
 	for _, n := range Names() {
 		if counts(t, n, servers(1))[0] != 4000 {
--- a/internal/testbed/docscheck/clock_test.go
+++ b/internal/testbed/docscheck/clock_test.go
@@ -14,18 +14,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallClockMethods are the methods of time.Time that read the wall clock, or drop the reading of the steady one.
+// wallClockMethods are the methods of time.Time that read the wall clock or drop the monotonic clock reading.
 // Round and Truncate are not among them, as durations and files have methods of these names.
 var wallClockMethods = map[string]bool{
 	"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "UTC": true, "Local": true, "AddDate": true,
 	"Weekday": true, "YearDay": true, "AppendFormat": true, "GobEncode": true, "MarshalBinary": true,
 }
 
-// wallClockUses returns where a file uses the wall clock: a call of one of these methods, or a field of an encoded
-// message that is a time.
+// wallClockUses returns the positions where a file uses the wall clock: calls of wallClockMethods and encoded fields
+// of type time.Time.
 func wallClockUses(files *token.FileSet, file *ast.File) (uses []string) {
-	report := func(node ast.Node, what string) {
-		uses = append(uses, files.Position(node.Pos()).String()+": "+what)
+	report := func(node ast.Node, use string) {
+		uses = append(uses, files.Position(node.Pos()).String()+": "+use)
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
@@ -61,13 +61,14 @@
 	return ok && pkg.Name == "time" && selector.Sel.Name == "Time"
 }
 
+// isEncoded reports whether a struct tag names a field's key in an encoding.
 func isEncoded(tag string) bool {
 	parsed := reflect.StructTag(strings.Trim(tag, "`"))
 	return parsed.Get("msgpack") != "" || parsed.Get("json") != ""
 }
 
-// TestFleetReadsNoWallClock shows that jumps of a machine's wall clock change nothing: no program of the fleet
-// reads it. What processes tell each other are durations and versions.
+// TestFleetReadsNoWallClock checks that no program of the fleet reads the wall clock, so that jumps of a machine's
+// clock have no effect. Processes send each other durations and versions only.
 func TestFleetReadsNoWallClock(t *testing.T) {
 	files, checked := token.NewFileSet(), 0
 	err := filepath.WalkDir(filepath.Join("..", "..", "fleet"), func(path string, entry fs.DirEntry, err error) error {
@@ -83,7 +84,7 @@
 		return nil
 	})
 	require.NoError(t, err)
-	require.Greater(t, checked, 200, "the files of internal/fleet")
+	require.Greater(t, checked, 200, "number of files in internal/fleet")
 }
 
 func TestWallClockUsesAreFound(t *testing.T) {
--- a/internal/testbed/docscheck/references_test.go
+++ b/internal/testbed/docscheck/references_test.go
@@ -1,4 +1,5 @@
-// Package docscheck holds the pages under docs/ to the code that they name.
+// Package docscheck checks that the pages under docs/ name only code that exists, and that the fleet's programs read no
+// wall clock.
 package docscheck
 
 import (
@@ -15,9 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
+// root is the root of the repository.
 const root = "../../.."
 
-// checkedPages are the pages whose references have to resolve. ROADMAP and INCIDENTS tell of earlier code.
+// checkedPages are the pages whose references must resolve. ROADMAP and INCIDENTS describe earlier code.
 var checkedPages = []string{
 	"README.md", "docs/ARCHITECTURE.md", "docs/CAPACITY.md", "docs/CONTROL.md", "docs/DESIGN.md", "docs/EVENTS.md",
 	"docs/FLEET.md", "docs/GLOSSARY.md", "docs/LABORATORY.md", "docs/OPERATING.md", "docs/ROLLOUT.md", "docs/RULES.md",
@@ -34,20 +36,21 @@
 	settingsOrFiles = map[string]bool{"toml": true, "md": true, "json": true, "txt": true, "go": true, "damaged": true, "days": true}
 )
 
-// settingsPrefixes begin keys of the operations file and of a rollout's specification, which look like qualified names.
+// settingsPrefixes are the first parts of keys, in the operations file and in a rollout's specification, that look like
+// qualified names.
 var settingsPrefixes = map[string]bool{"site": true, "state": true, "council": true, "keep": true, "judge": true}
 
-// declarations are the names that the packages of one name declare.
+// declarations are the names that all packages of one name declare.
 type declarations map[string]bool
 
-// index is what the tree declares, by the name of the package.
+// index has what the source files of the tree declare.
 type index struct {
-	packages map[string]declarations
-	tests    map[string]bool
-	files    []string
+	packages map[string]declarations // by the name of the package
+	tests    map[string]bool         // names of tests, fuzz tests and benchmarks
+	files    []string                // paths relative to root
 }
 
-func TestPagesNameWhatIsThere(t *testing.T) {
+func TestReferencesOfPagesResolve(t *testing.T) {
 	tree := readTree(t)
 	for _, page := range checkedPages {
 		t.Run(filepath.Base(page), func(t *testing.T) {
@@ -60,7 +63,7 @@
 	}
 }
 
-// unresolved lists the references of a page that nothing in the tree answers to.
+// unresolved returns a problem for each reference of a page that does not resolve.
 func (x *index) unresolved(page string) []string {
 	var problems []string
 	page = fencedBlock.ReplaceAllString(page, "")
@@ -87,6 +90,7 @@
 	return problems
 }
 
+// hasTest reports whether there is a test whose name is, or begins with, the given one.
 func (x *index) hasTest(name string) bool {
 	if x.tests[name] {
 		return true
@@ -99,6 +103,7 @@
 	return false
 }
 
+// checkSpan returns the problem of a code span; "" if it resolves or is no reference.
 func (x *index) checkSpan(span string) string {
 	if sourceFile.MatchString(span) {
 		for _, file := range x.files {
@@ -129,7 +134,7 @@
 	return ""
 }
 
-// checkNamesOfFile checks a file and the names, each in back quotes, that a page gives after it.
+// checkNamesOfFile checks the names, each in backquotes, that a page lists after a file.
 func (x *index) checkNamesOfFile(file, names string) []string {
 	declared := x.packages[filepath.Base(filepath.Dir(file))]
 	var problems []string
@@ -218,7 +223,7 @@
 	}
 }
 
-// receiverName is the name of a method's type.
+// receiverName returns the type name of a method's receiver.
 func receiverName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.StarExpr:
@@ -234,7 +239,8 @@
 	}
 }
 
-// A row of the glossary ends with the packages in which its term lives.
+// TestGlossaryNamesPackages checks that the packages in the last cell of each row of the glossary exist. These are the
+// packages that use the row's term.
 func TestGlossaryNamesPackages(t *testing.T) {
 	tree := readTree(t)
 	text, err := os.ReadFile(filepath.Join(root, "docs/GLOSSARY.md"))
@@ -250,7 +256,7 @@
 	require.Greater(t, rows, 50, "rows with a package")
 }
 
-// packageCells are the names in the last cell of a row of a table; none if it holds anything else.
+// packageCells returns the names in backquotes in the last cell of a table's row; none if the line is not such a row.
 func packageCells(line string) []string {
 	cells := strings.Split(strings.TrimSpace(line), "|")
 	if len(cells) < 4 {
--- a/internal/testbed/faultlink/link.go
+++ b/internal/testbed/faultlink/link.go
@@ -1,11 +1,11 @@
-// Package faultlink is a network between parties on loopback that can be made worse: each Link
-// stands at an address of its own, where one party reaches another, and delays, stalls, cuts
-// or resets what passes. The far party runs in this process and takes connections from
-// Link.Accept, so that a link costs one socket for each connection and no copy.
+// Package faultlink injects network faults between parties on loopback. Each Link has an address of
+// its own, at which one party reaches another, and delays, stalls, cuts or resets the traffic. The
+// far party runs in this process and takes connections from Link.Accept, so a link needs only one
+// socket for each connection and copies no data.
 //
-// A cut is silence, as of a machine that is gone: open connections stay open and bring
-// nothing, and new ones never come up. Closing a Link's far end is a process that died: open
-// connections are reset and new ones refused.
+// A cut link is silent, as if a machine had vanished: open connections stay open but deliver
+// nothing, and new ones are never established. A link that is down acts as if the far party's
+// process had died: open connections are reset and new ones refused.
 package faultlink
 
 import (
@@ -22,50 +22,51 @@
 	"time"
 )
 
-// Quality is how a link is at a moment.
+// Quality describes the delays and faults of a link.
 type Quality struct {
-	Delay  time.Duration // one way
-	Jitter time.Duration // of it, up to so much more, drawn for each message
-	// Stall is the part of messages that are held up by Stalled more: a lost packet that
-	// is sent again.
+	Delay  time.Duration // one-way delay
+	Jitter time.Duration // maximum of an additional random delay, drawn for each message
+	// Stall is the fraction of messages that take Stalled longer, like those whose packet is lost
+	// and sent again.
 	Stall   float64
 	Stalled time.Duration
-	// CutTo and CutFrom cut what goes to the far party, and what comes from it.
+	// CutTo cuts the traffic to the far party, and CutFrom that from it.
 	CutTo, CutFrom bool
 }
 
-// Link is one party's way to another. It is safe for concurrent use.
+// Link is the network path from one party to another. It is safe for concurrent use.
 type Link struct {
-	addr    *net.TCPAddr
-	near    string
-	first   time.Duration // what the first message on a connection takes more
-	accept  chan net.Conn
-	done    chan struct{}
-	closing sync.Once
-	owner   sync.WaitGroup
+	addr       *net.TCPAddr
+	nearName   string
+	firstDelay time.Duration // additional delay of the first message on a connection
+	accepted   chan net.Conn // connections for Accept
+	done       chan struct{} // closed by Close
+	closeOnce  sync.Once
+	serving    sync.WaitGroup // goroutines that run serve
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	quality Quality
-	changed chan struct{} // closed at each change of quality
-	parked  chan struct{} // told when a cut keeps the serving goroutine from accepting
-	ln      *net.TCPListener
-	filler  net.Conn // keeps the accept queue full while the link is cut
-	down    bool
-	conns   map[*conn]bool
+	mu       sync.Mutex // guards the fields below
+	rng      *rand.Rand
+	quality  Quality
+	changed  chan struct{}    // closed at each change of quality
+	parked   chan struct{}    // receives a value when serve has stopped accepting because of a cut
+	listener *net.TCPListener // nil while the link is down
+	filler   net.Conn         // keeps the accept queue full while the link is cut; nil if there is none
+	down     bool
+	conns    map[*conn]bool // open connections
 }
 
-// Config is how a link is made.
+// Config describes a new link.
 type Config struct {
-	IP    net.IP        // where the near party reaches it, at a free port
-	Near  string        // who that is, for the far party
-	Seed  uint64        // of what is drawn
-	First time.Duration // the first message on a connection takes so much longer, as after a handshake
+	IP    net.IP        // address at which the near party reaches the link; the port is a free one
+	Near  string        // name of the near party, which the far party sees
+	Seed  uint64        // seed of the random delays
+	First time.Duration // additional delay of the first message on a connection, as after a handshake
 }
 
 // New opens a link.
 func New(cfg Config) (*Link, error) {
-	l := &Link{addr: &net.TCPAddr{IP: cfg.IP}, near: cfg.Near, first: cfg.First, accept: make(chan net.Conn), done: make(chan struct{}),
+	l := &Link{addr: &net.TCPAddr{IP: cfg.IP}, nearName: cfg.Near, firstDelay: cfg.First,
+		accepted: make(chan net.Conn), done: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 7)), changed: make(chan struct{}), parked: make(chan struct{}, 1), conns: map[*conn]bool{}}
 	if err := l.listen(); err != nil {
 		return nil, err
@@ -73,59 +74,59 @@
 	return l, nil
 }
 
-// Addr is where the near party connects.
+// Addr returns the address to which the near party connects.
 func (l *Link) Addr() net.Addr { return l.addr }
 
-// Accept returns the next connection, for the far party; it makes a Link a net.Listener.
+// Accept returns the next connection to the far party. With it, a Link is a net.Listener.
 func (l *Link) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accept:
+	case c := <-l.accepted:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the link and all its connections.
+// Close closes the link and resets all its connections.
 func (l *Link) Close() error {
-	l.closing.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.done)
 		l.Down()
 	})
-	l.owner.Wait()
+	l.serving.Wait()
 	return nil
 }
 
-// listen opens the port, the same as before where there was one.
+// listen opens the port: at first a free one, later the same one again.
 func (l *Link) listen() error {
 	var cfg net.ListenConfig
-	cfg.SetMultipathTCP(false) // whose accept queue is not the one that fill fills
-	any, err := cfg.Listen(context.Background(), "tcp", l.addr.String())
+	cfg.SetMultipathTCP(false) // fillBacklog would not fill the accept queue of Multipath TCP
+	opened, err := cfg.Listen(context.Background(), "tcp", l.addr.String())
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	ln := any.(*net.TCPListener)
+	listener := opened.(*net.TCPListener)
 	l.mu.Lock()
-	l.addr = ln.Addr().(*net.TCPAddr)
-	l.ln, l.down = ln, false
+	l.addr = listener.Addr().(*net.TCPAddr)
+	l.listener, l.down = listener, false
 	l.mu.Unlock()
-	l.owner.Add(1)
+	l.serving.Add(1)
 	go func() {
-		defer l.owner.Done()
-		l.serve(ln)
+		defer l.serving.Done()
+		l.serve(listener)
 	}()
 	return nil
 }
 
-// Down is the death of the far party's process: connections are reset, new ones refused.
+// Down simulates the death of the far party's process: open connections are reset and new ones refused.
 func (l *Link) Down() {
 	l.mu.Lock()
-	ln, filler := l.ln, l.filler
-	l.ln, l.filler, l.down = nil, nil, true
+	listener, filler := l.listener, l.filler
+	l.listener, l.filler, l.down = nil, nil, true
 	conns := slices.Collect(maps.Keys(l.conns))
 	l.mu.Unlock()
-	if ln != nil {
-		ln.Close()
+	if listener != nil {
+		listener.Close()
 	}
 	if filler != nil {
 		filler.Close()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Up is its next start. It does nothing to a link that is not down.
+// Up simulates the next start of the far party's process. It does nothing if the link is not down.
 func (l *Link) Up() error {
 	l.mu.Lock()
 	down := l.down
@@ -154,39 +155,39 @@
 	}
 	if cut {
 		l.mu.Lock()
-		ln := l.ln
+		listener := l.listener
 		l.mu.Unlock()
-		return l.fill(ln)
+		return l.fillBacklog(listener)
 	}
 	return nil
 }
 
-// Reset resets all open connections; new ones come up.
+// Reset resets all open connections. New ones can be established.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	conns := slices.Collect(maps.Keys(l.conns))
 	l.mu.Unlock()
-	for _, c := range conns { // each takes the lock
+	for _, c := range conns { // reset takes the lock
 		c.reset()
 	}
 }
 
-// Set changes the quality, also of open connections. When it returns from a cut no further
-// connection comes up.
+// Set changes the quality, including that of open connections. If it cuts the link, no further
+// connection is established once it has returned.
 func (l *Link) Set(q Quality) error {
 	l.mu.Lock()
-	was, is := l.quality.CutTo || l.quality.CutFrom, q.CutTo || q.CutFrom
-	ln, down, filler := l.ln, l.down, l.filler
-	if is && !was {
-		select { // of an earlier cut
+	wasCut, isCut := l.quality.CutTo || l.quality.CutFrom, q.CutTo || q.CutFrom
+	listener, down, filler := l.listener, l.down, l.filler
+	if isCut && !wasCut {
+		select { // drop the value that an earlier cut may have left
 		case <-l.parked:
 		default:
 		}
 	}
-	if !is {
+	if !isCut {
 		l.filler = nil
-		if was && !down {
-			_ = ln.SetDeadline(time.Time{}) // of a listener that is closed just now
+		if wasCut && !down {
+			_ = listener.SetDeadline(time.Time{}) // fails only if the listener is closed meanwhile
 		}
 	}
 	l.quality = q
@@ -194,22 +195,22 @@
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
 	switch {
-	case down || is == was:
+	case down || isCut == wasCut:
 		return nil
-	case is:
-		return l.fill(ln)
+	case isCut:
+		return l.fillBacklog(listener)
 	}
 	if filler != nil {
 		filler.Close()
 	}
-	return backlog(ln, 1024)
+	return setBacklog(listener, 1024)
 }
 
-// fill lets no further connection come up: it shortens the accept queue to one, takes that
-// place while nobody accepts, and the kernel drops what would open another, as a network
-// that is cut does.
-func (l *Link) fill(ln *net.TCPListener) error {
-	if err := ln.SetDeadline(time.Unix(1, 0)); err != nil {
+// fillBacklog prevents further connections: it shortens the accept queue to one connection and fills
+// it with one of its own while nobody accepts. The kernel then drops the packets that would open
+// another connection, as if the network were cut.
+func (l *Link) fillBacklog(listener *net.TCPListener) error {
+	if err := listener.SetDeadline(time.Unix(1, 0)); err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
 	select {
@@ -217,14 +218,14 @@
 	case <-l.done:
 		return net.ErrClosed
 	}
-	if err := backlog(ln, 0); err != nil {
+	if err := setBacklog(listener, 0); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", l.addr.String())
 	if err != nil {
-		return nil // a client has taken the place
+		return nil // a connection of the near party fills the queue
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,45 +233,45 @@
 	return nil
 }
 
-// backlog changes the length of a listener's accept queue.
-func backlog(ln *net.TCPListener, n int) error {
-	raw, err := ln.SyscallConn()
+// setBacklog changes the length of a listener's accept queue.
+func setBacklog(listener *net.TCPListener, n int) error {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
-	var bad error
-	if err := raw.Control(func(fd uintptr) { bad = syscall.Listen(int(fd), n) }); err != nil || bad != nil {
-		return fmt.Errorf("link: backlog: %w", errors.Join(err, bad))
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil || listenErr != nil {
+		return fmt.Errorf("link: backlog: %w", errors.Join(err, listenErr))
 	}
 	return nil
 }
 
-// serve hands connections to the far party.
-func (l *Link) serve(ln *net.TCPListener) {
+// serve accepts connections and passes them to Accept, until the listener is closed.
+func (l *Link) serve(listener *net.TCPListener) {
 	for {
-		if !l.open() {
+		if !l.awaitUncut() {
 			return
 		}
-		nc, err := ln.Accept()
+		tcpConn, err := listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // a cut
+			continue // the link was cut
 		}
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
-		c := &conn{Conn: nc, link: l, delay: l.first, gone: make(chan struct{})}
+		c := &conn{Conn: tcpConn, link: l, firstDelay: l.firstDelay, closed: make(chan struct{})}
 		l.mu.Lock()
-		late := l.ln != ln
-		if !late {
+		outdated := l.listener != listener
+		if !outdated {
 			l.conns[c] = true
 		}
 		l.mu.Unlock()
-		if late {
+		if outdated {
 			c.reset()
 			return
 		}
 		select {
-		case l.accept <- c:
+		case l.accepted <- c:
 		case <-l.done:
 			c.reset()
 			return
@@ -278,8 +279,8 @@
 	}
 }
 
-// open waits until the link is not cut; false if it is closed or down before.
-func (l *Link) open() bool {
+// awaitUncut waits until the link is not cut. It returns false if the link is closed or goes down first.
+func (l *Link) awaitUncut() bool {
 	for {
 		l.mu.Lock()
 		cut, changed, down := l.quality.CutTo || l.quality.CutFrom, l.changed, l.down
@@ -302,13 +303,14 @@
 	}
 }
 
-// way waits as long as a message takes, and while that way is cut; false if gone is closed.
-func (l *Link) way(to bool, more time.Duration, gone <-chan struct{}) bool {
+// awaitTransit waits for as long as a message takes to the far party or from it, and while that
+// direction is cut. It returns false if closed is closed first.
+func (l *Link) awaitTransit(to bool, extra time.Duration, closed <-chan struct{}) bool {
 	waited := false
 	for {
 		l.mu.Lock()
 		q, changed := l.quality, l.changed
-		wait := q.Delay + more
+		wait := q.Delay + extra
 		if q.Jitter > 0 {
 			wait += time.Duration(l.rng.Int64N(int64(q.Jitter)))
 		}
@@ -329,7 +331,7 @@
 		select {
 		case <-timer:
 		case <-changed:
-		case <-gone:
+		case <-closed:
 			return false
 		}
 	}
@@ -337,29 +339,29 @@
 
 // conn is the far party's end of a connection.
 type conn struct {
-	net.Conn // only as such: what a TCP connection copies by itself would not pass here
-	link     *Link
-	delay    time.Duration // of the first message
-	once     sync.Once
-	gone     chan struct{}
+	net.Conn   // not a *net.TCPConn, whose ReadFrom and WriteTo would bypass the link
+	link       *Link
+	firstDelay time.Duration // additional delay of the first message; zero after it
+	closeOnce  sync.Once
+	closed     chan struct{} // closed by Close
 
-	mu     sync.Mutex
-	sentAt time.Time // the first byte of the message that is read now
-	begun  bool      // since the last write
+	mu     sync.Mutex // guards the fields below
+	sentAt time.Time  // see Sent; zero before the first byte
+	begun  bool       // whether a byte was received since the last Write
 }
 
-// From names the near party.
-func (c *conn) From() string { return c.link.near }
+// From returns the name of the near party.
+func (c *conn) From() string { return c.link.nearName }
 
-// Sent is when the near party sent the first byte since it was last answered, however long the
-// link has held it.
+// Sent returns when the near party sent the first byte since the last Write to it, no matter how
+// long the link delays that byte.
 func (c *conn) Sent() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentAt
 }
 
-// Read brings what the near party sent when it would have arrived.
+// Read returns what the near party sent, once it would have arrived.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -368,37 +370,37 @@
 			c.sentAt, c.begun = time.Now(), true
 		}
 		c.mu.Unlock()
-		more := c.delay
-		c.delay = 0
-		if !c.link.way(true, more, c.gone) {
+		extra := c.firstDelay
+		c.firstDelay = 0
+		if !c.link.awaitTransit(true, extra, c.closed) {
 			return 0, net.ErrClosed
 		}
 	}
 	return n, err
 }
 
-// Write sends to the near party, and returns when it would have arrived.
+// Write waits for as long as the message takes to arrive, and then sends it to the near party.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.begun = false
 	c.mu.Unlock()
-	if !c.link.way(false, 0, c.gone) {
+	if !c.link.awaitTransit(false, 0, c.closed) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
-// Close ends the connection; while the link is cut the near party is not told.
+// Close closes the connection at once, even while the link is cut.
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.gone) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	c.link.mu.Lock()
 	delete(c.link.conns, c)
 	c.link.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// reset ends it with a reset.
+// reset closes the connection with a TCP reset.
 func (c *conn) reset() {
-	_ = c.Conn.(*net.TCPConn).SetLinger(0) // of a connection that is closed already
+	_ = c.Conn.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed already
 	c.Close()
 }
--- a/internal/testbed/faultlink/link_test.go
+++ b/internal/testbed/faultlink/link_test.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests. Only a test that fails reaches it.
+const testTimeout = 20 * time.Second
 
-// echo serves a link: each line comes back.
-func echo(t *testing.T, first time.Duration) *Link {
+// newEchoLink returns a link whose far party sends back all it receives.
+func newEchoLink(t *testing.T, firstDelay time.Duration) *Link {
 	t.Helper()
-	l, err := New(Config{IP: net.IPv4(127, 0, 0, 1), Seed: 1, First: first})
+	l, err := New(Config{IP: net.IPv4(127, 0, 0, 1), Seed: 1, First: firstDelay})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +44,7 @@
 
 func dial(t *testing.T, l *Link) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", l.Addr().String(), patience)
+	c, err := net.DialTimeout("tcp", l.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,15 +52,15 @@
 	return c
 }
 
-// ask sends a line and returns how long its echo took.
-func ask(t *testing.T, c net.Conn) (time.Duration, error) {
+// sendLine sends a line and returns the time until its echo arrived.
+func sendLine(t *testing.T, c net.Conn) (time.Duration, error) {
 	t.Helper()
-	from := time.Now()
+	start := time.Now()
 	if _, err := c.Write([]byte("x\n")); err != nil {
 		return 0, err
 	}
 	_, err := bufio.NewReader(c).ReadString('\n')
-	return time.Since(from), err
+	return time.Since(start), err
 }
 
 func set(t *testing.T, l *Link, q Quality) {
@@ -69,32 +70,33 @@
 	}
 }
 
-func TestDelayBothWaysAndAtFirst(t *testing.T) {
-	l := echo(t, 30*time.Millisecond)
+func TestDelayInBothDirectionsAndOfFirstMessage(t *testing.T) {
+	l := newEchoLink(t, 30*time.Millisecond)
 	set(t, l, Quality{Delay: 20 * time.Millisecond})
 	c := dial(t, l)
-	for i, least := range []time.Duration{70, 40} {
-		if took, err := ask(t, c); err != nil || took < least*time.Millisecond {
-			t.Errorf("message %d took %v, %v, want %v ms at the least", i, took, err, least)
+	for i, minTime := range []time.Duration{70, 40} {
+		if took, err := sendLine(t, c); err != nil || took < minTime*time.Millisecond {
+			t.Errorf("message %d took %v, %v, want at least %v ms", i, took, err, minTime)
 		}
 	}
 }
 
 func TestStalledMessages(t *testing.T) {
-	l := echo(t, 0)
+	l := newEchoLink(t, 0)
 	set(t, l, Quality{Stall: 1, Stalled: 25 * time.Millisecond})
-	if took, err := ask(t, dial(t, l)); err != nil || took < 50*time.Millisecond {
-		t.Errorf("took %v, %v", took, err)
+	if took, err := sendLine(t, dial(t, l)); err != nil || took < 50*time.Millisecond {
+		t.Errorf("took %v, %v, want at least 50 ms", took, err)
 	}
 }
 
-// A cut is silence both on open connections and for new ones, and ends as if it had not been.
+// TestCutIsSilence checks that a cut link delivers nothing on open connections and prevents new ones, and that open and
+// new connections work after the cut.
 func TestCutIsSilence(t *testing.T) {
 	for name, q := range map[string]Quality{"to": {CutTo: true}, "from": {CutFrom: true}, "both": {CutTo: true, CutFrom: true}} {
 		t.Run(name, func(t *testing.T) {
-			l := echo(t, 0)
+			l := newEchoLink(t, 0)
 			c := dial(t, l)
-			if _, err := ask(t, c); err != nil {
+			if _, err := sendLine(t, c); err != nil {
 				t.Fatal(err)
 			}
 			set(t, l, q)
@@ -107,63 +109,64 @@
 			}
 			if n, err := net.DialTimeout("tcp", l.Addr().String(), 100*time.Millisecond); err == nil {
 				n.Close()
-				t.Error("a new connection came up")
+				t.Error("a new connection was established")
 			} else if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
-				t.Errorf("a new connection: %v, want none that comes up", err)
+				t.Errorf("a new connection: %v, want a timeout", err)
 			}
 			set(t, l, Quality{})
-			c.SetReadDeadline(time.Now().Add(patience))
+			c.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := c.Read(make([]byte, 2)); err != nil {
 				t.Errorf("after the cut: %v", err)
 			}
-			if _, err := ask(t, dial(t, l)); err != nil {
+			if _, err := sendLine(t, dial(t, l)); err != nil {
 				t.Errorf("a new connection after the cut: %v", err)
 			}
 		})
 	}
 }
 
-// A process that died resets and refuses, and its next life has the same address.
+// TestDownAndUp checks that a link that is down resets open connections and refuses new ones, and that it has the same
+// address when it is up again.
 func TestDownAndUp(t *testing.T) {
-	l := echo(t, 0)
+	l := newEchoLink(t, 0)
 	c := dial(t, l)
-	if _, err := ask(t, c); err != nil {
+	if _, err := sendLine(t, c); err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	l.Down()
-	if _, err := ask(t, c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
+	if _, err := sendLine(t, c); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
 		t.Errorf("an open connection: %v, want a reset", err)
 	}
-	if _, err := net.DialTimeout("tcp", addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp", addr, testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a new connection: %v, want it refused", err)
 	}
 	if err := l.Up(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ask(t, dial(t, l)); err != nil || l.Addr().String() != addr {
-		t.Errorf("after its start: %v at %v, was at %v", err, l.Addr(), addr)
+	if _, err := sendLine(t, dial(t, l)); err != nil || l.Addr().String() != addr {
+		t.Errorf("after Up: %v at %v, was at %v", err, l.Addr(), addr)
 	}
 }
 
 func TestReset(t *testing.T) {
-	l := echo(t, 0)
+	l := newEchoLink(t, 0)
 	c := dial(t, l)
-	if _, err := ask(t, c); err != nil {
+	if _, err := sendLine(t, c); err != nil {
 		t.Fatal(err)
 	}
 	l.Reset()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%v, want a reset", err)
 	}
-	if _, err := ask(t, dial(t, l)); err != nil {
+	if _, err := sendLine(t, dial(t, l)); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
 }
 
-// A message that a cut holds up was sent when its first byte was, not when it comes through.
-func TestAMessageIsDatedAsItWasSent(t *testing.T) {
+// TestSentIgnoresDelay checks that Sent returns when a message was sent, not when it arrived after a cut.
+func TestSentIgnoresDelay(t *testing.T) {
 	l, err := New(Config{IP: net.IPv4(127, 0, 0, 1), Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -186,16 +189,16 @@
 		t.Fatal(err)
 	}
 	sent := far.(interface{ Sent() time.Time })
-	for end := time.Now().Add(patience); sent.Sent().IsZero(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); sent.Sent().IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never dated")
+			t.Fatal("Sent is still zero")
 		}
 	}
-	healed := time.Now()
+	cutEnd := time.Now()
 	if err := l.Set(Quality{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-read; err != nil || sent.Sent().After(healed) {
-		t.Errorf("%v, sent at %v, healed at %v", err, sent.Sent(), healed)
+	if err := <-read; err != nil || sent.Sent().After(cutEnd) {
+		t.Errorf("%v, sent at %v, cut until %v", err, sent.Sent(), cutEnd)
 	}
 }
--- a/internal/testbed/heapsize/heap.go
+++ b/internal/testbed/heapsize/heap.go
@@ -1,10 +1,10 @@
-// Package heapsize measures what things hold in memory.
+// Package heapsize measures how much heap memory values occupy.
 package heapsize
 
 import "runtime"
 
-// Of is the bytes of heap that what fill returns holds, beyond what was held before. Nothing else
-// of the process may allocate meanwhile.
+// Of returns the number of heap bytes that the result of fill occupies. Nothing else in the process may
+// allocate during the call.
 func Of(fill func() any) int64 {
 	before := Held()
 	v := fill()
@@ -13,10 +13,10 @@
 	return after - before
 }
 
-// Held is the bytes of heap that are in use, after a collection.
+// Held returns the number of heap bytes in use after a garbage collection.
 func Held() int64 {
-	runtime.GC() // the first one frees what waits for finalizers
 	runtime.GC()
+	runtime.GC() // frees what the first collection kept for finalizers
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
--- a/internal/testbed/process/procs.go
+++ b/internal/testbed/process/procs.go
@@ -1,6 +1,6 @@
-// Package process runs the processes of an experiment and ends them, and only them: each is
-// known by its process id from its start to its end, and the kernel kills it if the
-// laboratory itself dies, however that happens.
+// Package process starts the processes of an experiment and ends them, and no others: it knows each
+// of them by its process ID until it has ended. If the laboratory process itself dies for any reason,
+// the kernel kills them.
 package process
 
 import (
@@ -15,32 +15,32 @@
 	"time"
 )
 
-// Spec is how a process is started.
+// Spec describes a process to start.
 type Spec struct {
 	Name string
 	Path string
 	Args []string
-	Env  []string // all of it
-	Log  string   // file that its output is added to
+	Env  []string // complete environment
+	Log  string   // file to which the output is appended
 }
 
-// Group starts processes and ends those that are left. It is safe for concurrent use.
+// Group starts processes, and kills those that still run when it is closed. It is safe for concurrent use.
 type Group struct {
-	spawn chan func()
-	ended chan struct{}
+	spawn chan func()   // functions to run on the thread that starts processes
+	ended chan struct{} // closed when the goroutine of that thread has ended
 
-	mu    sync.Mutex
-	procs map[*Proc]bool
-	done  bool
+	mu     sync.Mutex     // guards the fields below
+	procs  map[*Proc]bool // running processes
+	closed bool           // Close was called
 }
 
-// NewGroup returns an empty group. Close ends it.
+// NewGroup returns an empty group. The caller must close it.
 func NewGroup() *Group {
 	g := &Group{spawn: make(chan func()), ended: make(chan struct{}), procs: map[*Proc]bool{}}
 	go func() {
 		defer close(g.ended)
-		// The kernel's signal at a parent's death is that of the thread which started the
-		// child: this one lives as long as the group.
+		// The kernel sends Pdeathsig when the thread that started the child ends, not its
+		// process. This thread lives as long as the group.
 		runtime.LockOSThread()
 		for f := range g.spawn {
 			f()
@@ -49,58 +49,58 @@
 	return g
 }
 
-// Close kills what still runs and waits until it has ended.
+// Close kills the processes that still run and waits until they have ended.
 func (g *Group) Close() {
 	g.mu.Lock()
-	if g.done {
+	if g.closed {
 		g.mu.Unlock()
 		return
 	}
-	g.done = true
-	var left []*Proc
+	g.closed = true
+	var running []*Proc
 	for p := range g.procs {
-		left = append(left, p)
+		running = append(running, p)
 	}
 	g.mu.Unlock()
-	for _, p := range left {
+	for _, p := range running {
 		p.Kill()
 	}
 	close(g.spawn)
 	<-g.ended
 }
 
-// Proc is one process.
+// Proc is a process that a Group started.
 type Proc struct {
 	Name string
 	Pid  int
 
-	ended chan struct{}
-	err   error // of its end
-	state *os.ProcessState
+	ended chan struct{}    // closed when the process has ended
+	err   error            // result of waiting for the process; set before ended is closed
+	state *os.ProcessState // set before ended is closed
 	proc  *os.Process
 }
 
 // Start starts a process.
 func (g *Group) Start(spec Spec) (*Proc, error) {
-	out, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("procs: %s: %w", spec.Name, err)
+		return nil, fmt.Errorf("process: %s: %w", spec.Name, err)
 	}
-	defer out.Close()
+	defer logFile.Close()
 	cmd := exec.Command(spec.Path, spec.Args...)
-	cmd.Env, cmd.Stdout, cmd.Stderr = spec.Env, out, out
+	cmd.Env, cmd.Stdout, cmd.Stderr = spec.Env, logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	g.mu.Lock()
-	if g.done {
+	if g.closed {
 		g.mu.Unlock()
-		return nil, errors.New("procs: the group has ended")
+		return nil, errors.New("process: the group is closed")
 	}
 	started := make(chan error, 1)
 	g.spawn <- func() { started <- cmd.Start() }
 	err = <-started
 	if err != nil {
 		g.mu.Unlock()
-		return nil, fmt.Errorf("procs: %s: %w", spec.Name, err)
+		return nil, fmt.Errorf("process: %s: %w", spec.Name, err)
 	}
 	p := &Proc{Name: spec.Name, Pid: cmd.Process.Pid, ended: make(chan struct{}), proc: cmd.Process}
 	g.procs[p] = true
@@ -116,32 +116,34 @@
 	return p, nil
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Proc) Ended() <-chan struct{} { return p.ended }
 
-// Err is how it ended; nil for status 0. It waits for the end.
+// Err returns how the process ended: nil for status 0. It waits for the end.
 func (p *Proc) Err() error {
 	<-p.ended
 	return p.err
 }
 
-// CPU is the processor time that it used. It waits for the end.
+// CPU returns the processor time that the process used. It waits for the end.
 func (p *Proc) CPU() time.Duration {
 	<-p.ended
 	return p.state.UserTime() + p.state.SystemTime()
 }
 
-// Kill ends it at once and waits for its end.
+// Kill kills the process and waits for its end.
 func (p *Proc) Kill() {
-	_ = p.Signal(syscall.SIGKILL) // or it has ended already
+	_ = p.Signal(syscall.SIGKILL) // fails if the process has ended already
 	<-p.ended
 }
 
-// Stop pauses it, and Continue lets it go on.
-func (p *Proc) Stop() error     { return p.Signal(syscall.SIGSTOP) }
+// Stop pauses the process.
+func (p *Proc) Stop() error { return p.Signal(syscall.SIGSTOP) }
+
+// Continue resumes the process after Stop.
 func (p *Proc) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Terminate asks it to end in order, and kills it if ctx is done before.
+// Terminate asks the process by SIGTERM to shut down, and kills it if ctx is done first.
 func (p *Proc) Terminate(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -151,19 +153,19 @@
 		return p.err
 	case <-ctx.Done():
 		p.Kill()
-		return fmt.Errorf("procs: %s: did not end in order: %w", p.Name, ctx.Err())
+		return fmt.Errorf("process: %s: did not end after SIGTERM: %w", p.Name, ctx.Err())
 	}
 }
 
-// Signal sends a signal; a process that has ended is an error.
+// Signal sends a signal to the process. It returns os.ErrProcessDone if the process has ended.
 func (p *Proc) Signal(s syscall.Signal) error {
 	select {
 	case <-p.ended:
-		return fmt.Errorf("procs: %s: %w", p.Name, os.ErrProcessDone)
+		return fmt.Errorf("process: %s: %w", p.Name, os.ErrProcessDone)
 	default:
 	}
 	if err := p.proc.Signal(s); err != nil {
-		return fmt.Errorf("procs: %s: %w", p.Name, err)
+		return fmt.Errorf("process: %s: %w", p.Name, err)
 	}
 	return nil
 }
--- a/internal/testbed/process/procs_test.go
+++ b/internal/testbed/process/procs_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The test binary is a process of a group, or a laboratory with one, when told so.
+// TestMain runs the tests. With PROCS_AS it acts as a process of a group, or as a laboratory that starts one.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROCS_AS") {
 	case "child":
@@ -33,8 +33,8 @@
 	os.Exit(m.Run())
 }
 
-func spec(log, as string) Spec {
-	return Spec{Name: as, Path: os.Args[0], Env: []string{"PROCS_AS=" + as, "PROCS_LOG=" + log}, Log: log}
+func spec(log, role string) Spec {
+	return Spec{Name: role, Path: os.Args[0], Env: []string{"PROCS_AS=" + role, "PROCS_LOG=" + log}, Log: log}
 }
 
 func start(t *testing.T, g *Group) *Proc {
@@ -46,7 +46,7 @@
 	return p
 }
 
-// state is the letter of the kernel's for a process.
+// state returns the kernel's letter for the state of a process; "" if there is no such process.
 func state(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -56,17 +56,17 @@
 	return rest[:1]
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, event string, occurred func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); {
+	for end := time.Now().Add(20 * time.Second); !occurred(); {
 		if time.Now().After(end) {
-			t.Fatal(what, "never came")
+			t.Fatal(event, "did not occur")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestCloseEndsAllThatWasStarted(t *testing.T) {
+func TestCloseEndsAllProcesses(t *testing.T) {
 	g := NewGroup()
 	a, b := start(t, g), start(t, g)
 	if err := b.Stop(); err != nil {
@@ -77,11 +77,11 @@
 	g.Close()
 	for _, p := range []*Proc{a, b} {
 		if p.Err() == nil || state(p.Pid) != "" {
-			t.Errorf("process %d still there, %v", p.Pid, p.err)
+			t.Errorf("process %d still exists, %v", p.Pid, p.err)
 		}
 	}
 	if _, err := g.Start(spec(os.DevNull, "child")); err == nil {
-		t.Error("started by a group that has ended")
+		t.Error("a closed group started a process")
 	}
 }
 
@@ -96,7 +96,7 @@
 	if err := p.Continue(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "its going on", func() bool { return state(p.Pid) != "T" })
+	await(t, "its continuation", func() bool { return state(p.Pid) != "T" })
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var exit *exec.ExitError
@@ -104,12 +104,12 @@
 		t.Errorf("%v, want an end by SIGTERM", err)
 	}
 	if err := p.Signal(syscall.SIGTERM); !errors.Is(err, os.ErrProcessDone) {
-		t.Errorf("a signal to what has ended: %v", err)
+		t.Errorf("a signal to an ended process: %v", err)
 	}
 }
 
-// When the laboratory itself is killed, what it started is, too.
-func TestNothingOutlivesTheLaboratory(t *testing.T) {
+// TestNoProcessOutlivesTheLaboratory checks that the processes are killed if the laboratory is.
+func TestNoProcessOutlivesTheLaboratory(t *testing.T) {
 	lab := exec.Command(os.Args[0])
 	lab.Env = spec(filepath.Join(t.TempDir(), "log"), "lab").Env
 	out, err := lab.StdoutPipe()
--- a/internal/testbed/sampling/sample.go
+++ b/internal/testbed/sampling/sample.go
@@ -1,4 +1,4 @@
-// Package sampling makes configurations of the size that a deployment of a kind has.
+// Package sampling generates configurations as large as those of a deployment.
 package sampling
 
 import (
@@ -6,22 +6,23 @@
 	"fmt"
 )
 
-// Size is what decides the size of a configuration.
+// Size is the number of items of each kind in a configuration.
 type Size struct {
 	Routes   int `json:"routes"`
 	Services int `json:"services"`
 	Tenants  int `json:"tenants"`
 }
 
-// Host and Path are of a route, by its number.
+// Host returns the host name of route i.
 func Host(i int) string { return fmt.Sprintf("host-%d.example", i) }
+
+// Path returns the path prefix of route i.
 func Path(i int) string { return fmt.Sprintf("/route-%d/", i) }
 
-// Service is a service's name, by its number.
+// Service returns the name of service i.
 func Service(i int) string { return fmt.Sprintf("service-%d", i) }
 
-// Config is a whole configuration. Tenants are a list that the daemon keeps and passes on without
-// knowing its items.
+// Config returns a complete configuration.
 func Config(revision int64, n Size) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"services":[`, revision)
@@ -38,7 +39,7 @@
 	return b.Bytes()
 }
 
-// Change is a change of one route's time-out.
+// Change returns a patch of the configuration that changes the timeout of one route.
 func Change(revision int64, n Size) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"upsert":{"routes":[%s]}}`, revision,
 		route(int(revision)%max(n.Routes, 1), n.Services, 20000+int(revision)%1000))
--- a/internal/testbed/tcpstate/tcpstate.go
+++ b/internal/testbed/tcpstate/tcpstate.go
@@ -1,4 +1,4 @@
-// Package tcpstate reads from the kernel how the TCP connections of one address are at a moment, as evidence
+// Package tcpstate reads from the kernel the current state of the TCP connections of an address, as evidence
 // of why one of them ended.
 package tcpstate
 
@@ -14,15 +14,15 @@
 )
 
 const (
-	// table is the kernel's table of the TCP sockets over IPv4.
+	// table is the file in which the kernel lists the IPv4 TCP sockets.
 	table = "/proc/net/tcp"
-	// maxSockets bounds how many sockets of an address are returned.
+	// maxSockets is the maximum number of sockets that are returned for an address.
 	maxSockets = 32
-	// fieldLocal to fieldQueues are the columns of the table that are used, from 0.
+	// fieldLocal to fieldQueues are the indices, from 0, of the columns that are read.
 	fieldLocal, fieldRemote, fieldState, fieldQueues = 1, 2, 3, 4
 )
 
-// stateNames are the kernel's names by their number in the table.
+// stateNames are the kernel's names of the states, by their number in the table. "?" stands for an unknown state.
 var stateNames = [...]string{"?", "ESTABLISHED", "SYN_SENT", "SYN_RECV", "FIN_WAIT1", "FIN_WAIT2", "TIME_WAIT", "CLOSE", "CLOSE_WAIT",
 	"LAST_ACK", "LISTEN", "CLOSING", "NEW_SYN_RECV"}
 
@@ -30,16 +30,17 @@
 type Socket struct {
 	Local, Remote netip.AddrPort
 	State         string
-	// Unsent is what the other end has not acknowledged, Unread what has not been read, in bytes. A
-	// listening socket has in Unread the connections that wait to be accepted.
+	// Unsent is the number of bytes that the other end has not acknowledged, Unread that of received bytes
+	// that have not been read. For a listening socket, Unread is the number of connections to be accepted.
 	Unsent, Unread uint64
 }
 
+// String returns the socket in one line.
 func (s Socket) String() string {
 	return fmt.Sprintf("%v to %v %s unsent=%d unread=%d", s.Local, s.Remote, s.State, s.Unsent, s.Unread)
 }
 
-// Of returns the sockets at an address and those connected to it, 32 at most.
+// Of returns the sockets bound to an address and those connected to it, at most maxSockets.
 func Of(address netip.AddrPort) ([]Socket, error) {
 	file, err := os.Open(table)
 	if err != nil {
@@ -52,7 +53,7 @@
 // read returns the sockets of an address from a table.
 func read(from io.Reader, address netip.AddrPort) (sockets []Socket, err error) {
 	lines := bufio.NewScanner(from)
-	lines.Scan() // the names of the columns
+	lines.Scan() // skip the header
 	for lines.Scan() && len(sockets) < maxSockets {
 		socket, err := parse(lines.Text())
 		if err != nil {
@@ -72,7 +73,7 @@
 func parse(line string) (Socket, error) {
 	fields := strings.Fields(line)
 	if len(fields) <= fieldQueues {
-		return Socket{}, fmt.Errorf("tcpstate: %q has %d columns, want over %d", line, len(fields), fieldQueues)
+		return Socket{}, fmt.Errorf("tcpstate: %q has %d columns, want more than %d", line, len(fields), fieldQueues)
 	}
 	var socket Socket
 	var err error
@@ -100,8 +101,8 @@
 	return socket, nil
 }
 
-// parseAddress reads an address as the table has it: the bytes of the address in the order of a little-endian
-// machine, and the port, both in hexadecimal.
+// parseAddress parses an address of the table: the IPv4 address as a little-endian number and the port, both
+// in hexadecimal.
 func parseAddress(text string) (netip.AddrPort, error) {
 	address, port, _ := strings.Cut(text, ":")
 	bytes, err := hex.DecodeString(address)
--- a/internal/testbed/tcpstate/tcpstate_test.go
+++ b/internal/testbed/tcpstate/tcpstate_test.go
@@ -34,7 +34,7 @@
 	}, ends)
 }
 
-// socketsOf returns the sockets of an address without what is not acknowledged, which changes by itself.
+// socketsOf returns the sockets of an address with Unsent set to 0, as it changes over time.
 func socketsOf(t *testing.T, address netip.AddrPort) []Socket {
 	sockets, err := Of(address)
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	return sockets
 }
 
-func TestTablesThatCannotBeRead(t *testing.T) {
+func TestMalformedTables(t *testing.T) {
 	address := netip.MustParseAddrPort("127.0.0.1:80")
 	for line, want := range map[string]string{
 		"0: 0100007F:0050":                             "columns",
