--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -60,9 +60,9 @@
 		golden := compare(t, codec, name, &value)
 		decoded := new(T)
 		require.NoError(t, codec.Unmarshal(golden, decoded))
-		again, err := codec.Marshal(decoded)
+		reencoded, err := codec.Marshal(decoded)
 		require.NoError(t, err)
-		require.Equal(t, string(golden), string(again), "a field of the golden file was not decoded")
+		require.Equal(t, string(golden), string(reencoded), "a field of the golden file was not decoded")
 	})
 }
 
--- a/internal/testbed/baseline/picker.go
+++ b/internal/testbed/baseline/picker.go
@@ -39,7 +39,7 @@
 // New returns a new picker of the given name.
 func New(name string, seed uint64) (Picker, error) {
 	if constructors[name] == nil {
-		return nil, fmt.Errorf("picker: %q is none of %v", name, Names())
+		return nil, fmt.Errorf("baseline: unknown picker %q, want one of %v", name, Names())
 	}
 	return constructors[name](rand.New(rand.NewPCG(seed, 5))), nil
 }
--- a/internal/testbed/heapsize/heap.go
+++ b/internal/testbed/heapsize/heap.go
@@ -6,15 +6,15 @@
 // Of returns the number of heap bytes that the result of fill occupies. Nothing else in the process may
 // allocate during the call.
 func Of(fill func() any) int64 {
-	before := Held()
+	before := InUse()
 	v := fill()
-	after := Held()
+	after := InUse()
 	runtime.KeepAlive(v)
 	return after - before
 }
 
-// Held returns the number of heap bytes in use after a garbage collection.
-func Held() int64 {
+// InUse returns the number of heap bytes in use after a garbage collection.
+func InUse() int64 {
 	runtime.GC()
 	runtime.GC() // frees what the first collection kept for finalizers
 	var m runtime.MemStats
--- a/internal/testbed/process/procs.go
+++ b/internal/testbed/process/procs.go
@@ -39,8 +39,8 @@
 	g := &Group{spawn: make(chan func()), ended: make(chan struct{}), procs: map[*Proc]bool{}}
 	go func() {
 		defer close(g.ended)
-		// The kernel sends Pdeathsig when the thread that started the child ends, not its
-		// process. This thread lives as long as the group.
+		// The kernel sends Pdeathsig when the thread that started the child ends, which may be
+		// long before its process does. This thread lives as long as the group.
 		runtime.LockOSThread()
 		for f := range g.spawn {
 			f()
--- a/internal/testbed/sampling/sample.go
+++ b/internal/testbed/sampling/sample.go
@@ -23,16 +23,16 @@
 func Service(i int) string { return fmt.Sprintf("service-%d", i) }
 
 // Config returns a complete configuration.
-func Config(revision int64, n Size) []byte {
+func Config(revision int64, size Size) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"services":[`, revision)
-	list(&b, n.Services, func(i int) {
+	list(&b, size.Services, func(i int) {
 		fmt.Fprintf(&b, `{"name":%q,"health-path":"/health","conn-limit":330,"protocol":"h1","tls":false,"inference-engine":{"slots":64,"cache-tokens":678399,"kv-token-bytes":163840,"link-mbps":260000.0,"stride":5,"models":[{"name":"model-%d"}]}}`, Service(i), i)
 	})
 	b.WriteString(`],"routes":[`)
-	list(&b, n.Routes, func(i int) { b.Write(route(i, n.Services, 20000)) })
+	list(&b, size.Routes, func(i int) { b.Write(route(i, size.Services, 20000)) })
 	b.WriteString(`],"tenants":[`)
-	list(&b, n.Tenants, func(i int) {
+	list(&b, size.Tenants, func(i int) {
 		fmt.Fprintf(&b, `{"name":"tenant-%d","api-key":"k-%016x","quota":{"per-s":12.5,"burst":40},"priority":1,"models":["model-%d"]}`, i, i, i%6)
 	})
 	b.WriteString(`],"limits":{"header-bytes":16384,"body-bytes":4194304,"header-ms":3000,"idle-ms":15000}}`)
@@ -40,9 +40,9 @@
 }
 
 // Change returns a patch of the configuration that changes the timeout of one route.
-func Change(revision int64, n Size) []byte {
+func Change(revision int64, size Size) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"upsert":{"routes":[%s]}}`, revision,
-		route(int(revision)%max(n.Routes, 1), n.Services, 20000+int(revision)%1000))
+		route(int(revision)%max(size.Routes, 1), size.Services, 20000+int(revision)%1000))
 }
 
 func route(i, services, timeoutMs int) []byte {
--- a/internal/testbed/sampling/sample_test.go
+++ b/internal/testbed/sampling/sample_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestConfigAndChangeAreValid(t *testing.T) {
-	n := Size{Routes: 12, Services: 6, Tenants: 30}
-	raw, rev, err := config.Apply(nil, false, Config(1, n))
+	size := Size{Routes: 12, Services: 6, Tenants: 30}
+	raw, revision, err := config.Apply(nil, false, Config(1, size))
 	require.NoError(t, err)
-	require.Equal(t, int64(1), rev)
+	require.Equal(t, int64(1), revision)
 	for want := int64(2); want < 30; want++ {
-		raw, rev, err = config.Apply(raw, true, Change(want, n))
+		raw, revision, err = config.Apply(raw, true, Change(want, size))
 		require.NoError(t, err)
-		require.Equal(t, want, rev)
+		require.Equal(t, want, revision)
 	}
-	d, err := config.Parse(raw)
+	document, err := config.Parse(raw)
 	require.NoError(t, err)
-	require.Len(t, d.Routes, n.Routes)
-	require.Equal(t, int64(20029), d.Match(Host(5), Path(5)+"x").TimeoutMs)
+	require.Len(t, document.Routes, size.Routes)
+	require.Equal(t, int64(20029), document.Match(Host(5), Path(5)+"x").TimeoutMs)
 }
