--- a/internal/testbed/heapsize/heap.go
+++ b/internal/testbed/heapsize/heap.go
@@ -1,22 +1,22 @@
-// Package heapsize measures what things hold in memory.
+// Package heapsize measures how much heap memory values occupy.
 package heapsize
 
 import "runtime"
 
-// Of is the bytes of heap that what fill returns holds, beyond what was held before. Nothing else
-// of the process may allocate meanwhile.
+// Of returns the number of heap bytes that the result of fill occupies. Nothing else in the process may
+// allocate during the call.
 func Of(fill func() any) int64 {
-	before := Held()
+	before := InUse()
 	v := fill()
-	after := Held()
+	after := InUse()
 	runtime.KeepAlive(v)
 	return after - before
 }
 
-// Held is the bytes of heap that are in use, after a collection.
-func Held() int64 {
-	runtime.GC() // the first one frees what waits for finalizers
+// InUse returns the number of heap bytes in use after a garbage collection.
+func InUse() int64 {
 	runtime.GC()
+	runtime.GC() // frees what the first collection kept for finalizers
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
