--- a/cmd/agentlab/run.go
+++ b/cmd/agentlab/run.go
@@ -21,30 +21,30 @@
 	"chalkdoor.example/chalkdoor/internal/testbed/report"
 )
 
-// errFailed is an experiment whose claims were not kept: all that is to say has been printed.
-var errFailed = errors.New("not all claims were kept")
+// errFailed is returned if a claim of an experiment does not hold. The details have been printed.
+var errFailed = errors.New("not all claims hold")
 
 type runCmd struct {
-	Name   []string `name:"name" arg:"" help:"Experiments, by name or as files. agentlab list names those there are."`
-	Seed   uint64   `name:"seed" default:"1" help:"Of all that is drawn: arrivals, servers, and whom faults befall."`
-	Repeat uint64   `name:"repeat" default:"1" help:"Plays of each, with as many seeds from the first."`
-	Quick  bool     `name:"quick" help:"The short form, within 45 s."`
+	Name   []string `name:"name" arg:"" help:"Experiments, by name or as TOML files; agentlab list shows the names."`
+	Seed   uint64   `name:"seed" default:"1" help:"Seed of arrivals, servers, and the targets of faults."`
+	Repeat uint64   `name:"repeat" default:"1" help:"Number of runs per experiment, with consecutive seeds."`
+	Quick  bool     `name:"quick" help:"Run the short form, within 45 s."`
 	Out    string   `name:"out" help:"Folder for reports and plots." type:"path" default:"out"`
-	Bin    string   `name:"bin" help:"The agent's program; built from this source if there is none beside agentlab." type:"path" placeholder:"FILE"`
+	Bin    string   `name:"bin" help:"The agent's executable. Default: beside agentlab, or built." type:"path" placeholder:"FILE"`
 }
 
-// Run plays and ends each play with a line PASSED or FAILED.
+// Run runs the experiments. The output of each run ends with a line PASSED or FAILED.
 func (c *runCmd) Run(out io.Writer) error {
-	// Also at a hang-up: no process may be left behind.
+	// A hang-up is handled, too, so that no process is left behind.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
-	bin, err := c.program(ctx)
+	bin, err := c.agentProgram(ctx)
 	if err != nil {
 		return err
 	}
 	failed := false
 	for _, name := range c.Name {
-		f, err := find(name)
+		f, err := loadExperiment(name)
 		if err != nil {
 			return err
 		}
@@ -53,14 +53,15 @@
 			if c.Repeat > 1 {
 				dir = filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
 			}
-			r, err := experiment.Run(ctx, f, experiment.Options{Seed: seed, Quick: c.Quick, Bin: bin, Dir: filepath.Join(dir, "logs"), Progress: progress()})
+			r, err := experiment.Run(ctx, f, experiment.Options{Seed: seed, Quick: c.Quick, Bin: bin,
+				Dir: filepath.Join(dir, "logs"), Progress: newProgressBar()})
 			if err != nil {
 				return err
 			}
 			if err := r.Write(dir); err != nil {
 				return err
 			}
-			failed = !verdict(out, r, dir) || failed
+			failed = !printVerdict(out, r, dir) || failed
 		}
 	}
 	if failed {
@@ -69,15 +70,16 @@
 	return nil
 }
 
-// verdict prints each claim and the closing line, and tells whether all were kept.
-func verdict(out io.Writer, r *report.Report, dir string) bool {
+// printVerdict prints each claim and the final line, and tells whether the experiment passed.
+func printVerdict(out io.Writer, r *report.Report, dir string) bool {
 	fmt.Fprintf(out, "%s, seed %d: %d agents, %d servers, %.0f requests a second; the laboratory carries %.0f and was %.1f ms late (p99)\n",
 		r.Name, r.Seed, r.Agents, r.Servers, r.Rate, r.Ceiling, r.Behind)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, p := range r.Plays {
 		f := p.Figures
-		fmt.Fprintf(w, "  %s\tworth %.3f\tserved %.3f\tlate %.3f\trefused %.3f\tfailed %.3f\tp50 %.0f\tp99 %.0f ms\tcross %.2f\tattempts %.2f\tconnections %.3f\n", p.Name,
-			f["served_worth"], f["served"], f["late"], f["refused"], f["failed"], f["p50_ms"], f["p99_ms"], f["cross_zone"], f["attempts"], f["connections"])
+		fmt.Fprintf(w, "  %s\tworth %.3f\tserved %.3f\tlate %.3f\trefused %.3f\tfailed %.3f\tp50 %.0f\tp99 %.0f ms\tcross %.2f\tattempts %.2f\tconnections %.3f\n",
+			p.Name, f["served_worth"], f["served"], f["late"], f["refused"], f["failed"], f["p50_ms"],
+			f["p99_ms"], f["cross_zone"], f["attempts"], f["connections"])
 	}
 	for _, c := range r.Claims {
 		kept := "kept"
@@ -103,21 +105,22 @@
 	return true
 }
 
-// find reads an experiment by its name, or from a file.
-func find(name string) (*experiment.File, error) {
+// loadExperiment loads an experiment by its name, or from a file.
+func loadExperiment(name string) (*experiment.File, error) {
 	if dir, file := filepath.Split(name); strings.HasSuffix(file, ".toml") {
 		return experiment.LoadFile(os.DirFS(filepath.Clean("./"+dir)), strings.TrimSuffix(file, ".toml"))
 	}
 	f, err := experiment.LoadFile(experiments.Files, name)
 	if errors.Is(err, fs.ErrNotExist) {
 		known, _ := experiment.List(experiments.Files)
-		return nil, fmt.Errorf("no experiment %q; there are %s", name, strings.Join(known, ", "))
+		return nil, fmt.Errorf("unknown experiment %q, want one of %s", name, strings.Join(known, ", "))
 	}
 	return f, err
 }
 
-// program is the agent's: as named, beside this one, or built.
-func (c *runCmd) program(ctx context.Context) (string, error) {
+// agentProgram returns the path of the agent's executable: the one in the flags, the one beside agentlab, or a new
+// build.
+func (c *runCmd) agentProgram(ctx context.Context) (string, error) {
 	if c.Bin != "" {
 		return filepath.Abs(c.Bin)
 	}
@@ -125,7 +128,7 @@
 	if err != nil {
 		return "", err
 	}
-	if beside := filepath.Join(filepath.Dir(self), "chalkdoor"); executable(beside) {
+	if beside := filepath.Join(filepath.Dir(self), "chalkdoor"); isExecutable(beside) {
 		return beside, nil
 	}
 	bin, err := filepath.Abs(filepath.Join(c.Out, "chalkdoor"))
@@ -134,35 +137,36 @@
 	}
 	build := exec.CommandContext(ctx, "go", "build", "-o", bin, "chalkdoor.example/chalkdoor/cmd/chalkdoor")
 	if text, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the agent: %w\n%s", err, text)
+		return "", fmt.Errorf("build the agent: %w\n%s", err, text)
 	}
 	return bin, nil
 }
 
-func executable(path string) bool {
+func isExecutable(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
 }
 
-// progress shows a bar on a terminal, and nothing elsewhere.
-func progress() func(string, float64) {
+// newProgressBar returns a function that shows the progress of a run as a bar; nil if standard error is not a terminal.
+func newProgressBar() func(string, float64) {
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
 	}
 	var bar *progressbar.ProgressBar
-	of := ""
-	return func(play string, done float64) {
-		if play != of {
-			of = play
-			bar = progressbar.NewOptions(100, progressbar.OptionSetDescription(play), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish())
+	current := ""
+	return func(run string, done float64) {
+		if run != current {
+			current = run
+			bar = progressbar.NewOptions(100, progressbar.OptionSetDescription(run),
+				progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish())
 		}
-		_ = bar.Set(int(100 * done)) // a bar that fails to show is no fault of the play
+		_ = bar.Set(int(100 * done)) // the run doesn't depend on the display
 	}
 }
 
 type listCmd struct{}
 
-// Run names the experiments.
+// Run lists the experiments.
 func (listCmd) Run(out io.Writer) error {
 	names, err := experiment.List(experiments.Files)
 	if err != nil {
@@ -183,7 +187,7 @@
 	Dir string `name:"dir" arg:"" help:"Folder of a report." type:"path"`
 }
 
-// Run prints a report again, and draws its plots anew.
+// Run prints a report and regenerates its files.
 func (c *reportCmd) Run(out io.Writer) error {
 	r, err := report.Read(c.Dir)
 	if err != nil {
@@ -197,25 +201,25 @@
 }
 
 type compareCmd struct {
-	A string `name:"a" arg:"" help:"Folder of a report, or of one for each seed." type:"path"`
-	B string `name:"b" arg:"" help:"The other." type:"path"`
+	A string `name:"a" arg:"" help:"Folder of a report, or with a folder for each seed." type:"path"`
+	B string `name:"b" arg:"" help:"Folder to compare it with." type:"path"`
 }
 
-// Run sets two reports side by side.
+// Run compares two reports, or two groups of them.
 func (c *compareCmd) Run(out io.Writer) error {
-	a, err := reports(c.A)
+	a, err := readReports(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := reports(c.B)
+	b, err := readReports(c.B)
 	if err != nil {
 		return err
 	}
 	return report.Compare(out, a, b)
 }
 
-// reports reads the report of a folder, or those of its seeds.
-func reports(dir string) (all []*report.Report, err error) {
+// readReports reads the report in a folder, or those in its folders of seeds.
+func readReports(dir string) (all []*report.Report, err error) {
 	seeds, err := filepath.Glob(filepath.Join(dir, "seed-*"))
 	if err != nil || len(seeds) == 0 {
 		seeds = []string{dir}
--- a/internal/testbed/backendmodel/server.go
+++ b/internal/testbed/backendmodel/server.go
@@ -1,10 +1,9 @@
-// Package backendmodel holds what the laboratory takes a report server to be: cores, a bounded
-// queue, a memory of keys, a ramp after its start, and the ways in which it fails. It is a
-// state machine without I/O: times in milliseconds go in, what has ended comes out. The
-// emulator's sockets and the simulated fleet run the same one, so that what is learned in
-// one holds in the other.
+// Package backendmodel models a report server: cores, a bounded queue, a cache of keys, a slow
+// start, and the ways in which the server fails. It is a state machine without I/O: callers
+// pass times in milliseconds and get the jobs that have ended. The emulator with its sockets
+// and the simulated fleet use the same model, so results of one apply to the other.
 //
-// It is a model by the published figures of the servers, and not a measurement of them.
+// The model follows the published figures of the servers; it is not a measurement of them.
 package backendmodel
 
 import (
@@ -12,123 +11,128 @@
 	"math"
 )
 
-// Config is one server's make. Times are in milliseconds.
+// Config describes one server. Times are in milliseconds.
 type Config struct {
 	Cores int
-	Speed float64 // of a core; work is given for a speed of 1
-	Queue int     // requests that may wait; beyond them it turns away
+	Speed float64 // speed of a core; the work of jobs is given for a speed of 1
+	Queue int     // requests that may wait; the server rejects further ones
 
-	ColdFrom float64 // part of its capacity that it starts with
-	ColdMs   float64 // time until it has all
+	ColdFrom float64 // fraction of the capacity at the start, 0 to 1
+	ColdMs   float64 // time from the start until the full capacity is reached
 
-	KeyTTLMs  float64 // for how long it knows a key that it met
-	KeySaving float64 // part of the work that a known key saves
-	KeyMost   int     // keys that it remembers
+	KeyTTLMs  float64 // how long a key stays cached after its last use
+	KeySaving float64 // fraction of the work that a cached key saves, 0 to 1
+	MaxKeys   int     // capacity of the key cache; 0 disables it
 
-	StallEveryMs, StallForMs, StallAtMs float64 // it stands still now and then; 0: never
+	// The server does no work for StallForMs out of every StallEveryMs. StallAtMs is the start of one of
+	// these stalls. There are none if StallForMs is 0, or StallEveryMs is not longer.
+	StallEveryMs, StallForMs, StallAtMs float64
 
-	// A server with over ChokeQueue requests a core waiting for ChokeAfterMs is ChokeFactor
-	// times slower until it has been idle for ChokeIdleMs, or for ChokeMostMs.
-	ChokeQueue, ChokeAfterMs, ChokeFactor, ChokeIdleMs, ChokeMostMs float64
+	// Once more than OverloadQueue requests per core have been waiting for OverloadAfterMs, the server is
+	// OverloadSlowdown times slower until it has been idle for OverloadIdleMs, at most for MaxOverloadMs.
+	OverloadQueue, OverloadAfterMs, OverloadSlowdown, OverloadIdleMs, MaxOverloadMs float64
 
-	// A cold server that is offered more than TipMultiple times its present capacity within
-	// TipMs goes down for good. 0: never.
-	TipMultiple, TipMs float64
+	// A cold server that is offered more than CollapseLoadFactor times its present capacity within
+	// CollapseWindowMs goes down for good. A CollapseLoadFactor of 0 disables this.
+	CollapseLoadFactor, CollapseWindowMs float64
 }
 
 // Job is one request at a server. ID 0 is work that nobody waits for, such as a handshake.
 type Job struct {
 	ID     uint64
-	Key    uint64 // 0: none
+	Key    uint64 // 0 if the job has no key
 	WorkMs float64
 }
 
-// Done is a job that has run.
+// Done is a job that has ended, and its end.
 type Done struct {
 	ID uint64
 	At float64
 }
 
-// Load is what a server reports of itself.
+// Load is the load that a server reports.
 type Load struct {
 	Inflight  int
-	Util      float64 // part of the cores at work, over about a second
-	LatencyMs float64 // mean service time of late
-	QPS       float64
+	Util      float64 // fraction of the cores that are busy, averaged over about a second
+	LatencyMs float64 // moving average of the service times
+	QPS       float64 // jobs that ended, averaged over about a second
 }
 
-type running struct {
-	job  Job
-	from float64
-	ends float64
+type runningJob struct {
+	job       Job
+	startedAt float64
+	endsAt    float64
 }
 
 // Server is one process of a report server. It is not safe for concurrent use.
 type Server struct {
-	cfg     Config
-	started float64 // 0: long ago
-	slow    float64 // times slower than its make
-	now     float64
-	busy    []running // at most Cores
-	queue   []Job
-	keys    map[uint64]*list.Element
-	order   *list.List // of keyAt, oldest first
-	down    bool
-
-	crowded, chokedAt, idleFrom float64 // since when; 0: not
-	offered                     []offer // to a cold server, within TipMs
-	sum, pressed                float64
-
-	util, utilAt, latency, qps float64
-	known, met                 int
+	cfg       Config
+	startedAt float64 // 0 if the server started long ago and is warm
+	slowdown  float64 // factor by which the server is slower than configured
+	now       float64
+	running   []runningJob // at most Cores
+	queue     []Job
+	keys      map[uint64]*list.Element
+	keyOrder  *list.List // elements of type usedKey, least recently used first
+	collapsed bool
+
+	// crowdedSince is the time since when more than OverloadQueue requests per core wait, overloadedAt the begin of
+	// the overload, idleSince the time since when no job runs. Each is 0 if this is not the case.
+	crowdedSince, overloadedAt, idleSince float64
+	offered                               []offer // to a cold server within CollapseWindowMs
+	offeredMs, peakColdLoad               float64 // total work of offered; see Pressed
+
+	util, utilAt, latency, qps float64 // see Load; utilAt is the time of the last update
+	keyHits, keyedJobs         int     // see Keys
 }
 
-type keyAt struct {
-	key uint64
-	at  float64
+type usedKey struct {
+	key    uint64
+	usedAt float64
 }
 
 type offer struct{ at, work float64 }
 
-// New returns a server that started at the time given; 0 is long ago.
-func New(cfg Config, started float64) *Server {
-	return &Server{cfg: cfg, started: started, slow: 1, keys: map[uint64]*list.Element{}, order: list.New()}
+// New returns a server that started at the given time; with 0 it is warm.
+func New(cfg Config, startedAt float64) *Server {
+	return &Server{cfg: cfg, startedAt: startedAt, slowdown: 1, keys: map[uint64]*list.Element{}, keyOrder: list.New()}
 }
 
-// Slow makes it so many times slower for what it begins from now on; 1 is its make.
-func (s *Server) Slow(times float64) { s.slow = times }
+// Slow makes the server slower by a factor, for the jobs that start from now on; 1 is its configured speed.
+func (s *Server) Slow(factor float64) { s.slowdown = factor }
 
-// Down tells whether it has toppled.
-func (s *Server) Down() bool { return s.down }
+// Down tells whether the server has collapsed.
+func (s *Server) Down() bool { return s.collapsed }
 
-// Choked tells whether it is slower for having been crowded.
-func (s *Server) Choked() bool { return s.chokedAt > 0 }
+// Overloaded tells whether the server is slower because of a long queue.
+func (s *Server) Overloaded() bool { return s.overloadedAt > 0 }
 
-// Pressed is the most that it was offered while cold, as a part of what topples it.
-func (s *Server) Pressed() float64 { return s.pressed }
+// Pressed returns the highest load that the server was offered while cold, as a fraction of the load at which it
+// collapses.
+func (s *Server) Pressed() float64 { return s.peakColdLoad }
 
-// Ramp is the part of its capacity that it has.
-func (s *Server) Ramp(now float64) float64 {
-	if age := now - s.started; s.started > 0 && age < s.cfg.ColdMs {
+// StartupFactor returns the fraction of its capacity that the server has reached since its start, 0 to 1.
+func (s *Server) StartupFactor(now float64) float64 {
+	if age := now - s.startedAt; s.startedAt > 0 && age < s.cfg.ColdMs {
 		return s.cfg.ColdFrom + (1-s.cfg.ColdFrom)*max(age, 0)/s.cfg.ColdMs
 	}
 	return 1
 }
 
-// Capacity is the work, in ms at a speed of 1, that it can do in a millisecond.
+// Capacity returns the work, in ms at a speed of 1, that the server can do in a millisecond.
 func (s *Server) Capacity(now float64) float64 {
-	c := float64(s.cfg.Cores) * s.cfg.Speed * s.Ramp(now) / s.slow
-	if s.chokedAt > 0 {
-		c /= s.cfg.ChokeFactor
+	c := float64(s.cfg.Cores) * s.cfg.Speed * s.StartupFactor(now) / s.slowdown
+	if s.overloadedAt > 0 {
+		c /= s.cfg.OverloadSlowdown
 	}
 	return c
 }
 
-// Offer hands it a job. It tells whether it takes it; one that is turned away never runs.
+// Offer passes a job to the server and tells whether the server accepts it. A rejected job never runs.
 func (s *Server) Offer(now float64, j Job) bool {
-	s.settle(now)
-	s.press(now, j)
-	if s.down || len(s.queue) >= s.cfg.Queue && len(s.busy) >= s.cfg.Cores {
+	s.updateState(now)
+	s.recordOffer(now, j)
+	if s.collapsed || len(s.queue) >= s.cfg.Queue && len(s.running) >= s.cfg.Cores {
 		return false
 	}
 	s.queue = append(s.queue, j)
@@ -136,30 +140,30 @@
 	return true
 }
 
-// press counts work against the budget of a cold server.
-func (s *Server) press(now float64, j Job) {
-	if s.cfg.TipMultiple <= 0 || s.Ramp(now) == 1 {
-		s.offered, s.sum = nil, 0
+// recordOffer counts a job against the load that a cold server survives.
+func (s *Server) recordOffer(now float64, j Job) {
+	if s.cfg.CollapseLoadFactor <= 0 || s.StartupFactor(now) == 1 {
+		s.offered, s.offeredMs = nil, 0
 		return
 	}
 	s.offered = append(s.offered, offer{now, j.WorkMs})
-	s.sum += j.WorkMs
-	for len(s.offered) > 0 && s.offered[0].at <= now-s.cfg.TipMs {
-		s.sum -= s.offered[0].work
+	s.offeredMs += j.WorkMs
+	for len(s.offered) > 0 && s.offered[0].at <= now-s.cfg.CollapseWindowMs {
+		s.offeredMs -= s.offered[0].work
 		s.offered = s.offered[1:]
 	}
-	// What is drawn for a single request may be many times the mean: some slack for chance.
-	slack := 3 * s.sum / float64(max(len(s.offered), 1))
-	cold := float64(s.cfg.Cores) * s.cfg.Speed * s.Ramp(now)
-	s.pressed = max(s.pressed, (s.sum-slack)/(s.cfg.TipMultiple*cold*s.cfg.TipMs))
-	if s.sum > s.cfg.TipMultiple*cold*s.cfg.TipMs+slack {
-		s.down = true
+	// The random work of a single request may be many times the mean, so allow for a few such requests.
+	slack := 3 * s.offeredMs / float64(max(len(s.offered), 1))
+	cold := float64(s.cfg.Cores) * s.cfg.Speed * s.StartupFactor(now)
+	s.peakColdLoad = max(s.peakColdLoad, (s.offeredMs-slack)/(s.cfg.CollapseLoadFactor*cold*s.cfg.CollapseWindowMs))
+	if s.offeredMs > s.cfg.CollapseLoadFactor*cold*s.cfg.CollapseWindowMs+slack {
+		s.collapsed = true
 	}
 }
 
-// Cancel drops a job that still waits; one that runs goes on. It tells whether it waited.
+// Cancel removes a job from the queue and tells whether it was there. A job that runs is not cancelled.
 func (s *Server) Cancel(now float64, id uint64) bool {
-	s.settle(now)
+	s.updateState(now)
 	for i, j := range s.queue {
 		if j.ID == id {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
@@ -169,30 +173,31 @@
 	return false
 }
 
-// Next is when the next job ends; false while nothing runs.
+// Next returns the time at which the next job ends; false if none runs.
 func (s *Server) Next() (float64, bool) {
 	at := math.Inf(1)
-	for _, r := range s.busy {
-		at = min(at, r.ends)
+	for _, r := range s.running {
+		at = min(at, r.endsAt)
 	}
-	return at, len(s.busy) > 0
+	return at, len(s.running) > 0
 }
 
-// Advance ends all jobs that are done by now, in order, and starts those that waited.
+// Advance ends the jobs that are done by now, starts waiting ones in their place, and appends the ended ones to out in
+// the order of their ends.
 func (s *Server) Advance(now float64, out []Done) []Done {
 	for {
-		at, some := s.Next()
-		if !some || at > now {
-			s.settle(now)
+		at, exists := s.Next()
+		if !exists || at > now {
+			s.updateState(now)
 			return out
 		}
-		s.settle(at)
-		for i, r := range s.busy {
-			if r.ends == at {
-				s.busy = append(s.busy[:i], s.busy[i+1:]...)
+		s.updateState(at)
+		for i, r := range s.running {
+			if r.endsAt == at {
+				s.running = append(s.running[:i], s.running[i+1:]...)
 				if r.job.ID != 0 {
-					took := at - r.from
-					s.latency += (took - s.latency) * 0.1
+					durationMs := at - r.startedAt
+					s.latency += (durationMs - s.latency) * 0.1
 					s.qps++
 					out = append(out, Done{r.job.ID, at})
 				}
@@ -203,25 +208,25 @@
 	}
 }
 
-// start puts waiting jobs on free cores.
+// start starts waiting jobs on free cores.
 func (s *Server) start(now float64) {
-	for len(s.busy) < s.cfg.Cores && len(s.queue) > 0 {
+	for len(s.running) < s.cfg.Cores && len(s.queue) > 0 {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
 		work := j.WorkMs
-		if s.knows(now, j.Key) {
+		if s.useKey(now, j.Key) {
 			work *= 1 - s.cfg.KeySaving
 		}
-		took := work * float64(s.cfg.Cores) / s.Capacity(now)
-		s.busy = append(s.busy, running{j, now, s.after(now, took)})
+		durationMs := work * float64(s.cfg.Cores) / s.Capacity(now)
+		s.running = append(s.running, runningJob{j, now, s.endOf(now, durationMs)})
 	}
 }
 
-// after is when work that takes so long ends, past the times at which it stands still.
-func (s *Server) after(now, took float64) float64 {
+// endOf returns the time at which work of a duration ends if it starts now. No work is done during stalls.
+func (s *Server) endOf(now, durationMs float64) float64 {
 	every, length := s.cfg.StallEveryMs, s.cfg.StallForMs
 	if every <= length || length <= 0 {
-		return now + took
+		return now + durationMs
 	}
 	phase := math.Mod(now-s.cfg.StallAtMs, every)
 	if phase < 0 {
@@ -230,73 +235,74 @@
 	if phase < length {
 		now, phase = now+length-phase, length
 	}
-	free := every - phase
-	if took <= free {
-		return now + took
+	untilStall := every - phase
+	if durationMs <= untilStall {
+		return now + durationMs
 	}
-	// Whole periods at once: step by step a phase that is rounded to just under a period
-	// would be gone through without end.
-	took -= free
-	periods := math.Ceil(took/(every-length)) - 1
-	return now + free + periods*every + length + took - periods*(every-length)
+	// Skip whole periods at once: a loop over single periods would not end where rounding leaves the phase just
+	// under a period.
+	durationMs -= untilStall
+	periods := math.Ceil(durationMs/(every-length)) - 1
+	return now + untilStall + periods*every + length + durationMs - periods*(every-length)
 }
 
-// knows tells whether it still remembers a key, and lets it remember it.
-func (s *Server) knows(now float64, key uint64) bool {
-	if key == 0 || s.cfg.KeyMost <= 0 {
+// useKey tells whether a key is cached, and caches it as the most recently used one.
+func (s *Server) useKey(now float64, key uint64) bool {
+	if key == 0 || s.cfg.MaxKeys <= 0 {
 		return false
 	}
-	known := false
-	s.met++
+	cached := false
+	s.keyedJobs++
 	if e := s.keys[key]; e != nil {
-		known = now-e.Value.(keyAt).at < s.cfg.KeyTTLMs
-		if known {
-			s.known++
+		cached = now-e.Value.(usedKey).usedAt < s.cfg.KeyTTLMs
+		if cached {
+			s.keyHits++
 		}
-		s.order.Remove(e)
+		s.keyOrder.Remove(e)
 	}
-	s.keys[key] = s.order.PushBack(keyAt{key, now})
-	if s.order.Len() > s.cfg.KeyMost {
-		delete(s.keys, s.order.Remove(s.order.Front()).(keyAt).key)
+	s.keys[key] = s.keyOrder.PushBack(usedKey{key, now})
+	if s.keyOrder.Len() > s.cfg.MaxKeys {
+		delete(s.keys, s.keyOrder.Remove(s.keyOrder.Front()).(usedKey).key)
 	}
-	return known
+	return cached
 }
 
-// settle brings figures that change with time up to now.
-func (s *Server) settle(now float64) {
+// updateState updates the load figures and the overload state to the present time.
+func (s *Server) updateState(now float64) {
 	if dt := now - s.utilAt; dt > 0 {
 		w := math.Exp(-dt / 1000)
-		s.util = s.util*w + float64(len(s.busy))/float64(s.cfg.Cores)*(1-w)
+		s.util = s.util*w + float64(len(s.running))/float64(s.cfg.Cores)*(1-w)
 		s.qps *= w
 		s.utilAt = now
 	}
 	s.now = now
-	if s.cfg.ChokeFactor <= 1 {
+	if s.cfg.OverloadSlowdown <= 1 {
 		return
 	}
-	if float64(len(s.queue)) <= s.cfg.ChokeQueue*float64(s.cfg.Cores) {
-		s.crowded = 0
-	} else if s.crowded == 0 {
-		s.crowded = now
+	if float64(len(s.queue)) <= s.cfg.OverloadQueue*float64(s.cfg.Cores) {
+		s.crowdedSince = 0
+	} else if s.crowdedSince == 0 {
+		s.crowdedSince = now
 	}
-	if len(s.busy) > 0 {
-		s.idleFrom = 0
-	} else if s.idleFrom == 0 {
-		s.idleFrom = now
+	if len(s.running) > 0 {
+		s.idleSince = 0
+	} else if s.idleSince == 0 {
+		s.idleSince = now
 	}
 	switch {
-	case s.chokedAt == 0 && s.crowded > 0 && now-s.crowded >= s.cfg.ChokeAfterMs:
-		s.chokedAt = now
-	case s.chokedAt > 0 && (now-s.chokedAt >= s.cfg.ChokeMostMs || s.idleFrom > 0 && now-s.idleFrom >= s.cfg.ChokeIdleMs):
-		s.chokedAt, s.crowded = 0, 0
+	case s.overloadedAt == 0 && s.crowdedSince > 0 && now-s.crowdedSince >= s.cfg.OverloadAfterMs:
+		s.overloadedAt = now
+	case s.overloadedAt > 0 && (now-s.overloadedAt >= s.cfg.MaxOverloadMs ||
+		s.idleSince > 0 && now-s.idleSince >= s.cfg.OverloadIdleMs):
+		s.overloadedAt, s.crowdedSince = 0, 0
 	}
 }
 
-// Load is what it reports now.
+// Load returns the load that the server reports now.
 func (s *Server) Load(now float64) Load {
-	s.settle(now)
-	return Load{Inflight: len(s.busy) + len(s.queue), Util: s.util, LatencyMs: s.latency, QPS: s.qps}
+	s.updateState(now)
+	return Load{Inflight: len(s.running) + len(s.queue), Util: s.util, LatencyMs: s.latency, QPS: s.qps}
 }
 
-// Keys is how many jobs with a key it has begun, and of how many of them it knew it.
-func (s *Server) Keys() (known, met int) { return s.known, s.met }
+// Keys returns the number of started jobs with a cached key, and that of all started jobs with a key.
+func (s *Server) Keys() (hits, total int) { return s.keyHits, s.keyedJobs }
--- a/internal/testbed/fleetsim/fleet.go
+++ b/internal/testbed/fleetsim/fleet.go
@@ -1,10 +1,10 @@
-// Package fleetsim plays a whole fleet in simulated time: many instances of the decision
-// module, each with its own clients and connections, and the model's servers behind links
-// of a stated delay. One goroutine plays it, everything is drawn from one seed, and equal
-// configurations give equal results, so a failing seed replays.
+// Package fleetsim simulates a whole fleet in virtual time: many instances of the decision
+// module, each with its own clients and connections, and servers of package backendmodel
+// behind links with a configured delay. It runs in one goroutine and draws all random values
+// from one seed, so equal configurations give equal results and a failing seed can be replayed.
 //
-// It leaves out what the module cannot see: sockets, processes and the machine's own time.
-// What it tells is how decisions that are each sound add up over a fleet.
+// It leaves out what the decision module cannot see: sockets, processes and wall-clock time.
+// It shows the joint effect of decisions that are each sound on a fleet.
 package fleetsim
 
 import (
@@ -17,78 +17,85 @@
 	"chalkdoor.example/chalkdoor/policy"
 )
 
-// Config is one play. Times are in milliseconds, rates a second.
+// Config describes one simulation. Times are in milliseconds, rates per second.
 type Config struct {
 	Seed               uint64
 	Agents             int
 	Servers            int
 	Zones              int
-	Rate               float64 // requests of all clients together
-	Spread             float64 // of the agents' rates: sigma of a lognormal draw
-	Keys               int     // distinct keys, by Zipf with exponent KeySkew
+	Rate               float64 // requests of all clients together, without retries
+	RateSpread         float64 // sigma of the lognormal distribution of the agents' request rates
+	Keys               int     // number of distinct keys; their popularity follows Zipf's law with exponent KeySkew
 	KeySkew            float64
-	ForMs              float64
-	Settings           policy.Settings     // index, zone and replicas are set for each agent
-	Server             backendmodel.Config // Speed is drawn from SpeedFrom to SpeedTo
-	SpeedFrom, SpeedTo float64
-	// WorkMs is the mean work of a request of each class, Share how many of all requests
-	// are of it.
-	WorkMs, Share []float64
-	HandshakeMs   float64 // a server's work for a new connection
-	NearMs, FarMs float64 // one way, in a zone and between zones
-	ListMs        float64 // how late the list tells a change
-	IdleMs        float64 // for how long agents keep an idle connection
-	RetryMs       float64 // after how long a refused or failed client comes again, once; 0: never
-	Scenario      string  // one of Scenarios
-	Recall        bool    // agents that start again come with what they knew
-}
-
-// Second is what happened to the requests that came, and the attempts that began, in a second.
-type Second struct {
-	Asked, Served, Late, Refused, Failed    int
-	Attempts, Timeouts, Full, Cross, Probes int
-	Handshakes                              int
-	Worth, Earned                           float64
-
-	// At its end, on the mean of the agents, and of the servers that are there.
+	DurationMs         float64             // time in which clients send new requests
+	Settings           policy.Settings     // without AgentIndex, AgentCount and Zone, which are set for each agent
+	Server             backendmodel.Config // without Speed, which is drawn from MinSpeed to MaxSpeed
+	MinSpeed, MaxSpeed float64
+	// WorkMs is the mean work of a request, ClassShare the fraction of all requests, both by
+	// class.
+	WorkMs, ClassShare      []float64
+	HandshakeMs             float64 // work of a server for a new connection
+	SameZoneMs, CrossZoneMs float64 // mean one-way delay of a link within a zone, and between zones
+	DiscoveryDelayMs        float64 // time until agents learn of a change of the servers
+	IdleTimeoutMs           float64 // how long agents keep an idle connection
+	RetryDelayMs            float64 // mean pause before the only retry of a request; 0 disables retries
+	Scenario                string  // one of Scenarios()
+	RestoreSnapshots        bool    // whether agents restore their snapshot after a restart
+}
+
+// SecondStats counts the requests that were first sent in one second, by their outcomes, and the attempts that were
+// sent in it.
+type SecondStats struct {
+	Requests, Served, Late, Rejected, Failed                int
+	Attempts, Timeouts, ServerRejections, CrossZone, Probes int
+	Handshakes                                              int
+	Value, ServedValue                                      float64 // of all requests, and what was earned of it
+
+	// The following fields are samples from the end of the second. Agents holds means over the agents, except for
+	// Pending, which is a total. The utilizations are means over the warm and the cold servers.
 	Agents             policy.BalancerStats
 	WarmUtil, ColdUtil float64
-	Choked             int
+	OverloadedServers  int
 }
 
-// Result is one play's outcome. Lost, Twice and Toppled are broken rules.
+// Result is the outcome of one simulation; SecondStats has the totals of its counters. Unanswered, DuplicateExecutions
+// and CollapsedServers count violated guarantees: requests without an answer before the client's timeout, repeated
+// executions of requests that are not idempotent, and cold servers that collapsed under their load.
 type Result struct {
-	Second
-	Seconds       []Second
-	Lost, Twice   int
-	Toppled       int
-	Pressed       float64 // the most that a cold server was offered, as a part of what topples it
-	WarmShare     float64 // of the jobs that found their key known
-	HandshakeRate float64 // for each request that a client sent first
+	SecondStats
+	Seconds                         []SecondStats
+	Unanswered, DuplicateExecutions int
+	CollapsedServers                int
+	PeakColdLoad                    float64 // peak load of a cold server, as a fraction of what makes it collapse
+	KeyHitRate                      float64 // fraction of the jobs with a key whose key was cached
+	HandshakeRate                   float64 // new connections per request
 }
 
-// Net is the worth served after what connections, probes and crossings cost.
-func (r *Result) Net(p *policy.Prices) float64 {
-	n := float64(max(r.Asked, 1))
-	return r.Earned/max(r.Worth, 1) - (p.Handshake*float64(r.Handshakes)+p.Probe*float64(r.Probes)+
-		p.CrossZone*float64(r.Cross))/n
+// Net returns the served fraction of the requests' value, minus the prices of handshakes, probes and attempts across
+// zones.
+func (r *Result) Net(prices *policy.Prices) float64 {
+	n := float64(max(r.Requests, 1))
+	return r.ServedValue/max(r.Value, 1) - (prices.Handshake*float64(r.Handshakes)+prices.Probe*float64(r.Probes)+
+		prices.CrossZone*float64(r.CrossZone))/n
 }
 
+// event is a callback that runs at a time.
 type event struct {
 	at  float64
-	seq uint64
-	do  func()
+	seq uint64 // order among events of the same time
+	run func()
 }
 
-type queue []event
+// eventQueue is a heap of events, earliest first. It implements heap.Interface.
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -98,163 +105,167 @@
 
 type server struct {
 	*backendmodel.Server
-	addr   policy.Addr
-	zone   int
-	speed  float64
-	since  float64
-	silent bool // cut off, or not there
-	errors float64
-	gone   bool
-	drains bool
-	tick   float64
+	addr        policy.Addr
+	zone        int
+	speed       float64
+	startedAt   float64 // start of its process; 0 if it was warm from the beginning
+	unreachable bool    // partitioned or down
+	errorRate   float64 // fraction of the requests that it answers with an error, 0 to 1
+	removed     bool    // from discovery
+	draining    bool
+	nextWake    float64 // time of the last scheduled wake-up
 }
 
 type agent struct {
-	index  int
-	zone   int
-	rate   float64
-	bal    *policy.Balancer
-	life   int // counts its starts
-	idle   map[policy.Addr][]float64
-	nextID policy.RequestID
-	reqs   map[policy.RequestID]*request
-}
-
-// ask is what a client wants, over its tries.
-type ask struct {
-	class int
-	key   uint64
-	first float64
-	again int
-	pushy bool // comes again at once, as often as it can
-	work  float64
-	ran   int
-}
-
+	index       int
+	zone        int
+	rate        float64 // requests per second
+	balancer    *policy.Balancer
+	incarnation int                       // number of starts so far
+	idleSince   map[policy.Addr][]float64 // by server: since when each idle connection is idle
+	nextID      policy.RequestID
+	requests    map[policy.RequestID]*request
+}
+
+// clientRequest is a request as its client sees it, with all its retries.
+type clientRequest struct {
+	class       int
+	key         uint64
+	firstSentAt float64
+	retries     int     // so far
+	eager       bool    // the client retries at once, up to maxEagerRetries times
+	workMs      float64 // work of an execution
+	executions  int     // attempts that servers have accepted
+}
+
+// request is one request to an agent: a client's request, or a retry of it.
 type request struct {
 	id       policy.RequestID
-	ask      *ask
+	origin   *clientRequest
 	deadline float64
-	tries    []*try
-	over     bool
+	attempts []*attempt
+	ended    bool
 }
 
-type try struct {
-	to     *server
-	over   bool
-	job    uint64
-	sent   float64
-	mayRun bool
+// attempt is one attempt of a request at a server.
+type attempt struct {
+	server     *server
+	ended      bool
+	job        uint64 // at the server; 0 until the server has accepted it
+	sentAt     float64
+	mayHaveRun bool // whether the server may have executed it
 }
 
-type play struct {
+// simulation is one run of a configuration.
+type simulation struct {
 	Config
-	rng     *rand.Rand
-	now     float64
-	seq     uint64
-	events  queue
-	agents  []*agent
-	servers []*server
-	byAddr  map[policy.Addr]*server
-	listed  []policy.Endpoint // what discovery has told
-	jobs    map[uint64]func(at float64)
-	nextJob uint64
-	zipf    []float64
-	out     Result
-	done    []backendmodel.Done
-	pushy   float64 // part of the clients
-	err     error
-}
-
-// pushyTries is how often a pushy client comes again for one request.
-const pushyTries = 8
-
-// start is when a play begins on the clock of its agents.
-const start = 1e6
-
-// Run plays a configuration to its end.
+	random     *rand.Rand
+	now        float64
+	seq        uint64
+	events     eventQueue
+	agents     []*agent
+	servers    []*server
+	byAddr     map[policy.Addr]*server
+	published  []policy.Endpoint           // the servers that discovery has published
+	jobs       map[uint64]func(at float64) // callbacks for the ends of accepted jobs, by their ids
+	nextJob    uint64
+	zipf       []float64 // cumulative weights of the keys
+	result     Result
+	done       []backendmodel.Done // buffer of advance
+	eagerShare float64             // fraction of the clients that retry at once, 0 to 1
+	err        error
+}
+
+// maxEagerRetries bounds the retries of one request by an eager client.
+const maxEagerRetries = 8
+
+// startTime is the agents' time, in ms, at the start of a simulation.
+const startTime = 1e6
+
+// Run simulates a configuration.
 func Run(cfg Config) (*Result, error) {
-	p := &play{Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: start,
+	sim := &simulation{Config: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 1)), now: startTime,
 		byAddr: map[policy.Addr]*server{}, jobs: map[uint64]func(float64){}}
-	scene, ok := scenes[cfg.Scenario]
+	scenario, ok := scenarios[cfg.Scenario]
 	if !ok {
 		return nil, fmt.Errorf("fleet: unknown scenario %q, want one of %v", cfg.Scenario, Scenarios())
 	}
-	p.out.Seconds = make([]Second, int(math.Ceil(cfg.ForMs/1000))+1)
+	sim.result.Seconds = make([]SecondStats, int(math.Ceil(cfg.DurationMs/1000))+1)
 	sum := 0.0
 	for i := range cfg.Keys {
 		sum += math.Pow(float64(i+1), -cfg.KeySkew)
-		p.zipf = append(p.zipf, sum)
+		sim.zipf = append(sim.zipf, sum)
 	}
 	for range cfg.Servers {
-		p.addServer(0)
+		sim.addServer(0)
 	}
-	p.listed = p.entries()
+	sim.published = sim.endpoints()
 	total := 0.0
 	for i := range cfg.Agents {
-		a := &agent{index: i, zone: i % cfg.Zones, rate: math.Exp(cfg.Spread * p.rng.NormFloat64())}
+		a := &agent{index: i, zone: i % cfg.Zones, rate: math.Exp(cfg.RateSpread * sim.random.NormFloat64())}
 		total += a.rate
-		p.agents = append(p.agents, a)
+		sim.agents = append(sim.agents, a)
 	}
-	for _, a := range p.agents {
+	for _, a := range sim.agents {
 		a.rate *= cfg.Rate / total
-		if err := p.boot(a); err != nil {
+		if err := sim.startAgent(a); err != nil {
 			return nil, err
 		}
-		p.arrive(a)
+		sim.scheduleArrival(a)
 	}
-	scene(p)
-	for i := range p.out.Seconds {
-		p.at(start+1000*float64(i+1)-0.5, func() { p.look(&p.out.Seconds[i]) })
+	scenario(sim)
+	for i := range sim.result.Seconds {
+		sim.schedule(startTime+1000*float64(i+1)-0.5, func() { sim.sample(&sim.result.Seconds[i]) })
 	}
-	end := start + cfg.ForMs + 5000
-	for len(p.events) > 0 && p.err == nil {
-		e := heap.Pop(&p.events).(event)
+	end := startTime + cfg.DurationMs + 5000
+	for len(sim.events) > 0 && sim.err == nil {
+		e := heap.Pop(&sim.events).(event)
 		if e.at > end {
 			break
 		}
-		p.now = e.at
-		e.do()
+		sim.now = e.at
+		e.run()
 	}
-	p.sum()
-	return &p.out, p.err
+	sim.computeTotals()
+	return &sim.result, sim.err
 }
 
-func (p *play) sum() {
-	for i := range p.out.Seconds {
-		s, t := &p.out.Seconds[i], &p.out.Second
-		t.Asked += s.Asked
+// computeTotals sums up the counters of all seconds and servers.
+func (sim *simulation) computeTotals() {
+	for i := range sim.result.Seconds {
+		s, t := &sim.result.Seconds[i], &sim.result.SecondStats
+		t.Requests += s.Requests
 		t.Served += s.Served
 		t.Late += s.Late
-		t.Refused += s.Refused
+		t.Rejected += s.Rejected
 		t.Failed += s.Failed
 		t.Attempts += s.Attempts
 		t.Timeouts += s.Timeouts
-		t.Full += s.Full
-		t.Cross += s.Cross
+		t.ServerRejections += s.ServerRejections
+		t.CrossZone += s.CrossZone
 		t.Probes += s.Probes
 		t.Handshakes += s.Handshakes
-		t.Worth += s.Worth
-		t.Earned += s.Earned
-	}
-	known, met := 0, 0
-	for _, s := range p.servers {
-		k, m := s.Keys()
-		known, met = known+k, met+m
-		p.out.Pressed = max(p.out.Pressed, s.Pressed())
+		t.Value += s.Value
+		t.ServedValue += s.ServedValue
+	}
+	hits, total := 0, 0
+	for _, s := range sim.servers {
+		h, n := s.Keys()
+		hits, total = hits+h, total+n
+		sim.result.PeakColdLoad = max(sim.result.PeakColdLoad, s.Pressed())
 		if s.Down() {
-			p.out.Toppled++
+			sim.result.CollapsedServers++
 		}
 	}
-	p.out.WarmShare = float64(known) / float64(max(met, 1))
-	p.out.HandshakeRate = float64(p.out.Handshakes) / float64(max(p.out.Asked, 1))
+	sim.result.KeyHitRate = float64(hits) / float64(max(total, 1))
+	sim.result.HandshakeRate = float64(sim.result.Handshakes) / float64(max(sim.result.Requests, 1))
 }
 
-// look notes what agents believe and servers bear.
-func (p *play) look(s *Second) {
-	n := float64(len(p.agents))
-	for _, a := range p.agents {
-		f := a.bal.Stats()
+// sample records the state of agents and servers in the statistics of a second.
+func (sim *simulation) sample(s *SecondStats) {
+	n := float64(len(sim.agents))
+	for _, a := range sim.agents {
+		f := a.balancer.Stats()
 		s.Agents.LoadShedding += f.LoadShedding / n
 		s.Agents.Admission += f.Admission / n
 		s.Agents.Demand += f.Demand / n
@@ -262,107 +273,110 @@
 		s.Agents.Pending += f.Pending
 	}
 	warm, cold := 0.0, 0.0
-	for _, x := range p.servers {
-		if x.silent || x.gone || x.drains {
+	for _, x := range sim.servers {
+		if x.unreachable || x.removed || x.draining {
 			continue
 		}
-		util := x.Load(p.now).Util
-		if x.Ramp(p.now) < 1 {
+		util := x.Load(sim.now).Util
+		if x.StartupFactor(sim.now) < 1 {
 			s.ColdUtil += util
 			cold++
 		} else {
 			s.WarmUtil += util
 			warm++
 		}
-		if x.Choked() {
-			s.Choked++
+		if x.Overloaded() {
+			s.OverloadedServers++
 		}
 	}
 	s.WarmUtil /= max(warm, 1)
 	s.ColdUtil /= max(cold, 1)
 }
 
-func (p *play) at(t float64, do func()) {
-	p.seq++
-	heap.Push(&p.events, event{t, p.seq, do})
+// schedule runs a callback at a time.
+func (sim *simulation) schedule(t float64, run func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{t, sim.seq, run})
 }
 
-func (p *play) after(ms float64, do func()) { p.at(p.now+ms, do) }
+// scheduleAfter runs a callback after a delay.
+func (sim *simulation) scheduleAfter(ms float64, run func()) { sim.schedule(sim.now+ms, run) }
 
-func (p *play) second(t float64) *Second {
-	return &p.out.Seconds[min(max(int((t-start)/1000), 0), len(p.out.Seconds)-1)]
+// secondOf returns the statistics of the second that a time falls into, or of the nearest one.
+func (sim *simulation) secondOf(t float64) *SecondStats {
+	return &sim.result.Seconds[min(max(int((t-startTime)/1000), 0), len(sim.result.Seconds)-1)]
 }
 
-// ---- servers and their list ----
+// ---- servers and discovery ----
 
-func (p *play) addServer(since float64) *server {
-	n := len(p.servers)
-	s := &server{zone: n % p.Zones, addr: policy.Addr{10, byte(n >> 16), byte(n >> 8), byte(n), 0x13, 0x8b},
-		speed: p.SpeedFrom + (p.SpeedTo-p.SpeedFrom)*p.rng.Float64()}
-	p.servers = append(p.servers, s)
-	p.byAddr[s.addr] = s
-	p.restart(s, since)
+func (sim *simulation) addServer(startedAt float64) *server {
+	n := len(sim.servers)
+	s := &server{zone: n % sim.Zones, addr: policy.Addr{10, byte(n >> 16), byte(n >> 8), byte(n), 0x13, 0x8b},
+		speed: sim.MinSpeed + (sim.MaxSpeed-sim.MinSpeed)*sim.random.Float64()}
+	sim.servers = append(sim.servers, s)
+	sim.byAddr[s.addr] = s
+	sim.restart(s, startedAt)
 	return s
 }
 
-// restart begins a new process, cold unless since is 0.
-func (p *play) restart(s *server, since float64) {
-	cfg := p.Server
+// restart starts a new process of a server. The process is cold unless startedAt is 0.
+func (sim *simulation) restart(s *server, startedAt float64) {
+	cfg := sim.Server
 	cfg.Speed = s.speed
-	cfg.StallAtMs = p.rng.Float64() * cfg.StallEveryMs
-	s.Server, s.since, s.silent, s.tick = backendmodel.New(cfg, since), since, false, 0
+	cfg.StallAtMs = sim.random.Float64() * cfg.StallEveryMs
+	s.Server, s.startedAt, s.unreachable, s.nextWake = backendmodel.New(cfg, startedAt), startedAt, false, 0
 }
 
-func (p *play) entry(s *server) policy.Endpoint {
-	e := policy.Endpoint{Server: s.addr, Zone: s.zone, Cell: s.zone, StartedMs: s.since, Status: policy.Ready,
-		Weight: float64(p.Server.Cores)}
+func (sim *simulation) endpointOf(s *server) policy.Endpoint {
+	e := policy.Endpoint{Server: s.addr, Zone: s.zone, Cell: s.zone, StartedMs: s.startedAt, Status: policy.Ready,
+		Weight: float64(sim.Server.Cores)}
 	switch {
-	case s.gone:
+	case s.removed:
 		e.Status = policy.Removed
-	case s.drains:
+	case s.draining:
 		e.Status = policy.Draining
 	}
 	return e
 }
 
-func (p *play) entries() (list []policy.Endpoint) {
-	for _, s := range p.servers {
-		if !s.gone {
-			list = append(list, p.entry(s))
+func (sim *simulation) endpoints() (list []policy.Endpoint) {
+	for _, s := range sim.servers {
+		if !s.removed {
+			list = append(list, sim.endpointOf(s))
 		}
 	}
 	return list
 }
 
-// tell lets discovery tell what has changed, late.
-func (p *play) tell(changed ...*server) {
+// publish sends the state of changed servers to all agents after the delay of discovery.
+func (sim *simulation) publish(changed ...*server) {
 	var list []policy.Endpoint
 	for _, s := range changed {
-		list = append(list, p.entry(s))
+		list = append(list, sim.endpointOf(s))
 	}
-	p.after(p.ListMs, func() {
-		p.listed = p.entries()
-		for _, a := range p.agents {
-			p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateDelta, Endpoints: list})
+	sim.scheduleAfter(sim.DiscoveryDelayMs, func() {
+		sim.published = sim.endpoints()
+		for _, a := range sim.agents {
+			sim.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateDelta, Endpoints: list})
 		}
 	})
 }
 
-// work lets a server go on up to now, and wakes up when its next job ends.
-func (p *play) work(s *server) {
-	p.done = s.Advance(p.now, p.done[:0])
-	for _, d := range p.done {
-		if f := p.jobs[d.ID]; f != nil {
-			delete(p.jobs, d.ID)
+// advance advances a server to the present time, and schedules the next call for the end of its next job.
+func (sim *simulation) advance(s *server) {
+	sim.done = s.Advance(sim.now, sim.done[:0])
+	for _, d := range sim.done {
+		if f := sim.jobs[d.ID]; f != nil {
+			delete(sim.jobs, d.ID)
 			f(d.At)
 		}
 	}
-	if at, some := s.Next(); some && at != s.tick {
-		s.tick = at
-		of := s.Server
-		p.at(at, func() {
-			if s.Server == of {
-				p.work(s)
+	if at, some := s.Next(); some && at != s.nextWake {
+		s.nextWake = at
+		process := s.Server
+		sim.schedule(at, func() {
+			if s.Server == process {
+				sim.advance(s)
 			}
 		})
 	}
@@ -370,285 +384,300 @@
 
 // ---- agents ----
 
-func (p *play) boot(a *agent) error {
-	var memory *policy.Snapshot
-	if a.bal != nil && p.Recall {
-		memory = a.bal.Snapshot(p.now)
+// startAgent starts or restarts an agent. A restart ends its requests, as the process is gone.
+func (sim *simulation) startAgent(a *agent) error {
+	var snapshot *policy.Snapshot
+	if a.balancer != nil && sim.RestoreSnapshots {
+		snapshot = a.balancer.Snapshot(sim.now)
 	}
-	set := p.Settings
-	set.AgentIndex, set.AgentCount, set.Zone = a.index, p.Agents, a.zone
-	bal, err := policy.New(set, p.rng.Uint64())
+	settings := sim.Settings
+	settings.AgentIndex, settings.AgentCount, settings.Zone = a.index, sim.Agents, a.zone
+	balancer, err := policy.New(settings, sim.random.Uint64())
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	for _, r := range a.reqs {
-		for _, t := range r.tries {
-			t.over = true
+	for _, r := range a.requests {
+		for _, t := range r.attempts {
+			t.ended = true
 		}
-		if !r.over {
-			r.over = true
-			p.failed(a, r)
+		if !r.ended {
+			r.ended = true
+			sim.requestFailed(a, r)
 		}
 	}
-	a.life++
-	a.bal, a.idle, a.reqs = bal, map[policy.Addr][]float64{}, map[policy.RequestID]*request{}
-	p.carryOut(a, bal.Start(p.now, nil))
-	p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateCached, Endpoints: p.listed})
-	if memory != nil {
-		p.handle(a, &policy.Event{Kind: policy.EventRestore, Snapshot: memory})
+	a.incarnation++
+	a.balancer, a.idleSince, a.requests = balancer, map[policy.Addr][]float64{}, map[policy.RequestID]*request{}
+	sim.execute(a, balancer.Start(sim.now, nil))
+	sim.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateCached, Endpoints: sim.published})
+	if snapshot != nil {
+		sim.handle(a, &policy.Event{Kind: policy.EventRestore, Snapshot: snapshot})
 	}
 	return nil
 }
 
-func (p *play) handle(a *agent, ev *policy.Event) {
-	p.carryOut(a, a.bal.Handle(p.now, ev, nil))
+func (sim *simulation) handle(a *agent, ev *policy.Event) {
+	sim.execute(a, a.balancer.Handle(sim.now, ev, nil))
 }
 
-// still does something later unless the agent was started again meanwhile.
-func (p *play) still(a *agent, ms float64, do func()) {
-	life := a.life
-	p.after(ms, func() {
-		if a.life == life {
-			do()
+// scheduleFor runs a callback after a delay unless the agent has been restarted by then.
+func (sim *simulation) scheduleFor(a *agent, ms float64, run func()) {
+	incarnation := a.incarnation
+	sim.scheduleAfter(ms, func() {
+		if a.incarnation == incarnation {
+			run()
 		}
 	})
 }
 
-func (p *play) carryOut(a *agent, actions []policy.Action) {
+// execute carries out the actions that an agent's balancer has decided on.
+func (sim *simulation) execute(a *agent, actions []policy.Action) {
 	for _, act := range actions {
-		r := a.reqs[act.Request]
+		r := a.requests[act.Request]
 		switch act.Kind {
 		case policy.ActionSend:
-			p.send(a, r, &act)
+			sim.sendAttempt(a, r, &act)
 		case policy.ActionCancel:
-			p.cancel(a, r, act.Attempt)
+			sim.cancelAttempt(a, r, act.Attempt)
 		case policy.ActionReject, policy.ActionFail:
-			if r == nil || r.over {
+			if r == nil || r.ended {
 				continue
 			}
-			p.close(a, r)
-			s := p.second(r.ask.first)
+			sim.close(a, r)
+			s := sim.secondOf(r.origin.firstSentAt)
 			if act.Kind == policy.ActionFail {
-				p.failed(a, r)
-			} else if !p.comeAgain(a, r.ask, act.DurationMs) {
-				s.Refused++
+				sim.requestFailed(a, r)
+			} else if !sim.retry(a, r.origin, act.DurationMs) {
+				s.Rejected++
 			}
 		case policy.ActionTimer:
 			token := act.Token
-			p.still(a, act.DurationMs, func() { p.handle(a, &policy.Event{Kind: policy.EventTimer, Token: token}) })
+			sim.scheduleFor(a, act.DurationMs, func() {
+				sim.handle(a, &policy.Event{Kind: policy.EventTimer, Token: token})
+			})
 		case policy.ActionFetch:
-			p.still(a, 10, func() {
-				p.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFull, Endpoints: p.listed})
+			sim.scheduleFor(a, 10, func() {
+				sim.handle(a, &policy.Event{Kind: policy.EventDiscovery, Update: policy.UpdateFull,
+					Endpoints: sim.published})
 			})
 		case policy.ActionCloseIdle:
-			delete(a.idle, act.Server)
+			delete(a.idleSince, act.Server)
 		case policy.ActionProbe:
-			p.probe(a, act.Server)
+			sim.probe(a, act.Server)
 		}
 	}
 }
 
-func (p *play) close(a *agent, r *request) {
-	r.over = true
-	p.forget(a, r)
+// close ends a request towards its client.
+func (sim *simulation) close(a *agent, r *request) {
+	r.ended = true
+	sim.removeIfDone(a, r)
 }
 
-func (p *play) forget(a *agent, r *request) {
-	for _, t := range r.tries {
-		if !t.over {
+// removeIfDone removes a request once it and all its attempts have ended.
+func (sim *simulation) removeIfDone(a *agent, r *request) {
+	for _, t := range r.attempts {
+		if !t.ended {
 			return
 		}
 	}
-	if r.over {
-		delete(a.reqs, r.id)
+	if r.ended {
+		delete(a.requests, r.id)
 	}
 }
 
-func (p *play) failed(a *agent, r *request) {
-	for _, t := range r.tries {
-		if t.mayRun && p.Settings.Classes[r.ask.class].Idempotency == policy.NonIdempotent {
-			p.second(r.ask.first).Failed++
+// requestFailed lets the client retry a failed request if that is safe, and counts the failure if it does not.
+func (sim *simulation) requestFailed(a *agent, r *request) {
+	for _, t := range r.attempts {
+		if t.mayHaveRun && sim.Settings.Classes[r.origin.class].Idempotency == policy.NonIdempotent {
+			sim.secondOf(r.origin.firstSentAt).Failed++
 			return
 		}
 	}
-	if !p.comeAgain(a, r.ask, 0) {
-		p.second(r.ask.first).Failed++
+	if !sim.retry(a, r.origin, 0) {
+		sim.secondOf(r.origin.firstSentAt).Failed++
 	}
 }
 
-func (p *play) oneWay(a *agent, s *server) float64 {
-	mean := p.NearMs
+// oneWay draws the delay of a message between an agent and a server.
+func (sim *simulation) oneWay(a *agent, s *server) float64 {
+	mean := sim.SameZoneMs
 	if a.zone != s.zone {
-		mean = p.FarMs
+		mean = sim.CrossZoneMs
 	}
-	return mean * (0.9 + 0.2*p.rng.Float64())
+	return mean * (0.9 + 0.2*sim.random.Float64())
 }
 
-// connect is the time until a connection to the server is up; false if it never comes up.
-func (p *play) connect(a *agent, s *server) (ms float64, up bool) {
-	if idle := a.idle[s.addr]; len(idle) > 0 {
+// connect takes an idle connection or opens a new one. It returns the time until the connection is established, or
+// until the attempt fails, and whether it is established.
+func (sim *simulation) connect(a *agent, s *server) (ms float64, up bool) {
+	if idle := a.idleSince[s.addr]; len(idle) > 0 {
 		since := idle[len(idle)-1]
-		if a.idle[s.addr] = idle[:len(idle)-1]; p.now-since < p.IdleMs {
+		if a.idleSince[s.addr] = idle[:len(idle)-1]; sim.now-since < sim.IdleTimeoutMs {
 			return 0, true
 		}
-		delete(a.idle, s.addr)
+		delete(a.idleSince, s.addr)
 	}
-	if s.silent || s.gone {
-		return p.Settings.Limits.ConnectTimeoutMs, false
+	if s.unreachable || s.removed {
+		return sim.Settings.Limits.ConnectTimeoutMs, false
 	}
-	way := p.oneWay(a, s)
+	way := sim.oneWay(a, s)
 	if s.Down() {
 		return 2 * way, false
 	}
-	p.second(p.now).Handshakes++
-	s.Offer(p.now, backendmodel.Job{WorkMs: p.HandshakeMs})
-	p.work(s)
+	sim.secondOf(sim.now).Handshakes++
+	s.Offer(sim.now, backendmodel.Job{WorkMs: sim.HandshakeMs})
+	sim.advance(s)
 	return 4 * way, true
 }
 
-func (p *play) send(a *agent, r *request, act *policy.Action) {
-	s := p.byAddr[act.Server]
+func (sim *simulation) sendAttempt(a *agent, r *request, act *policy.Action) {
+	s := sim.byAddr[act.Server]
 	if r == nil || s == nil {
-		p.err = fmt.Errorf("fleet: agent %d sends request %d, which it does not hold, or to no server", a.index, act.Request)
+		sim.err = fmt.Errorf("fleet: agent %d sends request %d, which is not open, or sends it to an unknown server",
+			a.index, act.Request)
 		return
 	}
-	n := len(r.tries)
-	t := &try{to: s, sent: p.now, mayRun: true}
-	r.tries = append(r.tries, t)
-	sec := p.second(p.now)
-	sec.Attempts++
+	n := len(r.attempts)
+	t := &attempt{server: s, sentAt: sim.now, mayHaveRun: true}
+	r.attempts = append(r.attempts, t)
+	second := sim.secondOf(sim.now)
+	second.Attempts++
 	if a.zone != s.zone {
-		sec.Cross++
+		second.CrossZone++
 	}
-	end := func(st policy.Status) {
-		if t.over {
+	end := func(status policy.Status) {
+		if t.ended {
 			return
 		}
-		t.over = true
-		t.mayRun = !st.NotExecuted()
-		if st == policy.OK && !r.over {
-			r.over = true
-			p.served(r.ask)
+		t.ended = true
+		t.mayHaveRun = !status.NotExecuted()
+		if status == policy.OK && !r.ended {
+			r.ended = true
+			sim.requestServed(r.origin)
 		}
-		switch st {
+		switch status {
 		case policy.OK, policy.Rejected, policy.Error:
-			a.idle[s.addr] = append(a.idle[s.addr], p.now)
+			a.idleSince[s.addr] = append(a.idleSince[s.addr], sim.now)
 		case policy.Timeout:
-			p.second(t.sent).Timeouts++
+			sim.secondOf(t.sentAt).Timeouts++
 		}
-		if st == policy.Rejected {
-			p.second(t.sent).Full++
+		if status == policy.Rejected {
+			sim.secondOf(t.sentAt).ServerRejections++
 		}
-		p.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: s.addr, Status: st,
-			LatencyMs: p.now - t.sent, Final: r.over})
-		p.forget(a, r)
+		sim.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: s.addr,
+			Status: status, LatencyMs: sim.now - t.sentAt, Final: r.ended})
+		sim.removeIfDone(a, r)
 	}
-	p.still(a, max(act.DurationMs, 0), func() { end(policy.Timeout) })
-	ms, up := p.connect(a, s)
+	sim.scheduleFor(a, max(act.DurationMs, 0), func() { end(policy.Timeout) })
+	ms, up := sim.connect(a, s)
 	if !up {
-		p.still(a, ms, func() { end(policy.ConnectFailed) })
+		sim.scheduleFor(a, ms, func() { end(policy.ConnectFailed) })
 		return
 	}
-	way := p.oneWay(a, s)
-	p.after(ms+way, func() { // also of an agent that is gone
+	way := sim.oneWay(a, s)
+	sim.scheduleAfter(ms+way, func() { // the request arrives even if the agent has been restarted since
 		switch {
-		case t.over || s.silent || s.gone:
+		case t.ended || s.unreachable || s.removed:
 			return
 		case s.Down():
-			p.still(a, way, func() { end(policy.ConnectFailed) })
+			sim.scheduleFor(a, way, func() { end(policy.ConnectFailed) })
 			return
-		case s.errors > 0 && p.rng.Float64() < s.errors:
-			p.still(a, way, func() { end(policy.Error) })
+		case s.errorRate > 0 && sim.random.Float64() < s.errorRate:
+			sim.scheduleFor(a, way, func() { end(policy.Error) })
 			return
 		}
-		p.nextJob++
-		id := p.nextJob
-		p.work(s)
-		if !s.Offer(p.now, backendmodel.Job{ID: id, Key: r.ask.key, WorkMs: r.ask.work}) {
-			p.still(a, way, func() { end(policy.Rejected) })
+		sim.nextJob++
+		id := sim.nextJob
+		sim.advance(s)
+		if !s.Offer(sim.now, backendmodel.Job{ID: id, Key: r.origin.key, WorkMs: r.origin.workMs}) {
+			sim.scheduleFor(a, way, func() { end(policy.Rejected) })
 			return
 		}
 		t.job = id
-		if r.ask.ran++; r.ask.ran > 1 && p.Settings.Classes[r.ask.class].Idempotency == policy.NonIdempotent {
-			p.out.Twice++
+		if r.origin.executions++; r.origin.executions > 1 &&
+			sim.Settings.Classes[r.origin.class].Idempotency == policy.NonIdempotent {
+			sim.result.DuplicateExecutions++
 		}
-		of := s.Server
-		p.jobs[id] = func(at float64) {
-			if !s.silent && s.Server == of {
-				p.still(a, at-p.now+way, func() { end(policy.OK) })
+		process := s.Server
+		sim.jobs[id] = func(at float64) {
+			if !s.unreachable && s.Server == process {
+				sim.scheduleFor(a, at-sim.now+way, func() { end(policy.OK) })
 			}
 		}
-		p.work(s)
+		sim.advance(s)
 	})
 }
 
-func (p *play) cancel(a *agent, r *request, n int) {
-	if r == nil || n >= len(r.tries) || r.tries[n].over {
+func (sim *simulation) cancelAttempt(a *agent, r *request, n int) {
+	if r == nil || n >= len(r.attempts) || r.attempts[n].ended {
 		return
 	}
-	t := r.tries[n]
-	t.over = true
-	p.after(p.oneWay(a, t.to), func() {
-		if t.job != 0 && t.to.Cancel(p.now, t.job) {
-			delete(p.jobs, t.job)
+	t := r.attempts[n]
+	t.ended = true
+	sim.scheduleAfter(sim.oneWay(a, t.server), func() {
+		if t.job != 0 && t.server.Cancel(sim.now, t.job) {
+			delete(sim.jobs, t.job)
 		}
 	})
-	p.still(a, 0, func() {
-		p.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: t.to.addr,
-			Status: policy.Cancelled, LatencyMs: p.now - t.sent, Final: r.over})
-		p.forget(a, r)
+	sim.scheduleFor(a, 0, func() {
+		sim.handle(a, &policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: n, Server: t.server.addr,
+			Status: policy.Cancelled, LatencyMs: sim.now - t.sentAt, Final: r.ended})
+		sim.removeIfDone(a, r)
 	})
 }
 
-func (p *play) probe(a *agent, addr policy.Addr) {
-	s := p.byAddr[addr]
-	p.second(p.now).Probes++
-	told := func(ms float64, st policy.Status, report []float32) {
-		p.still(a, ms, func() {
-			p.handle(a, &policy.Event{Kind: policy.EventProbeEnded, Server: addr, Status: st, LatencyMs: ms, LoadReport: report})
+func (sim *simulation) probe(a *agent, addr policy.Addr) {
+	s := sim.byAddr[addr]
+	sim.secondOf(sim.now).Probes++
+	reportEnd := func(ms float64, status policy.Status, report []float32) {
+		sim.scheduleFor(a, ms, func() {
+			sim.handle(a, &policy.Event{Kind: policy.EventProbeEnded, Server: addr, Status: status, LatencyMs: ms,
+				LoadReport: report})
 		})
 	}
-	ms, up := p.connect(a, s)
-	way := p.oneWay(a, s)
+	ms, up := sim.connect(a, s)
+	way := sim.oneWay(a, s)
 	switch {
 	case !up:
-		told(ms, policy.ConnectFailed, nil)
-	case s.silent || s.gone:
-		told(2*p.Settings.Limits.ConnectTimeoutMs, policy.Timeout, nil)
+		reportEnd(ms, policy.ConnectFailed, nil)
+	case s.unreachable || s.removed:
+		reportEnd(2*sim.Settings.Limits.ConnectTimeoutMs, policy.Timeout, nil)
 	default:
-		p.work(s)
-		l := s.Load(p.now)
-		told(ms+2*way, policy.OK, []float32{float32(l.Inflight), float32(l.Util), float32(l.LatencyMs), float32(l.QPS)})
-		a.idle[addr] = append(a.idle[addr], p.now)
+		sim.advance(s)
+		l := s.Load(sim.now)
+		reportEnd(ms+2*way, policy.OK, []float32{float32(l.Inflight), float32(l.Util), float32(l.LatencyMs),
+			float32(l.QPS)})
+		a.idleSince[addr] = append(a.idleSince[addr], sim.now)
 	}
 }
 
 // ---- clients ----
 
-// arrive lets the next client of an agent come.
-func (p *play) arrive(a *agent) {
-	p.after(p.rng.ExpFloat64()*1000/a.rate, func() {
-		if p.now > start+p.ForMs {
+// scheduleArrival schedules an agent's next new request.
+func (sim *simulation) scheduleArrival(a *agent) {
+	sim.scheduleAfter(sim.random.ExpFloat64()*1000/a.rate, func() {
+		if sim.now > startTime+sim.DurationMs {
 			return
 		}
-		c := &ask{first: p.now, key: p.key(), class: p.class(), pushy: p.rng.Float64() < p.pushy}
-		c.work = p.WorkMs[c.class] * p.rng.ExpFloat64()
-		s := p.second(p.now)
-		s.Asked++
-		s.Worth += p.Settings.Classes[c.class].Value
-		p.request(a, c, false)
-		p.arrive(a)
+		c := &clientRequest{firstSentAt: sim.now, key: sim.drawKey(), class: sim.drawClass(),
+			eager: sim.random.Float64() < sim.eagerShare}
+		c.workMs = sim.WorkMs[c.class] * sim.random.ExpFloat64()
+		s := sim.secondOf(sim.now)
+		s.Requests++
+		s.Value += sim.Settings.Classes[c.class].Value
+		sim.sendRequest(a, c, false)
+		sim.scheduleArrival(a)
 	})
 }
 
-func (p *play) key() uint64 {
-	if len(p.zipf) == 0 {
+func (sim *simulation) drawKey() uint64 {
+	if len(sim.zipf) == 0 {
 		return 0
 	}
-	x := p.rng.Float64() * p.zipf[len(p.zipf)-1]
-	lo, hi := 0, len(p.zipf)
+	x := sim.random.Float64() * sim.zipf[len(sim.zipf)-1]
+	lo, hi := 0, len(sim.zipf)
 	for lo < hi {
-		if mid := (lo + hi) / 2; p.zipf[mid] < x {
+		if mid := (lo + hi) / 2; sim.zipf[mid] < x {
 			lo = mid + 1
 		} else {
 			hi = mid
@@ -657,56 +686,58 @@
 	return uint64(lo+1) * 0x9e3779b97f4a7c15
 }
 
-func (p *play) class() int {
-	x := p.rng.Float64()
-	for i, share := range p.Share {
+func (sim *simulation) drawClass() int {
+	x := sim.random.Float64()
+	for i, share := range sim.ClassShare {
 		if x -= share; x < 0 {
 			return i
 		}
 	}
-	return len(p.Share) - 1
+	return len(sim.ClassShare) - 1
 }
 
-func (p *play) request(a *agent, c *ask, retry bool) {
-	class := p.Settings.Classes[c.class]
+func (sim *simulation) sendRequest(a *agent, c *clientRequest, retry bool) {
+	class := sim.Settings.Classes[c.class]
 	a.nextID++
-	r := &request{id: a.nextID, ask: c, deadline: c.first + class.ClientTimeoutMs}
-	a.reqs[r.id] = r
-	left := r.deadline - p.now
-	p.still(a, left, func() {
-		if !r.over {
-			p.out.Lost++
-			p.second(c.first).Failed++
-			p.close(a, r)
-			p.handle(a, &policy.Event{Kind: policy.EventClientGone, Request: r.id})
+	r := &request{id: a.nextID, origin: c, deadline: c.firstSentAt + class.ClientTimeoutMs}
+	a.requests[r.id] = r
+	left := r.deadline - sim.now
+	sim.scheduleFor(a, left, func() {
+		if !r.ended {
+			sim.result.Unanswered++
+			sim.secondOf(c.firstSentAt).Failed++
+			sim.close(a, r)
+			sim.handle(a, &policy.Event{Kind: policy.EventClientGone, Request: r.id})
 		}
 	})
-	p.handle(a, &policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: -1, Key: c.key,
-		RemainingMs: left - min(8, left/8), IsRetry: retry && p.Settings.Clients.MarksRetry})
+	sim.handle(a, &policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: -1, Key: c.key,
+		RemainingMs: left - min(8, left/8), IsRetry: retry && sim.Settings.Clients.MarksRetry})
 }
 
-// comeAgain tells whether the client tries once more, after the wait it was given at least.
-// Pushy ones do not wait, and come as often as pushyTries times.
-func (p *play) comeAgain(a *agent, c *ask, wait float64) bool {
-	wait, most := max(wait, p.RetryMs*(0.5+p.rng.Float64())), 1
-	if c.pushy {
-		wait, most = 50*p.rng.Float64(), pushyTries
+// retry lets the client retry unless its retries or its time are used up, and tells whether it does. wait is the least
+// pause before the retry; eager clients ignore it.
+func (sim *simulation) retry(a *agent, c *clientRequest, wait float64) bool {
+	wait, maxRetries := max(wait, sim.RetryDelayMs*(0.5+sim.random.Float64())), 1
+	if c.eager {
+		wait, maxRetries = 50*sim.random.Float64(), maxEagerRetries
 	}
-	if p.RetryMs <= 0 || c.again >= most || p.now+wait >= c.first+p.Settings.Classes[c.class].ClientTimeoutMs {
+	if sim.RetryDelayMs <= 0 || c.retries >= maxRetries ||
+		sim.now+wait >= c.firstSentAt+sim.Settings.Classes[c.class].ClientTimeoutMs {
 		return false
 	}
-	c.again++
-	p.after(wait, func() { p.request(a, c, true) })
+	c.retries++
+	sim.scheduleAfter(wait, func() { sim.sendRequest(a, c, true) })
 	return true
 }
 
-func (p *play) served(c *ask) {
-	s, class := p.second(c.first), p.Settings.Classes[c.class]
-	if p.now-c.first <= class.LatencyTargetMs {
+// requestServed counts a request that was served, in time or late.
+func (sim *simulation) requestServed(c *clientRequest) {
+	s, class := sim.secondOf(c.firstSentAt), sim.Settings.Classes[c.class]
+	if sim.now-c.firstSentAt <= class.LatencyTargetMs {
 		s.Served++
-		s.Earned += class.Value
+		s.ServedValue += class.Value
 		return
 	}
 	s.Late++
-	s.Earned += class.Value * class.LateValueShare
+	s.ServedValue += class.Value * class.LateValueShare
 }
--- a/internal/testbed/fleetsim/fleet_test.go
+++ b/internal/testbed/fleetsim/fleet_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// small is a play that takes a second: many agents with little traffic each.
-func small(seed uint64, scenario string) Config {
-	cfg := Site(seed, scenario)
-	cfg.Agents, cfg.Servers, cfg.Rate, cfg.ForMs = 60, 34, 900, 16000
+// smallFleet returns a simulation that runs for about a second: many agents with little traffic each.
+func smallFleet(seed uint64, scenario string) Config {
+	cfg := FullFleet(seed, scenario)
+	cfg.Agents, cfg.Servers, cfg.Rate, cfg.DurationMs = 60, 34, 900, 16000
 	return cfg
 }
 
@@ -21,59 +21,59 @@
 	return r
 }
 
-func TestSameSeedSamePlay(t *testing.T) {
-	cfg := small(1, "zone")
-	cfg.ForMs = 4000
+func TestSimulationIsDeterministic(t *testing.T) {
+	cfg := smallFleet(1, "zone")
+	cfg.DurationMs = 4000
 	a, b := run(t, cfg), run(t, cfg)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("two plays of one seed differ: %+v and %+v", a.Second, b.Second)
+		t.Errorf("two runs of one seed differ: %+v and %+v", a.SecondStats, b.SecondStats)
 	}
 	cfg.Seed = 2
 	if c := run(t, cfg); reflect.DeepEqual(a, c) {
-		t.Error("another seed plays the same")
+		t.Error("another seed gives the same result")
 	}
 }
 
-// In every scenario each request gets its answer in time, nothing unsafe runs twice, no
-// cold server topples, and what came is what was answered.
+// In every scenario each request is answered before its client's timeout, no request that is not idempotent is
+// executed twice, no cold server collapses, and the outcomes add up to the number of requests.
 func TestRulesHoldInEveryScenario(t *testing.T) {
 	for _, name := range Scenarios() {
 		t.Run(name, func(t *testing.T) {
-			r := run(t, small(3, name))
-			if r.Lost > 0 || r.Twice > 0 || r.Toppled > 0 {
-				t.Errorf("%d lost, %d run twice, %d servers toppled", r.Lost, r.Twice, r.Toppled)
+			r := run(t, smallFleet(3, name))
+			if r.Unanswered > 0 || r.DuplicateExecutions > 0 || r.CollapsedServers > 0 {
+				t.Errorf("%d requests unanswered, %d executed twice, %d servers collapsed",
+					r.Unanswered, r.DuplicateExecutions, r.CollapsedServers)
 			}
-			if sum := r.Served + r.Late + r.Refused + r.Failed; sum != r.Asked || r.Asked < 10000 {
-				t.Errorf("%d asked, %d answered", r.Asked, sum)
+			if sum := r.Served + r.Late + r.Rejected + r.Failed; sum != r.Requests || r.Requests < 10000 {
+				t.Errorf("%d requests, %d outcomes", r.Requests, sum)
 			}
-			if worth := r.Earned / r.Worth; worth < 0.3 || worth > 1 {
-				t.Errorf("%.3f of the worth was served", worth)
+			if served := r.ServedValue / r.Value; served < 0.3 || served > 1 {
+				t.Errorf("%.3f of the value was served", served)
 			}
 		})
 	}
 }
 
-// zone+mass: of 300 agents each opened a connection to nearly every server and gave it up
-// idle, 57 for 100 requests.
-func TestAgentsOfLittleTrafficKeepTheirConnections(t *testing.T) {
-	cfg := Site(4, "calm")
-	cfg.Agents, cfg.Servers, cfg.Rate, cfg.ForMs = 100, 100, 1500, 12000
-	if r := run(t, cfg); r.HandshakeRate > 0.25 || r.Earned < 0.97*r.Worth {
-		t.Errorf("%.2f new connections a request and %.3f of the worth served, want 0.25 at most and 0.97",
-			r.HandshakeRate, r.Earned/r.Worth)
+// Each of 300 agents opened connections to nearly all servers and closed them idle, 57 connections per 100 requests.
+func TestAgentsWithLittleTrafficReuseConnections(t *testing.T) {
+	cfg := FullFleet(4, "calm")
+	cfg.Agents, cfg.Servers, cfg.Rate, cfg.DurationMs = 100, 100, 1500, 12000
+	if r := run(t, cfg); r.HandshakeRate > 0.25 || r.ServedValue < 0.97*r.Value {
+		t.Errorf("%.2f new connections per request and %.3f of the value served, want at most 0.25 and at least 0.97",
+			r.HandshakeRate, r.ServedValue/r.Value)
 	}
 }
 
 func TestUnknownScenario(t *testing.T) {
-	if _, err := Run(Site(1, "flood")); err == nil {
-		t.Error("an unknown scenario was played")
+	if _, err := Run(FullFleet(1, "flood")); err == nil {
+		t.Error("an unknown scenario was run")
 	}
 }
 
-func TestBadSettings(t *testing.T) {
-	cfg := small(1, "calm")
+func TestInvalidSettings(t *testing.T) {
+	cfg := smallFleet(1, "calm")
 	cfg.Settings.Membership = ""
 	if _, err := Run(cfg); err == nil {
-		t.Error("settings that the module refuses were played")
+		t.Error("settings that package policy rejects were accepted")
 	}
 }
--- a/internal/testbed/mesh/mesh.go
+++ b/internal/testbed/mesh/mesh.go
@@ -1,9 +1,9 @@
-// Package mesh is the network between agents in the laboratory: one relay an agent, UDP and
-// TCP, at an address that the laboratory owns and the agent advertises. A relay knows the
-// sender by its source address, as each agent sends from an address of its own, and delays,
-// loses, cuts or resets by pair. So n agents need n relays, and run as on a real network.
+// Package mesh emulates the network between the agents of a test fleet. It has one relay per
+// agent, for UDP and TCP, at an address that the agent advertises. Each agent sends from an
+// address of its own, by which a relay identifies the sender. So a relay can apply delays,
+// losses and cuts to each pair of agents, and n agents need only n relays.
 //
-// A cut is silence: datagrams are lost, and streams stay open and bring nothing.
+// While a link is cut, datagrams are lost, and streams stay open but transfer nothing.
 package mesh
 
 import (
@@ -17,61 +17,61 @@
 	"time"
 )
 
-// Quality is how one agent's way to another is at a moment.
+// Quality is the state of the link from one agent to another.
 type Quality struct {
-	Delay time.Duration // one way
-	Loss  float64       // of datagrams
-	Cut   bool
+	Delay time.Duration // one-way delay
+	Loss  float64       // fraction of the datagrams that are lost, 0 to 1
+	Cut   bool          // nothing passes
 }
 
 // Mesh is the network of a fleet. It is safe for concurrent use.
 type Mesh struct {
-	quality atomic.Pointer[func(from, to string) Quality]
-	rngMu   sync.Mutex
-	rng     *rand.Rand
+	quality  atomic.Pointer[func(from, to string) Quality]
+	randomMu sync.Mutex
+	random   *rand.Rand
 
-	mu     sync.Mutex
-	names  map[string]string   // by source address
-	relays map[string][]*relay // by name
-	closed bool
-	all    sync.WaitGroup
+	mu         sync.Mutex
+	names      map[string]string   // of agents, by their source addresses
+	relays     map[string][]*relay // by the agent's name
+	closed     bool
+	goroutines sync.WaitGroup
 }
 
-// New returns a network without agents, on which all is well.
+// New returns a network without agents. Its links have no delays or losses.
 func New(seed uint64) *Mesh {
-	m := &Mesh{rng: rand.New(rand.NewPCG(seed, 11)), names: map[string]string{}, relays: map[string][]*relay{}}
+	m := &Mesh{random: rand.New(rand.NewPCG(seed, 11)), names: map[string]string{}, relays: map[string][]*relay{}}
 	m.Set(func(string, string) Quality { return Quality{} })
 	return m
 }
 
-// Set makes a function of the names the quality of each way from now on; it must be safe for
-// concurrent use.
+// Set sets the function that returns the quality of the link between two agents, by their names.
+// The function must be safe for concurrent use.
 func (m *Mesh) Set(quality func(from, to string) Quality) { m.quality.Store(&quality) }
 
-// Stats is what an agent was sent by others: datagrams and bytes that passed, datagrams that
-// did not.
+// Stats counts what other agents have sent to an agent: the datagrams and the bytes that passed, and the datagrams that
+// were lost.
 type Stats struct{ Datagrams, Bytes, Lost int64 }
 
-// relay stands for one agent.
+// relay forwards datagrams and streams to one port of an agent.
 type relay struct {
-	name    string
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	to      *net.UDPAddr // where the agent listens, datagrams and streams
-	from    net.IP       // of the relay's own streams to it
-	packets atomic.Int64
-	bytes   atomic.Int64
-	lost    atomic.Int64
-	conns   map[net.Conn]bool // under the mesh's mu
+	name      string
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+	to        *net.UDPAddr // where the agent listens for datagrams and streams
+	from      net.IP       // address of the relay
+	datagrams atomic.Int64
+	bytes     atomic.Int64
+	lost      atomic.Int64
+	conns     map[net.Conn]bool // guarded by the mesh's mu
 }
 
-// maxWaiting bounds the datagrams under way to one agent; over it they are lost.
-const maxWaiting = 4096
+// maxDelayed bounds the datagrams that a relay delays at the same time; further ones are lost.
+const maxDelayed = 4096
 
-// Join adds an agent that listens, and sends, at own, and returns the address at which others
-// reach it, on ip. One that listens at several ports joins once for each.
-func (m *Mesh) Join(name, own string, ip net.IP) (string, error) {
-	to, err := net.ResolveUDPAddr("udp", own)
+// Join adds an agent that listens at ownAddr and sends from its IP address. It returns the address of its relay, on ip,
+// at which the other agents reach it. An agent that listens at several ports joins once for each of them.
+func (m *Mesh) Join(name, ownAddr string, ip net.IP) (string, error) {
+	to, err := net.ResolveUDPAddr("udp", ownAddr)
 	if err != nil {
 		return "", fmt.Errorf("mesh: %s: %w", name, err)
 	}
@@ -88,32 +88,32 @@
 	m.mu.Lock()
 	m.names[to.IP.String()], m.relays[name] = name, append(m.relays[name], r)
 	m.mu.Unlock()
-	m.all.Add(2)
+	m.goroutines.Add(2)
 	go func() {
-		defer m.all.Done()
-		m.datagrams(r)
+		defer m.goroutines.Done()
+		m.relayDatagrams(r)
 	}()
 	go func() {
-		defer m.all.Done()
-		m.streams(r)
+		defer m.goroutines.Done()
+		m.relayStreams(r)
 	}()
 	return net.JoinHostPort(ip.String(), strconv.Itoa(to.Port)), nil
 }
 
-// Stats is what has passed to an agent.
+// Stats returns the counters of an agent's relays.
 func (m *Mesh) Stats(name string) Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var s Stats
 	for _, r := range m.relays[name] {
-		s.Datagrams += r.packets.Load()
+		s.Datagrams += r.datagrams.Load()
 		s.Bytes += r.bytes.Load()
 		s.Lost += r.lost.Load()
 	}
 	return s
 }
 
-// Close ends all relays and what passes through them.
+// Close closes all relays and their connections.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -127,11 +127,12 @@
 		}
 	}
 	m.mu.Unlock()
-	m.all.Wait()
+	m.goroutines.Wait()
 }
 
-// way is the quality from an address to an agent; false for a source that is no agent's.
-func (m *Mesh) way(from net.IP, to string) (Quality, bool) {
+// qualityFrom returns the quality of the link from a source address to an agent; false if the address is not an
+// agent's.
+func (m *Mesh) qualityFrom(from net.IP, to string) (Quality, bool) {
 	m.mu.Lock()
 	name, ok := m.names[from.String()]
 	m.mu.Unlock()
@@ -141,65 +142,68 @@
 	return (*m.quality.Load())(name, to), true
 }
 
-func (m *Mesh) lost(part float64) bool {
-	if part <= 0 {
+// drawLoss draws whether a datagram is lost.
+func (m *Mesh) drawLoss(share float64) bool {
+	if share <= 0 {
 		return false
 	}
-	m.rngMu.Lock()
-	defer m.rngMu.Unlock()
-	return m.rng.Float64() < part
+	m.randomMu.Lock()
+	defer m.randomMu.Unlock()
+	return m.random.Float64() < share
 }
 
-func (m *Mesh) datagrams(r *relay) {
+// relayDatagrams forwards datagrams to the agent until the relay is closed.
+func (m *Mesh) relayDatagrams(r *relay) {
 	buf := make([]byte, 64<<10)
-	var waiting atomic.Int64
+	var delayed atomic.Int64
 	for {
 		n, from, err := r.udp.ReadFromUDP(buf)
 		if err != nil {
 			return // closed
 		}
-		q, ok := m.way(from.IP, r.name)
-		if !ok || q.Cut || m.lost(q.Loss) || waiting.Load() >= maxWaiting {
+		q, ok := m.qualityFrom(from.IP, r.name)
+		if !ok || q.Cut || m.drawLoss(q.Loss) || delayed.Load() >= maxDelayed {
 			r.lost.Add(1)
 			continue
 		}
 		body := append([]byte(nil), buf[:n]...)
-		r.packets.Add(1)
+		r.datagrams.Add(1)
 		r.bytes.Add(int64(n))
 		if q.Delay <= 0 {
-			_, _ = r.udp.WriteToUDP(body, r.to) // to an agent that may be down
+			_, _ = r.udp.WriteToUDP(body, r.to) // fails if the agent is down
 			continue
 		}
-		waiting.Add(1)
+		delayed.Add(1)
 		time.AfterFunc(q.Delay, func() {
-			waiting.Add(-1)
+			delayed.Add(-1)
 			_, _ = r.udp.WriteToUDP(body, r.to)
 		})
 	}
 }
 
-func (m *Mesh) streams(r *relay) {
+// relayStreams accepts streams to the agent until the relay is closed.
+func (m *Mesh) relayStreams(r *relay) {
 	for {
 		c, err := r.tcp.AcceptTCP()
 		if err != nil {
 			return // closed
 		}
 		from := c.RemoteAddr().(*net.TCPAddr).IP
-		if _, ok := m.way(from, r.name); !ok || !m.hold(r, c) {
+		if _, ok := m.qualityFrom(from, r.name); !ok || !m.addConn(r, c) {
 			c.Close()
 			continue
 		}
-		m.all.Add(1)
+		m.goroutines.Add(1)
 		go func() {
-			defer m.all.Done()
-			defer m.drop(r, c)
-			m.stream(r, c, from)
+			defer m.goroutines.Done()
+			defer m.removeConn(r, c)
+			m.relayStream(r, c, from)
 		}()
 	}
 }
 
-// hold keeps a connection to be closed with the mesh; false if that is closed already.
-func (m *Mesh) hold(r *relay, c net.Conn) bool {
+// addConn adds a connection that Close closes; false if the mesh is closed already.
+func (m *Mesh) addConn(r *relay, c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -209,16 +213,17 @@
 	return true
 }
 
-func (m *Mesh) drop(r *relay, c net.Conn) {
+// removeConn closes a connection and removes it from its relay.
+func (m *Mesh) removeConn(r *relay, c net.Conn) {
 	m.mu.Lock()
 	delete(r.conns, c)
 	m.mu.Unlock()
 	c.Close()
 }
 
-// stream carries one connection both ways.
-func (m *Mesh) stream(r *relay, c *net.TCPConn, from net.IP) {
-	if !m.passes(r, from) {
+// relayStream copies the bytes of one stream in both directions.
+func (m *Mesh) relayStream(r *relay, c *net.TCPConn, from net.IP) {
+	if !m.waitToPass(r, from) {
 		return
 	}
 	d := net.Dialer{Timeout: time.Second}
@@ -226,29 +231,29 @@
 	if err != nil {
 		return
 	}
-	if !m.hold(r, out) {
+	if !m.addConn(r, out) {
 		out.Close()
 		return
 	}
-	defer m.drop(r, out)
+	defer m.removeConn(r, out)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		m.copy(r, out, c, from)
-		_ = out.(*net.TCPConn).CloseWrite() // of a connection that may be gone
+		_ = out.(*net.TCPConn).CloseWrite() // fails if the connection is closed already
 	}()
 	m.copy(r, c, out, from)
 	_ = c.CloseWrite()
 	<-done
 }
 
-// cutCheck is how often a stream that is cut looks whether it still is.
-const cutCheck = 20 * time.Millisecond
+// cutPollInterval is the pause between two checks whether a link is still cut.
+const cutPollInterval = 20 * time.Millisecond
 
-// passes waits while the way is cut; false once the mesh is closed.
-func (m *Mesh) passes(r *relay, from net.IP) bool {
+// waitToPass waits while the link is cut, and then for its delay; false if the mesh is closed meanwhile.
+func (m *Mesh) waitToPass(r *relay, from net.IP) bool {
 	for {
-		q, _ := m.way(from, r.name)
+		q, _ := m.qualityFrom(from, r.name)
 		if !q.Cut {
 			time.Sleep(q.Delay)
 			return true
@@ -259,16 +264,17 @@
 		if closed {
 			return false
 		}
-		time.Sleep(cutCheck)
+		time.Sleep(cutPollInterval)
 	}
 }
 
-func (m *Mesh) copy(r *relay, to io.Writer, from io.Reader, near net.IP) {
+// copy copies one direction of a stream that the agent at sender has opened, until the stream ends or breaks.
+func (m *Mesh) copy(r *relay, to io.Writer, from io.Reader, sender net.IP) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !m.passes(r, near) {
+			if !m.waitToPass(r, sender) {
 				return
 			}
 			r.bytes.Add(int64(n))
@@ -277,7 +283,7 @@
 			}
 		}
 		if err != nil {
-			return // its end, or a break: the other side is told the same
+			return // the stream has ended or is broken; the caller closes the other side
 		}
 	}
 }
--- a/internal/testbed/mesh/mesh_test.go
+++ b/internal/testbed/mesh/mesh_test.go
@@ -13,19 +13,19 @@
 
 func TestMain(m *testing.M) { leaktest.Main(m) }
 
-// patience bounds waits; none needs more than a part of it.
-const patience = 20 * time.Second
+// testTimeout bounds the waits of these tests; each normally takes far less.
+const testTimeout = 20 * time.Second
 
-// end is an agent's own socket, at an address of its own.
-type end struct {
-	udp *net.UDPConn
-	tcp *net.TCPListener
-	at  string // where others reach it
+// endpoint has the sockets of an agent, at the agent's own address.
+type endpoint struct {
+	udp  *net.UDPConn
+	tcp  *net.TCPListener
+	addr string // of the relay, where others reach the agent
 }
 
-// ends joins agents a and b to a mesh at free ports.
-func ends(t *testing.T, m *Mesh) (a, b *end) {
-	out := [2]*end{}
+// joinAgents adds agents a and b, which listen at free ports, to a mesh.
+func joinAgents(t *testing.T, m *Mesh) (a, b *endpoint) {
+	out := [2]*endpoint{}
 	for i, name := range []string{"a", "b"} {
 		own, relay := net.IPv4(127, 33, 1, byte(10+i)), net.IPv4(127, 33, 2, byte(10+i))
 		tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: own})
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, err := m.Join(name, tcp.Addr().String(), relay)
+		addr, err := m.Join(name, tcp.Addr().String(), relay)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,14 +44,14 @@
 			udp.Close()
 			tcp.Close()
 		})
-		out[i] = &end{udp, tcp, at}
+		out[i] = &endpoint{udp, tcp, addr}
 	}
 	t.Cleanup(m.Close)
 	return out[0], out[1]
 }
 
-func (e *end) send(t *testing.T, to *end, text string) {
-	addr, err := net.ResolveUDPAddr("udp", to.at)
+func (e *endpoint) send(t *testing.T, to *endpoint, text string) {
+	addr, err := net.ResolveUDPAddr("udp", to.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-func (e *end) got(t *testing.T) string {
+func (e *endpoint) receive(t *testing.T) string {
 	t.Helper()
 	buf := make([]byte, 100)
-	if err := e.udp.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := e.udp.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	n, _, err := e.udp.ReadFromUDP(buf)
@@ -73,43 +73,43 @@
 	return string(buf[:n])
 }
 
-// What is sent on a way that is cut is lost, on that way only, and after it heals all passes.
+// Datagrams on a link that is cut are lost, in that direction only; after the cut they pass again.
 func TestCutOneWay(t *testing.T) {
 	m := New(1)
-	a, b := ends(t, m)
+	a, b := joinAgents(t, m)
 	var cut atomic.Bool
 	m.Set(func(from, to string) Quality { return Quality{Cut: cut.Load() && from == "a" && to == "b"} })
 	a.send(t, b, "1")
-	if got := b.got(t); got != "1" {
+	if got := b.receive(t); got != "1" {
 		t.Fatalf("got %q", got)
 	}
 	cut.Store(true)
 	a.send(t, b, "2")
 	b.send(t, a, "3")
-	if got := a.got(t); got != "3" {
-		t.Errorf("got %q on the way that is well", got)
+	if got := a.receive(t); got != "3" {
+		t.Errorf("got %q on the link that is not cut", got)
 	}
-	for end := time.Now().Add(patience); m.Stats("b").Lost < 1; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the cut lost nothing")
+	for deadline := time.Now().Add(testTimeout); m.Stats("b").Lost < 1; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("no datagram was lost on the link that is cut")
 		}
 	}
 	cut.Store(false)
 	a.send(t, b, "4")
-	if got := b.got(t); got != "4" {
+	if got := b.receive(t); got != "4" {
 		t.Errorf("got %q after the cut", got)
 	}
 	if s := m.Stats("b"); s.Bytes == 0 || s.Datagrams < 2 {
-		t.Errorf("counted %+v", s)
+		t.Errorf("got the counters %+v", s)
 	}
 }
 
-// A stream stays open while it is cut, and brings what was sent when it heals.
+// A stream stays open while its link is cut, and delivers what was sent when the cut ends.
 func TestStream(t *testing.T) {
 	m := New(1)
-	a, b := ends(t, m)
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: a.tcp.Addr().(*net.TCPAddr).IP}, Timeout: patience}
-	c, err := d.Dial("tcp", b.at)
+	a, b := joinAgents(t, m)
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: a.tcp.Addr().(*net.TCPAddr).IP}, Timeout: testTimeout}
+	c, err := d.Dial("tcp", b.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,34 +125,34 @@
 	if _, err := fmt.Fprint(c, "hello"); err != nil {
 		t.Fatal(err)
 	}
-	if err := far.SetReadDeadline(time.Now().Add(5 * cutCheck)); err != nil {
+	if err := far.SetReadDeadline(time.Now().Add(5 * cutPollInterval)); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 5)
 	if n, _ := far.Read(buf); n > 0 {
-		t.Errorf("%q came over a stream that is cut", buf[:n])
+		t.Errorf("got %q over a link that is cut", buf[:n])
 	}
 	cut.Store(false)
-	if err := far.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := far.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(far, buf); err != nil || string(buf) != "hello" {
-		t.Errorf("%q, %v after it healed", buf, err)
+		t.Errorf("got %q, %v after the cut", buf, err)
 	}
 }
 
-// Who is no agent is not heard.
-func TestStrangersAreNotHeard(t *testing.T) {
+// Datagrams from addresses that are not an agent's are dropped.
+func TestUnknownSendersAreIgnored(t *testing.T) {
 	m := New(1)
-	a, b := ends(t, m)
+	a, b := joinAgents(t, m)
 	s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 33, 9, 9)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	(&end{udp: s}).send(t, b, "who")
+	(&endpoint{udp: s}).send(t, b, "who")
 	a.send(t, b, "me")
-	if got := b.got(t); got != "me" {
+	if got := b.receive(t); got != "me" {
 		t.Errorf("got %q", got)
 	}
 }
