--- a/cmd/controlsim/hunt.go
+++ b/cmd/controlsim/hunt.go
@@ -22,23 +22,23 @@
 const (
 	// progressInterval is the pause between two progress lines.
 	progressInterval = 10 * time.Second
-	// maxPrinted bounds the violations that are printed of one run: the log of a replay has all.
+	// maxPrinted bounds the printed violations of a run. The log of a replay has all of them.
 	maxPrinted = 3
-	// maxLineBytes bounds a worker's line, which has the log of a failed run.
+	// maxLineBytes bounds a line of a worker's output. The line of a failed run contains its log.
 	maxLineBytes = 64 << 20
 )
 
 type huntCmd struct {
-	Seeds   uint64  `name:"seeds" default:"100" help:"Seeds of each point."`
-	First   uint64  `name:"first" default:"0" help:"The first of them."`
-	Point   string  `name:"point" default:"all" help:"The operators' point, 1 to 5, 6 for tenants, 7 for lost zones and poor links, or all."`
-	Minutes float64 `name:"minutes" default:"0" help:"No run begins later. 0: all seeds are played."`
-	Jobs    int     `name:"jobs" default:"4" help:"Runs at once, a process each."`
+	Seeds   uint64  `name:"seeds" default:"100" help:"Number of seeds to run for each point."`
+	First   uint64  `name:"first" default:"0" help:"The first seed."`
+	Point   string  `name:"point" default:"all" help:"Point, 1 to 7 (6: tenants, 7: zones lost, poor links), or all."`
+	Minutes float64 `name:"minutes" default:"0" help:"Minutes after which no run begins. 0: no limit."`
+	Jobs    int     `name:"jobs" default:"4" help:"Number of worker processes."`
 
-	RunLimit time.Duration `name:"run-limit" default:"5m" help:"A run that takes longer, in real time, counts as broken: its goroutines are printed."`
+	RunLimit time.Duration `name:"run-limit" default:"5m" help:"Limit of a run's wall-clock time; a longer one fails."`
 }
 
-// tally sums up the runs of a scenario.
+// tally has the totals of the runs of a scenario.
 type tally struct {
 	runs, failed, updates, reads, drains, calls int
 	elapsed, virtualTime                        time.Duration
@@ -48,8 +48,8 @@
 type hunt struct {
 	out     io.Writer
 	mu      sync.Mutex
-	tallies [controlsim.ScenarioCount + 1]tally // by the number of the scenario
-	failed  bool                                // a guarantee was violated, or a worker failed
+	tallies [controlsim.ScenarioCount + 1]tally // by scenario number
+	failed  bool                                // whether a guarantee was violated or a worker failed
 }
 
 func (c *huntCmd) Run() error {
@@ -68,10 +68,10 @@
 			}
 		})
 	}
-	reporting, ended := context.WithCancel(ctx)
-	reporter.Go(func() { h.reportProgress(reporting) })
+	progressCtx, stopProgress := context.WithCancel(ctx)
+	reporter.Go(func() { h.reportProgress(progressCtx) })
 	workers.Wait()
-	ended()
+	stopProgress()
 	reporter.Wait()
 	h.printSummary()
 	if h.failed {
@@ -80,15 +80,16 @@
 	return nil
 }
 
-// runWorker runs a share of the seeds in a process of its own: simulations of one process can't run concurrently.
+// runWorker runs a subset of the seeds in a separate process, because a process can't run simulations concurrently.
 func (h *hunt) runWorker(ctx context.Context, c *huntCmd, index, jobs int) error {
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "find the program")
+		return errors.Wrap(err, "find the path of this program")
 	}
 	formatUint := func(n uint64) string { return strconv.FormatUint(n, 10) }
-	cmd := exec.CommandContext(ctx, self, "work", "--point", c.Point, "--first", formatUint(c.First+uint64(index)), "--step", strconv.Itoa(jobs),
-		"--end", formatUint(c.First+c.Seeds), "--minutes", time.Duration(c.Minutes*float64(time.Minute)).String())
+	cmd := exec.CommandContext(ctx, self, "work", "--point", c.Point, "--first", formatUint(c.First+uint64(index)),
+		"--step", strconv.Itoa(jobs), "--end", formatUint(c.First+c.Seeds), "--minutes",
+		time.Duration(c.Minutes*float64(time.Minute)).String())
 	cmd.Stderr = os.Stderr
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -99,7 +100,7 @@
 	}
 	watch := newWatchdog(c.RunLimit, func(run string) {
 		h.fail(errors.Errorf("%s has not ended after %v; its goroutines are on standard error", run, c.RunLimit))
-		_ = cmd.Process.Signal(syscall.SIGQUIT) // has the runtime print them and end the process
+		_ = cmd.Process.Signal(syscall.SIGQUIT) // the Go runtime then prints the goroutines and exits
 	})
 	defer watch.stop()
 	readErr := h.readReports(out, watch)
@@ -112,14 +113,15 @@
 	return nil
 }
 
-// readReports adds the reports of a worker until it ends. The watchdog watches the run in progress.
+// readReports adds the reports of a worker until its output ends. The watchdog watches the run in progress.
 func (h *hunt) readReports(out io.Reader, watch *watchdog) error {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var report controlsim.Report
 		switch {
-		case json.Unmarshal(lines.Bytes(), &report) != nil || report.Scenario <= 0 || report.Scenario > controlsim.ScenarioCount:
+		case json.Unmarshal(lines.Bytes(), &report) != nil || report.Scenario <= 0 ||
+			report.Scenario > controlsim.ScenarioCount:
 			if text := lines.Text(); text != "PASS" {
 				fmt.Fprintln(os.Stderr, text)
 			}
@@ -134,7 +136,8 @@
 	return lines.Err()
 }
 
-// add adds the report of a run, and prints the violations and the faults that suffice for them.
+// add adds the report of a run. If the run violated guarantees, it prints the violations and a minimal set of faults
+// that leads to one.
 func (h *hunt) add(report *controlsim.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -154,7 +157,8 @@
 	for _, v := range report.Result.Violations[:min(maxPrinted, len(report.Result.Violations))] {
 		fmt.Fprintf(h.out, "point %d %v\n", report.Scenario, v)
 	}
-	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", report.Scenario, report.Seed, len(report.MinimalFaults), report.FaultCount)
+	fmt.Fprintf(h.out, "point %d seed %d: %d of its %d faults are enough:\n", report.Scenario, report.Seed,
+		len(report.MinimalFaults), report.FaultCount)
 	for _, f := range report.MinimalFaults {
 		fmt.Fprintf(h.out, "  %v\n", f)
 	}
@@ -187,7 +191,8 @@
 		for _, t := range h.tallies {
 			runs, failed = runs+t.runs, failed+t.failed
 		}
-		fmt.Fprintf(os.Stderr, "%v: %d runs, %d violated a guarantee\n", time.Since(startedAt).Round(time.Second), runs, failed)
+		fmt.Fprintf(os.Stderr, "%v: %d runs, %d violated a guarantee\n", time.Since(startedAt).Round(time.Second), runs,
+			failed)
 		h.mu.Unlock()
 	}
 }
@@ -197,8 +202,8 @@
 	fmt.Fprintln(h.out, "point  runs  broken  orders  reads  drains  calls  virtual  played")
 	for point, t := range h.tallies {
 		if t.runs > 0 {
-			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.failed, t.updates, t.reads, t.drains, t.calls,
-				t.virtualTime.Round(time.Second), t.elapsed.Round(time.Second))
+			fmt.Fprintf(h.out, "%5d %5d %7d %7d %6d %7d %6d  %v  %v\n", point, t.runs, t.failed, t.updates, t.reads,
+				t.drains, t.calls, t.virtualTime.Round(time.Second), t.elapsed.Round(time.Second))
 		}
 	}
 }
--- a/cmd/controlsim/main.go
+++ b/cmd/controlsim/main.go
@@ -1,5 +1,5 @@
-// Command controlsim simulates control planes in virtual time, driven by seeds, and searches for violated guarantees:
-// see internal/testbed/controlsim. The flags call a scenario a point.
+// Command controlsim simulates control planes in virtual time, driven by seeds, and searches for violated guarantees.
+// See package internal/testbed/controlsim. The flags and the output call a scenario a point.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 type cli struct {
-	Hunt   huntCmd   `name:"hunt" cmd:"" help:"Play many seeds and sum up by point. Status 1: a promise was broken."`
-	Replay replayCmd `name:"replay" cmd:"" help:"Play one seed twice and print its log. Status 1: a promise was broken."`
-	Work   workCmd   `name:"work" cmd:"" hidden:"" help:"A worker of a hunt."`
+	Hunt   huntCmd   `name:"hunt" cmd:"" help:"Run many seeds and print totals. Status 1: a guarantee was violated."`
+	Replay replayCmd `name:"replay" cmd:"" help:"Run a seed twice, print its log. Status 1: a guarantee was violated."`
+	Work   workCmd   `name:"work" cmd:"" hidden:"" help:"Run as a worker of a hunt."`
 }
 
 type replayCmd struct {
 	Seed  uint64 `name:"seed" arg:"" help:"The seed."`
-	Point int    `name:"point" required:"" help:"The operators' point, 1 to 5, 6 for tenants, or 7 for lost zones or regions and poor links."`
+	Point int    `name:"point" required:"" help:"Point, 1 to 7 (6: tenants, 7: lost zones or regions and poor links)."`
 }
 
 func (c *replayCmd) Validate() error {
@@ -63,7 +63,7 @@
 	})
 }
 
-// parseScenarios returns the numbers of the scenarios that a flag names.
+// parseScenarios parses the value of the point flag: the number of a scenario, or "all".
 func parseScenarios(text string) ([]int, error) {
 	if text == "all" {
 		var all []int
@@ -79,10 +79,10 @@
 	return []int{p}, nil
 }
 
-// runInTest runs a function as a test, because testing/synctest needs one. It ends the process with the status of the
-// test and does not return.
+// runInTest runs a function as a test, because testing/synctest requires one. It exits the process with the status of
+// the test and does not return.
 func runInTest(fn func(*testing.T)) error {
-	os.Args = os.Args[:1] // the flags are not those of the test
+	os.Args = os.Args[:1] // hides the command line from package testing
 	matchAny := func(string, string) (bool, error) { return true, nil }
 	testing.Main(matchAny, []testing.InternalTest{{Name: "controlsim", F: fn}}, nil, nil)
 	return nil
@@ -91,6 +91,7 @@
 func main() {
 	testing.Init()
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("controlsim"), kong.Description("Control sides in virtual time, from seeds."), kong.UsageOnError())
+	ctx := kong.Parse(&c, kong.Name("controlsim"),
+		kong.Description("Simulates control planes in virtual time, driven by seeds."), kong.UsageOnError())
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/controlsim/main_test.go
+++ b/cmd/controlsim/main_test.go
@@ -29,7 +29,8 @@
 	require.False(t, h.failed)
 	require.Empty(t, out.String())
 	broken := controlsim.Result{Violations: []controlsim.Violation{{Seed: 7, Machine: "core-1", What: "goes back"}}}
-	h.add(&controlsim.Report{Scenario: 1, Seed: 7, Result: broken, FaultCount: 4, MinimalFaults: []controlsim.Fault{{Kind: controlsim.Kill, Target: controlsim.Head}}, MinimalResult: broken})
+	h.add(&controlsim.Report{Scenario: 1, Seed: 7, Result: broken, FaultCount: 4,
+		MinimalFaults: []controlsim.Fault{{Kind: controlsim.Kill, Target: controlsim.Head}}, MinimalResult: broken})
 	require.True(t, h.failed)
 	require.Contains(t, out.String(), "core-1: goes back")
 	require.Contains(t, out.String(), "1 of its 4 faults are enough")
--- a/cmd/controlsim/watchdog.go
+++ b/cmd/controlsim/watchdog.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// watchdog reports a run that does not end: a simulation whose virtual time stands still, as a goroutine waits for
-// something that no other goroutine of it will do.
+// watchdog reports a run that does not end. The virtual time of a simulation stops if one of its goroutines waits for
+// an event that never happens.
 type watchdog struct {
-	limit    time.Duration
-	overdue  func(run string)
+	limit    time.Duration    // wall-clock time that a run may take
+	overdue  func(run string) // called for a run that exceeds the limit
 	mu       sync.Mutex
-	deadline *time.Timer // of the run in progress, nil if there is none
+	deadline *time.Timer // timer of the run in progress; nil if there is none
 }
 
 // newWatchdog returns a watchdog that calls overdue once for a run that takes longer than the limit.
@@ -19,7 +19,7 @@
 	return &watchdog{limit: limit, overdue: overdue}
 }
 
-// begin notes that a run begins; the one before has ended.
+// begin starts the timer of a run. It ends that of the previous run.
 func (w *watchdog) begin(run string) {
 	w.stop()
 	w.mu.Lock()
@@ -27,7 +27,7 @@
 	w.deadline = time.AfterFunc(w.limit, func() { w.overdue(run) })
 }
 
-// stop notes that no run is in progress.
+// stop stops the timer, as no run is in progress.
 func (w *watchdog) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/cmd/controlsim/watchdog_test.go
+++ b/cmd/controlsim/watchdog_test.go
@@ -11,29 +11,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A run that does not end within the limit is reported once, by its scenario and seed; one that ends is not.
+// A run that does not end within the limit is reported once, with its scenario and seed. A run that ends is not.
 func TestWatchdogReportsARunThatDoesNotEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var overdue []string
 		watch := newWatchdog(time.Minute, func(run string) { overdue = append(overdue, run) })
-		pass := func(length time.Duration) {
-			<-time.After(length)
+		wait := func(duration time.Duration) {
+			<-time.After(duration)
 			synctest.Wait()
 		}
 		watch.begin("point 1 seed 2")
-		pass(59 * time.Second)
+		wait(59 * time.Second)
 		watch.begin("point 1 seed 3")
-		pass(59 * time.Second)
+		wait(59 * time.Second)
 		watch.stop()
-		pass(time.Hour)
+		wait(time.Hour)
 		require.Empty(t, overdue)
 		watch.begin("point 1 seed 4")
-		pass(time.Hour)
+		wait(time.Hour)
 		require.Equal(t, []string{"point 1 seed 4"}, overdue)
 	})
 }
 
-// The lines of a worker begin and end what the watchdog watches.
+// The watchdog watches the runs between the two lines that a worker writes for each of them.
 func TestReportsFeedTheWatchdog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var overdue []string
@@ -48,6 +48,6 @@
 		require.NoError(t, h.readReports(strings.NewReader(fmt.Sprintln(begins)), watch))
 		<-time.After(time.Hour)
 		synctest.Wait()
-		require.Empty(t, overdue, "the worker has ended; its status tells why")
+		require.Empty(t, overdue, "a worker that has ended is reported by its exit status, not by the watchdog")
 	})
 }
--- a/internal/testbed/controlsim/checker.go
+++ b/internal/testbed/controlsim/checker.go
@@ -17,16 +17,16 @@
 const (
 	// maxViolations bounds the violations that one run reports.
 	maxViolations = 16
-	// propagationTimeout is how long after its acknowledgement an update, or a drain, is known to every process of a
-	// healthy machine.
+	// propagationTimeout bounds the time from the acknowledgement of an update, or a drain, until the processes of all
+	// healthy machines know it.
 	propagationTimeout = 2 * time.Second
-	// healthyPeriod is how long a machine has been without faults to count as healthy.
+	// healthyPeriod is the time without faults after which a machine counts as healthy.
 	healthyPeriod = 4 * time.Second
-	// updateAckTimeout is how long an update may take while the core is stable.
+	// updateAckTimeout bounds the time that an update takes while the core is stable.
 	updateAckTimeout = 4 * time.Second
-	// stablePeriod is how long before the update no fault has begun or ended if the core counts as stable.
+	// stablePeriod is the time before an update in which no fault begins or ends if the core counts as stable.
 	stablePeriod = 4 * time.Second
-	// neverReturned is the return time, in nanoseconds, of an update with unknown outcome: it may take effect at any
+	// neverReturned is the return time, in nanoseconds, of an update with unknown outcome, which may take effect at any
 	// later time.
 	neverReturned = 1 << 60
 )
@@ -35,7 +35,7 @@
 type Violation struct {
 	Seed    uint64
 	At      time.Duration // virtual time since the start of the run
-	Machine string        // its name, or the part of the fleet that is concerned
+	Machine string        // name of the machine, or of the affected part of the fleet
 	What    string
 }
 
@@ -51,18 +51,18 @@
 	violations    []Violation
 	history       []porcupine.Operation
 	views         map[uint64]view.View // by number
-	configs       map[uint64]string    // id of the update, by the sequence number of its configuration
-	ackedRevision int64                // highest revision that was acknowledged
-	updates       int                  // committed
-	reads         int                  // answered
-	drains        int                  // acknowledged
-	calls         int                  // echo calls that were answered
+	configs       map[uint64]string    // ids of the updates, by the sequence numbers of their configurations
+	ackedRevision int64                // highest acknowledged revision
+	updates       int                  // committed updates
+	reads         int                  // answered reads
+	drains        int                  // acknowledged drains
+	calls         int                  // answered echo calls
 	tenants       tenantHistory
 }
 
 func newChecker(s *simulation) *checker {
 	return &checker{sim: s, views: map[uint64]view.View{}, configs: map[uint64]string{},
-		tenants: tenantHistory{admitted: map[int][]admittance{}, outcomes: map[refusal]int{}}}
+		tenants: tenantHistory{admitted: map[int][]admission{}, outcomes: map[refusal]int{}}}
 }
 
 func (c *checker) reportViolation(machine, format string, args ...any) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// viewLearned checks a view that a process has learned: all processes learn the same view under one number.
+// viewLearned checks a view that a process has learned: all processes must learn the same view for a number.
 func (c *checker) viewLearned(p *process, v view.View) {
 	if p.ended.Load() {
 		return
@@ -93,12 +93,13 @@
 		return
 	}
 	if !known.Equal(v) {
-		c.reportViolationLocked(p.machine.name, "view %d is %s here and %s elsewhere", v.Number, c.sim.describeView(v), c.sim.describeView(known))
+		c.reportViolationLocked(p.machine.name, "view %d is %s here and %s elsewhere", v.Number, c.sim.describeView(v),
+			c.sim.describeView(known))
 	}
 }
 
-// configApplied checks the configuration that a process has applied: it is never older than the one before, and
-// all processes apply the same configuration under one sequence number.
+// configApplied checks the configuration that a process has applied: it must not be older than the previous one, and
+// all processes must apply the same configuration for a sequence number.
 func (c *checker) configApplied(p *process, snapshot *relay.Snapshot) {
 	if p.ended.Load() {
 		return
@@ -108,7 +109,8 @@
 		return
 	}
 	if previous != nil && snapshot.ConfigSeq < previous.ConfigSeq {
-		c.reportViolation(p.machine.name, "goes back from configuration %d to %d", previous.ConfigSeq, snapshot.ConfigSeq)
+		c.reportViolation(p.machine.name, "goes back from configuration %d to %d", previous.ConfigSeq,
+			snapshot.ConfigSeq)
 	}
 	if snapshot.Config == nil {
 		return
@@ -117,10 +119,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known, ok := c.configs[snapshot.ConfigSeq]; ok && known != id {
-		c.reportViolationLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", snapshot.ConfigSeq, id, known)
+		c.reportViolationLocked(p.machine.name, "configuration %d is %q here and %q elsewhere", snapshot.ConfigSeq, id,
+			known)
 	}
 	c.configs[snapshot.ConfigSeq] = id
-	c.sim.logEvent("%s applies configuration %d, revision %d", p.machine.name, snapshot.ConfigSeq, snapshot.Config.Revision)
+	c.sim.logEvent("%s applies configuration %d, revision %d", p.machine.name, snapshot.ConfigSeq,
+		snapshot.Config.Revision)
 }
 
 // checkHistory checks that the operators' updates and reads are linearizable.
@@ -133,9 +137,10 @@
 	}
 }
 
-// recordOperation adds an update or a read, called at a virtual time and returning now, to the history.
+// recordOperation adds an update or a read, which was called at a virtual time and returns now, to the history.
 func (c *checker) recordOperation(operator int, input any, output response, calledAt time.Duration) {
-	op := porcupine.Operation{ClientId: operator, Input: input, Call: int64(calledAt), Output: output, Return: int64(c.sim.elapsed())}
+	op := porcupine.Operation{ClientId: operator, Input: input, Call: int64(calledAt), Output: output,
+		Return: int64(c.sim.elapsed())}
 	if output.outcome == chain.OutcomeUnknown {
 		op.Return = neverReturned
 	}
@@ -151,8 +156,8 @@
 	}
 }
 
-// updateCompleted checks an update after its last attempt: a committed one is replicated and soon propagated, and
-// the outcome is known while the core is stable.
+// updateCompleted checks an update after its last attempt: a committed update must be replicated, and propagated within
+// propagationTimeout. The outcome must be known if the core was stable.
 func (c *checker) updateCompleted(update updateInput, output response, calledAt time.Duration) {
 	elapsed := c.sim.elapsed() - calledAt
 	switch {
@@ -161,13 +166,15 @@
 		c.checkLater(propagationTimeout, func(acked time.Time) { c.checkPropagated(update.revision, acked) })
 	case output.outcome != chain.OutcomeUnknown || elapsed < updateAckTimeout:
 	case c.sim.stableBetween(calledAt-stablePeriod, calledAt+updateAckTimeout):
-		c.reportViolation("operators", "update %s was not answered within %v of a stable core", update.id, elapsed)
+		c.reportViolation("operators", "update %s was not answered within %v although the core was stable",
+			update.id, elapsed)
 	case c.sim.scenario.toleratedZones > 0:
-		c.reportViolation("operators", "update %s was not answered within %v while no more than a tolerated zone or region is lost", update.id, elapsed)
+		c.reportViolation("operators",
+			"update %s was not answered within %v although only a tolerated zone or region is lost", update.id, elapsed)
 	}
 }
 
-// checkReplicas checks that enough disks, in enough zones and regions, have an update when it is acknowledged.
+// checkReplicas checks that an acknowledged update is on enough disks, in enough zones and regions.
 func (c *checker) checkReplicas(revision int64) {
 	if c.sim.diskLostSince(time.Now().Add(-healthyPeriod)) {
 		return // a replica may have been on that disk
@@ -183,22 +190,25 @@
 	}
 	required := c.sim.newestView().RequiredSpread(c.sim.scenario.tolerance())
 	if spread := view.SpreadOf(replicas); !spread.Covers(required) {
-		c.reportViolation("core", "revision %d is acknowledged with replicas of spread %+v, not %+v", revision, spread, required)
+		c.reportViolation("core", "revision %d is acknowledged with replicas of spread %+v, not %+v", revision, spread,
+			required)
 	}
 }
 
-// checkLater calls a check after a delay, unless the run ends before. The check gets the present time.
+// checkLater calls a check after a delay, unless the run ends before. The check gets the time of the call of
+// checkLater.
 func (c *checker) checkLater(delay time.Duration, check func(since time.Time)) {
 	since := time.Now()
 	c.sim.checks.Go(func() {
-		if sleep(c.sim.checking, delay); c.sim.checking.Err() == nil {
+		if sleep(c.sim.checkCtx, delay); c.sim.checkCtx.Err() == nil {
 			check(since)
 		}
 	})
 }
 
 // checkPropagated checks that the healthy machines have applied an acknowledged revision. While all machines of the
-// core are without power, and just after, nobody can send it to an agent: then the check is made again later.
+// core are without power, and shortly after, no machine can send the revision to an agent; the check is repeated later
+// in this case.
 func (c *checker) checkPropagated(revision int64, acked time.Time) {
 	if c.sim.coreLostSince(acked.Add(-recoveryTime)) {
 		c.checkLater(propagationTimeout, func(since time.Time) { c.checkPropagated(revision, since) })
@@ -206,12 +216,14 @@
 	}
 	for _, p := range c.sim.healthySince(acked.Add(-healthyPeriod)) {
 		if s := p.snapshot.Load(); s == nil || s.Config == nil || s.Config.Revision < revision {
-			c.reportViolation(p.machine.name, "revision %d is not in force %v after its acknowledgement", revision, propagationTimeout)
+			c.reportViolation(p.machine.name, "revision %d is not in force %v after its acknowledgement", revision,
+				propagationTimeout)
 		}
 	}
 }
 
-// drainAcknowledged counts an acknowledged drain, and checks later that the healthy machines know of it.
+// drainAcknowledged counts an acknowledged drain, and checks after propagationTimeout that the healthy machines no
+// longer list the server.
 func (c *checker) drainAcknowledged(id string) {
 	c.mu.Lock()
 	c.drains++
@@ -220,13 +232,14 @@
 	c.checkLater(propagationTimeout, func(acked time.Time) {
 		for _, p := range c.sim.healthySince(acked.Add(-healthyPeriod)) {
 			if s := p.snapshot.Load(); s != nil && s.Servers != nil && s.Servers.ByID[id] != nil {
-				c.reportViolation(p.machine.name, "%s is listed %v after its drain was acknowledged", id, propagationTimeout)
+				c.reportViolation(p.machine.name, "%s is listed %v after its drain was acknowledged", id,
+					propagationTimeout)
 			}
 		}
 	})
 }
 
-// callCompleted counts the answered echo calls.
+// callCompleted counts an echo call if it was answered.
 func (c *checker) callCompleted(answered bool) {
 	if answered {
 		c.mu.Lock()
@@ -235,7 +248,7 @@
 	}
 }
 
-// highestAckedRevision is the highest revision that was acknowledged to an operator.
+// highestAckedRevision returns the highest revision that was acknowledged to an operator; 0 if there is none.
 func (c *checker) highestAckedRevision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/controlsim/conn.go
+++ b/internal/testbed/controlsim/conn.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// segment is a part of a stream in flight.
+// segment is a chunk of a stream in flight.
 type segment struct {
 	data []byte
-	due  time.Time // when it arrives over an open link
-	fin  bool      // the end of the stream
+	due  time.Time // time of its arrival if the link is open
+	fin  bool      // whether it ends the stream
 }
 
-// conn is one end of a connection. It implements net.Conn without deadlines of writes. Its fields are guarded by the network's
-// lock, which is the lock of cond, too.
+// conn is one end of a connection. It implements net.Conn without write deadlines. Its fields are guarded by the
+// network's lock, which cond uses, too.
 type conn struct {
 	network       *network
 	local, remote *host
 	peer          *conn
 	cond          *sync.Cond
 
-	inFlight      []segment // to the peer, in order
-	inFlightBytes int       // their size
-	linkFreeAt    time.Time // when the link has transmitted all of them
-	unackedSince  time.Time // since when sent bytes are unacknowledged; zero: none are
-	lastReceived  time.Time // when a segment last arrived
+	inFlight      []segment // segments to the peer, in order
+	inFlightBytes int       // total size of inFlight
+	linkFreeAt    time.Time // time at which the link has transmitted all of inFlight
+	unackedSince  time.Time // time since when sent bytes are unacknowledged; zero if none are
+	lastReceived  time.Time // time of the last arrival of a segment
 
-	readDeadline time.Time // zero: none
-	deadlineDue  *time.Timer
+	readDeadline  time.Time // zero if there is none
+	deadlineTimer *time.Timer
 
-	received    []byte // not read yet
+	received    []byte // received bytes that were not read yet
 	receivedFIN bool   // the peer has closed its end, and its last byte has arrived
-	err         error  // why this end is broken or closed; nil: it is open
-	closed      bool   // by its process
+	err         error  // reason why this end is broken or closed; nil while it is open
+	closed      bool   // whether its process has closed it or has ended
 }
 
 // Read waits for bytes, the end of the stream or an error.
@@ -64,7 +64,7 @@
 	}
 }
 
-// waitLocked waits for a change of the connection, or for the end of a pause. It releases the lock meanwhile.
+// waitLocked waits for a change of the connection, or for the end of a pause. It releases the lock while it waits.
 func (c *conn) waitLocked() {
 	if !c.local.paused {
 		c.cond.Wait()
@@ -76,7 +76,7 @@
 	c.network.mu.Lock()
 }
 
-// Write sends bytes, and waits while the window is full.
+// Write sends bytes. It blocks while the window is full.
 func (c *conn) Write(b []byte) (int, error) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -97,19 +97,19 @@
 	return done, nil
 }
 
-// sendLocked sends a segment, as fast as the link's bandwidth allows.
+// sendLocked sends a segment. Its arrival depends on the link's bandwidth, latency and losses.
 func (c *conn) sendLocked(s segment) {
 	now := time.Now()
 	transmitted := now
 	if c.linkFreeAt.After(now) {
 		transmitted = c.linkFreeAt
 	}
-	way := direction{c.local.addr, c.remote.addr}
-	if bandwidth := c.network.bandwidthOf(way); bandwidth > 0 {
+	link := direction{c.local.addr, c.remote.addr}
+	if bandwidth := c.network.bandwidthOf(link); bandwidth > 0 {
 		transmitted = transmitted.Add(time.Duration(len(s.data)) * time.Second / time.Duration(bandwidth))
 	}
 	c.linkFreeAt = transmitted
-	s.due = transmitted.Add(linkDelay + c.network.qualities.retransmissionDelay(way))
+	s.due = transmitted.Add(linkDelay + c.network.qualities.retransmissionDelay(link))
 	if c.unackedSince.IsZero() {
 		c.unackedSince = now
 	}
@@ -136,7 +136,7 @@
 		if !c.remote.powered {
 			return
 		}
-		if c.peer.err != nil { // the remote host has no such connection any more
+		if c.peer.err != nil { // the remote host no longer has this connection
 			c.breakLocked(syscall.ECONNRESET)
 			return
 		}
@@ -148,14 +148,14 @@
 		c.peer.lastReceived = now
 		c.network.notifyWatchesLocked(c.remote, s.data)
 		if c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
-			c.unackedSince = now // of the segments that are left
+			c.unackedSince = now // for the remaining segments
 		}
 		c.peer.cond.Broadcast()
 	}
 	c.acknowledgeLocked()
 }
 
-// acknowledgeLocked records the acknowledgement of all that was sent, if it has arrived and the link back is open.
+// acknowledgeLocked records the acknowledgement of all sent bytes, if they have arrived and the reverse link is open.
 func (c *conn) acknowledgeLocked() {
 	if len(c.inFlight) == 0 && c.network.links[direction{c.remote.addr, c.local.addr}] == linkOpen {
 		c.unackedSince = time.Time{}
@@ -165,8 +165,8 @@
 	}
 }
 
-// breakLocked breaks this end: what it sent and has not arrived is lost. The other end learns of it from the reset of
-// its next segment.
+// breakLocked breaks this end: segments in flight are lost. The other end learns of it from the reset of its next
+// segment.
 func (c *conn) breakLocked(err error) {
 	if c.err == nil {
 		c.err = &net.OpError{Op: "read", Net: "sim", Addr: address(c.remote.addr), Err: err}
@@ -176,8 +176,8 @@
 	c.cond.Broadcast()
 }
 
-// closeLocked closes this end, for the process or, after its end, by the kernel: segments in flight are still
-// delivered, and a FIN follows them. If received bytes were not read, the connection is reset instead.
+// closeLocked closes this end, on behalf of the process or at the end of the process. Segments in flight are still
+// delivered, followed by a FIN. If received bytes were not read, the connection is reset instead.
 func (c *conn) closeLocked() {
 	if c.err != nil || c.closed {
 		c.closed = true
@@ -196,7 +196,7 @@
 	c.cond.Broadcast()
 }
 
-// Close never waits. That of a paused process takes effect when the pause ends.
+// Close closes the connection without waiting. If the process is paused, it takes effect when the pause ends.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
@@ -205,7 +205,7 @@
 		return nil
 	}
 	resumed := c.local.resumed
-	go func() { // ends with the pause, at the end of the run at the latest
+	go func() { // ends with the pause, at the latest at the end of the run
 		<-resumed
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
@@ -214,27 +214,27 @@
 	return nil
 }
 
-// LocalAddr is the address of the host of this end.
+// LocalAddr returns the address of this end's host.
 func (c *conn) LocalAddr() net.Addr { return address(c.local.addr) }
 
-// RemoteAddr is the address of the other host.
+// RemoteAddr returns the address of the other end's host.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote.addr) }
 
-// SetDeadline sets the deadline of reads.
+// SetDeadline sets the read deadline; see SetWriteDeadline.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// SetReadDeadline sets the time from which on reads fail; zero is none.
+// SetReadDeadline sets the time at which reads begin to fail; they don't if it is zero.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	if c.deadlineDue != nil {
-		c.deadlineDue.Stop()
+	if c.deadlineTimer != nil {
+		c.deadlineTimer.Stop()
 	}
 	c.readDeadline = t
 	if t.IsZero() {
 		return nil
 	}
-	c.deadlineDue = time.AfterFunc(time.Until(t), func() {
+	c.deadlineTimer = time.AfterFunc(time.Until(t), func() {
 		c.network.mu.Lock()
 		defer c.network.mu.Unlock()
 		c.cond.Broadcast()
@@ -242,6 +242,6 @@
 	return nil
 }
 
-// SetWriteDeadline has no effect: no write waits for ever, as the network breaks connections without
+// SetWriteDeadline has no effect. Writes don't block for ever, because the network breaks connections without
 // acknowledgements.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/testbed/controlsim/control_api.go
+++ b/internal/testbed/controlsim/control_api.go
@@ -17,20 +17,20 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/registry"
 )
 
-// controlBackend carries out the calls of the control API as the daemon does; there is nothing to inspect.
+// controlBackend is the backend of the control API, as in the daemon, but Inspect returns nothing.
 type controlBackend struct{ assembly.ControlBackend }
 
 // Inspect implements controlapi.Backend.
 func (*controlBackend) Inspect(context.Context, string) (any, error) { return struct{}{}, nil }
 
-// apiClient calls the control API of machines over HTTP, from a host of its own. A call that takes a connection
-// which its machine has meanwhile closed may be sent again by net/http, as by the clients of a deployment.
+// apiClient calls the control API of machines over HTTP, from a host of its own. If the machine has closed the idle
+// connection that a call uses, net/http may retry the call, as it does for the clients of a deployment.
 type apiClient struct {
 	sim  *simulation
 	http *http.Client
 }
 
-// newAPIClient makes a client on a new host. Its owner closes it at the end of the run.
+// newAPIClient returns a client on a new host. The caller closes it at the end of the run.
 func newAPIClient(s *simulation, kind string, index int) *apiClient {
 	host := s.network.addHost(fmt.Sprintf("%s-%d", kind, index))
 	transport := &http.Transport{
@@ -45,11 +45,14 @@
 // Close closes the idle connections.
 func (c *apiClient) Close() { c.http.CloseIdleConnections() }
 
-// call makes one call at a process. It returns false if there is no complete response in time.
-func (c *apiClient) call(ctx context.Context, p *process, timeout time.Duration, method, path, ifMatch string, body []byte) (status int, response []byte, answered bool) {
+// call calls a process. It returns false if there is no complete response before the timeout.
+func (c *apiClient) call(
+	ctx context.Context, p *process, timeout time.Duration, method, path, ifMatch string, body []byte,
+) (status int, response []byte, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.machine.controlAddr()+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+p.machine.controlAddr()+path,
+		bytes.NewReader(body))
 	if err != nil {
 		panic("controlsim: " + err.Error()) // impossible: a constant URL
 	}
@@ -67,13 +70,15 @@
 	return result.StatusCode, response, true
 }
 
-// submit makes one attempt of an update.
+// submit makes one attempt at an update.
 func (c *apiClient) submit(ctx context.Context, p *process, update *chain.Update) chain.Result {
 	timeout := attemptTimeout
 	if bandwidth := c.sim.scenario.bandwidth; bandwidth > 0 {
-		timeout += time.Duration(len(update.Body)) * time.Second / time.Duration(bandwidth) // operators wait longer for long ones
+		// Operators wait longer for long updates.
+		timeout += time.Duration(len(update.Body)) * time.Second / time.Duration(bandwidth)
 	}
-	status, body, answered := c.call(ctx, p, timeout, http.MethodPut, "/chalkdoor/config", strconv.FormatInt(update.IfMatch, 10), update.Body)
+	status, body, answered := c.call(ctx, p, timeout, http.MethodPut, "/chalkdoor/config",
+		strconv.FormatInt(update.IfMatch, 10), update.Body)
 	switch {
 	case !answered:
 		return chain.Result{Reason: "no response"}
@@ -87,7 +92,7 @@
 	return chain.Result{Outcome: chain.OutcomeInvalid, Reason: string(body)}
 }
 
-// revisionOf is the revision that the response to an update tells, 0 if it tells none.
+// revisionOf returns the revision in the body of a response; 0 if there is none.
 func revisionOf(body []byte) int64 {
 	var response struct {
 		Revision int64 `json:"revision"`
@@ -104,7 +109,7 @@
 	switch {
 	case !answered:
 		return chain.Value{}, false
-	case status == http.StatusNotFound: // there is none yet
+	case status == http.StatusNotFound: // there is no configuration yet
 		return chain.Value{}, true
 	case status != http.StatusOK:
 		return chain.Value{}, false
@@ -112,17 +117,17 @@
 	return chain.Value{Revision: revisionOf(body), Body: body}, true
 }
 
-// heartbeat sends one heartbeat of a server.
+// heartbeat sends a heartbeat of a server.
 func (c *apiClient) heartbeat(ctx context.Context, p *process, instance *registry.Instance) bool {
-	heartbeat := controlapi.Heartbeat{Service: instance.Service, Address: instance.Addr, Zone: instance.Zone, Slots: instance.Slots,
-		State: controlapi.StateReady, Sequence: instance.Seq}
+	heartbeat := controlapi.Heartbeat{Service: instance.Service, Address: instance.Addr, Zone: instance.Zone,
+		Slots: instance.Slots, State: controlapi.StateReady, Sequence: instance.Seq}
 	if instance.State == registry.Draining {
 		heartbeat.State = controlapi.StateDraining
 	}
 	return c.instanceCall(ctx, p, http.MethodPut, instance.ID, &heartbeat)
 }
 
-// deregister ends a server.
+// deregister deregisters a server.
 func (c *apiClient) deregister(ctx context.Context, p *process, id string) bool {
 	return c.instanceCall(ctx, p, http.MethodDelete, id, struct{}{})
 }
--- a/internal/testbed/controlsim/crypto_rand.go
+++ b/internal/testbed/controlsim/crypto_rand.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// seededReader is a deterministic source for crypto/rand, from which processes draw their identifiers. The ids of
-// disks order the initial chain, so without it the runs of one seed would differ from their first step on.
+// seededReader is a deterministic source for crypto/rand, from which processes draw their identifiers. The initial
+// chain is ordered by the ids of the disks, so without seededReader the runs of a seed would differ from the start.
 type seededReader struct {
 	mu     sync.Mutex
 	source *rand.ChaCha8
@@ -21,8 +21,8 @@
 	return s.source.Read(b)
 }
 
-// seedCryptoRand makes crypto/rand deterministic until restore is called. The reader is global, so a process must
-// not run simulations concurrently.
+// seedCryptoRand makes crypto/rand deterministic until restore is called. The reader is global, so simulations must
+// not run concurrently in a process.
 func seedCryptoRand(seed uint64) (restore func()) {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
--- a/internal/testbed/controlsim/disk.go
+++ b/internal/testbed/controlsim/disk.go
@@ -13,9 +13,9 @@
 const (
 	// meanSyncTime is the mean latency of a write with its sync on a healthy disk.
 	meanSyncTime = 2 * time.Millisecond
-	// maxPendingWrites bounds the writes that wait for a disk, as package store does.
+	// maxPendingWrites bounds the pending writes of a disk, as in package store.
 	maxPendingWrites = 64
-	// probeKey is the record of a probe; it is never stored.
+	// probeKey is the key of a probe's record, which is never stored.
 	probeKey = "probe"
 )
 
@@ -23,17 +23,17 @@
 type media struct {
 	mu       sync.Mutex
 	random   *rand.Rand
-	records  map[string][]byte // synced
-	slowdown int               // factor of the latency; 1: healthy
+	records  map[string][]byte // synced records
+	slowdown int               // factor of the latency; 1 if the disk is healthy
 	full     bool
-	stalled  chan struct{} // closed when the stall ends; nil: not stalled
+	stalled  chan struct{} // closed when the stall ends; nil if the disk is not stalled
 }
 
 func newMedia(random *rand.Rand) *media {
 	return &media{random: random, records: map[string][]byte{}, slowdown: 1}
 }
 
-// wipe loses all records, as an exchanged disk.
+// wipe removes all records, like the replacement of a disk.
 func (m *media) wipe() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,14 +47,14 @@
 	m.slowdown = times
 }
 
-// setFull makes writes fail, or succeed again.
+// setFull sets whether the disk is full, so that writes fail.
 func (m *media) setFull(full bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.full = full
 }
 
-// setStalled makes writes block, or continue.
+// setStalled sets whether writes block. The end of a stall continues them.
 func (m *media) setStalled(stalled bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// read is the synced record of a key.
+// read returns the synced record of a key.
 func (m *media) read(key string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +75,7 @@
 	return raw, ok
 }
 
-// disk is the store of one process on a machine's media. It implements controlplane.Disk.
+// disk is the store of a process on its machine's medium. It implements controlplane.Disk.
 type disk struct {
 	media     *media
 	host      *host
@@ -85,13 +85,13 @@
 
 	mu           sync.Mutex
 	records      map[string][]byte // as the process sees them
-	pending      []time.Time       // when the writes in progress began
-	failingSince time.Time         // zero: the last write succeeded
-	written      bool              // a write has succeeded
-	lastErr      error             // of the last write
+	pending      []time.Time       // start times of the writes in progress
+	failingSince time.Time         // time of the first failed write since a successful one; zero if the last succeeded
+	written      bool              // whether a write has succeeded
+	lastErr      error             // error of the last write
 }
 
-// openDisk opens a media for a process: it has the synced records.
+// openDisk opens a medium for a process. The disk has its synced records.
 func openDisk(m *media, h *host) *disk {
 	d := &disk{media: m, host: h, writeSlot: make(chan struct{}, 1), records: map[string][]byte{}}
 	d.ctx, d.stop = context.WithCancel(context.Background())
@@ -104,7 +104,7 @@
 	return d
 }
 
-// Get is the newest record of a key.
+// Get returns the newest record of a key.
 func (d *disk) Get(key string) ([]byte, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,8 +112,8 @@
 	return value, ok
 }
 
-// Put returns nil once the record is synced; store.ErrBusy if too many writes wait, store.ErrClosed after the end of
-// the process, syscall.ENOSPC on a full disk.
+// Put writes a record and returns nil once it is synced. It returns store.ErrBusy if too many writes are pending,
+// store.ErrClosed after the end of the process, and syscall.ENOSPC if the disk is full.
 func (d *disk) Put(key string, value []byte) error {
 	d.mu.Lock()
 	if len(d.pending) >= maxPendingWrites {
@@ -136,8 +136,8 @@
 	return err
 }
 
-// write does one write at a time. One that is in progress when its process ends, or its machine loses power, may or
-// may not reach the media.
+// write writes a record after the previous write has ended. If the process ends during a write, or its machine loses
+// power, the record may or may not be stored.
 func (d *disk) write(key string, value []byte) error {
 	select {
 	case <-d.writeSlot:
@@ -164,7 +164,7 @@
 	return err
 }
 
-// simulateLatency waits as long as a write and its sync take.
+// simulateLatency waits for the duration of a write with its sync, and for the end of a stall.
 func (d *disk) simulateLatency() error {
 	m := d.media
 	m.mu.Lock()
@@ -192,10 +192,10 @@
 // Probe writes an empty record.
 func (d *disk) Probe() error { return d.Put(probeKey, nil) }
 
-// Scrub finds no damage: damaged records are tested in package store.
+// Scrub never finds damage. Damaged records are tested in package store.
 func (d *disk) Scrub() (bool, error) { return true, nil }
 
-// Health is the health of the disk at a time. It never waits for the disk.
+// Health returns the health of the disk at a time, without waiting for the disk.
 func (d *disk) Health(now time.Time) store.Health {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,5 +209,5 @@
 	return h
 }
 
-// Close ends the writes that wait.
+// Close ends the pending writes with store.ErrClosed.
 func (d *disk) Close() { d.stop() }
--- a/internal/testbed/controlsim/disk_test.go
+++ b/internal/testbed/controlsim/disk_test.go
@@ -35,7 +35,7 @@
 		require.True(t, ok)
 		require.Equal(t, "1", string(a))
 		_, ok = next.Get("c")
-		require.False(t, ok, "nothing is written after the end")
+		require.False(t, ok, "nothing is written after the end of the process")
 		m.wipe()
 		_, ok = openDisk(m, h).Get("a")
 		require.False(t, ok)
--- a/internal/testbed/controlsim/echo.go
+++ b/internal/testbed/controlsim/echo.go
@@ -14,15 +14,15 @@
 	echoCall = "controlsim.echo"
 	// echoInterval is the pause between two calls of one client.
 	echoInterval = 40 * time.Millisecond
-	// minEchoTimeout and echoTimeoutRange bound the random timeout of a call.
+	// The timeout of a call is random, from minEchoTimeout up to echoTimeoutRange more.
 	minEchoTimeout, echoTimeoutRange = 30 * time.Millisecond, 300 * time.Millisecond
 	// maxEchoBytes bounds the body of a call.
 	maxEchoBytes = 32 << 10
-	// maxEchoDelay bounds the time that the called process takes.
+	// maxEchoDelay bounds the delay of the called process.
 	maxEchoDelay = 40 * time.Millisecond
 )
 
-// echo is both the request and its response: equal tokens tell that they belong together.
+// echo is both a request and its response. The token identifies the call.
 type echo struct {
 	Token string `msgpack:"t"`
 	Body  string `msgpack:"b"`
@@ -30,7 +30,8 @@
 
 // registerEchoHandler makes a process answer echo calls with the request after a random delay.
 func registerEchoHandler(mux *rpc.Mux, random *rand.Rand) {
-	randomLock := make(chan struct{}, 1) // a channel: synctest counts waiting for it as durably blocked
+	// The lock is a channel because synctest doesn't count a goroutine that waits for a mutex as durably blocked.
+	randomLock := make(chan struct{}, 1)
 	randomLock <- struct{}{}
 	rpc.HandleUnary(mux, echoCall, func(ctx context.Context, request *echo) (*echo, error) {
 		<-randomLock
@@ -49,7 +50,7 @@
 	random *rand.Rand
 }
 
-// run calls until ctx ends.
+// run makes calls until ctx ends.
 func (c *echoClient) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		from, to := c.sim.pickProcess(c.random, nil), c.sim.pickProcess(c.random, nil)
@@ -66,7 +67,8 @@
 	request := &echo{Token: token, Body: strings.Repeat(token[len(token)-1:], c.random.IntN(maxEchoBytes))}
 	response, err := rpc.Call[echo, echo](ctx, from.pool, to.machine.host.addr, echoCall, request)
 	if err == nil && *response != *request {
-		c.sim.checker.reportViolation(from.machine.name, "call %s of %s got the response of call %s", token, to.machine.name, response.Token)
+		c.sim.checker.reportViolation(from.machine.name, "call %s of %s got the response of call %s", token,
+			to.machine.name, response.Token)
 	}
 	c.sim.checker.callCompleted(err == nil)
 }
--- a/internal/testbed/controlsim/endpoint.go
+++ b/internal/testbed/controlsim/endpoint.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// listener is the open port of one process. It implements net.Listener.
+// listener is an open port of a process. It implements net.Listener.
 type listener struct {
 	host    *host
 	pending chan *conn
@@ -18,7 +18,7 @@
 	closed  chan struct{}
 }
 
-// Accept returns the next connection, after a pause of the process has ended; net.ErrClosed after Close.
+// Accept returns the next connection; net.ErrClosed after Close. It blocks while the process is paused.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		select {
@@ -40,13 +40,13 @@
 	if l.host.listener == l {
 		l.host.listener = nil
 	}
-	if l.host.control == l {
-		l.host.control = nil
+	if l.host.controlListener == l {
+		l.host.controlListener = nil
 	}
 	return nil
 }
 
-// Addr is the address of the host.
+// Addr returns the address of the host.
 func (l *listener) Addr() net.Addr { return address(l.host.addr) }
 
 // address is a net.Addr of the simulated network.
@@ -56,14 +56,14 @@
 
 func (a address) String() string { return string(a) }
 
-// dialer connects for one process. It implements rpc.Dialer.
+// dialer opens the connections of a process. It implements rpc.Dialer.
 type dialer struct {
 	host *host
 	done <-chan struct{} // closed at the end of the process
 }
 
-// Dial connects to the port of another host. The error is a *net.OpError around the errno of a real kernel: a
-// refused connection fails at once, a lost one after connectTimeout.
+// Dial connects to the port of another host. Its error is a *net.OpError with the errno of a real kernel. A refused
+// connection fails at once, one without a response after connectTimeout.
 func (d dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -106,7 +106,7 @@
 	return &net.OpError{Op: "dial", Net: "sim", Addr: address(addr), Err: err}
 }
 
-// listen opens the port of a host for one process.
+// listen opens the rpc port of a host for a process.
 func (h *host) listen() *listener {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -114,13 +114,13 @@
 	return h.listener
 }
 
-// listenControl opens the port of a host's control API for one process.
+// listenControl opens the port of the control API of a host for a process.
 func (h *host) listenControl(addr string) *listener {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	h.network.controlHosts[addr] = h
-	h.control = newListener(h)
-	return h.control
+	h.controlListener = newListener(h)
+	return h.controlListener
 }
 
 func newListener(h *host) *listener {
--- a/internal/testbed/controlsim/events.go
+++ b/internal/testbed/controlsim/events.go
@@ -13,10 +13,12 @@
 	text string
 }
 
-// formatEvents sorts events by time and formats them. Events of one instant are concurrent, and are sorted by
-// their text to make logs comparable.
+// formatEvents sorts events by time and formats them. Events at the same time are concurrent and are sorted by
+// their texts, so that logs can be compared.
 func formatEvents(events []event) (lines []string) {
-	slices.SortFunc(events, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text)) })
+	slices.SortFunc(events, func(a, b event) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text))
+	})
 	for _, e := range events {
 		lines = append(lines, fmt.Sprintf("%v %s", e.at, e.text))
 	}
--- a/internal/testbed/controlsim/external_call.go
+++ b/internal/testbed/controlsim/external_call.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// clientDelay is the latency between a client and a machine, one way.
+// clientDelay is the one-way latency between a client and a machine.
 const clientDelay = 3 * time.Millisecond
 
-// externalCall calls a process from outside the fleet. It tells whether the caller gets a response in time: none
-// comes from a process that was killed or is paused meanwhile, even if the call took effect.
+// externalCall calls a process from outside the fleet and tells whether the caller gets a response before the timeout.
+// There is no response if the process is killed or paused during the call, even if the call took effect.
 func externalCall(ctx context.Context, p *process, timeout time.Duration, call func(context.Context) bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/testbed/controlsim/fault_history.go
+++ b/internal/testbed/controlsim/fault_history.go
@@ -9,10 +9,10 @@
 type faultPeriod struct {
 	machine    *machine
 	kind       FaultKind
-	begin, end time.Time // end is zero while the fault lasts
+	begin, end time.Time // end is zero until the fault has ended
 }
 
-// beginFault begins a fault period of a machine. The function that it returns ends the period.
+// beginFault begins a fault period of a machine. The returned function ends it.
 func (s *simulation) beginFault(m *machine, kind FaultKind) (end func()) {
 	period := &faultPeriod{machine: m, kind: kind, begin: time.Now()}
 	s.mu.Lock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// healthySince are the processes that have run since a time, on machines without a fault since then.
+// healthySince returns the processes that have run since a time on machines without a fault since then.
 func (s *simulation) healthySince(since time.Time) (processes []*process) {
 	faulty := map[*machine]bool{}
 	s.mu.Lock()
@@ -43,7 +43,7 @@
 	return processes
 }
 
-// coreLostSince tells whether all machines of the core were without power at some time after a time.
+// coreLostSince tells whether all machines of the core have been without power at the same time, at any moment after t.
 func (s *simulation) coreLostSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,9 +66,9 @@
 	})
 }
 
-// canInject tells whether fewer than half of the core's machines are faulty with one more. A machine that lost its
-// disk counts until recoveryTime after it, or its replacement, has started; not for a fault of the replacement, which
-// takes the same position.
+// canInject tells whether fewer than half of the core's machines are faulty if a fault of m is added. A machine that
+// has lost its disk counts as faulty until recoveryTime after its restart, or after the start of its replacement. It
+// doesn't count for a fault of the replacement itself, which takes the place of that machine.
 func (s *simulation) canInject(m *machine, replacement bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	return 2*len(faulty) < s.scenario.coreCount
 }
 
-// recordDiskLoss records that a disk was lost now.
+// recordDiskLoss records the loss of a disk at the present time.
 func (s *simulation) recordDiskLoss() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/controlsim/inject.go
+++ b/internal/testbed/controlsim/inject.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// callTimeout bounds how long a fault waits for the call that it is to follow.
+	// callTimeout bounds the time that a fault waits for its call.
 	callTimeout = 5 * time.Second
-	// diskSlowdown is the factor by which a slow disk is slower than a healthy one.
+	// diskSlowdown is the ratio of the latencies of a slow and a healthy disk.
 	diskSlowdown = 30
 )
 
@@ -67,8 +67,8 @@
 	s.logEvent("fault ends: %s of %s", f.Kind, target.name)
 }
 
-// awaitCall waits until the call that a fault is to follow has arrived at its machine, and the fault's delay
-// longer. It returns false if there was no such call in time.
+// awaitCall waits until the call that a fault follows has arrived at its machine, and then for the delay of the fault.
+// It returns false if there is no such call within callTimeout.
 func (s *simulation) awaitCall(ctx context.Context, f Fault) bool {
 	called := s.chainMember(s.newestView(), f.CallTarget)
 	if called == nil {
@@ -87,7 +87,8 @@
 	}
 }
 
-// injectPartition returns false if the fault's peer is missing from the view, or is the machine itself.
+// injectPartition partitions a machine for the duration of a fault. It returns false if the view has no machine for the
+// fault's peer, or if that is the machine itself.
 func (s *simulation) injectPartition(ctx context.Context, f Fault, m *machine) bool {
 	p := &partition{machine: m, fault: f}
 	if f.Peer != "" {
@@ -117,7 +118,7 @@
 	sleep(ctx, f.Duration)
 }
 
-// injectPoorLinks makes the links of a machine with all others poor, and good again.
+// injectPoorLinks degrades the links between a machine and all others for the duration of a fault.
 func (s *simulation) injectPoorLinks(ctx context.Context, f Fault, m *machine) {
 	setAll := func(quality linkQuality) {
 		for _, other := range s.allMachines() {
@@ -129,7 +130,7 @@
 	setAll(linkQuality{})
 }
 
-// injectOutage cuts the power of machines and restarts them one shortly after the other.
+// injectOutage cuts the power of machines and later restarts them one after the other.
 func (s *simulation) injectOutage(ctx context.Context, f Fault, machines []*machine) {
 	s.logEvent("fault: %v", f)
 	lost := slices.DeleteFunc(machines, func(m *machine) bool { return m.running() == nil })
@@ -140,7 +141,7 @@
 	sleep(ctx, f.Duration)
 	for _, m := range lost {
 		if m.running() == nil && ctx.Err() == nil {
-			m.start(s.processes, false)
+			m.start(s.processCtx, false)
 		}
 		sleep(ctx, f.Delay)
 	}
@@ -171,12 +172,12 @@
 		defer s.beginFault(m, f.Kind)()
 	}
 	if m.running() == nil {
-		m.start(s.processes, false)
+		m.start(s.processCtx, false)
 	}
 }
 
-// targetOf resolves the target of a fault by the newest view; nil if there is none, or if too many machines of the
-// core would be faulty at once.
+// targetOf returns the target of a fault according to the newest view; nil if there is none, or if too many machines of
+// the core would be faulty at once.
 func (s *simulation) targetOf(f Fault) *machine {
 	core, agents := s.coreMachines(), s.agentMachines()
 	m := s.chainMember(s.newestView(), f.Target)
@@ -194,7 +195,7 @@
 	return m
 }
 
-// chainMember is the machine at the head, in the middle or at the tail of a view's chain; nil for other targets.
+// chainMember returns the machine at the head, in the middle or at the tail of a view's chain; nil for other targets.
 func (s *simulation) chainMember(v view.View, target Target) *machine {
 	last := len(v.Chain) - 1
 	if last < 0 {
--- a/internal/testbed/controlsim/machine.go
+++ b/internal/testbed/controlsim/machine.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	port = ":7400"
-	// controlPort is that of the control API.
+	// rpcPort is the port for calls between machines.
+	rpcPort = ":7400"
+	// controlPort is the port of the control API.
 	controlPort = ":8262"
-	// handoverTimeout bounds the handover of a process that ends after SIGTERM.
+	// handoverTimeout bounds the handover of a process after SIGTERM.
 	handoverTimeout = 4 * time.Second
-	// departTimeout bounds the announcement of its departure.
+	// departTimeout bounds the announcement of the departure that follows the handover.
 	departTimeout = 500 * time.Millisecond
 )
 
@@ -28,16 +29,16 @@
 	name         string
 	zone, region string
 	host         *host
-	media        *media // nil: an agent without a disk
-	incarnations int    // processes started so far
+	media        *media // nil if the machine is an agent without a disk
+	incarnations int    // number of processes started so far
 
-	// Guarded by the simulation's lock.
+	// The following fields are guarded by the simulation's lock.
 	addedAt    time.Time
-	replacedAt time.Time  // zero: not replaced
-	seeds      []*machine // that its settings file names
+	replacedAt time.Time  // zero if the machine has not been replaced
+	seeds      []*machine // the machines that its settings file names
 
 	mu      sync.Mutex
-	process *process // nil: none runs
+	process *process // nil if none runs
 }
 
 func newMachine(s *simulation, index int, withDisk bool) *machine {
@@ -48,24 +49,24 @@
 	zone := index % s.scenario.zoneCount
 	m := &machine{sim: s, index: index, addedAt: time.Now(), name: fmt.Sprintf("%s-%d", kind, index),
 		zone: fmt.Sprintf("z%d", zone), region: fmt.Sprintf("r%d", zone/s.scenario.zonesPerRegion)}
-	m.host = s.network.addHost(fmt.Sprintf("10.0.0.%d%s", index+1, port))
+	m.host = s.network.addHost(fmt.Sprintf("10.0.0.%d%s", index+1, rpcPort))
 	if withDisk {
 		m.media = newMedia(s.newRandom("disk", index))
 	}
 	return m
 }
 
-// controlAddr is the address of the machine's control API.
-func (m *machine) controlAddr() string { return strings.TrimSuffix(m.host.addr, port) + controlPort }
+// controlAddr returns the address of the machine's control API.
+func (m *machine) controlAddr() string { return strings.TrimSuffix(m.host.addr, rpcPort) + controlPort }
 
-// running is the machine's process, nil if none runs.
+// running returns the machine's process; nil if none runs.
 func (m *machine) running() *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.process
 }
 
-// start powers the machine on and starts a process on it, which runs until ctx ends or it is killed.
+// start powers the machine on and starts a process on it, which runs until ctx ends or kill is called.
 func (m *machine) start(ctx context.Context, firstStart bool) {
 	m.sim.network.powerOn(m.host)
 	m.incarnations++
@@ -93,7 +94,7 @@
 	go p.serve(ctx, listener, control, mux) // ends with ctx; simulation.stop waits for p.done
 }
 
-// kill ends the process at once. With powerLoss the machine is unreachable until its next start.
+// kill ends the process at once. With powerLoss it also powers the machine off until its next start.
 func (m *machine) kill(powerLoss bool) {
 	m.mu.Lock()
 	p := m.process
--- a/internal/testbed/controlsim/machine_list.go
+++ b/internal/testbed/controlsim/machine_list.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// machineListDelay is how far the operator's list of the core's machines lags behind.
+	// machineListDelay is the delay with which changes appear on the operator's list of the core's machines.
 	machineListDelay = 3 * time.Second
 	// seedCount is the number of machines that a settings file names.
 	seedCount = 3
 )
 
-// seedAddrs are the seed addresses of the machine's settings file. They come from the operator's list as it was when
-// the file was written, so the machines may be down or replaced since. The file is written for a new machine, and
-// again once none of its machines is listed any more: a process without other knowledge could reach nobody then.
+// seedAddrs returns the seed addresses in the machine's settings file. They come from the operator's list at the time
+// when the file was written, so these machines may be down or replaced by now. The file is written when the machine is
+// added, and again once none of its seeds is on the list any more, because then a process that knows no other addresses
+// could not reach any machine.
 func (m *machine) seedAddrs() (addrs []string) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
@@ -29,8 +30,8 @@
 	return addrs
 }
 
-// machineListLocked is the operator's list at a time: the machines with a disk that had been added and not been
-// replaced. Before the start of the run it has those that the fleet starts with.
+// machineListLocked returns the operator's list at a time: the machines with a disk that had been added and not been
+// replaced. For times before the start of the run it returns the list at the start.
 func (s *simulation) machineListLocked(at time.Time) (list []*machine) {
 	if at.Before(s.startedAt) {
 		at = s.startedAt
--- a/internal/testbed/controlsim/machine_list_test.go
+++ b/internal/testbed/controlsim/machine_list_test.go
@@ -9,11 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The settings file of a new machine names machines that were on the operator's list when it was written. It is
-// written again only once the list has none of them.
+// The settings file of a machine names machines that were on the operator's list when it was written. It is written
+// again only once none of them is on the list.
 func TestSeedAddressesComeFromMachineList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &simulation{network: newNetwork(rand.New(rand.NewPCG(1, 2))), startedAt: time.Now(), scenario: newScenario(1, 0)}
+		s := &simulation{network: newNetwork(rand.New(rand.NewPCG(1, 2))), startedAt: time.Now(),
+			scenario: newScenario(1, 0)}
 		var initial []*machine
 		for range 4 {
 			initial = append(initial, s.addMachine(true))
@@ -36,14 +37,15 @@
 		sleep(t.Context(), 2*machineListDelay)
 		second := replace(initial[1])
 		sleep(t.Context(), 2*machineListDelay)
-		require.Equal(t, addrs(initial[:3]...), first.seedAddrs(), "one of the three is left")
+		require.Equal(t, addrs(initial[:3]...), first.seedAddrs(), "one of its three seeds is still listed")
 		require.Equal(t, addrs(initial[2], initial[3], first), second.seedAddrs())
 		third := replace(initial[2])
 		sleep(t.Context(), machineListDelay-time.Millisecond)
-		require.Equal(t, addrs(initial[:3]...), agent.seedAddrs(), "the list lags behind")
+		require.Equal(t, addrs(initial[:3]...), agent.seedAddrs(), "the list still has the replaced machine")
 		sleep(t.Context(), 2*time.Millisecond)
-		require.Equal(t, addrs(initial[3], first, second), agent.seedAddrs(), "none of the three was left")
-		require.Equal(t, addrs(initial[2], initial[3], first), second.seedAddrs(), "two of its three are left")
+		require.Equal(t, addrs(initial[3], first, second), agent.seedAddrs(), "none of its three seeds is listed")
+		require.Equal(t, addrs(initial[2], initial[3], first), second.seedAddrs(),
+			"two of its three seeds are still listed")
 		require.Equal(t, addrs(initial[3], first, second), third.seedAddrs())
 	})
 }
--- a/internal/testbed/controlsim/machines.go
+++ b/internal/testbed/controlsim/machines.go
@@ -8,7 +8,7 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// addMachine adds a machine, which is not started yet.
+// addMachine adds a machine without starting it.
 func (s *simulation) addMachine(withDisk bool) *machine {
 	s.mu.Lock()
 	index := len(s.machines)
@@ -20,34 +20,34 @@
 	return m
 }
 
-// allMachines are the machines in the order of their addition, replaced ones included.
+// allMachines returns the machines in the order of their addition, including replaced ones.
 func (s *simulation) allMachines() []*machine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.machines)
 }
 
-// coreMachines are the machines with a disk.
+// coreMachines returns the machines with a disk.
 func (s *simulation) coreMachines() []*machine {
 	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.media == nil })
 }
 
-// agentMachines are the machines without a disk.
+// agentMachines returns the machines without a disk.
 func (s *simulation) agentMachines() []*machine {
 	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.media != nil })
 }
 
-// machinesOfZone are the machines of a zone.
+// machinesOfZone returns the machines of a zone.
 func (s *simulation) machinesOfZone(zone string) []*machine {
 	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.zone != zone })
 }
 
-// machinesOfRegion are the machines of a region.
+// machinesOfRegion returns the machines of a region.
 func (s *simulation) machinesOfRegion(region string) []*machine {
 	return slices.DeleteFunc(s.allMachines(), func(m *machine) bool { return m.region != region })
 }
 
-// machineByAddr is the machine of an address, nil if there is none.
+// machineByAddr returns the machine with an address; nil if there is none.
 func (s *simulation) machineByAddr(addr string) *machine {
 	for _, m := range s.allMachines() {
 		if m.host.addr == addr {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// newestView is the newest view that any running process has learned.
+// newestView returns the newest view that any running process has learned.
 func (s *simulation) newestView() (newest view.View) {
 	for _, m := range s.allMachines() {
 		if p := m.running(); p != nil {
@@ -69,7 +69,7 @@
 	return newest
 }
 
-// pickProcess picks a running process other than the last one. It returns last if no other runs.
+// pickProcess picks a running process other than last at random. It returns last if there is no other.
 func (s *simulation) pickProcess(random *rand.Rand, last *process) *process {
 	var running []*process
 	for _, m := range s.allMachines() {
--- a/internal/testbed/controlsim/model_servers.go
+++ b/internal/testbed/controlsim/model_servers.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// heartbeatTimeout bounds one call of a server.
+	// heartbeatTimeout bounds a call by a server.
 	heartbeatTimeout = 950 * time.Millisecond
 	// deregisterTimeout bounds the retries of a drain or a deregistration.
 	deregisterTimeout = 10 * time.Second
 )
 
-// modelServer sends heartbeats to one agent, switches to another agent after a call without a response, drains,
-// deregisters, and comes back as a new instance.
+// modelServer sends heartbeats to an agent, switches to another agent after a call without a response, drains,
+// deregisters, and starts again as a new instance.
 type modelServer struct {
 	sim    *simulation
 	index  int
 	random *rand.Rand
-	agent  *process // nil: to be picked
-	seq    uint64
-	api    *apiClient // nil: it calls the backend of the control API
+	agent  *process   // nil if the next call picks an agent
+	seq    uint64     // of the last heartbeat
+	api    *apiClient // nil if the server calls the backend of the control API
 }
 
-// newModelServer makes a server of a run.
+// newModelServer returns the server with an index.
 func newModelServer(s *simulation, index int) *modelServer {
 	server := &modelServer{sim: s, index: index, random: s.newRandom("server", index)}
 	if s.scenario.overHTTP {
@@ -36,7 +36,7 @@
 	return server
 }
 
-// run goes through instances until ctx ends.
+// run runs one instance after the other until ctx ends.
 func (s *modelServer) run(ctx context.Context) {
 	if s.api != nil {
 		defer s.api.Close()
@@ -55,7 +55,7 @@
 	}
 }
 
-// retry repeats a call until it gets a response, and tells whether it got one in time.
+// retry repeats a call until there is a response. It returns false if there is none within deregisterTimeout.
 func (s *modelServer) retry(ctx context.Context, call func() bool) bool {
 	for startedAt := time.Now(); ctx.Err() == nil && time.Since(startedAt) < deregisterTimeout; sleep(ctx, retryPause) {
 		if call() {
@@ -72,7 +72,9 @@
 	if s.api != nil {
 		return s.callAgent(func(agent *process) bool { return s.api.heartbeat(ctx, agent, instance) })
 	}
-	return s.callBackend(ctx, func(ctx context.Context, agent *process) bool { return agent.relay.Heartbeat(ctx, instance) })
+	return s.callBackend(ctx, func(ctx context.Context, agent *process) bool {
+		return agent.relay.Heartbeat(ctx, instance)
+	})
 }
 
 func (s *modelServer) deregister(ctx context.Context, id string) bool {
@@ -89,7 +91,7 @@
 	})
 }
 
-// callAgent makes one call to the server's agent. Without a response the next call goes to another agent.
+// callAgent makes one call to the server's agent. If there is no response, the next call goes to another agent.
 func (s *modelServer) callAgent(call func(agent *process) bool) bool {
 	if s.agent == nil || s.agent.ended.Load() {
 		s.agent = s.sim.pickProcess(s.random, s.agent)
--- a/internal/testbed/controlsim/network.go
+++ b/internal/testbed/controlsim/network.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// linkDelay is the latency of a segment within a region, one way.
+	// linkDelay is the one-way latency of a segment.
 	linkDelay = 500 * time.Microsecond
-	// windowBytes bounds the bytes of one direction of a connection that are in flight or not read yet.
+	// windowBytes bounds the bytes in one direction of a connection that are in flight or unread.
 	windowBytes = 256 << 10
-	// segmentBytes is the capacity of a segment.
+	// segmentBytes is the maximum size of a segment.
 	segmentBytes = 64 << 10
-	// ackTimeout is how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+	// ackTimeout is the time after which unacknowledged bytes break a connection (TCP_USER_TIMEOUT).
 	ackTimeout = 1500 * time.Millisecond
-	// keepaliveTimeout is how long an idle connection survives a partition.
+	// keepaliveTimeout is the time after which a partition breaks an idle connection.
 	keepaliveTimeout = 2 * time.Second
 	// connectTimeout bounds a connect.
 	connectTimeout = 300 * time.Millisecond
@@ -30,28 +30,28 @@
 	acceptBacklog = 128
 )
 
-// linkState is what one direction between two hosts does with segments. Higher states are more severe.
+// linkState tells how a link treats segments. Higher states are more severe.
 type linkState uint8
 
 const (
 	linkOpen    linkState = iota
-	linkDrops             // segments are lost; retransmissions arrive once the link opens
+	linkDrops             // segments are dropped; their retransmissions arrive once the link is open
 	linkRejects           // each segment is answered with a reset, as by a firewall
 )
 
-// direction is one direction between two hosts.
+// direction identifies a link: one direction between two hosts.
 type direction struct{ from, to string }
 
-// network connects hosts. It models what TCP shows to programs: order, windows, closed ports, resets, and the
-// timeouts that package rpc asks of the kernel. Its lock guards hosts, listeners and connections, too.
+// network connects hosts. It models the behavior of TCP that programs can observe: order, windows, closed ports,
+// resets, and the timeouts that package rpc sets on its sockets. Its lock also guards hosts, listeners and connections.
 type network struct {
 	mu           sync.Mutex
 	hosts        map[string]*host
-	controlHosts map[string]*host // by the address of the control API
+	controlHosts map[string]*host // by the addresses of their control APIs
 	links        map[direction]linkState
-	blockedSince map[direction]time.Time // of the links that aren't open
-	bandwidth    int                     // bytes per second and direction of a connection; 0: unlimited
-	qualities    qualities               // of the links that are worse than others
+	blockedSince map[direction]time.Time // by link: time since when it isn't open
+	bandwidth    int                     // bytes per second and direction of a connection; 0 if unlimited
+	qualities    qualities               // of degraded links
 	conns        map[*conn]bool
 	callWatches  map[*callWatch]bool
 }
@@ -59,12 +59,12 @@
 // callWatch waits for an rpc call to arrive at a host.
 type callWatch struct {
 	host    *host
-	name    []byte // of the call, as it stands in the segment
-	arrived chan struct{}
+	name    []byte        // name of the call, as contained in its segment
+	arrived chan struct{} // closed when the call arrives
 }
 
-// watchCall returns a channel that is closed once a call of a name has arrived at a host. The caller forgets the
-// watch when it waits no longer.
+// watchCall returns a channel that is closed once a call with a name has arrived at a host. The caller calls
+// forget when it no longer waits.
 func (n *network) watchCall(h *host, call string) (arrived <-chan struct{}, forget func()) {
 	w := &callWatch{host: h, name: []byte(call), arrived: make(chan struct{})}
 	n.mu.Lock()
@@ -87,24 +87,26 @@
 	}
 }
 
-// host is a machine's kernel: it outlives the processes of the machine. Its fields are guarded by the network's lock.
+// host is the kernel of a machine. It outlives the processes of the machine. Its fields are guarded by the network's
+// lock.
 type host struct {
-	network  *network
-	addr     string
-	powered  bool
-	paused   bool
-	resumed  chan struct{} // closed when the pause ends
-	listener *listener     // of the running process; nil: the port is closed
-	control  *listener     // of its control API
+	network         *network
+	addr            string
+	powered         bool
+	paused          bool
+	resumed         chan struct{} // closed when the pause ends
+	listener        *listener     // rpc port of the process; nil if the port is closed
+	controlListener *listener     // port of its control API; nil if the port is closed
 }
 
-// newNetwork makes a network that draws its losses from a source.
+// newNetwork returns a network that draws losses from a random source.
 func newNetwork(random *rand.Rand) *network {
-	return &network{hosts: map[string]*host{}, controlHosts: map[string]*host{}, links: map[direction]linkState{}, qualities: newQualities(random),
-		blockedSince: map[direction]time.Time{}, conns: map[*conn]bool{}, callWatches: map[*callWatch]bool{}}
+	return &network{hosts: map[string]*host{}, controlHosts: map[string]*host{}, links: map[direction]linkState{},
+		qualities: newQualities(random), blockedSince: map[direction]time.Time{}, conns: map[*conn]bool{},
+		callWatches: map[*callWatch]bool{}}
 }
 
-// addHost adds a host that is powered and has no open port.
+// addHost adds a host that is powered on and has no open ports.
 func (n *network) addHost(addr string) *host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +115,7 @@
 	return h
 }
 
-// expireConns breaks the connections that time out, until ctx ends.
+// expireConns breaks connections that time out, until ctx ends.
 func (n *network) expireConns(ctx context.Context) {
 	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
@@ -127,21 +129,22 @@
 	}
 }
 
-// expireAt breaks the connections whose bytes stay unacknowledged or whose keepalive probes stay unanswered.
+// expireAt breaks the connections whose bytes or keepalive probes were not acknowledged in time.
 func (n *network) expireAt(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if !c.unackedSince.IsZero() && now.Sub(c.unackedSince) >= ackTimeout || n.unreachableFor(c, now) >= keepaliveTimeout {
+		if !c.unackedSince.IsZero() && now.Sub(c.unackedSince) >= ackTimeout ||
+			n.unreachableFor(c, now) >= keepaliveTimeout {
 			c.breakLocked(syscall.ETIMEDOUT)
 		}
 	}
 }
 
-// unreachableFor is how long keepalive probes of a connection, or the responses to them, have been lost.
+// unreachableFor returns the time for which keepalive probes of a connection, or the responses to them, have been lost.
 func (n *network) unreachableFor(c *conn, now time.Time) (longest time.Duration) {
-	for _, way := range []direction{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
-		if since, blocked := n.blockedSince[way]; blocked {
+	for _, link := range []direction{{c.local.addr, c.remote.addr}, {c.remote.addr, c.local.addr}} {
+		if since, blocked := n.blockedSince[link]; blocked {
 			longest = max(longest, now.Sub(since))
 		}
 	}
@@ -151,18 +154,18 @@
 	return longest
 }
 
-// setLink changes one direction between two hosts. Delayed segments are delivered when it opens.
+// setLink sets the state of a link. Delayed segments are delivered when it opens.
 func (n *network) setLink(from, to string, state linkState) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	way := direction{from, to}
+	link := direction{from, to}
 	if state == linkOpen {
-		delete(n.links, way)
-		delete(n.blockedSince, way)
+		delete(n.links, link)
+		delete(n.blockedSince, link)
 	} else {
-		n.links[way] = state
-		if _, blocked := n.blockedSince[way]; !blocked {
-			n.blockedSince[way] = time.Now()
+		n.links[link] = state
+		if _, blocked := n.blockedSince[link]; !blocked {
+			n.blockedSince[link] = time.Now()
 		}
 	}
 	for c := range n.conns {
@@ -175,7 +178,7 @@
 	}
 }
 
-// resetConns breaks all connections between two hosts, as a stateful firewall between them that is restarted.
+// resetConns resets all connections between two hosts, like the restart of a stateful firewall between them.
 func (n *network) resetConns(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,11 +189,11 @@
 	}
 }
 
-// powerOff makes a host silent, and drops its connections without telling their other ends.
+// powerOff makes a host stop responding, and drops its connections without notifying the other ends.
 func (n *network) powerOff(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.powered, h.listener, h.control = false, nil, nil
+	h.powered, h.listener, h.controlListener = false, nil, nil
 	for c := range n.conns {
 		if c.local == h {
 			c.breakLocked(syscall.ECONNRESET)
@@ -199,7 +202,7 @@
 	h.resumeLocked()
 }
 
-// powerOn makes a host respond again: the next segment of a connection from before its power loss is reset.
+// powerOn makes a host respond again. It resets the connections from before its power loss at their next segment.
 func (n *network) powerOn(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -211,11 +214,11 @@
 	}
 }
 
-// closeProcess closes the port and all connections of a host's process, as the kernel does at its end.
+// closeProcess closes the ports and all connections of a host's process, as the kernel does when a process ends.
 func (n *network) closeProcess(h *host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.listener, h.control = nil, nil
+	h.listener, h.controlListener = nil, nil
 	h.resumeLocked()
 	for c := range n.conns {
 		if c.local == h {
@@ -247,7 +250,7 @@
 	}
 }
 
-// waitResumed waits until the host's process is not paused. The error is that of ctx.
+// waitResumed waits until the host's process is not paused. It returns the error of ctx if ctx ends before.
 func (h *host) waitResumed(ctx context.Context) error {
 	for {
 		h.network.mu.Lock()
@@ -264,10 +267,10 @@
 	}
 }
 
-// errNoResponse is returned by connect when the request or its response is lost: the caller sees a timeout.
+// errNoResponse is returned by connect if the request or its response is lost. The caller then waits for its timeout.
 var errNoResponse = errors.New("no response")
 
-// connect opens a connection to the listener of an address and returns its local end.
+// connect opens a connection to the listener at an address and returns its local end.
 func (n *network) connect(from *host, addr string) (*conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -286,7 +289,7 @@
 	case port == nil:
 		return nil, syscall.ECONNREFUSED
 	case n.qualities.isLost(direction{from.addr, addr}) || n.qualities.isLost(direction{addr, from.addr}):
-		return nil, errNoResponse // the kernel asks again after connectTimeout
+		return nil, errNoResponse // the kernel would retry only after connectTimeout
 	}
 	local, remote := n.newConn(from, to), n.newConn(to, from)
 	local.peer, remote.peer = remote, local
@@ -299,10 +302,10 @@
 	return local, nil
 }
 
-// portLocked is the host of an address and the open port there, nil if it is closed.
+// portLocked returns the host of an address and the open port there; nil if the port is closed.
 func (n *network) portLocked(addr string) (*host, *listener) {
 	if h := n.controlHosts[addr]; h != nil {
-		return h, h.control
+		return h, h.controlListener
 	}
 	if h := n.hosts[addr]; h != nil {
 		return h, h.listener
@@ -310,7 +313,7 @@
 	return nil, nil
 }
 
-// newConn is one end of a connection, without its peer.
+// newConn returns one end of a connection, without its peer.
 func (n *network) newConn(local, remote *host) *conn {
 	return &conn{network: n, local: local, remote: remote, lastReceived: time.Now(), cond: sync.NewCond(&n.mu)}
 }
--- a/internal/testbed/controlsim/network_test.go
+++ b/internal/testbed/controlsim/network_test.go
@@ -17,14 +17,14 @@
 
 const hostA, hostB = "10.0.0.1:1", "10.0.0.2:1"
 
-// connectionTest is two hosts and a connection between them in a bubble.
+// connectionTest has two hosts and a connection between them in a synctest bubble.
 type connectionTest struct {
 	t             *testing.T
 	network       *network
 	local, remote *host
 	dialer        dialer
-	localConn     net.Conn // of a
-	remoteConn    net.Conn // of b
+	localConn     net.Conn // end at local
+	remoteConn    net.Conn // end at remote
 }
 
 func withConnection(t *testing.T, test func(w *connectionTest)) {
@@ -72,20 +72,21 @@
 }
 
 func TestUnacknowledgedBytesBreakConnection(t *testing.T) {
-	for name, way := range map[string]direction{"lost": {hostA, hostB}, "not acknowledged": {hostB, hostA}} {
+	for name, link := range map[string]direction{"lost": {hostA, hostB}, "not acknowledged": {hostB, hostA}} {
 		t.Run(name, func(t *testing.T) {
 			withConnection(t, func(w *connectionTest) {
-				w.network.setLink(way.from, way.to, linkDrops)
+				w.network.setLink(link.from, link.to, linkDrops)
 				w.send("lost")
 				startedAt := time.Now()
 				_, err := w.localConn.Read(make([]byte, 1))
 				require.ErrorIs(t, err, syscall.ETIMEDOUT)
 				require.InDelta(t, ackTimeout, time.Since(startedAt), float64(2*scanInterval))
-				w.network.setLink(way.from, way.to, linkOpen)
+				w.network.setLink(link.from, link.to, linkOpen)
 				_, err = w.remoteConn.Write([]byte("answer"))
 				require.NoError(t, err)
 				_, err = io.Copy(io.Discard, w.remoteConn)
-				require.ErrorIs(t, err, syscall.ECONNRESET, "the other end learns it from the reset of its own bytes")
+				require.ErrorIs(t, err, syscall.ECONNRESET,
+					"the other end learns of it from the reset of its own bytes")
 			})
 		})
 	}
@@ -129,13 +130,13 @@
 		_, err := w.localConn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, syscall.ECONNRESET)
 		_, err = w.dialer.Dial(context.Background(), hostB)
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "a closed port refuses")
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "a closed port refuses connections")
 		w.network.powerOff(w.remote)
 		startedAt := time.Now()
 		_, err = w.dialer.Dial(context.Background(), hostB)
 		require.Error(t, err)
 		require.NotErrorIs(t, err, syscall.ECONNREFUSED)
-		require.Equal(t, connectTimeout, time.Since(startedAt), "a machine without power is silent")
+		require.Equal(t, connectTimeout, time.Since(startedAt), "a machine without power does not respond")
 	})
 }
 
@@ -160,11 +161,11 @@
 		sleep(context.Background(), 5*time.Second)
 		w.network.resume(w.remote)
 		reader.Wait()
-		require.Equal(t, 5*time.Second, time.Since(startedAt), "its kernel has acknowledged them meanwhile")
+		require.Equal(t, 5*time.Second, time.Since(startedAt), "the kernel acknowledges the bytes during the pause")
 	})
 }
 
-// A link that loses segments delivers all bytes in order, later than a good one.
+// A link that loses segments delivers all bytes in order, but later than a good link.
 func TestLossyLinkDelaysBytes(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
 		w.network.setQuality(hostA, hostB, linkQuality{loss: 0.5})
@@ -179,14 +180,14 @@
 	})
 }
 
-// A segment that is lost as often as may be arrives before its connection breaks.
+// A segment that is lost maxRetransmissions times arrives before its connection breaks.
 func TestSegmentThatIsLostRepeatedlyArrives(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
 		w.network.setQuality(hostA, hostB, linkQuality{loss: 1})
 		w.send("late")
 		require.Equal(t, "late", w.receive(4))
 		_, err := w.dialer.Dial(context.Background(), hostB)
-		require.ErrorIs(t, err, syscall.ETIMEDOUT, "no connect gets through")
+		require.ErrorIs(t, err, syscall.ETIMEDOUT, "no connection is established")
 		w.network.setQuality(hostA, hostB, linkQuality{})
 		startedAt := time.Now()
 		w.send("soon")
@@ -195,7 +196,7 @@
 	})
 }
 
-func TestThinLink(t *testing.T) {
+func TestLowBandwidthLink(t *testing.T) {
 	withConnection(t, func(w *connectionTest) {
 		w.network.setQuality(hostA, hostB, linkQuality{bandwidth: 1000})
 		startedAt := time.Now()
--- a/internal/testbed/controlsim/operators.go
+++ b/internal/testbed/controlsim/operators.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// attemptTimeout bounds one call of an operator.
+	// attemptTimeout bounds a call by an operator.
 	attemptTimeout = 950 * time.Millisecond
 	// updateTimeout bounds the retries of an update.
 	updateTimeout = 5 * time.Second
-	// retryPause is the pause between two attempts.
+	// retryPause is the pause between two attempts of an operator or a model server.
 	retryPause = 50 * time.Millisecond
-	// maxLostResponses bounds the responses to one update that are lost.
+	// maxLostResponses bounds the lost responses to an update.
 	maxLostResponses = 2
 )
 
@@ -27,12 +27,12 @@
 	sim         *simulation
 	index       int
 	random      *rand.Rand
-	revision    int64      // the newest one that the operator knows
-	updateCount int        // updates begun
-	api         *apiClient // nil: it calls the backend of the control API
+	revision    int64      // newest known revision
+	updateCount int        // number of updates so far
+	api         *apiClient // nil if the operator calls the backend of the control API
 }
 
-// newOperator makes an operator of a run.
+// newOperator returns the operator with an index.
 func newOperator(s *simulation, index int) *operator {
 	o := &operator{sim: s, index: index, random: s.newRandom("operator", index)}
 	if s.scenario.overHTTP {
@@ -41,7 +41,7 @@
 	return o
 }
 
-// run updates and reads until ctx ends.
+// run makes updates and reads until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	if o.api != nil {
 		defer o.api.Close()
@@ -60,13 +60,15 @@
 // update makes one update and passes its outcome to the checker.
 func (o *operator) update(ctx context.Context) {
 	o.updateCount++
-	input := updateInput{ifMatch: o.revision, revision: o.revision + 1, id: fmt.Sprintf("%d.%d", o.index, o.updateCount)}
+	input := updateInput{ifMatch: o.revision, revision: o.revision + 1,
+		id: fmt.Sprintf("%d.%d", o.index, o.updateCount)}
 	calledAt := o.sim.elapsed()
 	output := o.submitUntilAnswered(ctx, input, calledAt)
 	switch output.outcome {
 	case chain.OutcomeCommitted:
 		if output.revision != input.revision {
-			o.sim.checker.reportViolation("operators", "update %s led to revision %d, not %d", input.id, output.revision, input.revision)
+			o.sim.checker.reportViolation("operators", "update %s led to revision %d, not %d", input.id,
+				output.revision, input.revision)
 		}
 		o.revision = output.revision
 	case chain.OutcomeConflict:
@@ -84,7 +86,9 @@
 }
 
 // submitUntilAnswered retries an update at other processes until its outcome is known or updateTimeout has passed.
-func (o *operator) submitUntilAnswered(ctx context.Context, input updateInput, calledAt time.Duration) (output response) {
+func (o *operator) submitUntilAnswered(
+	ctx context.Context, input updateInput, calledAt time.Duration,
+) (output response) {
 	body := encodeConfig(input, &o.sim.scenario)
 	var p *process
 	for attempt := 0; output.outcome == chain.OutcomeUnknown; attempt++ {
@@ -105,7 +109,7 @@
 	return output
 }
 
-// submit makes one attempt. With maybeLost its response may be lost after the call took effect.
+// submit makes one attempt at an update. With maybeLost the response may be lost after the update took effect.
 func (o *operator) submit(ctx context.Context, p *process, update *chain.Update, maybeLost bool) (result chain.Result) {
 	answered := true
 	if o.api != nil {
@@ -125,7 +129,7 @@
 	return result
 }
 
-// read reads the configuration once. A read without a response is not recorded: it guarantees nothing.
+// read reads the configuration once. A read without a response is not recorded, as it has no result to check.
 func (o *operator) read(ctx context.Context) {
 	p := o.sim.pickProcess(o.random, nil)
 	if p == nil {
@@ -142,7 +146,7 @@
 	o.sim.checker.recordOperation(o.index, readInput{}, output, calledAt)
 }
 
-// readAt makes one read at a process.
+// readAt reads the configuration from a process.
 func (o *operator) readAt(ctx context.Context, p *process) (value chain.Value, answered bool) {
 	if o.api != nil {
 		return o.api.read(ctx, p)
@@ -155,17 +159,17 @@
 	return value, answered
 }
 
-// configuration is the part of a configuration that the simulation uses.
+// configuration has the fields of a configuration that the simulation uses.
 type configuration struct {
 	Revision  int64    `json:"revision"`
 	Services  []string `json:"services"`
 	Routes    []string `json:"routes"`
-	Operation string   `json:"operation"` // id of the update that made it
+	Operation string   `json:"operation"` // id of the update that set the configuration
 	Padding   string   `json:"padding,omitempty"`
 	Tenants   []tenant `json:"tenants,omitempty"`
 }
 
-// encodeConfig is the configuration that an update of a scenario sets.
+// encodeConfig returns the configuration that an update sets, as JSON.
 func encodeConfig(update updateInput, s *scenario) []byte {
 	c := configuration{Revision: update.revision, Services: []string{}, Routes: []string{}, Operation: update.id,
 		Padding: strings.Repeat("x", s.bodySize), Tenants: tenantsAt(s.tenantCount, update.revision)}
@@ -176,7 +180,8 @@
 	return raw
 }
 
-// updateID is the id of the update that made a configuration; "" if it is none of the simulation.
+// updateID returns the id of the update that set a configuration; "" if the configuration is not from an operator of
+// the simulation.
 func updateID(raw []byte) string {
 	var c configuration
 	if json.Unmarshal(raw, &c) != nil {
--- a/internal/testbed/controlsim/partition.go
+++ b/internal/testbed/controlsim/partition.go
@@ -1,13 +1,13 @@
 package controlsim
 
-// partition is a partition in force.
+// partition is an active partition.
 type partition struct {
 	machine *machine
-	peer    *machine // nil: the machine is separated from all others
+	peer    *machine // nil if the machine is separated from all others
 	fault   Fault
 }
 
-// linkState is the state that the partition alone gives the direction between two machines.
+// linkState returns the state of the link between two machines that results from this partition alone.
 func (p *partition) linkState(from, to *machine) linkState {
 	if p.machine != from && p.machine != to || !p.fault.IncludesAgents && (from.media == nil || to.media == nil) {
 		return linkOpen
@@ -24,7 +24,7 @@
 	return linkDrops
 }
 
-// addPartition begins a partition.
+// addPartition starts a partition.
 func (s *simulation) addPartition(p *partition) {
 	s.mu.Lock()
 	s.partitions[p] = true
@@ -40,7 +40,7 @@
 	s.updateLinks(p.machine)
 }
 
-// updateLinks gives each link of a machine the most severe state of all partitions in force.
+// updateLinks sets each link of a machine to the most severe state that results from any active partition.
 func (s *simulation) updateLinks(m *machine) {
 	s.mu.Lock()
 	partitions := make([]*partition, 0, len(s.partitions))
--- a/internal/testbed/controlsim/process.go
+++ b/internal/testbed/controlsim/process.go
@@ -18,13 +18,13 @@
 
 const (
 	heartbeatInterval = time.Second
-	// savedServersKey is the disk record of the servers that the relay knows.
+	// savedServersKey is the key of the disk record with the servers that the relay knows.
 	savedServersKey = "servers"
-	// savedMembersKey is the disk record of the members' addresses.
+	// savedMembersKey is the key of the disk record with the members' addresses.
 	savedMembersKey = "members"
 )
 
-// process is one incarnation of a machine's daemon: core and relay, connected as the daemon connects them.
+// process is one incarnation of a machine's daemon. It connects core and relay in the same way as the daemon.
 type process struct {
 	machine     *machine
 	incarnation int
@@ -33,21 +33,22 @@
 	pool        *rpc.Pool
 	control     *controlapi.Server
 	startedAt   time.Time
-	disk        *disk        // nil: an agent without a disk
-	tenants     *tenantGuard // nil: the scenario has no tenants
+	disk        *disk        // nil if the machine is an agent without a disk
+	tenants     *tenantGuard // nil if the scenario has no tenants
 	cancel      context.CancelFunc
-	done        chan struct{}                  // closed after the last goroutine of the process
-	ended       atomic.Bool                    // killed: what its goroutines still report has no effect
-	snapshot    atomic.Pointer[relay.Snapshot] // the last one that the relay published
+	done        chan struct{}                  // closed when all goroutines of the process have ended
+	ended       atomic.Bool                    // whether the process was killed; its later reports are ignored
+	snapshot    atomic.Pointer[relay.Snapshot] // the last snapshot that the relay published
 }
 
 // open creates the components of the process.
 func (p *process) open(dial rpc.Dialer, firstStart bool) (err error) {
 	m := p.machine
-	coreOptions := controlplane.Options{Addr: m.host.addr, Zone: m.zone, Region: m.region, FirstStart: firstStart, Seeds: m.seedAddrs,
+	coreOptions := controlplane.Options{Addr: m.host.addr, Zone: m.zone, Region: m.region, FirstStart: firstStart,
+		Seeds:          m.seedAddrs,
 		KnownAddresses: func() []string { return assembly.KnownCoreAddrs(p.relay) },
-		Unreached:      func() []string { return assembly.UnreachedAddrs(p.relay) }, Tolerance: m.sim.scenario.tolerance(),
-		Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
+		Unreached:      func() []string { return assembly.UnreachedAddrs(p.relay) },
+		Tolerance:      m.sim.scenario.tolerance(), Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
 		OnCommit: func(v chain.Value) { p.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.sim.checker.viewLearned(p, v) }}
 	relayOptions := relay.Options{Self: relay.Member{Name: m.name, Addr: m.host.addr, Zone: m.zone, Region: m.region},
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// serve runs the components until ctx ends, and waits for them.
+// serve runs the components until ctx ends, and waits for their goroutines.
 func (p *process) serve(ctx context.Context, listener, control *listener, mux *rpc.Mux) {
 	defer close(p.done)
 	var components sync.WaitGroup
--- a/internal/testbed/controlsim/register_model.go
+++ b/internal/testbed/controlsim/register_model.go
@@ -8,28 +8,28 @@
 
 // updateInput is a compare-and-set of the configuration.
 type updateInput struct {
-	ifMatch  int64 // revision that the update is based on
-	revision int64 // that it leads to
+	ifMatch  int64 // revision on which the update is based
+	revision int64 // revision that results from the update
 	id       string
 }
 
-// unknownRevision is the revision in the response to a conflict over HTTP, which does not tell it.
+// unknownRevision stands for the current revision in a conflict over HTTP, as that response doesn't contain it.
 const unknownRevision = -1
 
 // readInput is a read of the configuration.
 type readInput struct{}
 
-// response is what an operator got for an update or a read.
+// response is the result of an update or a read.
 type response struct {
 	outcome  chain.Outcome
 	revision int64
-	id       string // of the update that a read returned; "" in the response to an update
+	id       string // id of the update that a read has returned; "" in the response to an update
 }
 
 // register is the state of the model: the configuration as operators see it.
 type register struct {
 	revision int64
-	id       string // of the last update
+	id       string // id of the last update
 }
 
 // registerModel is the sequential specification of the configuration: a register with compare-and-set on its
@@ -49,7 +49,8 @@
 		switch matches := update.ifMatch == current.revision; {
 		case out.outcome == chain.OutcomeCommitted && matches:
 			return []any{next}
-		case out.outcome == chain.OutcomeConflict && !matches && (out.revision == current.revision || out.revision == unknownRevision):
+		case out.outcome == chain.OutcomeConflict && !matches &&
+			(out.revision == current.revision || out.revision == unknownRevision):
 			return []any{current}
 		case out.outcome == chain.OutcomeUnknown && matches:
 			return []any{current, next}
--- a/internal/testbed/controlsim/register_model_test.go
+++ b/internal/testbed/controlsim/register_model_test.go
@@ -21,12 +21,30 @@
 		history      []porcupine.Operation
 		linearizable bool
 	}{
-		"sequential updates":                     {[]porcupine.Operation{committed(1, 2, 0, "a"), committed(3, 4, 1, "b")}, true},
-		"two updates of one revision":            {[]porcupine.Operation{committed(1, 4, 0, "a"), committed(2, 3, 0, "b")}, false},
-		"stale read":                             {[]porcupine.Operation{committed(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 0, ""})}, false},
-		"read of an unknown update":              {[]porcupine.Operation{committed(1, 2, 0, "a"), op(3, 4, readInput{}, response{chain.OutcomeCommitted, 1, "b"})}, false},
-		"committed update is rejected":           {[]porcupine.Operation{op(1, 4, update(0, "a"), response{chain.OutcomeConflict, 1, ""}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, false},
-		"update of unknown outcome is committed": {[]porcupine.Operation{op(1, neverReturned, update(0, "a"), response{}), op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"})}, true},
+		"sequential updates": {[]porcupine.Operation{
+			committed(1, 2, 0, "a"),
+			committed(3, 4, 1, "b"),
+		}, true},
+		"two updates of one revision": {[]porcupine.Operation{
+			committed(1, 4, 0, "a"),
+			committed(2, 3, 0, "b"),
+		}, false},
+		"stale read": {[]porcupine.Operation{
+			committed(1, 2, 0, "a"),
+			op(3, 4, readInput{}, response{chain.OutcomeCommitted, 0, ""}),
+		}, false},
+		"read of an update that nobody made": {[]porcupine.Operation{
+			committed(1, 2, 0, "a"),
+			op(3, 4, readInput{}, response{chain.OutcomeCommitted, 1, "b"}),
+		}, false},
+		"update with a conflict is committed": {[]porcupine.Operation{
+			op(1, 4, update(0, "a"), response{chain.OutcomeConflict, 1, ""}),
+			op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"}),
+		}, false},
+		"update of unknown outcome is committed": {[]porcupine.Operation{
+			op(1, neverReturned, update(0, "a"), response{}),
+			op(5, 6, readInput{}, response{chain.OutcomeCommitted, 1, "a"}),
+		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.linearizable, porcupine.CheckOperations(registerModel.ToModel(), c.history))
--- a/internal/testbed/controlsim/replay.go
+++ b/internal/testbed/controlsim/replay.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Replay runs a scenario twice, writes the log of the first run, and reports where the second one diverges. It
-// tells whether a run violated a guarantee; the error is that of out.
+// Replay runs a scenario twice, writes the log of the first run to out, and reports where the second one diverges. It
+// tells whether a run violated a guarantee. It returns an error if a write to out fails.
 func Replay(t *testing.T, number int, seed uint64, out io.Writer) (violated bool, err error) {
 	discardServerLogs()
 	first, second := Simulate(t, number, seed), Simulate(t, number, seed)
@@ -20,11 +20,12 @@
 	return len(first.Violations)+len(second.Violations) > 0, err
 }
 
-// compareEvents describes the first difference of two logs.
+// compareEvents describes the first difference between two logs.
 func compareEvents(first, second []string) string {
 	for i := range min(len(first), len(second)) {
 		if first[i] != second[i] {
-			return fmt.Sprintf("the second run differs from event %d of %d on:\n  %s\n  %s", i+1, len(first), first[i], second[i])
+			return fmt.Sprintf("the second run differs from event %d of %d on:\n  %s\n  %s", i+1, len(first), first[i],
+				second[i])
 		}
 	}
 	if len(first) != len(second) {
--- a/internal/testbed/controlsim/scenario.go
+++ b/internal/testbed/controlsim/scenario.go
@@ -7,66 +7,66 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/view"
 )
 
-// ScenarioCount is the number of scenarios: one for each of the five points in which the operators describe their
-// worst days, one with tenants, revoked keys and quotas, and one in which zones are lost and links are poor.
+// ScenarioCount is the number of scenarios: one for each of the five kinds of failure ("points") that the operators
+// describe as the worst, one with tenants, revoked keys and quotas, and one with lost zones and poor links.
 const ScenarioCount = 7
 
 const (
 	// A seed has a large fleet if it is largeFleetEvery-1 modulo largeFleetEvery.
 	largeFleetEvery = 16
-	// A seed of scenario 4 makes well over a thousand updates if it is longRunEvery-1 modulo longRunEvery.
+	// A seed of scenario 4 makes more than a thousand updates if it is longRunEvery-1 modulo longRunEvery.
 	longRunEvery = 8
-	// The operators and servers of a seed use HTTP if it is httpEvery-2 modulo httpEvery, in some scenarios: the
-	// seeds of regressions are not among them.
+	// In scenarios 2, 4 and 7 the operators and servers of a seed use HTTP if it is httpEvery-2 modulo httpEvery.
+	// The regression seeds of these scenarios are not among them.
 	httpEvery = 4
-	// longBodyEvery is how many seeds there are for each one with long configurations in many updates: each
-	// costs the simulation some milliseconds.
+	// One in longBodyEvery seeds may have long configurations in its many updates; each such update takes the
+	// simulation some milliseconds.
 	longBodyEvery = 4
-	// defaultZoneCount is the number of zones, which are one region.
+	// defaultZoneCount is the number of zones of most fleets; all of them are in one region.
 	defaultZoneCount = 3
-	// maxZonesPerRegion is the number of zones of the largest region that is lost.
+	// maxZonesPerRegion is the largest number of zones in a region of a fleet with several regions.
 	maxZonesPerRegion = 2
-	// regionCount is the number of regions of a fleet that has to survive the loss of one.
+	// regionCount is the number of regions of a fleet that has to tolerate the loss of one.
 	regionCount = 3
-	// recoveryTime is how long after a loss and its repair the fleet has to tolerate the next one.
+	// recoveryTime is the time from the repair of a loss until the fleet has to tolerate the next loss.
 	recoveryTime = 4 * time.Second
-	// thinBandwidth is that of a link of 10 Mbit/s, in bytes per second.
-	thinBandwidth = 10_000_000 / 8
-	// callWatchLead is how long before separated machines propose a next view the faults that follow its votes begin
-	// to watch for calls.
+	// lowBandwidth is the bandwidth of a link of 10 Mbit/s, in bytes per second.
+	lowBandwidth = 10_000_000 / 8
+	// callWatchLead is the time from the separation of two machines until the faults that wait for a call of the
+	// following view change begin to wait.
 	callWatchLead = 300 * time.Millisecond
 )
 
-// scenario determines a run. It follows from its number and the seed alone; the order of the random draws is part of
-// it.
+// scenario determines a run. It depends only on its number and the seed. A change of the order of the random draws
+// changes the scenarios.
 type scenario struct {
 	number           int // 1 to ScenarioCount
 	seed             uint64
 	coreCount        int           // machines with a disk
-	agentCount       int           // machines without
-	toleratedLosses  int           // of machines, at once
-	zoneCount        int           // of zones that the machines are spread over
+	agentCount       int           // machines without a disk
+	toleratedLosses  int           // number of machines that may be lost at once
+	zoneCount        int           // zones that the machines are spread over
 	zonesPerRegion   int           // zones that make up a region
-	toleratedZones   int           // lost at once
-	toleratedRegions int           // lost at once
-	faultDuration    time.Duration // faults begin in this time
-	quietPeriod      time.Duration // time without faults that follows; the workload runs for half of it
+	toleratedZones   int           // number of zones that may be lost at once
+	toleratedRegions int           // number of regions that may be lost at once
+	faultDuration    time.Duration // time in which faults begin
+	quietPeriod      time.Duration // time without faults after faultDuration; the workload runs for half of it
 
 	operatorCount     int
 	serverCount       int
-	maxHeartbeats     int // of a server before it drains
+	maxHeartbeats     int // maximum number of heartbeats of a server before it drains
 	echoClientCount   int
-	tenantCount       int           // 0: the configuration has no tenants
+	tenantCount       int           // 0 if the configuration has no tenants
 	updateInterval    time.Duration // mean pause between two operations of one operator
-	readShare         float64       // of an operator's operations, 0 to 1
-	lostResponseShare float64       // of the responses to updates, 0 to 1
-	bodySize          int           // bytes of a configuration's padding
-	overHTTP          bool          // operators and servers speak HTTP with the control API, not with its backend
-	bandwidth         int           // bytes per second and direction of a connection; 0: unlimited
+	readShare         float64       // fraction of reads among an operator's operations, 0 to 1
+	lostResponseShare float64       // fraction of lost responses to updates, 0 to 1
+	bodySize          int           // size of a configuration's padding, in bytes
+	overHTTP          bool          // operators and servers use the control API over HTTP, not its backend
+	bandwidth         int           // bytes per second and direction of a connection; 0 if unlimited
 	faults            []Fault
 }
 
-// tolerance is the losses that the fleet has to survive.
+// tolerance returns the losses that the fleet has to tolerate.
 func (s *scenario) tolerance() view.Tolerance {
 	return view.Tolerance{Machines: s.toleratedLosses, Zones: s.toleratedZones, Regions: s.toleratedRegions}
 }
@@ -109,12 +109,12 @@
 // pickOne picks one of several values with equal probability.
 func pickOne[T any](random *rand.Rand, values ...T) T { return values[random.IntN(len(values))] }
 
-// randomDuration is uniformly distributed from shortest up to, but not including, longest.
+// randomDuration draws from a uniform distribution, from shortest up to, but not including, longest.
 func randomDuration(random *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 }
 
-// newPartition is a partition of a machine of the core, in one direction or in both.
+// newPartition draws a partition of a machine of the core, in one direction or in both.
 func (s *scenario) newPartition(random *rand.Rand, at, duration time.Duration) Fault {
 	lost := pickOne(random, [2]bool{true, true}, [2]bool{true, false}, [2]bool{false, true})
 	return Fault{Kind: Partition, Target: pickOne(random, coreTargets...), Index: random.IntN(s.coreCount), At: at,
@@ -122,8 +122,8 @@
 		IncludesAgents: random.IntN(2) == 0}
 }
 
-// longPartition is scenario 1: a machine of the core is partitioned for about twenty seconds, updates race when it
-// returns, and it, or another one, is partitioned again.
+// longPartition is scenario 1: a machine of the core is partitioned for about twenty seconds, operators update
+// concurrently when it returns, and it, or another one, is partitioned again.
 func (s *scenario) longPartition(random *rand.Rand) {
 	s.operatorCount, s.serverCount, s.maxHeartbeats = 3, 10, 2
 	s.faultDuration = 34 * time.Second
@@ -136,15 +136,16 @@
 		second.Target, second.Index = Member, first.Index
 	}
 	s.faults = []Fault{first, second}
-	for i := range random.IntN(4) { // agents that end just after their relay was partitioned: what they accepted must not be lost
+	// Some agents end just after their relay was partitioned: what they have accepted must not be lost.
+	for i := range random.IntN(4) {
 		s.faults = append(s.faults, Fault{Kind: pickOne(random, Kill, PowerLoss), Target: Agent, Index: i,
 			At:       first.At + randomDuration(random, 50*time.Millisecond, 900*time.Millisecond),
 			Duration: randomDuration(random, time.Second, 3*time.Second)})
 	}
 }
 
-// concurrentUpdates is scenario 2: operators race for the same revision and retry updates whose responses were lost,
-// while the head changes.
+// concurrentUpdates is scenario 2: operators update the same revision concurrently and retry updates whose responses
+// were lost, while the head changes.
 func (s *scenario) concurrentUpdates(random *rand.Rand) {
 	s.operatorCount, s.updateInterval, s.readShare, s.lostResponseShare = 5, 200*time.Millisecond, 0.25, 0.4
 	s.faultDuration = 20 * time.Second
@@ -152,7 +153,8 @@
 		s.competingProposers(random)
 		return
 	}
-	for at := 2 * time.Second; at < s.faultDuration-4*time.Second; at += randomDuration(random, 2*time.Second, 5*time.Second) {
+	for at := 2 * time.Second; at < s.faultDuration-4*time.Second; at += randomDuration(random,
+		2*time.Second, 5*time.Second) {
 		f := s.newPartition(random, at, randomDuration(random, 300*time.Millisecond, 3*time.Second))
 		f.Kind = pickOne(random, Partition, Kill, PowerLoss, Terminate, Pause, StallDisk)
 		f.Target = pickOne(random, Head, Head, Middle, Tail)
@@ -161,14 +163,15 @@
 }
 
 // competingProposers separates the ends of a chain of three, so that both propose a next view. The voter between them
-// loses power just around its vote and is restarted at once; the head is isolated at the same time, so that only that
-// vote knows what the head had decided.
+// loses power just before or after its vote and is restarted at once. The head is isolated at the same time, so that
+// this vote is the only reachable record of what the head had decided.
 func (s *scenario) competingProposers(random *rand.Rand) {
 	s.coreCount = 3
 	template := Fault{Kind: Partition, Target: Head, Outbound: true, Inbound: true}
 	for at := 2 * time.Second; at < s.faultDuration-6*time.Second; at += 6 * time.Second {
 		separation := template
-		separation.Peer, separation.At, separation.Duration = Tail, at, randomDuration(random, 1500*time.Millisecond, 3*time.Second)
+		separation.Peer, separation.At, separation.Duration = Tail, at,
+			randomDuration(random, 1500*time.Millisecond, 3*time.Second)
 		isolation := template
 		isolation.At = at + callWatchLead
 		isolation.Duration = randomDuration(random, time.Second, 3*time.Second)
@@ -186,19 +189,21 @@
 	}
 }
 
-// consecutiveLosses is scenario 3: each loss follows the repair of the one before by exactly recoveryTime, replacements
-// fail, and members shut down; in the end all machines lose power.
+// consecutiveLosses is scenario 3: each loss begins exactly recoveryTime after the repair of the previous one,
+// replacements fail, and members shut down; in the end all machines lose power.
 func (s *scenario) consecutiveLosses(random *rand.Rand) {
 	s.toleratedLosses = random.IntN(3)
 	s.coreCount = max(3, 2*s.toleratedLosses+1+random.IntN(5))
 	at := 4 * time.Second
 	for range 4 {
 		f := Fault{Kind: pickOne(random, lossKinds...), Target: pickOne(random, coreTargets...),
-			Index: random.IntN(s.coreCount), At: at, Duration: randomDuration(random, 200*time.Millisecond, 4*time.Second)}
+			Index: random.IntN(s.coreCount), At: at,
+			Duration: randomDuration(random, 200*time.Millisecond, 4*time.Second)}
 		s.faults = append(s.faults, f)
 		if f.Kind == Replace && random.IntN(2) == 0 {
 			s.faults = append(s.faults, Fault{Kind: PowerLoss, Target: Newest,
-				At: at + f.Duration + randomDuration(random, 100*time.Millisecond, 3*time.Second), Duration: 2 * time.Second})
+				At:       at + f.Duration + randomDuration(random, 100*time.Millisecond, 3*time.Second),
+				Duration: 2 * time.Second})
 			at += 5 * time.Second
 		}
 		at += f.Duration + recoveryTime
@@ -210,14 +215,15 @@
 	s.faults = append(s.faults, newFleetOutage(random, at))
 }
 
-// newFleetOutage is a loss of power of all machines, which return in any order. The seeds that a machine has in its
+// newFleetOutage draws a power loss of all machines, which return in random order. The seeds that a machine has in its
 // settings may all have been replaced before.
 func newFleetOutage(random *rand.Rand, at time.Duration) Fault {
 	return Fault{Kind: FleetOutage, Target: Member, Index: random.IntN(1 << 16), At: at,
-		Duration: randomDuration(random, 100*time.Millisecond, 3*time.Second), Delay: randomDuration(random, 0, 200*time.Millisecond)}
+		Duration: randomDuration(random, 100*time.Millisecond, 3*time.Second),
+		Delay:    randomDuration(random, 0, 200*time.Millisecond)}
 }
 
-// catchUp is scenario 4: hundreds of updates while machines restart, lose power and lose their disks.
+// catchUp is scenario 4: an operator makes hundreds of updates while machines restart, lose power and lose their disks.
 func (s *scenario) catchUp(random *rand.Rand) {
 	s.serverCount, s.operatorCount, s.readShare = 0, 1, 0.05
 	s.faultDuration, s.updateInterval, s.bodySize = 30*time.Second, 50*time.Millisecond, 1<<10
@@ -229,9 +235,10 @@
 	} else if random.IntN(2) == 0 {
 		s.bandwidth = 640 << 10
 	} else if s.seed%longBodyEvery == 0 {
-		s.bodySize = 16 << 10 // long enough for differences, with hundreds of updates
+		s.bodySize = 16 << 10 // long enough to be replicated as differences
 	}
-	for at := 2 * time.Second; at < s.faultDuration-8*time.Second; at += randomDuration(random, 4*time.Second, 8*time.Second) {
+	for at := 2 * time.Second; at < s.faultDuration-8*time.Second; at += randomDuration(random,
+		4*time.Second, 8*time.Second) {
 		f := Fault{Kind: pickOne(random, Kill, PowerLoss, Wipe, Replace, SlowDisk, FullDisk),
 			Target: pickOne(random, coreTargets...), Index: random.IntN(s.coreCount), At: at,
 			Duration: randomDuration(random, 200*time.Millisecond, 6*time.Second)}
@@ -246,11 +253,12 @@
 }
 
 // connectionResets is scenario 5: connections between processes are reset, or their bytes delayed, while echo clients
-// check which call each response belongs to.
+// check that each response belongs to its call.
 func (s *scenario) connectionResets(random *rand.Rand) {
 	s.echoClientCount, s.lostResponseShare = 4, 0.3
 	s.faultDuration = 15 * time.Second
-	for at := 2 * time.Second; at < s.faultDuration-3*time.Second; at += randomDuration(random, 100*time.Millisecond, 800*time.Millisecond) {
+	for at := 2 * time.Second; at < s.faultDuration-3*time.Second; at += randomDuration(random,
+		100*time.Millisecond, 800*time.Millisecond) {
 		f := s.newPartition(random, at, randomDuration(random, 20*time.Millisecond, 900*time.Millisecond))
 		if f.Kind = pickOne(random, ResetConnections, ResetConnections, Partition); random.IntN(2) == 0 {
 			f.Target = Agent
@@ -260,22 +268,25 @@
 }
 
 // tenantsUnderFaults is scenario 6: tenants send requests while keys are revoked and machines of the core are lost,
-// partitioned, paused, or have trouble with their disks; then the core loses power, twice within a window of the
+// partitioned or paused, or their disks fail; then the core loses power, with some seeds twice within a window of the
 // quotas.
 func (s *scenario) tenantsUnderFaults(random *rand.Rand) {
 	s.serverCount, s.operatorCount, s.readShare = 0, 1, 0.1
 	s.tenantCount, s.toleratedLosses = 1+random.IntN(4), 1
 	s.faultDuration = 24 * time.Second
-	for at := 4 * time.Second; at < s.faultDuration-6*time.Second; at += randomDuration(random, 2*time.Second, 5*time.Second) {
+	for at := 4 * time.Second; at < s.faultDuration-6*time.Second; at += randomDuration(random,
+		2*time.Second, 5*time.Second) {
 		f := s.newPartition(random, at, randomDuration(random, 300*time.Millisecond, 8*time.Second))
-		f.Kind = pickOne(random, Partition, Partition, Kill, PowerLoss, Terminate, Wipe, Replace, Pause, SlowDisk, StallDisk, FullDisk)
+		f.Kind = pickOne(random, Partition, Partition, Kill, PowerLoss, Terminate, Wipe, Replace, Pause,
+			SlowDisk, StallDisk, FullDisk)
 		if random.IntN(4) == 0 {
 			f.Kind, f.Target = pickOne(random, Partition, Kill, PowerLoss, Pause), Agent
 		}
 		s.faults = append(s.faults, f)
 	}
 	outage := Fault{Kind: CoreOutage, Target: Head, At: s.faultDuration,
-		Duration: randomDuration(random, 100*time.Millisecond, 2*time.Second), Delay: randomDuration(random, 0, 300*time.Millisecond)}
+		Duration: randomDuration(random, 100*time.Millisecond, 2*time.Second),
+		Delay:    randomDuration(random, 0, 300*time.Millisecond)}
 	s.faults = append(s.faults, outage)
 	if random.IntN(2) == 0 {
 		outage.At += outage.Duration + randomDuration(random, 3*time.Second, 6*time.Second)
@@ -283,7 +294,7 @@
 	}
 }
 
-// placeInRegions places the machines of some seeds in regions, of which one may be lost.
+// placeInRegions spreads the machines of half of the seeds over several regions, one of which may be lost.
 func (s *scenario) placeInRegions() {
 	random := rand.New(rand.NewPCG(s.seed, regionCount))
 	if random.IntN(2) == 0 {
@@ -293,13 +304,14 @@
 	s.zoneCount, s.toleratedRegions = regionCount*s.zonesPerRegion, 1
 }
 
-// zonesAndPoorLinks is scenario 7: the zones, or whole regions, lose power one after the other, each as soon as the
-// fleet has to tolerate that, while links lose segments, or carry 10 Mbit/s; in the end all machines lose power.
+// zonesAndPoorLinks is scenario 7: the zones, or whole regions, lose power one after the other, each recoveryTime after
+// the repair of the previous one, while links lose segments or have a bandwidth of 10 Mbit/s; in the end all machines
+// lose power.
 func (s *scenario) zonesAndPoorLinks(random *rand.Rand) {
 	s.placeInRegions()
 	s.coreCount, s.agentCount = s.zoneCount*(2+random.IntN(2)), 3+random.IntN(7)
 	if s.zoneCount > defaultZoneCount {
-		s.coreCount = s.zoneCount // more would not all become voters
+		s.coreCount = s.zoneCount // with more machines, not all would become voters
 	}
 	s.toleratedLosses, s.toleratedZones = 1, 1
 	s.operatorCount, s.serverCount = 3, 4
@@ -319,7 +331,7 @@
 		poor := Fault{Kind: PoorLinks, Target: pickOne(random, Member, Agent), Index: random.IntN(s.coreCount), At: at,
 			Duration: randomDuration(random, time.Second, 6*time.Second), Loss: 0.05 * random.Float64()}
 		if random.IntN(2) == 0 {
-			poor.Bandwidth = thinBandwidth
+			poor.Bandwidth = lowBandwidth
 		}
 		s.faults = append(s.faults, poor)
 	}
--- a/internal/testbed/controlsim/shrink.go
+++ b/internal/testbed/controlsim/shrink.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// shrinkAttempts is how often a scenario is run without one of its faults before that fault counts as needed:
-// the order in which goroutines run differs from run to run.
+// shrinkAttempts is the number of runs without a fault after which the fault counts as needed. A single run is not
+// enough because the scheduling of goroutines differs from run to run.
 const shrinkAttempts = 2
 
 // shrink removes faults one by one from a scenario that violates a guarantee, as long as the rest still violates
--- a/internal/testbed/controlsim/simulation.go
+++ b/internal/testbed/controlsim/simulation.go
@@ -36,21 +36,21 @@
 
 // simulation is one run of a scenario.
 type simulation struct {
-	scenario  scenario
-	network   *network
-	checker   *checker
-	startedAt time.Time
-	processes context.Context // of all processes: those that a fault starts run on after the faults, too
-	checking  context.Context // ends before the processes are stopped: pending checks are dropped then
-	checks    sync.WaitGroup  // pending checks of the checker
+	scenario   scenario
+	network    *network
+	checker    *checker
+	startedAt  time.Time
+	processCtx context.Context // context of all processes; it outlives the faults, as a fault may start processes
+	checkCtx   context.Context // context of the pending checks; it ends before the processes are stopped
+	checks     sync.WaitGroup  // pending checks of the checker
 
 	mu           sync.Mutex
-	machines     []*machine // in the order of their addition, replaced ones included
+	machines     []*machine // in the order of their addition, including replaced ones
 	partitions   map[*partition]bool
 	faultPeriods []*faultPeriod
-	lastDiskLoss time.Time // zero: no disk was lost
+	lastDiskLoss time.Time // zero if no disk was lost
 	events       []event
-	stopped      []chan struct{} // closed when a killed process has ended
+	stopped      []chan struct{} // one per killed process; closed once its goroutines have ended
 }
 
 // simulate runs a scenario in a synctest bubble, in virtual time.
@@ -62,11 +62,11 @@
 		s.network.bandwidth = scenario.bandwidth
 		s.checker = newChecker(s)
 		ctx, cancel := context.WithCancel(context.Background())
-		s.processes = ctx
+		s.processCtx = ctx
 		var expiring sync.WaitGroup
 		expiring.Go(func() { s.network.expireConns(ctx) })
-		checking, endChecks := context.WithCancel(ctx)
-		s.checking = checking
+		checkCtx, endChecks := context.WithCancel(ctx)
+		s.checkCtx = checkCtx
 		s.execute(ctx)
 		result.VirtualTime = s.elapsed()
 		endChecks()
@@ -82,7 +82,8 @@
 	return result
 }
 
-// execute starts the fleet, runs workload and faults side by side, and checks that the fleet catches up afterwards.
+// execute starts the fleet, runs the workload and the faults concurrently, and checks that the fleet catches up
+// afterwards.
 func (s *simulation) execute(ctx context.Context) {
 	for range s.scenario.coreCount {
 		s.addMachine(true)
@@ -97,25 +98,26 @@
 		s.checker.reportViolation("core", "no initial view within %v", initialViewTimeout)
 		return
 	}
-	active, deactivate := context.WithCancel(ctx)
+	workloadCtx, endWorkload := context.WithCancel(ctx)
 	var workload, faults sync.WaitGroup
-	s.startWorkload(active, &workload)
+	s.startWorkload(workloadCtx, &workload)
 	for _, f := range s.scenario.faults {
-		faults.Go(func() { s.inject(active, f) })
+		faults.Go(func() { s.inject(workloadCtx, f) })
 	}
 	sleep(ctx, s.scenario.faultDuration)
 	faults.Wait()
 	sleep(ctx, s.scenario.quietPeriod/2)
-	deactivate()
+	endWorkload()
 	workload.Wait()
 	if !s.waitUntil(ctx, catchUpTimeout, func() bool { return s.catchUpProblem() == "" }) {
-		s.checker.reportViolation("fleet", "not caught up %v after the last update: %s", catchUpTimeout, s.catchUpProblem())
+		s.checker.reportViolation("fleet", "not caught up %v after the last update: %s", catchUpTimeout,
+			s.catchUpProblem())
 	}
 	sleep(ctx, propagationTimeout) // for the last checks of the checker
 }
 
-// startWorkload starts operators, model servers and echo clients, which run until ctx ends. The names of their
-// random sources are part of a seed's run.
+// startWorkload starts operators, model servers, tenants and echo clients, which run until ctx ends. A seed's run
+// depends on the names of their random sources.
 func (s *simulation) startWorkload(ctx context.Context, workload *sync.WaitGroup) {
 	for i := range s.scenario.operatorCount {
 		operator := newOperator(s, i)
@@ -135,7 +137,7 @@
 	}
 }
 
-// hasInitialView tells whether all machines of the core have a quorum.
+// hasInitialView tells whether all machines of the core run and have a quorum.
 func (s *simulation) hasInitialView() bool {
 	for _, m := range s.coreMachines() {
 		if p := m.running(); p == nil || !p.core.HasQuorum() {
@@ -145,8 +147,8 @@
 	return true
 }
 
-// catchUpProblem describes the first process that lacks the newest configuration or the quorum, or an incomplete
-// chain; "" if there is no such problem.
+// catchUpProblem describes the first process without the newest acknowledged configuration or without a quorum, or a
+// chain with too few complete members. It returns "" if the fleet has caught up.
 func (s *simulation) catchUpProblem() string {
 	acked := s.checker.highestAckedRevision()
 	v := s.newestView()
@@ -173,7 +175,7 @@
 	return ""
 }
 
-// waitUntil polls a condition and tells whether it became true in time.
+// waitUntil polls a condition and tells whether it became true within the timeout.
 func (s *simulation) waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
 	for deadline := time.Now().Add(timeout); !condition(); {
 		if time.Now().After(deadline) || ctx.Err() != nil {
@@ -200,18 +202,18 @@
 	}
 }
 
-// recordStopped adds a killed process, whose last goroutine stop waits for.
+// recordStopped adds the done channel of a killed process, for which stop waits.
 func (s *simulation) recordStopped(done chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = append(s.stopped, done)
 }
 
-// elapsed is the virtual time since the start of the run.
+// elapsed returns the virtual time since the start of the run.
 func (s *simulation) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// newRandom is the random source of one component of the run. It follows from the seed, the scenario's number and
-// the component's name alone.
+// newRandom returns the random source of one component of the run. It depends only on the seed, the scenario's number,
+// and the component's name and index.
 func (s *simulation) newRandom(component string, index int) *rand.Rand {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%s/%d/%d", component, index, s.scenario.number)
--- a/internal/testbed/controlsim/simulation_test.go
+++ b/internal/testbed/controlsim/simulation_test.go
@@ -18,9 +18,9 @@
 	leaktest.Main(m)
 }
 
-// regressionSeeds are run with the other tests, by scenario. Seeds 4 and 7 of scenario 2 find a vote that is not on
-// disk, seed 0 of scenario 1 a read that no quorum confirmed, seed 57 a drain that a partitioned relay acknowledges
-// by itself.
+// regressionSeeds has the seeds that run with the other tests, by scenario. They detect past defects: seeds 4 and 7 of
+// scenario 2 a vote that is not synced to disk, seed 0 of scenario 1 a read that is not confirmed by a quorum, and
+// seed 57 of scenario 1 a drain that a partitioned relay acknowledges alone.
 var regressionSeeds = map[int][]uint64{1: {0, 57}, 2: {4, 7}, 3: {0}, 4: {5}, 5: {0}, 6: {0, 53, 58}, 7: {0, 1}}
 
 // The regression seeds of each scenario violate no guarantee.
@@ -35,20 +35,21 @@
 				require.Empty(t, result.Violations)
 				require.Positive(t, result.Updates)
 				require.Positive(t, result.Reads)
-				t.Logf("%v, %d updates, %d reads, %d drains, %d calls", result.VirtualTime, result.Updates, result.Reads, result.Drains, result.Calls)
+				t.Logf("%v, %d updates, %d reads, %d drains, %d calls", result.VirtualTime, result.Updates,
+					result.Reads, result.Drains, result.Calls)
 			})
 		}
 	}
 }
 
-// Scenario 7 places some fleets in regions, of which each in turn may be lost with all its zones.
+// Scenario 7 spreads some fleets over several regions, each of which may be lost with all its zones.
 func TestRegionsAreLost(t *testing.T) {
 	const seeds = 64
 	outages, zoneCounts := 0, map[int]int{}
 	for seed := range uint64(seeds) {
 		s := newScenario(7, seed)
 		zoneCounts[s.zoneCount]++
-		require.Zero(t, s.coreCount%s.zoneCount, "seed %d: the zones have as many machines each", seed)
+		require.Zero(t, s.coreCount%s.zoneCount, "seed %d: the zones have equally many machines", seed)
 		require.LessOrEqual(t, s.coreCount, 9, "seed %d: all become voters", seed)
 		for _, f := range s.faults {
 			if f.Kind == RegionOutage {
@@ -59,35 +60,36 @@
 	}
 	require.Len(t, zoneCounts, 2)
 	require.Greater(t, outages, seeds)
-	require.Equal(t, defaultZoneCount, newScenario(3, 1).zonesPerRegion, "elsewhere all zones are one region")
+	require.Equal(t, defaultZoneCount, newScenario(3, 1).zonesPerRegion,
+		"in the other scenarios all zones are in one region")
 }
 
-// A read over a connection fails at its deadline, and goes on after a new one.
+// A read fails at its deadline, and succeeds once the deadline is removed.
 func TestReadDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(rand.New(rand.NewPCG(1, 2)))
 		server, client := n.addHost(hostA), n.addHost(hostB)
 		l := server.listen()
-		far, err := dialer{host: client}.Dial(t.Context(), hostA)
+		clientConn, err := dialer{host: client}.Dial(t.Context(), hostA)
 		require.NoError(t, err)
-		near, err := l.Accept()
+		serverConn, err := l.Accept()
 		require.NoError(t, err)
-		defer near.Close()
-		defer far.Close()
-		b, begun := make([]byte, 1), time.Now()
-		require.NoError(t, near.SetReadDeadline(begun.Add(time.Second)))
-		_, err = near.Read(b)
+		defer serverConn.Close()
+		defer clientConn.Close()
+		b, startedAt := make([]byte, 1), time.Now()
+		require.NoError(t, serverConn.SetReadDeadline(startedAt.Add(time.Second)))
+		_, err = serverConn.Read(b)
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		require.Equal(t, time.Second, time.Since(begun))
-		require.NoError(t, near.SetReadDeadline(time.Time{}))
-		_, err = far.Write([]byte("x"))
+		require.Equal(t, time.Second, time.Since(startedAt))
+		require.NoError(t, serverConn.SetReadDeadline(time.Time{}))
+		_, err = clientConn.Write([]byte("x"))
 		require.NoError(t, err)
-		_, err = near.Read(b)
+		_, err = serverConn.Read(b)
 		require.NoError(t, err)
 	})
 }
 
-// The seeds that speak HTTP pass, with the responses that operators and servers get from the control API.
+// Seeds whose operators and servers use the control API over HTTP violate no guarantee.
 func TestControlAPIOverHTTP(t *testing.T) {
 	for _, number := range []int{2, 7} {
 		s := newScenario(number, 2)
--- a/internal/testbed/controlsim/tenant_checker.go
+++ b/internal/testbed/controlsim/tenant_checker.go
@@ -6,60 +6,62 @@
 )
 
 const (
-	// keySpread is how long after its acknowledgement a key is used that an update has added.
-	keySpread = propagationTimeout + 500*time.Millisecond
-	// quotaStablePeriod is how long no fault has begun or ended if a tenant within its quota is served for certain:
-	// shares that were lost are back.
+	// keyPropagationTime is the time from the acknowledgement of a new key until tenants use it.
+	keyPropagationTime = propagationTimeout + 500*time.Millisecond
+	// quotaStablePeriod is the time without a begin or end of a fault after which a tenant within its quota must be
+	// served, as lost shares of the quota have been restored.
 	quotaStablePeriod = 4 * time.Second
 )
 
-// tenantRequest is a request of a tenant that a process has decided on.
+// tenantRequest is a request of a tenant that a process has admitted or refused.
 type tenantRequest struct {
-	tenant    int
+	tenant    int // index of the tenant
 	process   *process
-	keyEpoch  int64
+	keyEpoch  int64 // epoch of its key; see keyEpoch
 	tokens    int
-	sentAt    time.Duration
-	decidedAt time.Duration
+	sentAt    time.Duration // virtual time since the start of the run
+	decidedAt time.Duration // like sentAt
 	outcome   refusal
 }
 
-// tenantHistory is what the checker knows of tenants.
+// tenantHistory records the events on which the checks of tenants' requests are based.
 type tenantHistory struct {
-	acked    []ackedRevision      // in the order of their acknowledgement
-	admitted map[int][]admittance // by tenant, in the order of the decisions
+	acked    []ackedRevision     // in the order of their acknowledgement
+	admitted map[int][]admission // by tenant, in the order of the decisions
 	outcomes map[refusal]int
 }
 
+// ackedRevision is a revision and the time of its acknowledgement.
 type ackedRevision struct {
 	revision int64
 	at       time.Duration
 }
 
-type admittance struct {
+// admission is the time and the size of an admitted request.
+type admission struct {
 	at     time.Duration
 	tokens int
 }
 
-// revisionAcknowledgedLocked records the acknowledgement of a revision.
+// revisionAcknowledgedLocked records the acknowledgement of a revision at the present time.
 func (c *checker) revisionAcknowledgedLocked(revision int64) {
 	c.tenants.acked = append(c.tenants.acked, ackedRevision{revision, c.sim.elapsed()})
 }
 
-// usableKeyEpoch is the epoch of the newest keys that every process in touch knows, and whether there is one.
+// usableKeyEpoch returns the epoch of the newest keys that each healthy process knows, and whether there is one.
 func (c *checker) usableKeyEpoch() (epoch int64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	spread := c.sim.elapsed() - keySpread
+	ackedBefore := c.sim.elapsed() - keyPropagationTime
 	for _, acked := range c.tenants.acked {
-		if acked.at <= spread {
+		if acked.at <= ackedBefore {
 			epoch, known = max(epoch, acked.revision/keyEpoch), true
 		}
 	}
 	return epoch, known
 }
 
-// revokedAt is when the removal of an epoch's keys was acknowledged, and whether it was.
+// revokedAt returns the time at which the removal of an epoch's keys was acknowledged, and whether it was.
 func (h *tenantHistory) revokedAt(epoch int64) (at time.Duration, revoked bool) {
 	for _, acked := range h.acked {
 		if acked.revision/keyEpoch > epoch+1 && (!revoked || acked.at < at) {
@@ -71,14 +73,14 @@
 
 // mayBeRevoked tells whether an update that removes an epoch's keys may have been sent.
 func (h *tenantHistory) mayBeRevoked(epoch int64) bool {
-	// One operator sends the next revision only once the one before has an answer.
+	// The only operator sends the next revision only after the previous one was answered.
 	return slices.ContainsFunc(h.acked, func(acked ackedRevision) bool { return (acked.revision+1)/keyEpoch > epoch+1 })
 }
 
-// tenantRequest checks a request: no revoked key opens anything, no window of a quota is exceeded, and a process in
-// touch refuses nobody with a good key and within its quota.
-func (c *checker) tenantRequest(r *tenantRequest) {
-	inTouch := slices.Contains(c.sim.healthySince(time.Now().Add(-healthyPeriod)), r.process)
+// checkTenantRequest checks a decision: a process must not accept revoked keys or exceed a window of a quota, and a
+// healthy process must not refuse a request with a valid key and within the quota.
+func (c *checker) checkTenantRequest(r *tenantRequest) {
+	healthy := slices.Contains(c.sim.healthySince(time.Now().Add(-healthyPeriod)), r.process)
 	stable := c.sim.stableBetween(r.decidedAt-quotaStablePeriod, r.decidedAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,27 +89,28 @@
 	switch r.outcome {
 	case admitted:
 		if at, revoked := c.tenants.revokedAt(r.keyEpoch); revoked && r.sentAt > at+revokeTime {
-			c.reportViolationLocked(name, "a key of epoch %d opens %v after its removal was acknowledged", r.keyEpoch, r.sentAt-at)
+			c.reportViolationLocked(name, "a key of epoch %d is accepted %v after its removal was acknowledged",
+				r.keyEpoch, r.sentAt-at)
 		}
 		c.checkQuotaLocked(r)
-	case refusedAge, refusedStarting:
-		if inTouch && !c.sim.coreOutageSince(r.decidedAt-quotaStablePeriod) {
-			c.reportViolationLocked(name, "a process in touch refuses a request: %s", r.outcome)
+	case refusedUnconfirmedKeys, refusedStarting:
+		if healthy && !c.sim.coreOutageSince(r.decidedAt-quotaStablePeriod) {
+			c.reportViolationLocked(name, "a healthy process refuses a request: %s", r.outcome)
 		}
 	case refusedKey:
-		if inTouch && !c.tenants.mayBeRevoked(r.keyEpoch) {
-			c.reportViolationLocked(name, "a process in touch does not know the key of epoch %d", r.keyEpoch)
+		if healthy && !c.tenants.mayBeRevoked(r.keyEpoch) {
+			c.reportViolationLocked(name, "a healthy process does not know the key of epoch %d", r.keyEpoch)
 		}
 	case refusedQuota, refusedHolders:
-		if inTouch && stable && tenantLoads[r.tenant%len(tenantLoads)] <= withinQuota {
+		if healthy && stable && tenantLoads[r.tenant%len(tenantLoads)] <= compliantLoad {
 			c.reportViolationLocked(name, "tenant %d is refused within its quota: %s", r.tenant, r.outcome)
 		}
 	}
 }
 
-// checkQuotaLocked checks the window that ends with a request that was admitted.
+// checkQuotaLocked checks the window of a quota that ends with an admitted request.
 func (c *checker) checkQuotaLocked(r *tenantRequest) {
-	list := append(c.tenants.admitted[r.tenant], admittance{r.decidedAt, r.tokens})
+	list := append(c.tenants.admitted[r.tenant], admission{r.decidedAt, r.tokens})
 	for len(list) > 0 && list[0].at <= r.decidedAt-quotaBounds.Window {
 		list = list[1:]
 	}
@@ -118,11 +121,11 @@
 	}
 	limit := tenantRate*quotaBounds.Window.Seconds() + tenantBurst
 	if allowed := limit*(1+quotaBounds.Overshoot) + quotaBounds.Slack; sum > allowed {
-		c.reportViolationLocked("fleet", "tenant %d: %.0f in a window, %.0f are allowed", r.tenant, sum, allowed)
+		c.reportViolationLocked("fleet", "tenant %d: %.0f tokens in a window, %.0f are allowed", r.tenant, sum, allowed)
 	}
 }
 
-// coreOutageSince tells whether the core lost power after a virtual time of the run, or is down.
+// coreOutageSince tells whether an outage of the core goes on, or has ended after a virtual time of the run.
 func (s *simulation) coreOutageSince(from time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/controlsim/tenants.go
+++ b/internal/testbed/controlsim/tenants.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// keyEpoch is the number of revisions in which the tenants get no new key. A key is valid for two epochs.
+	// keyEpoch is the number of revisions after which the tenants get new keys. A key is valid for two such epochs.
 	keyEpoch = 24
-	// revokeTime is from when on a revoked key has to be refused, after the acknowledgement of its removal.
+	// revokeTime is the time from the acknowledgement of a key's removal until the key must be refused.
 	revokeTime = 5 * time.Second
 	// tenantRate and tenantBurst are the quota of each tenant.
 	tenantRate, tenantBurst = 200, 100
 	// meanTokens is the mean size of a request, in tokens.
 	meanTokens = 10
-	// savedQuotasKey is the disk record of the quotas.
+	// savedQuotasKey is the key of the disk record with the quotas.
 	savedQuotasKey = "quotas"
-	// tenantRequestTimeout bounds a request of a tenant.
+	// tenantRequestTimeout bounds a request by a tenant.
 	tenantRequestTimeout = 600 * time.Millisecond
 )
 
-// quotaBounds bound what all processes together admit of a tenant.
+// quotaBounds bounds the requests of a tenant that all processes together admit.
 var quotaBounds = quota.Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 60}
 
-// withinQuota is the load up to which no request of a tenant may be rejected while the core is stable: the share of
-// a member that was lost is missing for two windows of the quota, and its deputy's with it.
-const withinQuota = 0.25
+// compliantLoad is the load, as a multiple of a tenant's rate, up to which no request may be rejected while the core is
+// stable. It is well below 1 because the shares of a lost member and of its deputy are missing for two windows of the
+// quota.
+const compliantLoad = 0.25
 
-// tenantLoads are the loads of tenants as multiples of their rates, by index modulo their number.
-var tenantLoads = []float64{withinQuota, 4, 0.9}
+// tenantLoads has the loads of the tenants as multiples of their rates, by the tenant's index modulo its length.
+var tenantLoads = []float64{compliantLoad, 4, 0.9}
 
-// tenant is a tenant of a configuration.
+// tenant is a tenant in a configuration.
 type tenant struct {
 	Name     string   `json:"name"`
 	APIKeys  []string `json:"api-keys"`
@@ -51,28 +52,30 @@
 
 func apiKey(index int, epoch int64) string { return fmt.Sprintf("key-%d-%d", index, epoch) }
 
-// tenantsAt are the tenants of the configuration of a revision. Each has the key of its epoch, and that of the epoch
-// before.
+// tenantsAt returns the tenants in the configuration of a revision. Each has the keys of this epoch and the previous
+// one.
 func tenantsAt(count int, revision int64) []tenant {
 	var tenants []tenant
 	epoch := revision / keyEpoch
 	for i := range count {
-		tenants = append(tenants, tenant{Name: tenantName(i), RatePerS: tenantRate, Burst: tenantBurst, Unit: "token_meter",
-			APIKeys: []string{apiKey(i, epoch), apiKey(i, epoch-1)}})
+		tenants = append(tenants, tenant{Name: tenantName(i), RatePerS: tenantRate, Burst: tenantBurst,
+			Unit: "token_meter", APIKeys: []string{apiKey(i, epoch), apiKey(i, epoch-1)}})
 	}
 	return tenants
 }
 
-// tenantGuard decides on the requests of tenants at one process, with what the daemon and the gateway have for that.
+// tenantGuard admits or refuses the requests of tenants at a process, with the components of daemon and gateway.
 type tenantGuard struct {
 	process *process
 	broker  *quota.Broker
 	client  *quota.Client
 }
 
-// newTenantGuard returns the guard of a process whose core is open.
+// newTenantGuard returns the guard of a process. The core of the process must be open.
 func newTenantGuard(p *process, firstStart bool) *tenantGuard {
-	options := quota.Options{Bounds: quotaBounds, SelfAddr: p.machine.host.addr, Core: assembly.QuotaCore{Member: p.core, Relay: func() *relay.Node { return p.relay }}, Pool: p.pool, FirstStart: firstStart}
+	options := quota.Options{Bounds: quotaBounds, SelfAddr: p.machine.host.addr,
+		Core: assembly.QuotaCore{Member: p.core, Relay: func() *relay.Node { return p.relay }}, Pool: p.pool,
+		FirstStart: firstStart}
 	if p.disk != nil {
 		options.SaveRecord = func(record []byte) error { return p.core.SaveRecord(savedQuotasKey, record) }
 		options.SavedRecord, _ = p.core.LoadRecord(savedQuotasKey)
@@ -94,21 +97,21 @@
 	}
 }
 
-// refusal tells why a request was not admitted.
+// refusal is the reason why a request was refused.
 type refusal string
 
-// The refusals, and their absence.
+// The reasons of refusals, and admitted for a request that was not refused.
 const (
-	admitted        refusal = ""
-	refusedStarting refusal = "starting"
-	refusedAge      refusal = "keys not confirmed"
-	refusedKey      refusal = "unknown key"
-	refusedQuota    refusal = "over quota"
-	refusedHolders  refusal = "no holder of the quota"
+	admitted               refusal = ""
+	refusedStarting        refusal = "starting"
+	refusedUnconfirmedKeys refusal = "keys not confirmed"
+	refusedKey             refusal = "unknown key"
+	refusedQuota           refusal = "over quota"
+	refusedHolders         refusal = "no holder of the quota"
 )
 
-// decide decides on a request as the gateway does: keys first, by a configuration that is known to be fresh enough,
-// then the quota.
+// decide admits or refuses a request like the gateway: it first checks the key against a configuration that is
+// confirmed to be fresh enough, and then the quota.
 func (g *tenantGuard) decide(ctx context.Context, key string, tokens int, receivedAt time.Time) refusal {
 	asOf := g.process.relay.ConfigFreshAsOf()
 	snapshot := g.process.snapshot.Load()
@@ -116,13 +119,13 @@
 		return refusedStarting
 	}
 	if asOf.IsZero() || receivedAt.Sub(asOf) > gateway.KeyMaxAge(revokeTime) {
-		return refusedAge
+		return refusedUnconfirmedKeys
 	}
-	holder := snapshot.Config.TenantOfKey(key)
-	if holder == nil {
+	owner := snapshot.Config.TenantOfKey(key)
+	if owner == nil {
 		return refusedKey
 	}
-	switch g.client.Admit(ctx, holder.Name, holder.Cost(tokens, 0)).Verdict {
+	switch g.client.Admit(ctx, owner.Name, owner.Cost(tokens, 0)).Verdict {
 	case quota.Admitted:
 		return admitted
 	case quota.Exhausted:
@@ -138,7 +141,7 @@
 	random *rand.Rand
 }
 
-// run sends until ctx ends. A request does not wait for the one before.
+// run sends requests until ctx ends. A request does not wait for the end of the previous one.
 func (c *tenantClient) run(ctx context.Context) {
 	load := tenantLoads[c.index%len(tenantLoads)]
 	interval := float64(time.Second) * meanTokens / (tenantRate * load)
@@ -157,14 +160,14 @@
 	}
 }
 
-// send sends one request, and passes what became of it to the checker.
+// send sends one request and passes its outcome to the checker.
 func (c *tenantClient) send(p *process, epoch int64, tokens int) {
 	sentAt := c.sim.elapsed()
-	externalCall(c.sim.checking, p, tenantRequestTimeout, func(ctx context.Context) bool {
+	externalCall(c.sim.checkCtx, p, tenantRequestTimeout, func(ctx context.Context) bool {
 		outcome := p.tenants.decide(ctx, apiKey(c.index, epoch), tokens, time.Now())
-		if !p.ended.Load() && c.sim.checking.Err() == nil {
-			c.sim.checker.tenantRequest(&tenantRequest{tenant: c.index, process: p, keyEpoch: epoch, tokens: tokens,
-				sentAt: sentAt, decidedAt: c.sim.elapsed(), outcome: outcome})
+		if !p.ended.Load() && c.sim.checkCtx.Err() == nil {
+			c.sim.checker.checkTenantRequest(&tenantRequest{tenant: c.index, process: p, keyEpoch: epoch,
+				tokens: tokens, sentAt: sentAt, decidedAt: c.sim.elapsed(), outcome: outcome})
 		}
 		return true
 	})
--- a/internal/testbed/controlsim/wiped_member_test.go
+++ b/internal/testbed/controlsim/wiped_member_test.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// recoveryBase is what a wiped member takes with a short configuration: its absence is noticed, views are decided.
+	// recoveryBase bounds the recovery of a wiped member with a short configuration: the time in which its absence is
+	// detected and views are decided.
 	recoveryBase = time.Second
-	// recoveryCopies bounds how many copies of the configuration pass its link one after the other meanwhile.
+	// recoveryCopies bounds the number of copies of the configuration that are sent over its link during the recovery.
 	recoveryCopies = 3
 )
 
-// A member of the core that returns with an empty disk is complete again once its link has carried the
-// configuration a few times. The times are in docs/CAPACITY.md.
+// A member of the core that returns with an empty disk is complete again within the time in which its link transmits
+// the configuration a few times. The measured times are in docs/CAPACITY.md.
 func TestWipedMemberIsCompleteAgain(t *testing.T) {
 	for _, bandwidth := range []int{0, 12_500_000, 1_250_000} {
 		for _, size := range []int{16 << 10, 128 << 10, 813 << 10} {
@@ -38,8 +39,8 @@
 	}
 }
 
-// recoverWipedMember returns how long after its restart a member with an empty disk holds a configuration of a size
-// and is in the chain.
+// recoverWipedMember returns the time from the restart of a member with an empty disk until it is in the chain and has
+// the configuration, which has the given size.
 func recoverWipedMember(t *testing.T, size, bandwidth int) (elapsed time.Duration) {
 	defer seedCryptoRand(1)()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,7 +51,7 @@
 		s.network.bandwidth = bandwidth
 		s.checker = newChecker(s)
 		ctx, cancel := context.WithCancel(context.Background())
-		s.processes, s.checking = ctx, ctx
+		s.processCtx, s.checkCtx = ctx, ctx
 		for range scenario.coreCount {
 			s.addMachine(true)
 		}
@@ -67,24 +68,25 @@
 	return elapsed
 }
 
-// wipeMember sets a configuration, wipes a member and returns after which time it is complete again, or a very long
-// time if something fails before.
+// wipeMember sets a configuration, wipes a member and returns the time until the member is complete again; an hour if a
+// step before fails.
 func (s *simulation) wipeMember(ctx context.Context) time.Duration {
 	update := &chain.Update{Body: encodeConfig(updateInput{revision: 1, id: "1.1"}, &s.scenario)}
 	isCommitted := func() bool {
 		return s.agentMachines()[0].running().core.Submit(ctx, update).Outcome == chain.OutcomeCommitted
 	}
-	isSettled := func() bool { return s.catchUpProblem() == "" }
-	if !s.waitUntil(ctx, initialViewTimeout, s.hasInitialView) || !s.waitUntil(ctx, time.Minute, isCommitted) || !s.waitUntil(ctx, time.Minute, isSettled) {
+	isCaughtUp := func() bool { return s.catchUpProblem() == "" }
+	if !s.waitUntil(ctx, initialViewTimeout, s.hasInitialView) || !s.waitUntil(ctx, time.Minute, isCommitted) ||
+		!s.waitUntil(ctx, time.Minute, isCaughtUp) {
 		return time.Hour
 	}
 	wiped := s.chainMember(s.newestView(), Middle)
 	wiped.kill(false)
 	wiped.media.wipe()
-	wiped.start(s.processes, false)
-	begun := s.elapsed()
+	wiped.start(s.processCtx, false)
+	startedAt := s.elapsed()
 	s.waitUntil(ctx, time.Minute, func() bool { return isComplete(wiped) })
-	return s.elapsed() - begun
+	return s.elapsed() - startedAt
 }
 
 // isComplete reports whether a machine's process is a complete member of the chain and has a configuration in force.
--- a/internal/testbed/controlsim/worker.go
+++ b/internal/testbed/controlsim/worker.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// Simulate runs the scenario of a number, 1 to ScenarioCount, and a seed.
+// Simulate runs the scenario with a number, 1 to ScenarioCount, and a seed.
 func Simulate(t *testing.T, number int, seed uint64) Result {
 	return simulate(t, newScenario(number, seed))
 }
 
-// Report is a line of JSON that a worker writes: one as a run begins, with its scenario and seed alone, and one
-// with its result.
+// Report is a line of JSON that a worker writes. There are two for each run: one at its begin, which has only the
+// scenario and the seed, and one with the result.
 type Report struct {
-	Begins        bool `json:",omitempty"`
+	Begins        bool `json:",omitempty"` // whether the run begins now
 	Scenario      int  `json:"Point"`
 	Seed          uint64
 	Result        Result
 	Elapsed       time.Duration `json:"Took"`    // wall-clock time
-	FaultCount    int           `json:"Faults"`  // in the scenario
+	FaultCount    int           `json:"Faults"`  // number of faults in the scenario
 	MinimalFaults []Fault       `json:"Fewest"`  // a subset that still violates a guarantee, if one was violated
-	MinimalResult Result        `json:"Shorter"` // of a run with MinimalFaults only
+	MinimalResult Result        `json:"Shorter"` // result of a run with MinimalFaults only
 }
 
-// Worker is the share of a hunt that one worker process runs: the seeds First, First+Step and so on below End.
+// Worker describes the runs of one worker process in a hunt: the seeds First, First+Step and so on below End.
 type Worker struct {
-	Scenarios   []int // run with each seed
+	Scenarios   []int // numbers of the scenarios to run with each seed
 	First, Step uint64
 	End         uint64
-	Deadline    time.Time // no run begins later; zero: no bound
+	Deadline    time.Time // no run begins later; zero if there is no deadline
 }
 
-// Run runs the share and writes a Report for each run. The error is that of out.
+// Run makes the runs and writes their Reports to out. It returns an error if a write fails.
 func (w Worker) Run(t *testing.T, out io.Writer) error {
 	discardServerLogs()
 	reports := json.NewEncoder(out)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// simulateAndShrink runs a scenario, and looks for a minimal one if it violates a guarantee. The log of a run
-// without violations is dropped.
+// simulateAndShrink runs a scenario, and searches for a minimal set of faults if it violates a guarantee. It drops the
+// log of a run without violations.
 func simulateAndShrink(t *testing.T, number int, seed uint64) Report {
 	startedAt := time.Now()
 	s := newScenario(number, seed)
--- a/internal/testbed/fleetsim/fleet.go
+++ b/internal/testbed/fleetsim/fleet.go
@@ -509,7 +509,7 @@
 
 // connect takes an idle connection or opens a new one. It returns the time until the connection is established, or
 // until the attempt fails, and whether it is established.
-func (sim *simulation) connect(a *agent, s *server) (ms float64, up bool) {
+func (sim *simulation) connect(a *agent, s *server) (ms float64, connected bool) {
 	if idle := a.idleSince[s.addr]; len(idle) > 0 {
 		since := idle[len(idle)-1]
 		if a.idleSince[s.addr] = idle[:len(idle)-1]; sim.now-since < sim.IdleTimeoutMs {
@@ -520,14 +520,14 @@
 	if s.unreachable || s.removed {
 		return sim.Settings.Limits.ConnectTimeoutMs, false
 	}
-	way := sim.oneWay(a, s)
+	delay := sim.oneWay(a, s)
 	if s.Down() {
-		return 2 * way, false
+		return 2 * delay, false
 	}
 	sim.secondOf(sim.now).Handshakes++
 	s.Offer(sim.now, backendmodel.Job{WorkMs: sim.HandshakeMs})
 	sim.advance(s)
-	return 4 * way, true
+	return 4 * delay, true
 }
 
 func (sim *simulation) sendAttempt(a *agent, r *request, act *policy.Action) {
@@ -569,28 +569,28 @@
 		sim.removeIfDone(a, r)
 	}
 	sim.scheduleFor(a, max(act.DurationMs, 0), func() { end(policy.Timeout) })
-	ms, up := sim.connect(a, s)
-	if !up {
+	ms, connected := sim.connect(a, s)
+	if !connected {
 		sim.scheduleFor(a, ms, func() { end(policy.ConnectFailed) })
 		return
 	}
-	way := sim.oneWay(a, s)
-	sim.scheduleAfter(ms+way, func() { // the request arrives even if the agent has been restarted since
+	delay := sim.oneWay(a, s)
+	sim.scheduleAfter(ms+delay, func() { // the request arrives even if the agent has been restarted since
 		switch {
 		case t.ended || s.unreachable || s.removed:
 			return
 		case s.Down():
-			sim.scheduleFor(a, way, func() { end(policy.ConnectFailed) })
+			sim.scheduleFor(a, delay, func() { end(policy.ConnectFailed) })
 			return
 		case s.errorRate > 0 && sim.random.Float64() < s.errorRate:
-			sim.scheduleFor(a, way, func() { end(policy.Error) })
+			sim.scheduleFor(a, delay, func() { end(policy.Error) })
 			return
 		}
 		sim.nextJob++
 		id := sim.nextJob
 		sim.advance(s)
 		if !s.Offer(sim.now, backendmodel.Job{ID: id, Key: r.origin.key, WorkMs: r.origin.workMs}) {
-			sim.scheduleFor(a, way, func() { end(policy.Rejected) })
+			sim.scheduleFor(a, delay, func() { end(policy.Rejected) })
 			return
 		}
 		t.job = id
@@ -601,7 +601,7 @@
 		process := s.Server
 		sim.jobs[id] = func(at float64) {
 			if !s.unreachable && s.Server == process {
-				sim.scheduleFor(a, at-sim.now+way, func() { end(policy.OK) })
+				sim.scheduleFor(a, at-sim.now+delay, func() { end(policy.OK) })
 			}
 		}
 		sim.advance(s)
@@ -635,17 +635,17 @@
 				LoadReport: report})
 		})
 	}
-	ms, up := sim.connect(a, s)
-	way := sim.oneWay(a, s)
+	ms, connected := sim.connect(a, s)
+	delay := sim.oneWay(a, s)
 	switch {
-	case !up:
+	case !connected:
 		reportEnd(ms, policy.ConnectFailed, nil)
 	case s.unreachable || s.removed:
 		reportEnd(2*sim.Settings.Limits.ConnectTimeoutMs, policy.Timeout, nil)
 	default:
 		sim.advance(s)
 		l := s.Load(sim.now)
-		reportEnd(ms+2*way, policy.OK, []float32{float32(l.Inflight), float32(l.Util), float32(l.LatencyMs),
+		reportEnd(ms+2*delay, policy.OK, []float32{float32(l.Inflight), float32(l.Util), float32(l.LatencyMs),
 			float32(l.QPS)})
 		a.idleSince[addr] = append(a.idleSince[addr], sim.now)
 	}
@@ -653,7 +653,7 @@
 
 // ---- clients ----
 
-// scheduleArrival schedules an agent's next new request.
+// scheduleArrival schedules the next new request of an agent's clients.
 func (sim *simulation) scheduleArrival(a *agent) {
 	sim.scheduleAfter(sim.random.ExpFloat64()*1000/a.rate, func() {
 		if sim.now > startTime+sim.DurationMs {
@@ -701,8 +701,8 @@
 	a.nextID++
 	r := &request{id: a.nextID, origin: c, deadline: c.firstSentAt + class.ClientTimeoutMs}
 	a.requests[r.id] = r
-	left := r.deadline - sim.now
-	sim.scheduleFor(a, left, func() {
+	remainingMs := r.deadline - sim.now
+	sim.scheduleFor(a, remainingMs, func() {
 		if !r.ended {
 			sim.result.Unanswered++
 			sim.secondOf(c.firstSentAt).Failed++
@@ -711,7 +711,7 @@
 		}
 	})
 	sim.handle(a, &policy.Event{Kind: policy.EventRequest, Request: r.id, Class: c.class, Tenant: -1, Key: c.key,
-		RemainingMs: left - min(8, left/8), IsRetry: retry && sim.Settings.Clients.MarksRetry})
+		RemainingMs: remainingMs - min(8, remainingMs/8), IsRetry: retry && sim.Settings.Clients.MarksRetry})
 }
 
 // retry lets the client retry unless its retries or its time are used up, and tells whether it does. wait is the least
