--- a/cmd/agentlab/run.go
+++ b/cmd/agentlab/run.go
@@ -73,7 +73,7 @@
 // printVerdict prints each claim and the final line, and tells whether the experiment passed.
 func printVerdict(out io.Writer, r *report.Report, dir string) bool {
 	fmt.Fprintf(out, "%s, seed %d: %d agents, %d servers, %.0f requests a second; the laboratory carries %.0f and was %.1f ms late (p99)\n",
-		r.Name, r.Seed, r.Agents, r.Servers, r.Rate, r.Ceiling, r.Behind)
+		r.Name, r.Seed, r.Agents, r.Servers, r.Rate, r.Ceiling, r.SendDelayP99)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, p := range r.Plays {
 		f := p.Figures
--- a/internal/testbed/backend/emu_test.go
+++ b/internal/testbed/backend/emu_test.go
@@ -195,7 +195,7 @@
 
 // A restarted server is cold, and serves.
 func TestRestartIsCold(t *testing.T) {
-	r := newRig(t, 1, func(c *ServerConfig) { c.Model.ColdFrom, c.Model.ColdMs = 0.25, 1e9 })
+	r := newRig(t, 1, func(c *ServerConfig) { c.Model.SlowStartFloor, c.Model.SlowStartMs = 0.25, 1e9 })
 	warm := r.server.Truth().Capacity
 	r.server.Restart()
 	if cold := r.server.Truth().Capacity; cold > 0.26*warm {
--- a/internal/testbed/backend/server.go
+++ b/internal/testbed/backend/server.go
@@ -183,7 +183,7 @@
 	s.jobs = map[uint64]chan struct{}{} // requests that wait for these jobs end with their connections
 	s.toppled = false
 	s.model = backendmodel.New(s.cfg.Model, s.now())
-	s.model.Slow(max(s.faults.Slowdown, 1))
+	s.model.SetSlowdown(max(s.faults.Slowdown, 1))
 }
 
 // SetFaults replaces the faults that are injected into the server.
@@ -191,16 +191,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.model.Slow(max(f.Slowdown, 1))
+	s.model.SetSlowdown(max(f.Slowdown, 1))
 }
 
 // collectStats adds the figures of the current model to the stats. It is called with mu held.
 func (s *Server) collectStats() {
-	known, seen := s.model.Keys()
+	known, seen := s.model.KeyCounts()
 	s.stats.KeysKnown += known
 	s.stats.KeysSeen += seen
-	s.stats.Pressed = max(s.stats.Pressed, s.model.Pressed())
-	s.stats.Toppled = s.stats.Toppled || s.model.Down()
+	s.stats.Pressed = max(s.stats.Pressed, s.model.PeakColdLoad())
+	s.stats.Toppled = s.stats.Toppled || s.model.Collapsed()
 }
 
 // Stats returns the figures of all lives so far.
@@ -223,7 +223,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if s.model.Down() {
+	if s.model.Collapsed() {
 		return Truth{}
 	}
 	return Truth{Inflight: s.model.Load(now).Inflight, Capacity: s.model.Capacity(now),
@@ -366,7 +366,7 @@
 	id, done, life := s.nextJob, make(chan struct{}), s.incarnation
 	if !s.model.Offer(s.now(), backendmodel.Job{ID: id, Key: key, WorkMs: work}) {
 		s.stats.Rejected++
-		if s.model.Down() && !s.toppled {
+		if s.model.Collapsed() && !s.toppled {
 			s.toppled = true
 			defer s.log.Add(referee.Event{Kind: referee.Toppled, Server: s.cfg.ID})
 		}
@@ -418,7 +418,7 @@
 	noise := func(x float64) float64 { return x * (1 + s.cfg.Noise*(2*s.rng.Float64()-1)) }
 	text := fmt.Sprintf("inflight=%d,util=%.3f,latency_ms=%.1f,qps=%.1f", l.Inflight, min(noise(l.Util), 1),
 		noise(l.LatencyMs), noise(l.QPS))
-	down := s.model.Down()
+	down := s.model.Collapsed()
 	s.mu.Unlock()
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/testbed/backendmodel/server.go
+++ b/internal/testbed/backendmodel/server.go
@@ -17,8 +17,8 @@
 	Speed float64 // speed of a core; the work of jobs is given for a speed of 1
 	Queue int     // requests that may wait; the server rejects further ones
 
-	ColdFrom float64 // fraction of the capacity at the start, 0 to 1
-	ColdMs   float64 // time from the start until the full capacity is reached
+	SlowStartFloor float64 // fraction of the capacity at the start, 0 to 1
+	SlowStartMs    float64 // time from the start until the full capacity is reached
 
 	KeyTTLMs  float64 // how long a key stays cached after its last use
 	KeySaving float64 // fraction of the work that a cached key saves, 0 to 1
@@ -80,10 +80,10 @@
 	// the overload, idleSince the time since when no job runs. Each is 0 if this is not the case.
 	crowdedSince, overloadedAt, idleSince float64
 	offered                               []offer // to a cold server within CollapseWindowMs
-	offeredMs, peakColdLoad               float64 // total work of offered; see Pressed
+	offeredMs, peakColdLoad               float64 // total work of offered; see PeakColdLoad
 
 	util, utilAt, latency, qps float64 // see Load; utilAt is the time of the last update
-	keyHits, keyedJobs         int     // see Keys
+	keyHits, keyedJobs         int     // see KeyCounts
 }
 
 type usedKey struct {
@@ -98,23 +98,23 @@
 	return &Server{cfg: cfg, startedAt: startedAt, slowdown: 1, keys: map[uint64]*list.Element{}, keyOrder: list.New()}
 }
 
-// Slow makes the server slower by a factor, for the jobs that start from now on; 1 is its configured speed.
-func (s *Server) Slow(factor float64) { s.slowdown = factor }
+// SetSlowdown makes the server slower by a factor, for the jobs that start from now on; 1 is its configured speed.
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = factor }
 
-// Down tells whether the server has collapsed.
-func (s *Server) Down() bool { return s.collapsed }
+// Collapsed tells whether the server has collapsed.
+func (s *Server) Collapsed() bool { return s.collapsed }
 
 // Overloaded tells whether the server is slower because of a long queue.
 func (s *Server) Overloaded() bool { return s.overloadedAt > 0 }
 
-// Pressed returns the highest load that the server was offered while cold, as a fraction of the load at which it
+// PeakColdLoad returns the highest load that the server was offered while cold, as a fraction of the load at which it
 // collapses.
-func (s *Server) Pressed() float64 { return s.peakColdLoad }
+func (s *Server) PeakColdLoad() float64 { return s.peakColdLoad }
 
 // StartupFactor returns the fraction of its capacity that the server has reached since its start, 0 to 1.
 func (s *Server) StartupFactor(now float64) float64 {
-	if age := now - s.startedAt; s.startedAt > 0 && age < s.cfg.ColdMs {
-		return s.cfg.ColdFrom + (1-s.cfg.ColdFrom)*max(age, 0)/s.cfg.ColdMs
+	if age := now - s.startedAt; s.startedAt > 0 && age < s.cfg.SlowStartMs {
+		return s.cfg.SlowStartFloor + (1-s.cfg.SlowStartFloor)*max(age, 0)/s.cfg.SlowStartMs
 	}
 	return 1
 }
@@ -304,5 +304,5 @@
 	return Load{Inflight: len(s.running) + len(s.queue), Util: s.util, LatencyMs: s.latency, QPS: s.qps}
 }
 
-// Keys returns the number of started jobs with a cached key, and that of all started jobs with a key.
-func (s *Server) Keys() (hits, total int) { return s.keyHits, s.keyedJobs }
+// KeyCounts returns the number of started jobs with a cached key, and that of all started jobs with a key.
+func (s *Server) KeyCounts() (hits, total int) { return s.keyHits, s.keyedJobs }
--- a/internal/testbed/backendmodel/server_test.go
+++ b/internal/testbed/backendmodel/server_test.go
@@ -30,7 +30,7 @@
 
 func TestColdServerIsSlowAndCollapses(t *testing.T) {
 	c := singleCoreConfig()
-	c.ColdFrom, c.ColdMs, c.CollapseLoadFactor, c.CollapseWindowMs, c.Queue = 0.1, 1000, 2, 100, 1000
+	c.SlowStartFloor, c.SlowStartMs, c.CollapseLoadFactor, c.CollapseWindowMs, c.Queue = 0.1, 1000, 2, 100, 1000
 	s := New(c, 1)
 	s.Offer(1, Job{ID: 1, WorkMs: 1})
 	if at := endTimes(s, 100); len(at) != 1 || math.Abs(at[0]-11) > 1e-9 {
@@ -39,14 +39,14 @@
 	for range 40 { // 40 ms of work: the server survives 2 times its capacity of 10 ms, and 3 jobs more
 		s.Offer(12, Job{WorkMs: 1})
 	}
-	if !s.Down() {
+	if !s.Collapsed() {
 		t.Error("a cold server survived four times its capacity")
 	}
 	warm := New(c, 0)
 	for range 400 {
 		warm.Offer(12, Job{WorkMs: 1})
 	}
-	if warm.Down() {
+	if warm.Collapsed() {
 		t.Error("a warm server collapsed")
 	}
 }
--- a/internal/testbed/baseline/picker.go
+++ b/internal/testbed/baseline/picker.go
@@ -13,7 +13,7 @@
 // Server is what a picker knows of a server.
 type Server struct {
 	Index    int
-	Out      int            // number of this client's requests in flight
+	InFlight int            // number of this client's requests in flight
 	Expected func() float64 // expected time of an answer, with a penalty for failures; for the clairvoyant only
 }
 
@@ -60,7 +60,7 @@
 
 func (p twoChoices) Pick(s []Server) int {
 	i, j := p.rng.IntN(len(s)), p.rng.IntN(len(s))
-	if s[j].Out < s[i].Out {
+	if s[j].InFlight < s[i].InFlight {
 		return j
 	}
 	return i
@@ -73,9 +73,9 @@
 	best, ties := 0, 0
 	for i := range s {
 		switch {
-		case s[i].Out < s[best].Out:
+		case s[i].InFlight < s[best].InFlight:
 			best, ties = i, 1
-		case s[i].Out == s[best].Out:
+		case s[i].InFlight == s[best].InFlight:
 			if ties++; p.rng.IntN(ties) == 0 {
 				best = i
 			}
--- a/internal/testbed/baseline/picker_test.go
+++ b/internal/testbed/baseline/picker_test.go
@@ -5,7 +5,7 @@
 // servers returns servers with the given numbers of requests in flight.
 func servers(inFlight ...int) (s []Server) {
 	for i, n := range inFlight {
-		s = append(s, Server{Index: i, Out: n, Expected: func() float64 { return float64(10 - n) }})
+		s = append(s, Server{Index: i, InFlight: n, Expected: func() float64 { return float64(10 - n) }})
 	}
 	return s
 }
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -233,7 +233,7 @@
 			return w.updateLinks()
 		}
 		return func() error { return set(faultlink.Quality{}) },
-			set(faultlink.Quality{Stall: f.Share, Stalled: time.Duration(f.Delay)})
+			set(faultlink.Quality{StallRate: f.Share, StallDelay: time.Duration(f.Delay)})
 	},
 	// Resets all open connections to servers, once.
 	"reset-links": func(_ context.Context, w *world, f *Fault) (func() error, error) {
--- a/internal/testbed/experiment/figures.go
+++ b/internal/testbed/experiment/figures.go
@@ -180,7 +180,7 @@
 
 // seconds returns the counts of each second of the play.
 func (t *tally) seconds() (out []report.Second) {
-	n := int(math.Ceil(t.cfg.For.Seconds()))
+	n := int(math.Ceil(t.cfg.Duration.Seconds()))
 	for i := range n {
 		s := t.sumsOver(time.Duration(i)*time.Second, time.Duration(i+1)*time.Second)
 		out = append(out, report.Second{Asked: s.requests, Served: s.verdicts[loadgen.Served],
--- a/internal/testbed/experiment/helpers_test.go
+++ b/internal/testbed/experiment/helpers_test.go
@@ -20,7 +20,7 @@
 	for i := range n {
 		at := time.Duration(i) * time.Second
 		v := []loadgen.Verdict{loadgen.Served, loadgen.Served, loadgen.Refused, loadgen.Failed}[i%4]
-		t.outcomes = append(t.outcomes, loadgen.Outcome{Request: &loadgen.Ask{At: at, Agent: i}, Verdict: v, Latency: 10 * time.Millisecond})
+		t.outcomes = append(t.outcomes, loadgen.Outcome{Request: &loadgen.PlannedRequest{At: at, Agent: i}, Verdict: v, Latency: 10 * time.Millisecond})
 		if v != loadgen.Refused {
 			t.attempts = append(t.attempts, attempt{at, false})
 		}
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -84,25 +84,25 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 		tallies[name] = t
-		if b := float64(t.sendDelays.ValueAtQuantile(99)) / 1000; b > r.Behind {
-			r.Behind = b
+		if b := float64(t.sendDelays.ValueAtQuantile(99)) / 1000; b > r.SendDelayP99 {
+			r.SendDelayP99 = b
 		}
 	}
 	switch {
 	case cfg.Rate > maxCeilingUse*r.Ceiling:
 		r.Void = fmt.Sprintf("%.0f requests a second are over %.0f%% of the laboratory's own ceiling of %.0f",
 			cfg.Rate, 100*maxCeilingUse, r.Ceiling)
-	case r.Behind > float64(maxSendDelay.Milliseconds()):
-		r.Void = fmt.Sprintf("the laboratory ran late by %.0f ms, %v is allowed", r.Behind, maxSendDelay)
+	case r.SendDelayP99 > float64(maxSendDelay.Milliseconds()):
+		r.Void = fmt.Sprintf("the laboratory ran late by %.0f ms, %v is allowed", r.SendDelayP99, maxSendDelay)
 	}
-	r.Claims = evaluateClaims(f, r, tallies, time.Duration(ld.Warmup), cfg.For)
+	r.Claims = evaluateClaims(f, r, tallies, time.Duration(ld.Warmup), cfg.Duration)
 	return r, nil
 }
 
 // loadConfig returns the configuration of the load, whose rate is a fraction of the capacity of all
 // servers.
 func loadConfig(set *policy.Settings, fl Fleet, ld Load, seed uint64) *loadgen.Config {
-	cfg := &loadgen.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, For: time.Duration(ld.Duration),
+	cfg := &loadgen.Config{Seed: seed, Agents: fl.Agents, Spread: ld.Spread, Duration: time.Duration(ld.Duration),
 		Keys: ld.Keys, Skew: ld.Skew, EarlyLeavers: ld.EarlyLeavers,
 		Retry: loadgen.Retry{Enabled: !ld.NoRetry, MinDelay: 200 * time.Millisecond,
 			HonorRetryAfter: !ld.IgnoreRetryAfter}}
@@ -181,7 +181,7 @@
 	file  *File
 	fleet Fleet
 	cfg   *loadgen.Config
-	plan  []loadgen.Ask
+	plan  []loadgen.PlannedRequest
 	set   policy.Settings
 	opt   Options
 	name  string
@@ -207,7 +207,7 @@
 	outcomes := make(chan loadgen.Outcome, 1024)
 	var clients sync.WaitGroup
 	for _, a := range w.agents {
-		var planned []*loadgen.Ask
+		var planned []*loadgen.PlannedRequest
 		for i := range p.plan {
 			if p.plan[i].Agent == a.index {
 				planned = append(planned, &p.plan[i])
@@ -254,7 +254,7 @@
 			}
 		case <-tick.C:
 			if p.opt.Progress != nil {
-				p.opt.Progress(p.name, min(max(float64(w.log.Now()-w.loadStart)/float64(p.cfg.For), 0), 1))
+				p.opt.Progress(p.name, min(max(float64(w.log.Now()-w.loadStart)/float64(p.cfg.Duration), 0), 1))
 			}
 		}
 	}
@@ -311,7 +311,7 @@
 	events := w.log.Events()
 	t.attempts = attemptsOf(events, w)
 	warmup := time.Duration(r.Warmup)
-	all := t.sumsOver(warmup, t.cfg.For)
+	all := t.sumsOver(warmup, t.cfg.Duration)
 	for name, f := range figures {
 		fig[name] = f(all)
 	}
@@ -388,7 +388,7 @@
 		}
 		candidates := make([]baseline.Server, len(list))
 		for i, s := range list {
-			candidates[i] = baseline.Server{Index: i, Out: inflight[s],
+			candidates[i] = baseline.Server{Index: i, InFlight: inflight[s],
 				Expected: func() float64 { return w.expected(a, s) }}
 		}
 		s := list[p.Pick(candidates)]
@@ -447,7 +447,7 @@
 // ceiling measures how many requests a second the testbed can carry without agents: its clients
 // send over an emulated link to a server that does no work.
 func ceiling(ctx context.Context) (float64, error) {
-	l, err := faultlink.New(faultlink.Config{IP: net.IPv4(127, 0, 0, 1), Near: "lab@lab"})
+	l, err := faultlink.New(faultlink.Config{IP: net.IPv4(127, 0, 0, 1), NearName: "lab@lab"})
 	if err != nil {
 		return 0, err
 	}
@@ -471,7 +471,7 @@
 			defer clients.Done()
 			defer c.Close()
 			for k := 0; ctx.Err() == nil; k++ {
-				c.Run(ctx, []*loadgen.Ask{{Number: i<<20 | k, At: log.Now()}}, func(o loadgen.Outcome) {
+				c.Run(ctx, []*loadgen.PlannedRequest{{Number: i<<20 | k, At: log.Now()}}, func(o loadgen.Outcome) {
 					if o.Verdict == loadgen.Served {
 						served.Add(1)
 					}
--- a/internal/testbed/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -290,8 +290,8 @@
 		s.Restart()
 	}
 	for _, a := range w.agents {
-		l, err := faultlink.New(faultlink.Config{IP: w.net.viewIP(a.index), Near: a.name + "@" + a.zone,
-			Seed: w.rng.Uint64(), First: 2 * w.oneWay(a, s)})
+		l, err := faultlink.New(faultlink.Config{IP: w.net.viewIP(a.index), NearName: a.name + "@" + a.zone,
+			Seed: w.rng.Uint64(), FirstDelay: 2 * w.oneWay(a, s)})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/faultlink/link.go
+++ b/internal/testbed/faultlink/link.go
@@ -26,10 +26,10 @@
 type Quality struct {
 	Delay  time.Duration // one-way delay
 	Jitter time.Duration // maximum of an additional random delay, drawn for each message
-	// Stall is the fraction of messages that take Stalled longer, like those whose packet is lost
+	// StallRate is the fraction of messages that take StallDelay longer, like those whose packet is lost
 	// and sent again.
-	Stall   float64
-	Stalled time.Duration
+	StallRate  float64
+	StallDelay time.Duration
 	// CutTo cuts the traffic to the far party, and CutFrom that from it.
 	CutTo, CutFrom bool
 }
@@ -57,15 +57,15 @@
 
 // Config describes a new link.
 type Config struct {
-	IP    net.IP        // address at which the near party reaches the link; the port is a free one
-	Near  string        // name of the near party, which the far party sees
-	Seed  uint64        // seed of the random delays
-	First time.Duration // additional delay of the first message on a connection, as after a handshake
+	IP         net.IP        // address at which the near party reaches the link; the port is a free one
+	NearName   string        // name of the near party, which the far party sees
+	Seed       uint64        // seed of the random delays
+	FirstDelay time.Duration // additional delay of the first message on a connection, as after a handshake
 }
 
 // New opens a link.
 func New(cfg Config) (*Link, error) {
-	l := &Link{addr: &net.TCPAddr{IP: cfg.IP}, nearName: cfg.Near, firstDelay: cfg.First,
+	l := &Link{addr: &net.TCPAddr{IP: cfg.IP}, nearName: cfg.NearName, firstDelay: cfg.FirstDelay,
 		accepted: make(chan net.Conn), done: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 7)), changed: make(chan struct{}), parked: make(chan struct{}, 1), conns: map[*conn]bool{}}
 	if err := l.listen(); err != nil {
@@ -314,8 +314,8 @@
 		if q.Jitter > 0 {
 			wait += time.Duration(l.rng.Int64N(int64(q.Jitter)))
 		}
-		if q.Stall > 0 && l.rng.Float64() < q.Stall {
-			wait += q.Stalled
+		if q.StallRate > 0 && l.rng.Float64() < q.StallRate {
+			wait += q.StallDelay
 		}
 		l.mu.Unlock()
 		cut := to && q.CutTo || !to && q.CutFrom
--- a/internal/testbed/faultlink/link_test.go
+++ b/internal/testbed/faultlink/link_test.go
@@ -17,7 +17,7 @@
 // newEchoLink returns a link whose far party sends back all it receives.
 func newEchoLink(t *testing.T, firstDelay time.Duration) *Link {
 	t.Helper()
-	l, err := New(Config{IP: net.IPv4(127, 0, 0, 1), Seed: 1, First: firstDelay})
+	l, err := New(Config{IP: net.IPv4(127, 0, 0, 1), Seed: 1, FirstDelay: firstDelay})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 
 func TestStalledMessages(t *testing.T) {
 	l := newEchoLink(t, 0)
-	set(t, l, Quality{Stall: 1, Stalled: 25 * time.Millisecond})
+	set(t, l, Quality{StallRate: 1, StallDelay: 25 * time.Millisecond})
 	if took, err := sendLine(t, dial(t, l)); err != nil || took < 50*time.Millisecond {
 		t.Errorf("took %v, %v, want at least 50 ms", took, err)
 	}
--- a/internal/testbed/fleetlab/client.go
+++ b/internal/testbed/fleetlab/client.go
@@ -115,7 +115,7 @@
 
 // newRequest draws the details of a planned request. The random choices depend only on the seed and the request's
 // number.
-func (c *Clients) newRequest(planned *loadgen.Ask) *request {
+func (c *Clients) newRequest(planned *loadgen.PlannedRequest) *request {
 	class := c.classes[planned.Class]
 	random := rand.New(rand.NewPCG(c.seed, uint64(planned.Number)))
 	ownTokens := class.OwnTokens/2 + random.IntN(class.OwnTokens+1)
@@ -129,7 +129,7 @@
 
 // Run sends the requests of a plan at their times and passes each outcome to done, concurrently. It returns after the
 // last outcome.
-func (c *Clients) Run(ctx context.Context, plan []loadgen.Ask, done func(Outcome)) {
+func (c *Clients) Run(ctx context.Context, plan []loadgen.PlannedRequest, done func(Outcome)) {
 	start := c.now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/testbed/fleetlab/client_test.go
+++ b/internal/testbed/fleetlab/client_test.go
@@ -95,7 +95,7 @@
 
 // send makes a client send a request of a class, and returns the outcome.
 func (b *clientTest) send(class, client, number int) Outcome {
-	return b.clients.send(context.Background(), b.clients.newRequest(&loadgen.Ask{Class: class, Agent: client, Number: number}))
+	return b.clients.send(context.Background(), b.clients.newRequest(&loadgen.PlannedRequest{Class: class, Agent: client, Number: number}))
 }
 
 func (b *clientTest) lastAttempt() *Attempt {
@@ -168,7 +168,7 @@
 
 func TestClientsAreServedCompletely(t *testing.T) {
 	b := newClientTest(t, 1, forwardAll)
-	cfg := &loadgen.Config{Seed: 3, Agents: 4, Rate: 100, For: 300 * time.Millisecond, Keys: 5, Skew: 1,
+	cfg := &loadgen.Config{Seed: 3, Agents: 4, Rate: 100, Duration: 300 * time.Millisecond, Keys: 5, Skew: 1,
 		Classes: []loadgen.Class{{Name: "a", Share: 1}, {Name: "b", Share: 1}}}
 	plan, err := loadgen.Plan(cfg)
 	require.NoError(t, err)
--- a/internal/testbed/fleetlab/fleet_test.go
+++ b/internal/testbed/fleetlab/fleet_test.go
@@ -415,7 +415,7 @@
 	assert.Equal(t, plan, samePlan)
 	require.NotEmpty(t, plan)
 	for i := range plan {
-		x, y := a.newRequest(&plan[i]), b.newRequest(&loadgen.Ask{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
+		x, y := a.newRequest(&plan[i]), b.newRequest(&loadgen.PlannedRequest{Number: plan[i].Number, Agent: plan[i].Agent, Class: plan[i].Class, Key: plan[i].Key})
 		assert.Equal(t, x, func() *request { y.class = x.class; return y }())
 	}
 }
--- a/internal/testbed/fleetlab/run.go
+++ b/internal/testbed/fleetlab/run.go
@@ -86,8 +86,8 @@
 }
 
 // NewWorkload creates clients and plans their requests from the fleet's seed.
-func (f *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.Ask, error) {
-	cfg := &loadgen.Config{Seed: f.cfg.Seed, Agents: f.cfg.Clients, Rate: rate, Spread: 0.3, For: length, Keys: 40, Skew: 0.6}
+func (f *Fleet) NewWorkload(rate float64, length time.Duration) (*Clients, []loadgen.PlannedRequest, error) {
+	cfg := &loadgen.Config{Seed: f.cfg.Seed, Agents: f.cfg.Clients, Rate: rate, Spread: 0.3, Duration: length, Keys: 40, Skew: 0.6}
 	for _, c := range f.cfg.Classes {
 		cfg.Classes = append(cfg.Classes, loadgen.Class{Name: c.Name, Share: c.Share})
 	}
--- a/internal/testbed/fleetlab/waiting.go
+++ b/internal/testbed/fleetlab/waiting.go
@@ -86,7 +86,7 @@
 func (f *Fleet) Probe(ctx context.Context, a *Agent, c *Class) *Attempt {
 	n := int(f.probeCount.Add(1))
 	clients := newClients([]*Class{c}, nil, f.Now, f.recorder, f.cfg.Seed, f.zones, "p")
-	request := clients.newRequest(&loadgen.Ask{Number: n})
+	request := clients.newRequest(&loadgen.PlannedRequest{Number: n})
 	endpoint := a.Endpoint()
 	attempt := &Attempt{ID: fmt.Sprintf("p%06x", n), Agent: a.IP, Class: "probe", Method: "POST", Host: c.Host, Target: fmt.Sprintf("%sgen?p=%d", c.Path, n),
 		Prompt: request.prompt, Idempotent: c.Resumable, Resumable: c.Resumable, StartedAt: f.Now(), Timeout: c.Timeout}
--- a/internal/testbed/fleetsim/fleet.go
+++ b/internal/testbed/fleetsim/fleet.go
@@ -250,10 +250,10 @@
 	}
 	hits, total := 0, 0
 	for _, s := range sim.servers {
-		h, n := s.Keys()
+		h, n := s.KeyCounts()
 		hits, total = hits+h, total+n
-		sim.result.PeakColdLoad = max(sim.result.PeakColdLoad, s.Pressed())
-		if s.Down() {
+		sim.result.PeakColdLoad = max(sim.result.PeakColdLoad, s.PeakColdLoad())
+		if s.Collapsed() {
 			sim.result.CollapsedServers++
 		}
 	}
@@ -521,7 +521,7 @@
 		return sim.Settings.Limits.ConnectTimeoutMs, false
 	}
 	delay := sim.oneWay(a, s)
-	if s.Down() {
+	if s.Collapsed() {
 		return 2 * delay, false
 	}
 	sim.secondOf(sim.now).Handshakes++
@@ -579,7 +579,7 @@
 		switch {
 		case t.ended || s.unreachable || s.removed:
 			return
-		case s.Down():
+		case s.Collapsed():
 			sim.scheduleFor(a, delay, func() { end(policy.ConnectFailed) })
 			return
 		case s.errorRate > 0 && sim.random.Float64() < s.errorRate:
--- a/internal/testbed/fleetsim/scenes.go
+++ b/internal/testbed/fleetsim/scenes.go
@@ -16,7 +16,7 @@
 	"zone": func(sim *simulation) {
 		for i, s := range sim.servers {
 			if i%8 == 0 {
-				s.Slow(4)
+				s.SetSlowdown(4)
 			}
 		}
 		var lost []*server
@@ -56,7 +56,7 @@
 		var old []*server
 		for i, s := range sim.servers {
 			if i%8 == 0 {
-				s.Slow(2)
+				s.SetSlowdown(2)
 			} else if len(old) < len(sim.servers)*6/10 {
 				old = append(old, s)
 			}
@@ -145,7 +145,7 @@
 
 // Server returns the published figures of a report server, without its speed. It starts slowly.
 func Server() backendmodel.Config {
-	return backendmodel.Config{Cores: 2, Queue: 60, ColdFrom: 0.13, ColdMs: 24000, KeyTTLMs: 5000, KeySaving: 0.5,
+	return backendmodel.Config{Cores: 2, Queue: 60, SlowStartFloor: 0.13, SlowStartMs: 24000, KeyTTLMs: 5000, KeySaving: 0.5,
 		MaxKeys: 64, StallEveryMs: 3500, StallForMs: 200, OverloadQueue: 5, OverloadAfterMs: 2000,
 		OverloadSlowdown: 2.6, OverloadIdleMs: 3000, MaxOverloadMs: 25000, CollapseLoadFactor: 4,
 		CollapseWindowMs: 1000}
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -36,7 +36,7 @@
 
 // Outcome is the result of a planned request.
 type Outcome struct {
-	Request   *Ask
+	Request   *PlannedRequest
 	Verdict   Verdict
 	Latency   time.Duration // time from when it was planned to be sent to its last answer
 	SendDelay time.Duration // delay with which the testbed sent it
@@ -123,7 +123,7 @@
 
 // Run sends the requests of a plan at their times and calls done with each outcome, from many goroutines.
 // It returns when all of them have an outcome.
-func (c *Client) Run(ctx context.Context, plan []*Ask, done func(Outcome)) {
+func (c *Client) Run(ctx context.Context, plan []*PlannedRequest, done func(Outcome)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	<-timer.C
@@ -148,7 +148,7 @@
 }
 
 // send sends a planned request, and retries it once if the configuration and its class allow it.
-func (c *Client) send(ctx context.Context, a *Ask) Outcome {
+func (c *Client) send(ctx context.Context, a *PlannedRequest) Outcome {
 	plannedAt := c.loadStart + a.At
 	class := &c.cfg.Classes[a.Class]
 	o := Outcome{Request: a, SendDelay: c.log.Now() - plannedAt}
@@ -180,7 +180,7 @@
 }
 
 // try sends a request once, with a request id of its own. It returns the Retry-After of a refusal; 0 if there is none.
-func (c *Client) try(ctx context.Context, a *Ask, n int, end time.Duration) (v Verdict, retryAfter time.Duration) {
+func (c *Client) try(ctx context.Context, a *PlannedRequest, n int, end time.Duration) (v Verdict, retryAfter time.Duration) {
 	class := &c.cfg.Classes[a.Class]
 	id := fmt.Sprintf("%06x-%d", a.Number, n)
 	left := end - c.log.Now()
--- a/internal/testbed/loadgen/client_test.go
+++ b/internal/testbed/loadgen/client_test.go
@@ -46,7 +46,7 @@
 	defer client.Close()
 	killedAt := log.Now()
 	for i := range requests {
-		client.Run(context.Background(), []*Ask{{Number: i}}, func(o Outcome) {
+		client.Run(context.Background(), []*PlannedRequest{{Number: i}}, func(o Outcome) {
 			if o.Verdict != Failed {
 				t.Errorf("request %d: %v", i, o.Verdict)
 			}
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -38,7 +38,7 @@
 	Agents       int
 	Rate         float64       // requests a second of all clients together
 	Spread       float64       // sigma of the lognormal distribution of the agents' rates
-	For          time.Duration // duration of the load
+	Duration     time.Duration // duration of the load
 	Classes      []Class
 	Tenants      []Tenant
 	Keys         int     // number of distinct keys, which are drawn by a Zipf distribution
@@ -62,8 +62,8 @@
 	HonorRetryAfter bool          // whether clients also wait as long as Retry-After says
 }
 
-// Ask is a planned request of a client.
-type Ask struct {
+// PlannedRequest is a planned request of a client.
+type PlannedRequest struct {
 	Number      int           // index in the plan
 	Agent       int           // index of the agent that it's sent to
 	At          time.Duration // time since the start of the load
@@ -76,13 +76,13 @@
 
 // Plan returns all requests that clients will send, in order of time. Equal configurations give equal
 // plans.
-func Plan(cfg *Config) ([]Ask, error) {
+func Plan(cfg *Config) ([]PlannedRequest, error) {
 	switch {
-	case cfg.Agents < 1 || !(cfg.Rate > 0) || cfg.For <= 0:
+	case cfg.Agents < 1 || !(cfg.Rate > 0) || cfg.Duration <= 0:
 		return nil, fmt.Errorf("load: %d agents, %v requests a second for %v: all must be above 0", cfg.Agents,
-			cfg.Rate, cfg.For)
-	case cfg.Rate*cfg.For.Seconds() > 5e6:
-		return nil, fmt.Errorf("load: %.0f requests are more than the 5 million of a run", cfg.Rate*cfg.For.Seconds())
+			cfg.Rate, cfg.Duration)
+	case cfg.Rate*cfg.Duration.Seconds() > 5e6:
+		return nil, fmt.Errorf("load: %.0f requests are more than the 5 million of a run", cfg.Rate*cfg.Duration.Seconds())
 	case len(cfg.Classes) == 0:
 		return nil, fmt.Errorf("load: no class")
 	}
@@ -100,18 +100,18 @@
 	for _, b := range cfg.Bursts {
 		maxFactor = max(maxFactor, b.Factor)
 	}
-	var plan []Ask
+	var plan []PlannedRequest
 	for agent, share := range shares {
 		rate := cfg.Rate * share / total * maxFactor // the excess outside bursts is dropped below
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / rate
 			when := time.Duration(at * float64(time.Second))
-			if when >= cfg.For {
+			if when >= cfg.Duration {
 				break
 			}
 			// All random values of a request are drawn whether or not it's included, so that the time of
 			// a burst does not change other requests.
-			a := Ask{Agent: agent, At: when, Class: draw(rng, classes), Tenant: draw(rng, tenants),
+			a := PlannedRequest{Agent: agent, At: when, Class: draw(rng, classes), Tenant: draw(rng, tenants),
 				Key: draw(rng, keys)}
 			a.Work = cfg.Classes[a.Class].WorkMs * rng.ExpFloat64()
 			early, included := rng.Float64() < cfg.EarlyLeavers, rng.Float64() < cfg.burstFactor(agent, when)/maxFactor
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(plan, func(a, b Ask) int { return int(a.At - b.At) })
+	slices.SortStableFunc(plan, func(a, b PlannedRequest) int { return int(a.At - b.At) })
 	for i := range plan {
 		plan[i].Number = i
 	}
--- a/internal/testbed/loadgen/load_test.go
+++ b/internal/testbed/loadgen/load_test.go
@@ -10,12 +10,12 @@
 )
 
 func config() *Config {
-	return &Config{Seed: 1, Agents: 10, Rate: 400, Spread: 0.5, For: 30 * time.Second, Keys: 100, Skew: 1,
+	return &Config{Seed: 1, Agents: 10, Rate: 400, Spread: 0.5, Duration: 30 * time.Second, Keys: 100, Skew: 1,
 		Classes: []Class{{Name: "a", Share: 3, WorkMs: 10, Timeout: time.Second}, {Name: "b", Effect: referee.Deduplicated, Share: 1, WorkMs: 20, Timeout: time.Second}},
 		Tenants: []Tenant{{"x", 0.7}, {"y", 0.3}}, EarlyLeavers: 0.1}
 }
 
-func plan(t *testing.T, c *Config) []Ask {
+func plan(t *testing.T, c *Config) []PlannedRequest {
 	t.Helper()
 	p, err := Plan(c)
 	if err != nil {
@@ -108,7 +108,7 @@
 		return n
 	}
 	c := config()
-	c.Bursts = []Burst{{Duration: c.For, Factor: 3}}
+	c.Bursts = []Burst{{Duration: c.Duration, Factor: 3}}
 	all := count(c)
 	c.Bursts[0].Agents = []int{2}
 	some := count(c)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -80,12 +80,12 @@
 	Violations []string      `json:"violations"`
 	Crashes    []string      `json:"crashes"`
 	Claims     []Claim       `json:"claims"`
-	// Ceiling is the number of requests a second that the testbed carries without agents. Behind is the
+	// Ceiling is the number of requests a second that the testbed carries without agents. SendDelayP99 is the
 	// 99th percentile in ms of the delay with which it sent requests. Void says why the result is
 	// invalid; empty if it is valid.
-	Ceiling float64 `json:"ceiling_per_s"`
-	Behind  float64 `json:"behind_p99_ms"`
-	Void    string  `json:"void"`
+	Ceiling      float64 `json:"ceiling_per_s"`
+	SendDelayP99 float64 `json:"behind_p99_ms"`
+	Void         string  `json:"void"`
 }
 
 // Failed describes the first reason why the experiment failed, in this order: a void result, a broken rule,
@@ -165,7 +165,7 @@
 		form, r.Seed,
 		r.Agents, r.Servers, len(r.Zones), r.Rate)
 	fmt.Fprintf(w, "The laboratory carries %.0f requests a second by itself and sent 99 of 100 within %.1f ms of their time.\n",
-		r.Ceiling, r.Behind)
+		r.Ceiling, r.SendDelayP99)
 	if r.Void != "" {
 		fmt.Fprintf(w, "\n**Void: %s.**\n", r.Void)
 	}
