--- a/internal/fleet/balancer/arbitrary_history_test.go
+++ b/internal/fleet/balancer/arbitrary_history_test.go
@@ -73,7 +73,7 @@
 		r.Segments = nil
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "tried") {
-		r.Tried = append(r.Tried, fmt.Sprintf("i-%04d", i))
+		r.TriedInstances = append(r.TriedInstances, fmt.Sprintf("i-%04d", i))
 	}
 	decision := h.picker.Pick(h.now, r)
 	if decision.Action == Reject {
@@ -83,7 +83,7 @@
 		return
 	}
 	require.Contains(t, h.listed, decision.Instance.ID)
-	require.NotContains(t, r.Tried, decision.Instance.ID)
+	require.NotContains(t, r.TriedInstances, decision.Instance.ID)
 	h.attempts = append(h.attempts, decision.Attempt)
 }
 
--- a/internal/fleet/balancer/pick.go
+++ b/internal/fleet/balancer/pick.go
@@ -54,7 +54,7 @@
 	TimeLeft        time.Duration // until the client's deadline
 	LatencyTarget   time.Duration // for the first token, since the request was read; zero if there is none
 	Elapsed         time.Duration // since the request was read
-	Tried           []string      // IDs of the instances that earlier attempts were sent to
+	TriedInstances  []string      // IDs of the instances that earlier attempts were sent to
 	// Ranked is set if Rank replaces the route's priority. Rank, from 0 to 9, combines the
 	// priorities of the route and of the tenant.
 	Ranked bool
@@ -124,7 +124,7 @@
 		return reject(r, minRetryAfter, reasonAllTried)
 	}
 	chosen := p.bestCandidate(now, svc, &pick, best)
-	if len(r.Tried) == 0 {
+	if len(r.TriedInstances) == 0 {
 		svc.lateness[pick.priorityClass].recordExpected(now, chosen.lateProbability)
 	}
 	if reason := p.rejectionReason(now, svc, &pick, &chosen); reason != "" {
@@ -248,7 +248,7 @@
 	p.tierScratch = p.tierScratch[:0]
 	for _, s := range pool {
 		rank := p.serverRank(now, s, pick)
-		if rank > bestRank || slices.Contains(pick.Tried, s.instance.ID) {
+		if rank > bestRank || slices.Contains(pick.TriedInstances, s.instance.ID) {
 			continue
 		}
 		if rank < bestRank {
--- a/internal/fleet/balancer/picker_test.go
+++ b/internal/fleet/balancer/picker_test.go
@@ -345,8 +345,8 @@
 	r := newTestRequest(1, 2)
 	for range 3 {
 		a := mustForward(t, p, 0, r)
-		require.NotContains(t, r.Tried, a.server.instance.ID)
-		r.Tried = append(r.Tried, a.server.instance.ID)
+		require.NotContains(t, r.TriedInstances, a.server.instance.ID)
+		r.TriedInstances = append(r.TriedInstances, a.server.instance.ID)
 	}
 	d := p.Pick(0, r)
 	assert.Equal(t, Reject, d.Action)
--- a/internal/fleet/balancer/sim_traffic_test.go
+++ b/internal/fleet/balancer/sim_traffic_test.go
@@ -141,7 +141,7 @@
 		TimeLeft:        traffic.deadline - elapsed,
 		LatencyTarget:   traffic.latencyTarget,
 		Elapsed:         elapsed,
-		Tried:           r.tried,
+		TriedInstances:  r.tried,
 	})
 	if decision.Action == Reject {
 		s.result.rejected[r.source.index]++
--- a/internal/fleet/controlplane/announce.go
+++ b/internal/fleet/controlplane/announce.go
@@ -80,12 +80,12 @@
 	a.inFlight--
 }
 
-// informUnreached sends the learned view to processes that may not know any view: see Options.Unreached.
+// informUnreached sends the learned view to processes that may not know any view: see Options.UnreachedAddresses.
 func (m *Member) informUnreached() {
-	if m.options.Unreached == nil {
+	if m.options.UnreachedAddresses == nil {
 		return
 	}
-	addresses := m.options.Unreached()
+	addresses := m.options.UnreachedAddresses()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	learned := m.views.learned
--- a/internal/fleet/controlplane/cluster_test.go
+++ b/internal/fleet/controlplane/cluster_test.go
@@ -203,20 +203,20 @@
 		}
 	}
 	member, err := Open(Options{
-		Addr:           node.addr,
-		Zone:           node.zone,
-		StateDir:       node.dir,
-		HasDisk:        node.dir != "",
-		FirstStart:     firstStart,
-		Seeds:          func() []string { return cluster.seeds },
-		Unreached:      func() []string { return cluster.unreached },
-		Tolerance:      cluster.tolerance,
-		Counted:        true,
-		Pool:           pool,
-		Transition:     cluster.transition,
-		RequestTimeout: node.requestTimeout,
-		OnCommit:       func(chain.Value) { notify() },
-		OnView:         func(view.View) { notify() },
+		Addr:               node.addr,
+		Zone:               node.zone,
+		StateDir:           node.dir,
+		HasDisk:            node.dir != "",
+		FirstStart:         firstStart,
+		Seeds:              func() []string { return cluster.seeds },
+		UnreachedAddresses: func() []string { return cluster.unreached },
+		Tolerance:          cluster.tolerance,
+		Counted:            true,
+		Pool:               pool,
+		Transition:         cluster.transition,
+		RequestTimeout:     node.requestTimeout,
+		OnCommit:           func(chain.Value) { notify() },
+		OnView:             func(view.View) { notify() },
 	})
 	require.NoError(cluster.tb, err)
 	node.changes = changes
--- a/internal/fleet/controlplane/options.go
+++ b/internal/fleet/controlplane/options.go
@@ -31,9 +31,9 @@
 	Seeds func() []string
 	// KnownAddresses are further addresses of voters; may be nil.
 	KnownAddresses func() []string
-	// Unreached returns the addresses of processes that may not know any view. The learned view is sent
+	// UnreachedAddresses returns the addresses of processes that may not know any view. The learned view is sent
 	// to them. May be nil.
-	Unreached func() []string
+	UnreachedAddresses func() []string
 	// Tolerance is the set of losses that the state must survive.
 	Tolerance view.Tolerance
 	// Counted is true if Tolerance applies to the loss of this machine.
--- a/internal/fleet/daemon/daemon.go
+++ b/internal/fleet/daemon/daemon.go
@@ -125,15 +125,15 @@
 // of the core.
 func (d *Daemon) openCore(nodeSettings *settings.Settings) (*controlplane.Member, error) {
 	return controlplane.Open(controlplane.Options{
-		Addr:           peerAddr(nodeSettings),
-		Zone:           nodeSettings.Zone,
-		Region:         nodeSettings.Region,
-		StateDir:       nodeSettings.StateDir,
-		HasDisk:        nodeSettings.HasDisk(),
-		FirstStart:     nodeSettings.FirstStart,
-		Seeds:          d.seedAddrs,
-		KnownAddresses: func() []string { return assembly.KnownCoreAddrs(d.relay) },
-		Unreached:      func() []string { return assembly.UnreachedAddrs(d.relay) },
+		Addr:               peerAddr(nodeSettings),
+		Zone:               nodeSettings.Zone,
+		Region:             nodeSettings.Region,
+		StateDir:           nodeSettings.StateDir,
+		HasDisk:            nodeSettings.HasDisk(),
+		FirstStart:         nodeSettings.FirstStart,
+		Seeds:              d.seedAddrs,
+		KnownAddresses:     func() []string { return assembly.KnownCoreAddrs(d.relay) },
+		UnreachedAddresses: func() []string { return assembly.UnreachedAddrs(d.relay) },
 		Tolerance: view.Tolerance{
 			Machines: nodeSettings.Tolerance.Machines,
 			Zones:    nodeSettings.Tolerance.Zones,
--- a/internal/fleet/gateway/attempt.go
+++ b/internal/fleet/gateway/attempt.go
@@ -23,20 +23,20 @@
 // attempt is one attempt to have a server execute a request: connect, send the request, read the head of
 // the response, classify the response, relay it.
 type attempt struct {
-	gateway  *Gateway
-	response *clientResponse
-	request  *request
-	decision balancer.Decision
-	conn     *conn
-	dialed   bool             // the connection was opened for this attempt
-	reported balancer.Outcome // the outcome that the balancer gets when the attempt ends
-	reusable bool             // the response was read completely, and the server keeps the connection open
+	gateway         *Gateway
+	response        *clientResponse
+	request         *request
+	decision        balancer.Decision
+	conn            *conn
+	dialed          bool             // the connection was opened for this attempt
+	reportedOutcome balancer.Outcome // the outcome that the balancer gets when the attempt ends
+	reusable        bool             // the response was read completely, and the server keeps the connection open
 }
 
 // attempt sends the request to one server and relays its response.
 func (g *Gateway) attempt(ctx context.Context, response *clientResponse, r *request, decision balancer.Decision) outcome {
-	t := &attempt{gateway: g, response: response, request: r, decision: decision, reported: balancer.Cancelled}
-	defer func() { g.endAttempt(decision.Attempt, t.reported) }()
+	t := &attempt{gateway: g, response: response, request: r, decision: decision, reportedOutcome: balancer.Cancelled}
+	defer func() { g.endAttempt(decision.Attempt, t.reportedOutcome) }()
 	if err := t.connect(ctx); err != nil {
 		return t.connectFailed(ctx, err)
 	}
@@ -72,8 +72,8 @@
 	if ctx.Err() == context.Canceled {
 		return t.gateway.cancelledOutcome(ctx, outcomeNotSent)
 	}
-	if !isLocalShortage(err) {
-		t.reported = balancer.ConnectFailed
+	if !isLocalResourceError(err) {
+		t.reportedOutcome = balancer.ConnectFailed
 	}
 	return outcomeNotSent
 }
@@ -143,7 +143,7 @@
 		return t.gateway.cancelledOutcome(ctx, outcomeNotSent)
 	}
 	if t.dialed { // otherwise the server closed an idle connection, which is no fault
-		t.reported = balancer.ConnectFailed
+		t.reportedOutcome = balancer.ConnectFailed
 	}
 	return outcomeNotSent
 }
@@ -191,12 +191,12 @@
 	case context.Canceled:
 		return t.gateway.cancelledOutcome(ctx, outcomeUnknown)
 	default:
-		t.reported = balancer.Timeout
+		t.reportedOutcome = balancer.Timeout
 		return outcomeUnknown
 	}
 	closedByServer := !errors.Is(err, http1.ErrMalformed) && !isTimeout(err)
 	t.gateway.pool.reuse.Record(t.conn.idleBucket, closedByServer)
-	t.reported = reportedOutcomeOf(err)
+	t.reportedOutcome = reportedOutcomeOf(err)
 	return outcomeUnknown
 }
 
@@ -215,17 +215,17 @@
 func (t *attempt) notExecuted(upstream *http.Response) bool {
 	switch {
 	case upstream.StatusCode == http.StatusMisdirectedRequest && t.expectedVersion() != "":
-		t.reported = balancer.ClientError // it may be the right instance with other weights
+		t.reportedOutcome = balancer.ClientError // it may be the right instance with other weights
 		return true
 	case upstream.StatusCode == http.StatusMisdirectedRequest:
-		t.reported = balancer.Misdirected
+		t.reportedOutcome = balancer.Misdirected
 		return true
 	case upstream.Header.Get(headerNotRun) == "":
 		return false
 	case upstream.StatusCode == http.StatusBadRequest:
-		t.reported = balancer.ClientError
+		t.reportedOutcome = balancer.ClientError
 	default:
-		t.reported = balancer.Rejected
+		t.reportedOutcome = balancer.Rejected
 	}
 	seconds, err := strconv.ParseFloat(upstream.Header.Get("Retry-After"), 64)
 	if err == nil && seconds > 0 && seconds < maxUpstreamRetryAfter {
--- a/internal/fleet/gateway/outcome.go
+++ b/internal/fleet/gateway/outcome.go
@@ -71,9 +71,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isLocalShortage reports whether a connect failed because this process or host has run out of a resource,
+// isLocalResourceError reports whether a connect failed because this process or host has run out of a resource,
 // which is no fault of the server.
-func isLocalShortage(err error) bool {
+func isLocalResourceError(err error) bool {
 	for _, shortage := range []error{connpool.ErrExhausted, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS} {
 		if errors.Is(err, shortage) {
 			return true
--- a/internal/fleet/gateway/parse_test.go
+++ b/internal/fleet/gateway/parse_test.go
@@ -83,9 +83,9 @@
 
 func TestIsLocalShortage(t *testing.T) {
 	for _, shortage := range []error{connpool.ErrExhausted, syscall.EMFILE, syscall.EADDRNOTAVAIL} {
-		require.True(t, isLocalShortage(errors.Wrap(shortage, "connect")), "%v", shortage)
+		require.True(t, isLocalResourceError(errors.Wrap(shortage, "connect")), "%v", shortage)
 	}
-	require.False(t, isLocalShortage(syscall.ECONNREFUSED))
+	require.False(t, isLocalResourceError(syscall.ECONNREFUSED))
 }
 
 func TestOutcomeString(t *testing.T) {
--- a/internal/fleet/gateway/relay.go
+++ b/internal/fleet/gateway/relay.go
@@ -16,9 +16,9 @@
 
 // relayResult describes the end of an attempt that got a 2xx response.
 type relayResult struct {
-	outcome  outcome
-	reported balancer.Outcome // the outcome that is reported to the balancer
-	reusable bool             // the body was read completely, so the connection can be used again
+	outcome         outcome
+	reportedOutcome balancer.Outcome // the outcome that is reported to the balancer
+	reusable        bool             // the body was read completely, so the connection can be used again
 }
 
 // resultServed is the result of an attempt whose response was relayed completely.
@@ -33,7 +33,7 @@
 // relaySuccess relays a 2xx response to the client.
 func (t *attempt) relaySuccess(ctx context.Context, upstream *http.Response) outcome {
 	if upstream.Header.Get(headerServerSeal) == "" || upstream.Header.Get("Content-Encoding") != "" {
-		t.reported = balancer.BadResponse
+		t.reportedOutcome = balancer.BadResponse
 		return outcomeUnknown
 	}
 	var result relayResult
@@ -42,7 +42,7 @@
 	} else {
 		result = t.relayBody(ctx, upstream)
 	}
-	t.reported = result.reported
+	t.reportedOutcome = result.reportedOutcome
 	t.reusable = result.reusable && !upstream.Close
 	return result.outcome
 }
@@ -105,19 +105,19 @@
 	}
 	switch status := upstream.StatusCode; {
 	case err != nil:
-		t.reported = reportedOutcomeOf(err)
+		t.reportedOutcome = reportedOutcomeOf(err)
 		return outcomeUnknown
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout:
 		// Without the server's statement these do not prove that the request was not executed. They
 		// are not relayed, as the client would take them for that proof.
-		t.reported = balancer.ServerError
+		t.reportedOutcome = balancer.ServerError
 		return outcomeUnknown
 	case status >= 500:
-		t.reported = balancer.ServerError
+		t.reportedOutcome = balancer.ServerError
 		t.response.failure = &bufferedResponse{status, upstream.Header, body}
 		return outcomeUnknown
 	}
-	t.reported = balancer.ClientError
+	t.reportedOutcome = balancer.ClientError
 	if t.response.headerSent {
 		return outcomeUnknown
 	}
--- a/internal/fleet/gateway/retry.go
+++ b/internal/fleet/gateway/retry.go
@@ -53,7 +53,7 @@
 			return history.mayHaveExecuted
 		}
 		result := g.attempt(ctx, response, r, decision)
-		r.Tried = append(r.Tried, decision.Instance.ID)
+		r.TriedInstances = append(r.TriedInstances, decision.Instance.ID)
 		switch result {
 		case outcomeAnswered:
 			return true
--- a/internal/fleet/gateway/stall.go
+++ b/internal/fleet/gateway/stall.go
@@ -20,7 +20,7 @@
 // take over, that is the deadline of the request.
 func (t *attempt) stallDeadline() time.Time {
 	r := t.request
-	if !r.Route.Idempotent() || r.Route.MaxAttempts <= len(r.Tried)+1 {
+	if !r.Route.Idempotent() || r.Route.MaxAttempts <= len(r.TriedInstances)+1 {
 		return r.deadline
 	}
 	timeout := time.Duration(firstEventTimeoutFactor * float64(r.LatencyTarget))
--- a/internal/fleet/view/simulation_repair_test.go
+++ b/internal/fleet/view/simulation_repair_test.go
@@ -105,7 +105,7 @@
 	return true
 }
 
-// continueShutdown executes one check of a graceful shutdown, as in controlplane.Handover.
+// continueShutdown executes one check of a graceful shutdown, as in controlplane.Member.Handover.
 func (s *simulation) continueShutdown(m *machine) {
 	if s.now >= m.leaveDeadline || !m.isVoter() {
 		if s.now >= m.leaveNotBefore {
--- a/internal/testbed/controlsim/process.go
+++ b/internal/testbed/controlsim/process.go
@@ -45,8 +45,8 @@
 func (p *process) open(dial rpc.Dialer, firstStart bool) (err error) {
 	m := p.machine
 	coreOptions := controlplane.Options{Addr: m.host.addr, Zone: m.zone, Region: m.region, FirstStart: firstStart, Seeds: m.seedAddrs,
-		KnownAddresses: func() []string { return assembly.KnownCoreAddrs(p.relay) },
-		Unreached:      func() []string { return assembly.UnreachedAddrs(p.relay) }, Tolerance: m.sim.scenario.tolerance(),
+		KnownAddresses:     func() []string { return assembly.KnownCoreAddrs(p.relay) },
+		UnreachedAddresses: func() []string { return assembly.UnreachedAddrs(p.relay) }, Tolerance: m.sim.scenario.tolerance(),
 		Counted: m.media != nil, Pool: p.pool, Transition: applyUpdate,
 		OnCommit: func(v chain.Value) { p.relay.ApplyConfig(v.Seq, v.Body) },
 		OnView:   func(v view.View) { m.sim.checker.viewLearned(p, v) }}
