--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -32,7 +32,7 @@
 		config, err := read()
 		if err != nil {
 			if failures++; failures == 1 || failures == maxReloadAttempts {
-				slog.Warn("configuration not loaded, the old one stays in force", "err", err, "attempt", failures)
+				slog.Warn("configuration not used, the old one stays in force", "err", err, "attempt", failures)
 			}
 			if failures < maxReloadAttempts {
 				retry.Reset(reloadRetryInterval)
