--- a/internal/fleet/relay/dial.go
+++ b/internal/fleet/relay/dial.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// redialInterval is the pause between two looks for peers to dial.
+	// redialInterval is the pause between two checks for peers to dial.
 	redialInterval = 150 * time.Millisecond
-	// maxRedirects bounds the addresses that are taken from one redirect.
+	// maxRedirects bounds the addresses that are used from one redirect.
 	maxRedirects = 16
 )
 
-// dialing is the set of addresses that sessions are being dialed to, or are running with.
-type dialing struct {
+// dialedAddrs is the set of addresses that this node is dialing, or has dialed and has a session with.
+type dialedAddrs struct {
 	mu    sync.Mutex
 	addrs map[string]bool // guarded by mu
 }
 
-// begin adds an address and reports whether it was not there yet.
-func (d *dialing) begin(addr string) bool {
+// begin adds an address, and returns false if the set already contains it.
+func (d *dialedAddrs) begin(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.addrs[addr] {
@@ -34,26 +34,26 @@
 }
 
 // end removes an address.
-func (d *dialing) end(addr string) {
+func (d *dialedAddrs) end(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.addrs, addr)
 }
 
-// dialLoop maintains the sessions that this node begins, until ctx ends: see dialTargets.
+// dialLoop dials the peers that dialTargets returns and runs the sessions with them, until ctx ends.
 func (n *Node) dialLoop(ctx context.Context) {
-	var running sync.WaitGroup
-	defer running.Wait()
-	active := &dialing{addrs: map[string]bool{}}
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	dialed := &dialedAddrs{addrs: map[string]bool{}}
 	attempt := 0
 	for ctx.Err() == nil {
 		targets := n.dialTargets(attempt)
 		for _, addr := range targets {
-			if !active.begin(addr) {
+			if !dialed.begin(addr) {
 				continue
 			}
-			running.Go(func() {
-				defer active.end(addr)
+			wg.Go(func() {
+				defer dialed.end(addr)
 				n.dialSession(ctx, addr)
 			})
 		}
@@ -68,8 +68,9 @@
 	}
 }
 
-// redialPause is the pause before the next look for peers to dial. It is short for a member of the core that
-// has just started, as the whole core may have: nobody is complete before these sessions are established.
+// redialPause returns the pause before the next check for peers to dial. It is short for a member of the core
+// that has just started: if the whole core has just started, no member becomes complete before these sessions
+// are established.
 func (n *Node) redialPause() time.Duration {
 	isMember := n.options.Core.IsMember()
 	n.mu.Lock()
@@ -80,8 +81,8 @@
 	return redialInterval
 }
 
-// dialSession begins a session with the agent at an address, and runs it until it or ctx ends. Another
-// attempt follows if it fails, so errors before the session begins are not reported.
+// dialSession dials the agent at an address and runs a session with it until the session or ctx ends. Errors
+// before the session begins are not logged, as dialLoop tries again.
 func (n *Node) dialSession(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -93,28 +94,28 @@
 	defer hangUp()
 	isMember := n.options.Core.IsMember()
 	n.mu.Lock()
-	own := n.newHelloLocked(isMember)
+	ownHello := n.newHelloLocked(isMember)
 	n.mu.Unlock()
-	if st.Send(&message{Hello: own, IsCore: isMember, HasQuorum: n.options.Core.HasQuorum()}) != nil {
+	if st.Send(&message{Hello: ownHello, IsCore: isMember, HasQuorum: n.options.Core.HasQuorum()}) != nil {
 		return
 	}
-	first, err := st.Recv()
+	firstMessage, err := st.Recv()
 	if err != nil || !timeout.Stop() {
 		return
 	}
-	if first.Hello == nil {
-		n.recordRedirect(first.Redirect)
+	if firstMessage.Hello == nil {
+		n.recordRedirect(firstMessage.Redirect)
 		return
 	}
-	if first.Hello.validate() != nil {
+	if firstMessage.Hello.validate() != nil {
 		return
 	}
 	logevent.SessionStarted.Log("peer", addr)
-	err = n.runSession(ctx, st, first.Hello, addr, own, first)
+	err = n.runSession(ctx, st, firstMessage.Hello, addr, ownHello, firstMessage)
 	logevent.SessionEnded.Log("peer", addr, "err", err)
 }
 
-// recordRedirect records the relays that an agent named which is none itself.
+// recordRedirect records the relays named by an agent that is not a relay itself.
 func (n *Node) recordRedirect(peers []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/relay/receive.go
+++ b/internal/fleet/relay/receive.go
@@ -5,11 +5,11 @@
 	"chalkdoor.example/chalkdoor/internal/fleet/logevent"
 )
 
-// receiveLoop handles the messages of a session until its stream ends, and returns why it did. first
-// is a message that came already, or nil.
-func (n *Node) receiveLoop(st *stream, s *session, first *message) error {
-	if first != nil {
-		if err := n.receiveMessage(s, first); err != nil {
+// receiveLoop handles the messages of a session until its stream ends, and returns the reason. firstMessage
+// is a message that has already been read from the stream, or nil.
+func (n *Node) receiveLoop(st *stream, s *session, firstMessage *message) error {
+	if firstMessage != nil {
+		if err := n.receiveMessage(s, firstMessage); err != nil {
 			return err
 		}
 	}
@@ -24,7 +24,7 @@
 	}
 }
 
-// receiveMessage handles a message as it came. An error ends the session.
+// receiveMessage decodes a received message and handles it. An error ends the session.
 func (n *Node) receiveMessage(s *session, m *message) error {
 	if err := n.codec.decompress(m); err != nil {
 		return err
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// handleMessage takes a message of a session.
+// handleMessage processes a decoded message of a session.
 func (n *Node) handleMessage(s *session, m *message) {
 	isMember, hasQuorum, members := n.options.Core.IsMember(), n.options.Core.HasQuorum(), n.options.Core.Members()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.sessions[s] {
-		return // it was with an earlier incarnation of this agent
+		return // the session was with an earlier incarnation of this agent
 	}
 	n.recordPeerLocked(s, m)
-	// A session that is lost again before the next tick counts too.
+	// Observed here as well as in tick, so that a session that is lost again before the next tick counts too.
 	n.observeAttachmentLocked(s.lastMessage, isMember && hasQuorum, members)
 	n.applyDeltasLocked(m.Deltas)
 	n.recordSentLocked(s, m.Deltas)
@@ -56,13 +56,13 @@
 	n.recordOwnVersionsLocked(s, m)
 	n.receiveFreshnessLocked(s, m)
 	n.receiveLeasePollLocked(s, m, isMember, members)
-	peerCompletes := s.peerIsCore && m.HasQuorum && m.Complete
-	if peerCompletes && (!isMember || hasQuorum) {
+	peerReportsComplete := s.peerIsCore && m.HasQuorum && m.Complete
+	if peerReportsComplete && (!isMember || hasQuorum) {
 		n.markCompleteLocked(s)
 	}
 }
 
-// recordPeerLocked records what a peer reports of itself.
+// recordPeerLocked records what a peer reports about itself.
 func (n *Node) recordPeerLocked(s *session, m *message) {
 	s.lastMessage = n.now()
 	if m.HasQuorum {
@@ -74,34 +74,35 @@
 	}
 }
 
-// recordSentLocked records that a peer has what it sent itself, so that it is not sent back.
+// recordSentLocked records that a peer has the deltas that it sent, so that they are not sent back to it.
 func (n *Node) recordSentLocked(s *session, deltas []deltasync.Delta) {
 	for i := range deltas {
 		delta := &deltas[i]
 		if n.items.Version(delta.Source) >= delta.To {
-			s.sent[delta.Source] = max(s.sent[delta.Source], delta.To)
+			s.sentVersions[delta.Source] = max(s.sentVersions[delta.Source], delta.To)
 		}
 	}
 }
 
-// recordOwnVersionsLocked records how far the own source has been replicated, as a peer reports. Versions
-// that this node has not published yet are of an earlier incarnation, or of a faulty peer.
+// recordOwnVersionsLocked records how far this node's own source has been replicated, as a peer reports it.
+// It ignores versions that this node has not published yet: they belong to an earlier incarnation or come
+// from a faulty peer.
 func (n *Node) recordOwnVersionsLocked(s *session, m *message) {
-	published := n.items.OwnVersion()
-	if m.ReceivedVersion > s.ownReceived && m.ReceivedVersion <= published {
-		s.ownReceived = m.ReceivedVersion
+	publishedVersion := n.items.OwnVersion()
+	if m.ReceivedVersion > s.ownReceivedVersion && m.ReceivedVersion <= publishedVersion {
+		s.ownReceivedVersion = m.ReceivedVersion
 		n.notifyWaitersLocked()
 	}
-	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= published {
+	if m.QuorumVersion > s.ownQuorumVersion && m.QuorumVersion <= publishedVersion {
 		s.ownQuorumVersion = m.QuorumVersion
 		n.notifyWaitersLocked()
 	}
 }
 
-// markCompleteLocked records that a complete relay with a quorum has sent all that it has: it reports
-// that it is complete only after that (see sender).
+// markCompleteLocked records that this node is complete. A relay with a quorum has reported itself complete
+// on the session, which it does only once it has sent everything that it has (see sender).
 func (n *Node) markCompleteLocked(s *session) {
-	if first := n.readiness.markComplete(); first {
+	if isFirst := n.readiness.markComplete(); isFirst {
 		logevent.Synced.Log("peer", s.peerAddr, "config", n.config.seq)
 		n.publishSnapshotLocked()
 	}
--- a/internal/testbed/sampling/sample.go
+++ b/internal/testbed/sampling/sample.go
@@ -1,4 +1,4 @@
-// Package sampling makes configurations of the size that a deployment of a kind has.
+// Package sampling generates configurations as large as those of a deployment.
 package sampling
 
 import (
@@ -6,42 +6,43 @@
 	"fmt"
 )
 
-// Size is what decides the size of a configuration.
+// Size is the number of items of each kind in a configuration.
 type Size struct {
 	Routes   int `json:"routes"`
 	Services int `json:"services"`
 	Tenants  int `json:"tenants"`
 }
 
-// Host and Path are of a route, by its number.
+// Host returns the host name of route i.
 func Host(i int) string { return fmt.Sprintf("host-%d.example", i) }
+
+// Path returns the path prefix of route i.
 func Path(i int) string { return fmt.Sprintf("/route-%d/", i) }
 
-// Service is a service's name, by its number.
+// Service returns the name of service i.
 func Service(i int) string { return fmt.Sprintf("service-%d", i) }
 
-// Config is a whole configuration. Tenants are a list that the daemon keeps and passes on without
-// knowing its items.
-func Config(revision int64, n Size) []byte {
+// Config returns a complete configuration.
+func Config(revision int64, size Size) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"revision":%d,"services":[`, revision)
-	list(&b, n.Services, func(i int) {
+	list(&b, size.Services, func(i int) {
 		fmt.Fprintf(&b, `{"name":%q,"health-path":"/health","conn-limit":330,"protocol":"h1","tls":false,"inference-engine":{"slots":64,"cache-tokens":678399,"kv-token-bytes":163840,"link-mbps":260000.0,"stride":5,"models":[{"name":"model-%d"}]}}`, Service(i), i)
 	})
 	b.WriteString(`],"routes":[`)
-	list(&b, n.Routes, func(i int) { b.Write(route(i, n.Services, 20000)) })
+	list(&b, size.Routes, func(i int) { b.Write(route(i, size.Services, 20000)) })
 	b.WriteString(`],"tenants":[`)
-	list(&b, n.Tenants, func(i int) {
+	list(&b, size.Tenants, func(i int) {
 		fmt.Fprintf(&b, `{"name":"tenant-%d","api-key":"k-%016x","quota":{"per-s":12.5,"burst":40},"priority":1,"models":["model-%d"]}`, i, i, i%6)
 	})
 	b.WriteString(`],"limits":{"header-bytes":16384,"body-bytes":4194304,"header-ms":3000,"idle-ms":15000}}`)
 	return b.Bytes()
 }
 
-// Change is a change of one route's time-out.
-func Change(revision int64, n Size) []byte {
+// Change returns a patch of the configuration that changes the timeout of one route.
+func Change(revision int64, size Size) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"upsert":{"routes":[%s]}}`, revision,
-		route(int(revision)%max(n.Routes, 1), n.Services, 20000+int(revision)%1000))
+		route(int(revision)%max(size.Routes, 1), size.Services, 20000+int(revision)%1000))
 }
 
 func route(i, services, timeoutMs int) []byte {
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// Observed (ia9314f): one key had a tenth of the traffic and one server got all of it, as no agent had
-// more than one of its requests in flight. Other keys use few servers.
+// Observed: one key had a tenth of the traffic, and one server got all of it, as no agent had more than one
+// of its requests in flight. A popular key must use many servers, any other key few.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	agent := newTestAgent(t, testSettings(), 20)
 	agent.splitKeys = true
-	popular, rare := map[Addr]bool{}, map[Addr]bool{}
+	popularServers, rareServers := map[Addr]bool{}, map[Addr]bool{}
 	for i := range 4000 {
 		agent.now += 20
 		key := 1000 + agent.balancer.rng.Uint64N(1000)
@@ -20,12 +20,13 @@
 		agent.endAttempt(id, 0, s, OK, 10)
 		switch key {
 		case 7:
-			popular[s] = true
+			popularServers[s] = true
 		case 8:
-			rare[s] = true
+			rareServers[s] = true
 		}
 	}
-	if len(popular) < 8 || len(rare) > 5 {
-		t.Errorf("a fifth of all requests went to %d servers, a hundredth to %d", len(popular), len(rare))
+	if len(popularServers) < 8 || len(rareServers) > 5 {
+		t.Errorf("a key with a fifth of all requests used %d servers, one with a hundredth %d",
+			len(popularServers), len(rareServers))
 	}
 }
